--- a/crates/boxoffice/src/changes.rs
+++ b/crates/boxoffice/src/changes.rs
@@ -154,6 +154,8 @@
         playbill::Outcome::Reused { version } => {
             (409, serde_json::json!({ "verdict": "not-run", "cause": "id_reused", "version": version, "detail": "another change had this id" }))
         }
+        playbill::Outcome::Conflict { conflicts } => (409, serde_json::json!({ "verdict": "not-run", "cause": "conflict", "conflicts": conflicts })),
+        playbill::Outcome::Superseded { position } => (409, serde_json::json!({ "verdict": "not-run", "cause": "superseded", "position": position })),
         playbill::Outcome::Refused { reason } => (409, serde_json::json!({ "verdict": "not-run", "cause": "refused", "detail": reason })),
     }
 }
--- a/crates/callboard/src/commands.rs
+++ b/crates/callboard/src/commands.rs
@@ -90,7 +90,8 @@
         eprintln!("callboard: a change is a JSON object with \"edits\"");
         return USAGE;
     };
-    if let Some(id) = id.map(serde_json::Value::from).or_else(|| (!change.contains_key("id")).then(|| format!("callboard-{}", playbill::clock::wall()).into()))
+    if let Some(id) =
+        id.map(serde_json::Value::from).or_else(|| (!change.contains_key("id")).then(|| format!("callboard-{}", playbill::incarnation::draw()).into()))
     {
         change.insert("id".into(), id);
     }
--- a/crates/gallery/src/acquaint.rs
+++ b/crates/gallery/src/acquaint.rs
@@ -11,12 +11,12 @@
     known.borrow().values().cloned().collect()
 }
 
-/// The later start wins: an address that moved is learned, an old one never comes back.
+/// Of one disk the later start wins: an address that moved is learned, an old one never comes back.
 pub fn merge(known: &Known, told: Vec<wings::CoreSeat>) {
     known.send_if_modified(|table| {
         told.into_iter()
             .filter(|seat| {
-                let newer = table.get(&(seat.seat, seat.identity)).is_none_or(|held| held.started < seat.started);
+                let newer = table.get(&(seat.seat, seat.identity)).is_none_or(|held| held.starts < seat.starts);
                 if newer {
                     table.insert((seat.seat, seat.identity), seat.clone());
                 }
@@ -60,7 +60,7 @@
         let known = super::nobody();
         let mut heard = known.subscribe();
         heard.mark_unchanged();
-        let seat = wings::CoreSeat { seat: 1, identity: 7, address: "there".into(), zone: "z0".into(), started: 1 };
+        let seat = wings::CoreSeat { seat: 1, identity: 7, address: "there".into(), zone: "z0".into(), starts: 1 };
         super::merge(&known, vec![seat]);
         // Without the news it would be a day.
         let waits = super::news(&mut heard, std::time::Duration::from_secs(86_400));
--- a/crates/gallery/src/core.rs
+++ b/crates/gallery/src/core.rs
@@ -81,7 +81,9 @@
     pub pins: std::sync::Arc<arc_swap::ArcSwap<vault::Pins>>,
     /// This disk had kept nothing when the process began.
     pub(crate) blank: bool,
-    pub(crate) life: u64,
+    /// Tells this process's entries from those of an earlier one.
+    pub(crate) life: playbill::Incarnation,
+    pub(crate) starts: u64,
     pub(crate) sequence: std::sync::Arc<std::sync::atomic::AtomicU64>,
     pub(crate) logger: slog::Logger,
 }
@@ -112,7 +114,8 @@
             identity,
             blank: writes.is_empty(),
             pins: std::sync::Arc::new(arc_swap::ArcSwap::from_pointee(pins.clone())),
-            life: playbill::clock::wall(),
+            life: playbill::incarnation::draw(),
+            starts: shelf.starts,
             sequence: Default::default(),
             logger,
             env: std::sync::Arc::new(env),
@@ -133,7 +136,7 @@
     }
 
     pub(crate) fn own_seat(&self) -> wings::CoreSeat {
-        wings::CoreSeat { seat: self.env.seat, identity: self.identity, address: self.env.address.clone(), zone: self.env.zone.clone(), started: self.life }
+        wings::CoreSeat { seat: self.env.seat, identity: self.identity, address: self.env.address.clone(), zone: self.env.zone.clone(), starts: self.starts }
     }
 
     pub fn seats(&self) -> u16 {
--- a/crates/gallery/src/core_link.rs
+++ b/crates/gallery/src/core_link.rs
@@ -17,15 +17,18 @@
 
 async fn keep_dialing(core: Core, seat: u16) {
     let mut heard = core.known.subscribe();
+    let mut turn = 0;
     loop {
         heard.mark_unchanged();
-        // The disk that holds the seat, or before all have met the latest to say it does.
         let holder = core.pins.load().get(&seat).copied();
         let place = {
             let known = core.known.borrow();
             let told = known.values().filter(|place| place.seat == seat && holder.is_none_or(|holder| place.identity == holder));
-            told.max_by_key(|place| place.started).cloned()
+            // Before all have met, of several disks that say so each in turn.
+            let told: Vec<&wings::CoreSeat> = told.collect();
+            told.get(turn % told.len().max(1)).map(|place| (*place).clone())
         };
+        turn += 1;
         if let Some(place) = place {
             let own = wings::Greeting { expects: holder, ..core.greeting(wings::Purpose::Core) };
             match wings::dial(&place.address, own).await {
--- a/crates/gallery/src/following.rs
+++ b/crates/gallery/src/following.rs
@@ -52,7 +52,7 @@
 /// Seats of the own zone first, both parts in an order of the node's own.
 pub(crate) fn by_zone(known: &crate::Known, zone: &str, name: &str) -> Vec<wings::CoreSeat> {
     let mut seats = crate::acquaint::list(known);
-    seats.sort_by_key(|seat| (seat.zone != zone, playbill::terms::hash(&format!("{name}{}", seat.seat)), std::cmp::Reverse(seat.started)));
+    seats.sort_by_key(|seat| (seat.zone != zone, playbill::terms::hash(&format!("{name}{}", seat.seat)), std::cmp::Reverse(seat.starts)));
     seats
 }
 
--- a/crates/gallery/src/founding.rs
+++ b/crates/gallery/src/founding.rs
@@ -21,7 +21,7 @@
         name: env.address.clone(),
         zone: env.zone.clone(),
         address: env.address.clone(),
-        incarnation: playbill::clock::wall(),
+        incarnation: playbill::incarnation::draw(),
         // No seat yet: only the disk is named.
         core: Some((u16::MAX, 0, identity)),
         blank: true,
--- a/crates/gallery/src/watching.rs
+++ b/crates/gallery/src/watching.rs
@@ -6,6 +6,8 @@
     pub patience: playbill::Micros,
 }
 
+const TELL_AGAIN: std::time::Duration = std::time::Duration::from_millis(300);
+
 /// Tells the watch that a ward was heard.
 pub type Heard = tokio::sync::mpsc::Sender<(String, playbill::Incarnation)>;
 
@@ -32,7 +34,10 @@
     });
     tokio::spawn(async move {
         while let Some(report) = outgoing.recv().await {
-            reports.tell(report).await;
+            // Until this process is registered the log takes no word from it.
+            while let Some(playbill::Outcome::Superseded { .. }) = reports.tell(report.clone()).await {
+                tokio::time::sleep(TELL_AGAIN).await;
+            }
         }
     });
     tokio::spawn(beat(env, view, greeting));
--- a/crates/greenroom/src/rooms.rs
+++ b/crates/greenroom/src/rooms.rs
@@ -99,10 +99,21 @@
         let service = ask.service.clone();
         let registration =
             stage::house::Registration { name: ask.name, service: ask.service, zone: ask.zone, labels: ask.labels, slots: ask.slots, address: ask.address };
-        let incarnation = env.house.reserve(registration, secret.clone()).await?;
-        let back_end = env.house.back_end(&name).await.ok_or_else(|| Trouble::new(Cause::Leaving, "this usher is stopping"))?;
-        let report = playbill::standing::Report::Registered { name: name.clone(), back_end };
-        let outcome = tokio::time::timeout(std::time::Duration::from_secs(5), env.reports.tell(report)).await.ok().flatten();
+        let mut tries = 0;
+        let (incarnation, outcome) = loop {
+            let incarnation = env.house.reserve(registration.clone(), secret.clone()).await?;
+            let back_end = env.house.back_end(&name).await.ok_or_else(|| Trouble::new(Cause::Leaving, "this usher is stopping"))?;
+            let report = playbill::standing::Report::Registered { name: name.clone(), back_end };
+            let outcome = tokio::time::timeout(std::time::Duration::from_secs(5), env.reports.tell(report)).await.ok().flatten();
+            tries += 1;
+            let Some(playbill::Outcome::Superseded { position }) = outcome else { break (incarnation, outcome) };
+            env.house.confirm(&name, incarnation, false).await;
+            if tries == REGISTRATIONS {
+                break (incarnation, outcome);
+            }
+            // The log has a later registration than this usher knew: the next one is made on top of it.
+            until_seen(env, position, &service).await;
+        };
         let accepted = match &outcome {
             Some(playbill::Outcome::Accepted { position, .. } | playbill::Outcome::Unchanged { position }) => Some(*position),
             _ => None,
@@ -120,6 +131,9 @@
     }
 }
 
+/// How often a registration is made on top of what the log has, which may be overtaken again meanwhile.
+const REGISTRATIONS: u32 = 4;
+
 /// A back end that has its answer can send at once: the news of its own service is here.
 async fn until_seen(env: &GreenroomEnv, position: playbill::Position, service: &str) {
     let mut moved = env.moved.clone();
--- a/crates/playbill/src/bill/cast.rs
+++ b/crates/playbill/src/bill/cast.rs
@@ -31,6 +31,8 @@
         zone: ZoneName,
         address: String,
         life: Incarnation,
+        /// The incarnation that the sender found registered, 0 if none: counts only while that one still is.
+        replaces: Incarnation,
     },
     /// For good: nothing lives beside it any more.
     NodeLeft {
@@ -83,6 +85,11 @@
 pub type Players = std::collections::BTreeMap<BackEndName, Player>;
 pub type Places = std::collections::BTreeMap<NodeName, Place>;
 
+/// Compare-and-set: a registration counts only on top of the incarnation that its sender found in the log.
+pub(crate) fn may_register(places: &Places, node: &str, life: Incarnation, replaces: Incarnation) -> bool {
+    places.get(node).is_none_or(|held| held.life == life || held.life == replaces)
+}
+
 /// A node is missed once two of its watchers say so, or the only other node there is.
 pub(crate) fn watch(places: &mut Places, watcher: NodeName, node: &str, life: Incarnation, missed: bool, next: Position) -> bool {
     let others = places.iter().filter(|(name, held)| *name != node && held.present).count();
--- a/crates/playbill/src/bill/items.rs
+++ b/crates/playbill/src/bill/items.rs
@@ -126,14 +126,19 @@
     pub text: String,
 }
 
-/// What of the call is newer than what stands, by key.
-pub fn newer(items: &Items, call: &Call) -> Items {
+/// All items of a call, in its order.
+pub(crate) fn sent(call: &Call) -> impl Iterator<Item = ((Kind, ItemName), Item)> {
     let puts = call.puts.iter().map(|put| {
         let item = Item { version: put.version, body: Some(put.body.clone()), text: put.text.clone() };
         ((put.body.kind(), put.name.clone()), item)
     });
     let drops = call.drops.iter().map(|(kind, name, version)| ((*kind, name.clone()), Item { version: *version, body: None, text: String::new() }));
-    puts.chain(drops).filter(|(key, item)| items.get(key).is_none_or(|held| held.version < item.version)).fold(Items::new(), |mut newer, (key, item)| {
+    puts.chain(drops)
+}
+
+/// What of the call is newer than what stands, by key.
+pub fn newer(items: &Items, call: &Call) -> Items {
+    sent(call).filter(|(key, item)| items.get(key).is_none_or(|held| held.version < item.version)).fold(Items::new(), |mut newer, (key, item)| {
         // One name twice in a call: the higher version, like everywhere else.
         if newer.get(&key).is_none_or(|held| held.version < item.version) {
             newer.insert(key, item);
--- a/crates/playbill/src/bill/mod.rs
+++ b/crates/playbill/src/bill/mod.rs
@@ -5,13 +5,14 @@
 mod delta;
 pub mod items;
 pub mod rows;
+mod taken;
 
 pub use cast::{Place, Player, Report};
 pub use delta::{Delta, Onstage, Programme};
 pub use items::{Body, Call, Item, Kind, Lane, Limits, Service};
 pub use rows::{Key, Row, Rows};
 
-use crate::{BackEndName, Outcome, Position, ServiceName};
+use crate::{BackEndName, Incarnation, Outcome, Position, ServiceName};
 
 /// Ends of back ends are remembered for so many positions: a late word does not bring one back.
 const REMEMBERED: Position = 20_000;
@@ -34,6 +35,7 @@
     pub players: cast::Players,
     pub places: cast::Places,
     pub castings: std::collections::BTreeMap<ServiceName, Casting>,
+    taken: taken::Taken,
     ended: std::collections::BTreeMap<BackEndName, Position>,
     origins: std::collections::BTreeMap<String, (u64, u64, Position)>,
 }
@@ -44,8 +46,11 @@
         match act {
             Act::Items(call) => self.amend(call),
             Act::Reports(reports) => {
+                if !self.speaks_for(origin, life, &reports) {
+                    return (Outcome::Superseded { position: self.position }, Vec::new());
+                }
                 let known = self.origins.get(origin);
-                if known.is_some_and(|(held, last, _)| *held > life || *held == life && *last >= sequence) {
+                if known.is_some_and(|(held, last, _)| *held == life && *last >= sequence) {
                     return (Outcome::Unchanged { position: self.position }, Vec::new());
                 }
                 let next = self.position + 1;
@@ -62,26 +67,47 @@
         }
     }
 
+    /// Whether this incarnation is the registered one of its origin, or becomes it with these very reports. Incarnations
+    /// are drawn and only compared for equality: their order is the order of their registrations in the log.
+    fn speaks_for(&self, origin: &str, life: Incarnation, reports: &[Report]) -> bool {
+        let registration = reports.iter().find_map(|report| match report {
+            Report::Node { node, replaces, .. } if node == origin => Some(*replaces),
+            _ => None,
+        });
+        if let Some(replaces) = registration {
+            return cast::may_register(&self.places, origin, life, replaces);
+        }
+        let registered = self.places.get(origin).map(|place| place.life);
+        let registered = registered.or_else(|| self.origins.get(origin).map(|(held, ..)| *held));
+        registered.is_none_or(|held| held == life)
+    }
+
     fn amend(&mut self, call: Call) -> (Outcome, Vec<Delta>) {
         let faults = items::faults(&self.items, &call);
         if !faults.is_empty() {
             return (Outcome::Invalid { faults }, Vec::new());
         }
+        let conflicts = self.taken.conflicts(&self.items, &call);
+        if !conflicts.is_empty() {
+            return (Outcome::Conflict { conflicts }, Vec::new());
+        }
         let newer = items::newer(&self.items, &call);
         if newer.is_empty() {
             return (Outcome::Unchanged { position: self.position }, Vec::new());
         }
         self.position += 1;
         let told = newer.iter().map(|((kind, name), item)| Delta::Item(*kind, name.clone(), item.version, item.body.clone())).collect();
+        self.taken.record(&newer);
         self.items.extend(newer);
         (Outcome::Accepted { position: self.position, version: 0 }, told)
     }
 
     fn stand(&mut self, report: Report, next: Position) -> Vec<Delta> {
         match report {
-            Report::Node { node, zone, address, life } => {
+            Report::Node { node, zone, address, life, replaces } => {
                 let held = self.places.get(&node);
-                if held.is_some_and(|held| held.life > life || held.life == life && held.present && held.address == address) {
+                let stands = held.is_some_and(|held| held.life == life && held.present && held.address == address);
+                if stands || !cast::may_register(&self.places, &node, life, replaces) {
                     return Vec::new();
                 }
                 let place = Place { zone, address, life, present: true, missed_by: Default::default(), since: next };
--- a/crates/playbill/src/book.rs
+++ b/crates/playbill/src/book.rs
@@ -1,6 +1,6 @@
 //! The state machine the log drives: same entries, same book, everywhere (design 2.3).
 
-use crate::{Act, BackEnd, Change, DesiredState, Entry, Outcome, Phase, Position, Standing, standing::Report, terms};
+use crate::{Act, BackEnd, Change, DesiredState, Entry, Outcome, Phase, Position, Standing, standing::Report, standing_rules::Denied, terms};
 
 /// Remembered changes and origins; both are part of the snapshot (design 2.3).
 const CHANGES_KEPT: usize = 1_024;
@@ -55,12 +55,14 @@
             Act::Seat(_) | Act::Bill(_) | Act::Barrier => Outcome::Unchanged { position: self.position },
             Act::Change(change) => self.change(change),
             Act::Standing(report) => {
+                if !self.speaks_for(&entry.origin, entry.life, &report) {
+                    return Outcome::Superseded { position: self.position };
+                }
                 let known = self.origins.get(&entry.origin).cloned();
                 match known {
                     Some((life, sequence, _, outcome)) if life == entry.life && sequence >= entry.sequence => {
                         return if sequence == entry.sequence { outcome } else { Outcome::Unchanged { position: self.position } };
                     }
-                    Some((life, ..)) if life > entry.life => return refused("the sender has begun a later life"),
                     _ => {}
                 }
                 let outcome = self.stand(report);
@@ -71,6 +73,15 @@
         }
     }
 
+    /// As in the bill: a report counts only from the registered incarnation of its origin, or with its registration.
+    fn speaks_for(&self, origin: &str, life: crate::Incarnation, report: &Report) -> bool {
+        let registered = self.standing.nodes.get(origin).map(|node| node.incarnation);
+        match report {
+            Report::Node { node, replaces, .. } if node == origin => registered.is_none_or(|held| held == life || held == *replaces),
+            _ => registered.or_else(|| self.origins.get(origin).map(|(held, ..)| *held)).is_none_or(|held| held == life),
+        }
+    }
+
     fn change(&mut self, change: Change) -> Outcome {
         let digest = digest(&change);
         match self.changes.get(&change.id) {
@@ -99,8 +110,10 @@
         let before = self.standing.clone();
         let terms_before = self.terms.clone();
         let next = self.position + 1;
-        if let Err(reason) = crate::standing_rules::apply(self, report, next) {
-            return refused(reason);
+        match crate::standing_rules::apply(self, report, next) {
+            Err(Denied::Refused(reason)) => return refused(reason),
+            Err(Denied::Superseded) => return Outcome::Superseded { position: self.position },
+            Ok(()) => {}
         }
         self.position = next;
         self.settle();
--- a/crates/playbill/src/clock.rs
+++ b/crates/playbill/src/clock.rs
@@ -8,7 +8,7 @@
     time.tv_sec as u64 * 1_000_000 + time.tv_nsec as u64 / 1_000
 }
 
-/// Wall time only where people read it, and to make incarnations grow over restarts.
+/// The time of day, for log lines that people read. Nothing is decided by it: it jumps.
 pub fn wall() -> Micros {
     std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).map(|since| since.as_micros() as Micros).unwrap_or(0)
 }
--- a/crates/playbill/src/entry.rs
+++ b/crates/playbill/src/entry.rs
@@ -57,6 +57,25 @@
     Refused {
         reason: String,
     },
+    /// The log has another incarnation of the sender, or none yet that this one replaces: it registers first.
+    Superseded {
+        position: Position,
+    },
+    /// An item was sent with other content under a version that was taken before. Nothing of the call holds.
+    Conflict {
+        conflicts: Vec<Conflict>,
+    },
+}
+
+/// An item that was taken with other content under the very version that was sent.
+#[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+pub struct Conflict {
+    pub kind: crate::bill::Kind,
+    pub name: crate::bill::items::ItemName,
+    /// The version that was sent and had been taken.
+    pub sent: crate::bill::items::ItemVersion,
+    /// The newest version that stands.
+    pub held: crate::bill::items::ItemVersion,
 }
 
 pub fn to_bytes(entry: &Entry) -> Vec<u8> {
--- a/crates/playbill/src/standing.rs
+++ b/crates/playbill/src/standing.rs
@@ -48,6 +48,8 @@
         zone: ZoneName,
         address: String,
         incarnation: Incarnation,
+        /// The incarnation that the sender found registered, 0 if none: counts only while that one still is.
+        replaces: Incarnation,
     },
     /// A planned end. `clean`: every run beside it had ended, and it passes nothing on any more.
     NodeLeft {
--- a/crates/rehearsal/src/hollow/counted.rs
+++ b/crates/rehearsal/src/hollow/counted.rs
@@ -77,7 +77,8 @@
     }
 
     pub fn node(&self, at: usize, life: u64) -> Report {
-        Report::Node { node: format!("n{at}"), zone: self.plan.zone(at), address: format!("127.64.{}.{}:40123", at / 250 + 1, at % 250 + 1), life }
+        let replaces = self.bill.places.get(&format!("n{at}")).map_or(0, |place| place.life);
+        Report::Node { node: format!("n{at}"), zone: self.plan.zone(at), address: format!("127.64.{}.{}:40123", at / 250 + 1, at % 250 + 1), life, replaces }
     }
 
     pub fn joined(&self, at: usize, life: u64) -> Report {
--- a/crates/rehearsal/src/keysim/blows.rs
+++ b/crates/rehearsal/src/keysim/blows.rs
@@ -131,7 +131,7 @@
         let node = &mut self.nodes[at];
         (node.up, node.frozen) = (false, false);
         node.late.clear();
-        let life = node.life;
+        let life = node.incarnation();
         // Two watchers miss it in time, as the ring of nodes has them do.
         if length > 3_000_000 && self.log.out_until <= self.now {
             let missed = |by: usize| Report::Watch { watcher: format!("node-{by}"), node: format!("node-{at}"), life, missed: true };
--- a/crates/rehearsal/src/keysim/node.rs
+++ b/crates/rehearsal/src/keysim/node.rs
@@ -42,6 +42,11 @@
     pub began: Micros,
 }
 
+/// What the process of this name drew at its start of this number.
+pub(super) fn incarnation(name: &str, life: u64) -> playbill::Incarnation {
+    playbill::terms::hash(&format!("{name} {life}"))
+}
+
 impl Node {
     pub fn new(at: usize, rate: i64, env: troupe::KeysEnv) -> Node {
         Node {
@@ -67,6 +72,11 @@
         }
     }
 
+    /// What this process drew when it began: its order says nothing.
+    pub fn incarnation(&self) -> playbill::Incarnation {
+        incarnation(&self.name, self.life)
+    }
+
     pub fn lives(&self, life: u64) -> bool {
         self.up && self.life == life
     }
--- a/crates/rehearsal/src/keysim/plan.rs
+++ b/crates/rehearsal/src/keysim/plan.rs
@@ -25,6 +25,8 @@
     pub rest: bool,
     /// Whoever's beat is read last is taken for the one that lives.
     pub late: bool,
+    /// A process that starts registers without asking which incarnation the log has.
+    pub registration: bool,
 }
 
 #[derive(Clone, Debug)]
--- a/crates/rehearsal/src/keysim/telling.rs
+++ b/crates/rehearsal/src/keysim/telling.rs
@@ -24,8 +24,10 @@
 impl super::node::Node {
     /// All that differs between what is so here and what the log says.
     fn wanted(&self, plan: &super::KeyPlan, now: Micros) -> Vec<Report> {
-        let place = self.programme.places.get(&self.name).is_some_and(|held| held.life == self.life && held.present);
-        let node = Report::Node { node: self.name.clone(), zone: "z0".into(), address: self.name.clone(), life: self.life };
+        let (held, life) = (self.programme.places.get(&self.name), self.incarnation());
+        let place = held.is_some_and(|held| held.life == life && held.present);
+        let replaces = held.filter(|_| !plan.without.registration).map_or(0, |held| held.life);
+        let node = Report::Node { node: self.name.clone(), zone: "z0".into(), address: self.name.clone(), life, replaces };
         let own = self.own.iter().filter(|own| !self.ends.contains_key(&own.beat.name)).flat_map(|own| {
             let name = own.beat.name.clone();
             let phase = self.programme.players.get(&name).map(|held| held.phase);
@@ -109,7 +111,7 @@
     }
 
     pub(super) fn ordered(&mut self, at: usize, life: u64, sequence: u64, reports: Vec<Report>) {
-        let outcome = self.order((format!("node-{at}"), life, sequence, reports));
+        let outcome = self.order((self.nodes[at].name.clone(), super::node::incarnation(&self.nodes[at].name, life), sequence, reports));
         let hears = !self.nodes[at].cut && !self.nodes[at].dumb;
         outcome.filter(|_| hears).into_iter().for_each(|outcome| self.after((500, 20_000), Event::Logged(at, life, sequence, outcome)));
     }
--- a/crates/rehearsal/src/sim/site_events.rs
+++ b/crates/rehearsal/src/sim/site_events.rs
@@ -189,10 +189,24 @@
         self.at(now + wait, Event::Report(at, life, seat, entry));
     }
 
+    /// The log has another incarnation: it registers on top of that, as its news has it, and says the rest after it.
+    fn superseded(&mut self, at: usize, report: Report) {
+        let registration = self.registration(at);
+        let outbox = &mut self.nodes[at].outbox;
+        if !matches!(report, Report::Node { .. }) {
+            outbox.push_front(report);
+        }
+        outbox.push_front(registration);
+    }
+
     fn reported(&mut self, at: usize, life: u64, sequence: u64, outcome: Outcome) {
         let node = &mut self.nodes[at];
         let own = node.life == life && node.entry.as_ref().is_some_and(|(entry, _)| entry.sequence == sequence);
         let Some((entry, _)) = node.entry.take_if(|_| own && !node.cut) else { return };
+        if let (Outcome::Superseded { .. }, Act::Standing(report)) = (&outcome, &entry.act) {
+            return self.superseded(at, report.clone());
+        }
+        let node = &mut self.nodes[at];
         if let Act::Standing(Report::Registered { name, back_end }) = entry.act {
             let accepted = matches!(outcome, Outcome::Accepted { .. } | Outcome::Unchanged { .. });
             node.house.confirm(self.now, &name, back_end.incarnation, accepted);
--- a/crates/rehearsal/tests/keys.rs
+++ b/crates/rehearsal/tests/keys.rs
@@ -78,6 +78,11 @@
     caught(Without { rest: true, ..Default::default() }, KeyPlan::new, drawn(&[Blow::Drain, Blow::Kill, Blow::Drain]), "restless");
 }
 
+#[test]
+fn registrations_that_do_not_ask_the_log_are_caught() {
+    caught(Without { registration: true, ..Default::default() }, KeyPlan::new, drawn(&[Blow::Power, Blow::Kill]), "idle");
+}
+
 #[test]
 fn late_beats_taken_for_the_latest_are_caught() {
     // Two lives come and go while the node stands still; what they sent is read in any order.
--- a/crates/stage/src/house.rs
+++ b/crates/stage/src/house.rs
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Holds the name for a new life. A live registration is never taken over.
-    pub fn reserve(&mut self, now: Micros, wall: Micros, registration: Registration, secret: String) -> Result<Incarnation, Trouble> {
+    /// Holds the name for a new life, above the one that the log has. A live registration is never taken over.
+    pub fn reserve(&mut self, now: Micros, logged: Incarnation, registration: Registration, secret: String) -> Result<Incarnation, Trouble> {
         let held = self.places.get(&registration.name);
         if self.leaving {
             return Err(Trouble::new(Cause::Leaving, "this usher is leaving"));
@@ -116,7 +116,7 @@
             self.outbox.push(Report::Phase { name, incarnation, phase: playbill::Phase::PresumedGone });
         });
         let held = self.places.get(&registration.name);
-        let incarnation = wall.max(held.map(|held| held.incarnation + 1).unwrap_or(0));
+        let incarnation = playbill::incarnation::after(logged.max(held.map_or(0, |held| held.incarnation)));
         let told_slots = registration.slots;
         let place = Place {
             registration,
--- a/crates/stage/src/house_task.rs
+++ b/crates/stage/src/house_task.rs
@@ -159,7 +159,8 @@
         let now = playbill::now();
         match command {
             Command::Reserve(registration, secret, answer) => {
-                let reserved = self.house.reserve(now, playbill::clock::wall(), registration, secret);
+                let logged = self.view.load().slice.back_ends.get(&registration.name).map_or(0, |held| held.incarnation);
+                let reserved = self.house.reserve(now, logged, registration, secret);
                 answer.send(reserved).unheard();
                 self.publish();
             }
--- a/crates/troupe/src/beats.rs
+++ b/crates/troupe/src/beats.rs
@@ -55,7 +55,7 @@
         let keyed = programme.services.get(&own.beat.service).is_some_and(|service| service.keyed);
         let rows = programme.castings.get(&own.beat.service).map(|held| held.1.clone()).unwrap_or_default();
         if own.kept.is_some() {
-            let grant = self.keys.grant(now, outlook.proved, &rows, &own.beat.name, &own.beat.holds).filter(|_| keyed);
+            let grant = self.keys.grant(now, outlook.proved, &rows, &own.beat.name, &own.beat.holds).filter(|_| keyed && !*self.superseded.borrow());
             let told = |grant: &Grant| grant.rows.iter().map(|(from, to, fence, _)| (*from, *to, *fence)).collect::<Vec<_>>();
             let changes = grant.as_ref().is_some_and(|grant| told(grant) != own.beat.holds);
             // A service that is not divided by key has nothing to wait for.
--- a/crates/troupe/src/desk.rs
+++ b/crates/troupe/src/desk.rs
@@ -85,11 +85,16 @@
     /// When it last looked whether one it never heard is still there.
     pub(crate) looked: Micros,
     pub(crate) telling: bool,
+    pub(crate) registration: crate::registration::Registration,
+    pub(crate) superseded: tokio::sync::watch::Sender<bool>,
     pub(crate) logger: slog::Logger,
 }
 
 #[derive(Clone)]
-pub struct Troupe(pub(crate) tokio::sync::mpsc::Sender<Command>);
+pub struct Troupe {
+    pub(crate) commands: tokio::sync::mpsc::Sender<Command>,
+    superseded: tokio::sync::watch::Receiver<bool>,
+}
 
 impl Troupe {
     pub fn start(env: TroupeEnv, following: gallery::Following, pit: pit::Pit, reports: gallery::Reports, logger: slog::Logger) -> Troupe {
@@ -98,26 +103,50 @@
         let outlook = following.outlook.clone();
         let (ends, facts) = (Default::default(), Vec::new());
         let (own, over, began, telling) = (None, Default::default(), playbill::now(), false);
-        let mut owner = Owner { env, outlook, pit, reports, commands: commands.clone(), keys, own, ends, over, facts, began, looked: 0, telling, logger };
+        let registration = crate::registration::Registration::new(env.life);
+        let (tell_superseded, superseded) = tokio::sync::watch::channel(false);
+        let mut owner = Owner {
+            env,
+            outlook,
+            pit,
+            reports,
+            commands: commands.clone(),
+            keys,
+            own,
+            ends,
+            over,
+            facts,
+            began,
+            looked: 0,
+            telling,
+            registration,
+            superseded: tell_superseded,
+            logger,
+        };
         tokio::spawn(async move {
             while let Some(command) = buffer.recv().await {
                 owner.take(command).await;
             }
         });
         tokio::spawn(wake(commands.clone(), following.moved));
-        Troupe(commands)
+        Troupe { commands, superseded }
     }
 
     /// `None`: the owner is gone.
     pub async fn beat(&self, beat: Beat) -> Option<BeatAnswer> {
         let (answer, answered) = tokio::sync::oneshot::channel();
-        self.0.send(Command::Beat(Box::new(beat), answer)).await.ok()?;
+        self.commands.send(Command::Beat(Box::new(beat), answer)).await.ok()?;
         answered.await.ok()
     }
 
+    /// Another process of this node's name was registered after this one.
+    pub fn is_superseded(&self) -> bool {
+        *self.superseded.borrow()
+    }
+
     pub async fn sign_off(&self, name: String) -> Option<()> {
         let (answer, answered) = tokio::sync::oneshot::channel();
-        self.0.send(Command::SignOff(name, answer)).await.ok()?;
+        self.commands.send(Command::SignOff(name, answer)).await.ok()?;
         answered.await.ok()
     }
 }
--- a/crates/troupe/src/facts.rs
+++ b/crates/troupe/src/facts.rs
@@ -1,18 +1,24 @@
 //! What the log should know and does not: told again until it stands there (design 11.2).
 
 use crate::desk::{Command, Owner};
+use crate::registration::Standing;
+use playbill::Outcome;
 use playbill::bill::Report;
 
+/// Between a report that changed nothing or was not taken and the next one.
+const TELL_AGAIN: std::time::Duration = std::time::Duration::from_millis(200);
+
 /// Beats that may be missed before the back end is taken for silent.
 pub(crate) const MISSED: u64 = 3;
 
 impl Owner {
     /// All that differs between what is so here and what the log says, as reports.
-    fn wanted(&self) -> Vec<Report> {
+    fn wanted(&self, standing: Standing) -> Vec<Report> {
         let programme = self.outlook.load().programme.clone();
         let env = &self.env;
+        let replaces = if let Standing::Unregistered { replaces } = standing { replaces } else { env.life };
         let place = programme.places.get(&env.node).is_some_and(|held| held.life == env.life && held.present && held.address == env.address);
-        let node = Report::Node { node: env.node.clone(), zone: env.zone.clone(), address: env.address.clone(), life: env.life };
+        let node = Report::Node { node: env.node.clone(), zone: env.zone.clone(), address: env.address.clone(), life: env.life, replaces };
         let own = self.own.iter().filter(|own| !self.ends.contains_key(&own.beat.name)).flat_map(|own| {
             let (name, player) = (own.beat.name.clone(), self.player(own));
             let held = programme.players.get(&name);
@@ -60,7 +66,11 @@
         if self.telling || self.outlook.load().proved == 0 {
             return;
         }
-        let wanted = self.wanted();
+        let standing = self.registration.look(self.outlook.load().programme.places.get(&self.env.node));
+        if standing == Standing::Superseded {
+            return self.stop_for_another();
+        }
+        let wanted = self.wanted(standing);
         if wanted.is_empty() {
             return;
         }
@@ -71,25 +81,39 @@
         tokio::spawn(async move {
             let outcome = reports.report(wanted.clone()).await;
             // Until the news of it is here the same would be wanted again.
-            if let Some(playbill::Outcome::Accepted { position, .. }) = &outcome {
+            if let Some(position) = outcome.as_ref().and_then(stands_at) {
                 let here = async {
-                    while outlook.load().programme.position < *position {
+                    while outlook.load().programme.position < position {
                         tokio::time::sleep(std::time::Duration::from_millis(5)).await;
                     }
                 };
                 drop(tokio::time::timeout(std::time::Duration::from_millis(500), here).await);
             }
+            if !matches!(outcome, Some(Outcome::Accepted { .. })) {
+                tokio::time::sleep(TELL_AGAIN).await;
+            }
             drop(commands.send(Command::Logged(wanted, outcome)).await);
         });
     }
 
-    pub(crate) fn logged(&mut self, told: Vec<Report>, outcome: Option<playbill::Outcome>) {
+    /// Another process of this name was registered after this one: it tells and grants nothing more.
+    fn stop_for_another(&mut self) {
+        if !self.superseded.send_replace(true) {
+            slog::error!(self.logger, "another process was registered under this node's name; this one serves no more"; "node" => &self.env.node);
+        }
+    }
+
+    pub(crate) fn logged(&mut self, told: Vec<Report>, outcome: Option<Outcome>) {
         self.telling = false;
-        if outcome.is_none() {
-            return;
+        match outcome {
+            None => return,
+            Some(Outcome::Superseded { position }) => {
+                return slog::warn!(self.logger, "the log has another incarnation of this node; registers again"; "position" => position);
+            }
+            Some(_) => {}
         }
         // Told once more it would change nothing either.
-        let unchanged = matches!(outcome, Some(playbill::Outcome::Unchanged { .. }));
+        let unchanged = matches!(outcome, Some(Outcome::Unchanged { .. }));
         self.own
             .iter_mut()
             .filter(|own| unchanged && told.iter().any(|told| matches!(told, Report::Joined { name, .. } if *name == own.beat.name)))
@@ -175,3 +199,11 @@
         }
     }
 }
+
+/// Up to where the log had come when it gave this answer.
+fn stands_at(outcome: &Outcome) -> Option<playbill::Position> {
+    match outcome {
+        Outcome::Accepted { position, .. } | Outcome::Unchanged { position } | Outcome::Superseded { position } => Some(*position),
+        _ => None,
+    }
+}
--- a/crates/troupe/src/lib.rs
+++ b/crates/troupe/src/lib.rs
@@ -8,9 +8,11 @@
 mod keys;
 mod node;
 mod recalled;
+mod registration;
 mod watch;
 
 pub use casting::{Ask, Cast, Part, cast, excess, stripes};
 pub use desk::{Beat, BeatAnswer, Troupe, TroupeEnv};
 pub use keys::{Grant, Keys, KeysEnv};
 pub use node::{Node, NodeEnv};
+pub use registration::{Registration, Standing};
--- a/crates/troupe/src/node.rs
+++ b/crates/troupe/src/node.rs
@@ -42,7 +42,7 @@
         let reports = gallery::Reports::start(reporting, known.clone(), greeting(wings::Purpose::Subscribe));
         let pit = pit::Pit::start(pit::PitEnv { words: env.words.clone(), ahead: env.ahead });
         let troupe = crate::Troupe::start(own.clone(), following.clone(), pit.clone(), reports.clone(), logger.clone());
-        let watching = crate::watch::WatchEnv { node: own.node.clone(), beat_every: env.watch_every, patience: env.watch_patience };
+        let watching = crate::watch::WatchEnv { node: own.node.clone(), life: own.life, beat_every: env.watch_every, patience: env.watch_patience };
         let heard = crate::watch::start(watching, following.outlook.clone(), reports.clone(), greet.clone());
         let (tell_loads, loads) = tokio::sync::mpsc::channel(1_024);
         tokio::spawn(apron::listen(mates, greet.clone(), known.clone(), pit.clone(), (heard, tell_loads)));
@@ -83,7 +83,8 @@
     /// Knows what is to be served, and is not on its way out.
     pub fn ready(&self) -> bool {
         let outlook = self.following.outlook.load();
-        outlook.proved > 0 && outlook.programme.has_lanes() && !self.told_off.load(std::sync::atomic::Ordering::Relaxed)
+        let serves = outlook.proved > 0 && outlook.programme.has_lanes();
+        serves && !self.troupe.is_superseded() && !self.told_off.load(std::sync::atomic::Ordering::Relaxed)
     }
 
     /// Not ready from now on, but serves as before for the notice: until whoever sends requests here has asked and heard it.
--- a/crates/troupe/src/watch.rs
+++ b/crates/troupe/src/watch.rs
@@ -4,6 +4,7 @@
 
 pub struct WatchEnv {
     pub node: String,
+    pub life: playbill::Incarnation,
     pub beat_every: playbill::Micros,
     pub patience: playbill::Micros,
 }
@@ -35,8 +36,11 @@
                         tokio::spawn(carry(address, (greet)(wings::Purpose::Watch), beats));
                     });
                     // A node that hears no proof is cut off itself and blames nobody; the pause then forgives all.
-                    let proved = outlook.load().proved + env.patience * 2 / 3 > playbill::now();
-                    let missed = if proved { watch.look(playbill::now(), &stand.wards, &env.node, env.patience) } else { Vec::new() };
+                    let outlook = outlook.load();
+                    let proved = outlook.proved + env.patience * 2 / 3 > playbill::now();
+                    // Before it is registered the log takes no word from it.
+                    let registered = outlook.programme.places.get(&env.node).is_some_and(|place| place.life == env.life);
+                    let missed = if proved && registered { watch.look(playbill::now(), &stand.wards, &env.node, env.patience) } else { Vec::new() };
                     let told: Vec<Report> = missed.into_iter().filter_map(|report| match report {
                         playbill::standing::Report::Watch { watcher, node, incarnation, missed } => Some(Report::Watch { watcher, node, life: incarnation, missed }),
                         _ => None,
--- a/crates/usher/src/node.rs
+++ b/crates/usher/src/node.rs
@@ -1,5 +1,8 @@
 //! Puts the parts of a node together, and takes them down in order.
 
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
+
 pub struct Node {
     near: stage::Near,
     house: stage::HouseDesk,
@@ -13,7 +16,7 @@
 impl Node {
     pub async fn start(env: &crate::env::Env, logger: &slog::Logger) -> Result<Node, String> {
         let told = |what: &str, error: &dyn std::fmt::Display| format!("{what}: {error}");
-        let life = playbill::clock::wall();
+        let life = playbill::incarnation::draw();
         let listener = tokio::net::TcpListener::bind(&env.mates_address).await.map_err(|error| told("mates_address", &error))?;
         let listening = listener.local_addr().map_err(|error| told("mates_address", &error))?.to_string();
         let address = env.advertised_address.clone().unwrap_or(listening);
@@ -101,7 +104,8 @@
         let router = salvo::Router::new().push(crate::health::router(health)).push(foyer::router(near.clone(), house.clone())).push(greenroom::router(rooms));
         let serving = lobby::Serving::start(&env.local_address, router).await.map_err(|error| told("local_address", &error))?;
         slog::info!(logger, "listening"; "mates" => &address, "local" => serving.address.to_string(), "life" => life);
-        tokio::spawn(present(env.name.clone(), env.zone.clone(), address, life, view, reports.clone()));
+        let own = Own { name: env.name.clone(), zone: env.zone.clone(), address, life };
+        tokio::spawn(present(own, view, reports.clone(), staying.clone(), logger.clone()));
         Ok(Node { near, house, reports, serving, staying, name: env.name.clone(), life })
     }
 
@@ -124,13 +128,30 @@
     }
 }
 
+/// What the log is told of this process.
+#[derive(Clone)]
+struct Own {
+    name: String,
+    zone: String,
+    address: String,
+    life: playbill::Incarnation,
+}
+
 /// Tells the log that this node is here, and again whenever the log takes it for gone.
-async fn present(name: String, zone: String, address: String, life: u64, view: gallery::view::SharedView, reports: gallery::Reports) {
+async fn present(own: Own, view: gallery::view::SharedView, reports: gallery::Reports, staying: Arc<AtomicBool>, logger: slog::Logger) {
+    let mut stood = false;
     loop {
-        let held = view.load();
-        let stands = held.slice.nodes.get(&name).is_some_and(|node| node.present && node.incarnation == life);
-        if !stands {
-            let report = playbill::standing::Report::Node { node: name.clone(), zone: zone.clone(), address: address.clone(), incarnation: life };
+        let view_now = view.load();
+        let held = view_now.slice.nodes.get(&own.name);
+        let registered = held.map_or(0, |node| node.incarnation);
+        if stood && registered != 0 && registered != own.life {
+            slog::error!(logger, "another process was registered under this node's name; this one serves no more"; "node" => &own.name);
+            return staying.store(false, Relaxed);
+        }
+        stood |= registered == own.life;
+        if registered != own.life || held.is_some_and(|node| !node.present) {
+            let Own { name: node, zone, address, life: incarnation } = own.clone();
+            let report = playbill::standing::Report::Node { node, zone, address, incarnation, replaces: registered };
             reports.tell(report).await;
         }
         tokio::time::sleep(std::time::Duration::from_millis(300)).await;
--- a/crates/vault/src/lib.rs
+++ b/crates/vault/src/lib.rs
@@ -9,7 +9,7 @@
 pub use shelf::Shelf;
 
 /// The layout of the file; another number is refused by name.
-pub const LAYOUT: u64 = 2;
+pub const LAYOUT: u64 = 3;
 
 #[derive(Debug, thiserror::Error)]
 pub enum Trouble {
--- a/crates/vault/src/shelf.rs
+++ b/crates/vault/src/shelf.rs
@@ -4,6 +4,8 @@
 
 const META: redb::TableDefinition<&str, u64> = redb::TableDefinition::new("meta");
 const PINS: redb::TableDefinition<u16, u64> = redb::TableDefinition::new("pins");
+/// The key in `META` under which starts are counted.
+const STARTS: &str = "starts";
 const JOURNAL: redb::TableDefinition<u64, &[u8]> = redb::TableDefinition::new("journal");
 
 /// How the store is opened, and opened again after a failure has spoilt it.
@@ -17,6 +19,8 @@
     pub pins: crate::Pins,
     /// The seat this disk was given, if it was not told by settings.
     pub charter: Option<crate::Charter>,
+    /// How often a process has opened this store, this one included: a later start has the greater number.
+    pub starts: u64,
 }
 
 fn store<E: Into<redb::Error>>(error: E) -> crate::Trouble {
@@ -39,7 +43,7 @@
     fn load(opener: Opener) -> Result<(Shelf, Vec<repertory::Write>), crate::Trouble> {
         let database = opener()?;
         let change = database.begin_write().map_err(store)?;
-        let (identity, charter, pins, raw) = {
+        let (identity, charter, starts, pins, raw) = {
             let mut meta = change.open_table(META).map_err(store)?;
             let found = meta.get("layout").map_err(store)?.map(|held| held.value());
             match found {
@@ -51,6 +55,8 @@
                 }
             }
             let identity = meta.get("identity").map_err(store)?.map(|held| held.value()).unwrap_or_default();
+            let starts = meta.get(STARTS).map_err(store)?.map(|held| held.value()).unwrap_or_default() + 1;
+            meta.insert(STARTS, starts).map_err(store)?;
             let word = |name: &str| meta.get(name).map(|held| held.map(|held| held.value())).map_err(store);
             let charter = word("seat")?.zip(word("seats")?).zip(word("founded")?);
             let charter = charter.map(|((seat, seats), founded)| crate::Charter { seat: seat as u16, seats: seats as u16, founded: founded == 1 });
@@ -66,13 +72,13 @@
                 .map_err(store)?
                 .map(|row| row.map(|(at, bytes)| (at.value(), bytes.value().to_vec())).map_err(store))
                 .collect::<Result<Vec<(u64, Vec<u8>)>, _>>()?;
-            (identity, charter, pins, raw)
+            (identity, charter, starts, pins, raw)
         };
         change.commit().map_err(store)?;
         let next = raw.last().map(|(at, _)| at + 1).unwrap_or(0);
         let writes =
             raw.into_iter().map(|(at, bytes)| decode(&bytes).ok_or(crate::Trouble::Damaged { at })).collect::<Result<Vec<Vec<repertory::Write>>, _>>()?;
-        Ok((Shelf { store: Some(database), opener, next, identity, pins, charter }, writes.into_iter().flatten().collect()))
+        Ok((Shelf { store: Some(database), opener, next, identity, pins, charter, starts }, writes.into_iter().flatten().collect()))
     }
 
     /// One transaction, one sync. `afresh` replaces all that was kept. After a failure it may be called
--- a/crates/wings/src/frame.rs
+++ b/crates/wings/src/frame.rs
@@ -26,8 +26,8 @@
     pub identity: u64,
     pub address: String,
     pub zone: ZoneName,
-    /// The later start is the better address.
-    pub started: Micros,
+    /// How often this disk was started: of one disk, the greater number has the better address.
+    pub starts: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
--- a/crates/wings/src/lib.rs
+++ b/crates/wings/src/lib.rs
@@ -14,7 +14,7 @@
 pub use short::{Listener, Said, Speaker};
 
 /// Spoken version; a mate with another is refused with both numbers.
-pub const VERSION: u16 = 4;
+pub const VERSION: u16 = 5;
 /// The longest frame taken from a mate.
 pub const FRAME_LIMIT: usize = 16 * 1024 * 1024;
 
