--- a/crates/boxoffice/src/changes.rs
+++ b/crates/boxoffice/src/changes.rs
@@ -96,17 +96,12 @@
         let detail = format!("seat {} is held by {:016x}", ask.seat, holder.unwrap_or(0));
         return (412, serde_json::json!({ "verdict": "not-run", "cause": "stale", "detail": detail }));
     }
-    if !in_touch(office) {
+    if !office.core.reaches_majority() {
         return no_majority();
     }
     answered(office.core.replace(playbill::SeatChange { seat: ask.seat, from, to }).await)
 }
 
-fn in_touch(office: &Boxoffice) -> bool {
-    let state = office.core.state.load();
-    state.started && state.in_touch > office.core.seats() as usize / 2
-}
-
 /// Not handed to the log at all: certain not to take effect.
 fn no_majority() -> Answer {
     (503, serde_json::json!({ "verdict": "not-run", "cause": "no_majority", "detail": "this core seat is not in touch with a majority" }))
@@ -129,7 +124,7 @@
     if !found.is_empty() {
         return faults(422, found);
     }
-    if !in_touch(office) {
+    if !office.core.reaches_majority() {
         return no_majority();
     }
     answered(office.core.change(change).await)
--- a/crates/gallery/src/core.rs
+++ b/crates/gallery/src/core.rs
@@ -23,7 +23,10 @@
     pub started: bool,
     pub identity: u64,
     pub met: usize,
+    /// Seats that are heard, this one included.
     pub in_touch: usize,
+    /// This process was in touch with a majority once.
+    pub had_majority: bool,
     pub applied: u64,
     pub floor: u64,
     /// Where this seat would suggest next, how far it knows the log to reach, and reads that wait.
@@ -157,6 +160,17 @@
         }
     }
 
+    pub fn reaches_majority(&self) -> bool {
+        let state = self.state.load();
+        state.started && state.in_touch > self.seats() as usize / 2
+    }
+
+    /// It reached a majority and does not any more: what it is asked now it can neither confirm nor read, so callers
+    /// are sent elsewhere at once. A process that has just started is given the time to come that far.
+    pub fn lost_majority(&self) -> bool {
+        self.state.load().had_majority && !self.reaches_majority()
+    }
+
     /// Puts an entry in the log. `None`: not known to be there in time; it may yet take effect.
     pub async fn submit(&self, entry: playbill::Entry) -> Option<playbill::Outcome> {
         let (answer, outcome) = tokio::sync::oneshot::channel();
--- a/crates/gallery/src/core_effects.rs
+++ b/crates/gallery/src/core_effects.rs
@@ -19,6 +19,7 @@
                 drop(self.core.jobs.send(vault::Job::Append { ticket, writes, afresh }));
             }
             repertory::Effect::Apply(instance, value) => self.apply(instance, &value),
+            repertory::Effect::Overruled(value) => self.submit_again(value),
             repertory::Effect::Install { state, through } => {
                 match crate::bulletin::unpacked(&state) {
                     Some((book, bill)) => {
@@ -43,6 +44,15 @@
         }
     }
 
+    /// For a caller that still waits. One that was answered, that it is not known to be taken, sends it again itself.
+    fn submit_again(&mut self, value: repertory::Value) {
+        let Some(entry) = playbill::entry::from_bytes(&value) else { return };
+        let awaited = self.waiting.get(&(entry.origin, entry.life, entry.sequence));
+        if awaited.is_some_and(|answers| answers.iter().any(|answer| !answer.is_closed())) {
+            self.step(playbill::now(), repertory::Input::Submit(value));
+        }
+    }
+
     fn apply(&mut self, instance: u64, value: &[u8]) {
         let Some(entry) = playbill::entry::from_bytes(value) else {
             return slog::error!(self.core.logger, "an entry does not hold together"; "instance" => instance);
@@ -74,6 +84,7 @@
         if let Some(machine) = self.machine.as_ref() {
             self.state.started = true;
             self.state.in_touch = machine.in_touch();
+            self.state.had_majority |= self.state.in_touch > self.core.seats() as usize / 2;
             self.state.applied = machine.applied();
             self.state.floor = machine.floor();
             (self.state.index, self.state.highest, self.state.open_reads) = (machine.index(), machine.highest(), machine.open_reads());
--- a/crates/gallery/src/core_owner.rs
+++ b/crates/gallery/src/core_owner.rs
@@ -94,7 +94,9 @@
         self.machine = Some(repertory::Repertory::restore(env.seat, env.seats, self.core.identity, env.tuning, now, writes));
         slog::info!(self.core.logger, "all seats are known, voting begins");
         let held = std::mem::take(&mut self.held);
-        held.into_iter().for_each(|command| self.take(command));
+        // Whoever gave up meanwhile was told that its entry was not taken.
+        let given_up = |command: &Command| matches!(command, Command::Submit(_, answer) if answer.is_closed());
+        held.into_iter().filter(|command| !given_up(command)).for_each(|command| self.take(command));
         self.carry_out();
     }
 
--- a/crates/rehearsal/src/sim/check.rs
+++ b/crates/rehearsal/src/sim/check.rs
@@ -1,9 +1,19 @@
 //! What must hold in every run, checked while it runs and at its end (design 9.3).
 
+/// An entry that was handed to a seat.
+#[derive(Clone, Copy, Debug)]
+pub struct Submission {
+    pub seat: u16,
+    pub at: u64,
+    /// The seat died with whoever waited there.
+    pub caller_gone: bool,
+    /// When a seat first applied it.
+    pub applied: Option<u64>,
+}
+
 #[derive(Default)]
 pub struct Findings {
-    /// What was handed to a seat, to which, and when.
-    pub submitted: std::collections::BTreeMap<Vec<u8>, (u16, u64)>,
+    pub submitted: std::collections::BTreeMap<Vec<u8>, Submission>,
     /// The longest an entry took until its own seat had applied it.
     pub slowest: u64,
     /// The one value of each instance, by whoever applied it first.
@@ -18,7 +28,9 @@
 impl Findings {
     pub fn applied(&mut self, now: u64, seat: u16, at: u64, value: &[u8], seats: u16) {
         let since = self.submitted.get(value).copied();
-        if since.is_none() {
+        if let Some(submission) = self.submitted.get_mut(value) {
+            submission.applied.get_or_insert(now);
+        } else {
             self.broken.push(format!("seat {seat} applied at {at} what nobody proposed"));
         }
         let held = self.chosen.entry(at).or_insert_with(|| value.to_vec());
@@ -26,14 +38,31 @@
             self.broken.push(format!("instance {at} has two values, the second at seat {seat}"));
         }
         if at % seats as u64 == seat as u64 {
-            self.slowest = self.slowest.max(now.saturating_sub(since.map(|(_, at)| at).unwrap_or(now)));
+            let waited = since.filter(|since| !since.caller_gone).map_or(0, |since| now.saturating_sub(since.at));
+            self.slowest = self.slowest.max(waited);
             self.answered.insert(at, value.to_vec());
         }
     }
 
+    pub fn note_submitted(&mut self, value: Vec<u8>, seat: u16, at: u64) {
+        self.submitted.insert(value, Submission { seat, at, caller_gone: false, applied: None });
+    }
+
     /// Whoever waited at a seat that died waits no longer.
-    pub fn crashed(&mut self, seat: u16, now: u64) {
-        self.submitted.values_mut().filter(|(held, _)| *held == seat).for_each(|(_, at)| *at = now.max(*at) + 3_600_000_000);
+    pub fn crashed(&mut self, seat: u16) {
+        self.submitted.values_mut().filter(|held| held.seat == seat).for_each(|held| held.caller_gone = true);
+    }
+
+    /// Whether the caller of an entry still waits for its answer.
+    pub fn waits_for(&self, value: &[u8], now: u64, patience: u64) -> bool {
+        let waits = |held: &Submission| patience == u64::MAX || !held.caller_gone && now <= held.at.saturating_add(patience);
+        self.submitted.get(value).is_some_and(waits)
+    }
+
+    /// Entries that first took effect so long after they were submitted.
+    pub fn late(&self, after: u64) -> Vec<&[u8]> {
+        let late = |held: &Submission| held.applied.is_some_and(|applied| applied > held.at + after);
+        self.submitted.iter().filter(|(_, held)| late(held)).map(|(value, _)| value.as_slice()).collect()
     }
 
     /// A read must see at least what any seat had applied when it was asked: that may have been told (design 11.6).
--- a/crates/rehearsal/src/sim/effects.rs
+++ b/crates/rehearsal/src/sim/effects.rs
@@ -56,6 +56,12 @@
                 self.findings.applied(self.now, seat, at, &value, self.plan.seats);
                 self.snapshot_when_due(seat, at + 1);
             }
+            repertory::Effect::Overruled(value) => {
+                let patience = self.plan.caller_patience;
+                if self.findings.waits_for(&value, self.now, patience) {
+                    self.feed(seat, repertory::Input::Submit(value));
+                }
+            }
             repertory::Effect::Install { state, .. } => {
                 self.nodes[seat as usize].history = rkyv::from_bytes::<Vec<(u64, Vec<u8>)>, rkyv::rancor::Error>(&state).unwrap_or_default();
                 // The state a snapshot stands for knows the holders too.
--- a/crates/rehearsal/src/sim/mod.rs
+++ b/crates/rehearsal/src/sim/mod.rs
@@ -22,4 +22,4 @@
 pub use plan::{Counts, Plan};
 pub use site::Site;
 pub use site_plan::{Blow, SitePlan, Without, blows};
-pub use world::World;
+pub use world::{Node, World};
--- a/crates/rehearsal/src/sim/plan.rs
+++ b/crates/rehearsal/src/sim/plan.rs
@@ -16,6 +16,8 @@
     pub snapshot_past_change: bool,
     /// A broken disk that reports a sync before anything is kept. Only to show the checker bites.
     pub lying_disk: bool,
+    /// How long a caller waits for its entry; the driver submits an overruled one again for so long.
+    pub caller_patience: Micros,
     /// Crash the seat when it reaches the numbered point (design 9.2).
     pub crash_at: Option<(Seat, u64)>,
 }
@@ -24,7 +26,18 @@
     pub fn new(seats: u16, seed: u64) -> Self {
         let tuning = repertory::Tuning::default();
         let (snapshot_every, snapshot_past_change) = (40, true);
-        Plan { seats, seed, hop: (300, 1_500), sync: (500, 5_000), tuning, snapshot_every, snapshot_past_change, lying_disk: false, crash_at: None }
+        Plan {
+            seats,
+            seed,
+            hop: (300, 1_500),
+            sync: (500, 5_000),
+            tuning,
+            snapshot_every,
+            snapshot_past_change,
+            lying_disk: false,
+            caller_patience: Micros::MAX,
+            crash_at: None,
+        }
     }
 }
 
--- a/crates/rehearsal/src/sim/world.rs
+++ b/crates/rehearsal/src/sim/world.rs
@@ -124,7 +124,7 @@
     }
 
     pub fn crash(&mut self, seat: Seat) {
-        self.findings.crashed(seat, self.now);
+        self.findings.crashed(seat);
         let node = &mut self.nodes[seat as usize];
         node.machine = None;
         node.unsynced = None;
@@ -180,7 +180,7 @@
 
     pub fn submit(&mut self, seat: Seat, value: repertory::Value) {
         if self.nodes[seat as usize].machine.is_some() && !self.nodes[seat as usize].frozen {
-            self.findings.submitted.insert(value.clone(), (seat, self.now));
+            self.findings.note_submitted(value.clone(), seat, self.now);
             self.feed(seat, repertory::Input::Submit(value));
         }
     }
--- a/crates/repertory/src/apply.rs
+++ b/crates/repertory/src/apply.rs
@@ -50,7 +50,7 @@
         self.leave_own_below(through);
         // Own suggestions below may have been chosen or lost; the state machine drops a repeat.
         let unknown: Vec<Instance> = self.mine.range(..through).map(|(at, _)| *at).collect();
-        unknown.into_iter().for_each(|at| self.resuggest(at));
+        unknown.into_iter().for_each(|at| self.hand_back(at));
         self.apply_ready();
     }
 
--- a/crates/repertory/src/learn.rs
+++ b/crates/repertory/src/learn.rs
@@ -71,7 +71,7 @@
         if owner == self.seat {
             let lost: Vec<Instance> =
                 self.mine.range(from..to.max(from)).map(|(at, _)| *at).filter(|at| self.shares[owner as usize].skipped.get(*at).is_some()).collect();
-            lost.into_iter().for_each(|at| self.resuggest(at));
+            lost.into_iter().for_each(|at| self.hand_back(at));
         }
     }
 
--- a/crates/repertory/src/suggest.rs
+++ b/crates/repertory/src/suggest.rs
@@ -85,11 +85,12 @@
         }
     }
 
-    /// Rule 4: a suggestion that lost to no-op is suggested again.
-    pub(crate) fn resuggest(&mut self, instance: Instance) {
+    /// Rule 4, as far as the driver wants it: a suggestion that lost to no-op is suggested again only for a caller that
+    /// still waits. One whose caller was told that it was not taken would else take effect long after.
+    pub(crate) fn hand_back(&mut self, instance: Instance) {
         self.refused.remove(&instance);
         if let Some((value, _)) = self.mine.remove(&instance) {
-            self.suggest(value);
+            self.ready.push(Effect::Overruled(value));
         }
     }
 }
--- a/crates/repertory/src/tenure.rs
+++ b/crates/repertory/src/tenure.rs
@@ -30,7 +30,7 @@
 
     pub(crate) fn let_go_held_back(&mut self) {
         if !self.held_back.is_empty() && self.may_vote(self.index) {
-            std::mem::take(&mut self.held_back).into_iter().for_each(|value| self.suggest(value));
+            std::mem::take(&mut self.held_back).into_iter().for_each(|value| self.ready.push(Effect::Overruled(value)));
         }
     }
 
--- a/crates/repertory/src/words.rs
+++ b/crates/repertory/src/words.rs
@@ -156,6 +156,9 @@
         afresh: bool,
     },
     Apply(Instance, Value),
+    /// An own suggestion that took no effect: its instance went to no-op, or this seat may suggest again after a pause.
+    /// The driver submits it again while somebody waits for it, and drops it otherwise.
+    Overruled(Value),
     Install {
         through: Instance,
         state: Vec<u8>,
