--- a/crates/rehearsal/src/sim/site_events.rs
+++ b/crates/rehearsal/src/sim/site_events.rs
@@ -192,11 +192,14 @@
     /// The log has another incarnation: it registers on top of that, as its news has it, and says the rest after it.
     fn superseded(&mut self, at: usize, report: Report) {
         let registration = self.registration(at);
-        let outbox = &mut self.nodes[at].outbox;
-        if !matches!(report, Report::Node { .. }) {
-            outbox.push_front(report);
+        let node = &mut self.nodes[at];
+        match report {
+            Report::Node { .. } => {}
+            // The back end registers anew, above what the log has.
+            Report::Registered { name, back_end } => node.house.confirm(self.now, &name, back_end.incarnation, false),
+            other => node.outbox.push_front(other),
         }
-        outbox.push_front(registration);
+        node.outbox.push_front(registration);
     }
 
     fn reported(&mut self, at: usize, life: u64, sequence: u64, outcome: Outcome) {
