--- a/crates/gallery/src/tenure.rs
+++ b/crates/gallery/src/tenure.rs
@@ -21,9 +21,11 @@
         let (seat, identity) = self.core.identity();
         let lost = self.book.seats.get(&seat).filter(|(holder, _)| *holder != identity).map(|(_, after)| *after);
         if let Some(after) = lost {
-            self.state.refused = Some(format!("seat {seat} is held by another disk after instance {after}"));
             self.step(playbill::now(), repertory::Input::VoteUntil(after));
         }
+        if let Some(after) = self.machine.as_ref().and_then(repertory::Repertory::superseded_after) {
+            self.state.refused = Some(format!("seat {seat} is held by another disk after instance {after}"));
+        }
     }
 
     /// A mate lets this empty disk in: it knows nothing of its seat's past and votes only after it.
--- a/crates/rehearsal/src/sim/effects.rs
+++ b/crates/rehearsal/src/sim/effects.rs
@@ -4,6 +4,13 @@
 
 type Seat = repertory::Seat;
 
+impl super::world::Node {
+    /// Records on the disk that are not a snapshot.
+    pub fn records_beside_snapshot(&self) -> usize {
+        self.disk.iter().filter(|write| !matches!(write, repertory::Write::Snapshot { .. })).count()
+    }
+}
+
 impl super::World {
     pub(crate) fn runs(&self, seat: usize) -> bool {
         self.nodes[seat].machine.is_some() && !self.nodes[seat].frozen
@@ -65,6 +72,7 @@
             repertory::Effect::Install { state, .. } => {
                 self.nodes[seat as usize].history = rkyv::from_bytes::<Vec<(u64, Vec<u8>)>, rkyv::rancor::Error>(&state).unwrap_or_default();
                 // The state a snapshot stands for knows the holders too.
+                self.nodes[seat as usize].book = Default::default();
                 let history = self.nodes[seat as usize].history.clone();
                 history.into_iter().for_each(|(at, value)| self.mind_replacement(seat, at, &value));
             }
@@ -82,7 +90,7 @@
         node.since_snapshot += 1;
         let due = self.plan.snapshot_every > 0 && node.since_snapshot >= self.plan.snapshot_every;
         // As the daemon's driver does it: what lies below a change could be finished only by disks of that time.
-        let handed_over = self.plan.snapshot_past_change && node.seats.values().any(|(_, after)| (node.snapshot_at..through).contains(after));
+        let handed_over = self.plan.snapshot_past_change && node.book.seats.values().any(|(_, after)| (node.snapshot_at..through).contains(after));
         if due || handed_over {
             (node.since_snapshot, node.snapshot_at) = (0, through);
             let state = rkyv::to_bytes::<rkyv::rancor::Error>(&node.history).map(|bytes| bytes.to_vec()).unwrap_or_default();
--- a/crates/rehearsal/src/sim/tenure.rs
+++ b/crates/rehearsal/src/sim/tenure.rs
@@ -1,8 +1,11 @@
 //! Seats that change hands in the simulator, as the daemon's driver does it (design 4.4, 9.1).
 
+use super::world::Event;
+
 type Seat = repertory::Seat;
 
-const WORD: &[u8] = b"replace ";
+/// Between two askings of an empty disk for its seat.
+const KNOCK_EVERY: u64 = 500_000;
 
 impl super::World {
     pub(super) fn replace(&mut self, seat: Seat) {
@@ -13,24 +16,35 @@
         node.disk.clear();
         node.history.clear();
         node.pins = (1..=self.plan.seats as u64).collect();
-        node.seats.clear();
-        let value = [WORD, &(seat as u64).to_be_bytes(), &identity.to_be_bytes()].concat();
-        let helper = (seat + 1) % self.plan.seats;
-        self.submit(helper, value);
+        node.book = Default::default();
+        self.knock(seat, identity, (seat + 1) % self.plan.seats);
+    }
+
+    /// The empty disk asks one mate after the other for its seat, until it is let in; the log decides.
+    pub(super) fn knock(&mut self, seat: Seat, identity: u64, helper: Seat) {
+        let node = &self.nodes[seat as usize];
+        if !node.outside || node.identity != identity {
+            return;
+        }
+        let (now, next) = (self.now, (helper + 1) % self.plan.seats);
+        self.at(now + KNOCK_EVERY, Event::Knock { seat, identity, helper: next });
+        let from = self.nodes[helper as usize].pins[seat as usize];
+        let known = self.nodes[helper as usize].book.seats.get(&seat).is_some_and(|(holder, _)| *holder == identity);
+        if helper == seat || known || from == identity || !self.runs(helper as usize) {
+            return;
+        }
+        let act = playbill::Act::Seat(playbill::SeatChange { seat, from, to: identity });
+        let entry = playbill::Entry { origin: format!("core-{helper}"), life: 1, sequence: now, act };
+        self.submit(helper, playbill::entry::to_bytes(&entry));
     }
 
     pub(super) fn mind_replacement(&mut self, at_seat: Seat, instance: u64, value: &[u8]) {
-        let Some(words) = value.strip_prefix(WORD).filter(|rest| rest.len() == 16) else { return };
-        let number = |bytes: &[u8]| bytes.iter().fold(0u64, |number, byte| number << 8 | *byte as u64);
-        let (seat, identity) = (number(&words[..8]) as Seat, number(&words[8..]));
-        let after = instance + repertory::WINDOW - 1;
+        let Some(entry) = playbill::entry::from_bytes(value).filter(|entry| matches!(entry.act, playbill::Act::Seat(_))) else { return };
         let node = &mut self.nodes[at_seat as usize];
-        node.seats.insert(seat, (identity, after));
-        if seat == at_seat && identity != node.identity {
-            let now = self.now;
-            if let Some(machine) = self.nodes[at_seat as usize].machine.as_mut() {
-                machine.step(now, repertory::Input::VoteUntil(after));
-            }
+        node.book.apply_at(entry, instance, repertory::WINDOW);
+        let lost = node.book.seats.get(&at_seat).filter(|(holder, _)| *holder != node.identity).map(|(_, after)| *after);
+        if let (Some(after), Some(machine)) = (lost, node.machine.as_mut()) {
+            machine.step(self.now, repertory::Input::VoteUntil(after));
         }
     }
 
@@ -38,17 +52,18 @@
     pub(super) fn hand_over(&mut self, seat: Seat) {
         let node = &mut self.nodes[seat as usize];
         let Some(applied) = node.machine.as_ref().map(repertory::Repertory::applied) else { return };
-        if node.seats.is_empty() || self.now < node.leapt + 100_000 {
+        if node.book.seats.is_empty() || self.now < node.leapt + 100_000 {
             return;
         }
         node.leapt = self.now;
         let moved: Vec<(Seat, u64)> = node
+            .book
             .seats
             .iter()
             .filter(|(other, (holder, after))| **other != seat && *after < applied && node.pins[**other as usize] != *holder)
             .map(|(other, (holder, _))| (*other, *holder))
             .collect();
-        let pending = node.seats.values().map(|(_, after)| *after).find(|after| *after >= applied);
+        let pending = node.book.seats.values().map(|(_, after)| *after).filter(|after| *after >= applied).min();
         moved.into_iter().for_each(|(other, holder)| {
             self.nodes[seat as usize].pins[other as usize] = holder;
             self.close(seat, other);
@@ -64,7 +79,7 @@
     pub(super) fn let_in(&mut self, mate: Seat, seat: Seat) {
         let (helper, node) = (&self.nodes[mate as usize], &self.nodes[seat as usize]);
         let known = helper.machine.is_some() && helper.pins[seat as usize] == node.identity;
-        let Some((_, after)) = helper.seats.get(&seat).copied().filter(|_| node.outside && known) else { return };
+        let Some((_, after)) = helper.book.seats.get(&seat).copied().filter(|_| node.outside && known) else { return };
         let mut pins = helper.pins.clone();
         pins[mate as usize] = helper.identity;
         let first = repertory::first_own(after + 1, seat, self.plan.seats);
--- a/crates/rehearsal/src/sim/world.rs
+++ b/crates/rehearsal/src/sim/world.rs
@@ -9,6 +9,7 @@
     Synced { seat: Seat, life: u64, ticket: u64 },
     Tick { seat: Seat, life: u64 },
     Reopen { a: Seat, b: Seat },
+    Knock { seat: Seat, identity: u64, helper: Seat },
     Fault(super::Fault),
 }
 
@@ -29,7 +30,7 @@
     pub(super) outside: bool,
     /// The disk this node takes for each seat's holder, and changes it has applied.
     pub(super) pins: Vec<u64>,
-    pub(super) seats: std::collections::BTreeMap<Seat, (u64, u64)>,
+    pub(super) book: playbill::Book,
     pub(super) leapt: Micros,
 }
 
@@ -84,7 +85,7 @@
                 identity: seat as u64 + 1,
                 outside: false,
                 pins: (1..=seats as u64).collect(),
-                seats: Default::default(),
+                book: Default::default(),
                 leapt: 0,
             })
             .collect();
@@ -112,7 +113,7 @@
         }
         node.life += 1;
         node.history.clear();
-        node.seats.clear();
+        node.book = Default::default();
         (node.since_snapshot, node.snapshot_at) = (0, 0);
         let (life, identity) = (node.life, node.identity);
         let machine = repertory::Repertory::restore(seat, self.plan.seats, identity, self.plan.tuning, self.now, node.disk.clone());
@@ -230,6 +231,7 @@
                 self.at(now + 10_000, Event::Tick { seat, life });
             }
             Event::Reopen { a, b } => self.reopen(a, b),
+            Event::Knock { seat, identity, helper } => self.knock(seat, identity, helper),
             Event::Fault(fault) => fault.strike(self),
             Event::Synced { .. } | Event::Tick { .. } => {}
         }
--- /dev/null
+++ b/crates/rehearsal/tests/repairs.rs
@@ -0,0 +1,108 @@
+//! Losses that come one after the other, as soon as the machine lost before counts again: whatever was answered is
+//! kept, and the core goes on (design 4.4, docs/control-plane.md, point 3).
+
+use rehearsal::sim::{Fault, Plan, World};
+
+const SECOND: u64 = 1_000_000;
+/// A machine counts as lost for so long after it is back.
+const CATCH_UP: u64 = 4 * SECOND;
+/// A replaced machine comes back so long after the loss.
+const AWAY: u64 = 600_000;
+const ROUNDS: u64 = 6;
+
+/// How many machines there are, and how many of them may be lost at once.
+const CORES: [(u16, u16); 6] = [(3, 1), (4, 1), (5, 1), (5, 2), (7, 2), (11, 2)];
+
+/// Which disks are lost in a round, in the order in which they are hit.
+type Victims = fn(round: u64, seats: u16, seed: u64) -> u16;
+
+fn the_one_just_repaired(_: u64, seats: u16, seed: u64) -> u16 {
+    (seed % u64::from(seats)) as u16
+}
+
+/// An empty disk asks the next seat first.
+fn the_one_that_repaired_it(round: u64, seats: u16, seed: u64) -> u16 {
+    ((seed + round) % u64::from(seats)) as u16
+}
+
+/// Of three steps around the ring one always hits a disk that was never replaced, as long as there is one.
+fn the_oldest(round: u64, seats: u16, seed: u64) -> u16 {
+    ((seed + round * 3 + round / u64::from(seats)) % u64::from(seats)) as u16
+}
+
+fn orders(world: &mut World, end: u64) {
+    let seats = u64::from(world.plan.seats);
+    for number in 0..(end - SECOND) / 100_000 {
+        let (time, seat) = (SECOND / 2 + number * 100_000, (number % seats) as u16);
+        world.at_fault(time, Fault::Submit(seat, number.to_be_bytes().to_vec()));
+        world.at_fault(time + 30_000, Fault::Read((seat + 1) % world.plan.seats, number));
+    }
+}
+
+fn played(plan: Plan, losses: u16, victims: Victims, power: bool) -> World {
+    let (seats, seed) = (plan.seats, plan.seed);
+    let mut world = World::new(plan);
+    let mut time = 2 * SECOND;
+    for round in 0..ROUNDS {
+        let first = victims(round, seats, seed);
+        let lost: Vec<u16> = (0..losses).map(|more| (first + more) % seats).collect();
+        lost.iter().for_each(|seat| world.at_fault(time, Fault::Replace(*seat)));
+        // The others lose power in the same moment, in every second round.
+        if power && round % 2 == 1 {
+            for seat in (0..seats).filter(|seat| !lost.contains(seat)) {
+                world.at_fault(time + 1, Fault::Crash(seat));
+                world.at_fault(time + AWAY, Fault::Start(seat));
+            }
+        }
+        time += AWAY + CATCH_UP;
+    }
+    orders(&mut world, time);
+    (0..seats).for_each(|seat| world.at_fault(time, Fault::Submit(seat, format!("last {seat}").into_bytes())));
+    world.run_until(time + CATCH_UP);
+    let nodes = std::mem::take(&mut world.nodes);
+    world.findings.close(&nodes);
+    world.nodes = nodes;
+    world
+}
+
+fn holds(victims: Victims, power: bool) {
+    for (seats, losses) in CORES {
+        for seed in 0..8 {
+            let plan = Plan { snapshot_every: 25, ..Plan::new(seats, seed) };
+            let world = played(plan, losses, victims, power);
+            let broken = &world.findings.broken;
+            assert!(broken.is_empty(), "{seats} seats, {losses} lost at once, seed {seed}: {:#?}", broken.iter().take(6).collect::<Vec<_>>());
+        }
+    }
+}
+
+#[test]
+fn the_machine_just_repaired_is_lost_again_and_again() {
+    holds(the_one_just_repaired, false);
+}
+
+#[test]
+fn the_machine_that_repaired_the_last_one_is_lost_next() {
+    holds(the_one_that_repaired_it, false);
+}
+
+#[test]
+fn the_oldest_disks_are_lost_one_after_the_other() {
+    holds(the_oldest, false);
+}
+
+#[test]
+fn disks_are_lost_while_all_others_lose_power() {
+    holds(the_one_that_repaired_it, true);
+    holds(the_oldest, true);
+    holds(the_one_just_repaired, true);
+}
+
+#[test]
+fn without_a_snapshot_past_each_change_a_second_loss_is_caught() {
+    let broken = (0..40u64).any(|seed| {
+        let plan = Plan { snapshot_every: 0, snapshot_past_change: false, ..Plan::new(3, seed) };
+        !played(plan, 1, the_one_that_repaired_it, true).findings.broken.is_empty()
+    });
+    assert!(broken, "no seed showed what the snapshot past a change is for");
+}
--- a/crates/repertory/src/machine.rs
+++ b/crates/repertory/src/machine.rs
@@ -131,7 +131,7 @@
             Input::Read(token) => self.read(token),
             Input::Snapshot { through, state } => self.keep_snapshot(through, state),
             Input::VoteFrom(upto) => self.vote_from(upto),
-            Input::VoteUntil(upto) => self.vote_until = self.vote_until.min(upto),
+            Input::VoteUntil(upto) => self.vote_until(upto),
             Input::Leap(past) => self.skip_own_to(past),
             Input::Tick => self.tick(),
         }
--- a/crates/repertory/src/tenure.rs
+++ b/crates/repertory/src/tenure.rs
@@ -23,6 +23,19 @@
         }
     }
 
+    /// Another disk holds this seat after `upto`. A change below where this disk begins is one between holders before it,
+    /// which it hears of while it catches up.
+    pub(crate) fn vote_until(&mut self, upto: Instance) {
+        if upto >= self.vote_from {
+            self.vote_until = self.vote_until.min(upto);
+        }
+    }
+
+    /// After which instance another disk holds this seat, if one does.
+    pub fn superseded_after(&self) -> Option<Instance> {
+        (self.vote_until < Instance::MAX).then_some(self.vote_until)
+    }
+
     /// What a quorum read or a resync may say of the past is only known once the past is.
     pub(crate) fn knows_its_past(&self) -> bool {
         self.applied >= self.vote_from
