--- a/crates/repertory/tests/tenure.rs
+++ b/crates/repertory/tests/tenure.rs
@@ -32,5 +32,7 @@
     assert_eq!(machine.superseded_after(), None, "that is the change that made it the holder");
     machine.step(0, Input::VoteUntil(5_000_001));
     assert_eq!(machine.superseded_after(), Some(5_000_001));
+    assert!(suggests(&mut machine), "the last instance that is its own");
+    machine.step(2, Input::Submit(b"another".to_vec()));
     assert!(!suggests(&mut machine));
 }
