--- a/crates/apron/src/lib.rs
+++ b/crates/apron/src/lib.rs
@@ -12,6 +12,6 @@
 pub use course::{Apron, Ask};
 pub use front::{Front, FrontEnv};
 pub use listen::{Heard, Loads, listen};
-pub use mates::Mates;
+pub use mates::{Greet, Mates};
 pub use picker::{PickEnv, Picks};
 pub use purse::Purse;
--- a/crates/apron/src/listen.rs
+++ b/crates/apron/src/listen.rs
@@ -26,9 +26,21 @@
     }
 }
 
+/// Requests of one conn, by number.
+#[derive(Default)]
+struct UnderWay(std::collections::HashMap<u32, tokio::task::AbortHandle>);
+
+impl Drop for UnderWay {
+    fn drop(&mut self) {
+        self.0.values().for_each(tokio::task::AbortHandle::abort);
+    }
+}
+
 async fn serve(mut conn: wings::Conn, pit: pit::Pit, (heard, loads): (Heard, Loads)) {
     let (mut speaker, mut listener) = (wings::Speaker::default(), wings::Listener::default());
     let (ended, mut ends) = tokio::sync::mpsc::channel::<(u32, pit::Outcome)>(1_024);
+    // With the conn goes whoever waited on it.
+    let mut under_way = UnderWay::default();
     loop {
         let frame = tokio::select! {
             frame = conn.receiver.recv() => match frame {
@@ -36,6 +48,7 @@
                 None => return,
             },
             Some((number, (outcome, wait))) = ends.recv() => {
+                under_way.0.remove(&number);
                 let wait = wait.min(u32::MAX as u64) as u32;
                 let word = match outcome {
                     Ok(take) => wings::Frame::Taken(number, wait, Box::new(take.say(&mut speaker))),
@@ -51,11 +64,14 @@
             wings::Frame::Cue(number, said) => {
                 let Some(cue) = said.hear(&mut listener) else { return };
                 let (pit, ended) = (pit.clone(), ended.clone());
-                tokio::spawn(async move {
+                let run = tokio::spawn(async move {
                     let outcome = pit.perform(Box::new(cue)).await;
                     ended.send((number, outcome)).await.unwrap_or_default();
                 });
+                under_way.0.insert(number, run.abort_handle());
             }
+            // What waits for a slot never begins; what runs is broken off where it may be repeated (design 13.2).
+            wings::Frame::Cancel(number) => under_way.0.remove(&number).into_iter().for_each(|run| run.abort()),
             wings::Frame::Beat => heard.send((conn.greeting.name.clone(), conn.greeting.incarnation)).await.unwrap_or_default(),
             // A telling that finds no room is followed by the next.
             wings::Frame::Load(load) => drop(loads.try_send(*load)),
--- a/crates/apron/src/mates.rs
+++ b/crates/apron/src/mates.rs
@@ -5,7 +5,9 @@
 type Answer = tokio::sync::oneshot::Sender<pit::Outcome>;
 
 enum Asked {
-    Cue(Box<wings::Cue>, Answer),
+    Cue(u32, Box<wings::Cue>, Answer),
+    /// Its caller waits no longer.
+    Cancel(u32),
     /// Said once, without an answer.
     Word(wings::Frame),
 }
@@ -16,26 +18,48 @@
 #[derive(Clone)]
 pub struct Mates {
     lines: std::sync::Arc<std::sync::Mutex<std::collections::HashMap<String, tokio::sync::mpsc::Sender<Asked>>>>,
+    /// Requests of this process are numbered over all conns, so that a late answer meets no later request.
+    numbers: std::sync::Arc<std::sync::atomic::AtomicU32>,
     greet: Greet,
 }
 
+/// Says to the other node that the caller is gone, unless the answer came first.
+struct Caller {
+    line: tokio::sync::mpsc::Sender<Asked>,
+    number: u32,
+    answered: bool,
+}
+
+impl Drop for Caller {
+    fn drop(&mut self) {
+        if !self.answered {
+            // Without room the other node finds its time over instead.
+            drop(self.line.try_send(Asked::Cancel(self.number)));
+        }
+    }
+}
+
 /// A conn that nothing was asked on for so long is let go.
 const IDLE: std::time::Duration = std::time::Duration::from_secs(30);
 const BUFFER: usize = 1_024;
 
 impl Mates {
     pub fn start(greet: Greet) -> Mates {
-        Mates { lines: Default::default(), greet }
+        Mates { lines: Default::default(), numbers: Default::default(), greet }
     }
 
     pub async fn call(&self, address: &str, cue: Box<wings::Cue>) -> pit::Outcome {
         let (answer, outcome) = tokio::sync::oneshot::channel();
         let line = self.line(address);
-        if let Err(tokio::sync::mpsc::error::TrySendError::Full(_)) = line.try_send(Asked::Cue(cue, answer)) {
+        let number = self.numbers.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+        if let Err(tokio::sync::mpsc::error::TrySendError::Full(_)) = line.try_send(Asked::Cue(number, cue, answer)) {
             return (Err(Trouble::new(Cause::Unreachable, "too much waits for that node")), 0);
         }
+        let mut caller = Caller { line, number, answered: false };
+        let outcome = outcome.await;
+        caller.answered = true;
         // A queue that closed, or a task that ended with it in hand, has written nothing.
-        outcome.await.unwrap_or_else(|_| (Err(Trouble::new(Cause::Unreachable, "the conn to that node ended")), 0))
+        outcome.unwrap_or_else(|_| (Err(Trouble::new(Cause::Unreachable, "the conn to that node ended")), 0))
     }
 
     /// Something that may as well be lost.
@@ -63,7 +87,7 @@
         Err(trouble) => {
             asked.close();
             while let Some(next) = asked.recv().await {
-                if let Asked::Cue(_, answer) = next {
+                if let Asked::Cue(_, _, answer) = next {
                     drop(answer.send((Err(Trouble::new(Cause::Unreachable, trouble.to_string())), 0)));
                 }
             }
@@ -71,22 +95,28 @@
         }
     };
     let mut waiting: std::collections::HashMap<u32, Answer> = Default::default();
-    let mut numbers = 0u32;
     let (mut speaker, mut listener) = (wings::Speaker::default(), wings::Listener::default());
     loop {
         tokio::select! {
             next = asked.recv() => {
-                let (cue, answer) = match next {
-                    Some(Asked::Cue(cue, answer)) => (cue, answer),
+                let (number, cue, answer) = match next {
+                    // The caller left before anything was said.
+                    Some(Asked::Cue(_, _, answer)) if answer.is_closed() => continue,
+                    Some(Asked::Cue(number, cue, answer)) => (number, cue, answer),
+                    Some(Asked::Cancel(number)) => {
+                        if waiting.remove(&number).is_some() {
+                            drop(conn.sender.try_send(wings::Frame::Cancel(number)));
+                        }
+                        continue;
+                    }
                     Some(Asked::Word(word)) => {
                         drop(conn.sender.try_send(word));
                         continue;
                     }
                     None => return,
                 };
-                numbers = numbers.wrapping_add(1);
-                match conn.sender.try_send(wings::Frame::Cue(numbers, Box::new(cue.say(&mut speaker)))) {
-                    Ok(()) => drop(waiting.insert(numbers, answer)),
+                match conn.sender.try_send(wings::Frame::Cue(number, Box::new(cue.say(&mut speaker)))) {
+                    Ok(()) => drop(waiting.insert(number, answer)),
                     // What was not said is not in the other end's table either: the conn has to end.
                     Err(_) => {
                         drop(answer.send((Err(Trouble::new(Cause::Unreachable, "the conn takes nothing more")), 0)));
--- a/crates/pit/src/desk.rs
+++ b/crates/pit/src/desk.rs
@@ -198,6 +198,10 @@
             let now = playbill::now();
             let Some(next) = self.buffer.pop(now) else { return };
             let (cue, answer) = next.held;
+            if answer.is_closed() {
+                // Its caller is gone: it never begins.
+                continue;
+            }
             match refusal(self.local.as_ref(), now, &cue) {
                 Some(trouble) => self.answer(answer, Err(trouble)),
                 None => self.run(cue, next.until, answer),
@@ -205,14 +209,18 @@
         }
     }
 
-    fn run(&mut self, cue: Box<wings::Cue>, until: Micros, answer: Answer) {
+    fn run(&mut self, cue: Box<wings::Cue>, until: Micros, mut answer: Answer) {
         let Some(address) = self.local.as_ref().map(|local| local.address.clone()) else { return };
         let number = self.health.begin(playbill::now());
         let (door, commands, wait, began) = (self.door.clone(), self.commands.clone(), self.told_wait(), playbill::now());
         tokio::spawn(async move {
             let left = until.saturating_sub(began);
-            let ran = tokio::time::timeout(std::time::Duration::from_micros(left), door.pass(&address, &cue, left)).await;
-            let outcome = ran.unwrap_or_else(|_| Err(Trouble::new(Cause::RanOutOfTime, "no answer within the wait")));
+            let ran = tokio::time::timeout(std::time::Duration::from_micros(left), door.pass(&address, &cue, left));
+            let outcome = tokio::select! {
+                ran = ran => ran.unwrap_or_else(|_| Err(Trouble::new(Cause::RanOutOfTime, "no answer within the wait"))),
+                // What may run again may as well be broken off; anything else the back end ends in its own way.
+                () = answer.closed(), if cue.repeatable => Err(Trouble::new(Cause::RanOutOfTime, "nobody waits for it any more")),
+            };
             let took = outcome.is_ok().then(|| playbill::now() - began);
             drop(commands.send(Command::Ended { number, took, ended: crate::health::ended(&outcome) }).await);
             drop(answer.send((outcome, wait)));
--- a/crates/wings/src/frame.rs
+++ b/crates/wings/src/frame.rs
@@ -154,6 +154,8 @@
         deltas: Vec<u8>,
     },
     Cue(u32, Box<crate::SaidCue>),
+    /// The caller of this request waits for it no longer.
+    Cancel(u32),
     Load(Box<Load>),
     /// How long a request would wait there now, and what came of this one.
     Taken(u32, u32, Box<crate::SaidTake>),
