--- a/crates/apron/tests/budget.rs
+++ b/crates/apron/tests/budget.rs
@@ -91,7 +91,7 @@
 
 #[test]
 fn in_every_window_of_any_fleet_further_dispatches_keep_within_the_share_without_any_slack() {
-    props::drawn::<Drawn>(400, |(nodes, rates, lean, wishes, restarts)| {
+    test_support::drawn::<Drawn>(400, |(nodes, rates, lean, wishes, restarts)| {
         let fleet = Fleet { nodes: *nodes, rates: *rates, lean: *lean, wishes: *wishes, restarts: restarts.clone() };
         let most = beyond(&play::<Guarded>(&fleet));
         assert!(most <= 0.0, "{most}");
--- a/crates/playbill/src/terms.rs
+++ b/crates/playbill/src/terms.rs
@@ -112,7 +112,7 @@
 
     #[test]
     fn placement_is_balanced_and_moves_only_what_it_must() {
-        props::drawn::<(u8, u8)>(500, |(count, leaver)| {
+        test_support::drawn::<(u8, u8)>(500, |(count, leaver)| {
             let count = count % 12 + 2;
             let full = cast_of(&(0..count).map(|name| (name, 9)).collect::<Vec<_>>());
             let leaver = leaver % count;
--- a/crates/playbill/tests/bill/conflicts.rs
+++ b/crates/playbill/tests/bill/conflicts.rs
@@ -92,7 +92,7 @@
 /// seats answer alike, as they apply the same log, and of two contents of a version at most one is ever confirmed.
 #[test]
 fn drawn_races_and_repeats_confirm_one_content_of_each_version_and_refuse_nothing_confirmed() {
-    props::drawn::<[(u8, u8, u8); 80]>(300, |steps| {
+    test_support::drawn::<[(u8, u8, u8); 80]>(300, |steps| {
         let mut bill = site();
         let mut confirmed_content: std::collections::BTreeMap<(String, u64), u8> = Default::default();
         for (name, version, content) in steps {
--- a/crates/playbill/tests/bill/orders.rs
+++ b/crates/playbill/tests/bill/orders.rs
@@ -26,7 +26,7 @@
 
 #[test]
 fn any_order_of_the_same_calls_ends_in_the_same_items() {
-    props::drawn::<[([(u8, u8, u8); 3], u32, u32); 12]>(300, |drawn| {
+    test_support::drawn::<[([(u8, u8, u8); 3], u32, u32); 12]>(300, |drawn| {
         let call = |parts: &[(u8, u8, u8); 3]| parts.iter().map(|(kind, name, version)| one(*kind, *name, *version)).fold(Call::default(), both);
         let ordered = |key: fn(&(u32, u32)) -> u32| {
             let mut calls: Vec<_> = drawn.iter().map(|(parts, x, y)| (key(&(*x, *y)), call(parts))).collect();
--- a/crates/playbill/tests/bill/programme.rs
+++ b/crates/playbill/tests/bill/programme.rs
@@ -43,7 +43,7 @@
 
 #[test]
 fn a_follower_told_by_changes_holds_what_one_told_the_whole_holds() {
-    props::drawn::<[Drawn; 60]>(300, |steps| {
+    test_support::drawn::<[Drawn; 60]>(300, |steps| {
         let mut bill = Bill::default();
         // From the start, from somewhere on, and in pieces of several entries.
         let (mut first, mut later, mut seldom) = (Programme::default(), Programme::default(), (Programme::default(), Vec::<Delta>::new()));
--- a/crates/playbill/tests/bill/rows.rs
+++ b/crates/playbill/tests/bill/rows.rs
@@ -70,7 +70,7 @@
 
 #[test]
 fn rows_say_of_each_key_what_it_went_through_and_fences_only_grow() {
-    props::drawn::<[(u8, u8, u8, u8); 48]>(400, |steps| {
+    test_support::drawn::<[(u8, u8, u8, u8); 48]>(400, |steps| {
         let mut held = rows::empty();
         let mut each: std::collections::BTreeMap<u16, Known> = keys().into_iter().map(|key| (key, (None, 0, Vec::new(), String::new()))).collect();
         steps.iter().zip(1u64..).for_each(|(drawn, position)| {
--- a/crates/playbill/tests/book.rs
+++ b/crates/playbill/tests/book.rs
@@ -100,7 +100,7 @@
 
 #[test]
 fn a_patch_makes_the_later_slice_of_the_earlier_one() {
-    props::drawn::<[(u8, u8); 24]>(200, |steps| {
+    test_support::drawn::<[(u8, u8); 24]>(200, |steps| {
         let mut book = site();
         let services: playbill::slice::Services = ["seat".to_string()].into_iter().collect();
         let mut held = playbill::Slice::cut(&book, &services);
--- a/crates/repertory/src/spans.rs
+++ b/crates/repertory/src/spans.rs
@@ -83,7 +83,7 @@
 mod tests {
     #[test]
     fn spans_agree_with_a_plain_table() {
-        props::drawn::<Vec<(u8, u8, u8)>>(2_000, |steps| {
+        test_support::drawn::<Vec<(u8, u8, u8)>>(2_000, |steps| {
             let mut spans = super::Spans::default();
             let mut table = [None; 256];
             steps.iter().for_each(|(from, length, value)| {
--- a/crates/stage/src/budget.rs
+++ b/crates/stage/src/budget.rs
@@ -100,7 +100,7 @@
 
     #[test]
     fn no_ten_seconds_hold_more_extras_than_their_requests_allow() {
-        props::drawn::<(u8, Vec<(u16, bool)>)>(300, |(restart, steps)| {
+        test_support::drawn::<(u8, Vec<(u16, bool)>)>(300, |(restart, steps)| {
             let mut budget = super::Budget::new(2);
             let (mut now, mut firsts, mut extras) = (0u64, Vec::new(), Vec::new());
             steps.iter().enumerate().for_each(|(at, (gap, first))| {
--- a/crates/troupe/src/casting.rs
+++ b/crates/troupe/src/casting.rs
@@ -230,7 +230,7 @@
 
     #[test]
     fn a_cast_covers_all_keys_whatever_is_asked() {
-        props::drawn::<(u8, Vec<(u16, u8, u8)>)>(200, |(count, asks)| {
+        test_support::drawn::<(u8, Vec<(u16, u8, u8)>)>(200, |(count, asks)| {
             let parts: Vec<super::Part> = (0..count % 7 + 1).map(|at| part(&format!("b{at}"), 1.0 + at as f64)).collect();
             let mut asks: Vec<super::Ask> = asks.iter().map(|(from, size, weight)| (*from, from.saturating_add(*size as u16), *weight as f64)).collect();
             asks.sort_by_key(|(from, ..)| *from);
--- a/crates/troupe/tests/casting.rs
+++ b/crates/troupe/tests/casting.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn a_placement_gives_all_keys_in_proportion_and_moves_as_few_as_it_can() {
-    props::drawn::<([u8; 8], [u16; 8], [(u16, u16, u8); 12])>(400, |(shares, weights, before)| {
+    test_support::drawn::<([u8; 8], [u16; 8], [(u16, u16, u8); 12])>(400, |(shares, weights, before)| {
         let name = |number: u8| format!("player-{}", number % 8);
         // Whatever stood before: rows of any cut, some of them nobody's or of someone who is gone.
         let held = before.iter().zip(1u64..).fold(rows::empty(), |rows, ((one, other, who), position)| {
--- a/crates/troupe/tests/registration.rs
+++ b/crates/troupe/tests/registration.rs
@@ -31,7 +31,7 @@
 /// and any number of times. The last one is registered in the end, and no earlier one's words hold after its own.
 #[test]
 fn the_process_that_started_last_is_registered_in_the_end() {
-    props::drawn::<[(u64, u8, u8); 12]>(400, |drawn| {
+    test_support::drawn::<[(u64, u8, u8); 12]>(400, |drawn| {
         let mut bill = Bill::default();
         let mut late: Vec<(u64, u64)> = Vec::new();
         let mut last = 0;
