--- a/crates/gallery/src/core.rs
+++ b/crates/gallery/src/core.rs
@@ -14,7 +14,7 @@
     /// How long a seat's holder must be away before an empty disk that asks for the seat gets it; 0 is never.
     pub replace_after: playbill::Micros,
     /// What the seat was given with, where settings do not name it (design 12.1).
-    pub charter: Option<vault::Charter>,
+    pub charter: Option<storage::Charter>,
 }
 
 /// What `/ready` and status pages say.
@@ -73,7 +73,7 @@
 #[derive(Clone)]
 pub struct Core {
     pub(crate) commands: tokio::sync::mpsc::Sender<Command>,
-    pub(crate) jobs: std::sync::mpsc::Sender<vault::Job>,
+    pub(crate) jobs: std::sync::mpsc::Sender<storage::Job>,
     pub book: std::sync::Arc<arc_swap::ArcSwap<playbill::Book>>,
     pub changed: tokio::sync::watch::Receiver<playbill::Position>,
     pub state: std::sync::Arc<arc_swap::ArcSwap<CoreState>>,
@@ -81,7 +81,7 @@
     pub(crate) env: std::sync::Arc<CoreEnv>,
     pub(crate) identity: u64,
     /// Which disk holds each other seat.
-    pub pins: std::sync::Arc<arc_swap::ArcSwap<vault::Pins>>,
+    pub pins: std::sync::Arc<arc_swap::ArcSwap<storage::Pins>>,
     /// This disk had kept nothing when the process began.
     pub(crate) blank: bool,
     /// Tells this process's entries from those of an earlier one.
@@ -96,13 +96,13 @@
 pub const PATIENCE: std::time::Duration = std::time::Duration::from_millis(4_000);
 
 impl Core {
-    pub fn start(env: CoreEnv, logger: slog::Logger) -> Result<Core, vault::Trouble> {
-        let (shelf, writes) = vault::Shelf::open(&env.folder)?;
+    pub fn start(env: CoreEnv, logger: slog::Logger) -> Result<Core, storage::Trouble> {
+        let (shelf, writes) = storage::Shelf::open(&env.folder)?;
         Core::start_on(env, shelf, writes, logger)
     }
 
     /// Over a shelf that is open already: rehearsals bring disks that fail (design 9.4).
-    pub fn start_on(env: CoreEnv, shelf: vault::Shelf, writes: Vec<repertory::Write>, logger: slog::Logger) -> Result<Core, vault::Trouble> {
+    pub fn start_on(env: CoreEnv, shelf: storage::Shelf, writes: Vec<repertory::Write>, logger: slog::Logger) -> Result<Core, storage::Trouble> {
         let (commands, buffer) = tokio::sync::mpsc::channel(BUFFER);
         let (jobs, work) = std::sync::mpsc::channel();
         let (moved, changed) = tokio::sync::watch::channel(0);
@@ -124,7 +124,7 @@
             env: std::sync::Arc::new(env),
         };
         let (synced, disk) = (commands.clone(), commands.clone());
-        vault::keep(
+        storage::keep(
             shelf,
             work,
             move |ticket| drop(synced.blocking_send(Command::Synced(ticket))),
--- a/crates/gallery/src/core_effects.rs
+++ b/crates/gallery/src/core_effects.rs
@@ -16,7 +16,7 @@
                 }
             }
             repertory::Effect::Persist { ticket, writes, afresh } => {
-                drop(self.core.jobs.send(vault::Job::Append { ticket, writes, afresh }));
+                drop(self.core.jobs.send(storage::Job::Append { ticket, writes, afresh }));
             }
             repertory::Effect::Apply(instance, value) => self.apply(instance, &value),
             repertory::Effect::Overruled(value) => self.submit_again(value),
--- a/crates/gallery/src/core_link.rs
+++ b/crates/gallery/src/core_link.rs
@@ -75,7 +75,7 @@
         return Err(format!("seat {seat} of {seats} does not fit seat {} of {}", core.env.seat, core.env.seats));
     }
     let (done, pinned) = tokio::sync::oneshot::channel();
-    let job = vault::Job::Pin { seat, identity, done: Box::new(move |held| done.send(held).unwrap_or_default()) };
+    let job = storage::Job::Pin { seat, identity, done: Box::new(move |held| done.send(held).unwrap_or_default()) };
     core.jobs.send(job).map_err(|_| "the disk's owner is gone".to_string())?;
     let held = pinned.await.ok().flatten().ok_or("the disk cannot keep who holds the seat")?;
     if held != identity {
--- a/crates/gallery/src/core_owner.rs
+++ b/crates/gallery/src/core_owner.rs
@@ -8,7 +8,7 @@
     pub(crate) core: Core,
     pub(crate) machine: Option<repertory::Repertory>,
     pub(crate) writes: Vec<repertory::Write>,
-    pub(crate) pins: vault::Pins,
+    pub(crate) pins: storage::Pins,
     /// What came before all seats had met (design 4.1).
     pub(crate) held: Vec<Command>,
     pub(crate) conns: std::collections::BTreeMap<u16, (u64, wings::Sender)>,
@@ -33,7 +33,7 @@
 }
 
 impl Owner {
-    pub fn new(core: &Core, writes: Vec<repertory::Write>, pins: vault::Pins, moved: tokio::sync::watch::Sender<playbill::Position>) -> Self {
+    pub fn new(core: &Core, writes: Vec<repertory::Write>, pins: storage::Pins, moved: tokio::sync::watch::Sender<playbill::Position>) -> Self {
         let state = CoreState { identity: core.identity, met: pins.len(), ..Default::default() };
         core.state.store(std::sync::Arc::new(state.clone()));
         Owner {
--- a/crates/gallery/src/founding.rs
+++ b/crates/gallery/src/founding.rs
@@ -33,10 +33,10 @@
 /// Returns once this disk has a seat, and has it on disk.
 pub async fn settle(
     env: &FoundingEnv,
-    shelf: &mut vault::Shelf,
+    shelf: &mut storage::Shelf,
     listener: &tokio::net::TcpListener,
     logger: &slog::Logger,
-) -> Result<vault::Charter, vault::Trouble> {
+) -> Result<storage::Charter, storage::Trouble> {
     if let Some(charter) = shelf.charter {
         return Ok(charter);
     }
@@ -48,10 +48,10 @@
 
 async fn found(
     env: &FoundingEnv,
-    shelf: &mut vault::Shelf,
+    shelf: &mut storage::Shelf,
     listener: &tokio::net::TcpListener,
     logger: &slog::Logger,
-) -> Result<vault::Charter, vault::Trouble> {
+) -> Result<storage::Charter, storage::Trouble> {
     let (enlisted, mut enlisting) = tokio::sync::mpsc::channel(64);
     let began = playbill::now();
     let mut latest = began;
@@ -90,7 +90,7 @@
     let seats = roster.len() as u16;
     let pins: Vec<(u16, u64)> = roster.iter().zip(0..).map(|((_, identity), seat)| (seat, *identity)).collect();
     let seat_of = |identity: u64| pins.iter().find(|(_, held)| *held == identity).map(|(seat, _)| *seat).unwrap_or(0);
-    let charter = vault::Charter { seat: seat_of(shelf.identity), seats, founded: true };
+    let charter = storage::Charter { seat: seat_of(shelf.identity), seats, founded: true };
     // On disk before anyone hears of it: a founder that starts again founds nothing else.
     shelf.take_seat(charter, &pins)?;
     slog::info!(logger, "the core is founded"; "seats" => seats, "seat" => charter.seat);
@@ -106,7 +106,7 @@
     Ok(charter)
 }
 
-async fn enlist(env: &FoundingEnv, shelf: &mut vault::Shelf, logger: &slog::Logger) -> Result<vault::Charter, vault::Trouble> {
+async fn enlist(env: &FoundingEnv, shelf: &mut storage::Shelf, logger: &slog::Logger) -> Result<storage::Charter, storage::Trouble> {
     let mut turn = 0;
     let mut known: Vec<String> = Vec::new();
     loop {
@@ -118,7 +118,7 @@
             if let Some((word, told)) = heard {
                 known = told.into_iter().map(|seat| seat.address).filter(|address| !env.seeds.contains(address)).collect();
                 if let wings::Frame::Roster { seat, seats, founded, pins } = word {
-                    let charter = vault::Charter { seat, seats, founded };
+                    let charter = storage::Charter { seat, seats, founded };
                     shelf.take_seat(charter, &pins)?;
                     slog::info!(logger, "has a seat"; "seat" => seat, "seats" => seats, "founded" => founded);
                     return Ok(charter);
--- a/crates/gallery/src/tenure.rs
+++ b/crates/gallery/src/tenure.rs
@@ -64,7 +64,7 @@
                 drop(commands.blocking_send(Command::Repinned(kept.0, kept.1)));
             }
         });
-        drop(self.core.jobs.send(vault::Job::Repin { pins, writes, done }));
+        drop(self.core.jobs.send(storage::Job::Repin { pins, writes, done }));
     }
 
     /// Pushes the log over a pending change of hands; past it, the new disk is the seat's holder here.
--- a/crates/gallery/tests/seats/first_words.rs
+++ b/crates/gallery/tests/seats/first_words.rs
@@ -21,7 +21,7 @@
 }
 
 /// Where an empty disk begins that is first told it is the first in its seat, and then where its seat begins.
-async fn begins(test: &str, charter: Option<vault::Charter>) -> u64 {
+async fn begins(test: &str, charter: Option<storage::Charter>) -> u64 {
     let (own, other) = (Machine::new(test, 0).await, Machine::new(test, 1).await);
     let (shelf, writes) = own.shelf();
     let seeds = [other.address.clone()];
@@ -36,7 +36,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_disk_that_took_its_seat_over_never_begins_at_the_word_that_it_is_the_first() {
     // The mate has itself just woken and does not know better; what it says next is true.
-    let taken_over = vault::Charter { seat: 0, seats: 2, founded: false };
+    let taken_over = storage::Charter { seat: 0, seats: 2, founded: false };
     assert!(begins("taken-over", Some(taken_over)).await > 1_000_000);
 }
 
--- a/crates/gallery/tests/seats/machines.rs
+++ b/crates/gallery/tests/seats/machines.rs
@@ -6,7 +6,7 @@
     pub listener: tokio::net::TcpListener,
 }
 
-pub type Seated = (vault::Charter, gallery::Core);
+pub type Seated = (storage::Charter, gallery::Core);
 
 /// Only a broken run meets it.
 const BOUND: std::time::Duration = std::time::Duration::from_secs(60);
@@ -42,15 +42,15 @@
         machines
     }
 
-    pub fn shelf(&self) -> (vault::Shelf, Vec<repertory::Write>) {
-        vault::Shelf::open(&self.folder).expect("a shelf")
+    pub fn shelf(&self) -> (storage::Shelf, Vec<repertory::Write>) {
+        storage::Shelf::open(&self.folder).expect("a shelf")
     }
 
     pub fn founding(&self, seeds: &[String], first: bool) -> gallery::FoundingEnv {
         gallery::FoundingEnv { address: self.address.clone(), zone: "z0".into(), seeds: seeds.to_vec(), first, quiet: 1_500_000, least: 0 }
     }
 
-    pub async fn settle(&self, seeds: &[String], first: bool) -> (vault::Charter, vault::Shelf, Vec<repertory::Write>) {
+    pub async fn settle(&self, seeds: &[String], first: bool) -> (storage::Charter, storage::Shelf, Vec<repertory::Write>) {
         let (mut shelf, writes) = self.shelf();
         let env = self.founding(seeds, first);
         let logger = playbill::log::quiet();
@@ -68,7 +68,7 @@
         (charter, core)
     }
 
-    pub fn core(&self, seeds: &[String], charter: Option<vault::Charter>, replace_after: playbill::Micros) -> gallery::CoreEnv {
+    pub fn core(&self, seeds: &[String], charter: Option<storage::Charter>, replace_after: playbill::Micros) -> gallery::CoreEnv {
         gallery::CoreEnv {
             name: self.address.clone(),
             zone: "z0".into(),
--- a/crates/rehearsal/src/disk.rs
+++ b/crates/rehearsal/src/disk.rs
@@ -98,7 +98,7 @@
             std::process::exit(1)
         })
     };
-    let (shelf, writes) = vault::Shelf::open_on(opened).map_err(|error| told(&error))?;
+    let (shelf, writes) = storage::Shelf::open_on(opened).map_err(|error| told(&error))?;
     let (logger, _guard) = playbill::log::start("seat", &env.name, playbill::log::Dial::new(slog::Level::Info));
     let core = gallery::Core::start_on(env, shelf, writes, logger).map_err(|error| told(&error))?;
     let staying = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true));
--- a/crates/vault/tests/disk.rs
+++ b/crates/storage/tests/disk.rs
@@ -102,9 +102,9 @@
     Backend(std::sync::Arc::new(std::sync::Mutex::new(disk)))
 }
 
-fn open(backend: &Backend) -> Result<(vault::Shelf, Vec<Write>), vault::Trouble> {
+fn open(backend: &Backend) -> Result<(storage::Shelf, Vec<Write>), storage::Trouble> {
     let backend = backend.clone();
-    vault::Shelf::open_on(move || backend.clone())
+    storage::Shelf::open_on(move || backend.clone())
 }
 
 fn record(number: u64) -> Vec<Write> {
@@ -180,7 +180,7 @@
         assert!(!spots.is_empty());
         spots.iter().for_each(|at| disk.held[*at] ^= 1);
     }
-    assert!(matches!(open(&backend), Err(vault::Trouble::Damaged { at: 0 } | vault::Trouble::Store(_))));
+    assert!(matches!(open(&backend), Err(storage::Trouble::Damaged { at: 0 } | storage::Trouble::Store(_))));
 }
 
 #[test]
