--- a/crates/apron/src/course.rs
+++ b/crates/apron/src/course.rs
@@ -21,7 +21,7 @@
     pub method: String,
     /// Path and query as they were sent.
     pub target: String,
-    pub headers: wings::Headers,
+    pub headers: transport::Headers,
     pub body: Vec<u8>,
     pub try_id: String,
     pub key: Option<u16>,
@@ -40,7 +40,7 @@
 const AIM: Micros = 1_000_000;
 
 impl Apron {
-    pub async fn perform(&self, ask: Ask) -> Result<wings::Take, Trouble> {
+    pub async fn perform(&self, ask: Ask) -> Result<transport::Take, Trouble> {
         let _under_way = self.calls.begin().ok_or_else(|| Trouble::new(Cause::Leaving, "this node is stopping").later(1_000_000))?;
         let outlook = self.outlook.load_full();
         if outlook.proved == 0 || !outlook.programme.has_lanes() {
@@ -56,7 +56,7 @@
         // Whoever is refused hears it within a quarter of the aim, and may come again in time.
         let patience = ask.at + aim / 4;
         self.picks.earn(&service).await;
-        let mut cue = Box::new(wings::Cue {
+        let mut cue = Box::new(transport::Cue {
             back_end: String::new(),
             caller: self.service.clone(),
             method: ask.method,
--- a/crates/apron/src/front.rs
+++ b/crates/apron/src/front.rs
@@ -91,7 +91,7 @@
         }
     }
 
-    fn whole(&self, try_id: &str, take: wings::Take) -> Answer {
+    fn whole(&self, try_id: &str, take: transport::Take) -> Answer {
         // The near side knows the try: its name need not come back over the conn between nodes.
         let builder = hyper::Response::builder().status(take.status).header(self.env.words.try_id, try_id);
         let builder = take.headers.iter().fold(builder, |builder, (name, value)| builder.header(name.as_str(), value.as_slice()));
--- a/crates/apron/src/listen.rs
+++ b/crates/apron/src/listen.rs
@@ -3,17 +3,17 @@
 /// Tells the watch that a ward was heard.
 pub type Heard = tokio::sync::mpsc::Sender<(String, playbill::Incarnation)>;
 /// What back ends are asked for, told to whoever places keys here.
-pub type Loads = tokio::sync::mpsc::Sender<wings::Load>;
+pub type Loads = tokio::sync::mpsc::Sender<transport::Load>;
 
 pub async fn listen(listener: tokio::net::TcpListener, greet: crate::mates::Greet, known: gallery::Known, pit: pit::Pit, (heard, loads): (Heard, Loads)) {
     loop {
         if let Ok((stream, _)) = listener.accept().await {
             let (greet, known, pit, heard) = (greet.clone(), known.clone(), pit.clone(), (heard.clone(), loads.clone()));
             tokio::spawn(async move {
-                let accepted = wings::accept(stream, |caller| async move {
+                let accepted = transport::accept(stream, |caller| async move {
                     gallery::acquaint::merge(&known, caller.known);
                     match caller.purpose {
-                        wings::Purpose::Core | wings::Purpose::Enlist => Err("no core seat is here".to_string()),
+                        transport::Purpose::Core | transport::Purpose::Enlist => Err("no core seat is here".to_string()),
                         purpose => Ok((greet)(purpose)),
                     }
                 })
@@ -36,8 +36,8 @@
     }
 }
 
-async fn serve(mut conn: wings::Conn, pit: pit::Pit, (heard, loads): (Heard, Loads)) {
-    let (mut speaker, mut listener) = (wings::Speaker::default(), wings::Listener::default());
+async fn serve(mut conn: transport::Conn, pit: pit::Pit, (heard, loads): (Heard, Loads)) {
+    let (mut speaker, mut listener) = (transport::Speaker::default(), transport::Listener::default());
     let (ended, mut ends) = tokio::sync::mpsc::channel::<(u32, pit::Outcome)>(1_024);
     // With the conn goes whoever waited on it.
     let mut under_way = UnderWay::default();
@@ -51,8 +51,8 @@
                 under_way.0.remove(&number);
                 let wait = wait.min(u32::MAX as u64) as u32;
                 let word = match outcome {
-                    Ok(take) => wings::Frame::Taken(number, wait, Box::new(take.say(&mut speaker))),
-                    Err(trouble) => wings::Frame::Untaken(number, wait, Box::new(trouble)),
+                    Ok(take) => transport::Frame::Taken(number, wait, Box::new(take.say(&mut speaker))),
+                    Err(trouble) => transport::Frame::Untaken(number, wait, Box::new(trouble)),
                 };
                 if conn.sender.send(word).await.is_err() {
                     return;
@@ -61,7 +61,7 @@
             }
         };
         match frame {
-            wings::Frame::Cue(number, said) => {
+            transport::Frame::Cue(number, said) => {
                 let Some(cue) = said.hear(&mut listener) else { return };
                 let (pit, ended) = (pit.clone(), ended.clone());
                 let run = tokio::spawn(async move {
@@ -71,10 +71,10 @@
                 under_way.0.insert(number, run.abort_handle());
             }
             // What waits for a slot never begins; what runs is broken off where it may be repeated (design 13.2).
-            wings::Frame::Cancel(number) => under_way.0.remove(&number).into_iter().for_each(|run| run.abort()),
-            wings::Frame::Beat => heard.send((conn.greeting.name.clone(), conn.greeting.incarnation)).await.unwrap_or_default(),
+            transport::Frame::Cancel(number) => under_way.0.remove(&number).into_iter().for_each(|run| run.abort()),
+            transport::Frame::Beat => heard.send((conn.greeting.name.clone(), conn.greeting.incarnation)).await.unwrap_or_default(),
             // A telling that finds no room is followed by the next.
-            wings::Frame::Load(load) => drop(loads.try_send(*load)),
+            transport::Frame::Load(load) => drop(loads.try_send(*load)),
             _ => {}
         }
     }
--- a/crates/apron/src/mates.rs
+++ b/crates/apron/src/mates.rs
@@ -5,14 +5,14 @@
 type Answer = tokio::sync::oneshot::Sender<pit::Outcome>;
 
 enum Asked {
-    Cue(u32, Box<wings::Cue>, Answer),
+    Cue(u32, Box<transport::Cue>, Answer),
     /// Its caller waits no longer.
     Cancel(u32),
     /// Said once, without an answer.
-    Word(wings::Frame),
+    Word(transport::Frame),
 }
 
-pub type Greet = std::sync::Arc<dyn Fn(wings::Purpose) -> wings::Greeting + Send + Sync>;
+pub type Greet = std::sync::Arc<dyn Fn(transport::Purpose) -> transport::Greeting + Send + Sync>;
 
 /// Address to the queue of the task that carries its conn.
 #[derive(Clone)]
@@ -48,7 +48,7 @@
         Mates { lines: Default::default(), numbers: Default::default(), greet }
     }
 
-    pub async fn call(&self, address: &str, cue: Box<wings::Cue>) -> pit::Outcome {
+    pub async fn call(&self, address: &str, cue: Box<transport::Cue>) -> pit::Outcome {
         let (answer, outcome) = tokio::sync::oneshot::channel();
         let line = self.line(address);
         let number = self.numbers.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
@@ -63,7 +63,7 @@
     }
 
     /// Something that may as well be lost.
-    pub fn tell(&self, address: &str, word: wings::Frame) {
+    pub fn tell(&self, address: &str, word: transport::Frame) {
         drop(self.line(address).try_send(Asked::Word(word)));
     }
 
@@ -81,7 +81,7 @@
 }
 
 async fn carry(address: String, greet: Greet, mut asked: tokio::sync::mpsc::Receiver<Asked>) {
-    let conn = wings::dial(&address, (greet)(wings::Purpose::Call)).await;
+    let conn = transport::dial(&address, (greet)(transport::Purpose::Call)).await;
     let mut conn = match conn {
         Ok(conn) => conn,
         Err(trouble) => {
@@ -95,7 +95,7 @@
         }
     };
     let mut waiting: std::collections::HashMap<u32, Answer> = Default::default();
-    let (mut speaker, mut listener) = (wings::Speaker::default(), wings::Listener::default());
+    let (mut speaker, mut listener) = (transport::Speaker::default(), transport::Listener::default());
     loop {
         tokio::select! {
             next = asked.recv() => {
@@ -105,7 +105,7 @@
                     Some(Asked::Cue(number, cue, answer)) => (number, cue, answer),
                     Some(Asked::Cancel(number)) => {
                         if waiting.remove(&number).is_some() {
-                            drop(conn.sender.try_send(wings::Frame::Cancel(number)));
+                            drop(conn.sender.try_send(transport::Frame::Cancel(number)));
                         }
                         continue;
                     }
@@ -115,7 +115,7 @@
                     }
                     None => return,
                 };
-                match conn.sender.try_send(wings::Frame::Cue(number, Box::new(cue.say(&mut speaker)))) {
+                match conn.sender.try_send(transport::Frame::Cue(number, Box::new(cue.say(&mut speaker)))) {
                     Ok(()) => drop(waiting.insert(number, answer)),
                     // What was not said is not in the other end's table either: the conn has to end.
                     Err(_) => {
@@ -125,11 +125,11 @@
                 }
             },
             frame = conn.receiver.recv() => match frame {
-                Some(wings::Frame::Taken(number, wait, take)) => {
+                Some(transport::Frame::Taken(number, wait, take)) => {
                     let Some(take) = take.hear(&mut listener) else { break };
                     waiting.remove(&number).into_iter().for_each(|answer| drop(answer.send((Ok(take.clone()), wait as u64))));
                 }
-                Some(wings::Frame::Untaken(number, wait, trouble)) => {
+                Some(transport::Frame::Untaken(number, wait, trouble)) => {
                     waiting.remove(&number).into_iter().for_each(|answer| drop(answer.send((Err((*trouble).clone()), wait as u64))));
                 }
                 Some(_) => {}
--- a/crates/apron/tests/callers.rs
+++ b/crates/apron/tests/callers.rs
@@ -20,9 +20,9 @@
     relay: back_end::Relay,
 }
 
-fn greeting(purpose: wings::Purpose, address: &str) -> wings::Greeting {
+fn greeting(purpose: transport::Purpose, address: &str) -> transport::Greeting {
     let (name, zone) = (address.to_string(), "z0".to_string());
-    wings::Greeting { purpose, name, zone, address: address.into(), incarnation: 1, core: None, blank: false, expects: None, known: Vec::new() }
+    transport::Greeting { purpose, name, zone, address: address.into(), incarnation: 1, core: None, blank: false, expects: None, known: Vec::new() }
 }
 
 async fn site(slots: u32) -> Site {
@@ -39,8 +39,8 @@
     Site { near: apron::Mates::start(greet), far: relay.address.clone(), back_end, pit, relay }
 }
 
-fn cue(number: usize, script: &str, repeatable: bool, left: u64) -> Box<wings::Cue> {
-    Box::new(wings::Cue {
+fn cue(number: usize, script: &str, repeatable: bool, left: u64) -> Box<transport::Cue> {
+    Box::new(transport::Cue {
         back_end: NAME.into(),
         caller: "seat".into(),
         method: "GET".into(),
@@ -57,13 +57,13 @@
 }
 
 impl Site {
-    async fn call(&self, number: usize, script: &str, repeatable: bool) -> Result<wings::Take, playbill::Trouble> {
+    async fn call(&self, number: usize, script: &str, repeatable: bool) -> Result<transport::Take, playbill::Trouble> {
         let call = self.near.call(&self.far, cue(number, script, repeatable, 600_000_000));
         tokio::time::timeout(BOUND, call).await.expect("an outcome in time").0
     }
 
     /// Sent again, as a caller does it, after each certain refusal.
-    async fn until_served(&self, number: usize) -> wings::Take {
+    async fn until_served(&self, number: usize) -> transport::Take {
         loop {
             match self.call(number, "ok", false).await {
                 Ok(take) => return take,
--- a/crates/boxoffice/src/reading.rs
+++ b/crates/boxoffice/src/reading.rs
@@ -85,7 +85,7 @@
             "applied": state.applied, "floor": state.floor, "index": state.index, "highest": state.highest,
             "open_reads": state.open_reads, "suspects": state.suspects, "syncs": state.syncs, "frames": state.frames,
             "disk": state.disk, "refused": state.refused, "position": book.position, "version": book.desired.version,
-            "known": gallery::acquaint::list(&self.0.core.known), "holders": holders(&self.0.core), "traffic": wings::traffic::told(),
+            "known": gallery::acquaint::list(&self.0.core.known), "holders": holders(&self.0.core), "traffic": transport::traffic::told(),
         });
         lobby::json(response, 200, &answer);
     }
--- a/crates/callboard/src/compare.rs
+++ b/crates/callboard/src/compare.rs
@@ -17,8 +17,8 @@
 type Seen = (std::collections::BTreeSet<String>, serde_json::Value);
 
 async fn look(address: &str) -> Option<Seen> {
-    let greeting = wings::Greeting {
-        purpose: wings::Purpose::Look,
+    let greeting = transport::Greeting {
+        purpose: transport::Purpose::Look,
         name: "callboard".into(),
         zone: String::new(),
         address: String::new(),
@@ -29,10 +29,10 @@
         known: Vec::new(),
     };
     let seen = async {
-        let mut conn = wings::dial(address, greeting).await.map_err(|trouble| trouble.to_string())?;
-        conn.sender.send(wings::Frame::Look).await.map_err(|_| "closed".to_string())?;
+        let mut conn = transport::dial(address, greeting).await.map_err(|trouble| trouble.to_string())?;
+        conn.sender.send(transport::Frame::Look).await.map_err(|_| "closed".to_string())?;
         match conn.receiver.recv().await {
-            Some(wings::Frame::Seen(bytes)) => serde_json::from_slice::<serde_json::Value>(&bytes).map_err(|error| error.to_string()),
+            Some(transport::Frame::Seen(bytes)) => serde_json::from_slice::<serde_json::Value>(&bytes).map_err(|error| error.to_string()),
             _ => Err("closed before it answered".into()),
         }
     };
--- a/crates/foyer/src/lib.rs
+++ b/crates/foyer/src/lib.rs
@@ -40,7 +40,7 @@
 }
 
 impl Call {
-    async fn call(&self, request: &mut salvo::Request, try_id: Option<String>) -> Result<wings::Reply, Trouble> {
+    async fn call(&self, request: &mut salvo::Request, try_id: Option<String>) -> Result<transport::Reply, Trouble> {
         let secret = lobby::bearer(request).unwrap_or_default();
         let named = |try_id: &String| try_id.len() <= 192 && stage::tries::is_named(try_id);
         let try_id = try_id
--- a/crates/gallery/src/acquaint.rs
+++ b/crates/gallery/src/acquaint.rs
@@ -1,18 +1,18 @@
 //! How processes learn where the core seats are: greetings carry what each knows (design 4.3).
 
 /// Seat and disk to the latest known place. A watch channel is the table; its lock is a leaf (design 8.1).
-pub type Known = std::sync::Arc<tokio::sync::watch::Sender<std::collections::BTreeMap<(u16, u64), wings::CoreSeat>>>;
+pub type Known = std::sync::Arc<tokio::sync::watch::Sender<std::collections::BTreeMap<(u16, u64), transport::CoreSeat>>>;
 
 pub fn nobody() -> Known {
     std::sync::Arc::new(tokio::sync::watch::Sender::new(Default::default()))
 }
 
-pub fn list(known: &Known) -> Vec<wings::CoreSeat> {
+pub fn list(known: &Known) -> Vec<transport::CoreSeat> {
     known.borrow().values().cloned().collect()
 }
 
 /// Of one disk the later start wins: an address that moved is learned, an old one never comes back.
-pub fn merge(known: &Known, told: Vec<wings::CoreSeat>) {
+pub fn merge(known: &Known, told: Vec<transport::CoreSeat>) {
     known.send_if_modified(|table| {
         told.into_iter()
             .filter(|seat| {
@@ -33,7 +33,7 @@
 }
 
 /// Asks seeds and known seats in turn; quick until the core is complete, then now and then.
-pub async fn run(known: Known, seeds: Vec<String>, greeting: impl Fn() -> wings::Greeting + Send + 'static, seats: impl Fn() -> usize + Send) {
+pub async fn run(known: Known, seeds: Vec<String>, greeting: impl Fn() -> transport::Greeting + Send + 'static, seats: impl Fn() -> usize + Send) {
     let mut turn = 0usize;
     loop {
         let told: Vec<String> = list(&known).into_iter().map(|seat| seat.address).collect();
@@ -43,8 +43,8 @@
         let asked = if complete { places.iter().cycle().skip(turn % places.len().max(1)).take(1).cloned().collect() } else { places };
         turn += 1;
         for address in asked {
-            let own = wings::Greeting { purpose: wings::Purpose::Acquaint, known: list(&known), ..greeting() };
-            if let Ok(conn) = wings::dial(&address, own).await {
+            let own = transport::Greeting { purpose: transport::Purpose::Acquaint, known: list(&known), ..greeting() };
+            if let Ok(conn) = transport::dial(&address, own).await {
                 merge(&known, conn.greeting.known);
             }
         }
@@ -60,7 +60,7 @@
         let known = super::nobody();
         let mut heard = known.subscribe();
         heard.mark_unchanged();
-        let seat = wings::CoreSeat { seat: 1, identity: 7, address: "there".into(), zone: "z0".into(), starts: 1 };
+        let seat = transport::CoreSeat { seat: 1, identity: 7, address: "there".into(), zone: "z0".into(), starts: 1 };
         super::merge(&known, vec![seat]);
         // Without the news it would be a day.
         let waits = super::news(&mut heard, std::time::Duration::from_secs(86_400));
--- a/crates/gallery/src/bulletin.rs
+++ b/crates/gallery/src/bulletin.rs
@@ -12,7 +12,7 @@
 
 struct Follower {
     held: playbill::Position,
-    sender: wings::Sender,
+    sender: transport::Sender,
 }
 
 /// Owned by the core seat's one owner (design 8.1).
@@ -26,8 +26,8 @@
     /// All that stood at a position, as it was last told; what came since follows from the history.
     whole: Option<(playbill::Position, Vec<u8>)>,
     /// By the round that proves them, and those that wait for the next one.
-    asks: std::collections::BTreeMap<u64, Vec<(u64, wings::Sender)>>,
-    gathered: Vec<(u64, wings::Sender)>,
+    asks: std::collections::BTreeMap<u64, Vec<(u64, transport::Sender)>>,
+    gathered: Vec<(u64, transport::Sender)>,
     /// When the latest round set out.
     round_at: playbill::Micros,
 }
@@ -53,13 +53,13 @@
         self.bill.items.iter().filter(|(_, item)| item.body.is_some()).map(|(key, item)| (key.clone(), item.clone())).collect()
     }
 
-    pub fn follow(&mut self, held: playbill::Position, sender: wings::Sender) {
+    pub fn follow(&mut self, held: playbill::Position, sender: transport::Sender) {
         self.followers.push(Follower { held, sender });
         self.publish();
         self.tell();
     }
 
-    pub fn asked(&mut self, number: u64, sender: wings::Sender) {
+    pub fn asked(&mut self, number: u64, sender: transport::Sender) {
         self.gathered.push((number, sender));
     }
 
@@ -81,7 +81,7 @@
     /// On the channel that the news took before it. A channel that is full has lost its follower anyway.
     pub fn proved(&mut self, token: u64) {
         self.asks.remove(&token).into_iter().flatten().for_each(|(number, sender)| {
-            drop(sender.try_send(wings::Frame::Proof { number, position: self.bill.position }));
+            drop(sender.try_send(transport::Frame::Proof { number, position: self.bill.position }));
         });
     }
 
@@ -110,11 +110,11 @@
             let since = |held: playbill::Position| history.iter().position(|(from, ..)| *from == held).or((held == position).then_some(history.len()));
             let changes = |at: usize| {
                 let news = history.iter().skip(at);
-                news.map(|(from, to, news)| wings::Frame::Bulletin { afresh: false, from: *from, to: *to, deltas: news.clone() })
+                news.map(|(from, to, news)| transport::Frame::Bulletin { afresh: false, from: *from, to: *to, deltas: news.clone() })
             };
             let later = |first: usize| history.iter().skip(first).map(|(.., news)| news.len()).sum::<usize>();
             let known = since(follower.held).map(|at| (at, later(at)));
-            let frames: Vec<wings::Frame> = match known.filter(|(_, length)| *length <= LITTLE) {
+            let frames: Vec<transport::Frame> = match known.filter(|(_, length)| *length <= LITTLE) {
                 Some((at, _)) => changes(at).collect(),
                 None => {
                     let kept = whole.as_ref().and_then(|(at, deltas)| since(*at).map(|first| (first, deltas.len())));
@@ -128,7 +128,7 @@
                         Some((at, _)) => changes(at).collect(),
                         None => {
                             let (to, deltas) = whole.clone().unwrap_or_default();
-                            let told = wings::Frame::Bulletin { afresh: true, from: 0, to, deltas };
+                            let told = transport::Frame::Bulletin { afresh: true, from: 0, to, deltas };
                             std::iter::once(told).chain(changes(first)).collect()
                         }
                     }
@@ -185,7 +185,7 @@
         let (sender, mut frames) = tokio::sync::mpsc::channel(1_024);
         desk.follow(held.position, sender);
         std::iter::from_fn(|| frames.try_recv().ok()).fold((0, 0, held), |(count, length, held), frame| {
-            let wings::Frame::Bulletin { afresh, from, to, deltas: news } = frame else { unreachable!() };
+            let transport::Frame::Bulletin { afresh, from, to, deltas: news } = frame else { unreachable!() };
             assert!(afresh || from == held.position);
             (count + 1, length + news.len(), held.told(afresh, to, deltas(&news).expect("news")))
         })
@@ -232,7 +232,7 @@
         let proved: Vec<Vec<u64>> = (0..=rounds.len() as u64)
             .map(|token| {
                 desk.proved(token);
-                std::iter::from_fn(|| proofs.try_recv().ok()).map(|frame| if let wings::Frame::Proof { number, .. } = frame { number } else { 0 }).collect()
+                std::iter::from_fn(|| proofs.try_recv().ok()).map(|frame| if let transport::Frame::Proof { number, .. } = frame { number } else { 0 }).collect()
             })
             .collect();
         assert_eq!(proved.iter().map(Vec::len).sum::<usize>(), 200);
--- a/crates/gallery/src/core.rs
+++ b/crates/gallery/src/core.rs
@@ -48,11 +48,11 @@
     Submit(playbill::Entry, Answer),
     Read(tokio::sync::oneshot::Sender<playbill::Position>),
     /// A follower holds the bill up to here; news goes to it from now on (design 11.3).
-    Follow(playbill::Position, wings::Sender),
+    Follow(playbill::Position, transport::Sender),
     /// A follower wants a proof, by number, on the channel its news takes.
-    Ask(u64, wings::Sender),
+    Ask(u64, transport::Sender),
     Items(tokio::sync::oneshot::Sender<playbill::bill::items::Items>),
-    Opened(u16, u64, wings::Sender),
+    Opened(u16, u64, transport::Sender),
     Frame(u16, u64, repertory::Frame),
     Closed(u16, u64),
     Synced(u64),
@@ -138,16 +138,22 @@
         Ok(core)
     }
 
-    pub(crate) fn own_seat(&self) -> wings::CoreSeat {
-        wings::CoreSeat { seat: self.env.seat, identity: self.identity, address: self.env.address.clone(), zone: self.env.zone.clone(), starts: self.starts }
+    pub(crate) fn own_seat(&self) -> transport::CoreSeat {
+        transport::CoreSeat {
+            seat: self.env.seat,
+            identity: self.identity,
+            address: self.env.address.clone(),
+            zone: self.env.zone.clone(),
+            starts: self.starts,
+        }
     }
 
     pub fn seats(&self) -> u16 {
         self.env.seats
     }
 
-    pub fn greeting(&self, purpose: wings::Purpose) -> wings::Greeting {
-        wings::Greeting {
+    pub fn greeting(&self, purpose: transport::Purpose) -> transport::Greeting {
+        transport::Greeting {
             purpose,
             name: self.env.name.clone(),
             zone: self.env.zone.clone(),
--- a/crates/gallery/src/core_effects.rs
+++ b/crates/gallery/src/core_effects.rs
@@ -7,7 +7,7 @@
         match effect {
             repertory::Effect::Send(seat, frame) => {
                 self.state.frames += 1;
-                let sent = self.conns.get(&seat).map(|(_, sender)| sender.try_send(wings::Frame::Core(frame)).is_ok());
+                let sent = self.conns.get(&seat).map(|(_, sender)| sender.try_send(transport::Frame::Core(frame)).is_ok());
                 if sent == Some(false) {
                     // A mate that does not keep up loses the channel; the next one begins with a resync.
                     self.conns.remove(&seat);
--- a/crates/gallery/src/core_link.rs
+++ b/crates/gallery/src/core_link.rs
@@ -11,7 +11,7 @@
     // Until this seat votes it asks often, as an empty disk is let in by whoever it asks.
     let (greeter, asker) = (core.clone(), core.clone());
     let seats = move || if asker.state.load().started { asker.env.seats as usize } else { usize::MAX };
-    let greeting = move || greeter.greeting(wings::Purpose::Acquaint);
+    let greeting = move || greeter.greeting(transport::Purpose::Acquaint);
     tokio::spawn(crate::acquaint::run(core.known.clone(), core.env.seeds.clone(), greeting, seats));
 }
 
@@ -25,20 +25,20 @@
             let known = core.known.borrow();
             let told = known.values().filter(|place| place.seat == seat && holder.is_none_or(|holder| place.identity == holder));
             // Before all have met, of several disks that say so each in turn.
-            let told: Vec<&wings::CoreSeat> = told.collect();
+            let told: Vec<&transport::CoreSeat> = told.collect();
             told.get(turn % told.len().max(1)).map(|place| (*place).clone())
         };
         turn += 1;
         if let Some(place) = place {
-            let own = wings::Greeting { expects: holder, ..core.greeting(wings::Purpose::Core) };
-            match wings::dial(&place.address, own).await {
+            let own = transport::Greeting { expects: holder, ..core.greeting(transport::Purpose::Core) };
+            match transport::dial(&place.address, own).await {
                 Ok(conn) if conn.greeting.core.map(|(told, seats, _)| (told, seats)) == Some((seat, core.env.seats)) => {
                     if bind(&core, &conn.greeting).await.is_ok() && expected(&core, &conn.greeting) {
                         attend(&core, conn).await;
                     }
                 }
                 Ok(conn) => slog::warn!(core.logger, "not the seat expected"; "address" => place.address, "found" => ?conn.greeting.core),
-                Err(wings::Trouble::Refused(reason)) => drop(core.commands.send(Command::Refused(reason)).await),
+                Err(transport::Trouble::Refused(reason)) => drop(core.commands.send(Command::Refused(reason)).await),
                 Err(trouble) => slog::debug!(core.logger, "dial"; "seat" => seat, "trouble" => %trouble),
             }
         }
@@ -48,12 +48,12 @@
 }
 
 /// Whoever calls another disk than this one is answered, so that it learns whom it found, and no more is said.
-pub(crate) fn expected(core: &Core, greeting: &wings::Greeting) -> bool {
+pub(crate) fn expected(core: &Core, greeting: &transport::Greeting) -> bool {
     greeting.expects.is_none_or(|wanted| wanted == core.identity)
 }
 
 /// An empty disk asks for a seat that is another's here (design 4.4).
-pub(crate) async fn mind_knock(core: &Core, greeting: &wings::Greeting) {
+pub(crate) async fn mind_knock(core: &Core, greeting: &transport::Greeting) {
     let asks = greeting.core.filter(|(seat, seats, _)| greeting.blank && *seats == core.env.seats && *seat != core.env.seat);
     if let Some((seat, _, identity)) = asks
         && core.pins.load().get(&seat).is_some_and(|held| *held != identity)
@@ -65,7 +65,7 @@
 }
 
 /// The first disk met in a seat is written down before anything is said to it.
-pub(crate) async fn bind(core: &Core, greeting: &wings::Greeting) -> Result<(), String> {
+pub(crate) async fn bind(core: &Core, greeting: &transport::Greeting) -> Result<(), String> {
     if !expected(core, greeting) {
         return Ok(());
     }
@@ -85,14 +85,14 @@
 }
 
 /// Carries one channel until it breaks.
-pub(crate) async fn attend(core: &Core, mut conn: wings::Conn) {
+pub(crate) async fn attend(core: &Core, mut conn: transport::Conn) {
     let Some((seat, _, identity)) = conn.greeting.core else { return };
     let token = TOKENS.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
     crate::acquaint::merge(&core.known, conn.greeting.known);
     let begins = core.book.load().seats.get(&seat).filter(|(holder, _)| *holder == identity).map(|(_, upto)| *upto);
     let own = (core.env.seat, core.identity);
     let pins = core.pins.load().iter().map(|(seat, identity)| (*seat, *identity)).chain([own]).collect();
-    let word = begins.map(|upto| wings::Frame::Admit { upto, pins }).unwrap_or(wings::Frame::Founder);
+    let word = begins.map(|upto| transport::Frame::Admit { upto, pins }).unwrap_or(transport::Frame::Founder);
     if conn.sender.send(word).await.is_err() {
         return;
     }
@@ -104,9 +104,9 @@
     let patience = std::time::Duration::from_secs(3);
     while let Ok(Some(frame)) = tokio::time::timeout(patience, conn.receiver.recv()).await {
         let command = match frame {
-            wings::Frame::Core(frame) => Command::Frame(seat, token, frame),
-            wings::Frame::Admit { upto, pins } => Command::Admitted(upto, pins),
-            wings::Frame::Founder => Command::Founder(seat),
+            transport::Frame::Core(frame) => Command::Frame(seat, token, frame),
+            transport::Frame::Admit { upto, pins } => Command::Admitted(upto, pins),
+            transport::Frame::Founder => Command::Founder(seat),
             _ => continue,
         };
         if core.commands.send(command).await.is_err() {
--- a/crates/gallery/src/core_owner.rs
+++ b/crates/gallery/src/core_owner.rs
@@ -11,7 +11,7 @@
     pub(crate) pins: storage::Pins,
     /// What came before all seats had met (design 4.1).
     pub(crate) held: Vec<Command>,
-    pub(crate) conns: std::collections::BTreeMap<u16, (u64, wings::Sender)>,
+    pub(crate) conns: std::collections::BTreeMap<u16, (u64, transport::Sender)>,
     pub(crate) book: playbill::Book,
     pub(crate) bill: crate::bulletin::Desk,
     moved: tokio::sync::watch::Sender<playbill::Position>,
--- a/crates/gallery/src/following.rs
+++ b/crates/gallery/src/following.rs
@@ -41,7 +41,7 @@
     logger: slog::Logger,
 }
 
-pub fn start<G: Fn() -> wings::Greeting + Send + Sync + 'static>(env: FollowingEnv, known: crate::Known, greeting: G, logger: slog::Logger) -> Following {
+pub fn start<G: Fn() -> transport::Greeting + Send + Sync + 'static>(env: FollowingEnv, known: crate::Known, greeting: G, logger: slog::Logger) -> Following {
     let (moved, watch) = tokio::sync::watch::channel(0);
     let outlook: SharedOutlook = Default::default();
     let line = Line { env, known, greeting, outlook: outlook.clone(), moved, book: Default::default(), looks: 0, logger };
@@ -50,7 +50,7 @@
 }
 
 /// Seats of the own zone first, both parts in an order of the node's own.
-pub(crate) fn by_zone(known: &crate::Known, zone: &str, name: &str) -> Vec<wings::CoreSeat> {
+pub(crate) fn by_zone(known: &crate::Known, zone: &str, name: &str) -> Vec<transport::CoreSeat> {
     let mut seats = crate::acquaint::list(known);
     seats.sort_by_key(|seat| (seat.zone != zone, playbill::terms::hash(&format!("{name}{}", seat.seat)), std::cmp::Reverse(seat.starts)));
     seats
@@ -76,13 +76,13 @@
     }
 }
 
-impl<G: Fn() -> wings::Greeting + Send + Sync + 'static> Line<G> {
+impl<G: Fn() -> transport::Greeting + Send + Sync + 'static> Line<G> {
     async fn run(mut self) {
         let mut turns = Turns::default();
         loop {
             let seats = by_zone(&self.known, &self.env.zone, &self.env.name);
             if let Some(seat) = seats.get(turns.turn % seats.len().max(1)) {
-                match wings::dial(&seat.address, (self.greeting)()).await {
+                match transport::dial(&seat.address, (self.greeting)()).await {
                     Ok(conn) => {
                         crate::acquaint::merge(&self.known, conn.greeting.known.clone());
                         slog::info!(self.logger, "follows"; "upstream" => &conn.greeting.name);
@@ -103,9 +103,9 @@
     }
 
     /// Whether it proved what it told to the end.
-    async fn attend(&mut self, mut conn: wings::Conn) -> bool {
+    async fn attend(&mut self, mut conn: transport::Conn) -> bool {
         let held = self.book.begin();
-        let mut fine = conn.sender.send(wings::Frame::Follow { held }).await.is_ok();
+        let mut fine = conn.sender.send(transport::Frame::Follow { held }).await.is_ok();
         let (mut proved, began, away) = (false, playbill::now(), conn.greeting.zone != self.env.zone);
         let mut every = tokio::time::interval(std::time::Duration::from_micros(self.env.ask_every));
         every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -130,7 +130,7 @@
     }
 
     /// False when what the conn tells does not fit what is held.
-    fn take(&mut self, frame: wings::Frame, proved: &mut bool) -> bool {
+    fn take(&mut self, frame: transport::Frame, proved: &mut bool) -> bool {
         let heard = self.book.take(frame);
         *proved |= heard == crate::promptbook::Heard::Proof;
         if heard != crate::promptbook::Heard::Nothing
--- a/crates/gallery/src/founding.rs
+++ b/crates/gallery/src/founding.rs
@@ -13,11 +13,11 @@
     pub least: playbill::Micros,
 }
 
-type Enlisted = std::collections::BTreeMap<String, (u64, wings::Sender)>;
+type Enlisted = std::collections::BTreeMap<String, (u64, transport::Sender)>;
 
-fn greeting(env: &FoundingEnv, identity: u64) -> wings::Greeting {
-    wings::Greeting {
-        purpose: wings::Purpose::Enlist,
+fn greeting(env: &FoundingEnv, identity: u64) -> transport::Greeting {
+    transport::Greeting {
+        purpose: transport::Purpose::Enlist,
         name: env.address.clone(),
         zone: env.zone.clone(),
         address: env.address.clone(),
@@ -64,17 +64,17 @@
             accepted = listener.accept() => if let Ok((stream, _)) = accepted {
                 let (own, enlisted) = (greeting(env, shelf.identity), enlisted.clone());
                 tokio::spawn(async move {
-                    let judged = |caller: wings::Greeting| async move {
-                        let fits = caller.purpose == wings::Purpose::Enlist && caller.core.is_some();
+                    let judged = |caller: transport::Greeting| async move {
+                        let fits = caller.purpose == transport::Purpose::Enlist && caller.core.is_some();
                         if fits { Ok(own) } else { Err("the core is not founded yet".to_string()) }
                     };
-                    if let Ok(conn) = wings::accept(stream, judged).await {
+                    if let Ok(conn) = transport::accept(stream, judged).await {
                         drop(enlisted.send(conn).await);
                     }
                 });
             },
             Some(conn) = enlisting.recv() => {
-                let wings::Conn { greeting, sender, receiver } = conn;
+                let transport::Conn { greeting, sender, receiver } = conn;
                 let identity = greeting.core.map(|(_, _, identity)| identity).unwrap_or_default();
                 if members.insert(greeting.address, (identity, sender)).is_none_or(|(held, _)| held != identity) {
                     latest = playbill::now();
@@ -95,7 +95,7 @@
     shelf.take_seat(charter, &pins)?;
     slog::info!(logger, "the core is founded"; "seats" => seats, "seat" => charter.seat);
     for (identity, sender) in members.into_values() {
-        let word = wings::Frame::Roster { seat: seat_of(identity), seats, founded: true, pins: pins.clone() };
+        let word = transport::Frame::Roster { seat: seat_of(identity), seats, founded: true, pins: pins.clone() };
         drop(sender.send(word).await);
     }
     // Their conns end once all has been written.
@@ -117,7 +117,7 @@
             let heard = ask(address, greeting(env, shelf.identity)).await;
             if let Some((word, told)) = heard {
                 known = told.into_iter().map(|seat| seat.address).filter(|address| !env.seeds.contains(address)).collect();
-                if let wings::Frame::Roster { seat, seats, founded, pins } = word {
+                if let transport::Frame::Roster { seat, seats, founded, pins } = word {
                     let charter = storage::Charter { seat, seats, founded };
                     shelf.take_seat(charter, &pins)?;
                     slog::info!(logger, "has a seat"; "seat" => seat, "seats" => seats, "founded" => founded);
@@ -130,31 +130,31 @@
     }
 }
 
-async fn ask(address: &str, own: wings::Greeting) -> Option<(wings::Frame, Vec<wings::CoreSeat>)> {
-    let mut conn = wings::dial(address, own).await.ok()?;
+async fn ask(address: &str, own: transport::Greeting) -> Option<(transport::Frame, Vec<transport::CoreSeat>)> {
+    let mut conn = transport::dial(address, own).await.ok()?;
     let patience = std::time::Duration::from_secs(5);
     loop {
-        if let word @ (wings::Frame::Roster { .. } | wings::Frame::NoSeat) = tokio::time::timeout(patience, conn.receiver.recv()).await.ok()?? {
+        if let word @ (transport::Frame::Roster { .. } | transport::Frame::NoSeat) = tokio::time::timeout(patience, conn.receiver.recv()).await.ok()?? {
             return Some((word, conn.greeting.known));
         }
     }
 }
 
 /// What a seated process says to a machine that asks for a seat.
-pub(crate) fn word(core: &crate::Core, greeting: &wings::Greeting) -> wings::Frame {
+pub(crate) fn word(core: &crate::Core, greeting: &transport::Greeting) -> transport::Frame {
     let seats = core.env.seats;
-    let Some((_, _, identity)) = greeting.core else { return wings::Frame::NoSeat };
+    let Some((_, _, identity)) = greeting.core else { return transport::Frame::NoSeat };
     let pins: Vec<(u16, u64)> = core.pins.load().iter().map(|(seat, held)| (*seat, *held)).chain([core.identity()]).collect();
     // It missed the founder's word; its disk is named and has no past.
     if let Some((seat, _)) = pins.iter().find(|(_, held)| *held == identity) {
         let founded = core.env.charter.is_some_and(|charter| charter.founded) && !core.book.load().seats.contains_key(seat);
-        return wings::Frame::Roster { seat: *seat, seats, founded, pins };
+        return transport::Frame::Roster { seat: *seat, seats, founded, pins };
     }
     let known = core.known.borrow();
     let at_home = pins.iter().find(|(seat, held)| known.get(&(*seat, *held)).is_some_and(|place| place.address == greeting.address));
     let vacant = core.state.load().vacant.first().copied();
     match at_home.map(|(seat, _)| *seat).or(vacant) {
-        Some(seat) => wings::Frame::Roster { seat, seats, founded: false, pins: Vec::new() },
-        None => wings::Frame::NoSeat,
+        Some(seat) => transport::Frame::Roster { seat, seats, founded: false, pins: Vec::new() },
+        None => transport::Frame::NoSeat,
     }
 }
--- a/crates/gallery/src/news.rs
+++ b/crates/gallery/src/news.rs
@@ -1,11 +1,11 @@
 //! What a core seat says to subscribers: slices, proofs, answers to forwarded entries (design 5.2, 6.2).
 
 /// What a subscriber that was last told `last` has to be told: nothing, a patch, or all.
-pub(crate) fn frame(last: &mut Option<playbill::Slice>, slice: playbill::Slice) -> Option<wings::Frame> {
+pub(crate) fn frame(last: &mut Option<playbill::Slice>, slice: playbill::Slice) -> Option<transport::Frame> {
     let frame = match last.as_ref() {
         Some(held) if held.says_the_same(&slice) => return None,
-        Some(held) => wings::Frame::Patch(Box::new(held.patch_to(&slice))),
-        None => wings::Frame::News(Box::new(slice.clone())),
+        Some(held) => transport::Frame::Patch(Box::new(held.patch_to(&slice))),
+        None => transport::Frame::News(Box::new(slice.clone())),
     };
     *last = Some(slice);
     Some(frame)
@@ -22,22 +22,22 @@
 
 async fn welcome(core: crate::Core, stream: tokio::net::TcpStream) {
     let judge = core.clone();
-    let accepted = wings::accept(stream, |greeting| async move {
+    let accepted = transport::accept(stream, |greeting| async move {
         crate::acquaint::merge(&judge.known, greeting.known.clone());
         match greeting.purpose {
-            wings::Purpose::Core => crate::core_link::bind(&judge, &greeting).await?,
-            wings::Purpose::Call | wings::Purpose::Watch => return Err("a core seat takes neither requests nor beats".into()),
-            wings::Purpose::Acquaint => crate::core_link::mind_knock(&judge, &greeting).await,
-            wings::Purpose::Subscribe | wings::Purpose::Look | wings::Purpose::Enlist => {}
+            transport::Purpose::Core => crate::core_link::bind(&judge, &greeting).await?,
+            transport::Purpose::Call | transport::Purpose::Watch => return Err("a core seat takes neither requests nor beats".into()),
+            transport::Purpose::Acquaint => crate::core_link::mind_knock(&judge, &greeting).await,
+            transport::Purpose::Subscribe | transport::Purpose::Look | transport::Purpose::Enlist => {}
         }
         Ok(judge.greeting(greeting.purpose))
     })
     .await;
     match accepted {
         Ok(conn) if !crate::core_link::expected(&core, &conn.greeting) => drop(conn),
-        Ok(conn) if conn.greeting.purpose == wings::Purpose::Core => crate::core_link::attend(&core, conn).await,
-        Ok(conn) if conn.greeting.purpose == wings::Purpose::Acquaint => drop(conn),
-        Ok(conn) if conn.greeting.purpose == wings::Purpose::Enlist => {
+        Ok(conn) if conn.greeting.purpose == transport::Purpose::Core => crate::core_link::attend(&core, conn).await,
+        Ok(conn) if conn.greeting.purpose == transport::Purpose::Acquaint => drop(conn),
+        Ok(conn) if conn.greeting.purpose == transport::Purpose::Enlist => {
             drop(conn.sender.send(crate::founding::word(&core, &conn.greeting)).await);
             // The caller ends the conn once it has heard.
             let mut heard = conn.receiver;
@@ -48,7 +48,7 @@
     }
 }
 
-async fn serve(core: crate::Core, mut conn: wings::Conn) {
+async fn serve(core: crate::Core, mut conn: transport::Conn) {
     let mut changed = core.changed.clone();
     let (proved, mut proofs) = tokio::sync::mpsc::channel::<u64>(64);
     let mut services: Option<(playbill::slice::Services, playbill::Position)> = None;
@@ -57,20 +57,20 @@
     loop {
         let number = tokio::select! {
             frame = conn.receiver.recv() => match frame {
-                Some(wings::Frame::Subscribe { services: wanted, held }) => {
+                Some(transport::Frame::Subscribe { services: wanted, held }) => {
                     services = Some((wanted, held));
                     None
                 }
-                Some(wings::Frame::Follow { held }) => {
+                Some(transport::Frame::Follow { held }) => {
                     follows = true;
                     drop(core.commands.send(crate::core::Command::Follow(held, conn.sender.clone())).await);
                     continue;
                 }
-                Some(wings::Frame::Ask { number }) if follows => {
+                Some(transport::Frame::Ask { number }) if follows => {
                     drop(core.commands.send(crate::core::Command::Ask(number, conn.sender.clone())).await);
                     continue;
                 }
-                Some(wings::Frame::Ask { number }) => {
+                Some(transport::Frame::Ask { number }) => {
                     let (reader, proved) = (core.clone(), proved.clone());
                     tokio::spawn(async move {
                         if reader.read().await.is_some() {
@@ -79,17 +79,17 @@
                     });
                     continue;
                 }
-                Some(wings::Frame::Forward { number, entry }) => {
+                Some(transport::Frame::Forward { number, entry }) => {
                     let (writer, answers) = (core.clone(), conn.sender.clone());
                     tokio::spawn(async move {
                         let outcome = writer.submit(*entry).await;
-                        drop(answers.send(wings::Frame::Answer { number, outcome }).await);
+                        drop(answers.send(transport::Frame::Answer { number, outcome }).await);
                     });
                     continue;
                 }
-                Some(wings::Frame::Look) => {
+                Some(transport::Frame::Look) => {
                     let seen = serde_json::to_vec(&**core.book.load()).unwrap_or_default();
-                    drop(conn.sender.send(wings::Frame::Seen(seen)).await);
+                    drop(conn.sender.send(transport::Frame::Seen(seen)).await);
                     continue;
                 }
                 Some(_) => continue,
@@ -112,7 +112,7 @@
             return;
         }
         if let Some(number) = number
-            && conn.sender.send(wings::Frame::Proof { number, position }).await.is_err()
+            && conn.sender.send(transport::Frame::Proof { number, position }).await.is_err()
         {
             return;
         }
--- a/crates/gallery/src/promptbook.rs
+++ b/crates/gallery/src/promptbook.rs
@@ -29,10 +29,10 @@
         self.told.position
     }
 
-    pub fn ask(&mut self, now: Micros) -> wings::Frame {
+    pub fn ask(&mut self, now: Micros) -> transport::Frame {
         self.numbers += 1;
         self.asks.push_back((self.numbers, now));
-        wings::Frame::Ask { number: self.numbers }
+        transport::Frame::Ask { number: self.numbers }
     }
 
     /// Since when the oldest asking waits.
@@ -40,9 +40,9 @@
         self.asks.front().map(|(_, asked)| *asked)
     }
 
-    pub fn take(&mut self, frame: wings::Frame) -> Heard {
+    pub fn take(&mut self, frame: transport::Frame) -> Heard {
         match frame {
-            wings::Frame::Bulletin { afresh, from, to, deltas } => {
+            transport::Frame::Bulletin { afresh, from, to, deltas } => {
                 // Forward only: what is older than what is held is dropped, whoever brings it, however late.
                 if to <= self.told.position {
                     return Heard::Nothing;
@@ -51,7 +51,7 @@
                 self.told = std::sync::Arc::new(self.told.told(afresh, to, deltas));
                 Heard::News
             }
-            wings::Frame::Proof { number, position } => {
+            transport::Frame::Proof { number, position } => {
                 let asked = self.asks.iter().find(|(asked, _)| *asked == number).map(|(_, at)| *at);
                 self.asks.retain(|(asked, _)| *asked > number);
                 // News went before the proof: what is held here is what stood there.
@@ -79,7 +79,7 @@
 mod tests {
     use super::*;
 
-    fn bulletin(to: playbill::Position) -> wings::Frame {
+    fn bulletin(to: playbill::Position) -> transport::Frame {
         let put = playbill::bill::items::Put {
             name: "s".into(),
             version: to,
@@ -101,12 +101,12 @@
         assert_eq!(book.take(bulletin(5)), Heard::News);
         assert!(book.believed().is_none());
         book.ask(100);
-        assert_eq!(book.take(wings::Frame::Proof { number: 1, position: 6 }), Heard::Nothing, "it speaks of what never came here");
+        assert_eq!(book.take(transport::Frame::Proof { number: 1, position: 6 }), Heard::Nothing, "it speaks of what never came here");
         book.ask(200);
         assert_eq!(book.begin(), 5);
-        assert_eq!(book.take(wings::Frame::Proof { number: 2, position: 5 }), Heard::Nothing, "it was asked on an earlier conn");
+        assert_eq!(book.take(transport::Frame::Proof { number: 2, position: 5 }), Heard::Nothing, "it was asked on an earlier conn");
         book.ask(300);
-        assert_eq!(book.take(wings::Frame::Proof { number: 3, position: 5 }), Heard::Proof);
+        assert_eq!(book.take(transport::Frame::Proof { number: 3, position: 5 }), Heard::Proof);
         let believed = book.believed().expect("proved");
         assert_eq!((believed.programme.position, believed.proved), (5, 300));
     }
--- a/crates/gallery/src/relay.rs
+++ b/crates/gallery/src/relay.rs
@@ -13,7 +13,7 @@
 
 impl Relay {
     /// Serves one subscriber. Ends the conn when this node cannot be its home; it then asks the core.
-    pub async fn serve(&self, mut conn: wings::Conn, wanted: playbill::slice::Services, held: playbill::Position) {
+    pub async fn serve(&self, mut conn: transport::Conn, wanted: playbill::slice::Services, held: playbill::Position) {
         let mut proved = self.proved.clone();
         let mut last: Option<playbill::Slice> = None;
         let mut asks: std::collections::VecDeque<(u64, playbill::Micros)> = Default::default();
@@ -35,18 +35,18 @@
                 asks.retain(|(number, _)| !done.contains(number));
                 // The latest of them speaks for all that were asked before it.
                 if let Some(number) = done.into_iter().max()
-                    && conn.sender.send(wings::Frame::Proof { number, position: view.slice.position }).await.is_err()
+                    && conn.sender.send(transport::Frame::Proof { number, position: view.slice.position }).await.is_err()
                 {
                     return;
                 }
             }
             tokio::select! {
                 frame = conn.receiver.recv() => match frame {
-                    Some(wings::Frame::Ask { number }) => {
+                    Some(transport::Frame::Ask { number }) => {
                         asks.push_back((number, playbill::now()));
                         self.hurry.notify_one();
                     }
-                    Some(wings::Frame::Subscribe { .. }) | None => return,
+                    Some(transport::Frame::Subscribe { .. }) | None => return,
                     Some(_) => {}
                 },
                 moved = proved.changed() => if moved.is_err() { return },
--- a/crates/gallery/src/reporting.rs
+++ b/crates/gallery/src/reporting.rs
@@ -18,7 +18,7 @@
 const IDLE: std::time::Duration = std::time::Duration::from_secs(5);
 
 impl Reports {
-    pub fn start(env: ReportingEnv, known: crate::Known, greeting: impl Fn() -> wings::Greeting + Send + 'static) -> Reports {
+    pub fn start(env: ReportingEnv, known: crate::Known, greeting: impl Fn() -> transport::Greeting + Send + 'static) -> Reports {
         let (sender, asked) = tokio::sync::mpsc::channel(256);
         tokio::spawn(run(env, known, greeting, asked));
         Reports(sender)
@@ -40,8 +40,13 @@
     }
 }
 
-async fn run(env: ReportingEnv, known: crate::Known, greeting: impl Fn() -> wings::Greeting + Send + 'static, mut asked: tokio::sync::mpsc::Receiver<Asked>) {
-    let mut conn: Option<wings::Conn> = None;
+async fn run(
+    env: ReportingEnv,
+    known: crate::Known,
+    greeting: impl Fn() -> transport::Greeting + Send + 'static,
+    mut asked: tokio::sync::mpsc::Receiver<Asked>,
+) {
+    let mut conn: Option<transport::Conn> = None;
     let mut turn = playbill::terms::slice_of(&env.name) as usize;
     let mut sequence = 0;
     loop {
@@ -74,19 +79,19 @@
     }
 }
 
-async fn dial(known: &crate::Known, turn: &mut usize, greeting: wings::Greeting) -> Option<wings::Conn> {
+async fn dial(known: &crate::Known, turn: &mut usize, greeting: transport::Greeting) -> Option<transport::Conn> {
     let seats = crate::acquaint::list(known);
     let seat = seats.get(*turn % seats.len().max(1))?;
     *turn += 1;
-    wings::dial(&seat.address, greeting).await.ok()
+    transport::dial(&seat.address, greeting).await.ok()
 }
 
-async fn forward(conn: &mut wings::Conn, entry: &playbill::Entry) -> Option<playbill::Outcome> {
-    let frame = wings::Frame::Forward { number: entry.sequence, entry: Box::new(entry.clone()) };
+async fn forward(conn: &mut transport::Conn, entry: &playbill::Entry) -> Option<playbill::Outcome> {
+    let frame = transport::Frame::Forward { number: entry.sequence, entry: Box::new(entry.clone()) };
     conn.sender.send(frame).await.ok()?;
     loop {
         match conn.receiver.recv().await? {
-            wings::Frame::Answer { number, outcome } if number == entry.sequence => return outcome,
+            transport::Frame::Answer { number, outcome } if number == entry.sequence => return outcome,
             _ => {}
         }
     }
--- a/crates/gallery/src/subscription.rs
+++ b/crates/gallery/src/subscription.rs
@@ -39,7 +39,7 @@
 const GATHER: playbill::Micros = 20_000;
 const PASS_OVER: playbill::Micros = 3_000_000;
 
-pub fn start<G: Fn() -> wings::Greeting + Send + Sync + 'static>(
+pub fn start<G: Fn() -> transport::Greeting + Send + Sync + 'static>(
     env: SubscriptionEnv,
     known: crate::Known,
     services: tokio::sync::watch::Receiver<playbill::slice::Services>,
@@ -70,7 +70,7 @@
     Subscription { view, moved: watch, relay }
 }
 
-impl<G: Fn() -> wings::Greeting + Send + Sync + 'static> Line<G> {
+impl<G: Fn() -> transport::Greeting + Send + Sync + 'static> Line<G> {
     async fn run(mut self) {
         // Nodes spread over the core by name, then go round when a seat does not answer.
         let mut turn = playbill::terms::slice_of(&self.env.name) as usize;
@@ -82,7 +82,7 @@
                 seats.get(turn % seats.len().max(1)).map(|seat| seat.address.clone())
             });
             if let Some(address) = place {
-                match wings::dial(&address, (self.greeting)()).await {
+                match transport::dial(&address, (self.greeting)()).await {
                     Ok(conn) => {
                         crate::acquaint::merge(&self.known, conn.greeting.known.clone());
                         slog::info!(self.logger, "subscribed"; "upstream" => &conn.greeting.name, "home" => home.is_some());
@@ -107,7 +107,7 @@
         (self.env.homes && name != self.env.name && !passed_over).then_some(address)
     }
 
-    async fn attend(&mut self, mut conn: wings::Conn, home: Option<String>) {
+    async fn attend(&mut self, mut conn: transport::Conn, home: Option<String>) {
         self.asks.clear();
         self.based = false;
         let began = playbill::now();
@@ -142,16 +142,16 @@
         slog::info!(self.logger, "upstream left"; "upstream" => &conn.greeting.name);
     }
 
-    fn ask(&mut self, sender: &wings::Sender) -> bool {
+    fn ask(&mut self, sender: &transport::Sender) -> bool {
         self.numbers += 1;
         self.asks.push_back((self.numbers, playbill::now()));
-        sender.try_send(wings::Frame::Ask { number: self.numbers }).is_ok()
+        sender.try_send(transport::Frame::Ask { number: self.numbers }).is_ok()
     }
 
-    async fn subscribe(&mut self, sender: &wings::Sender) -> bool {
+    async fn subscribe(&mut self, sender: &transport::Sender) -> bool {
         let services = self.services.borrow_and_update().clone();
         let held = self.view.load().slice.position;
-        sender.send(wings::Frame::Subscribe { services, held }).await.is_ok()
+        sender.send(transport::Frame::Subscribe { services, held }).await.is_ok()
     }
 
     fn hold(&mut self, slice: playbill::Slice) {
@@ -166,18 +166,18 @@
         }
     }
 
-    fn take(&mut self, frame: wings::Frame, proved: &mut playbill::Micros) {
+    fn take(&mut self, frame: transport::Frame, proved: &mut playbill::Micros) {
         match frame {
-            wings::Frame::News(slice) => {
+            transport::Frame::News(slice) => {
                 self.based = true;
                 self.hold(*slice);
             }
             // A patch fits only on what this conn has told before.
-            wings::Frame::Patch(patch) if self.based => {
+            transport::Frame::Patch(patch) if self.based => {
                 let slice = self.view.load().slice.patched(*patch);
                 self.hold(slice);
             }
-            wings::Frame::Proof { number, position } => {
+            transport::Frame::Proof { number, position } => {
                 let asked = self.asks.iter().find(|(asked, _)| *asked == number).map(|(_, at)| *at);
                 self.asks.retain(|(asked, _)| *asked > number);
                 // Without a base a proof would vouch for what another conn told.
--- a/crates/gallery/src/watching.rs
+++ b/crates/gallery/src/watching.rs
@@ -11,7 +11,7 @@
 /// Tells the watch that a ward was heard.
 pub type Heard = tokio::sync::mpsc::Sender<(String, playbill::Incarnation)>;
 
-pub fn start<G: Fn() -> wings::Greeting + Send + 'static>(env: WatchingEnv, view: crate::view::SharedView, reports: crate::Reports, greeting: G) -> Heard {
+pub fn start<G: Fn() -> transport::Greeting + Send + 'static>(env: WatchingEnv, view: crate::view::SharedView, reports: crate::Reports, greeting: G) -> Heard {
     let (heard, mut hears) = tokio::sync::mpsc::channel::<(String, u64)>(1_024);
     let (name, patience, watched) = (env.name.clone(), env.patience, view.clone());
     let (outbox, mut outgoing) = tokio::sync::mpsc::unbounded_channel();
@@ -44,7 +44,7 @@
     heard
 }
 
-async fn beat<G: Fn() -> wings::Greeting + Send + 'static>(env: WatchingEnv, view: crate::view::SharedView, greeting: G) {
+async fn beat<G: Fn() -> transport::Greeting + Send + 'static>(env: WatchingEnv, view: crate::view::SharedView, greeting: G) {
     let mut lines: std::collections::BTreeMap<String, tokio::task::JoinHandle<()>> = Default::default();
     loop {
         let slice = view.load().slice.clone();
@@ -68,9 +68,9 @@
     }
 }
 
-async fn line(address: String, own: wings::Greeting, every: std::time::Duration) {
-    if let Ok(conn) = wings::dial(&address, own).await {
-        while conn.sender.try_send(wings::Frame::Beat).is_ok() {
+async fn line(address: String, own: transport::Greeting, every: std::time::Duration) {
+    if let Ok(conn) = transport::dial(&address, own).await {
+        while conn.sender.try_send(transport::Frame::Beat).is_ok() {
             tokio::time::sleep(every).await;
         }
     }
--- a/crates/gallery/tests/seats/first_words.rs
+++ b/crates/gallery/tests/seats/first_words.rs
@@ -3,14 +3,14 @@
 use crate::machines::{Machine, greets, until};
 
 /// Seat 1 of two, another disk than the one under trial: greets, and says `words` on the first core channel.
-async fn mate(listener: tokio::net::TcpListener, words: Vec<wings::Frame>) {
+async fn mate(listener: tokio::net::TcpListener, words: Vec<transport::Frame>) {
     let address = listener.local_addr().expect("an address").to_string();
-    let place = wings::CoreSeat { seat: 1, identity: 77, address: address.clone(), zone: "z0".into(), starts: 1 };
+    let place = transport::CoreSeat { seat: 1, identity: 77, address: address.clone(), zone: "z0".into(), starts: 1 };
     let mut conns = Vec::new();
     while let Ok((stream, _)) = listener.accept().await {
-        let own = greets(wings::Purpose::Core, &address, Some((1, 2, 77)), vec![place.clone()]);
-        if let Ok(conn) = wings::accept(stream, |_| async { Ok(own) }).await
-            && conn.greeting.purpose == wings::Purpose::Core
+        let own = greets(transport::Purpose::Core, &address, Some((1, 2, 77)), vec![place.clone()]);
+        if let Ok(conn) = transport::accept(stream, |_| async { Ok(own) }).await
+            && conn.greeting.purpose == transport::Purpose::Core
         {
             for word in words.clone() {
                 conn.sender.send(word).await.expect("the channel holds");
@@ -25,7 +25,7 @@
     let (own, other) = (Machine::new(test, 0).await, Machine::new(test, 1).await);
     let (shelf, writes) = own.shelf();
     let seeds = [other.address.clone()];
-    let words = vec![wings::Frame::Founder, wings::Frame::Admit { upto: 1_000_000, pins: vec![(1, 77)] }];
+    let words = vec![transport::Frame::Founder, transport::Frame::Admit { upto: 1_000_000, pins: vec![(1, 77)] }];
     tokio::spawn(mate(other.listener, words));
     let core = gallery::Core::start_on(own.core(&seeds, charter, 0), shelf, writes, playbill::log::quiet()).expect("a core seat");
     until("a vote", || core.state.load().started).await;
--- a/crates/gallery/tests/seats/founding.rs
+++ b/crates/gallery/tests/seats/founding.rs
@@ -28,7 +28,7 @@
 /// Takes part in the founding, and is gone before it hears whom the core begins with.
 async fn enlists_and_dies(founder: &str, machine: &Machine) -> u64 {
     let identity = machine.shelf().0.identity;
-    drop(soon("a conn", wings::dial(founder, enlists(&machine.address, identity))).await.expect("the founder listens"));
+    drop(soon("a conn", transport::dial(founder, enlists(&machine.address, identity))).await.expect("the founder listens"));
     identity
 }
 
@@ -93,7 +93,7 @@
         })
         .collect();
     let (at, own) = (seeds[0].clone(), seeds.clone());
-    let fourth = tokio::spawn(async move { drop(wings::dial(&at, enlists(&own[3], lost)).await.expect("the founder listens")) });
+    let fourth = tokio::spawn(async move { drop(transport::dial(&at, enlists(&own[3], lost)).await.expect("the founder listens")) });
     let mut cores = vec![founder.start(&seeds, true, replace_after).await.1];
     fourth.await.expect("enlisted");
     for start in starts {
@@ -110,14 +110,17 @@
 async fn a_blank_disk_at_a_known_address_is_told_that_seat_and_one_elsewhere_none_that_is_held() {
     let (_cores, seeds, (seat, lost), folders) = three_of_four("home", NEVER).await;
     // The lost machine had run once, and all know where.
-    let place = wings::CoreSeat { seat, identity: lost, address: seeds[3].clone(), zone: "z0".into(), starts: 1 };
+    let place = transport::CoreSeat { seat, identity: lost, address: seeds[3].clone(), zone: "z0".into(), starts: 1 };
     for at in &seeds[..3] {
-        drop(soon("a conn", wings::dial(at, greets(wings::Purpose::Acquaint, &seeds[3], None, vec![place.clone()]))).await.expect("acquainted"));
+        drop(soon("a conn", transport::dial(at, greets(transport::Purpose::Acquaint, &seeds[3], None, vec![place.clone()]))).await.expect("acquainted"));
         let here = told(at, enlists(&seeds[3], 4_711)).await;
-        assert_eq!(here, wings::Frame::Roster { seat, seats: 4, founded: false, pins: Vec::new() });
-        assert_eq!(told(at, enlists("127.0.0.1:9", 4_712)).await, wings::Frame::NoSeat, "nobody is away for long");
+        assert_eq!(here, transport::Frame::Roster { seat, seats: 4, founded: false, pins: Vec::new() });
+        assert_eq!(told(at, enlists("127.0.0.1:9", 4_712)).await, transport::Frame::NoSeat, "nobody is away for long");
         let again = told(at, enlists("127.0.0.1:9", lost)).await;
-        assert!(matches!(again, wings::Frame::Roster { seat: told, founded: true, .. } if told == seat), "the disk that was named keeps its seat: {again:?}");
+        assert!(
+            matches!(again, transport::Frame::Roster { seat: told, founded: true, .. } if told == seat),
+            "the disk that was named keeps its seat: {again:?}"
+        );
     }
     folders.into_iter().for_each(|folder| drop(std::fs::remove_dir_all(folder)));
 }
@@ -136,7 +139,7 @@
     // Without it the log could not be finished again below the change once one more disk is lost (design 4.4).
     until("a snapshot past the change at every seat", || cores.iter().all(|core| core.state.load().floor > repertory::WINDOW)).await;
     until("no vacancy", || cores.iter().all(|core| core.state.load().vacant.is_empty())).await;
-    assert_eq!(told(&seeds[0], enlists("127.0.0.1:9", 4_712)).await, wings::Frame::NoSeat, "all seats are held again");
+    assert_eq!(told(&seeds[0], enlists("127.0.0.1:9", 4_712)).await, transport::Frame::NoSeat, "all seats are held again");
     one_core(&[cores, vec![core]].concat()).await;
     folders.into_iter().chain([folder]).for_each(|folder| drop(std::fs::remove_dir_all(folder)));
 }
--- a/crates/gallery/tests/seats/machines.rs
+++ b/crates/gallery/tests/seats/machines.rs
@@ -86,17 +86,17 @@
 }
 
 /// A machine without a seat that asks for one.
-pub fn enlists(address: &str, identity: u64) -> wings::Greeting {
-    greets(wings::Purpose::Enlist, address, Some((u16::MAX, 0, identity)), Vec::new())
+pub fn enlists(address: &str, identity: u64) -> transport::Greeting {
+    greets(transport::Purpose::Enlist, address, Some((u16::MAX, 0, identity)), Vec::new())
 }
 
-pub fn greets(purpose: wings::Purpose, address: &str, core: Option<(u16, u16, u64)>, known: Vec<wings::CoreSeat>) -> wings::Greeting {
-    let blank = purpose == wings::Purpose::Enlist;
-    wings::Greeting { purpose, name: address.into(), zone: "z0".into(), address: address.into(), incarnation: 1, core, blank, expects: None, known }
+pub fn greets(purpose: transport::Purpose, address: &str, core: Option<(u16, u16, u64)>, known: Vec<transport::CoreSeat>) -> transport::Greeting {
+    let blank = purpose == transport::Purpose::Enlist;
+    transport::Greeting { purpose, name: address.into(), zone: "z0".into(), address: address.into(), incarnation: 1, core, blank, expects: None, known }
 }
 
 /// One asking, and what the seated machine answered.
-pub async fn told(machine: &str, own: wings::Greeting) -> wings::Frame {
-    let mut conn = soon("a conn", wings::dial(machine, own)).await.expect("the machine is there");
+pub async fn told(machine: &str, own: transport::Greeting) -> transport::Frame {
+    let mut conn = soon("a conn", transport::dial(machine, own)).await.expect("the machine is there");
     soon("a word", conn.receiver.recv()).await.expect("a word")
 }
--- a/crates/greenroom/src/door.rs
+++ b/crates/greenroom/src/door.rs
@@ -19,7 +19,7 @@
         Ok(Door { http })
     }
 
-    async fn pass_on(&self, address: &str, dispatch: &wings::Dispatch, left: playbill::Micros) -> Result<wings::Reply, Trouble> {
+    async fn pass_on(&self, address: &str, dispatch: &transport::Dispatch, left: playbill::Micros) -> Result<transport::Reply, Trouble> {
         let method = reqwest::Method::from_bytes(dispatch.method.as_bytes()).map_err(|_| Trouble::new(Cause::BadRequest, "not a method"))?;
         let request = dispatch
             .headers
@@ -53,7 +53,7 @@
         if seal != crate::seal::seal(&dispatch.try_id, status, &body) {
             return Err(Trouble::new(Cause::BadSeal, "the reply is not sealed for this try"));
         }
-        Ok(wings::Reply { status, headers, body, seal })
+        Ok(transport::Reply { status, headers, body, seal })
     }
 }
 
@@ -72,7 +72,7 @@
 }
 
 impl stage::BackDoor for Door {
-    fn run<'a>(&'a self, address: &'a str, dispatch: &'a wings::Dispatch, left: playbill::Micros) -> stage::Running<'a> {
+    fn run<'a>(&'a self, address: &'a str, dispatch: &'a transport::Dispatch, left: playbill::Micros) -> stage::Running<'a> {
         Box::pin(self.pass_on(address, dispatch, left))
     }
 }
--- a/crates/greenroom/tests/door.rs
+++ b/crates/greenroom/tests/door.rs
@@ -29,8 +29,8 @@
     }
 }
 
-fn dispatch(path: &str) -> wings::Dispatch {
-    wings::Dispatch {
+fn dispatch(path: &str) -> transport::Dispatch {
+    transport::Dispatch {
         number: 1,
         try_id: "desk/1".into(),
         ordinal: 0,
--- a/crates/pit/src/desk.rs
+++ b/crates/pit/src/desk.rs
@@ -11,10 +11,10 @@
 
 type Answer = tokio::sync::oneshot::Sender<Outcome>;
 /// What came of it, and how long a request of the least rank would wait here now.
-pub type Outcome = (Result<wings::Take, Trouble>, Micros);
+pub type Outcome = (Result<transport::Take, Trouble>, Micros);
 
 enum Command {
-    Enter(Box<wings::Cue>, Micros, Answer),
+    Enter(Box<transport::Cue>, Micros, Answer),
     Ended { number: u64, took: Option<Micros>, ended: crate::Ended },
     Local(Option<Local>),
     Leave,
@@ -34,7 +34,7 @@
     commands: tokio::sync::mpsc::Sender<Command>,
     door: std::sync::Arc<crate::Door>,
     local: Option<Local>,
-    buffer: Buffer<(Box<wings::Cue>, Answer)>,
+    buffer: Buffer<(Box<transport::Cue>, Answer)>,
     demand: crate::Demand,
     health: crate::Health,
     leaving: bool,
@@ -75,7 +75,7 @@
     }
 
     /// Returns with the answer, or with why there is none and whether it may have run.
-    pub async fn perform(&self, cue: Box<wings::Cue>) -> Outcome {
+    pub async fn perform(&self, cue: Box<transport::Cue>) -> Outcome {
         let (answer, outcome) = tokio::sync::oneshot::channel();
         let until = playbill::now() + cue.left;
         let gone = || (Err(Trouble::new(Cause::Leaving, "this node is stopping")), 0);
@@ -162,11 +162,11 @@
         self.wait(u8::MAX) + self.buffer.seen_run().0 / 2
     }
 
-    fn answer(&self, answer: Answer, outcome: Result<wings::Take, Trouble>) {
+    fn answer(&self, answer: Answer, outcome: Result<transport::Take, Trouble>) {
         drop(answer.send((outcome, self.told_wait())));
     }
 
-    fn enter(&mut self, cue: Box<wings::Cue>, until: Micros, answer: Answer) {
+    fn enter(&mut self, cue: Box<transport::Cue>, until: Micros, answer: Answer) {
         let now = playbill::now();
         if self.leaving {
             return self.answer(answer, Err(Trouble::new(Cause::Leaving, "this node is stopping")));
@@ -209,7 +209,7 @@
         }
     }
 
-    fn run(&mut self, cue: Box<wings::Cue>, until: Micros, mut answer: Answer) {
+    fn run(&mut self, cue: Box<transport::Cue>, until: Micros, mut answer: Answer) {
         let Some(address) = self.local.as_ref().map(|local| local.address.clone()) else { return };
         let number = self.health.begin(playbill::now());
         let (door, commands, wait, began) = (self.door.clone(), self.commands.clone(), self.told_wait(), playbill::now());
@@ -236,7 +236,7 @@
 }
 
 /// Why this back end is not to be given the request now; certain not to have run.
-fn refusal(local: Option<&Local>, now: Micros, cue: &wings::Cue) -> Option<Trouble> {
+fn refusal(local: Option<&Local>, now: Micros, cue: &transport::Cue) -> Option<Trouble> {
     let Some(local) = local.filter(|local| local.name == cue.back_end) else {
         return Some(Trouble::new(Cause::WrongIncarnation, "that back end is not beside this node"));
     };
--- a/crates/pit/src/door.rs
+++ b/crates/pit/src/door.rs
@@ -28,7 +28,7 @@
         self.conns.clear();
     }
 
-    fn request(&self, cue: &wings::Cue, left: Micros) -> Option<Request> {
+    fn request(&self, cue: &transport::Cue, left: Micros) -> Option<Request> {
         let builder = hyper::Request::builder().method(cue.method.as_str()).uri(cue.target.as_str());
         let builder = cue.headers.iter().fold(builder, |builder, (name, value)| builder.header(name.as_str(), value.as_slice()));
         builder
@@ -51,7 +51,7 @@
     }
 
     /// One request, one answer. A conn that closed before a byte was written is no run: the next one is tried.
-    pub async fn pass(&self, address: &str, cue: &wings::Cue, left: Micros) -> Result<wings::Take, Trouble> {
+    pub async fn pass(&self, address: &str, cue: &transport::Cue, left: Micros) -> Result<transport::Take, Trouble> {
         let began = playbill::now();
         loop {
             // One that rested may be forgotten without a word: what must not run twice is never sent on it (design 13.9).
@@ -80,7 +80,12 @@
         }
     }
 
-    async fn whole(&self, cue: &wings::Cue, answer: hyper::Response<hyper::body::Incoming>, sender: crate::conns::Sender) -> Result<wings::Take, Trouble> {
+    async fn whole(
+        &self,
+        cue: &transport::Cue,
+        answer: hyper::Response<hyper::body::Incoming>,
+        sender: crate::conns::Sender,
+    ) -> Result<transport::Take, Trouble> {
         let (head, body) = answer.into_parts();
         let said = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
         let asked = cue.headers.iter().find(|(name, _)| name == self.words.try_id).map(|(_, value)| value.as_slice());
@@ -107,6 +112,6 @@
         }
         let headers = head.headers.iter().filter(|(name, _)| !lobby::words::of_one_conn(name.as_str()) && name.as_str() != self.words.try_id);
         let headers = headers.map(|(name, value)| (name.as_str().to_string(), value.as_bytes().to_vec())).collect();
-        Ok(wings::Take { status: head.status.as_u16(), headers, body: body.to_vec() })
+        Ok(transport::Take { status: head.status.as_u16(), headers, body: body.to_vec() })
     }
 }
--- a/crates/pit/src/health.rs
+++ b/crates/pit/src/health.rs
@@ -59,7 +59,7 @@
 const ELSEWHERE: Micros = 250_000;
 
 /// What came of a run, as far as it is the back end's doing.
-pub(crate) fn ended(outcome: &Result<wings::Take, Trouble>) -> Ended {
+pub(crate) fn ended(outcome: &Result<transport::Take, Trouble>) -> Ended {
     match outcome {
         Ok(take) if take.status < 500 => Ended::Good,
         Ok(_) => Ended::Bad,
--- a/crates/pit/tests/forgotten.rs
+++ b/crates/pit/tests/forgotten.rs
@@ -43,8 +43,8 @@
     }
 }
 
-fn cue(repeatable: bool, number: usize) -> wings::Cue {
-    wings::Cue {
+fn cue(repeatable: bool, number: usize) -> transport::Cue {
+    transport::Cue {
         back_end: "b".into(),
         caller: "seat".into(),
         method: if repeatable { "GET" } else { "PUT" }.into(),
--- a/crates/pit/tests/promises.rs
+++ b/crates/pit/tests/promises.rs
@@ -26,7 +26,7 @@
 }
 
 async fn answered(address: &str, target: &str) -> Result<u16, (Cause, Verdict)> {
-    let cue = wings::Cue {
+    let cue = transport::Cue {
         back_end: "b".into(),
         caller: "seat".into(),
         method: "PUT".into(),
--- a/crates/rehearsal/src/billsim/node.rs
+++ b/crates/rehearsal/src/billsim/node.rs
@@ -4,14 +4,14 @@
 use playbill::bill::Programme;
 use playbill::{Micros, Position};
 
-type Way = std::collections::VecDeque<(Micros, wings::Frame)>;
+type Way = std::collections::VecDeque<(Micros, transport::Frame)>;
 
 /// A conn to one life of a seat, with what is on its way on it.
 pub(super) struct Line {
     pub seat: usize,
     pub life: u64,
-    pub sender: wings::Sender,
-    pub told: tokio::sync::mpsc::Receiver<wings::Frame>,
+    pub sender: transport::Sender,
+    pub told: tokio::sync::mpsc::Receiver<transport::Frame>,
     pub up: Way,
     pub down: Way,
     pub proved: bool,
@@ -53,16 +53,16 @@
     }
 
     /// A new conn, and what is said first on it.
-    pub fn begins(&mut self, without: &super::Without) -> wings::Frame {
+    pub fn begins(&mut self, without: &super::Without) -> transport::Frame {
         if without.forward {
             self.book = Promptbook::default();
         }
-        wings::Frame::Follow { held: self.book.begin() }
+        transport::Frame::Follow { held: self.book.begin() }
     }
 
     /// False when the conn is of no use any more.
-    pub fn take(&mut self, frame: wings::Frame) -> bool {
-        if let wings::Frame::Bulletin { to, .. } = &frame
+    pub fn take(&mut self, frame: transport::Frame) -> bool {
+        if let transport::Frame::Bulletin { to, .. } = &frame
             && !self.once
             && *to < self.knew
         {
--- a/crates/rehearsal/src/billsim/stage.rs
+++ b/crates/rehearsal/src/billsim/stage.rs
@@ -169,8 +169,8 @@
         {
             let desk = &mut self.seats[line.seat].desk;
             match frame {
-                wings::Frame::Follow { held } => desk.follow(held, line.sender.clone()),
-                wings::Frame::Ask { number } => desk.asked(number, line.sender.clone()),
+                transport::Frame::Follow { held } => desk.follow(held, line.sender.clone()),
+                transport::Frame::Ask { number } => desk.asked(number, line.sender.clone()),
                 _ => {}
             }
         }
--- a/crates/rehearsal/src/hollow/counted.rs
+++ b/crates/rehearsal/src/hollow/counted.rs
@@ -37,21 +37,21 @@
     pub cost: Cost,
 }
 
-pub(super) fn length(frame: &wings::Frame) -> u64 {
+pub(super) fn length(frame: &transport::Frame) -> u64 {
     // The length and the version go before a frame.
     rkyv::to_bytes::<rkyv::rancor::Error>(frame).map(|bytes| bytes.len() as u64 + 6).unwrap_or(0)
 }
 
-pub(super) fn bulletin(afresh: bool, deltas: Vec<Delta>) -> wings::Frame {
+pub(super) fn bulletin(afresh: bool, deltas: Vec<Delta>) -> transport::Frame {
     let deltas = rkyv::to_bytes::<rkyv::rancor::Error>(&deltas).map(|bytes| bytes.to_vec()).unwrap_or_default();
-    wings::Frame::Bulletin { afresh, from: 0, to: 1, deltas }
+    transport::Frame::Bulletin { afresh, from: 0, to: 1, deltas }
 }
 
 impl Log<'_> {
     pub fn put(&mut self, origin: &str, act: Act) {
         self.sequence += 1;
         let entry = playbill::Entry { origin: origin.into(), life: 1, sequence: self.sequence, act: playbill::Act::Bill(act.clone()) };
-        let length_of_entry = length(&wings::Frame::Forward { number: self.sequence, entry: Box::new(entry) });
+        let length_of_entry = length(&transport::Frame::Forward { number: self.sequence, entry: Box::new(entry) });
         let before = self.bill.castings.clone();
         let (_, deltas) = self.bill.apply(origin, 1, self.sequence, act);
         self.cost.offered += 1;
--- a/crates/rehearsal/src/hollow/meter.rs
+++ b/crates/rehearsal/src/hollow/meter.rs
@@ -8,8 +8,8 @@
     pub ran: std::collections::BTreeMap<(&'static str, u32), u64>,
     pub memory: u64,
     pub descriptors: u64,
-    /// Frames and bytes, in the order of `wings::traffic::KINDS`.
-    pub said: [(u64, u64); wings::traffic::KINDS.len()],
+    /// Frames and bytes, in the order of `transport::traffic::KINDS`.
+    pub said: [(u64, u64); transport::traffic::KINDS.len()],
     pub syncs: u64,
     /// Instances applied at the first seat, and where its bill stands.
     pub applied: u64,
@@ -36,7 +36,7 @@
         ran: ran.collect(),
         memory: memory.unwrap_or(0) * 1_024,
         descriptors: std::fs::read_dir("/proc/self/fd").map(|held| held.count() as u64).unwrap_or(0),
-        said: wings::traffic::by_kind(),
+        said: transport::traffic::by_kind(),
         syncs: cores.iter().map(|core| core.state.load().syncs).sum(),
         applied: cores.first().map(|core| core.state.load().applied).unwrap_or(0),
     }
@@ -68,5 +68,5 @@
 pub fn said(before: &Reading, after: &Reading) -> std::collections::BTreeMap<&'static str, (u64, u64)> {
     let pairs = before.said.iter().zip(after.said);
     let grown = pairs.map(|(before, after)| (after.0 - before.0, after.1 - before.1));
-    wings::traffic::KINDS.into_iter().zip(grown).filter(|(_, (frames, _))| *frames > 0).collect()
+    transport::traffic::KINDS.into_iter().zip(grown).filter(|(_, (frames, _))| *frames > 0).collect()
 }
--- a/crates/rehearsal/src/hollow/node.rs
+++ b/crates/rehearsal/src/hollow/node.rs
@@ -125,7 +125,7 @@
         let (place, table) = (own.clone(), mine.clone());
         let greeting = |purpose| {
             let (own, mine) = (place.clone(), table.clone());
-            move || wings::Greeting {
+            move || transport::Greeting {
                 purpose,
                 name: own.node.clone(),
                 zone: own.zone.clone(),
@@ -138,13 +138,13 @@
             }
         };
         let line = gallery::FollowingEnv { name: own.node.clone(), zone: own.zone.clone(), ask_every: env.ask_every, patience: env.ask_every * 2 };
-        let following = gallery::following::start(line, mine.clone(), greeting(wings::Purpose::Subscribe), logger.clone());
-        tokio::spawn(gallery::acquaint::run(mine.clone(), env.seeds.clone(), greeting(wings::Purpose::Acquaint), || 3));
+        let following = gallery::following::start(line, mine.clone(), greeting(transport::Purpose::Subscribe), logger.clone());
+        tokio::spawn(gallery::acquaint::run(mine.clone(), env.seeds.clone(), greeting(transport::Purpose::Acquaint), || 3));
         if plan.parts == Parts::Following {
             return Part::Following(following);
         }
         let reporting = gallery::ReportingEnv { name: own.node.clone(), life: own.life, logger: logger.clone() };
-        let reports = gallery::Reports::start(reporting, mine, greeting(wings::Purpose::Subscribe));
+        let reports = gallery::Reports::start(reporting, mine, greeting(transport::Purpose::Subscribe));
         let pit = pit::Pit::start(pit::PitEnv { words: env.words.clone(), ahead: env.ahead });
         let troupe = troupe::Troupe::start(own, following.clone(), pit, reports, logger);
         Part::Troupe(following, troupe)
--- a/crates/rehearsal/src/hollow/seats.rs
+++ b/crates/rehearsal/src/hollow/seats.rs
@@ -84,7 +84,7 @@
         let known = gallery::acquaint::nobody();
         let told = self.cores.iter().zip(&self.places).map(|(core, address)| {
             let (seat, identity) = core.identity();
-            wings::CoreSeat { seat, identity, address: address.clone(), zone: plan.zone(seat as usize), starts: 1 }
+            transport::CoreSeat { seat, identity, address: address.clone(), zone: plan.zone(seat as usize), starts: 1 }
         });
         gallery::acquaint::merge(&known, told.collect());
         known
--- a/crates/rehearsal/src/hollow/witness.rs
+++ b/crates/rehearsal/src/hollow/witness.rs
@@ -25,8 +25,8 @@
 impl Witness {
     pub fn start(plan: std::sync::Arc<super::Plan>, known: gallery::Known) -> Witness {
         let (name, zone) = ("witness".to_string(), plan.zone(0));
-        let own = wings::Greeting {
-            purpose: wings::Purpose::Subscribe,
+        let own = transport::Greeting {
+            purpose: transport::Purpose::Subscribe,
             name: name.clone(),
             zone: zone.clone(),
             address: "127.0.0.1:1".into(),
--- a/crates/rehearsal/src/sim/site.rs
+++ b/crates/rehearsal/src/sim/site.rs
@@ -18,7 +18,7 @@
     Reported(usize, u64, u64, playbill::Outcome),
     Operate,
     Send(usize, u64),
-    Arrive(u64, usize, Box<wings::Dispatch>, Micros),
+    Arrive(u64, usize, Box<transport::Dispatch>, Micros),
     Reply(u64, Result<(), playbill::Trouble>),
     Late(u64),
     RunEnds(u64),
@@ -73,7 +73,7 @@
     pub(super) courses: std::collections::BTreeMap<u64, super::site_calls::Trying>,
     pub(super) tries: Vec<super::site_calls::Try>,
     /// Dispatches that wait for a slot.
-    pub(super) runs_waiting: std::collections::BTreeMap<u64, wings::Dispatch>,
+    pub(super) runs_waiting: std::collections::BTreeMap<u64, transport::Dispatch>,
     pub(super) runs: std::collections::BTreeMap<u64, super::site_runs::Run>,
     pub(super) numbers: u64,
     /// Read tokens: the node that asked, and when.
--- a/crates/rehearsal/src/sim/site_judge.rs
+++ b/crates/rehearsal/src/sim/site_judge.rs
@@ -36,7 +36,7 @@
     }
 
     /// A run begins: which one, at a node that holds `position`, in a process that drained or died at a time.
-    pub(super) fn began(&mut self, now: Micros, dispatch: &wings::Dispatch, process: (usize, Option<Micros>), position: Position, until: Micros) {
+    pub(super) fn began(&mut self, now: Micros, dispatch: &transport::Dispatch, process: (usize, Option<Micros>), position: Position, until: Micros) {
         self.runs += 1;
         let count = self.ran.entry(dispatch.try_id.clone()).or_default();
         *count += 1;
@@ -60,7 +60,7 @@
     }
 
     /// A dead process's run ends with it; others when they say so.
-    pub(super) fn ended(&mut self, now: Micros, dispatch: &wings::Dispatch, process: usize) {
+    pub(super) fn ended(&mut self, now: Micros, dispatch: &transport::Dispatch, process: usize) {
         if let Some(key) = &dispatch.key {
             let spans = self.spans.entry((dispatch.service.clone(), key.clone())).or_default();
             spans.iter_mut().rev().filter(|(_, to, who)| *who == process && *to > now).take(1).for_each(|span| span.1 = now);
--- a/crates/rehearsal/src/sim/site_runs.rs
+++ b/crates/rehearsal/src/sim/site_runs.rs
@@ -9,7 +9,7 @@
     number: u64,
     life: u64,
     permit: stage::house::Permit,
-    dispatch: wings::Dispatch,
+    dispatch: transport::Dispatch,
     process: usize,
     /// Its usher died: the back end works on, and nobody hears it.
     pub orphan: bool,
@@ -17,7 +17,7 @@
 
 impl Site {
     /// At the far usher, with what is left of the wait by its marks.
-    pub(super) fn arrive(&mut self, number: u64, at: usize, mut dispatch: wings::Dispatch, sent: Micros) {
+    pub(super) fn arrive(&mut self, number: u64, at: usize, mut dispatch: transport::Dispatch, sent: Micros) {
         let now = self.now;
         let from = self.courses.get(&number).map(|trying| trying.node);
         let lost = self.nodes[at].cut || from.is_some_and(|from| self.nodes[from].cut);
@@ -51,7 +51,7 @@
     }
 
     /// Whoever has the address now gets the request; it works at most until its wait is over.
-    fn run(&mut self, at: usize, number: u64, permit: stage::house::Permit, dispatch: wings::Dispatch) {
+    fn run(&mut self, at: usize, number: u64, permit: stage::house::Permit, dispatch: transport::Dispatch) {
         let now = self.now;
         let address: u64 = permit.address.rsplit(':').next().and_then(|port| port.parse().ok()).unwrap_or(0);
         let process = self.addresses.get(&address).copied().filter(|process| self.processes[*process].alive);
@@ -90,7 +90,7 @@
     pub(super) fn die(&mut self, process: usize) {
         let now = self.now;
         (self.processes[process].alive, self.processes[process].died) = (false, Some(now));
-        let ended: Vec<wings::Dispatch> = self.runs.values().filter(|run| run.process == process).map(|run| run.dispatch.clone()).collect();
+        let ended: Vec<transport::Dispatch> = self.runs.values().filter(|run| run.process == process).map(|run| run.dispatch.clone()).collect();
         ended.iter().for_each(|dispatch| self.judge.ended(now, dispatch, process));
     }
 
--- a/crates/stage/src/course.rs
+++ b/crates/stage/src/course.rs
@@ -85,12 +85,12 @@
         self.given_up(Trouble::new(cause, format!("no back end of {:?} can take it now", self.ask.service)))
     }
 
-    pub fn dispatch(&self, view: &gallery::View, now: Micros, picked: &str, node: &str) -> Result<(wings::Dispatch, Place), Trouble> {
+    pub fn dispatch(&self, view: &gallery::View, now: Micros, picked: &str, node: &str) -> Result<(transport::Dispatch, Place), Trouble> {
         let (incarnation, beside) = view.slice.back_ends.get(picked).map(|held| (held.incarnation, held.node.clone())).unwrap_or_default();
         let place = view.slice.nodes.get(&beside).map(|held| (held.address.clone(), held.incarnation));
         let place =
             if beside == node { None } else { Some(place.ok_or_else(|| Trouble::new(Cause::Unreachable, "the node beside the back end is not known"))?) };
-        let dispatch = wings::Dispatch {
+        let dispatch = transport::Dispatch {
             number: 0,
             try_id: self.ask.try_id.clone(),
             ordinal: self.ordinal,
--- a/crates/stage/src/far.rs
+++ b/crates/stage/src/far.rs
@@ -2,12 +2,12 @@
 
 use playbill::{Cause, Trouble};
 
-pub type Running<'a> = std::pin::Pin<Box<dyn Future<Output = Result<wings::Reply, Trouble>> + Send + 'a>>;
+pub type Running<'a> = std::pin::Pin<Box<dyn Future<Output = Result<transport::Reply, Trouble>> + Send + 'a>>;
 
 /// How a request gets from this process into the back end.
 pub trait BackDoor: Send + Sync {
     /// `left` is what remains of the wait. Only a sealed, whole reply comes back as one.
-    fn run<'a>(&'a self, address: &'a str, dispatch: &'a wings::Dispatch, left: playbill::Micros) -> Running<'a>;
+    fn run<'a>(&'a self, address: &'a str, dispatch: &'a transport::Dispatch, left: playbill::Micros) -> Running<'a>;
 }
 
 #[derive(Clone)]
@@ -21,7 +21,7 @@
 const OVERSTAY: playbill::Micros = 1_000_000;
 
 impl Far {
-    pub async fn perform(&self, dispatch: wings::Dispatch) -> Result<wings::Reply, Trouble> {
+    pub async fn perform(&self, dispatch: transport::Dispatch) -> Result<transport::Reply, Trouble> {
         let permit = self.house.enter(dispatch.clone()).await?;
         let (reply, answered) = tokio::sync::oneshot::channel();
         let left = permit.until.saturating_sub(playbill::now());
--- a/crates/stage/src/house.rs
+++ b/crates/stage/src/house.rs
@@ -55,7 +55,7 @@
 pub(crate) struct Waiter {
     pub ticket: u64,
     pub until: Micros,
-    pub dispatch: wings::Dispatch,
+    pub dispatch: transport::Dispatch,
 }
 
 /// Leave to pass one request on, once.
--- a/crates/stage/src/house_pump.rs
+++ b/crates/stage/src/house_pump.rs
@@ -7,7 +7,7 @@
 
 impl House {
     /// Takes one request. The answer comes at once or from a later `pump`, always exactly one.
-    pub fn enter(&mut self, now: Micros, view: &gallery::View, ticket: u64, dispatch: wings::Dispatch) -> Granted {
+    pub fn enter(&mut self, now: Micros, view: &gallery::View, ticket: u64, dispatch: transport::Dispatch) -> Granted {
         let until = now + dispatch.left;
         let checked = match dispatch.left {
             0 => Err(Trouble::new(Cause::TooLate, "no time is left")),
@@ -22,7 +22,7 @@
         self.queue_up(Waiter { ticket, until, dispatch })
     }
 
-    fn room(&self, dispatch: &wings::Dispatch) -> bool {
+    fn room(&self, dispatch: &transport::Dispatch) -> bool {
         self.places.get(&dispatch.back_end).is_some_and(|place| {
             let slots = place.registration.slots;
             let same = place.running.values().filter(|key| key.is_some() && **key == dispatch.key).count();
@@ -30,7 +30,7 @@
         })
     }
 
-    fn grant(&mut self, now: Micros, until: Micros, dispatch: &wings::Dispatch) -> Permit {
+    fn grant(&mut self, now: Micros, until: Micros, dispatch: &transport::Dispatch) -> Permit {
         self.runs += 1;
         self.tries.note(now, &dispatch.sender_service, &House::identity(dispatch));
         let run = self.runs;
--- a/crates/stage/src/house_task.rs
+++ b/crates/stage/src/house_task.rs
@@ -12,7 +12,7 @@
     BackEnd(String, Answer<Option<playbill::BackEnd>>),
     Beat(String, bool, Option<u32>, Answer<Option<String>>),
     SignOff(String, Answer<bool>),
-    Enter(Box<wings::Dispatch>, Answer<Entered>),
+    Enter(Box<transport::Dispatch>, Answer<Entered>),
     Done(Permit, bool),
     Leave,
     Load(Answer<(usize, usize)>),
@@ -86,7 +86,7 @@
         self.ask(|answer| Command::SignOff(secret.to_string(), answer)).await.unwrap_or(false)
     }
 
-    pub async fn enter(&self, dispatch: wings::Dispatch) -> Entered {
+    pub async fn enter(&self, dispatch: transport::Dispatch) -> Entered {
         self.ask(|answer| Command::Enter(Box::new(dispatch), answer)).await.unwrap_or_else(|| Err(stopping()))
     }
 
--- a/crates/stage/src/mates.rs
+++ b/crates/stage/src/mates.rs
@@ -2,12 +2,12 @@
 
 use playbill::{Cause, Trouble};
 
-type Answer = tokio::sync::oneshot::Sender<Result<wings::Reply, Trouble>>;
+type Answer = tokio::sync::oneshot::Sender<Result<transport::Reply, Trouble>>;
 
 enum Command {
-    Call { address: String, life: u64, dispatch: Box<wings::Dispatch>, answer: Answer },
-    Dialed(String, Result<wings::Conn, wings::Trouble>),
-    Reply(String, u64, u64, Result<wings::Reply, Trouble>),
+    Call { address: String, life: u64, dispatch: Box<transport::Dispatch>, answer: Answer },
+    Dialed(String, Result<transport::Conn, transport::Trouble>),
+    Reply(String, u64, u64, Result<transport::Reply, Trouble>),
     Marked(String, u64, u64),
     Lost(String, u64),
     GaveUp(String, u64),
@@ -21,12 +21,12 @@
 
 /// What waits for a conn that is being dialed has certainly not left.
 enum Line {
-    Dialing(playbill::Micros, Vec<(Box<wings::Dispatch>, u64, Answer)>),
-    Open { token: u64, life: u64, sender: wings::Sender, mark: u64, pending: std::collections::HashMap<u64, Answer> },
+    Dialing(playbill::Micros, Vec<(Box<transport::Dispatch>, u64, Answer)>),
+    Open { token: u64, life: u64, sender: transport::Sender, mark: u64, pending: std::collections::HashMap<u64, Answer> },
 }
 
 impl Mates {
-    pub fn start(greeting: impl Fn() -> wings::Greeting + Send + Sync + 'static) -> Self {
+    pub fn start(greeting: impl Fn() -> transport::Greeting + Send + Sync + 'static) -> Self {
         let (commands, buffer) = tokio::sync::mpsc::channel(4_096);
         let owner = Owner { commands: commands.clone(), lines: Default::default(), tokens: 0, greeting: std::sync::Arc::new(greeting) };
         tokio::spawn(owner.run(buffer));
@@ -34,7 +34,7 @@
     }
 
     /// `life` is the far usher's: another life at that address is not the one that was meant.
-    pub async fn call(&self, address: &str, life: u64, mut dispatch: wings::Dispatch) -> Result<wings::Reply, Trouble> {
+    pub async fn call(&self, address: &str, life: u64, mut dispatch: transport::Dispatch) -> Result<transport::Reply, Trouble> {
         let (answer, answered) = tokio::sync::oneshot::channel();
         let number = self.numbers.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         dispatch.number = number;
@@ -57,7 +57,7 @@
     commands: tokio::sync::mpsc::Sender<Command>,
     lines: std::collections::HashMap<String, Line>,
     tokens: u64,
-    greeting: std::sync::Arc<dyn Fn() -> wings::Greeting + Send + Sync>,
+    greeting: std::sync::Arc<dyn Fn() -> transport::Greeting + Send + Sync>,
 }
 
 impl Owner {
@@ -93,7 +93,7 @@
         }
     }
 
-    fn call(&mut self, address: String, life: u64, mut dispatch: Box<wings::Dispatch>, answer: Answer) {
+    fn call(&mut self, address: String, life: u64, mut dispatch: Box<transport::Dispatch>, answer: Answer) {
         match self.lines.get_mut(&address) {
             Some(Line::Dialing(since, waiting)) => {
                 // Counted from the dial's beginning, so that what is left is never told too long.
@@ -105,14 +105,14 @@
                 self.lines.insert(address.clone(), Line::Dialing(playbill::now(), vec![(dispatch, life, answer)]));
                 let (commands, greeting) = (self.commands.clone(), (self.greeting)());
                 tokio::spawn(async move {
-                    let conn = wings::dial(&address, greeting).await;
+                    let conn = transport::dial(&address, greeting).await;
                     commands.send(Command::Dialed(address, conn)).await.unwrap_or_default();
                 });
             }
         }
     }
 
-    fn dialed(&mut self, address: String, conn: Result<wings::Conn, wings::Trouble>) {
+    fn dialed(&mut self, address: String, conn: Result<transport::Conn, transport::Trouble>) {
         let Some(Line::Dialing(since, waiting)) = self.lines.remove(&address) else { return };
         let waited = playbill::now() - since;
         match conn {
@@ -134,7 +134,7 @@
     }
 }
 
-fn hand_over(line: &mut Line, mut dispatch: Box<wings::Dispatch>, life: u64, answer: Answer) {
+fn hand_over(line: &mut Line, mut dispatch: Box<transport::Dispatch>, life: u64, answer: Answer) {
     let Line::Open { life: found, sender, pending, mark, .. } = line else { return };
     if answer.is_closed() {
         // Its caller has given up, so it need not leave at all.
@@ -146,7 +146,7 @@
         return drop(answer.send(Err(trouble)));
     }
     let number = dispatch.number;
-    match sender.try_send(wings::Frame::Dispatch(dispatch)) {
+    match sender.try_send(transport::Frame::Dispatch(dispatch)) {
         Ok(()) => {
             pending.insert(number, answer);
         }
@@ -155,11 +155,11 @@
     }
 }
 
-async fn listen(address: String, token: u64, mut receiver: tokio::sync::mpsc::Receiver<wings::Frame>, commands: tokio::sync::mpsc::Sender<Command>) {
+async fn listen(address: String, token: u64, mut receiver: tokio::sync::mpsc::Receiver<transport::Frame>, commands: tokio::sync::mpsc::Sender<Command>) {
     while let Some(frame) = receiver.recv().await {
         let command = match frame {
-            wings::Frame::Reply { number, reply } => Command::Reply(address.clone(), token, number, *reply),
-            wings::Frame::Mark(mark) => Command::Marked(address.clone(), token, mark),
+            transport::Frame::Reply { number, reply } => Command::Reply(address.clone(), token, number, *reply),
+            transport::Frame::Mark(mark) => Command::Marked(address.clone(), token, mark),
             _ => continue,
         };
         commands.send(command).await.unwrap_or_default();
--- a/crates/stage/src/near.rs
+++ b/crates/stage/src/near.rs
@@ -11,7 +11,7 @@
     pub path: String,
     /// With its question mark, or empty; orders do not look at it.
     pub query: String,
-    pub headers: wings::Headers,
+    pub headers: transport::Headers,
     pub body: Vec<u8>,
     pub key: Option<String>,
     /// What the sender says it will wait; none leaves it to the order.
@@ -53,7 +53,7 @@
     }
 
     /// One try that was taken, to its one answer.
-    pub async fn call(&self, sender: crate::SenderId, ask: Ask) -> Result<wings::Reply, Trouble> {
+    pub async fn call(&self, sender: crate::SenderId, ask: Ask) -> Result<transport::Reply, Trouble> {
         let try_id = ask.try_id.clone();
         let answer = self.perform(sender, ask).await;
         self.settle(&try_id, answer.as_ref().err()).await;
@@ -67,7 +67,7 @@
         }
     }
 
-    async fn perform(&self, sender: crate::SenderId, ask: Ask) -> Result<wings::Reply, Trouble> {
+    async fn perform(&self, sender: crate::SenderId, ask: Ask) -> Result<transport::Reply, Trouble> {
         let _under_way = self.calls.begin().ok_or_else(|| Trouble::new(Cause::Leaving, "this usher is stopping").later(1_000_000))?;
         let mut course = crate::course::Course::begin(&self.view.load(), playbill::now(), sender, ask)?;
         self.budget.first(course.service()).await;
--- a/crates/stage/src/server.rs
+++ b/crates/stage/src/server.rs
@@ -2,7 +2,7 @@
 
 pub async fn listen(
     listener: tokio::net::TcpListener,
-    greeting: impl Fn() -> wings::Greeting + Send + Sync + 'static,
+    greeting: impl Fn() -> transport::Greeting + Send + Sync + 'static,
     known: gallery::Known,
     far: crate::Far,
     relay: gallery::relay::Relay,
@@ -14,10 +14,10 @@
             let (greeting, known, far) = (greeting.clone(), known.clone(), far.clone());
             let (relay, heard) = (relay.clone(), heard.clone());
             tokio::spawn(async move {
-                let accepted = wings::accept(stream, |caller| async move {
+                let accepted = transport::accept(stream, |caller| async move {
                     gallery::acquaint::merge(&known, caller.known);
                     match caller.purpose {
-                        wings::Purpose::Core => Err("no core seat is here".to_string()),
+                        transport::Purpose::Core => Err("no core seat is here".to_string()),
                         _ => Ok((greeting)()),
                     }
                 })
@@ -30,7 +30,7 @@
     }
 }
 
-async fn serve(mut conn: wings::Conn, far: crate::Far, relay: gallery::relay::Relay, heard: gallery::watching::Heard) {
+async fn serve(mut conn: transport::Conn, far: crate::Far, relay: gallery::relay::Relay, heard: gallery::watching::Heard) {
     let mut marks = crate::marks::Marks::new(playbill::now());
     let mut every = tokio::time::interval(std::time::Duration::from_micros(crate::marks::EVERY));
     every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -40,32 +40,32 @@
                 Some(frame) => frame,
                 None => return,
             },
-            _ = every.tick(), if conn.greeting.purpose == wings::Purpose::Call => {
+            _ = every.tick(), if conn.greeting.purpose == transport::Purpose::Call => {
                 let mark = marks.next(playbill::now());
                 // A mate that takes nothing just now goes without; its dispatches then look older, not younger.
-                drop(conn.sender.try_send(wings::Frame::Mark(mark)));
+                drop(conn.sender.try_send(transport::Frame::Mark(mark)));
                 continue;
             }
         };
         match frame {
-            wings::Frame::Dispatch(mut dispatch) => {
+            transport::Frame::Dispatch(mut dispatch) => {
                 dispatch.left = marks.left(playbill::now(), dispatch.mark, dispatch.left);
                 let (far, replies) = (far.clone(), conn.sender.clone());
                 tokio::spawn(async move {
                     let number = dispatch.number;
                     let reply = Box::new(far.perform(*dispatch).await);
-                    replies.send(wings::Frame::Reply { number, reply }).await.unwrap_or_default();
+                    replies.send(transport::Frame::Reply { number, reply }).await.unwrap_or_default();
                 });
             }
-            wings::Frame::Look => {
+            transport::Frame::Look => {
                 let seen = serde_json::to_vec(&*relay.view.load().slice).unwrap_or_default();
-                conn.sender.send(wings::Frame::Seen(seen)).await.unwrap_or_default();
+                conn.sender.send(transport::Frame::Seen(seen)).await.unwrap_or_default();
             }
-            wings::Frame::Beat => {
+            transport::Frame::Beat => {
                 let ward = (conn.greeting.name.clone(), conn.greeting.incarnation);
                 heard.send(ward).await.unwrap_or_default();
             }
-            wings::Frame::Subscribe { services, held } => return relay.serve(conn, services, held).await,
+            transport::Frame::Subscribe { services, held } => return relay.serve(conn, services, held).await,
             _ => {}
         }
     }
--- a/crates/stage/tests/house.rs
+++ b/crates/stage/tests/house.rs
@@ -15,12 +15,12 @@
     let current = std::mem::replace(&mut scene.view, stale);
     assert_eq!(scene.cause(at, good.clone()), Some(Cause::NotFresh));
     scene.view = current;
-    assert_eq!(scene.cause(at, wings::Dispatch { left: 0, ..good.clone() }), Some(Cause::TooLate));
-    assert_eq!(scene.cause(at, wings::Dispatch { service: "other".into(), ..good.clone() }), Some(Cause::WrongIncarnation));
-    assert_eq!(scene.cause(at, wings::Dispatch { incarnation: good.incarnation - 1, ..good.clone() }), Some(Cause::WrongIncarnation));
-    assert_eq!(scene.cause(at, wings::Dispatch { sender_service: "stranger".into(), ..good.clone() }), Some(Cause::NoLane));
-    assert_eq!(scene.cause(at, wings::Dispatch { path: "/plainer".into(), ..good.clone() }), Some(Cause::NoLane));
-    assert_eq!(scene.cause(at, wings::Dispatch { fence: Some(4), ..scene.dispatch("k", "/keyed") }), Some(Cause::StaleFence));
+    assert_eq!(scene.cause(at, transport::Dispatch { left: 0, ..good.clone() }), Some(Cause::TooLate));
+    assert_eq!(scene.cause(at, transport::Dispatch { service: "other".into(), ..good.clone() }), Some(Cause::WrongIncarnation));
+    assert_eq!(scene.cause(at, transport::Dispatch { incarnation: good.incarnation - 1, ..good.clone() }), Some(Cause::WrongIncarnation));
+    assert_eq!(scene.cause(at, transport::Dispatch { sender_service: "stranger".into(), ..good.clone() }), Some(Cause::NoLane));
+    assert_eq!(scene.cause(at, transport::Dispatch { path: "/plainer".into(), ..good.clone() }), Some(Cause::NoLane));
+    assert_eq!(scene.cause(at, transport::Dispatch { fence: Some(4), ..scene.dispatch("k", "/keyed") }), Some(Cause::StaleFence));
     assert_eq!(scene.cause(at, good.clone()), None);
     assert_eq!(scene.cause(at, good), Some(Cause::DuplicateTry), "passed on once already");
     assert_eq!(Cause::DuplicateTry.verdict(), Verdict::MayHaveRun);
@@ -78,7 +78,7 @@
     assert_eq!(scene.house.running(), 6);
     assert_eq!(scene.house.waiting(), 8);
     assert_eq!(crowded, 30 - 6 - 8);
-    let other = wings::Dispatch { key: Some("cool".into()), ..scene.dispatch("cool", "/keyed") };
+    let other = transport::Dispatch { key: Some("cool".into()), ..scene.dispatch("cool", "/keyed") };
     assert_eq!(scene.cause(0, other), None);
     assert_eq!(scene.house.running(), 7);
 }
@@ -93,7 +93,7 @@
         slice.terms.insert("seat".into(), vec![Term { holder, fence: 6, owed }; playbill::terms::SLICES as usize]);
     });
     drop(scene.house.pump(SECOND, &scene.view));
-    let moved = |scene: &Scene, name: &str| wings::Dispatch { fence: Some(6), ..scene.dispatch(name, "/keyed") };
+    let moved = |scene: &Scene, name: &str| transport::Dispatch { fence: Some(6), ..scene.dispatch(name, "/keyed") };
     let free = SECOND + 1_500_000 + 250_000 + 3 * SECOND;
     let (early, timely) = (moved(&scene, "early"), moved(&scene, "timely"));
     assert_eq!(scene.cause(free - 1, early), Some(Cause::KeyUnheld));
--- a/crates/stage/tests/scene/mod.rs
+++ b/crates/stage/tests/scene/mod.rs
@@ -42,8 +42,8 @@
         edit(std::sync::Arc::make_mut(&mut self.view.slice));
     }
 
-    pub fn dispatch(&self, try_id: &str, path: &str) -> wings::Dispatch {
-        wings::Dispatch {
+    pub fn dispatch(&self, try_id: &str, path: &str) -> transport::Dispatch {
+        transport::Dispatch {
             number: 0,
             try_id: try_id.into(),
             ordinal: 0,
@@ -65,12 +65,12 @@
         }
     }
 
-    pub fn enter(&mut self, now: u64, dispatch: wings::Dispatch) -> Vec<(u64, Result<Permit, playbill::Trouble>)> {
+    pub fn enter(&mut self, now: u64, dispatch: transport::Dispatch) -> Vec<(u64, Result<Permit, playbill::Trouble>)> {
         self.tickets += 1;
         self.house.enter(now, &self.view, self.tickets, dispatch)
     }
 
-    pub fn cause(&mut self, now: u64, dispatch: wings::Dispatch) -> Option<Cause> {
+    pub fn cause(&mut self, now: u64, dispatch: transport::Dispatch) -> Option<Cause> {
         let entered = self.enter(now, dispatch);
         entered.into_iter().next().and_then(|(_, entered)| entered.err()).map(|trouble| trouble.cause)
     }
--- a/crates/troupe/src/duty.rs
+++ b/crates/troupe/src/duty.rs
@@ -49,12 +49,12 @@
     pub reports: gallery::Reports,
     pub pit: pit::Pit,
     pub mates: apron::Mates,
-    pub loads: tokio::sync::mpsc::Receiver<wings::Load>,
+    pub loads: tokio::sync::mpsc::Receiver<transport::Load>,
     pub logger: slog::Logger,
 }
 
 /// Latest word of each back end.
-type Told = std::collections::BTreeMap<BackEndName, (Micros, wings::Load)>;
+type Told = std::collections::BTreeMap<BackEndName, (Micros, transport::Load)>;
 
 impl Duty {
     pub async fn run(mut self) {
@@ -122,11 +122,11 @@
         let Some(first) = cast.iter().max_by_key(|one| weight(&one.node)) else { return };
         let Some(own) = programme.players.iter().find(|(_, player)| player.node == self.node && player.service == self.service) else { return };
         let Some((slots, (run, runs), asked, seen, ill)) = self.pit.asked(RANGES).await else { return };
-        let load = wings::Load { service: self.service.clone(), back_end: own.0.clone(), slots, run, runs, asked, seen, ill };
+        let load = transport::Load { service: self.service.clone(), back_end: own.0.clone(), slots, run, runs, asked, seen, ill };
         if first.node == self.node {
             told.insert(own.0.clone(), (playbill::now(), load));
         } else {
-            self.mates.tell(&first.address, wings::Frame::Load(Box::new(load)));
+            self.mates.tell(&first.address, transport::Frame::Load(Box::new(load)));
         }
     }
 }
--- a/crates/troupe/src/duty/judged.rs
+++ b/crates/troupe/src/duty/judged.rs
@@ -138,8 +138,16 @@
                     let own: Vec<(u16, u16)> = rows.iter().filter(|row| row.holder == Some(name(at))).map(|row| (row.from, row.to)).collect();
                     let (asked, weight) = player.demand.tell(now, &own, RANGES);
                     let (run, runs) = player.buffer.seen_run();
-                    let load =
-                        wings::Load { service: "seat".into(), back_end: name(at), slots: SLOTS, run, runs, asked, seen: weight, ill: is_ill && scene.guard };
+                    let load = transport::Load {
+                        service: "seat".into(),
+                        back_end: name(at),
+                        slots: SLOTS,
+                        run,
+                        runs,
+                        asked,
+                        seen: weight,
+                        ill: is_ill && scene.guard,
+                    };
                     (player.told, _) = (now, told.insert(name(at), (now, load)));
                 }
             });
--- a/crates/troupe/src/watch.rs
+++ b/crates/troupe/src/watch.rs
@@ -13,12 +13,12 @@
     env: WatchEnv,
     outlook: gallery::SharedOutlook,
     reports: gallery::Reports,
-    greet: std::sync::Arc<dyn Fn(wings::Purpose) -> wings::Greeting + Send + Sync>,
+    greet: std::sync::Arc<dyn Fn(transport::Purpose) -> transport::Greeting + Send + Sync>,
 ) -> apron::Heard {
     let (heard, mut hears) = tokio::sync::mpsc::channel::<(String, u64)>(1_024);
     tokio::spawn(async move {
         let (mut watch, mut stand) = (gallery::ring::Watch::default(), gallery::ring::Stand::default());
-        let mut lines: std::collections::BTreeMap<String, tokio::sync::mpsc::Sender<wings::Frame>> = Default::default();
+        let mut lines: std::collections::BTreeMap<String, tokio::sync::mpsc::Sender<transport::Frame>> = Default::default();
         let mut every = tokio::time::interval(std::time::Duration::from_micros(env.beat_every));
         every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
@@ -29,11 +29,11 @@
                 },
                 _ = every.tick() => {
                     stand.look(&outlook.load().programme.places, &env.node);
-                    lines.retain(|address, line| stand.watchers.contains(address) && line.try_send(wings::Frame::Beat).is_ok());
+                    lines.retain(|address, line| stand.watchers.contains(address) && line.try_send(transport::Frame::Beat).is_ok());
                     stand.watchers.iter().filter(|address| !lines.contains_key(*address)).cloned().collect::<Vec<_>>().into_iter().for_each(|address| {
                         let (line, beats) = tokio::sync::mpsc::channel(4);
                         lines.insert(address.clone(), line);
-                        tokio::spawn(carry(address, (greet)(wings::Purpose::Watch), beats));
+                        tokio::spawn(carry(address, (greet)(transport::Purpose::Watch), beats));
                     });
                     // A node that hears no proof is cut off itself and blames nobody; the pause then forgives all.
                     let outlook = outlook.load();
@@ -56,9 +56,9 @@
     heard
 }
 
-async fn carry(address: String, own: wings::Greeting, mut beats: tokio::sync::mpsc::Receiver<wings::Frame>) {
-    let Ok(conn) = wings::dial(&address, own).await else { return };
-    drop(conn.sender.send(wings::Frame::Beat).await);
+async fn carry(address: String, own: transport::Greeting, mut beats: tokio::sync::mpsc::Receiver<transport::Frame>) {
+    let Ok(conn) = transport::dial(&address, own).await else { return };
+    drop(conn.sender.send(transport::Frame::Beat).await);
     while let Some(beat) = beats.recv().await {
         if conn.sender.send(beat).await.is_err() {
             return;
--- a/crates/troupe/tests/desk.rs
+++ b/crates/troupe/tests/desk.rs
@@ -122,7 +122,7 @@
 async fn a_node_that_starts_again_gives_work_to_the_back_end_that_the_log_has_before_it_beats() {
     // Nothing beats here at all.
     let scene = scene_with(600_000_000, true, vec![joined("a", "n0"), joined("other", "n1"), all(0, "a")]).await;
-    let cue = wings::Cue {
+    let cue = transport::Cue {
         back_end: "a".into(),
         caller: "seat".into(),
         method: "GET".into(),
--- a/crates/troupe/tests/scene/mod.rs
+++ b/crates/troupe/tests/scene/mod.rs
@@ -32,9 +32,9 @@
     Report::Recast { service: "seat".into(), base, rows: vec![(0, u16::MAX, name.into())] }
 }
 
-fn greets(address: &str) -> wings::Greeting {
-    wings::Greeting {
-        purpose: wings::Purpose::Subscribe,
+fn greets(address: &str) -> transport::Greeting {
+    transport::Greeting {
+        purpose: transport::Purpose::Subscribe,
         name: "n0".into(),
         zone: "z0".into(),
         address: address.into(),
@@ -67,23 +67,23 @@
     let log = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = log.local_addr().expect("an address").to_string();
     let known = gallery::acquaint::nobody();
-    gallery::acquaint::merge(&known, vec![wings::CoreSeat { seat: 0, identity: 1, address: address.clone(), zone: "z0".into(), starts: 1 }]);
+    gallery::acquaint::merge(&known, vec![transport::CoreSeat { seat: 0, identity: 1, address: address.clone(), zone: "z0".into(), starts: 1 }]);
     let (told, heard) = tokio::sync::watch::channel(Vec::new());
     let outlook = following.outlook.clone();
     let (answers, mut answering) = tokio::sync::watch::channel(true);
     tokio::spawn(async move {
         while let Ok((stream, _)) = log.accept().await {
             let own = greets(&address);
-            let Ok(mut conn) = wings::accept(stream, |_| async { Ok(own) }).await else { continue };
+            let Ok(mut conn) = transport::accept(stream, |_| async { Ok(own) }).await else { continue };
             while let Some(frame) = conn.receiver.recv().await {
-                let wings::Frame::Forward { number, entry } = frame else { continue };
+                let transport::Frame::Forward { number, entry } = frame else { continue };
                 let playbill::Act::Bill(Act::Reports(reports)) = entry.act else { continue };
                 told.send_modify(|told| told.extend(reports.iter().map(|report| (playbill::now(), report.clone()))));
                 drop(answering.wait_for(|answers| *answers).await);
                 let outcome = bill.apply(&entry.origin, entry.life, entry.sequence, Act::Reports(reports)).0;
                 show(&bill, &outlook);
                 moved.send_modify(|moved| *moved += 1);
-                drop(conn.sender.send(wings::Frame::Answer { number, outcome: Some(outcome) }).await);
+                drop(conn.sender.send(transport::Frame::Answer { number, outcome: Some(outcome) }).await);
             }
         }
     });
--- a/crates/troupe/tests/unproved.rs
+++ b/crates/troupe/tests/unproved.rs
@@ -7,9 +7,9 @@
 
 const BOUND: std::time::Duration = std::time::Duration::from_secs(60);
 
-fn greets(purpose: wings::Purpose) -> wings::Greeting {
+fn greets(purpose: transport::Purpose) -> transport::Greeting {
     let (name, zone, address) = ("core-0".to_string(), "z0".to_string(), String::new());
-    wings::Greeting { purpose, name, zone, address, incarnation: 1, core: None, blank: false, expects: None, known: Vec::new() }
+    transport::Greeting { purpose, name, zone, address, incarnation: 1, core: None, blank: false, expects: None, known: Vec::new() }
 }
 
 fn env(address: &str) -> troupe::NodeEnv {
@@ -47,15 +47,15 @@
     while let Ok((stream, _)) = listener.accept().await {
         let (held, proves) = (held.clone(), proves.clone());
         tokio::spawn(async move {
-            let Ok(mut conn) = wings::accept(stream, |_| async { Ok(greets(wings::Purpose::Subscribe)) }).await else { return };
+            let Ok(mut conn) = transport::accept(stream, |_| async { Ok(greets(transport::Purpose::Subscribe)) }).await else { return };
             let mut desk = desk();
             while let Some(frame) = conn.receiver.recv().await {
                 match frame {
-                    wings::Frame::Follow { held: told } => {
+                    transport::Frame::Follow { held: told } => {
                         held.send_modify(|held| *held = told.max(*held));
                         desk.follow(told, conn.sender.clone());
                     }
-                    wings::Frame::Ask { number } if *proves.borrow() => {
+                    transport::Frame::Ask { number } if *proves.borrow() => {
                         desk.asked(number, conn.sender.clone());
                         desk.round(number * 1_000_000, number);
                         desk.proved(number);
@@ -98,7 +98,7 @@
     tokio::spawn(seat(core, tell_held, may_prove));
     let node = troupe::Node::start(env(&address), mates, playbill::log::quiet());
     node.serve(outbound);
-    gallery::acquaint::merge(&node.known, vec![wings::CoreSeat { seat: 0, identity: 1, address: core_address, zone: "z0".into(), starts: 1 }]);
+    gallery::acquaint::merge(&node.known, vec![transport::CoreSeat { seat: 0, identity: 1, address: core_address, zone: "z0".into(), starts: 1 }]);
     Scene { node, front, held, proves }
 }
 
@@ -133,7 +133,7 @@
     let (name, service, zone) = ("a".to_string(), "seat".to_string(), "z0".to_string());
     let beat = troupe::Beat { name, service, address, zone, slots: 4, draining: false, sequence: 1, holds, freed: Vec::new() };
     assert_eq!(soon("an answer", scene.node.troupe.beat(beat)).await, Some(None), "nothing can be granted");
-    let cue = wings::Cue {
+    let cue = transport::Cue {
         back_end: "a".into(),
         caller: "seat".into(),
         method: "POST".into(),
--- a/crates/usher/src/health.rs
+++ b/crates/usher/src/health.rs
@@ -55,7 +55,7 @@
         let answer = serde_json::json!({
             "name": self.0.name, "life": self.0.life, "position": view.slice.position, "version": view.slice.version, "services": view.slice.services,
             "keys_claimed_unheld": self.0.claims.load(std::sync::atomic::Ordering::Relaxed),
-            "fresh_for_us": view.fresh_until.saturating_sub(playbill::now()), "running": running, "waiting": waiting, "traffic": wings::traffic::told(),
+            "fresh_for_us": view.fresh_until.saturating_sub(playbill::now()), "running": running, "waiting": waiting, "traffic": transport::traffic::told(),
             "requests_and_extras": *self.0.budget.spent(),
             "known": gallery::acquaint::list(&self.0.known),
         });
--- a/crates/usher/src/node.rs
+++ b/crates/usher/src/node.rs
@@ -24,7 +24,7 @@
         let (services, wanted) = tokio::sync::watch::channel(Default::default());
         let (name, zone) = (env.name.clone(), env.zone.clone());
         let (greeter, place) = (known.clone(), address.clone());
-        let greeting = move |purpose| wings::Greeting {
+        let greeting = move |purpose| transport::Greeting {
             purpose,
             name: name.clone(),
             zone: zone.clone(),
@@ -47,11 +47,11 @@
             patience: env.freshness_us / 2,
             homes: env.homes,
         };
-        let subscription = gallery::subscription::start(line, known.clone(), wanted, greet(wings::Purpose::Subscribe), logger.clone());
+        let subscription = gallery::subscription::start(line, known.clone(), wanted, greet(transport::Purpose::Subscribe), logger.clone());
         let reporting = gallery::ReportingEnv { name: env.name.clone(), life, logger: logger.clone() };
-        let reports = gallery::Reports::start(reporting, known.clone(), greet(wings::Purpose::Subscribe));
+        let reports = gallery::Reports::start(reporting, known.clone(), greet(transport::Purpose::Subscribe));
         let watching = gallery::watching::WatchingEnv { name: env.name.clone(), beat_every: env.watch_every_us, patience: env.watch_patience_us };
-        let heard = gallery::watching::start(watching, subscription.view.clone(), reports.clone(), greet(wings::Purpose::Watch));
+        let heard = gallery::watching::start(watching, subscription.view.clone(), reports.clone(), greet(transport::Purpose::Watch));
         let house_env = stage::HouseEnv {
             node: env.name.clone(),
             zone: env.zone.clone(),
@@ -64,15 +64,15 @@
         let house = stage::HouseDesk::start(house_env, view.clone(), subscription.moved, reports.clone(), services, logger.clone());
         let door = greenroom::Door::new().map_err(|error| told("http", &error))?;
         let far = stage::Far { house: house.clone(), door: std::sync::Arc::new(door), logger: logger.clone() };
-        tokio::spawn(stage::server::listen(listener, greet(wings::Purpose::Call), known.clone(), far.clone(), subscription.relay, heard));
+        tokio::spawn(stage::server::listen(listener, greet(transport::Purpose::Call), known.clone(), far.clone(), subscription.relay, heard));
         // A node does not know how many seats there are; the first that greets it says so.
-        tokio::spawn(gallery::acquaint::run(known.clone(), env.seeds.clone(), greet(wings::Purpose::Acquaint), || 3));
+        tokio::spawn(gallery::acquaint::run(known.clone(), env.seeds.clone(), greet(transport::Purpose::Acquaint), || 3));
         let near = stage::Near {
             node: env.name.clone(),
             zone: env.zone.clone(),
             view: view.clone(),
             far,
-            mates: stage::mates::Mates::start(greet(wings::Purpose::Call)),
+            mates: stage::mates::Mates::start(greet(transport::Purpose::Call)),
             picker: stage::picker::PickerDesk::start(),
             budget: stage::budget::BudgetDesk::start(env.extra_allowance),
             taken: stage::taken::TakenDesk::start(),
