--- a/crates/apron/src/front.rs
+++ b/crates/apron/src/front.rs
@@ -5,7 +5,7 @@
 
 #[derive(Clone)]
 pub struct FrontEnv {
-    pub words: lobby::words::Words,
+    pub words: http_util::words::Words,
 }
 
 #[derive(Clone)]
@@ -73,7 +73,7 @@
             return self.refused(&try_id, Trouble::new(Cause::BadRequest, "the try has no identity"));
         }
         let ours = [words.left_ms, words.target, words.caller];
-        let headers = head.headers.iter().filter(|(name, _)| !lobby::words::of_one_conn(name.as_str()) && !ours.contains(&name.as_str()));
+        let headers = head.headers.iter().filter(|(name, _)| !http_util::words::of_one_conn(name.as_str()) && !ours.contains(&name.as_str()));
         let ask = crate::Ask {
             host: host.split(':').next().unwrap_or_default().to_ascii_lowercase(),
             method: head.method.as_str().to_string(),
--- a/crates/apron/tests/back_end/mod.rs
+++ b/crates/apron/tests/back_end/mod.rs
@@ -1,6 +1,6 @@
 //! A back end that does what the path of a request says, and a relay that breaks conns.
 
-use lobby::words::OWN;
+use http_util::words::OWN;
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::{TcpListener, TcpStream};
 
--- a/crates/apron/tests/callers.rs
+++ b/crates/apron/tests/callers.rs
@@ -27,7 +27,7 @@
 
 async fn site(slots: u32) -> Site {
     let back_end = BackEnd::start().await;
-    let pit = pit::Pit::start(pit::PitEnv { words: lobby::words::OWN, ahead: 0 });
+    let pit = pit::Pit::start(pit::PitEnv { words: http_util::words::OWN, ahead: 0 });
     pit.local(Some(pit::Local { name: NAME.into(), address: back_end.address.clone(), slots, closes: None, holding: None })).await;
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let far = listener.local_addr().expect("an address").to_string();
@@ -45,7 +45,7 @@
         caller: "seat".into(),
         method: "GET".into(),
         target: format!("/{script}"),
-        headers: vec![(lobby::words::OWN.try_id.into(), format!("t{number}").into_bytes())],
+        headers: vec![(http_util::words::OWN.try_id.into(), format!("t{number}").into_bytes())],
         body: Vec::new(),
         key: None,
         left,
--- a/crates/boxoffice/src/changes.rs
+++ b/crates/boxoffice/src/changes.rs
@@ -32,11 +32,11 @@
 #[salvo::handler]
 impl Apply {
     async fn handle(&self, request: &mut salvo::Request, response: &mut salvo::Response) {
-        let (status, answer) = match lobby::read::<playbill::Change>(request).await {
+        let (status, answer) = match http_util::read::<playbill::Change>(request).await {
             Ok(change) => decide(&self.0, change).await,
             Err(fault) => faults(400, vec![fault]),
         };
-        lobby::json(response, status, &answer);
+        http_util::json(response, status, &answer);
     }
 }
 
@@ -45,14 +45,14 @@
     async fn handle(&self, request: &mut salvo::Request, response: &mut salvo::Response) {
         let name = request.param::<String>("name").unwrap_or_default();
         let edit = match self.1 {
-            Kind::Grouping => lobby::read(request).await.map(|grouping| playbill::Edit::PutGrouping { name, grouping }),
-            Kind::Order => lobby::read(request).await.map(|order| playbill::Edit::PutOrder { name, order }),
+            Kind::Grouping => http_util::read(request).await.map(|grouping| playbill::Edit::PutGrouping { name, grouping }),
+            Kind::Order => http_util::read(request).await.map(|order| playbill::Edit::PutOrder { name, order }),
         };
         let (status, answer) = match edit {
             Ok(edit) => decide_one(&self.0, request, edit).await,
             Err(fault) => faults(400, vec![fault]),
         };
-        lobby::json(response, status, &answer);
+        http_util::json(response, status, &answer);
     }
 }
 
@@ -65,18 +65,18 @@
             Kind::Order => playbill::Edit::DropOrder { name },
         };
         let (status, answer) = decide_one(&self.0, request, edit).await;
-        lobby::json(response, status, &answer);
+        http_util::json(response, status, &answer);
     }
 }
 
 #[salvo::handler]
 impl Replace {
     async fn handle(&self, request: &mut salvo::Request, response: &mut salvo::Response) {
-        let (status, answer) = match lobby::read::<ReplaceAsk>(request).await {
+        let (status, answer) = match http_util::read::<ReplaceAsk>(request).await {
             Ok(ask) => replace(&self.0, ask).await,
             Err(fault) => faults(400, vec![fault]),
         };
-        lobby::json(response, status, &answer);
+        http_util::json(response, status, &answer);
     }
 }
 
@@ -109,10 +109,10 @@
 
 async fn decide_one(office: &Boxoffice, request: &salvo::Request, edit: playbill::Edit) -> Answer {
     let fault = |path: &str, fault: &str| faults(428, vec![playbill::check::Fault { path: path.into(), fault: fault.into() }]);
-    let Some(base) = lobby::header(request, "if-match").and_then(|text| text.trim_matches('"').parse().ok()) else {
+    let Some(base) = http_util::header(request, "if-match").and_then(|text| text.trim_matches('"').parse().ok()) else {
         return fault("If-Match", "names the version this change was made from, as GET /v1/desired gave it in ETag");
     };
-    let Some(id) = lobby::header(request, "x-change-id") else {
+    let Some(id) = http_util::header(request, "x-change-id") else {
         return fault("X-Change-Id", "names the change, so that sending it again is harmless");
     };
     decide(office, playbill::Change { id, base, edits: vec![edit] }).await
--- a/crates/boxoffice/src/reading.rs
+++ b/crates/boxoffice/src/reading.rs
@@ -12,7 +12,7 @@
 async fn current(office: &Boxoffice, response: &mut salvo::Response) -> Option<std::sync::Arc<playbill::Book>> {
     if office.core.read().await.is_none() {
         let answer = serde_json::json!({ "cause": "no_majority", "detail": "no majority answered, so nothing here is known to be current" });
-        lobby::json(response, 503, &answer);
+        http_util::json(response, 503, &answer);
         return None;
     }
     let book = office.core.book.load_full();
@@ -32,7 +32,7 @@
 #[salvo::handler]
 impl Live {
     async fn handle(&self, response: &mut salvo::Response) {
-        lobby::json(response, 200, &serde_json::json!({ "live": true }));
+        http_util::json(response, 200, &serde_json::json!({ "live": true }));
     }
 }
 
@@ -52,7 +52,7 @@
         .into_iter()
         .flatten()
         .collect();
-        lobby::json(response, if reasons.is_empty() { 200 } else { 503 }, &serde_json::json!({ "ready": reasons.is_empty(), "reasons": reasons }));
+        http_util::json(response, if reasons.is_empty() { 200 } else { 503 }, &serde_json::json!({ "ready": reasons.is_empty(), "reasons": reasons }));
     }
 }
 
@@ -60,7 +60,7 @@
 impl Desired {
     async fn handle(&self, response: &mut salvo::Response) {
         if let Some(book) = current(&self.0, response).await {
-            lobby::json(response, 200, &book.desired);
+            http_util::json(response, 200, &book.desired);
         }
     }
 }
@@ -70,7 +70,7 @@
     async fn handle(&self, response: &mut salvo::Response) {
         if let Some(book) = current(&self.0, response).await {
             let answer = serde_json::json!({ "position": book.position, "standing": book.standing, "terms": book.terms });
-            lobby::json(response, 200, &answer);
+            http_util::json(response, 200, &answer);
         }
     }
 }
@@ -87,7 +87,7 @@
             "disk": state.disk, "refused": state.refused, "position": book.position, "version": book.desired.version,
             "known": gallery::acquaint::list(&self.0.core.known), "holders": holders(&self.0.core), "traffic": transport::traffic::told(),
         });
-        lobby::json(response, 200, &answer);
+        http_util::json(response, 200, &answer);
     }
 }
 
@@ -101,8 +101,8 @@
             Kind::Order => book.desired.orders.get(&name).and_then(|held| serde_json::to_value(held).ok()),
         };
         match found {
-            Some(held) => lobby::json(response, 200, &held),
-            None => lobby::json(response, 404, &serde_json::json!({ "cause": "not_found", "name": name })),
+            Some(held) => http_util::json(response, 200, &held),
+            None => http_util::json(response, 404, &serde_json::json!({ "cause": "not_found", "name": name })),
         }
     }
 }
--- a/crates/boxoffice/tests/operators.rs
+++ b/crates/boxoffice/tests/operators.rs
@@ -2,7 +2,7 @@
 
 struct Seat {
     core: gallery::Core,
-    serving: lobby::Serving,
+    serving: http_util::Serving,
 }
 
 async fn seat(folder: &std::path::Path, number: u16, seats: u16, seeds: Vec<String>) -> (Seat, String) {
@@ -25,7 +25,7 @@
     tokio::spawn(gallery::news::listen(core.clone(), mates));
     let staying = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true));
     let router = boxoffice::router(boxoffice::Boxoffice { core: core.clone(), staying });
-    let serving = lobby::Serving::start("127.0.0.1:0", router).await.expect("http");
+    let serving = http_util::Serving::start("127.0.0.1:0", router).await.expect("http");
     (Seat { core, serving }, address)
 }
 
--- a/crates/foyer/src/lib.rs
+++ b/crates/foyer/src/lib.rs
@@ -20,7 +20,7 @@
 #[salvo::handler]
 impl Call {
     async fn handle(&self, request: &mut salvo::Request, response: &mut salvo::Response) {
-        let try_id = lobby::header(request, "x-gradeford-try");
+        let try_id = http_util::header(request, "x-gradeford-try");
         match self.call(request, try_id.clone()).await {
             Ok(reply) => {
                 response.status_code(salvo::http::StatusCode::from_u16(reply.status).unwrap_or(salvo::http::StatusCode::BAD_GATEWAY));
@@ -34,14 +34,14 @@
                     .for_each(|(name, value)| drop(response.headers_mut().insert(name, value)));
                 response.write_body(reply.body).unwrap_or_default();
             }
-            Err(trouble) => lobby::trouble(response, try_id.as_deref(), &trouble),
+            Err(trouble) => http_util::trouble(response, try_id.as_deref(), &trouble),
         }
     }
 }
 
 impl Call {
     async fn call(&self, request: &mut salvo::Request, try_id: Option<String>) -> Result<transport::Reply, Trouble> {
-        let secret = lobby::bearer(request).unwrap_or_default();
+        let secret = http_util::bearer(request).unwrap_or_default();
         let named = |try_id: &String| try_id.len() <= 192 && stage::tries::is_named(try_id);
         let try_id = try_id
             .filter(named)
@@ -63,18 +63,19 @@
     }
 
     async fn read(&self, request: &mut salvo::Request, try_id: String) -> Result<stage::Ask, Trouble> {
-        let wait = lobby::header(request, "x-gradeford-wait")
+        let wait = http_util::header(request, "x-gradeford-wait")
             .map(|text| text.parse::<playbill::Micros>().map_err(|_| Trouble::new(Cause::BadRequest, "x-gradeford-wait is whole microseconds")))
             .transpose()?;
-        let key = lobby::header(request, "x-gradeford-key").filter(|key| !key.is_empty() && key.len() <= 256);
+        let key = http_util::header(request, "x-gradeford-key").filter(|key| !key.is_empty() && key.len() <= 256);
         let service = request.param::<String>("service").unwrap_or_default();
         let path = plain_path(request.uri().path(), &service)?;
         let query = request.uri().query().map(|query| format!("?{query}")).unwrap_or_default();
         let headers =
             request.headers().iter().filter(|(name, _)| !is_ours(name.as_str())).map(|(name, value)| (name.to_string(), value.as_bytes().to_vec())).collect();
         let method = request.method().as_str().to_string();
-        let body =
-            lobby::body(request).await.ok_or_else(|| Trouble::new(Cause::TooLarge, format!("the body is over {} bytes or broke off", lobby::BODY_LIMIT)))?;
+        let body = http_util::body(request)
+            .await
+            .ok_or_else(|| Trouble::new(Cause::TooLarge, format!("the body is over {} bytes or broke off", http_util::BODY_LIMIT)))?;
         Ok(stage::Ask { try_id, service, method, path, query, headers, body, key, wait })
     }
 }
--- a/crates/greenroom/src/door.rs
+++ b/crates/greenroom/src/door.rs
@@ -61,8 +61,8 @@
     let mut body = Vec::new();
     loop {
         match response.chunk().await {
-            Ok(Some(chunk)) if body.len() + chunk.len() > lobby::BODY_LIMIT => {
-                return Err(Trouble::new(Cause::ReplyTooLarge, format!("the reply is over {} bytes", lobby::BODY_LIMIT)));
+            Ok(Some(chunk)) if body.len() + chunk.len() > http_util::BODY_LIMIT => {
+                return Err(Trouble::new(Cause::ReplyTooLarge, format!("the reply is over {} bytes", http_util::BODY_LIMIT)));
             }
             Ok(Some(chunk)) => body.extend_from_slice(&chunk),
             Ok(None) => return Ok(body),
--- a/crates/greenroom/src/rooms.rs
+++ b/crates/greenroom/src/rooms.rs
@@ -83,8 +83,8 @@
 impl Register {
     async fn handle(&self, request: &mut salvo::Request, response: &mut salvo::Response) {
         match self.register(request).await {
-            Ok(answer) => lobby::json(response, 200, &answer),
-            Err(trouble) => lobby::trouble(response, None, &trouble),
+            Ok(answer) => http_util::json(response, 200, &answer),
+            Err(trouble) => http_util::trouble(response, None, &trouble),
         }
     }
 }
@@ -92,7 +92,7 @@
 impl Register {
     async fn register(&self, request: &mut salvo::Request) -> Result<serde_json::Value, Trouble> {
         let env = &self.0;
-        let ask: RegisterAsk = lobby::read(request).await.map_err(|fault| bad(fault.fault))?;
+        let ask: RegisterAsk = http_util::read(request).await.map_err(|fault| bad(fault.fault))?;
         check(env, &ask)?;
         let secret = format!("{:032x}", rand::random::<u128>());
         let name = ask.name.clone();
@@ -147,24 +147,24 @@
 #[salvo::handler]
 impl Beat {
     async fn handle(&self, request: &mut salvo::Request, response: &mut salvo::Response) {
-        let secret = lobby::bearer(request).unwrap_or_default();
-        let ask: BeatAsk = match lobby::read(request).await {
+        let secret = http_util::bearer(request).unwrap_or_default();
+        let ask: BeatAsk = match http_util::read(request).await {
             Ok(ask) => ask,
-            Err(fault) => return lobby::trouble(response, None, &bad(fault.fault)),
+            Err(fault) => return http_util::trouble(response, None, &bad(fault.fault)),
         };
         if ask.slots > 4_096 {
-            return lobby::trouble(response, None, &bad("slots is from 0 to 4096"));
+            return http_util::trouble(response, None, &bad("slots is from 0 to 4096"));
         }
         let said = self.0.house.sender(&secret).is_some_and(|known| known.service == ask.service) && ask.zone == self.0.zone;
         let beaten = if said { self.0.house.beat(&secret, ask.state == State::Draining, Some(ask.slots)).await } else { None };
         let Some(name) = beaten else {
             let gone = serde_json::json!({ "cause": "unknown_registration", "detail": "register again" });
-            return lobby::json(response, 410, &gone);
+            return http_util::json(response, 410, &gone);
         };
         let terms = terms(&self.0, &name, &ask.service);
         let let_go = let_go(&self.0, &name, &ask.keys, &terms);
         let standing = standing(&self.0, &name);
-        lobby::json(response, 200, &serde_json::json!({ "name": name, "slots": ask.slots, "standing": standing, "terms": terms, "let_go": let_go }));
+        http_util::json(response, 200, &serde_json::json!({ "name": name, "slots": ask.slots, "standing": standing, "terms": terms, "let_go": let_go }));
     }
 }
 
@@ -202,15 +202,15 @@
 #[salvo::handler]
 impl Drain {
     async fn handle(&self, request: &mut salvo::Request, response: &mut salvo::Response) {
-        let drained = self.0.house.beat(&lobby::bearer(request).unwrap_or_default(), true, None).await;
-        lobby::json(response, if drained.is_some() { 200 } else { 410 }, &serde_json::json!({ "draining": drained }));
+        let drained = self.0.house.beat(&http_util::bearer(request).unwrap_or_default(), true, None).await;
+        http_util::json(response, if drained.is_some() { 200 } else { 410 }, &serde_json::json!({ "draining": drained }));
     }
 }
 
 #[salvo::handler]
 impl SignOff {
     async fn handle(&self, request: &mut salvo::Request, response: &mut salvo::Response) {
-        let gone = self.0.house.sign_off(&lobby::bearer(request).unwrap_or_default()).await;
-        lobby::json(response, if gone { 200 } else { 410 }, &serde_json::json!({ "signed_off": gone }));
+        let gone = self.0.house.sign_off(&http_util::bearer(request).unwrap_or_default()).await;
+        http_util::json(response, if gone { 200 } else { 410 }, &serde_json::json!({ "signed_off": gone }));
     }
 }
--- a/crates/greenroom/tests/door.rs
+++ b/crates/greenroom/tests/door.rs
@@ -8,8 +8,8 @@
 #[salvo::handler]
 impl Actor {
     async fn handle(&self, request: &mut salvo::Request, response: &mut salvo::Response) {
-        let try_id = lobby::header(request, greenroom::TRY).unwrap_or_default();
-        let told = lobby::header(request, greenroom::SENDER).unwrap_or_default();
+        let try_id = http_util::header(request, greenroom::TRY).unwrap_or_default();
+        let told = http_util::header(request, greenroom::SENDER).unwrap_or_default();
         let body = format!("{try_id} for {told}").into_bytes();
         let whole = greenroom::seal::seal(&try_id, 200, &body);
         let (status, body, seal) = match request.uri().path() {
@@ -18,7 +18,7 @@
             "/unsealed" => (200, body, String::new()),
             "/anothers" => (200, body.clone(), greenroom::seal::seal("another", 200, &body)),
             "/status" => (201, body, whole),
-            "/large" => (200, vec![7; lobby::BODY_LIMIT + 1], greenroom::seal::seal(&try_id, 200, &vec![7; lobby::BODY_LIMIT + 1])),
+            "/large" => (200, vec![7; http_util::BODY_LIMIT + 1], greenroom::seal::seal(&try_id, 200, &vec![7; http_util::BODY_LIMIT + 1])),
             _ => (404, body.clone(), greenroom::seal::seal(&try_id, 404, &body)),
         };
         response.status_code(salvo::http::StatusCode::from_u16(status).expect("a status"));
@@ -54,7 +54,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn every_spoilt_reply_is_a_trouble_that_may_have_run() {
-    let actor = lobby::Serving::start("127.0.0.1:0", salvo::Router::with_path("{**rest}").goal(Actor)).await.expect("a stand-in");
+    let actor = http_util::Serving::start("127.0.0.1:0", salvo::Router::with_path("{**rest}").goal(Actor)).await.expect("a stand-in");
     let address = actor.address.to_string();
     let door = greenroom::Door::new().expect("a door");
     let whole = door.run(&address, &dispatch("/whole"), 5_000_000).await.expect("a reply");
--- a/crates/pit/src/desk.rs
+++ b/crates/pit/src/desk.rs
@@ -4,7 +4,7 @@
 use playbill::{Cause, Micros, Trouble};
 
 pub struct PitEnv {
-    pub words: lobby::words::Words,
+    pub words: http_util::words::Words,
     /// Runs given to the back end beyond its slots, so that none stands empty between two.
     pub ahead: u32,
 }
--- a/crates/pit/src/door.rs
+++ b/crates/pit/src/door.rs
@@ -4,7 +4,7 @@
 use playbill::{Cause, Micros, Trouble};
 
 pub struct Door {
-    pub words: lobby::words::Words,
+    pub words: http_util::words::Words,
     conns: crate::conns::Conns,
 }
 
@@ -20,7 +20,7 @@
 type Request = hyper::Request<http_body_util::Full<bytes::Bytes>>;
 
 impl Door {
-    pub fn new(words: lobby::words::Words) -> Door {
+    pub fn new(words: http_util::words::Words) -> Door {
         Door { words, conns: Default::default() }
     }
 
@@ -110,7 +110,7 @@
         if [408, 429, 503].contains(&head.status.as_u16()) {
             return Err(Trouble::new(Cause::BackEndLost, format!("a bare {}, which says nothing of whether it ran", head.status.as_u16())));
         }
-        let headers = head.headers.iter().filter(|(name, _)| !lobby::words::of_one_conn(name.as_str()) && name.as_str() != self.words.try_id);
+        let headers = head.headers.iter().filter(|(name, _)| !http_util::words::of_one_conn(name.as_str()) && name.as_str() != self.words.try_id);
         let headers = headers.map(|(name, value)| (name.as_str().to_string(), value.as_bytes().to_vec())).collect();
         Ok(transport::Take { status: head.status.as_u16(), headers, body: body.to_vec() })
     }
--- a/crates/prompter/src/main.rs
+++ b/crates/prompter/src/main.rs
@@ -40,7 +40,7 @@
     let core = gallery::Core::start(env.core(address.clone()), logger.clone()).map_err(|error| told("folder", &error))?;
     let staying = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true));
     let office = boxoffice::Boxoffice { core: core.clone(), staying: staying.clone() };
-    let serving = lobby::Serving::start(&env.operators_address, boxoffice::router(office)).await.map_err(|error| told("operators_address", &error))?;
+    let serving = http_util::Serving::start(&env.operators_address, boxoffice::router(office)).await.map_err(|error| told("operators_address", &error))?;
     slog::info!(logger, "listening"; "mates" => address, "operators" => serving.address.to_string());
     tokio::spawn(gallery::news::listen(core, mates));
     loop {
--- a/crates/rehearsal/src/disk.rs
+++ b/crates/rehearsal/src/disk.rs
@@ -103,7 +103,7 @@
     let core = gallery::Core::start_on(env, shelf, writes, logger).map_err(|error| told(&error))?;
     let staying = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true));
     let office = boxoffice::Boxoffice { core: core.clone(), staying: staying.clone() };
-    let serving = lobby::Serving::start(&operators, boxoffice::router(office)).await.map_err(|error| told(&error))?;
+    let serving = http_util::Serving::start(&operators, boxoffice::router(office)).await.map_err(|error| told(&error))?;
     tokio::spawn(gallery::news::listen(core, listener));
     let mut stop = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate()).map_err(|error| told(&error))?;
     stop.recv().await;
--- a/crates/rehearsal/src/understudy.rs
+++ b/crates/rehearsal/src/understudy.rs
@@ -45,7 +45,7 @@
 impl Stage {
     async fn handle(&self, request: &mut salvo::Request, response: &mut salvo::Response) {
         let backstage = &self.0;
-        let header = |name: &str| lobby::header(request, name).unwrap_or_default();
+        let header = |name: &str| http_util::header(request, name).unwrap_or_default();
         let (meant_for, own) = (header(greenroom::SERVICE), backstage.part.service.clone());
         if meant_for != own {
             backstage.note(&crate::history::Record::Misrouted { by: backstage.part.name.clone(), meant_for, at: playbill::now() });
@@ -68,7 +68,7 @@
             meant_for,
             sender: header(greenroom::SENDER),
             path: request.uri().path().to_string(),
-            key: lobby::header(request, greenroom::KEY),
+            key: http_util::header(request, greenroom::KEY),
         });
         tokio::time::sleep(std::time::Duration::from_micros(backstage.part.work_us)).await;
         // Whoever slept beyond the wait does no work any more, as its contract says.
@@ -101,7 +101,7 @@
     let hot = part.hot.into();
     let backstage = std::sync::Arc::new(Backstage { hot, part, life: Default::default(), runs: Default::default(), book: std::sync::Mutex::new(book) });
     let router = salvo::Router::with_path("{**rest}").goal(Stage(backstage.clone()));
-    let serving = lobby::Serving::start(&backstage.part.listen, router).await.map_err(|error| told(&error))?;
+    let serving = http_util::Serving::start(&backstage.part.listen, router).await.map_err(|error| told(&error))?;
     let address = serving.address.to_string();
     let http = reqwest::Client::builder().no_proxy().timeout(std::time::Duration::from_secs(10)).build().map_err(|error| told(&error))?;
     let (given, passes) = tokio::sync::watch::channel(crate::audience::Pass::default());
--- a/crates/rehearsal/tests/rolled/node.rs
+++ b/crates/rehearsal/tests/rolled/node.rs
@@ -16,7 +16,7 @@
         troupe: troupe::TroupeEnv { node, zone, address: mates, life, keys, beat_every: 500_000, drain: 2_000_000, back_end: None },
         service: crate::site::service(at),
         seeds,
-        words: lobby::words::OWN,
+        words: http_util::words::OWN,
         pick: apron::PickEnv { crossing: 0, earned_of_100: 8 },
         ahead: 1,
         ask_every: 200_000,
--- a/crates/troupe/src/node.rs
+++ b/crates/troupe/src/node.rs
@@ -6,7 +6,7 @@
     /// The service of this machine.
     pub service: String,
     pub seeds: Vec<String>,
-    pub words: lobby::words::Words,
+    pub words: http_util::words::Words,
     pub pick: apron::PickEnv,
     pub ahead: u32,
     pub ask_every: playbill::Micros,
--- a/crates/troupe/tests/leaving.rs
+++ b/crates/troupe/tests/leaving.rs
@@ -13,7 +13,7 @@
         troupe: troupe::TroupeEnv { node: own.0, zone: own.1, address: own.2, life: 1, keys, beat_every: 1_500_000, back_end: None, drain: 2_000_000 },
         service: "seat".into(),
         seeds: Vec::new(),
-        words: lobby::words::OWN,
+        words: http_util::words::OWN,
         pick: apron::PickEnv { crossing: 15_000, earned_of_100: 8 },
         ahead: 1,
         ask_every: 1_000_000,
@@ -35,7 +35,7 @@
 /// The status of a new conn's first answer.
 async fn ask(address: &str) -> std::io::Result<String> {
     let mut conn = tokio::net::TcpStream::connect(address).await?;
-    let request = format!("GET /b/ HTTP/1.1\r\nhost: h\r\n{}: t1\r\nconnection: close\r\n\r\n", lobby::words::OWN.try_id);
+    let request = format!("GET /b/ HTTP/1.1\r\nhost: h\r\n{}: t1\r\nconnection: close\r\n\r\n", http_util::words::OWN.try_id);
     conn.write_all(request.as_bytes()).await?;
     let mut answer = String::new();
     conn.read_to_string(&mut answer).await?;
--- a/crates/troupe/tests/scene/mod.rs
+++ b/crates/troupe/tests/scene/mod.rs
@@ -93,7 +93,7 @@
     let env = troupe::TroupeEnv { node: "n0".into(), zone: "z0".into(), address: "n0".into(), life: 1, keys, beat_every, back_end, drain: 1_000_000 };
     let reporting = gallery::ReportingEnv { name: "n0".into(), life: 1, logger: playbill::log::quiet() };
     let reports = gallery::Reports::start(reporting, known, || greets("127.0.0.1:0"));
-    let pit = pit::Pit::start(pit::PitEnv { words: lobby::words::OWN, ahead: 0 });
+    let pit = pit::Pit::start(pit::PitEnv { words: http_util::words::OWN, ahead: 0 });
     let troupe = troupe::Troupe::start(env, following, pit.clone(), reports, playbill::log::quiet());
     Scene { troupe, heard, answers, process, pit }
 }
--- a/crates/troupe/tests/unproved.rs
+++ b/crates/troupe/tests/unproved.rs
@@ -19,7 +19,7 @@
         troupe: troupe::TroupeEnv { node, zone, address: address.into(), life: 1, keys, beat_every: 1_500_000, drain: 2_000_000, back_end: None },
         service: "seat".into(),
         seeds: Vec::new(),
-        words: lobby::words::OWN,
+        words: http_util::words::OWN,
         pick: apron::PickEnv { crossing: 0, earned_of_100: 8 },
         ahead: 1,
         ask_every: 50_000,
--- a/crates/usher/src/health.rs
+++ b/crates/usher/src/health.rs
@@ -26,7 +26,7 @@
 #[salvo::handler]
 impl Live {
     async fn handle(&self, response: &mut salvo::Response) {
-        lobby::json(response, 200, &serde_json::json!({ "live": true }));
+        http_util::json(response, 200, &serde_json::json!({ "live": true }));
     }
 }
 
@@ -43,7 +43,7 @@
         .into_iter()
         .flatten()
         .collect();
-        lobby::json(response, if reasons.is_empty() { 200 } else { 503 }, &serde_json::json!({ "ready": reasons.is_empty(), "reasons": reasons }));
+        http_util::json(response, if reasons.is_empty() { 200 } else { 503 }, &serde_json::json!({ "ready": reasons.is_empty(), "reasons": reasons }));
     }
 }
 
@@ -59,6 +59,6 @@
             "requests_and_extras": *self.0.budget.spent(),
             "known": gallery::acquaint::list(&self.0.known),
         });
-        lobby::json(response, 200, &answer);
+        http_util::json(response, 200, &answer);
     }
 }
--- a/crates/usher/src/node.rs
+++ b/crates/usher/src/node.rs
@@ -7,7 +7,7 @@
     near: stage::Near,
     house: stage::HouseDesk,
     reports: gallery::Reports,
-    serving: lobby::Serving,
+    serving: http_util::Serving,
     staying: std::sync::Arc<std::sync::atomic::AtomicBool>,
     name: String,
     life: u64,
@@ -102,7 +102,7 @@
             logger: logger.clone(),
         };
         let router = salvo::Router::new().push(crate::health::router(health)).push(foyer::router(near.clone(), house.clone())).push(greenroom::router(rooms));
-        let serving = lobby::Serving::start(&env.local_address, router).await.map_err(|error| told("local_address", &error))?;
+        let serving = http_util::Serving::start(&env.local_address, router).await.map_err(|error| told("local_address", &error))?;
         slog::info!(logger, "listening"; "mates" => &address, "local" => serving.address.to_string(), "life" => life);
         let own = Own { name: env.name.clone(), zone: env.zone.clone(), address, life };
         tokio::spawn(present(own, view, reports.clone(), staying.clone(), logger.clone()));
