--- a/crates/gallery/src/core.rs
+++ b/crates/gallery/src/core.rs
@@ -9,7 +9,7 @@
     pub address: String,
     pub seeds: Vec<String>,
     pub folder: std::path::PathBuf,
-    pub tuning: repertory::Tuning,
+    pub tuning: mencius::Tuning,
     pub snapshot_every: u64,
     /// How long a seat's holder must be away before an empty disk that asks for the seat gets it; 0 is never.
     pub replace_after: playbill::Micros,
@@ -53,7 +53,7 @@
     Ask(u64, transport::Sender),
     Items(tokio::sync::oneshot::Sender<playbill::bill::items::Items>),
     Opened(u16, u64, transport::Sender),
-    Frame(u16, u64, repertory::Frame),
+    Frame(u16, u64, mencius::Frame),
     Closed(u16, u64),
     Synced(u64),
     Disk(Option<String>),
@@ -61,7 +61,7 @@
     /// This disk took its seat over: after which instance, and who holds the others.
     Admitted(u64, Vec<(u16, u64)>),
     /// The holders are on disk.
-    Repinned(Vec<(u16, u64)>, Vec<repertory::Write>),
+    Repinned(Vec<(u16, u64)>, Vec<mencius::Write>),
     Refused(String),
     /// This mate takes our disk for the first in its seat.
     Founder(u16),
@@ -102,7 +102,7 @@
     }
 
     /// Over a shelf that is open already: rehearsals bring disks that fail (design 9.4).
-    pub fn start_on(env: CoreEnv, shelf: storage::Shelf, writes: Vec<repertory::Write>, logger: slog::Logger) -> Result<Core, storage::Trouble> {
+    pub fn start_on(env: CoreEnv, shelf: storage::Shelf, writes: Vec<mencius::Write>, logger: slog::Logger) -> Result<Core, storage::Trouble> {
         let (commands, buffer) = tokio::sync::mpsc::channel(BUFFER);
         let (jobs, work) = std::sync::mpsc::channel();
         let (moved, changed) = tokio::sync::watch::channel(0);
--- a/crates/gallery/src/core_effects.rs
+++ b/crates/gallery/src/core_effects.rs
@@ -3,24 +3,24 @@
 use crate::core_owner::Owner;
 
 impl Owner {
-    pub(crate) fn carry_out_one(&mut self, effect: repertory::Effect) {
+    pub(crate) fn carry_out_one(&mut self, effect: mencius::Effect) {
         match effect {
-            repertory::Effect::Send(seat, frame) => {
+            mencius::Effect::Send(seat, frame) => {
                 self.state.frames += 1;
                 let sent = self.conns.get(&seat).map(|(_, sender)| sender.try_send(transport::Frame::Core(frame)).is_ok());
                 if sent == Some(false) {
                     // A mate that does not keep up loses the channel; the next one begins with a resync.
                     self.conns.remove(&seat);
                     self.away.insert(seat, playbill::now());
-                    self.step(playbill::now(), repertory::Input::Closed(seat));
+                    self.step(playbill::now(), mencius::Input::Closed(seat));
                 }
             }
-            repertory::Effect::Persist { ticket, writes, afresh } => {
+            mencius::Effect::Persist { ticket, writes, afresh } => {
                 drop(self.core.jobs.send(storage::Job::Append { ticket, writes, afresh }));
             }
-            repertory::Effect::Apply(instance, value) => self.apply(instance, &value),
-            repertory::Effect::Overruled(value) => self.submit_again(value),
-            repertory::Effect::Install { state, through } => {
+            mencius::Effect::Apply(instance, value) => self.apply(instance, &value),
+            mencius::Effect::Overruled(value) => self.submit_again(value),
+            mencius::Effect::Install { state, through } => {
                 match crate::bulletin::unpacked(&state) {
                     Some((book, bill)) => {
                         self.book = book;
@@ -31,7 +31,7 @@
                 }
                 self.core.book.store(std::sync::Arc::new(self.book.clone()));
             }
-            repertory::Effect::ReadReady(token) => {
+            mencius::Effect::ReadReady(token) => {
                 // Followers hear what was applied before the proof that speaks of it.
                 self.bill.publish();
                 self.bill.proved(token);
@@ -45,11 +45,11 @@
     }
 
     /// For a caller that still waits. One that was answered, that it is not known to be taken, sends it again itself.
-    fn submit_again(&mut self, value: repertory::Value) {
+    fn submit_again(&mut self, value: mencius::Value) {
         let Some(entry) = playbill::entry::from_bytes(&value) else { return };
         let awaited = self.waiting.get(&(entry.origin, entry.life, entry.sequence));
         if awaited.is_some_and(|answers| answers.iter().any(|answer| !answer.is_closed())) {
-            self.step(playbill::now(), repertory::Input::Submit(value));
+            self.step(playbill::now(), mencius::Input::Submit(value));
         }
     }
 
@@ -61,7 +61,7 @@
         let outcome = match entry.act {
             playbill::Act::Bill(act) => self.bill.apply(&asked, act),
             _ => {
-                let outcome = self.book.apply_at(entry, instance, repertory::WINDOW);
+                let outcome = self.book.apply_at(entry, instance, mencius::WINDOW);
                 self.mind_tenure();
                 outcome
             }
@@ -76,7 +76,7 @@
             self.since_snapshot = 0;
             self.snapshot_at = instance + 1;
             let state = crate::bulletin::packed(&self.book, &self.bill.bill);
-            self.step(playbill::now(), repertory::Input::Snapshot { through: instance + 1, state });
+            self.step(playbill::now(), mencius::Input::Snapshot { through: instance + 1, state });
         }
     }
 
@@ -111,7 +111,7 @@
         }
         if now > self.stood.1 + STANDSTILL {
             self.stood.1 = now;
-            slog::warn!(self.core.logger, "the log stands"; "state" => ?self.state, "mates" => self.machine.as_ref().map(repertory::Repertory::mates_told).unwrap_or_default());
+            slog::warn!(self.core.logger, "the log stands"; "state" => ?self.state, "mates" => self.machine.as_ref().map(mencius::Repertory::mates_told).unwrap_or_default());
         }
     }
 }
--- a/crates/gallery/src/core_owner.rs
+++ b/crates/gallery/src/core_owner.rs
@@ -6,8 +6,8 @@
 
 pub(crate) struct Owner {
     pub(crate) core: Core,
-    pub(crate) machine: Option<repertory::Repertory>,
-    pub(crate) writes: Vec<repertory::Write>,
+    pub(crate) machine: Option<mencius::Repertory>,
+    pub(crate) writes: Vec<mencius::Write>,
     pub(crate) pins: storage::Pins,
     /// What came before all seats had met (design 4.1).
     pub(crate) held: Vec<Command>,
@@ -33,7 +33,7 @@
 }
 
 impl Owner {
-    pub fn new(core: &Core, writes: Vec<repertory::Write>, pins: storage::Pins, moved: tokio::sync::watch::Sender<playbill::Position>) -> Self {
+    pub fn new(core: &Core, writes: Vec<mencius::Write>, pins: storage::Pins, moved: tokio::sync::watch::Sender<playbill::Position>) -> Self {
         let state = CoreState { identity: core.identity, met: pins.len(), ..Default::default() };
         core.state.store(std::sync::Arc::new(state.clone()));
         Owner {
@@ -91,7 +91,7 @@
         let env = self.core.env.clone();
         let writes = std::mem::take(&mut self.writes);
         let now = playbill::now();
-        self.machine = Some(repertory::Repertory::restore(env.seat, env.seats, self.core.identity, env.tuning, now, writes));
+        self.machine = Some(mencius::Repertory::restore(env.seat, env.seats, self.core.identity, env.tuning, now, writes));
         slog::info!(self.core.logger, "all seats are known, voting begins");
         let held = std::mem::take(&mut self.held);
         // Whoever gave up meanwhile was told that its entry was not taken.
@@ -134,35 +134,35 @@
                 self.state.refused = None;
                 self.away.remove(&seat);
                 if self.conns.insert(seat, (token, sender)).is_some() {
-                    self.step(now, repertory::Input::Closed(seat));
+                    self.step(now, mencius::Input::Closed(seat));
                 }
-                self.step(now, repertory::Input::Opened(seat));
+                self.step(now, mencius::Input::Opened(seat));
             }
             Command::Frame(seat, token, frame) => {
                 if self.conns.get(&seat).is_some_and(|(current, _)| *current == token) {
-                    self.step(now, repertory::Input::Frame(seat, frame));
+                    self.step(now, mencius::Input::Frame(seat, frame));
                 }
             }
             Command::Closed(seat, token) => {
                 if self.conns.get(&seat).is_some_and(|(current, _)| *current == token) {
                     self.conns.remove(&seat);
                     self.away.insert(seat, now);
-                    self.step(now, repertory::Input::Closed(seat));
+                    self.step(now, mencius::Input::Closed(seat));
                 }
             }
             Command::Synced(ticket) => {
                 self.state.syncs += 1;
-                self.step(now, repertory::Input::Synced(ticket));
+                self.step(now, mencius::Input::Synced(ticket));
             }
             Command::Submit(entry, answer) => {
                 let value = playbill::entry::to_bytes(&entry);
                 self.waiting.entry((entry.origin, entry.life, entry.sequence)).or_default().push(answer);
-                self.step(now, repertory::Input::Submit(value));
+                self.step(now, mencius::Input::Submit(value));
             }
             Command::Read(answer) => {
                 self.read_tokens += 1;
                 self.reads.insert(self.read_tokens, answer);
-                self.step(now, repertory::Input::Read(self.read_tokens));
+                self.step(now, mencius::Input::Read(self.read_tokens));
             }
             Command::Follow(held, sender) => self.bill.follow(held, sender),
             Command::Ask(number, sender) => {
@@ -172,7 +172,7 @@
             Command::Items(answer) => drop(answer.send(self.bill.items())),
             Command::Tick => {
                 self.prove(now);
-                self.step(now, repertory::Input::Tick);
+                self.step(now, mencius::Input::Tick);
             }
         }
     }
@@ -180,11 +180,11 @@
     fn prove(&mut self, now: playbill::Micros) {
         if self.bill.round(now, self.read_tokens + 1) {
             self.read_tokens += 1;
-            self.step(now, repertory::Input::Read(self.read_tokens));
+            self.step(now, mencius::Input::Read(self.read_tokens));
         }
     }
 
-    pub(crate) fn step(&mut self, now: playbill::Micros, input: repertory::Input) {
+    pub(crate) fn step(&mut self, now: playbill::Micros, input: mencius::Input) {
         if let Some(machine) = self.machine.as_mut() {
             machine.step(now, input);
         }
@@ -193,7 +193,7 @@
     fn carry_out(&mut self) {
         let before = self.book.position;
         loop {
-            let effects = self.machine.as_mut().map(repertory::Repertory::drain).unwrap_or_default();
+            let effects = self.machine.as_mut().map(mencius::Repertory::drain).unwrap_or_default();
             if effects.is_empty() {
                 break;
             }
--- a/crates/gallery/src/tenure.rs
+++ b/crates/gallery/src/tenure.rs
@@ -21,9 +21,9 @@
         let (seat, identity) = self.core.identity();
         let lost = self.book.seats.get(&seat).filter(|(holder, _)| *holder != identity).map(|(_, after)| *after);
         if let Some(after) = lost {
-            self.step(playbill::now(), repertory::Input::VoteUntil(after));
+            self.step(playbill::now(), mencius::Input::VoteUntil(after));
         }
-        if let Some(after) = self.machine.as_ref().and_then(repertory::Repertory::superseded_after) {
+        if let Some(after) = self.machine.as_ref().and_then(mencius::Repertory::superseded_after) {
             self.state.refused = Some(format!("seat {seat} is held by another disk after instance {after}"));
         }
     }
@@ -37,8 +37,8 @@
         let pins: Vec<(u16, u64)> = pins.into_iter().filter(|(seat, _)| *seat != own).collect();
         slog::info!(self.core.logger, "let in to the seat"; "after" => upto);
         // A disk that died between knowing its mates and knowing where it begins would vote from the start.
-        let first = repertory::first_own(upto + 1, own, self.core.env.seats);
-        self.repin(pins, vec![repertory::Write::VoteFrom(upto + 1), repertory::Write::Index(first)]);
+        let first = mencius::first_own(upto + 1, own, self.core.env.seats);
+        self.repin(pins, vec![mencius::Write::VoteFrom(upto + 1), mencius::Write::Index(first)]);
     }
 
     /// An empty disk asks for a seat whose holder this seat has not heard for long: the log decides, as it
@@ -54,10 +54,10 @@
         slog::warn!(self.core.logger, "an empty disk asks for a seat whose holder is away"; "seat" => seat, "holder" => from, "disk" => identity);
         let change = playbill::Act::Seat(playbill::SeatChange { seat, from, to: identity });
         let entry = playbill::entry::to_bytes(&self.core.own_entry(change));
-        self.step(now, repertory::Input::Submit(entry));
+        self.step(now, mencius::Input::Submit(entry));
     }
 
-    fn repin(&self, pins: Vec<(u16, u64)>, writes: Vec<repertory::Write>) {
+    fn repin(&self, pins: Vec<(u16, u64)>, writes: Vec<mencius::Write>) {
         let (commands, kept) = (self.core.commands.clone(), (pins.clone(), writes.clone()));
         let done = Box::new(move |fine| {
             if fine {
@@ -70,7 +70,7 @@
     /// Pushes the log over a pending change of hands; past it, the new disk is the seat's holder here.
     pub(crate) fn hand_over(&mut self) {
         let now = playbill::now();
-        let Some(applied) = self.machine.as_ref().map(repertory::Repertory::applied) else { return };
+        let Some(applied) = self.machine.as_ref().map(mencius::Repertory::applied) else { return };
         if self.book.seats.is_empty() || now < self.leapt + PUSH_EVERY {
             return;
         }
@@ -78,9 +78,9 @@
         let (own, _) = self.core.identity();
         let pending = self.book.seats.values().map(|(_, after)| *after).filter(|after| *after >= applied).min();
         if let Some(after) = pending {
-            self.step(now, repertory::Input::Leap(after.min(applied + repertory::WINDOW / 2)));
+            self.step(now, mencius::Input::Leap(after.min(applied + mencius::WINDOW / 2)));
             let barrier = playbill::entry::to_bytes(&self.core.own_entry(playbill::Act::Barrier));
-            self.step(now, repertory::Input::Submit(barrier));
+            self.step(now, mencius::Input::Submit(barrier));
         }
         let moved: Vec<(u16, u64)> = self
             .book
@@ -92,7 +92,7 @@
         if !moved.is_empty() {
             moved.iter().for_each(|(seat, _)| {
                 if self.conns.remove(seat).is_some() {
-                    self.step(now, repertory::Input::Closed(*seat));
+                    self.step(now, mencius::Input::Closed(*seat));
                 }
             });
             slog::info!(self.core.logger, "seats changed hands"; "seats" => ?moved);
--- a/crates/gallery/tests/seats/founding.rs
+++ b/crates/gallery/tests/seats/founding.rs
@@ -134,10 +134,10 @@
     let (charter, core) = spare.start(&seeds[..3], false, 2_000_000).await;
     assert_eq!((charter.seat, charter.seats, charter.founded), (seat, 4, false));
     until("a vote of the new disk", || core.state.load().started).await;
-    assert!(core.state.load().index > repertory::WINDOW, "it votes only after the change of hands");
+    assert!(core.state.load().index > mencius::WINDOW, "it votes only after the change of hands");
     until("the new holder", || cores.iter().all(|core| core.pins.load().get(&seat).is_some_and(|held| *held != lost))).await;
     // Without it the log could not be finished again below the change once one more disk is lost (design 4.4).
-    until("a snapshot past the change at every seat", || cores.iter().all(|core| core.state.load().floor > repertory::WINDOW)).await;
+    until("a snapshot past the change at every seat", || cores.iter().all(|core| core.state.load().floor > mencius::WINDOW)).await;
     until("no vacancy", || cores.iter().all(|core| core.state.load().vacant.is_empty())).await;
     assert_eq!(told(&seeds[0], enlists("127.0.0.1:9", 4_712)).await, transport::Frame::NoSeat, "all seats are held again");
     one_core(&[cores, vec![core]].concat()).await;
--- a/crates/gallery/tests/seats/machines.rs
+++ b/crates/gallery/tests/seats/machines.rs
@@ -42,7 +42,7 @@
         machines
     }
 
-    pub fn shelf(&self) -> (storage::Shelf, Vec<repertory::Write>) {
+    pub fn shelf(&self) -> (storage::Shelf, Vec<mencius::Write>) {
         storage::Shelf::open(&self.folder).expect("a shelf")
     }
 
@@ -50,7 +50,7 @@
         gallery::FoundingEnv { address: self.address.clone(), zone: "z0".into(), seeds: seeds.to_vec(), first, quiet: 1_500_000, least: 0 }
     }
 
-    pub async fn settle(&self, seeds: &[String], first: bool) -> (storage::Charter, storage::Shelf, Vec<repertory::Write>) {
+    pub async fn settle(&self, seeds: &[String], first: bool) -> (storage::Charter, storage::Shelf, Vec<mencius::Write>) {
         let (mut shelf, writes) = self.shelf();
         let env = self.founding(seeds, first);
         let logger = playbill::log::quiet();
--- a/crates/repertory/tests/channel.rs
+++ b/crates/mencius/tests/channel.rs
@@ -1,6 +1,6 @@
 //! A broken channel must not turn a suggestion into a skip (design 3.5).
 
-use repertory::{Effect, Frame, Input, Message, Repertory, Tuning};
+use mencius::{Effect, Frame, Input, Message, Repertory, Tuning};
 
 fn seat(number: u16) -> Repertory {
     Repertory::restore(number, 3, number as u64 + 1, Tuning::default(), 0, vec![])
@@ -76,7 +76,7 @@
     let mut one = seat(0);
     one.step(0, Input::Submit(b"first".to_vec()));
     let block = (3, 30);
-    let round = repertory::Round { counter: 4, identity: 9 };
+    let round = mencius::Round { counter: 4, identity: 9 };
     one.step(0, Input::Opened(1));
     one.step(0, Input::Frame(1, Frame { cursor: 1, message: Message::Prepare { owner: 0, round, block } }));
     let mut disk = Vec::new();
@@ -95,7 +95,7 @@
     let mut again = Repertory::restore(0, 3, 1, Tuning::default(), 0, disk);
     assert!(again.index() >= 30, "the promised block is left alone");
     again.step(0, Input::Opened(1));
-    let lower = repertory::Round { counter: 3, identity: 9 };
+    let lower = mencius::Round { counter: 3, identity: 9 };
     again.step(0, Input::Frame(1, Frame { cursor: 1, message: Message::Prepare { owner: 0, round: lower, block } }));
     assert!(frames(&mut again, 1).iter().any(|frame| matches!(frame.message, Message::Refuse { .. })));
 }
--- a/crates/repertory/tests/reads.rs
+++ b/crates/mencius/tests/reads.rs
@@ -1,6 +1,6 @@
 //! Quorum reads over channels that come late (design 3.9).
 
-use repertory::{Effect, Input, Message, Repertory, Tuning};
+use mencius::{Effect, Input, Message, Repertory, Tuning};
 
 #[test]
 fn a_read_that_set_out_alone_is_asked_of_a_mate_as_soon_as_its_channel_opens() {
--- a/crates/repertory/tests/tenure.rs
+++ b/crates/mencius/tests/tenure.rs
@@ -1,6 +1,6 @@
 //! Which changes of a seat's holder end a disk's right to vote (design 4.4).
 
-use repertory::{Effect, Input, Repertory, Tuning, Write};
+use mencius::{Effect, Input, Repertory, Tuning, Write};
 
 fn suggests(machine: &mut Repertory) -> bool {
     machine.step(1, Input::Submit(b"value".to_vec()));
@@ -11,7 +11,7 @@
 fn holder_after(upto: u64) -> Repertory {
     let state = Write::Snapshot { through: upto + 1, state: Vec::new() };
     let mut machine =
-        Repertory::restore(0, 3, 9, Tuning::default(), 0, vec![Write::VoteFrom(upto + 1), Write::Index(repertory::first_own(upto + 1, 0, 3)), state]);
+        Repertory::restore(0, 3, 9, Tuning::default(), 0, vec![Write::VoteFrom(upto + 1), Write::Index(mencius::first_own(upto + 1, 0, 3)), state]);
     machine.drain();
     machine.drain();
     machine
--- a/crates/prompter/src/env.rs
+++ b/crates/prompter/src/env.rs
@@ -61,15 +61,15 @@
 }
 
 fn alpha() -> u64 {
-    repertory::Tuning::default().alpha
+    mencius::Tuning::default().alpha
 }
 
 fn tau() -> u64 {
-    repertory::Tuning::default().tau
+    mencius::Tuning::default().tau
 }
 
 fn beta() -> u64 {
-    repertory::Tuning::default().beta
+    mencius::Tuning::default().beta
 }
 
 fn snapshot_every() -> u64 {
@@ -108,7 +108,7 @@
             address: self.advertised_address.clone().unwrap_or(address),
             seeds: self.seeds.clone(),
             folder: self.folder.clone(),
-            tuning: repertory::Tuning { alpha: self.alpha, tau: self.tau_us, beta: self.beta, ..Default::default() },
+            tuning: mencius::Tuning { alpha: self.alpha, tau: self.tau_us, beta: self.beta, ..Default::default() },
             snapshot_every: self.snapshot_every,
             replace_after: self.replace_after_us,
             charter: None,
--- a/crates/rehearsal/src/billsim/seat.rs
+++ b/crates/rehearsal/src/billsim/seat.rs
@@ -15,7 +15,7 @@
 /// What followers may hold at each position.
 pub(super) type Truth = std::collections::BTreeMap<Position, Programme>;
 
-fn act((instance, value): &(repertory::Instance, repertory::Value)) -> Option<(u64, Asked, Act)> {
+fn act((instance, value): &(mencius::Instance, mencius::Value)) -> Option<(u64, Asked, Act)> {
     let entry = playbill::entry::from_bytes(value)?;
     let asked = (entry.origin, entry.life, entry.sequence);
     if let playbill::Act::Bill(act) = entry.act { Some((*instance, asked, act)) } else { None }
@@ -27,7 +27,7 @@
     }
 
     /// All that was applied since the last time leaves as one piece; what was installed, as a whole.
-    pub fn fold(&mut self, history: &[(repertory::Instance, repertory::Value)], truth: &mut Truth) {
+    pub fn fold(&mut self, history: &[(mencius::Instance, mencius::Value)], truth: &mut Truth) {
         let follows = self.folded == 0 || history.get(self.folded - 1).is_some_and(|(at, _)| *at == self.last);
         let mut learn = |bill: &playbill::Bill| {
             truth.entry(bill.position).or_insert_with(|| Programme::default().told(true, bill.position, bill.whole()));
--- a/crates/rehearsal/src/sim/count.rs
+++ b/crates/rehearsal/src/sim/count.rs
@@ -1,23 +1,23 @@
 //! Frames and syncs an entry costs, by kind, under different settings (docs/measurements.md).
 
-pub(super) fn kind(message: &repertory::Message) -> &'static str {
+pub(super) fn kind(message: &mencius::Message) -> &'static str {
     match message {
-        repertory::Message::Suggest { .. } => "suggest",
-        repertory::Message::Accept { .. } => "accept",
-        repertory::Message::Learn { .. } => "learn",
-        repertory::Message::Skip => "skip",
-        repertory::Message::Beat { .. } => "beat",
-        repertory::Message::ReadAsk { .. } | repertory::Message::ReadAnswer { .. } => "read",
-        repertory::Message::Prepare { .. } | repertory::Message::Promise { .. } | repertory::Message::Propose { .. } => "revoke",
-        repertory::Message::Accepted { .. } | repertory::Message::Refuse { .. } | repertory::Message::Chosen { .. } => "revoke",
-        repertory::Message::Hello { .. } | repertory::Message::Resync { .. } => "open",
-        repertory::Message::Fetch { .. } | repertory::Message::Run { .. } | repertory::Message::Snapshot { .. } => "catch-up",
+        mencius::Message::Suggest { .. } => "suggest",
+        mencius::Message::Accept { .. } => "accept",
+        mencius::Message::Learn { .. } => "learn",
+        mencius::Message::Skip => "skip",
+        mencius::Message::Beat { .. } => "beat",
+        mencius::Message::ReadAsk { .. } | mencius::Message::ReadAnswer { .. } => "read",
+        mencius::Message::Prepare { .. } | mencius::Message::Promise { .. } | mencius::Message::Propose { .. } => "revoke",
+        mencius::Message::Accepted { .. } | mencius::Message::Refuse { .. } | mencius::Message::Chosen { .. } => "revoke",
+        mencius::Message::Hello { .. } | mencius::Message::Resync { .. } => "open",
+        mencius::Message::Fetch { .. } | mencius::Message::Run { .. } | mencius::Message::Snapshot { .. } => "catch-up",
     }
 }
 
 /// One seat or all suggest `entries`, `gap` microseconds apart; one line of counts per entry.
 pub fn line(seats: u16, alpha: u64, tau: u64, gap: u64, entries: u64, one_seat: bool) -> String {
-    let tuning = repertory::Tuning { alpha, tau, ..Default::default() };
+    let tuning = mencius::Tuning { alpha, tau, ..Default::default() };
     let mut world = super::World::new(super::Plan { tuning, snapshot_every: 0, ..super::Plan::new(seats, 1) });
     world.run_until(1_000_000);
     let before = world.counts.clone();
--- a/crates/rehearsal/src/sim/effects.rs
+++ b/crates/rehearsal/src/sim/effects.rs
@@ -2,12 +2,12 @@
 
 use super::world::Event;
 
-type Seat = repertory::Seat;
+type Seat = mencius::Seat;
 
 impl super::world::Node {
     /// Records on the disk that are not a snapshot.
     pub fn records_beside_snapshot(&self) -> usize {
-        self.disk.iter().filter(|write| !matches!(write, repertory::Write::Snapshot { .. })).count()
+        self.disk.iter().filter(|write| !matches!(write, mencius::Write::Snapshot { .. })).count()
     }
 }
 
@@ -18,7 +18,7 @@
 
     /// Each effect is a numbered point; a plan may crash the seat just before it is carried out.
     pub(super) fn carry_out(&mut self, seat: Seat) {
-        let effects = self.nodes[seat as usize].machine.as_mut().map(repertory::Repertory::drain).unwrap_or_default();
+        let effects = self.nodes[seat as usize].machine.as_mut().map(mencius::Repertory::drain).unwrap_or_default();
         for effect in effects {
             self.nodes[seat as usize].points += 1;
             self.counts.points += 1;
@@ -34,19 +34,19 @@
         }
     }
 
-    fn carry_out_one(&mut self, seat: Seat, effect: repertory::Effect) {
+    fn carry_out_one(&mut self, seat: Seat, effect: mencius::Effect) {
         match effect {
-            repertory::Effect::Send(to, frame) => {
+            mencius::Effect::Send(to, frame) => {
                 self.counts.frames += 1;
                 *self.counts.kinds.entry(super::count::kind(&frame.message)).or_default() += 1;
-                self.counts.revocations += matches!(frame.message, repertory::Message::Prepare { .. }) as u64;
+                self.counts.revocations += matches!(frame.message, mencius::Message::Prepare { .. }) as u64;
                 let (x, y) = (seat as usize, to as usize);
                 let time = (self.now + self.draw(self.plan.hop)).max(self.last_delivery[x][y] + 1);
                 self.last_delivery[x][y] = time;
                 let epoch = self.epochs[x][y];
                 self.at(time, Event::Deliver { from: seat, to, epoch, frame });
             }
-            repertory::Effect::Persist { ticket, writes, afresh } => {
+            mencius::Effect::Persist { ticket, writes, afresh } => {
                 self.counts.syncs += 1;
                 let wait = if self.plan.lying_disk { 0 } else { self.draw(self.plan.sync) + self.nodes[seat as usize].disk_slow };
                 let life = self.nodes[seat as usize].life;
@@ -57,35 +57,35 @@
                 let now = self.now;
                 self.at(now + wait, Event::Synced { seat, life, ticket });
             }
-            repertory::Effect::Apply(at, value) => {
+            mencius::Effect::Apply(at, value) => {
                 self.nodes[seat as usize].history.push((at, value.clone()));
                 self.mind_replacement(seat, at, &value);
                 self.findings.applied(self.now, seat, at, &value, self.plan.seats);
                 self.snapshot_when_due(seat, at + 1);
             }
-            repertory::Effect::Overruled(value) => {
+            mencius::Effect::Overruled(value) => {
                 let patience = self.plan.caller_patience;
                 if self.findings.waits_for(&value, self.now, patience) {
-                    self.feed(seat, repertory::Input::Submit(value));
+                    self.feed(seat, mencius::Input::Submit(value));
                 }
             }
-            repertory::Effect::Install { state, .. } => {
+            mencius::Effect::Install { state, .. } => {
                 self.nodes[seat as usize].history = rkyv::from_bytes::<Vec<(u64, Vec<u8>)>, rkyv::rancor::Error>(&state).unwrap_or_default();
                 // The state a snapshot stands for knows the holders too.
                 self.nodes[seat as usize].book = Default::default();
                 let history = self.nodes[seat as usize].history.clone();
                 history.into_iter().for_each(|(at, value)| self.mind_replacement(seat, at, &value));
             }
-            repertory::Effect::ReadReady(token) => {
+            mencius::Effect::ReadReady(token) => {
                 let node = &mut self.nodes[seat as usize];
-                let applied = node.machine.as_ref().map(repertory::Repertory::applied).unwrap_or(0);
+                let applied = node.machine.as_ref().map(mencius::Repertory::applied).unwrap_or(0);
                 self.findings.read_done(token, applied);
                 self.done.push((token, seat));
             }
         }
     }
 
-    fn snapshot_when_due(&mut self, seat: Seat, through: repertory::Instance) {
+    fn snapshot_when_due(&mut self, seat: Seat, through: mencius::Instance) {
         let node = &mut self.nodes[seat as usize];
         node.since_snapshot += 1;
         let due = self.plan.snapshot_every > 0 && node.since_snapshot >= self.plan.snapshot_every;
@@ -95,7 +95,7 @@
             (node.since_snapshot, node.snapshot_at) = (0, through);
             let state = rkyv::to_bytes::<rkyv::rancor::Error>(&node.history).map(|bytes| bytes.to_vec()).unwrap_or_default();
             if let Some(machine) = node.machine.as_mut() {
-                machine.step(self.now, repertory::Input::Snapshot { through, state });
+                machine.step(self.now, mencius::Input::Snapshot { through, state });
             }
         }
     }
--- a/crates/rehearsal/src/sim/faults.rs
+++ b/crates/rehearsal/src/sim/faults.rs
@@ -1,6 +1,6 @@
 //! Faults and the schedules drawn from a seed (design 9.2).
 
-type Seat = repertory::Seat;
+type Seat = mencius::Seat;
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
--- a/crates/rehearsal/src/sim/site_core.rs
+++ b/crates/rehearsal/src/sim/site_core.rs
@@ -11,7 +11,7 @@
     life: u64,
 }
 
-fn entries(history: &[(repertory::Instance, repertory::Value)]) -> impl Iterator<Item = (repertory::Instance, Entry)> + '_ {
+fn entries(history: &[(mencius::Instance, mencius::Value)]) -> impl Iterator<Item = (mencius::Instance, Entry)> + '_ {
     history.iter().filter_map(|(instance, value)| playbill::entry::from_bytes(value).map(|entry| (*instance, entry)))
 }
 
@@ -60,7 +60,7 @@
         let answered: Vec<Answered> = new
             .map(|(instance, entry)| {
                 let key = (entry.origin.clone(), entry.life, entry.sequence);
-                (seat as u16, key, fold.book.apply_at(entry, instance, repertory::WINDOW))
+                (seat as u16, key, fold.book.apply_at(entry, instance, mencius::WINDOW))
             })
             .collect();
         fold.folded = node.history.len();
@@ -76,7 +76,7 @@
             .filter_map(|(instance, entry)| {
                 let id = if let playbill::Act::Change(change) = &entry.act { Some(change.id.clone()) } else { None };
                 let before = book.desired.version;
-                let outcome = book.apply_at(entry, instance, repertory::WINDOW);
+                let outcome = book.apply_at(entry, instance, mencius::WINDOW);
                 match (id, outcome) {
                     (Some(id), Outcome::Accepted { position, version }) if version > before => Some((version, (id, position))),
                     _ => None,
--- a/crates/rehearsal/src/sim/tenure.rs
+++ b/crates/rehearsal/src/sim/tenure.rs
@@ -2,7 +2,7 @@
 
 use super::world::Event;
 
-type Seat = repertory::Seat;
+type Seat = mencius::Seat;
 
 /// Between two askings of an empty disk for its seat.
 const KNOCK_EVERY: u64 = 500_000;
@@ -41,17 +41,17 @@
     pub(super) fn mind_replacement(&mut self, at_seat: Seat, instance: u64, value: &[u8]) {
         let Some(entry) = playbill::entry::from_bytes(value).filter(|entry| matches!(entry.act, playbill::Act::Seat(_))) else { return };
         let node = &mut self.nodes[at_seat as usize];
-        node.book.apply_at(entry, instance, repertory::WINDOW);
+        node.book.apply_at(entry, instance, mencius::WINDOW);
         let lost = node.book.seats.get(&at_seat).filter(|(holder, _)| *holder != node.identity).map(|(_, after)| *after);
         if let (Some(after), Some(machine)) = (lost, node.machine.as_mut()) {
-            machine.step(self.now, repertory::Input::VoteUntil(after));
+            machine.step(self.now, mencius::Input::VoteUntil(after));
         }
     }
 
     /// Pushes the log over a pending change, and takes the new disk for the holder once past it.
     pub(super) fn hand_over(&mut self, seat: Seat) {
         let node = &mut self.nodes[seat as usize];
-        let Some(applied) = node.machine.as_ref().map(repertory::Repertory::applied) else { return };
+        let Some(applied) = node.machine.as_ref().map(mencius::Repertory::applied) else { return };
         if node.book.seats.is_empty() || self.now < node.leapt + 100_000 {
             return;
         }
@@ -69,8 +69,8 @@
             self.close(seat, other);
         });
         if let Some(after) = pending {
-            let leap = after.min(applied + repertory::WINDOW / 2);
-            self.feed(seat, repertory::Input::Leap(leap));
+            let leap = after.min(applied + mencius::WINDOW / 2);
+            self.feed(seat, mencius::Input::Leap(leap));
             self.submit(seat, format!("barrier {seat} {}", self.now).into_bytes());
         }
     }
@@ -82,11 +82,11 @@
         let Some((_, after)) = helper.book.seats.get(&seat).copied().filter(|_| node.outside && known) else { return };
         let mut pins = helper.pins.clone();
         pins[mate as usize] = helper.identity;
-        let first = repertory::first_own(after + 1, seat, self.plan.seats);
+        let first = mencius::first_own(after + 1, seat, self.plan.seats);
         let node = &mut self.nodes[seat as usize];
         (node.outside, node.pins) = (false, pins);
         // Kept together with the holders, before it says anything.
-        node.disk.extend([repertory::Write::VoteFrom(after + 1), repertory::Write::Index(first)]);
+        node.disk.extend([mencius::Write::VoteFrom(after + 1), mencius::Write::Index(first)]);
         self.start(seat);
     }
 
--- a/crates/rehearsal/src/sim/world.rs
+++ b/crates/rehearsal/src/sim/world.rs
@@ -1,11 +1,11 @@
 //! The simulated world: one queue of events ordered by virtual time (design 9.1).
 
-type Micros = repertory::Micros;
-type Seat = repertory::Seat;
+type Micros = mencius::Micros;
+type Seat = mencius::Seat;
 
 #[derive(Debug)]
 pub(super) enum Event {
-    Deliver { from: Seat, to: Seat, epoch: u64, frame: repertory::Frame },
+    Deliver { from: Seat, to: Seat, epoch: u64, frame: mencius::Frame },
     Synced { seat: Seat, life: u64, ticket: u64 },
     Tick { seat: Seat, life: u64 },
     Reopen { a: Seat, b: Seat },
@@ -14,16 +14,16 @@
 }
 
 pub struct Node {
-    pub machine: Option<repertory::Repertory>,
-    pub history: Vec<(repertory::Instance, repertory::Value)>,
-    pub(super) disk: Vec<repertory::Write>,
-    pub(super) unsynced: Option<(u64, Vec<repertory::Write>, bool)>,
+    pub machine: Option<mencius::Repertory>,
+    pub history: Vec<(mencius::Instance, mencius::Value)>,
+    pub(super) disk: Vec<mencius::Write>,
+    pub(super) unsynced: Option<(u64, Vec<mencius::Write>, bool)>,
     pub(crate) life: u64,
     pub(super) frozen: bool,
     pub(super) late: Vec<Event>,
     pub(super) disk_slow: Micros,
     pub(super) since_snapshot: usize,
-    pub(super) snapshot_at: repertory::Instance,
+    pub(super) snapshot_at: mencius::Instance,
     pub(super) points: u64,
     pub(super) identity: u64,
     /// An empty disk that waits to be let in.
@@ -116,7 +116,7 @@
         node.book = Default::default();
         (node.since_snapshot, node.snapshot_at) = (0, 0);
         let (life, identity) = (node.life, node.identity);
-        let machine = repertory::Repertory::restore(seat, self.plan.seats, identity, self.plan.tuning, self.now, node.disk.clone());
+        let machine = mencius::Repertory::restore(seat, self.plan.seats, identity, self.plan.tuning, self.now, node.disk.clone());
         node.machine = Some(machine);
         self.carry_out(seat);
         let now = self.now;
@@ -159,7 +159,7 @@
         self.open[y][x] = false;
         self.epochs[x][y] += 1;
         self.epochs[y][x] += 1;
-        [(a, b), (b, a)].into_iter().for_each(|(seat, mate)| self.feed(seat, repertory::Input::Closed(mate)));
+        [(a, b), (b, a)].into_iter().for_each(|(seat, mate)| self.feed(seat, mencius::Input::Closed(mate)));
         self.reopen_soon(a, b);
     }
 
@@ -176,24 +176,24 @@
         }
         self.open[x][y] = true;
         self.open[y][x] = true;
-        [(a, b), (b, a)].into_iter().for_each(|(seat, mate)| self.feed(seat, repertory::Input::Opened(mate)));
+        [(a, b), (b, a)].into_iter().for_each(|(seat, mate)| self.feed(seat, mencius::Input::Opened(mate)));
     }
 
-    pub fn submit(&mut self, seat: Seat, value: repertory::Value) {
+    pub fn submit(&mut self, seat: Seat, value: mencius::Value) {
         if self.nodes[seat as usize].machine.is_some() && !self.nodes[seat as usize].frozen {
             self.findings.note_submitted(value.clone(), seat, self.now);
-            self.feed(seat, repertory::Input::Submit(value));
+            self.feed(seat, mencius::Input::Submit(value));
         }
     }
 
     pub fn read(&mut self, seat: Seat, token: u64) {
         if self.nodes[seat as usize].machine.is_some() && !self.nodes[seat as usize].frozen {
             self.findings.read_asked(token);
-            self.feed(seat, repertory::Input::Read(token));
+            self.feed(seat, mencius::Input::Read(token));
         }
     }
 
-    pub(super) fn feed(&mut self, seat: Seat, input: repertory::Input) {
+    pub(super) fn feed(&mut self, seat: Seat, input: mencius::Input) {
         let now = self.now;
         if let Some(machine) = self.nodes[seat as usize].machine.as_mut() {
             machine.step(now, input);
@@ -207,7 +207,7 @@
                 if self.nodes[to as usize].frozen {
                     self.nodes[to as usize].late.push(Event::Deliver { from, to, epoch, frame });
                 } else if self.epochs[from as usize][to as usize] == epoch && !self.cut[from as usize][to as usize] {
-                    self.feed(to, repertory::Input::Frame(from, frame));
+                    self.feed(to, mencius::Input::Frame(from, frame));
                 } else if self.epochs[from as usize][to as usize] == epoch {
                     // A one-way cut: what is lost breaks the channel, as TCP would in time.
                     self.close(from, to);
@@ -220,11 +220,11 @@
                 if !self.plan.lying_disk {
                     self.keep(seat);
                 }
-                self.feed(seat, repertory::Input::Synced(ticket));
+                self.feed(seat, mencius::Input::Synced(ticket));
             }
             Event::Tick { seat, life } if self.nodes[seat as usize].life == life => {
                 if !self.nodes[seat as usize].frozen {
-                    self.feed(seat, repertory::Input::Tick);
+                    self.feed(seat, mencius::Input::Tick);
                     self.hand_over(seat);
                 }
                 let now = self.now;
--- a/crates/storage/src/keeper.rs
+++ b/crates/storage/src/keeper.rs
@@ -3,13 +3,13 @@
 pub enum Job {
     Append {
         ticket: u64,
-        writes: Vec<repertory::Write>,
+        writes: Vec<mencius::Write>,
         afresh: bool,
     },
     /// Holders, and with them where this disk begins to vote, if it is new in its seat: both or neither.
     Repin {
         pins: Vec<(u16, crate::Identity)>,
-        writes: Vec<repertory::Write>,
+        writes: Vec<mencius::Write>,
         done: Box<dyn FnOnce(bool) + Send>,
     },
     Pin {
--- a/crates/storage/src/shelf.rs
+++ b/crates/storage/src/shelf.rs
@@ -29,18 +29,18 @@
 
 impl Shelf {
     /// Opens the file in `folder`, or makes it with a new identity, and reads the journal back.
-    pub fn open(folder: &std::path::Path) -> Result<(Shelf, Vec<repertory::Write>), crate::Trouble> {
+    pub fn open(folder: &std::path::Path) -> Result<(Shelf, Vec<mencius::Write>), crate::Trouble> {
         std::fs::create_dir_all(folder)?;
         let path = folder.join("core.redb");
         Shelf::load(Box::new(move || redb::Database::create(&path).map_err(store)))
     }
 
     /// Over any storage: the fault tests bring their own (design 9.4).
-    pub fn open_on<B: redb::StorageBackend>(backend: impl Fn() -> B + Send + 'static) -> Result<(Shelf, Vec<repertory::Write>), crate::Trouble> {
+    pub fn open_on<B: redb::StorageBackend>(backend: impl Fn() -> B + Send + 'static) -> Result<(Shelf, Vec<mencius::Write>), crate::Trouble> {
         Shelf::load(Box::new(move || redb::Builder::new().create_with_backend(backend()).map_err(store)))
     }
 
-    fn load(opener: Opener) -> Result<(Shelf, Vec<repertory::Write>), crate::Trouble> {
+    fn load(opener: Opener) -> Result<(Shelf, Vec<mencius::Write>), crate::Trouble> {
         let database = opener()?;
         let change = database.begin_write().map_err(store)?;
         let (identity, charter, starts, pins, raw) = {
@@ -77,13 +77,13 @@
         change.commit().map_err(store)?;
         let next = raw.last().map(|(at, _)| at + 1).unwrap_or(0);
         let writes =
-            raw.into_iter().map(|(at, bytes)| decode(&bytes).ok_or(crate::Trouble::Damaged { at })).collect::<Result<Vec<Vec<repertory::Write>>, _>>()?;
+            raw.into_iter().map(|(at, bytes)| decode(&bytes).ok_or(crate::Trouble::Damaged { at })).collect::<Result<Vec<Vec<mencius::Write>>, _>>()?;
         Ok((Shelf { store: Some(database), opener, next, identity, pins, charter, starts }, writes.into_iter().flatten().collect()))
     }
 
     /// One transaction, one sync. `afresh` replaces all that was kept. After a failure it may be called
     /// again with the same: whether the first got through is looked up, not guessed.
-    pub fn append(&mut self, writes: &[repertory::Write], afresh: bool) -> Result<(), crate::Trouble> {
+    pub fn append(&mut self, writes: &[mencius::Write], afresh: bool) -> Result<(), crate::Trouble> {
         let bytes = encode(writes);
         let next = self.next;
         self.change(|change| {
@@ -115,7 +115,7 @@
     }
 
     /// Seats changed hands in the log; `writes` go into the journal in the same transaction.
-    pub fn repin(&mut self, pins: &[(u16, crate::Identity)], writes: &[repertory::Write]) -> Result<(), crate::Trouble> {
+    pub fn repin(&mut self, pins: &[(u16, crate::Identity)], writes: &[mencius::Write]) -> Result<(), crate::Trouble> {
         let (next, bytes) = (self.next, encode(writes));
         self.change(|change| {
             let mut table = change.open_table(PINS).map_err(store)?;
@@ -161,21 +161,21 @@
 }
 
 /// A record begins with a digest of the rest: damage is noticed when it is read.
-fn encode(writes: &[repertory::Write]) -> Vec<u8> {
+fn encode(writes: &[mencius::Write]) -> Vec<u8> {
     let bytes = rkyv::to_bytes::<rkyv::rancor::Error>(&writes.to_vec()).map(|bytes| bytes.to_vec()).unwrap_or_default();
     [digest(&bytes), bytes].concat()
 }
 
-fn decode(record: &[u8]) -> Option<Vec<repertory::Write>> {
+fn decode(record: &[u8]) -> Option<Vec<mencius::Write>> {
     let (_, bytes) = record.split_at_checked(DIGEST).filter(|(told, bytes)| digest(bytes) == *told)?;
     let mut aligned = rkyv::util::AlignedVec::<16>::with_capacity(bytes.len());
     aligned.extend_from_slice(bytes);
-    rkyv::from_bytes::<Vec<repertory::Write>, rkyv::rancor::Error>(&aligned).ok()
+    rkyv::from_bytes::<Vec<mencius::Write>, rkyv::rancor::Error>(&aligned).ok()
 }
 
 #[cfg(test)]
 mod tests {
-    use repertory::{Round, Write};
+    use mencius::{Round, Write};
 
     #[test]
     fn a_reopened_shelf_keeps_identity_pins_and_order() {
--- a/crates/storage/tests/disk.rs
+++ b/crates/storage/tests/disk.rs
@@ -1,6 +1,6 @@
 //! Disks that fill, tear and lose what was not synced, at every numbered operation in turn (design 9.4).
 
-use repertory::{Round, Write};
+use mencius::{Round, Write};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
--- a/crates/transport/src/conn.rs
+++ b/crates/transport/src/conn.rs
@@ -108,12 +108,12 @@
             super::encode(frame, &mut out).expect("it fits");
             out.len()
         };
-        let core = |message| crate::Frame::Core(repertory::Frame { cursor: 1, message });
+        let core = |message| crate::Frame::Core(mencius::Frame { cursor: 1, message });
         let lengths = [
             length(&crate::Frame::Beat),
             length(&crate::Frame::Ask { number: 1 }),
             length(&crate::Frame::Proof { number: 1, position: 1 }),
-            length(&core(repertory::Message::Beat { applied: 1 })),
+            length(&core(mencius::Message::Beat { applied: 1 })),
         ];
         assert!(lengths.iter().all(|length| *length <= 128), "{lengths:?}");
     }
--- a/crates/transport/src/frame.rs
+++ b/crates/transport/src/frame.rs
@@ -103,7 +103,7 @@
     Greeting(Box<Greeting>),
     Refusal(String),
     Known(Vec<CoreSeat>),
-    Core(repertory::Frame),
+    Core(mencius::Frame),
     /// To a disk that took a seat over: after which instance it votes, and which disks hold the other seats.
     Admit {
         upto: u64,
