--- a/crates/apron/src/course.rs
+++ b/crates/apron/src/course.rs
@@ -1,6 +1,6 @@
 //! One request from end to end: its lane, whom it goes to, whether it may go again (design 13.5).
 
-use playbill::{Cause, Micros, Trouble, Verdict};
+use model::{Cause, Micros, Trouble, Verdict};
 
 #[derive(Clone)]
 pub struct Apron {
@@ -78,7 +78,7 @@
             let programme = &outlook.programme;
             let keyed = programme.services.get(&service).is_some_and(|held| held.keyed);
             cue.key = ask.key.filter(|_| keyed);
-            let now = playbill::now();
+            let now = model::now();
             if now >= until {
                 return Err(honest(Trouble::new(Cause::TooLate, "the wait was over before it could be dispatched"), may_have_run));
             }
@@ -129,7 +129,7 @@
         }
     }
 
-    async fn pick(&self, programme: &playbill::bill::Programme, service: &str, passed_over: &[String]) -> Option<playbill::bill::Onstage> {
+    async fn pick(&self, programme: &model::bill::Programme, service: &str, passed_over: &[String]) -> Option<model::bill::Onstage> {
         let cast = programme.cast(service);
         let open = cast.iter().filter(|one| !passed_over.contains(&one.name));
         let candidates = open.map(|one| crate::picker::Candidate { name: one.name.clone(), slots: one.slots, near: one.zone == self.zone }).collect();
@@ -153,9 +153,9 @@
 }
 
 /// Whoever holds the key, or while it moves whoever may hold it still.
-fn holder(programme: &playbill::bill::Programme, service: &str, key: u16, passed_over: &[String]) -> Option<playbill::bill::Onstage> {
+fn holder(programme: &model::bill::Programme, service: &str, key: u16, passed_over: &[String]) -> Option<model::bill::Onstage> {
     let casting = programme.castings.get(service)?;
-    let row = playbill::bill::rows::holder_of(&casting.1, key)?;
+    let row = model::bill::rows::holder_of(&casting.1, key)?;
     let earlier = row.owed.iter().rev().map(|(name, _)| name);
     let mut named = row.holder.iter().chain(earlier).filter(|name| !passed_over.contains(name));
     named.find_map(|name| programme.find(name))
@@ -180,12 +180,12 @@
 }
 
 /// A lane's weights over services, the same for every sight of one try.
-fn share(lane: &playbill::bill::Lane, try_id: &str) -> String {
+fn share(lane: &model::bill::Lane, try_id: &str) -> String {
     let whole: u64 = lane.shares.iter().map(|(_, weight)| *weight as u64).sum();
     if lane.shares.len() == 1 || whole == 0 {
         return lane.shares.first().map(|(service, _)| service.clone()).unwrap_or_default();
     }
-    let point = playbill::terms::hash(try_id) % whole;
+    let point = model::terms::hash(try_id) % whole;
     let upto = lane.shares.iter().scan(0, |sum, (service, weight)| {
         *sum += *weight as u64;
         Some((*sum, service))
--- a/crates/apron/src/front.rs
+++ b/crates/apron/src/front.rs
@@ -1,7 +1,7 @@
 //! Senders' conns: requests taken whole, answers given whole (design 13.1).
 
 use http_body_util::BodyExt as _;
-use playbill::{Cause, Trouble, Verdict};
+use model::{Cause, Trouble, Verdict};
 
 #[derive(Clone)]
 pub struct FrontEnv {
@@ -56,7 +56,7 @@
     }
 
     async fn answer(&self, request: hyper::Request<hyper::body::Incoming>) -> Answer {
-        let at = playbill::now();
+        let at = model::now();
         let (head, body) = request.into_parts();
         let said = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
         let (words, host) = (&self.env.words, said("host").unwrap_or_default());
--- a/crates/apron/src/listen.rs
+++ b/crates/apron/src/listen.rs
@@ -1,7 +1,7 @@
 //! What a node answers its mates: requests for the back end beside it, and beats (design 13.2, 5.10).
 
 /// Tells the watch that a ward was heard.
-pub type Heard = tokio::sync::mpsc::Sender<(String, playbill::Incarnation)>;
+pub type Heard = tokio::sync::mpsc::Sender<(String, model::Incarnation)>;
 /// What back ends are asked for, told to whoever places keys here.
 pub type Loads = tokio::sync::mpsc::Sender<transport::Load>;
 
--- a/crates/apron/src/mates.rs
+++ b/crates/apron/src/mates.rs
@@ -1,6 +1,6 @@
 //! Conns to the nodes beside other back ends: one each, many requests on it (design 13.2).
 
-use playbill::{Cause, Trouble};
+use model::{Cause, Trouble};
 
 type Answer = tokio::sync::oneshot::Sender<pit::Outcome>;
 
--- a/crates/apron/src/picker.rs
+++ b/crates/apron/src/picker.rs
@@ -1,7 +1,7 @@
 //! Whom a request goes to, and how many more dispatches the service may have (design 13.5, 13.6). One owner.
 
-use playbill::Micros;
-use playbill::bill::Programme;
+use model::Micros;
+use model::bill::Programme;
 
 /// How long a back end that was lost or refused is passed over, while there are others.
 const BENCH: Micros = 300_000;
@@ -111,7 +111,7 @@
             let mut picker = Picker::new(env);
             let mut count = 0u64;
             while let Some(command) = commands.recv().await {
-                let now = playbill::now();
+                let now = model::now();
                 match command {
                     Command::Earn(service) => picker.earn(now, &service),
                     Command::Pick(candidates, answer) => drop(answer.send(picker.pick(now, &candidates))),
--- a/crates/apron/src/purse.rs
+++ b/crates/apron/src/purse.rs
@@ -1,7 +1,7 @@
 //! How many more dispatches a node may give a service, such that any number of nodes together keep the promise: in
 //! any window no more than a share of the requests (design 13.10). Pure, with the time told to it.
 
-use playbill::Micros;
+use model::Micros;
 
 /// What was earned lately, by when. Nothing is there at the start, and nothing lasts: what is spent in a window was
 /// earned in it or in the half before it.
--- a/crates/apron/tests/callers.rs
+++ b/crates/apron/tests/callers.rs
@@ -5,7 +5,7 @@
 mod back_end;
 
 use back_end::{BackEnd, Event};
-use playbill::{Cause, Verdict};
+use model::{Cause, Verdict};
 use std::time::Duration;
 
 const BOUND: Duration = Duration::from_secs(300);
@@ -57,7 +57,7 @@
 }
 
 impl Site {
-    async fn call(&self, number: usize, script: &str, repeatable: bool) -> Result<transport::Take, playbill::Trouble> {
+    async fn call(&self, number: usize, script: &str, repeatable: bool) -> Result<transport::Take, model::Trouble> {
         let call = self.near.call(&self.far, cue(number, script, repeatable, 600_000_000));
         tokio::time::timeout(BOUND, call).await.expect("an outcome in time").0
     }
--- a/crates/boxoffice/src/changes.rs
+++ b/crates/boxoffice/src/changes.rs
@@ -25,14 +25,14 @@
 
 type Answer = (u16, serde_json::Value);
 
-fn faults(status: u16, faults: Vec<playbill::check::Fault>) -> Answer {
+fn faults(status: u16, faults: Vec<model::check::Fault>) -> Answer {
     (status, serde_json::json!({ "verdict": "not-run", "cause": "invalid", "faults": faults }))
 }
 
 #[salvo::handler]
 impl Apply {
     async fn handle(&self, request: &mut salvo::Request, response: &mut salvo::Response) {
-        let (status, answer) = match http_util::read::<playbill::Change>(request).await {
+        let (status, answer) = match http_util::read::<model::Change>(request).await {
             Ok(change) => decide(&self.0, change).await,
             Err(fault) => faults(400, vec![fault]),
         };
@@ -45,8 +45,8 @@
     async fn handle(&self, request: &mut salvo::Request, response: &mut salvo::Response) {
         let name = request.param::<String>("name").unwrap_or_default();
         let edit = match self.1 {
-            Kind::Grouping => http_util::read(request).await.map(|grouping| playbill::Edit::PutGrouping { name, grouping }),
-            Kind::Order => http_util::read(request).await.map(|order| playbill::Edit::PutOrder { name, order }),
+            Kind::Grouping => http_util::read(request).await.map(|grouping| model::Edit::PutGrouping { name, grouping }),
+            Kind::Order => http_util::read(request).await.map(|order| model::Edit::PutOrder { name, order }),
         };
         let (status, answer) = match edit {
             Ok(edit) => decide_one(&self.0, request, edit).await,
@@ -61,8 +61,8 @@
     async fn handle(&self, request: &mut salvo::Request, response: &mut salvo::Response) {
         let name = request.param::<String>("name").unwrap_or_default();
         let edit = match self.1 {
-            Kind::Grouping => playbill::Edit::DropGrouping { name },
-            Kind::Order => playbill::Edit::DropOrder { name },
+            Kind::Grouping => model::Edit::DropGrouping { name },
+            Kind::Order => model::Edit::DropOrder { name },
         };
         let (status, answer) = decide_one(&self.0, request, edit).await;
         http_util::json(response, status, &answer);
@@ -82,9 +82,9 @@
 
 async fn replace(office: &Boxoffice, ask: ReplaceAsk) -> Answer {
     let seats = office.core.seats();
-    let seat_fault = (ask.seat >= seats).then(|| playbill::check::Fault { path: "seat".into(), fault: format!("is from 0 to {}", seats - 1) });
+    let seat_fault = (ask.seat >= seats).then(|| model::check::Fault { path: "seat".into(), fault: format!("is from 0 to {}", seats - 1) });
     let disk = |path: &str, text: &str| {
-        u64::from_str_radix(text, 16).map_err(|_| playbill::check::Fault { path: path.into(), fault: "is a disk's identity in hexadecimal".into() })
+        u64::from_str_radix(text, 16).map_err(|_| model::check::Fault { path: path.into(), fault: "is a disk's identity in hexadecimal".into() })
     };
     let (from, to) = (disk("from", &ask.from), disk("to", &ask.to));
     let found: Vec<_> = seat_fault.into_iter().chain(from.clone().err()).chain(to.clone().err()).collect();
@@ -99,7 +99,7 @@
     if !office.core.reaches_majority() {
         return no_majority();
     }
-    answered(office.core.replace(playbill::SeatChange { seat: ask.seat, from, to }).await)
+    answered(office.core.replace(model::SeatChange { seat: ask.seat, from, to }).await)
 }
 
 /// Not handed to the log at all: certain not to take effect.
@@ -107,20 +107,20 @@
     (503, serde_json::json!({ "verdict": "not-run", "cause": "no_majority", "detail": "this core seat is not in touch with a majority" }))
 }
 
-async fn decide_one(office: &Boxoffice, request: &salvo::Request, edit: playbill::Edit) -> Answer {
-    let fault = |path: &str, fault: &str| faults(428, vec![playbill::check::Fault { path: path.into(), fault: fault.into() }]);
+async fn decide_one(office: &Boxoffice, request: &salvo::Request, edit: model::Edit) -> Answer {
+    let fault = |path: &str, fault: &str| faults(428, vec![model::check::Fault { path: path.into(), fault: fault.into() }]);
     let Some(base) = http_util::header(request, "if-match").and_then(|text| text.trim_matches('"').parse().ok()) else {
         return fault("If-Match", "names the version this change was made from, as GET /v1/desired gave it in ETag");
     };
     let Some(id) = http_util::header(request, "x-change-id") else {
         return fault("X-Change-Id", "names the change, so that sending it again is harmless");
     };
-    decide(office, playbill::Change { id, base, edits: vec![edit] }).await
+    decide(office, model::Change { id, base, edits: vec![edit] }).await
 }
 
-async fn decide(office: &Boxoffice, change: playbill::Change) -> Answer {
-    let id_fault = (change.id.is_empty() || change.id.len() > 128).then(|| playbill::check::Fault { path: "id".into(), fault: "is 1 to 128 bytes".into() });
-    let found: Vec<_> = id_fault.into_iter().chain(playbill::check::alone(&change.edits)).collect();
+async fn decide(office: &Boxoffice, change: model::Change) -> Answer {
+    let id_fault = (change.id.is_empty() || change.id.len() > 128).then(|| model::check::Fault { path: "id".into(), fault: "is 1 to 128 bytes".into() });
+    let found: Vec<_> = id_fault.into_iter().chain(model::check::alone(&change.edits)).collect();
     if !found.is_empty() {
         return faults(422, found);
     }
@@ -130,7 +130,7 @@
     answered(office.core.change(change).await)
 }
 
-fn answered(outcome: Option<playbill::Outcome>) -> Answer {
+fn answered(outcome: Option<model::Outcome>) -> Answer {
     match outcome {
         Some(outcome) => tell(outcome),
         None => {
@@ -140,17 +140,17 @@
     }
 }
 
-fn tell(outcome: playbill::Outcome) -> Answer {
+fn tell(outcome: model::Outcome) -> Answer {
     match outcome {
-        playbill::Outcome::Accepted { position, version } => (200, serde_json::json!({ "accepted": { "position": position, "version": version } })),
-        playbill::Outcome::Unchanged { position } => (200, serde_json::json!({ "unchanged": { "position": position } })),
-        playbill::Outcome::Stale { version } => (412, serde_json::json!({ "verdict": "not-run", "cause": "stale", "version": version })),
-        playbill::Outcome::Invalid { faults: found } => faults(422, found),
-        playbill::Outcome::Reused { version } => {
+        model::Outcome::Accepted { position, version } => (200, serde_json::json!({ "accepted": { "position": position, "version": version } })),
+        model::Outcome::Unchanged { position } => (200, serde_json::json!({ "unchanged": { "position": position } })),
+        model::Outcome::Stale { version } => (412, serde_json::json!({ "verdict": "not-run", "cause": "stale", "version": version })),
+        model::Outcome::Invalid { faults: found } => faults(422, found),
+        model::Outcome::Reused { version } => {
             (409, serde_json::json!({ "verdict": "not-run", "cause": "id_reused", "version": version, "detail": "another change had this id" }))
         }
-        playbill::Outcome::Conflict { conflicts } => (409, serde_json::json!({ "verdict": "not-run", "cause": "conflict", "conflicts": conflicts })),
-        playbill::Outcome::Superseded { position } => (409, serde_json::json!({ "verdict": "not-run", "cause": "superseded", "position": position })),
-        playbill::Outcome::Refused { reason } => (409, serde_json::json!({ "verdict": "not-run", "cause": "refused", "detail": reason })),
+        model::Outcome::Conflict { conflicts } => (409, serde_json::json!({ "verdict": "not-run", "cause": "conflict", "conflicts": conflicts })),
+        model::Outcome::Superseded { position } => (409, serde_json::json!({ "verdict": "not-run", "cause": "superseded", "position": position })),
+        model::Outcome::Refused { reason } => (409, serde_json::json!({ "verdict": "not-run", "cause": "refused", "detail": reason })),
     }
 }
--- a/crates/boxoffice/src/reading.rs
+++ b/crates/boxoffice/src/reading.rs
@@ -9,7 +9,7 @@
 pub(crate) struct Status(pub Boxoffice);
 pub(crate) struct One(pub Boxoffice, pub Kind);
 
-async fn current(office: &Boxoffice, response: &mut salvo::Response) -> Option<std::sync::Arc<playbill::Book>> {
+async fn current(office: &Boxoffice, response: &mut salvo::Response) -> Option<std::sync::Arc<model::Book>> {
     if office.core.read().await.is_none() {
         let answer = serde_json::json!({ "cause": "no_majority", "detail": "no majority answered, so nothing here is known to be current" });
         http_util::json(response, 503, &answer);
--- a/crates/boxoffice/tests/operators.rs
+++ b/crates/boxoffice/tests/operators.rs
@@ -21,7 +21,7 @@
         replace_after: 500_000,
         charter: None,
     };
-    let core = gallery::Core::start(env, playbill::log::quiet()).expect("a core seat");
+    let core = gallery::Core::start(env, model::log::quiet()).expect("a core seat");
     tokio::spawn(gallery::news::listen(core.clone(), mates));
     let staying = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true));
     let router = boxoffice::router(boxoffice::Boxoffice { core: core.clone(), staying });
--- a/crates/callboard/src/commands.rs
+++ b/crates/callboard/src/commands.rs
@@ -63,7 +63,7 @@
 }
 
 fn named(name: &str) -> Result<&str, String> {
-    playbill::check::is_name(name).then_some(name).ok_or_else(|| format!("{name:?} is not 1 to 63 of a-z, 0-9 and '-'"))
+    model::check::is_name(name).then_some(name).ok_or_else(|| format!("{name:?} is not 1 to 63 of a-z, 0-9 and '-'"))
 }
 
 fn json(file: &str) -> Result<serde_json::Value, String> {
@@ -91,7 +91,7 @@
         return USAGE;
     };
     if let Some(id) =
-        id.map(serde_json::Value::from).or_else(|| (!change.contains_key("id")).then(|| format!("callboard-{}", playbill::incarnation::draw()).into()))
+        id.map(serde_json::Value::from).or_else(|| (!change.contains_key("id")).then(|| format!("callboard-{}", model::incarnation::draw()).into()))
     {
         change.insert("id".into(), id);
     }
--- a/crates/foyer/src/lib.rs
+++ b/crates/foyer/src/lib.rs
@@ -1,6 +1,6 @@
 //! Senders: one function a request, read from top to bottom (design 5.2).
 
-use playbill::{Cause, Trouble};
+use model::{Cause, Trouble};
 
 /// Headers that speak of one conn, or that only we may set.
 fn is_ours(name: &str) -> bool {
@@ -64,7 +64,7 @@
 
     async fn read(&self, request: &mut salvo::Request, try_id: String) -> Result<stage::Ask, Trouble> {
         let wait = http_util::header(request, "x-gradeford-wait")
-            .map(|text| text.parse::<playbill::Micros>().map_err(|_| Trouble::new(Cause::BadRequest, "x-gradeford-wait is whole microseconds")))
+            .map(|text| text.parse::<model::Micros>().map_err(|_| Trouble::new(Cause::BadRequest, "x-gradeford-wait is whole microseconds")))
             .transpose()?;
         let key = http_util::header(request, "x-gradeford-key").filter(|key| !key.is_empty() && key.len() <= 256);
         let service = request.param::<String>("service").unwrap_or_default();
--- a/crates/gallery/src/bulletin.rs
+++ b/crates/gallery/src/bulletin.rs
@@ -6,34 +6,34 @@
 /// From here on the whole may be shorter than what changed since.
 const LITTLE: usize = 16_384;
 /// Between two rounds that prove something to followers.
-const ROUND: playbill::Micros = 50_000;
+const ROUND: model::Micros = 50_000;
 
-type News = (playbill::Position, playbill::Position, Vec<u8>);
+type News = (model::Position, model::Position, Vec<u8>);
 
 struct Follower {
-    held: playbill::Position,
+    held: model::Position,
     sender: transport::Sender,
 }
 
 /// Owned by the core seat's one owner (design 8.1).
 #[derive(Default)]
 pub struct Desk {
-    pub bill: playbill::Bill,
+    pub bill: model::Bill,
     /// Applied and not yet told: from where, and what changed.
-    fresh: (playbill::Position, Vec<playbill::bill::Delta>),
+    fresh: (model::Position, Vec<model::bill::Delta>),
     history: std::collections::VecDeque<News>,
     followers: Vec<Follower>,
     /// All that stood at a position, as it was last told; what came since follows from the history.
-    whole: Option<(playbill::Position, Vec<u8>)>,
+    whole: Option<(model::Position, Vec<u8>)>,
     /// By the round that proves them, and those that wait for the next one.
     asks: std::collections::BTreeMap<u64, Vec<(u64, transport::Sender)>>,
     gathered: Vec<(u64, transport::Sender)>,
     /// When the latest round set out.
-    round_at: playbill::Micros,
+    round_at: model::Micros,
 }
 
 impl Desk {
-    pub fn apply(&mut self, (origin, life, sequence): &(String, u64, u64), act: playbill::bill::Act) -> playbill::Outcome {
+    pub fn apply(&mut self, (origin, life, sequence): &(String, u64, u64), act: model::bill::Act) -> model::Outcome {
         let before = self.bill.position;
         let (outcome, deltas) = self.bill.apply(origin, *life, *sequence, act);
         if self.fresh.1.is_empty() {
@@ -43,17 +43,17 @@
         outcome
     }
 
-    pub fn install(&mut self, bill: playbill::Bill) {
+    pub fn install(&mut self, bill: model::Bill) {
         let (followers, asks, gathered) = (std::mem::take(&mut self.followers), std::mem::take(&mut self.asks), std::mem::take(&mut self.gathered));
         *self = Desk { bill, followers, asks, gathered, round_at: self.round_at, ..Default::default() };
         self.tell();
     }
 
-    pub fn items(&self) -> playbill::bill::items::Items {
+    pub fn items(&self) -> model::bill::items::Items {
         self.bill.items.iter().filter(|(_, item)| item.body.is_some()).map(|(key, item)| (key.clone(), item.clone())).collect()
     }
 
-    pub fn follow(&mut self, held: playbill::Position, sender: transport::Sender) {
+    pub fn follow(&mut self, held: model::Position, sender: transport::Sender) {
         self.followers.push(Follower { held, sender });
         self.publish();
         self.tell();
@@ -64,7 +64,7 @@
     }
 
     /// Whether a round sets out now: at once after a pause, else for all that asked meanwhile (design 11.7).
-    pub fn round(&mut self, now: playbill::Micros, token: u64) -> bool {
+    pub fn round(&mut self, now: model::Micros, token: u64) -> bool {
         if self.gathered.is_empty() || now < self.round_at + ROUND {
             return false;
         }
@@ -107,7 +107,7 @@
             if follower.held >= position {
                 return !follower.sender.is_closed();
             }
-            let since = |held: playbill::Position| history.iter().position(|(from, ..)| *from == held).or((held == position).then_some(history.len()));
+            let since = |held: model::Position| history.iter().position(|(from, ..)| *from == held).or((held == position).then_some(history.len()));
             let changes = |at: usize| {
                 let news = history.iter().skip(at);
                 news.map(|(from, to, news)| transport::Frame::Bulletin { afresh: false, from: *from, to: *to, deltas: news.clone() })
@@ -140,30 +140,30 @@
     }
 }
 
-fn bytes(deltas: Vec<playbill::bill::Delta>) -> Vec<u8> {
-    playbill::pack::pack(rkyv::to_bytes::<rkyv::rancor::Error>(&deltas).map(|bytes| bytes.to_vec()).unwrap_or_default())
+fn bytes(deltas: Vec<model::bill::Delta>) -> Vec<u8> {
+    model::pack::pack(rkyv::to_bytes::<rkyv::rancor::Error>(&deltas).map(|bytes| bytes.to_vec()).unwrap_or_default())
 }
 
 /// Changes as a follower reads them; none that do not hold together.
-pub(crate) fn deltas(bytes: &[u8]) -> Option<Vec<playbill::bill::Delta>> {
-    let bytes = playbill::pack::unpack(bytes)?;
+pub(crate) fn deltas(bytes: &[u8]) -> Option<Vec<model::bill::Delta>> {
+    let bytes = model::pack::unpack(bytes)?;
     let mut aligned = rkyv::util::AlignedVec::<16>::with_capacity(bytes.len());
     aligned.extend_from_slice(&bytes);
-    rkyv::from_bytes::<Vec<playbill::bill::Delta>, rkyv::rancor::Error>(&aligned).ok()
+    rkyv::from_bytes::<Vec<model::bill::Delta>, rkyv::rancor::Error>(&aligned).ok()
 }
 
 /// Book and bill as one state of the log.
-pub(crate) fn packed(book: &playbill::Book, bill: &playbill::Bill) -> Vec<u8> {
+pub(crate) fn packed(book: &model::Book, bill: &model::Bill) -> Vec<u8> {
     let (book, bill) = (book.to_bytes(), bill.to_bytes());
-    playbill::pack::pack([&(book.len() as u64).to_be_bytes()[..], &book, &bill].concat())
+    model::pack::pack([&(book.len() as u64).to_be_bytes()[..], &book, &bill].concat())
 }
 
-pub(crate) fn unpacked(state: &[u8]) -> Option<(playbill::Book, playbill::Bill)> {
-    let state = playbill::pack::unpack(state)?;
+pub(crate) fn unpacked(state: &[u8]) -> Option<(model::Book, model::Bill)> {
+    let state = model::pack::unpack(state)?;
     let (length, rest) = state.split_at_checked(8)?;
     let length = u64::from_be_bytes(length.try_into().ok()?) as usize;
     let (book, bill) = rest.split_at_checked(length)?;
-    Some((playbill::Book::from_bytes(book)?, playbill::Bill::from_bytes(bill)?))
+    Some((model::Book::from_bytes(book)?, model::Bill::from_bytes(bill)?))
 }
 
 #[cfg(test)]
@@ -171,17 +171,17 @@
     use super::*;
 
     fn change(desk: &mut Desk, turn: u64, text: &str) {
-        let body = playbill::bill::Body::Service(playbill::bill::Service { health_path: text.into(), conns: 0, keyed: false, warm_us: 0 });
-        let put = playbill::bill::items::Put { name: format!("s{}", turn % 10), version: turn, body, text: String::new() };
-        let act = playbill::bill::Act::Items(playbill::bill::Call { puts: vec![put], drops: Vec::new() });
-        assert!(matches!(desk.apply(&("operator".into(), 1, turn), act), playbill::Outcome::Accepted { .. }));
+        let body = model::bill::Body::Service(model::bill::Service { health_path: text.into(), conns: 0, keyed: false, warm_us: 0 });
+        let put = model::bill::items::Put { name: format!("s{}", turn % 10), version: turn, body, text: String::new() };
+        let act = model::bill::Act::Items(model::bill::Call { puts: vec![put], drops: Vec::new() });
+        assert!(matches!(desk.apply(&("operator".into(), 1, turn), act), model::Outcome::Accepted { .. }));
         desk.publish();
     }
 
-    type Told = (usize, usize, playbill::bill::Programme);
+    type Told = (usize, usize, model::bill::Programme);
 
     /// Frames and bytes, and what the follower holds then.
-    fn told(desk: &mut Desk, held: playbill::bill::Programme) -> Told {
+    fn told(desk: &mut Desk, held: model::bill::Programme) -> Told {
         let (sender, mut frames) = tokio::sync::mpsc::channel(1_024);
         desk.follow(held.position, sender);
         std::iter::from_fn(|| frames.try_recv().ok()).fold((0, 0, held), |(count, length, held), frame| {
@@ -197,10 +197,10 @@
         (1..=20).for_each(|turn| change(&mut desk, turn, "/healthz"));
         let early = told(&mut desk, Default::default());
         assert_eq!(early.0, 20, "a short history goes as it is");
-        let noise: String = (0..40).map(|part| format!("{:x}", playbill::terms::hash(&format!("{part}")))).collect();
+        let noise: String = (0..40).map(|part| format!("{:x}", model::terms::hash(&format!("{part}")))).collect();
         (21..=500).for_each(|turn| change(&mut desk, turn, &noise[turn as usize..]));
         let whole = bytes(desk.bill.whole()).len();
-        let held = playbill::bill::Programme::default().told(true, desk.bill.position, desk.bill.whole());
+        let held = model::bill::Programme::default().told(true, desk.bill.position, desk.bill.whole());
         let anew = told(&mut desk, Default::default());
         assert!(anew.0 == 1 && anew.1 <= whole, "{} frames, {} bytes instead of {whole}", anew.0, anew.1);
         let behind = told(&mut desk, early.2);
--- a/crates/gallery/src/core.rs
+++ b/crates/gallery/src/core.rs
@@ -12,7 +12,7 @@
     pub tuning: mencius::Tuning,
     pub snapshot_every: u64,
     /// How long a seat's holder must be away before an empty disk that asks for the seat gets it; 0 is never.
-    pub replace_after: playbill::Micros,
+    pub replace_after: model::Micros,
     /// What the seat was given with, where settings do not name it (design 12.1).
     pub charter: Option<storage::Charter>,
 }
@@ -42,16 +42,16 @@
     pub refused: Option<String>,
 }
 
-pub(crate) type Answer = tokio::sync::oneshot::Sender<playbill::Outcome>;
+pub(crate) type Answer = tokio::sync::oneshot::Sender<model::Outcome>;
 
 pub(crate) enum Command {
-    Submit(playbill::Entry, Answer),
-    Read(tokio::sync::oneshot::Sender<playbill::Position>),
+    Submit(model::Entry, Answer),
+    Read(tokio::sync::oneshot::Sender<model::Position>),
     /// A follower holds the bill up to here; news goes to it from now on (design 11.3).
-    Follow(playbill::Position, transport::Sender),
+    Follow(model::Position, transport::Sender),
     /// A follower wants a proof, by number, on the channel its news takes.
     Ask(u64, transport::Sender),
-    Items(tokio::sync::oneshot::Sender<playbill::bill::items::Items>),
+    Items(tokio::sync::oneshot::Sender<model::bill::items::Items>),
     Opened(u16, u64, transport::Sender),
     Frame(u16, u64, mencius::Frame),
     Closed(u16, u64),
@@ -74,8 +74,8 @@
 pub struct Core {
     pub(crate) commands: tokio::sync::mpsc::Sender<Command>,
     pub(crate) jobs: std::sync::mpsc::Sender<storage::Job>,
-    pub book: std::sync::Arc<arc_swap::ArcSwap<playbill::Book>>,
-    pub changed: tokio::sync::watch::Receiver<playbill::Position>,
+    pub book: std::sync::Arc<arc_swap::ArcSwap<model::Book>>,
+    pub changed: tokio::sync::watch::Receiver<model::Position>,
     pub state: std::sync::Arc<arc_swap::ArcSwap<CoreState>>,
     pub known: crate::Known,
     pub(crate) env: std::sync::Arc<CoreEnv>,
@@ -85,7 +85,7 @@
     /// This disk had kept nothing when the process began.
     pub(crate) blank: bool,
     /// Tells this process's entries from those of an earlier one.
-    pub(crate) life: playbill::Incarnation,
+    pub(crate) life: model::Incarnation,
     pub(crate) starts: u64,
     pub(crate) sequence: std::sync::Arc<std::sync::atomic::AtomicU64>,
     pub(crate) logger: slog::Logger,
@@ -117,7 +117,7 @@
             identity,
             blank: writes.is_empty(),
             pins: std::sync::Arc::new(arc_swap::ArcSwap::from_pointee(pins.clone())),
-            life: playbill::incarnation::draw(),
+            life: model::incarnation::draw(),
             starts: shelf.starts,
             sequence: Default::default(),
             logger,
@@ -178,24 +178,24 @@
     }
 
     /// Puts an entry in the log. `None`: not known to be there in time; it may yet take effect.
-    pub async fn submit(&self, entry: playbill::Entry) -> Option<playbill::Outcome> {
+    pub async fn submit(&self, entry: model::Entry) -> Option<model::Outcome> {
         let (answer, outcome) = tokio::sync::oneshot::channel();
         self.commands.send(Command::Submit(entry, answer)).await.ok()?;
         tokio::time::timeout(PATIENCE, outcome).await.ok()?.ok()
     }
 
     /// An operator's change under this seat's own origin; the book tells repeats by change id.
-    pub async fn change(&self, change: playbill::Change) -> Option<playbill::Outcome> {
-        self.submit(self.own_entry(playbill::Act::Change(change))).await
+    pub async fn change(&self, change: model::Change) -> Option<model::Outcome> {
+        self.submit(self.own_entry(model::Act::Change(change))).await
     }
 
     /// Items of an operator: whole or not at all (design 11.1).
-    pub async fn amend(&self, call: playbill::bill::Call) -> Option<playbill::Outcome> {
-        self.submit(self.own_entry(playbill::Act::Bill(playbill::bill::Act::Items(call)))).await
+    pub async fn amend(&self, call: model::bill::Call) -> Option<model::Outcome> {
+        self.submit(self.own_entry(model::Act::Bill(model::bill::Act::Items(call)))).await
     }
 
     /// All items as they stand now, proved by a majority.
-    pub async fn items(&self) -> Option<playbill::bill::items::Items> {
+    pub async fn items(&self) -> Option<model::bill::items::Items> {
         self.read().await?;
         let (answer, items) = tokio::sync::oneshot::channel();
         self.commands.send(Command::Items(answer)).await.ok()?;
@@ -203,13 +203,13 @@
     }
 
     /// Another disk is to hold a seat (design 4.4).
-    pub async fn replace(&self, change: playbill::SeatChange) -> Option<playbill::Outcome> {
-        self.submit(self.own_entry(playbill::Act::Seat(change))).await
+    pub async fn replace(&self, change: model::SeatChange) -> Option<model::Outcome> {
+        self.submit(self.own_entry(model::Act::Seat(change))).await
     }
 
-    pub(crate) fn own_entry(&self, act: playbill::Act) -> playbill::Entry {
+    pub(crate) fn own_entry(&self, act: model::Act) -> model::Entry {
         let sequence = self.sequence.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-        playbill::Entry { origin: self.env.name.clone(), life: self.life, sequence, act }
+        model::Entry { origin: self.env.name.clone(), life: self.life, sequence, act }
     }
 
     pub fn identity(&self) -> (u16, u64) {
@@ -217,7 +217,7 @@
     }
 
     /// Everything accepted before this call is in `book` once it answers (design 3.9).
-    pub async fn read(&self) -> Option<playbill::Position> {
+    pub async fn read(&self) -> Option<model::Position> {
         let (answer, position) = tokio::sync::oneshot::channel();
         self.commands.send(Command::Read(answer)).await.ok()?;
         tokio::time::timeout(PATIENCE, position).await.ok()?.ok()
--- a/crates/gallery/src/core_effects.rs
+++ b/crates/gallery/src/core_effects.rs
@@ -11,8 +11,8 @@
                 if sent == Some(false) {
                     // A mate that does not keep up loses the channel; the next one begins with a resync.
                     self.conns.remove(&seat);
-                    self.away.insert(seat, playbill::now());
-                    self.step(playbill::now(), mencius::Input::Closed(seat));
+                    self.away.insert(seat, model::now());
+                    self.step(model::now(), mencius::Input::Closed(seat));
                 }
             }
             mencius::Effect::Persist { ticket, writes, afresh } => {
@@ -46,20 +46,20 @@
 
     /// For a caller that still waits. One that was answered, that it is not known to be taken, sends it again itself.
     fn submit_again(&mut self, value: mencius::Value) {
-        let Some(entry) = playbill::entry::from_bytes(&value) else { return };
+        let Some(entry) = model::entry::from_bytes(&value) else { return };
         let awaited = self.waiting.get(&(entry.origin, entry.life, entry.sequence));
         if awaited.is_some_and(|answers| answers.iter().any(|answer| !answer.is_closed())) {
-            self.step(playbill::now(), mencius::Input::Submit(value));
+            self.step(model::now(), mencius::Input::Submit(value));
         }
     }
 
     fn apply(&mut self, instance: u64, value: &[u8]) {
-        let Some(entry) = playbill::entry::from_bytes(value) else {
+        let Some(entry) = model::entry::from_bytes(value) else {
             return slog::error!(self.core.logger, "an entry does not hold together"; "instance" => instance);
         };
         let asked = (entry.origin.clone(), entry.life, entry.sequence);
         let outcome = match entry.act {
-            playbill::Act::Bill(act) => self.bill.apply(&asked, act),
+            model::Act::Bill(act) => self.bill.apply(&asked, act),
             _ => {
                 let outcome = self.book.apply_at(entry, instance, mencius::WINDOW);
                 self.mind_tenure();
@@ -76,7 +76,7 @@
             self.since_snapshot = 0;
             self.snapshot_at = instance + 1;
             let state = crate::bulletin::packed(&self.book, &self.bill.bill);
-            self.step(playbill::now(), mencius::Input::Snapshot { through: instance + 1, state });
+            self.step(model::now(), mencius::Input::Snapshot { through: instance + 1, state });
         }
     }
 
@@ -89,7 +89,7 @@
             self.state.floor = machine.floor();
             (self.state.index, self.state.highest, self.state.open_reads) = (machine.index(), machine.highest(), machine.open_reads());
             self.state.suspects = machine.suspects();
-            let (now, patience) = (playbill::now(), self.core.env.replace_after);
+            let (now, patience) = (model::now(), self.core.env.replace_after);
             let vacant = self.away.iter().filter(|(seat, since)| **seat != self.core.env.seat && now >= **since + patience);
             self.state.vacant = vacant.map(|(seat, _)| *seat).collect();
         }
@@ -104,7 +104,7 @@
 
     /// Someone waits, and the log does not move: told now and then, with all that shows why.
     fn mind_standstill(&mut self) {
-        let now = playbill::now();
+        let now = model::now();
         let waits = !self.waiting.is_empty() || self.bill.waits();
         if self.stood.0 != self.state.applied || !waits {
             self.stood = (self.state.applied, now);
@@ -116,4 +116,4 @@
     }
 }
 
-const STANDSTILL: playbill::Micros = 2_000_000;
+const STANDSTILL: model::Micros = 2_000_000;
--- a/crates/gallery/src/core_owner.rs
+++ b/crates/gallery/src/core_owner.rs
@@ -12,28 +12,28 @@
     /// What came before all seats had met (design 4.1).
     pub(crate) held: Vec<Command>,
     pub(crate) conns: std::collections::BTreeMap<u16, (u64, transport::Sender)>,
-    pub(crate) book: playbill::Book,
+    pub(crate) book: model::Book,
     pub(crate) bill: crate::bulletin::Desk,
-    moved: tokio::sync::watch::Sender<playbill::Position>,
+    moved: tokio::sync::watch::Sender<model::Position>,
     pub(crate) waiting: Waiting,
-    pub(crate) reads: std::collections::BTreeMap<u64, tokio::sync::oneshot::Sender<playbill::Position>>,
+    pub(crate) reads: std::collections::BTreeMap<u64, tokio::sync::oneshot::Sender<model::Position>>,
     read_tokens: u64,
     pub(crate) since_snapshot: u64,
     /// Where the latest own snapshot ends.
     pub(crate) snapshot_at: u64,
     pub(crate) state: CoreState,
-    pub(crate) leapt: playbill::Micros,
+    pub(crate) leapt: model::Micros,
     /// Where the log stood when it last moved, and when that was.
-    pub(crate) stood: (u64, playbill::Micros),
+    pub(crate) stood: (u64, model::Micros),
     /// Mates that take this disk for the first in its seat.
     founders: std::collections::BTreeSet<u16>,
     /// Seats without a channel, since when; and when a change of holder was last asked for.
-    pub(crate) away: std::collections::BTreeMap<u16, playbill::Micros>,
-    pub(crate) asked_for: playbill::Micros,
+    pub(crate) away: std::collections::BTreeMap<u16, model::Micros>,
+    pub(crate) asked_for: model::Micros,
 }
 
 impl Owner {
-    pub fn new(core: &Core, writes: Vec<mencius::Write>, pins: storage::Pins, moved: tokio::sync::watch::Sender<playbill::Position>) -> Self {
+    pub fn new(core: &Core, writes: Vec<mencius::Write>, pins: storage::Pins, moved: tokio::sync::watch::Sender<model::Position>) -> Self {
         let state = CoreState { identity: core.identity, met: pins.len(), ..Default::default() };
         core.state.store(std::sync::Arc::new(state.clone()));
         Owner {
@@ -43,7 +43,7 @@
             pins,
             held: Vec::new(),
             conns: Default::default(),
-            book: playbill::Book::default(),
+            book: model::Book::default(),
             bill: Default::default(),
             moved,
             waiting: Default::default(),
@@ -56,7 +56,7 @@
             leapt: 0,
             stood: (0, 0),
             founders: Default::default(),
-            away: (0..core.env.seats).map(|seat| (seat, playbill::now())).collect(),
+            away: (0..core.env.seats).map(|seat| (seat, model::now())).collect(),
             asked_for: 0,
         }
     }
@@ -90,7 +90,7 @@
         }
         let env = self.core.env.clone();
         let writes = std::mem::take(&mut self.writes);
-        let now = playbill::now();
+        let now = model::now();
         self.machine = Some(mencius::Repertory::restore(env.seat, env.seats, self.core.identity, env.tuning, now, writes));
         slog::info!(self.core.logger, "all seats are known, voting begins");
         let held = std::mem::take(&mut self.held);
@@ -101,7 +101,7 @@
     }
 
     fn take(&mut self, command: Command) {
-        let now = playbill::now();
+        let now = model::now();
         match command {
             Command::Pinned(seat, identity) => {
                 self.pins.insert(seat, identity);
@@ -155,7 +155,7 @@
                 self.step(now, mencius::Input::Synced(ticket));
             }
             Command::Submit(entry, answer) => {
-                let value = playbill::entry::to_bytes(&entry);
+                let value = model::entry::to_bytes(&entry);
                 self.waiting.entry((entry.origin, entry.life, entry.sequence)).or_default().push(answer);
                 self.step(now, mencius::Input::Submit(value));
             }
@@ -177,14 +177,14 @@
         }
     }
 
-    fn prove(&mut self, now: playbill::Micros) {
+    fn prove(&mut self, now: model::Micros) {
         if self.bill.round(now, self.read_tokens + 1) {
             self.read_tokens += 1;
             self.step(now, mencius::Input::Read(self.read_tokens));
         }
     }
 
-    pub(crate) fn step(&mut self, now: playbill::Micros, input: mencius::Input) {
+    pub(crate) fn step(&mut self, now: model::Micros, input: mencius::Input) {
         if let Some(machine) = self.machine.as_mut() {
             machine.step(now, input);
         }
--- a/crates/gallery/src/following.rs
+++ b/crates/gallery/src/following.rs
@@ -4,9 +4,9 @@
 /// the newest it ever held; only the right to grant keys needs a fresh proof, and lasts from when that was asked (11.5).
 #[derive(Clone, Debug, Default)]
 pub struct Outlook {
-    pub programme: std::sync::Arc<playbill::bill::Programme>,
+    pub programme: std::sync::Arc<model::bill::Programme>,
     /// When the latest proof was asked; 0 before the first.
-    pub proved: playbill::Micros,
+    pub proved: model::Micros,
 }
 
 pub type SharedOutlook = std::sync::Arc<arc_swap::ArcSwap<Outlook>>;
@@ -14,9 +14,9 @@
 pub struct FollowingEnv {
     pub name: String,
     pub zone: String,
-    pub ask_every: playbill::Micros,
+    pub ask_every: model::Micros,
     /// An upstream that leaves an asking without a proof for so long is left for another.
-    pub patience: playbill::Micros,
+    pub patience: model::Micros,
 }
 
 #[derive(Clone)]
@@ -27,7 +27,7 @@
 }
 
 /// A node that follows a seat of another zone looks again after so long.
-const SETTLED: playbill::Micros = 2_000_000;
+const SETTLED: model::Micros = 2_000_000;
 
 struct Line<G> {
     env: FollowingEnv,
@@ -52,7 +52,7 @@
 /// Seats of the own zone first, both parts in an order of the node's own.
 pub(crate) fn by_zone(known: &crate::Known, zone: &str, name: &str) -> Vec<transport::CoreSeat> {
     let mut seats = crate::acquaint::list(known);
-    seats.sort_by_key(|seat| (seat.zone != zone, playbill::terms::hash(&format!("{name}{}", seat.seat)), std::cmp::Reverse(seat.starts)));
+    seats.sort_by_key(|seat| (seat.zone != zone, model::terms::hash(&format!("{name}{}", seat.seat)), std::cmp::Reverse(seat.starts)));
     seats
 }
 
@@ -106,14 +106,14 @@
     async fn attend(&mut self, mut conn: transport::Conn) -> bool {
         let held = self.book.begin();
         let mut fine = conn.sender.send(transport::Frame::Follow { held }).await.is_ok();
-        let (mut proved, began, away) = (false, playbill::now(), conn.greeting.zone != self.env.zone);
+        let (mut proved, began, away) = (false, model::now(), conn.greeting.zone != self.env.zone);
         let mut every = tokio::time::interval(std::time::Duration::from_micros(self.env.ask_every));
         every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         while fine {
             fine = tokio::select! {
                 frame = conn.receiver.recv() => frame.is_some_and(|frame| self.take(frame, &mut proved)),
                 _ = every.tick() => {
-                    let now = playbill::now();
+                    let now = model::now();
                     // A seat of the own zone became known, or came back: news that crosses no zone is followed there.
                     if began + (SETTLED << self.looks.min(4)) < now && away && by_zone(&self.known, &self.env.zone, &self.env.name).first().is_some_and(|seat| seat.zone == self.env.zone) {
                         self.looks += 1;
--- a/crates/gallery/src/founding.rs
+++ b/crates/gallery/src/founding.rs
@@ -9,8 +9,8 @@
     /// The whole system starts for the first time.
     pub first: bool,
     /// The founder waits for more machines until none has come for so long.
-    pub quiet: playbill::Micros,
-    pub least: playbill::Micros,
+    pub quiet: model::Micros,
+    pub least: model::Micros,
 }
 
 type Enlisted = std::collections::BTreeMap<String, (u64, transport::Sender)>;
@@ -21,7 +21,7 @@
         name: env.address.clone(),
         zone: env.zone.clone(),
         address: env.address.clone(),
-        incarnation: playbill::incarnation::draw(),
+        incarnation: model::incarnation::draw(),
         // No seat yet: only the disk is named.
         core: Some((u16::MAX, 0, identity)),
         blank: true,
@@ -53,13 +53,13 @@
     logger: &slog::Logger,
 ) -> Result<storage::Charter, storage::Trouble> {
     let (enlisted, mut enlisting) = tokio::sync::mpsc::channel(64);
-    let began = playbill::now();
+    let began = model::now();
     let mut latest = began;
     let mut members: Enlisted = Default::default();
     let mut conns = Vec::new();
     loop {
         let until = (latest + env.quiet).max(began + env.least);
-        let wait = std::time::Duration::from_micros(until.saturating_sub(playbill::now()));
+        let wait = std::time::Duration::from_micros(until.saturating_sub(model::now()));
         tokio::select! {
             accepted = listener.accept() => if let Ok((stream, _)) = accepted {
                 let (own, enlisted) = (greeting(env, shelf.identity), enlisted.clone());
@@ -77,7 +77,7 @@
                 let transport::Conn { greeting, sender, receiver } = conn;
                 let identity = greeting.core.map(|(_, _, identity)| identity).unwrap_or_default();
                 if members.insert(greeting.address, (identity, sender)).is_none_or(|(held, _)| held != identity) {
-                    latest = playbill::now();
+                    latest = model::now();
                 }
                 conns.push(receiver);
             },
--- a/crates/gallery/src/home.rs
+++ b/crates/gallery/src/home.rs
@@ -1,13 +1,12 @@
 //! Which node of a zone hears the core for the others (design 5.9).
 
-use playbill::NodeName;
+use model::NodeName;
 
 /// Nodes of the zone beside back ends of all these services, the one with the highest hash first.
 /// Everyone who holds the same slice names the same home; its position is the fence.
-pub fn home(slice: &playbill::Slice, zone: &str, services: &playbill::slice::Services) -> Option<(NodeName, String)> {
-    let beside = |node: &str, service: &str| {
-        slice.back_ends.values().any(|held| held.node == node && held.service == service && held.phase == playbill::Phase::Registered)
-    };
+pub fn home(slice: &model::Slice, zone: &str, services: &model::slice::Services) -> Option<(NodeName, String)> {
+    let beside =
+        |node: &str, service: &str| slice.back_ends.values().any(|held| held.node == node && held.service == service && held.phase == model::Phase::Registered);
     slice
         .nodes
         .iter()
@@ -17,34 +16,28 @@
         .filter(|_| !services.is_empty())
 }
 
-fn weight(name: &str, life: u64, zone: &str, services: &playbill::slice::Services) -> u64 {
+fn weight(name: &str, life: u64, zone: &str, services: &model::slice::Services) -> u64 {
     let text = services.iter().fold(format!("{zone}\n{name}\n{life}"), |text, service| text + "\n" + service);
-    playbill::terms::hash(&text)
+    model::terms::hash(&text)
 }
 
 #[cfg(test)]
 mod tests {
     #[test]
     fn a_zone_has_one_home_for_a_service_and_it_is_a_live_one() {
-        let mut slice = playbill::Slice::default();
+        let mut slice = model::Slice::default();
         (0..4u64).for_each(|at| {
-            let node = playbill::Node {
-                zone: "z0".into(),
-                address: format!("127.0.0.1:{at}"),
-                incarnation: at,
-                present: true,
-                reporters: Default::default(),
-                since: 0,
-            };
+            let node =
+                model::Node { zone: "z0".into(), address: format!("127.0.0.1:{at}"), incarnation: at, present: true, reporters: Default::default(), since: 0 };
             slice.nodes.insert(format!("n{at}"), node);
-            let back_end = playbill::BackEnd {
+            let back_end = model::BackEnd {
                 service: "seat".into(),
                 zone: "z0".into(),
                 labels: Default::default(),
                 slots: 1,
                 node: format!("n{at}"),
                 incarnation: 1,
-                phase: playbill::Phase::Registered,
+                phase: model::Phase::Registered,
                 since: 0,
             };
             slice.back_ends.insert(format!("b{at}"), back_end);
--- a/crates/gallery/src/news.rs
+++ b/crates/gallery/src/news.rs
@@ -1,7 +1,7 @@
 //! What a core seat says to subscribers: slices, proofs, answers to forwarded entries (design 5.2, 6.2).
 
 /// What a subscriber that was last told `last` has to be told: nothing, a patch, or all.
-pub(crate) fn frame(last: &mut Option<playbill::Slice>, slice: playbill::Slice) -> Option<transport::Frame> {
+pub(crate) fn frame(last: &mut Option<model::Slice>, slice: model::Slice) -> Option<transport::Frame> {
     let frame = match last.as_ref() {
         Some(held) if held.says_the_same(&slice) => return None,
         Some(held) => transport::Frame::Patch(Box::new(held.patch_to(&slice))),
@@ -51,8 +51,8 @@
 async fn serve(core: crate::Core, mut conn: transport::Conn) {
     let mut changed = core.changed.clone();
     let (proved, mut proofs) = tokio::sync::mpsc::channel::<u64>(64);
-    let mut services: Option<(playbill::slice::Services, playbill::Position)> = None;
-    let mut last: Option<playbill::Slice> = None;
+    let mut services: Option<(model::slice::Services, model::Position)> = None;
+    let mut last: Option<model::Slice> = None;
     let mut follows = false;
     loop {
         let number = tokio::select! {
@@ -104,7 +104,7 @@
             continue;
         }
         // News goes before the proof that leans on it, on the same FIFO channel.
-        let slice = playbill::Slice::cut(&core.book.load(), wanted);
+        let slice = model::Slice::cut(&core.book.load(), wanted);
         let position = slice.position;
         if let Some(news) = frame(&mut last, slice)
             && conn.sender.send(news).await.is_err()
--- a/crates/gallery/src/promptbook.rs
+++ b/crates/gallery/src/promptbook.rs
@@ -1,11 +1,11 @@
 //! What one life of a node was told of the bill, and what of it the node believes (design 11.6). Pure, with the
 //! time told to it.
 
-use playbill::Micros;
+use model::Micros;
 
 #[derive(Default)]
 pub struct Promptbook {
-    told: std::sync::Arc<playbill::bill::Programme>,
+    told: std::sync::Arc<model::bill::Programme>,
     /// When the latest proof was asked; 0 before the first.
     proved: Micros,
     /// On the conn of now: number, and when it was asked.
@@ -24,7 +24,7 @@
 
 impl Promptbook {
     /// A new conn: no answer of an earlier one is waited for any more. Returns up to where the bill is held.
-    pub fn begin(&mut self) -> playbill::Position {
+    pub fn begin(&mut self) -> model::Position {
         self.asks.clear();
         self.told.position
     }
@@ -64,7 +64,7 @@
     }
 
     /// Believed or not.
-    pub fn told(&self) -> &std::sync::Arc<playbill::bill::Programme> {
+    pub fn told(&self) -> &std::sync::Arc<model::bill::Programme> {
         &self.told
     }
 
@@ -79,15 +79,15 @@
 mod tests {
     use super::*;
 
-    fn bulletin(to: playbill::Position) -> transport::Frame {
-        let put = playbill::bill::items::Put {
+    fn bulletin(to: model::Position) -> transport::Frame {
+        let put = model::bill::items::Put {
             name: "s".into(),
             version: to,
-            body: playbill::bill::Body::Service(playbill::bill::Service { health_path: String::new(), conns: 0, keyed: false, warm_us: 0 }),
+            body: model::bill::Body::Service(model::bill::Service { health_path: String::new(), conns: 0, keyed: false, warm_us: 0 }),
             text: String::new(),
         };
         let mut desk = crate::bulletin::Desk::default();
-        drop(desk.apply(&("o".into(), 1, 1), playbill::bill::Act::Items(playbill::bill::Call { puts: vec![put], drops: Vec::new() })));
+        drop(desk.apply(&("o".into(), 1, 1), model::bill::Act::Items(model::bill::Call { puts: vec![put], drops: Vec::new() })));
         desk.bill.position = to;
         let (sender, mut told) = tokio::sync::mpsc::channel(8);
         desk.follow(0, sender);
--- a/crates/gallery/src/relay.rs
+++ b/crates/gallery/src/relay.rs
@@ -4,7 +4,7 @@
 pub struct Relay {
     pub view: crate::view::SharedView,
     /// When the latest proof from the core was asked; moves with every proof.
-    pub proved: tokio::sync::watch::Receiver<playbill::Micros>,
+    pub proved: tokio::sync::watch::Receiver<model::Micros>,
     /// Asks the core now instead of at the next turn.
     pub hurry: std::sync::Arc<tokio::sync::Notify>,
     /// Only a node that hears the core itself may be a home: no chains, no rings.
@@ -13,10 +13,10 @@
 
 impl Relay {
     /// Serves one subscriber. Ends the conn when this node cannot be its home; it then asks the core.
-    pub async fn serve(&self, mut conn: transport::Conn, wanted: playbill::slice::Services, held: playbill::Position) {
+    pub async fn serve(&self, mut conn: transport::Conn, wanted: model::slice::Services, held: model::Position) {
         let mut proved = self.proved.clone();
-        let mut last: Option<playbill::Slice> = None;
-        let mut asks: std::collections::VecDeque<(u64, playbill::Micros)> = Default::default();
+        let mut last: Option<model::Slice> = None;
+        let mut asks: std::collections::VecDeque<(u64, model::Micros)> = Default::default();
         loop {
             // In this order: the view is stored before the proof that speaks of it.
             let asked = *proved.borrow_and_update();
@@ -43,7 +43,7 @@
             tokio::select! {
                 frame = conn.receiver.recv() => match frame {
                     Some(transport::Frame::Ask { number }) => {
-                        asks.push_back((number, playbill::now()));
+                        asks.push_back((number, model::now()));
                         self.hurry.notify_one();
                     }
                     Some(transport::Frame::Subscribe { .. }) | None => return,
--- a/crates/gallery/src/reporting.rs
+++ b/crates/gallery/src/reporting.rs
@@ -2,11 +2,11 @@
 
 pub struct ReportingEnv {
     pub name: String,
-    pub life: playbill::Incarnation,
+    pub life: model::Incarnation,
     pub logger: slog::Logger,
 }
 
-type Asked = (playbill::Act, tokio::sync::oneshot::Sender<playbill::Outcome>);
+type Asked = (model::Act, tokio::sync::oneshot::Sender<model::Outcome>);
 
 /// Hands a report to the log and waits until it is answered.
 #[derive(Clone)]
@@ -24,16 +24,16 @@
         Reports(sender)
     }
 
-    pub async fn tell(&self, report: playbill::standing::Report) -> Option<playbill::Outcome> {
-        self.put(playbill::Act::Standing(report)).await
+    pub async fn tell(&self, report: model::standing::Report) -> Option<model::Outcome> {
+        self.put(model::Act::Standing(report)).await
     }
 
     /// Of back ends, nodes and keys in the bill (design 11.2).
-    pub async fn report(&self, reports: Vec<playbill::bill::Report>) -> Option<playbill::Outcome> {
-        self.put(playbill::Act::Bill(playbill::bill::Act::Reports(reports))).await
+    pub async fn report(&self, reports: Vec<model::bill::Report>) -> Option<model::Outcome> {
+        self.put(model::Act::Bill(model::bill::Act::Reports(reports))).await
     }
 
-    async fn put(&self, act: playbill::Act) -> Option<playbill::Outcome> {
+    async fn put(&self, act: model::Act) -> Option<model::Outcome> {
         let (answer, outcome) = tokio::sync::oneshot::channel();
         self.0.send((act, answer)).await.ok()?;
         outcome.await.ok()
@@ -47,7 +47,7 @@
     mut asked: tokio::sync::mpsc::Receiver<Asked>,
 ) {
     let mut conn: Option<transport::Conn> = None;
-    let mut turn = playbill::terms::slice_of(&env.name) as usize;
+    let mut turn = model::terms::slice_of(&env.name) as usize;
     let mut sequence = 0;
     loop {
         let next = match tokio::time::timeout(IDLE, asked.recv()).await {
@@ -60,7 +60,7 @@
         };
         sequence += 1;
         // The same entry, sequence and all, until it is answered: repeats are dropped by the book.
-        let entry = playbill::Entry { origin: env.name.clone(), life: env.life, sequence, act: next.0 };
+        let entry = model::Entry { origin: env.name.clone(), life: env.life, sequence, act: next.0 };
         let outcome = loop {
             if let Some(line) = conn.as_mut() {
                 let answered = tokio::time::timeout(PATIENCE, forward(line, &entry)).await.ok().flatten();
@@ -86,7 +86,7 @@
     transport::dial(&seat.address, greeting).await.ok()
 }
 
-async fn forward(conn: &mut transport::Conn, entry: &playbill::Entry) -> Option<playbill::Outcome> {
+async fn forward(conn: &mut transport::Conn, entry: &model::Entry) -> Option<model::Outcome> {
     let frame = transport::Frame::Forward { number: entry.sequence, entry: Box::new(entry.clone()) };
     conn.sender.send(frame).await.ok()?;
     loop {
--- a/crates/gallery/src/ring.rs
+++ b/crates/gallery/src/ring.rs
@@ -1,15 +1,15 @@
 //! Who beats to whom, and who is missed (design 5.10). Pure, with the time told to it.
 
-use playbill::{Incarnation, Micros, NodeName, standing::Report};
+use model::{Incarnation, Micros, NodeName, standing::Report};
 
 /// Each node beats to the next few on the ring of present nodes.
 pub const WATCHERS: usize = 3;
 
-type Nodes = std::collections::BTreeMap<NodeName, playbill::Node>;
+type Nodes = std::collections::BTreeMap<NodeName, model::Node>;
 
 fn ring(nodes: &Nodes) -> Vec<&NodeName> {
     let mut ring: Vec<&NodeName> = nodes.iter().filter(|(_, node)| node.present).map(|(name, _)| name).collect();
-    ring.sort_by_key(|name| (playbill::terms::hash(name), *name));
+    ring.sort_by_key(|name| (model::terms::hash(name), *name));
     ring
 }
 
@@ -36,7 +36,7 @@
 /// Where one node stands on the ring: what follows from the places, made anew only when these are others.
 #[derive(Default)]
 pub struct Stand {
-    places: Option<std::sync::Arc<playbill::bill::cast::Places>>,
+    places: Option<std::sync::Arc<model::bill::cast::Places>>,
     /// Addresses of those it beats to.
     pub watchers: std::collections::BTreeSet<String>,
     /// Those that beat to it.
@@ -46,13 +46,13 @@
 }
 
 impl Stand {
-    pub fn look(&mut self, places: &std::sync::Arc<playbill::bill::cast::Places>, name: &str) {
+    pub fn look(&mut self, places: &std::sync::Arc<model::bill::cast::Places>, name: &str) {
         if self.places.as_ref().is_some_and(|held| std::sync::Arc::ptr_eq(held, places)) {
             return;
         }
         (self.places, self.made) = (Some(places.clone()), self.made + 1);
-        let mut ring: Vec<(&NodeName, &playbill::bill::Place)> = places.iter().filter(|(_, place)| place.present).collect();
-        ring.sort_by_cached_key(|(name, _)| (playbill::terms::hash(name), *name));
+        let mut ring: Vec<(&NodeName, &model::bill::Place)> = places.iter().filter(|(_, place)| place.present).collect();
+        ring.sort_by_cached_key(|(name, _)| (model::terms::hash(name), *name));
         let at = ring.iter().position(|(held, _)| *held == name);
         let beside = |step: usize| at.map(|at| ring[(at + step) % ring.len()]);
         let steps = 1..=WATCHERS.min(ring.len().saturating_sub(1));
@@ -107,7 +107,7 @@
     use super::*;
 
     fn nodes(count: u64) -> Nodes {
-        let node = |at| playbill::Node { zone: "z".into(), address: String::new(), incarnation: at, present: true, reporters: Default::default(), since: 0 };
+        let node = |at| model::Node { zone: "z".into(), address: String::new(), incarnation: at, present: true, reporters: Default::default(), since: 0 };
         (0..count).map(|at| (format!("n{at}"), node(at))).collect()
     }
 
@@ -124,7 +124,7 @@
 
     #[test]
     fn the_ring_is_made_only_for_other_places_and_says_what_both_directions_say() {
-        let place = |at: u64| playbill::bill::Place {
+        let place = |at: u64| model::bill::Place {
             zone: "z".into(),
             address: format!("a{at}"),
             life: at,
@@ -133,8 +133,8 @@
             since: 0,
         };
         [1, 2, 3, 5, 64].into_iter().for_each(|count| {
-            let places: playbill::bill::cast::Places = (0..count).map(|at| (format!("n{at}"), place(at))).collect();
-            let nodes: Nodes = nodes(count).into_iter().map(|(name, node)| (name, playbill::Node { present: node.incarnation % 7 != 3, ..node })).collect();
+            let places: model::bill::cast::Places = (0..count).map(|at| (format!("n{at}"), place(at))).collect();
+            let nodes: Nodes = nodes(count).into_iter().map(|(name, node)| (name, model::Node { present: node.incarnation % 7 != 3, ..node })).collect();
             let places = std::sync::Arc::new(places);
             places.keys().for_each(|name| {
                 let mut stand = Stand::default();
@@ -144,7 +144,7 @@
                 assert_eq!(stand.wards, wards(&nodes, name).into_iter().collect());
             });
             let mut stand = Stand::default();
-            let other = std::sync::Arc::new(playbill::bill::cast::Places::clone(&places));
+            let other = std::sync::Arc::new(model::bill::cast::Places::clone(&places));
             [&places, &other, &places].into_iter().for_each(|places| stand.look(places, "n0"));
             assert_eq!(stand.made, 3);
         });
--- a/crates/gallery/src/subscription.rs
+++ b/crates/gallery/src/subscription.rs
@@ -3,16 +3,16 @@
 pub struct SubscriptionEnv {
     pub name: String,
     pub zone: String,
-    pub bound: playbill::Micros,
-    pub ask_every: playbill::Micros,
-    pub patience: playbill::Micros,
+    pub bound: model::Micros,
+    pub ask_every: model::Micros,
+    pub patience: model::Micros,
     /// Zones are heard through homes; without, every node asks the core itself.
     pub homes: bool,
 }
 
 pub struct Subscription {
     pub view: crate::view::SharedView,
-    pub moved: tokio::sync::watch::Receiver<playbill::Position>,
+    pub moved: tokio::sync::watch::Receiver<model::Position>,
     pub relay: crate::relay::Relay,
 }
 
@@ -21,28 +21,28 @@
     known: crate::Known,
     greeting: G,
     view: crate::view::SharedView,
-    moved: tokio::sync::watch::Sender<playbill::Position>,
-    proved: tokio::sync::watch::Sender<playbill::Micros>,
-    services: tokio::sync::watch::Receiver<playbill::slice::Services>,
+    moved: tokio::sync::watch::Sender<model::Position>,
+    proved: tokio::sync::watch::Sender<model::Micros>,
+    services: tokio::sync::watch::Receiver<model::slice::Services>,
     hurry: std::sync::Arc<tokio::sync::Notify>,
     direct: std::sync::Arc<std::sync::atomic::AtomicBool>,
-    asks: std::collections::VecDeque<(u64, playbill::Micros)>,
+    asks: std::collections::VecDeque<(u64, model::Micros)>,
     numbers: u64,
     /// The view rests on what the present conn has told.
     based: bool,
     /// A home that failed is passed over for a while.
-    passed_over: Option<(String, playbill::Micros)>,
+    passed_over: Option<(String, model::Micros)>,
     logger: slog::Logger,
 }
 
 /// Asks that come in a hurry are gathered for so long.
-const GATHER: playbill::Micros = 20_000;
-const PASS_OVER: playbill::Micros = 3_000_000;
+const GATHER: model::Micros = 20_000;
+const PASS_OVER: model::Micros = 3_000_000;
 
 pub fn start<G: Fn() -> transport::Greeting + Send + Sync + 'static>(
     env: SubscriptionEnv,
     known: crate::Known,
-    services: tokio::sync::watch::Receiver<playbill::slice::Services>,
+    services: tokio::sync::watch::Receiver<model::slice::Services>,
     greeting: G,
     logger: slog::Logger,
 ) -> Subscription {
@@ -73,7 +73,7 @@
 impl<G: Fn() -> transport::Greeting + Send + Sync + 'static> Line<G> {
     async fn run(mut self) {
         // Nodes spread over the core by name, then go round when a seat does not answer.
-        let mut turn = playbill::terms::slice_of(&self.env.name) as usize;
+        let mut turn = model::terms::slice_of(&self.env.name) as usize;
         loop {
             let home = self.home();
             let seats = crate::acquaint::list(&self.known);
@@ -93,7 +93,7 @@
                 }
             }
             if home.is_some() && home == self.home() {
-                self.passed_over = home.map(|home| (home, playbill::now() + PASS_OVER));
+                self.passed_over = home.map(|home| (home, model::now() + PASS_OVER));
             }
             tokio::time::sleep(std::time::Duration::from_millis(20 + rand::random::<u64>() % 30)).await;
         }
@@ -103,14 +103,14 @@
     fn home(&self) -> Option<String> {
         let view = self.view.load();
         let (name, address) = crate::home::home(&view.slice, &self.env.zone, &self.services.borrow())?;
-        let passed_over = self.passed_over.as_ref().is_some_and(|(held, until)| *held == address && playbill::now() < *until);
+        let passed_over = self.passed_over.as_ref().is_some_and(|(held, until)| *held == address && model::now() < *until);
         (self.env.homes && name != self.env.name && !passed_over).then_some(address)
     }
 
     async fn attend(&mut self, mut conn: transport::Conn, home: Option<String>) {
         self.asks.clear();
         self.based = false;
-        let began = playbill::now();
+        let began = model::now();
         let mut fine = self.subscribe(&conn.sender).await;
         let mut proved = began;
         let hurry = self.hurry.clone();
@@ -127,9 +127,9 @@
                 },
                 _ = every.tick() => {
                     // An upstream that proves nothing is left for another in good time.
-                    let trusted = playbill::now() < proved + self.env.patience;
+                    let trusted = model::now() < proved + self.env.patience;
                     // Duties move: a new home is followed, and so is the end of one's own.
-                    let settled = playbill::now() < began + GATHER || home == self.home();
+                    let settled = model::now() < began + GATHER || home == self.home();
                     self.ask(&conn.sender) && trusted && settled
                 }
                 _ = hurry.notified() => {
@@ -144,7 +144,7 @@
 
     fn ask(&mut self, sender: &transport::Sender) -> bool {
         self.numbers += 1;
-        self.asks.push_back((self.numbers, playbill::now()));
+        self.asks.push_back((self.numbers, model::now()));
         sender.try_send(transport::Frame::Ask { number: self.numbers }).is_ok()
     }
 
@@ -154,7 +154,7 @@
         sender.send(transport::Frame::Subscribe { services, held }).await.is_ok()
     }
 
-    fn hold(&mut self, slice: playbill::Slice) {
+    fn hold(&mut self, slice: model::Slice) {
         match self.view.load().with_news(slice) {
             Some(view) => {
                 let position = view.slice.position;
@@ -166,7 +166,7 @@
         }
     }
 
-    fn take(&mut self, frame: transport::Frame, proved: &mut playbill::Micros) {
+    fn take(&mut self, frame: transport::Frame, proved: &mut model::Micros) {
         match frame {
             transport::Frame::News(slice) => {
                 self.based = true;
@@ -186,7 +186,7 @@
                     self.view.store(std::sync::Arc::new(view));
                     self.moved.send_modify(|_| {});
                     self.proved.send_replace(asked.unwrap_or(0));
-                    *proved = playbill::now();
+                    *proved = model::now();
                 }
             }
             _ => {}
--- a/crates/gallery/src/tenure.rs
+++ b/crates/gallery/src/tenure.rs
@@ -4,10 +4,10 @@
 use crate::core_owner::Owner;
 
 /// Between two pushes of the log towards the instance where a seat changes hands.
-const PUSH_EVERY: playbill::Micros = 100_000;
+const PUSH_EVERY: model::Micros = 100_000;
 
 /// Between two askings for a change of holder.
-const PAUSE: playbill::Micros = 500_000;
+const PAUSE: model::Micros = 500_000;
 
 impl Owner {
     pub(crate) fn pins_changed(&mut self) {
@@ -21,7 +21,7 @@
         let (seat, identity) = self.core.identity();
         let lost = self.book.seats.get(&seat).filter(|(holder, _)| *holder != identity).map(|(_, after)| *after);
         if let Some(after) = lost {
-            self.step(playbill::now(), mencius::Input::VoteUntil(after));
+            self.step(model::now(), mencius::Input::VoteUntil(after));
         }
         if let Some(after) = self.machine.as_ref().and_then(mencius::Repertory::superseded_after) {
             self.state.refused = Some(format!("seat {seat} is held by another disk after instance {after}"));
@@ -43,7 +43,7 @@
 
     /// An empty disk asks for a seat whose holder this seat has not heard for long: the log decides, as it
     /// would for an operator. A disk that ever kept something is not empty, so none comes back by itself.
-    pub(crate) fn knocked(&mut self, now: playbill::Micros, seat: u16, identity: u64, same_place: bool) {
+    pub(crate) fn knocked(&mut self, now: model::Micros, seat: u16, identity: u64, same_place: bool) {
         let patience = self.core.env.replace_after;
         let pause = patience.min(PAUSE);
         let holder = self.pins.get(&seat).copied().filter(|holder| *holder != identity);
@@ -52,8 +52,8 @@
         let Some(from) = holder.filter(|_| patience > 0 && away && !pending && self.machine.is_some() && now >= self.asked_for + pause) else { return };
         self.asked_for = now;
         slog::warn!(self.core.logger, "an empty disk asks for a seat whose holder is away"; "seat" => seat, "holder" => from, "disk" => identity);
-        let change = playbill::Act::Seat(playbill::SeatChange { seat, from, to: identity });
-        let entry = playbill::entry::to_bytes(&self.core.own_entry(change));
+        let change = model::Act::Seat(model::SeatChange { seat, from, to: identity });
+        let entry = model::entry::to_bytes(&self.core.own_entry(change));
         self.step(now, mencius::Input::Submit(entry));
     }
 
@@ -69,7 +69,7 @@
 
     /// Pushes the log over a pending change of hands; past it, the new disk is the seat's holder here.
     pub(crate) fn hand_over(&mut self) {
-        let now = playbill::now();
+        let now = model::now();
         let Some(applied) = self.machine.as_ref().map(mencius::Repertory::applied) else { return };
         if self.book.seats.is_empty() || now < self.leapt + PUSH_EVERY {
             return;
@@ -79,7 +79,7 @@
         let pending = self.book.seats.values().map(|(_, after)| *after).filter(|after| *after >= applied).min();
         if let Some(after) = pending {
             self.step(now, mencius::Input::Leap(after.min(applied + mencius::WINDOW / 2)));
-            let barrier = playbill::entry::to_bytes(&self.core.own_entry(playbill::Act::Barrier));
+            let barrier = model::entry::to_bytes(&self.core.own_entry(model::Act::Barrier));
             self.step(now, mencius::Input::Submit(barrier));
         }
         let moved: Vec<(u16, u64)> = self
@@ -132,7 +132,7 @@
             replace_after: 0,
             charter: None,
         };
-        let core = crate::Core::start(env, playbill::log::quiet()).expect("a core seat");
+        let core = crate::Core::start(env, model::log::quiet()).expect("a core seat");
         let say = async |command| core.commands.send(command).await.expect("the owner is there");
         say(Command::Pinned(1, 11)).await;
         say(Command::Pinned(2, 12)).await;
--- a/crates/gallery/src/watching.rs
+++ b/crates/gallery/src/watching.rs
@@ -2,14 +2,14 @@
 
 pub struct WatchingEnv {
     pub name: String,
-    pub beat_every: playbill::Micros,
-    pub patience: playbill::Micros,
+    pub beat_every: model::Micros,
+    pub patience: model::Micros,
 }
 
 const TELL_AGAIN: std::time::Duration = std::time::Duration::from_millis(300);
 
 /// Tells the watch that a ward was heard.
-pub type Heard = tokio::sync::mpsc::Sender<(String, playbill::Incarnation)>;
+pub type Heard = tokio::sync::mpsc::Sender<(String, model::Incarnation)>;
 
 pub fn start<G: Fn() -> transport::Greeting + Send + 'static>(env: WatchingEnv, view: crate::view::SharedView, reports: crate::Reports, greeting: G) -> Heard {
     let (heard, mut hears) = tokio::sync::mpsc::channel::<(String, u64)>(1_024);
@@ -22,11 +22,11 @@
         loop {
             tokio::select! {
                 heard = hears.recv() => match heard {
-                    Some((node, life)) => watch.heard(playbill::now(), &node, life),
+                    Some((node, life)) => watch.heard(model::now(), &node, life),
                     None => return,
                 },
                 _ = every.tick() => {
-                    let missed = watch.tick(playbill::now(), &watched.load().slice.nodes, &name, patience);
+                    let missed = watch.tick(model::now(), &watched.load().slice.nodes, &name, patience);
                     missed.into_iter().for_each(|report| outbox.send(report).unwrap_or_default());
                 }
             }
@@ -35,7 +35,7 @@
     tokio::spawn(async move {
         while let Some(report) = outgoing.recv().await {
             // Until this process is registered the log takes no word from it.
-            while let Some(playbill::Outcome::Superseded { .. }) = reports.tell(report.clone()).await {
+            while let Some(model::Outcome::Superseded { .. }) = reports.tell(report.clone()).await {
                 tokio::time::sleep(TELL_AGAIN).await;
             }
         }
--- a/crates/gallery/tests/seats/founding.rs
+++ b/crates/gallery/tests/seats/founding.rs
@@ -8,9 +8,9 @@
     machines.iter().map(|machine| machine.address.clone()).collect()
 }
 
-fn service(name: &str) -> playbill::bill::Call {
-    let body = playbill::bill::Body::Service(playbill::bill::Service { health_path: String::new(), conns: 0, keyed: false, warm_us: 0 });
-    playbill::bill::Call { puts: vec![playbill::bill::items::Put { name: name.into(), version: 1, body, text: String::new() }], drops: Vec::new() }
+fn service(name: &str) -> model::bill::Call {
+    let body = model::bill::Body::Service(model::bill::Service { health_path: String::new(), conns: 0, keyed: false, warm_us: 0 });
+    model::bill::Call { puts: vec![model::bill::items::Put { name: name.into(), version: 1, body, text: String::new() }], drops: Vec::new() }
 }
 
 /// All change the log, and each reads what all changed.
@@ -18,7 +18,7 @@
     for (core, number) in cores.iter().zip(0..) {
         until("a vote", || core.state.load().started && core.state.load().in_touch == cores.len()).await;
         let outcome = core.amend(service(&format!("service-{number}"))).await;
-        assert!(matches!(outcome, Some(playbill::Outcome::Accepted { .. })), "{outcome:?}");
+        assert!(matches!(outcome, Some(model::Outcome::Accepted { .. })), "{outcome:?}");
     }
     for core in cores {
         assert_eq!(core.items().await.expect("a read").len(), cores.len());
--- a/crates/gallery/tests/seats/machines.rs
+++ b/crates/gallery/tests/seats/machines.rs
@@ -53,22 +53,22 @@
     pub async fn settle(&self, seeds: &[String], first: bool) -> (storage::Charter, storage::Shelf, Vec<mencius::Write>) {
         let (mut shelf, writes) = self.shelf();
         let env = self.founding(seeds, first);
-        let logger = playbill::log::quiet();
+        let logger = model::log::quiet();
         let settled = gallery::founding::settle(&env, &mut shelf, &self.listener, &logger);
         let charter = soon("a seat", settled).await.expect("the disk keeps it");
         (charter, shelf, writes)
     }
 
     /// As a core machine's process does it: to its seat, and on as that seat.
-    pub async fn start(self, seeds: &[String], first: bool, replace_after: playbill::Micros) -> Seated {
+    pub async fn start(self, seeds: &[String], first: bool, replace_after: model::Micros) -> Seated {
         let (charter, shelf, writes) = self.settle(seeds, first).await;
         let env = self.core(seeds, Some(charter), replace_after);
-        let core = gallery::Core::start_on(env, shelf, writes, playbill::log::quiet()).expect("a core seat");
+        let core = gallery::Core::start_on(env, shelf, writes, model::log::quiet()).expect("a core seat");
         tokio::spawn(gallery::news::listen(core.clone(), self.listener));
         (charter, core)
     }
 
-    pub fn core(&self, seeds: &[String], charter: Option<storage::Charter>, replace_after: playbill::Micros) -> gallery::CoreEnv {
+    pub fn core(&self, seeds: &[String], charter: Option<storage::Charter>, replace_after: model::Micros) -> gallery::CoreEnv {
         gallery::CoreEnv {
             name: self.address.clone(),
             zone: "z0".into(),
--- a/crates/greenroom/src/door.rs
+++ b/crates/greenroom/src/door.rs
@@ -1,7 +1,7 @@
 //! Into the back end over HTTP: a new conn for each request, so that nothing is ever sent twice or
 //! to whoever took over an address (design 5.3).
 
-use playbill::{Cause, Trouble};
+use model::{Cause, Trouble};
 
 pub struct Door {
     http: reqwest::Client,
@@ -19,7 +19,7 @@
         Ok(Door { http })
     }
 
-    async fn pass_on(&self, address: &str, dispatch: &transport::Dispatch, left: playbill::Micros) -> Result<transport::Reply, Trouble> {
+    async fn pass_on(&self, address: &str, dispatch: &transport::Dispatch, left: model::Micros) -> Result<transport::Reply, Trouble> {
         let method = reqwest::Method::from_bytes(dispatch.method.as_bytes()).map_err(|_| Trouble::new(Cause::BadRequest, "not a method"))?;
         let request = dispatch
             .headers
@@ -72,7 +72,7 @@
 }
 
 impl stage::BackDoor for Door {
-    fn run<'a>(&'a self, address: &'a str, dispatch: &'a transport::Dispatch, left: playbill::Micros) -> stage::Running<'a> {
+    fn run<'a>(&'a self, address: &'a str, dispatch: &'a transport::Dispatch, left: model::Micros) -> stage::Running<'a> {
         Box::pin(self.pass_on(address, dispatch, left))
     }
 }
--- a/crates/greenroom/src/rooms.rs
+++ b/crates/greenroom/src/rooms.rs
@@ -1,18 +1,18 @@
 //! What a back end asks of the usher beside it (docs/operators/back-ends.md).
 
-use playbill::{Cause, Trouble};
+use model::{Cause, Trouble};
 
 #[derive(Clone)]
 pub struct GreenroomEnv {
     pub node: String,
     pub zone: String,
-    pub beat_every: playbill::Micros,
-    pub bound: playbill::Micros,
+    pub beat_every: model::Micros,
+    pub bound: model::Micros,
     pub house: stage::HouseDesk,
     pub reports: gallery::Reports,
     pub view: gallery::view::SharedView,
     /// Moves with all news and proofs.
-    pub moved: tokio::sync::watch::Receiver<playbill::Position>,
+    pub moved: tokio::sync::watch::Receiver<model::Position>,
     /// Slices that back ends claimed in beats and do not hold.
     pub claims: std::sync::Arc<std::sync::atomic::AtomicU64>,
     pub logger: slog::Logger,
@@ -26,7 +26,7 @@
     zone: String,
     slots: u32,
     #[serde(default)]
-    labels: playbill::Labels,
+    labels: model::Labels,
     address: String,
 }
 
@@ -66,7 +66,7 @@
 }
 
 fn check(env: &GreenroomEnv, ask: &RegisterAsk) -> Result<(), Trouble> {
-    let names = [&ask.name, &ask.service].into_iter().all(|name| playbill::check::is_name(name));
+    let names = [&ask.name, &ask.service].into_iter().all(|name| model::check::is_name(name));
     if !names {
         return Err(bad("name and service are 1 to 63 of a-z, 0-9 and '-'"));
     }
@@ -103,10 +103,10 @@
         let (incarnation, outcome) = loop {
             let incarnation = env.house.reserve(registration.clone(), secret.clone()).await?;
             let back_end = env.house.back_end(&name).await.ok_or_else(|| Trouble::new(Cause::Leaving, "this usher is stopping"))?;
-            let report = playbill::standing::Report::Registered { name: name.clone(), back_end };
+            let report = model::standing::Report::Registered { name: name.clone(), back_end };
             let outcome = tokio::time::timeout(std::time::Duration::from_secs(5), env.reports.tell(report)).await.ok().flatten();
             tries += 1;
-            let Some(playbill::Outcome::Superseded { position }) = outcome else { break (incarnation, outcome) };
+            let Some(model::Outcome::Superseded { position }) = outcome else { break (incarnation, outcome) };
             env.house.confirm(&name, incarnation, false).await;
             if tries == REGISTRATIONS {
                 break (incarnation, outcome);
@@ -115,12 +115,12 @@
             until_seen(env, position, &service).await;
         };
         let accepted = match &outcome {
-            Some(playbill::Outcome::Accepted { position, .. } | playbill::Outcome::Unchanged { position }) => Some(*position),
+            Some(model::Outcome::Accepted { position, .. } | model::Outcome::Unchanged { position }) => Some(*position),
             _ => None,
         };
         env.house.confirm(&name, incarnation, accepted.is_some()).await;
         let position = accepted.ok_or_else(|| match outcome {
-            Some(playbill::Outcome::Refused { reason }) => bad(reason),
+            Some(model::Outcome::Refused { reason }) => bad(reason),
             _ => Trouble::new(Cause::NotFresh, "the core did not answer").later(500_000),
         })?;
         until_seen(env, position, &service).await;
@@ -135,11 +135,11 @@
 const REGISTRATIONS: u32 = 4;
 
 /// A back end that has its answer can send at once: the news of its own service is here.
-async fn until_seen(env: &GreenroomEnv, position: playbill::Position, service: &str) {
+async fn until_seen(env: &GreenroomEnv, position: model::Position, service: &str) {
     let mut moved = env.moved.clone();
     let seen = moved.wait_for(|_| {
         let view = env.view.load();
-        view.slice.position >= position && view.slice.services.contains(service) && view.fresh(playbill::now())
+        view.slice.position >= position && view.slice.services.contains(service) && view.fresh(model::now())
     });
     drop(tokio::time::timeout(std::time::Duration::from_secs(2), seen).await);
 }
@@ -187,7 +187,7 @@
 /// The slices this life holds, with their fences and how long the holding lasts without news.
 fn terms(env: &GreenroomEnv, name: &str, service: &str) -> Vec<serde_json::Value> {
     let view = env.view.load();
-    let left = view.fresh_until.saturating_sub(playbill::now());
+    let left = view.fresh_until.saturating_sub(model::now());
     let life = view.slice.back_ends.get(name).map(|back_end| back_end.incarnation);
     let terms = view.slice.terms.get(service);
     terms
--- a/crates/greenroom/tests/door.rs
+++ b/crates/greenroom/tests/door.rs
@@ -1,6 +1,6 @@
 //! Only a whole, sealed reply to this very try is a success (design 5.3).
 
-use playbill::{Cause, Verdict};
+use model::{Cause, Verdict};
 use stage::BackDoor;
 
 struct Actor;
--- a/crates/http-util/src/lib.rs
+++ b/crates/http-util/src/lib.rs
@@ -48,16 +48,16 @@
 }
 
 /// Reads JSON into a checked type; the fault names the path serde was at.
-pub async fn read<T: serde::de::DeserializeOwned>(request: &mut salvo::Request) -> Result<T, playbill::check::Fault> {
-    let fault = |fault: String| playbill::check::Fault { path: "body".into(), fault };
+pub async fn read<T: serde::de::DeserializeOwned>(request: &mut salvo::Request) -> Result<T, model::check::Fault> {
+    let fault = |fault: String| model::check::Fault { path: "body".into(), fault };
     let bytes = body(request).await.ok_or_else(|| fault(format!("is over {BODY_LIMIT} bytes or broke off")))?;
     serde_json::from_slice(&bytes).map_err(|error| fault(error.to_string()))
 }
 
 /// A trouble as every HTTP peer sees it (docs/verdicts.md).
-pub fn trouble(response: &mut salvo::Response, try_id: Option<&str>, trouble: &playbill::Trouble) {
+pub fn trouble(response: &mut salvo::Response, try_id: Option<&str>, trouble: &model::Trouble) {
     let headers = response.headers_mut();
-    let verdict = if trouble.verdict == playbill::Verdict::NotRun { "not-run" } else { "may-have-run" };
+    let verdict = if trouble.verdict == model::Verdict::NotRun { "not-run" } else { "may-have-run" };
     headers.insert("x-gradeford-verdict", salvo::http::HeaderValue::from_static(verdict));
     if let Some(wait) = trouble.retry_after {
         headers.insert("retry-after", salvo::http::HeaderValue::from(wait.div_ceil(1_000_000)));
--- a/crates/playbill/tests/bill/conflicts.rs
+++ b/crates/model/tests/bill/conflicts.rs
@@ -2,8 +2,8 @@
 //! what was confirmed once is never refused (design 11.1).
 
 use crate::making::*;
-use playbill::bill::{Act, Call, Kind, Report};
-use playbill::{Bill, Outcome};
+use model::bill::{Act, Call, Kind, Report};
+use model::{Bill, Outcome};
 
 /// Contents of one route that differ, as two operators write them.
 fn route(name: &str, version: u64, prefix: &str) -> Call {
--- a/crates/playbill/tests/bill/items.rs
+++ b/crates/model/tests/bill/items.rs
@@ -1,11 +1,11 @@
 //! Items under versions of their own; a call is taken whole or not at all (design 11.1).
 
 use crate::making::*;
-use playbill::Outcome;
-use playbill::bill::items::Put;
-use playbill::bill::{Body, Call, Kind, Lane};
+use model::Outcome;
+use model::bill::items::Put;
+use model::bill::{Body, Call, Kind, Lane};
 
-fn version(bill: &playbill::Bill, kind: Kind, name: &str) -> Option<u64> {
+fn version(bill: &model::Bill, kind: Kind, name: &str) -> Option<u64> {
     bill.items.get(&(kind, name.to_string())).filter(|item| item.body.is_some()).map(|item| item.version)
 }
 
--- a/crates/playbill/tests/bill/making.rs
+++ b/crates/model/tests/bill/making.rs
@@ -1,8 +1,8 @@
 //! Short ways to items, calls and reports.
 
-use playbill::bill::items::Put;
-use playbill::bill::{Act, Body, Call, Delta, Kind, Lane, Limits, Player, Report, Service};
-use playbill::{Bill, Outcome, Phase};
+use model::bill::items::Put;
+use model::bill::{Act, Body, Call, Delta, Kind, Lane, Limits, Player, Report, Service};
+use model::{Bill, Outcome, Phase};
 
 pub fn service(keyed: bool) -> Body {
     Body::Service(Service { health_path: "/healthz".into(), conns: 0, keyed, warm_us: 0 })
--- a/crates/playbill/tests/bill/orders.rs
+++ b/crates/model/tests/bill/orders.rs
@@ -1,8 +1,8 @@
 //! The same calls in any order end in the same items (design 11.1).
 
 use crate::making::*;
-use playbill::Bill;
-use playbill::bill::{Body, Call, Kind};
+use model::Bill;
+use model::bill::{Body, Call, Kind};
 
 /// What version `version` of an item says is the same whoever sends it. None of it is ever at fault.
 fn one(kind: u8, name: u8, version: u8) -> Call {
@@ -35,7 +35,7 @@
         };
         let (forth, other) = (ordered(|(x, _)| *x), ordered(|(_, y)| *y));
         assert_eq!(forth.items, other.items);
-        let programme = |bill: &Bill| playbill::bill::Programme::default().told(true, 1, bill.whole());
+        let programme = |bill: &Bill| model::bill::Programme::default().told(true, 1, bill.whole());
         assert_eq!(programme(&forth), programme(&other), "and followers hold the same");
         // Told once more, whole or in part, nothing moves.
         let mut again = forth.clone();
--- a/crates/playbill/tests/bill/players.rs
+++ b/crates/model/tests/bill/players.rs
@@ -1,8 +1,8 @@
 //! Back ends and nodes: what is over stays over, whoever speaks late (design 11.2).
 
 use crate::making::*;
-use playbill::bill::{Act, Report, rows};
-use playbill::{Bill, Outcome, Phase};
+use model::bill::{Act, Report, rows};
+use model::{Bill, Outcome, Phase};
 
 #[test]
 fn late_words_do_not_bring_an_ended_back_end_back() {
@@ -121,7 +121,7 @@
 #[test]
 fn machines_replaced_under_new_names_do_not_fill_the_bill() {
     let mut bill = kept();
-    let mut follower = playbill::bill::Programme::default().told(true, bill.position, bill.whole());
+    let mut follower = model::bill::Programme::default().told(true, bill.position, bill.whole());
     let most = (0..3_000).map(|turn| {
         let (name, before) = (format!("{turn}"), turn - 1);
         let joined = Report::Joined { name: name.clone(), player: player("seat", &name) };
@@ -132,7 +132,7 @@
     // Each took two entries, and one is away for at most some 4,096 of them.
     let most = most.max();
     assert!(most.is_some_and(|most| most < 2_200), "{most:?} names");
-    assert_eq!(follower, playbill::bill::Programme::default().told(true, bill.position, bill.whole()), "followers forget the same names");
+    assert_eq!(follower, model::bill::Programme::default().told(true, bill.position, bill.whole()), "followers forget the same names");
     assert!(bill.to_bytes().len() < 1_000_000);
 }
 
--- a/crates/playbill/tests/bill/programme.rs
+++ b/crates/model/tests/bill/programme.rs
@@ -1,12 +1,12 @@
 //! What a follower holds: told by changes or told the whole, it is the same (design 11.3).
 
 use crate::making::*;
-use playbill::Bill;
-use playbill::bill::{Act, Delta, Kind, Programme, Report};
+use model::Bill;
+use model::bill::{Act, Delta, Kind, Programme, Report};
 
 type Drawn = (u8, u8, u8, u8);
 
-fn calls(kind: u8, name: u8, version: u64, other: u8) -> playbill::bill::Call {
+fn calls(kind: u8, name: u8, version: u64, other: u8) -> model::bill::Call {
     let (name, target) = (format!("lane-{}", name % 4), format!("service-{}", other % 3));
     match kind % 6 {
         0 => put(&target, version, service(other > 100)),
@@ -27,7 +27,7 @@
         0 => Report::Node { node, zone: "z0".into(), address: format!("address-{}", other % 2), life, replaces: 3 - life },
         1 => Report::NodeLeft { node, life },
         2 => Report::Watch { watcher: format!("node-{}", other % 3), node, life, missed: other < 200 },
-        3 | 4 => Report::Joined { name, player: playbill::bill::Player { slots: 1 + (other % 2) as u32, ..player("service-0", &node) } },
+        3 | 4 => Report::Joined { name, player: model::bill::Player { slots: 1 + (other % 2) as u32, ..player("service-0", &node) } },
         5 => Report::Draining { name },
         6 => Report::Silent { name, silent: other < 128 },
         7 if other > 200 => Report::Ended { name, surely: one < 128 },
--- a/crates/playbill/tests/bill/rows.rs
+++ b/crates/model/tests/bill/rows.rs
@@ -1,6 +1,6 @@
 //! Rows of keys against what each key is to go through, one by one (design 11.4).
 
-use playbill::bill::rows::{self, Row, Rows};
+use model::bill::rows::{self, Row, Rows};
 
 const NAMES: [&str; 4] = ["a", "b", "c", "d"];
 
--- a/crates/playbill/tests/book.rs
+++ b/crates/model/tests/book.rs
@@ -2,7 +2,7 @@
 
 mod site;
 
-use playbill::{Book, Edit, Outcome, Phase, standing::Report};
+use model::{Book, Edit, Outcome, Phase, standing::Report};
 use site::{change, grouping, order, registered, site, tell};
 
 #[test]
@@ -102,8 +102,8 @@
 fn a_patch_makes_the_later_slice_of_the_earlier_one() {
     test_support::drawn::<[(u8, u8); 24]>(200, |steps| {
         let mut book = site();
-        let services: playbill::slice::Services = ["seat".to_string()].into_iter().collect();
-        let mut held = playbill::Slice::cut(&book, &services);
+        let services: model::slice::Services = ["seat".to_string()].into_iter().collect();
+        let mut held = model::Slice::cut(&book, &services);
         steps.iter().zip(10u64..).for_each(|((what, which), turn)| {
             let name = format!("seat-{}", which % 4);
             match what % 5 {
@@ -119,7 +119,7 @@
                     drop(change(&mut book, &format!("c{turn}"), version, vec![Edit::DropOrder { name: "take".into() }]))
                 }
             }
-            let next = playbill::Slice::cut(&book, &services);
+            let next = model::Slice::cut(&book, &services);
             let patched = held.patched(held.patch_to(&next));
             assert_eq!(patched, next);
             held = patched;
--- a/crates/playbill/tests/keys.rs
+++ b/crates/model/tests/keys.rs
@@ -2,7 +2,7 @@
 
 mod site;
 
-use playbill::{Book, Edit, Grouping, Order, Outcome, standing::Report};
+use model::{Book, Edit, Grouping, Order, Outcome, standing::Report};
 use site::{change, order, registered, site, tell};
 
 #[test]
@@ -75,8 +75,8 @@
     };
     let accepted = change(&mut book, "relabel", 2, vec![labelled("b")]);
     assert!(matches!(accepted, Outcome::Accepted { .. }), "{accepted:?}");
-    let services: playbill::slice::Services = ["seat".to_string()].into_iter().collect();
-    let slice = playbill::Slice::cut(&book, &services);
+    let services: model::slice::Services = ["seat".to_string()].into_iter().collect();
+    let slice = model::Slice::cut(&book, &services);
     assert!(slice.back_ends.is_empty(), "nobody is offered that no grouping holds");
     assert!(book.terms["seat"].iter().all(|term| term.holder.is_none() && !term.owed.is_empty()), "and what they held is owed");
     assert!(matches!(tell(&mut book, "n2", 1, 2, registered("seat-2", "n2", 10)), Outcome::Refused { .. }));
--- a/crates/playbill/tests/site/mod.rs
+++ b/crates/model/tests/site/mod.rs
@@ -1,6 +1,6 @@
 //! A small book: one service, one order, four nodes.
 
-use playbill::{Act, BackEnd, Book, Change, Edit, Entry, Grouping, Order, Outcome, Phase, Selector, standing::Report};
+use model::{Act, BackEnd, Book, Change, Edit, Entry, Grouping, Order, Outcome, Phase, Selector, standing::Report};
 
 pub fn grouping(service: &str) -> Edit {
     let grouping = Grouping { service: service.into(), zone: "z0".into(), labels: Default::default() };
--- a/crates/playbill/tests/verdicts.rs
+++ b/crates/model/tests/verdicts.rs
@@ -3,21 +3,21 @@
 #[test]
 fn the_table_and_the_code_agree() {
     let page = include_str!("../../../docs/verdicts.md");
-    playbill::Cause::ALL.iter().for_each(|cause| {
+    model::Cause::ALL.iter().for_each(|cause| {
         let verdict = match cause.verdict() {
-            playbill::Verdict::NotRun => "not-run",
-            playbill::Verdict::MayHaveRun => "may-have-run",
+            model::Verdict::NotRun => "not-run",
+            model::Verdict::MayHaveRun => "may-have-run",
         };
         let row = format!("| `{}` | {verdict} | {} |", cause.code(), cause.status());
         assert!(page.contains(&row), "the page lacks {row}");
     });
     let rows = page.lines().filter(|line| line.starts_with("| `")).count();
-    assert_eq!(rows, playbill::Cause::ALL.len(), "the page lists causes the code does not have");
+    assert_eq!(rows, model::Cause::ALL.len(), "the page lists causes the code does not have");
 }
 
 #[test]
 fn whoever_is_refused_for_the_moment_is_told_when_to_come_back() {
-    let silent = playbill::Cause::ALL.iter().filter(|cause| matches!(cause.status(), 429 | 503));
-    let silent: Vec<_> = silent.filter(|cause| playbill::Trouble::new(**cause, "").retry_after.is_none()).collect();
+    let silent = model::Cause::ALL.iter().filter(|cause| matches!(cause.status(), 429 | 503));
+    let silent: Vec<_> = silent.filter(|cause| model::Trouble::new(**cause, "").retry_after.is_none()).collect();
     assert!(silent.is_empty(), "{silent:?} do not say when");
 }
--- a/crates/pit/src/buffer.rs
+++ b/crates/pit/src/buffer.rs
@@ -1,7 +1,7 @@
 //! Requests that wait for a slot: what matters most first, and within that whoever came first; who can no longer be
 //! answered within its aim goes behind all that can (design 13.3). Pure, with the time told to it.
 
-use playbill::Micros;
+use model::Micros;
 
 pub struct Waiting<T> {
     pub rank: u8,
--- a/crates/pit/src/conns.rs
+++ b/crates/pit/src/conns.rs
@@ -1,6 +1,6 @@
 //! Conns into the back end that wait for their next request, and how long they may (design 13.4, 13.9).
 
-use playbill::Micros;
+use model::Micros;
 
 pub type Sender = hyper::client::conn::http1::SendRequest<http_body_util::Full<bytes::Bytes>>;
 
--- a/crates/pit/src/demand.rs
+++ b/crates/pit/src/demand.rs
@@ -1,8 +1,8 @@
 //! Which keys are asked for, and how often: decaying counts, told as ranges of about equal weight (design 11.4).
 //! Pure.
 
-use playbill::Micros;
-use playbill::bill::Key;
+use model::Micros;
+use model::bill::Key;
 
 #[derive(Default)]
 pub struct Demand {
--- a/crates/pit/src/desk.rs
+++ b/crates/pit/src/desk.rs
@@ -1,7 +1,7 @@
 //! The one owner of the back end's slots: a command queue in, runs out (design 13.2, 13.3).
 
 use crate::{Buffer, Local, Waiting};
-use playbill::{Cause, Micros, Trouble};
+use model::{Cause, Micros, Trouble};
 
 pub struct PitEnv {
     pub words: http_util::words::Words,
@@ -77,7 +77,7 @@
     /// Returns with the answer, or with why there is none and whether it may have run.
     pub async fn perform(&self, cue: Box<transport::Cue>) -> Outcome {
         let (answer, outcome) = tokio::sync::oneshot::channel();
-        let until = playbill::now() + cue.left;
+        let until = model::now() + cue.left;
         let gone = || (Err(Trouble::new(Cause::Leaving, "this node is stopping")), 0);
         if self.0.send(Command::Enter(cue, until, answer)).await.is_err() {
             return gone();
@@ -114,7 +114,7 @@
         match command {
             Command::Enter(cue, until, answer) => self.enter(cue, until, answer),
             Command::Ended { number, took, ended } => {
-                self.health.ended(playbill::now(), number, ended);
+                self.health.ended(model::now(), number, ended);
                 took.into_iter().for_each(|took| self.buffer.ran(took));
             }
             Command::Local(local) => self.set_local(local),
@@ -122,14 +122,14 @@
             Command::Demand(most, answer) => {
                 let local = self.local.as_ref().and_then(|local| local.holding.as_ref().map(|holding| (local.slots, holding.rows.clone())));
                 let asked = local.map(|(slots, rows)| {
-                    let (ranges, seen) = self.demand.tell(playbill::now(), &rows, most);
+                    let (ranges, seen) = self.demand.tell(model::now(), &rows, most);
                     (slots, self.buffer.seen_run(), ranges, seen, self.health.ill())
                 });
                 drop(answer.send(asked));
             }
             Command::Load(answer) => drop(answer.send((self.health.running(), self.buffer.len(), self.health.ill()))),
         }
-        self.health.look(playbill::now(), self.buffer.seen_run());
+        self.health.look(model::now(), self.buffer.seen_run());
         self.expire();
         self.start_next();
     }
@@ -140,7 +140,7 @@
             self.health.forget();
         }
         self.local = local;
-        let now = playbill::now();
+        let now = model::now();
         let gone = self.buffer.remove(|waiting| refusal(self.local.as_ref(), now, &waiting.held.0).is_some());
         gone.into_iter().for_each(|waiting| {
             let why = refusal(self.local.as_ref(), now, &waiting.held.0).unwrap_or_else(|| Trouble::new(Cause::NoBackEnd, "gone"));
@@ -153,7 +153,7 @@
     }
 
     fn wait(&self, rank: u8) -> Micros {
-        self.buffer.wait(playbill::now(), rank, self.health.running(), self.slots())
+        self.buffer.wait(model::now(), rank, self.health.running(), self.slots())
     }
 
     /// What a request would spend here, for those who pick: the wait, and half of a run, as a slow back end is worth
@@ -167,7 +167,7 @@
     }
 
     fn enter(&mut self, cue: Box<transport::Cue>, until: Micros, answer: Answer) {
-        let now = playbill::now();
+        let now = model::now();
         if self.leaving {
             return self.answer(answer, Err(Trouble::new(Cause::Leaving, "this node is stopping")));
         }
@@ -189,13 +189,13 @@
     }
 
     fn expire(&mut self) {
-        let now = playbill::now();
+        let now = model::now();
         self.buffer.expire(now).into_iter().for_each(|late| self.answer(late.held.1, Err(overloaded(late.until.saturating_sub(now), 0))));
     }
 
     fn start_next(&mut self) {
         while self.health.running() < self.slots() {
-            let now = playbill::now();
+            let now = model::now();
             let Some(next) = self.buffer.pop(now) else { return };
             let (cue, answer) = next.held;
             if answer.is_closed() {
@@ -211,8 +211,8 @@
 
     fn run(&mut self, cue: Box<transport::Cue>, until: Micros, mut answer: Answer) {
         let Some(address) = self.local.as_ref().map(|local| local.address.clone()) else { return };
-        let number = self.health.begin(playbill::now());
-        let (door, commands, wait, began) = (self.door.clone(), self.commands.clone(), self.told_wait(), playbill::now());
+        let number = self.health.begin(model::now());
+        let (door, commands, wait, began) = (self.door.clone(), self.commands.clone(), self.told_wait(), model::now());
         tokio::spawn(async move {
             let left = until.saturating_sub(began);
             let ran = tokio::time::timeout(std::time::Duration::from_micros(left), door.pass(&address, &cue, left));
@@ -221,7 +221,7 @@
                 // What may run again may as well be broken off; anything else the back end ends in its own way.
                 () = answer.closed(), if cue.repeatable => Err(Trouble::new(Cause::RanOutOfTime, "nobody waits for it any more")),
             };
-            let took = outcome.is_ok().then(|| playbill::now() - began);
+            let took = outcome.is_ok().then(|| model::now() - began);
             drop(commands.send(Command::Ended { number, took, ended: crate::health::ended(&outcome) }).await);
             drop(answer.send((outcome, wait)));
         });
--- a/crates/pit/src/door.rs
+++ b/crates/pit/src/door.rs
@@ -1,7 +1,7 @@
 //! Into the back end over HTTP, and what may be said of a request that brought no answer (design 13.4).
 
 use http_body_util::BodyExt as _;
-use playbill::{Cause, Micros, Trouble};
+use model::{Cause, Micros, Trouble};
 
 pub struct Door {
     pub words: http_util::words::Words,
@@ -52,10 +52,10 @@
 
     /// One request, one answer. A conn that closed before a byte was written is no run: the next one is tried.
     pub async fn pass(&self, address: &str, cue: &transport::Cue, left: Micros) -> Result<transport::Take, Trouble> {
-        let began = playbill::now();
+        let began = model::now();
         loop {
             // One that rested may be forgotten without a word: what must not run twice is never sent on it (design 13.9).
-            let kept = cue.repeatable.then(|| self.conns.take(playbill::now())).flatten();
+            let kept = cue.repeatable.then(|| self.conns.take(model::now())).flatten();
             let fresh = kept.is_none();
             let (rested, mut sender) = match kept {
                 Some(kept) => kept,
@@ -64,7 +64,7 @@
             if sender.ready().await.is_err() && !fresh {
                 continue;
             }
-            let left = left.saturating_sub(playbill::now() - began);
+            let left = left.saturating_sub(model::now() - began);
             let request = self.request(cue, left).ok_or_else(|| Trouble::new(Cause::BadRequest, "cannot be said to a back end"))?;
             match sender.send_request(request).await {
                 Ok(answer) => return self.whole(cue, answer, sender).await,
@@ -73,7 +73,7 @@
                 Err(error) if fresh || rested < YOUNG => return Err(Trouble::new(Cause::BackEndLost, error.to_string())),
                 // Whether it came again is for the budget, so for the near side.
                 Err(error) => {
-                    self.conns.forgotten(playbill::now(), rested);
+                    self.conns.forgotten(model::now(), rested);
                     return Err(Trouble::new(Cause::ConnForgotten, error.to_string()));
                 }
             }
@@ -100,7 +100,7 @@
         let kept = said("keep-alive").and_then(|text| text.split(',').find_map(|part| part.trim().strip_prefix("timeout=")?.parse::<u64>().ok()));
         let closes = said("connection").is_some_and(|text| text.eq_ignore_ascii_case("close"));
         if !closes && !sender.is_closed() {
-            self.conns.give(playbill::now(), sender, kept.map(|seconds| seconds * 1_000_000));
+            self.conns.give(model::now(), sender, kept.map(|seconds| seconds * 1_000_000));
         }
         if head.status.as_u16() == 421 || head.headers.contains_key(self.words.not_run) {
             let why = if head.status.as_u16() == 421 { NOT_ITS.into() } else { format!("the back end turned it away with {}", head.status.as_u16()) };
--- a/crates/pit/src/health.rs
+++ b/crates/pit/src/health.rs
@@ -1,7 +1,7 @@
 //! How the back end beside this node does, judged by what became of its runs and by nothing else (design 13.8). Pure,
 //! with the time told to it.
 
-use playbill::{Cause, Micros, Trouble};
+use model::{Cause, Micros, Trouble};
 
 /// What the end of a run says of the back end.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/pit/src/local.rs
+++ b/crates/pit/src/local.rs
@@ -1,7 +1,7 @@
 //! The back end beside this node, as the node's owner of beats tells it (design 13.2).
 
-use playbill::Micros;
-use playbill::bill::Key;
+use model::Micros;
+use model::bill::Key;
 
 /// Rows the back end was told to hold, and until when it surely still does.
 #[derive(Clone, Debug, Default, PartialEq)]
--- a/crates/pit/tests/forgotten.rs
+++ b/crates/pit/tests/forgotten.rs
@@ -76,7 +76,7 @@
     assert_eq!(seen.len(), 40);
     let lost: Vec<_> = outcomes.iter().filter_map(|(_, outcome)| outcome.as_ref().err()).collect();
     assert!(lost.len() >= 10, "kept conns were used: {}", lost.len());
-    assert!(lost.iter().all(|trouble| trouble.verdict == playbill::Verdict::MayHaveRun));
+    assert!(lost.iter().all(|trouble| trouble.verdict == model::Verdict::MayHaveRun));
 }
 
 #[tokio::test]
--- a/crates/pit/tests/promises.rs
+++ b/crates/pit/tests/promises.rs
@@ -1,7 +1,7 @@
 //! What a back end answers with a status that promises it did not run, with and without the word that it did not
 //! (design 13.4).
 
-use playbill::{Cause, Verdict};
+use model::{Cause, Verdict};
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 
 /// Answers each request with the head that its path names.
--- a/crates/rehearsal/src/audience.rs
+++ b/crates/rehearsal/src/audience.rs
@@ -78,7 +78,7 @@
 /// Whether nobody told this sender anything of a try that may have run.
 async fn arrive(backstage: &Backstage, http: &reqwest::Client, passes: &Passes, one: &Try, again: bool) -> bool {
     let part = &backstage.part;
-    let (secret, sending, asked) = (passes.borrow().secret.clone(), &one.sending, playbill::now());
+    let (secret, sending, asked) = (passes.borrow().secret.clone(), &one.sending, model::now());
     let url = format!("http://{}/call/{}{}", part.usher, sending.service, sending.path);
     let method = if sending.repeatable { reqwest::Method::GET } else { reqwest::Method::POST };
     let request = http.request(method, url).bearer_auth(secret).header(greenroom::TRY, &one.id).header(greenroom::WAIT, sending.wait_us);
@@ -95,7 +95,7 @@
     backstage.note(&crate::history::Record::Told {
         try_id: one.id.clone(),
         asked,
-        at: playbill::now(),
+        at: model::now(),
         wait: sending.wait_us,
         again,
         by: part.name.clone(),
--- a/crates/rehearsal/src/billsim/node.rs
+++ b/crates/rehearsal/src/billsim/node.rs
@@ -1,8 +1,8 @@
 //! A follower: a node's promptbook, and the conn it is told on (design 11.3).
 
 use gallery::promptbook::{Heard, Promptbook};
-use playbill::bill::Programme;
-use playbill::{Micros, Position};
+use model::bill::Programme;
+use model::{Micros, Position};
 
 type Way = std::collections::VecDeque<(Micros, transport::Frame)>;
 
--- a/crates/rehearsal/src/billsim/plan.rs
+++ b/crates/rehearsal/src/billsim/plan.rs
@@ -1,6 +1,6 @@
 //! What a simulated core with its followers is told (design 11.6).
 
-use playbill::Micros;
+use model::Micros;
 
 /// One guard each, left out in the simulator only, so that the promise is seen broken.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
--- a/crates/rehearsal/src/billsim/seat.rs
+++ b/crates/rehearsal/src/billsim/seat.rs
@@ -1,7 +1,7 @@
 //! A core seat's desk over what its ordering machine has applied, as the daemon's owner keeps it (design 8.1, 11.3).
 
-use playbill::Position;
-use playbill::bill::{Act, Programme};
+use model::Position;
+use model::bill::{Act, Programme};
 
 #[derive(Default)]
 pub(super) struct Seat {
@@ -16,9 +16,9 @@
 pub(super) type Truth = std::collections::BTreeMap<Position, Programme>;
 
 fn act((instance, value): &(mencius::Instance, mencius::Value)) -> Option<(u64, Asked, Act)> {
-    let entry = playbill::entry::from_bytes(value)?;
+    let entry = model::entry::from_bytes(value)?;
     let asked = (entry.origin, entry.life, entry.sequence);
-    if let playbill::Act::Bill(act) = entry.act { Some((*instance, asked, act)) } else { None }
+    if let model::Act::Bill(act) = entry.act { Some((*instance, asked, act)) } else { None }
 }
 
 impl Seat {
@@ -29,7 +29,7 @@
     /// All that was applied since the last time leaves as one piece; what was installed, as a whole.
     pub fn fold(&mut self, history: &[(mencius::Instance, mencius::Value)], truth: &mut Truth) {
         let follows = self.folded == 0 || history.get(self.folded - 1).is_some_and(|(at, _)| *at == self.last);
-        let mut learn = |bill: &playbill::Bill| {
+        let mut learn = |bill: &model::Bill| {
             truth.entry(bill.position).or_insert_with(|| Programme::default().told(true, bill.position, bill.whole()));
         };
         if follows {
@@ -38,7 +38,7 @@
                 learn(&self.desk.bill);
             });
         } else {
-            let mut bill = playbill::Bill::default();
+            let mut bill = model::Bill::default();
             history.iter().filter_map(act).for_each(|(_, (origin, life, sequence), act)| {
                 drop(bill.apply(&origin, life, sequence, act));
                 learn(&bill);
--- a/crates/rehearsal/src/billsim/stage.rs
+++ b/crates/rehearsal/src/billsim/stage.rs
@@ -4,7 +4,7 @@
 use super::seat::{Seat, Truth};
 use super::{BillPlan, Blow, Struck};
 use crate::sim::{Fault, World};
-use playbill::Micros;
+use model::Micros;
 
 pub struct Stage {
     plan: BillPlan,
@@ -117,14 +117,14 @@
         let (number, name) = (self.changes, format!("lane-{}", self.changes % 7));
         let (host, prefix) = ("a.example".to_string(), format!("/{name}/"));
         let lane =
-            playbill::bill::Lane { host, prefix, repeatable: true, wait_us: 1_000_000, aim_us: number, rank: 0, dispatches: 1, shares: vec![("s".into(), 1)] };
-        let service = playbill::bill::Service { health_path: String::new(), conns: 0, keyed: false, warm_us: 0 };
-        let put = |name: &str, version, body| playbill::bill::items::Put { name: name.into(), version, body, text: String::new() };
-        let puts = vec![put("s", 1, playbill::bill::Body::Service(service)), put(&name, number, playbill::bill::Body::Lane(lane))];
-        let act = playbill::Act::Bill(playbill::bill::Act::Items(playbill::bill::Call { puts, drops: Vec::new() }));
-        let entry = playbill::Entry { origin: "operator".into(), life: 1, sequence: number, act };
+            model::bill::Lane { host, prefix, repeatable: true, wait_us: 1_000_000, aim_us: number, rank: 0, dispatches: 1, shares: vec![("s".into(), 1)] };
+        let service = model::bill::Service { health_path: String::new(), conns: 0, keyed: false, warm_us: 0 };
+        let put = |name: &str, version, body| model::bill::items::Put { name: name.into(), version, body, text: String::new() };
+        let puts = vec![put("s", 1, model::bill::Body::Service(service)), put(&name, number, model::bill::Body::Lane(lane))];
+        let act = model::Act::Bill(model::bill::Act::Items(model::bill::Call { puts, drops: Vec::new() }));
+        let entry = model::Entry { origin: "operator".into(), life: 1, sequence: number, act };
         let seat = self.world.draw((0, self.plan.seats as u64 - 1)) as u16;
-        self.world.submit(seat, playbill::entry::to_bytes(&entry));
+        self.world.submit(seat, model::entry::to_bytes(&entry));
     }
 
     fn follow(&mut self, at: usize, now: Micros) {
--- a/crates/rehearsal/src/desired_checks.rs
+++ b/crates/rehearsal/src/desired_checks.rs
@@ -36,7 +36,7 @@
     (table, broken)
 }
 
-fn edits(change: &Sent) -> Vec<playbill::Edit> {
+fn edits(change: &Sent) -> Vec<model::Edit> {
     change.edits.iter().filter_map(|edit| serde_json::from_value(edit.clone()).ok()).collect()
 }
 
@@ -47,20 +47,20 @@
     let lost: Vec<&Sent> = sent.iter().filter(|change| change.version.is_none() && !change.refused).collect();
     let top = table.keys().max().copied().unwrap_or(0);
     let reads = records.iter().filter_map(|record| match record {
-        Record::ReadBack { asked, desired, .. } => serde_json::from_value::<playbill::DesiredState>(desired.clone()).ok().map(|state| (*asked, state)),
+        Record::ReadBack { asked, desired, .. } => serde_json::from_value::<model::DesiredState>(desired.clone()).ok().map(|state| (*asked, state)),
         _ => None,
     });
-    let reads: Vec<(u64, playbill::DesiredState)> = reads.collect();
+    let reads: Vec<(u64, model::DesiredState)> = reads.collect();
     let top = reads.iter().map(|(_, state)| state.version).max().unwrap_or(0).max(top);
-    let mut folded = vec![vec![playbill::DesiredState::default()]];
+    let mut folded = vec![vec![model::DesiredState::default()]];
     (1..=top).for_each(|version| {
         // What stands at this version: one state, or one for each change that may hold it.
         let candidates: Vec<&&Sent> = lost.iter().filter(|_| !table.contains_key(&version)).collect();
         let known = table.get(&version).into_iter().copied();
         let changes: Vec<&Sent> = known.chain(candidates.into_iter().copied()).collect();
-        let states: Vec<playbill::DesiredState> = folded[version as usize - 1]
+        let states: Vec<model::DesiredState> = folded[version as usize - 1]
             .iter()
-            .flat_map(|before| changes.iter().map(move |change| playbill::DesiredState { version, ..before.edited(&edits(change)) }))
+            .flat_map(|before| changes.iter().map(move |change| model::DesiredState { version, ..before.edited(&edits(change)) }))
             .filter(|after| {
                 let seen = reads.iter().find(|(_, state)| state.version == version);
                 seen.is_none_or(|(_, state)| state == after)
--- a/crates/rehearsal/src/disk.rs
+++ b/crates/rehearsal/src/disk.rs
@@ -99,7 +99,7 @@
         })
     };
     let (shelf, writes) = storage::Shelf::open_on(opened).map_err(|error| told(&error))?;
-    let (logger, _guard) = playbill::log::start("seat", &env.name, playbill::log::Dial::new(slog::Level::Info));
+    let (logger, _guard) = model::log::start("seat", &env.name, model::log::Dial::new(slog::Level::Info));
     let core = gallery::Core::start_on(env, shelf, writes, logger).map_err(|error| told(&error))?;
     let staying = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true));
     let office = boxoffice::Boxoffice { core: core.clone(), staying: staying.clone() };
--- a/crates/rehearsal/src/figures.rs
+++ b/crates/rehearsal/src/figures.rs
@@ -74,7 +74,7 @@
             edit
         });
         let (version, position) = fleet.apply(&format!("measure-{number}"), base, edit.into_iter().collect()).await?;
-        let began = playbill::now();
+        let began = model::now();
         base = version;
         let everywhere = async {
             for machine in &fleet.machines {
@@ -82,7 +82,7 @@
             }
         };
         tokio::time::timeout(std::time::Duration::from_secs(60), everywhere).await.map_err(|_| "a change never came into force")?;
-        times.push(playbill::now() - began);
+        times.push(model::now() - began);
     }
     Ok(times)
 }
--- a/crates/rehearsal/src/fleet_plan.rs
+++ b/crates/rehearsal/src/fleet_plan.rs
@@ -34,7 +34,7 @@
     pub fn plan_core_again(&mut self, seat: usize) -> Result<(), String> {
         let host = self.cores[seat].host.to_string();
         let ((mates, known), operators) = (relayed(&self.links, &host)?, free(&host)?);
-        let folder = self.folder.join(format!("core-{seat}-{}", playbill::now()));
+        let folder = self.folder.join(format!("core-{seat}-{}", model::now()));
         let moved = [
             ("--mates-address", mates),
             ("--advertised-address", known.clone()),
--- a/crates/rehearsal/src/forgers.rs
+++ b/crates/rehearsal/src/forgers.rs
@@ -36,7 +36,7 @@
 
     async fn lie(&self, secret: &str, prefix: &str, number: u64) -> Result<(), String> {
         let (service, path) = &self.target;
-        let (try_id, asked) = (format!("{prefix}{}/{number}", self.service), playbill::now());
+        let (try_id, asked) = (format!("{prefix}{}/{number}", self.service), model::now());
         let request = self.http.post(format!("http://{}/call/{service}{path}", self.usher)).bearer_auth(secret);
         let lies = [(greenroom::SENDER, service.as_str()), (greenroom::SERVICE, &self.service), (greenroom::INCARNATION, "1"), (greenroom::FENCE, "1")];
         let request = lies.into_iter().fold(request, |request, (name, value)| request.header(name, value));
@@ -48,7 +48,7 @@
         self.notebook.note(&Record::Told {
             try_id,
             asked,
-            at: playbill::now(),
+            at: model::now(),
             wait: crate::deployment::WAIT,
             again: true,
             by: format!("forger-{}", self.service),
--- a/crates/rehearsal/src/hollow/counted.rs
+++ b/crates/rehearsal/src/hollow/counted.rs
@@ -1,7 +1,7 @@
 //! Counts from the code alone, at any size: what the bill becomes, what followers are told of it and how long the
 //! pure parts take, without conns (docs/CAPACITY.md).
 
-use playbill::bill::{Act, Bill, Delta, Report};
+use model::bill::{Act, Bill, Delta, Report};
 
 /// Of one event: entries offered to the log, those that changed the bill, and what one follower hears of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize)]
@@ -50,7 +50,7 @@
 impl Log<'_> {
     pub fn put(&mut self, origin: &str, act: Act) {
         self.sequence += 1;
-        let entry = playbill::Entry { origin: origin.into(), life: 1, sequence: self.sequence, act: playbill::Act::Bill(act.clone()) };
+        let entry = model::Entry { origin: origin.into(), life: 1, sequence: self.sequence, act: model::Act::Bill(act.clone()) };
         let length_of_entry = length(&transport::Frame::Forward { number: self.sequence, entry: Box::new(entry) });
         let before = self.bill.castings.clone();
         let (_, deltas) = self.bill.apply(origin, 1, self.sequence, act);
@@ -59,7 +59,7 @@
         if deltas.is_empty() {
             return;
         }
-        let empty = (0, playbill::bill::rows::empty());
+        let empty = (0, model::bill::rows::empty());
         let moves = self.bill.castings.iter().map(|(service, held)| super::witness::moved(&before.get(service).unwrap_or(&empty).1, &held.1).1);
         self.cost.keys_moved += moves.sum::<u64>();
         self.cost.entries += 1;
@@ -82,8 +82,8 @@
     }
 
     pub fn joined(&self, at: usize, life: u64) -> Report {
-        let phase = playbill::Phase::Registered;
-        let player = playbill::bill::Player { service: self.plan.service(at), zone: self.plan.zone(at), node: format!("n{at}"), slots: 8, phase, since: 0 };
+        let phase = model::Phase::Registered;
+        let player = model::bill::Player { service: self.plan.service(at), zone: self.plan.zone(at), node: format!("n{at}"), slots: 8, phase, since: 0 };
         Report::Joined { name: super::node::back_end(at, life), player }
     }
 
@@ -93,12 +93,11 @@
             return;
         }
         let name = format!("s{service}");
-        let working = |player: &playbill::bill::Player| {
-            player.phase == playbill::Phase::Registered && self.bill.places.get(&player.node).is_some_and(|place| place.present)
-        };
+        let working =
+            |player: &model::bill::Player| player.phase == model::Phase::Registered && self.bill.places.get(&player.node).is_some_and(|place| place.present);
         let cast = self.bill.players.iter().filter(|(_, player)| player.service == name && working(player));
         let parts: Vec<troupe::Part> = cast.map(|(name, player)| (name.clone(), player.slots as f64)).collect();
-        let (base, rows) = self.bill.castings.get(&name).cloned().unwrap_or((0, playbill::bill::rows::empty()));
+        let (base, rows) = self.bill.castings.get(&name).cloned().unwrap_or((0, model::bill::rows::empty()));
         if !parts.is_empty() {
             let rows = troupe::cast(&rows, &[], &parts, 0.0);
             self.cost.placements += 1;
--- a/crates/rehearsal/src/hollow/events.rs
+++ b/crates/rehearsal/src/hollow/events.rs
@@ -1,7 +1,7 @@
 //! Events as the nodes put them in the log, and how long the pure parts of it take a processor.
 
 use super::counted::{Log, bulletin};
-use playbill::bill::{Programme, Report};
+use model::bill::{Programme, Report};
 
 fn services(log: &Log, gone: &[usize]) -> std::collections::BTreeSet<usize> {
     gone.iter().map(|at| at % log.plan.services).collect()
@@ -59,10 +59,10 @@
     });
 }
 
-type Nodes = std::collections::BTreeMap<String, playbill::Node>;
+type Nodes = std::collections::BTreeMap<String, model::Node>;
 
-fn ring(places: &playbill::bill::cast::Places) -> Nodes {
-    let node = |place: &playbill::bill::Place| playbill::Node {
+fn ring(places: &model::bill::cast::Places) -> Nodes {
+    let node = |place: &model::bill::Place| model::Node {
         zone: place.zone.clone(),
         address: place.address.clone(),
         incarnation: place.life,
@@ -102,11 +102,11 @@
 pub(super) fn took(log: &Log) -> std::collections::BTreeMap<&'static str, f64> {
     let (bill, plan) = (&log.bill, log.plan);
     let whole = Programme::default().told(true, bill.position, bill.whole());
-    let place = bill.places.iter().next().map(|(name, place)| playbill::bill::Delta::Place(name.clone(), Some(place.clone())));
-    let lane = playbill::bill::Delta::Item(playbill::bill::Kind::Lane, "l0".into(), 9, plan.change(0).puts.pop().map(|put| put.body));
+    let place = bill.places.iter().next().map(|(name, place)| model::bill::Delta::Place(name.clone(), Some(place.clone())));
+    let lane = model::bill::Delta::Item(model::bill::Kind::Lane, "l0".into(), 9, plan.change(0).puts.pop().map(|put| put.body));
     let rows = bill.castings.values().next().map(|held| held.1.clone()).unwrap_or_default();
     let parts: Vec<troupe::Part> = rows.iter().filter_map(|row| row.holder.clone()).map(|name| (name, 8.0)).collect();
-    let away = bill.places.iter().map(|(name, place)| (format!("{name}.old"), playbill::bill::Place { present: false, ..place.clone() }));
+    let away = bill.places.iter().map(|(name, place)| (format!("{name}.old"), model::bill::Place { present: false, ..place.clone() }));
     let twice = std::sync::Arc::new(bill.places.clone().into_iter().chain(away).collect());
     let (places, mut stand) = (std::sync::Arc::new(bill.places.clone()), gallery::ring::Stand::default());
     let times = (20_000 / plan.nodes as u32).max(5);
@@ -120,7 +120,7 @@
         ("told the whole", timed(5, || drop(std::hint::black_box(Programme::default().told(true, 9, bill.whole()))))),
         ("whole as bytes", timed(5, || drop(std::hint::black_box(bulletin(true, bill.whole()))))),
         ("snapshot", timed(5, || drop(std::hint::black_box(bill.to_bytes())))),
-        ("items judged", timed(5, || drop(std::hint::black_box(playbill::bill::items::faults(&bill.items, &plan.change(0)))))),
+        ("items judged", timed(5, || drop(std::hint::black_box(model::bill::items::faults(&bill.items, &plan.change(0)))))),
         ("cast of a service", timed(50, || drop(std::hint::black_box(troupe::cast(&rows, &[], &parts, 0.0))))),
     ])
 }
--- a/crates/rehearsal/src/hollow/meter.rs
+++ b/crates/rehearsal/src/hollow/meter.rs
@@ -3,7 +3,7 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct Reading {
-    pub at: playbill::Micros,
+    pub at: model::Micros,
     /// Thread to nanoseconds on a processor.
     pub ran: std::collections::BTreeMap<(&'static str, u32), u64>,
     pub memory: u64,
@@ -32,7 +32,7 @@
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
     let memory = line.and_then(|line| line.split_whitespace().nth(1)).and_then(|kilobytes| kilobytes.parse::<u64>().ok());
     Reading {
-        at: playbill::now(),
+        at: model::now(),
         ran: ran.collect(),
         memory: memory.unwrap_or(0) * 1_024,
         descriptors: std::fs::read_dir("/proc/self/fd").map(|held| held.count() as u64).unwrap_or(0),
--- a/crates/rehearsal/src/hollow/mod.rs
+++ b/crates/rehearsal/src/hollow/mod.rs
@@ -22,15 +22,15 @@
 /// Only a broken run meets this.
 const PATIENCE: std::time::Duration = std::time::Duration::from_secs(300);
 
-pub(crate) async fn until(what: &str, holds: impl Fn() -> bool) -> Result<playbill::Micros, String> {
-    let began = playbill::now();
+pub(crate) async fn until(what: &str, holds: impl Fn() -> bool) -> Result<model::Micros, String> {
+    let began = model::now();
     let waits = async {
         while !holds() {
             tokio::time::sleep(std::time::Duration::from_millis(10)).await;
         }
     };
     tokio::time::timeout(PATIENCE, waits).await.map_err(|_| format!("in vain: {what}"))?;
-    Ok(playbill::now() - began)
+    Ok(model::now() - began)
 }
 
 fn links(plan: &Plan) -> Result<Option<Linked>, String> {
--- a/crates/rehearsal/src/hollow/node.rs
+++ b/crates/rehearsal/src/hollow/node.rs
@@ -29,9 +29,9 @@
     pub known: gallery::Known,
 }
 
-const BEAT_EVERY: playbill::Micros = 1_500_000;
+const BEAT_EVERY: model::Micros = 1_500_000;
 const SLOTS: u32 = 8;
-type Rows = Vec<(u16, u16, playbill::Position)>;
+type Rows = Vec<(u16, u16, model::Position)>;
 
 pub fn back_end(at: usize, life: u64) -> String {
     format!("b{at}.{life}")
@@ -114,7 +114,7 @@
 
 impl Part {
     fn start(plan: &Plan, env: troupe::NodeEnv, known: gallery::Known, listener: tokio::net::TcpListener) -> Part {
-        let logger = playbill::log::quiet();
+        let logger = model::log::quiet();
         if plan.parts == Parts::Whole {
             return Part::Whole(Box::new(troupe::Node::start(env, listener, logger)));
         }
@@ -174,13 +174,13 @@
     let mut every = tokio::time::interval(std::time::Duration::from_micros(env.troupe.beat_every));
     every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let (mut sequence, mut held, mut lost): (u64, Rows, Vec<(u16, u16)>) = Default::default();
-    let mut drains: Option<playbill::Micros> = None;
+    let mut drains: Option<model::Micros> = None;
     loop {
         tokio::select! {
             _ = every.tick() => {}
             order = orders.recv() => match order {
                 Some(Order::Leave) => {
-                    drains = Some(playbill::now() + env.troupe.drain);
+                    drains = Some(model::now() + env.troupe.drain);
                     every.reset_immediately();
                     continue;
                 }
@@ -205,7 +205,7 @@
             held = kept;
         }
         // Drained, and told so with what it let go.
-        if drains.is_some_and(|until| playbill::now() >= until && lost.is_empty()) {
+        if drains.is_some_and(|until| model::now() >= until && lost.is_empty()) {
             troupe.sign_off(name.clone()).await.unwrap_or_default();
             // Its process ends a moment later, and the node with the next look at it.
             tokio::time::sleep(std::time::Duration::from_millis(50)).await;
--- a/crates/rehearsal/src/hollow/plan.rs
+++ b/crates/rehearsal/src/hollow/plan.rs
@@ -119,8 +119,8 @@
         service.is_multiple_of(2)
     }
 
-    fn lane(&self, at: usize, version: u64) -> playbill::bill::items::Put {
-        let body = playbill::bill::Body::Lane(playbill::bill::Lane {
+    fn lane(&self, at: usize, version: u64) -> model::bill::items::Put {
+        let body = model::bill::Body::Lane(model::bill::Lane {
             host: format!("h{}.site", at % self.services),
             prefix: format!("/p{at}/"),
             repeatable: true,
@@ -130,23 +130,23 @@
             dispatches: 2,
             shares: vec![(self.service(at), 1)],
         });
-        playbill::bill::items::Put { name: format!("l{at}"), version, text: serde_json::to_string(&body).unwrap_or_default(), body }
+        model::bill::items::Put { name: format!("l{at}"), version, text: serde_json::to_string(&body).unwrap_or_default(), body }
     }
 
     /// All services and lanes, as the operators first write them.
-    pub fn first_call(&self) -> playbill::bill::Call {
+    pub fn first_call(&self) -> model::bill::Call {
         let services = (0..self.services).map(|at| {
-            let service = playbill::bill::Service { health_path: "/health".into(), conns: 0, keyed: self.keyed(at), warm_us: 0 };
-            let body = playbill::bill::Body::Service(service);
-            playbill::bill::items::Put { name: self.service(at), version: 1, text: serde_json::to_string(&body).unwrap_or_default(), body }
+            let service = model::bill::Service { health_path: "/health".into(), conns: 0, keyed: self.keyed(at), warm_us: 0 };
+            let body = model::bill::Body::Service(service);
+            model::bill::items::Put { name: self.service(at), version: 1, text: serde_json::to_string(&body).unwrap_or_default(), body }
         });
         let lanes = (0..self.lanes).map(|at| self.lane(at, 1));
-        playbill::bill::Call { puts: services.chain(lanes).collect(), drops: Vec::new() }
+        model::bill::Call { puts: services.chain(lanes).collect(), drops: Vec::new() }
     }
 
     /// One lane is written anew.
-    pub fn change(&self, number: usize) -> playbill::bill::Call {
-        playbill::bill::Call { puts: vec![self.lane(number % self.lanes, number as u64 + 2)], drops: Vec::new() }
+    pub fn change(&self, number: usize) -> model::bill::Call {
+        model::bill::Call { puts: vec![self.lane(number % self.lanes, number as u64 + 2)], drops: Vec::new() }
     }
 
     /// An address of the loopback for each process; other sites on this machine have others.
--- a/crates/rehearsal/src/hollow/seats.rs
+++ b/crates/rehearsal/src/hollow/seats.rs
@@ -57,7 +57,7 @@
         let sits = move || {
             let Ok(runtime) = runtime() else { return };
             runtime.block_on(async {
-                let core = gallery::Core::start(env, playbill::log::quiet()).map_err(|error| error.to_string());
+                let core = gallery::Core::start(env, model::log::quiet()).map_err(|error| error.to_string());
                 let listener = tokio::net::TcpListener::from_std(listener).map_err(|error| error.to_string());
                 drop(told.send(core.clone()));
                 if let (Ok(core), Ok(listener)) = (core, listener) {
--- a/crates/rehearsal/src/hollow/site.rs
+++ b/crates/rehearsal/src/hollow/site.rs
@@ -2,7 +2,7 @@
 
 use super::node::{Hollow, Making};
 use super::{Parts, Plan};
-use playbill::bill::Report;
+use model::bill::Report;
 
 pub struct Site {
     pub plan: std::sync::Arc<Plan>,
@@ -21,7 +21,7 @@
         let witness = super::witness::Witness::start(plan.clone(), known.clone());
         let making = Making { plan: plan.clone(), places: seats.places.clone(), links, known };
         let written = seats.cores[0].amend(plan.first_call()).await;
-        if !matches!(written, Some(playbill::Outcome::Accepted { .. })) {
+        if !matches!(written, Some(model::Outcome::Accepted { .. })) {
             return Err(format!("the first items were not taken: {written:?}"));
         }
         Ok(Site { nodes: (0..plan.nodes).map(|_| None).collect(), plan, seats, witness, making, lives: 1 })
@@ -40,15 +40,15 @@
     /// Nodes, back ends and keys that no node tells of: made up, so that the log says what it otherwise would.
     pub async fn make_up(&self) -> Result<(), String> {
         let (plan, put) = (&self.plan, async |sequence: u64, reports: Vec<Report>| {
-            let act = playbill::Act::Bill(playbill::bill::Act::Reports(reports));
-            let entry = playbill::Entry { origin: "made-up".into(), life: 1, sequence, act };
+            let act = model::Act::Bill(model::bill::Act::Reports(reports));
+            let entry = model::Entry { origin: "made-up".into(), life: 1, sequence, act };
             self.seats.cores[0].submit(entry).await.ok_or("the made-up cast was not taken")
         });
         let address = "127.0.0.1:65535".to_string();
         let node = |at: usize| Report::Node { node: format!("n{at}"), zone: plan.zone(at), address: address.clone(), life: 1, replaces: 0 };
         let player = |at: usize| {
-            let phase = playbill::Phase::Registered;
-            let player = playbill::bill::Player { service: plan.service(at), zone: plan.zone(at), node: format!("n{at}"), slots: 8, phase, since: 0 };
+            let phase = model::Phase::Registered;
+            let player = model::bill::Player { service: plan.service(at), zone: plan.zone(at), node: format!("n{at}"), slots: 8, phase, since: 0 };
             Report::Joined { name: super::node::back_end(at, 1), player }
         };
         if plan.parts == Parts::Following {
@@ -64,14 +64,14 @@
                 Parts::Following => (service..plan.nodes).step_by(plan.services).map(|at| (super::node::back_end(at, 1), 8.0)).collect(),
                 _ => known.map(|name| (name, 8.0)).collect(),
             };
-            Report::Recast { service: format!("s{service}"), base: 0, rows: troupe::cast(&playbill::bill::rows::empty(), &[], &parts, 0.0) }
+            Report::Recast { service: format!("s{service}"), base: 0, rows: troupe::cast(&model::bill::rows::empty(), &[], &parts, 0.0) }
         });
         put(2, recasts.collect()).await?;
         Ok(())
     }
 
     /// Every node that is there stands in the log with its back end.
-    async fn nodes_stand(&self) -> Result<playbill::Micros, String> {
+    async fn nodes_stand(&self) -> Result<model::Micros, String> {
         super::until("every node stands in the log", || self.missing().is_none()).await
     }
 
@@ -79,7 +79,7 @@
         let programme = self.witness.programme();
         let stands = |held: &&Hollow| {
             let here = programme.places.get(&format!("n{}", held.at)).is_some_and(|place| place.present && place.life == held.life);
-            here && programme.players.get(&held.back_end).is_some_and(|player| player.phase == playbill::Phase::Registered)
+            here && programme.players.get(&held.back_end).is_some_and(|player| player.phase == model::Phase::Registered)
         };
         let made_up = self.plan.parts == Parts::Following;
         self.live().find(|held| !made_up && !stands(held)).map(|held| format!("n{} does not stand in the log", held.at))
@@ -92,7 +92,7 @@
             let keyed = (0..self.plan.services).filter(|service| self.plan.keyed(*service)).map(|service| format!("s{service}"));
             keyed.into_iter().find_map(|service| {
                 let cast = programme.cast(&service);
-                let held = |row: &playbill::bill::Row| row.holder.as_ref().is_some_and(|holder| cast.iter().any(|one| one.name == *holder));
+                let held = |row: &model::bill::Row| row.holder.as_ref().is_some_and(|holder| cast.iter().any(|one| one.name == *holder));
                 let rows = programme.castings.get(&service).map(|held| &held.1);
                 let fine = cast.is_empty() || rows.is_some_and(|rows| rows.iter().all(|row| held(row) && row.owed.is_empty()));
                 (!fine).then(|| format!("keys of {service} are under way"))
@@ -105,7 +105,7 @@
         self.missing().or_else(open).or_else(|| self.live().find(behind).map(|held| format!("n{} is behind", held.at)))
     }
 
-    pub async fn settled(&self, what: &str) -> Result<playbill::Micros, String> {
+    pub async fn settled(&self, what: &str) -> Result<model::Micros, String> {
         let waited = super::until(what, || self.unsettled().is_none()).await;
         waited.map_err(|told| format!("{told}: {}", self.unsettled().unwrap_or_default()))
     }
--- a/crates/rehearsal/src/hollow/stages.rs
+++ b/crates/rehearsal/src/hollow/stages.rs
@@ -98,14 +98,14 @@
         for number in 0..self.site.plan.changes {
             every.tick().await;
             self.tell(format!("change {number}"));
-            let (core, asked) = (&self.site.seats.cores[number % self.site.plan.seats], playbill::now());
-            let Some(playbill::Outcome::Accepted { position, .. }) = core.amend(self.site.plan.change(number)).await else {
+            let (core, asked) = (&self.site.seats.cores[number % self.site.plan.seats], model::now());
+            let Some(model::Outcome::Accepted { position, .. }) = core.amend(self.site.plan.change(number)).await else {
                 return Err(format!("change {number} was not taken"));
             };
-            answered.push(playbill::now() - asked);
+            answered.push(model::now() - asked);
             let holds = |held: &super::node::Hollow| held.following.outlook.load().programme.position >= position;
             super::until("a change is in force", || self.site.live().all(holds)).await?;
-            in_force.push(playbill::now() - asked);
+            in_force.push(model::now() - asked);
         }
         tokio::time::sleep(AFTER).await;
         let of = |sorted: &mut Vec<u64>, part: usize| {
@@ -165,7 +165,7 @@
         let mut order: Vec<usize> = (0..plan.nodes).collect();
         order.sort_by_key(|at| at % plan.zones);
         let gone: Vec<usize> = order.into_iter().take(plan.lost).collect();
-        let began = playbill::now();
+        let began = model::now();
         let left: Vec<_> = gone.iter().filter_map(|at| self.site.nodes[*at].take()).collect();
         left.iter().for_each(|held| held.order(Order::Vanish));
         for held in left {
@@ -176,9 +176,9 @@
             gone.iter().all(|at| programme.places.get(&format!("n{at}")).is_some_and(|place| !place.present))
         };
         super::until("all that are lost are missed", absent).await?;
-        let missed = playbill::now() - began;
+        let missed = model::now() - began;
         self.site.settled("their keys are held by others").await?;
-        let extra = Extra::from([("missed_us", missed as f64), ("settled_us", (playbill::now() - began) as f64)]);
+        let extra = Extra::from([("missed_us", missed as f64), ("settled_us", (model::now() - began) as f64)]);
         self.end(begun, extra);
         let begun = self.begin("back");
         gone.into_iter().try_for_each(|at| self.site.start_node(at))?;
--- a/crates/rehearsal/src/hollow/witness.rs
+++ b/crates/rehearsal/src/hollow/witness.rs
@@ -1,6 +1,6 @@
 //! One more follower, which counts what the log says as it hears it.
 
-use playbill::bill::{Programme, Rows};
+use model::bill::{Programme, Rows};
 
 /// Sums from the beginning; a stage is the difference of two.
 #[derive(Clone, Debug, Default, serde::Serialize)]
@@ -37,7 +37,7 @@
             known: Vec::new(),
         };
         let env = gallery::FollowingEnv { name, zone, ask_every: 1_000_000, patience: 2_000_000 };
-        let following = gallery::following::start(env, known, move || own.clone(), playbill::log::quiet());
+        let following = gallery::following::start(env, known, move || own.clone(), model::log::quiet());
         let tally = std::sync::Arc::new(std::sync::Mutex::new(Tally::default()));
         let (counts, line) = (tally.clone(), following.clone());
         tokio::spawn(async move {
@@ -74,7 +74,7 @@
 impl Tally {
     fn add(&mut self, plan: &super::Plan, last: &Programme, next: &Programme) {
         self.entries += next.position - last.position;
-        let empty = std::sync::Arc::new((0, playbill::bill::rows::empty()));
+        let empty = std::sync::Arc::new((0, model::bill::rows::empty()));
         next.castings.iter().for_each(|(service, held)| {
             let before = last.castings.get(service).unwrap_or(&empty);
             if !std::sync::Arc::ptr_eq(before, held) {
@@ -106,7 +106,7 @@
 
 #[cfg(test)]
 mod tests {
-    use playbill::bill::rows;
+    use model::bill::rows;
 
     #[test]
     fn keys_that_change_hands_are_counted_once() {
--- a/crates/rehearsal/src/keysim/blows.rs
+++ b/crates/rehearsal/src/keysim/blows.rs
@@ -2,8 +2,8 @@
 
 use super::player::Player;
 use super::stage::{Event, Stage};
-use playbill::Micros;
-use playbill::bill::Report;
+use model::Micros;
+use model::bill::Report;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Blow {
--- a/crates/rehearsal/src/keysim/judge.rs
+++ b/crates/rehearsal/src/keysim/judge.rs
@@ -1,7 +1,7 @@
 //! What must hold: one holder at a time, fences that grow, all keys held again (design 11.4, 11.5).
 
-use playbill::Micros;
-use playbill::bill::Key;
+use model::Micros;
+use model::bill::Key;
 
 #[derive(Default)]
 pub struct Judge {
--- a/crates/rehearsal/src/keysim/line.rs
+++ b/crates/rehearsal/src/keysim/line.rs
@@ -2,7 +2,7 @@
 
 use super::log::Told;
 use super::stage::{Event, Stage};
-use playbill::{Micros, Position};
+use model::{Micros, Position};
 
 #[derive(Default)]
 pub(super) struct Line {
--- a/crates/rehearsal/src/keysim/log.rs
+++ b/crates/rehearsal/src/keysim/log.rs
@@ -1,7 +1,7 @@
 //! One order of entries, and seats that apply it late, tell news and prove (design 11.3).
 
-use playbill::bill::{Act, Delta, Report};
-use playbill::{Bill, Micros, Outcome, Position};
+use model::bill::{Act, Delta, Report};
+use model::{Bill, Micros, Outcome, Position};
 
 /// What a seat says on a conn: news from one position to another, or a proof by number.
 #[derive(Clone, Debug)]
@@ -39,7 +39,7 @@
         Log { entries: Vec::new(), bill: Bill::default(), seats: (0..seats).map(|_| Seat::default()).collect(), times: Vec::new(), out_until: 0 }
     }
 
-    pub fn items(&mut self, call: playbill::bill::Call) {
+    pub fn items(&mut self, call: model::bill::Call) {
         // Before anything else: all seats hold the items.
         drop(self.bill.apply("operator", 1, 0, Act::Items(call)));
         let bill = &self.bill;
--- a/crates/rehearsal/src/keysim/node.rs
+++ b/crates/rehearsal/src/keysim/node.rs
@@ -1,7 +1,7 @@
 //! A node beside one back end, as `troupe::desk` and `troupe::facts` run it, over the real grants (design 11.2, 11.5).
 
-use playbill::bill::{Programme, Report};
-use playbill::{Micros, Position};
+use model::bill::{Programme, Report};
+use model::{Micros, Position};
 
 /// A back end as it told of itself.
 pub(super) struct Own {
@@ -43,8 +43,8 @@
 }
 
 /// What the process of this name drew at its start of this number.
-pub(super) fn incarnation(name: &str, life: u64) -> playbill::Incarnation {
-    playbill::terms::hash(&format!("{name} {life}"))
+pub(super) fn incarnation(name: &str, life: u64) -> model::Incarnation {
+    model::terms::hash(&format!("{name} {life}"))
 }
 
 impl Node {
@@ -73,7 +73,7 @@
     }
 
     /// What this process drew when it began: its order says nothing.
-    pub fn incarnation(&self) -> playbill::Incarnation {
+    pub fn incarnation(&self) -> model::Incarnation {
         incarnation(&self.name, self.life)
     }
 
@@ -88,7 +88,7 @@
         self.line.conn = conns;
     }
 
-    pub fn rows(&self) -> playbill::bill::Rows {
+    pub fn rows(&self) -> model::bill::Rows {
         self.programme.castings.get(super::stage::SERVICE).map(|held| held.1.clone()).unwrap_or_default()
     }
 
--- a/crates/rehearsal/src/keysim/placing.rs
+++ b/crates/rehearsal/src/keysim/placing.rs
@@ -2,8 +2,8 @@
 
 use super::stage::{SERVICE, Stage};
 use super::telling::Whose;
-use playbill::bill::{Programme, Report};
-use playbill::{BackEndName, Micros, Position};
+use model::bill::{Programme, Report};
+use model::{BackEndName, Micros, Position};
 
 #[derive(Default)]
 pub(super) struct Duty {
@@ -21,12 +21,12 @@
 }
 
 fn rank(programme: &Programme, node: &str) -> u64 {
-    let weight = |name: &str| playbill::terms::hash(&format!("{SERVICE}\n{name}"));
+    let weight = |name: &str| model::terms::hash(&format!("{SERVICE}\n{name}"));
     programme.cast(SERVICE).iter().filter(|one| one.node != node && weight(&one.node) > weight(node)).count() as u64
 }
 
-fn base(programme: &Programme) -> (Position, playbill::bill::Rows) {
-    programme.castings.get(SERVICE).map(|held| (held.0, held.1.clone())).unwrap_or_else(|| (0, playbill::bill::rows::empty()))
+fn base(programme: &Programme) -> (Position, model::bill::Rows) {
+    programme.castings.get(SERVICE).map(|held| (held.0, held.1.clone())).unwrap_or_else(|| (0, model::bill::rows::empty()))
 }
 
 /// What is needed: someone who is gone holds keys, or someone who came holds none.
--- a/crates/rehearsal/src/keysim/plan.rs
+++ b/crates/rehearsal/src/keysim/plan.rs
@@ -1,6 +1,6 @@
 //! What a simulated service is told (design 11.5).
 
-use playbill::Micros;
+use model::Micros;
 
 /// One guard each, left out in the simulator only, so that its promise is seen broken.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
--- a/crates/rehearsal/src/keysim/player.rs
+++ b/crates/rehearsal/src/keysim/player.rs
@@ -1,8 +1,8 @@
 //! A back end as its contract says: it beats, holds for so long from when the beat was sent by a clock that may be
 //! slow, lets go of what an answer leaves out and says so within 100 ms (design 11.5).
 
-use playbill::bill::Key;
-use playbill::{Micros, Position};
+use model::bill::Key;
+use model::{Micros, Position};
 
 pub(super) type Row = (Key, Key, Position);
 
--- a/crates/rehearsal/src/keysim/stage.rs
+++ b/crates/rehearsal/src/keysim/stage.rs
@@ -3,8 +3,8 @@
 use super::log::{Log, Told};
 use super::node::Node;
 use super::player::Player;
-use playbill::bill::Report;
-use playbill::{Micros, Outcome, Position};
+use model::bill::Report;
+use model::{Micros, Outcome, Position};
 
 pub(super) const SERVICE: &str = "seat";
 const SEATS: usize = 3;
@@ -47,9 +47,9 @@
 impl Stage {
     pub fn new(plan: super::KeyPlan) -> Stage {
         let mut log = Log::new(SEATS);
-        let service = playbill::bill::Service { health_path: String::new(), conns: 0, keyed: true, warm_us: 0 };
-        let put = playbill::bill::items::Put { name: SERVICE.into(), version: 1, body: playbill::bill::Body::Service(service), text: String::new() };
-        log.items(playbill::bill::Call { puts: vec![put], drops: Vec::new() });
+        let service = model::bill::Service { health_path: String::new(), conns: 0, keyed: true, warm_us: 0 };
+        let put = model::bill::items::Put { name: SERVICE.into(), version: 1, body: model::bill::Body::Service(service), text: String::new() };
+        log.items(model::bill::Call { puts: vec![put], drops: Vec::new() });
         let random = rand::SeedableRng::seed_from_u64(plan.seed);
         let (nodes, players, events) = (Vec::new(), Vec::new(), Default::default());
         let mut stage = Stage { now: 0, judge: Default::default(), log, nodes, players, events, order: 0, random, plan };
--- a/crates/rehearsal/src/keysim/telling.rs
+++ b/crates/rehearsal/src/keysim/telling.rs
@@ -1,8 +1,8 @@
 //! What a node tells the log: one entry at a time, the same until it is answered (design 5.8, 11.2).
 
 use super::stage::{Event, Stage};
-use playbill::bill::{Player, Report};
-use playbill::{Micros, Outcome, Phase, Position};
+use model::bill::{Player, Report};
+use model::{Micros, Outcome, Phase, Position};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Whose {
--- a/crates/rehearsal/src/notes.rs
+++ b/crates/rehearsal/src/notes.rs
@@ -22,16 +22,16 @@
 
     /// A back end that was killed got its last work then.
     pub fn note_leaving(&self, at: usize) -> Result<(), String> {
-        self.notebook().note(&Record::Leaving { by: self.machines[at].name.clone(), at: playbill::now() })
+        self.notebook().note(&Record::Leaving { by: self.machines[at].name.clone(), at: model::now() })
     }
 
     /// The last fault is over: from here service has so long to come back.
     pub fn note_healed(&self) -> Result<(), String> {
-        self.notebook().note(&Record::Healed { at: playbill::now() })
+        self.notebook().note(&Record::Healed { at: model::now() })
     }
 
     /// A lane about to change, and changed: between the two either state may hold.
     pub fn note_lane(&self, lane: crate::deployment::Lane, allowed: bool, accepted: bool) -> Result<(), String> {
-        self.notebook().note(&Record::Lane { sender: lane.0.into(), service: lane.1.into(), path: lane.2.into(), allowed, accepted, at: playbill::now() })
+        self.notebook().note(&Record::Lane { sender: lane.0.into(), service: lane.1.into(), path: lane.2.into(), allowed, accepted, at: model::now() })
     }
 }
--- a/crates/rehearsal/src/operators.rs
+++ b/crates/rehearsal/src/operators.rs
@@ -29,7 +29,7 @@
 
     /// One change to one seat, noted with whatever came back.
     pub async fn send(&self, seat: usize, id: &str, base: u64, edits: &[serde_json::Value]) -> Result<Answer, String> {
-        let asked = playbill::now();
+        let asked = model::now();
         let body = serde_json::json!({ "id": id, "base": base, "edits": edits });
         let sent = self.http.post(format!("http://{}/v1/changes", self.place(seat))).json(&body).send().await;
         let (status, told) = match sent {
@@ -44,18 +44,18 @@
             _ => Answer::Unknown,
         };
         let refused = matches!(answer, Answer::Refused(..));
-        self.notebook.note(&Record::Change { id: id.into(), edits: edits.to_vec(), asked, at: playbill::now(), status, version, position, refused })?;
+        self.notebook.note(&Record::Change { id: id.into(), edits: edits.to_vec(), asked, at: model::now(), status, version, position, refused })?;
         Ok(answer)
     }
 
     /// The whole desired state, as this seat proves it.
     pub async fn read(&self, seat: usize) -> Result<Option<u64>, String> {
-        let asked = playbill::now();
+        let asked = model::now();
         let answer = self.http.get(format!("http://{}/v1/desired", self.place(seat))).send().await;
         let Some(response) = answer.ok().filter(|response| response.status().is_success()) else { return Ok(None) };
         let Ok(desired) = response.json::<serde_json::Value>().await else { return Ok(None) };
         let version = desired["version"].as_u64();
-        self.notebook.note(&Record::ReadBack { asked, at: playbill::now(), desired })?;
+        self.notebook.note(&Record::ReadBack { asked, at: model::now(), desired })?;
         Ok(version)
     }
 
@@ -160,7 +160,7 @@
     every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         every.tick().await;
-        let asked = playbill::now();
+        let asked = model::now();
         let Ok(response) = http.get(format!("http://{address}/status")).send().await else { continue };
         let Ok(told) = response.json::<serde_json::Value>().await else { continue };
         let number = |name: &str| told[name].as_u64().unwrap_or(0);
--- a/crates/rehearsal/src/run.rs
+++ b/crates/rehearsal/src/run.rs
@@ -102,9 +102,9 @@
 
 /// The quiet third: load, a few changes, nothing broken.
 async fn measure(fleet: &crate::fleet::Fleet, plan: &Plan, third: std::time::Duration) -> Result<crate::figures::Figures, String> {
-    let (began, before, version) = (playbill::now(), crate::figures::sums(fleet).await, fleet.version().await?);
+    let (began, before, version) = (model::now(), crate::figures::sums(fleet).await, fleet.version().await?);
     let in_force_us = crate::figures::changes(fleet, plan.changes).await?;
-    tokio::time::sleep(third.saturating_sub(std::time::Duration::from_micros(playbill::now() - began))).await;
+    tokio::time::sleep(third.saturating_sub(std::time::Duration::from_micros(model::now() - began))).await;
     let after = crate::figures::sums(fleet).await;
     let grown = |name: &str| after.get(name).copied().unwrap_or(0) - before.get(name).copied().unwrap_or(0);
     Ok(crate::figures::Figures {
@@ -117,7 +117,7 @@
         bytes_within_zones: grown("within_bytes"),
         frames_across_zones: grown("across_frames"),
         bytes_across_zones: grown("across_bytes"),
-        seconds: (playbill::now() - began) as f64 / 1e6,
+        seconds: (model::now() - began) as f64 / 1e6,
         requests_and_extras: Default::default(),
     })
 }
--- a/crates/rehearsal/src/sim/site.rs
+++ b/crates/rehearsal/src/sim/site.rs
@@ -2,7 +2,7 @@
 //! disks, back ends, senders and operators are made up (design 9.8).
 
 use super::site_plan::{Blow, NODES, SitePlan, service, zone};
-use playbill::{Micros, standing::Report};
+use model::{Micros, standing::Report};
 
 pub(super) enum Event {
     Blow(Blow),
@@ -11,15 +11,15 @@
     /// A node's question reaches a core seat, or its home.
     AtCore(usize, u16, Micros),
     AtHome(usize, usize, Micros),
-    Proved(usize, Micros, Box<playbill::Slice>),
+    Proved(usize, Micros, Box<model::Slice>),
     Beat(usize),
     /// An entry reaches a core seat; and the answer its node.
-    Report(usize, u64, u16, Box<playbill::Entry>),
-    Reported(usize, u64, u64, playbill::Outcome),
+    Report(usize, u64, u16, Box<model::Entry>),
+    Reported(usize, u64, u64, model::Outcome),
     Operate,
     Send(usize, u64),
     Arrive(u64, usize, Box<transport::Dispatch>, Micros),
-    Reply(u64, Result<(), playbill::Trouble>),
+    Reply(u64, Result<(), model::Trouble>),
     Late(u64),
     RunEnds(u64),
     Come(usize),
@@ -39,7 +39,7 @@
     /// Reports that wait, the one on its way, and its turn over the seats.
     pub outbox: std::collections::VecDeque<Report>,
     pub sequence: u64,
-    pub entry: Option<(playbill::Entry, Micros)>,
+    pub entry: Option<(model::Entry, Micros)>,
     pub seat: u16,
     /// When it was last proved to, whom it passes over, who asked it and when.
     pub proved: Micros,
@@ -130,7 +130,7 @@
             picker: Default::default(),
             budget: stage::budget::Budget::new(if self.plan.without.budget { 1_000_000 } else { 1 }),
             // Drawn as a process does it: in no order.
-            life: playbill::terms::hash(&format!("{at} {}", self.now)),
+            life: model::terms::hash(&format!("{at} {}", self.now)),
             frozen: false,
             cut: false,
             leaving: false,
--- a/crates/rehearsal/src/sim/site_blows.rs
+++ b/crates/rehearsal/src/sim/site_blows.rs
@@ -2,7 +2,7 @@
 
 use super::site::{Event, Site};
 use super::site_plan::{Blow, LANES, NODES, founding, grouping, order};
-use playbill::{Act, Entry, standing::Report};
+use model::{Act, Entry, standing::Report};
 
 impl Site {
     pub(super) fn beat(&mut self, process: usize) {
@@ -52,7 +52,7 @@
         match kind {
             _ if base == 0 => self.change(seat, "site".into(), 0, founding()),
             0 => self.change(seat, format!("stale-{turn}"), base - 1, vec![harmless("seat")]),
-            1 => self.change(seat, format!("broken-{turn}"), base, vec![harmless("seat"), playbill::Edit::DropOrder { name: "nobodys".into() }]),
+            1 => self.change(seat, format!("broken-{turn}"), base, vec![harmless("seat"), model::Edit::DropOrder { name: "nobodys".into() }]),
             2 => (0..2).for_each(|step| self.change((seat + step) % self.plan.seats, format!("twice-{turn}"), base, vec![harmless("desk")])),
             _ => (0..2).for_each(|step| {
                 self.change((seat + step) % self.plan.seats, format!("race-{turn}-{step}"), base, vec![harmless(["seat", "desk"][step as usize])])
@@ -60,13 +60,13 @@
         }
     }
 
-    fn change(&mut self, seat: u16, id: String, base: u64, edits: Vec<playbill::Edit>) {
+    fn change(&mut self, seat: u16, id: String, base: u64, edits: Vec<model::Edit>) {
         if !self.core.up(seat) {
             return;
         }
         self.numbers += 1;
         let (origin, sequence) = (format!("core-{seat}"), self.numbers);
-        let act = Act::Change(playbill::Change { id: id.clone(), base, edits });
+        let act = Act::Change(model::Change { id: id.clone(), base, edits });
         self.core.submit(seat, &Entry { origin: origin.clone(), life: 1, sequence, act });
         self.changes.insert((origin, 1, sequence), id.clone());
         if self.plan.without.commit {
@@ -126,7 +126,7 @@
             }
             Blow::Lane(lane, allowed) => {
                 let base = (0..self.plan.seats).map(|seat| self.core.book(seat).desired.version).max().unwrap_or(0);
-                let edit = if allowed { order(&LANES[lane]) } else { playbill::Edit::DropOrder { name: format!("{}-{}", LANES[lane].0, &LANES[lane].2[1..]) } };
+                let edit = if allowed { order(&LANES[lane]) } else { model::Edit::DropOrder { name: format!("{}-{}", LANES[lane].0, &LANES[lane].2[1..]) } };
                 let seat = (0..self.plan.seats).find(|seat| self.core.up(*seat)).unwrap_or(0);
                 self.change(seat, format!("lane-{now}"), base, vec![edit]);
             }
--- a/crates/rehearsal/src/sim/site_calls.rs
+++ b/crates/rehearsal/src/sim/site_calls.rs
@@ -2,7 +2,7 @@
 
 use super::site::{Event, Site};
 use super::site_plan::{LANES, Lane, WAIT};
-use playbill::{Cause, Trouble, Verdict};
+use model::{Cause, Trouble, Verdict};
 
 /// A try as its sender knows it: it may send it more than once.
 pub(super) struct Try {
--- a/crates/rehearsal/src/sim/site_core.rs
+++ b/crates/rehearsal/src/sim/site_core.rs
@@ -1,6 +1,6 @@
 //! The core of a simulated site: ordering machines and disks, and a book at each seat (design 9.8).
 
-use playbill::{Book, Entry, Outcome, Position};
+use model::{Book, Entry, Outcome, Position};
 
 /// What a seat has made of its log.
 #[derive(Default)]
@@ -12,7 +12,7 @@
 }
 
 fn entries(history: &[(mencius::Instance, mencius::Value)]) -> impl Iterator<Item = (mencius::Instance, Entry)> + '_ {
-    history.iter().filter_map(|(instance, value)| playbill::entry::from_bytes(value).map(|entry| (*instance, entry)))
+    history.iter().filter_map(|(instance, value)| model::entry::from_bytes(value).map(|entry| (*instance, entry)))
 }
 
 /// An entry that its own seat has applied, with the answer.
@@ -40,11 +40,11 @@
     }
 
     pub fn submit(&mut self, seat: u16, entry: &Entry) {
-        self.world.submit(seat, playbill::entry::to_bytes(entry));
+        self.world.submit(seat, model::entry::to_bytes(entry));
     }
 
     /// Lets the core come as far as `now`; what its seats applied meanwhile, and which reads were proved.
-    pub fn advance(&mut self, now: playbill::Micros) -> (Vec<Answered>, Vec<(u64, u16)>) {
+    pub fn advance(&mut self, now: model::Micros) -> (Vec<Answered>, Vec<(u64, u16)>) {
         self.world.run_until(now);
         let answered = (0..self.folds.len()).flat_map(|seat| self.fold(seat)).collect();
         (answered, std::mem::take(&mut self.world.done))
@@ -74,7 +74,7 @@
         let mut book = Book::default();
         entries(longest.map(Vec::as_slice).unwrap_or_default())
             .filter_map(|(instance, entry)| {
-                let id = if let playbill::Act::Change(change) = &entry.act { Some(change.id.clone()) } else { None };
+                let id = if let model::Act::Change(change) = &entry.act { Some(change.id.clone()) } else { None };
                 let before = book.desired.version;
                 let outcome = book.apply_at(entry, instance, mencius::WINDOW);
                 match (id, outcome) {
@@ -86,7 +86,7 @@
     }
 
     /// Everything mended, as the core's own checks want it.
-    pub fn heal(&mut self, time: playbill::Micros) {
+    pub fn heal(&mut self, time: model::Micros) {
         self.world.at_fault(time, super::Fault::Mend);
         (0..self.folds.len() as u16).for_each(|seat| {
             self.world.at_fault(time, super::Fault::Wake(seat));
--- a/crates/rehearsal/src/sim/site_events.rs
+++ b/crates/rehearsal/src/sim/site_events.rs
@@ -1,7 +1,7 @@
 //! What happens at a simulated site: news, proofs, reports, beats, operators and blows (design 9.8).
 
 use super::site::{Event, Site};
-use playbill::{Act, Entry, Micros, Outcome, standing::Report};
+use model::{Act, Entry, Micros, Outcome, standing::Report};
 
 const ASK_EVERY: Micros = 250_000;
 const PATIENCE: Micros = 750_000;
@@ -65,7 +65,7 @@
             Event::Send(at, number) => self.send(at, number),
             Event::Arrive(number, at, dispatch, sent) => self.arrive(number, at, *dispatch, sent),
             Event::Reply(number, answer) => self.reply(number, answer),
-            Event::Late(number) => self.reply(number, Err(playbill::Trouble::new(playbill::Cause::RanOutOfTime, "no answer in time"))),
+            Event::Late(number) => self.reply(number, Err(model::Trouble::new(model::Cause::RanOutOfTime, "no answer in time"))),
             Event::RunEnds(number) => self.run_ends(number),
             Event::Come(at) => self.come(at),
         }
@@ -89,7 +89,7 @@
         });
         proofs.into_iter().for_each(|(token, seat)| {
             let Some((at, asked)) = self.reads.remove(&token) else { return };
-            let slice = playbill::Slice::cut(self.core.book(seat), &self.nodes[at].house.services());
+            let slice = model::Slice::cut(self.core.book(seat), &self.nodes[at].house.services());
             let time = self.now + self.hop();
             self.at(time, Event::Proved(at, asked, Box::new(slice)));
         });
@@ -119,7 +119,7 @@
         }
     }
 
-    fn proved(&mut self, at: usize, asked: Micros, mut slice: playbill::Slice) {
+    fn proved(&mut self, at: usize, asked: Micros, mut slice: model::Slice) {
         if self.plan.without.key_waits {
             slice.longest.clear();
         }
@@ -156,7 +156,7 @@
         let granted = node.house.pump(now, &view);
         let mut reports = node.house.reports();
         if self.plan.without.drains {
-            reports.retain(|report| !matches!(report, Report::Phase { phase: playbill::Phase::Draining, .. }));
+            reports.retain(|report| !matches!(report, Report::Phase { phase: model::Phase::Draining, .. }));
         }
         node.outbox.extend(reports);
         self.grant(at, granted);
--- a/crates/rehearsal/src/sim/site_judge.rs
+++ b/crates/rehearsal/src/sim/site_judge.rs
@@ -1,6 +1,6 @@
 //! What must never happen at a simulated site, judged while it runs and at its end (design 9.8).
 
-use playbill::{Micros, Position, Trouble, Verdict};
+use model::{Micros, Position, Trouble, Verdict};
 
 /// The promise to operators and back ends.
 const IN_FORCE: Micros = 2_000_000;
--- a/crates/rehearsal/src/sim/site_plan.rs
+++ b/crates/rehearsal/src/sim/site_plan.rs
@@ -1,6 +1,6 @@
 //! What a run of the whole site is told, and what may strike it (design 9.8).
 
-use playbill::Micros;
+use model::Micros;
 
 /// Guards that a variant goes without, to show that the checks see what they are for.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -77,21 +77,20 @@
 
 pub(super) const WAIT: Micros = 800_000;
 
-pub(super) fn order(lane: &Lane) -> playbill::Edit {
+pub(super) fn order(lane: &Lane) -> model::Edit {
     let (from, service, path, keyed, repeatable) = *lane;
-    let selector =
-        playbill::Selector { from: vec![from.into()], service: service.into(), methods: vec![], path_prefix: path.into(), labels: Default::default() };
-    let order = playbill::Order { selector, wait_us: WAIT, importance: 5, repeatable, keyed, leave_zone: true };
-    playbill::Edit::PutOrder { name: format!("{from}-{}", &path[1..]), order }
+    let selector = model::Selector { from: vec![from.into()], service: service.into(), methods: vec![], path_prefix: path.into(), labels: Default::default() };
+    let order = model::Order { selector, wait_us: WAIT, importance: 5, repeatable, keyed, leave_zone: true };
+    model::Edit::PutOrder { name: format!("{from}-{}", &path[1..]), order }
 }
 
-pub(super) fn grouping(service: &str, zone: &str, label: Option<u64>) -> playbill::Edit {
+pub(super) fn grouping(service: &str, zone: &str, label: Option<u64>) -> model::Edit {
     let labels = label.map(|turn| ("turn".to_string(), turn.to_string())).into_iter().collect();
     let name = format!("{service}-{zone}{}", if label.is_some() { "-more" } else { "" });
-    playbill::Edit::PutGrouping { name, grouping: playbill::Grouping { service: service.into(), zone: zone.into(), labels } }
+    model::Edit::PutGrouping { name, grouping: model::Grouping { service: service.into(), zone: zone.into(), labels } }
 }
 
-pub(super) fn founding() -> Vec<playbill::Edit> {
+pub(super) fn founding() -> Vec<model::Edit> {
     let groupings = ["seat", "desk"].into_iter().flat_map(|service| ["z0", "z1"].map(|zone| grouping(service, zone, None)));
     groupings.chain(LANES.iter().map(order)).collect()
 }
--- a/crates/rehearsal/src/sim/site_runs.rs
+++ b/crates/rehearsal/src/sim/site_runs.rs
@@ -2,7 +2,7 @@
 
 use super::site::{Event, Site};
 use super::site_plan::WAIT;
-use playbill::{Cause, Micros, Trouble};
+use model::{Cause, Micros, Trouble};
 
 pub(super) struct Run {
     pub node: usize,
--- a/crates/rehearsal/src/sim/tenure.rs
+++ b/crates/rehearsal/src/sim/tenure.rs
@@ -33,13 +33,13 @@
         if helper == seat || known || from == identity || !self.runs(helper as usize) {
             return;
         }
-        let act = playbill::Act::Seat(playbill::SeatChange { seat, from, to: identity });
-        let entry = playbill::Entry { origin: format!("core-{helper}"), life: 1, sequence: now, act };
-        self.submit(helper, playbill::entry::to_bytes(&entry));
+        let act = model::Act::Seat(model::SeatChange { seat, from, to: identity });
+        let entry = model::Entry { origin: format!("core-{helper}"), life: 1, sequence: now, act };
+        self.submit(helper, model::entry::to_bytes(&entry));
     }
 
     pub(super) fn mind_replacement(&mut self, at_seat: Seat, instance: u64, value: &[u8]) {
-        let Some(entry) = playbill::entry::from_bytes(value).filter(|entry| matches!(entry.act, playbill::Act::Seat(_))) else { return };
+        let Some(entry) = model::entry::from_bytes(value).filter(|entry| matches!(entry.act, model::Act::Seat(_))) else { return };
         let node = &mut self.nodes[at_seat as usize];
         node.book.apply_at(entry, instance, mencius::WINDOW);
         let lost = node.book.seats.get(&at_seat).filter(|(holder, _)| *holder != node.identity).map(|(_, after)| *after);
--- a/crates/rehearsal/src/sim/world.rs
+++ b/crates/rehearsal/src/sim/world.rs
@@ -30,7 +30,7 @@
     pub(super) outside: bool,
     /// The disk this node takes for each seat's holder, and changes it has applied.
     pub(super) pins: Vec<u64>,
-    pub(super) book: playbill::Book,
+    pub(super) book: model::Book,
     pub(super) leapt: Micros,
 }
 
--- a/crates/rehearsal/src/stagehand.rs
+++ b/crates/rehearsal/src/stagehand.rs
@@ -83,7 +83,7 @@
             }
             Step::Replace(seat) => self.replace(seat).await?,
             Step::Freeze(who) => {
-                self.frozen.push((who, playbill::now()));
+                self.frozen.push((who, model::now()));
                 self.place(who).iter().for_each(|process| process.signal(Signal::STOP));
             }
             Step::Wake(who) => self.wake(who)?,
@@ -124,7 +124,7 @@
             }
             Step::DrainAdded => self.fleet.added.iter().for_each(|process| process.signal(Signal::TERM)),
             Step::Heat => {
-                self.fleet.notebook().note(&crate::history::Record::Heated { at: playbill::now() })?;
+                self.fleet.notebook().note(&crate::history::Record::Heated { at: model::now() })?;
                 self.fleet.machines.iter().flat_map(|machine| &machine.understudy).for_each(|process| process.signal(Signal::USR1));
             }
             Step::Disk(seat, ill) => self.spoil(seat, ill)?,
@@ -195,7 +195,7 @@
         self.frozen.retain(|(held, _)| *held != who);
         if let (Who::Usher(at), Some(from)) = (who, since) {
             let by = self.fleet.machines[at].name.clone();
-            self.fleet.notebook().note(&crate::history::Record::Stood { by, from, to: playbill::now() })?;
+            self.fleet.notebook().note(&crate::history::Record::Stood { by, from, to: model::now() })?;
         }
         self.place(who).iter().for_each(|process| process.signal(Signal::CONT));
         Ok(())
--- a/crates/rehearsal/src/understudy.rs
+++ b/crates/rehearsal/src/understudy.rs
@@ -48,11 +48,11 @@
         let header = |name: &str| http_util::header(request, name).unwrap_or_default();
         let (meant_for, own) = (header(greenroom::SERVICE), backstage.part.service.clone());
         if meant_for != own {
-            backstage.note(&crate::history::Record::Misrouted { by: backstage.part.name.clone(), meant_for, at: playbill::now() });
+            backstage.note(&crate::history::Record::Misrouted { by: backstage.part.name.clone(), meant_for, at: model::now() });
             response.status_code(salvo::http::StatusCode::MISDIRECTED_REQUEST);
             return;
         }
-        let began = playbill::now();
+        let began = model::now();
         let number = backstage.runs.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         let life = backstage.life.load(std::sync::atomic::Ordering::Relaxed);
         let run = format!("{}-{life}-{number}", backstage.part.name);
@@ -73,8 +73,8 @@
         tokio::time::sleep(std::time::Duration::from_micros(backstage.part.work_us)).await;
         // Whoever slept beyond the wait does no work any more, as its contract says.
         let until = began + header(greenroom::WAIT).parse::<u64>().unwrap_or(0);
-        backstage.note(&crate::history::Record::Ended { run: run.clone(), at: playbill::now().min(until) });
-        if playbill::now() > until {
+        backstage.note(&crate::history::Record::Ended { run: run.clone(), at: model::now().min(until) });
+        if model::now() > until {
             response.status_code(salvo::http::StatusCode::GATEWAY_TIMEOUT);
             return;
         }
@@ -116,7 +116,7 @@
     sending.abort();
     let usher = &backstage.part.usher;
     let say = |path: &str| http.post(format!("http://{usher}/back-end/{path}")).bearer_auth(passes.borrow().secret.clone()).send();
-    backstage.note(&crate::history::Record::Leaving { by: backstage.part.name.clone(), at: playbill::now() });
+    backstage.note(&crate::history::Record::Leaving { by: backstage.part.name.clone(), at: model::now() });
     drop(say("drain").await);
     tokio::time::sleep(std::time::Duration::from_millis(500)).await;
     drop(say("sign-off").await);
--- a/crates/rehearsal/tests/rolled/node.rs
+++ b/crates/rehearsal/tests/rolled/node.rs
@@ -46,7 +46,7 @@
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
             runtime.block_on(async {
                 let (listener, outbound) = (bind(&mates).await, bind(&front).await);
-                let node = troupe::Node::start(env(at, life, mates, seeds), listener, playbill::log::quiet());
+                let node = troupe::Node::start(env(at, life, mates, seeds), listener, model::log::quiet());
                 node.serve(outbound);
                 beside.send_replace(Some(node.troupe.clone()));
                 drop(told.send(node.following.outlook.clone()));
--- a/crates/rehearsal/tests/rolled/senders.rs
+++ b/crates/rehearsal/tests/rolled/senders.rs
@@ -125,8 +125,8 @@
 
 /// A pair of routes after the other, for as long as senders send.
 pub async fn operate(cores: Vec<gallery::Core>, shared: Arc<Shared>) {
-    use playbill::bill::{Body, Call, Lane, Service};
-    let put = |name: String, body| playbill::bill::items::Put { name, version: 1, body, text: String::new() };
+    use model::bill::{Body, Call, Lane, Service};
+    let put = |name: String, body| model::bill::items::Put { name, version: 1, body, text: String::new() };
     let service = |name: &str, keyed| put(name.into(), Body::Service(Service { health_path: String::new(), conns: 0, keyed, warm_us: 0 }));
     let mut number = 0;
     while !shared.over.load(Ordering::SeqCst) {
@@ -140,7 +140,7 @@
         };
         let puts = vec![service("seat", true), service("ledger", false), lane("e", false), lane("p", true)];
         let outcome = cores[number as usize % cores.len()].amend(Call { puts, drops: Vec::new() }).await;
-        if matches!(outcome, Some(playbill::Outcome::Accepted { .. })) {
+        if matches!(outcome, Some(model::Outcome::Accepted { .. })) {
             shared.accepted.store(number, Ordering::SeqCst);
         }
         tokio::time::sleep(std::time::Duration::from_millis(150)).await;
--- a/crates/rehearsal/tests/rolled/site.rs
+++ b/crates/rehearsal/tests/rolled/site.rs
@@ -71,7 +71,7 @@
             replace_after: 0,
             charter: None,
         };
-        let core = gallery::Core::start(env, playbill::log::quiet()).expect("a core seat");
+        let core = gallery::Core::start(env, model::log::quiet()).expect("a core seat");
         tokio::spawn(gallery::news::listen(core.clone(), listener));
         core
     });
--- a/crates/stage/src/budget.rs
+++ b/crates/stage/src/budget.rs
@@ -1,7 +1,7 @@
 //! Extra dispatches: one in five requests and a small allowance, in any ten seconds (design 5.6).
 
 #[cfg(test)]
-const WINDOW: playbill::Micros = 10_000_000;
+const WINDOW: model::Micros = 10_000_000;
 
 /// A fifth of a token, the smallest amount there is.
 type Fifths = u64;
--- a/crates/stage/src/course.rs
+++ b/crates/stage/src/course.rs
@@ -2,7 +2,7 @@
 
 use crate::near::Ask;
 use crate::picker::Candidate;
-use playbill::{Cause, Micros, Trouble, Verdict};
+use model::{Cause, Micros, Trouble, Verdict};
 
 /// Address and life of the usher beside the picked back end; none when it is this one.
 pub type Place = Option<(String, u64)>;
@@ -11,7 +11,7 @@
     sender: crate::SenderId,
     ask: Ask,
     lane: String,
-    order: playbill::Order,
+    order: model::Order,
     until: Micros,
     /// Counts the repeats of what may have run, so that a repeat is told apart from a second arrival.
     ordinal: u32,
@@ -49,7 +49,7 @@
         self.until
     }
 
-    fn term<'a>(&self, view: &'a gallery::View) -> Option<&'a playbill::terms::Term> {
+    fn term<'a>(&self, view: &'a gallery::View) -> Option<&'a model::terms::Term> {
         let key = self.ask.key.as_deref().filter(|_| self.order.keyed)?;
         view.slice.term(&self.ask.service, key)
     }
--- a/crates/stage/src/house.rs
+++ b/crates/stage/src/house.rs
@@ -1,6 +1,6 @@
 //! The back ends beside this usher: slots, buffers, tries. Pure, with the time told to it (design 5.3).
 
-use playbill::{Cause, Incarnation, Micros, Trouble, standing::Report};
+use model::{Cause, Incarnation, Micros, Trouble, standing::Report};
 
 #[derive(Clone, Debug)]
 pub struct HouseEnv {
@@ -27,7 +27,7 @@
     pub name: String,
     pub service: String,
     pub zone: String,
-    pub labels: playbill::Labels,
+    pub labels: model::Labels,
     pub slots: u32,
     pub address: String,
 }
@@ -45,7 +45,7 @@
     /// Run number to key.
     pub running: std::collections::BTreeMap<u64, Option<String>>,
     pub waiting: Vec<Waiter>,
-    pub told_released: playbill::Position,
+    pub told_released: model::Position,
     /// What the log was last told.
     pub told_slots: u32,
     /// Lives this very back end had before the log took it for gone; their runs are counted here too.
@@ -77,9 +77,9 @@
     pub(crate) places: std::collections::BTreeMap<String, Place>,
     pub(crate) tries: crate::tries::Tries,
     /// When each key term was first seen here with its fence.
-    pub(crate) fences: std::collections::BTreeMap<(String, u16), (playbill::Position, Micros)>,
+    pub(crate) fences: std::collections::BTreeMap<(String, u16), (model::Position, Micros)>,
     /// The slice whose terms `fences` was last brought up to.
-    pub(crate) fenced: std::sync::Arc<playbill::Slice>,
+    pub(crate) fenced: std::sync::Arc<model::Slice>,
     pub(crate) runs: u64,
     pub(crate) leaving: bool,
     pub(crate) outbox: Vec<Report>,
@@ -113,10 +113,10 @@
         previous.filter(|held| held.stand != Stand::Gone).for_each(|held| {
             held.stand = Stand::Gone;
             let (name, incarnation) = (held.registration.name.clone(), held.incarnation);
-            self.outbox.push(Report::Phase { name, incarnation, phase: playbill::Phase::PresumedGone });
+            self.outbox.push(Report::Phase { name, incarnation, phase: model::Phase::PresumedGone });
         });
         let held = self.places.get(&registration.name);
-        let incarnation = playbill::incarnation::after(logged.max(held.map_or(0, |held| held.incarnation)));
+        let incarnation = model::incarnation::after(logged.max(held.map_or(0, |held| held.incarnation)));
         let told_slots = registration.slots;
         let place = Place {
             registration,
@@ -143,7 +143,7 @@
                 place.stand = if place.draining { Stand::Draining } else { Stand::Live };
                 place.heard = now;
                 if place.draining {
-                    self.outbox.push(Report::Phase { name: name.to_string(), incarnation, phase: playbill::Phase::Draining });
+                    self.outbox.push(Report::Phase { name: name.to_string(), incarnation, phase: model::Phase::Draining });
                 }
             }
             true => {}
@@ -160,7 +160,7 @@
         if place.draining && place.stand == Stand::Live {
             place.stand = Stand::Draining;
             let (name, incarnation) = (place.registration.name.clone(), place.incarnation);
-            self.outbox.push(Report::Phase { name, incarnation, phase: playbill::Phase::Draining });
+            self.outbox.push(Report::Phase { name, incarnation, phase: model::Phase::Draining });
         }
         Some(place.registration.name.clone())
     }
@@ -171,7 +171,7 @@
             .map(|place| {
                 place.stand = Stand::Gone;
                 let (name, incarnation) = (place.registration.name.clone(), place.incarnation);
-                self.outbox.push(Report::Phase { name, incarnation, phase: playbill::Phase::SignedOff });
+                self.outbox.push(Report::Phase { name, incarnation, phase: model::Phase::SignedOff });
             })
             .is_some()
     }
@@ -189,7 +189,7 @@
         self.places.values().map(|place| place.waiting.len()).sum()
     }
 
-    pub fn services(&self) -> playbill::slice::Services {
+    pub fn services(&self) -> model::slice::Services {
         self.places.values().filter(|place| place.stand != Stand::Gone).map(|place| place.registration.service.clone()).collect()
     }
 
@@ -210,21 +210,21 @@
         std::mem::take(&mut self.outbox)
     }
 
-    pub fn back_end(&self, name: &str) -> Option<playbill::BackEnd> {
+    pub fn back_end(&self, name: &str) -> Option<model::BackEnd> {
         self.places.get(name).map(|place| place.back_end(&self.env.node))
     }
 }
 
 impl Place {
-    pub(crate) fn back_end(&self, node: &str) -> playbill::BackEnd {
-        playbill::BackEnd {
+    pub(crate) fn back_end(&self, node: &str) -> model::BackEnd {
+        model::BackEnd {
             service: self.registration.service.clone(),
             zone: self.registration.zone.clone(),
             labels: self.registration.labels.clone(),
             slots: self.registration.slots,
             node: node.to_string(),
             incarnation: self.incarnation,
-            phase: playbill::Phase::Registered,
+            phase: model::Phase::Registered,
             since: 0,
         }
     }
--- a/crates/stage/src/house_judge.rs
+++ b/crates/stage/src/house_judge.rs
@@ -1,7 +1,7 @@
 //! The last check before a request is passed on (design 5.3).
 
 use crate::house::{House, Place, Stand};
-use playbill::{Cause, Micros, Trouble};
+use model::{Cause, Micros, Trouble};
 
 impl House {
     /// Every reason not to pass it on is certain: nothing has left for the back end yet.
@@ -28,8 +28,8 @@
         }
         let logged = view.slice.back_ends.get(&dispatch.back_end).filter(|held| held.incarnation == dispatch.incarnation);
         match logged.map(|held| held.phase) {
-            Some(playbill::Phase::Registered) => {}
-            Some(playbill::Phase::Draining) => return Err(Trouble::new(Cause::Draining, "the back end is draining")),
+            Some(model::Phase::Registered) => {}
+            Some(model::Phase::Draining) => return Err(Trouble::new(Cause::Draining, "the back end is draining")),
             _ => return Err(Trouble::new(Cause::WrongIncarnation, "the log does not know this life as registered")),
         }
         let lane = view.slice.lane(&dispatch.sender_service, &dispatch.service, &dispatch.method, &dispatch.path);
@@ -58,7 +58,7 @@
         if term.owed.is_empty() {
             return Ok(());
         }
-        let slice = playbill::terms::slice_of(key);
+        let slice = model::terms::slice_of(key);
         let seen = self.fences.get(&(dispatch.service.clone(), slice)).filter(|(fence, _)| *fence == term.fence);
         let longest = view.slice.longest.get(&dispatch.service).copied().unwrap_or(0);
         let free = seen.map(|(_, seen)| seen + self.env.bound + self.env.guard + longest);
--- a/crates/stage/src/house_pump.rs
+++ b/crates/stage/src/house_pump.rs
@@ -1,7 +1,7 @@
 //! Slots and bounded buffers: who goes in, who waits, who gives way (design 5.3, 5.7).
 
 use crate::house::{Granted, House, Permit, Stand, Waiter};
-use playbill::{Cause, Incarnation, Micros, Trouble, standing::Report};
+use model::{Cause, Incarnation, Micros, Trouble, standing::Report};
 
 const SHED_RETRY: Micros = 250_000;
 
@@ -121,8 +121,8 @@
             let logged = view.slice.back_ends.get(&name).filter(|held| held.incarnation == place.incarnation);
             if now >= place.heard + patience {
                 place.stand = Stand::Gone;
-                reports.push(Report::Phase { name, incarnation: place.incarnation, phase: playbill::Phase::PresumedGone });
-            } else if !leaving && logged.is_some_and(|held| held.phase == playbill::Phase::PresumedGone) {
+                reports.push(Report::Phase { name, incarnation: place.incarnation, phase: model::Phase::PresumedGone });
+            } else if !leaving && logged.is_some_and(|held| held.phase == model::Phase::PresumedGone) {
                 // It beats, so it lives: a new life in the log, and the old one's dispatches are void.
                 place.earlier.push(place.incarnation);
                 place.incarnation += 1;
@@ -170,7 +170,7 @@
                     .map(|((_, life), _)| *life)
                     .collect();
                 let busy = place.running.values().flatten().any(|key| {
-                    let term = terms.get(playbill::terms::slice_of(key) as usize);
+                    let term = terms.get(model::terms::slice_of(key) as usize);
                     term.and_then(|term| term.holder.as_ref()) != Some(&holder)
                 });
                 if !owing.is_empty() && !busy {
--- a/crates/stage/src/house_task.rs
+++ b/crates/stage/src/house_task.rs
@@ -1,7 +1,7 @@
 //! The house's one owner: commands in, answers out, reports on to the log (design 8.1).
 
 use crate::house::{Granted, House, HouseEnv, Permit, Registration};
-use playbill::{Incarnation, Trouble};
+use model::{Incarnation, Trouble};
 
 type Answer<T> = tokio::sync::oneshot::Sender<T>;
 type Entered = Result<Permit, Trouble>;
@@ -9,7 +9,7 @@
 pub enum Command {
     Reserve(Registration, String, Answer<Result<Incarnation, Trouble>>),
     Confirm(String, Incarnation, bool),
-    BackEnd(String, Answer<Option<playbill::BackEnd>>),
+    BackEnd(String, Answer<Option<model::BackEnd>>),
     Beat(String, bool, Option<u32>, Answer<Option<String>>),
     SignOff(String, Answer<bool>),
     Enter(Box<transport::Dispatch>, Answer<Entered>),
@@ -41,9 +41,9 @@
     pub fn start(
         env: HouseEnv,
         view: gallery::view::SharedView,
-        moved: tokio::sync::watch::Receiver<playbill::Position>,
+        moved: tokio::sync::watch::Receiver<model::Position>,
         reports: gallery::Reports,
-        services: tokio::sync::watch::Sender<playbill::slice::Services>,
+        services: tokio::sync::watch::Sender<model::slice::Services>,
         logger: slog::Logger,
     ) -> Self {
         let (commands, buffer) = tokio::sync::mpsc::channel(4_096);
@@ -74,7 +74,7 @@
         self.commands.send(Command::Confirm(name.to_string(), incarnation, accepted)).await.unwrap_or_default();
     }
 
-    pub async fn back_end(&self, name: &str) -> Option<playbill::BackEnd> {
+    pub async fn back_end(&self, name: &str) -> Option<model::BackEnd> {
         self.ask(|answer| Command::BackEnd(name.to_string(), answer)).await.flatten()
     }
 
@@ -110,7 +110,7 @@
 }
 
 fn stopping() -> Trouble {
-    Trouble::new(playbill::Cause::Leaving, "this usher is stopping")
+    Trouble::new(model::Cause::Leaving, "this usher is stopping")
 }
 
 struct Owner {
@@ -119,13 +119,13 @@
     waiting: std::collections::HashMap<u64, Answer<Entered>>,
     tickets: u64,
     senders: std::sync::Arc<arc_swap::ArcSwap<Senders>>,
-    services: tokio::sync::watch::Sender<playbill::slice::Services>,
-    outbox: tokio::sync::mpsc::UnboundedSender<playbill::standing::Report>,
+    services: tokio::sync::watch::Sender<model::slice::Services>,
+    outbox: tokio::sync::mpsc::UnboundedSender<model::standing::Report>,
     ran: tokio::sync::watch::Sender<usize>,
 }
 
 impl Owner {
-    async fn run(mut self, mut buffer: tokio::sync::mpsc::Receiver<Command>, mut moved: tokio::sync::watch::Receiver<playbill::Position>) {
+    async fn run(mut self, mut buffer: tokio::sync::mpsc::Receiver<Command>, mut moved: tokio::sync::watch::Receiver<model::Position>) {
         let mut every = tokio::time::interval(std::time::Duration::from_millis(20));
         every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
@@ -137,7 +137,7 @@
                 _ = moved.changed() => {}
                 _ = every.tick() => {}
             }
-            let granted = self.house.pump(playbill::now(), &self.view.load());
+            let granted = self.house.pump(model::now(), &self.view.load());
             self.answer(granted);
             let running = self.house.running();
             self.ran.send_if_modified(|told| std::mem::replace(told, running) != running);
@@ -156,7 +156,7 @@
     }
 
     fn take(&mut self, command: Command) {
-        let now = playbill::now();
+        let now = model::now();
         match command {
             Command::Reserve(registration, secret, answer) => {
                 let logged = self.view.load().slice.back_ends.get(&registration.name).map_or(0, |held| held.incarnation);
@@ -207,17 +207,12 @@
 }
 
 /// Reports go one after the other and are not given up.
-async fn report(
-    mut outgoing: tokio::sync::mpsc::UnboundedReceiver<playbill::standing::Report>,
-    reports: gallery::Reports,
-    desk: HouseDesk,
-    logger: slog::Logger,
-) {
+async fn report(mut outgoing: tokio::sync::mpsc::UnboundedReceiver<model::standing::Report>, reports: gallery::Reports, desk: HouseDesk, logger: slog::Logger) {
     while let Some(report) = outgoing.recv().await {
         let outcome = reports.tell(report.clone()).await;
         slog::info!(logger, "reported"; "report" => ?report, "outcome" => ?outcome);
-        if let playbill::standing::Report::Registered { name, back_end } = report {
-            let accepted = matches!(outcome, Some(playbill::Outcome::Accepted { .. } | playbill::Outcome::Unchanged { .. }));
+        if let model::standing::Report::Registered { name, back_end } = report {
+            let accepted = matches!(outcome, Some(model::Outcome::Accepted { .. } | model::Outcome::Unchanged { .. }));
             desk.confirm(&name, back_end.incarnation, accepted).await;
         }
     }
--- a/crates/stage/src/marks.rs
+++ b/crates/stage/src/marks.rs
@@ -1,6 +1,6 @@
 //! How old a dispatch can be at most, without comparing two machines' clocks (design 5.11).
 
-use playbill::Micros;
+use model::Micros;
 
 pub const EVERY: Micros = 100_000;
 /// An honest dispatch names a mark this young: one turn, and the way there and back.
--- a/crates/stage/src/mates.rs
+++ b/crates/stage/src/mates.rs
@@ -1,6 +1,6 @@
 //! Conns to other ushers, one each, replies told apart by number (design 5.2).
 
-use playbill::{Cause, Trouble};
+use model::{Cause, Trouble};
 
 type Answer = tokio::sync::oneshot::Sender<Result<transport::Reply, Trouble>>;
 
@@ -21,7 +21,7 @@
 
 /// What waits for a conn that is being dialed has certainly not left.
 enum Line {
-    Dialing(playbill::Micros, Vec<(Box<transport::Dispatch>, u64, Answer)>),
+    Dialing(model::Micros, Vec<(Box<transport::Dispatch>, u64, Answer)>),
     Open { token: u64, life: u64, sender: transport::Sender, mark: u64, pending: std::collections::HashMap<u64, Answer> },
 }
 
@@ -97,12 +97,12 @@
         match self.lines.get_mut(&address) {
             Some(Line::Dialing(since, waiting)) => {
                 // Counted from the dial's beginning, so that what is left is never told too long.
-                dispatch.left += playbill::now() - *since;
+                dispatch.left += model::now() - *since;
                 waiting.push((dispatch, life, answer));
             }
             Some(open @ Line::Open { .. }) => hand_over(open, dispatch, life, answer),
             None => {
-                self.lines.insert(address.clone(), Line::Dialing(playbill::now(), vec![(dispatch, life, answer)]));
+                self.lines.insert(address.clone(), Line::Dialing(model::now(), vec![(dispatch, life, answer)]));
                 let (commands, greeting) = (self.commands.clone(), (self.greeting)());
                 tokio::spawn(async move {
                     let conn = transport::dial(&address, greeting).await;
@@ -114,7 +114,7 @@
 
     fn dialed(&mut self, address: String, conn: Result<transport::Conn, transport::Trouble>) {
         let Some(Line::Dialing(since, waiting)) = self.lines.remove(&address) else { return };
-        let waited = playbill::now() - since;
+        let waited = model::now() - since;
         match conn {
             Ok(conn) => {
                 self.tokens += 1;
--- a/crates/stage/src/near.rs
+++ b/crates/stage/src/near.rs
@@ -1,6 +1,6 @@
 //! Beside the sender: lane, pick, dispatch, and dispatch again where that is allowed (design 5.2).
 
-use playbill::{Cause, Trouble, Verdict};
+use model::{Cause, Trouble, Verdict};
 
 /// One request as its sender put it.
 #[derive(Clone, Debug)]
@@ -15,7 +15,7 @@
     pub body: Vec<u8>,
     pub key: Option<String>,
     /// What the sender says it will wait; none leaves it to the order.
-    pub wait: Option<playbill::Micros>,
+    pub wait: Option<model::Micros>,
 }
 
 #[derive(Clone)]
@@ -69,13 +69,13 @@
 
     async fn perform(&self, sender: crate::SenderId, ask: Ask) -> Result<transport::Reply, Trouble> {
         let _under_way = self.calls.begin().ok_or_else(|| Trouble::new(Cause::Leaving, "this usher is stopping").later(1_000_000))?;
-        let mut course = crate::course::Course::begin(&self.view.load(), playbill::now(), sender, ask)?;
+        let mut course = crate::course::Course::begin(&self.view.load(), model::now(), sender, ask)?;
         self.budget.first(course.service()).await;
         loop {
             let view = self.view.load_full();
-            let candidates = course.candidates(&view, playbill::now(), &self.zone)?;
+            let candidates = course.candidates(&view, model::now(), &self.zone)?;
             let picked = self.picker.pick(candidates).await.ok_or_else(|| course.nobody())?;
-            let reply = match course.dispatch(&view, playbill::now(), &picked, &self.node) {
+            let reply = match course.dispatch(&view, model::now(), &picked, &self.node) {
                 Ok((dispatch, None)) => self.far.perform(dispatch).await,
                 Ok((dispatch, Some((address, life)))) => self.mates.call(&address, life, dispatch).await,
                 Err(trouble) => Err(trouble),
@@ -89,7 +89,7 @@
             if !course.may_go_again(&picked, &trouble) || !self.budget.extra(course.service()).await {
                 return Err(course.given_up(trouble));
             }
-            slog::info!(self.far.logger, "dispatched again"; "service" => course.service(), "at" => playbill::now(), "after" => trouble.cause.code());
+            slog::info!(self.far.logger, "dispatched again"; "service" => course.service(), "at" => model::now(), "after" => trouble.cause.code());
         }
     }
 }
--- a/crates/stage/src/picker.rs
+++ b/crates/stage/src/picker.rs
@@ -1,6 +1,6 @@
 //! Which back end gets the next request: in the zone first, then by load (design 5.2).
 
-use playbill::Micros;
+use model::Micros;
 
 /// After a refusal or a lost mate a back end is passed over so long, unless nobody else is left.
 const BENCH: Micros = 300_000;
@@ -66,9 +66,9 @@
                 match command {
                     Command::Pick(candidates, answer) => {
                         turn += 1;
-                        drop(answer.send(picker.pick(playbill::now(), &candidates, turn)));
+                        drop(answer.send(picker.pick(model::now(), &candidates, turn)));
                     }
-                    Command::Done(name, bench) => picker.done(playbill::now(), &name, bench),
+                    Command::Done(name, bench) => picker.done(model::now(), &name, bench),
                 }
             }
         });
--- a/crates/stage/src/server.rs
+++ b/crates/stage/src/server.rs
@@ -31,7 +31,7 @@
 }
 
 async fn serve(mut conn: transport::Conn, far: crate::Far, relay: gallery::relay::Relay, heard: gallery::watching::Heard) {
-    let mut marks = crate::marks::Marks::new(playbill::now());
+    let mut marks = crate::marks::Marks::new(model::now());
     let mut every = tokio::time::interval(std::time::Duration::from_micros(crate::marks::EVERY));
     every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
@@ -41,7 +41,7 @@
                 None => return,
             },
             _ = every.tick(), if conn.greeting.purpose == transport::Purpose::Call => {
-                let mark = marks.next(playbill::now());
+                let mark = marks.next(model::now());
                 // A mate that takes nothing just now goes without; its dispatches then look older, not younger.
                 drop(conn.sender.try_send(transport::Frame::Mark(mark)));
                 continue;
@@ -49,7 +49,7 @@
         };
         match frame {
             transport::Frame::Dispatch(mut dispatch) => {
-                dispatch.left = marks.left(playbill::now(), dispatch.mark, dispatch.left);
+                dispatch.left = marks.left(model::now(), dispatch.mark, dispatch.left);
                 let (far, replies) = (far.clone(), conn.sender.clone());
                 tokio::spawn(async move {
                     let number = dispatch.number;
--- a/crates/stage/src/taken.rs
+++ b/crates/stage/src/taken.rs
@@ -1,6 +1,6 @@
 //! Tries this usher has taken, and the answers of those that certainly did not run (design 5.5).
 
-use playbill::{Cause, Trouble};
+use model::{Cause, Trouble};
 
 /// Counted, not timed: a sender that slept for an hour finds its try still known when it wakes.
 pub const KEPT: usize = 65_536;
@@ -80,7 +80,7 @@
         let mut taken = Taken::default();
         assert_eq!(taken.take("seat-0.7.a"), Ok(()));
         let again = taken.take("seat-0.7.a").expect_err("under way");
-        assert_eq!((again.cause, again.verdict), (Cause::DuplicateTry, playbill::Verdict::MayHaveRun));
+        assert_eq!((again.cause, again.verdict), (Cause::DuplicateTry, model::Verdict::MayHaveRun));
         let first = Trouble::new(Cause::NotFresh, "no proof");
         assert_eq!(taken.take("seat-0.7.b"), Ok(()));
         taken.did_not_run("seat-0.7.b", first.clone());
--- a/crates/stage/tests/beats.rs
+++ b/crates/stage/tests/beats.rs
@@ -2,7 +2,7 @@
 
 mod scene;
 
-use playbill::{Cause, standing::Report};
+use model::{Cause, standing::Report};
 use scene::{SECOND, Scene};
 
 fn slots_told(scene: &mut Scene) -> Vec<u32> {
@@ -47,8 +47,8 @@
     scene.edit(|slice| {
         slice.position = 7;
         slice.back_ends.clear();
-        let term = playbill::terms::Term { holder: None, fence: 7, owed: lost };
-        slice.terms.insert("seat".into(), vec![term; playbill::terms::SLICES as usize]);
+        let term = model::terms::Term { holder: None, fence: 7, owed: lost };
+        slice.terms.insert("seat".into(), vec![term; model::terms::SLICES as usize]);
     });
     let dispatch = scene.dispatch("after", "/plain");
     assert_eq!(scene.cause(SECOND, dispatch), Some(Cause::WrongIncarnation));
--- a/crates/stage/tests/house.rs
+++ b/crates/stage/tests/house.rs
@@ -2,7 +2,7 @@
 
 mod scene;
 
-use playbill::{Cause, Phase, Verdict, standing::Report, terms::Term};
+use model::{Cause, Phase, Verdict, standing::Report, terms::Term};
 use scene::{SECOND, Scene};
 use stage::house::Registration;
 
@@ -90,7 +90,7 @@
     scene.edit(|slice| {
         slice.position = 6;
         let holder = slice.terms["seat"][0].holder.clone();
-        slice.terms.insert("seat".into(), vec![Term { holder, fence: 6, owed }; playbill::terms::SLICES as usize]);
+        slice.terms.insert("seat".into(), vec![Term { holder, fence: 6, owed }; model::terms::SLICES as usize]);
     });
     drop(scene.house.pump(SECOND, &scene.view));
     let moved = |scene: &Scene, name: &str| transport::Dispatch { fence: Some(6), ..scene.dispatch(name, "/keyed") };
@@ -113,7 +113,7 @@
     scene.edit(|slice| {
         slice.position = 7;
         let term = Term { holder: Some(("seat-9".into(), 1)), fence: 7, owed: lost };
-        slice.terms.insert("seat".into(), vec![term; playbill::terms::SLICES as usize]);
+        slice.terms.insert("seat".into(), vec![term; model::terms::SLICES as usize]);
     });
     let releases = |scene: &mut Scene| {
         drop(scene.house.pump(SECOND, &scene.view));
