--- a/crates/stage/tests/scene/mod.rs
+++ b/crates/stage/tests/scene/mod.rs
@@ -1,6 +1,6 @@
 //! One back end beside one usher, with orders of three kinds, and the time told to it.
 
-use playbill::{Cause, Order, Selector, terms::Term};
+use model::{Cause, Order, Selector, terms::Term};
 use stage::house::{Permit, Registration};
 use stage::{House, HouseEnv};
 
@@ -29,16 +29,16 @@
         let orders = [("plain", order("/plain", 5, false)), ("dear", order("/dear", 9, false)), ("keyed", order("/keyed", 5, true))];
         let orders = orders.into_iter().map(|(name, order)| (name.to_string(), order)).collect();
         let back_end = scene.house.back_end("seat-0").expect("registered");
-        let mut slice = playbill::Slice { position: 5, orders, ..Default::default() };
+        let mut slice = model::Slice { position: 5, orders, ..Default::default() };
         slice.back_ends.insert("seat-0".into(), back_end);
         let term = Term { holder: Some(("seat-0".into(), scene.life)), fence: 5, owed: vec![] };
-        slice.terms.insert("seat".into(), vec![term; playbill::terms::SLICES as usize]);
+        slice.terms.insert("seat".into(), vec![term; model::terms::SLICES as usize]);
         slice.longest.insert("seat".into(), 3 * SECOND);
         scene.view = gallery::View { slice: std::sync::Arc::new(slice), fresh_until: 1_000 * SECOND };
         scene
     }
 
-    pub fn edit(&mut self, edit: impl FnOnce(&mut playbill::Slice)) {
+    pub fn edit(&mut self, edit: impl FnOnce(&mut model::Slice)) {
         edit(std::sync::Arc::make_mut(&mut self.view.slice));
     }
 
@@ -65,7 +65,7 @@
         }
     }
 
-    pub fn enter(&mut self, now: u64, dispatch: transport::Dispatch) -> Vec<(u64, Result<Permit, playbill::Trouble>)> {
+    pub fn enter(&mut self, now: u64, dispatch: transport::Dispatch) -> Vec<(u64, Result<Permit, model::Trouble>)> {
         self.tickets += 1;
         self.house.enter(now, &self.view, self.tickets, dispatch)
     }
--- a/crates/transport/src/cue.rs
+++ b/crates/transport/src/cue.rs
@@ -1,7 +1,7 @@
 //! Requests and answers between the nodes beside two back ends (design 13.2).
 
 use crate::Headers;
-use playbill::{BackEndName, Micros, ServiceName};
+use model::{BackEndName, Micros, ServiceName};
 
 /// A request on its way to the node beside the back end that is to run it (design 13.2).
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/transport/src/frame.rs
+++ b/crates/transport/src/frame.rs
@@ -1,6 +1,6 @@
 //! All that our processes say to each other (design 4.2).
 
-use playbill::{BackEndName, Incarnation, Micros, NodeName, Position, ServiceName, ZoneName};
+use model::{BackEndName, Incarnation, Micros, NodeName, Position, ServiceName, ZoneName};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub enum Purpose {
@@ -111,20 +111,20 @@
     },
     Forward {
         number: u64,
-        entry: Box<playbill::Entry>,
+        entry: Box<model::Entry>,
     },
     Answer {
         number: u64,
-        outcome: Option<playbill::Outcome>,
+        outcome: Option<model::Outcome>,
     },
     /// News begins once the teller's book has reached `held`.
     Subscribe {
         services: std::collections::BTreeSet<ServiceName>,
         held: Position,
     },
-    News(Box<playbill::Slice>),
+    News(Box<model::Slice>),
     /// Against the last news or patch on this conn.
-    Patch(Box<playbill::Patch>),
+    Patch(Box<model::Patch>),
     Ask {
         number: u64,
     },
@@ -138,7 +138,7 @@
     Dispatch(Box<Dispatch>),
     Reply {
         number: u64,
-        reply: Box<Result<Reply, playbill::Trouble>>,
+        reply: Box<Result<Reply, model::Trouble>>,
     },
     Look,
     Seen(Vec<u8>),
@@ -159,7 +159,7 @@
     Load(Box<Load>),
     /// How long a request would wait there now, and what came of this one.
     Taken(u32, u32, Box<crate::SaidTake>),
-    Untaken(u32, u32, Box<playbill::Trouble>),
+    Untaken(u32, u32, Box<model::Trouble>),
     /// The sender takes nothing new: it stops in good order.
     Leaving,
     /// Which seat a core machine is to take; `founded` says with whom the core begins (design 12.1).
--- a/crates/troupe/src/beats.rs
+++ b/crates/troupe/src/beats.rs
@@ -2,15 +2,15 @@
 
 use crate::desk::{Answer, Beat, Command, Own, Owner};
 use crate::keys::Grant;
-use playbill::bill::{Key, Report};
-use playbill::{Micros, Position};
+use model::bill::{Key, Report};
+use model::{Micros, Position};
 
 /// An answer is kept back so long at most: whoever beats waits a second for it.
 const KEPT: std::time::Duration = std::time::Duration::from_millis(650);
 
 impl Owner {
     pub(crate) fn beat(&mut self, beat: Beat, answer: Answer) {
-        let now = playbill::now();
+        let now = model::now();
         // While another beats, one that the log had here before is the earlier life, and its beat comes late. Of two in one
         // breath, as after a standstill, the one that lives beats again.
         let within = |span: Micros| self.own.as_ref().is_some_and(|own| own.beat.name != beat.name && now < own.heard + span);
@@ -50,7 +50,7 @@
     /// to get, hear it as soon as it stands in the log and not at their next beat (design 11.5).
     pub(crate) fn answer(&mut self, due: bool) {
         let Some(mut own) = self.own.take() else { return };
-        let (now, outlook) = (playbill::now(), self.outlook.load_full());
+        let (now, outlook) = (model::now(), self.outlook.load_full());
         let programme = &outlook.programme;
         let keyed = programme.services.get(&own.beat.service).is_some_and(|service| service.keyed);
         let rows = programme.castings.get(&own.beat.service).map(|held| held.1.clone()).unwrap_or_default();
--- a/crates/troupe/src/casting.rs
+++ b/crates/troupe/src/casting.rs
@@ -1,8 +1,8 @@
 //! Who is to hold which keys: by what is asked of each key and how fast each back end is, with as few moves as
 //! that allows (design 11.4). Pure.
 
-use playbill::BackEndName;
-use playbill::bill::{Key, Rows};
+use model::BackEndName;
+use model::bill::{Key, Rows};
 
 /// A back end and how much it can do, in any unit.
 pub type Part = (BackEndName, f64);
@@ -185,7 +185,7 @@
 
 #[cfg(test)]
 mod tests {
-    use playbill::bill::rows;
+    use model::bill::rows;
 
     fn part(name: &str, can: f64) -> super::Part {
         (name.to_string(), can)
--- a/crates/troupe/src/desk.rs
+++ b/crates/troupe/src/desk.rs
@@ -1,8 +1,8 @@
 //! The one owner of the back end beside this node: its beats, its drain, its end (design 11.2).
 
 use crate::keys::{Keys, KeysEnv};
-use playbill::bill::{Key, Player, Report};
-use playbill::{Micros, Position};
+use model::bill::{Key, Player, Report};
+use model::{Micros, Position};
 
 #[derive(Clone)]
 pub struct TroupeEnv {
@@ -44,7 +44,7 @@
     SignOff(String, tokio::sync::oneshot::Sender<()>),
     Moved,
     Tick,
-    Logged(Vec<Report>, Option<playbill::Outcome>),
+    Logged(Vec<Report>, Option<model::Outcome>),
     Refuses(String, bool),
 }
 
@@ -102,7 +102,7 @@
         let keys = Keys::new(env.keys);
         let outlook = following.outlook.clone();
         let (ends, facts) = (Default::default(), Vec::new());
-        let (own, over, began, telling) = (None, Default::default(), playbill::now(), false);
+        let (own, over, began, telling) = (None, Default::default(), model::now(), false);
         let registration = crate::registration::Registration::new(env.life);
         let (tell_superseded, superseded) = tokio::sync::watch::channel(false);
         let mut owner = Owner {
@@ -178,7 +178,7 @@
             Command::SignOff(name, answer) => {
                 self.ends.entry(name.clone()).or_insert(false);
                 if let Some(own) = self.own.as_mut().filter(|own| own.beat.name == name) {
-                    own.drained.get_or_insert(playbill::now());
+                    own.drained.get_or_insert(model::now());
                     own.silent = true;
                 }
                 answer.send(()).unwrap_or_default();
@@ -187,7 +187,7 @@
                 let programme = self.outlook.load().programme.clone();
                 if let Some(own) = &self.own {
                     let rows = programme.castings.get(&own.beat.service);
-                    rows.into_iter().for_each(|rows| self.keys.observe(playbill::now(), &rows.1, &own.beat.name));
+                    rows.into_iter().for_each(|rows| self.keys.observe(model::now(), &rows.1, &own.beat.name));
                 }
                 self.answer(false);
             }
@@ -218,16 +218,16 @@
     }
 
     /// Until a beat could not but have come, if it were there.
-    fn recalled(&self, programme: &playbill::bill::Programme) -> Option<pit::Local> {
+    fn recalled(&self, programme: &model::bill::Programme) -> Option<pit::Local> {
         let until = self.began + self.env.beat_every * crate::facts::MISSED;
-        let address = self.env.back_end.as_deref().filter(|_| playbill::now() < until)?;
+        let address = self.env.back_end.as_deref().filter(|_| model::now() < until)?;
         crate::recalled::recalled(programme, &self.env.node, address, until)
             .filter(|local| !self.over.contains(&local.name) && !self.ends.contains_key(&local.name))
     }
 
     pub(crate) fn player(&self, own: &Own) -> Player {
         let beat = &own.beat;
-        let phase = if own.drained.is_some() { playbill::Phase::Draining } else { playbill::Phase::Registered };
+        let phase = if own.drained.is_some() { model::Phase::Draining } else { model::Phase::Registered };
         Player { service: beat.service.clone(), zone: beat.zone.clone(), node: self.env.node.clone(), slots: beat.slots, phase, since: 0 }
     }
 }
--- a/crates/troupe/src/duty.rs
+++ b/crates/troupe/src/duty.rs
@@ -6,8 +6,8 @@
 mod judged;
 
 use ills::Ills;
-use playbill::bill::{Programme, Report};
-use playbill::{BackEndName, Micros};
+use model::bill::{Programme, Report};
+use model::{BackEndName, Micros};
 
 /// The first placement waits until the cast has been still for so long.
 const QUIET_FIRST: Micros = 1_300_000;
@@ -65,7 +65,7 @@
         let (mut told_at, mut placed, mut ills) = (0, 0, Ills::default());
         loop {
             every.tick().await;
-            let now = playbill::now();
+            let now = model::now();
             while let Ok(load) = self.loads.try_recv() {
                 told.insert(load.back_end.clone(), (now, load));
             }
@@ -100,15 +100,15 @@
             }
             slog::info!(self.logger, "places keys"; "service" => &self.service, "base" => base, "rows" => rows.len(), "why" => ?why);
             let outcome = self.reports.report(vec![Report::Recast { service: self.service.clone(), base, rows }]).await;
-            placed = playbill::now();
-            if let Some(playbill::Outcome::Accepted { position, .. }) = outcome {
+            placed = model::now();
+            if let Some(model::Outcome::Accepted { position, .. }) = outcome {
                 self.here(position).await;
             }
         }
     }
 
     /// Waits until the news of what was put in the log is here, or is late.
-    async fn here(&mut self, position: playbill::Position) {
+    async fn here(&mut self, position: model::Position) {
         let outlook = self.following.outlook.clone();
         let moved = &mut self.following.moved;
         let here = async { while outlook.load().programme.position < position && moved.changed().await.is_ok() {} };
@@ -118,13 +118,13 @@
     /// What the back end beside this node is asked for, told to whoever has the duty.
     async fn tell(&self, programme: &Programme, told: &mut Told) {
         let cast = programme.cast(&self.service);
-        let weight = |name: &str| playbill::terms::hash(&format!("{}\n{name}", self.service));
+        let weight = |name: &str| model::terms::hash(&format!("{}\n{name}", self.service));
         let Some(first) = cast.iter().max_by_key(|one| weight(&one.node)) else { return };
         let Some(own) = programme.players.iter().find(|(_, player)| player.node == self.node && player.service == self.service) else { return };
         let Some((slots, (run, runs), asked, seen, ill)) = self.pit.asked(RANGES).await else { return };
         let load = transport::Load { service: self.service.clone(), back_end: own.0.clone(), slots, run, runs, asked, seen, ill };
         if first.node == self.node {
-            told.insert(own.0.clone(), (playbill::now(), load));
+            told.insert(own.0.clone(), (model::now(), load));
         } else {
             self.mates.tell(&first.address, transport::Frame::Load(Box::new(load)));
         }
@@ -133,7 +133,7 @@
 
 /// This node's place in the order of those that may do it.
 fn rank(programme: &Programme, service: &str, node: &str) -> u64 {
-    let weight = |name: &str| playbill::terms::hash(&format!("{service}\n{name}"));
+    let weight = |name: &str| model::terms::hash(&format!("{service}\n{name}"));
     let own = weight(node);
     programme.cast(service).iter().filter(|one| one.node != node && weight(&one.node) > own).count() as u64
 }
@@ -147,7 +147,7 @@
     Uneven,
 }
 
-type Wanted = (playbill::Position, crate::Cast, Why);
+type Wanted = (model::Position, crate::Cast, Why);
 
 /// `since`: how long ago this node placed keys last, if the duty is its own.
 fn plan(programme: &Programme, service: &str, told: &Told, ill: &[BackEndName], since: Option<Micros>) -> Option<Wanted> {
@@ -155,7 +155,7 @@
     if cast.is_empty() {
         return None;
     }
-    let empty = (0, playbill::bill::rows::empty());
+    let empty = (0, model::bill::rows::empty());
     let (base, rows) = programme.castings.get(service).map(|held| &**held).unwrap_or(&empty);
     let names: std::collections::HashSet<&str> = cast.iter().map(|one| one.name.as_str()).collect();
     let holders: std::collections::HashSet<Option<&str>> = rows.iter().map(|row| row.holder.as_deref()).collect();
@@ -191,7 +191,7 @@
 
 /// Requests a second that each back end can do: its slots over the mean time of its runs. The fewer of them were
 /// seen, the more it counts as the others do. Who is ill is given little (design 13.8).
-fn parts(cast: &[playbill::bill::Onstage], told: &Told, ill: &[BackEndName]) -> Vec<crate::Part> {
+fn parts(cast: &[model::bill::Onstage], told: &Told, ill: &[BackEndName]) -> Vec<crate::Part> {
     let seen = |name: &str| told.get(name).map(|(_, load)| (load.run as f64, load.runs as f64)).unwrap_or((0.0, 0.0));
     let (sum, count) = cast.iter().map(|one| seen(&one.name)).fold((0.0, 0.0), |(sum, count), (run, runs)| (sum + run * runs, count + runs));
     let mean = if count > 0.0 { sum / count } else { 1e6 };
@@ -199,6 +199,6 @@
         let (run, runs) = seen(name);
         (run * runs + mean * UNSEEN) / (runs + UNSEEN)
     };
-    let share = |one: &playbill::bill::Onstage| if ill.contains(&one.name) { ILL_SHARE } else { 1.0 };
+    let share = |one: &model::bill::Onstage| if ill.contains(&one.name) { ILL_SHARE } else { 1.0 };
     cast.iter().map(|one| (one.name.clone(), share(one) * one.slots.max(1) as f64 * 1e6 / run(&one.name))).collect()
 }
--- a/crates/troupe/src/duty/ills.rs
+++ b/crates/troupe/src/duty/ills.rs
@@ -1,6 +1,6 @@
 //! Whose illness is its own: those told ill for a while, where it was not many at a time (design 13.8). Pure.
 
-use playbill::{BackEndName, Micros};
+use model::{BackEndName, Micros};
 
 #[derive(Default)]
 pub struct Ills {
--- a/crates/troupe/src/duty/judged.rs
+++ b/crates/troupe/src/duty/judged.rs
@@ -2,7 +2,7 @@
 //! their runs (design 13.8). Without the word that one is ill, what it holds is lost for as long as it is ill.
 
 use super::*;
-use playbill::bill::{Act, Player, Service};
+use model::bill::{Act, Player, Service};
 use rand::Rng as _;
 
 const BACK_ENDS: usize = 24;
@@ -58,14 +58,14 @@
     format!("b{at:02}")
 }
 
-fn bill() -> playbill::Bill {
-    let mut bill = playbill::Bill::default();
-    let body = playbill::bill::Body::Service(Service { health_path: String::new(), conns: 0, keyed: true, warm_us: 0 });
-    let put = playbill::bill::items::Put { name: "seat".into(), version: 1, body, text: String::new() };
-    bill.apply("operator", 1, 0, Act::Items(playbill::bill::Call { puts: vec![put], drops: Vec::new() }));
+fn bill() -> model::Bill {
+    let mut bill = model::Bill::default();
+    let body = model::bill::Body::Service(Service { health_path: String::new(), conns: 0, keyed: true, warm_us: 0 });
+    let put = model::bill::items::Put { name: "seat".into(), version: 1, body, text: String::new() };
+    bill.apply("operator", 1, 0, Act::Items(model::bill::Call { puts: vec![put], drops: Vec::new() }));
     let node = |at: usize| Report::Node { node: format!("n{at}"), zone: "z".into(), address: format!("n{at}"), life: 1, replaces: 0 };
     let player =
-        |at: usize| Player { service: "seat".into(), zone: "z".into(), node: format!("n{at}"), slots: SLOTS, phase: playbill::Phase::Registered, since: 0 };
+        |at: usize| Player { service: "seat".into(), zone: "z".into(), node: format!("n{at}"), slots: SLOTS, phase: model::Phase::Registered, since: 0 };
     let all = (0..BACK_ENDS).flat_map(|at| [node(at), Report::Joined { name: name(at), player: player(at) }]).collect();
     bill.apply("nodes", 1, 1, Act::Reports(all));
     bill
@@ -81,7 +81,7 @@
     let mut random: rand::rngs::StdRng = rand::SeedableRng::seed_from_u64(41);
     let mut bill = bill();
     let mut sequence = 1;
-    let mut apply = |bill: &mut playbill::Bill, report| {
+    let mut apply = |bill: &mut model::Bill, report| {
         sequence += 1;
         bill.apply("nodes", 1, sequence, Act::Reports(vec![report]));
         Programme::default().told(true, bill.position, bill.whole())
@@ -106,7 +106,7 @@
             due -= 1.0;
             seen.asked += 1;
             let key: u16 = random.random();
-            let Some(row) = playbill::bill::rows::holder_of(&programme.castings["seat"].1, key) else { continue };
+            let Some(row) = model::bill::rows::holder_of(&programme.castings["seat"].1, key) else { continue };
             let of = (0..BACK_ENDS).find(|at| row.holder.as_ref() == Some(&name(*at))).filter(|_| row.owed.is_empty());
             let Some(of) = of.filter(|of| players[*of].health.running() < 2 * SLOTS as usize) else {
                 seen.gap += 1;
--- a/crates/troupe/src/facts.rs
+++ b/crates/troupe/src/facts.rs
@@ -2,8 +2,8 @@
 
 use crate::desk::{Command, Owner};
 use crate::registration::Standing;
-use playbill::Outcome;
-use playbill::bill::Report;
+use model::Outcome;
+use model::bill::Report;
 
 /// Between a report that changed nothing or was not taken and the next one.
 const TELL_AGAIN: std::time::Duration = std::time::Duration::from_millis(200);
@@ -27,13 +27,11 @@
                 None => !own.silent && !own.denied,
                 Some(held) => held.slots != player.slots || held.node != player.node,
             };
-            let joined = joined.then(|| Report::Joined {
-                name: name.clone(),
-                player: playbill::bill::Player { phase: phase.unwrap_or(playbill::Phase::Registered), ..player },
-            });
-            let silent = (phase == Some(playbill::Phase::Registered) && own.silent) || (phase == Some(playbill::Phase::PresumedGone) && !own.silent);
+            let joined = joined
+                .then(|| Report::Joined { name: name.clone(), player: model::bill::Player { phase: phase.unwrap_or(model::Phase::Registered), ..player } });
+            let silent = (phase == Some(model::Phase::Registered) && own.silent) || (phase == Some(model::Phase::PresumedGone) && !own.silent);
             let silent = silent.then(|| Report::Silent { name: name.clone(), silent: own.silent });
-            let drains = own.drained.is_some() && phase.map_or(!own.denied, |phase| phase == playbill::Phase::Registered);
+            let drains = own.drained.is_some() && phase.map_or(!own.denied, |phase| phase == model::Phase::Registered);
             let drains = drains.then_some(Report::Draining { name });
             [joined, silent, drains].into_iter().flatten()
         });
@@ -46,16 +44,16 @@
 
     /// One back end to a machine: whoever else the log has beside this node is an earlier life, gone with its process,
     /// though this process never heard it. While no other is heard it is only silent.
-    fn strangers(&self, programme: &playbill::bill::Programme) -> Vec<Report> {
+    fn strangers(&self, programme: &model::bill::Programme) -> Vec<Report> {
         // Where the log knows both, the one that beats on is the one that lives.
         let sure = |own: &&crate::desk::Own| own.beats_on || !programme.players.contains_key(&own.beat.name);
         let (own, sure) = (self.own.as_ref().map(|own| own.beat.name.as_str()), self.own.as_ref().is_some_and(|own| sure(&own)));
-        let patient = playbill::now() > self.began + self.env.beat_every * MISSED;
+        let patient = model::now() > self.began + self.env.beat_every * MISSED;
         let here = programme.players.iter().filter(|(name, player)| player.node == self.env.node && !self.ends.contains_key(*name));
         here.filter(|(name, _)| own != Some(name))
             .filter_map(|(name, player)| match own {
                 Some(_) => sure.then(|| Report::Ended { name: name.clone(), surely: true }),
-                None => (patient && player.phase == playbill::Phase::Registered).then(|| Report::Silent { name: name.clone(), silent: true }),
+                None => (patient && player.phase == model::Phase::Registered).then(|| Report::Silent { name: name.clone(), silent: true }),
             })
             .collect()
     }
@@ -128,7 +126,7 @@
 
     /// A back end that stopped beating: is its process gone? A conn refused on this machine says so.
     pub(crate) fn mind_silence(&mut self) {
-        let now = playbill::now();
+        let now = model::now();
         let Some(own) = self.own.as_mut() else { return self.mind_earlier(now) };
         if now < own.heard + self.env.beat_every * MISSED / 2 && !own.silent || own.probing {
             return;
@@ -152,7 +150,7 @@
     }
 
     /// The log names a back end beside this node that this life of the node has not heard: it may be gone.
-    fn mind_earlier(&mut self, now: playbill::Micros) {
+    fn mind_earlier(&mut self, now: model::Micros) {
         let (programme, node) = (self.outlook.load().programme.clone(), &self.env.node);
         let earlier = programme.players.iter().find(|(name, player)| player.node == *node && !self.ends.contains_key(*name));
         let silent = now > self.began.max(self.looked) + self.env.beat_every * 2;
@@ -201,7 +199,7 @@
 }
 
 /// Up to where the log had come when it gave this answer.
-fn stands_at(outcome: &Outcome) -> Option<playbill::Position> {
+fn stands_at(outcome: &Outcome) -> Option<model::Position> {
     match outcome {
         Outcome::Accepted { position, .. } | Outcome::Unchanged { position } | Outcome::Superseded { position } => Some(*position),
         _ => None,
--- a/crates/troupe/src/keys.rs
+++ b/crates/troupe/src/keys.rs
@@ -1,8 +1,8 @@
 //! What a back end may be told to hold: only what the log says is its own, never beyond what a proof allows, and
 //! not before whoever held it earlier surely does not (design 11.5). Pure, with the time told to it.
 
-use playbill::bill::{Key, Rows};
-use playbill::{Micros, Position};
+use model::bill::{Key, Rows};
+use model::{Micros, Position};
 
 #[derive(Clone, Copy, Debug)]
 pub struct KeysEnv {
@@ -80,7 +80,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use playbill::bill::rows;
+    use model::bill::rows;
 
     const ENV: KeysEnv = KeysEnv { bound: 9_000_000, guard: 300_000, most: 10_000_000 };
 
--- a/crates/troupe/src/node.rs
+++ b/crates/troupe/src/node.rs
@@ -9,9 +9,9 @@
     pub words: http_util::words::Words,
     pub pick: apron::PickEnv,
     pub ahead: u32,
-    pub ask_every: playbill::Micros,
-    pub watch_every: playbill::Micros,
-    pub watch_patience: playbill::Micros,
+    pub ask_every: model::Micros,
+    pub watch_every: model::Micros,
+    pub watch_patience: model::Micros,
 }
 
 pub struct Node {
--- a/crates/troupe/src/registration.rs
+++ b/crates/troupe/src/registration.rs
@@ -1,7 +1,7 @@
 //! Whether this process is the one that the log has under its node's name (design 11.2).
 
-use playbill::Incarnation;
-use playbill::bill::Place;
+use model::Incarnation;
+use model::bill::Place;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
--- a/crates/troupe/src/watch.rs
+++ b/crates/troupe/src/watch.rs
@@ -1,12 +1,12 @@
 //! Beats to this node's watchers on the ring of nodes, and the watch over its wards (design 5.10).
 
-use playbill::bill::Report;
+use model::bill::Report;
 
 pub struct WatchEnv {
     pub node: String,
-    pub life: playbill::Incarnation,
-    pub beat_every: playbill::Micros,
-    pub patience: playbill::Micros,
+    pub life: model::Incarnation,
+    pub beat_every: model::Micros,
+    pub patience: model::Micros,
 }
 
 pub fn start(
@@ -24,7 +24,7 @@
         loop {
             tokio::select! {
                 told = hears.recv() => match told {
-                    Some((node, life)) => watch.heard(playbill::now(), &node, life),
+                    Some((node, life)) => watch.heard(model::now(), &node, life),
                     None => return,
                 },
                 _ = every.tick() => {
@@ -37,12 +37,12 @@
                     });
                     // A node that hears no proof is cut off itself and blames nobody; the pause then forgives all.
                     let outlook = outlook.load();
-                    let proved = outlook.proved + env.patience * 2 / 3 > playbill::now();
+                    let proved = outlook.proved + env.patience * 2 / 3 > model::now();
                     // Before it is registered the log takes no word from it.
                     let registered = outlook.programme.places.get(&env.node).is_some_and(|place| place.life == env.life);
-                    let missed = if proved && registered { watch.look(playbill::now(), &stand.wards, &env.node, env.patience) } else { Vec::new() };
+                    let missed = if proved && registered { watch.look(model::now(), &stand.wards, &env.node, env.patience) } else { Vec::new() };
                     let told: Vec<Report> = missed.into_iter().filter_map(|report| match report {
-                        playbill::standing::Report::Watch { watcher, node, incarnation, missed } => Some(Report::Watch { watcher, node, life: incarnation, missed }),
+                        model::standing::Report::Watch { watcher, node, incarnation, missed } => Some(Report::Watch { watcher, node, life: incarnation, missed }),
                         _ => None,
                     }).collect();
                     if !told.is_empty() {
--- a/crates/troupe/tests/casting.rs
+++ b/crates/troupe/tests/casting.rs
@@ -1,6 +1,6 @@
 //! Placements of all keys: everyone's share, and no key moved without need (design 11.4).
 
-use playbill::bill::rows::{self, Rows};
+use model::bill::rows::{self, Rows};
 
 fn count(rows: &Rows, name: &str, keep: impl Fn(&rows::Row) -> bool) -> u32 {
     rows.iter().filter(|row| row.holder.as_deref() == Some(name) && keep(row)).map(|row| (row.to - row.from) as u32 + 1).sum()
--- a/crates/troupe/tests/desk.rs
+++ b/crates/troupe/tests/desk.rs
@@ -2,7 +2,7 @@
 
 mod scene;
 
-use playbill::bill::Report;
+use model::bill::Report;
 use scene::{BEAT, BOUND, MOST, all, joined, scene, scene_with};
 
 fn ends(report: &Report, who: &str) -> bool {
@@ -31,7 +31,7 @@
     let before = vec![joined("a", "n0"), joined("b", "n1"), all(0, "a"), all(4, "b")];
     let mut scene = scene(true, before).await;
     scene.beat("a", 9, vec![(0, u16::MAX, 4)]).await;
-    let heard = playbill::now();
+    let heard = model::now();
     let over = |report: &Report| ends(report, "a") || matches!(report, Report::Released { name, .. } if name == "a");
     let (told, report) = scene.hears("it holds nothing", over).await;
     assert!(told >= heard + MOST - BEAT, "{report:?} after {}", told - heard);
--- a/crates/troupe/tests/leaving.rs
+++ b/crates/troupe/tests/leaving.rs
@@ -1,6 +1,6 @@
 //! A node that is told to go (design 13.7).
 
-use playbill::bill::{Body, Delta, Kind, Lane, Programme};
+use model::bill::{Body, Delta, Kind, Lane, Programme};
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 
 const BOUND: std::time::Duration = std::time::Duration::from_secs(30);
@@ -21,7 +21,7 @@
         watch_patience: 3_000_000,
     };
     let bind = async || tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let node = troupe::Node::start(env, bind().await, playbill::log::quiet());
+    let node = troupe::Node::start(env, bind().await, model::log::quiet());
     let shares = vec![("seat".to_string(), 1)];
     let lane = Lane { host: "h".into(), prefix: "/a/".into(), repeatable: true, wait_us: 1_000_000, aim_us: 1_000_000, rank: 0, dispatches: 1, shares };
     let programme = Programme::default().told(true, 1, vec![Delta::Item(Kind::Lane, "a".into(), 1, Some(Body::Lane(lane)))]);
--- a/crates/troupe/tests/registration.rs
+++ b/crates/troupe/tests/registration.rs
@@ -1,8 +1,8 @@
 //! A process that starts registers on top of what the log has, whatever was drawn, and stops once another one did so
 //! after it (design 11.2).
 
-use playbill::bill::{Act, Place, Report};
-use playbill::{Bill, Outcome};
+use model::bill::{Act, Place, Report};
+use model::{Bill, Outcome};
 use troupe::{Registration, Standing};
 
 fn place(life: u64) -> Place {
--- a/crates/troupe/tests/scene/mod.rs
+++ b/crates/troupe/tests/scene/mod.rs
@@ -1,7 +1,7 @@
 //! A log of one seat in this process, and the owner of the back end beside a node over it.
 
-use playbill::bill::{Act, Player, Report, Service};
-use playbill::{Micros, Phase};
+use model::bill::{Act, Player, Report, Service};
+use model::{Micros, Phase};
 
 pub const BEAT: Micros = 40_000;
 pub const MOST: Micros = 1_200_000;
@@ -51,16 +51,16 @@
 }
 
 pub async fn scene_with(beat_every: Micros, keyed: bool, before: Vec<Report>) -> Scene {
-    let mut bill = playbill::Bill::default();
-    let body = playbill::bill::Body::Service(Service { health_path: String::new(), conns: 0, keyed, warm_us: 0 });
-    let put = playbill::bill::items::Put { name: "seat".into(), version: 1, body, text: String::new() };
-    bill.apply("operator", 1, 0, Act::Items(playbill::bill::Call { puts: vec![put], drops: Vec::new() }));
+    let mut bill = model::Bill::default();
+    let body = model::bill::Body::Service(Service { health_path: String::new(), conns: 0, keyed, warm_us: 0 });
+    let put = model::bill::items::Put { name: "seat".into(), version: 1, body, text: String::new() };
+    bill.apply("operator", 1, 0, Act::Items(model::bill::Call { puts: vec![put], drops: Vec::new() }));
     before.into_iter().zip(1..).for_each(|(report, sequence)| drop(bill.apply("earlier", 1, sequence, Act::Reports(vec![report]))));
     let (moved, watch) = tokio::sync::watch::channel(0);
     let following = gallery::Following { outlook: Default::default(), moved: watch };
     // A proof there was, so that reports are told, and long ago, so that nothing is granted.
-    let show = |bill: &playbill::Bill, outlook: &gallery::SharedOutlook| {
-        let programme = playbill::bill::Programme::default().told(true, bill.position, bill.whole());
+    let show = |bill: &model::Bill, outlook: &gallery::SharedOutlook| {
+        let programme = model::bill::Programme::default().told(true, bill.position, bill.whole());
         outlook.store(std::sync::Arc::new(gallery::Outlook { programme: std::sync::Arc::new(programme), proved: 1 }));
     };
     show(&bill, &following.outlook);
@@ -77,8 +77,8 @@
             let Ok(mut conn) = transport::accept(stream, |_| async { Ok(own) }).await else { continue };
             while let Some(frame) = conn.receiver.recv().await {
                 let transport::Frame::Forward { number, entry } = frame else { continue };
-                let playbill::Act::Bill(Act::Reports(reports)) = entry.act else { continue };
-                told.send_modify(|told| told.extend(reports.iter().map(|report| (playbill::now(), report.clone()))));
+                let model::Act::Bill(Act::Reports(reports)) = entry.act else { continue };
+                told.send_modify(|told| told.extend(reports.iter().map(|report| (model::now(), report.clone()))));
                 drop(answering.wait_for(|answers| *answers).await);
                 let outcome = bill.apply(&entry.origin, entry.life, entry.sequence, Act::Reports(reports)).0;
                 show(&bill, &outlook);
@@ -91,10 +91,10 @@
     let keys = troupe::KeysEnv { bound: 1_000_000, guard: 0, most: MOST };
     let back_end = process.local_addr().ok().map(|address| address.to_string()).filter(|_| beat_every != BEAT);
     let env = troupe::TroupeEnv { node: "n0".into(), zone: "z0".into(), address: "n0".into(), life: 1, keys, beat_every, back_end, drain: 1_000_000 };
-    let reporting = gallery::ReportingEnv { name: "n0".into(), life: 1, logger: playbill::log::quiet() };
+    let reporting = gallery::ReportingEnv { name: "n0".into(), life: 1, logger: model::log::quiet() };
     let reports = gallery::Reports::start(reporting, known, || greets("127.0.0.1:0"));
     let pit = pit::Pit::start(pit::PitEnv { words: http_util::words::OWN, ahead: 0 });
-    let troupe = troupe::Troupe::start(env, following, pit.clone(), reports, playbill::log::quiet());
+    let troupe = troupe::Troupe::start(env, following, pit.clone(), reports, model::log::quiet());
     Scene { troupe, heard, answers, process, pit }
 }
 
--- a/crates/troupe/tests/unproved.rs
+++ b/crates/troupe/tests/unproved.rs
@@ -1,8 +1,8 @@
 //! A node that has just begun, before its first proof: it says so at once and runs nothing on what it was told
 //! (design 11.6).
 
-use playbill::Cause;
-use playbill::bill::{Act, Body, Call, Lane, Limits, Service};
+use model::Cause;
+use model::bill::{Act, Body, Call, Lane, Limits, Service};
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 
 const BOUND: std::time::Duration = std::time::Duration::from_secs(60);
@@ -30,7 +30,7 @@
 
 /// A lane, a service divided by key, and limits that take hardly any body.
 fn desk() -> gallery::bulletin::Desk {
-    let put = |name: &str, body| playbill::bill::items::Put { name: name.into(), version: 1, body, text: String::new() };
+    let put = |name: &str, body| model::bill::items::Put { name: name.into(), version: 1, body, text: String::new() };
     let (host, prefix) = ("a.example".to_string(), "/x/".to_string());
     let lane = Lane { host, prefix, repeatable: false, wait_us: 2_000_000, aim_us: 400_000, rank: 0, dispatches: 1, shares: vec![("seat".into(), 1)] };
     let limits = Limits { header_bytes: 16_384, body_bytes: 1_024, header_wait_us: 3_000_000, idle_us: 15_000_000 };
@@ -38,7 +38,7 @@
     let puts = vec![put("seat", Body::Service(service)), put("x", Body::Lane(lane)), put("", Body::Limits(limits))];
     let mut desk = gallery::bulletin::Desk::default();
     let (outcome, _) = desk.bill.apply("operator", 1, 1, Act::Items(Call { puts, drops: Vec::new() }));
-    assert!(matches!(outcome, playbill::Outcome::Accepted { .. }), "{outcome:?}");
+    assert!(matches!(outcome, model::Outcome::Accepted { .. }), "{outcome:?}");
     desk
 }
 
@@ -96,7 +96,7 @@
     let ((core, core_address), (mates, address), (outbound, front)) = (bind().await, bind().await, bind().await);
     let ((tell_held, held), (proves, may_prove)) = (tokio::sync::watch::channel(0), tokio::sync::watch::channel(false));
     tokio::spawn(seat(core, tell_held, may_prove));
-    let node = troupe::Node::start(env(&address), mates, playbill::log::quiet());
+    let node = troupe::Node::start(env(&address), mates, model::log::quiet());
     node.serve(outbound);
     gallery::acquaint::merge(&node.known, vec![transport::CoreSeat { seat: 0, identity: 1, address: core_address, zone: "z0".into(), starts: 1 }]);
     Scene { node, front, held, proves }
--- a/crates/usher/src/env.rs
+++ b/crates/usher/src/env.rs
@@ -27,14 +27,14 @@
     pub name: String,
     #[validate(length(min = 1, max = 63, message = "is 1 to 63 bytes"))]
     pub zone: String,
-    #[validate(custom(function = "playbill::env::is_address"))]
+    #[validate(custom(function = "model::env::is_address"))]
     pub mates_address: String,
     #[serde(default)]
     pub advertised_address: Option<String>,
     /// Back ends and senders on this machine.
-    #[validate(custom(function = "playbill::env::is_address"))]
+    #[validate(custom(function = "model::env::is_address"))]
     pub local_address: String,
-    #[validate(length(min = 1, max = 9, message = "holds 1 to 9 addresses"), custom(function = "playbill::env::are_addresses"))]
+    #[validate(length(min = 1, max = 9, message = "holds 1 to 9 addresses"), custom(function = "model::env::are_addresses"))]
     pub seeds: Vec<String>,
     #[serde(default = "beat_every")]
     #[validate(range(min = 50_000, max = 1_000_000, message = "is from 50000 to 1000000 microseconds"))]
@@ -69,7 +69,7 @@
     #[serde(default = "yes")]
     pub homes: bool,
     #[serde(default = "log_level")]
-    #[validate(custom(function = "playbill::env::is_level"))]
+    #[validate(custom(function = "model::env::is_level"))]
     pub log_level: String,
 }
 
--- a/crates/usher/src/health.rs
+++ b/crates/usher/src/health.rs
@@ -37,7 +37,7 @@
         let reasons: Vec<&str> = [
             (!self.0.staying.load(std::sync::atomic::Ordering::Relaxed)).then_some("stopping"),
             self.0.known.borrow().is_empty().then_some("knows no core seat yet"),
-            (!view.fresh(playbill::now())).then_some("no proof that its state is current"),
+            (!view.fresh(model::now())).then_some("no proof that its state is current"),
             (!view.slice.nodes.get(&self.0.name).is_some_and(|node| node.present)).then_some("the log does not know this node as present"),
         ]
         .into_iter()
@@ -55,7 +55,7 @@
         let answer = serde_json::json!({
             "name": self.0.name, "life": self.0.life, "position": view.slice.position, "version": view.slice.version, "services": view.slice.services,
             "keys_claimed_unheld": self.0.claims.load(std::sync::atomic::Ordering::Relaxed),
-            "fresh_for_us": view.fresh_until.saturating_sub(playbill::now()), "running": running, "waiting": waiting, "traffic": transport::traffic::told(),
+            "fresh_for_us": view.fresh_until.saturating_sub(model::now()), "running": running, "waiting": waiting, "traffic": transport::traffic::told(),
             "requests_and_extras": *self.0.budget.spent(),
             "known": gallery::acquaint::list(&self.0.known),
         });
--- a/crates/usher/src/main.rs
+++ b/crates/usher/src/main.rs
@@ -22,7 +22,7 @@
 ";
 
 fn main() {
-    let Some((flags, env)) = playbill::env::begin::<env::Env>("usher", HELP, env::NAMES) else { return };
+    let Some((flags, env)) = model::env::begin::<env::Env>("usher", HELP, env::NAMES) else { return };
     let runtime = tokio::runtime::Runtime::new();
     let ended = runtime.map_err(|error| error.to_string()).and_then(|runtime| runtime.block_on(run(flags, env)));
     if let Err(trouble) = ended {
@@ -31,9 +31,9 @@
     }
 }
 
-async fn run(flags: playbill::env::Flags, env: env::Env) -> Result<(), String> {
-    let dial = playbill::log::Dial::new(env.level());
-    let (logger, _guard) = playbill::log::start("usher", &env.name, dial.clone());
+async fn run(flags: model::env::Flags, env: env::Env) -> Result<(), String> {
+    let dial = model::log::Dial::new(env.level());
+    let (logger, _guard) = model::log::start("usher", &env.name, dial.clone());
     // Before anything else: a signal that comes early must not end the process.
     let mut stop = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate()).map_err(|error| error.to_string())?;
     let mut reload = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::hangup()).map_err(|error| error.to_string())?;
@@ -41,7 +41,7 @@
     loop {
         tokio::select! {
             _ = stop.recv() => break,
-            _ = reload.recv() => match playbill::env::load::<env::Env>(&flags) {
+            _ = reload.recv() => match model::env::load::<env::Env>(&flags) {
                 Ok(fresh) => {
                     dial.turn(fresh.level());
                     // Only the log level is taken up while running; the rest needs a restart, and this says so.
--- a/crates/usher/src/node.rs
+++ b/crates/usher/src/node.rs
@@ -16,7 +16,7 @@
 impl Node {
     pub async fn start(env: &crate::env::Env, logger: &slog::Logger) -> Result<Node, String> {
         let told = |what: &str, error: &dyn std::fmt::Display| format!("{what}: {error}");
-        let life = playbill::incarnation::draw();
+        let life = model::incarnation::draw();
         let listener = tokio::net::TcpListener::bind(&env.mates_address).await.map_err(|error| told("mates_address", &error))?;
         let listening = listener.local_addr().map_err(|error| told("mates_address", &error))?.to_string();
         let address = env.advertised_address.clone().unwrap_or(listening);
@@ -122,7 +122,7 @@
             self.house.ended().await;
         };
         let clean = tokio::time::timeout(patience, ended).await.is_ok();
-        let farewell = self.reports.tell(playbill::standing::Report::NodeLeft { node: self.name.clone(), incarnation: self.life, clean });
+        let farewell = self.reports.tell(model::standing::Report::NodeLeft { node: self.name.clone(), incarnation: self.life, clean });
         tokio::time::timeout(std::time::Duration::from_secs(2), farewell).await.unwrap_or_default();
         self.serving.stop(std::time::Duration::from_secs(1)).await;
     }
@@ -134,7 +134,7 @@
     name: String,
     zone: String,
     address: String,
-    life: playbill::Incarnation,
+    life: model::Incarnation,
 }
 
 /// Tells the log that this node is here, and again whenever the log takes it for gone.
@@ -151,7 +151,7 @@
         stood |= registered == own.life;
         if registered != own.life || held.is_some_and(|node| !node.present) {
             let Own { name: node, zone, address, life: incarnation } = own.clone();
-            let report = playbill::standing::Report::Node { node, zone, address, incarnation, replaces: registered };
+            let report = model::standing::Report::Node { node, zone, address, incarnation, replaces: registered };
             reports.tell(report).await;
         }
         tokio::time::sleep(std::time::Duration::from_millis(300)).await;
