--- a/crates/apron/src/course.rs
+++ b/crates/apron/src/course.rs
@@ -8,7 +8,7 @@
     pub zone: String,
     /// The service of this machine: whoever begins a request here speaks for it.
     pub service: String,
-    pub outlook: gallery::SharedOutlook,
+    pub outlook: control::SharedOutlook,
     pub pit: pit::Pit,
     pub mates: crate::Mates,
     pub picks: crate::Picks,
--- a/crates/apron/src/listen.rs
+++ b/crates/apron/src/listen.rs
@@ -5,13 +5,13 @@
 /// What back ends are asked for, told to whoever places keys here.
 pub type Loads = tokio::sync::mpsc::Sender<transport::Load>;
 
-pub async fn listen(listener: tokio::net::TcpListener, greet: crate::mates::Greet, known: gallery::Known, pit: pit::Pit, (heard, loads): (Heard, Loads)) {
+pub async fn listen(listener: tokio::net::TcpListener, greet: crate::mates::Greet, known: control::Known, pit: pit::Pit, (heard, loads): (Heard, Loads)) {
     loop {
         if let Ok((stream, _)) = listener.accept().await {
             let (greet, known, pit, heard) = (greet.clone(), known.clone(), pit.clone(), (heard.clone(), loads.clone()));
             tokio::spawn(async move {
                 let accepted = transport::accept(stream, |caller| async move {
-                    gallery::acquaint::merge(&known, caller.known);
+                    control::acquaint::merge(&known, caller.known);
                     match caller.purpose {
                         transport::Purpose::Core | transport::Purpose::Enlist => Err("no core seat is here".to_string()),
                         purpose => Ok((greet)(purpose)),
--- a/crates/apron/src/picker.rs
+++ b/crates/apron/src/picker.rs
@@ -105,7 +105,7 @@
 pub struct Picks(tokio::sync::mpsc::Sender<Command>);
 
 impl Picks {
-    pub fn start(env: PickEnv, outlook: gallery::SharedOutlook) -> Picks {
+    pub fn start(env: PickEnv, outlook: control::SharedOutlook) -> Picks {
         let (sender, mut commands) = tokio::sync::mpsc::channel(4_096);
         tokio::spawn(async move {
             let mut picker = Picker::new(env);
--- a/crates/apron/tests/callers.rs
+++ b/crates/apron/tests/callers.rs
@@ -35,7 +35,7 @@
     let greet: apron::Greet = std::sync::Arc::new(|purpose| greeting(purpose, "127.0.0.1:0"));
     let (heard, _) = tokio::sync::mpsc::channel(8);
     let (loads, _) = tokio::sync::mpsc::channel(8);
-    tokio::spawn(apron::listen(listener, greet.clone(), gallery::acquaint::nobody(), pit.clone(), (heard, loads)));
+    tokio::spawn(apron::listen(listener, greet.clone(), control::acquaint::nobody(), pit.clone(), (heard, loads)));
     Site { near: apron::Mates::start(greet), far: relay.address.clone(), back_end, pit, relay }
 }
 
--- a/crates/boxoffice/src/lib.rs
+++ b/crates/boxoffice/src/lib.rs
@@ -5,7 +5,7 @@
 
 #[derive(Clone)]
 pub struct Boxoffice {
-    pub core: gallery::Core,
+    pub core: control::Core,
     /// False once the process has been told to stop.
     pub staying: std::sync::Arc<std::sync::atomic::AtomicBool>,
 }
--- a/crates/boxoffice/src/reading.rs
+++ b/crates/boxoffice/src/reading.rs
@@ -23,7 +23,7 @@
 }
 
 /// Seat to the disk that holds it, as this seat has it on its own disk.
-fn holders(core: &gallery::Core) -> std::collections::BTreeMap<u16, String> {
+fn holders(core: &control::Core) -> std::collections::BTreeMap<u16, String> {
     let pins = core.pins.load();
     let others = pins.iter().map(|(seat, identity)| (*seat, *identity));
     others.chain([core.identity()]).map(|(seat, identity)| (seat, format!("{identity:016x}"))).collect()
@@ -85,7 +85,7 @@
             "applied": state.applied, "floor": state.floor, "index": state.index, "highest": state.highest,
             "open_reads": state.open_reads, "suspects": state.suspects, "syncs": state.syncs, "frames": state.frames,
             "disk": state.disk, "refused": state.refused, "position": book.position, "version": book.desired.version,
-            "known": gallery::acquaint::list(&self.0.core.known), "holders": holders(&self.0.core), "traffic": transport::traffic::told(),
+            "known": control::acquaint::list(&self.0.core.known), "holders": holders(&self.0.core), "traffic": transport::traffic::told(),
         });
         http_util::json(response, 200, &answer);
     }
--- a/crates/boxoffice/tests/operators.rs
+++ b/crates/boxoffice/tests/operators.rs
@@ -1,14 +1,14 @@
 //! Operators against a core in this process: faults, races, repeats, and no majority (design 2.2, 4.1).
 
 struct Seat {
-    core: gallery::Core,
+    core: control::Core,
     serving: http_util::Serving,
 }
 
 async fn seat(folder: &std::path::Path, number: u16, seats: u16, seeds: Vec<String>) -> (Seat, String) {
     let mates = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = mates.local_addr().expect("an address").to_string();
-    let env = gallery::CoreEnv {
+    let env = control::CoreEnv {
         name: format!("core-{number}"),
         zone: "z0".into(),
         seat: number,
@@ -21,8 +21,8 @@
         replace_after: 500_000,
         charter: None,
     };
-    let core = gallery::Core::start(env, model::log::quiet()).expect("a core seat");
-    tokio::spawn(gallery::news::listen(core.clone(), mates));
+    let core = control::Core::start(env, model::log::quiet()).expect("a core seat");
+    tokio::spawn(control::news::listen(core.clone(), mates));
     let staying = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true));
     let router = boxoffice::router(boxoffice::Boxoffice { core: core.clone(), staying });
     let serving = http_util::Serving::start("127.0.0.1:0", router).await.expect("http");
--- a/crates/gallery/tests/seats/first_words.rs
+++ b/crates/control/tests/seats/first_words.rs
@@ -27,7 +27,7 @@
     let seeds = [other.address.clone()];
     let words = vec![transport::Frame::Founder, transport::Frame::Admit { upto: 1_000_000, pins: vec![(1, 77)] }];
     tokio::spawn(mate(other.listener, words));
-    let core = gallery::Core::start_on(own.core(&seeds, charter, 0), shelf, writes, model::log::quiet()).expect("a core seat");
+    let core = control::Core::start_on(own.core(&seeds, charter, 0), shelf, writes, model::log::quiet()).expect("a core seat");
     until("a vote", || core.state.load().started).await;
     std::fs::remove_dir_all(&own.folder).expect("clean");
     core.state.load().index
--- a/crates/gallery/tests/seats/founding.rs
+++ b/crates/control/tests/seats/founding.rs
@@ -14,7 +14,7 @@
 }
 
 /// All change the log, and each reads what all changed.
-async fn one_core(cores: &[gallery::Core]) {
+async fn one_core(cores: &[control::Core]) {
     for (core, number) in cores.iter().zip(0..) {
         until("a vote", || core.state.load().started && core.state.load().in_touch == cores.len()).await;
         let outcome = core.amend(service(&format!("service-{number}"))).await;
@@ -79,7 +79,7 @@
 }
 
 /// A core of four, of which one machine took part in the founding and never ran as a seat; who and where it is.
-async fn three_of_four(test: &str, replace_after: u64) -> (Vec<gallery::Core>, Vec<String>, (u16, u64), Vec<std::path::PathBuf>) {
+async fn three_of_four(test: &str, replace_after: u64) -> (Vec<control::Core>, Vec<String>, (u16, u64), Vec<std::path::PathBuf>) {
     let machines = Machine::all(test, 4).await;
     let (seeds, folders) = (addresses(&machines), machines.iter().map(|machine| machine.folder.clone()).collect());
     let lost = machines[3].shelf().0.identity;
--- a/crates/gallery/tests/seats/machines.rs
+++ b/crates/control/tests/seats/machines.rs
@@ -6,7 +6,7 @@
     pub listener: tokio::net::TcpListener,
 }
 
-pub type Seated = (storage::Charter, gallery::Core);
+pub type Seated = (storage::Charter, control::Core);
 
 /// Only a broken run meets it.
 const BOUND: std::time::Duration = std::time::Duration::from_secs(60);
@@ -46,15 +46,15 @@
         storage::Shelf::open(&self.folder).expect("a shelf")
     }
 
-    pub fn founding(&self, seeds: &[String], first: bool) -> gallery::FoundingEnv {
-        gallery::FoundingEnv { address: self.address.clone(), zone: "z0".into(), seeds: seeds.to_vec(), first, quiet: 1_500_000, least: 0 }
+    pub fn founding(&self, seeds: &[String], first: bool) -> control::FoundingEnv {
+        control::FoundingEnv { address: self.address.clone(), zone: "z0".into(), seeds: seeds.to_vec(), first, quiet: 1_500_000, least: 0 }
     }
 
     pub async fn settle(&self, seeds: &[String], first: bool) -> (storage::Charter, storage::Shelf, Vec<mencius::Write>) {
         let (mut shelf, writes) = self.shelf();
         let env = self.founding(seeds, first);
         let logger = model::log::quiet();
-        let settled = gallery::founding::settle(&env, &mut shelf, &self.listener, &logger);
+        let settled = control::founding::settle(&env, &mut shelf, &self.listener, &logger);
         let charter = soon("a seat", settled).await.expect("the disk keeps it");
         (charter, shelf, writes)
     }
@@ -63,13 +63,13 @@
     pub async fn start(self, seeds: &[String], first: bool, replace_after: model::Micros) -> Seated {
         let (charter, shelf, writes) = self.settle(seeds, first).await;
         let env = self.core(seeds, Some(charter), replace_after);
-        let core = gallery::Core::start_on(env, shelf, writes, model::log::quiet()).expect("a core seat");
-        tokio::spawn(gallery::news::listen(core.clone(), self.listener));
+        let core = control::Core::start_on(env, shelf, writes, model::log::quiet()).expect("a core seat");
+        tokio::spawn(control::news::listen(core.clone(), self.listener));
         (charter, core)
     }
 
-    pub fn core(&self, seeds: &[String], charter: Option<storage::Charter>, replace_after: model::Micros) -> gallery::CoreEnv {
-        gallery::CoreEnv {
+    pub fn core(&self, seeds: &[String], charter: Option<storage::Charter>, replace_after: model::Micros) -> control::CoreEnv {
+        control::CoreEnv {
             name: self.address.clone(),
             zone: "z0".into(),
             seat: charter.map(|charter| charter.seat).unwrap_or(0),
--- a/crates/greenroom/src/rooms.rs
+++ b/crates/greenroom/src/rooms.rs
@@ -9,8 +9,8 @@
     pub beat_every: model::Micros,
     pub bound: model::Micros,
     pub house: stage::HouseDesk,
-    pub reports: gallery::Reports,
-    pub view: gallery::view::SharedView,
+    pub reports: control::Reports,
+    pub view: control::view::SharedView,
     /// Moves with all news and proofs.
     pub moved: tokio::sync::watch::Receiver<model::Position>,
     /// Slices that back ends claimed in beats and do not hold.
--- a/crates/prompter/src/env.rs
+++ b/crates/prompter/src/env.rs
@@ -99,8 +99,8 @@
         self.log_level.parse().unwrap_or(slog::Level::Info)
     }
 
-    pub fn core(&self, address: String) -> gallery::CoreEnv {
-        gallery::CoreEnv {
+    pub fn core(&self, address: String) -> control::CoreEnv {
+        control::CoreEnv {
             name: self.name.clone(),
             zone: self.zone.clone(),
             seat: self.seat,
--- a/crates/prompter/src/main.rs
+++ b/crates/prompter/src/main.rs
@@ -37,12 +37,12 @@
     let told = |what: &str, error: &dyn std::fmt::Display| format!("{what}: {error}");
     let mates = tokio::net::TcpListener::bind(&env.mates_address).await.map_err(|error| told("mates_address", &error))?;
     let address = mates.local_addr().map_err(|error| told("mates_address", &error))?.to_string();
-    let core = gallery::Core::start(env.core(address.clone()), logger.clone()).map_err(|error| told("folder", &error))?;
+    let core = control::Core::start(env.core(address.clone()), logger.clone()).map_err(|error| told("folder", &error))?;
     let staying = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true));
     let office = boxoffice::Boxoffice { core: core.clone(), staying: staying.clone() };
     let serving = http_util::Serving::start(&env.operators_address, boxoffice::router(office)).await.map_err(|error| told("operators_address", &error))?;
     slog::info!(logger, "listening"; "mates" => address, "operators" => serving.address.to_string());
-    tokio::spawn(gallery::news::listen(core, mates));
+    tokio::spawn(control::news::listen(core, mates));
     loop {
         tokio::select! {
             _ = stop.recv() => break,
--- a/crates/rehearsal/src/billsim/node.rs
+++ b/crates/rehearsal/src/billsim/node.rs
@@ -1,6 +1,6 @@
 //! A follower: a node's promptbook, and the conn it is told on (design 11.3).
 
-use gallery::promptbook::{Heard, Promptbook};
+use control::promptbook::{Heard, Promptbook};
 use model::bill::Programme;
 use model::{Micros, Position};
 
--- a/crates/rehearsal/src/billsim/seat.rs
+++ b/crates/rehearsal/src/billsim/seat.rs
@@ -5,7 +5,7 @@
 
 #[derive(Default)]
 pub(super) struct Seat {
-    pub desk: gallery::bulletin::Desk,
+    pub desk: control::bulletin::Desk,
     pub life: u64,
     folded: usize,
     last: u64,
--- a/crates/rehearsal/src/disk.rs
+++ b/crates/rehearsal/src/disk.rs
@@ -86,7 +86,7 @@
 }
 
 /// A core seat as `prompter` puts it together, over such a disk.
-pub async fn seat(env: gallery::CoreEnv, mates: String, operators: String, sync_us: u64) -> Result<(), String> {
+pub async fn seat(env: control::CoreEnv, mates: String, operators: String, sync_us: u64) -> Result<(), String> {
     let told = |error: &dyn std::fmt::Display| error.to_string();
     let listener = tokio::net::TcpListener::bind(&mates).await.map_err(|error| told(&error))?;
     let folder = env.folder.clone();
@@ -100,11 +100,11 @@
     };
     let (shelf, writes) = storage::Shelf::open_on(opened).map_err(|error| told(&error))?;
     let (logger, _guard) = model::log::start("seat", &env.name, model::log::Dial::new(slog::Level::Info));
-    let core = gallery::Core::start_on(env, shelf, writes, logger).map_err(|error| told(&error))?;
+    let core = control::Core::start_on(env, shelf, writes, logger).map_err(|error| told(&error))?;
     let staying = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true));
     let office = boxoffice::Boxoffice { core: core.clone(), staying: staying.clone() };
     let serving = http_util::Serving::start(&operators, boxoffice::router(office)).await.map_err(|error| told(&error))?;
-    tokio::spawn(gallery::news::listen(core, listener));
+    tokio::spawn(control::news::listen(core, listener));
     let mut stop = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate()).map_err(|error| told(&error))?;
     stop.recv().await;
     staying.store(false, std::sync::atomic::Ordering::Relaxed);
--- a/crates/rehearsal/src/hollow/events.rs
+++ b/crates/rehearsal/src/hollow/events.rs
@@ -11,7 +11,7 @@
     let node = format!("n{at}");
     let life = log.bill.places.get(&node).map(|place| place.life).unwrap_or(0);
     // Who they are does not matter to the count.
-    let watchers = (1..=gallery::ring::WATCHERS.min(log.plan.nodes - 1)).map(|step| (at + step) % log.plan.nodes);
+    let watchers = (1..=control::ring::WATCHERS.min(log.plan.nodes - 1)).map(|step| (at + step) % log.plan.nodes);
     watchers.map(|watcher| (watcher, Report::Watch { watcher: format!("n{watcher}"), node: node.clone(), life, missed: true })).collect()
 }
 
@@ -78,7 +78,7 @@
 pub(super) fn rounds(log: &Log, region: &[usize]) -> (usize, usize) {
     let mut nodes = ring(&log.bill.places);
     let inside: std::collections::BTreeSet<String> = region.iter().map(|at| format!("n{at}")).collect();
-    let by = |nodes: &Nodes, name: &String, of: bool| gallery::ring::watchers(nodes, name).iter().filter(|watcher| inside.contains(*watcher) == of).count();
+    let by = |nodes: &Nodes, name: &String, of: bool| control::ring::watchers(nodes, name).iter().filter(|watcher| inside.contains(*watcher) == of).count();
     let wrongly = nodes.keys().filter(|name| !inside.contains(*name) && by(&nodes, name, true) >= 2).count();
     let rounds = (1..=20).find(|_| {
         let missed: Vec<String> = inside.iter().filter(|name| nodes[*name].present && by(&nodes, name, false) >= 2).cloned().collect();
@@ -108,13 +108,13 @@
     let parts: Vec<troupe::Part> = rows.iter().filter_map(|row| row.holder.clone()).map(|name| (name, 8.0)).collect();
     let away = bill.places.iter().map(|(name, place)| (format!("{name}.old"), model::bill::Place { present: false, ..place.clone() }));
     let twice = std::sync::Arc::new(bill.places.clone().into_iter().chain(away).collect());
-    let (places, mut stand) = (std::sync::Arc::new(bill.places.clone()), gallery::ring::Stand::default());
+    let (places, mut stand) = (std::sync::Arc::new(bill.places.clone()), control::ring::Stand::default());
     let times = (20_000 / plan.nodes as u32).max(5);
     std::collections::BTreeMap::from([
         // What a node does twice a second (crates/troupe/src/watch.rs).
         ("ring tick", timed(20_000, || stand.look(&places, "n0"))),
-        ("ring made", timed(times, || gallery::ring::Stand::default().look(&places, "n0"))),
-        ("ring made, twice the names", timed(times, || gallery::ring::Stand::default().look(&twice, "n0"))),
+        ("ring made", timed(times, || control::ring::Stand::default().look(&places, "n0"))),
+        ("ring made, twice the names", timed(times, || control::ring::Stand::default().look(&twice, "n0"))),
         ("told of a place", timed(times, || drop(std::hint::black_box(whole.told(false, 9, place.iter().cloned().collect()))))),
         ("told of a lane", timed(times, || drop(std::hint::black_box(whole.told(false, 9, vec![lane.clone()]))))),
         ("told the whole", timed(5, || drop(std::hint::black_box(Programme::default().told(true, 9, bill.whole()))))),
--- a/crates/rehearsal/src/hollow/meter.rs
+++ b/crates/rehearsal/src/hollow/meter.rs
@@ -21,7 +21,7 @@
     ROLES.into_iter().find(|role| thread.starts_with(role)).unwrap_or("acting")
 }
 
-pub fn reading(cores: &[gallery::Core]) -> Reading {
+pub fn reading(cores: &[control::Core]) -> Reading {
     let threads = std::fs::read_dir("/proc/self/task").into_iter().flatten().flatten();
     let ran = threads.filter_map(|thread| {
         let word = |name: &str| std::fs::read_to_string(thread.path().join(name)).ok();
--- a/crates/rehearsal/src/hollow/node.rs
+++ b/crates/rehearsal/src/hollow/node.rs
@@ -14,7 +14,7 @@
     pub at: usize,
     pub back_end: String,
     pub life: u64,
-    pub following: gallery::Following,
+    pub following: control::Following,
     orders: tokio::sync::mpsc::UnboundedSender<Order>,
     /// Closed once all its tasks are gone.
     ended: tokio::sync::watch::Receiver<()>,
@@ -26,7 +26,7 @@
     pub plan: std::sync::Arc<Plan>,
     pub places: Vec<String>,
     pub links: Option<super::Linked>,
-    pub known: gallery::Known,
+    pub known: control::Known,
 }
 
 const BEAT_EVERY: model::Micros = 1_500_000;
@@ -107,21 +107,21 @@
 }
 
 enum Part {
-    Following(gallery::Following),
-    Troupe(gallery::Following, troupe::Troupe),
+    Following(control::Following),
+    Troupe(control::Following, troupe::Troupe),
     Whole(Box<troupe::Node>),
 }
 
 impl Part {
-    fn start(plan: &Plan, env: troupe::NodeEnv, known: gallery::Known, listener: tokio::net::TcpListener) -> Part {
+    fn start(plan: &Plan, env: troupe::NodeEnv, known: control::Known, listener: tokio::net::TcpListener) -> Part {
         let logger = model::log::quiet();
         if plan.parts == Parts::Whole {
             return Part::Whole(Box::new(troupe::Node::start(env, listener, logger)));
         }
         let own = env.troupe.clone();
         // Each node's own, as it would be: nobody shares a table with another process.
-        let mine = gallery::acquaint::nobody();
-        gallery::acquaint::merge(&mine, gallery::acquaint::list(&known));
+        let mine = control::acquaint::nobody();
+        control::acquaint::merge(&mine, control::acquaint::list(&known));
         let (place, table) = (own.clone(), mine.clone());
         let greeting = |purpose| {
             let (own, mine) = (place.clone(), table.clone());
@@ -134,23 +134,23 @@
                 core: None,
                 blank: false,
                 expects: None,
-                known: gallery::acquaint::list(&mine),
+                known: control::acquaint::list(&mine),
             }
         };
-        let line = gallery::FollowingEnv { name: own.node.clone(), zone: own.zone.clone(), ask_every: env.ask_every, patience: env.ask_every * 2 };
-        let following = gallery::following::start(line, mine.clone(), greeting(transport::Purpose::Subscribe), logger.clone());
-        tokio::spawn(gallery::acquaint::run(mine.clone(), env.seeds.clone(), greeting(transport::Purpose::Acquaint), || 3));
+        let line = control::FollowingEnv { name: own.node.clone(), zone: own.zone.clone(), ask_every: env.ask_every, patience: env.ask_every * 2 };
+        let following = control::following::start(line, mine.clone(), greeting(transport::Purpose::Subscribe), logger.clone());
+        tokio::spawn(control::acquaint::run(mine.clone(), env.seeds.clone(), greeting(transport::Purpose::Acquaint), || 3));
         if plan.parts == Parts::Following {
             return Part::Following(following);
         }
-        let reporting = gallery::ReportingEnv { name: own.node.clone(), life: own.life, logger: logger.clone() };
-        let reports = gallery::Reports::start(reporting, mine, greeting(transport::Purpose::Subscribe));
+        let reporting = control::ReportingEnv { name: own.node.clone(), life: own.life, logger: logger.clone() };
+        let reports = control::Reports::start(reporting, mine, greeting(transport::Purpose::Subscribe));
         let pit = pit::Pit::start(pit::PitEnv { words: env.words.clone(), ahead: env.ahead });
         let troupe = troupe::Troupe::start(own, following.clone(), pit, reports, logger);
         Part::Troupe(following, troupe)
     }
 
-    fn following(&self) -> gallery::Following {
+    fn following(&self) -> control::Following {
         match self {
             Part::Following(following) | Part::Troupe(following, _) => following.clone(),
             Part::Whole(node) => node.following.clone(),
--- a/crates/rehearsal/src/hollow/seats.rs
+++ b/crates/rehearsal/src/hollow/seats.rs
@@ -3,7 +3,7 @@
 use super::Plan;
 
 pub struct Seats {
-    pub cores: Vec<gallery::Core>,
+    pub cores: Vec<control::Core>,
     pub places: Vec<String>,
     /// Dropped, the seat's thread ends.
     _running: Vec<tokio::sync::oneshot::Sender<()>>,
@@ -38,7 +38,7 @@
     let bound = (0..plan.seats).map(|seat| bind(plan.host(seat), links)).collect::<Result<Vec<_>, String>>()?;
     let places: Vec<String> = bound.iter().map(|(_, address)| address.clone()).collect();
     let started = bound.into_iter().enumerate().map(|(seat, (listener, address))| {
-        let env = gallery::CoreEnv {
+        let env = control::CoreEnv {
             name: format!("core-{seat}"),
             zone: plan.zone(seat),
             seat: seat as u16,
@@ -57,12 +57,12 @@
         let sits = move || {
             let Ok(runtime) = runtime() else { return };
             runtime.block_on(async {
-                let core = gallery::Core::start(env, model::log::quiet()).map_err(|error| error.to_string());
+                let core = control::Core::start(env, model::log::quiet()).map_err(|error| error.to_string());
                 let listener = tokio::net::TcpListener::from_std(listener).map_err(|error| error.to_string());
                 drop(told.send(core.clone()));
                 if let (Ok(core), Ok(listener)) = (core, listener) {
                     tokio::select! {
-                        _ = gallery::news::listen(core, listener) => {}
+                        _ = control::news::listen(core, listener) => {}
                         _ = ends => {}
                     }
                 }
@@ -71,7 +71,7 @@
         thread.spawn(sits).map_err(|error| error.to_string())?;
         Ok((hears.recv().map_err(|error| error.to_string())??, running))
     });
-    let (cores, running) = started.collect::<Result<Vec<(gallery::Core, _)>, String>>()?.into_iter().unzip();
+    let (cores, running) = started.collect::<Result<Vec<(control::Core, _)>, String>>()?.into_iter().unzip();
     let seats = Seats { cores, places, _running: running };
     let voting = || seats.cores.iter().all(|core| core.state.load().started);
     super::until("every seat votes", voting).await?;
@@ -80,13 +80,13 @@
 
 impl Seats {
     /// For processes that need not ask around.
-    pub fn known(&self, plan: &Plan) -> gallery::Known {
-        let known = gallery::acquaint::nobody();
+    pub fn known(&self, plan: &Plan) -> control::Known {
+        let known = control::acquaint::nobody();
         let told = self.cores.iter().zip(&self.places).map(|(core, address)| {
             let (seat, identity) = core.identity();
             transport::CoreSeat { seat, identity, address: address.clone(), zone: plan.zone(seat as usize), starts: 1 }
         });
-        gallery::acquaint::merge(&known, told.collect());
+        control::acquaint::merge(&known, told.collect());
         known
     }
 }
--- a/crates/rehearsal/src/hollow/witness.rs
+++ b/crates/rehearsal/src/hollow/witness.rs
@@ -18,12 +18,12 @@
 }
 
 pub struct Witness {
-    pub following: gallery::Following,
+    pub following: control::Following,
     tally: std::sync::Arc<std::sync::Mutex<Tally>>,
 }
 
 impl Witness {
-    pub fn start(plan: std::sync::Arc<super::Plan>, known: gallery::Known) -> Witness {
+    pub fn start(plan: std::sync::Arc<super::Plan>, known: control::Known) -> Witness {
         let (name, zone) = ("witness".to_string(), plan.zone(0));
         let own = transport::Greeting {
             purpose: transport::Purpose::Subscribe,
@@ -36,8 +36,8 @@
             expects: None,
             known: Vec::new(),
         };
-        let env = gallery::FollowingEnv { name, zone, ask_every: 1_000_000, patience: 2_000_000 };
-        let following = gallery::following::start(env, known, move || own.clone(), model::log::quiet());
+        let env = control::FollowingEnv { name, zone, ask_every: 1_000_000, patience: 2_000_000 };
+        let following = control::following::start(env, known, move || own.clone(), model::log::quiet());
         let tally = std::sync::Arc::new(std::sync::Mutex::new(Tally::default()));
         let (counts, line) = (tally.clone(), following.clone());
         tokio::spawn(async move {
--- a/crates/rehearsal/src/keysim/line.rs
+++ b/crates/rehearsal/src/keysim/line.rs
@@ -1,4 +1,4 @@
-//! How a node follows one seat after the other, as `gallery::following` does it (design 11.3).
+//! How a node follows one seat after the other, as `control::following` does it (design 11.3).
 
 use super::log::Told;
 use super::stage::{Event, Stage};
--- a/crates/rehearsal/src/main.rs
+++ b/crates/rehearsal/src/main.rs
@@ -209,7 +209,7 @@
 async fn seat(mut arguments: pico_args::Arguments) -> Result<(), String> {
     let mut text = |flag: &'static str| usage(arguments.value_from_str::<_, String>(flag));
     let (mates, operators, seeds) = (text("--mates-address"), text("--operators-address"), text("--seeds"));
-    let env = gallery::CoreEnv {
+    let env = control::CoreEnv {
         name: text("--name"),
         zone: text("--zone"),
         address: text("--advertised-address"),
--- a/crates/rehearsal/src/sim/site.rs
+++ b/crates/rehearsal/src/sim/site.rs
@@ -27,7 +27,7 @@
 
 pub(super) struct Node {
     pub house: stage::House,
-    pub view: gallery::View,
+    pub view: control::View,
     pub taken: stage::taken::Taken,
     pub picker: stage::picker::Picker,
     pub budget: stage::budget::Budget,
--- a/crates/rehearsal/src/sim/site_events.rs
+++ b/crates/rehearsal/src/sim/site_events.rs
@@ -100,7 +100,7 @@
         let (now, wait) = (self.now, self.hop());
         let seats = self.plan.seats;
         let node = &mut self.nodes[at];
-        let home = gallery::home::home(&node.view.slice, &super::site_plan::zone(at), &node.house.services());
+        let home = control::home::home(&node.view.slice, &super::site_plan::zone(at), &node.house.services());
         let home = home.and_then(|(name, _)| name[1..].parse::<usize>().ok()).filter(|home| *home != at);
         if now > node.proved + PATIENCE {
             node.proved = now;
@@ -132,7 +132,7 @@
         node.proved = now;
         match node.view.with_news(slice.clone()) {
             Some(view) => node.view = view,
-            None if any_order => node.view = gallery::View { slice: std::sync::Arc::new(slice), fresh_until: asked + bound },
+            None if any_order => node.view = control::View { slice: std::sync::Arc::new(slice), fresh_until: asked + bound },
             None => {}
         }
         node.view.with_proof(asked, position, bound).into_iter().for_each(|view| node.view = view);
--- a/crates/rehearsal/tests/rolled/node.rs
+++ b/crates/rehearsal/tests/rolled/node.rs
@@ -6,7 +6,7 @@
     /// True: in good order.
     orders: tokio::sync::watch::Sender<Option<bool>>,
     ended: tokio::sync::watch::Receiver<()>,
-    outlook: gallery::SharedOutlook,
+    outlook: control::SharedOutlook,
 }
 
 fn env(at: usize, life: u64, mates: String, seeds: Vec<String>) -> troupe::NodeEnv {
--- a/crates/rehearsal/tests/rolled/senders.rs
+++ b/crates/rehearsal/tests/rolled/senders.rs
@@ -124,7 +124,7 @@
 }
 
 /// A pair of routes after the other, for as long as senders send.
-pub async fn operate(cores: Vec<gallery::Core>, shared: Arc<Shared>) {
+pub async fn operate(cores: Vec<control::Core>, shared: Arc<Shared>) {
     use model::bill::{Body, Call, Lane, Service};
     let put = |name: String, body| model::bill::items::Put { name, version: 1, body, text: String::new() };
     let service = |name: &str, keyed| put(name.into(), Body::Service(Service { health_path: String::new(), conns: 0, keyed, warm_us: 0 }));
--- a/crates/rehearsal/tests/rolled/site.rs
+++ b/crates/rehearsal/tests/rolled/site.rs
@@ -51,14 +51,14 @@
     listener.local_addr().expect("an address").to_string()
 }
 
-async fn seats(folder: &std::path::Path) -> (Vec<gallery::Core>, Vec<String>) {
+async fn seats(folder: &std::path::Path) -> (Vec<control::Core>, Vec<String>) {
     let mut bound = Vec::new();
     for _ in 0..SEATS {
         bound.push(tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port"));
     }
     let places: Vec<String> = bound.iter().map(|listener| listener.local_addr().expect("an address").to_string()).collect();
     let started = bound.into_iter().zip(0u16..).map(|(listener, seat)| {
-        let env = gallery::CoreEnv {
+        let env = control::CoreEnv {
             name: format!("core-{seat}"),
             zone: "z0".into(),
             seat,
@@ -71,11 +71,11 @@
             replace_after: 0,
             charter: None,
         };
-        let core = gallery::Core::start(env, model::log::quiet()).expect("a core seat");
-        tokio::spawn(gallery::news::listen(core.clone(), listener));
+        let core = control::Core::start(env, model::log::quiet()).expect("a core seat");
+        tokio::spawn(control::news::listen(core.clone(), listener));
         core
     });
-    let cores: Vec<gallery::Core> = started.collect();
+    let cores: Vec<control::Core> = started.collect();
     until("every seat votes", || cores.iter().all(|core| core.state.load().started)).await;
     (cores, places)
 }
--- a/crates/stage/src/course.rs
+++ b/crates/stage/src/course.rs
@@ -20,7 +20,7 @@
 }
 
 impl Course {
-    pub fn begin(view: &gallery::View, now: Micros, sender: crate::SenderId, ask: Ask) -> Result<Course, Trouble> {
+    pub fn begin(view: &control::View, now: Micros, sender: crate::SenderId, ask: Ask) -> Result<Course, Trouble> {
         if !view.fresh(now) {
             return Err(Trouble::new(Cause::NotFresh, "no proof that the state held here is current"));
         }
@@ -49,13 +49,13 @@
         self.until
     }
 
-    fn term<'a>(&self, view: &'a gallery::View) -> Option<&'a model::terms::Term> {
+    fn term<'a>(&self, view: &'a control::View) -> Option<&'a model::terms::Term> {
         let key = self.ask.key.as_deref().filter(|_| self.order.keyed)?;
         view.slice.term(&self.ask.service, key)
     }
 
     /// Whom it may go to now; a trouble ends the try.
-    pub fn candidates(&self, view: &gallery::View, now: Micros, zone: &str) -> Result<Vec<Candidate>, Trouble> {
+    pub fn candidates(&self, view: &control::View, now: Micros, zone: &str) -> Result<Vec<Candidate>, Trouble> {
         if now >= self.until {
             return Err(self.given_up(Trouble::new(Cause::TooLate, "the wait was over before it could be dispatched")));
         }
@@ -85,7 +85,7 @@
         self.given_up(Trouble::new(cause, format!("no back end of {:?} can take it now", self.ask.service)))
     }
 
-    pub fn dispatch(&self, view: &gallery::View, now: Micros, picked: &str, node: &str) -> Result<(transport::Dispatch, Place), Trouble> {
+    pub fn dispatch(&self, view: &control::View, now: Micros, picked: &str, node: &str) -> Result<(transport::Dispatch, Place), Trouble> {
         let (incarnation, beside) = view.slice.back_ends.get(picked).map(|held| (held.incarnation, held.node.clone())).unwrap_or_default();
         let place = view.slice.nodes.get(&beside).map(|held| (held.address.clone(), held.incarnation));
         let place =
--- a/crates/stage/src/house_judge.rs
+++ b/crates/stage/src/house_judge.rs
@@ -5,7 +5,7 @@
 
 impl House {
     /// Every reason not to pass it on is certain: nothing has left for the back end yet.
-    pub(crate) fn judge(&self, now: Micros, view: &gallery::View, dispatch: &transport::Dispatch) -> Result<&Place, Trouble> {
+    pub(crate) fn judge(&self, now: Micros, view: &control::View, dispatch: &transport::Dispatch) -> Result<&Place, Trouble> {
         if self.leaving {
             return Err(Trouble::new(Cause::Leaving, "this usher is leaving"));
         }
@@ -48,7 +48,7 @@
     }
 
     /// The fence must be the one the log gives now, and every earlier holder must be done.
-    fn judge_key(&self, now: Micros, view: &gallery::View, dispatch: &transport::Dispatch, place: &Place) -> Result<(), Trouble> {
+    fn judge_key(&self, now: Micros, view: &control::View, dispatch: &transport::Dispatch, place: &Place) -> Result<(), Trouble> {
         let key = dispatch.key.as_deref().ok_or_else(|| Trouble::new(Cause::BadRequest, "this lane needs a key"))?;
         let term = view.slice.term(&dispatch.service, key).ok_or_else(|| Trouble::new(Cause::KeyUnheld, "nobody holds the key"))?;
         let holder = term.holder.as_ref().is_some_and(|(name, life)| *name == dispatch.back_end && *life == place.incarnation);
--- a/crates/stage/src/house_pump.rs
+++ b/crates/stage/src/house_pump.rs
@@ -7,7 +7,7 @@
 
 impl House {
     /// Takes one request. The answer comes at once or from a later `pump`, always exactly one.
-    pub fn enter(&mut self, now: Micros, view: &gallery::View, ticket: u64, dispatch: transport::Dispatch) -> Granted {
+    pub fn enter(&mut self, now: Micros, view: &control::View, ticket: u64, dispatch: transport::Dispatch) -> Granted {
         let until = now + dispatch.left;
         let checked = match dispatch.left {
             0 => Err(Trouble::new(Cause::TooLate, "no time is left")),
@@ -80,14 +80,14 @@
 
     /// Called whenever a slot, the view or time has moved: late waiters are told so at once, and
     /// free slots go to the most important, first come first.
-    pub fn pump(&mut self, now: Micros, view: &gallery::View) -> Granted {
+    pub fn pump(&mut self, now: Micros, view: &control::View) -> Granted {
         self.tries.forget(now);
         self.notice(now, view);
         let names: Vec<String> = self.places.iter().filter(|(_, place)| !place.waiting.is_empty()).map(|(name, _)| name.clone()).collect();
         names.into_iter().flat_map(|name| self.pump_one(now, view, &name)).collect()
     }
 
-    fn pump_one(&mut self, now: Micros, view: &gallery::View, name: &str) -> Granted {
+    fn pump_one(&mut self, now: Micros, view: &control::View, name: &str) -> Granted {
         let mut waiting = self.places.get_mut(name).map(|place| std::mem::take(&mut place.waiting)).unwrap_or_default();
         waiting.sort_by_key(|waiter| std::cmp::Reverse(waiter.dispatch.importance));
         let mut granted = Vec::new();
@@ -112,7 +112,7 @@
     }
 
     /// Silence, moved key terms, and a log that took a live back end for gone.
-    fn notice(&mut self, now: Micros, view: &gallery::View) {
+    fn notice(&mut self, now: Micros, view: &control::View) {
         let patience = self.env.beat_patience;
         let mut reports = Vec::new();
         let leaving = self.leaving;
@@ -139,7 +139,7 @@
     }
 
     /// Once for each slice of news, not for each request.
-    fn notice_fences(&mut self, now: Micros, view: &gallery::View) {
+    fn notice_fences(&mut self, now: Micros, view: &control::View) {
         if std::sync::Arc::ptr_eq(&self.fenced, &view.slice) {
             return;
         }
@@ -154,7 +154,7 @@
         );
     }
 
-    fn notice_terms(&mut self, now: Micros, view: &gallery::View, reports: &mut Vec<Report>) {
+    fn notice_terms(&mut self, now: Micros, view: &control::View, reports: &mut Vec<Report>) {
         let position = view.slice.position;
         self.notice_fences(now, view);
         view.slice.terms.iter().for_each(|(service, terms)| {
--- a/crates/stage/src/house_task.rs
+++ b/crates/stage/src/house_task.rs
@@ -40,9 +40,9 @@
 impl HouseDesk {
     pub fn start(
         env: HouseEnv,
-        view: gallery::view::SharedView,
+        view: control::view::SharedView,
         moved: tokio::sync::watch::Receiver<model::Position>,
-        reports: gallery::Reports,
+        reports: control::Reports,
         services: tokio::sync::watch::Sender<model::slice::Services>,
         logger: slog::Logger,
     ) -> Self {
@@ -115,7 +115,7 @@
 
 struct Owner {
     house: House,
-    view: gallery::view::SharedView,
+    view: control::view::SharedView,
     waiting: std::collections::HashMap<u64, Answer<Entered>>,
     tickets: u64,
     senders: std::sync::Arc<arc_swap::ArcSwap<Senders>>,
@@ -207,7 +207,7 @@
 }
 
 /// Reports go one after the other and are not given up.
-async fn report(mut outgoing: tokio::sync::mpsc::UnboundedReceiver<model::standing::Report>, reports: gallery::Reports, desk: HouseDesk, logger: slog::Logger) {
+async fn report(mut outgoing: tokio::sync::mpsc::UnboundedReceiver<model::standing::Report>, reports: control::Reports, desk: HouseDesk, logger: slog::Logger) {
     while let Some(report) = outgoing.recv().await {
         let outcome = reports.tell(report.clone()).await;
         slog::info!(logger, "reported"; "report" => ?report, "outcome" => ?outcome);
--- a/crates/stage/src/near.rs
+++ b/crates/stage/src/near.rs
@@ -22,7 +22,7 @@
 pub struct Near {
     pub node: String,
     pub zone: String,
-    pub view: gallery::view::SharedView,
+    pub view: control::view::SharedView,
     pub far: crate::Far,
     pub mates: crate::mates::Mates,
     pub picker: crate::picker::PickerDesk,
--- a/crates/stage/src/server.rs
+++ b/crates/stage/src/server.rs
@@ -3,10 +3,10 @@
 pub async fn listen(
     listener: tokio::net::TcpListener,
     greeting: impl Fn() -> transport::Greeting + Send + Sync + 'static,
-    known: gallery::Known,
+    known: control::Known,
     far: crate::Far,
-    relay: gallery::relay::Relay,
-    heard: gallery::watching::Heard,
+    relay: control::relay::Relay,
+    heard: control::watching::Heard,
 ) {
     let greeting = std::sync::Arc::new(greeting);
     loop {
@@ -15,7 +15,7 @@
             let (relay, heard) = (relay.clone(), heard.clone());
             tokio::spawn(async move {
                 let accepted = transport::accept(stream, |caller| async move {
-                    gallery::acquaint::merge(&known, caller.known);
+                    control::acquaint::merge(&known, caller.known);
                     match caller.purpose {
                         transport::Purpose::Core => Err("no core seat is here".to_string()),
                         _ => Ok((greeting)()),
@@ -30,7 +30,7 @@
     }
 }
 
-async fn serve(mut conn: transport::Conn, far: crate::Far, relay: gallery::relay::Relay, heard: gallery::watching::Heard) {
+async fn serve(mut conn: transport::Conn, far: crate::Far, relay: control::relay::Relay, heard: control::watching::Heard) {
     let mut marks = crate::marks::Marks::new(model::now());
     let mut every = tokio::time::interval(std::time::Duration::from_micros(crate::marks::EVERY));
     every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
--- a/crates/stage/tests/house.rs
+++ b/crates/stage/tests/house.rs
@@ -11,7 +11,7 @@
     let mut scene = Scene::new(4);
     let at = SECOND;
     let good = scene.dispatch("t", "/plain");
-    let stale = gallery::View { fresh_until: at, ..scene.view.clone() };
+    let stale = control::View { fresh_until: at, ..scene.view.clone() };
     let current = std::mem::replace(&mut scene.view, stale);
     assert_eq!(scene.cause(at, good.clone()), Some(Cause::NotFresh));
     scene.view = current;
--- a/crates/stage/tests/scene/mod.rs
+++ b/crates/stage/tests/scene/mod.rs
@@ -8,7 +8,7 @@
 
 pub struct Scene {
     pub house: House,
-    pub view: gallery::View,
+    pub view: control::View,
     pub life: u64,
     tickets: u64,
 }
@@ -34,7 +34,7 @@
         let term = Term { holder: Some(("seat-0".into(), scene.life)), fence: 5, owed: vec![] };
         slice.terms.insert("seat".into(), vec![term; model::terms::SLICES as usize]);
         slice.longest.insert("seat".into(), 3 * SECOND);
-        scene.view = gallery::View { slice: std::sync::Arc::new(slice), fresh_until: 1_000 * SECOND };
+        scene.view = control::View { slice: std::sync::Arc::new(slice), fresh_until: 1_000 * SECOND };
         scene
     }
 
--- a/crates/troupe/src/desk.rs
+++ b/crates/troupe/src/desk.rs
@@ -69,9 +69,9 @@
 
 pub struct Owner {
     pub(crate) env: TroupeEnv,
-    pub(crate) outlook: gallery::SharedOutlook,
+    pub(crate) outlook: control::SharedOutlook,
     pub(crate) pit: pit::Pit,
-    pub(crate) reports: gallery::Reports,
+    pub(crate) reports: control::Reports,
     pub(crate) commands: tokio::sync::mpsc::Sender<Command>,
     pub(crate) keys: Keys,
     pub(crate) own: Option<Own>,
@@ -97,7 +97,7 @@
 }
 
 impl Troupe {
-    pub fn start(env: TroupeEnv, following: gallery::Following, pit: pit::Pit, reports: gallery::Reports, logger: slog::Logger) -> Troupe {
+    pub fn start(env: TroupeEnv, following: control::Following, pit: pit::Pit, reports: control::Reports, logger: slog::Logger) -> Troupe {
         let (commands, mut buffer) = tokio::sync::mpsc::channel(1_024);
         let keys = Keys::new(env.keys);
         let outlook = following.outlook.clone();
--- a/crates/troupe/src/duty.rs
+++ b/crates/troupe/src/duty.rs
@@ -45,8 +45,8 @@
 pub struct Duty {
     pub node: String,
     pub service: String,
-    pub following: gallery::Following,
-    pub reports: gallery::Reports,
+    pub following: control::Following,
+    pub reports: control::Reports,
     pub pit: pit::Pit,
     pub mates: apron::Mates,
     pub loads: tokio::sync::mpsc::Receiver<transport::Load>,
--- a/crates/troupe/src/node.rs
+++ b/crates/troupe/src/node.rs
@@ -17,8 +17,8 @@
 pub struct Node {
     pub troupe: crate::Troupe,
     pub front: apron::Front,
-    pub following: gallery::Following,
-    pub known: gallery::Known,
+    pub following: control::Following,
+    pub known: control::Known,
     pit: pit::Pit,
     calls: apron::Calls,
     /// Told from outside that it is to go: no longer ready, though it serves on for a while.
@@ -30,23 +30,23 @@
     /// `mates` is bound already; its address stands in the settings.
     pub fn start(env: NodeEnv, mates: tokio::net::TcpListener, logger: slog::Logger) -> Node {
         let own = &env.troupe;
-        let known = gallery::acquaint::nobody();
+        let known = control::acquaint::nobody();
         let greet = greeter(&env, known.clone());
         let greeting = |purpose| {
             let greet = greet.clone();
             move || (greet)(purpose)
         };
-        let line = gallery::FollowingEnv { name: own.node.clone(), zone: own.zone.clone(), ask_every: env.ask_every, patience: env.ask_every };
-        let following = gallery::following::start(line, known.clone(), greeting(transport::Purpose::Subscribe), logger.clone());
-        let reporting = gallery::ReportingEnv { name: own.node.clone(), life: own.life, logger: logger.clone() };
-        let reports = gallery::Reports::start(reporting, known.clone(), greeting(transport::Purpose::Subscribe));
+        let line = control::FollowingEnv { name: own.node.clone(), zone: own.zone.clone(), ask_every: env.ask_every, patience: env.ask_every };
+        let following = control::following::start(line, known.clone(), greeting(transport::Purpose::Subscribe), logger.clone());
+        let reporting = control::ReportingEnv { name: own.node.clone(), life: own.life, logger: logger.clone() };
+        let reports = control::Reports::start(reporting, known.clone(), greeting(transport::Purpose::Subscribe));
         let pit = pit::Pit::start(pit::PitEnv { words: env.words.clone(), ahead: env.ahead });
         let troupe = crate::Troupe::start(own.clone(), following.clone(), pit.clone(), reports.clone(), logger.clone());
         let watching = crate::watch::WatchEnv { node: own.node.clone(), life: own.life, beat_every: env.watch_every, patience: env.watch_patience };
         let heard = crate::watch::start(watching, following.outlook.clone(), reports.clone(), greet.clone());
         let (tell_loads, loads) = tokio::sync::mpsc::channel(1_024);
         tokio::spawn(apron::listen(mates, greet.clone(), known.clone(), pit.clone(), (heard, tell_loads)));
-        tokio::spawn(gallery::acquaint::run(known.clone(), env.seeds.clone(), greeting(transport::Purpose::Acquaint), || 3));
+        tokio::spawn(control::acquaint::run(known.clone(), env.seeds.clone(), greeting(transport::Purpose::Acquaint), || 3));
         // The duty of placing keys goes with the back end beside this node.
         let mates = apron::Mates::start(greet);
         let duty = crate::duty::Duty {
@@ -107,7 +107,7 @@
     }
 }
 
-fn greeter(env: &NodeEnv, known: gallery::Known) -> std::sync::Arc<dyn Fn(transport::Purpose) -> transport::Greeting + Send + Sync> {
+fn greeter(env: &NodeEnv, known: control::Known) -> std::sync::Arc<dyn Fn(transport::Purpose) -> transport::Greeting + Send + Sync> {
     let own = env.troupe.clone();
     std::sync::Arc::new(move |purpose| transport::Greeting {
         purpose,
@@ -119,6 +119,6 @@
         blank: false,
         expects: None,
         // Who only asks for a run, or beats, tells nothing of the core.
-        known: if matches!(purpose, transport::Purpose::Call | transport::Purpose::Watch) { Vec::new() } else { gallery::acquaint::list(&known) },
+        known: if matches!(purpose, transport::Purpose::Call | transport::Purpose::Watch) { Vec::new() } else { control::acquaint::list(&known) },
     })
 }
--- a/crates/troupe/src/watch.rs
+++ b/crates/troupe/src/watch.rs
@@ -11,13 +11,13 @@
 
 pub fn start(
     env: WatchEnv,
-    outlook: gallery::SharedOutlook,
-    reports: gallery::Reports,
+    outlook: control::SharedOutlook,
+    reports: control::Reports,
     greet: std::sync::Arc<dyn Fn(transport::Purpose) -> transport::Greeting + Send + Sync>,
 ) -> apron::Heard {
     let (heard, mut hears) = tokio::sync::mpsc::channel::<(String, u64)>(1_024);
     tokio::spawn(async move {
-        let (mut watch, mut stand) = (gallery::ring::Watch::default(), gallery::ring::Stand::default());
+        let (mut watch, mut stand) = (control::ring::Watch::default(), control::ring::Stand::default());
         let mut lines: std::collections::BTreeMap<String, tokio::sync::mpsc::Sender<transport::Frame>> = Default::default();
         let mut every = tokio::time::interval(std::time::Duration::from_micros(env.beat_every));
         every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
--- a/crates/troupe/tests/leaving.rs
+++ b/crates/troupe/tests/leaving.rs
@@ -25,7 +25,7 @@
     let shares = vec![("seat".to_string(), 1)];
     let lane = Lane { host: "h".into(), prefix: "/a/".into(), repeatable: true, wait_us: 1_000_000, aim_us: 1_000_000, rank: 0, dispatches: 1, shares };
     let programme = Programme::default().told(true, 1, vec![Delta::Item(Kind::Lane, "a".into(), 1, Some(Body::Lane(lane)))]);
-    node.following.outlook.store(std::sync::Arc::new(gallery::Outlook { programme: std::sync::Arc::new(programme), proved: 1 }));
+    node.following.outlook.store(std::sync::Arc::new(control::Outlook { programme: std::sync::Arc::new(programme), proved: 1 }));
     let senders = bind().await;
     let address = senders.local_addr().expect("an address").to_string();
     node.serve(senders);
--- a/crates/troupe/tests/scene/mod.rs
+++ b/crates/troupe/tests/scene/mod.rs
@@ -57,17 +57,17 @@
     bill.apply("operator", 1, 0, Act::Items(model::bill::Call { puts: vec![put], drops: Vec::new() }));
     before.into_iter().zip(1..).for_each(|(report, sequence)| drop(bill.apply("earlier", 1, sequence, Act::Reports(vec![report]))));
     let (moved, watch) = tokio::sync::watch::channel(0);
-    let following = gallery::Following { outlook: Default::default(), moved: watch };
+    let following = control::Following { outlook: Default::default(), moved: watch };
     // A proof there was, so that reports are told, and long ago, so that nothing is granted.
-    let show = |bill: &model::Bill, outlook: &gallery::SharedOutlook| {
+    let show = |bill: &model::Bill, outlook: &control::SharedOutlook| {
         let programme = model::bill::Programme::default().told(true, bill.position, bill.whole());
-        outlook.store(std::sync::Arc::new(gallery::Outlook { programme: std::sync::Arc::new(programme), proved: 1 }));
+        outlook.store(std::sync::Arc::new(control::Outlook { programme: std::sync::Arc::new(programme), proved: 1 }));
     };
     show(&bill, &following.outlook);
     let log = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = log.local_addr().expect("an address").to_string();
-    let known = gallery::acquaint::nobody();
-    gallery::acquaint::merge(&known, vec![transport::CoreSeat { seat: 0, identity: 1, address: address.clone(), zone: "z0".into(), starts: 1 }]);
+    let known = control::acquaint::nobody();
+    control::acquaint::merge(&known, vec![transport::CoreSeat { seat: 0, identity: 1, address: address.clone(), zone: "z0".into(), starts: 1 }]);
     let (told, heard) = tokio::sync::watch::channel(Vec::new());
     let outlook = following.outlook.clone();
     let (answers, mut answering) = tokio::sync::watch::channel(true);
@@ -91,8 +91,8 @@
     let keys = troupe::KeysEnv { bound: 1_000_000, guard: 0, most: MOST };
     let back_end = process.local_addr().ok().map(|address| address.to_string()).filter(|_| beat_every != BEAT);
     let env = troupe::TroupeEnv { node: "n0".into(), zone: "z0".into(), address: "n0".into(), life: 1, keys, beat_every, back_end, drain: 1_000_000 };
-    let reporting = gallery::ReportingEnv { name: "n0".into(), life: 1, logger: model::log::quiet() };
-    let reports = gallery::Reports::start(reporting, known, || greets("127.0.0.1:0"));
+    let reporting = control::ReportingEnv { name: "n0".into(), life: 1, logger: model::log::quiet() };
+    let reports = control::Reports::start(reporting, known, || greets("127.0.0.1:0"));
     let pit = pit::Pit::start(pit::PitEnv { words: http_util::words::OWN, ahead: 0 });
     let troupe = troupe::Troupe::start(env, following, pit.clone(), reports, model::log::quiet());
     Scene { troupe, heard, answers, process, pit }
--- a/crates/troupe/tests/unproved.rs
+++ b/crates/troupe/tests/unproved.rs
@@ -29,14 +29,14 @@
 }
 
 /// A lane, a service divided by key, and limits that take hardly any body.
-fn desk() -> gallery::bulletin::Desk {
+fn desk() -> control::bulletin::Desk {
     let put = |name: &str, body| model::bill::items::Put { name: name.into(), version: 1, body, text: String::new() };
     let (host, prefix) = ("a.example".to_string(), "/x/".to_string());
     let lane = Lane { host, prefix, repeatable: false, wait_us: 2_000_000, aim_us: 400_000, rank: 0, dispatches: 1, shares: vec![("seat".into(), 1)] };
     let limits = Limits { header_bytes: 16_384, body_bytes: 1_024, header_wait_us: 3_000_000, idle_us: 15_000_000 };
     let service = Service { health_path: String::new(), conns: 0, keyed: true, warm_us: 0 };
     let puts = vec![put("seat", Body::Service(service)), put("x", Body::Lane(lane)), put("", Body::Limits(limits))];
-    let mut desk = gallery::bulletin::Desk::default();
+    let mut desk = control::bulletin::Desk::default();
     let (outcome, _) = desk.bill.apply("operator", 1, 1, Act::Items(Call { puts, drops: Vec::new() }));
     assert!(matches!(outcome, model::Outcome::Accepted { .. }), "{outcome:?}");
     desk
@@ -98,7 +98,7 @@
     tokio::spawn(seat(core, tell_held, may_prove));
     let node = troupe::Node::start(env(&address), mates, model::log::quiet());
     node.serve(outbound);
-    gallery::acquaint::merge(&node.known, vec![transport::CoreSeat { seat: 0, identity: 1, address: core_address, zone: "z0".into(), starts: 1 }]);
+    control::acquaint::merge(&node.known, vec![transport::CoreSeat { seat: 0, identity: 1, address: core_address, zone: "z0".into(), starts: 1 }]);
     Scene { node, front, held, proves }
 }
 
--- a/crates/usher/src/health.rs
+++ b/crates/usher/src/health.rs
@@ -3,8 +3,8 @@
 #[derive(Clone)]
 pub struct Health {
     pub name: String,
-    pub view: gallery::view::SharedView,
-    pub known: gallery::Known,
+    pub view: control::view::SharedView,
+    pub known: control::Known,
     pub house: stage::HouseDesk,
     pub budget: stage::budget::BudgetDesk,
     pub claims: std::sync::Arc<std::sync::atomic::AtomicU64>,
@@ -57,7 +57,7 @@
             "keys_claimed_unheld": self.0.claims.load(std::sync::atomic::Ordering::Relaxed),
             "fresh_for_us": view.fresh_until.saturating_sub(model::now()), "running": running, "waiting": waiting, "traffic": transport::traffic::told(),
             "requests_and_extras": *self.0.budget.spent(),
-            "known": gallery::acquaint::list(&self.0.known),
+            "known": control::acquaint::list(&self.0.known),
         });
         http_util::json(response, 200, &answer);
     }
--- a/crates/usher/src/node.rs
+++ b/crates/usher/src/node.rs
@@ -6,7 +6,7 @@
 pub struct Node {
     near: stage::Near,
     house: stage::HouseDesk,
-    reports: gallery::Reports,
+    reports: control::Reports,
     serving: http_util::Serving,
     staying: std::sync::Arc<std::sync::atomic::AtomicBool>,
     name: String,
@@ -20,7 +20,7 @@
         let listener = tokio::net::TcpListener::bind(&env.mates_address).await.map_err(|error| told("mates_address", &error))?;
         let listening = listener.local_addr().map_err(|error| told("mates_address", &error))?.to_string();
         let address = env.advertised_address.clone().unwrap_or(listening);
-        let known = gallery::acquaint::nobody();
+        let known = control::acquaint::nobody();
         let (services, wanted) = tokio::sync::watch::channel(Default::default());
         let (name, zone) = (env.name.clone(), env.zone.clone());
         let (greeter, place) = (known.clone(), address.clone());
@@ -33,13 +33,13 @@
             core: None,
             blank: false,
             expects: None,
-            known: gallery::acquaint::list(&greeter),
+            known: control::acquaint::list(&greeter),
         };
         let greet = |purpose| {
             let greeting = greeting.clone();
             move || greeting(purpose)
         };
-        let line = gallery::SubscriptionEnv {
+        let line = control::SubscriptionEnv {
             name: env.name.clone(),
             zone: env.zone.clone(),
             bound: env.freshness_us,
@@ -47,11 +47,11 @@
             patience: env.freshness_us / 2,
             homes: env.homes,
         };
-        let subscription = gallery::subscription::start(line, known.clone(), wanted, greet(transport::Purpose::Subscribe), logger.clone());
-        let reporting = gallery::ReportingEnv { name: env.name.clone(), life, logger: logger.clone() };
-        let reports = gallery::Reports::start(reporting, known.clone(), greet(transport::Purpose::Subscribe));
-        let watching = gallery::watching::WatchingEnv { name: env.name.clone(), beat_every: env.watch_every_us, patience: env.watch_patience_us };
-        let heard = gallery::watching::start(watching, subscription.view.clone(), reports.clone(), greet(transport::Purpose::Watch));
+        let subscription = control::subscription::start(line, known.clone(), wanted, greet(transport::Purpose::Subscribe), logger.clone());
+        let reporting = control::ReportingEnv { name: env.name.clone(), life, logger: logger.clone() };
+        let reports = control::Reports::start(reporting, known.clone(), greet(transport::Purpose::Subscribe));
+        let watching = control::watching::WatchingEnv { name: env.name.clone(), beat_every: env.watch_every_us, patience: env.watch_patience_us };
+        let heard = control::watching::start(watching, subscription.view.clone(), reports.clone(), greet(transport::Purpose::Watch));
         let house_env = stage::HouseEnv {
             node: env.name.clone(),
             zone: env.zone.clone(),
@@ -66,7 +66,7 @@
         let far = stage::Far { house: house.clone(), door: std::sync::Arc::new(door), logger: logger.clone() };
         tokio::spawn(stage::server::listen(listener, greet(transport::Purpose::Call), known.clone(), far.clone(), subscription.relay, heard));
         // A node does not know how many seats there are; the first that greets it says so.
-        tokio::spawn(gallery::acquaint::run(known.clone(), env.seeds.clone(), greet(transport::Purpose::Acquaint), || 3));
+        tokio::spawn(control::acquaint::run(known.clone(), env.seeds.clone(), greet(transport::Purpose::Acquaint), || 3));
         let near = stage::Near {
             node: env.name.clone(),
             zone: env.zone.clone(),
@@ -138,7 +138,7 @@
 }
 
 /// Tells the log that this node is here, and again whenever the log takes it for gone.
-async fn present(own: Own, view: gallery::view::SharedView, reports: gallery::Reports, staying: Arc<AtomicBool>, logger: slog::Logger) {
+async fn present(own: Own, view: control::view::SharedView, reports: control::Reports, staying: Arc<AtomicBool>, logger: slog::Logger) {
     let mut stood = false;
     loop {
         let view_now = view.load();
