--- a/crates/troupe/tests/casting.rs
+++ b/crates/endpoints/tests/casting.rs
@@ -18,8 +18,8 @@
         let on_their_way = held.clone();
         let held: Rows = held.into_iter().map(|row| rows::Row { owed: Vec::new(), ..row }).collect();
         let there = (0..8u8).filter(|number| shares[*number as usize] > 100);
-        let parts: Vec<troupe::Part> = there.map(|number| (name(number), 0.5 + weights[number as usize] as f64 / 9.0)).collect();
-        let cast = troupe::cast(&held, &[], &parts, 0.0);
+        let parts: Vec<endpoints::Part> = there.map(|number| (name(number), 0.5 + weights[number as usize] as f64 / 9.0)).collect();
+        let cast = endpoints::cast(&held, &[], &parts, 0.0);
         if parts.is_empty() {
             return assert!(cast.is_empty());
         }
@@ -35,9 +35,9 @@
         });
         // Nothing owed any more, and neighbours alike joined.
         let rest = rows::recast(moved.iter().cloned().map(|row| rows::Row { owed: Vec::new(), ..row }).collect(), &[], 0);
-        assert_eq!(rows::recast(rest.clone(), &troupe::cast(&rest, &[], &parts, 0.0), 101), rest, "nothing moves without a reason");
+        assert_eq!(rows::recast(rest.clone(), &endpoints::cast(&rest, &[], &parts, 0.0), 101), rest, "nothing moves without a reason");
         // A row that has not reached its holder is not sent elsewhere, as long as that one is there.
-        let next = rows::recast(on_their_way.clone(), &troupe::cast(&on_their_way, &[], &parts, 0.0), 102);
+        let next = rows::recast(on_their_way.clone(), &endpoints::cast(&on_their_way, &[], &parts, 0.0), 102);
         let stays = |row: &&rows::Row| !row.owed.is_empty() && parts.iter().any(|(name, _)| row.holder.as_ref() == Some(name));
         on_their_way.iter().filter(stays).for_each(|row| {
             let held = rows::holder_of(&next, row.from).expect("a row");
@@ -48,10 +48,10 @@
 
 #[test]
 fn what_is_on_its_way_is_told_by_its_weight() {
-    let parts: Vec<troupe::Part> = ["a", "b"].map(|name| (name.to_string(), 1.0)).into();
+    let parts: Vec<endpoints::Part> = ["a", "b"].map(|name| (name.to_string(), 1.0)).into();
     let held = rows::recast(rows::empty(), &[(0, 32_767, "a".into()), (32_768, 65_535, "b".into())], 3);
     let asks = [(0, 99, 50.0), (100, 32_767, 10.0), (32_768, 65_535, 40.0)];
-    let moving = |rows: &Rows| troupe::excess(rows, &asks, &parts).2;
+    let moving = |rows: &Rows| endpoints::excess(rows, &asks, &parts).2;
     assert_eq!(moving(&held), 0.0);
     let moved = rows::recast(held, &[(0, 99, "b".into())], 5);
     assert!((0.45..0.55).contains(&moving(&moved)), "few keys, and half of all that is asked for: {}", moving(&moved));
--- a/crates/troupe/tests/leaving.rs
+++ b/crates/endpoints/tests/leaving.rs
@@ -6,11 +6,11 @@
 const BOUND: std::time::Duration = std::time::Duration::from_secs(30);
 const DAY: std::time::Duration = std::time::Duration::from_secs(86_400);
 
-async fn node() -> (troupe::Node, String) {
-    let keys = troupe::KeysEnv { bound: 9_000_000, guard: 200_000, most: 10_000_000 };
+async fn node() -> (endpoints::Node, String) {
+    let keys = endpoints::KeysEnv { bound: 9_000_000, guard: 200_000, most: 10_000_000 };
     let own = ("n0".to_string(), "z0".to_string(), "127.0.0.1:1".to_string());
-    let env = troupe::NodeEnv {
-        troupe: troupe::TroupeEnv { node: own.0, zone: own.1, address: own.2, life: 1, keys, beat_every: 1_500_000, back_end: None, drain: 2_000_000 },
+    let env = endpoints::NodeEnv {
+        troupe: endpoints::TroupeEnv { node: own.0, zone: own.1, address: own.2, life: 1, keys, beat_every: 1_500_000, back_end: None, drain: 2_000_000 },
         service: "seat".into(),
         seeds: Vec::new(),
         words: http_util::words::OWN,
@@ -21,7 +21,7 @@
         watch_patience: 3_000_000,
     };
     let bind = async || tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let node = troupe::Node::start(env, bind().await, model::log::quiet());
+    let node = endpoints::Node::start(env, bind().await, model::log::quiet());
     let shares = vec![("seat".to_string(), 1)];
     let lane = Lane { host: "h".into(), prefix: "/a/".into(), repeatable: true, wait_us: 1_000_000, aim_us: 1_000_000, rank: 0, dispatches: 1, shares };
     let programme = Programme::default().told(true, 1, vec![Delta::Item(Kind::Lane, "a".into(), 1, Some(Body::Lane(lane)))]);
--- a/crates/troupe/tests/registration.rs
+++ b/crates/endpoints/tests/registration.rs
@@ -1,9 +1,9 @@
 //! A process that starts registers on top of what the log has, whatever was drawn, and stops once another one did so
 //! after it (design 11.2).
 
+use endpoints::{Registration, Standing};
 use model::bill::{Act, Place, Report};
 use model::{Bill, Outcome};
-use troupe::{Registration, Standing};
 
 fn place(life: u64) -> Place {
     Place { zone: "z0".into(), address: "n0:1".into(), life, present: true, missed_by: Default::default(), since: 1 }
--- a/crates/troupe/tests/scene/mod.rs
+++ b/crates/endpoints/tests/scene/mod.rs
@@ -11,7 +11,7 @@
 
 /// A log that orders what it is told and shows its node all of it at once.
 pub struct Scene {
-    pub troupe: troupe::Troupe,
+    pub troupe: endpoints::Troupe,
     pub heard: tokio::sync::watch::Receiver<Vec<Heard>>,
     /// Whether the log answers.
     pub answers: tokio::sync::watch::Sender<bool>,
@@ -88,13 +88,13 @@
         }
     });
     let process = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let keys = troupe::KeysEnv { bound: 1_000_000, guard: 0, most: MOST };
+    let keys = endpoints::KeysEnv { bound: 1_000_000, guard: 0, most: MOST };
     let back_end = process.local_addr().ok().map(|address| address.to_string()).filter(|_| beat_every != BEAT);
-    let env = troupe::TroupeEnv { node: "n0".into(), zone: "z0".into(), address: "n0".into(), life: 1, keys, beat_every, back_end, drain: 1_000_000 };
+    let env = endpoints::TroupeEnv { node: "n0".into(), zone: "z0".into(), address: "n0".into(), life: 1, keys, beat_every, back_end, drain: 1_000_000 };
     let reporting = control::ReportingEnv { name: "n0".into(), life: 1, logger: model::log::quiet() };
     let reports = control::Reports::start(reporting, known, || greets("127.0.0.1:0"));
     let pit = pit::Pit::start(pit::PitEnv { words: http_util::words::OWN, ahead: 0 });
-    let troupe = troupe::Troupe::start(env, following, pit.clone(), reports, model::log::quiet());
+    let troupe = endpoints::Troupe::start(env, following, pit.clone(), reports, model::log::quiet());
     Scene { troupe, heard, answers, process, pit }
 }
 
@@ -102,7 +102,7 @@
     pub async fn beat(&self, name: &str, sequence: u64, holds: Vec<(u16, u16, u64)>) {
         let address = self.process.local_addr().expect("an address").to_string();
         let (name, service, zone) = (name.to_string(), "seat".to_string(), "z0".to_string());
-        let beat = troupe::Beat { name, service, address, zone, slots: 4, draining: false, sequence, holds, freed: Vec::new() };
+        let beat = endpoints::Beat { name, service, address, zone, slots: 4, draining: false, sequence, holds, freed: Vec::new() };
         assert_eq!(self.troupe.beat(beat).await, Some(None), "nothing can be granted");
     }
 
--- a/crates/troupe/tests/unproved.rs
+++ b/crates/endpoints/tests/unproved.rs
@@ -12,11 +12,11 @@
     transport::Greeting { purpose, name, zone, address, incarnation: 1, core: None, blank: false, expects: None, known: Vec::new() }
 }
 
-fn env(address: &str) -> troupe::NodeEnv {
-    let keys = troupe::KeysEnv { bound: 9_000_000, guard: 200_000, most: 10_000_000 };
+fn env(address: &str) -> endpoints::NodeEnv {
+    let keys = endpoints::KeysEnv { bound: 9_000_000, guard: 200_000, most: 10_000_000 };
     let (node, zone) = ("n0".to_string(), "z0".to_string());
-    troupe::NodeEnv {
-        troupe: troupe::TroupeEnv { node, zone, address: address.into(), life: 1, keys, beat_every: 1_500_000, drain: 2_000_000, back_end: None },
+    endpoints::NodeEnv {
+        troupe: endpoints::TroupeEnv { node, zone, address: address.into(), life: 1, keys, beat_every: 1_500_000, drain: 2_000_000, back_end: None },
         service: "seat".into(),
         seeds: Vec::new(),
         words: http_util::words::OWN,
@@ -81,7 +81,7 @@
 }
 
 struct Scene {
-    node: troupe::Node,
+    node: endpoints::Node,
     front: String,
     held: tokio::sync::watch::Receiver<u64>,
     proves: tokio::sync::watch::Sender<bool>,
@@ -96,7 +96,7 @@
     let ((core, core_address), (mates, address), (outbound, front)) = (bind().await, bind().await, bind().await);
     let ((tell_held, held), (proves, may_prove)) = (tokio::sync::watch::channel(0), tokio::sync::watch::channel(false));
     tokio::spawn(seat(core, tell_held, may_prove));
-    let node = troupe::Node::start(env(&address), mates, model::log::quiet());
+    let node = endpoints::Node::start(env(&address), mates, model::log::quiet());
     node.serve(outbound);
     control::acquaint::merge(&node.known, vec![transport::CoreSeat { seat: 0, identity: 1, address: core_address, zone: "z0".into(), starts: 1 }]);
     Scene { node, front, held, proves }
@@ -131,7 +131,7 @@
     // It was granted all keys before the node began anew; who holds them now nobody here can say.
     let holds = vec![(0, u16::MAX, 1)];
     let (name, service, zone) = ("a".to_string(), "seat".to_string(), "z0".to_string());
-    let beat = troupe::Beat { name, service, address, zone, slots: 4, draining: false, sequence: 1, holds, freed: Vec::new() };
+    let beat = endpoints::Beat { name, service, address, zone, slots: 4, draining: false, sequence: 1, holds, freed: Vec::new() };
     assert_eq!(soon("an answer", scene.node.troupe.beat(beat)).await, Some(None), "nothing can be granted");
     let cue = transport::Cue {
         back_end: "a".into(),
--- a/crates/rehearsal/src/hollow/counted.rs
+++ b/crates/rehearsal/src/hollow/counted.rs
@@ -96,10 +96,10 @@
         let working =
             |player: &model::bill::Player| player.phase == model::Phase::Registered && self.bill.places.get(&player.node).is_some_and(|place| place.present);
         let cast = self.bill.players.iter().filter(|(_, player)| player.service == name && working(player));
-        let parts: Vec<troupe::Part> = cast.map(|(name, player)| (name.clone(), player.slots as f64)).collect();
+        let parts: Vec<endpoints::Part> = cast.map(|(name, player)| (name.clone(), player.slots as f64)).collect();
         let (base, rows) = self.bill.castings.get(&name).cloned().unwrap_or((0, model::bill::rows::empty()));
         if !parts.is_empty() {
-            let rows = troupe::cast(&rows, &[], &parts, 0.0);
+            let rows = endpoints::cast(&rows, &[], &parts, 0.0);
             self.cost.placements += 1;
             self.report(service, vec![Report::Recast { service: name, base, rows }]);
         }
--- a/crates/rehearsal/src/hollow/events.rs
+++ b/crates/rehearsal/src/hollow/events.rs
@@ -105,7 +105,7 @@
     let place = bill.places.iter().next().map(|(name, place)| model::bill::Delta::Place(name.clone(), Some(place.clone())));
     let lane = model::bill::Delta::Item(model::bill::Kind::Lane, "l0".into(), 9, plan.change(0).puts.pop().map(|put| put.body));
     let rows = bill.castings.values().next().map(|held| held.1.clone()).unwrap_or_default();
-    let parts: Vec<troupe::Part> = rows.iter().filter_map(|row| row.holder.clone()).map(|name| (name, 8.0)).collect();
+    let parts: Vec<endpoints::Part> = rows.iter().filter_map(|row| row.holder.clone()).map(|name| (name, 8.0)).collect();
     let away = bill.places.iter().map(|(name, place)| (format!("{name}.old"), model::bill::Place { present: false, ..place.clone() }));
     let twice = std::sync::Arc::new(bill.places.clone().into_iter().chain(away).collect());
     let (places, mut stand) = (std::sync::Arc::new(bill.places.clone()), control::ring::Stand::default());
@@ -121,6 +121,6 @@
         ("whole as bytes", timed(5, || drop(std::hint::black_box(bulletin(true, bill.whole()))))),
         ("snapshot", timed(5, || drop(std::hint::black_box(bill.to_bytes())))),
         ("items judged", timed(5, || drop(std::hint::black_box(model::bill::items::faults(&bill.items, &plan.change(0)))))),
-        ("cast of a service", timed(50, || drop(std::hint::black_box(troupe::cast(&rows, &[], &parts, 0.0))))),
+        ("cast of a service", timed(50, || drop(std::hint::black_box(endpoints::cast(&rows, &[], &parts, 0.0))))),
     ])
 }
--- a/crates/rehearsal/src/hollow/node.rs
+++ b/crates/rehearsal/src/hollow/node.rs
@@ -38,15 +38,15 @@
 }
 
 /// As `tour usher` is set (platform/src/usher.rs).
-fn env(plan: &Plan, places: &[String], at: usize, life: u64, address: String) -> troupe::NodeEnv {
+fn env(plan: &Plan, places: &[String], at: usize, life: u64, address: String) -> endpoints::NodeEnv {
     let most = 10_000_000;
-    troupe::NodeEnv {
-        troupe: troupe::TroupeEnv {
+    endpoints::NodeEnv {
+        troupe: endpoints::TroupeEnv {
             node: format!("n{at}"),
             zone: plan.zone(at),
             address,
             life,
-            keys: troupe::KeysEnv { bound: most * 9 / 10, guard: 200_000, most },
+            keys: endpoints::KeysEnv { bound: most * 9 / 10, guard: 200_000, most },
             beat_every: BEAT_EVERY,
             back_end: None,
             drain: 2_000_000,
@@ -108,15 +108,15 @@
 
 enum Part {
     Following(control::Following),
-    Troupe(control::Following, troupe::Troupe),
-    Whole(Box<troupe::Node>),
+    Troupe(control::Following, endpoints::Troupe),
+    Whole(Box<endpoints::Node>),
 }
 
 impl Part {
-    fn start(plan: &Plan, env: troupe::NodeEnv, known: control::Known, listener: tokio::net::TcpListener) -> Part {
+    fn start(plan: &Plan, env: endpoints::NodeEnv, known: control::Known, listener: tokio::net::TcpListener) -> Part {
         let logger = model::log::quiet();
         if plan.parts == Parts::Whole {
-            return Part::Whole(Box::new(troupe::Node::start(env, listener, logger)));
+            return Part::Whole(Box::new(endpoints::Node::start(env, listener, logger)));
         }
         let own = env.troupe.clone();
         // Each node's own, as it would be: nobody shares a table with another process.
@@ -146,7 +146,7 @@
         let reporting = control::ReportingEnv { name: own.node.clone(), life: own.life, logger: logger.clone() };
         let reports = control::Reports::start(reporting, mine, greeting(transport::Purpose::Subscribe));
         let pit = pit::Pit::start(pit::PitEnv { words: env.words.clone(), ahead: env.ahead });
-        let troupe = troupe::Troupe::start(own, following.clone(), pit, reports, logger);
+        let troupe = endpoints::Troupe::start(own, following.clone(), pit, reports, logger);
         Part::Troupe(following, troupe)
     }
 
@@ -157,7 +157,7 @@
         }
     }
 
-    fn troupe(&self) -> Option<&troupe::Troupe> {
+    fn troupe(&self) -> Option<&endpoints::Troupe> {
         match self {
             Part::Following(_) => None,
             Part::Troupe(_, troupe) => Some(troupe),
@@ -167,7 +167,7 @@
 }
 
 /// Beats until it is ordered to go; in good order only once it has drained, and nobody beats for it any more.
-async fn act(troupe: &troupe::Troupe, env: &troupe::NodeEnv, name: String, orders: &mut tokio::sync::mpsc::UnboundedReceiver<Order>) {
+async fn act(troupe: &endpoints::Troupe, env: &endpoints::NodeEnv, name: String, orders: &mut tokio::sync::mpsc::UnboundedReceiver<Order>) {
     // The process is found alive by whoever dials it.
     let Ok(process) = std::net::TcpListener::bind("127.0.0.1:0") else { return };
     let address = process.local_addr().map(|address| address.to_string()).unwrap_or_default();
@@ -188,7 +188,7 @@
             },
         }
         sequence += 1;
-        let beat = troupe::Beat {
+        let beat = endpoints::Beat {
             name: name.clone(),
             service: env.service.clone(),
             address: address.clone(),
--- a/crates/rehearsal/src/hollow/site.rs
+++ b/crates/rehearsal/src/hollow/site.rs
@@ -60,11 +60,11 @@
         let recasts = (0..plan.services).filter(|service| plan.keyed(*service)).map(|service| {
             let live = programme.cast(&format!("s{service}"));
             let known = live.iter().map(|one| one.name.clone());
-            let parts: Vec<troupe::Part> = match plan.parts {
+            let parts: Vec<endpoints::Part> = match plan.parts {
                 Parts::Following => (service..plan.nodes).step_by(plan.services).map(|at| (super::node::back_end(at, 1), 8.0)).collect(),
                 _ => known.map(|name| (name, 8.0)).collect(),
             };
-            Report::Recast { service: format!("s{service}"), base: 0, rows: troupe::cast(&model::bill::rows::empty(), &[], &parts, 0.0) }
+            Report::Recast { service: format!("s{service}"), base: 0, rows: endpoints::cast(&model::bill::rows::empty(), &[], &parts, 0.0) }
         });
         put(2, recasts.collect()).await?;
         Ok(())
--- a/crates/rehearsal/src/keysim/line.rs
+++ b/crates/rehearsal/src/keysim/line.rs
@@ -21,7 +21,7 @@
 impl Stage {
     pub(super) fn start(&mut self, at: usize) {
         let guard = if self.plan.without.slow_clock { 0 } else { self.plan.keys.guard };
-        let env = troupe::KeysEnv { guard, ..self.plan.keys };
+        let env = endpoints::KeysEnv { guard, ..self.plan.keys };
         let clock = self.clock(at);
         self.nodes[at].begin(at, env, clock);
         let life = self.nodes[at].life;
--- a/crates/rehearsal/src/keysim/node.rs
+++ b/crates/rehearsal/src/keysim/node.rs
@@ -1,11 +1,11 @@
-//! A node beside one back end, as `troupe::desk` and `troupe::facts` run it, over the real grants (design 11.2, 11.5).
+//! A node beside one back end, as `endpoints::desk` and `endpoints::facts` run it, over the real grants (design 11.2, 11.5).
 
 use model::bill::{Programme, Report};
 use model::{Micros, Position};
 
 /// A back end as it told of itself.
 pub(super) struct Own {
-    pub beat: troupe::Beat,
+    pub beat: endpoints::Beat,
     pub heard: Micros,
     pub drained: bool,
     pub held_until: Micros,
@@ -28,7 +28,7 @@
     pub dumb: bool,
     /// What its clock gains, in millionths.
     pub rate: i64,
-    pub keys: troupe::Keys,
+    pub keys: endpoints::Keys,
     pub programme: Programme,
     pub proved: Micros,
     pub own: Option<Own>,
@@ -48,7 +48,7 @@
 }
 
 impl Node {
-    pub fn new(at: usize, rate: i64, env: troupe::KeysEnv) -> Node {
+    pub fn new(at: usize, rate: i64, env: endpoints::KeysEnv) -> Node {
         Node {
             name: format!("node-{at}"),
             life: 0,
@@ -58,7 +58,7 @@
             cut: false,
             dumb: false,
             rate,
-            keys: troupe::Keys::new(env),
+            keys: endpoints::Keys::new(env),
             programme: Programme::default(),
             proved: 0,
             own: None,
@@ -82,7 +82,7 @@
     }
 
     /// A new process: all that was in memory is gone.
-    pub fn begin(&mut self, at: usize, env: troupe::KeysEnv, began: Micros) {
+    pub fn begin(&mut self, at: usize, env: endpoints::KeysEnv, began: Micros) {
         let (life, rate, cut, dumb, conns) = (self.life + 1, self.rate, self.cut, self.dumb, self.line.conn + 1);
         *self = Node { life, rate, cut, dumb, began, up: true, ..Node::new(at, rate, env) };
         self.line.conn = conns;
@@ -99,7 +99,7 @@
         }
     }
 
-    pub fn beat(&mut self, plan: &super::KeyPlan, now: Micros, beat: troupe::Beat) -> troupe::BeatAnswer {
+    pub fn beat(&mut self, plan: &super::KeyPlan, now: Micros, beat: endpoints::Beat) -> endpoints::BeatAnswer {
         let within = |span: Micros| self.own.as_ref().is_some_and(|own| own.beat.name != beat.name && now < own.heard + span);
         let known = self.programme.players.contains_key(&beat.name);
         let earlier = !plan.without.late && (within(plan.beat_every / 4) || known && within(plan.beat_every * 2));
@@ -126,7 +126,7 @@
         answer
     }
 
-    fn grant(&mut self, plan: &super::KeyPlan, now: Micros, own: &mut Own) -> troupe::BeatAnswer {
+    fn grant(&mut self, plan: &super::KeyPlan, now: Micros, own: &mut Own) -> endpoints::BeatAnswer {
         let mut rows = self.rows();
         if plan.without.wait {
             rows.iter_mut().for_each(|row| row.owed.clear());
--- a/crates/rehearsal/src/keysim/placing.rs
+++ b/crates/rehearsal/src/keysim/placing.rs
@@ -1,4 +1,4 @@
-//! Who places the service's keys and when, as `troupe::duty` does it, over the real placements (design 11.4).
+//! Who places the service's keys and when, as `endpoints::duty` does it, over the real placements (design 11.4).
 
 use super::stage::{SERVICE, Stage};
 use super::telling::Whose;
@@ -38,8 +38,8 @@
     if cast.is_empty() || !orphaned && cast.iter().all(|one| held(&one.name)) {
         return None;
     }
-    let parts: Vec<troupe::Part> = cast.iter().map(|one| (one.name.clone(), one.slots.max(1) as f64)).collect();
-    Some((Report::Recast { service: SERVICE.into(), base, rows: troupe::cast(&rows, &[], &parts, 0.0) }, orphaned))
+    let parts: Vec<endpoints::Part> = cast.iter().map(|one| (one.name.clone(), one.slots.max(1) as f64)).collect();
+    Some((Report::Recast { service: SERVICE.into(), base, rows: endpoints::cast(&rows, &[], &parts, 0.0) }, orphaned))
 }
 
 impl Stage {
@@ -69,11 +69,11 @@
             return;
         }
         let cast = self.nodes[at].programme.cast(SERVICE);
-        let parts: Vec<troupe::Part> = cast.iter().map(|one| (one.name.clone(), self.draw((1, 9)) as f64)).collect();
+        let parts: Vec<endpoints::Part> = cast.iter().map(|one| (one.name.clone(), self.draw((1, 9)) as f64)).collect();
         let (base, rows) = base(&self.nodes[at].programme);
         if base > 0 && !parts.is_empty() {
             self.nodes[at].duty.placing = true;
-            self.post(at, Whose::Duty, vec![Report::Recast { service: SERVICE.into(), base, rows: troupe::cast(&rows, &[], &parts, 0.0) }]);
+            self.post(at, Whose::Duty, vec![Report::Recast { service: SERVICE.into(), base, rows: endpoints::cast(&rows, &[], &parts, 0.0) }]);
         }
     }
 }
--- a/crates/rehearsal/src/keysim/plan.rs
+++ b/crates/rehearsal/src/keysim/plan.rs
@@ -33,7 +33,7 @@
 pub struct KeyPlan {
     pub seed: u64,
     pub nodes: usize,
-    pub keys: troupe::KeysEnv,
+    pub keys: endpoints::KeysEnv,
     pub beat_every: Micros,
     pub drain: Micros,
     pub ask_every: Micros,
@@ -42,7 +42,7 @@
 
 impl KeyPlan {
     pub fn new(seed: u64) -> Self {
-        let keys = troupe::KeysEnv { bound: 9_000_000, guard: 200_000, most: 10_000_000 };
+        let keys = endpoints::KeysEnv { bound: 9_000_000, guard: 200_000, most: 10_000_000 };
         let nodes = 3 + (seed % 6) as usize;
         KeyPlan { seed, nodes, keys, beat_every: 1_500_000, drain: 2_000_000, ask_every: 1_000_000, without: Without::default() }
     }
--- a/crates/rehearsal/src/keysim/player.rs
+++ b/crates/rehearsal/src/keysim/player.rs
@@ -79,13 +79,13 @@
         self.held.iter().filter(|held| held.until > now).map(|held| held.row).collect()
     }
 
-    pub(super) fn beat(&mut self, now: Micros) -> troupe::Beat {
+    pub(super) fn beat(&mut self, now: Micros) -> endpoints::Beat {
         self.sequence += 1;
         self.waits_for = Some(self.sequence);
         self.told = self.released.len();
         // A hold that ran out is not told as released.
         self.held.retain(|held| held.until > now);
-        troupe::Beat {
+        endpoints::Beat {
             name: self.name(),
             service: super::stage::SERVICE.into(),
             address: format!("player-{}", self.node),
--- a/crates/rehearsal/src/keysim/stage.rs
+++ b/crates/rehearsal/src/keysim/stage.rs
@@ -15,8 +15,8 @@
     Ask(usize, u64),
     Probed(usize, u64, String),
     Beat(usize, u64, bool),
-    BeatComes(usize, u64, Micros, Box<troupe::Beat>),
-    Answer(usize, u64, Micros, u64, troupe::BeatAnswer),
+    BeatComes(usize, u64, Micros, Box<endpoints::Beat>),
+    Answer(usize, u64, Micros, u64, endpoints::BeatAnswer),
     Unanswered(usize, u64, u64),
     LetsGo(usize, u64, u64),
     SignsOff(usize, u64),
@@ -168,7 +168,7 @@
         }
     }
 
-    fn beat_comes(&mut self, at: usize, life: u64, sent: Micros, beat: troupe::Beat) {
+    fn beat_comes(&mut self, at: usize, life: u64, sent: Micros, beat: endpoints::Beat) {
         if !self.nodes[at].lives(life) {
             return;
         }
@@ -182,7 +182,7 @@
         }
     }
 
-    fn answered(&mut self, at: usize, sent: Micros, number: u64, answer: troupe::BeatAnswer) {
+    fn answered(&mut self, at: usize, sent: Micros, number: u64, answer: endpoints::BeatAnswer) {
         let (now, life) = (self.now, self.players[at].life);
         // One that comes too late may still be read, or not.
         let late = now > sent + 1_000_000 && self.draw((0, 1)) == 0;
--- a/crates/rehearsal/tests/rolled/back_end.rs
+++ b/crates/rehearsal/tests/rolled/back_end.rs
@@ -20,7 +20,7 @@
     loop {
         let beside = places[at].beside.borrow().clone();
         sequence += 1;
-        let beat = troupe::Beat {
+        let beat = endpoints::Beat {
             name: format!("b{at}"),
             service: service(at),
             address: address.clone(),
--- a/crates/rehearsal/tests/rolled/node.rs
+++ b/crates/rehearsal/tests/rolled/node.rs
@@ -9,11 +9,11 @@
     outlook: control::SharedOutlook,
 }
 
-fn env(at: usize, life: u64, mates: String, seeds: Vec<String>) -> troupe::NodeEnv {
-    let keys = troupe::KeysEnv { bound: 9_000_000, guard: 200_000, most: 10_000_000 };
+fn env(at: usize, life: u64, mates: String, seeds: Vec<String>) -> endpoints::NodeEnv {
+    let keys = endpoints::KeysEnv { bound: 9_000_000, guard: 200_000, most: 10_000_000 };
     let (node, zone) = (format!("n{at}"), format!("z{}", at % 2));
-    troupe::NodeEnv {
-        troupe: troupe::TroupeEnv { node, zone, address: mates, life, keys, beat_every: 500_000, drain: 2_000_000, back_end: None },
+    endpoints::NodeEnv {
+        troupe: endpoints::TroupeEnv { node, zone, address: mates, life, keys, beat_every: 500_000, drain: 2_000_000, back_end: None },
         service: crate::site::service(at),
         seeds,
         words: http_util::words::OWN,
@@ -46,7 +46,7 @@
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
             runtime.block_on(async {
                 let (listener, outbound) = (bind(&mates).await, bind(&front).await);
-                let node = troupe::Node::start(env(at, life, mates, seeds), listener, model::log::quiet());
+                let node = endpoints::Node::start(env(at, life, mates, seeds), listener, model::log::quiet());
                 node.serve(outbound);
                 beside.send_replace(Some(node.troupe.clone()));
                 drop(told.send(node.following.outlook.clone()));
--- a/crates/rehearsal/tests/rolled/site.rs
+++ b/crates/rehearsal/tests/rolled/site.rs
@@ -12,7 +12,7 @@
 /// Try to how often it ran.
 pub type Runs = Arc<std::sync::Mutex<std::collections::HashMap<String, usize>>>;
 /// A node as those beside it find it: a later life takes the place.
-pub type Beside = tokio::sync::watch::Sender<Option<troupe::Troupe>>;
+pub type Beside = tokio::sync::watch::Sender<Option<endpoints::Troupe>>;
 
 pub struct Place {
     pub front: String,
