--- a/crates/endpoints/src/duty.rs
+++ b/crates/endpoints/src/duty.rs
@@ -48,7 +48,7 @@
     pub following: control::Following,
     pub reports: control::Reports,
     pub pit: pit::Pit,
-    pub mates: apron::Mates,
+    pub mates: outbound::Mates,
     pub loads: tokio::sync::mpsc::Receiver<transport::Load>,
     pub logger: slog::Logger,
 }
--- a/crates/endpoints/src/node.rs
+++ b/crates/endpoints/src/node.rs
@@ -7,7 +7,7 @@
     pub service: String,
     pub seeds: Vec<String>,
     pub words: http_util::words::Words,
-    pub pick: apron::PickEnv,
+    pub pick: outbound::PickEnv,
     pub ahead: u32,
     pub ask_every: model::Micros,
     pub watch_every: model::Micros,
@@ -16,11 +16,11 @@
 
 pub struct Node {
     pub troupe: crate::Troupe,
-    pub front: apron::Front,
+    pub front: outbound::Front,
     pub following: control::Following,
     pub known: control::Known,
     pit: pit::Pit,
-    calls: apron::Calls,
+    calls: outbound::Calls,
     /// Told from outside that it is to go: no longer ready, though it serves on for a while.
     told_off: std::sync::atomic::AtomicBool,
     leaving: tokio::sync::watch::Sender<bool>,
@@ -45,10 +45,10 @@
         let watching = crate::watch::WatchEnv { node: own.node.clone(), life: own.life, beat_every: env.watch_every, patience: env.watch_patience };
         let heard = crate::watch::start(watching, following.outlook.clone(), reports.clone(), greet.clone());
         let (tell_loads, loads) = tokio::sync::mpsc::channel(1_024);
-        tokio::spawn(apron::listen(mates, greet.clone(), known.clone(), pit.clone(), (heard, tell_loads)));
+        tokio::spawn(outbound::listen(mates, greet.clone(), known.clone(), pit.clone(), (heard, tell_loads)));
         tokio::spawn(control::acquaint::run(known.clone(), env.seeds.clone(), greeting(transport::Purpose::Acquaint), || 3));
         // The duty of placing keys goes with the back end beside this node.
-        let mates = apron::Mates::start(greet);
+        let mates = outbound::Mates::start(greet);
         let duty = crate::duty::Duty {
             node: own.node.clone(),
             service: env.service.clone(),
@@ -60,19 +60,19 @@
             logger: logger.clone(),
         };
         tokio::spawn(duty.run());
-        let calls = apron::Calls::default();
-        let apron = apron::Apron {
+        let calls = outbound::Calls::default();
+        let apron = outbound::Apron {
             node: own.node.clone(),
             zone: own.zone.clone(),
             service: env.service.clone(),
             outlook: following.outlook.clone(),
             pit: pit.clone(),
             mates,
-            picks: apron::Picks::start(env.pick, following.outlook.clone()),
+            picks: outbound::Picks::start(env.pick, following.outlook.clone()),
             calls: calls.clone(),
             logger,
         };
-        let front = apron::Front { env: apron::FrontEnv { words: env.words }, apron };
+        let front = outbound::Front { env: outbound::FrontEnv { words: env.words }, apron };
         Node { troupe, front, following, known, pit, calls, told_off: Default::default(), leaving: tokio::sync::watch::Sender::new(false) }
     }
 
--- a/crates/endpoints/src/watch.rs
+++ b/crates/endpoints/src/watch.rs
@@ -14,7 +14,7 @@
     outlook: control::SharedOutlook,
     reports: control::Reports,
     greet: std::sync::Arc<dyn Fn(transport::Purpose) -> transport::Greeting + Send + Sync>,
-) -> apron::Heard {
+) -> outbound::Heard {
     let (heard, mut hears) = tokio::sync::mpsc::channel::<(String, u64)>(1_024);
     tokio::spawn(async move {
         let (mut watch, mut stand) = (control::ring::Watch::default(), control::ring::Stand::default());
--- a/crates/endpoints/tests/leaving.rs
+++ b/crates/endpoints/tests/leaving.rs
@@ -14,7 +14,7 @@
         service: "seat".into(),
         seeds: Vec::new(),
         words: http_util::words::OWN,
-        pick: apron::PickEnv { crossing: 15_000, earned_of_100: 8 },
+        pick: outbound::PickEnv { crossing: 15_000, earned_of_100: 8 },
         ahead: 1,
         ask_every: 1_000_000,
         watch_every: 500_000,
--- a/crates/endpoints/tests/unproved.rs
+++ b/crates/endpoints/tests/unproved.rs
@@ -20,7 +20,7 @@
         service: "seat".into(),
         seeds: Vec::new(),
         words: http_util::words::OWN,
-        pick: apron::PickEnv { crossing: 0, earned_of_100: 8 },
+        pick: outbound::PickEnv { crossing: 0, earned_of_100: 8 },
         ahead: 1,
         ask_every: 50_000,
         watch_every: 1_000_000,
--- a/crates/apron/tests/budget.rs
+++ b/crates/outbound/tests/budget.rs
@@ -26,11 +26,11 @@
 }
 
 #[derive(Default)]
-struct Guarded(apron::Purse);
+struct Guarded(outbound::Purse);
 
 impl Saved for Guarded {
     fn earn(&mut self, now: Micros) {
-        self.0.earn(now, apron::Purse::earned_of_100(RATIO));
+        self.0.earn(now, outbound::Purse::earned_of_100(RATIO));
     }
 
     fn spend(&mut self, now: Micros) -> bool {
--- a/crates/apron/tests/callers.rs
+++ b/crates/outbound/tests/callers.rs
@@ -12,7 +12,7 @@
 const NAME: &str = "back-end";
 
 struct Site {
-    near: apron::Mates,
+    near: outbound::Mates,
     far: String,
     back_end: BackEnd,
     pit: pit::Pit,
@@ -32,11 +32,11 @@
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let far = listener.local_addr().expect("an address").to_string();
     let relay = back_end::Relay::start(far).await;
-    let greet: apron::Greet = std::sync::Arc::new(|purpose| greeting(purpose, "127.0.0.1:0"));
+    let greet: outbound::Greet = std::sync::Arc::new(|purpose| greeting(purpose, "127.0.0.1:0"));
     let (heard, _) = tokio::sync::mpsc::channel(8);
     let (loads, _) = tokio::sync::mpsc::channel(8);
-    tokio::spawn(apron::listen(listener, greet.clone(), control::acquaint::nobody(), pit.clone(), (heard, loads)));
-    Site { near: apron::Mates::start(greet), far: relay.address.clone(), back_end, pit, relay }
+    tokio::spawn(outbound::listen(listener, greet.clone(), control::acquaint::nobody(), pit.clone(), (heard, loads)));
+    Site { near: outbound::Mates::start(greet), far: relay.address.clone(), back_end, pit, relay }
 }
 
 fn cue(number: usize, script: &str, repeatable: bool, left: u64) -> Box<transport::Cue> {
--- a/crates/rehearsal/src/hollow/node.rs
+++ b/crates/rehearsal/src/hollow/node.rs
@@ -54,7 +54,7 @@
         service: plan.service(at),
         seeds: places.to_vec(),
         words: http_util::words::OWN,
-        pick: apron::PickEnv { crossing: 15_000, earned_of_100: 8 },
+        pick: outbound::PickEnv { crossing: 15_000, earned_of_100: 8 },
         ahead: 1,
         ask_every: 1_000_000,
         watch_every: 500_000,
--- a/crates/rehearsal/tests/rolled/node.rs
+++ b/crates/rehearsal/tests/rolled/node.rs
@@ -17,7 +17,7 @@
         service: crate::site::service(at),
         seeds,
         words: http_util::words::OWN,
-        pick: apron::PickEnv { crossing: 0, earned_of_100: 8 },
+        pick: outbound::PickEnv { crossing: 0, earned_of_100: 8 },
         ahead: 1,
         ask_every: 200_000,
         watch_every: 1_000_000,
