--- a/crates/endpoints/src/desk.rs
+++ b/crates/endpoints/src/desk.rs
@@ -70,7 +70,7 @@
 pub struct Owner {
     pub(crate) env: TroupeEnv,
     pub(crate) outlook: control::SharedOutlook,
-    pub(crate) pit: pit::Pit,
+    pub(crate) pit: inbound::Pit,
     pub(crate) reports: control::Reports,
     pub(crate) commands: tokio::sync::mpsc::Sender<Command>,
     pub(crate) keys: Keys,
@@ -97,7 +97,7 @@
 }
 
 impl Troupe {
-    pub fn start(env: TroupeEnv, following: control::Following, pit: pit::Pit, reports: control::Reports, logger: slog::Logger) -> Troupe {
+    pub fn start(env: TroupeEnv, following: control::Following, pit: inbound::Pit, reports: control::Reports, logger: slog::Logger) -> Troupe {
         let (commands, mut buffer) = tokio::sync::mpsc::channel(1_024);
         let keys = Keys::new(env.keys);
         let outlook = following.outlook.clone();
@@ -201,24 +201,24 @@
     }
 
     /// The back end as the owner of its slots has to know it.
-    fn local(&self) -> Option<pit::Local> {
+    fn local(&self) -> Option<inbound::Local> {
         let outlook = self.outlook.load();
         let Some(own) = self.own.as_ref() else { return self.recalled(&outlook.programme) };
         // Before the first proof nobody here knows what the back end may hold: none of its keys is served (design 11.6).
         let keyed = outlook.proved == 0 || outlook.programme.services.get(&own.beat.service).is_some_and(|service| service.keyed);
         let rows = || own.beat.holds.iter().map(|(from, to, _)| (*from, *to)).collect();
         let margin = self.env.beat_every / 8;
-        Some(pit::Local {
+        Some(inbound::Local {
             name: own.beat.name.clone(),
             address: own.beat.address.clone(),
             slots: own.beat.slots,
             closes: own.drained.map(|drained| drained + self.env.drain * 3 / 4),
-            holding: keyed.then(|| pit::Holding { rows: rows(), until: own.held_until.saturating_sub(margin), coming: Vec::new() }),
+            holding: keyed.then(|| inbound::Holding { rows: rows(), until: own.held_until.saturating_sub(margin), coming: Vec::new() }),
         })
     }
 
     /// Until a beat could not but have come, if it were there.
-    fn recalled(&self, programme: &model::bill::Programme) -> Option<pit::Local> {
+    fn recalled(&self, programme: &model::bill::Programme) -> Option<inbound::Local> {
         let until = self.began + self.env.beat_every * crate::facts::MISSED;
         let address = self.env.back_end.as_deref().filter(|_| model::now() < until)?;
         crate::recalled::recalled(programme, &self.env.node, address, until)
--- a/crates/endpoints/src/duty.rs
+++ b/crates/endpoints/src/duty.rs
@@ -47,7 +47,7 @@
     pub service: String,
     pub following: control::Following,
     pub reports: control::Reports,
-    pub pit: pit::Pit,
+    pub pit: inbound::Pit,
     pub mates: outbound::Mates,
     pub loads: tokio::sync::mpsc::Receiver<transport::Load>,
     pub logger: slog::Logger,
--- a/crates/endpoints/src/duty/judged.rs
+++ b/crates/endpoints/src/duty/judged.rs
@@ -44,12 +44,12 @@
 }
 
 /// The back end, the run's number, what it says, and how long it took.
-type End = (usize, u64, pit::Ended, Option<Micros>);
+type End = (usize, u64, inbound::Ended, Option<Micros>);
 
 struct Actor {
-    health: pit::Health,
-    buffer: pit::Buffer<()>,
-    demand: pit::Demand,
+    health: inbound::Health,
+    buffer: inbound::Buffer<()>,
+    demand: inbound::Demand,
     told: Micros,
     was_ill: bool,
 }
@@ -115,10 +115,10 @@
             let sick = of < ill && (from..to).contains(&now) && random.random_bool(share);
             let took = (-MEAN * (1.0 - random.random::<f64>()).ln()) as Micros;
             let (took, ended) = match (sick, scene.hang) {
-                (true, true) => (WAIT, pit::Ended::Unclear),
-                (true, false) => (2_000, pit::Ended::Bad),
-                _ if random.random_bool(0.03) => (took, pit::Ended::Bad),
-                _ => (took.min(WAIT), pit::Ended::Good),
+                (true, true) => (WAIT, inbound::Ended::Unclear),
+                (true, false) => (2_000, inbound::Ended::Bad),
+                _ if random.random_bool(0.03) => (took, inbound::Ended::Bad),
+                _ => (took.min(WAIT), inbound::Ended::Good),
             };
             seen.lost += sick as u32;
             let player = &mut players[of];
@@ -126,7 +126,7 @@
             begun += 1;
             let number = player.health.begin(now);
             player.health.look(now, player.buffer.seen_run());
-            ends.insert((now + took, begun), (of, number, ended, (ended != pit::Ended::Unclear).then_some(took)));
+            ends.insert((now + took, begun), (of, number, ended, (ended != inbound::Ended::Unclear).then_some(took)));
         }
         if now % 100_000 == 0 {
             players.iter_mut().enumerate().for_each(|(at, player)| {
--- a/crates/endpoints/src/node.rs
+++ b/crates/endpoints/src/node.rs
@@ -19,7 +19,7 @@
     pub front: outbound::Front,
     pub following: control::Following,
     pub known: control::Known,
-    pit: pit::Pit,
+    pit: inbound::Pit,
     calls: outbound::Calls,
     /// Told from outside that it is to go: no longer ready, though it serves on for a while.
     told_off: std::sync::atomic::AtomicBool,
@@ -40,7 +40,7 @@
         let following = control::following::start(line, known.clone(), greeting(transport::Purpose::Subscribe), logger.clone());
         let reporting = control::ReportingEnv { name: own.node.clone(), life: own.life, logger: logger.clone() };
         let reports = control::Reports::start(reporting, known.clone(), greeting(transport::Purpose::Subscribe));
-        let pit = pit::Pit::start(pit::PitEnv { words: env.words.clone(), ahead: env.ahead });
+        let pit = inbound::Pit::start(inbound::PitEnv { words: env.words.clone(), ahead: env.ahead });
         let troupe = crate::Troupe::start(own.clone(), following.clone(), pit.clone(), reports.clone(), logger.clone());
         let watching = crate::watch::WatchEnv { node: own.node.clone(), life: own.life, beat_every: env.watch_every, patience: env.watch_patience };
         let heard = crate::watch::start(watching, following.outlook.clone(), reports.clone(), greet.clone());
--- a/crates/endpoints/src/recalled.rs
+++ b/crates/endpoints/src/recalled.rs
@@ -6,7 +6,7 @@
 
 /// `None` where the log does not name exactly one that takes work, or nobody knows where it is. The back end itself
 /// turns away what was meant for another life, and keys it does not hold.
-pub(crate) fn recalled(programme: &Programme, node: &str, address: &str, until: Micros) -> Option<pit::Local> {
+pub(crate) fn recalled(programme: &Programme, node: &str, address: &str, until: Micros) -> Option<inbound::Local> {
     let mut here = programme.players.iter().filter(|(_, player)| player.node == node);
     let (name, player) = here.next().filter(|(_, player)| player.phase == model::Phase::Registered)?;
     if here.next().is_some() {
@@ -16,8 +16,8 @@
     // What an earlier holder may still have it was not granted for sure.
     let rows = programme.castings.get(&player.service).into_iter().flat_map(|held| &held.1);
     let rows = rows.filter(|row| row.holder.as_ref() == Some(name) && row.owed.is_empty()).map(|row| (row.from, row.to)).collect();
-    let holding = keyed.then(|| pit::Holding { rows, until, coming: Vec::new() });
-    Some(pit::Local { name: name.clone(), address: address.into(), slots: player.slots, closes: Some(until), holding })
+    let holding = keyed.then(|| inbound::Holding { rows, until, coming: Vec::new() });
+    Some(inbound::Local { name: name.clone(), address: address.into(), slots: player.slots, closes: Some(until), holding })
 }
 
 #[cfg(test)]
--- a/crates/endpoints/tests/scene/mod.rs
+++ b/crates/endpoints/tests/scene/mod.rs
@@ -17,7 +17,7 @@
     pub answers: tokio::sync::watch::Sender<bool>,
     /// Takes conns and says nothing: a process that lives.
     pub process: tokio::net::TcpListener,
-    pub pit: pit::Pit,
+    pub pit: inbound::Pit,
 }
 
 pub fn player(node: &str) -> Player {
@@ -93,7 +93,7 @@
     let env = endpoints::TroupeEnv { node: "n0".into(), zone: "z0".into(), address: "n0".into(), life: 1, keys, beat_every, back_end, drain: 1_000_000 };
     let reporting = control::ReportingEnv { name: "n0".into(), life: 1, logger: model::log::quiet() };
     let reports = control::Reports::start(reporting, known, || greets("127.0.0.1:0"));
-    let pit = pit::Pit::start(pit::PitEnv { words: http_util::words::OWN, ahead: 0 });
+    let pit = inbound::Pit::start(inbound::PitEnv { words: http_util::words::OWN, ahead: 0 });
     let troupe = endpoints::Troupe::start(env, following, pit.clone(), reports, model::log::quiet());
     Scene { troupe, heard, answers, process, pit }
 }
--- a/crates/pit/tests/forgotten.rs
+++ b/crates/inbound/tests/forgotten.rs
@@ -63,7 +63,7 @@
 #[tokio::test]
 async fn what_must_not_run_twice_is_sent_on_new_conns_only_and_the_rest_is_left_to_the_budget() {
     let (address, arrivals) = back_end().await;
-    let door = pit::Door::new(http_util::words::OWN);
+    let door = inbound::Door::new(http_util::words::OWN);
     let mut outcomes = Vec::new();
     for number in 0..40 {
         let repeatable = number % 2 == 0;
@@ -82,7 +82,7 @@
 #[tokio::test]
 async fn a_kept_conn_outlives_requests_that_may_not_ride_on_it() {
     let (address, arrivals) = back_end().await;
-    let door = pit::Door::new(http_util::words::OWN);
+    let door = inbound::Door::new(http_util::words::OWN);
     door.pass(&address, &cue(true, 0), 30_000_000).await.expect("the first on its conn");
     for number in 1..4 {
         door.pass(&address, &cue(false, number), 30_000_000).await.expect("on a conn of its own");
--- a/crates/pit/tests/health.rs
+++ b/crates/inbound/tests/health.rs
@@ -1,6 +1,6 @@
 //! How long a back end is passed over, by counts (design 13.8).
 
-use pit::{Ended, Health};
+use inbound::{Ended, Health};
 
 const RUN: u64 = 50_000;
 
--- a/crates/pit/tests/promises.rs
+++ b/crates/inbound/tests/promises.rs
@@ -40,7 +40,7 @@
         repeatable: false,
         anyway: false,
     };
-    let outcome = pit::Door::new(http_util::words::OWN).pass(address, &cue, 30_000_000).await;
+    let outcome = inbound::Door::new(http_util::words::OWN).pass(address, &cue, 30_000_000).await;
     outcome.map(|take| take.status).map_err(|trouble| (trouble.cause, trouble.verdict))
 }
 
--- a/crates/outbound/src/course.rs
+++ b/crates/outbound/src/course.rs
@@ -9,7 +9,7 @@
     /// The service of this machine: whoever begins a request here speaks for it.
     pub service: String,
     pub outlook: control::SharedOutlook,
-    pub pit: pit::Pit,
+    pub pit: inbound::Pit,
     pub mates: crate::Mates,
     pub picks: crate::Picks,
     pub calls: crate::Calls,
@@ -139,7 +139,7 @@
 }
 
 /// A mate answers when the wait is over; one that stands still answers nobody.
-async fn in_time(left: Micros, call: impl Future<Output = pit::Outcome>) -> pit::Outcome {
+async fn in_time(left: Micros, call: impl Future<Output = inbound::Outcome>) -> inbound::Outcome {
     let called = tokio::time::timeout(std::time::Duration::from_micros(left + STANDS_STILL), call).await;
     called.unwrap_or_else(|_| (Err(Trouble::new(Cause::RanOutOfTime, "that node answered nothing in time")), 0))
 }
--- a/crates/outbound/src/listen.rs
+++ b/crates/outbound/src/listen.rs
@@ -5,7 +5,7 @@
 /// What back ends are asked for, told to whoever places keys here.
 pub type Loads = tokio::sync::mpsc::Sender<transport::Load>;
 
-pub async fn listen(listener: tokio::net::TcpListener, greet: crate::mates::Greet, known: control::Known, pit: pit::Pit, (heard, loads): (Heard, Loads)) {
+pub async fn listen(listener: tokio::net::TcpListener, greet: crate::mates::Greet, known: control::Known, pit: inbound::Pit, (heard, loads): (Heard, Loads)) {
     loop {
         if let Ok((stream, _)) = listener.accept().await {
             let (greet, known, pit, heard) = (greet.clone(), known.clone(), pit.clone(), (heard.clone(), loads.clone()));
@@ -36,9 +36,9 @@
     }
 }
 
-async fn serve(mut conn: transport::Conn, pit: pit::Pit, (heard, loads): (Heard, Loads)) {
+async fn serve(mut conn: transport::Conn, pit: inbound::Pit, (heard, loads): (Heard, Loads)) {
     let (mut speaker, mut listener) = (transport::Speaker::default(), transport::Listener::default());
-    let (ended, mut ends) = tokio::sync::mpsc::channel::<(u32, pit::Outcome)>(1_024);
+    let (ended, mut ends) = tokio::sync::mpsc::channel::<(u32, inbound::Outcome)>(1_024);
     // With the conn goes whoever waited on it.
     let mut under_way = UnderWay::default();
     loop {
--- a/crates/outbound/src/mates.rs
+++ b/crates/outbound/src/mates.rs
@@ -2,7 +2,7 @@
 
 use model::{Cause, Trouble};
 
-type Answer = tokio::sync::oneshot::Sender<pit::Outcome>;
+type Answer = tokio::sync::oneshot::Sender<inbound::Outcome>;
 
 enum Asked {
     Cue(u32, Box<transport::Cue>, Answer),
@@ -48,7 +48,7 @@
         Mates { lines: Default::default(), numbers: Default::default(), greet }
     }
 
-    pub async fn call(&self, address: &str, cue: Box<transport::Cue>) -> pit::Outcome {
+    pub async fn call(&self, address: &str, cue: Box<transport::Cue>) -> inbound::Outcome {
         let (answer, outcome) = tokio::sync::oneshot::channel();
         let line = self.line(address);
         let number = self.numbers.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
--- a/crates/outbound/src/picker/judged.rs
+++ b/crates/outbound/src/picker/judged.rs
@@ -12,7 +12,7 @@
 const SECOND: Micros = 1_000_000;
 
 /// The near node, the back end, the run's number, what it says, and how long it took.
-type End = (usize, usize, u64, pit::Ended, Micros);
+type End = (usize, usize, u64, inbound::Ended, Micros);
 
 #[derive(Clone, Copy)]
 enum How {
@@ -49,7 +49,7 @@
     let mut random: rand::rngs::StdRng = rand::SeedableRng::seed_from_u64(43);
     let env = PickEnv { crossing: 30_000, earned_of_100: 6 };
     let mut near: Vec<Picker> = (0..NEAR).map(|_| Picker::new(env)).collect();
-    let mut far: Vec<(pit::Health, pit::Buffer<()>)> = (0..BACK_ENDS).map(|_| Default::default()).collect();
+    let mut far: Vec<(inbound::Health, inbound::Buffer<()>)> = (0..BACK_ENDS).map(|_| Default::default()).collect();
     let mut ends: std::collections::BTreeMap<(Micros, u64), End> = Default::default();
     let until = scene.to + 12 * SECOND;
     let (mut seen, mut due, mut begun) = (Seen { each: vec![0; (until / SECOND) as usize + 1], ..Default::default() }, 0.0, 0u64);
@@ -62,9 +62,9 @@
             let run = far[of].1.seen_run();
             far[of].0.look(now, run);
             seen.wrongly += (!was && far[of].0.ill() && !(of < scene.ill && now >= scene.from && now < scene.to + 2 * SECOND)) as u32;
-            (ended != pit::Ended::Unclear).then(|| far[of].1.ran(took));
+            (ended != inbound::Ended::Unclear).then(|| far[of].1.ran(took));
             let told = far[of].1.wait(now, u8::MAX, far[of].0.running(), SLOTS as usize) + run.0 / 2;
-            near[by].done(now, &names[of], Some(told), ended == pit::Ended::Unclear);
+            near[by].done(now, &names[of], Some(told), ended == inbound::Ended::Unclear);
         }
         due += A_SECOND / 1_000.0;
         while due >= 1.0 {
@@ -87,10 +87,10 @@
             let sick = of < scene.ill && (scene.from..scene.to).contains(&now) && up;
             let took = (-MEAN * (1.0 - random.random::<f64>()).ln()) as Micros;
             let (took, ended) = match (sick, scene.how) {
-                (true, How::Hang) => (SECOND, pit::Ended::Unclear),
-                (true, _) => (2_000, pit::Ended::Bad),
-                _ if random.random_bool(0.03) => (took, pit::Ended::Bad),
-                _ => (took, pit::Ended::Good),
+                (true, How::Hang) => (SECOND, inbound::Ended::Unclear),
+                (true, _) => (2_000, inbound::Ended::Bad),
+                _ if random.random_bool(0.03) => (took, inbound::Ended::Bad),
+                _ => (took, inbound::Ended::Good),
             };
             seen.lost += sick as u32;
             seen.back += (of < scene.ill && now > until - 2 * SECOND) as u32;
--- a/crates/outbound/tests/callers.rs
+++ b/crates/outbound/tests/callers.rs
@@ -15,7 +15,7 @@
     near: outbound::Mates,
     far: String,
     back_end: BackEnd,
-    pit: pit::Pit,
+    pit: inbound::Pit,
     /// Conns from the near to the far node go through it, so that they can be broken.
     relay: back_end::Relay,
 }
@@ -27,8 +27,8 @@
 
 async fn site(slots: u32) -> Site {
     let back_end = BackEnd::start().await;
-    let pit = pit::Pit::start(pit::PitEnv { words: http_util::words::OWN, ahead: 0 });
-    pit.local(Some(pit::Local { name: NAME.into(), address: back_end.address.clone(), slots, closes: None, holding: None })).await;
+    let pit = inbound::Pit::start(inbound::PitEnv { words: http_util::words::OWN, ahead: 0 });
+    pit.local(Some(inbound::Local { name: NAME.into(), address: back_end.address.clone(), slots, closes: None, holding: None })).await;
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let far = listener.local_addr().expect("an address").to_string();
     let relay = back_end::Relay::start(far).await;
@@ -173,7 +173,7 @@
     assert!((1..6).all(|number| site.back_end.count(number) == 0), "one began for nobody");
 }
 
-async fn until_waiting(pit: &pit::Pit) {
+async fn until_waiting(pit: &inbound::Pit) {
     while pit.load().await.1 == 0 {
         tokio::task::yield_now().await;
     }
--- a/crates/rehearsal/src/hollow/node.rs
+++ b/crates/rehearsal/src/hollow/node.rs
@@ -145,7 +145,7 @@
         }
         let reporting = control::ReportingEnv { name: own.node.clone(), life: own.life, logger: logger.clone() };
         let reports = control::Reports::start(reporting, mine, greeting(transport::Purpose::Subscribe));
-        let pit = pit::Pit::start(pit::PitEnv { words: env.words.clone(), ahead: env.ahead });
+        let pit = inbound::Pit::start(inbound::PitEnv { words: env.words.clone(), ahead: env.ahead });
         let troupe = endpoints::Troupe::start(own, following.clone(), pit, reports, logger);
         Part::Troupe(following, troupe)
     }
