--- a/crates/foyer/src/lib.rs
+++ b/crates/foyer/src/lib.rs
@@ -9,11 +9,11 @@
 }
 
 struct Call {
-    near: stage::Near,
-    house: stage::HouseDesk,
+    near: legacy_proxy::Near,
+    house: legacy_proxy::HouseDesk,
 }
 
-pub fn router(near: stage::Near, house: stage::HouseDesk) -> salvo::Router {
+pub fn router(near: legacy_proxy::Near, house: legacy_proxy::HouseDesk) -> salvo::Router {
     salvo::Router::with_path("call/{service}/{**rest}").goal(Call { near, house })
 }
 
@@ -42,7 +42,7 @@
 impl Call {
     async fn call(&self, request: &mut salvo::Request, try_id: Option<String>) -> Result<transport::Reply, Trouble> {
         let secret = http_util::bearer(request).unwrap_or_default();
-        let named = |try_id: &String| try_id.len() <= 192 && stage::tries::is_named(try_id);
+        let named = |try_id: &String| try_id.len() <= 192 && legacy_proxy::tries::is_named(try_id);
         let try_id = try_id
             .filter(named)
             .ok_or_else(|| Trouble::new(Cause::BadRequest, "the header x-gradeford-try is the registration's try_prefix and a name, at most 192 letters"))?;
@@ -62,7 +62,7 @@
         run.await.unwrap_or_else(|_| Err(Trouble::new(Cause::MateLost, "the request's task broke")))
     }
 
-    async fn read(&self, request: &mut salvo::Request, try_id: String) -> Result<stage::Ask, Trouble> {
+    async fn read(&self, request: &mut salvo::Request, try_id: String) -> Result<legacy_proxy::Ask, Trouble> {
         let wait = http_util::header(request, "x-gradeford-wait")
             .map(|text| text.parse::<model::Micros>().map_err(|_| Trouble::new(Cause::BadRequest, "x-gradeford-wait is whole microseconds")))
             .transpose()?;
@@ -76,7 +76,7 @@
         let body = http_util::body(request)
             .await
             .ok_or_else(|| Trouble::new(Cause::TooLarge, format!("the body is over {} bytes or broke off", http_util::BODY_LIMIT)))?;
-        Ok(stage::Ask { try_id, service, method, path, query, headers, body, key, wait })
+        Ok(legacy_proxy::Ask { try_id, service, method, path, query, headers, body, key, wait })
     }
 }
 
--- a/crates/greenroom/src/door.rs
+++ b/crates/greenroom/src/door.rs
@@ -71,8 +71,8 @@
     }
 }
 
-impl stage::BackDoor for Door {
-    fn run<'a>(&'a self, address: &'a str, dispatch: &'a transport::Dispatch, left: model::Micros) -> stage::Running<'a> {
+impl legacy_proxy::BackDoor for Door {
+    fn run<'a>(&'a self, address: &'a str, dispatch: &'a transport::Dispatch, left: model::Micros) -> legacy_proxy::Running<'a> {
         Box::pin(self.pass_on(address, dispatch, left))
     }
 }
--- a/crates/greenroom/src/rooms.rs
+++ b/crates/greenroom/src/rooms.rs
@@ -8,7 +8,7 @@
     pub zone: String,
     pub beat_every: model::Micros,
     pub bound: model::Micros,
-    pub house: stage::HouseDesk,
+    pub house: legacy_proxy::HouseDesk,
     pub reports: control::Reports,
     pub view: control::view::SharedView,
     /// Moves with all news and proofs.
@@ -97,8 +97,14 @@
         let secret = format!("{:032x}", rand::random::<u128>());
         let name = ask.name.clone();
         let service = ask.service.clone();
-        let registration =
-            stage::house::Registration { name: ask.name, service: ask.service, zone: ask.zone, labels: ask.labels, slots: ask.slots, address: ask.address };
+        let registration = legacy_proxy::house::Registration {
+            name: ask.name,
+            service: ask.service,
+            zone: ask.zone,
+            labels: ask.labels,
+            slots: ask.slots,
+            address: ask.address,
+        };
         let mut tries = 0;
         let (incarnation, outcome) = loop {
             let incarnation = env.house.reserve(registration.clone(), secret.clone()).await?;
@@ -124,7 +130,7 @@
             _ => Trouble::new(Cause::NotFresh, "the core did not answer").later(500_000),
         })?;
         until_seen(env, position, &service).await;
-        let try_prefix = stage::tries::prefix(&name, incarnation);
+        let try_prefix = legacy_proxy::tries::prefix(&name, incarnation);
         Ok(serde_json::json!({
             "incarnation": incarnation, "secret": secret, "try_prefix": try_prefix, "beat_every_us": env.beat_every, "position": position,
         }))
--- a/crates/greenroom/tests/door.rs
+++ b/crates/greenroom/tests/door.rs
@@ -1,7 +1,7 @@
 //! Only a whole, sealed reply to this very try is a success (design 5.3).
 
+use legacy_proxy::BackDoor;
 use model::{Cause, Verdict};
-use stage::BackDoor;
 
 struct Actor;
 
--- a/crates/stage/tests/house.rs
+++ b/crates/legacy-proxy/tests/house.rs
@@ -2,9 +2,9 @@
 
 mod scene;
 
+use legacy_proxy::house::Registration;
 use model::{Cause, Phase, Verdict, standing::Report, terms::Term};
 use scene::{SECOND, Scene};
-use stage::house::Registration;
 
 #[test]
 fn each_reason_against_passing_on_is_found_at_the_last_check() {
--- a/crates/stage/tests/scene/mod.rs
+++ b/crates/legacy-proxy/tests/scene/mod.rs
@@ -1,8 +1,8 @@
 //! One back end beside one usher, with orders of three kinds, and the time told to it.
 
+use legacy_proxy::house::{Permit, Registration};
+use legacy_proxy::{House, HouseEnv};
 use model::{Cause, Order, Selector, terms::Term};
-use stage::house::{Permit, Registration};
-use stage::{House, HouseEnv};
 
 pub const SECOND: u64 = 1_000_000;
 
--- a/crates/rehearsal/src/sim/site.rs
+++ b/crates/rehearsal/src/sim/site.rs
@@ -26,11 +26,11 @@
 }
 
 pub(super) struct Node {
-    pub house: stage::House,
+    pub house: legacy_proxy::House,
     pub view: control::View,
-    pub taken: stage::taken::Taken,
-    pub picker: stage::picker::Picker,
-    pub budget: stage::budget::Budget,
+    pub taken: legacy_proxy::taken::Taken,
+    pub picker: legacy_proxy::picker::Picker,
+    pub budget: legacy_proxy::budget::Budget,
     pub life: u64,
     pub frozen: bool,
     pub cut: bool,
@@ -124,11 +124,11 @@
 
     fn fresh_node(&self, at: usize) -> Node {
         Node {
-            house: stage::House::new(self.plan.house(at)),
+            house: legacy_proxy::House::new(self.plan.house(at)),
             view: Default::default(),
             taken: Default::default(),
             picker: Default::default(),
-            budget: stage::budget::Budget::new(if self.plan.without.budget { 1_000_000 } else { 1 }),
+            budget: legacy_proxy::budget::Budget::new(if self.plan.without.budget { 1_000_000 } else { 1 }),
             // Drawn as a process does it: in no order.
             life: model::terms::hash(&format!("{at} {}", self.now)),
             frozen: false,
--- a/crates/rehearsal/src/sim/site_blows.rs
+++ b/crates/rehearsal/src/sim/site_blows.rs
@@ -23,7 +23,7 @@
         let (now, at) = (self.now, self.processes[process].node);
         let address = self.addresses.iter().find(|(_, held)| **held == process).map(|(address, _)| *address).unwrap_or(0);
         let (name, service) = (self.processes[process].name.clone(), self.processes[process].service);
-        let registration = stage::house::Registration {
+        let registration = legacy_proxy::house::Registration {
             name: name.clone(),
             service: service.into(),
             zone: super::site_plan::zone(at),
@@ -37,7 +37,7 @@
         let Ok(incarnation) = node.house.reserve(now, logged, registration, secret.clone()) else { return };
         let back_end = node.house.back_end(&name);
         node.outbox.extend(back_end.map(|back_end| Report::Registered { name: name.clone(), back_end }));
-        (self.processes[process].secret, self.processes[process].prefix) = (secret, stage::tries::prefix(&name, incarnation));
+        (self.processes[process].secret, self.processes[process].prefix) = (secret, legacy_proxy::tries::prefix(&name, incarnation));
     }
 
     /// Right, stale, broken, two at once, the same twice; at whatever seat.
--- a/crates/rehearsal/src/sim/site_calls.rs
+++ b/crates/rehearsal/src/sim/site_calls.rs
@@ -15,7 +15,7 @@
 /// A dispatch that its own usher waits for.
 pub(super) struct Trying {
     pub node: usize,
-    course: stage::course::Course,
+    course: legacy_proxy::course::Course,
     picked: String,
     try_id: String,
 }
@@ -51,7 +51,7 @@
             if self.nodes[at].leaving {
                 return Err(Trouble::new(Cause::Leaving, "stopping"));
             }
-            let ask = stage::Ask {
+            let ask = legacy_proxy::Ask {
                 try_id: try_id.clone(),
                 service: lane.1.into(),
                 method: "POST".into(),
@@ -62,7 +62,7 @@
                 key: lane.3.then_some(key),
                 wait: Some(WAIT),
             };
-            stage::course::Course::begin(&self.nodes[at].view, now, sender, ask)
+            legacy_proxy::course::Course::begin(&self.nodes[at].view, now, sender, ask)
         });
         match begun {
             Ok(course) => {
@@ -74,7 +74,7 @@
         }
     }
 
-    fn take(&mut self, at: usize, secret: &str, try_id: &str) -> Result<stage::SenderId, Trouble> {
+    fn take(&mut self, at: usize, secret: &str, try_id: &str) -> Result<legacy_proxy::SenderId, Trouble> {
         let without = self.plan.without.identity;
         let node = &mut self.nodes[at];
         let sender = node.house.senders().get(secret).cloned().ok_or_else(|| Trouble::new(Cause::UnknownSender, "no such secret"))?;
--- a/crates/rehearsal/src/sim/site_plan.rs
+++ b/crates/rehearsal/src/sim/site_plan.rs
@@ -46,10 +46,10 @@
         if self.without.freshness { 60_000_000 } else { 1_500_000 }
     }
 
-    pub(super) fn house(&self, node: usize) -> stage::HouseEnv {
+    pub(super) fn house(&self, node: usize) -> legacy_proxy::HouseEnv {
         let (bound, guard) = if self.without.key_waits { (0, 0) } else { (1_500_000, 250_000) };
         let beat_patience = if self.without.beats { 60_000_000 } else { 1_200_000 };
-        stage::HouseEnv { node: format!("n{node}"), zone: zone(node), beat_patience, bound, guard }
+        legacy_proxy::HouseEnv { node: format!("n{node}"), zone: zone(node), beat_patience, bound, guard }
     }
 }
 
--- a/crates/rehearsal/src/sim/site_runs.rs
+++ b/crates/rehearsal/src/sim/site_runs.rs
@@ -8,7 +8,7 @@
     pub node: usize,
     number: u64,
     life: u64,
-    permit: stage::house::Permit,
+    permit: legacy_proxy::house::Permit,
     dispatch: transport::Dispatch,
     process: usize,
     /// Its usher died: the back end works on, and nobody hears it.
@@ -32,7 +32,7 @@
         self.grant(at, granted);
     }
 
-    pub(super) fn grant(&mut self, at: usize, granted: stage::house::Granted) {
+    pub(super) fn grant(&mut self, at: usize, granted: legacy_proxy::house::Granted) {
         granted.into_iter().for_each(|(number, entered)| {
             let Some(dispatch) = self.runs_waiting.remove(&number) else { return };
             match entered {
@@ -51,7 +51,7 @@
     }
 
     /// Whoever has the address now gets the request; it works at most until its wait is over.
-    fn run(&mut self, at: usize, number: u64, permit: stage::house::Permit, dispatch: transport::Dispatch) {
+    fn run(&mut self, at: usize, number: u64, permit: legacy_proxy::house::Permit, dispatch: transport::Dispatch) {
         let now = self.now;
         let address: u64 = permit.address.rsplit(':').next().and_then(|port| port.parse().ok()).unwrap_or(0);
         let process = self.addresses.get(&address).copied().filter(|process| self.processes[*process].alive);
--- a/crates/usher/src/node.rs
+++ b/crates/usher/src/node.rs
@@ -4,8 +4,8 @@
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
 
 pub struct Node {
-    near: stage::Near,
-    house: stage::HouseDesk,
+    near: legacy_proxy::Near,
+    house: legacy_proxy::HouseDesk,
     reports: control::Reports,
     serving: http_util::Serving,
     staying: std::sync::Arc<std::sync::atomic::AtomicBool>,
@@ -52,7 +52,7 @@
         let reports = control::Reports::start(reporting, known.clone(), greet(transport::Purpose::Subscribe));
         let watching = control::watching::WatchingEnv { name: env.name.clone(), beat_every: env.watch_every_us, patience: env.watch_patience_us };
         let heard = control::watching::start(watching, subscription.view.clone(), reports.clone(), greet(transport::Purpose::Watch));
-        let house_env = stage::HouseEnv {
+        let house_env = legacy_proxy::HouseEnv {
             node: env.name.clone(),
             zone: env.zone.clone(),
             beat_patience: env.beat_patience_us,
@@ -61,21 +61,21 @@
         };
         let (view, moved) = (subscription.view, subscription.moved.clone());
         let claims: std::sync::Arc<std::sync::atomic::AtomicU64> = Default::default();
-        let house = stage::HouseDesk::start(house_env, view.clone(), subscription.moved, reports.clone(), services, logger.clone());
+        let house = legacy_proxy::HouseDesk::start(house_env, view.clone(), subscription.moved, reports.clone(), services, logger.clone());
         let door = greenroom::Door::new().map_err(|error| told("http", &error))?;
-        let far = stage::Far { house: house.clone(), door: std::sync::Arc::new(door), logger: logger.clone() };
-        tokio::spawn(stage::server::listen(listener, greet(transport::Purpose::Call), known.clone(), far.clone(), subscription.relay, heard));
+        let far = legacy_proxy::Far { house: house.clone(), door: std::sync::Arc::new(door), logger: logger.clone() };
+        tokio::spawn(legacy_proxy::server::listen(listener, greet(transport::Purpose::Call), known.clone(), far.clone(), subscription.relay, heard));
         // A node does not know how many seats there are; the first that greets it says so.
         tokio::spawn(control::acquaint::run(known.clone(), env.seeds.clone(), greet(transport::Purpose::Acquaint), || 3));
-        let near = stage::Near {
+        let near = legacy_proxy::Near {
             node: env.name.clone(),
             zone: env.zone.clone(),
             view: view.clone(),
             far,
-            mates: stage::mates::Mates::start(greet(transport::Purpose::Call)),
-            picker: stage::picker::PickerDesk::start(),
-            budget: stage::budget::BudgetDesk::start(env.extra_allowance),
-            taken: stage::taken::TakenDesk::start(),
+            mates: legacy_proxy::mates::Mates::start(greet(transport::Purpose::Call)),
+            picker: legacy_proxy::picker::PickerDesk::start(),
+            budget: legacy_proxy::budget::BudgetDesk::start(env.extra_allowance),
+            taken: legacy_proxy::taken::TakenDesk::start(),
             calls: Default::default(),
         };
         let staying = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true));
