--- a/crates/usher/src/node.rs
+++ b/crates/usher/src/node.rs
@@ -101,7 +101,8 @@
             claims,
             logger: logger.clone(),
         };
-        let router = salvo::Router::new().push(crate::health::router(health)).push(foyer::router(near.clone(), house.clone())).push(greenroom::router(rooms));
+        let router =
+            salvo::Router::new().push(crate::health::router(health)).push(client_api::router(near.clone(), house.clone())).push(greenroom::router(rooms));
         let serving = http_util::Serving::start(&env.local_address, router).await.map_err(|error| told("local_address", &error))?;
         slog::info!(logger, "listening"; "mates" => &address, "local" => serving.address.to_string(), "life" => life);
         let own = Own { name: env.name.clone(), zone: env.zone.clone(), address, life };
