--- a/crates/greenroom/tests/door.rs
+++ b/crates/backend-api/tests/door.rs
@@ -8,22 +8,22 @@
 #[salvo::handler]
 impl Actor {
     async fn handle(&self, request: &mut salvo::Request, response: &mut salvo::Response) {
-        let try_id = http_util::header(request, greenroom::TRY).unwrap_or_default();
-        let told = http_util::header(request, greenroom::SENDER).unwrap_or_default();
+        let try_id = http_util::header(request, backend_api::TRY).unwrap_or_default();
+        let told = http_util::header(request, backend_api::SENDER).unwrap_or_default();
         let body = format!("{try_id} for {told}").into_bytes();
-        let whole = greenroom::seal::seal(&try_id, 200, &body);
+        let whole = backend_api::seal::seal(&try_id, 200, &body);
         let (status, body, seal) = match request.uri().path() {
             "/whole" => (200, body, whole),
             "/truncated" => (200, body[..3].to_vec(), whole),
             "/unsealed" => (200, body, String::new()),
-            "/anothers" => (200, body.clone(), greenroom::seal::seal("another", 200, &body)),
+            "/anothers" => (200, body.clone(), backend_api::seal::seal("another", 200, &body)),
             "/status" => (201, body, whole),
-            "/large" => (200, vec![7; http_util::BODY_LIMIT + 1], greenroom::seal::seal(&try_id, 200, &vec![7; http_util::BODY_LIMIT + 1])),
-            _ => (404, body.clone(), greenroom::seal::seal(&try_id, 404, &body)),
+            "/large" => (200, vec![7; http_util::BODY_LIMIT + 1], backend_api::seal::seal(&try_id, 200, &vec![7; http_util::BODY_LIMIT + 1])),
+            _ => (404, body.clone(), backend_api::seal::seal(&try_id, 404, &body)),
         };
         response.status_code(salvo::http::StatusCode::from_u16(status).expect("a status"));
         if let Ok(seal) = salvo::http::HeaderValue::from_str(&seal) {
-            response.headers_mut().insert(greenroom::SEAL, seal);
+            response.headers_mut().insert(backend_api::SEAL, seal);
         }
         response.write_body(body).expect("a body");
     }
@@ -56,7 +56,7 @@
 async fn every_spoilt_reply_is_a_trouble_that_may_have_run() {
     let actor = http_util::Serving::start("127.0.0.1:0", salvo::Router::with_path("{**rest}").goal(Actor)).await.expect("a stand-in");
     let address = actor.address.to_string();
-    let door = greenroom::Door::new().expect("a door");
+    let door = backend_api::Door::new().expect("a door");
     let whole = door.run(&address, &dispatch("/whole"), 5_000_000).await.expect("a reply");
     assert_eq!((whole.status, whole.body), (200, b"desk/1 for desk".to_vec()));
     let refusal = door.run(&address, &dispatch("/absent"), 5_000_000).await.expect("the back end's own refusal is its answer");
@@ -76,7 +76,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_closed_port_is_certain_and_a_broken_answer_is_not() {
-    let door = greenroom::Door::new().expect("a door");
+    let door = backend_api::Door::new().expect("a door");
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
     // Takes the request, answers half a head and hangs up.
--- a/crates/rehearsal/src/understudy.rs
+++ b/crates/rehearsal/src/understudy.rs
@@ -46,7 +46,7 @@
     async fn handle(&self, request: &mut salvo::Request, response: &mut salvo::Response) {
         let backstage = &self.0;
         let header = |name: &str| http_util::header(request, name).unwrap_or_default();
-        let (meant_for, own) = (header(greenroom::SERVICE), backstage.part.service.clone());
+        let (meant_for, own) = (header(backend_api::SERVICE), backstage.part.service.clone());
         if meant_for != own {
             backstage.note(&crate::history::Record::Misrouted { by: backstage.part.name.clone(), meant_for, at: model::now() });
             response.status_code(salvo::http::StatusCode::MISDIRECTED_REQUEST);
@@ -56,7 +56,7 @@
         let number = backstage.runs.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         let life = backstage.life.load(std::sync::atomic::Ordering::Relaxed);
         let run = format!("{}-{life}-{number}", backstage.part.name);
-        let try_id = header(greenroom::TRY);
+        let try_id = header(backend_api::TRY);
         backstage.note(&crate::history::Record::Began {
             process: std::process::id(),
             run: run.clone(),
@@ -66,30 +66,30 @@
             life,
             service: backstage.part.service.clone(),
             meant_for,
-            sender: header(greenroom::SENDER),
+            sender: header(backend_api::SENDER),
             path: request.uri().path().to_string(),
-            key: http_util::header(request, greenroom::KEY),
+            key: http_util::header(request, backend_api::KEY),
         });
         tokio::time::sleep(std::time::Duration::from_micros(backstage.part.work_us)).await;
         // Whoever slept beyond the wait does no work any more, as its contract says.
-        let until = began + header(greenroom::WAIT).parse::<u64>().unwrap_or(0);
+        let until = began + header(backend_api::WAIT).parse::<u64>().unwrap_or(0);
         backstage.note(&crate::history::Record::Ended { run: run.clone(), at: model::now().min(until) });
         if model::now() > until {
             response.status_code(salvo::http::StatusCode::GATEWAY_TIMEOUT);
             return;
         }
         let body = serde_json::json!({ "try": try_id, "run": run, "service": backstage.part.service }).to_string().into_bytes();
-        let seal = greenroom::seal::seal(&try_id, 200, &body);
+        let seal = backend_api::seal::seal(&try_id, 200, &body);
         // A spoilt reply ran all the same: half a body, no seal, or another's seal.
         let spoilt = rand::random::<u32>() % 1_000 < backstage.part.spoil;
         let (body, seal) = match (spoilt, number % 3) {
             (true, 0) => (body[..body.len() / 2].to_vec(), seal),
             (true, 1) => (body, String::new()),
-            (true, _) => (body, greenroom::seal::seal("another", 200, b"")),
+            (true, _) => (body, backend_api::seal::seal("another", 200, b"")),
             (false, _) => (body, seal),
         };
         if let Ok(seal) = salvo::http::HeaderValue::from_str(&seal) {
-            response.headers_mut().insert(greenroom::SEAL, seal);
+            response.headers_mut().insert(backend_api::SEAL, seal);
         }
         response.write_body(body).unwrap_or_default();
     }
--- a/crates/usher/src/node.rs
+++ b/crates/usher/src/node.rs
@@ -62,7 +62,7 @@
         let (view, moved) = (subscription.view, subscription.moved.clone());
         let claims: std::sync::Arc<std::sync::atomic::AtomicU64> = Default::default();
         let house = legacy_proxy::HouseDesk::start(house_env, view.clone(), subscription.moved, reports.clone(), services, logger.clone());
-        let door = greenroom::Door::new().map_err(|error| told("http", &error))?;
+        let door = backend_api::Door::new().map_err(|error| told("http", &error))?;
         let far = legacy_proxy::Far { house: house.clone(), door: std::sync::Arc::new(door), logger: logger.clone() };
         tokio::spawn(legacy_proxy::server::listen(listener, greet(transport::Purpose::Call), known.clone(), far.clone(), subscription.relay, heard));
         // A node does not know how many seats there are; the first that greets it says so.
@@ -89,7 +89,7 @@
             life,
             staying: staying.clone(),
         };
-        let rooms = greenroom::GreenroomEnv {
+        let rooms = backend_api::GreenroomEnv {
             node: env.name.clone(),
             zone: env.zone.clone(),
             beat_every: env.beat_every_us,
@@ -102,7 +102,7 @@
             logger: logger.clone(),
         };
         let router =
-            salvo::Router::new().push(crate::health::router(health)).push(client_api::router(near.clone(), house.clone())).push(greenroom::router(rooms));
+            salvo::Router::new().push(crate::health::router(health)).push(client_api::router(near.clone(), house.clone())).push(backend_api::router(rooms));
         let serving = http_util::Serving::start(&env.local_address, router).await.map_err(|error| told("local_address", &error))?;
         slog::info!(logger, "listening"; "mates" => &address, "local" => serving.address.to_string(), "life" => life);
         let own = Own { name: env.name.clone(), zone: env.zone.clone(), address, life };
