--- a/crates/boxoffice/tests/operators.rs
+++ b/crates/operator-api/tests/operators.rs
@@ -24,7 +24,7 @@
     let core = control::Core::start(env, model::log::quiet()).expect("a core seat");
     tokio::spawn(control::news::listen(core.clone(), mates));
     let staying = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true));
-    let router = boxoffice::router(boxoffice::Boxoffice { core: core.clone(), staying });
+    let router = operator_api::router(operator_api::Boxoffice { core: core.clone(), staying });
     let serving = http_util::Serving::start("127.0.0.1:0", router).await.expect("http");
     (Seat { core, serving }, address)
 }
--- a/crates/prompter/src/main.rs
+++ b/crates/prompter/src/main.rs
@@ -39,8 +39,8 @@
     let address = mates.local_addr().map_err(|error| told("mates_address", &error))?.to_string();
     let core = control::Core::start(env.core(address.clone()), logger.clone()).map_err(|error| told("folder", &error))?;
     let staying = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true));
-    let office = boxoffice::Boxoffice { core: core.clone(), staying: staying.clone() };
-    let serving = http_util::Serving::start(&env.operators_address, boxoffice::router(office)).await.map_err(|error| told("operators_address", &error))?;
+    let office = operator_api::Boxoffice { core: core.clone(), staying: staying.clone() };
+    let serving = http_util::Serving::start(&env.operators_address, operator_api::router(office)).await.map_err(|error| told("operators_address", &error))?;
     slog::info!(logger, "listening"; "mates" => address, "operators" => serving.address.to_string());
     tokio::spawn(control::news::listen(core, mates));
     loop {
--- a/crates/rehearsal/src/disk.rs
+++ b/crates/rehearsal/src/disk.rs
@@ -102,8 +102,8 @@
     let (logger, _guard) = model::log::start("seat", &env.name, model::log::Dial::new(slog::Level::Info));
     let core = control::Core::start_on(env, shelf, writes, logger).map_err(|error| told(&error))?;
     let staying = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true));
-    let office = boxoffice::Boxoffice { core: core.clone(), staying: staying.clone() };
-    let serving = http_util::Serving::start(&operators, boxoffice::router(office)).await.map_err(|error| told(&error))?;
+    let office = operator_api::Boxoffice { core: core.clone(), staying: staying.clone() };
+    let serving = http_util::Serving::start(&operators, operator_api::router(office)).await.map_err(|error| told(&error))?;
     tokio::spawn(control::news::listen(core, listener));
     let mut stop = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate()).map_err(|error| told(&error))?;
     stop.recv().await;
