--- a/crates/rehearsal/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -44,7 +44,7 @@
         // Over a made-up disk the seat is a stand-in, put together from the same library.
         let stand_in =
             self.made_up_disks.then(|| [&["seat".to_string()][..], &core.arguments, &["--sync".into(), self.deployment.sync_us.to_string()]].concat());
-        let (program, arguments) = stand_in.map(|arguments| ("rehearsal", arguments)).unwrap_or_else(|| ("prompter", core.arguments.clone()));
+        let (program, arguments) = stand_in.map(|arguments| ("simulator", arguments)).unwrap_or_else(|| ("prompter", core.arguments.clone()));
         core.process = Some(Process::start(&self.folder, &format!("core-{seat}"), program, &arguments)?);
         Ok(())
     }
@@ -57,7 +57,7 @@
 
     pub fn start_understudy(&mut self, at: usize) -> Result<(), String> {
         let machine = &mut self.machines[at];
-        machine.understudy = Some(Process::start(&self.folder, &machine.name, "rehearsal", &machine.understudy_arguments)?);
+        machine.understudy = Some(Process::start(&self.folder, &machine.name, "simulator", &machine.understudy_arguments)?);
         Ok(())
     }
 
@@ -105,7 +105,7 @@
             ("--rate", "0".into()),
         ];
         let arguments = crate::process::changed(&self.machines[beside].understudy_arguments, &changed);
-        self.added.push(Process::start(&self.folder, &name, "rehearsal", &arguments)?);
+        self.added.push(Process::start(&self.folder, &name, "simulator", &arguments)?);
         Ok(())
     }
 
--- a/crates/rehearsal/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -23,7 +23,7 @@
 fn main() {
     let mut arguments = pico_args::Arguments::from_env();
     if arguments.contains("--help") {
-        return print!("{HELP}{}", rehearsal::hollow::flags::HELP);
+        return print!("{HELP}{}", simulator::hollow::flags::HELP);
     }
     let runtime = tokio::runtime::Runtime::new();
     let ended = runtime.map_err(|error| error.to_string()).and_then(|runtime| match arguments.subcommand() {
@@ -43,7 +43,7 @@
         }
     });
     if let Err(trouble) = ended {
-        eprintln!("rehearsal: {trouble}");
+        eprintln!("simulator: {trouble}");
         std::process::exit(1);
     }
 }
@@ -58,10 +58,10 @@
     if count == 0 || length == 0 || length > 1_000 || from.checked_add(count).is_none() {
         wrong("--count is at least 1, --length from 1 to 1000");
     }
-    let bytes = blows.map(|text| rehearsal::sim::trial::parsed(&text).unwrap_or_else(|| wrong("--blows is hexadecimal, six digits a blow")));
+    let bytes = blows.map(|text| simulator::sim::trial::parsed(&text).unwrap_or_else(|| wrong("--blows is hexadecimal, six digits a blow")));
     let sum = match bytes {
-        Some(bytes) => rehearsal::sim::trial::one(from, &bytes),
-        None => rehearsal::sim::trial::many(from, count, length),
+        Some(bytes) => simulator::sim::trial::one(from, &bytes),
+        None => simulator::sim::trial::many(from, count, length),
     };
     println!("{} sites, {} runs, {} served, {} dispatched again, {} moves of keys", sum.sites, sum.runs, sum.served, sum.extras, sum.moves);
     sum.broken.iter().for_each(|(seed, blows, told)| println!("broken: --from {seed} --blows {blows}: {told}"));
@@ -69,7 +69,7 @@
 }
 
 fn wrong(told: &str) -> ! {
-    eprintln!("rehearsal: {told}");
+    eprintln!("simulator: {told}");
     std::process::exit(2)
 }
 
@@ -89,10 +89,10 @@
 
 /// Names are checked before anything is started.
 fn checked(site: &str, scenario: &str, folder: &std::path::Path) {
-    if rehearsal::deployment::named(site).is_none() {
+    if simulator::deployment::named(site).is_none() {
         wrong(&format!("there is no site {site:?}"));
     }
-    if !rehearsal::scenario::NAMES.contains(&scenario) && !["midway", "day"].contains(&scenario) {
+    if !simulator::scenario::NAMES.contains(&scenario) && !["midway", "day"].contains(&scenario) {
         wrong(&format!("there is no scenario {scenario:?}"));
     }
     if let Err(error) = std::fs::create_dir_all(folder) {
@@ -102,27 +102,27 @@
 
 fn usage<T>(read: Result<T, pico_args::Error>) -> T {
     read.unwrap_or_else(|error| {
-        eprintln!("rehearsal: {error}");
+        eprintln!("simulator: {error}");
         std::process::exit(2)
     })
 }
 
 /// Costs of an entry under some settings of α and τ, with one or all seats suggesting, sparsely or in a burst.
 fn count() {
-    println!("{}", rehearsal::sim::count::HEAD);
+    println!("{}", simulator::sim::count::HEAD);
     let settings = [(20, 50_000), (20, 10_000), (20, 200_000), (1, 50_000), (200, 50_000)];
     settings.iter().for_each(|(alpha, tau)| {
         [(20_000, true), (20_000, false), (200, true), (200, false)].iter().for_each(|(gap, one_seat)| {
-            println!("{}", rehearsal::sim::count::line(5, *alpha, *tau, *gap, 400, *one_seat));
+            println!("{}", simulator::sim::count::line(5, *alpha, *tau, *gap, 400, *one_seat));
         });
     });
 }
 
 /// What `run` and `all` share: everything but the site and the scenario.
-fn plan(arguments: &mut pico_args::Arguments) -> rehearsal::run::Plan {
+fn plan(arguments: &mut pico_args::Arguments) -> simulator::run::Plan {
     let folder: Option<std::path::PathBuf> = usage(arguments.opt_value_from_str("--folder"));
     let usher_flags: Option<String> = usage(arguments.opt_value_from_str("--ushers"));
-    rehearsal::run::Plan {
+    simulator::run::Plan {
         site: String::new(),
         scenario: usage(arguments.opt_value_from_str("--scenario")).unwrap_or_else(|| "midway".into()),
         seconds: usage(arguments.opt_value_from_str("--seconds")).unwrap_or(30),
@@ -140,7 +140,7 @@
     nothing_left(arguments);
     checked(&site, &plan.scenario, &plan.folder);
     unused(&plan.folder);
-    let report = rehearsal::run::run(rehearsal::run::Plan { site, ..plan }).await?;
+    let report = simulator::run::run(simulator::run::Plan { site, ..plan }).await?;
     println!("{}", serde_json::to_string_pretty(&report).unwrap_or_default());
     if report.held() { Ok(()) } else { Err("an invariant was broken".into()) }
 }
@@ -152,24 +152,24 @@
     let sites: Vec<String> = arguments.finish().into_iter().map(|site| site.to_string_lossy().into_owned()).collect();
     let sites = if sites.is_empty() { vec!["swanreach".to_string(), "kurasa".to_string()] } else { sites };
     sites.iter().for_each(|site| checked(site, "quiet", &plan.folder));
-    let known = |word: &str| rehearsal::scenario::NAMES.contains(&word) || word == "day";
+    let known = |word: &str| simulator::scenario::NAMES.contains(&word) || word == "day";
     if let Some(word) = only.iter().flat_map(|only| only.split(',')).find(|word| !known(word)) {
         wrong(&format!("there is no scenario {word:?}"));
     }
-    let folders = sites.iter().flat_map(|site| rehearsal::scenario::NAMES.iter().map(move |name| format!("{site}-{name}")));
+    let folders = sites.iter().flat_map(|site| simulator::scenario::NAMES.iter().map(move |name| format!("{site}-{name}")));
     folders.for_each(|name| unused(&plan.folder.join(name)));
     let mut broken = 0;
     println!("{:<11} {:<20} {:>4} {:>7} {:>7} {:>7} {:>7}  invariants", "site", "scenario", "seed", "asked", "served", "not-run", "may");
     for site in &sites {
-        let chosen = rehearsal::scenario::NAMES
+        let chosen = simulator::scenario::NAMES
             .iter()
             .chain(&["day"])
             .filter(|name| only.as_deref().is_none_or(|only| only.split(',').any(|word| word == **name)) && (**name != "day" || only.is_some()));
         for name in chosen {
             let folder = plan.folder.join(format!("{site}-{name}"));
             let one =
-                rehearsal::run::Plan { site: site.clone(), scenario: name.to_string(), folder, changes: 0, usher_flags: plan.usher_flags.clone(), ..plan };
-            let (report, verdict) = match rehearsal::run::run(one).await {
+                simulator::run::Plan { site: site.clone(), scenario: name.to_string(), folder, changes: 0, usher_flags: plan.usher_flags.clone(), ..plan };
+            let (report, verdict) = match simulator::run::run(one).await {
                 Ok(report) if report.held() && report.not_provoked.is_empty() => {
                     let back = report.back_us.values().max().map(|back| format!(", back after {} ms", back / 1_000)).unwrap_or_default();
                     (report, format!("held{back}"))
@@ -195,12 +195,12 @@
 
 /// Stdout: a table, then one line of JSON.
 async fn hollow(arguments: pico_args::Arguments) -> Result<(), String> {
-    let (plan, counted) = rehearsal::hollow::flags::read(arguments).unwrap_or_else(|told| wrong(&told));
+    let (plan, counted) = simulator::hollow::flags::read(arguments).unwrap_or_else(|told| wrong(&told));
     if counted {
-        println!("{}", serde_json::to_string(&rehearsal::hollow::counted::count(&plan)).unwrap_or_default());
+        println!("{}", serde_json::to_string(&simulator::hollow::counted::count(&plan)).unwrap_or_default());
         return Ok(());
     }
-    let report = rehearsal::hollow::run(plan, true).await?;
+    let report = simulator::hollow::run(plan, true).await?;
     println!("{}\n{}", report.table(), report.json());
     Ok(())
 }
@@ -224,12 +224,12 @@
     };
     let sync_us: u64 = usage(arguments.value_from_str("--sync"));
     nothing_left(arguments);
-    rehearsal::disk::seat(env, mates, operators, sync_us).await
+    simulator::disk::seat(env, mates, operators, sync_us).await
 }
 
 async fn understudy(mut arguments: pico_args::Arguments) -> Result<(), String> {
     let sends: String = usage(arguments.value_from_str("--sends"));
-    let part = rehearsal::understudy::Part {
+    let part = simulator::understudy::Part {
         name: usage(arguments.value_from_str("--name")),
         service: usage(arguments.value_from_str("--service")),
         zone: usage(arguments.value_from_str("--zone")),
@@ -244,5 +244,5 @@
         hot: usage(arguments.value_from_str("--hot")),
         sends: serde_json::from_str(&sends).map_err(|error| error.to_string())?,
     };
-    rehearsal::understudy::run(part).await
+    simulator::understudy::run(part).await
 }
--- a/crates/rehearsal/tests/again.rs
+++ b/crates/simulator/tests/again.rs
@@ -1,10 +1,10 @@
 //! One try sent again: at a restarted usher, with the old secret and a new one, twice at once (design 5.5).
 
-use rehearsal::history::Record;
+use simulator::history::Record;
 
 type Answer = (u16, Option<String>, serde_json::Value);
 
-async fn register(fleet: &rehearsal::fleet::Fleet) -> serde_json::Value {
+async fn register(fleet: &simulator::fleet::Fleet) -> serde_json::Value {
     let ask = serde_json::json!({ "name": "probe", "service": "seat", "zone": "z0", "slots": 0, "address": "127.0.0.1:1" });
     let url = format!("http://{}/back-end/register", fleet.machines[0].local);
     loop {
@@ -18,7 +18,7 @@
     }
 }
 
-async fn send(fleet: &rehearsal::fleet::Fleet, secret: &serde_json::Value, try_id: &str) -> Answer {
+async fn send(fleet: &simulator::fleet::Fleet, secret: &serde_json::Value, try_id: &str) -> Answer {
     let url = format!("http://{}/call/seat/checkout", fleet.machines[0].local);
     let request = fleet.http.post(url).bearer_auth(secret.as_str().unwrap_or_default()).header("x-gradeford-try", try_id).header("x-gradeford-key", "k");
     let response = request.send().await.expect("the usher is there");
@@ -27,7 +27,7 @@
 }
 
 fn runs(folder: &std::path::Path, wanted: &str) -> usize {
-    let records = rehearsal::history::read(folder).expect("histories");
+    let records = simulator::history::read(folder).expect("histories");
     records.iter().filter(|record| matches!(record, Record::Began { try_id, .. } if try_id == wanted)).count()
 }
 
@@ -36,9 +36,9 @@
     let folder = std::env::temp_dir().join(format!("gradeford-again-{}", std::process::id()));
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
     runtime.block_on(async {
-        let deployment = rehearsal::deployment::named("small").expect("a site");
-        let quiet = rehearsal::deployment::Deployment { rate: 0.0, ..deployment };
-        let mut fleet = rehearsal::fleet::Fleet::plan(quiet, folder.clone(), 1, 0, &[]).expect("a plan");
+        let deployment = simulator::deployment::named("small").expect("a site");
+        let quiet = simulator::deployment::Deployment { rate: 0.0, ..deployment };
+        let mut fleet = simulator::fleet::Fleet::plan(quiet, folder.clone(), 1, 0, &[]).expect("a plan");
         fleet.start().await.expect("a site");
         let first = register(&fleet).await;
         let named = |told: &serde_json::Value, name: &str| format!("{}{name}", told["try_prefix"].as_str().unwrap_or("probe.1."));
--- a/crates/rehearsal/tests/bills.rs
+++ b/crates/simulator/tests/bills.rs
@@ -1,7 +1,7 @@
 //! Followers of the bill in virtual time: restarts in turn and together, late and older bulletins, lagging seats, a core
 //! that is cut, killed and replaced; and variants that each lack one guard (design 11.6).
 
-use rehearsal::billsim::{BLOWS, BillPlan, Blow, Stage, Struck, Without, draw, play};
+use simulator::billsim::{BLOWS, BillPlan, Blow, Stage, Struck, Without, draw, play};
 
 fn over<T: Send>(seeds: std::ops::Range<u64>, work: impl Fn(u64) -> T + Sync) -> Vec<T> {
     let cores = std::thread::available_parallelism().map(usize::from).unwrap_or(1) as u64;
--- a/crates/rehearsal/tests/catch_up.rs
+++ b/crates/simulator/tests/catch_up.rs
@@ -1,7 +1,7 @@
 //! A member that was away through thousands of changes, several snapshots and a change of members (design 3.8,
 //! docs/control-plane.md, point 4).
 
-use rehearsal::sim::{Fault, Plan, World};
+use simulator::sim::{Fault, Plan, World};
 
 const SECOND: u64 = 1_000_000;
 const CATCH_UP: u64 = 4 * SECOND;
@@ -109,7 +109,7 @@
     let mut most = 0;
     for step in 1..=end / SECOND {
         world.run_until(step * SECOND);
-        let records = |node: &rehearsal::sim::Node| node.records_beside_snapshot();
+        let records = |node: &simulator::sim::Node| node.records_beside_snapshot();
         most = most.max(world.nodes.iter().map(records).max().unwrap_or_default());
     }
     assert!(world.nodes[0].history.len() as u64 >= count - 10);
--- a/crates/rehearsal/tests/checker.rs
+++ b/crates/simulator/tests/checker.rs
@@ -1,7 +1,7 @@
 //! Each invariant of the history checker finds what was planted for it, and nothing in a clean history (design 9.5).
 
-use rehearsal::checker::{Rules, check};
-use rehearsal::history::Record;
+use simulator::checker::{Rules, check};
+use simulator::history::Record;
 
 const SECOND: u64 = 1_000_000;
 
--- a/crates/rehearsal/tests/checker_operators.rs
+++ b/crates/simulator/tests/checker_operators.rs
@@ -1,7 +1,7 @@
 //! What operators and nodes are promised: each planted violation is found under its own name (design 9.5).
 
-use rehearsal::checker::{Rules, check};
-use rehearsal::history::Record;
+use simulator::checker::{Rules, check};
+use simulator::history::Record;
 
 const SECOND: u64 = 1_000_000;
 
--- a/crates/rehearsal/tests/cut.rs
+++ b/crates/simulator/tests/cut.rs
@@ -1,7 +1,7 @@
 //! A control machine that is cut off, frozen or restarted inside a cut for twenty seconds, with callers that still
 //! reach it (design 3.2, docs/control-plane.md, point 1).
 
-use rehearsal::sim::{Fault, Plan, World};
+use simulator::sim::{Fault, Plan, World};
 
 const SECOND: u64 = 1_000_000;
 /// A caller is told by then that its entry is not known to be taken.
@@ -103,7 +103,7 @@
         let last = b"after the cut".to_vec();
         world.submit(CUT_OFF, last.clone());
         world.run_until(HEALS + CATCH_UP + SECOND);
-        let holds = |node: &rehearsal::sim::Node| node.history.iter().any(|(_, value)| *value == last);
+        let holds = |node: &simulator::sim::Node| node.history.iter().any(|(_, value)| *value == last);
         assert!(world.nodes.iter().all(holds), "{seats} seats, seed {seed}, {trouble:?}");
         let lengths: std::collections::BTreeSet<usize> = world.nodes.iter().map(|node| node.history.len()).collect();
         assert_eq!(lengths.len(), 1, "{seats} seats, seed {seed}, {trouble:?}: {lengths:?} entries");
--- a/crates/rehearsal/tests/hollow.rs
+++ b/crates/simulator/tests/hollow.rs
@@ -1,7 +1,7 @@
 //! The smallest hollow site, judged by what it counted and not by how long it took (docs/CAPACITY.md).
 
-fn plan(name: &str) -> rehearsal::hollow::Plan {
-    rehearsal::hollow::Plan {
+fn plan(name: &str) -> simulator::hollow::Plan {
+    simulator::hollow::Plan {
         nodes: 6,
         services: 2,
         zones: 2,
@@ -14,7 +14,7 @@
         lost: 0,
         hop: 0,
         cut: 0,
-        parts: rehearsal::hollow::Parts::Whole,
+        parts: simulator::hollow::Parts::Whole,
         folder: std::env::temp_dir().join(format!("gradeford-{name}-{}", std::process::id())),
     }
 }
@@ -22,10 +22,10 @@
 /// Frames are counted for the whole process: one site at a time.
 static ALONE: std::sync::Mutex<()> = std::sync::Mutex::new(());
 
-fn played(plan: rehearsal::hollow::Plan) -> rehearsal::hollow::Report {
+fn played(plan: simulator::hollow::Plan) -> simulator::hollow::Report {
     let _alone = ALONE.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
-    runtime.block_on(rehearsal::hollow::run(plan, false)).expect("it is played")
+    runtime.block_on(simulator::hollow::run(plan, false)).expect("it is played")
 }
 
 #[test]
@@ -38,14 +38,14 @@
     let followers = 7;
     assert_eq!((changes.tally.entries, changes.frames("bulletin"), changes.frames("forward")), (3, 3 * followers, 0), "{changes:?}");
     let bytes = changes.said["bulletin"].1;
-    let counted = rehearsal::hollow::counted::count(&plan("hollow-counted"));
+    let counted = simulator::hollow::counted::count(&plan("hollow-counted"));
     // What the code says of one change is what went over the conns.
     assert_eq!(bytes, 3 * followers * counted.costs["change"].told_bytes, "{changes:?}");
 }
 
 #[test]
 fn a_restart_is_told_once_and_a_lost_machines_back_end_stays_gone() {
-    let plan = rehearsal::hollow::Plan { changes: 0, restarts: 2, lost: 1, ..plan("hollow-restarts") };
+    let plan = simulator::hollow::Plan { changes: 0, restarts: 2, lost: 1, ..plan("hollow-restarts") };
     let report = played(plan);
     let (restarts, lost, back) = (report.stage("restarts"), report.stage("lost"), report.stage("back"));
     let (restarts, lost, back) = (restarts.expect("restarts"), lost.expect("a loss"), back.expect("a return"));
@@ -59,9 +59,9 @@
 
 #[test]
 fn a_region_that_was_cut_off_blames_nobody_when_it_is_joined() {
-    let cut = rehearsal::hollow::Plan { nodes: 10, seats: 5, changes: 0, cut: 7, ..plan("hollow-cut") };
+    let cut = simulator::hollow::Plan { nodes: 10, seats: 5, changes: 0, cut: 7, ..plan("hollow-cut") };
     // So many nodes outside have two watchers inside, who hear nothing of them meanwhile.
-    assert!(rehearsal::hollow::counted::count(&cut).region_wrongly > 0);
+    assert!(simulator::hollow::counted::count(&cut).region_wrongly > 0);
     let report = played(cut);
     let (cut, joined) = (report.stage("cut").expect("a cut"), report.stage("joined").expect("a join"));
     assert_eq!((cut.extra["absent_outside"], joined.extra["absent_outside"]), (0.0, 0.0), "{joined:?}");
@@ -70,7 +70,7 @@
 #[test]
 fn wrong_flags_are_named_and_nothing_starts() {
     let own = std::env::current_exe().expect("a path");
-    let program = own.ancestors().nth(2).expect("the build's folder").join("rehearsal");
+    let program = own.ancestors().nth(2).expect("the build's folder").join("simulator");
     let told = |words: &[&str]| {
         let output = std::process::Command::new(&program).arg("hollow").args(words).output().expect("it runs");
         (output.status.code(), String::from_utf8_lossy(&output.stderr).into_owned())
--- a/crates/rehearsal/tests/keys.rs
+++ b/crates/simulator/tests/keys.rs
@@ -1,6 +1,6 @@
 //! Keys in virtual time under drawn blows, and variants that each lack one guard (design 11.4, 11.5).
 
-use rehearsal::keysim::{BLOWS, Blow, KeyPlan, Stage, Struck, Without, draw, play};
+use simulator::keysim::{BLOWS, Blow, KeyPlan, Stage, Struck, Without, draw, play};
 
 /// Seeds over the machine's cores, in the order of the seeds.
 fn over<T: Send>(seeds: std::ops::Range<u64>, work: impl Fn(u64) -> T + Sync) -> Vec<T> {
--- a/crates/rehearsal/tests/ordering.rs
+++ b/crates/simulator/tests/ordering.rs
@@ -1,6 +1,6 @@
 //! The ordering under drawn faults, crashes at every numbered point, and a broken disk (design 9).
 
-use rehearsal::sim::{Fault, Plan, World, schedule};
+use simulator::sim::{Fault, Plan, World, schedule};
 
 fn play(plan: Plan, bytes: &[u8], seconds: u64) -> World {
     let mut world = World::new(plan);
--- a/crates/rehearsal/tests/programs.rs
+++ b/crates/simulator/tests/programs.rs
@@ -53,7 +53,7 @@
     std::fs::create_dir_all(&used).expect("a folder");
     std::fs::write(used.join("rehearsal.history"), "").expect("a file");
     let folder = used.display().to_string();
-    assert_eq!(outcome("rehearsal", &["run", "small", "--folder", &folder]).0, Some(2), "an earlier run's folder");
+    assert_eq!(outcome("simulator", &["run", "small", "--folder", &folder]).0, Some(2), "an earlier run's folder");
     std::fs::remove_dir_all(used).expect("clean");
     let wrong: [&[&str]; 7] = [
         &["run", "nowhere"],
@@ -64,8 +64,8 @@
         &["simulate", "--blows", "12"],
         &["simulate", "--strikes", "1"],
     ];
-    wrong.iter().for_each(|words| assert_eq!(outcome("rehearsal", words).0, Some(2), "{words:?}"));
-    ["prompter", "usher", "callboard", "rehearsal"].iter().for_each(|name| assert_eq!(outcome(name, &["--help"]).0, Some(0), "{name}"));
+    wrong.iter().for_each(|words| assert_eq!(outcome("simulator", words).0, Some(2), "{words:?}"));
+    ["prompter", "usher", "callboard", "simulator"].iter().for_each(|name| assert_eq!(outcome(name, &["--help"]).0, Some(0), "{name}"));
 }
 
 #[test]
@@ -88,8 +88,8 @@
     let folder = std::env::temp_dir().join(format!("gradeford-day-{}", std::process::id()));
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
     runtime.block_on(async {
-        let deployment = rehearsal::deployment::named("small").expect("a site");
-        let mut fleet = rehearsal::fleet::Fleet::plan(deployment, folder.clone(), 1, 0, &[]).expect("a plan");
+        let deployment = simulator::deployment::named("small").expect("a site");
+        let mut fleet = simulator::fleet::Fleet::plan(deployment, folder.clone(), 1, 0, &[]).expect("a plan");
         (0..3).try_for_each(|seat| fleet.start_core(seat)).expect("core seats");
         let operators: Vec<String> = fleet.cores.iter().map(|core| core.operators.clone()).collect();
         fleet.until_ready(&operators).await.expect("a core");
@@ -140,9 +140,9 @@
     let fine = "name = \"n\"\nzone = \"z\"\nmates_address = \"127.0.0.1:0\"\nlocal_address = \"127.0.0.1:0\"\nseeds = [\"127.0.0.1:1\"]\n";
     std::fs::write(&config, fine).expect("a file");
     let words = ["--config".to_string(), config.display().to_string()];
-    let mut usher = rehearsal::process::Process::start(&folder, "usher", "usher", &words).expect("an usher");
+    let mut usher = simulator::process::Process::start(&folder, "usher", "usher", &words).expect("an usher");
     let log = || std::fs::read_to_string(folder.join("usher.log")).unwrap_or_default();
-    let until = |usher: &mut rehearsal::process::Process, word: &str| {
+    let until = |usher: &mut simulator::process::Process, word: &str| {
         while !log().contains(word) {
             assert!(usher.ended().is_none() || log().contains(word), "it ended before it said {word:?}: {}", log());
             std::thread::yield_now();
--- a/crates/rehearsal/tests/repairs.rs
+++ b/crates/simulator/tests/repairs.rs
@@ -1,7 +1,7 @@
 //! Losses that come one after the other, as soon as the machine lost before counts again: whatever was answered is
 //! kept, and the core goes on (design 4.4, docs/control-plane.md, point 3).
 
-use rehearsal::sim::{Fault, Plan, World};
+use simulator::sim::{Fault, Plan, World};
 
 const SECOND: u64 = 1_000_000;
 /// A machine counts as lost for so long after it is back.
--- a/crates/rehearsal/tests/replaced.rs
+++ b/crates/simulator/tests/replaced.rs
@@ -1,6 +1,6 @@
 //! Disks lost one after the other, the last of them while all others lose power (design 4.4).
 
-use rehearsal::sim::{Fault, Plan, World};
+use simulator::sim::{Fault, Plan, World};
 
 const SECOND: u64 = 1_000_000;
 
--- a/crates/rehearsal/tests/site.rs
+++ b/crates/simulator/tests/site.rs
@@ -1,7 +1,7 @@
 //! A whole site in virtual time under drawn faults, and variants that each lack one guard (design 9.8).
 
-use rehearsal::sim::trial::play;
-use rehearsal::sim::{SitePlan, Without};
+use simulator::sim::trial::play;
+use simulator::sim::{SitePlan, Without};
 
 #[test]
 fn a_quiet_site_serves_and_breaks_nothing() {
