--- a/crates/callboard/src/ask.rs
+++ b/crates/callboard/src/ask.rs
@@ -39,7 +39,7 @@
                     }
                     last = Some(answer);
                 }
-                Err(error) => eprintln!("callboard: {core}: {error}"),
+                Err(error) => eprintln!("gradefordctl: {core}: {error}"),
             }
         }
         last
--- a/crates/callboard/src/commands.rs
+++ b/crates/callboard/src/commands.rs
@@ -87,7 +87,7 @@
 
 async fn change(office: &crate::ask::Office, id: Option<String>, base: Option<u64>, mut body: serde_json::Value) -> i32 {
     let Some(change) = body.as_object_mut() else {
-        eprintln!("callboard: a change is a JSON object with \"edits\"");
+        eprintln!("gradefordctl: a change is a JSON object with \"edits\"");
         return USAGE;
     };
     if let Some(id) =
@@ -119,7 +119,7 @@
 
 fn tell(answer: Option<crate::ask::Answer>) -> i32 {
     let Some((status, answer)) = answer else {
-        eprintln!("callboard: no core seat answered");
+        eprintln!("gradefordctl: no core seat answered");
         return UNREACHABLE;
     };
     println!("{}", serde_json::to_string_pretty(&answer).unwrap_or_default());
--- a/crates/callboard/src/compare.rs
+++ b/crates/callboard/src/compare.rs
@@ -1,4 +1,4 @@
-//! What two nodes believe, where they differ, and since which version (docs/operators/callboard.md).
+//! What two nodes believe, where they differ, and since which version (docs/operators/gradefordctl.md).
 
 pub async fn run(one: &str, two: &str) -> i32 {
     let (left, right) = (look(one).await, look(two).await);
@@ -39,11 +39,11 @@
     match tokio::time::timeout(std::time::Duration::from_secs(3), seen).await {
         Ok(Ok(seen)) => Some((services(&seen), level(seen))),
         Ok(Err(trouble)) => {
-            eprintln!("callboard: {address}: {trouble}");
+            eprintln!("gradefordctl: {address}: {trouble}");
             None
         }
         Err(_) => {
-            eprintln!("callboard: {address}: no answer in time");
+            eprintln!("gradefordctl: {address}: no answer in time");
             None
         }
     }
--- a/crates/callboard/src/main.rs
+++ b/crates/callboard/src/main.rs
@@ -1,13 +1,13 @@
-//! The operators' command line (docs/operators/callboard.md).
+//! The operators' command line (docs/operators/gradefordctl.md).
 
 mod ask;
 mod commands;
 mod compare;
 
 const HELP: &str = "\
-callboard: read and change what gradeford is told to do
+gradefordctl: read and change what gradeford is told to do
 
-usage: callboard --core ADDRESS[,ADDRESS...] COMMAND
+usage: gradefordctl --core ADDRESS[,ADDRESS...] COMMAND
 
   get                            the whole desired state, with its version
   get grouping|order NAME        one of them
@@ -34,7 +34,7 @@
         return print!("{HELP}");
     }
     if arguments.contains("--version") {
-        return println!("callboard {}", env!("CARGO_PKG_VERSION"));
+        return println!("gradefordctl {}", env!("CARGO_PKG_VERSION"));
     }
     let code = match commands::read(arguments) {
         Ok((office, command)) => tokio::runtime::Builder::new_current_thread()
@@ -43,7 +43,7 @@
             .map(|runtime| runtime.block_on(commands::run(office, command)))
             .unwrap_or(commands::UNREACHABLE),
         Err(fault) => {
-            eprintln!("callboard: {fault}\ncallboard: see callboard --help");
+            eprintln!("gradefordctl: {fault}\ngradefordctl: see gradefordctl --help");
             commands::USAGE
         }
     };
--- a/crates/usher/src/main.rs
+++ b/crates/gradeford-node/src/main.rs
@@ -5,9 +5,9 @@
 mod node;
 
 const HELP: &str = "\
-usher: a gradeford node beside back ends
+gradeford-node: a gradeford node beside back ends
 
-usage: usher [--config FILE] [--SETTING VALUE ...] [--check]
+usage: gradeford-node [--config FILE] [--SETTING VALUE ...] [--check]
 
   --config FILE   settings as TOML; a flag of the same name goes first
   --check         read and check the settings, then stop
@@ -22,18 +22,18 @@
 ";
 
 fn main() {
-    let Some((flags, env)) = model::env::begin::<env::Env>("usher", HELP, env::NAMES) else { return };
+    let Some((flags, env)) = model::env::begin::<env::Env>("gradeford-node", HELP, env::NAMES) else { return };
     let runtime = tokio::runtime::Runtime::new();
     let ended = runtime.map_err(|error| error.to_string()).and_then(|runtime| runtime.block_on(run(flags, env)));
     if let Err(trouble) = ended {
-        eprintln!("usher: {trouble}");
+        eprintln!("gradeford-node: {trouble}");
         std::process::exit(1);
     }
 }
 
 async fn run(flags: model::env::Flags, env: env::Env) -> Result<(), String> {
     let dial = model::log::Dial::new(env.level());
-    let (logger, _guard) = model::log::start("usher", &env.name, dial.clone());
+    let (logger, _guard) = model::log::start("gradeford-node", &env.name, dial.clone());
     // Before anything else: a signal that comes early must not end the process.
     let mut stop = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate()).map_err(|error| error.to_string())?;
     let mut reload = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::hangup()).map_err(|error| error.to_string())?;
--- a/crates/prompter/src/main.rs
+++ b/crates/prompter/src/main.rs
@@ -3,9 +3,9 @@
 mod env;
 
 const HELP: &str = "\
-prompter: a core seat of gradeford
+gradeford-core: a core seat of gradeford
 
-usage: prompter [--config FILE] [--SETTING VALUE ...] [--check]
+usage: gradeford-core [--config FILE] [--SETTING VALUE ...] [--check]
 
   --config FILE   settings as TOML; a flag of the same name goes first
   --check         read and check the settings, then stop
@@ -23,7 +23,7 @@
     let runtime = tokio::runtime::Runtime::new();
     let ended = runtime.map_err(|error| error.to_string()).and_then(|runtime| runtime.block_on(run(flags, env)));
     if let Err(trouble) = ended {
-        eprintln!("prompter: {trouble}");
+        eprintln!("gradeford-core: {trouble}");
         std::process::exit(1);
     }
 }
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -51,7 +51,7 @@
 
     pub fn start_usher(&mut self, at: usize) -> Result<(), String> {
         let machine = &mut self.machines[at];
-        machine.usher = Some(Process::start(&self.folder, &format!("node-{}", machine.name), "usher", &machine.usher_arguments)?);
+        machine.usher = Some(Process::start(&self.folder, &format!("node-{}", machine.name), "gradeford-node", &machine.usher_arguments)?);
         Ok(())
     }
 
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -1,13 +1,13 @@
 //! Rehearsals for gradeford. Test-only: the one program here that starts others.
 
 const HELP: &str = "\
-rehearsal: tries gradeford on one machine
+simulator: tries gradeford on one machine
 
-usage: rehearsal run SITE [--scenario NAME] [--seconds N] [flags]
-       rehearsal all [SITE ...] [--only NAME,NAME] [flags]
-       rehearsal simulate [--from SEED] [--count N] [--blows HEX | --length N]
-       rehearsal count
-       rehearsal understudy --name N --service S --zone Z ...
+usage: simulator run SITE [--scenario NAME] [--seconds N] [flags]
+       simulator all [SITE ...] [--only NAME,NAME] [flags]
+       simulator simulate [--from SEED] [--count N] [--blows HEX | --length N]
+       simulator count
+       simulator understudy --name N --service S --zone Z ...
 
   SITE        swanreach, kurasa or small
   --scenario  midway (a core seat and a back end die; --seconds says how long), or one of those `all` lists,
--- a/crates/simulator/tests/programs.rs
+++ b/crates/simulator/tests/programs.rs
@@ -47,7 +47,7 @@
             assert!(told.contains(named), "{told}");
         },
     );
-    let (code, _, told) = outcome("usher", &["--speed", "9"]);
+    let (code, _, told) = outcome("gradeford-node", &["--speed", "9"]);
     assert!(code == Some(2) && told.contains("--speed"), "{told}");
     let used = std::env::temp_dir().join(format!("gradeford-used-{}", std::process::id()));
     std::fs::create_dir_all(&used).expect("a folder");
@@ -65,7 +65,7 @@
         &["simulate", "--strikes", "1"],
     ];
     wrong.iter().for_each(|words| assert_eq!(outcome("simulator", words).0, Some(2), "{words:?}"));
-    ["prompter", "usher", "callboard", "simulator"].iter().for_each(|name| assert_eq!(outcome(name, &["--help"]).0, Some(0), "{name}"));
+    ["prompter", "gradeford-node", "callboard", "simulator"].iter().for_each(|name| assert_eq!(outcome(name, &["--help"]).0, Some(0), "{name}"));
 }
 
 #[test]
@@ -140,7 +140,7 @@
     let fine = "name = \"n\"\nzone = \"z\"\nmates_address = \"127.0.0.1:0\"\nlocal_address = \"127.0.0.1:0\"\nseeds = [\"127.0.0.1:1\"]\n";
     std::fs::write(&config, fine).expect("a file");
     let words = ["--config".to_string(), config.display().to_string()];
-    let mut usher = simulator::process::Process::start(&folder, "usher", "usher", &words).expect("an usher");
+    let mut usher = simulator::process::Process::start(&folder, "gradeford-node", "gradeford-node", &words).expect("an usher");
     let log = || std::fs::read_to_string(folder.join("usher.log")).unwrap_or_default();
     let until = |usher: &mut simulator::process::Process, word: &str| {
         while !log().contains(word) {
