--- a/crates/prompter/src/main.rs
+++ b/crates/gradeford-core/src/main.rs
@@ -19,7 +19,7 @@
 ";
 
 fn main() {
-    let Some((flags, env)) = model::env::begin::<env::Env>("prompter", HELP, env::NAMES) else { return };
+    let Some((flags, env)) = model::env::begin::<env::Env>("gradeford-core", HELP, env::NAMES) else { return };
     let runtime = tokio::runtime::Runtime::new();
     let ended = runtime.map_err(|error| error.to_string()).and_then(|runtime| runtime.block_on(run(flags, env)));
     if let Err(trouble) = ended {
@@ -30,7 +30,7 @@
 
 async fn run(flags: model::env::Flags, env: env::Env) -> Result<(), String> {
     let dial = model::log::Dial::new(env.level());
-    let (logger, _guard) = model::log::start("prompter", &env.name, dial.clone());
+    let (logger, _guard) = model::log::start("gradeford-core", &env.name, dial.clone());
     // Before anything else: a signal that comes early must not end the process.
     let mut stop = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate()).map_err(|error| error.to_string())?;
     let mut reload = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::hangup()).map_err(|error| error.to_string())?;
--- a/crates/simulator/src/disk.rs
+++ b/crates/simulator/src/disk.rs
@@ -85,7 +85,7 @@
     }
 }
 
-/// A core seat as `prompter` puts it together, over such a disk.
+/// A core seat as `gradeford-core` puts it together, over such a disk.
 pub async fn seat(env: control::CoreEnv, mates: String, operators: String, sync_us: u64) -> Result<(), String> {
     let told = |error: &dyn std::fmt::Display| error.to_string();
     let listener = tokio::net::TcpListener::bind(&mates).await.map_err(|error| told(&error))?;
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -44,7 +44,7 @@
         // Over a made-up disk the seat is a stand-in, put together from the same library.
         let stand_in =
             self.made_up_disks.then(|| [&["seat".to_string()][..], &core.arguments, &["--sync".into(), self.deployment.sync_us.to_string()]].concat());
-        let (program, arguments) = stand_in.map(|arguments| ("simulator", arguments)).unwrap_or_else(|| ("prompter", core.arguments.clone()));
+        let (program, arguments) = stand_in.map(|arguments| ("simulator", arguments)).unwrap_or_else(|| ("gradeford-core", core.arguments.clone()));
         core.process = Some(Process::start(&self.folder, &format!("core-{seat}"), program, &arguments)?);
         Ok(())
     }
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -205,7 +205,7 @@
     Ok(())
 }
 
-/// Takes what `prompter` takes, and how long a sync is.
+/// Takes what `gradeford-core` takes, and how long a sync is.
 async fn seat(mut arguments: pico_args::Arguments) -> Result<(), String> {
     let mut text = |flag: &'static str| usage(arguments.value_from_str::<_, String>(flag));
     let (mates, operators, seeds) = (text("--mates-address"), text("--operators-address"), text("--seeds"));
--- a/crates/simulator/tests/programs.rs
+++ b/crates/simulator/tests/programs.rs
@@ -34,11 +34,11 @@
         "/nonexistent/x",
         "--check",
     ];
-    assert_eq!(outcome("prompter", &fine).0, Some(0));
+    assert_eq!(outcome("gradeford-core", &fine).0, Some(0));
     let with = |flag: &str, value: &str| {
         let place = fine.iter().position(|word| *word == flag).expect("a flag") + 1;
         let words: Vec<&str> = fine.iter().enumerate().map(|(at, word)| if at == place { value } else { *word }).collect();
-        outcome("prompter", &words)
+        outcome("gradeford-core", &words)
     };
     [("--seats", "4", "seats"), ("--mates-address", "here", "mates_address"), ("--seat", "nine", "seat"), ("--seeds", "a,b", "seeds")].iter().for_each(
         |(flag, value, named)| {
@@ -65,7 +65,7 @@
         &["simulate", "--strikes", "1"],
     ];
     wrong.iter().for_each(|words| assert_eq!(outcome("simulator", words).0, Some(2), "{words:?}"));
-    ["prompter", "gradeford-node", "callboard", "simulator"].iter().for_each(|name| assert_eq!(outcome(name, &["--help"]).0, Some(0), "{name}"));
+    ["gradeford-core", "gradeford-node", "callboard", "simulator"].iter().for_each(|name| assert_eq!(outcome(name, &["--help"]).0, Some(0), "{name}"));
 }
 
 #[test]
