--- a/crates/callboard/src/compare.rs
+++ b/crates/gradefordctl/src/compare.rs
@@ -19,7 +19,7 @@
 async fn look(address: &str) -> Option<Seen> {
     let greeting = transport::Greeting {
         purpose: transport::Purpose::Look,
-        name: "callboard".into(),
+        name: "gradefordctl".into(),
         zone: String::new(),
         address: String::new(),
         incarnation: 0,
--- a/crates/simulator/tests/programs.rs
+++ b/crates/simulator/tests/programs.rs
@@ -65,7 +65,7 @@
         &["simulate", "--strikes", "1"],
     ];
     wrong.iter().for_each(|words| assert_eq!(outcome("simulator", words).0, Some(2), "{words:?}"));
-    ["gradeford-core", "gradeford-node", "callboard", "simulator"].iter().for_each(|name| assert_eq!(outcome(name, &["--help"]).0, Some(0), "{name}"));
+    ["gradeford-core", "gradeford-node", "gradefordctl", "simulator"].iter().for_each(|name| assert_eq!(outcome(name, &["--help"]).0, Some(0), "{name}"));
 }
 
 #[test]
@@ -78,9 +78,9 @@
         &["--core", "127.0.0.1:1", "delete", "order", "Bad Name"],
         &["--core", "127.0.0.1:1", "apply", "/nonexistent"],
     ];
-    wrong.iter().for_each(|words| assert_eq!(outcome("callboard", words).0, Some(2), "{words:?}"));
-    assert_eq!(outcome("callboard", &["--core", "127.0.0.1:1", "get"]).0, Some(3));
-    assert_eq!(outcome("callboard", &["compare", "127.0.0.1:1", "127.0.0.1:1"]).0, Some(3));
+    wrong.iter().for_each(|words| assert_eq!(outcome("gradefordctl", words).0, Some(2), "{words:?}"));
+    assert_eq!(outcome("gradefordctl", &["--core", "127.0.0.1:1", "get"]).0, Some(3));
+    assert_eq!(outcome("gradefordctl", &["compare", "127.0.0.1:1", "127.0.0.1:1"]).0, Some(3));
 }
 
 #[test]
@@ -100,7 +100,7 @@
             path.display().to_string()
         };
         let call = |words: &[&str]| {
-            let (code, told, _) = outcome("callboard", &[&["--core", all.as_str()], words].concat());
+            let (code, told, _) = outcome("gradefordctl", &[&["--core", all.as_str()], words].concat());
             (code, serde_json::from_str::<serde_json::Value>(&told).unwrap_or_default())
         };
         let site = file("site.json", serde_json::json!({ "edits": fleet.deployment.edits() }));
@@ -124,7 +124,7 @@
         // Every seat comes to believe the same.
         let alike = || async {
             let places = (fleet.cores[0].mates.as_str(), fleet.cores[2].mates.as_str());
-            outcome("callboard", &["compare", places.0, places.1]).0 == Some(0)
+            outcome("gradefordctl", &["compare", places.0, places.1]).0 == Some(0)
         };
         fleet.until("two seats believe the same", alike).await.expect("alike");
         fleet.stop().await;
