--- a/crates/backend-api/src/rooms.rs
+++ b/crates/backend-api/src/rooms.rs
@@ -1,4 +1,4 @@
-//! What a back end asks of the usher beside it (docs/operators/back-ends.md).
+//! What a back end asks of the node beside it (docs/operators/back-ends.md).
 
 use model::{Cause, Trouble};
 
@@ -71,7 +71,7 @@
         return Err(bad("name and service are 1 to 63 of a-z, 0-9 and '-'"));
     }
     if ask.zone != env.zone {
-        return Err(bad(format!("this usher stands in the zone {:?}", env.zone)));
+        return Err(bad(format!("this node stands in the zone {:?}", env.zone)));
     }
     if ask.slots > 4_096 {
         return Err(bad("slots is from 0 to 4096"));
@@ -108,7 +108,7 @@
         let mut tries = 0;
         let (incarnation, outcome) = loop {
             let incarnation = env.house.reserve(registration.clone(), secret.clone()).await?;
-            let back_end = env.house.back_end(&name).await.ok_or_else(|| Trouble::new(Cause::Leaving, "this usher is stopping"))?;
+            let back_end = env.house.back_end(&name).await.ok_or_else(|| Trouble::new(Cause::Leaving, "this node is stopping"))?;
             let report = model::standing::Report::Registered { name: name.clone(), back_end };
             let outcome = tokio::time::timeout(std::time::Duration::from_secs(5), env.reports.tell(report)).await.ok().flatten();
             tries += 1;
@@ -117,7 +117,7 @@
             if tries == REGISTRATIONS {
                 break (incarnation, outcome);
             }
-            // The log has a later registration than this usher knew: the next one is made on top of it.
+            // The log has a later registration than this node knew: the next one is made on top of it.
             until_seen(env, position, &service).await;
         };
         let accepted = match &outcome {
--- a/crates/client-api/src/lib.rs
+++ b/crates/client-api/src/lib.rs
@@ -46,7 +46,7 @@
         let try_id = try_id
             .filter(named)
             .ok_or_else(|| Trouble::new(Cause::BadRequest, "the header x-gradeford-try is the registration's try_prefix and a name, at most 192 letters"))?;
-        // An earlier life of this usher may have known the secret, and taken the try.
+        // An earlier life of this node may have known the secret, and taken the try.
         let sender = self.house.sender(&secret).ok_or_else(|| Trouble::new(Cause::UnknownSender, "no live registration has this secret"))?;
         self.near.take(&sender, &try_id).await?;
         let ask = match self.read(request, try_id.clone()).await {
--- a/crates/gradefordctl/src/commands.rs
+++ b/crates/gradefordctl/src/commands.rs
@@ -22,7 +22,7 @@
     let word: String = arguments.subcommand().map_err(|error| error.to_string())?.ok_or("a command is missing")?;
     let rest: Vec<String> = arguments.finish().into_iter().map(|part| part.to_string_lossy().into_owned()).collect();
     if let Some(flag) = rest.iter().find(|part| part.starts_with("--")) {
-        return Err(format!("{flag} is not a flag of callboard"));
+        return Err(format!("{flag} is not a flag of gradefordctl"));
     }
     let rest: Vec<&str> = rest.iter().map(String::as_str).collect();
     let command = match (word.as_str(), rest.as_slice()) {
@@ -91,7 +91,7 @@
         return USAGE;
     };
     if let Some(id) =
-        id.map(serde_json::Value::from).or_else(|| (!change.contains_key("id")).then(|| format!("callboard-{}", model::incarnation::draw()).into()))
+        id.map(serde_json::Value::from).or_else(|| (!change.contains_key("id")).then(|| format!("gradefordctl-{}", model::incarnation::draw()).into()))
     {
         change.insert("id".into(), id);
     }
--- a/crates/legacy-proxy/src/course.rs
+++ b/crates/legacy-proxy/src/course.rs
@@ -4,7 +4,7 @@
 use crate::picker::Candidate;
 use model::{Cause, Micros, Trouble, Verdict};
 
-/// Address and life of the usher beside the picked back end; none when it is this one.
+/// Address and life of the node beside the picked back end; none when it is this one.
 pub type Place = Option<(String, u64)>;
 
 pub struct Course {
--- a/crates/legacy-proxy/src/house.rs
+++ b/crates/legacy-proxy/src/house.rs
@@ -1,4 +1,4 @@
-//! The back ends beside this usher: slots, buffers, tries. Pure, with the time told to it (design 5.3).
+//! The back ends beside this node: slots, buffers, tries. Pure, with the time told to it (design 5.3).
 
 use model::{Cause, Incarnation, Micros, Trouble, standing::Report};
 
@@ -103,7 +103,7 @@
     pub fn reserve(&mut self, now: Micros, logged: Incarnation, registration: Registration, secret: String) -> Result<Incarnation, Trouble> {
         let held = self.places.get(&registration.name);
         if self.leaving {
-            return Err(Trouble::new(Cause::Leaving, "this usher is leaving"));
+            return Err(Trouble::new(Cause::Leaving, "this node is leaving"));
         }
         if held.is_some_and(|held| matches!(held.stand, Stand::Live | Stand::Draining) && now < held.heard + self.env.beat_patience) {
             return Err(Trouble::new(Cause::BadRequest, format!("the name {:?} has a live registration", registration.name)));
--- a/crates/legacy-proxy/src/house_judge.rs
+++ b/crates/legacy-proxy/src/house_judge.rs
@@ -7,13 +7,13 @@
     /// Every reason not to pass it on is certain: nothing has left for the back end yet.
     pub(crate) fn judge(&self, now: Micros, view: &control::View, dispatch: &transport::Dispatch) -> Result<&Place, Trouble> {
         if self.leaving {
-            return Err(Trouble::new(Cause::Leaving, "this usher is leaving"));
+            return Err(Trouble::new(Cause::Leaving, "this node is leaving"));
         }
         let place = self
             .places
             .get(&dispatch.back_end)
             .filter(|place| place.incarnation == dispatch.incarnation && place.registration.service == dispatch.service)
-            .ok_or_else(|| Trouble::new(Cause::WrongIncarnation, "that life of the back end is not beside this usher"))?;
+            .ok_or_else(|| Trouble::new(Cause::WrongIncarnation, "that life of the back end is not beside this node"))?;
         match place.stand {
             _ if place.draining => return Err(Trouble::new(Cause::Draining, "the back end is draining")),
             Stand::Live => {}
--- a/crates/legacy-proxy/src/house_task.rs
+++ b/crates/legacy-proxy/src/house_task.rs
@@ -110,7 +110,7 @@
 }
 
 fn stopping() -> Trouble {
-    Trouble::new(model::Cause::Leaving, "this usher is stopping")
+    Trouble::new(model::Cause::Leaving, "this node is stopping")
 }
 
 struct Owner {
--- a/crates/legacy-proxy/src/lib.rs
+++ b/crates/legacy-proxy/src/lib.rs
@@ -1,4 +1,4 @@
-//! The data plane: from a sender's own usher to the usher beside the picked back end (design 5).
+//! The data plane: from a sender's own usher to the node beside the picked back end (design 5).
 
 pub mod budget;
 pub mod calls;
--- a/crates/legacy-proxy/src/mates.rs
+++ b/crates/legacy-proxy/src/mates.rs
@@ -33,7 +33,7 @@
         Mates { commands, numbers: Default::default() }
     }
 
-    /// `life` is the far usher's: another life at that address is not the one that was meant.
+    /// `life` is the far node's: another life at that address is not the one that was meant.
     pub async fn call(&self, address: &str, life: u64, mut dispatch: transport::Dispatch) -> Result<transport::Reply, Trouble> {
         let (answer, answered) = tokio::sync::oneshot::channel();
         let number = self.numbers.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
@@ -41,13 +41,13 @@
         let wait = std::time::Duration::from_micros(dispatch.left);
         let command = Command::Call { address: address.to_string(), life, dispatch: Box::new(dispatch), answer };
         if self.commands.send(command).await.is_err() {
-            return Err(Trouble::new(Cause::Leaving, "this usher is stopping"));
+            return Err(Trouble::new(Cause::Leaving, "this node is stopping"));
         }
         match tokio::time::timeout(wait, answered).await {
-            Ok(answer) => answer.unwrap_or_else(|_| Err(Trouble::new(Cause::MateLost, "the far usher was lost"))),
+            Ok(answer) => answer.unwrap_or_else(|_| Err(Trouble::new(Cause::MateLost, "the far node was lost"))),
             Err(_) => {
                 self.commands.send(Command::GaveUp(address.to_string(), number)).await.unwrap_or_default();
-                Err(Trouble::new(Cause::RanOutOfTime, "the far usher did not answer in time"))
+                Err(Trouble::new(Cause::RanOutOfTime, "the far node did not answer in time"))
             }
         }
     }
@@ -142,7 +142,7 @@
     }
     dispatch.mark = *mark;
     if life != *found {
-        let trouble = Trouble::new(Cause::Unreachable, "another life of the far usher answers there");
+        let trouble = Trouble::new(Cause::Unreachable, "another life of the far node answers there");
         return drop(answer.send(Err(trouble)));
     }
     let number = dispatch.number;
@@ -151,7 +151,7 @@
             pending.insert(number, answer);
         }
         // It never entered the buffer, so it never left.
-        Err(_) => drop(answer.send(Err(Trouble::new(Cause::Unreachable, "the conn to the far usher takes nothing")))),
+        Err(_) => drop(answer.send(Err(Trouble::new(Cause::Unreachable, "the conn to the far node takes nothing")))),
     }
 }
 
--- a/crates/legacy-proxy/src/near.rs
+++ b/crates/legacy-proxy/src/near.rs
@@ -68,7 +68,7 @@
     }
 
     async fn perform(&self, sender: crate::SenderId, ask: Ask) -> Result<transport::Reply, Trouble> {
-        let _under_way = self.calls.begin().ok_or_else(|| Trouble::new(Cause::Leaving, "this usher is stopping").later(1_000_000))?;
+        let _under_way = self.calls.begin().ok_or_else(|| Trouble::new(Cause::Leaving, "this node is stopping").later(1_000_000))?;
         let mut course = crate::course::Course::begin(&self.view.load(), model::now(), sender, ask)?;
         self.budget.first(course.service()).await;
         loop {
--- a/crates/legacy-proxy/src/server.rs
+++ b/crates/legacy-proxy/src/server.rs
@@ -1,4 +1,4 @@
-//! What an usher answers its mates (design 5.2).
+//! What a node answers its mates (design 5.2).
 
 pub async fn listen(
     listener: tokio::net::TcpListener,
--- a/crates/legacy-proxy/src/taken.rs
+++ b/crates/legacy-proxy/src/taken.rs
@@ -1,4 +1,4 @@
-//! Tries this usher has taken, and the answers of those that certainly did not run (design 5.5).
+//! Tries this node has taken, and the answers of those that certainly did not run (design 5.5).
 
 use model::{Cause, Trouble};
 
@@ -18,7 +18,7 @@
     pub fn take(&mut self, try_id: &str) -> Result<(), Trouble> {
         match self.table.get(try_id) {
             Some(Some(first)) => return Err(first.clone()),
-            Some(None) => return Err(Trouble::new(Cause::DuplicateTry, "this usher has taken this try before; its first answer stands")),
+            Some(None) => return Err(Trouble::new(Cause::DuplicateTry, "this node has taken this try before; its first answer stands")),
             None => {}
         }
         self.table.insert(try_id.to_string(), None);
--- a/crates/legacy-proxy/src/tries.rs
+++ b/crates/legacy-proxy/src/tries.rs
@@ -1,6 +1,6 @@
 //! Identities of tries already passed on, kept as long as one could still arrive (design 5.5).
 
-/// Tries are named under a registration: another life of the usher or of the sender is told apart.
+/// Tries are named under a registration: another life of the node or of the sender is told apart.
 pub fn prefix(name: &str, registered: model::Incarnation) -> String {
     format!("{name}.{registered}.")
 }
--- a/crates/legacy-proxy/tests/house.rs
+++ b/crates/legacy-proxy/tests/house.rs
@@ -136,7 +136,7 @@
         slots: 4,
         address: "127.0.0.1:9".into(),
     };
-    scene.house.reserve(SECOND, 200, next, "another".into()).expect("a new name");
+    let life = scene.house.reserve(SECOND, 0, next, "another".into()).expect("a new name");
     let old = scene.dispatch("old", "/plain");
     assert_eq!(scene.cause(SECOND, old), Some(Cause::WrongIncarnation));
     let taken = Registration {
@@ -147,8 +147,8 @@
         slots: 1,
         address: "127.0.0.1:8".into(),
     };
-    scene.house.confirm(SECOND, "other-0", 200, true);
-    assert!(scene.house.reserve(SECOND, 300, taken, "thief".into()).is_err(), "a live registration is not taken over");
+    scene.house.confirm(SECOND, "other-0", life, true);
+    assert!(scene.house.reserve(SECOND, life, taken, "thief".into()).is_err(), "a live registration is not taken over");
 }
 
 #[test]
--- a/crates/simulator/src/fleet_plan.rs
+++ b/crates/simulator/src/fleet_plan.rs
@@ -93,7 +93,7 @@
                 ("service", service.to_string()),
                 ("zone", format!("z{zone}")),
                 ("slots", deployment.slots.to_string()),
-                ("gradeford-node", local.clone()),
+                ("node", local.clone()),
                 ("listen", listen),
                 ("history", folder.join(format!("{name}.history")).display().to_string()),
                 ("work", deployment.work_us.to_string()),
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -15,7 +15,7 @@
   --seed      picks who is struck, and the traffic (default 1)
   --spoil     of a thousand back-end replies, how many are spoilt (default 5)
   --changes   operators' changes to make and time before the first fault (default 5)
-  --ushers    flags for every usher, in one word, for paired runs
+  --node-flags    flags for every node, in one word, for paired runs
   --folder    where logs and histories go
 exit codes: 0 every invariant held, 1 one was broken or the run failed, 2 wrong usage
 ";
@@ -121,7 +121,7 @@
 /// What `run` and `all` share: everything but the site and the scenario.
 fn plan(arguments: &mut pico_args::Arguments) -> simulator::run::Plan {
     let folder: Option<std::path::PathBuf> = usage(arguments.opt_value_from_str("--folder"));
-    let usher_flags: Option<String> = usage(arguments.opt_value_from_str("--ushers"));
+    let usher_flags: Option<String> = usage(arguments.opt_value_from_str("--node-flags"));
     simulator::run::Plan {
         site: String::new(),
         scenario: usage(arguments.opt_value_from_str("--scenario")).unwrap_or_else(|| "midway".into()),
@@ -234,7 +234,7 @@
         service: usage(arguments.value_from_str("--service")),
         zone: usage(arguments.value_from_str("--zone")),
         slots: usage(arguments.value_from_str("--slots")),
-        usher: usage(arguments.value_from_str("--usher")),
+        usher: usage(arguments.value_from_str("--node")),
         listen: usage(arguments.value_from_str("--listen")),
         history: usage(arguments.value_from_str("--history")),
         work_us: usage(arguments.value_from_str("--work")),
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -7,7 +7,7 @@
     pub seed: u64,
     pub spoil: u32,
     pub folder: std::path::PathBuf,
-    /// Given to every usher, for paired runs.
+    /// Given to every node, for paired runs.
     pub usher_flags: Vec<String>,
     /// Operators' changes to make and time before anything is broken.
     pub changes: u64,
--- a/crates/simulator/src/serving_checks.rs
+++ b/crates/simulator/src/serving_checks.rs
@@ -3,7 +3,7 @@
 use crate::history::Record;
 
 const WINDOW: u64 = 10_000_000;
-/// Between a request's asking and its counting at the usher.
+/// Between a request's asking and its counting at the node.
 const ON_THE_WAY: u64 = 50_000;
 const BACK_WITHIN: u64 = 15_000_000;
 
--- a/crates/simulator/src/sim/effects.rs
+++ b/crates/simulator/src/sim/effects.rs
@@ -12,6 +12,20 @@
 }
 
 impl super::World {
+    pub fn submit(&mut self, seat: Seat, value: mencius::Value) {
+        if self.nodes[seat as usize].machine.is_some() && !self.nodes[seat as usize].frozen {
+            self.findings.note_submitted(value.clone(), seat, self.now);
+            self.feed(seat, mencius::Input::Submit(value));
+        }
+    }
+
+    pub fn read(&mut self, seat: Seat, token: u64) {
+        if self.nodes[seat as usize].machine.is_some() && !self.nodes[seat as usize].frozen {
+            self.findings.read_asked(token);
+            self.feed(seat, mencius::Input::Read(token));
+        }
+    }
+
     pub(crate) fn runs(&self, seat: usize) -> bool {
         self.nodes[seat].machine.is_some() && !self.nodes[seat].frozen
     }
--- a/crates/simulator/src/sim/site_runs.rs
+++ b/crates/simulator/src/sim/site_runs.rs
@@ -1,4 +1,4 @@
-//! At the far usher, and in back ends (design 9.8).
+//! At the far node, and in back ends (design 9.8).
 
 use super::site::{Event, Site};
 use super::site_plan::WAIT;
@@ -16,7 +16,7 @@
 }
 
 impl Site {
-    /// At the far usher, with what is left of the wait by its marks.
+    /// At the far node, with what is left of the wait by its marks.
     pub(super) fn arrive(&mut self, number: u64, at: usize, mut dispatch: transport::Dispatch, sent: Micros) {
         let now = self.now;
         let from = self.courses.get(&number).map(|trying| trying.node);
@@ -107,7 +107,7 @@
                 self.judge.cut_off(format!("run {number} at n{at}"));
             }
             if self.courses.get(&number).is_some_and(|trying| trying.node != at) {
-                self.reply_later(at, number, Err(Trouble::new(Cause::MateLost, "the far usher was lost")));
+                self.reply_later(at, number, Err(Trouble::new(Cause::MateLost, "the far node was lost")));
             }
         });
     }
--- a/crates/simulator/src/sim/world.rs
+++ b/crates/simulator/src/sim/world.rs
@@ -179,20 +179,6 @@
         [(a, b), (b, a)].into_iter().for_each(|(seat, mate)| self.feed(seat, mencius::Input::Opened(mate)));
     }
 
-    pub fn submit(&mut self, seat: Seat, value: mencius::Value) {
-        if self.nodes[seat as usize].machine.is_some() && !self.nodes[seat as usize].frozen {
-            self.findings.note_submitted(value.clone(), seat, self.now);
-            self.feed(seat, mencius::Input::Submit(value));
-        }
-    }
-
-    pub fn read(&mut self, seat: Seat, token: u64) {
-        if self.nodes[seat as usize].machine.is_some() && !self.nodes[seat as usize].frozen {
-            self.findings.read_asked(token);
-            self.feed(seat, mencius::Input::Read(token));
-        }
-    }
-
     pub(super) fn feed(&mut self, seat: Seat, input: mencius::Input) {
         let now = self.now;
         if let Some(machine) = self.nodes[seat as usize].machine.as_mut() {
--- a/crates/simulator/tests/again.rs
+++ b/crates/simulator/tests/again.rs
@@ -21,7 +21,7 @@
 async fn send(fleet: &simulator::fleet::Fleet, secret: &serde_json::Value, try_id: &str) -> Answer {
     let url = format!("http://{}/call/seat/checkout", fleet.machines[0].local);
     let request = fleet.http.post(url).bearer_auth(secret.as_str().unwrap_or_default()).header("x-gradeford-try", try_id).header("x-gradeford-key", "k");
-    let response = request.send().await.expect("the usher is there");
+    let response = request.send().await.expect("the node is there");
     let verdict = response.headers().get("x-gradeford-verdict").and_then(|value| value.to_str().ok()).map(str::to_string);
     (response.status().as_u16(), verdict, response.json().await.expect("JSON"))
 }
@@ -52,7 +52,7 @@
         assert_eq!((again.0, again.1.as_deref()), (409, Some("may-have-run")));
         // The usher dies and comes back; what it knew of tries is gone with it.
         fleet.machines[0].usher.take().into_iter().for_each(|mut usher| usher.kill());
-        fleet.start_usher(0).expect("an usher");
+        fleet.start_usher(0).expect("a node");
         let second = register(&fleet).await;
         assert_ne!(first["secret"], second["secret"]);
         for secret in [&first["secret"], &second["secret"]] {
--- a/crates/simulator/tests/programs.rs
+++ b/crates/simulator/tests/programs.rs
@@ -136,12 +136,12 @@
 fn a_reload_with_a_faulty_file_keeps_the_old_settings_and_says_why() {
     let folder = std::env::temp_dir().join(format!("gradeford-reload-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
-    let config = folder.join("usher.toml");
+    let config = folder.join("node.toml");
     let fine = "name = \"n\"\nzone = \"z\"\nmates_address = \"127.0.0.1:0\"\nlocal_address = \"127.0.0.1:0\"\nseeds = [\"127.0.0.1:1\"]\n";
     std::fs::write(&config, fine).expect("a file");
     let words = ["--config".to_string(), config.display().to_string()];
-    let mut usher = simulator::process::Process::start(&folder, "gradeford-node", "gradeford-node", &words).expect("an usher");
-    let log = || std::fs::read_to_string(folder.join("usher.log")).unwrap_or_default();
+    let mut usher = simulator::process::Process::start(&folder, "gradeford-node", "gradeford-node", &words).expect("a node");
+    let log = || std::fs::read_to_string(folder.join("gradeford-node.log")).unwrap_or_default();
     let until = |usher: &mut simulator::process::Process, word: &str| {
         while !log().contains(word) {
             assert!(usher.ended().is_none() || log().contains(word), "it ended before it said {word:?}: {}", log());
