--- a/crates/simulator/tests/repairs.rs
+++ b/crates/simulator/tests/repairs.rs
@@ -106,3 +106,70 @@
     });
     assert!(broken, "no seed showed what the snapshot past a change is for");
 }
+
+/// A round of troubles within what may be lost at once, drawn.
+fn drawn_round(world: &mut World, time: u64, losses: u16, (kind, first, length): (u8, u8, u8)) {
+    let seats = world.plan.seats;
+    let back = time + 300_000 + u64::from(length) * 14_000;
+    for more in 0..losses {
+        let seat = (u16::from(first) + more * (1 + u16::from(kind / 16) % 3)) % seats;
+        match kind % 6 {
+            0 | 1 => world.at_fault(time + u64::from(more) * u64::from(length) * 2_000, Fault::Replace(seat)),
+            2 => {
+                world.at_fault(time, Fault::Crash(seat));
+                world.at_fault(back, Fault::Start(seat));
+            }
+            3 => {
+                world.at_fault(time, Fault::Freeze(seat));
+                world.at_fault(back, Fault::Wake(seat));
+            }
+            4 => {
+                for mate in (0..seats).filter(|mate| *mate != seat) {
+                    world.at_fault(time, Fault::Cut(seat, mate));
+                    // One way only for half of them.
+                    if length % 2 == 0 {
+                        world.at_fault(time, Fault::Cut(mate, seat));
+                    }
+                }
+            }
+            _ => {
+                world.at_fault(time, Fault::SlowDisk(seat, 700_000));
+                world.at_fault(back, Fault::SlowDisk(seat, 0));
+            }
+        }
+    }
+    world.at_fault(back, Fault::Mend);
+    // All lose power at once, at some moment of the trouble or soon after it.
+    if kind >= 192 {
+        let moment = time + u64::from(length) * 9_000;
+        for seat in 0..seats {
+            world.at_fault(moment, Fault::Crash(seat));
+            world.at_fault(moment + AWAY, Fault::Start(seat));
+        }
+    }
+}
+
+#[test]
+fn drawn_losses_within_the_budget_lose_nothing_and_never_stop_the_core() {
+    test_support::drawn::<(u8, u64, [(u8, u8, u8); 6])>(120, |(core, seed, rounds)| {
+        let (seats, losses) = CORES[usize::from(*core) % CORES.len()];
+        let plan = Plan { snapshot_every: 10 + (*seed % 60) as usize, caller_patience: 900_000, ..Plan::new(seats, *seed) };
+        let mut world = World::new(plan);
+        let mut time = 2 * SECOND;
+        for round in rounds {
+            drawn_round(&mut world, time, losses, *round);
+            time += 4 * SECOND + CATCH_UP;
+        }
+        orders(&mut world, time);
+        for seat in 0..seats {
+            world.at_fault(time, Fault::Wake(seat));
+            world.at_fault(time, Fault::Start(seat));
+        }
+        (0..seats).for_each(|seat| world.at_fault(time + CATCH_UP, Fault::Submit(seat, format!("last {seat}").into_bytes())));
+        world.run_until(time + CATCH_UP + 2 * SECOND);
+        let nodes = std::mem::take(&mut world.nodes);
+        world.findings.close(&nodes);
+        let broken = &world.findings.broken;
+        assert!(broken.is_empty(), "{seats} seats, {losses} lost at once, seed {seed}, {rounds:?}: {:#?}", broken.iter().take(6).collect::<Vec<_>>());
+    });
+}
