--- a/crates/control/src/founding.rs
+++ b/crates/control/src/founding.rs
@@ -11,6 +11,9 @@
     /// The founder waits for more machines until none has come for so long.
     pub quiet: model::Micros,
     pub least: model::Micros,
+    /// At the first start only the founder is asked for so long; then any machine that has a seat, as the founder may
+    /// be gone for good. Long enough that no seat is taken for vacant whose machine only starts slowly.
+    pub founder_alone: model::Micros,
 }
 
 type Enlisted = std::collections::BTreeMap<String, (u64, transport::Sender)>;
@@ -109,10 +112,14 @@
 async fn enlist(env: &FoundingEnv, shelf: &mut storage::Shelf, logger: &slog::Logger) -> Result<storage::Charter, storage::Trouble> {
     let mut turn = 0;
     let mut known: Vec<String> = Vec::new();
+    let began = model::now();
     loop {
-        // At the first start only the founder may say who begins.
-        let asked: Vec<&String> =
-            if env.first { env.seeds.iter().take(1).collect() } else { env.seeds.iter().chain(&known).filter(|address| **address != env.address).collect() };
+        let founder_alone = env.first && model::now() < began + env.founder_alone;
+        let asked: Vec<&String> = if founder_alone {
+            env.seeds.iter().take(1).collect()
+        } else {
+            env.seeds.iter().chain(&known).filter(|address| **address != env.address).collect()
+        };
         if let Some(address) = asked.get(turn % asked.len().max(1)) {
             let heard = ask(address, greeting(env, shelf.identity)).await;
             if let Some((word, told)) = heard {
@@ -126,7 +133,7 @@
             }
         }
         turn += 1;
-        tokio::time::sleep(std::time::Duration::from_millis(if env.first { 60 } else { 120 })).await;
+        tokio::time::sleep(std::time::Duration::from_millis(if founder_alone { 60 } else { 120 })).await;
     }
 }
 
--- a/crates/control/tests/seats/founding.rs
+++ b/crates/control/tests/seats/founding.rs
@@ -143,3 +143,16 @@
     one_core(&[cores, vec![core]].concat()).await;
     folders.into_iter().chain([folder]).for_each(|folder| drop(std::fs::remove_dir_all(folder)));
 }
+
+#[tokio::test(flavor = "multi_thread")]
+async fn a_machine_that_comes_late_to_the_first_start_asks_others_when_the_founder_is_gone() {
+    let (cores, seeds, (seat, _), folders) = three_of_four("late", 2_000_000).await;
+    until("a vacancy", || cores.iter().all(|core| core.state.load().vacant == [seat])).await;
+    // Nobody listens where the founder was; it is one of those that the late machine was told of.
+    let gone = "127.0.0.1:9".to_string();
+    let spare = Machine::new("late", 4).await;
+    let folder = spare.folder.clone();
+    let (charter, _core) = spare.start(&[vec![gone], seeds[1..3].to_vec()].concat(), true, 2_000_000).await;
+    assert_eq!((charter.seat, charter.seats, charter.founded), (seat, 4, false));
+    folders.into_iter().chain([folder]).for_each(|folder| drop(std::fs::remove_dir_all(folder)));
+}
--- a/crates/control/tests/seats/machines.rs
+++ b/crates/control/tests/seats/machines.rs
@@ -47,7 +47,15 @@
     }
 
     pub fn founding(&self, seeds: &[String], first: bool) -> control::FoundingEnv {
-        control::FoundingEnv { address: self.address.clone(), zone: "z0".into(), seeds: seeds.to_vec(), first, quiet: 1_500_000, least: 0 }
+        control::FoundingEnv {
+            address: self.address.clone(),
+            zone: "z0".into(),
+            seeds: seeds.to_vec(),
+            first,
+            quiet: 1_500_000,
+            least: 0,
+            founder_alone: 3_000_000,
+        }
     }
 
     pub async fn settle(&self, seeds: &[String], first: bool) -> (storage::Charter, storage::Shelf, Vec<mencius::Write>) {
