--- a/crates/control/src/founding.rs
+++ b/crates/control/src/founding.rs
@@ -43,10 +43,11 @@
     if let Some(charter) = shelf.charter {
         return Ok(charter);
     }
-    if env.first && env.seeds.first() == Some(&env.address) {
+    let first = env.first && !shelf.retired;
+    if first && env.seeds.first() == Some(&env.address) {
         return found(env, shelf, listener, logger).await;
     }
-    enlist(env, shelf, logger).await
+    enlist(env, first, shelf, logger).await
 }
 
 async fn found(
@@ -109,12 +110,12 @@
     Ok(charter)
 }
 
-async fn enlist(env: &FoundingEnv, shelf: &mut storage::Shelf, logger: &slog::Logger) -> Result<storage::Charter, storage::Trouble> {
+async fn enlist(env: &FoundingEnv, first: bool, shelf: &mut storage::Shelf, logger: &slog::Logger) -> Result<storage::Charter, storage::Trouble> {
     let mut turn = 0;
     let mut known: Vec<String> = Vec::new();
     let began = model::now();
     loop {
-        let founder_alone = env.first && model::now() < began + env.founder_alone;
+        let founder_alone = first && model::now() < began + env.founder_alone;
         let asked: Vec<&String> = if founder_alone {
             env.seeds.iter().take(1).collect()
         } else {
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -14,6 +14,7 @@
 pub mod promptbook;
 pub mod relay;
 pub mod reporting;
+pub mod retirement;
 pub mod ring;
 pub mod subscription;
 mod tenure;
--- a/crates/control/tests/seats/founding.rs
+++ b/crates/control/tests/seats/founding.rs
@@ -156,3 +156,42 @@
     assert_eq!((charter.seat, charter.seats, charter.founded), (seat, 4, false));
     folders.into_iter().chain([folder]).for_each(|folder| drop(std::fs::remove_dir_all(folder)));
 }
+
+#[tokio::test(flavor = "multi_thread")]
+async fn a_holder_that_returns_after_it_was_replaced_lets_its_disk_go_and_asks_as_an_empty_machine() {
+    let (cores, seeds, (seat, lost), folders) = three_of_four("returns", 2_000_000).await;
+    until("a vacancy", || cores.iter().all(|core| core.state.load().vacant == [seat])).await;
+    let spare = Machine::new("returns", 4).await;
+    let spare_folder = spare.folder.clone();
+    let (_, newcomer) = spare.start(&seeds[..3], false, 2_000_000).await;
+    until("the new holder", || cores.iter().all(|core| core.pins.load().get(&seat).is_some_and(|held| *held != lost))).await;
+    until("a vote of the new holder", || newcomer.state.load().started).await;
+    // The old holder was founded with the core, and wakes with its disk as it left it.
+    let old = Machine { folder: folders[3].clone(), ..Machine::new("returns", 5).await };
+    let pins: Vec<(u16, u64)> = cores[0].pins.load().iter().map(|(seat, held)| (*seat, *held)).chain([cores[0].identity()]).collect();
+    let (mut shelf, _) = old.shelf();
+    let others: Vec<(u16, u64)> = pins.into_iter().filter(|(held, _)| *held != seat).collect();
+    shelf.take_seat(storage::Charter { seat, seats: 4, founded: true }, &others).expect("a charter");
+    drop(shelf);
+    let folder = old.folder.clone();
+    let (charter, core) = old.start(&seeds[..3], false, 2_000_000).await;
+    assert_eq!(charter.seat, seat, "it does not know yet");
+    soon("that it lets its disk go", control::retirement::retired(&core)).await;
+    // No seat is vacant now: it is told none, and votes nowhere.
+    let asked = told(&seeds[0], enlists("127.0.0.1:9", lost)).await;
+    assert_eq!(asked, transport::Frame::NoSeat);
+    let (left, writes) = soon("the disk", reopened(folder)).await;
+    assert!(left.charter.is_none() && left.pins.is_empty() && left.retired && left.identity != lost && writes.is_empty());
+    drop(left);
+    folders.into_iter().chain([spare_folder]).for_each(|folder| drop(std::fs::remove_dir_all(folder)));
+}
+
+/// Once the process that had the disk has let it go.
+async fn reopened(folder: std::path::PathBuf) -> (storage::Shelf, Vec<mencius::Write>) {
+    loop {
+        if let Ok(opened) = storage::Shelf::open(&folder) {
+            return opened;
+        }
+        tokio::task::yield_now().await;
+    }
+}
--- a/crates/storage/src/shelf.rs
+++ b/crates/storage/src/shelf.rs
@@ -4,8 +4,12 @@
 
 const META: redb::TableDefinition<&str, u64> = redb::TableDefinition::new("meta");
 const PINS: redb::TableDefinition<u16, u64> = redb::TableDefinition::new("pins");
+/// The keys in `META` of the seat that this disk was given.
+const CHARTER: [&str; 3] = ["seat", "seats", "founded"];
 /// The key in `META` under which starts are counted.
 const STARTS: &str = "starts";
+/// The key in `META` that is there once this disk gave up a seat.
+const RETIRED: &str = "retired";
 const JOURNAL: redb::TableDefinition<u64, &[u8]> = redb::TableDefinition::new("journal");
 
 /// How the store is opened, and opened again after a failure has spoilt it.
@@ -19,6 +23,8 @@
     pub pins: crate::Pins,
     /// The seat this disk was given, if it was not told by settings.
     pub charter: Option<crate::Charter>,
+    /// Its seat was another disk's and it was let go: this disk never founds a core.
+    pub retired: bool,
     /// How often a process has opened this store, this one included: a later start has the greater number.
     pub starts: u64,
 }
@@ -43,7 +49,7 @@
     fn load(opener: Opener) -> Result<(Shelf, Vec<mencius::Write>), crate::Trouble> {
         let database = opener()?;
         let change = database.begin_write().map_err(store)?;
-        let (identity, charter, starts, pins, raw) = {
+        let (identity, charter, retired, starts, pins, raw) = {
             let mut meta = change.open_table(META).map_err(store)?;
             let found = meta.get("layout").map_err(store)?.map(|held| held.value());
             match found {
@@ -58,8 +64,10 @@
             let starts = meta.get(STARTS).map_err(store)?.map(|held| held.value()).unwrap_or_default() + 1;
             meta.insert(STARTS, starts).map_err(store)?;
             let word = |name: &str| meta.get(name).map(|held| held.map(|held| held.value())).map_err(store);
-            let charter = word("seat")?.zip(word("seats")?).zip(word("founded")?);
+            let [seat, seats, founded] = CHARTER;
+            let charter = word(seat)?.zip(word(seats)?).zip(word(founded)?);
             let charter = charter.map(|((seat, seats), founded)| crate::Charter { seat: seat as u16, seats: seats as u16, founded: founded == 1 });
+            let retired = word(RETIRED)?.is_some();
             let pins = change.open_table(PINS).map_err(store)?;
             let pins = pins
                 .iter()
@@ -72,13 +80,13 @@
                 .map_err(store)?
                 .map(|row| row.map(|(at, bytes)| (at.value(), bytes.value().to_vec())).map_err(store))
                 .collect::<Result<Vec<(u64, Vec<u8>)>, _>>()?;
-            (identity, charter, starts, pins, raw)
+            (identity, charter, retired, starts, pins, raw)
         };
         change.commit().map_err(store)?;
         let next = raw.last().map(|(at, _)| at + 1).unwrap_or(0);
         let writes =
             raw.into_iter().map(|(at, bytes)| decode(&bytes).ok_or(crate::Trouble::Damaged { at })).collect::<Result<Vec<Vec<mencius::Write>>, _>>()?;
-        Ok((Shelf { store: Some(database), opener, next, identity, pins, charter, starts }, writes.into_iter().flatten().collect()))
+        Ok((Shelf { store: Some(database), opener, next, identity, pins, charter, retired, starts }, writes.into_iter().flatten().collect()))
     }
 
     /// One transaction, one sync. `afresh` replaces all that was kept. After a failure it may be called
@@ -134,8 +142,8 @@
     pub fn take_seat(&mut self, charter: crate::Charter, pins: &[(u16, crate::Identity)]) -> Result<(), crate::Trouble> {
         self.change(|change| {
             let mut meta = change.open_table(META).map_err(store)?;
-            let words = [("seat", charter.seat as u64), ("seats", charter.seats as u64), ("founded", charter.founded as u64)];
-            words.iter().try_for_each(|(name, held)| meta.insert(name, held).map(drop).map_err(store))?;
+            let words = CHARTER.into_iter().zip([charter.seat as u64, charter.seats as u64, charter.founded as u64]);
+            words.into_iter().try_for_each(|(name, held)| meta.insert(name, held).map(drop).map_err(store))?;
             let mut table = change.open_table(PINS).map_err(store)?;
             pins.iter().filter(|(seat, _)| *seat != charter.seat).try_for_each(|(seat, identity)| table.insert(seat, identity).map(drop).map_err(store))
         })?;
@@ -144,6 +152,23 @@
         Ok(())
     }
 
+    /// Another disk holds this one's seat for good: all that was kept for the seat goes, and the disk is a new one.
+    pub fn retire(&mut self) -> Result<(), crate::Trouble> {
+        let identity = crate::identity::draw();
+        self.change(|change| {
+            let mut meta = change.open_table(META).map_err(store)?;
+            CHARTER.iter().try_for_each(|name| meta.remove(*name).map(drop).map_err(store))?;
+            meta.insert("identity", identity).map_err(store)?;
+            meta.insert(RETIRED, 1).map_err(store)?;
+            change.open_table(PINS).map_err(store)?.retain(|_, _| false).map_err(store)?;
+            change.open_table(JOURNAL).map_err(store)?.retain(|_, _| false).map_err(store)
+        })?;
+        self.identity = identity;
+        (self.charter, self.retired) = (None, true);
+        self.pins.clear();
+        Ok(())
+    }
+
     /// Binds a seat to the disk first met in it. Answers the identity held afterwards.
     pub fn pin(&mut self, seat: u16, identity: crate::Identity) -> Result<crate::Identity, crate::Trouble> {
         if let Some(held) = self.pins.get(&seat) {
