--- a/crates/control/src/tenure.rs
+++ b/crates/control/src/tenure.rs
@@ -91,6 +91,8 @@
             .collect();
         if !moved.is_empty() {
             moved.iter().for_each(|(seat, _)| {
+                // The new holder has a channel to nobody yet: it is given the time that any holder has before it is replaced.
+                self.away.insert(*seat, now);
                 if self.conns.remove(seat).is_some() {
                     self.step(now, mencius::Input::Closed(*seat));
                 }
--- a/crates/control/tests/seats/founding.rs
+++ b/crates/control/tests/seats/founding.rs
@@ -172,6 +172,7 @@
     let (mut shelf, _) = old.shelf();
     let others: Vec<(u16, u64)> = pins.into_iter().filter(|(held, _)| *held != seat).collect();
     shelf.take_seat(storage::Charter { seat, seats: 4, founded: true }, &others).expect("a charter");
+    shelf.append(&[mencius::Write::Counter(1)], false).expect("it had voted");
     drop(shelf);
     let folder = old.folder.clone();
     let (charter, core) = old.start(&seeds[..3], false, 2_000_000).await;
