--- a/crates/control/src/watching.rs
+++ b/crates/control/src/monitor.rs
@@ -1,28 +1,33 @@
 //! Beats to this node's watchers, and the watch over its wards (design 5.10).
 
-pub struct WatchingEnv {
-    pub name: String,
-    pub beat_every: model::Micros,
-    pub patience: model::Micros,
+pub struct MonitorConfig {
+    pub node: String,
+    pub heartbeat_interval: model::Microseconds,
+    pub failure_timeout: model::Microseconds,
 }
 
-const TELL_AGAIN: std::time::Duration = std::time::Duration::from_millis(300);
+const REPORT_RETRY_INTERVAL: std::time::Duration = std::time::Duration::from_millis(300);
 
 /// Tells the watch that a ward was heard.
-pub type Heard = tokio::sync::mpsc::Sender<(String, model::Incarnation)>;
+pub type HeartbeatSender = tokio::sync::mpsc::Sender<(String, model::Incarnation)>;
 
-pub fn start<G: Fn() -> transport::Greeting + Send + 'static>(env: WatchingEnv, view: crate::view::SharedView, reports: crate::Reports, greeting: G) -> Heard {
+pub fn start<G: Fn() -> transport::Handshake + Send + 'static>(
+    env: MonitorConfig,
+    view: crate::view::SharedView,
+    reports: crate::StatusReporter,
+    greeting: G,
+) -> HeartbeatSender {
     let (heard, mut hears) = tokio::sync::mpsc::channel::<(String, u64)>(1_024);
-    let (name, patience, watched) = (env.name.clone(), env.patience, view.clone());
+    let (name, patience, watched) = (env.node.clone(), env.failure_timeout, view.clone());
     let (outbox, mut outgoing) = tokio::sync::mpsc::unbounded_channel();
     tokio::spawn(async move {
-        let mut watch = crate::ring::Watch::default();
+        let mut watch = crate::ring::FailureDetector::default();
         let mut every = tokio::time::interval(std::time::Duration::from_micros(patience / 10));
         every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 heard = hears.recv() => match heard {
-                    Some((node, life)) => watch.heard(model::now(), &node, life),
+                    Some((node, life)) => watch.heartbeat_received(model::now(), &node, life),
                     None => return,
                 },
                 _ = every.tick() => {
@@ -35,20 +40,20 @@
     tokio::spawn(async move {
         while let Some(report) = outgoing.recv().await {
             // Until this process is registered the log takes no word from it.
-            while let Some(model::Outcome::Superseded { .. }) = reports.tell(report.clone()).await {
-                tokio::time::sleep(TELL_AGAIN).await;
+            while let Some(model::Outcome::Superseded { .. }) = reports.report_endpoint_status(report.clone()).await {
+                tokio::time::sleep(REPORT_RETRY_INTERVAL).await;
             }
         }
     });
-    tokio::spawn(beat(env, view, greeting));
+    tokio::spawn(send_heartbeats(env, view, greeting));
     heard
 }
 
-async fn beat<G: Fn() -> transport::Greeting + Send + 'static>(env: WatchingEnv, view: crate::view::SharedView, greeting: G) {
+async fn send_heartbeats<G: Fn() -> transport::Handshake + Send + 'static>(env: MonitorConfig, view: crate::view::SharedView, greeting: G) {
     let mut lines: std::collections::BTreeMap<String, tokio::task::JoinHandle<()>> = Default::default();
     loop {
         let slice = view.load().slice.clone();
-        let addresses: std::collections::BTreeSet<String> = crate::ring::watchers(&slice.nodes, &env.name)
+        let addresses: std::collections::BTreeSet<String> = crate::ring::monitors_of(&slice.nodes, &env.node)
             .into_iter()
             .filter_map(|watcher| slice.nodes.get(&watcher).map(|node| node.address.clone()))
             .collect();
@@ -61,16 +66,16 @@
         });
         addresses.into_iter().for_each(|address| {
             let own = greeting();
-            let every = std::time::Duration::from_micros(env.beat_every);
-            lines.entry(address.clone()).or_insert_with(|| tokio::spawn(line(address, own, every)));
+            let every = std::time::Duration::from_micros(env.heartbeat_interval);
+            lines.entry(address.clone()).or_insert_with(|| tokio::spawn(heartbeat_connection(address, own, every)));
         });
-        tokio::time::sleep(std::time::Duration::from_micros(env.beat_every)).await;
+        tokio::time::sleep(std::time::Duration::from_micros(env.heartbeat_interval)).await;
     }
 }
 
-async fn line(address: String, own: transport::Greeting, every: std::time::Duration) {
+async fn heartbeat_connection(address: String, own: transport::Handshake, every: std::time::Duration) {
     if let Ok(conn) = transport::dial(&address, own).await {
-        while conn.sender.try_send(transport::Frame::Beat).is_ok() {
+        while conn.sender.try_send(transport::Frame::Heartbeat).is_ok() {
             tokio::time::sleep(every).await;
         }
     }
--- a/crates/control/src/relay.rs
+++ b/crates/control/src/relay.rs
@@ -4,29 +4,29 @@
 pub struct Relay {
     pub view: crate::view::SharedView,
     /// When the latest proof from the core was asked; moves with every proof.
-    pub proved: tokio::sync::watch::Receiver<model::Micros>,
+    pub verified_at: tokio::sync::watch::Receiver<model::Microseconds>,
     /// Asks the core now instead of at the next turn.
-    pub hurry: std::sync::Arc<tokio::sync::Notify>,
+    pub proof_wanted: std::sync::Arc<tokio::sync::Notify>,
     /// Only a node that hears the core itself may be a home: no chains, no rings.
-    pub direct: std::sync::Arc<std::sync::atomic::AtomicBool>,
+    pub follows_core_directly: std::sync::Arc<std::sync::atomic::AtomicBool>,
 }
 
 impl Relay {
     /// Serves one subscriber. Ends the conn when this node cannot be its home; it then asks the core.
-    pub async fn serve(&self, mut conn: transport::Conn, wanted: model::slice::Services, held: model::Position) {
-        let mut proved = self.proved.clone();
-        let mut last: Option<model::Slice> = None;
-        let mut asks: std::collections::VecDeque<(u64, model::Micros)> = Default::default();
+    pub async fn serve(&self, mut conn: transport::Connection, wanted: model::state_slice::ServiceSet, held: model::Position) {
+        let mut proved = self.verified_at.clone();
+        let mut last: Option<model::StateSlice> = None;
+        let mut asks: std::collections::VecDeque<(u64, model::Microseconds)> = Default::default();
         loop {
             // In this order: the view is stored before the proof that speaks of it.
             let asked = *proved.borrow_and_update();
             let view = self.view.load_full();
-            let fit = self.direct.load(std::sync::atomic::Ordering::Relaxed) && wanted.is_subset(&view.slice.services);
+            let fit = self.follows_core_directly.load(std::sync::atomic::Ordering::Relaxed) && wanted.is_subset(&view.slice.services);
             if !fit {
                 return;
             }
             if view.slice.position >= held {
-                if let Some(news) = crate::news::frame(&mut last, view.slice.narrowed(&wanted))
+                if let Some(news) = crate::stream::update_frame(&mut last, view.slice.narrowed_to(&wanted))
                     && conn.sender.send(news).await.is_err()
                 {
                     return;
@@ -42,9 +42,9 @@
             }
             tokio::select! {
                 frame = conn.receiver.recv() => match frame {
-                    Some(transport::Frame::Ask { number }) => {
+                    Some(transport::Frame::RequestProof { number }) => {
                         asks.push_back((number, model::now()));
-                        self.hurry.notify_one();
+                        self.proof_wanted.notify_one();
                     }
                     Some(transport::Frame::Subscribe { .. }) | None => return,
                     Some(_) => {}
--- a/crates/control/tests/seats/machines.rs
+++ b/crates/control/tests/seats/machines.rs
@@ -6,7 +6,7 @@
     pub listener: tokio::net::TcpListener,
 }
 
-pub type Seated = (storage::Charter, control::Core);
+pub type Seated = (storage::MembershipRecord, control::ReplicaHandle);
 
 /// Only a broken run meets it.
 const BOUND: std::time::Duration = std::time::Duration::from_secs(60);
@@ -42,69 +42,79 @@
         machines
     }
 
-    pub fn shelf(&self) -> (storage::Shelf, Vec<mencius::Write>) {
-        storage::Shelf::open(&self.folder).expect("a shelf")
+    pub fn shelf(&self) -> (storage::ReplicaStore, Vec<mencius::Write>) {
+        storage::ReplicaStore::open(&self.folder).expect("a shelf")
     }
 
-    pub fn founding(&self, seeds: &[String], first: bool) -> control::FoundingEnv {
-        control::FoundingEnv {
+    pub fn founding(&self, seeds: &[String], first: bool) -> control::BootstrapConfig {
+        control::BootstrapConfig {
             address: self.address.clone(),
             zone: "z0".into(),
             seeds: seeds.to_vec(),
-            first,
-            quiet: 1_500_000,
-            least: 0,
-            founder_alone: 3_000_000,
+            first_start: first,
+            quiet_period: 1_500_000,
+            minimum_wait: 0,
+            founder_only_period: 3_000_000,
         }
     }
 
-    pub async fn settle(&self, seeds: &[String], first: bool) -> (storage::Charter, storage::Shelf, Vec<mencius::Write>) {
+    pub async fn settle(&self, seeds: &[String], first: bool) -> (storage::MembershipRecord, storage::ReplicaStore, Vec<mencius::Write>) {
         let (mut shelf, writes) = self.shelf();
         let env = self.founding(seeds, first);
-        let logger = model::log::quiet();
-        let settled = control::founding::settle(&env, &mut shelf, &self.listener, &logger);
+        let logger = model::logging::discard_logger();
+        let settled = control::bootstrap::obtain_membership(&env, &mut shelf, &self.listener, &logger);
         let charter = soon("a seat", settled).await.expect("the disk keeps it");
         (charter, shelf, writes)
     }
 
     /// As a core machine's process does it: to its seat, and on as that seat.
-    pub async fn start(self, seeds: &[String], first: bool, replace_after: model::Micros) -> Seated {
+    pub async fn start(self, seeds: &[String], first: bool, replace_after: model::Microseconds) -> Seated {
         let (charter, shelf, writes) = self.settle(seeds, first).await;
         let env = self.core(seeds, Some(charter), replace_after);
-        let core = control::Core::start_on(env, shelf, writes, model::log::quiet()).expect("a core seat");
-        tokio::spawn(control::news::listen(core.clone(), self.listener));
+        let core = control::ReplicaHandle::start_on(env, shelf, writes, model::logging::discard_logger()).expect("a core seat");
+        tokio::spawn(control::stream::listen(core.clone(), self.listener));
         (charter, core)
     }
 
-    pub fn core(&self, seeds: &[String], charter: Option<storage::Charter>, replace_after: model::Micros) -> control::CoreEnv {
-        control::CoreEnv {
+    pub fn core(&self, seeds: &[String], charter: Option<storage::MembershipRecord>, replace_after: model::Microseconds) -> control::ReplicaConfig {
+        control::ReplicaConfig {
             name: self.address.clone(),
             zone: "z0".into(),
-            seat: charter.map(|charter| charter.seat).unwrap_or(0),
-            seats: charter.map(|charter| charter.seats).unwrap_or(2),
+            replica_id: charter.map(|charter| charter.replica_id).unwrap_or(0),
+            replica_count: charter.map(|charter| charter.replica_count).unwrap_or(2),
             address: self.address.clone(),
             seeds: seeds.to_vec(),
             folder: self.folder.clone(),
-            tuning: Default::default(),
-            snapshot_every: 100_000,
+            timing: Default::default(),
+            snapshot_every_entries: 100_000,
             replace_after,
-            charter,
+            membership: charter,
         }
     }
 }
 
 /// A machine without a seat that asks for one.
-pub fn enlists(address: &str, identity: u64) -> transport::Greeting {
-    greets(transport::Purpose::Enlist, address, Some((u16::MAX, 0, identity)), Vec::new())
+pub fn enlists(address: &str, identity: u64) -> transport::Handshake {
+    greets(transport::Purpose::RequestAssignment, address, Some((u16::MAX, 0, identity)), Vec::new())
 }
 
-pub fn greets(purpose: transport::Purpose, address: &str, core: Option<(u16, u16, u64)>, known: Vec<transport::CoreSeat>) -> transport::Greeting {
-    let blank = purpose == transport::Purpose::Enlist;
-    transport::Greeting { purpose, name: address.into(), zone: "z0".into(), address: address.into(), incarnation: 1, core, blank, expects: None, known }
+pub fn greets(purpose: transport::Purpose, address: &str, core: Option<(u16, u16, u64)>, known: Vec<transport::KnownReplica>) -> transport::Handshake {
+    let blank = purpose == transport::Purpose::RequestAssignment;
+    transport::Handshake {
+        purpose,
+        node_name: address.into(),
+        zone: "z0".into(),
+        address: address.into(),
+        incarnation: 1,
+        replica: core,
+        has_empty_disk: blank,
+        expected_disk: None,
+        known_replicas: known,
+    }
 }
 
 /// One asking, and what the seated machine answered.
-pub async fn told(machine: &str, own: transport::Greeting) -> transport::Frame {
+pub async fn told(machine: &str, own: transport::Handshake) -> transport::Frame {
     let mut conn = soon("a conn", transport::dial(machine, own)).await.expect("the machine is there");
     soon("a word", conn.receiver.recv()).await.expect("a word")
 }
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -1,18 +1,18 @@
 //! The back ends beside a node: beats and ends, keys granted and let go, and who is to hold which (design 11).
 
-mod beats;
-mod casting;
-mod desk;
-mod duty;
-mod facts;
-mod keys;
+mod algorithm;
+mod heartbeat;
+mod lease_table;
+mod leases;
+mod monitor;
 mod node;
-mod recalled;
+mod placement;
 mod registration;
-mod watch;
+mod reports;
+mod restored_backend;
 
-pub use casting::{Ask, Cast, Part, cast, excess, stripes};
-pub use desk::{Beat, BeatAnswer, Troupe, TroupeEnv};
-pub use keys::{Grant, Keys, KeysEnv};
-pub use node::{Node, NodeEnv};
-pub use registration::{Registration, Standing};
+pub use algorithm::{BackendCapacity, RangeDemand, ShardPlacement, imbalance, initial_placement, rebalance};
+pub use lease_table::{Heartbeat, HeartbeatAnswer, LeaseTableConfig, LeaseTableHandle};
+pub use leases::{LeaseConfig, LeaseGrant, LeaseGranter};
+pub use node::{Node, NodeConfig};
+pub use registration::{Registration, RegistrationStatus};
--- a/crates/endpoints/src/node.rs
+++ b/crates/endpoints/src/node.rs
@@ -1,103 +1,119 @@
 //! Puts the parts of a node together, and takes them down in order (design 13.7).
 
 #[derive(Clone)]
-pub struct NodeEnv {
-    pub troupe: crate::TroupeEnv,
+pub struct NodeConfig {
+    pub lease_table: crate::LeaseTableConfig,
     /// The service of this machine.
     pub service: String,
     pub seeds: Vec<String>,
-    pub words: http_util::words::Words,
-    pub pick: outbound::PickEnv,
-    pub ahead: u32,
-    pub ask_every: model::Micros,
-    pub watch_every: model::Micros,
-    pub watch_patience: model::Micros,
+    pub header_names: http_util::headers::HeaderNames,
+    pub selection: outbound::SelectorConfig,
+    pub queued_ahead: u32,
+    pub proof_interval: model::Microseconds,
+    pub monitor_interval: model::Microseconds,
+    pub monitor_timeout: model::Microseconds,
 }
 
 pub struct Node {
-    pub troupe: crate::Troupe,
-    pub front: outbound::Front,
-    pub following: control::Following,
-    pub known: control::Known,
-    pit: inbound::Pit,
-    calls: outbound::Calls,
+    pub lease_table: crate::LeaseTableHandle,
+    pub listener: outbound::Listener,
+    pub follower: control::FollowerHandle,
+    pub known_replicas: control::KnownReplicas,
+    limiter: inbound::ConcurrencyLimiter,
+    in_flight: outbound::InFlightRequests,
     /// Told from outside that it is to go: no longer ready, though it serves on for a while.
-    told_off: std::sync::atomic::AtomicBool,
-    leaving: tokio::sync::watch::Sender<bool>,
+    draining: std::sync::atomic::AtomicBool,
+    shutdown: tokio::sync::watch::Sender<bool>,
 }
 
 impl Node {
     /// `mates` is bound already; its address stands in the settings.
-    pub fn start(env: NodeEnv, mates: tokio::net::TcpListener, logger: slog::Logger) -> Node {
-        let own = &env.troupe;
-        let known = control::acquaint::nobody();
-        let greet = greeter(&env, known.clone());
+    pub fn start(env: NodeConfig, mates: tokio::net::TcpListener, logger: slog::Logger) -> Node {
+        let own = &env.lease_table;
+        let known = control::discovery::empty();
+        let greet = handshake_factory(&env, known.clone());
         let greeting = |purpose| {
             let greet = greet.clone();
             move || (greet)(purpose)
         };
-        let line = control::FollowingEnv { name: own.node.clone(), zone: own.zone.clone(), ask_every: env.ask_every, patience: env.ask_every };
-        let following = control::following::start(line, known.clone(), greeting(transport::Purpose::Subscribe), logger.clone());
-        let reporting = control::ReportingEnv { name: own.node.clone(), life: own.life, logger: logger.clone() };
-        let reports = control::Reports::start(reporting, known.clone(), greeting(transport::Purpose::Subscribe));
-        let pit = inbound::Pit::start(inbound::PitEnv { words: env.words.clone(), ahead: env.ahead });
-        let troupe = crate::Troupe::start(own.clone(), following.clone(), pit.clone(), reports.clone(), logger.clone());
-        let watching = crate::watch::WatchEnv { node: own.node.clone(), life: own.life, beat_every: env.watch_every, patience: env.watch_patience };
-        let heard = crate::watch::start(watching, following.outlook.clone(), reports.clone(), greet.clone());
+        let line =
+            control::FollowerConfig { node: own.node.clone(), zone: own.zone.clone(), proof_interval: env.proof_interval, proof_timeout: env.proof_interval };
+        let following = control::follower::start(line, known.clone(), greeting(transport::Purpose::Subscribe), logger.clone());
+        let reporting = control::StatusReporterConfig { node: own.node.clone(), incarnation: own.incarnation, logger: logger.clone() };
+        let reports = control::StatusReporter::start(reporting, known.clone(), greeting(transport::Purpose::Subscribe));
+        let pit =
+            inbound::ConcurrencyLimiter::start(inbound::ConcurrencyLimiterConfig { header_names: env.header_names.clone(), extra_runs: env.queued_ahead });
+        let troupe = crate::LeaseTableHandle::start(own.clone(), following.clone(), pit.clone(), reports.clone(), logger.clone());
+        let watching = crate::monitor::MonitorConfig {
+            node: own.node.clone(),
+            incarnation: own.incarnation,
+            heartbeat_interval: env.monitor_interval,
+            detection_timeout: env.monitor_timeout,
+        };
+        let heard = crate::monitor::start(watching, following.verified_state.clone(), reports.clone(), greet.clone());
         let (tell_loads, loads) = tokio::sync::mpsc::channel(1_024);
-        tokio::spawn(outbound::listen(mates, greet.clone(), known.clone(), pit.clone(), (heard, tell_loads)));
-        tokio::spawn(control::acquaint::run(known.clone(), env.seeds.clone(), greeting(transport::Purpose::Acquaint), || 3));
+        tokio::spawn(outbound::serve_peers(mates, greet.clone(), known.clone(), pit.clone(), (heard, tell_loads)));
+        tokio::spawn(control::discovery::run(known.clone(), env.seeds.clone(), greeting(transport::Purpose::Discover), || 3));
         // The duty of placing keys goes with the back end beside this node.
-        let mates = outbound::Mates::start(greet);
-        let duty = crate::duty::Duty {
+        let mates = outbound::PeerConnections::start(greet);
+        let duty = crate::placement::PlacementCoordinator {
             node: own.node.clone(),
             service: env.service.clone(),
-            following: following.clone(),
+            follower: following.clone(),
             reports,
-            pit: pit.clone(),
-            mates: mates.clone(),
-            loads,
+            limiter: pit.clone(),
+            peers: mates.clone(),
+            load_receiver: loads,
             logger: logger.clone(),
         };
         tokio::spawn(duty.run());
-        let calls = outbound::Calls::default();
-        let apron = outbound::Apron {
+        let calls = outbound::InFlightRequests::default();
+        let apron = outbound::OutboundProxy {
             node: own.node.clone(),
             zone: own.zone.clone(),
             service: env.service.clone(),
-            outlook: following.outlook.clone(),
-            pit: pit.clone(),
-            mates,
-            picks: outbound::Picks::start(env.pick, following.outlook.clone()),
-            calls: calls.clone(),
+            verified_state: following.verified_state.clone(),
+            limiter: pit.clone(),
+            peers: mates,
+            selector: outbound::SelectorHandle::start(env.selection, following.verified_state.clone()),
+            in_flight: calls.clone(),
             logger,
         };
-        let front = outbound::Front { env: outbound::FrontEnv { words: env.words }, apron };
-        Node { troupe, front, following, known, pit, calls, told_off: Default::default(), leaving: tokio::sync::watch::Sender::new(false) }
+        let front = outbound::Listener { config: outbound::ListenerConfig { header_names: env.header_names }, proxy: apron };
+        Node {
+            lease_table: troupe,
+            listener: front,
+            follower: following,
+            known_replicas: known,
+            limiter: pit,
+            in_flight: calls,
+            draining: Default::default(),
+            shutdown: tokio::sync::watch::Sender::new(false),
+        }
     }
 
     pub fn serve(&self, listener: tokio::net::TcpListener) {
-        tokio::spawn(self.front.clone().serve(listener, self.leaving.subscribe()));
+        tokio::spawn(self.listener.clone().serve(listener, self.shutdown.subscribe()));
     }
 
     /// Knows what is to be served, and is not on its way out.
-    pub fn ready(&self) -> bool {
-        let outlook = self.following.outlook.load();
-        let serves = outlook.proved > 0 && outlook.programme.has_lanes();
-        serves && !self.troupe.is_superseded() && !self.told_off.load(std::sync::atomic::Ordering::Relaxed)
+    pub fn is_ready(&self) -> bool {
+        let outlook = self.follower.verified_state.load();
+        let serves = outlook.verified_at > 0 && outlook.snapshot.has_routes();
+        serves && !self.lease_table.is_superseded() && !self.draining.load(std::sync::atomic::Ordering::Relaxed)
     }
 
     /// Not ready from now on, but serves as before for the notice: until whoever sends requests here has asked and heard it.
     /// Then takes nothing new, and returns once all that was taken has its answer, or patience is over (design 13.7).
-    pub async fn stop(&self, notice: std::time::Duration, patience: std::time::Duration) {
-        self.told_off.store(true, std::sync::atomic::Ordering::Relaxed);
+    pub async fn shut_down(&self, notice: std::time::Duration, patience: std::time::Duration) {
+        self.draining.store(true, std::sync::atomic::Ordering::Relaxed);
         tokio::time::sleep(notice).await;
-        self.leaving.send_replace(true);
-        self.calls.leave();
-        self.pit.leave().await;
+        self.shutdown.send_replace(true);
+        self.in_flight.drain();
+        self.limiter.drain().await;
         let ended = async {
-            self.calls.ended().await;
-            while self.pit.load().await.0 > 0 {
+            self.in_flight.drained().await;
+            while self.limiter.load().await.0 > 0 {
                 tokio::time::sleep(std::time::Duration::from_millis(10)).await;
             }
             // Answers that were given are still on their way out of this process.
@@ -107,18 +123,22 @@
     }
 }
 
-fn greeter(env: &NodeEnv, known: control::Known) -> std::sync::Arc<dyn Fn(transport::Purpose) -> transport::Greeting + Send + Sync> {
-    let own = env.troupe.clone();
-    std::sync::Arc::new(move |purpose| transport::Greeting {
+fn handshake_factory(env: &NodeConfig, known: control::KnownReplicas) -> std::sync::Arc<dyn Fn(transport::Purpose) -> transport::Handshake + Send + Sync> {
+    let own = env.lease_table.clone();
+    std::sync::Arc::new(move |purpose| transport::Handshake {
         purpose,
-        name: own.node.clone(),
+        node_name: own.node.clone(),
         zone: own.zone.clone(),
         address: own.address.clone(),
-        incarnation: own.life,
-        core: None,
-        blank: false,
-        expects: None,
+        incarnation: own.incarnation,
+        replica: None,
+        has_empty_disk: false,
+        expected_disk: None,
         // Who only asks for a run, or beats, tells nothing of the core.
-        known: if matches!(purpose, transport::Purpose::Call | transport::Purpose::Watch) { Vec::new() } else { control::acquaint::list(&known) },
+        known_replicas: if matches!(purpose, transport::Purpose::Forward | transport::Purpose::Monitor) {
+            Vec::new()
+        } else {
+            control::discovery::list(&known)
+        },
     })
 }
--- a/crates/endpoints/src/registration.rs
+++ b/crates/endpoints/src/registration.rs
@@ -1,10 +1,10 @@
 //! Whether this process is the one that the log has under its node's name (design 11.2).
 
 use model::Incarnation;
-use model::bill::Place;
+use model::cluster_state::NodeRecord;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum RegistrationStatus {
     /// To be said, on top of the incarnation that the log has; 0 if it has none.
     Unregistered {
         replaces: Incarnation,
@@ -17,22 +17,22 @@
 pub struct Registration {
     incarnation: Incarnation,
     /// The log had this process once.
-    stood: bool,
+    was_registered: bool,
 }
 
 impl Registration {
     pub fn new(incarnation: Incarnation) -> Registration {
-        Registration { incarnation, stood: false }
+        Registration { incarnation, was_registered: false }
     }
 
     /// What the log has under the node's name, as of what is known here: that only moves forward, so another
     /// incarnation after the own one came after it.
-    pub fn look(&mut self, held: Option<&Place>) -> Standing {
-        let Some(held) = held else { return Standing::Unregistered { replaces: 0 } };
-        if held.life == self.incarnation {
-            self.stood = true;
-            return Standing::Registered;
+    pub fn observe(&mut self, registered: Option<&NodeRecord>) -> RegistrationStatus {
+        let Some(held) = registered else { return RegistrationStatus::Unregistered { replaces: 0 } };
+        if held.incarnation == self.incarnation {
+            self.was_registered = true;
+            return RegistrationStatus::Registered;
         }
-        if self.stood { Standing::Superseded } else { Standing::Unregistered { replaces: held.life } }
+        if self.was_registered { RegistrationStatus::Superseded } else { RegistrationStatus::Unregistered { replaces: held.incarnation } }
     }
 }
--- a/crates/endpoints/tests/desk.rs
+++ b/crates/endpoints/tests/desk.rs
@@ -2,22 +2,22 @@
 
 mod scene;
 
-use model::bill::Report;
+use model::cluster_state::ClusterReport;
 use scene::{BEAT, BOUND, MOST, all, joined, scene, scene_with};
 
-fn ends(report: &Report, who: &str) -> bool {
-    matches!(report, Report::Ended { name, .. } if name == who)
+fn ends(report: &ClusterReport, who: &str) -> bool {
+    matches!(report, ClusterReport::BackendEnded { name, .. } if name == who)
 }
 
-fn silent(report: &Report, who: &str, wanted: bool) -> bool {
-    matches!(report, Report::Silent { name, silent } if name == who && *silent == wanted)
+fn silent(report: &ClusterReport, who: &str, wanted: bool) -> bool {
+    matches!(report, ClusterReport::BackendSilent { name, silent } if name == who && *silent == wanted)
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn one_that_is_not_heard_though_its_process_lives_comes_back_under_its_name() {
     let mut scene = scene(false, Vec::new()).await;
     scene.beat("a", 1, Vec::new()).await;
-    scene.hears("it is there", |report| matches!(report, Report::Joined { .. })).await;
+    scene.hears("it is there", |report| matches!(report, ClusterReport::BackendJoined { .. })).await;
     let (_, first) = scene.hears("it is silent, or gone", |report| silent(report, "a", true) || ends(report, "a")).await;
     assert!(silent(&first, "a", true), "nobody knows that its process is gone: {first:?}");
     scene.beat("a", 2, Vec::new()).await;
@@ -32,7 +32,7 @@
     let mut scene = scene(true, before).await;
     scene.beat("a", 9, vec![(0, u16::MAX, 4)]).await;
     let heard = model::now();
-    let over = |report: &Report| ends(report, "a") || matches!(report, Report::Released { name, .. } if name == "a");
+    let over = |report: &ClusterReport| ends(report, "a") || matches!(report, ClusterReport::ShardsReleased { name, .. } if name == "a");
     let (told, report) = scene.hears("it holds nothing", over).await;
     assert!(told >= heard + MOST - BEAT, "{report:?} after {}", told - heard);
     assert!(!ends(&report, "a"), "it may be heard again: {report:?}");
@@ -46,8 +46,8 @@
     assert_eq!(scene.count(|report| ends(report, "old")), 0);
     scene.beat("new", 1, Vec::new()).await;
     let (_, ended) = scene.hears("it has ended", |report| ends(report, "old")).await;
-    assert_eq!(ended, Report::Ended { name: "old".into(), surely: true }, "there is one back end to a machine");
-    scene.hears("the new one is there", |report| matches!(report, Report::Joined { name, .. } if name == "new")).await;
+    assert_eq!(ended, ClusterReport::BackendEnded { name: "old".into(), process_gone: true }, "there is one back end to a machine");
+    scene.hears("the new one is there", |report| matches!(report, ClusterReport::BackendJoined { name, .. } if name == "new")).await;
     assert_eq!(scene.count(|report| ends(report, "other")), 0);
 }
 
@@ -55,8 +55,8 @@
 async fn an_end_is_told_once() {
     let mut scene = scene(false, Vec::new()).await;
     scene.beat("a", 1, Vec::new()).await;
-    scene.hears("it is there", |report| matches!(report, Report::Joined { .. })).await;
-    scene.troupe.sign_off("a".into()).await.expect("the owner is there");
+    scene.hears("it is there", |report| matches!(report, ClusterReport::BackendJoined { .. })).await;
+    scene.troupe.deregister("a".into()).await.expect("the owner is there");
     scene.hears("it has ended", |report| ends(report, "a")).await;
     // The owner sees to its reports at each word it gets; what it is to tell again it has told by then.
     for sequence in 2..400 {
@@ -67,13 +67,13 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn whose_end_the_log_has_is_not_told_to_it_for_ever() {
-    let mut scene = scene(false, vec![Report::Ended { name: "gone".into(), surely: true }]).await;
+    let mut scene = scene(false, vec![ClusterReport::BackendEnded { name: "gone".into(), process_gone: true }]).await;
     scene.beat("gone", 1, Vec::new()).await;
-    scene.hears("it is there", |report| matches!(report, Report::Joined { .. })).await;
+    scene.hears("it is there", |report| matches!(report, ClusterReport::BackendJoined { .. })).await;
     for sequence in 2..400 {
         scene.beat("gone", sequence, Vec::new()).await;
     }
-    let joined = scene.count(|report| matches!(report, Report::Joined { .. }));
+    let joined = scene.count(|report| matches!(report, ClusterReport::BackendJoined { .. }));
     assert!(joined <= 2, "once beside the node, and once alone, which changes nothing: {joined}");
 }
 
@@ -83,11 +83,11 @@
     // This process has just begun; what the earlier life had sent is read after the new one's first, while the log
     // has not answered yet.
     scene.answers.send_replace(false);
-    scene.hears("the node is there", |report| matches!(report, Report::Node { .. })).await;
+    scene.hears("the node is there", |report| matches!(report, ClusterReport::NodeRegistered { .. })).await;
     scene.beat("b", 1, Vec::new()).await;
     scene.beat("a", 7, Vec::new()).await;
     scene.answers.send_replace(true);
-    scene.hears("the new one is there", |report| matches!(report, Report::Joined { name, .. } if name == "b")).await;
+    scene.hears("the new one is there", |report| matches!(report, ClusterReport::BackendJoined { name, .. } if name == "b")).await;
     scene.hears("the earlier one has ended", |report| ends(report, "a")).await;
     scene.beat("a", 8, Vec::new()).await;
     scene.hears("the new one is silent", |report| silent(report, "b", true)).await;
@@ -122,19 +122,19 @@
 async fn a_node_that_starts_again_gives_work_to_the_back_end_that_the_log_has_before_it_beats() {
     // Nothing beats here at all.
     let scene = scene_with(600_000_000, true, vec![joined("a", "n0"), joined("other", "n1"), all(0, "a")]).await;
-    let cue = transport::Cue {
-        back_end: "a".into(),
+    let cue = transport::ForwardedRequest {
+        backend: "a".into(),
         caller: "seat".into(),
         method: "GET".into(),
         target: "/".into(),
         headers: Vec::new(),
         body: Vec::new(),
-        key: Some(7),
-        left: 60_000_000,
-        aim: 60_000_000,
-        rank: 0,
-        repeatable: true,
-        anyway: false,
+        shard_key: Some(7),
+        time_left: 60_000_000,
+        latency_target: 60_000_000,
+        priority: 0,
+        idempotent: true,
+        force: false,
     };
     let given = async {
         loop {
--- a/crates/endpoints/tests/unproved.rs
+++ b/crates/endpoints/tests/unproved.rs
@@ -2,42 +2,62 @@
 //! (design 11.6).
 
 use model::Cause;
-use model::bill::{Act, Body, Call, Lane, Limits, Service};
+use model::cluster_state::{ClusterOperation, ItemBody, ItemCall, Limits, Route, Service};
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 
 const BOUND: std::time::Duration = std::time::Duration::from_secs(60);
 
-fn greets(purpose: transport::Purpose) -> transport::Greeting {
+fn greets(purpose: transport::Purpose) -> transport::Handshake {
     let (name, zone, address) = ("core-0".to_string(), "z0".to_string(), String::new());
-    transport::Greeting { purpose, name, zone, address, incarnation: 1, core: None, blank: false, expects: None, known: Vec::new() }
+    transport::Handshake {
+        purpose,
+        node_name: name,
+        zone,
+        address,
+        incarnation: 1,
+        replica: None,
+        has_empty_disk: false,
+        expected_disk: None,
+        known_replicas: Vec::new(),
+    }
 }
 
-fn env(address: &str) -> endpoints::NodeEnv {
-    let keys = endpoints::KeysEnv { bound: 9_000_000, guard: 200_000, most: 10_000_000 };
+fn env(address: &str) -> endpoints::NodeConfig {
+    let keys = endpoints::LeaseConfig { proof_validity: 9_000_000, clock_guard: 200_000, max_duration: 10_000_000 };
     let (node, zone) = ("n0".to_string(), "z0".to_string());
-    endpoints::NodeEnv {
-        troupe: endpoints::TroupeEnv { node, zone, address: address.into(), life: 1, keys, beat_every: 1_500_000, drain: 2_000_000, back_end: None },
+    endpoints::NodeConfig {
+        lease_table: endpoints::LeaseTableConfig {
+            node,
+            zone,
+            address: address.into(),
+            incarnation: 1,
+            leases: keys,
+            heartbeat_interval: 1_500_000,
+            drain_timeout: 2_000_000,
+            backend_address: None,
+        },
         service: "seat".into(),
         seeds: Vec::new(),
-        words: http_util::words::OWN,
-        pick: outbound::PickEnv { crossing: 0, earned_of_100: 8 },
-        ahead: 1,
-        ask_every: 50_000,
-        watch_every: 1_000_000,
-        watch_patience: 3_500_000,
+        header_names: http_util::headers::DEFAULT_HEADER_NAMES,
+        selection: outbound::SelectorConfig { zone_crossing_cost: 0, retry_deposit: 8 },
+        queued_ahead: 1,
+        proof_interval: 50_000,
+        monitor_interval: 1_000_000,
+        monitor_timeout: 3_500_000,
     }
 }
 
 /// A lane, a service divided by key, and limits that take hardly any body.
-fn desk() -> control::bulletin::Desk {
-    let put = |name: &str, body| model::bill::items::Put { name: name.into(), version: 1, body, text: String::new() };
+fn desk() -> control::publisher::UpdatePublisher {
+    let put = |name: &str, body| model::cluster_state::items::ItemPut { name: name.into(), version: 1, body, text: String::new() };
     let (host, prefix) = ("a.example".to_string(), "/x/".to_string());
-    let lane = Lane { host, prefix, repeatable: false, wait_us: 2_000_000, aim_us: 400_000, rank: 0, dispatches: 1, shares: vec![("seat".into(), 1)] };
+    let lane =
+        Route { host, prefix, idempotent: false, wait_us: 2_000_000, latency_target_us: 400_000, rank: 0, dispatches: 1, shares: vec![("seat".into(), 1)] };
     let limits = Limits { header_bytes: 16_384, body_bytes: 1_024, header_wait_us: 3_000_000, idle_us: 15_000_000 };
-    let service = Service { health_path: String::new(), conns: 0, keyed: true, warm_us: 0 };
-    let puts = vec![put("seat", Body::Service(service)), put("x", Body::Lane(lane)), put("", Body::Limits(limits))];
-    let mut desk = control::bulletin::Desk::default();
-    let (outcome, _) = desk.bill.apply("operator", 1, 1, Act::Items(Call { puts, drops: Vec::new() }));
+    let service = Service { health_path: String::new(), max_connections: 0, keyed: true, slow_start_us: 0 };
+    let puts = vec![put("seat", ItemBody::Service(service)), put("x", ItemBody::Route(lane)), put("", ItemBody::Limits(limits))];
+    let mut desk = control::publisher::UpdatePublisher::default();
+    let (outcome, _) = desk.cluster_state.apply("operator", 1, 1, ClusterOperation::Items(ItemCall { puts, drops: Vec::new() }));
     assert!(matches!(outcome, model::Outcome::Accepted { .. }), "{outcome:?}");
     desk
 }
@@ -51,14 +71,14 @@
             let mut desk = desk();
             while let Some(frame) = conn.receiver.recv().await {
                 match frame {
-                    transport::Frame::Follow { held: told } => {
+                    transport::Frame::FollowClusterState { held: told } => {
                         held.send_modify(|held| *held = told.max(*held));
-                        desk.follow(told, conn.sender.clone());
+                        desk.add_follower(told, conn.sender.clone());
                     }
-                    transport::Frame::Ask { number } if *proves.borrow() => {
-                        desk.asked(number, conn.sender.clone());
-                        desk.round(number * 1_000_000, number);
-                        desk.proved(number);
+                    transport::Frame::RequestProof { number } if *proves.borrow() => {
+                        desk.request_proof(number, conn.sender.clone());
+                        desk.begin_proof_round(number * 1_000_000, number);
+                        desk.send_proofs(number);
                     }
                     _ => {}
                 }
@@ -96,9 +116,12 @@
     let ((core, core_address), (mates, address), (outbound, front)) = (bind().await, bind().await, bind().await);
     let ((tell_held, held), (proves, may_prove)) = (tokio::sync::watch::channel(0), tokio::sync::watch::channel(false));
     tokio::spawn(seat(core, tell_held, may_prove));
-    let node = endpoints::Node::start(env(&address), mates, model::log::quiet());
+    let node = endpoints::Node::start(env(&address), mates, model::logging::discard_logger());
     node.serve(outbound);
-    control::acquaint::merge(&node.known, vec![transport::CoreSeat { seat: 0, identity: 1, address: core_address, zone: "z0".into(), starts: 1 }]);
+    control::discovery::merge(
+        &node.known_replicas,
+        vec![transport::KnownReplica { replica_id: 0, disk_id: 1, address: core_address, zone: "z0".into(), start_count: 1 }],
+    );
     Scene { node, front, held, proves }
 }
 
@@ -112,11 +135,11 @@
         assert!(heard.starts_with("http/1.1 503"), "neither 404 nor 413: {heard}");
         assert!(heard.contains("retry-after: 0.3") && heard.contains("x-gradeford-try: t-1"), "{heard}");
     }
-    assert!(!scene.node.ready());
-    assert_eq!(scene.node.following.outlook.load().programme.position, 0, "nobody in this process sees what is not proved");
+    assert!(!scene.node.is_ready());
+    assert_eq!(scene.node.follower.verified_state.load().snapshot.position, 0, "nobody in this process sees what is not proved");
     scene.proves.send_replace(true);
-    let mut moved = scene.node.following.moved.clone();
-    while !scene.node.ready() {
+    let mut moved = scene.node.follower.changes.clone();
+    while !scene.node.is_ready() {
         drop(soon("a proof", moved.changed()).await);
     }
     assert!(soon("an answer", says(&scene.front, "/nowhere/", 2)).await.starts_with("http/1.1 404"));
@@ -131,31 +154,31 @@
     // It was granted all keys before the node began anew; who holds them now nobody here can say.
     let holds = vec![(0, u16::MAX, 1)];
     let (name, service, zone) = ("a".to_string(), "seat".to_string(), "z0".to_string());
-    let beat = endpoints::Beat { name, service, address, zone, slots: 4, draining: false, sequence: 1, holds, freed: Vec::new() };
-    assert_eq!(soon("an answer", scene.node.troupe.beat(beat)).await, Some(None), "nothing can be granted");
-    let cue = transport::Cue {
-        back_end: "a".into(),
+    let beat = endpoints::Heartbeat { name, service, address, zone, slots: 4, draining: false, sequence: 1, held_ranges: holds, released_ranges: Vec::new() };
+    assert_eq!(soon("an answer", scene.node.lease_table.heartbeat(beat)).await, Some(None), "nothing can be granted");
+    let cue = transport::ForwardedRequest {
+        backend: "a".into(),
         caller: "seat".into(),
         method: "POST".into(),
         target: "/x/1".into(),
         headers: Vec::new(),
         body: Vec::new(),
-        key: Some(7),
-        left: 1_000_000,
-        aim: 400_000,
-        rank: 0,
-        repeatable: false,
-        anyway: false,
+        shard_key: Some(7),
+        time_left: 1_000_000,
+        latency_target: 400_000,
+        priority: 0,
+        idempotent: false,
+        force: false,
     };
     // Until the owner of the slots has heard of the back end it knows nobody of that name.
     let cause = async {
         loop {
-            let trouble = scene.node.front.apron.pit.perform(Box::new(cue.clone())).await.0.expect_err("nobody answers there");
-            if trouble.cause != Cause::WrongIncarnation {
-                return trouble.cause;
+            let trouble = scene.node.listener.proxy.limiter.perform(Box::new(cue.clone())).await.0.expect_err("nobody answers there");
+            if trouble.kind != Cause::WrongIncarnation {
+                return trouble.kind;
             }
             tokio::task::yield_now().await;
         }
     };
-    assert_eq!(soon("a refusal", cause).await, Cause::KeyUnheld);
+    assert_eq!(soon("a refusal", cause).await, Cause::KeyWithoutHolder);
 }
--- a/crates/gradeford-core/src/main.rs
+++ b/crates/gradeford-core/src/main.rs
@@ -1,6 +1,6 @@
 //! A core seat: orders the log, keeps it on disk, brings versions to the nodes (docs/operators/running.md).
 
-mod env;
+mod settings;
 
 const HELP: &str = "\
 gradeford-core: a core seat of gradeford
@@ -19,7 +19,7 @@
 ";
 
 fn main() {
-    let Some((flags, env)) = model::env::begin::<env::Env>("gradeford-core", HELP, env::NAMES) else { return };
+    let Some((flags, env)) = model::env::start_up::<settings::Settings>("gradeford-core", HELP, settings::SETTING_NAMES) else { return };
     let runtime = tokio::runtime::Runtime::new();
     let ended = runtime.map_err(|error| error.to_string()).and_then(|runtime| runtime.block_on(run(flags, env)));
     if let Err(trouble) = ended {
@@ -28,29 +28,30 @@
     }
 }
 
-async fn run(flags: model::env::Flags, env: env::Env) -> Result<(), String> {
-    let dial = model::log::Dial::new(env.level());
-    let (logger, _guard) = model::log::start("gradeford-core", &env.name, dial.clone());
+async fn run(flags: model::env::CommandLine, env: settings::Settings) -> Result<(), String> {
+    let dial = model::logging::LogLevelSwitch::new(env.parsed_log_level());
+    let (logger, _guard) = model::logging::start_logger("gradeford-core", &env.name, dial.clone());
     // Before anything else: a signal that comes early must not end the process.
     let mut stop = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate()).map_err(|error| error.to_string())?;
     let mut reload = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::hangup()).map_err(|error| error.to_string())?;
     let told = |what: &str, error: &dyn std::fmt::Display| format!("{what}: {error}");
     let mates = tokio::net::TcpListener::bind(&env.mates_address).await.map_err(|error| told("mates_address", &error))?;
     let address = mates.local_addr().map_err(|error| told("mates_address", &error))?.to_string();
-    let core = control::Core::start(env.core(address.clone()), logger.clone()).map_err(|error| told("folder", &error))?;
+    let core = control::ReplicaHandle::start(env.replica_config(address.clone()), logger.clone()).map_err(|error| told("folder", &error))?;
     let staying = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true));
-    let office = operator_api::Boxoffice { core: core.clone(), staying: staying.clone() };
-    let serving = http_util::Serving::start(&env.operators_address, operator_api::router(office)).await.map_err(|error| told("operators_address", &error))?;
+    let office = operator_api::OperatorApi { replica: core.clone(), accepting_work: staying.clone() };
+    let serving =
+        http_util::HttpServer::start(&env.operators_address, operator_api::router(office)).await.map_err(|error| told("operators_address", &error))?;
     slog::info!(logger, "listening"; "mates" => address, "operators" => serving.address.to_string());
-    tokio::spawn(control::news::listen(core, mates));
+    tokio::spawn(control::stream::listen(core, mates));
     loop {
         tokio::select! {
             _ = stop.recv() => break,
-            _ = reload.recv() => match model::env::load::<env::Env>(&flags) {
+            _ = reload.recv() => match model::env::load_settings::<settings::Settings>(&flags) {
                 Ok(fresh) => {
-                    dial.turn(fresh.level());
+                    dial.set_level(fresh.parsed_log_level());
                     // Only the log level is taken up while running; the rest needs a restart, and this says so.
-                    let rest = env::Env { log_level: env.log_level.clone(), ..fresh };
+                    let rest = settings::Settings { log_level: env.log_level.clone(), ..fresh };
                     slog::info!(logger, "settings read again"; "restart_needed" => rest != env);
                 }
                 Err(faults) => slog::error!(logger, "settings at fault, the old ones stay"; "faults" => ?faults),
--- a/crates/gradeford-core/src/env.rs
+++ b/crates/gradeford-core/src/settings.rs
@@ -1,6 +1,6 @@
 //! The settings of a core seat (docs/operators/settings.md).
 
-pub const NAMES: &[&str] = &[
+pub const SETTING_NAMES: &[&str] = &[
     "name",
     "zone",
     "seat",
@@ -20,7 +20,7 @@
 
 #[derive(Clone, Debug, PartialEq, serde::Deserialize, validator::Validate)]
 #[serde(deny_unknown_fields)]
-pub struct Env {
+pub struct Settings {
     #[validate(length(min = 1, max = 63, message = "is 1 to 63 bytes"))]
     pub name: String,
     #[validate(length(min = 1, max = 63, message = "is 1 to 63 bytes"))]
@@ -61,15 +61,15 @@
 }
 
 fn alpha() -> u64 {
-    mencius::Tuning::default().alpha
+    mencius::Config::default().alpha
 }
 
 fn tau() -> u64 {
-    mencius::Tuning::default().tau
+    mencius::Config::default().tau
 }
 
 fn beta() -> u64 {
-    mencius::Tuning::default().beta
+    mencius::Config::default().beta
 }
 
 fn snapshot_every() -> u64 {
@@ -94,24 +94,24 @@
     fine.then_some(()).ok_or_else(|| validator::ValidationError::new("seats").with_message("is 1, 3, 5, 7 or 9".into()))
 }
 
-impl Env {
-    pub fn level(&self) -> slog::Level {
+impl Settings {
+    pub fn parsed_log_level(&self) -> slog::Level {
         self.log_level.parse().unwrap_or(slog::Level::Info)
     }
 
-    pub fn core(&self, address: String) -> control::CoreEnv {
-        control::CoreEnv {
+    pub fn replica_config(&self, address: String) -> control::ReplicaConfig {
+        control::ReplicaConfig {
             name: self.name.clone(),
             zone: self.zone.clone(),
-            seat: self.seat,
-            seats: self.seats,
+            replica_id: self.seat,
+            replica_count: self.seats,
             address: self.advertised_address.clone().unwrap_or(address),
             seeds: self.seeds.clone(),
             folder: self.folder.clone(),
-            tuning: mencius::Tuning { alpha: self.alpha, tau: self.tau_us, beta: self.beta, ..Default::default() },
-            snapshot_every: self.snapshot_every,
+            timing: mencius::Config { alpha: self.alpha, tau: self.tau_us, beta: self.beta, ..Default::default() },
+            snapshot_every_entries: self.snapshot_every,
             replace_after: self.replace_after_us,
-            charter: None,
+            membership: None,
         }
     }
 }
--- a/crates/gradeford-node/src/main.rs
+++ b/crates/gradeford-node/src/main.rs
@@ -1,8 +1,8 @@
 //! A node beside back ends: serves them and their senders (docs/operators/running.md).
 
-mod env;
 mod health;
 mod node;
+mod settings;
 
 const HELP: &str = "\
 gradeford-node: a gradeford node beside back ends
@@ -22,7 +22,7 @@
 ";
 
 fn main() {
-    let Some((flags, env)) = model::env::begin::<env::Env>("gradeford-node", HELP, env::NAMES) else { return };
+    let Some((flags, env)) = model::env::start_up::<settings::Settings>("gradeford-node", HELP, settings::SETTING_NAMES) else { return };
     let runtime = tokio::runtime::Runtime::new();
     let ended = runtime.map_err(|error| error.to_string()).and_then(|runtime| runtime.block_on(run(flags, env)));
     if let Err(trouble) = ended {
@@ -31,9 +31,9 @@
     }
 }
 
-async fn run(flags: model::env::Flags, env: env::Env) -> Result<(), String> {
-    let dial = model::log::Dial::new(env.level());
-    let (logger, _guard) = model::log::start("gradeford-node", &env.name, dial.clone());
+async fn run(flags: model::env::CommandLine, env: settings::Settings) -> Result<(), String> {
+    let dial = model::logging::LogLevelSwitch::new(env.parsed_log_level());
+    let (logger, _guard) = model::logging::start_logger("gradeford-node", &env.name, dial.clone());
     // Before anything else: a signal that comes early must not end the process.
     let mut stop = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate()).map_err(|error| error.to_string())?;
     let mut reload = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::hangup()).map_err(|error| error.to_string())?;
@@ -41,11 +41,11 @@
     loop {
         tokio::select! {
             _ = stop.recv() => break,
-            _ = reload.recv() => match model::env::load::<env::Env>(&flags) {
+            _ = reload.recv() => match model::env::load_settings::<settings::Settings>(&flags) {
                 Ok(fresh) => {
-                    dial.turn(fresh.level());
+                    dial.set_level(fresh.parsed_log_level());
                     // Only the log level is taken up while running; the rest needs a restart, and this says so.
-                    let rest = env::Env { log_level: env.log_level.clone(), ..fresh };
+                    let rest = settings::Settings { log_level: env.log_level.clone(), ..fresh };
                     slog::info!(logger, "settings read again"; "restart_needed" => rest != env);
                 }
                 Err(faults) => slog::error!(logger, "settings at fault, the old ones stay"; "faults" => ?faults),
--- a/crates/gradeford-node/src/env.rs
+++ b/crates/gradeford-node/src/settings.rs
@@ -1,6 +1,6 @@
 //! The settings of a node beside back ends (docs/operators/settings.md).
 
-pub const NAMES: &[&str] = &[
+pub const SETTING_NAMES: &[&str] = &[
     "name",
     "zone",
     "mates_address",
@@ -22,7 +22,7 @@
 
 #[derive(Clone, Debug, PartialEq, serde::Deserialize, validator::Validate)]
 #[serde(deny_unknown_fields)]
-pub struct Env {
+pub struct Settings {
     #[validate(length(min = 1, max = 63, message = "is 1 to 63 bytes"))]
     pub name: String,
     #[validate(length(min = 1, max = 63, message = "is 1 to 63 bytes"))]
@@ -117,8 +117,8 @@
     "info".into()
 }
 
-impl Env {
-    pub fn level(&self) -> slog::Level {
+impl Settings {
+    pub fn parsed_log_level(&self) -> slog::Level {
         self.log_level.parse().unwrap_or(slog::Level::Info)
     }
 }
--- a/crates/gradefordctl/src/commands.rs
+++ b/crates/gradefordctl/src/commands.rs
@@ -1,10 +1,10 @@
 //! Each command, from its words to its exit code.
 
-pub const DONE: i32 = 0;
-pub const REFUSED: i32 = 1;
-pub const USAGE: i32 = 2;
-pub const UNREACHABLE: i32 = 3;
-pub const UNKNOWN: i32 = 4;
+pub const EXIT_DONE: i32 = 0;
+pub const EXIT_REFUSED: i32 = 1;
+pub const EXIT_USAGE: i32 = 2;
+pub const EXIT_UNREACHABLE: i32 = 3;
+pub const EXIT_UNKNOWN: i32 = 4;
 
 pub enum Command {
     Get(String),
@@ -13,9 +13,9 @@
     Compare(String, String),
 }
 
-type Kind = &'static str;
+type ItemKind = &'static str;
 
-pub fn read(mut arguments: pico_args::Arguments) -> Result<(Option<crate::ask::Office>, Command), String> {
+pub fn parse(mut arguments: pico_args::Arguments) -> Result<(Option<crate::core_client::CoreClient>, Command), String> {
     let cores: Option<String> = arguments.opt_value_from_str("--core").map_err(|error| error.to_string())?;
     let id: Option<String> = arguments.opt_value_from_str("--id").map_err(|error| error.to_string())?;
     let base: Option<u64> = arguments.opt_value_from_str("--base").map_err(|error| error.to_string())?;
@@ -27,19 +27,19 @@
     let rest: Vec<&str> = rest.iter().map(String::as_str).collect();
     let command = match (word.as_str(), rest.as_slice()) {
         ("get", []) => Command::Get("/v1/desired".into()),
-        ("get", [kind, name]) => Command::Get(format!("/v1/{}s/{}", kind_of(kind)?, named(name)?)),
+        ("get", [kind, name]) => Command::Get(format!("/v1/{}s/{}", item_kind(kind)?, checked_name(name)?)),
         ("standing", []) => Command::Get("/v1/standing".into()),
         ("status", []) => Command::Get("/v1/status".into()),
         ("replace-seat", [seat, disk]) => Command::Replace(seat.parse().map_err(|_| format!("{seat:?} is no seat"))?, disk.to_string()),
         ("compare", [one, two]) => Command::Compare(one.to_string(), two.to_string()),
-        ("apply", [file]) => Command::Change { id, base, body: json(file)? },
+        ("apply", [file]) => Command::Change { id, base, body: read_json_file(file)? },
         ("edit", [kind, name, file]) => {
-            let kind = kind_of(kind)?;
-            let edit = serde_json::json!({ format!("put_{kind}"): { "name": named(name)?, kind: json(file)? } });
+            let kind = item_kind(kind)?;
+            let edit = serde_json::json!({ format!("put_{kind}"): { "name": checked_name(name)?, kind: read_json_file(file)? } });
             Command::Change { id, base, body: serde_json::json!({ "edits": [edit] }) }
         }
         ("delete", [kind, name]) => {
-            let edit = serde_json::json!({ format!("drop_{}", kind_of(kind)?): { "name": named(name)? } });
+            let edit = serde_json::json!({ format!("drop_{}", item_kind(kind)?): { "name": checked_name(name)? } });
             Command::Change { id, base, body: serde_json::json!({ "edits": [edit] }) }
         }
         ("get" | "standing" | "status" | "compare" | "apply" | "edit" | "delete" | "replace-seat", _) => {
@@ -51,10 +51,10 @@
     if cores.is_empty() && !matches!(command, Command::Compare(..)) {
         return Err("--core names at least one operators' address".into());
     }
-    Ok((Some(crate::ask::Office::new(cores)?), command))
+    Ok((Some(crate::core_client::CoreClient::new(cores)?), command))
 }
 
-fn kind_of(word: &str) -> Result<Kind, String> {
+fn item_kind(word: &str) -> Result<ItemKind, String> {
     match word {
         "grouping" => Ok("grouping"),
         "order" => Ok("order"),
@@ -62,11 +62,11 @@
     }
 }
 
-fn named(name: &str) -> Result<&str, String> {
-    model::check::is_name(name).then_some(name).ok_or_else(|| format!("{name:?} is not 1 to 63 of a-z, 0-9 and '-'"))
+fn checked_name(name: &str) -> Result<&str, String> {
+    model::check::is_valid_name(name).then_some(name).ok_or_else(|| format!("{name:?} is not 1 to 63 of a-z, 0-9 and '-'"))
 }
 
-fn json(file: &str) -> Result<serde_json::Value, String> {
+fn read_json_file(file: &str) -> Result<serde_json::Value, String> {
     let text = match file {
         "-" => std::io::read_to_string(std::io::stdin()),
         file => std::fs::read_to_string(file),
@@ -75,20 +75,20 @@
     serde_json::from_str(&text).map_err(|error| format!("{file}: {error}"))
 }
 
-pub async fn run(office: Option<crate::ask::Office>, command: Command) -> i32 {
-    let Some(office) = office else { return USAGE };
+pub async fn run(office: Option<crate::core_client::CoreClient>, command: Command) -> i32 {
+    let Some(office) = office else { return EXIT_USAGE };
     match command {
-        Command::Get(path) => tell(office.get(&path).await),
+        Command::Get(path) => print_answer(office.get(&path).await),
         Command::Change { id, base, body } => change(&office, id, base, body).await,
-        Command::Replace(seat, disk) => replace(&office, seat, disk).await,
+        Command::Replace(seat, disk) => replace_disk(&office, seat, disk).await,
         Command::Compare(one, two) => crate::compare::run(&one, &two).await,
     }
 }
 
-async fn change(office: &crate::ask::Office, id: Option<String>, base: Option<u64>, mut body: serde_json::Value) -> i32 {
+async fn change(office: &crate::core_client::CoreClient, id: Option<String>, base: Option<u64>, mut body: serde_json::Value) -> i32 {
     let Some(change) = body.as_object_mut() else {
         eprintln!("gradefordctl: a change is a JSON object with \"edits\"");
-        return USAGE;
+        return EXIT_USAGE;
     };
     if let Some(id) =
         id.map(serde_json::Value::from).or_else(|| (!change.contains_key("id")).then(|| format!("gradefordctl-{}", model::incarnation::draw()).into()))
@@ -100,33 +100,33 @@
         Some(base) => base,
         None => match office.get("/v1/desired").await {
             Some((200, state)) => state["version"].clone(),
-            answer => return tell(answer),
+            answer => return print_answer(answer),
         },
     };
     change.insert("base".into(), base);
-    tell(office.post("/v1/changes", &body).await)
+    print_answer(office.post("/v1/changes", &body).await)
 }
 
 /// The disk that is to go is the one the core now says holds the seat.
-async fn replace(office: &crate::ask::Office, seat: u16, disk: String) -> i32 {
+async fn replace_disk(office: &crate::core_client::CoreClient, seat: u16, disk: String) -> i32 {
     let status = match office.get("/v1/status").await {
         Some((200, status)) => status,
-        answer => return tell(answer),
+        answer => return print_answer(answer),
     };
     let from = status["holders"][seat.to_string()].clone();
-    tell(office.post("/v1/seats", &serde_json::json!({ "seat": seat, "from": from, "to": disk })).await)
+    print_answer(office.post("/v1/seats", &serde_json::json!({ "seat": seat, "from": from, "to": disk })).await)
 }
 
-fn tell(answer: Option<crate::ask::Answer>) -> i32 {
+fn print_answer(answer: Option<crate::core_client::Answer>) -> i32 {
     let Some((status, answer)) = answer else {
         eprintln!("gradefordctl: no core seat answered");
-        return UNREACHABLE;
+        return EXIT_UNREACHABLE;
     };
     println!("{}", serde_json::to_string_pretty(&answer).unwrap_or_default());
     match status {
-        200..300 => DONE,
-        503 if answer["verdict"] == "may-have-run" => UNKNOWN,
-        500.. => UNREACHABLE,
-        _ => REFUSED,
+        200..300 => EXIT_DONE,
+        503 if answer["verdict"] == "may-have-run" => EXIT_UNKNOWN,
+        500.. => EXIT_UNREACHABLE,
+        _ => EXIT_REFUSED,
     }
 }
--- a/crates/gradefordctl/src/ask.rs
+++ b/crates/gradefordctl/src/core_client.rs
@@ -1,33 +1,33 @@
 //! Asking core seats in turn until one answers.
 
-pub struct Office {
+pub struct CoreClient {
     http: reqwest::Client,
     cores: Vec<String>,
 }
 
 pub type Answer = (u16, serde_json::Value);
 
-impl Office {
-    pub fn new(cores: Vec<String>) -> Result<Office, String> {
+impl CoreClient {
+    pub fn new(cores: Vec<String>) -> Result<CoreClient, String> {
         let http = reqwest::Client::builder()
             .no_proxy()
             .connect_timeout(std::time::Duration::from_secs(1))
             .timeout(std::time::Duration::from_secs(8))
             .build()
             .map_err(|error| error.to_string())?;
-        Ok(Office { http, cores })
+        Ok(CoreClient { http, cores })
     }
 
     pub async fn get(&self, path: &str) -> Option<Answer> {
-        self.ask(|core| self.http.get(format!("http://{core}{path}"))).await
+        self.first_answer(|core| self.http.get(format!("http://{core}{path}"))).await
     }
 
     /// The change carries its own id: asking the next seat after one that fell silent is safe.
     pub async fn post(&self, path: &str, body: &serde_json::Value) -> Option<Answer> {
-        self.ask(|core| self.http.post(format!("http://{core}{path}")).json(body)).await
+        self.first_answer(|core| self.http.post(format!("http://{core}{path}")).json(body)).await
     }
 
-    async fn ask(&self, request: impl Fn(&str) -> reqwest::RequestBuilder) -> Option<Answer> {
+    async fn first_answer(&self, request: impl Fn(&str) -> reqwest::RequestBuilder) -> Option<Answer> {
         let mut last = None;
         for core in &self.cores {
             match request(core).send().await {
--- a/crates/gradefordctl/src/main.rs
+++ b/crates/gradefordctl/src/main.rs
@@ -1,8 +1,8 @@
 //! The operators' command line (docs/operators/gradefordctl.md).
 
-mod ask;
 mod commands;
 mod compare;
+mod core_client;
 
 const HELP: &str = "\
 gradefordctl: read and change what gradeford is told to do
@@ -36,15 +36,15 @@
     if arguments.contains("--version") {
         return println!("gradefordctl {}", env!("CARGO_PKG_VERSION"));
     }
-    let code = match commands::read(arguments) {
+    let code = match commands::parse(arguments) {
         Ok((office, command)) => tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
             .map(|runtime| runtime.block_on(commands::run(office, command)))
-            .unwrap_or(commands::UNREACHABLE),
+            .unwrap_or(commands::EXIT_UNREACHABLE),
         Err(fault) => {
             eprintln!("gradefordctl: {fault}\ngradefordctl: see gradefordctl --help");
-            commands::USAGE
+            commands::EXIT_USAGE
         }
     };
     std::process::exit(code);
--- a/crates/inbound/src/demand.rs
+++ b/crates/inbound/src/key_demand.rs
@@ -1,60 +1,60 @@
 //! Which keys are asked for, and how often: decaying counts, told as ranges of about equal weight (design 11.4).
 //! Pure.
 
-use model::Micros;
-use model::bill::Key;
+use model::Microseconds;
+use model::cluster_state::ShardKey;
 
 #[derive(Default)]
-pub struct Demand {
-    counts: std::collections::BTreeMap<Key, f32>,
+pub struct KeyDemand {
+    counts: std::collections::BTreeMap<ShardKey, f32>,
     /// Over how many seconds the counts were gathered, older ones counting as little as what they hold.
-    window: f32,
-    at: Option<Micros>,
+    window_seconds: f32,
+    updated_at: Option<Microseconds>,
 }
 
 /// Counts fall to a third in so long.
-const REMEMBERED: f32 = 2_000_000.0;
+const DECAY_US: f32 = 2_000_000.0;
 /// A key that weighs less is forgotten.
-const LEAST: f32 = 0.05;
+const MIN_COUNT: f32 = 0.05;
 
-impl Demand {
-    pub fn asked(&mut self, now: Micros, key: Key) {
-        self.at.get_or_insert(now);
+impl KeyDemand {
+    pub fn record(&mut self, now: Microseconds, key: ShardKey) {
+        self.updated_at.get_or_insert(now);
         *self.counts.entry(key).or_default() += 1.0;
     }
 
     /// Ranges over these rows, at most about so many, with the requests a second on each; and how many requests say so.
-    pub fn tell(&mut self, now: Micros, rows: &[(Key, Key)], most: usize) -> (Vec<(Key, Key, f32)>, f32) {
-        let passed = now.saturating_sub(self.at.replace(now).unwrap_or(now)) as f32;
-        let kept = (-passed / REMEMBERED).exp();
-        self.window += passed / 1e6;
+    pub fn report(&mut self, now: Microseconds, rows: &[(ShardKey, ShardKey)], most: usize) -> (Vec<(ShardKey, ShardKey, f32)>, f32) {
+        let passed = now.saturating_sub(self.updated_at.replace(now).unwrap_or(now)) as f32;
+        let kept = (-passed / DECAY_US).exp();
+        self.window_seconds += passed / 1e6;
         let whole: f32 = self.counts.values().sum();
         let share = (whole / most.max(1) as f32).max(f32::EPSILON);
-        let told = rows.iter().flat_map(|(from, to)| self.ranges(*from, *to, share)).collect();
-        self.window *= kept;
+        let told = rows.iter().flat_map(|(from, to)| self.split_range(*from, *to, share)).collect();
+        self.window_seconds *= kept;
         self.counts.values_mut().for_each(|count| *count *= kept);
-        self.counts.retain(|_, count| *count > LEAST);
+        self.counts.retain(|_, count| *count > MIN_COUNT);
         (told, whole)
     }
 
     /// One row, cut wherever about a share has gathered, and around a key that weighs as much by itself.
-    fn ranges(&self, from: Key, to: Key, share: f32) -> Vec<(Key, Key, f32)> {
+    fn split_range(&self, from: ShardKey, to: ShardKey, share: f32) -> Vec<(ShardKey, ShardKey, f32)> {
         let (mut out, mut start, mut sum) = (Vec::new(), from as u32, 0.0);
-        let scaled = |weight: f32| weight / self.window.max(0.05);
+        let scaled = |weight: f32| weight / self.window_seconds.max(0.05);
         self.counts.range(from..=to).for_each(|(key, count)| {
             let key = *key as u32;
             if sum + count > share * 1.5 && key > start {
-                out.push((start as Key, (key - 1) as Key, scaled(sum)));
+                out.push((start as ShardKey, (key - 1) as ShardKey, scaled(sum)));
                 (start, sum) = (key, 0.0);
             }
             sum += count;
             if sum >= share && key < to as u32 {
-                out.push((start as Key, key as Key, scaled(sum)));
+                out.push((start as ShardKey, key as ShardKey, scaled(sum)));
                 (start, sum) = (key + 1, 0.0);
             }
         });
         if start <= to as u32 {
-            out.push((start as Key, to, scaled(sum)));
+            out.push((start as ShardKey, to, scaled(sum)));
         }
         out
     }
@@ -64,9 +64,9 @@
 mod tests {
     #[test]
     fn busy_keys_are_cut_finely_and_ranges_cover_the_rows() {
-        let mut demand = super::Demand::default();
-        (0..1_000u32).for_each(|at| demand.asked(0, if at % 2 == 0 { 500 + (at % 100) as u16 } else { (at * 61 % 8_000) as u16 }));
-        let (told, seen) = demand.tell(1_000_000, &[(0, 4_095), (6_000, 7_999)], 16);
+        let mut demand = super::KeyDemand::default();
+        (0..1_000u32).for_each(|at| demand.record(0, if at % 2 == 0 { 500 + (at % 100) as u16 } else { (at * 61 % 8_000) as u16 }));
+        let (told, seen) = demand.report(1_000_000, &[(0, 4_095), (6_000, 7_999)], 16);
         assert_eq!(seen, 1_000.0);
         let keys: u32 = told.iter().map(|(from, to, _)| (to - from) as u32 + 1).sum();
         assert_eq!(keys, 4_096 + 2_000);
@@ -79,11 +79,11 @@
 
     #[test]
     fn what_is_told_is_a_rate_however_often_it_is_told() {
-        let mut demand = super::Demand::default();
+        let mut demand = super::KeyDemand::default();
         let rates: Vec<f32> = (1..60u64)
             .map(|at| {
-                (0..10).for_each(|key| demand.asked((at - 1) * 100_000, key * 100));
-                demand.tell(at * 100_000, &[(0, 65_535)], 4).0.iter().map(|(.., rate)| rate).sum()
+                (0..10).for_each(|key| demand.record((at - 1) * 100_000, key * 100));
+                demand.report(at * 100_000, &[(0, 65_535)], 4).0.iter().map(|(.., rate)| rate).sum()
             })
             .collect();
         assert!(rates.iter().all(|rate| (95.0..105.0).contains(rate)), "{rates:?}");
--- a/crates/inbound/src/lib.rs
+++ b/crates/inbound/src/lib.rs
@@ -1,17 +1,17 @@
 //! Beside a back end: everything that reaches it goes through here, so slots, order and keys are kept by one
 //! owner, and what it was never given is known never to have run (design 13).
 
-mod buffer;
-mod conns;
-mod demand;
-mod desk;
-mod door;
-mod health;
-mod local;
+mod admission_queue;
+mod backend_client;
+mod concurrency_limiter;
+mod connection_pool;
+mod key_demand;
+mod local_backend;
+mod outlier_detection;
 
-pub use buffer::{Buffer, Waiting};
-pub use demand::Demand;
-pub use desk::{Outcome, Pit, PitEnv};
-pub use door::Door;
-pub use health::{Ended, Health};
-pub use local::{Holding, Local};
+pub use admission_queue::{AdmissionQueue, QueuedRequest};
+pub use backend_client::BackendClient;
+pub use concurrency_limiter::{ConcurrencyLimiter, ConcurrencyLimiterConfig, Outcome};
+pub use key_demand::KeyDemand;
+pub use local_backend::{HeldKeys, LocalBackend};
+pub use outlier_detection::{OutlierDetector, RunResult};
--- a/crates/inbound/tests/forgotten.rs
+++ b/crates/inbound/tests/forgotten.rs
@@ -43,31 +43,31 @@
     }
 }
 
-fn cue(repeatable: bool, number: usize) -> transport::Cue {
-    transport::Cue {
-        back_end: "b".into(),
+fn cue(repeatable: bool, number: usize) -> transport::ForwardedRequest {
+    transport::ForwardedRequest {
+        backend: "b".into(),
         caller: "seat".into(),
         method: if repeatable { "GET" } else { "PUT" }.into(),
         target: "/seat/1".into(),
         headers: vec![("x-gradeford-try".into(), format!("t{number}").into_bytes())],
         body: Vec::new(),
-        key: None,
-        left: 30_000_000,
-        aim: 30_000_000,
-        rank: 0,
-        repeatable,
-        anyway: false,
+        shard_key: None,
+        time_left: 30_000_000,
+        latency_target: 30_000_000,
+        priority: 0,
+        idempotent: repeatable,
+        force: false,
     }
 }
 
 #[tokio::test]
 async fn what_must_not_run_twice_is_sent_on_new_conns_only_and_the_rest_is_left_to_the_budget() {
     let (address, arrivals) = back_end().await;
-    let door = inbound::Door::new(http_util::words::OWN);
+    let door = inbound::BackendClient::new(http_util::headers::DEFAULT_HEADER_NAMES);
     let mut outcomes = Vec::new();
     for number in 0..40 {
         let repeatable = number % 2 == 0;
-        outcomes.push((repeatable, door.pass(&address, &cue(repeatable, number), 30_000_000).await));
+        outcomes.push((repeatable, door.forward(&address, &cue(repeatable, number), 30_000_000).await));
     }
     let seen = arrivals.lock().expect("whole").clone();
     assert!(outcomes.iter().all(|(repeatable, outcome)| *repeatable || outcome.is_ok()), "{outcomes:?}");
@@ -76,19 +76,19 @@
     assert_eq!(seen.len(), 40);
     let lost: Vec<_> = outcomes.iter().filter_map(|(_, outcome)| outcome.as_ref().err()).collect();
     assert!(lost.len() >= 10, "kept conns were used: {}", lost.len());
-    assert!(lost.iter().all(|trouble| trouble.verdict == model::Verdict::MayHaveRun));
+    assert!(lost.iter().all(|trouble| trouble.execution_status == model::ExecutionStatus::MayHaveRun));
 }
 
 #[tokio::test]
 async fn a_kept_conn_outlives_requests_that_may_not_ride_on_it() {
     let (address, arrivals) = back_end().await;
-    let door = inbound::Door::new(http_util::words::OWN);
-    door.pass(&address, &cue(true, 0), 30_000_000).await.expect("the first on its conn");
+    let door = inbound::BackendClient::new(http_util::headers::DEFAULT_HEADER_NAMES);
+    door.forward(&address, &cue(true, 0), 30_000_000).await.expect("the first on its conn");
     for number in 1..4 {
-        door.pass(&address, &cue(false, number), 30_000_000).await.expect("on a conn of its own");
+        door.forward(&address, &cue(false, number), 30_000_000).await.expect("on a conn of its own");
     }
     for number in 4..6 {
-        drop(door.pass(&address, &cue(true, number), 30_000_000).await);
+        drop(door.forward(&address, &cue(true, number), 30_000_000).await);
     }
     let seen: Vec<(usize, usize)> = arrivals.lock().expect("whole").iter().map(|(conn, before, _)| (*conn, *before)).collect();
     assert_eq!(seen[4..], [(3, 1), (2, 1)], "the conn used last, then the one before it, and no new one");
--- a/crates/inbound/tests/promises.rs
+++ b/crates/inbound/tests/promises.rs
@@ -1,7 +1,7 @@
 //! What a back end answers with a status that promises it did not run, with and without the word that it did not
 //! (design 13.4).
 
-use model::{Cause, Verdict};
+use model::{Cause, ExecutionStatus};
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 
 /// Answers each request with the head that its path names.
@@ -25,23 +25,23 @@
     address
 }
 
-async fn answered(address: &str, target: &str) -> Result<u16, (Cause, Verdict)> {
-    let cue = transport::Cue {
-        back_end: "b".into(),
+async fn answered(address: &str, target: &str) -> Result<u16, (Cause, ExecutionStatus)> {
+    let cue = transport::ForwardedRequest {
+        backend: "b".into(),
         caller: "seat".into(),
         method: "PUT".into(),
         target: target.into(),
         headers: vec![("x-gradeford-try".into(), b"t".to_vec())],
         body: Vec::new(),
-        key: None,
-        left: 30_000_000,
-        aim: 30_000_000,
-        rank: 0,
-        repeatable: false,
-        anyway: false,
+        shard_key: None,
+        time_left: 30_000_000,
+        latency_target: 30_000_000,
+        priority: 0,
+        idempotent: false,
+        force: false,
     };
-    let outcome = inbound::Door::new(http_util::words::OWN).pass(address, &cue, 30_000_000).await;
-    outcome.map(|take| take.status).map_err(|trouble| (trouble.cause, trouble.verdict))
+    let outcome = inbound::BackendClient::new(http_util::headers::DEFAULT_HEADER_NAMES).forward(address, &cue, 30_000_000).await;
+    outcome.map(|take| take.status).map_err(|trouble| (trouble.kind, trouble.execution_status))
 }
 
 #[tokio::test]
@@ -49,14 +49,14 @@
     let address = back_end().await;
     for status in [408, 421, 429, 503] {
         let marked = answered(&address, &format!("/{status}/marked")).await;
-        assert_eq!(marked, Err((Cause::Refused, Verdict::NotRun)), "{status}");
+        assert_eq!(marked, Err((Cause::Refused, ExecutionStatus::NotRun)), "{status}");
     }
     for status in [408, 429, 503] {
         let bare = answered(&address, &format!("/{status}/bare")).await;
-        assert_eq!(bare, Err((Cause::BackEndLost, Verdict::MayHaveRun)), "{status}: nobody said that it did not run");
+        assert_eq!(bare, Err((Cause::BackendLost, ExecutionStatus::MayHaveRun)), "{status}: nobody said that it did not run");
     }
     // A back end that is not the one asked for says so by the status alone; all else is its own answer.
-    assert_eq!(answered(&address, "/421/bare").await, Err((Cause::Refused, Verdict::NotRun)));
+    assert_eq!(answered(&address, "/421/bare").await, Err((Cause::Refused, ExecutionStatus::NotRun)));
     for status in [400, 404, 409, 500, 504] {
         assert_eq!(answered(&address, &format!("/{status}/bare")).await, Ok(status));
     }
--- a/crates/legacy-proxy/src/budget.rs
+++ b/crates/legacy-proxy/src/retry_budget.rs
@@ -1,7 +1,7 @@
 //! Extra dispatches: one in five requests and a small allowance, in any ten seconds (design 5.6).
 
 #[cfg(test)]
-const WINDOW: model::Micros = 10_000_000;
+const WINDOW: model::Microseconds = 10_000_000;
 
 /// A fifth of a token, the smallest amount there is.
 type Fifths = u64;
@@ -10,23 +10,23 @@
 /// Pure: one bucket per service. Each request earns a fifth of a token, each extra dispatch costs one; time
 /// earns nothing, and a new bucket is empty. So extras in any span <= requests in it / 5 + `allowance`.
 #[derive(Default)]
-pub struct Budget {
+pub struct RetryBudget {
     allowance: Fifths,
     buckets: std::collections::HashMap<String, Fifths>,
 }
 
-impl Budget {
+impl RetryBudget {
     pub fn new(allowance: usize) -> Self {
-        Budget { allowance: allowance as Fifths * TOKEN, buckets: Default::default() }
+        RetryBudget { allowance: allowance as Fifths * TOKEN, buckets: Default::default() }
     }
 
-    pub fn first(&mut self, service: &str) {
+    pub fn deposit(&mut self, service: &str) {
         let bucket = self.buckets.entry(service.to_string()).or_default();
         *bucket = (*bucket + 1).min(self.allowance);
     }
 
     /// Takes one extra dispatch if it has been earned.
-    pub fn extra(&mut self, service: &str) -> bool {
+    pub fn withdraw(&mut self, service: &str) -> bool {
         let bucket = self.buckets.entry(service.to_string()).or_default();
         let fits = *bucket >= TOKEN;
         *bucket -= if fits { TOKEN } else { 0 };
@@ -35,56 +35,56 @@
 }
 
 pub enum Command {
-    First(String),
-    Extra(String, tokio::sync::oneshot::Sender<bool>),
+    Deposit(String),
+    Withdraw(String, tokio::sync::oneshot::Sender<bool>),
 }
 
 #[derive(Clone)]
-pub struct BudgetDesk {
+pub struct RetryBudgetHandle {
     commands: tokio::sync::mpsc::Sender<Command>,
-    spent: Spent,
+    counts: RetryCounts,
 }
 
 /// Requests and extra dispatches by service since the start, for status pages.
-pub type Spent = std::sync::Arc<arc_swap::ArcSwap<std::collections::BTreeMap<String, (u64, u64)>>>;
+pub type RetryCounts = std::sync::Arc<arc_swap::ArcSwap<std::collections::BTreeMap<String, (u64, u64)>>>;
 
-impl BudgetDesk {
+impl RetryBudgetHandle {
     pub fn start(allowance: usize) -> Self {
         let (sender, mut commands) = tokio::sync::mpsc::channel(1_024);
-        let spent: Spent = Default::default();
-        let told = spent.clone();
+        let spent: RetryCounts = Default::default();
+        let published = spent.clone();
         tokio::spawn(async move {
-            let mut budget = Budget::new(allowance);
+            let mut budget = RetryBudget::new(allowance);
             let mut counts = std::collections::BTreeMap::<String, (u64, u64)>::new();
             while let Some(command) = commands.recv().await {
                 match command {
-                    Command::First(service) => {
-                        budget.first(&service);
+                    Command::Deposit(service) => {
+                        budget.deposit(&service);
                         counts.entry(service).or_default().0 += 1;
                     }
-                    Command::Extra(service, answer) => {
-                        let granted = budget.extra(&service);
+                    Command::Withdraw(service, answer) => {
+                        let granted = budget.withdraw(&service);
                         counts.entry(service).or_default().1 += granted as u64;
                         answer.send(granted).unwrap_or_default();
                     }
                 }
-                told.store(std::sync::Arc::new(counts.clone()));
+                published.store(std::sync::Arc::new(counts.clone()));
             }
         });
-        BudgetDesk { commands: sender, spent }
+        RetryBudgetHandle { commands: sender, counts: spent }
     }
 
-    pub fn spent(&self) -> std::sync::Arc<std::collections::BTreeMap<String, (u64, u64)>> {
-        self.spent.load_full()
+    pub fn counts(&self) -> std::sync::Arc<std::collections::BTreeMap<String, (u64, u64)>> {
+        self.counts.load_full()
     }
 
-    pub async fn first(&self, service: &str) {
-        self.commands.send(Command::First(service.to_string())).await.unwrap_or_default();
+    pub async fn deposit(&self, service: &str) {
+        self.commands.send(Command::Deposit(service.to_string())).await.unwrap_or_default();
     }
 
-    pub async fn extra(&self, service: &str) -> bool {
+    pub async fn withdraw(&self, service: &str) -> bool {
         let (answer, granted) = tokio::sync::oneshot::channel();
-        self.commands.send(Command::Extra(service.to_string(), answer)).await.unwrap_or_default();
+        self.commands.send(Command::Withdraw(service.to_string(), answer)).await.unwrap_or_default();
         granted.await.unwrap_or(false)
     }
 }
@@ -101,18 +101,18 @@
     #[test]
     fn no_ten_seconds_hold_more_extras_than_their_requests_allow() {
         test_support::drawn::<(u8, Vec<(u16, bool)>)>(300, |(restart, steps)| {
-            let mut budget = super::Budget::new(2);
+            let mut budget = super::RetryBudget::new(2);
             let (mut now, mut firsts, mut extras) = (0u64, Vec::new(), Vec::new());
             steps.iter().enumerate().for_each(|(at, (gap, first))| {
                 now += *gap as u64 * 100;
                 if at == *restart as usize {
                     // The process begins anew: that is no new allowance.
-                    budget = super::Budget::new(2);
+                    budget = super::RetryBudget::new(2);
                 }
                 if *first {
-                    budget.first("seat");
+                    budget.deposit("seat");
                     firsts.push(now);
-                } else if budget.extra("seat") {
+                } else if budget.withdraw("seat") {
                     extras.push(now);
                 }
             });
@@ -122,9 +122,9 @@
 
     #[test]
     fn what_old_requests_earned_is_not_saved_up_for_a_window_without_any() {
-        let mut budget = super::Budget::new(1);
-        (0..100).for_each(|_| budget.first("seat"));
-        assert_eq!((0..100).filter(|_| budget.extra("seat")).count(), 1, "a hundred requests ago is not now");
-        assert!(!budget.extra("other"), "services do not share, and nothing is given before it is earned");
+        let mut budget = super::RetryBudget::new(1);
+        (0..100).for_each(|_| budget.deposit("seat"));
+        assert_eq!((0..100).filter(|_| budget.withdraw("seat")).count(), 1, "a hundred requests ago is not now");
+        assert!(!budget.withdraw("other"), "services do not share, and nothing is given before it is earned");
     }
 }
--- a/crates/legacy-proxy/src/server.rs
+++ b/crates/legacy-proxy/src/server.rs
@@ -1,12 +1,12 @@
 //! What a node answers its mates (design 5.2).
 
-pub async fn listen(
+pub async fn serve_peers(
     listener: tokio::net::TcpListener,
-    greeting: impl Fn() -> transport::Greeting + Send + Sync + 'static,
-    known: control::Known,
-    far: crate::Far,
+    greeting: impl Fn() -> transport::Handshake + Send + Sync + 'static,
+    known: control::KnownReplicas,
+    far: crate::InboundProxy,
     relay: control::relay::Relay,
-    heard: control::watching::Heard,
+    heard: control::monitor::HeartbeatSender,
 ) {
     let greeting = std::sync::Arc::new(greeting);
     loop {
@@ -15,24 +15,24 @@
             let (relay, heard) = (relay.clone(), heard.clone());
             tokio::spawn(async move {
                 let accepted = transport::accept(stream, |caller| async move {
-                    control::acquaint::merge(&known, caller.known);
+                    control::discovery::merge(&known, caller.known_replicas);
                     match caller.purpose {
-                        transport::Purpose::Core => Err("no core seat is here".to_string()),
+                        transport::Purpose::Consensus => Err("no core seat is here".to_string()),
                         _ => Ok((greeting)()),
                     }
                 })
                 .await;
                 if let Ok(conn) = accepted {
-                    serve(conn, far, relay, heard).await;
+                    serve_connection(conn, far, relay, heard).await;
                 }
             });
         }
     }
 }
 
-async fn serve(mut conn: transport::Conn, far: crate::Far, relay: control::relay::Relay, heard: control::watching::Heard) {
-    let mut marks = crate::marks::Marks::new(model::now());
-    let mut every = tokio::time::interval(std::time::Duration::from_micros(crate::marks::EVERY));
+async fn serve_connection(mut conn: transport::Connection, far: crate::InboundProxy, relay: control::relay::Relay, heard: control::monitor::HeartbeatSender) {
+    let mut marks = crate::age_marks::AgeMarks::new(model::now());
+    let mut every = tokio::time::interval(std::time::Duration::from_micros(crate::age_marks::MARK_INTERVAL));
     every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         let frame = tokio::select! {
@@ -40,29 +40,29 @@
                 Some(frame) => frame,
                 None => return,
             },
-            _ = every.tick(), if conn.greeting.purpose == transport::Purpose::Call => {
-                let mark = marks.next(model::now());
+            _ = every.tick(), if conn.peer_handshake.purpose == transport::Purpose::Forward => {
+                let mark = marks.issue(model::now());
                 // A mate that takes nothing just now goes without; its dispatches then look older, not younger.
-                drop(conn.sender.try_send(transport::Frame::Mark(mark)));
+                drop(conn.sender.try_send(transport::Frame::Watermark(mark)));
                 continue;
             }
         };
         match frame {
-            transport::Frame::Dispatch(mut dispatch) => {
-                dispatch.left = marks.left(model::now(), dispatch.mark, dispatch.left);
+            transport::Frame::Attempt(mut dispatch) => {
+                dispatch.time_left = marks.time_left(model::now(), dispatch.last_watermark, dispatch.time_left);
                 let (far, replies) = (far.clone(), conn.sender.clone());
                 tokio::spawn(async move {
-                    let number = dispatch.number;
+                    let number = dispatch.request_id;
                     let reply = Box::new(far.perform(*dispatch).await);
-                    replies.send(transport::Frame::Reply { number, reply }).await.unwrap_or_default();
+                    replies.send(transport::Frame::AttemptResult { request_id: number, reply }).await.unwrap_or_default();
                 });
             }
-            transport::Frame::Look => {
+            transport::Frame::Inspect => {
                 let seen = serde_json::to_vec(&*relay.view.load().slice).unwrap_or_default();
-                conn.sender.send(transport::Frame::Seen(seen)).await.unwrap_or_default();
+                conn.sender.send(transport::Frame::Inspection(seen)).await.unwrap_or_default();
             }
-            transport::Frame::Beat => {
-                let ward = (conn.greeting.name.clone(), conn.greeting.incarnation);
+            transport::Frame::Heartbeat => {
+                let ward = (conn.peer_handshake.node_name.clone(), conn.peer_handshake.incarnation);
                 heard.send(ward).await.unwrap_or_default();
             }
             transport::Frame::Subscribe { services, held } => return relay.serve(conn, services, held).await,
--- a/crates/mencius/src/share.rs
+++ b/crates/mencius/src/coordinator_log.rs
@@ -1,26 +1,26 @@
 //! What one seat knows about the instances of one coordinator (design 3.3).
 
-use crate::words::{Block, Commands, Instance, Round, Value};
+use crate::messages::{Block, Commands, Instance, ProposalNumber, Value};
 
 #[derive(Clone, Debug, Default)]
-pub struct Share {
-    pub promised: crate::Spans<Round>,
-    pub accepted: std::collections::BTreeMap<Instance, (Round, Value)>,
-    pub void: crate::Spans<Round>,
+pub struct CoordinatorLog {
+    pub promised: crate::InstanceRanges<ProposalNumber>,
+    pub accepted: std::collections::BTreeMap<Instance, (ProposalNumber, Value)>,
+    pub accepted_noops: crate::InstanceRanges<ProposalNumber>,
     pub chosen: std::collections::BTreeMap<Instance, Value>,
-    pub skipped: crate::Spans<()>,
+    pub skipped: crate::InstanceRanges<()>,
     /// How far the coordinator's word on this channel reaches; None before a resync.
     pub cursor: Option<Instance>,
 }
 
-impl Share {
+impl CoordinatorLog {
     /// `Some(None)` is a no-op, `Some(Some(_))` a command, `None` not yet known here.
     pub fn outcome(&self, at: Instance) -> Option<Option<&Value>> {
         self.chosen.get(&at).map(Some).or_else(|| self.skipped.get(at).map(|_| None))
     }
 
-    pub fn promised_over(&self, block: Block) -> Round {
-        self.promised.over(block.0, block.1).into_iter().map(|(_, _, round)| round).max().unwrap_or(Round::FIRST)
+    pub fn highest_promised(&self, block: Block) -> ProposalNumber {
+        self.promised.overlapping(block.0, block.1).into_iter().map(|(_, _, round)| round).max().unwrap_or(ProposalNumber::INITIAL)
     }
 
     /// Chosen commands are never overwritten: a skip only fills what lies between them.
@@ -42,7 +42,7 @@
     pub fn first_unknown(&self, from: Instance, seats: u64) -> Instance {
         let mut at = from;
         loop {
-            at = match (self.chosen.contains_key(&at), self.skipped.span_at(at)) {
+            at = match (self.chosen.contains_key(&at), self.skipped.range_at(at)) {
                 (true, _) => at + seats,
                 (false, Some((_, to, _))) => at + (to - at).div_ceil(seats) * seats,
                 (false, None) => return at,
@@ -51,36 +51,36 @@
     }
 
     /// First instance at or after `from` that is not a known no-op.
-    pub fn first_spoken(&self, from: Instance, seats: u64) -> Instance {
+    pub fn first_not_skipped(&self, from: Instance, seats: u64) -> Instance {
         let mut at = from;
-        while let Some((_, to, _)) = self.skipped.span_at(at) {
+        while let Some((_, to, _)) = self.skipped.range_at(at) {
             at += (to - at).div_ceil(seats) * seats;
         }
         at
     }
 
     /// What a promise must report: the highest round seen for each command, and voids.
-    pub fn report(&self, block: Block) -> crate::machine::Report {
-        let chosen = self.chosen.range(block.0..block.1).map(|(at, value)| (*at, Round::CHOSEN, value.clone()));
+    pub fn promise_report(&self, block: Block) -> crate::replica::PromiseReport {
+        let chosen = self.chosen.range(block.0..block.1).map(|(at, value)| (*at, ProposalNumber::CHOSEN, value.clone()));
         let accepted =
             self.accepted.range(block.0..block.1).filter(|(at, _)| !self.chosen.contains_key(at)).map(|(at, (round, value))| (*at, *round, value.clone()));
-        let skipped = self.skipped.over(block.0, block.1).into_iter().map(|(from, to, ())| (from, to, Round::CHOSEN));
-        let voids = self.void.over(block.0, block.1).into_iter();
+        let skipped = self.skipped.overlapping(block.0, block.1).into_iter().map(|(from, to, ())| (from, to, ProposalNumber::CHOSEN));
+        let voids = self.accepted_noops.overlapping(block.0, block.1).into_iter();
         (chosen.chain(accepted).collect(), voids.chain(skipped).collect())
     }
 
-    pub fn commands_in(&self, block: Block) -> Commands {
+    pub fn chosen_commands(&self, block: Block) -> Commands {
         self.chosen.range(block.0..block.1).map(|(at, value)| (*at, value.clone())).collect()
     }
 
-    pub fn highest(&self) -> Option<Instance> {
+    pub fn highest_command(&self) -> Option<Instance> {
         let accepted = self.accepted.last_key_value().map(|(at, _)| *at);
         accepted.max(self.chosen.last_key_value().map(|(at, _)| *at))
     }
 
-    pub fn cut_below(&mut self, floor: Instance) {
+    pub fn compact_below(&mut self, floor: Instance) {
         self.promised.clear(0, floor);
-        self.void.clear(0, floor);
+        self.accepted_noops.clear(0, floor);
         self.skipped.clear(0, floor);
         self.accepted = self.accepted.split_off(&floor);
         self.chosen = self.chosen.split_off(&floor);
--- a/crates/mencius/src/spans.rs
+++ b/crates/mencius/src/instance_ranges.rs
@@ -1,29 +1,29 @@
 //! Ranges of instances that share one value, kept as ranges (design 3.3).
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Spans<V> {
-    map: std::collections::BTreeMap<u64, (u64, V)>,
+pub struct InstanceRanges<V> {
+    ranges: std::collections::BTreeMap<u64, (u64, V)>,
 }
 
-impl<V> Default for Spans<V> {
+impl<V> Default for InstanceRanges<V> {
     fn default() -> Self {
-        Spans { map: std::collections::BTreeMap::new() }
+        InstanceRanges { ranges: std::collections::BTreeMap::new() }
     }
 }
 
-impl<V: Copy + PartialEq> Spans<V> {
-    pub fn span_at(&self, at: u64) -> Option<(u64, u64, V)> {
-        self.map.range(..=at).next_back().filter(|(_, (to, _))| at < *to).map(|(from, (to, value))| (*from, *to, *value))
+impl<V: Copy + PartialEq> InstanceRanges<V> {
+    pub fn range_at(&self, at: u64) -> Option<(u64, u64, V)> {
+        self.ranges.range(..=at).next_back().filter(|(_, (to, _))| at < *to).map(|(from, (to, value))| (*from, *to, *value))
     }
 
     pub fn get(&self, at: u64) -> Option<V> {
-        self.span_at(at).map(|(_, _, value)| value)
+        self.range_at(at).map(|(_, _, value)| value)
     }
 
     /// The parts of `from..to` that have a value, clipped to it.
-    pub fn over(&self, from: u64, to: u64) -> Vec<(u64, u64, V)> {
-        let head = self.span_at(from).map(|(start, _, _)| start).unwrap_or(from);
-        self.map
+    pub fn overlapping(&self, from: u64, to: u64) -> Vec<(u64, u64, V)> {
+        let head = self.range_at(from).map(|(start, _, _)| start).unwrap_or(from);
+        self.ranges
             .range(head..to.max(head))
             .map(|(start, (end, value))| ((*start).max(from), (*end).min(to), *value))
             .filter(|(start, end, _)| start < end)
@@ -35,47 +35,47 @@
             return;
         }
         self.clear(from, to);
-        let before = self.map.range(..from).next_back().map(|(start, span)| (*start, *span));
+        let before = self.ranges.range(..from).next_back().map(|(start, span)| (*start, *span));
         let from = match before {
             Some((start, (end, held))) if end == from && held == value => start,
             _ => from,
         };
-        let to = match self.map.get(&to).copied() {
+        let to = match self.ranges.get(&to).copied() {
             Some((end, held)) if held == value => {
-                self.map.remove(&to);
+                self.ranges.remove(&to);
                 end
             }
             _ => to,
         };
-        self.map.insert(from, (to, value));
+        self.ranges.insert(from, (to, value));
     }
 
     pub fn clear(&mut self, from: u64, to: u64) {
         let touched: Vec<(u64, u64, V)> = {
-            let head = self.span_at(from).map(|(start, _, _)| start).unwrap_or(from);
-            self.map.range(head..to.max(head)).map(|(start, (end, value))| (*start, *end, *value)).collect()
+            let head = self.range_at(from).map(|(start, _, _)| start).unwrap_or(from);
+            self.ranges.range(head..to.max(head)).map(|(start, (end, value))| (*start, *end, *value)).collect()
         };
         touched.into_iter().for_each(|(start, end, value)| {
-            self.map.remove(&start);
+            self.ranges.remove(&start);
             if start < from {
-                self.map.insert(start, (from, value));
+                self.ranges.insert(start, (from, value));
             }
             if end > to {
-                self.map.insert(to, (end, value));
+                self.ranges.insert(to, (end, value));
             }
         });
     }
 
     pub fn iter(&self) -> impl Iterator<Item = (u64, u64, V)> + '_ {
-        self.map.iter().map(|(from, (to, value))| (*from, *to, *value))
+        self.ranges.iter().map(|(from, (to, value))| (*from, *to, *value))
     }
 
     pub fn len(&self) -> usize {
-        self.map.len()
+        self.ranges.len()
     }
 
     pub fn is_empty(&self) -> bool {
-        self.map.is_empty()
+        self.ranges.is_empty()
     }
 }
 
@@ -84,7 +84,7 @@
     #[test]
     fn spans_agree_with_a_plain_table() {
         test_support::drawn::<Vec<(u8, u8, u8)>>(2_000, |steps| {
-            let mut spans = super::Spans::default();
+            let mut spans = super::InstanceRanges::default();
             let mut table = [None; 256];
             steps.iter().for_each(|(from, length, value)| {
                 let to = (*from as u64 + *length as u64).min(255);
@@ -97,7 +97,7 @@
                 }
             });
             (0..256u64).for_each(|at| assert_eq!(spans.get(at), table[at as usize], "at {at}"));
-            let covered: u64 = spans.over(0, 256).iter().map(|(from, to, _)| to - from).sum();
+            let covered: u64 = spans.overlapping(0, 256).iter().map(|(from, to, _)| to - from).sum();
             assert_eq!(covered, table.iter().flatten().count() as u64);
         });
     }
--- a/crates/mencius/src/lib.rs
+++ b/crates/mencius/src/lib.rs
@@ -3,20 +3,20 @@
 
 mod acceptor;
 mod apply;
-mod learn;
-mod machine;
-mod read;
-mod resync;
-mod revoke;
-mod share;
-mod spans;
+mod catch_up;
+mod coordinator_log;
+mod instance_ranges;
+mod learner;
+mod messages;
+mod propose;
+mod read_index;
+mod replica;
+mod revocation;
 mod status;
-mod suggest;
-mod tenure;
-mod tick;
-mod words;
+mod timers;
+mod voting_range;
 
-pub use machine::Repertory;
-pub use share::Share;
-pub use spans::Spans;
-pub use words::*;
+pub use coordinator_log::CoordinatorLog;
+pub use instance_ranges::InstanceRanges;
+pub use messages::*;
+pub use replica::Replica;
--- a/crates/model/src/desired.rs
+++ b/crates/model/src/desired_state.rs
@@ -40,32 +40,34 @@
 
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize, validator::Validate, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Order {
+pub struct StandingOrder {
     #[validate(nested)]
     pub selector: Selector,
     /// The longest a request may take, waiting and running together.
     #[validate(range(min = 1_000, max = 60_000_000, message = "is from 1000 to 60000000 microseconds"))]
-    pub wait_us: crate::Micros,
+    pub wait_us: crate::Microseconds,
     /// 0 gives way first, 9 last.
     #[serde(default = "crate::check::middle_importance")]
     #[validate(range(max = 9, message = "is from 0 to 9"))]
     pub importance: u8,
     /// May run twice without harm: only then is a try repeated that may have run.
     #[serde(default)]
-    pub repeatable: bool,
+    #[serde(rename = "repeatable")]
+    pub idempotent: bool,
     /// Requests name a key, and one back end at a time holds it.
     #[serde(default)]
     pub keyed: bool,
     /// `true` lets requests leave their zone when it has no back end.
     #[serde(default = "crate::check::yes")]
-    pub leave_zone: bool,
+    #[serde(rename = "leave_zone")]
+    pub allow_other_zones: bool,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct DesiredState {
     pub version: Position,
     pub groupings: std::collections::BTreeMap<String, Grouping>,
-    pub orders: std::collections::BTreeMap<String, Order>,
+    pub orders: std::collections::BTreeMap<String, StandingOrder>,
 }
 
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
@@ -73,7 +75,7 @@
 pub enum Edit {
     PutGrouping { name: String, grouping: Grouping },
     DropGrouping { name: String },
-    PutOrder { name: String, order: Order },
+    PutOrder { name: String, order: StandingOrder },
     DropOrder { name: String },
 }
 
@@ -83,13 +85,14 @@
 pub struct Change {
     /// The operator's own name for the change; sending it again is harmless.
     pub id: String,
-    pub base: Position,
+    #[serde(rename = "base")]
+    pub base_version: Position,
     pub edits: Vec<Edit>,
 }
 
 impl DesiredState {
     /// The state after the edits, not yet checked.
-    pub fn edited(&self, edits: &[Edit]) -> DesiredState {
+    pub fn with_edits(&self, edits: &[Edit]) -> DesiredState {
         edits.iter().cloned().fold(self.clone(), |mut state, edit| {
             match edit {
                 Edit::PutGrouping { name, grouping } => {
--- a/crates/model/src/standing.rs
+++ b/crates/model/src/endpoint_status.rs
@@ -1,31 +1,33 @@
 //! The standing of back ends and nodes, as the log knows it (design 2.4).
 
-use crate::{BackEndName, Incarnation, Labels, NodeName, Position, ServiceName, ZoneName};
+use crate::{BackendName, Incarnation, Labels, NodeName, Position, ServiceName, ZoneName};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Phase {
+pub enum BackendPhase {
     Registered,
     Draining,
-    SignedOff,
+    #[serde(rename = "signed_off")]
+    Deregistered,
     PresumedGone,
 }
 
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct BackEnd {
+pub struct Backend {
     pub service: ServiceName,
     pub zone: ZoneName,
     pub labels: Labels,
     pub slots: u32,
     pub node: NodeName,
     pub incarnation: Incarnation,
-    pub phase: Phase,
-    pub since: Position,
+    pub phase: BackendPhase,
+    #[serde(rename = "since")]
+    pub changed_at: Position,
 }
 
-impl BackEnd {
-    pub fn takes_work(&self) -> bool {
-        self.phase == Phase::Registered
+impl Backend {
+    pub fn accepts_work(&self) -> bool {
+        self.phase == BackendPhase::Registered
     }
 }
 
@@ -36,14 +38,16 @@
     pub address: String,
     pub incarnation: Incarnation,
     pub present: bool,
-    pub reporters: std::collections::BTreeSet<NodeName>,
-    pub since: Position,
+    #[serde(rename = "reporters")]
+    pub missed_by: std::collections::BTreeSet<NodeName>,
+    #[serde(rename = "since")]
+    pub changed_at: Position,
 }
 
 /// What a node saw, in the form the log keeps it.
 #[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub enum Report {
-    Node {
+pub enum EndpointReport {
+    NodeRegistered {
         node: NodeName,
         zone: ZoneName,
         address: String,
@@ -58,38 +62,39 @@
         clean: bool,
     },
     /// A watcher misses a node, or (`missed: false`) hears it again.
-    Watch {
-        watcher: NodeName,
+    NodeObserved {
+        observer: NodeName,
         node: NodeName,
         incarnation: Incarnation,
         missed: bool,
     },
-    Registered {
-        name: BackEndName,
-        back_end: BackEnd,
+    BackendRegistered {
+        name: BackendName,
+        backend: Backend,
     },
-    Phase {
-        name: BackEndName,
+    PhaseChanged {
+        name: BackendName,
         incarnation: Incarnation,
-        phase: Phase,
+        phase: BackendPhase,
     },
     /// The holder of a moved slice has no run left on it (design 7.3).
-    Released {
+    LeasesReleased {
         service: ServiceName,
-        name: BackEndName,
+        name: BackendName,
         incarnation: Incarnation,
-        through: Position,
+        known_through: Position,
     },
     /// A beat named another number of slots.
-    Slots {
-        name: BackEndName,
+    SlotsChanged {
+        name: BackendName,
         incarnation: Incarnation,
         slots: u32,
     },
 }
 
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct Standing {
-    pub back_ends: std::collections::BTreeMap<BackEndName, BackEnd>,
+pub struct EndpointStatus {
+    #[serde(rename = "back_ends")]
+    pub backends: std::collections::BTreeMap<BackendName, Backend>,
     pub nodes: std::collections::BTreeMap<NodeName, Node>,
 }
--- a/crates/model/src/entry.rs
+++ b/crates/model/src/entry.rs
@@ -1,14 +1,14 @@
 //! What the log holds, and what applying it answered (design 2.3).
 
-use crate::{Change, Incarnation, Position, check::Fault, standing};
+use crate::{Change, Incarnation, Position, check::Fault, endpoint_status};
 
 #[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub enum Act {
+pub enum Operation {
     Change(Change),
-    Standing(standing::Report),
-    Seat(SeatChange),
+    EndpointReport(endpoint_status::EndpointReport),
+    ReplaceReplica(ReplicaReplacement),
     /// Items, back ends, nodes and rows of keys (design 11).
-    Bill(crate::bill::Act),
+    ClusterState(crate::cluster_state::ClusterOperation),
     /// Changes nothing; moves the log on.
     Barrier,
 }
@@ -16,20 +16,23 @@
 /// Another disk takes a core seat over (design 4.4).
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct SeatChange {
-    pub seat: u16,
+pub struct ReplicaReplacement {
+    #[serde(rename = "seat")]
+    pub replica_id: u16,
     /// The disk that is to lose it, so that of two operators one is refused.
-    pub from: u64,
-    pub to: u64,
+    #[serde(rename = "from")]
+    pub old_disk: u64,
+    #[serde(rename = "to")]
+    pub new_disk: u64,
 }
 
 /// `origin`, `life` and `sequence` tell a repeat from a second entry.
 #[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct Entry {
     pub origin: String,
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     pub sequence: u64,
-    pub act: Act,
+    pub operation: Operation,
 }
 
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
@@ -63,27 +66,29 @@
     },
     /// An item was sent with other content under a version that was taken before. Nothing of the call holds.
     Conflict {
-        conflicts: Vec<Conflict>,
+        conflicts: Vec<VersionConflict>,
     },
 }
 
 /// An item that was taken with other content under the very version that was sent.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct Conflict {
-    pub kind: crate::bill::Kind,
-    pub name: crate::bill::items::ItemName,
+pub struct VersionConflict {
+    pub kind: crate::cluster_state::ItemKind,
+    pub name: crate::cluster_state::items::ItemName,
     /// The version that was sent and had been taken.
-    pub sent: crate::bill::items::ItemVersion,
+    #[serde(rename = "sent")]
+    pub sent_version: crate::cluster_state::items::ItemVersion,
     /// The newest version that stands.
-    pub held: crate::bill::items::ItemVersion,
+    #[serde(rename = "held")]
+    pub current_version: crate::cluster_state::items::ItemVersion,
 }
 
 pub fn to_bytes(entry: &Entry) -> Vec<u8> {
-    crate::pack::pack(rkyv::to_bytes::<rkyv::rancor::Error>(entry).map(|bytes| bytes.to_vec()).unwrap_or_default())
+    crate::compression::compress(rkyv::to_bytes::<rkyv::rancor::Error>(entry).map(|bytes| bytes.to_vec()).unwrap_or_default())
 }
 
 pub fn from_bytes(bytes: &[u8]) -> Option<Entry> {
-    let bytes = crate::pack::unpack(bytes)?;
+    let bytes = crate::compression::decompress(bytes)?;
     let mut aligned = rkyv::util::AlignedVec::<16>::with_capacity(bytes.len());
     aligned.extend_from_slice(&bytes);
     rkyv::from_bytes::<Entry, rkyv::rancor::Error>(&aligned).ok()
--- a/crates/model/src/env.rs
+++ b/crates/model/src/env.rs
@@ -2,18 +2,18 @@
 
 use crate::check::Fault;
 
-pub const EXIT_USAGE: i32 = 2;
+pub const USAGE_EXIT_CODE: i32 = 2;
 
 /// Flags common to the daemons.
-pub struct Flags {
-    pub values: toml::Table,
-    pub check: bool,
-    pub file: Option<String>,
+pub struct CommandLine {
+    pub overrides: toml::Table,
+    pub check_only: bool,
+    pub config_file: Option<String>,
 }
 
 /// Reads `--config FILE`, `--check`, and one `--NAME VALUE` for each setting named.
-pub fn flags(mut arguments: pico_args::Arguments, settings: &[&'static str]) -> Result<Flags, Vec<Fault>> {
-    let fault = |path: &str, error: String| Fault { path: path.into(), fault: error };
+pub fn parse_command_line(mut arguments: pico_args::Arguments, settings: &[&'static str]) -> Result<CommandLine, Vec<Fault>> {
+    let fault = |path: &str, error: String| Fault { path: path.into(), message: error };
     let file: Option<String> = arguments.opt_value_from_str("--config").map_err(|error| vec![fault("--config", error.to_string())])?;
     let check = arguments.contains("--check");
     let mut values = toml::Table::new();
@@ -22,7 +22,7 @@
         let flag: &'static str = Box::leak(format!("--{}", setting.replace('_', "-")).into_boxed_str());
         match arguments.opt_value_from_str::<_, String>(flag) {
             Ok(Some(text)) => {
-                values.insert(setting.to_string(), value(setting, &text));
+                values.insert(setting.to_string(), parse_value(setting, &text));
             }
             Ok(None) => {}
             Err(error) => faults.push(fault(flag, error.to_string())),
@@ -30,18 +30,18 @@
     });
     let unknown = arguments.finish().into_iter().map(|left| fault(&left.to_string_lossy(), "is not a flag of this program".into()));
     faults.extend(unknown);
-    if faults.is_empty() { Ok(Flags { values, check, file }) } else { Err(faults) }
+    if faults.is_empty() { Ok(CommandLine { overrides: values, check_only: check, config_file: file }) } else { Err(faults) }
 }
 
 /// Settings whose text stays text, though it may look like a number: a zone may well be called 1.
-const TEXTS: [&str; 7] = ["name", "zone", "mates_address", "operators_address", "advertised_address", "local_address", "folder"];
+const TEXT_SETTINGS: [&str; 7] = ["name", "zone", "mates_address", "operators_address", "advertised_address", "local_address", "folder"];
 
 /// A flag's text is a list for seeds, plain text for names and places, else a number, a yes or no, or text.
-fn value(setting: &str, text: &str) -> toml::Value {
+fn parse_value(setting: &str, text: &str) -> toml::Value {
     if setting == "seeds" {
         return toml::Value::Array(text.split(',').filter(|part| !part.is_empty()).map(|part| toml::Value::String(part.into())).collect());
     }
-    if TEXTS.contains(&setting) {
+    if TEXT_SETTINGS.contains(&setting) {
         return toml::Value::String(text.into());
     }
     text.parse::<i64>()
@@ -50,23 +50,23 @@
         .unwrap_or_else(|_| toml::Value::String(text.into()))
 }
 
-pub fn load<T: serde::de::DeserializeOwned + validator::Validate>(flags: &Flags) -> Result<T, Vec<Fault>> {
-    let fault = |path: &str, error: String| vec![Fault { path: path.into(), fault: error }];
-    let text = match &flags.file {
+pub fn load_settings<T: serde::de::DeserializeOwned + validator::Validate>(flags: &CommandLine) -> Result<T, Vec<Fault>> {
+    let fault = |path: &str, error: String| vec![Fault { path: path.into(), message: error }];
+    let text = match &flags.config_file {
         Some(file) => std::fs::read_to_string(file).map_err(|error| fault(file, error.to_string()))?,
         None => String::new(),
     };
     let mut table: toml::Table = text.parse().map_err(|error: toml::de::Error| fault("config", error.message().to_string()))?;
-    table.extend(flags.values.clone());
+    table.extend(flags.overrides.clone());
     let settings: T = toml::Value::Table(table).try_into().map_err(|error: toml::de::Error| fault("config", error.to_string().trim().replace('\n', " ")))?;
     match validator::Validate::validate(&settings) {
         Ok(()) => Ok(settings),
-        Err(errors) => Err(crate::check::faults_of("config", &errors)),
+        Err(errors) => Err(crate::check::faults_from_errors("config", &errors)),
     }
 }
 
-pub fn tell(program: &str, faults: &[Fault]) {
-    faults.iter().for_each(|fault| eprintln!("{program}: {}: {}", fault.path, fault.fault));
+pub fn print_faults(program: &str, faults: &[Fault]) {
+    faults.iter().for_each(|fault| eprintln!("{program}: {}: {}", fault.path, fault.message));
 }
 
 pub fn is_address(text: &str) -> Result<(), validator::ValidationError> {
@@ -86,7 +86,7 @@
 }
 
 /// What every daemon does before it runs: help, version, settings, `--check`. `None`: that was all.
-pub fn begin<T: serde::de::DeserializeOwned + validator::Validate>(program: &str, help: &str, names: &[&'static str]) -> Option<(Flags, T)> {
+pub fn start_up<T: serde::de::DeserializeOwned + validator::Validate>(program: &str, help: &str, names: &[&'static str]) -> Option<(CommandLine, T)> {
     let mut arguments = pico_args::Arguments::from_env();
     if arguments.contains("--help") {
         print!("{help}");
@@ -96,12 +96,12 @@
         println!("{program} {}", env!("CARGO_PKG_VERSION"));
         return None;
     }
-    let settings = flags(arguments, names).and_then(|flags| load(&flags).map(|settings| (flags, settings)));
+    let settings = parse_command_line(arguments, names).and_then(|flags| load_settings(&flags).map(|settings| (flags, settings)));
     let (flags, settings) = settings.unwrap_or_else(|faults| {
-        tell(program, &faults);
-        std::process::exit(EXIT_USAGE)
+        print_faults(program, &faults);
+        std::process::exit(USAGE_EXIT_CODE)
     });
-    if flags.check {
+    if flags.check_only {
         println!("{program}: the settings are fine");
         return None;
     }
--- a/crates/model/src/incarnation.rs
+++ b/crates/model/src/incarnation.rs
@@ -7,7 +7,7 @@
 pub type Incarnation = u64;
 
 /// Bits of a registration's incarnation that are drawn; its epoch stands above them.
-const DRAWN_BITS: u32 = 32;
+const RANDOM_BITS: u32 = 32;
 
 /// For a process that starts: a number that no earlier process had. Zero is never drawn, it stands for "none".
 pub fn draw() -> Incarnation {
@@ -16,7 +16,7 @@
 
 /// For a back end that registers anew: an epoch above the one that the log has, and a drawn part, so that two
 /// registrations on top of the same one differ.
-pub fn after(held: Incarnation) -> Incarnation {
-    let epoch = (held >> DRAWN_BITS) + 1;
-    (epoch << DRAWN_BITS) | u64::from(rand::random::<u32>())
+pub fn successor(registered: Incarnation) -> Incarnation {
+    let epoch = (registered >> RANDOM_BITS) + 1;
+    (epoch << RANDOM_BITS) | u64::from(rand::random::<u32>())
 }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,37 +1,37 @@
 //! The words all parts of gradeford share: desired state, standing, terms, verdicts (design 2).
 
-pub mod bill;
-pub mod book;
 pub mod check;
 pub mod clock;
-pub mod desired;
+pub mod cluster_state;
+pub mod compression;
+pub mod desired_state;
+pub mod endpoint_status;
+mod endpoint_status_rules;
 pub mod entry;
 pub mod env;
+pub mod error;
 pub mod incarnation;
-pub mod log;
-pub mod pack;
-pub mod patch;
-pub mod slice;
-pub mod standing;
-mod standing_rules;
-pub mod terms;
-pub mod verdict;
+pub mod leases;
+pub mod logging;
+pub mod state_machine;
+pub mod state_patch;
+pub mod state_slice;
 
-pub use bill::Bill;
-pub use book::Book;
-pub use clock::{Micros, now};
-pub use desired::{Change, DesiredState, Edit, Grouping, Order, Selector};
-pub use entry::{Act, Conflict, Entry, Outcome, SeatChange};
+pub use clock::{Microseconds, now};
+pub use cluster_state::ClusterState;
+pub use desired_state::{Change, DesiredState, Edit, Grouping, Selector, StandingOrder};
+pub use endpoint_status::{Backend, BackendPhase, EndpointStatus, Node};
+pub use entry::{Entry, Operation, Outcome, ReplicaReplacement, VersionConflict};
+pub use error::{Cause, Error, ExecutionStatus};
 pub use incarnation::Incarnation;
-pub use patch::Patch;
-pub use slice::Slice;
-pub use standing::{BackEnd, Node, Phase, Standing};
-pub use verdict::{Cause, Trouble, Verdict};
+pub use state_machine::StateMachine;
+pub use state_patch::StatePatch;
+pub use state_slice::StateSlice;
 
 /// Position in the log of effective entries: the version everything is fenced by.
 pub type Position = u64;
 pub type ServiceName = String;
 pub type ZoneName = String;
-pub type BackEndName = String;
+pub type BackendName = String;
 pub type NodeName = String;
 pub type Labels = std::collections::BTreeMap<String, String>;
--- a/crates/model/tests/bill/conflicts.rs
+++ b/crates/model/tests/bill/conflicts.rs
@@ -2,11 +2,11 @@
 //! what was confirmed once is never refused (design 11.1).
 
 use crate::making::*;
-use model::bill::{Act, Call, Kind, Report};
-use model::{Bill, Outcome};
+use model::cluster_state::{ClusterOperation, ClusterReport, ItemCall, ItemKind};
+use model::{ClusterState, Outcome};
 
 /// Contents of one route that differ, as two operators write them.
-fn route(name: &str, version: u64, prefix: &str) -> Call {
+fn route(name: &str, version: u64, prefix: &str) -> ItemCall {
     let mut call = put(name, version, lane("shop", prefix, "seat"));
     call.puts[0].text = format!(r#"{{"path_prefix":"{prefix}","timeout":"1s"}}"#);
     call
@@ -16,9 +16,9 @@
     matches!(outcome, Outcome::Accepted { .. } | Outcome::Unchanged { .. })
 }
 
-fn refused_by(outcome: Outcome) -> Vec<(Kind, String, u64, u64)> {
+fn refused_by(outcome: Outcome) -> Vec<(ItemKind, String, u64, u64)> {
     let Outcome::Conflict { conflicts } = outcome else { panic!("it is no conflict: {outcome:?}") };
-    conflicts.into_iter().map(|conflict| (conflict.kind, conflict.name, conflict.sent, conflict.held)).collect()
+    conflicts.into_iter().map(|conflict| (conflict.kind, conflict.name, conflict.sent_version, conflict.current_version)).collect()
 }
 
 #[test]
@@ -28,19 +28,19 @@
     let before = bill.clone();
     // Nothing of the call takes effect, though its other item is new.
     let second = both(route("sell", 7, "/two/"), route("buy", 7, "/buy/"));
-    assert_eq!(refused_by(amend(&mut bill, second)), [(Kind::Lane, "sell".to_string(), 7, 7)]);
+    assert_eq!(refused_by(amend(&mut bill, second)), [(ItemKind::Route, "sell".to_string(), 7, 7)]);
     assert_eq!(bill, before);
-    assert!(bill.items[&(Kind::Lane, "sell".to_string())].text.contains("/one/"));
+    assert!(bill.items[&(ItemKind::Route, "sell".to_string())].text.contains("/one/"));
 }
 
 #[test]
 fn a_drop_and_a_put_under_one_version_are_two_contents() {
     let mut bill = site();
     assert!(confirmed(&amend(&mut bill, route("sell", 7, "/one/"))));
-    assert_eq!(refused_by(amend(&mut bill, drop_of(Kind::Lane, "sell", 7))), [(Kind::Lane, "sell".to_string(), 7, 7)]);
-    assert!(confirmed(&amend(&mut bill, drop_of(Kind::Lane, "sell", 9))));
-    assert!(confirmed(&amend(&mut bill, drop_of(Kind::Lane, "sell", 9))), "the same drop again");
-    assert_eq!(refused_by(amend(&mut bill, route("sell", 9, "/one/"))), [(Kind::Lane, "sell".to_string(), 9, 9)]);
+    assert_eq!(refused_by(amend(&mut bill, drop_of(ItemKind::Route, "sell", 7))), [(ItemKind::Route, "sell".to_string(), 7, 7)]);
+    assert!(confirmed(&amend(&mut bill, drop_of(ItemKind::Route, "sell", 9))));
+    assert!(confirmed(&amend(&mut bill, drop_of(ItemKind::Route, "sell", 9))), "the same drop again");
+    assert_eq!(refused_by(amend(&mut bill, route("sell", 9, "/one/"))), [(ItemKind::Route, "sell".to_string(), 9, 9)]);
 }
 
 #[test]
@@ -48,7 +48,7 @@
     let mut bill = site();
     let before = bill.clone();
     let call = both(route("sell", 7, "/one/"), route("sell", 7, "/two/"));
-    assert_eq!(refused_by(amend(&mut bill, call)), [(Kind::Lane, "sell".to_string(), 7, 7)]);
+    assert_eq!(refused_by(amend(&mut bill, call)), [(ItemKind::Route, "sell".to_string(), 7, 7)]);
     assert_eq!(bill, before);
     assert!(confirmed(&amend(&mut bill, both(route("sell", 7, "/one/"), route("sell", 7, "/one/")))));
 }
@@ -69,18 +69,18 @@
     assert!(confirmed(&amend(&mut bill, first.clone())));
     for version in 8..200 {
         assert!(confirmed(&amend(&mut bill, route("sell", version, &format!("/{version}/")))));
-        bill = Bill::from_bytes(&bill.to_bytes()).expect("a snapshot");
+        bill = ClusterState::from_bytes(&bill.to_bytes()).expect("a snapshot");
         assert!(confirmed(&amend(&mut bill, first.clone())), "the first order again, under version {version}");
     }
     // A recent version that was overtaken still tells a second content from a repeat.
     assert!(confirmed(&amend(&mut bill, route("sell", 195, "/195/"))));
-    assert_eq!(refused_by(amend(&mut bill, route("sell", 195, "/else/"))), [(Kind::Lane, "sell".to_string(), 195, 199)]);
+    assert_eq!(refused_by(amend(&mut bill, route("sell", 195, "/else/"))), [(ItemKind::Route, "sell".to_string(), 195, 199)]);
 }
 
 #[test]
 fn hundreds_of_versions_of_an_item_keep_a_bounded_record() {
     let mut bill = site();
-    let grown = |bill: &mut Bill, versions: std::ops::Range<u64>| {
+    let grown = |bill: &mut ClusterState, versions: std::ops::Range<u64>| {
         versions.for_each(|version| drop(amend(bill, route("sell", version, "/one/"))));
         bill.to_bytes().len()
     };
@@ -113,13 +113,14 @@
 #[test]
 fn a_late_registration_of_an_earlier_process_replaces_nothing() {
     let mut bill = site();
-    let node = |life: u64, replaces: u64| Report::Node { node: "n0".into(), zone: "z0".into(), address: "n0:1".into(), life, replaces };
-    let mut register = |life: u64, replaces: u64| bill.apply("n0", life, 1, Act::Reports(vec![node(life, replaces)])).0;
+    let node =
+        |life: u64, replaces: u64| ClusterReport::NodeRegistered { node: "n0".into(), zone: "z0".into(), address: "n0:1".into(), incarnation: life, replaces };
+    let mut register = |life: u64, replaces: u64| bill.apply("n0", life, 1, ClusterOperation::Reports(vec![node(life, replaces)])).0;
     // Drawn incarnations fall as well as rise.
     assert!(matches!(register(900, 0), Outcome::Accepted { .. }));
     assert!(matches!(register(20, 900), Outcome::Accepted { .. }));
     assert!(matches!(register(500, 900), Outcome::Superseded { .. }), "made on top of what stands no more");
     assert!(matches!(register(900, 0), Outcome::Superseded { .. }));
     assert!(matches!(register(7, 20), Outcome::Accepted { .. }));
-    assert_eq!(bill.places["n0"].life, 7);
+    assert_eq!(bill.nodes["n0"].incarnation, 7);
 }
--- a/crates/model/tests/book.rs
+++ b/crates/model/tests/book.rs
@@ -2,7 +2,7 @@
 
 mod site;
 
-use model::{Book, Edit, Outcome, Phase, standing::Report};
+use model::{BackendPhase, Edit, Outcome, StateMachine, endpoint_status::EndpointReport};
 use site::{change, grouping, order, registered, site, tell};
 
 #[test]
@@ -57,31 +57,31 @@
     assert!(matches!(tell(&mut book, "n0", 0, 9, registered("seat-0", "n0", 99)), Outcome::Superseded { .. }));
     assert_eq!(book, before);
     let mut stranger = registered("else-0", "n0", 10);
-    if let Report::Registered { back_end, .. } = &mut stranger {
+    if let EndpointReport::BackendRegistered { backend: back_end, .. } = &mut stranger {
         back_end.service = "else".into();
     }
     assert!(matches!(tell(&mut book, "n0", 1, 3, stranger), Outcome::Refused { .. }), "it fits no grouping");
     // A live name is not taken by another node, and a life that ended does not come back.
     assert!(matches!(tell(&mut book, "n1", 1, 2, registered("seat-0", "n1", 20)), Outcome::Refused { .. }));
-    let phase = |phase| Report::Phase { name: "seat-0".into(), incarnation: 10, phase };
-    tell(&mut book, "n0", 1, 4, phase(Phase::SignedOff));
-    tell(&mut book, "n0", 1, 5, phase(Phase::Draining));
-    assert_eq!(book.standing.back_ends["seat-0"].phase, Phase::SignedOff);
+    let phase = |phase| EndpointReport::PhaseChanged { name: "seat-0".into(), incarnation: 10, phase };
+    tell(&mut book, "n0", 1, 4, phase(BackendPhase::Deregistered));
+    tell(&mut book, "n0", 1, 5, phase(BackendPhase::Draining));
+    assert_eq!(book.endpoint_status.backends["seat-0"].phase, BackendPhase::Deregistered);
 }
 
 #[test]
 fn one_watcher_is_not_believed_two_are() {
     let mut book = site();
     tell(&mut book, "n0", 1, 2, registered("seat-0", "n0", 10));
-    let missed = |watcher: &str, missed| Report::Watch { watcher: watcher.into(), node: "n0".into(), incarnation: 1, missed };
+    let missed = |watcher: &str, missed| EndpointReport::NodeObserved { observer: watcher.into(), node: "n0".into(), incarnation: 1, missed };
     tell(&mut book, "n1", 1, 2, missed("n1", true));
-    assert!(book.standing.nodes["n0"].present);
+    assert!(book.endpoint_status.nodes["n0"].present);
     tell(&mut book, "n1", 1, 3, missed("n1", false));
     tell(&mut book, "n2", 1, 2, missed("n2", true));
-    assert!(book.standing.nodes["n0"].present, "a word taken back does not count");
+    assert!(book.endpoint_status.nodes["n0"].present, "a word taken back does not count");
     tell(&mut book, "n3", 1, 2, missed("n3", true));
-    assert!(!book.standing.nodes["n0"].present);
-    assert_eq!(book.standing.back_ends["seat-0"].phase, Phase::PresumedGone);
+    assert!(!book.endpoint_status.nodes["n0"].present);
+    assert_eq!(book.endpoint_status.backends["seat-0"].phase, BackendPhase::PresumedGone);
 }
 
 #[test]
@@ -95,21 +95,21 @@
     let size = book.to_bytes().len();
     assert!(size < 400_000, "the book grew to {size} bytes");
     assert_eq!(change(&mut book, "c1", 1, vec![order("take", "seat", "seat", "/give")]), Outcome::Stale { version: 1_500 });
-    assert_eq!(Book::from_bytes(&book.to_bytes()), Some(book));
+    assert_eq!(StateMachine::from_bytes(&book.to_bytes()), Some(book));
 }
 
 #[test]
 fn a_patch_makes_the_later_slice_of_the_earlier_one() {
     test_support::drawn::<[(u8, u8); 24]>(200, |steps| {
         let mut book = site();
-        let services: model::slice::Services = ["seat".to_string()].into_iter().collect();
-        let mut held = model::Slice::cut(&book, &services);
+        let services: model::state_slice::ServiceSet = ["seat".to_string()].into_iter().collect();
+        let mut held = model::StateSlice::for_services(&book, &services);
         steps.iter().zip(10u64..).for_each(|((what, which), turn)| {
             let name = format!("seat-{}", which % 4);
             match what % 5 {
                 0 => drop(tell(&mut book, "n0", 1, turn, registered(&name, "n0", turn))),
-                1 => drop(tell(&mut book, "n0", 1, turn, Report::Phase { name, incarnation: *which as u64, phase: Phase::Draining })),
-                2 => drop(tell(&mut book, "n0", 1, turn, Report::NodeLeft { node: format!("n{}", which % 4), incarnation: 1, clean: true })),
+                1 => drop(tell(&mut book, "n0", 1, turn, EndpointReport::PhaseChanged { name, incarnation: *which as u64, phase: BackendPhase::Draining })),
+                2 => drop(tell(&mut book, "n0", 1, turn, EndpointReport::NodeLeft { node: format!("n{}", which % 4), incarnation: 1, clean: true })),
                 3 => {
                     let version = book.desired.version;
                     drop(change(&mut book, &format!("c{turn}"), version, vec![order("take", "seat", "seat", &format!("/take{}", which % 3))]))
@@ -119,8 +119,8 @@
                     drop(change(&mut book, &format!("c{turn}"), version, vec![Edit::DropOrder { name: "take".into() }]))
                 }
             }
-            let next = model::Slice::cut(&book, &services);
-            let patched = held.patched(held.patch_to(&next));
+            let next = model::StateSlice::for_services(&book, &services);
+            let patched = held.with_patch(held.diff_to(&next));
             assert_eq!(patched, next);
             held = patched;
         });
--- a/crates/model/tests/verdicts.rs
+++ b/crates/model/tests/verdicts.rs
@@ -5,8 +5,8 @@
     let page = include_str!("../../../docs/verdicts.md");
     model::Cause::ALL.iter().for_each(|cause| {
         let verdict = match cause.verdict() {
-            model::Verdict::NotRun => "not-run",
-            model::Verdict::MayHaveRun => "may-have-run",
+            model::ExecutionStatus::NotRun => "not-run",
+            model::ExecutionStatus::MayHaveRun => "may-have-run",
         };
         let row = format!("| `{}` | {verdict} | {} |", cause.code(), cause.status());
         assert!(page.contains(&row), "the page lacks {row}");
@@ -18,6 +18,6 @@
 #[test]
 fn whoever_is_refused_for_the_moment_is_told_when_to_come_back() {
     let silent = model::Cause::ALL.iter().filter(|cause| matches!(cause.status(), 429 | 503));
-    let silent: Vec<_> = silent.filter(|cause| model::Trouble::new(**cause, "").retry_after.is_none()).collect();
+    let silent: Vec<_> = silent.filter(|cause| model::Error::new(**cause, "").retry_after.is_none()).collect();
     assert!(silent.is_empty(), "{silent:?} do not say when");
 }
--- a/crates/operator-api/src/lib.rs
+++ b/crates/operator-api/src/lib.rs
@@ -1,33 +1,33 @@
 //! Operators: changes, reading back, standing, health (docs/operators/changes.md).
 
 mod changes;
-mod reading;
+mod queries;
 
 #[derive(Clone)]
-pub struct Boxoffice {
-    pub core: control::Core,
+pub struct OperatorApi {
+    pub replica: control::ReplicaHandle,
     /// False once the process has been told to stop.
-    pub staying: std::sync::Arc<std::sync::atomic::AtomicBool>,
+    pub accepting_work: std::sync::Arc<std::sync::atomic::AtomicBool>,
 }
 
-pub fn router(office: Boxoffice) -> salvo::Router {
-    let one = |kind: changes::Kind| {
+pub fn router(office: OperatorApi) -> salvo::Router {
+    let one = |kind: changes::ItemKind| {
         salvo::Router::with_path("{name}")
-            .get(reading::One(office.clone(), kind))
-            .put(changes::Put(office.clone(), kind))
-            .delete(changes::Drop(office.clone(), kind))
+            .get(queries::SingleItem(office.clone(), kind))
+            .put(changes::PutItem(office.clone(), kind))
+            .delete(changes::DeleteItem(office.clone(), kind))
     };
     salvo::Router::new()
-        .push(salvo::Router::with_path("live").get(reading::Live))
-        .push(salvo::Router::with_path("ready").get(reading::Ready(office.clone())))
+        .push(salvo::Router::with_path("live").get(queries::Liveness))
+        .push(salvo::Router::with_path("ready").get(queries::Readiness(office.clone())))
         .push(
             salvo::Router::with_path("v1")
-                .push(salvo::Router::with_path("changes").post(changes::Apply(office.clone())))
-                .push(salvo::Router::with_path("seats").post(changes::Replace(office.clone())))
-                .push(salvo::Router::with_path("desired").get(reading::Desired(office.clone())))
-                .push(salvo::Router::with_path("standing").get(reading::Standing(office.clone())))
-                .push(salvo::Router::with_path("status").get(reading::Status(office.clone())))
-                .push(salvo::Router::with_path("groupings").push(one(changes::Kind::Grouping)))
-                .push(salvo::Router::with_path("orders").push(one(changes::Kind::Order))),
+                .push(salvo::Router::with_path("changes").post(changes::ApplyChange(office.clone())))
+                .push(salvo::Router::with_path("seats").post(changes::ReplaceReplica(office.clone())))
+                .push(salvo::Router::with_path("desired").get(queries::DesiredState(office.clone())))
+                .push(salvo::Router::with_path("standing").get(queries::EndpointStatus(office.clone())))
+                .push(salvo::Router::with_path("status").get(queries::ReplicaStatus(office.clone())))
+                .push(salvo::Router::with_path("groupings").push(one(changes::ItemKind::Grouping)))
+                .push(salvo::Router::with_path("orders").push(one(changes::ItemKind::StandingOrder))),
         )
 }
--- a/crates/operator-api/tests/operators.rs
+++ b/crates/operator-api/tests/operators.rs
@@ -1,36 +1,36 @@
 //! Operators against a core in this process: faults, races, repeats, and no majority (design 2.2, 4.1).
 
-struct Seat {
-    core: control::Core,
-    serving: http_util::Serving,
+struct TestReplica {
+    handle: control::ReplicaHandle,
+    http_server: http_util::HttpServer,
 }
 
-async fn seat(folder: &std::path::Path, number: u16, seats: u16, seeds: Vec<String>) -> (Seat, String) {
+async fn start_replica(folder: &std::path::Path, number: u16, seats: u16, seeds: Vec<String>) -> (TestReplica, String) {
     let mates = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = mates.local_addr().expect("an address").to_string();
-    let env = control::CoreEnv {
+    let env = control::ReplicaConfig {
         name: format!("core-{number}"),
         zone: "z0".into(),
-        seat: number,
-        seats,
+        replica_id: number,
+        replica_count: seats,
         address: address.clone(),
         seeds: seeds.into_iter().chain([address.clone()]).collect(),
         folder: folder.join(number.to_string()),
-        tuning: Default::default(),
-        snapshot_every: 100,
+        timing: Default::default(),
+        snapshot_every_entries: 100,
         replace_after: 500_000,
-        charter: None,
+        membership: None,
     };
-    let core = control::Core::start(env, model::log::quiet()).expect("a core seat");
-    tokio::spawn(control::news::listen(core.clone(), mates));
+    let core = control::ReplicaHandle::start(env, model::logging::discard_logger()).expect("a core seat");
+    tokio::spawn(control::stream::listen(core.clone(), mates));
     let staying = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true));
-    let router = operator_api::router(operator_api::Boxoffice { core: core.clone(), staying });
-    let serving = http_util::Serving::start("127.0.0.1:0", router).await.expect("http");
-    (Seat { core, serving }, address)
+    let router = operator_api::router(operator_api::OperatorApi { replica: core.clone(), accepting_work: staying });
+    let serving = http_util::HttpServer::start("127.0.0.1:0", router).await.expect("http");
+    (TestReplica { handle: core, http_server: serving }, address)
 }
 
-async fn until_started(seat: &Seat) {
-    while !seat.core.state.load().started || seat.core.state.load().in_touch <= seat.core.seats() as usize / 2 {
+async fn until_started(seat: &TestReplica) {
+    while !seat.handle.status.load().voting || seat.handle.status.load().connected_replicas <= seat.handle.replica_count() as usize / 2 {
         tokio::task::yield_now().await;
     }
 }
@@ -39,8 +39,8 @@
     reqwest::Client::builder().no_proxy().build().expect("a client")
 }
 
-async fn post(seat: &Seat, body: impl Into<reqwest::Body>) -> (u16, serde_json::Value) {
-    let url = format!("http://{}/v1/changes", seat.serving.address);
+async fn post(seat: &TestReplica, body: impl Into<reqwest::Body>) -> (u16, serde_json::Value) {
+    let url = format!("http://{}/v1/changes", seat.http_server.address);
     let response = client().post(url).body(body).send().await.expect("an answer");
     (response.status().as_u16(), response.json().await.expect("JSON"))
 }
@@ -56,14 +56,14 @@
     ])
 }
 
-fn folder(name: &str) -> std::path::PathBuf {
+fn temp_dir(name: &str) -> std::path::PathBuf {
     std::env::temp_dir().join(format!("gradeford-{name}-{}", std::process::id()))
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn bad_input_is_named_and_changes_nothing() {
-    let folder = folder("faults");
-    let (seat, _) = seat(&folder, 0, 1, vec![]).await;
+    let folder = temp_dir("faults");
+    let (seat, _) = start_replica(&folder, 0, 1, vec![]).await;
     until_started(&seat).await;
     assert_eq!(post(&seat, change("site", 0, site())).await.0, 200);
     let put = |wait: serde_json::Value, extra: &str| {
@@ -84,7 +84,7 @@
         assert_eq!((found, answer["faults"][0]["path"].as_str()), (status, Some(path)), "{body} got {answer}");
     }
     // Single edits name their version and their own id, or are refused without effect.
-    let url = format!("http://{}/v1/groupings/more", seat.serving.address);
+    let url = format!("http://{}/v1/groupings/more", seat.http_server.address);
     let grouping = serde_json::json!({ "service": "seat", "zone": "z1" });
     let unnamed = client().put(&url).json(&grouping).send().await.expect("an answer");
     assert_eq!(unnamed.status().as_u16(), 428);
@@ -93,9 +93,9 @@
     let absent = client().delete(&url).header("if-match", "\"1\"").header("x-change-id", "n").send().await.expect("an answer");
     assert_eq!(absent.status().as_u16(), 422);
     let no_disk = serde_json::json!({ "seat": 4, "from": "x", "to": "1" });
-    let no_disk = client().post(format!("http://{}/v1/seats", seat.serving.address)).json(&no_disk).send().await.expect("an answer");
+    let no_disk = client().post(format!("http://{}/v1/seats", seat.http_server.address)).json(&no_disk).send().await.expect("an answer");
     assert_eq!(no_disk.status().as_u16(), 422);
-    let state = client().get(format!("http://{}/v1/desired", seat.serving.address)).send().await.expect("an answer");
+    let state = client().get(format!("http://{}/v1/desired", seat.http_server.address)).send().await.expect("an answer");
     assert_eq!(state.headers().get("etag").and_then(|tag| tag.to_str().ok()), Some("\"1\""));
     let state: serde_json::Value = state.json().await.expect("JSON");
     assert_eq!(state["orders"].as_object().map(|orders| orders.len()), Some(1));
@@ -104,12 +104,12 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn of_two_operators_racing_one_wins_and_a_repeat_is_harmless() {
-    let folder = folder("race");
-    let (first, address) = seat(&folder, 0, 3, vec![]).await;
-    let (second, next) = seat(&folder, 1, 3, vec![address.clone()]).await;
+    let folder = temp_dir("race");
+    let (first, address) = start_replica(&folder, 0, 3, vec![]).await;
+    let (second, next) = start_replica(&folder, 1, 3, vec![address.clone()]).await;
     let lonely = post(&first, change("early", 0, site())).await;
     assert_eq!((lonely.0, lonely.1["verdict"].as_str()), (503, Some("not-run")), "no majority has met yet");
-    let (third, _) = seat(&folder, 2, 3, vec![address, next]).await;
+    let (third, _) = start_replica(&folder, 2, 3, vec![address, next]).await;
     for seat in [&first, &second, &third] {
         until_started(seat).await;
     }
@@ -123,7 +123,7 @@
     let again = post(&third, change(winner, 1, edit(path))).await;
     assert_eq!((again.0, again.1["accepted"]["version"].as_u64()), (200, Some(2)), "{again:?}");
     // Any seat reads back what another accepted.
-    let state = client().get(format!("http://{}/v1/orders/a", third.serving.address)).send().await.expect("an answer");
+    let state = client().get(format!("http://{}/v1/orders/a", third.http_server.address)).send().await.expect("an answer");
     let order: serde_json::Value = state.json().await.expect("JSON");
     assert_eq!(order["selector"]["path_prefix"].as_str(), Some(path));
     std::fs::remove_dir_all(folder).expect("clean");
@@ -131,54 +131,54 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_emptied_disk_may_not_vote_under_its_old_seat() {
-    let folder = folder("emptied");
-    let (first, address) = seat(&folder, 0, 3, vec![]).await;
-    let (second, next) = seat(&folder, 1, 3, vec![address.clone()]).await;
-    let (third, _) = seat(&folder, 2, 3, vec![address.clone(), next.clone()]).await;
+    let folder = temp_dir("emptied");
+    let (first, address) = start_replica(&folder, 0, 3, vec![]).await;
+    let (second, next) = start_replica(&folder, 1, 3, vec![address.clone()]).await;
+    let (third, _) = start_replica(&folder, 2, 3, vec![address.clone(), next.clone()]).await;
     for seat in [&first, &second, &third] {
         until_started(seat).await;
     }
     assert_eq!(post(&first, change("site", 0, site())).await.0, 200);
     // The same seat on an empty disk, at another address.
-    let (emptied, _) = seat_again(&folder, vec![address, next]).await;
-    while emptied.core.state.load().refused.is_none() {
+    let (emptied, _) = start_replica_on_empty_disk(&folder, vec![address, next]).await;
+    while emptied.handle.status.load().refusal.is_none() {
         tokio::task::yield_now().await;
     }
-    assert!(!emptied.core.state.load().started);
-    let ready = client().get(format!("http://{}/ready", emptied.serving.address)).send().await.expect("an answer");
+    assert!(!emptied.handle.status.load().voting);
+    let ready = client().get(format!("http://{}/ready", emptied.http_server.address)).send().await.expect("an answer");
     assert_eq!(ready.status().as_u16(), 503);
     let told = ready.text().await.expect("text");
     assert!(told.contains("another disk"), "{told}");
     std::fs::remove_dir_all(folder).expect("clean");
 }
 
-async fn seat_again(folder: &std::path::Path, seeds: Vec<String>) -> (Seat, String) {
-    seat(&folder.join("emptied"), 0, 3, seeds).await
+async fn start_replica_on_empty_disk(folder: &std::path::Path, seeds: Vec<String>) -> (TestReplica, String) {
+    start_replica(&folder.join("emptied"), 0, 3, seeds).await
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_empty_disk_takes_its_seat_over_by_itself_once_the_holder_is_gone() {
-    let folder = folder("knock");
-    let (first, address) = seat(&folder, 0, 3, vec![]).await;
-    let (second, next) = seat(&folder, 1, 3, vec![address.clone()]).await;
+    let folder = temp_dir("knock");
+    let (first, address) = start_replica(&folder, 0, 3, vec![]).await;
+    let (second, next) = start_replica(&folder, 1, 3, vec![address.clone()]).await;
     // The third seat lives in a runtime of its own, which ends as its machine does.
     let machine = tokio::runtime::Runtime::new().expect("a runtime");
     let (place, seeds) = (folder.clone(), vec![address.clone(), next.clone()]);
-    let (third, _) = machine.spawn(async move { seat(&place, 2, 3, seeds).await }).await.expect("a seat");
+    let (third, _) = machine.spawn(async move { start_replica(&place, 2, 3, seeds).await }).await.expect("a seat");
     for seat in [&first, &second, &third] {
         until_started(seat).await;
     }
     assert_eq!(post(&first, change("site", 0, site())).await.0, 200);
     machine.shutdown_background();
     drop(third);
-    let (empty, _) = seat(&folder.join("emptied"), 2, 3, vec![address, next]).await;
+    let (empty, _) = start_replica(&folder.join("emptied"), 2, 3, vec![address, next]).await;
     until_started(&empty).await;
     // With one of the two others gone, nothing is accepted without the new disk's vote: it has one, and what was accepted before.
-    let state = client().get(format!("http://{}/v1/desired", empty.serving.address)).send().await.expect("an answer");
+    let state = client().get(format!("http://{}/v1/desired", empty.http_server.address)).send().await.expect("an answer");
     let state: serde_json::Value = state.json().await.expect("JSON");
     assert_eq!(state["version"].as_u64(), Some(1), "{state}");
     // The other seats bind theirs to the new disk as they come past the change; the old one counts no more.
-    while second.core.pins.load().get(&2) != Some(&empty.core.identity().1) {
+    while second.handle.pinned_disks.load().get(&2) != Some(&empty.handle.identity().1) {
         tokio::task::yield_now().await;
     }
     std::fs::remove_dir_all(folder).expect("clean");
--- a/crates/outbound/src/lib.rs
+++ b/crates/outbound/src/lib.rs
@@ -1,17 +1,17 @@
 //! The near side: what senders ask, whom it goes to, and what they are answered (design 13).
 
-mod calls;
-mod course;
-mod front;
-mod listen;
-mod mates;
-mod picker;
-mod purse;
+mod in_flight;
+mod listener;
+mod peer_connections;
+mod peer_server;
+mod proxy;
+mod retry_budget;
+mod selector;
 
-pub use calls::{Calls, UnderWay};
-pub use course::{Apron, Ask};
-pub use front::{Front, FrontEnv};
-pub use listen::{Heard, Loads, listen};
-pub use mates::{Greet, Mates};
-pub use picker::{PickEnv, Picks};
-pub use purse::Purse;
+pub use in_flight::{InFlightGuard, InFlightRequests};
+pub use listener::{Listener, ListenerConfig};
+pub use peer_connections::{HandshakeInfo, PeerConnections};
+pub use peer_server::{HeartbeatSender, LoadReportSender, serve_peers};
+pub use proxy::{OutboundProxy, Request};
+pub use retry_budget::RetryBudget;
+pub use selector::{SelectorConfig, SelectorHandle};
--- a/crates/outbound/src/picker/judged.rs
+++ b/crates/outbound/src/selector/tests.rs
@@ -9,10 +9,10 @@
 const SLOTS: u32 = 9;
 const A_SECOND: f64 = 700.0;
 const MEAN: f64 = 80_000.0;
-const SECOND: Micros = 1_000_000;
+const SECOND: Microseconds = 1_000_000;
 
 /// The near node, the back end, the run's number, what it says, and how long it took.
-type End = (usize, usize, u64, inbound::Ended, Micros);
+type End = (usize, usize, u64, inbound::RunResult, Microseconds);
 
 #[derive(Clone, Copy)]
 enum How {
@@ -26,8 +26,8 @@
 #[derive(Clone, Copy)]
 struct Scene {
     ill: usize,
-    from: Micros,
-    to: Micros,
+    from: Microseconds,
+    to: Microseconds,
     how: How,
     guard: bool,
 }
@@ -47,24 +47,24 @@
 
 fn play(scene: Scene) -> Seen {
     let mut random: rand::rngs::StdRng = rand::SeedableRng::seed_from_u64(43);
-    let env = PickEnv { crossing: 30_000, earned_of_100: 6 };
-    let mut near: Vec<Picker> = (0..NEAR).map(|_| Picker::new(env)).collect();
-    let mut far: Vec<(inbound::Health, inbound::Buffer<()>)> = (0..BACK_ENDS).map(|_| Default::default()).collect();
-    let mut ends: std::collections::BTreeMap<(Micros, u64), End> = Default::default();
+    let env = SelectorConfig { zone_crossing_cost: 30_000, retry_deposit: 6 };
+    let mut near: Vec<Selector> = (0..NEAR).map(|_| Selector::new(env)).collect();
+    let mut far: Vec<(inbound::OutlierDetector, inbound::AdmissionQueue<()>)> = (0..BACK_ENDS).map(|_| Default::default()).collect();
+    let mut ends: std::collections::BTreeMap<(Microseconds, u64), End> = Default::default();
     let until = scene.to + 12 * SECOND;
     let (mut seen, mut due, mut begun) = (Seen { each: vec![0; (until / SECOND) as usize + 1], ..Default::default() }, 0.0, 0u64);
     let names: Vec<String> = (0..BACK_ENDS).map(|at| format!("b{at:02}")).collect();
     for now in (1..until / 1_000).map(|at| at * 1_000) {
         while let Some((key, (by, of, number, ended, took))) = ends.first_key_value().map(|(key, end)| (*key, *end)).filter(|((at, _), _)| *at <= now) {
             ends.remove(&key);
-            let was = far[of].0.ill();
-            far[of].0.ended(now, number, ended);
-            let run = far[of].1.seen_run();
-            far[of].0.look(now, run);
-            seen.wrongly += (!was && far[of].0.ill() && !(of < scene.ill && now >= scene.from && now < scene.to + 2 * SECOND)) as u32;
-            (ended != inbound::Ended::Unclear).then(|| far[of].1.ran(took));
-            let told = far[of].1.wait(now, u8::MAX, far[of].0.running(), SLOTS as usize) + run.0 / 2;
-            near[by].done(now, &names[of], Some(told), ended == inbound::Ended::Unclear);
+            let was = far[of].0.is_ejected();
+            far[of].0.run_ended(now, number, ended);
+            let run = far[of].1.mean_run();
+            far[of].0.check_overdue(now, run);
+            seen.wrongly += (!was && far[of].0.is_ejected() && !(of < scene.ill && now >= scene.from && now < scene.to + 2 * SECOND)) as u32;
+            (ended != inbound::RunResult::Inconclusive).then(|| far[of].1.record_run(took));
+            let told = far[of].1.expected_wait(now, u8::MAX, far[of].0.running(), SLOTS as usize) + run.0 / 2;
+            near[by].attempt_finished(now, &names[of], Some(told), ended == inbound::RunResult::Inconclusive);
         }
         due += A_SECOND / 1_000.0;
         while due >= 1.0 {
@@ -74,31 +74,31 @@
             let (mut over, mut declined): (Vec<usize>, u8) = Default::default();
             let of = loop {
                 let open = (0..BACK_ENDS).filter(|at| !over.contains(at));
-                let candidates: Vec<Candidate> = open.map(|at| Candidate { name: names[at].clone(), slots: SLOTS, near: at % 4 == by % 4 }).collect();
-                let picked = near[by].pick(now, &candidates).expect("there are some");
+                let candidates: Vec<Candidate> = open.map(|at| Candidate { name: names[at].clone(), slots: SLOTS, same_zone: at % 4 == by % 4 }).collect();
+                let picked = near[by].select(now, &candidates).expect("there are some");
                 let of = names.iter().position(|name| *name == picked).expect("it is one of them");
                 let elsewhere = far[of].0.declines(now, repeatable).filter(|_| scene.guard && declined < 2);
                 let Some(elsewhere) = elsewhere else { break of };
-                near[by].done(now, &picked, Some(elsewhere), false);
+                near[by].attempt_finished(now, &picked, Some(elsewhere), false);
                 over.push(of);
                 (declined, seen.hops) = (declined + 1, seen.hops + 1);
             };
             let up = !matches!(scene.how, How::Flap) || now / 750_000 % 2 == 0;
             let sick = of < scene.ill && (scene.from..scene.to).contains(&now) && up;
-            let took = (-MEAN * (1.0 - random.random::<f64>()).ln()) as Micros;
+            let took = (-MEAN * (1.0 - random.random::<f64>()).ln()) as Microseconds;
             let (took, ended) = match (sick, scene.how) {
-                (true, How::Hang) => (SECOND, inbound::Ended::Unclear),
-                (true, _) => (2_000, inbound::Ended::Bad),
-                _ if random.random_bool(0.03) => (took, inbound::Ended::Bad),
-                _ => (took, inbound::Ended::Good),
+                (true, How::Hang) => (SECOND, inbound::RunResult::Inconclusive),
+                (true, _) => (2_000, inbound::RunResult::Failure),
+                _ if random.random_bool(0.03) => (took, inbound::RunResult::Failure),
+                _ => (took, inbound::RunResult::Success),
             };
             seen.lost += sick as u32;
             seen.back += (of < scene.ill && now > until - 2 * SECOND) as u32;
             seen.each[(now / SECOND) as usize] += sick as u32;
             begun += 1;
-            let number = far[of].0.begin(now);
-            let run = far[of].1.seen_run();
-            far[of].0.look(now, run);
+            let number = far[of].0.run_started(now);
+            let run = far[of].1.mean_run();
+            far[of].0.check_overdue(now, run);
             ends.insert((now + took, begun), (by, of, number, ended, took));
         }
     }
--- a/crates/outbound/tests/back_end/mod.rs
+++ b/crates/outbound/tests/back_end/mod.rs
@@ -1,6 +1,6 @@
 //! A back end that does what the path of a request says, and a relay that breaks conns.
 
-use http_util::words::OWN;
+use http_util::headers::DEFAULT_HEADER_NAMES;
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::{TcpListener, TcpStream};
 
@@ -69,7 +69,7 @@
 async fn attend(mut stream: TcpStream, tell: Tell, releases: tokio::sync::watch::Receiver<u64>) {
     while let Some(head) = head(&mut stream).await {
         let script = head.split(' ').nth(1).unwrap_or_default().trim_start_matches('/').to_string();
-        let prefix = format!("{}: ", OWN.try_id);
+        let prefix = format!("{}: ", DEFAULT_HEADER_NAMES.attempt_id);
         let id = head.lines().find_map(|line| line.strip_prefix(&prefix)).unwrap_or_default().to_string();
         let number: usize = id.trim_start_matches('t').parse().expect("a number");
         tell.send_modify(|events| events.push(Event::Began(number)));
@@ -94,7 +94,12 @@
 
 fn whole(id: &str, extra: &str) -> String {
     let body = format!("whole {id}");
-    format!("HTTP/1.1 200 OK\r\n{}: {id}\r\n{}: s\r\n{extra}content-length: {}\r\n\r\n{body}", OWN.try_id, OWN.seal, body.len())
+    format!(
+        "HTTP/1.1 200 OK\r\n{}: {id}\r\n{}: s\r\n{extra}content-length: {}\r\n\r\n{body}",
+        DEFAULT_HEADER_NAMES.attempt_id,
+        DEFAULT_HEADER_NAMES.seal,
+        body.len()
+    )
 }
 
 /// Whether the conn stays open.
@@ -105,12 +110,15 @@
         "half" => (whole(id, "").trim_end_matches(id).to_string(), false),
         "garbage" => ("\x01\x02 no answer at all\r\n\r\n".to_string(), false),
         "surplus" => (format!("{}{}", whole(id, ""), whole("t31", "")), true),
-        "unsealed" => (whole(id, "").replace(OWN.seal, "x-else"), true),
+        "unsealed" => (whole(id, "").replace(DEFAULT_HEADER_NAMES.seal, "x-else"), true),
         "encoded" => (whole(id, "content-encoding: gzip\r\n"), true),
         "continue" => (format!("HTTP/1.1 100 Continue\r\n\r\n{}", whole(id, "")), true),
         "endless" | "endless-reset" => {
             let body = if script == "endless" { format!("whole {id}") } else { "who".to_string() };
-            (format!("HTTP/1.1 200 OK\r\n{}: {id}\r\n{}: s\r\nconnection: close\r\n\r\n{body}", OWN.try_id, OWN.seal), false)
+            (
+                format!("HTTP/1.1 200 OK\r\n{}: {id}\r\n{}: s\r\nconnection: close\r\n\r\n{body}", DEFAULT_HEADER_NAMES.attempt_id, DEFAULT_HEADER_NAMES.seal),
+                false,
+            )
         }
         // `reset` and `close`.
         _ => (String::new(), false),
--- a/crates/outbound/tests/budget.rs
+++ b/crates/outbound/tests/budget.rs
@@ -26,15 +26,15 @@
 }
 
 #[derive(Default)]
-struct Guarded(outbound::Purse);
+struct Guarded(outbound::RetryBudget);
 
 impl Saved for Guarded {
     fn earn(&mut self, now: Micros) {
-        self.0.earn(now, outbound::Purse::earned_of_100(RATIO));
+        self.0.deposit(now, outbound::RetryBudget::deposit_for_ratio(RATIO));
     }
 
     fn spend(&mut self, now: Micros) -> bool {
-        self.0.spend(now)
+        self.0.withdraw(now)
     }
 }
 
--- a/crates/outbound/tests/callers.rs
+++ b/crates/outbound/tests/callers.rs
@@ -5,69 +5,79 @@
 mod back_end;
 
 use back_end::{BackEnd, Event};
-use model::{Cause, Verdict};
+use model::{Cause, ExecutionStatus};
 use std::time::Duration;
 
 const BOUND: Duration = Duration::from_secs(300);
 const NAME: &str = "back-end";
 
 struct Site {
-    near: outbound::Mates,
+    near: outbound::PeerConnections,
     far: String,
     back_end: BackEnd,
-    pit: inbound::Pit,
+    pit: inbound::ConcurrencyLimiter,
     /// Conns from the near to the far node go through it, so that they can be broken.
     relay: back_end::Relay,
 }
 
-fn greeting(purpose: transport::Purpose, address: &str) -> transport::Greeting {
+fn greeting(purpose: transport::Purpose, address: &str) -> transport::Handshake {
     let (name, zone) = (address.to_string(), "z0".to_string());
-    transport::Greeting { purpose, name, zone, address: address.into(), incarnation: 1, core: None, blank: false, expects: None, known: Vec::new() }
+    transport::Handshake {
+        purpose,
+        node_name: name,
+        zone,
+        address: address.into(),
+        incarnation: 1,
+        replica: None,
+        has_empty_disk: false,
+        expected_disk: None,
+        known_replicas: Vec::new(),
+    }
 }
 
 async fn site(slots: u32) -> Site {
     let back_end = BackEnd::start().await;
-    let pit = inbound::Pit::start(inbound::PitEnv { words: http_util::words::OWN, ahead: 0 });
-    pit.local(Some(inbound::Local { name: NAME.into(), address: back_end.address.clone(), slots, closes: None, holding: None })).await;
+    let pit = inbound::ConcurrencyLimiter::start(inbound::ConcurrencyLimiterConfig { header_names: http_util::headers::DEFAULT_HEADER_NAMES, extra_runs: 0 });
+    pit.set_backend(Some(inbound::LocalBackend { name: NAME.into(), address: back_end.address.clone(), slots, drains_at: None, held_keys: None })).await;
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let far = listener.local_addr().expect("an address").to_string();
     let relay = back_end::Relay::start(far).await;
-    let greet: outbound::Greet = std::sync::Arc::new(|purpose| greeting(purpose, "127.0.0.1:0"));
+    let greet: outbound::HandshakeInfo = std::sync::Arc::new(|purpose| greeting(purpose, "127.0.0.1:0"));
     let (heard, _) = tokio::sync::mpsc::channel(8);
     let (loads, _) = tokio::sync::mpsc::channel(8);
-    tokio::spawn(outbound::listen(listener, greet.clone(), control::acquaint::nobody(), pit.clone(), (heard, loads)));
-    Site { near: outbound::Mates::start(greet), far: relay.address.clone(), back_end, pit, relay }
+    tokio::spawn(outbound::serve_peers(listener, greet.clone(), control::discovery::empty(), pit.clone(), (heard, loads)));
+    Site { near: outbound::PeerConnections::start(greet), far: relay.address.clone(), back_end, pit, relay }
 }
 
-fn cue(number: usize, script: &str, repeatable: bool, left: u64) -> Box<transport::Cue> {
-    Box::new(transport::Cue {
-        back_end: NAME.into(),
+fn cue(number: usize, script: &str, repeatable: bool, left: u64) -> Box<transport::ForwardedRequest> {
+    Box::new(transport::ForwardedRequest {
+        backend: NAME.into(),
         caller: "seat".into(),
         method: "GET".into(),
         target: format!("/{script}"),
-        headers: vec![(http_util::words::OWN.try_id.into(), format!("t{number}").into_bytes())],
+        headers: vec![(http_util::headers::DEFAULT_HEADER_NAMES.attempt_id.into(), format!("t{number}").into_bytes())],
         body: Vec::new(),
-        key: None,
-        left,
-        aim: left,
-        rank: 0,
-        repeatable,
-        anyway: true,
+        shard_key: None,
+        time_left: left,
+        latency_target: left,
+        priority: 0,
+        idempotent: repeatable,
+        force: true,
     })
 }
 
 impl Site {
-    async fn call(&self, number: usize, script: &str, repeatable: bool) -> Result<transport::Take, model::Trouble> {
+    async fn call(&self, number: usize, script: &str, repeatable: bool) -> Result<transport::ForwardedResponse, model::Error> {
         let call = self.near.call(&self.far, cue(number, script, repeatable, 600_000_000));
         tokio::time::timeout(BOUND, call).await.expect("an outcome in time").0
     }
 
     /// Sent again, as a caller does it, after each certain refusal.
-    async fn until_served(&self, number: usize) -> transport::Take {
+    async fn until_served(&self, number: usize) -> transport::ForwardedResponse {
         loop {
             match self.call(number, "ok", false).await {
                 Ok(take) => return take,
-                Err(trouble) => assert_eq!(trouble.verdict, Verdict::NotRun, "{trouble:?}"),
+                Err(trouble) => assert_eq!(trouble.execution_status, ExecutionStatus::NotRun, "{trouble:?}"),
             }
         }
     }
@@ -90,7 +100,7 @@
                 assert_eq!(String::from_utf8_lossy(&take.body), format!("whole t{number}"), "{script}");
                 assert!(["ok", "surplus", "endless", "continue"].contains(&script), "{script} brought a success");
             }
-            Err(trouble) if trouble.verdict == Verdict::NotRun => {
+            Err(trouble) if trouble.execution_status == ExecutionStatus::NotRun => {
                 assert!(!site.back_end.ran(number), "{script}: it ran and was said not to have run: {trouble:?}");
             }
             Err(_) => {}
@@ -114,8 +124,8 @@
             site.relay.break_all();
         };
         let (outcomes, ()) = tokio::join!(futures(calls), all_began);
-        let verdicts: Vec<_> = outcomes.into_iter().map(|outcome| outcome.expect_err("nobody answers").verdict).collect();
-        assert!(verdicts.iter().all(|verdict| *verdict == Verdict::MayHaveRun), "{verdicts:?}");
+        let verdicts: Vec<_> = outcomes.into_iter().map(|outcome| outcome.expect_err("nobody answers").execution_status).collect();
+        assert!(verdicts.iter().all(|verdict| *verdict == ExecutionStatus::MayHaveRun), "{verdicts:?}");
         // The same node answers again, each caller its own.
         let number = 1_000 + round;
         let take = site.until_served(number).await;
@@ -173,7 +183,7 @@
     assert!((1..6).all(|number| site.back_end.count(number) == 0), "one began for nobody");
 }
 
-async fn until_waiting(pit: &inbound::Pit) {
+async fn until_waiting(pit: &inbound::ConcurrencyLimiter) {
     while pit.load().await.1 == 0 {
         tokio::task::yield_now().await;
     }
@@ -182,9 +192,9 @@
 /// What was said on the conn before has been heard: a refused request comes back after it.
 async fn until_told(site: &Site) {
     let mut other = cue(99, "ok", false, 600_000_000);
-    other.back_end = "another".into();
+    other.backend = "another".into();
     let (outcome, _) = site.near.call(&site.far, other).await;
-    assert_eq!(outcome.expect_err("it is not there").cause, Cause::WrongIncarnation);
+    assert_eq!(outcome.expect_err("it is not there").kind, Cause::WrongIncarnation);
 }
 
 async fn futures<T>(calls: impl Iterator<Item = impl Future<Output = T>>) -> Vec<T> {
--- a/crates/simulator/src/audience.rs
+++ b/crates/simulator/src/audience.rs
@@ -81,8 +81,9 @@
     let (secret, sending, asked) = (passes.borrow().secret.clone(), &one.sending, model::now());
     let url = format!("http://{}/call/{}{}", part.usher, sending.service, sending.path);
     let method = if sending.repeatable { reqwest::Method::GET } else { reqwest::Method::POST };
-    let request = http.request(method, url).bearer_auth(secret).header(backend_api::TRY, &one.id).header(backend_api::WAIT, sending.wait_us);
-    let request = if sending.keyed { request.header(backend_api::KEY, &one.key) } else { request };
+    let request =
+        http.request(method, url).bearer_auth(secret).header(backend_api::ATTEMPT_ID_HEADER, &one.id).header(backend_api::TIME_LEFT_HEADER, sending.wait_us);
+    let request = if sending.keyed { request.header(backend_api::SHARD_KEY_HEADER, &one.key) } else { request };
     let answer = match request.send().await {
         Ok(response) => told(&one.id, response).await,
         // This arrival certainly did not run; of an earlier one it says nothing.
@@ -128,7 +129,7 @@
 async fn told(try_id: &str, response: reqwest::Response) -> Answer {
     let status = response.status().as_u16();
     let header = |name: &str| response.headers().get(name).and_then(|value| value.to_str().ok()).map(str::to_string);
-    let (verdict, seal, come_back) = (header("x-gradeford-verdict"), header(backend_api::SEAL), header("retry-after").is_some());
+    let (verdict, seal, come_back) = (header("x-gradeford-verdict"), header(backend_api::SEAL_HEADER), header("retry-after").is_some());
     let Ok(body) = response.bytes().await else { return Answer { status, ..lost() } };
     let parsed: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
     let cause = parsed["cause"].as_str().map(str::to_string);
--- a/crates/simulator/src/billsim/plan.rs
+++ b/crates/simulator/src/billsim/plan.rs
@@ -1,6 +1,6 @@
 //! What a simulated core with its followers is told (design 11.6).
 
-use model::Micros;
+use model::Microseconds;
 
 /// One guard each, left out in the simulator only, so that the promise is seen broken.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -18,9 +18,9 @@
     pub seed: u64,
     pub seats: u16,
     pub nodes: usize,
-    pub hop: (Micros, Micros),
-    pub ask_every: Micros,
-    pub change_every: Micros,
+    pub hop: (Microseconds, Microseconds),
+    pub ask_every: Microseconds,
+    pub change_every: Microseconds,
     pub without: Without,
 }
 
@@ -56,9 +56,9 @@
     [Blow::Restart, Blow::Together, Blow::InTurn, Blow::Stall, Blow::CutNode, Blow::CrashSeat, Blow::CrashCore, Blow::FreezeSeat, Blow::CutSeat, Blow::Replace];
 
 /// When, what, whom, and for how long.
-pub type Struck = (Micros, Blow, usize, Micros);
+pub type Struck = (Microseconds, Blow, usize, Microseconds);
 
-const SECOND: Micros = 1_000_000;
+const SECOND: Microseconds = 1_000_000;
 
 /// A blow a second from the second on, of these kinds.
 pub fn draw(kinds: &[Blow], seed: u64, count: u64) -> Vec<Struck> {
--- a/crates/simulator/src/billsim/seat.rs
+++ b/crates/simulator/src/billsim/seat.rs
@@ -1,11 +1,11 @@
 //! A core seat's desk over what its ordering machine has applied, as the daemon's owner keeps it (design 8.1, 11.3).
 
 use model::Position;
-use model::bill::{Act, Programme};
+use model::cluster_state::{ClusterOperation, StateSnapshot};
 
 #[derive(Default)]
 pub(super) struct Seat {
-    pub desk: control::bulletin::Desk,
+    pub desk: control::publisher::UpdatePublisher,
     pub life: u64,
     folded: usize,
     last: u64,
@@ -13,12 +13,12 @@
 
 type Asked = (String, u64, u64);
 /// What followers may hold at each position.
-pub(super) type Truth = std::collections::BTreeMap<Position, Programme>;
+pub(super) type Truth = std::collections::BTreeMap<Position, StateSnapshot>;
 
-fn act((instance, value): &(mencius::Instance, mencius::Value)) -> Option<(u64, Asked, Act)> {
+fn act((instance, value): &(mencius::Instance, mencius::Value)) -> Option<(u64, Asked, ClusterOperation)> {
     let entry = model::entry::from_bytes(value)?;
-    let asked = (entry.origin, entry.life, entry.sequence);
-    if let model::Act::Bill(act) = entry.act { Some((*instance, asked, act)) } else { None }
+    let asked = (entry.origin, entry.incarnation, entry.sequence);
+    if let model::Operation::ClusterState(act) = entry.operation { Some((*instance, asked, act)) } else { None }
 }
 
 impl Seat {
@@ -29,16 +29,16 @@
     /// All that was applied since the last time leaves as one piece; what was installed, as a whole.
     pub fn fold(&mut self, history: &[(mencius::Instance, mencius::Value)], truth: &mut Truth) {
         let follows = self.folded == 0 || history.get(self.folded - 1).is_some_and(|(at, _)| *at == self.last);
-        let mut learn = |bill: &model::Bill| {
-            truth.entry(bill.position).or_insert_with(|| Programme::default().told(true, bill.position, bill.whole()));
+        let mut learn = |bill: &model::ClusterState| {
+            truth.entry(bill.position).or_insert_with(|| StateSnapshot::default().updated(true, bill.position, bill.full_deltas()));
         };
         if follows {
             history[self.folded..].iter().filter_map(act).for_each(|(_, asked, act)| {
                 drop(self.desk.apply(&asked, act));
-                learn(&self.desk.bill);
+                learn(&self.desk.cluster_state);
             });
         } else {
-            let mut bill = model::Bill::default();
+            let mut bill = model::ClusterState::default();
             history.iter().filter_map(act).for_each(|(_, (origin, life, sequence), act)| {
                 drop(bill.apply(&origin, life, sequence, act));
                 learn(&bill);
--- a/crates/simulator/src/billsim/stage.rs
+++ b/crates/simulator/src/billsim/stage.rs
@@ -4,7 +4,7 @@
 use super::seat::{Seat, Truth};
 use super::{BillPlan, Blow, Struck};
 use crate::sim::{Fault, World};
-use model::Micros;
+use model::Microseconds;
 
 pub struct Stage {
     plan: BillPlan,
@@ -14,17 +14,17 @@
     truth: Truth,
     tokens: u64,
     changes: u64,
-    changes_at: Micros,
+    changes_at: Microseconds,
     pub broken: Vec<String>,
     /// How often something was judged, and how often a node that had begun anew was told less than it had known.
     pub judged: usize,
     pub restarts: usize,
 }
 
-const STEP: Micros = 2_000;
+const STEP: Microseconds = 2_000;
 /// After all is mended every node is proved on the newest within it: revocations, a full round of seats, two askings.
-const RECOVERY: Micros = 8_000_000;
-const ROLLED: Micros = 300_000;
+const RECOVERY: Microseconds = 8_000_000;
+const ROLLED: Microseconds = 300_000;
 
 pub fn play(plan: BillPlan, blows: &[Struck]) -> Stage {
     let mut stage = Stage::new(plan);
@@ -59,7 +59,7 @@
     fn strike(&mut self, (at, blow, whom, length): Struck) {
         let (seats, back) = (self.plan.seats, at + length);
         let (seat, node) = ((whom % seats as usize) as u16, whom % self.nodes.len());
-        let mut faults = |struck: Vec<(Micros, Fault)>| struck.into_iter().for_each(|(time, fault)| self.world.at_fault(time, fault));
+        let mut faults = |struck: Vec<(Microseconds, Fault)>| struck.into_iter().for_each(|(time, fault)| self.world.at_fault(time, fault));
         let mates = || (0..seats).filter(move |mate| *mate != seat);
         match blow {
             Blow::Restart => self.dies(node, at + length / 8),
@@ -77,7 +77,7 @@
         }
     }
 
-    fn dies(&mut self, node: usize, until: Micros) {
+    fn dies(&mut self, node: usize, until: Microseconds) {
         self.restarts += 1;
         self.nodes[node].dies(until);
     }
@@ -106,7 +106,7 @@
             }
         }
         let done = std::mem::take(&mut self.world.done);
-        done.into_iter().for_each(|(token, seat)| self.seats[seat as usize].desk.proved(token));
+        done.into_iter().for_each(|(token, seat)| self.seats[seat as usize].desk.send_proofs(token));
         (0..self.nodes.len()).for_each(|at| self.follow(at, now));
         (0..self.nodes.len()).for_each(|at| self.judge(at));
     }
@@ -116,18 +116,26 @@
         self.changes += 1;
         let (number, name) = (self.changes, format!("lane-{}", self.changes % 7));
         let (host, prefix) = ("a.example".to_string(), format!("/{name}/"));
-        let lane =
-            model::bill::Lane { host, prefix, repeatable: true, wait_us: 1_000_000, aim_us: number, rank: 0, dispatches: 1, shares: vec![("s".into(), 1)] };
-        let service = model::bill::Service { health_path: String::new(), conns: 0, keyed: false, warm_us: 0 };
-        let put = |name: &str, version, body| model::bill::items::Put { name: name.into(), version, body, text: String::new() };
-        let puts = vec![put("s", 1, model::bill::Body::Service(service)), put(&name, number, model::bill::Body::Lane(lane))];
-        let act = model::Act::Bill(model::bill::Act::Items(model::bill::Call { puts, drops: Vec::new() }));
-        let entry = model::Entry { origin: "operator".into(), life: 1, sequence: number, act };
+        let lane = model::cluster_state::Route {
+            host,
+            prefix,
+            idempotent: true,
+            wait_us: 1_000_000,
+            latency_target_us: number,
+            rank: 0,
+            dispatches: 1,
+            shares: vec![("s".into(), 1)],
+        };
+        let service = model::cluster_state::Service { health_path: String::new(), max_connections: 0, keyed: false, slow_start_us: 0 };
+        let put = |name: &str, version, body| model::cluster_state::items::ItemPut { name: name.into(), version, body, text: String::new() };
+        let puts = vec![put("s", 1, model::cluster_state::ItemBody::Service(service)), put(&name, number, model::cluster_state::ItemBody::Route(lane))];
+        let act = model::Operation::ClusterState(model::cluster_state::ClusterOperation::Items(model::cluster_state::ItemCall { puts, drops: Vec::new() }));
+        let entry = model::Entry { origin: "operator".into(), incarnation: 1, sequence: number, operation: act };
         let seat = self.world.draw((0, self.plan.seats as u64 - 1)) as u16;
         self.world.submit(seat, model::entry::to_bytes(&entry));
     }
 
-    fn follow(&mut self, at: usize, now: Micros) {
+    fn follow(&mut self, at: usize, now: Microseconds) {
         let (world, plan) = (&mut self.world, &self.plan);
         let node = &mut self.nodes[at];
         if node.dies_at(now) {
@@ -158,27 +166,27 @@
         let Some(line) = node.line.as_mut() else { return };
         if now >= node.asks_at {
             node.asks_at = now + plan.ask_every;
-            if node.book.waits_since().is_some_and(|asked| now >= asked + plan.ask_every) {
+            if node.book.oldest_pending_request().is_some_and(|asked| now >= asked + plan.ask_every) {
                 node.line = None;
                 return;
             }
-            line.up.push_back((now + world.draw(plan.hop), node.book.ask(now)));
+            line.up.push_back((now + world.draw(plan.hop), node.book.request_proof(now)));
         }
         while world.runs(line.seat)
             && let Some((_, frame)) = line.up.pop_front_if(|(due, _)| *due <= now)
         {
             let desk = &mut self.seats[line.seat].desk;
             match frame {
-                transport::Frame::Follow { held } => desk.follow(held, line.sender.clone()),
-                transport::Frame::Ask { number } => desk.asked(number, line.sender.clone()),
+                transport::Frame::FollowClusterState { held } => desk.add_follower(held, line.sender.clone()),
+                transport::Frame::RequestProof { number } => desk.request_proof(number, line.sender.clone()),
                 _ => {}
             }
         }
         let desk = &mut self.seats[line.seat].desk;
-        if world.runs(line.seat) && desk.round(now, self.tokens + 1) {
+        if world.runs(line.seat) && desk.begin_proof_round(now, self.tokens + 1) {
             self.tokens += 1;
             match plan.without.quorum {
-                true => desk.proved(self.tokens),
+                true => desk.send_proofs(self.tokens),
                 false => world.read(line.seat as u16, self.tokens),
             }
         }
@@ -208,9 +216,9 @@
 
     fn close(&mut self) {
         let newest = self.truth.last_key_value().map(|(at, _)| *at).unwrap_or(0);
-        let behind = self.nodes.iter().enumerate().filter(|(_, node)| node.book.believed().is_none_or(|outlook| outlook.programme.position != newest));
+        let behind = self.nodes.iter().enumerate().filter(|(_, node)| node.book.verified().is_none_or(|outlook| outlook.snapshot.position != newest));
         self.broken
-            .extend(behind.map(|(at, node)| format!("behind: node {at} ends at {:?} of {newest}", node.book.believed().map(|held| held.programme.position))));
+            .extend(behind.map(|(at, node)| format!("behind: node {at} ends at {:?} of {newest}", node.book.verified().map(|held| held.snapshot.position))));
     }
 
     /// How often a node that had begun anew was told less than it had known before.
--- a/crates/simulator/src/desired_checks.rs
+++ b/crates/simulator/src/desired_checks.rs
@@ -60,7 +60,7 @@
         let changes: Vec<&Sent> = known.chain(candidates.into_iter().copied()).collect();
         let states: Vec<model::DesiredState> = folded[version as usize - 1]
             .iter()
-            .flat_map(|before| changes.iter().map(move |change| model::DesiredState { version, ..before.edited(&edits(change)) }))
+            .flat_map(|before| changes.iter().map(move |change| model::DesiredState { version, ..before.with_edits(&edits(change)) }))
             .filter(|after| {
                 let seen = reads.iter().find(|(_, state)| state.version == version);
                 seen.is_none_or(|(_, state)| state == after)
--- a/crates/simulator/src/disk.rs
+++ b/crates/simulator/src/disk.rs
@@ -86,7 +86,7 @@
 }
 
 /// A core seat as `gradeford-core` puts it together, over such a disk.
-pub async fn seat(env: control::CoreEnv, mates: String, operators: String, sync_us: u64) -> Result<(), String> {
+pub async fn seat(env: control::ReplicaConfig, mates: String, operators: String, sync_us: u64) -> Result<(), String> {
     let told = |error: &dyn std::fmt::Display| error.to_string();
     let listener = tokio::net::TcpListener::bind(&mates).await.map_err(|error| told(&error))?;
     let folder = env.folder.clone();
@@ -98,13 +98,13 @@
             std::process::exit(1)
         })
     };
-    let (shelf, writes) = storage::Shelf::open_on(opened).map_err(|error| told(&error))?;
-    let (logger, _guard) = model::log::start("seat", &env.name, model::log::Dial::new(slog::Level::Info));
-    let core = control::Core::start_on(env, shelf, writes, logger).map_err(|error| told(&error))?;
+    let (shelf, writes) = storage::ReplicaStore::open_with_backend(opened).map_err(|error| told(&error))?;
+    let (logger, _guard) = model::logging::start_logger("seat", &env.name, model::logging::LogLevelSwitch::new(slog::Level::Info));
+    let core = control::ReplicaHandle::start_on(env, shelf, writes, logger).map_err(|error| told(&error))?;
     let staying = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true));
-    let office = operator_api::Boxoffice { core: core.clone(), staying: staying.clone() };
-    let serving = http_util::Serving::start(&operators, operator_api::router(office)).await.map_err(|error| told(&error))?;
-    tokio::spawn(control::news::listen(core, listener));
+    let office = operator_api::OperatorApi { replica: core.clone(), accepting_work: staying.clone() };
+    let serving = http_util::HttpServer::start(&operators, operator_api::router(office)).await.map_err(|error| told(&error))?;
+    tokio::spawn(control::stream::listen(core, listener));
     let mut stop = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate()).map_err(|error| told(&error))?;
     stop.recv().await;
     staying.store(false, std::sync::atomic::Ordering::Relaxed);
--- a/crates/simulator/src/forgers.rs
+++ b/crates/simulator/src/forgers.rs
@@ -38,9 +38,14 @@
         let (service, path) = &self.target;
         let (try_id, asked) = (format!("{prefix}{}/{number}", self.service), model::now());
         let request = self.http.post(format!("http://{}/call/{service}{path}", self.usher)).bearer_auth(secret);
-        let lies = [(backend_api::SENDER, service.as_str()), (backend_api::SERVICE, &self.service), (backend_api::INCARNATION, "1"), (backend_api::FENCE, "1")];
+        let lies = [
+            (backend_api::CLIENT_HEADER, service.as_str()),
+            (backend_api::SERVICE_HEADER, &self.service),
+            (backend_api::INCARNATION_HEADER, "1"),
+            (backend_api::FENCING_TOKEN_HEADER, "1"),
+        ];
         let request = lies.into_iter().fold(request, |request, (name, value)| request.header(name, value));
-        let answer = request.header(backend_api::TRY, &try_id).header(backend_api::KEY, "hot").send().await;
+        let answer = request.header(backend_api::ATTEMPT_ID_HEADER, &try_id).header(backend_api::SHARD_KEY_HEADER, "hot").send().await;
         let Ok(response) = answer else { return Ok(()) };
         let status = response.status().as_u16();
         let verdict = response.headers().get("x-gradeford-verdict").and_then(|value| value.to_str().ok()).map(str::to_string);
--- a/crates/simulator/src/hollow/meter.rs
+++ b/crates/simulator/src/hollow/meter.rs
@@ -3,7 +3,7 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct Reading {
-    pub at: model::Micros,
+    pub at: model::Microseconds,
     /// Thread to nanoseconds on a processor.
     pub ran: std::collections::BTreeMap<(&'static str, u32), u64>,
     pub memory: u64,
@@ -21,7 +21,7 @@
     ROLES.into_iter().find(|role| thread.starts_with(role)).unwrap_or("acting")
 }
 
-pub fn reading(cores: &[control::Core]) -> Reading {
+pub fn reading(cores: &[control::ReplicaHandle]) -> Reading {
     let threads = std::fs::read_dir("/proc/self/task").into_iter().flatten().flatten();
     let ran = threads.filter_map(|thread| {
         let word = |name: &str| std::fs::read_to_string(thread.path().join(name)).ok();
@@ -37,8 +37,8 @@
         memory: memory.unwrap_or(0) * 1_024,
         descriptors: std::fs::read_dir("/proc/self/fd").map(|held| held.count() as u64).unwrap_or(0),
         said: transport::traffic::by_kind(),
-        syncs: cores.iter().map(|core| core.state.load().syncs).sum(),
-        applied: cores.first().map(|core| core.state.load().applied).unwrap_or(0),
+        syncs: cores.iter().map(|core| core.status.load().disk_syncs).sum(),
+        applied: cores.first().map(|core| core.status.load().applied_below).unwrap_or(0),
     }
 }
 
--- a/crates/simulator/src/hollow/mod.rs
+++ b/crates/simulator/src/hollow/mod.rs
@@ -22,7 +22,7 @@
 /// Only a broken run meets this.
 const PATIENCE: std::time::Duration = std::time::Duration::from_secs(300);
 
-pub(crate) async fn until(what: &str, holds: impl Fn() -> bool) -> Result<model::Micros, String> {
+pub(crate) async fn until(what: &str, holds: impl Fn() -> bool) -> Result<model::Microseconds, String> {
     let began = model::now();
     let waits = async {
         while !holds() {
--- a/crates/simulator/src/hollow/node.rs
+++ b/crates/simulator/src/hollow/node.rs
@@ -14,7 +14,7 @@
     pub at: usize,
     pub back_end: String,
     pub life: u64,
-    pub following: control::Following,
+    pub following: control::FollowerHandle,
     orders: tokio::sync::mpsc::UnboundedSender<Order>,
     /// Closed once all its tasks are gone.
     ended: tokio::sync::watch::Receiver<()>,
@@ -26,10 +26,10 @@
     pub plan: std::sync::Arc<Plan>,
     pub places: Vec<String>,
     pub links: Option<super::Linked>,
-    pub known: control::Known,
+    pub known: control::KnownReplicas,
 }
 
-const BEAT_EVERY: model::Micros = 1_500_000;
+const BEAT_EVERY: model::Microseconds = 1_500_000;
 const SLOTS: u32 = 8;
 type Rows = Vec<(u16, u16, model::Position)>;
 
@@ -38,27 +38,27 @@
 }
 
 /// As `tour usher` is set (platform/src/usher.rs).
-fn env(plan: &Plan, places: &[String], at: usize, life: u64, address: String) -> endpoints::NodeEnv {
+fn env(plan: &Plan, places: &[String], at: usize, life: u64, address: String) -> endpoints::NodeConfig {
     let most = 10_000_000;
-    endpoints::NodeEnv {
-        troupe: endpoints::TroupeEnv {
+    endpoints::NodeConfig {
+        lease_table: endpoints::LeaseTableConfig {
             node: format!("n{at}"),
             zone: plan.zone(at),
             address,
-            life,
-            keys: endpoints::KeysEnv { bound: most * 9 / 10, guard: 200_000, most },
-            beat_every: BEAT_EVERY,
-            back_end: None,
-            drain: 2_000_000,
+            incarnation: life,
+            leases: endpoints::LeaseConfig { proof_validity: most * 9 / 10, clock_guard: 200_000, max_duration: most },
+            heartbeat_interval: BEAT_EVERY,
+            backend_address: None,
+            drain_timeout: 2_000_000,
         },
         service: plan.service(at),
         seeds: places.to_vec(),
-        words: http_util::words::OWN,
-        pick: outbound::PickEnv { crossing: 15_000, earned_of_100: 8 },
-        ahead: 1,
-        ask_every: 1_000_000,
-        watch_every: 500_000,
-        watch_patience: 3_000_000,
+        header_names: http_util::headers::DEFAULT_HEADER_NAMES,
+        selection: outbound::SelectorConfig { zone_crossing_cost: 15_000, retry_deposit: 8 },
+        queued_ahead: 1,
+        proof_interval: 1_000_000,
+        monitor_interval: 500_000,
+        monitor_timeout: 3_000_000,
     }
 }
 
@@ -86,7 +86,7 @@
             };
             acts.await;
             if let Part::Whole(node, ..) = &part {
-                node.stop(std::time::Duration::ZERO, std::time::Duration::from_millis(500)).await;
+                node.shut_down(std::time::Duration::ZERO, std::time::Duration::from_millis(500)).await;
             }
         });
     };
@@ -107,80 +107,86 @@
 }
 
 enum Part {
-    Following(control::Following),
-    Troupe(control::Following, endpoints::Troupe),
+    Following(control::FollowerHandle),
+    Troupe(control::FollowerHandle, endpoints::LeaseTableHandle),
     Whole(Box<endpoints::Node>),
 }
 
 impl Part {
-    fn start(plan: &Plan, env: endpoints::NodeEnv, known: control::Known, listener: tokio::net::TcpListener) -> Part {
-        let logger = model::log::quiet();
+    fn start(plan: &Plan, env: endpoints::NodeConfig, known: control::KnownReplicas, listener: tokio::net::TcpListener) -> Part {
+        let logger = model::logging::discard_logger();
         if plan.parts == Parts::Whole {
             return Part::Whole(Box::new(endpoints::Node::start(env, listener, logger)));
         }
-        let own = env.troupe.clone();
+        let own = env.lease_table.clone();
         // Each node's own, as it would be: nobody shares a table with another process.
-        let mine = control::acquaint::nobody();
-        control::acquaint::merge(&mine, control::acquaint::list(&known));
+        let mine = control::discovery::empty();
+        control::discovery::merge(&mine, control::discovery::list(&known));
         let (place, table) = (own.clone(), mine.clone());
         let greeting = |purpose| {
             let (own, mine) = (place.clone(), table.clone());
-            move || transport::Greeting {
+            move || transport::Handshake {
                 purpose,
-                name: own.node.clone(),
+                node_name: own.node.clone(),
                 zone: own.zone.clone(),
                 address: own.address.clone(),
-                incarnation: own.life,
-                core: None,
-                blank: false,
-                expects: None,
-                known: control::acquaint::list(&mine),
+                incarnation: own.incarnation,
+                replica: None,
+                has_empty_disk: false,
+                expected_disk: None,
+                known_replicas: control::discovery::list(&mine),
             }
         };
-        let line = control::FollowingEnv { name: own.node.clone(), zone: own.zone.clone(), ask_every: env.ask_every, patience: env.ask_every * 2 };
-        let following = control::following::start(line, mine.clone(), greeting(transport::Purpose::Subscribe), logger.clone());
-        tokio::spawn(control::acquaint::run(mine.clone(), env.seeds.clone(), greeting(transport::Purpose::Acquaint), || 3));
+        let line = control::FollowerConfig {
+            node: own.node.clone(),
+            zone: own.zone.clone(),
+            proof_interval: env.proof_interval,
+            proof_timeout: env.proof_interval * 2,
+        };
+        let following = control::follower::start(line, mine.clone(), greeting(transport::Purpose::Subscribe), logger.clone());
+        tokio::spawn(control::discovery::run(mine.clone(), env.seeds.clone(), greeting(transport::Purpose::Discover), || 3));
         if plan.parts == Parts::Following {
             return Part::Following(following);
         }
-        let reporting = control::ReportingEnv { name: own.node.clone(), life: own.life, logger: logger.clone() };
-        let reports = control::Reports::start(reporting, mine, greeting(transport::Purpose::Subscribe));
-        let pit = inbound::Pit::start(inbound::PitEnv { words: env.words.clone(), ahead: env.ahead });
-        let troupe = endpoints::Troupe::start(own, following.clone(), pit, reports, logger);
+        let reporting = control::StatusReporterConfig { node: own.node.clone(), incarnation: own.incarnation, logger: logger.clone() };
+        let reports = control::StatusReporter::start(reporting, mine, greeting(transport::Purpose::Subscribe));
+        let pit =
+            inbound::ConcurrencyLimiter::start(inbound::ConcurrencyLimiterConfig { header_names: env.header_names.clone(), extra_runs: env.queued_ahead });
+        let troupe = endpoints::LeaseTableHandle::start(own, following.clone(), pit, reports, logger);
         Part::Troupe(following, troupe)
     }
 
-    fn following(&self) -> control::Following {
+    fn following(&self) -> control::FollowerHandle {
         match self {
             Part::Following(following) | Part::Troupe(following, _) => following.clone(),
-            Part::Whole(node) => node.following.clone(),
+            Part::Whole(node) => node.follower.clone(),
         }
     }
 
-    fn troupe(&self) -> Option<&endpoints::Troupe> {
+    fn troupe(&self) -> Option<&endpoints::LeaseTableHandle> {
         match self {
             Part::Following(_) => None,
             Part::Troupe(_, troupe) => Some(troupe),
-            Part::Whole(node) => Some(&node.troupe),
+            Part::Whole(node) => Some(&node.lease_table),
         }
     }
 }
 
 /// Beats until it is ordered to go; in good order only once it has drained, and nobody beats for it any more.
-async fn act(troupe: &endpoints::Troupe, env: &endpoints::NodeEnv, name: String, orders: &mut tokio::sync::mpsc::UnboundedReceiver<Order>) {
+async fn act(troupe: &endpoints::LeaseTableHandle, env: &endpoints::NodeConfig, name: String, orders: &mut tokio::sync::mpsc::UnboundedReceiver<Order>) {
     // The process is found alive by whoever dials it.
     let Ok(process) = std::net::TcpListener::bind("127.0.0.1:0") else { return };
     let address = process.local_addr().map(|address| address.to_string()).unwrap_or_default();
-    let mut every = tokio::time::interval(std::time::Duration::from_micros(env.troupe.beat_every));
+    let mut every = tokio::time::interval(std::time::Duration::from_micros(env.lease_table.heartbeat_interval));
     every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let (mut sequence, mut held, mut lost): (u64, Rows, Vec<(u16, u16)>) = Default::default();
-    let mut drains: Option<model::Micros> = None;
+    let mut drains: Option<model::Microseconds> = None;
     loop {
         tokio::select! {
             _ = every.tick() => {}
             order = orders.recv() => match order {
                 Some(Order::Leave) => {
-                    drains = Some(model::now() + env.troupe.drain);
+                    drains = Some(model::now() + env.lease_table.drain_timeout);
                     every.reset_immediately();
                     continue;
                 }
@@ -188,25 +194,25 @@
             },
         }
         sequence += 1;
-        let beat = endpoints::Beat {
+        let beat = endpoints::Heartbeat {
             name: name.clone(),
             service: env.service.clone(),
             address: address.clone(),
-            zone: env.troupe.zone.clone(),
+            zone: env.lease_table.zone.clone(),
             slots: SLOTS,
             draining: drains.is_some(),
             sequence,
-            holds: held.clone(),
-            freed: std::mem::take(&mut lost).into_iter().map(|(from, to)| (from, to, format!("t{sequence}"))).collect(),
+            held_ranges: held.clone(),
+            released_ranges: std::mem::take(&mut lost).into_iter().map(|(from, to)| (from, to, format!("t{sequence}"))).collect(),
         };
-        if let Some(Some((rows, _))) = troupe.beat(beat).await {
+        if let Some(Some((rows, _))) = troupe.heartbeat(beat).await {
             let kept: Rows = rows.into_iter().map(|(from, to, fence, _)| (from, to, fence)).collect();
             lost = less(&held, &kept);
             held = kept;
         }
         // Drained, and told so with what it let go.
         if drains.is_some_and(|until| model::now() >= until && lost.is_empty()) {
-            troupe.sign_off(name.clone()).await.unwrap_or_default();
+            troupe.deregister(name.clone()).await.unwrap_or_default();
             // Its process ends a moment later, and the node with the next look at it.
             tokio::time::sleep(std::time::Duration::from_millis(50)).await;
             drop(process);
--- a/crates/simulator/src/hollow/plan.rs
+++ b/crates/simulator/src/hollow/plan.rs
@@ -119,34 +119,34 @@
         service.is_multiple_of(2)
     }
 
-    fn lane(&self, at: usize, version: u64) -> model::bill::items::Put {
-        let body = model::bill::Body::Lane(model::bill::Lane {
+    fn lane(&self, at: usize, version: u64) -> model::cluster_state::items::ItemPut {
+        let body = model::cluster_state::ItemBody::Route(model::cluster_state::Route {
             host: format!("h{}.site", at % self.services),
             prefix: format!("/p{at}/"),
-            repeatable: true,
+            idempotent: true,
             wait_us: 3_000_000,
-            aim_us: 400_000 + version,
+            latency_target_us: 400_000 + version,
             rank: (at % 4) as u8,
             dispatches: 2,
             shares: vec![(self.service(at), 1)],
         });
-        model::bill::items::Put { name: format!("l{at}"), version, text: serde_json::to_string(&body).unwrap_or_default(), body }
+        model::cluster_state::items::ItemPut { name: format!("l{at}"), version, text: serde_json::to_string(&body).unwrap_or_default(), body }
     }
 
     /// All services and lanes, as the operators first write them.
-    pub fn first_call(&self) -> model::bill::Call {
+    pub fn first_call(&self) -> model::cluster_state::ItemCall {
         let services = (0..self.services).map(|at| {
-            let service = model::bill::Service { health_path: "/health".into(), conns: 0, keyed: self.keyed(at), warm_us: 0 };
-            let body = model::bill::Body::Service(service);
-            model::bill::items::Put { name: self.service(at), version: 1, text: serde_json::to_string(&body).unwrap_or_default(), body }
+            let service = model::cluster_state::Service { health_path: "/health".into(), max_connections: 0, keyed: self.keyed(at), slow_start_us: 0 };
+            let body = model::cluster_state::ItemBody::Service(service);
+            model::cluster_state::items::ItemPut { name: self.service(at), version: 1, text: serde_json::to_string(&body).unwrap_or_default(), body }
         });
         let lanes = (0..self.lanes).map(|at| self.lane(at, 1));
-        model::bill::Call { puts: services.chain(lanes).collect(), drops: Vec::new() }
+        model::cluster_state::ItemCall { puts: services.chain(lanes).collect(), drops: Vec::new() }
     }
 
     /// One lane is written anew.
-    pub fn change(&self, number: usize) -> model::bill::Call {
-        model::bill::Call { puts: vec![self.lane(number % self.lanes, number as u64 + 2)], drops: Vec::new() }
+    pub fn change(&self, number: usize) -> model::cluster_state::ItemCall {
+        model::cluster_state::ItemCall { puts: vec![self.lane(number % self.lanes, number as u64 + 2)], drops: Vec::new() }
     }
 
     /// An address of the loopback for each process; other sites on this machine have others.
--- a/crates/simulator/src/hollow/seats.rs
+++ b/crates/simulator/src/hollow/seats.rs
@@ -3,7 +3,7 @@
 use super::Plan;
 
 pub struct Seats {
-    pub cores: Vec<control::Core>,
+    pub cores: Vec<control::ReplicaHandle>,
     pub places: Vec<String>,
     /// Dropped, the seat's thread ends.
     _running: Vec<tokio::sync::oneshot::Sender<()>>,
@@ -38,18 +38,18 @@
     let bound = (0..plan.seats).map(|seat| bind(plan.host(seat), links)).collect::<Result<Vec<_>, String>>()?;
     let places: Vec<String> = bound.iter().map(|(_, address)| address.clone()).collect();
     let started = bound.into_iter().enumerate().map(|(seat, (listener, address))| {
-        let env = control::CoreEnv {
+        let env = control::ReplicaConfig {
             name: format!("core-{seat}"),
             zone: plan.zone(seat),
-            seat: seat as u16,
-            seats: plan.seats as u16,
+            replica_id: seat as u16,
+            replica_count: plan.seats as u16,
             address,
             seeds: places.clone(),
             folder: plan.folder.join(format!("core-{seat}")),
-            tuning: Default::default(),
-            snapshot_every: 500,
+            timing: Default::default(),
+            snapshot_every_entries: 500,
             replace_after: 0,
-            charter: None,
+            membership: None,
         };
         let (running, ends) = tokio::sync::oneshot::channel();
         let (told, hears) = std::sync::mpsc::channel();
@@ -57,12 +57,12 @@
         let sits = move || {
             let Ok(runtime) = runtime() else { return };
             runtime.block_on(async {
-                let core = control::Core::start(env, model::log::quiet()).map_err(|error| error.to_string());
+                let core = control::ReplicaHandle::start(env, model::logging::discard_logger()).map_err(|error| error.to_string());
                 let listener = tokio::net::TcpListener::from_std(listener).map_err(|error| error.to_string());
                 drop(told.send(core.clone()));
                 if let (Ok(core), Ok(listener)) = (core, listener) {
                     tokio::select! {
-                        _ = control::news::listen(core, listener) => {}
+                        _ = control::stream::listen(core, listener) => {}
                         _ = ends => {}
                     }
                 }
@@ -71,22 +71,22 @@
         thread.spawn(sits).map_err(|error| error.to_string())?;
         Ok((hears.recv().map_err(|error| error.to_string())??, running))
     });
-    let (cores, running) = started.collect::<Result<Vec<(control::Core, _)>, String>>()?.into_iter().unzip();
+    let (cores, running) = started.collect::<Result<Vec<(control::ReplicaHandle, _)>, String>>()?.into_iter().unzip();
     let seats = Seats { cores, places, _running: running };
-    let voting = || seats.cores.iter().all(|core| core.state.load().started);
+    let voting = || seats.cores.iter().all(|core| core.status.load().voting);
     super::until("every seat votes", voting).await?;
     Ok(seats)
 }
 
 impl Seats {
     /// For processes that need not ask around.
-    pub fn known(&self, plan: &Plan) -> control::Known {
-        let known = control::acquaint::nobody();
+    pub fn known(&self, plan: &Plan) -> control::KnownReplicas {
+        let known = control::discovery::empty();
         let told = self.cores.iter().zip(&self.places).map(|(core, address)| {
             let (seat, identity) = core.identity();
-            transport::CoreSeat { seat, identity, address: address.clone(), zone: plan.zone(seat as usize), starts: 1 }
+            transport::KnownReplica { replica_id: seat, disk_id: identity, address: address.clone(), zone: plan.zone(seat as usize), start_count: 1 }
         });
-        control::acquaint::merge(&known, told.collect());
+        control::discovery::merge(&known, told.collect());
         known
     }
 }
