--- a/crates/simulator/src/hollow/stages.rs
+++ b/crates/simulator/src/hollow/stages.rs
@@ -99,11 +99,11 @@
             every.tick().await;
             self.tell(format!("change {number}"));
             let (core, asked) = (&self.site.seats.cores[number % self.site.plan.seats], model::now());
-            let Some(model::Outcome::Accepted { position, .. }) = core.amend(self.site.plan.change(number)).await else {
+            let Some(model::Outcome::Accepted { position, .. }) = core.change_items(self.site.plan.change(number)).await else {
                 return Err(format!("change {number} was not taken"));
             };
             answered.push(model::now() - asked);
-            let holds = |held: &super::node::Hollow| held.following.outlook.load().programme.position >= position;
+            let holds = |held: &super::node::Hollow| held.following.verified_state.load().snapshot.position >= position;
             super::until("a change is in force", || self.site.live().all(holds)).await?;
             in_force.push(model::now() - asked);
         }
@@ -173,7 +173,7 @@
         }
         let absent = || {
             let programme = self.site.witness.programme();
-            gone.iter().all(|at| programme.places.get(&format!("n{at}")).is_some_and(|place| !place.present))
+            gone.iter().all(|at| programme.nodes.get(&format!("n{at}")).is_some_and(|place| !place.present))
         };
         super::until("all that are lost are missed", absent).await?;
         let missed = model::now() - began;
--- a/crates/simulator/src/hollow/witness.rs
+++ b/crates/simulator/src/hollow/witness.rs
@@ -1,6 +1,6 @@
 //! One more follower, which counts what the log says as it hears it.
 
-use model::bill::{Programme, Rows};
+use model::cluster_state::{ShardMap, StateSnapshot};
 
 /// Sums from the beginning; a stage is the difference of two.
 #[derive(Clone, Debug, Default, serde::Serialize)]
@@ -18,33 +18,33 @@
 }
 
 pub struct Witness {
-    pub following: control::Following,
+    pub following: control::FollowerHandle,
     tally: std::sync::Arc<std::sync::Mutex<Tally>>,
 }
 
 impl Witness {
-    pub fn start(plan: std::sync::Arc<super::Plan>, known: control::Known) -> Witness {
+    pub fn start(plan: std::sync::Arc<super::Plan>, known: control::KnownReplicas) -> Witness {
         let (name, zone) = ("witness".to_string(), plan.zone(0));
-        let own = transport::Greeting {
+        let own = transport::Handshake {
             purpose: transport::Purpose::Subscribe,
-            name: name.clone(),
+            node_name: name.clone(),
             zone: zone.clone(),
             address: "127.0.0.1:1".into(),
             incarnation: 1,
-            core: None,
-            blank: false,
-            expects: None,
-            known: Vec::new(),
+            replica: None,
+            has_empty_disk: false,
+            expected_disk: None,
+            known_replicas: Vec::new(),
         };
-        let env = control::FollowingEnv { name, zone, ask_every: 1_000_000, patience: 2_000_000 };
-        let following = control::following::start(env, known, move || own.clone(), model::log::quiet());
+        let env = control::FollowerConfig { node: name, zone, proof_interval: 1_000_000, proof_timeout: 2_000_000 };
+        let following = control::follower::start(env, known, move || own.clone(), model::logging::discard_logger());
         let tally = std::sync::Arc::new(std::sync::Mutex::new(Tally::default()));
         let (counts, line) = (tally.clone(), following.clone());
         tokio::spawn(async move {
-            let mut moved = line.moved.clone();
-            let mut last = std::sync::Arc::new(Programme::default());
+            let mut moved = line.changes.clone();
+            let mut last = std::sync::Arc::new(StateSnapshot::default());
             while moved.changed().await.is_ok() {
-                let next = line.outlook.load().programme.clone();
+                let next = line.verified_state.load().snapshot.clone();
                 if next.position != last.position {
                     let mut counts = counts.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
                     counts.add(&plan, &last, &next);
@@ -55,8 +55,8 @@
         Witness { following, tally }
     }
 
-    pub fn programme(&self) -> std::sync::Arc<Programme> {
-        self.following.outlook.load().programme.clone()
+    pub fn programme(&self) -> std::sync::Arc<StateSnapshot> {
+        self.following.verified_state.load().snapshot.clone()
     }
 
     pub fn tally(&self) -> Tally {
@@ -72,19 +72,19 @@
 }
 
 impl Tally {
-    fn add(&mut self, plan: &super::Plan, last: &Programme, next: &Programme) {
+    fn add(&mut self, plan: &super::Plan, last: &StateSnapshot, next: &StateSnapshot) {
         self.entries += next.position - last.position;
-        let empty = std::sync::Arc::new((0, model::bill::rows::empty()));
-        next.castings.iter().for_each(|(service, held)| {
-            let before = last.castings.get(service).unwrap_or(&empty);
+        let empty = std::sync::Arc::new((0, model::cluster_state::shard_map::unassigned()));
+        next.placements.iter().for_each(|(service, held)| {
+            let before = last.placements.get(service).unwrap_or(&empty);
             if !std::sync::Arc::ptr_eq(before, held) {
                 self.placements += (before.0 != held.0) as u64;
                 let (rows, keys) = moved(&before.1, &held.1);
                 (self.rows_moved, self.keys_moved) = (self.rows_moved + rows, self.keys_moved + keys);
             }
         });
-        if !std::sync::Arc::ptr_eq(&last.places, &next.places) {
-            let gone = next.places.iter().filter(|(_, place)| !place.present).filter_map(|(name, _)| name[1..].parse::<usize>().ok());
+        if !std::sync::Arc::ptr_eq(&last.nodes, &next.nodes) {
+            let gone = next.nodes.iter().filter(|(_, place)| !place.present).filter_map(|(name, _)| name[1..].parse::<usize>().ok());
             self.absent = gone.fold(vec![0; plan.regions], |mut absent, at| {
                 absent[plan.region(at)] += 1;
                 absent
@@ -96,24 +96,24 @@
 }
 
 /// Rows and keys of `new` that another holder has than in `old`.
-pub fn moved(old: &Rows, new: &Rows) -> (u64, u64) {
+pub fn moved(old: &ShardMap, new: &ShardMap) -> (u64, u64) {
     let pieces = new.iter().filter(|row| row.holder.is_some()).flat_map(|row| {
-        let others = old.iter().filter(|held| held.from <= row.to && row.from <= held.to && held.holder != row.holder);
-        others.map(|held| (held.to.min(row.to) - held.from.max(row.from)) as u64 + 1)
+        let others = old.iter().filter(|held| held.first_key <= row.last_key && row.first_key <= held.last_key && held.holder != row.holder);
+        others.map(|held| (held.last_key.min(row.last_key) - held.first_key.max(row.first_key)) as u64 + 1)
     });
     pieces.fold((0, 0), |(rows, keys), size| (rows + 1, keys + size))
 }
 
 #[cfg(test)]
 mod tests {
-    use model::bill::rows;
+    use model::cluster_state::shard_map;
 
     #[test]
     fn keys_that_change_hands_are_counted_once() {
         let cast = |parts: &[(u16, u16, &str)]| -> Vec<(u16, u16, String)> { parts.iter().map(|(from, to, name)| (*from, *to, name.to_string())).collect() };
-        let first = rows::recast(rows::empty(), &cast(&[(0, 9_999, "a"), (10_000, u16::MAX, "b")]), 1);
-        let second = rows::recast(first.clone(), &cast(&[(5_000, 14_999, "c")]), 2);
-        assert_eq!(super::moved(&rows::empty(), &first), (2, 65_536));
+        let first = shard_map::reassign(shard_map::unassigned(), &cast(&[(0, 9_999, "a"), (10_000, u16::MAX, "b")]), 1);
+        let second = shard_map::reassign(first.clone(), &cast(&[(5_000, 14_999, "c")]), 2);
+        assert_eq!(super::moved(&shard_map::unassigned(), &first), (2, 65_536));
         assert_eq!(super::moved(&first, &second), (2, 10_000));
         assert_eq!(super::moved(&second, &second), (0, 0));
     }
--- a/crates/simulator/src/keysim/blows.rs
+++ b/crates/simulator/src/keysim/blows.rs
@@ -2,8 +2,8 @@
 
 use super::player::Player;
 use super::stage::{Event, Stage};
-use model::Micros;
-use model::bill::Report;
+use model::Microseconds;
+use model::cluster_state::ClusterReport;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Blow {
@@ -46,7 +46,7 @@
 ];
 
 /// When, what, at which node, for how long.
-pub type Struck = (Micros, Blow, usize, Micros);
+pub type Struck = (Microseconds, Blow, usize, Microseconds);
 
 /// `bytes` decide what strikes, three a blow.
 pub fn blows(kinds: &[Blow], bytes: &[u8]) -> Vec<Struck> {
@@ -70,7 +70,7 @@
 }
 
 impl Stage {
-    pub(super) fn blow(&mut self, blow: Blow, at: usize, length: Micros) {
+    pub(super) fn blow(&mut self, blow: Blow, at: usize, length: Microseconds) {
         let now = self.now;
         match blow {
             Blow::Kill => self.kill(at, length),
@@ -127,14 +127,15 @@
         late.into_iter().for_each(|event| self.happen(event));
     }
 
-    fn kill(&mut self, at: usize, length: Micros) {
+    fn kill(&mut self, at: usize, length: Microseconds) {
         let node = &mut self.nodes[at];
         (node.up, node.frozen) = (false, false);
         node.late.clear();
         let life = node.incarnation();
         // Two watchers miss it in time, as the ring of nodes has them do.
         if length > 3_000_000 && self.log.out_until <= self.now {
-            let missed = |by: usize| Report::Watch { watcher: format!("node-{by}"), node: format!("node-{at}"), life, missed: true };
+            let missed =
+                |by: usize| ClusterReport::NodeObserved { observer: format!("node-{by}"), node: format!("node-{at}"), incarnation: life, missed: true };
             let watchers = [(at + 1) % self.plan.nodes, (at + 2) % self.plan.nodes];
             let now = self.now;
             watchers.into_iter().zip(0u64..).for_each(|(by, turn)| {
--- a/crates/simulator/src/keysim/judge.rs
+++ b/crates/simulator/src/keysim/judge.rs
@@ -1,7 +1,7 @@
 //! What must hold: one holder at a time, fences that grow, all keys held again (design 11.4, 11.5).
 
-use model::Micros;
-use model::bill::Key;
+use model::Microseconds;
+use model::cluster_state::ShardKey;
 
 #[derive(Default)]
 pub struct Judge {
@@ -13,14 +13,14 @@
 }
 
 impl Judge {
-    pub(super) fn breaks(&mut self, now: Micros, promise: &str, told: String) {
+    pub(super) fn breaks(&mut self, now: Microseconds, promise: &str, told: String) {
         if self.broken.len() < 40 {
             self.broken.push(format!("{promise}: at {now} {told}"));
         }
     }
 
     /// `taker` has just taken up or renewed what it holds.
-    pub(super) fn taken(&mut self, now: Micros, players: &[super::player::Player], taker: usize) {
+    pub(super) fn taken(&mut self, now: Microseconds, players: &[super::player::Player], taker: usize) {
         let own = players[taker].held(now);
         let others = players.iter().zip(0..).filter(|(player, at)| *at != taker && player.alive);
         let clash = others.flat_map(|(player, _)| player.held(now).into_iter().map(|row| (player.name(), row))).find_map(|(name, (from, to, fence))| {
@@ -31,12 +31,12 @@
     }
 
     /// At the end, well after the last fault: every key has a holder, and everyone who is there holds some.
-    pub(super) fn close(&mut self, now: Micros, players: &[super::player::Player]) {
-        let mut held: Vec<(Key, Key)> =
+    pub(super) fn close(&mut self, now: Microseconds, players: &[super::player::Player]) {
+        let mut held: Vec<(ShardKey, ShardKey)> =
             players.iter().filter(|player| player.alive).flat_map(|player| player.held(now)).map(|(from, to, _)| (from, to)).collect();
         held.sort();
         let reach = held.iter().fold(0u32, |reach, (from, to)| if *from as u32 <= reach { reach.max(*to as u32 + 1) } else { reach });
-        if reach <= Key::MAX as u32 {
+        if reach <= ShardKey::MAX as u32 {
             self.breaks(now, "unheld", format!("nobody holds key {reach}: {held:?}"));
         }
         let idle = players.iter().filter(|player| player.alive && player.held(now).is_empty()).map(super::player::Player::name);
--- a/crates/simulator/src/keysim/line.rs
+++ b/crates/simulator/src/keysim/line.rs
@@ -2,7 +2,7 @@
 
 use super::log::Told;
 use super::stage::{Event, Stage};
-use model::{Micros, Position};
+use model::{Microseconds, Position};
 
 #[derive(Default)]
 pub(super) struct Line {
@@ -11,17 +11,17 @@
     pub seat: usize,
     pub broken: bool,
     /// By the node's clock, like all that follows.
-    proved: Micros,
-    asks: Vec<(u64, Micros)>,
+    proved: Microseconds,
+    asks: Vec<(u64, Microseconds)>,
     numbers: u64,
     /// What is on its way arrives in order.
-    latest: Micros,
+    latest: Microseconds,
 }
 
 impl Stage {
     pub(super) fn start(&mut self, at: usize) {
-        let guard = if self.plan.without.slow_clock { 0 } else { self.plan.keys.guard };
-        let env = endpoints::KeysEnv { guard, ..self.plan.keys };
+        let guard = if self.plan.without.slow_clock { 0 } else { self.plan.keys.clock_guard };
+        let env = endpoints::LeaseConfig { clock_guard: guard, ..self.plan.keys };
         let clock = self.clock(at);
         self.nodes[at].begin(at, env, clock);
         let life = self.nodes[at].life;
@@ -107,7 +107,7 @@
             // Forward only.
             Told::News { to, .. } if to <= node.programme.position => {}
             Told::News { afresh, from, to, deltas } if afresh || from == node.programme.position => {
-                node.programme = node.programme.told(afresh, to, deltas);
+                node.programme = node.programme.updated(afresh, to, deltas);
                 node.observe(clock);
                 self.tell(at);
             }
--- a/crates/simulator/src/keysim/log.rs
+++ b/crates/simulator/src/keysim/log.rs
@@ -1,7 +1,7 @@
 //! One order of entries, and seats that apply it late, tell news and prove (design 11.3).
 
-use model::bill::{Act, Delta, Report};
-use model::{Bill, Micros, Outcome, Position};
+use model::cluster_state::{ClusterOperation, ClusterReport, Delta};
+use model::{ClusterState, Microseconds, Outcome, Position};
 
 /// What a seat says on a conn: news from one position to another, or a proof by number.
 #[derive(Clone, Debug)]
@@ -10,15 +10,15 @@
     Proof { number: u64, position: Position },
 }
 
-pub(super) type Entry = (String, u64, u64, Vec<Report>);
+pub(super) type Entry = (String, u64, u64, Vec<ClusterReport>);
 /// Node and the number of its conn.
 pub(super) type Conn = (usize, u64);
 
 #[derive(Default)]
 pub(super) struct Seat {
-    pub bill: Bill,
+    pub bill: ClusterState,
     pub applied: usize,
-    pub lags_until: Micros,
+    pub lags_until: Microseconds,
     history: Vec<(Position, Position, Vec<Delta>)>,
     followers: Vec<(Conn, Position)>,
     asks: Vec<(Conn, u64, usize)>,
@@ -26,30 +26,30 @@
 
 pub(super) struct Log {
     pub entries: Vec<Entry>,
-    pub bill: Bill,
+    pub bill: ClusterState,
     pub seats: Vec<Seat>,
     /// When each entry was ordered.
-    pub times: Vec<Micros>,
+    pub times: Vec<Microseconds>,
     /// Nothing is ordered nor proved until then.
-    pub out_until: Micros,
+    pub out_until: Microseconds,
 }
 
 impl Log {
     pub fn new(seats: usize) -> Log {
-        Log { entries: Vec::new(), bill: Bill::default(), seats: (0..seats).map(|_| Seat::default()).collect(), times: Vec::new(), out_until: 0 }
+        Log { entries: Vec::new(), bill: ClusterState::default(), seats: (0..seats).map(|_| Seat::default()).collect(), times: Vec::new(), out_until: 0 }
     }
 
-    pub fn items(&mut self, call: model::bill::Call) {
+    pub fn items(&mut self, call: model::cluster_state::ItemCall) {
         // Before anything else: all seats hold the items.
-        drop(self.bill.apply("operator", 1, 0, Act::Items(call)));
+        drop(self.bill.apply("operator", 1, 0, ClusterOperation::Items(call)));
         let bill = &self.bill;
         self.seats.iter_mut().for_each(|seat| seat.bill = bill.clone());
     }
 
-    pub fn order(&mut self, now: Micros, entry: Entry) -> Outcome {
+    pub fn order(&mut self, now: Microseconds, entry: Entry) -> Outcome {
         self.times.push(now);
         self.entries.push(entry.clone());
-        self.bill.apply(&entry.0, entry.1, entry.2, Act::Reports(entry.3)).0
+        self.bill.apply(&entry.0, entry.1, entry.2, ClusterOperation::Reports(entry.3)).0
     }
 }
 
@@ -64,7 +64,7 @@
                 let since = history.iter().position(|(from, ..)| from == held);
                 let news = match since {
                     Some(at) => history[at..].iter().map(|(from, to, deltas)| (false, *from, *to, deltas.clone())).collect(),
-                    None => vec![(true, 0, bill.position, bill.whole())],
+                    None => vec![(true, 0, bill.position, bill.full_deltas())],
                 };
                 *held = bill.position;
                 let conn = *conn;
@@ -82,7 +82,7 @@
     /// News goes before the proof that leans on it.
     pub fn apply(&mut self, entry: Entry) -> Vec<(Conn, Told)> {
         let before = self.bill.position;
-        let (_, deltas) = self.bill.apply(&entry.0, entry.1, entry.2, Act::Reports(entry.3));
+        let (_, deltas) = self.bill.apply(&entry.0, entry.1, entry.2, ClusterOperation::Reports(entry.3));
         self.applied += 1;
         if !deltas.is_empty() {
             self.history.push((before, self.bill.position, deltas));
--- a/crates/simulator/src/keysim/placing.rs
+++ b/crates/simulator/src/keysim/placing.rs
@@ -2,44 +2,44 @@
 
 use super::stage::{SERVICE, Stage};
 use super::telling::Whose;
-use model::bill::{Programme, Report};
-use model::{BackEndName, Micros, Position};
+use model::cluster_state::{ClusterReport, StateSnapshot};
+use model::{BackendName, Microseconds, Position};
 
 #[derive(Default)]
 pub(super) struct Duty {
-    cast: Vec<BackEndName>,
-    since: Micros,
+    cast: Vec<BackendName>,
+    since: Microseconds,
     placing: bool,
-    until: Option<(Position, Micros)>,
+    until: Option<(Position, Microseconds)>,
 }
 
 impl Duty {
-    pub fn placed(&mut self, here: Option<Position>, now: Micros) {
+    pub fn placed(&mut self, here: Option<Position>, now: Microseconds) {
         self.placing = false;
         self.until = here.map(|position| (position, now + 1_000_000));
     }
 }
 
-fn rank(programme: &Programme, node: &str) -> u64 {
-    let weight = |name: &str| model::terms::hash(&format!("{SERVICE}\n{name}"));
-    programme.cast(SERVICE).iter().filter(|one| one.node != node && weight(&one.node) > weight(node)).count() as u64
+fn rank(programme: &StateSnapshot, node: &str) -> u64 {
+    let weight = |name: &str| model::leases::stable_hash(&format!("{SERVICE}\n{name}"));
+    programme.available_backends(SERVICE).iter().filter(|one| one.node != node && weight(&one.node) > weight(node)).count() as u64
 }
 
-fn base(programme: &Programme) -> (Position, model::bill::Rows) {
-    programme.castings.get(SERVICE).map(|held| (held.0, held.1.clone())).unwrap_or_else(|| (0, model::bill::rows::empty()))
+fn base(programme: &StateSnapshot) -> (Position, model::cluster_state::ShardMap) {
+    programme.placements.get(SERVICE).map(|held| (held.0, held.1.clone())).unwrap_or_else(|| (0, model::cluster_state::shard_map::unassigned()))
 }
 
 /// What is needed: someone who is gone holds keys, or someone who came holds none.
-fn plan(programme: &Programme) -> Option<(Report, bool)> {
-    let cast = programme.cast(SERVICE);
+fn plan(programme: &StateSnapshot) -> Option<(ClusterReport, bool)> {
+    let cast = programme.available_backends(SERVICE);
     let (base, rows) = base(programme);
     let held = |name: &str| rows.iter().any(|row| row.holder.as_deref() == Some(name));
     let orphaned = rows.iter().any(|row| row.holder.as_ref().is_none_or(|holder| !cast.iter().any(|one| one.name == *holder)));
     if cast.is_empty() || !orphaned && cast.iter().all(|one| held(&one.name)) {
         return None;
     }
-    let parts: Vec<endpoints::Part> = cast.iter().map(|one| (one.name.clone(), one.slots.max(1) as f64)).collect();
-    Some((Report::Recast { service: SERVICE.into(), base, rows: endpoints::cast(&rows, &[], &parts, 0.0) }, orphaned))
+    let parts: Vec<endpoints::BackendCapacity> = cast.iter().map(|one| (one.name.clone(), one.slots.max(1) as f64)).collect();
+    Some((ClusterReport::ShardsReassigned { service: SERVICE.into(), base_placement: base, ranges: endpoints::rebalance(&rows, &[], &parts, 0.0) }, orphaned))
 }
 
 impl Stage {
@@ -50,7 +50,7 @@
         if node.proved == 0 || node.duty.placing || node.duty.until.is_some() {
             return;
         }
-        let cast: Vec<BackEndName> = node.programme.cast(SERVICE).iter().map(|one| one.name.clone()).collect();
+        let cast: Vec<BackendName> = node.programme.available_backends(SERVICE).iter().map(|one| one.name.clone()).collect();
         if node.duty.cast != cast {
             (node.duty.cast, node.duty.since) = (cast, now);
         }
@@ -68,12 +68,16 @@
         if !self.nodes[at].up || self.nodes[at].frozen || self.nodes[at].duty.placing {
             return;
         }
-        let cast = self.nodes[at].programme.cast(SERVICE);
-        let parts: Vec<endpoints::Part> = cast.iter().map(|one| (one.name.clone(), self.draw((1, 9)) as f64)).collect();
+        let cast = self.nodes[at].programme.available_backends(SERVICE);
+        let parts: Vec<endpoints::BackendCapacity> = cast.iter().map(|one| (one.name.clone(), self.draw((1, 9)) as f64)).collect();
         let (base, rows) = base(&self.nodes[at].programme);
         if base > 0 && !parts.is_empty() {
             self.nodes[at].duty.placing = true;
-            self.post(at, Whose::Duty, vec![Report::Recast { service: SERVICE.into(), base, rows: endpoints::cast(&rows, &[], &parts, 0.0) }]);
+            self.post(
+                at,
+                Whose::Duty,
+                vec![ClusterReport::ShardsReassigned { service: SERVICE.into(), base_placement: base, ranges: endpoints::rebalance(&rows, &[], &parts, 0.0) }],
+            );
         }
     }
 }
--- a/crates/simulator/src/keysim/plan.rs
+++ b/crates/simulator/src/keysim/plan.rs
@@ -1,6 +1,6 @@
 //! What a simulated service is told (design 11.5).
 
-use model::Micros;
+use model::Microseconds;
 
 /// One guard each, left out in the simulator only, so that its promise is seen broken.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -33,22 +33,22 @@
 pub struct KeyPlan {
     pub seed: u64,
     pub nodes: usize,
-    pub keys: endpoints::KeysEnv,
-    pub beat_every: Micros,
-    pub drain: Micros,
-    pub ask_every: Micros,
+    pub keys: endpoints::LeaseConfig,
+    pub beat_every: Microseconds,
+    pub drain: Microseconds,
+    pub ask_every: Microseconds,
     pub without: Without,
 }
 
 impl KeyPlan {
     pub fn new(seed: u64) -> Self {
-        let keys = endpoints::KeysEnv { bound: 9_000_000, guard: 200_000, most: 10_000_000 };
+        let keys = endpoints::LeaseConfig { proof_validity: 9_000_000, clock_guard: 200_000, max_duration: 10_000_000 };
         let nodes = 3 + (seed % 6) as usize;
         KeyPlan { seed, nodes, keys, beat_every: 1_500_000, drain: 2_000_000, ask_every: 1_000_000, without: Without::default() }
     }
 
     /// Within it every key is held again: a node's watchers, a placement that found its base moved, the bound, beats.
-    pub fn recovery(&self) -> Micros {
-        self.keys.bound + self.keys.guard + 12_000_000
+    pub fn recovery(&self) -> Microseconds {
+        self.keys.proof_validity + self.keys.clock_guard + 12_000_000
     }
 }
--- a/crates/simulator/src/keysim/player.rs
+++ b/crates/simulator/src/keysim/player.rs
@@ -1,15 +1,15 @@
 //! A back end as its contract says: it beats, holds for so long from when the beat was sent by a clock that may be
 //! slow, lets go of what an answer leaves out and says so within 100 ms (design 11.5).
 
-use model::bill::Key;
-use model::{Micros, Position};
+use model::cluster_state::ShardKey;
+use model::{Microseconds, Position};
 
-pub(super) type Row = (Key, Key, Position);
+pub(super) type Row = (ShardKey, ShardKey, Position);
 
 #[derive(Clone, Debug)]
 pub(super) struct Held {
     pub row: Row,
-    pub until: Micros,
+    pub until: Microseconds,
     /// Left out by an answer; work on it may still be under way.
     pub going: Option<u64>,
 }
@@ -29,14 +29,14 @@
     pub(super) waits_for: Option<u64>,
     pub(super) held: Vec<Held>,
     pub(super) seen: Vec<Row>,
-    pub(super) released: Vec<(Key, Key, String)>,
+    pub(super) released: Vec<(ShardKey, ShardKey, String)>,
     /// How many of these the latest beat carried.
     pub(super) told: usize,
     pub(super) pieces: u64,
 }
 
 /// What of a row lies outside all of `others`.
-fn outside(row: Row, others: &[(Key, Key)]) -> Vec<Row> {
+fn outside(row: Row, others: &[(ShardKey, ShardKey)]) -> Vec<Row> {
     others.iter().fold(vec![row], |rows, (from, to)| {
         let cut = rows.into_iter().flat_map(|(start, end, fence)| {
             let before = (start < *from).then(|| (start, end.min(from.saturating_sub(1)), fence));
@@ -75,17 +75,17 @@
     }
 
     /// What it may begin requests on; what it only still works on counts, too.
-    pub(super) fn held(&self, now: Micros) -> Vec<Row> {
+    pub(super) fn held(&self, now: Microseconds) -> Vec<Row> {
         self.held.iter().filter(|held| held.until > now).map(|held| held.row).collect()
     }
 
-    pub(super) fn beat(&mut self, now: Micros) -> endpoints::Beat {
+    pub(super) fn beat(&mut self, now: Microseconds) -> endpoints::Heartbeat {
         self.sequence += 1;
         self.waits_for = Some(self.sequence);
         self.told = self.released.len();
         // A hold that ran out is not told as released.
         self.held.retain(|held| held.until > now);
-        endpoints::Beat {
+        endpoints::Heartbeat {
             name: self.name(),
             service: super::stage::SERVICE.into(),
             address: format!("player-{}", self.node),
@@ -93,17 +93,17 @@
             slots: 4,
             draining: self.draining,
             sequence: self.sequence,
-            holds: self.held(now),
-            freed: self.released.clone(),
+            held_ranges: self.held(now),
+            released_ranges: self.released.clone(),
         }
     }
 
     /// Takes what an answer tells it to hold. What it has to let go by number, and fences that went back.
-    pub(super) fn takes(&mut self, now: Micros, sent: Micros, rows: Vec<Row>, hold: Micros) -> (Vec<u64>, Vec<Row>) {
+    pub(super) fn takes(&mut self, now: Microseconds, sent: Microseconds, rows: Vec<Row>, hold: Microseconds) -> (Vec<u64>, Vec<Row>) {
         let until = sent + hold + hold * self.slow / 1_000;
         let newer = |row: &Row| self.seen.iter().any(|seen| seen.0 <= row.1 && row.0 <= seen.1 && seen.2 > row.2);
         let (back, rows): (Vec<Row>, Vec<Row>) = rows.into_iter().partition(newer);
-        let taken: Vec<(Key, Key)> = rows.iter().map(|(from, to, _)| (*from, *to)).collect();
+        let taken: Vec<(ShardKey, ShardKey)> = rows.iter().map(|(from, to, _)| (*from, *to)).collect();
         let before = std::mem::take(&mut self.held);
         let mut let_go = Vec::new();
         let pieces = &mut self.pieces;
@@ -126,7 +126,7 @@
     }
 
     /// Work on what it was to let go is over.
-    pub(super) fn lets_go(&mut self, now: Micros, piece: u64, token: String) -> bool {
+    pub(super) fn lets_go(&mut self, now: Microseconds, piece: u64, token: String) -> bool {
         let Some(at) = self.held.iter().position(|held| held.going == Some(piece)) else { return false };
         let held = self.held.remove(at);
         let in_time = held.until > now;
--- a/crates/simulator/src/keysim/stage.rs
+++ b/crates/simulator/src/keysim/stage.rs
@@ -3,8 +3,8 @@
 use super::log::{Log, Told};
 use super::node::Node;
 use super::player::Player;
-use model::bill::Report;
-use model::{Micros, Outcome, Position};
+use model::cluster_state::ClusterReport;
+use model::{Microseconds, Outcome, Position};
 
 pub(super) const SERVICE: &str = "seat";
 const SEATS: usize = 3;
@@ -15,31 +15,31 @@
     Ask(usize, u64),
     Probed(usize, u64, String),
     Beat(usize, u64, bool),
-    BeatComes(usize, u64, Micros, Box<endpoints::Beat>),
-    Answer(usize, u64, Micros, u64, endpoints::BeatAnswer),
+    BeatComes(usize, u64, Microseconds, Box<endpoints::Heartbeat>),
+    Answer(usize, u64, Microseconds, u64, endpoints::HeartbeatAnswer),
     Unanswered(usize, u64, u64),
     LetsGo(usize, u64, u64),
     SignsOff(usize, u64),
     Follow(usize, u64, Position),
     Asked(usize, u64, u64),
     Hears(usize, u64, Told),
-    Ordered(usize, u64, u64, Vec<Report>),
+    Ordered(usize, u64, u64, Vec<ClusterReport>),
     Logged(usize, u64, u64, Outcome),
-    Missed(usize, u64, Vec<Report>),
+    Missed(usize, u64, Vec<ClusterReport>),
     Again(usize, u64, u64),
     SeatApplies(usize),
-    Blow(super::Blow, usize, Micros),
+    Blow(super::Blow, usize, Microseconds),
     Over(super::Blow, usize),
 }
 
 pub struct Stage {
     pub plan: super::KeyPlan,
-    pub now: Micros,
+    pub now: Microseconds,
     pub judge: super::judge::Judge,
     pub(super) log: Log,
     pub(super) nodes: Vec<Node>,
     pub(super) players: Vec<Player>,
-    events: std::collections::BTreeMap<(Micros, u64), Event>,
+    events: std::collections::BTreeMap<(Microseconds, u64), Event>,
     order: u64,
     random: rand::rngs::StdRng,
 }
@@ -47,9 +47,14 @@
 impl Stage {
     pub fn new(plan: super::KeyPlan) -> Stage {
         let mut log = Log::new(SEATS);
-        let service = model::bill::Service { health_path: String::new(), conns: 0, keyed: true, warm_us: 0 };
-        let put = model::bill::items::Put { name: SERVICE.into(), version: 1, body: model::bill::Body::Service(service), text: String::new() };
-        log.items(model::bill::Call { puts: vec![put], drops: Vec::new() });
+        let service = model::cluster_state::Service { health_path: String::new(), max_connections: 0, keyed: true, slow_start_us: 0 };
+        let put = model::cluster_state::items::ItemPut {
+            name: SERVICE.into(),
+            version: 1,
+            body: model::cluster_state::ItemBody::Service(service),
+            text: String::new(),
+        };
+        log.items(model::cluster_state::ItemCall { puts: vec![put], drops: Vec::new() });
         let random = rand::SeedableRng::seed_from_u64(plan.seed);
         let (nodes, players, events) = (Vec::new(), Vec::new(), Default::default());
         let mut stage = Stage { now: 0, judge: Default::default(), log, nodes, players, events, order: 0, random, plan };
@@ -63,16 +68,16 @@
         stage
     }
 
-    pub(super) fn draw(&mut self, range: (Micros, Micros)) -> Micros {
+    pub(super) fn draw(&mut self, range: (Microseconds, Microseconds)) -> Microseconds {
         rand::Rng::random_range(&mut self.random, range.0..=range.1)
     }
 
-    pub(super) fn at(&mut self, time: Micros, event: Event) {
+    pub(super) fn at(&mut self, time: Microseconds, event: Event) {
         self.order += 1;
         self.events.insert((time, self.order), event);
     }
 
-    pub(super) fn after(&mut self, range: (Micros, Micros), event: Event) {
+    pub(super) fn after(&mut self, range: (Microseconds, Microseconds), event: Event) {
         let time = self.now + self.draw(range);
         self.at(time, event);
     }
@@ -84,8 +89,8 @@
     }
 
     /// The node's clock: its own rate, and a start of its own.
-    pub(super) fn clock(&self, at: usize) -> Micros {
-        (self.now as i64 + self.now as i64 / 100_000 * self.nodes[at].rate / 10 + 77_000_000 * (at as i64 + 1)) as Micros
+    pub(super) fn clock(&self, at: usize) -> Microseconds {
+        (self.now as i64 + self.now as i64 / 100_000 * self.nodes[at].rate / 10 + 77_000_000 * (at as i64 + 1)) as Microseconds
     }
 
     pub(super) fn comes(&mut self, at: usize, life: u64) {
@@ -168,7 +173,7 @@
         }
     }
 
-    fn beat_comes(&mut self, at: usize, life: u64, sent: Micros, beat: endpoints::Beat) {
+    fn beat_comes(&mut self, at: usize, life: u64, sent: Microseconds, beat: endpoints::Heartbeat) {
         if !self.nodes[at].lives(life) {
             return;
         }
@@ -182,7 +187,7 @@
         }
     }
 
-    fn answered(&mut self, at: usize, sent: Micros, number: u64, answer: endpoints::BeatAnswer) {
+    fn answered(&mut self, at: usize, sent: Microseconds, number: u64, answer: endpoints::HeartbeatAnswer) {
         let (now, life) = (self.now, self.players[at].life);
         // One that comes too late may still be read, or not.
         let late = now > sent + 1_000_000 && self.draw((0, 1)) == 0;
@@ -205,7 +210,7 @@
         self.judge.taken(now, &self.players, at);
     }
 
-    pub fn run_until(&mut self, end: Micros) {
+    pub fn run_until(&mut self, end: Microseconds) {
         while let Some(((time, order), event)) = self.events.pop_first() {
             if time > end {
                 self.events.insert((time, order), event);
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -209,18 +209,18 @@
 async fn seat(mut arguments: pico_args::Arguments) -> Result<(), String> {
     let mut text = |flag: &'static str| usage(arguments.value_from_str::<_, String>(flag));
     let (mates, operators, seeds) = (text("--mates-address"), text("--operators-address"), text("--seeds"));
-    let env = control::CoreEnv {
+    let env = control::ReplicaConfig {
         name: text("--name"),
         zone: text("--zone"),
         address: text("--advertised-address"),
         folder: text("--folder").into(),
-        seat: usage(arguments.value_from_str("--seat")),
-        seats: usage(arguments.value_from_str("--seats")),
+        replica_id: usage(arguments.value_from_str("--seat")),
+        replica_count: usage(arguments.value_from_str("--seats")),
         seeds: seeds.split(',').filter(|seed| !seed.is_empty()).map(str::to_string).collect(),
-        tuning: Default::default(),
-        snapshot_every: 500,
+        timing: Default::default(),
+        snapshot_every_entries: 500,
         replace_after: 3_000_000,
-        charter: None,
+        membership: None,
     };
     let sync_us: u64 = usage(arguments.value_from_str("--sync"));
     nothing_left(arguments);
--- a/crates/simulator/src/sim/count.rs
+++ b/crates/simulator/src/sim/count.rs
@@ -6,18 +6,18 @@
         mencius::Message::Accept { .. } => "accept",
         mencius::Message::Learn { .. } => "learn",
         mencius::Message::Skip => "skip",
-        mencius::Message::Beat { .. } => "beat",
-        mencius::Message::ReadAsk { .. } | mencius::Message::ReadAnswer { .. } => "read",
+        mencius::Message::Heartbeat { .. } => "beat",
+        mencius::Message::ReadIndexRequest { .. } | mencius::Message::ReadIndexResponse { .. } => "read",
         mencius::Message::Prepare { .. } | mencius::Message::Promise { .. } | mencius::Message::Propose { .. } => "revoke",
-        mencius::Message::Accepted { .. } | mencius::Message::Refuse { .. } | mencius::Message::Chosen { .. } => "revoke",
+        mencius::Message::AcceptProposal { .. } | mencius::Message::Reject { .. } | mencius::Message::Chosen { .. } => "revoke",
         mencius::Message::Hello { .. } | mencius::Message::Resync { .. } => "open",
-        mencius::Message::Fetch { .. } | mencius::Message::Run { .. } | mencius::Message::Snapshot { .. } => "catch-up",
+        mencius::Message::FetchOutcomes { .. } | mencius::Message::Outcomes { .. } | mencius::Message::Snapshot { .. } => "catch-up",
     }
 }
 
 /// One seat or all suggest `entries`, `gap` microseconds apart; one line of counts per entry.
 pub fn line(seats: u16, alpha: u64, tau: u64, gap: u64, entries: u64, one_seat: bool) -> String {
-    let tuning = mencius::Tuning { alpha, tau, ..Default::default() };
+    let tuning = mencius::Config { alpha, tau, ..Default::default() };
     let mut world = super::World::new(super::Plan { tuning, snapshot_every: 0, ..super::Plan::new(seats, 1) });
     world.run_until(1_000_000);
     let before = world.counts.clone();
--- a/crates/simulator/src/sim/effects.rs
+++ b/crates/simulator/src/sim/effects.rs
@@ -2,7 +2,7 @@
 
 use super::world::Event;
 
-type Seat = mencius::Seat;
+type Seat = mencius::ReplicaId;
 
 impl super::world::Node {
     /// Records on the disk that are not a snapshot.
@@ -22,7 +22,7 @@
     pub fn read(&mut self, seat: Seat, token: u64) {
         if self.nodes[seat as usize].machine.is_some() && !self.nodes[seat as usize].frozen {
             self.findings.read_asked(token);
-            self.feed(seat, mencius::Input::Read(token));
+            self.feed(seat, mencius::Input::ReadIndex(token));
         }
     }
 
@@ -32,7 +32,7 @@
 
     /// Each effect is a numbered point; a plan may crash the seat just before it is carried out.
     pub(super) fn carry_out(&mut self, seat: Seat) {
-        let effects = self.nodes[seat as usize].machine.as_mut().map(mencius::Repertory::drain).unwrap_or_default();
+        let effects = self.nodes[seat as usize].machine.as_mut().map(mencius::Replica::take_effects).unwrap_or_default();
         for effect in effects {
             self.nodes[seat as usize].points += 1;
             self.counts.points += 1;
@@ -60,7 +60,7 @@
                 let epoch = self.epochs[x][y];
                 self.at(time, Event::Deliver { from: seat, to, epoch, frame });
             }
-            mencius::Effect::Persist { ticket, writes, afresh } => {
+            mencius::Effect::Persist { ticket, writes, replace_journal: afresh } => {
                 self.counts.syncs += 1;
                 let wait = if self.plan.lying_disk { 0 } else { self.draw(self.plan.sync) + self.nodes[seat as usize].disk_slow };
                 let life = self.nodes[seat as usize].life;
@@ -77,13 +77,13 @@
                 self.findings.applied(self.now, seat, at, &value, self.plan.seats);
                 self.snapshot_when_due(seat, at + 1);
             }
-            mencius::Effect::Overruled(value) => {
+            mencius::Effect::NotChosen(value) => {
                 let patience = self.plan.caller_patience;
                 if self.findings.waits_for(&value, self.now, patience) {
                     self.feed(seat, mencius::Input::Submit(value));
                 }
             }
-            mencius::Effect::Install { state, .. } => {
+            mencius::Effect::InstallSnapshot { state, .. } => {
                 self.nodes[seat as usize].history = rkyv::from_bytes::<Vec<(u64, Vec<u8>)>, rkyv::rancor::Error>(&state).unwrap_or_default();
                 // The state a snapshot stands for knows the holders too.
                 self.nodes[seat as usize].book = Default::default();
@@ -92,7 +92,7 @@
             }
             mencius::Effect::ReadReady(token) => {
                 let node = &mut self.nodes[seat as usize];
-                let applied = node.machine.as_ref().map(mencius::Repertory::applied).unwrap_or(0);
+                let applied = node.machine.as_ref().map(mencius::Replica::applied).unwrap_or(0);
                 self.findings.read_done(token, applied);
                 self.done.push((token, seat));
             }
@@ -104,12 +104,12 @@
         node.since_snapshot += 1;
         let due = self.plan.snapshot_every > 0 && node.since_snapshot >= self.plan.snapshot_every;
         // As the daemon's driver does it: what lies below a change could be finished only by disks of that time.
-        let handed_over = self.plan.snapshot_past_change && node.book.seats.values().any(|(_, after)| (node.snapshot_at..through).contains(after));
+        let handed_over = self.plan.snapshot_past_change && node.book.replica_holders.values().any(|(_, after)| (node.snapshot_at..through).contains(after));
         if due || handed_over {
             (node.since_snapshot, node.snapshot_at) = (0, through);
             let state = rkyv::to_bytes::<rkyv::rancor::Error>(&node.history).map(|bytes| bytes.to_vec()).unwrap_or_default();
             if let Some(machine) = node.machine.as_mut() {
-                machine.step(self.now, mencius::Input::Snapshot { through, state });
+                machine.step(self.now, mencius::Input::Snapshot { next_instance: through, state });
             }
         }
     }
--- a/crates/simulator/src/sim/faults.rs
+++ b/crates/simulator/src/sim/faults.rs
@@ -1,6 +1,6 @@
 //! Faults and the schedules drawn from a seed (design 9.2).
 
-type Seat = mencius::Seat;
+type Seat = mencius::ReplicaId;
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
--- a/crates/simulator/src/sim/plan.rs
+++ b/crates/simulator/src/sim/plan.rs
@@ -1,7 +1,7 @@
 //! What a simulated run is told, and what it counts (design 9.1).
 
 type Micros = mencius::Micros;
-type Seat = mencius::Seat;
+type Seat = mencius::ReplicaId;
 
 #[derive(Clone, Debug)]
 pub struct Plan {
@@ -9,7 +9,7 @@
     pub seed: u64,
     pub hop: (Micros, Micros),
     pub sync: (Micros, Micros),
-    pub tuning: mencius::Tuning,
+    pub tuning: mencius::Config,
     /// Applied entries between two snapshots; 0 takes none.
     pub snapshot_every: usize,
     /// A snapshot as soon as the log is past a change of holders (design 4.4); without it a second lost disk stops the log.
@@ -24,7 +24,7 @@
 
 impl Plan {
     pub fn new(seats: u16, seed: u64) -> Self {
-        let tuning = mencius::Tuning::default();
+        let tuning = mencius::Config::default();
         let (snapshot_every, snapshot_past_change) = (40, true);
         Plan {
             seats,
--- a/crates/simulator/src/sim/site.rs
+++ b/crates/simulator/src/sim/site.rs
@@ -2,50 +2,50 @@
 //! disks, back ends, senders and operators are made up (design 9.8).
 
 use super::site_plan::{Blow, NODES, SitePlan, service, zone};
-use model::{Micros, standing::Report};
+use model::{Microseconds, endpoint_status::EndpointReport};
 
 pub(super) enum Event {
     Blow(Blow),
     Pump(usize),
     Ask(usize),
     /// A node's question reaches a core seat, or its home.
-    AtCore(usize, u16, Micros),
-    AtHome(usize, usize, Micros),
-    Proved(usize, Micros, Box<model::Slice>),
+    AtCore(usize, u16, Microseconds),
+    AtHome(usize, usize, Microseconds),
+    Proved(usize, Microseconds, Box<model::StateSlice>),
     Beat(usize),
     /// An entry reaches a core seat; and the answer its node.
     Report(usize, u64, u16, Box<model::Entry>),
     Reported(usize, u64, u64, model::Outcome),
     Operate,
     Send(usize, u64),
-    Arrive(u64, usize, Box<transport::Dispatch>, Micros),
-    Reply(u64, Result<(), model::Trouble>),
+    Arrive(u64, usize, Box<transport::AttemptRequest>, Microseconds),
+    Reply(u64, Result<(), model::Error>),
     Late(u64),
     RunEnds(u64),
     Come(usize),
 }
 
 pub(super) struct Node {
-    pub house: legacy_proxy::House,
+    pub house: legacy_proxy::SlotOwner,
     pub view: control::View,
-    pub taken: legacy_proxy::taken::Taken,
-    pub picker: legacy_proxy::picker::Picker,
-    pub budget: legacy_proxy::budget::Budget,
+    pub taken: legacy_proxy::accepted_attempts::AcceptedAttempts,
+    pub picker: legacy_proxy::selector::Selector,
+    pub budget: legacy_proxy::retry_budget::RetryBudget,
     pub life: u64,
     pub frozen: bool,
     pub cut: bool,
     pub leaving: bool,
     pub late: Vec<Event>,
     /// Reports that wait, the one on its way, and its turn over the seats.
-    pub outbox: std::collections::VecDeque<Report>,
+    pub outbox: std::collections::VecDeque<EndpointReport>,
     pub sequence: u64,
-    pub entry: Option<(model::Entry, Micros)>,
+    pub entry: Option<(model::Entry, Microseconds)>,
     pub seat: u16,
     /// When it was last proved to, whom it passes over, who asked it and when.
-    pub proved: Micros,
+    pub proved: Microseconds,
     pub direct: bool,
-    pub passed_over: Option<(usize, Micros)>,
-    pub askers: Vec<(usize, Micros, Micros)>,
+    pub passed_over: Option<(usize, Microseconds)>,
+    pub askers: Vec<(usize, Microseconds, Microseconds)>,
 }
 
 /// A back end's process; its number is its address.
@@ -55,15 +55,15 @@
     pub node: usize,
     pub alive: bool,
     pub beats: bool,
-    pub drained: Option<Micros>,
-    pub died: Option<Micros>,
+    pub drained: Option<Microseconds>,
+    pub died: Option<Microseconds>,
     pub secret: String,
     pub prefix: String,
 }
 
 pub struct Site {
     pub plan: SitePlan,
-    pub now: Micros,
+    pub now: Microseconds,
     pub core: super::site_core::SiteCore,
     pub judge: super::site_judge::Judge,
     pub(super) nodes: Vec<Node>,
@@ -73,16 +73,16 @@
     pub(super) courses: std::collections::BTreeMap<u64, super::site_calls::Trying>,
     pub(super) tries: Vec<super::site_calls::Try>,
     /// Dispatches that wait for a slot.
-    pub(super) runs_waiting: std::collections::BTreeMap<u64, transport::Dispatch>,
+    pub(super) runs_waiting: std::collections::BTreeMap<u64, transport::AttemptRequest>,
     pub(super) runs: std::collections::BTreeMap<u64, super::site_runs::Run>,
     pub(super) numbers: u64,
     /// Read tokens: the node that asked, and when.
-    pub(super) reads: std::collections::BTreeMap<u64, (usize, Micros)>,
+    pub(super) reads: std::collections::BTreeMap<u64, (usize, Microseconds)>,
     pub(super) reports: std::collections::BTreeMap<(String, u64, u64), usize>,
     pub(super) changes: std::collections::BTreeMap<(String, u64, u64), String>,
     pub(super) operated: u64,
     pub(super) random: rand::rngs::StdRng,
-    events: std::collections::BTreeMap<(Micros, u64), Event>,
+    events: std::collections::BTreeMap<(Microseconds, u64), Event>,
     order: u64,
 }
 
@@ -114,7 +114,7 @@
         (0..NODES).for_each(|at| {
             let node = site.fresh_node(at);
             site.nodes.push(node);
-            let offset = 400_000 + at as Micros * 7_000;
+            let offset = 400_000 + at as Microseconds * 7_000;
             site.present(at);
             [Event::Pump(at), Event::Ask(at), Event::Come(at)].into_iter().for_each(|event| site.at(offset, event));
             site.at(1_000_000 + offset, Event::Send(at, u64::MAX));
@@ -124,13 +124,13 @@
 
     fn fresh_node(&self, at: usize) -> Node {
         Node {
-            house: legacy_proxy::House::new(self.plan.house(at)),
+            house: legacy_proxy::SlotOwner::new(self.plan.house(at)),
             view: Default::default(),
             taken: Default::default(),
             picker: Default::default(),
-            budget: legacy_proxy::budget::Budget::new(if self.plan.without.budget { 1_000_000 } else { 1 }),
+            budget: legacy_proxy::retry_budget::RetryBudget::new(if self.plan.without.budget { 1_000_000 } else { 1 }),
             // Drawn as a process does it: in no order.
-            life: model::terms::hash(&format!("{at} {}", self.now)),
+            life: model::leases::stable_hash(&format!("{at} {}", self.now)),
             frozen: false,
             cut: false,
             leaving: false,
@@ -147,10 +147,10 @@
     }
 
     /// On top of the incarnation that the node's own news has.
-    pub(super) fn registration(&self, at: usize) -> Report {
+    pub(super) fn registration(&self, at: usize) -> EndpointReport {
         let (node, incarnation) = (format!("n{at}"), self.nodes[at].life);
         let replaces = self.nodes[at].view.slice.nodes.get(&node).map_or(0, |held| held.incarnation);
-        Report::Node { node, zone: zone(at), address: format!("127.0.0.1:{at}"), incarnation, replaces }
+        EndpointReport::NodeRegistered { node, zone: zone(at), address: format!("127.0.0.1:{at}"), incarnation, replaces }
     }
 
     /// The node says that it is there.
@@ -168,16 +168,16 @@
         self.present(at);
     }
 
-    pub(super) fn at(&mut self, time: Micros, event: Event) {
+    pub(super) fn at(&mut self, time: Microseconds, event: Event) {
         self.order += 1;
         self.events.insert((time, self.order), event);
     }
 
-    pub fn strike_at(&mut self, time: Micros, blow: Blow) {
+    pub fn strike_at(&mut self, time: Microseconds, blow: Blow) {
         self.at(time, Event::Blow(blow));
     }
 
-    pub(super) fn hop(&mut self) -> Micros {
+    pub(super) fn hop(&mut self) -> Microseconds {
         rand::Rng::random_range(&mut self.random, self.plan.hop.0..=self.plan.hop.1)
     }
 
@@ -206,7 +206,7 @@
         }
     }
 
-    pub fn run_until(&mut self, end: Micros) {
+    pub fn run_until(&mut self, end: Microseconds) {
         while let Some(((time, order), event)) = self.events.pop_first() {
             if time > end {
                 self.events.insert((time, order), event);
@@ -220,7 +220,7 @@
     }
 
     /// Faults over, time to recover, and the checks of the whole.
-    pub fn close(&mut self, end: Micros) -> Vec<String> {
+    pub fn close(&mut self, end: Microseconds) -> Vec<String> {
         (0..NODES).for_each(|at| {
             self.strike_at(end, Blow::Wake(at));
             self.strike_at(end, Blow::Mend(at));
--- a/crates/simulator/src/sim/site_blows.rs
+++ b/crates/simulator/src/sim/site_blows.rs
@@ -2,7 +2,7 @@
 
 use super::site::{Event, Site};
 use super::site_plan::{Blow, LANES, NODES, founding, grouping, order};
-use model::{Act, Entry, standing::Report};
+use model::{Entry, Operation, endpoint_status::EndpointReport};
 
 impl Site {
     pub(super) fn beat(&mut self, process: usize) {
@@ -12,7 +12,7 @@
             return;
         }
         let (secret, draining) = (self.processes[process].secret.clone(), self.processes[process].drained.is_some() && !self.plan.without.drains);
-        let known = !secret.is_empty() && self.nodes[at].house.beat(now, &secret, draining, Some(4)).is_some();
+        let known = !secret.is_empty() && self.nodes[at].house.heartbeat(now, &secret, draining, Some(4)).is_some();
         if !known && self.processes[process].drained.is_none() {
             self.register(process);
         }
@@ -23,7 +23,7 @@
         let (now, at) = (self.now, self.processes[process].node);
         let address = self.addresses.iter().find(|(_, held)| **held == process).map(|(address, _)| *address).unwrap_or(0);
         let (name, service) = (self.processes[process].name.clone(), self.processes[process].service);
-        let registration = legacy_proxy::house::Registration {
+        let registration = legacy_proxy::slot_owner::Registration {
             name: name.clone(),
             service: service.into(),
             zone: super::site_plan::zone(at),
@@ -33,11 +33,11 @@
         };
         let secret = format!("secret {process} {now}");
         let node = &mut self.nodes[at];
-        let logged = node.view.slice.back_ends.get(&name).map_or(0, |held| held.incarnation);
+        let logged = node.view.slice.backends.get(&name).map_or(0, |held| held.incarnation);
         let Ok(incarnation) = node.house.reserve(now, logged, registration, secret.clone()) else { return };
-        let back_end = node.house.back_end(&name);
-        node.outbox.extend(back_end.map(|back_end| Report::Registered { name: name.clone(), back_end }));
-        (self.processes[process].secret, self.processes[process].prefix) = (secret, legacy_proxy::tries::prefix(&name, incarnation));
+        let back_end = node.house.backend(&name);
+        node.outbox.extend(back_end.map(|back_end| EndpointReport::BackendRegistered { name: name.clone(), backend: back_end }));
+        (self.processes[process].secret, self.processes[process].prefix) = (secret, legacy_proxy::forwarded_attempts::attempt_prefix(&name, incarnation));
     }
 
     /// Right, stale, broken, two at once, the same twice; at whatever seat.
@@ -66,8 +66,8 @@
         }
         self.numbers += 1;
         let (origin, sequence) = (format!("core-{seat}"), self.numbers);
-        let act = Act::Change(model::Change { id: id.clone(), base, edits });
-        self.core.submit(seat, &Entry { origin: origin.clone(), life: 1, sequence, act });
+        let act = Operation::Change(model::Change { id: id.clone(), base_version: base, edits });
+        self.core.submit(seat, &Entry { origin: origin.clone(), incarnation: 1, sequence, operation: act });
         self.changes.insert((origin, 1, sequence), id.clone());
         if self.plan.without.commit {
             self.judge.accepted(self.now, self.core.book(seat).position + 1, base + 1, &id);
@@ -95,7 +95,7 @@
                     .for_each(|event| self.at(now, event));
             }
             Blow::Stop(at) => {
-                self.nodes[at].house.leave();
+                self.nodes[at].house.drain();
                 self.nodes[at].leaving = true;
             }
             Blow::Kill(at) => {
@@ -109,7 +109,7 @@
             Blow::Drain(at) => {
                 if let Some(process) = self.main_process(at).filter(|process| self.processes[*process].drained.is_none() && !self.nodes[at].frozen) {
                     let secret = self.processes[process].secret.clone();
-                    if self.plan.without.drains || self.nodes[at].house.beat(now, &secret, true, None).is_some() {
+                    if self.plan.without.drains || self.nodes[at].house.heartbeat(now, &secret, true, None).is_some() {
                         self.processes[process].drained = Some(now);
                     }
                     self.at(now + 5_000_000, Event::Blow(Blow::Kill(at)));
--- a/crates/simulator/src/sim/site_calls.rs
+++ b/crates/simulator/src/sim/site_calls.rs
@@ -2,7 +2,7 @@
 
 use super::site::{Event, Site};
 use super::site_plan::{LANES, Lane, WAIT};
-use model::{Cause, Trouble, Verdict};
+use model::{Cause, Error, ExecutionStatus};
 
 /// A try as its sender knows it: it may send it more than once.
 pub(super) struct Try {
@@ -15,7 +15,7 @@
 /// A dispatch that its own usher waits for.
 pub(super) struct Trying {
     pub node: usize,
-    course: legacy_proxy::course::Course,
+    course: legacy_proxy::attempt_loop::AttemptLoop,
     picked: String,
     try_id: String,
 }
@@ -49,24 +49,24 @@
         let taken = self.take(at, &secret, &try_id);
         let begun = taken.and_then(|sender| {
             if self.nodes[at].leaving {
-                return Err(Trouble::new(Cause::Leaving, "stopping"));
+                return Err(Error::new(Cause::ShuttingDown, "stopping"));
             }
-            let ask = legacy_proxy::Ask {
-                try_id: try_id.clone(),
+            let ask = legacy_proxy::Request {
+                attempt_id: try_id.clone(),
                 service: lane.1.into(),
                 method: "POST".into(),
                 path: lane.2.into(),
                 query: String::new(),
                 headers: vec![],
                 body: vec![],
-                key: lane.3.then_some(key),
-                wait: Some(WAIT),
+                shard_key: lane.3.then_some(key),
+                timeout: Some(WAIT),
             };
-            legacy_proxy::course::Course::begin(&self.nodes[at].view, now, sender, ask)
+            legacy_proxy::attempt_loop::AttemptLoop::begin(&self.nodes[at].view, now, sender, ask)
         });
         match begun {
             Ok(course) => {
-                self.nodes[at].budget.first(lane.1);
+                self.nodes[at].budget.deposit(lane.1);
                 self.judge.first(now, lane.1);
                 self.step(Trying { node: at, course, picked: String::new(), try_id });
             }
@@ -74,22 +74,22 @@
         }
     }
 
-    fn take(&mut self, at: usize, secret: &str, try_id: &str) -> Result<legacy_proxy::SenderId, Trouble> {
+    fn take(&mut self, at: usize, secret: &str, try_id: &str) -> Result<legacy_proxy::ClientId, Error> {
         let without = self.plan.without.identity;
         let node = &mut self.nodes[at];
-        let sender = node.house.senders().get(secret).cloned().ok_or_else(|| Trouble::new(Cause::UnknownSender, "no such secret"))?;
+        let sender = node.house.clients().get(secret).cloned().ok_or_else(|| Error::new(Cause::UnknownClient, "no such secret"))?;
         if without {
             return Ok(sender);
         }
-        if !try_id.starts_with(&sender.prefix) {
-            return Err(Trouble::new(Cause::EarlierLife, "of another registration"));
+        if !try_id.starts_with(&sender.attempt_prefix) {
+            return Err(Error::new(Cause::EarlierIncarnation, "of another registration"));
         }
-        node.taken.take(try_id).map(|()| sender)
+        node.taken.accept(try_id).map(|()| sender)
     }
 
-    fn answer(&mut self, at: usize, service: &str, try_id: &str, answer: Result<(), Trouble>) {
+    fn answer(&mut self, at: usize, service: &str, try_id: &str, answer: Result<(), Error>) {
         if let Err(trouble) = answer.as_ref().map_err(Clone::clone)
-            && trouble.verdict == Verdict::NotRun
+            && trouble.execution_status == ExecutionStatus::NotRun
         {
             self.nodes[at].taken.did_not_run(try_id, trouble);
         }
@@ -106,14 +106,14 @@
             Ok(candidates) => candidates,
             Err(trouble) => return self.finish(trying, Err(trouble)),
         };
-        let Some(picked) = node.picker.pick(now, &candidates, turn) else {
-            let trouble = trying.course.nobody();
+        let Some(picked) = node.picker.select(now, &candidates, turn) else {
+            let trouble = trying.course.no_backend();
             return self.finish(trying, Err(trouble));
         };
-        let dispatched = trying.course.dispatch(&node.view, now, &picked, &format!("n{at}"));
+        let dispatched = trying.course.next_attempt(&node.view, now, &picked, &format!("n{at}"));
         trying.picked = picked;
         self.numbers += 1;
-        let (number, until) = (self.numbers, trying.course.until());
+        let (number, until) = (self.numbers, trying.course.deadline());
         self.courses.insert(number, trying);
         match dispatched {
             Ok((dispatch, None)) => self.at(now, Event::Arrive(number, at, Box::new(dispatch), now)),
@@ -123,7 +123,7 @@
                 if self.nodes[to].life == life {
                     self.at(time, Event::Arrive(number, to, Box::new(dispatch), now));
                 } else {
-                    self.at(time, Event::Reply(number, Err(Trouble::new(Cause::Unreachable, "another life"))));
+                    self.at(time, Event::Reply(number, Err(Error::new(Cause::Unreachable, "another life"))));
                 }
             }
             Err(trouble) => self.at(now, Event::Reply(number, Err(trouble))),
@@ -131,29 +131,29 @@
         self.at(until.max(now + 1), Event::Late(number));
     }
 
-    fn finish(&mut self, trying: Trying, answer: Result<(), Trouble>) {
+    fn finish(&mut self, trying: Trying, answer: Result<(), Error>) {
         let service = trying.course.service().to_string();
         self.answer(trying.node, &service, &trying.try_id, answer);
     }
 
     /// The far side's answer, or the end of the wait, reaches the own usher.
-    pub(super) fn reply(&mut self, number: u64, answer: Result<(), Trouble>) {
+    pub(super) fn reply(&mut self, number: u64, answer: Result<(), Error>) {
         let now = self.now;
         let Some(mut trying) = self.courses.remove(&number) else { return };
         let node = &mut self.nodes[trying.node];
-        let bench = matches!(&answer, Err(trouble) if trouble.cause != Cause::DuplicateTry);
-        node.picker.done(now, &trying.picked, bench);
+        let bench = matches!(&answer, Err(trouble) if trouble.kind != Cause::DuplicateAttempt);
+        node.picker.attempt_finished(now, &trying.picked, bench);
         let Err(mut trouble) = answer else { return self.finish(trying, Ok(())) };
-        if self.plan.without.honest_verdicts && matches!(trouble.cause, Cause::MateLost | Cause::BackEndLost) {
-            trouble.verdict = Verdict::NotRun;
+        if self.plan.without.honest_verdicts && matches!(trouble.kind, Cause::PeerLost | Cause::BackendLost) {
+            trouble.execution_status = ExecutionStatus::NotRun;
         }
         let picked = trying.picked.clone();
         let service = trying.course.service().to_string();
-        if trying.course.may_go_again(&picked, &trouble) && self.nodes[trying.node].budget.extra(&service) {
+        if trying.course.may_retry(&picked, &trouble) && self.nodes[trying.node].budget.withdraw(&service) {
             self.judge.extra(now, &service);
             return self.step(trying);
         }
-        let given_up = trying.course.given_up(trouble);
+        let given_up = trying.course.final_error(trouble);
         self.finish(trying, Err(given_up));
     }
 }
--- a/crates/simulator/src/sim/site_core.rs
+++ b/crates/simulator/src/sim/site_core.rs
@@ -1,11 +1,11 @@
 //! The core of a simulated site: ordering machines and disks, and a book at each seat (design 9.8).
 
-use model::{Book, Entry, Outcome, Position};
+use model::{Entry, Outcome, Position, StateMachine};
 
 /// What a seat has made of its log.
 #[derive(Default)]
 struct Fold {
-    book: Book,
+    book: StateMachine,
     folded: usize,
     last: u64,
     life: u64,
@@ -35,7 +35,7 @@
         node.machine.is_some() && !node.frozen
     }
 
-    pub fn book(&self, seat: u16) -> &Book {
+    pub fn book(&self, seat: u16) -> &StateMachine {
         &self.folds[seat as usize].book
     }
 
@@ -44,7 +44,7 @@
     }
 
     /// Lets the core come as far as `now`; what its seats applied meanwhile, and which reads were proved.
-    pub fn advance(&mut self, now: model::Micros) -> (Vec<Answered>, Vec<(u64, u16)>) {
+    pub fn advance(&mut self, now: model::Microseconds) -> (Vec<Answered>, Vec<(u64, u16)>) {
         self.world.run_until(now);
         let answered = (0..self.folds.len()).flat_map(|seat| self.fold(seat)).collect();
         (answered, std::mem::take(&mut self.world.done))
@@ -59,8 +59,8 @@
         let new = entries(&node.history[fold.folded..]);
         let answered: Vec<Answered> = new
             .map(|(instance, entry)| {
-                let key = (entry.origin.clone(), entry.life, entry.sequence);
-                (seat as u16, key, fold.book.apply_at(entry, instance, mencius::WINDOW))
+                let key = (entry.origin.clone(), entry.incarnation, entry.sequence);
+                (seat as u16, key, fold.book.apply_at(entry, instance, mencius::VOTING_WINDOW))
             })
             .collect();
         fold.folded = node.history.len();
@@ -71,12 +71,12 @@
     /// At the end: every accepted change of the longest copy, by version.
     pub fn story(&self) -> std::collections::BTreeMap<Position, (String, Position)> {
         let longest = self.world.nodes.iter().map(|node| &node.history).max_by_key(|history| history.len());
-        let mut book = Book::default();
+        let mut book = StateMachine::default();
         entries(longest.map(Vec::as_slice).unwrap_or_default())
             .filter_map(|(instance, entry)| {
-                let id = if let model::Act::Change(change) = &entry.act { Some(change.id.clone()) } else { None };
+                let id = if let model::Operation::Change(change) = &entry.operation { Some(change.id.clone()) } else { None };
                 let before = book.desired.version;
-                let outcome = book.apply_at(entry, instance, mencius::WINDOW);
+                let outcome = book.apply_at(entry, instance, mencius::VOTING_WINDOW);
                 match (id, outcome) {
                     (Some(id), Outcome::Accepted { position, version }) if version > before => Some((version, (id, position))),
                     _ => None,
@@ -86,7 +86,7 @@
     }
 
     /// Everything mended, as the core's own checks want it.
-    pub fn heal(&mut self, time: model::Micros) {
+    pub fn heal(&mut self, time: model::Microseconds) {
         self.world.at_fault(time, super::Fault::Mend);
         (0..self.folds.len() as u16).for_each(|seat| {
             self.world.at_fault(time, super::Fault::Wake(seat));
--- a/crates/simulator/src/sim/site_events.rs
+++ b/crates/simulator/src/sim/site_events.rs
@@ -1,10 +1,10 @@
 //! What happens at a simulated site: news, proofs, reports, beats, operators and blows (design 9.8).
 
 use super::site::{Event, Site};
-use model::{Act, Entry, Micros, Outcome, standing::Report};
+use model::{Entry, Microseconds, Operation, Outcome, endpoint_status::EndpointReport};
 
-const ASK_EVERY: Micros = 250_000;
-const PATIENCE: Micros = 750_000;
+const ASK_EVERY: Microseconds = 250_000;
+const PATIENCE: Microseconds = 750_000;
 
 impl Site {
     fn place_of(event: &Event) -> Option<usize> {
@@ -56,7 +56,7 @@
             Event::Report(at, life, seat, entry) => {
                 let reaches = self.nodes[at].life == life && !self.nodes[at].cut && self.core.up(seat);
                 if reaches {
-                    self.reports.insert((entry.origin.clone(), entry.life, entry.sequence), at);
+                    self.reports.insert((entry.origin.clone(), entry.incarnation, entry.sequence), at);
                     self.core.submit(seat, &entry);
                 }
             }
@@ -65,7 +65,7 @@
             Event::Send(at, number) => self.send(at, number),
             Event::Arrive(number, at, dispatch, sent) => self.arrive(number, at, *dispatch, sent),
             Event::Reply(number, answer) => self.reply(number, answer),
-            Event::Late(number) => self.reply(number, Err(model::Trouble::new(model::Cause::RanOutOfTime, "no answer in time"))),
+            Event::Late(number) => self.reply(number, Err(model::Error::new(model::Cause::TimedOut, "no answer in time"))),
             Event::RunEnds(number) => self.run_ends(number),
             Event::Come(at) => self.come(at),
         }
@@ -89,7 +89,7 @@
         });
         proofs.into_iter().for_each(|(token, seat)| {
             let Some((at, asked)) = self.reads.remove(&token) else { return };
-            let slice = model::Slice::cut(self.core.book(seat), &self.nodes[at].house.services());
+            let slice = model::StateSlice::for_services(self.core.book(seat), &self.nodes[at].house.services());
             let time = self.now + self.hop();
             self.at(time, Event::Proved(at, asked, Box::new(slice)));
         });
@@ -100,7 +100,7 @@
         let (now, wait) = (self.now, self.hop());
         let seats = self.plan.seats;
         let node = &mut self.nodes[at];
-        let home = control::home::home(&node.view.slice, &super::site_plan::zone(at), &node.house.services());
+        let home = control::zone_relay::select_zone_relay(&node.view.slice, &super::site_plan::zone(at), &node.house.services());
         let home = home.and_then(|(name, _)| name[1..].parse::<usize>().ok()).filter(|home| *home != at);
         if now > node.proved + PATIENCE {
             node.proved = now;
@@ -119,9 +119,9 @@
         }
     }
 
-    fn proved(&mut self, at: usize, asked: Micros, mut slice: model::Slice) {
+    fn proved(&mut self, at: usize, asked: Microseconds, mut slice: model::StateSlice) {
         if self.plan.without.key_waits {
-            slice.longest.clear();
+            slice.longest_requests.clear();
         }
         let (now, bound, position) = (self.now, self.plan.bound(), slice.position);
         let any_order = self.plan.without.news_order;
@@ -130,13 +130,13 @@
             return;
         }
         node.proved = now;
-        match node.view.with_news(slice.clone()) {
+        match node.view.with_update(slice.clone()) {
             Some(view) => node.view = view,
             None if any_order => node.view = control::View { slice: std::sync::Arc::new(slice), fresh_until: asked + bound },
             None => {}
         }
         node.view.with_proof(asked, position, bound).into_iter().for_each(|view| node.view = view);
-        let (life, held, fresh) = (node.life, node.view.slice.clone(), node.view.fresh(now));
+        let (life, held, fresh) = (node.life, node.view.slice.clone(), node.view.is_fresh(now));
         let (ready, later): (Vec<_>, Vec<_>) = std::mem::take(&mut node.askers).into_iter().partition(|(.., arrived)| *arrived <= asked);
         node.askers = later;
         self.judge.holds(now, at, life, held.position, fresh);
@@ -144,7 +144,7 @@
             let wanted = self.nodes[from].house.services();
             if wanted.is_subset(&held.services) && held.position >= self.nodes[from].view.slice.position {
                 let time = now + self.hop();
-                self.at(time, Event::Proved(from, asked, Box::new(held.narrowed(&wanted))));
+                self.at(time, Event::Proved(from, asked, Box::new(held.narrowed_to(&wanted))));
             }
         });
     }
@@ -153,10 +153,10 @@
         let now = self.now;
         let node = &mut self.nodes[at];
         let view = node.view.clone();
-        let granted = node.house.pump(now, &view);
-        let mut reports = node.house.reports();
+        let granted = node.house.admit_queued(now, &view);
+        let mut reports = node.house.take_reports();
         if self.plan.without.drains {
-            reports.retain(|report| !matches!(report, Report::Phase { phase: model::Phase::Draining, .. }));
+            reports.retain(|report| !matches!(report, EndpointReport::PhaseChanged { phase: model::BackendPhase::Draining, .. }));
         }
         node.outbox.extend(reports);
         self.grant(at, granted);
@@ -175,7 +175,7 @@
             && let Some(report) = node.outbox.pop_front()
         {
             node.sequence += 1;
-            let entry = Entry { origin: format!("n{at}"), life: node.life, sequence: node.sequence, act: Act::Standing(report) };
+            let entry = Entry { origin: format!("n{at}"), incarnation: node.life, sequence: node.sequence, operation: Operation::EndpointReport(report) };
             node.entry = Some((entry, 0));
         }
         let (life, seat) = (node.life, node.seat);
@@ -190,13 +190,13 @@
     }
 
     /// The log has another incarnation: it registers on top of that, as its news has it, and says the rest after it.
-    fn superseded(&mut self, at: usize, report: Report) {
+    fn superseded(&mut self, at: usize, report: EndpointReport) {
         let registration = self.registration(at);
         let node = &mut self.nodes[at];
         match report {
-            Report::Node { .. } => {}
+            EndpointReport::NodeRegistered { .. } => {}
             // The back end registers anew, above what the log has.
-            Report::Registered { name, back_end } => node.house.confirm(self.now, &name, back_end.incarnation, false),
+            EndpointReport::BackendRegistered { name, backend: back_end } => node.house.confirm(self.now, &name, back_end.incarnation, false),
             other => node.outbox.push_front(other),
         }
         node.outbox.push_front(registration);
@@ -206,11 +206,11 @@
         let node = &mut self.nodes[at];
         let own = node.life == life && node.entry.as_ref().is_some_and(|(entry, _)| entry.sequence == sequence);
         let Some((entry, _)) = node.entry.take_if(|_| own && !node.cut) else { return };
-        if let (Outcome::Superseded { .. }, Act::Standing(report)) = (&outcome, &entry.act) {
+        if let (Outcome::Superseded { .. }, Operation::EndpointReport(report)) = (&outcome, &entry.operation) {
             return self.superseded(at, report.clone());
         }
         let node = &mut self.nodes[at];
-        if let Act::Standing(Report::Registered { name, back_end }) = entry.act {
+        if let Operation::EndpointReport(EndpointReport::BackendRegistered { name, backend: back_end }) = entry.operation {
             let accepted = matches!(outcome, Outcome::Accepted { .. } | Outcome::Unchanged { .. });
             node.house.confirm(self.now, &name, back_end.incarnation, accepted);
         }
--- a/crates/simulator/src/sim/site_judge.rs
+++ b/crates/simulator/src/sim/site_judge.rs
@@ -1,13 +1,13 @@
 //! What must never happen at a simulated site, judged while it runs and at its end (design 9.8).
 
-use model::{Micros, Position, Trouble, Verdict};
+use model::{Error, ExecutionStatus, Microseconds, Position};
 
 /// The promise to operators and back ends.
-const IN_FORCE: Micros = 2_000_000;
-const WINDOW: Micros = 10_000_000;
+const IN_FORCE: Microseconds = 2_000_000;
+const WINDOW: Microseconds = 10_000_000;
 
 /// From, to, process.
-type Span = (Micros, Micros, usize);
+type Span = (Microseconds, Microseconds, usize);
 
 #[derive(Default)]
 pub struct Judge {
@@ -22,12 +22,12 @@
     not_run: std::collections::BTreeSet<String>,
     /// Service and key to who worked on it, from, to.
     spans: std::collections::BTreeMap<(String, String), Vec<Span>>,
-    accepted: Vec<(Micros, Position, u64, String)>,
+    accepted: Vec<(Microseconds, Position, u64, String)>,
     positions: std::collections::BTreeMap<(usize, u64), Position>,
     proved: std::collections::BTreeMap<usize, Position>,
-    firsts: std::collections::BTreeMap<String, Vec<Micros>>,
-    spent: std::collections::BTreeMap<String, Vec<Micros>>,
-    served_at: std::collections::BTreeMap<String, Micros>,
+    firsts: std::collections::BTreeMap<String, Vec<Microseconds>>,
+    spent: std::collections::BTreeMap<String, Vec<Microseconds>>,
+    served_at: std::collections::BTreeMap<String, Microseconds>,
 }
 
 impl Judge {
@@ -36,38 +36,45 @@
     }
 
     /// A run begins: which one, at a node that holds `position`, in a process that drained or died at a time.
-    pub(super) fn began(&mut self, now: Micros, dispatch: &transport::Dispatch, process: (usize, Option<Micros>), position: Position, until: Micros) {
+    pub(super) fn began(
+        &mut self,
+        now: Microseconds,
+        dispatch: &transport::AttemptRequest,
+        process: (usize, Option<Microseconds>),
+        position: Position,
+        until: Microseconds,
+    ) {
         self.runs += 1;
-        let count = self.ran.entry(dispatch.try_id.clone()).or_default();
+        let count = self.ran.entry(dispatch.attempt_id.clone()).or_default();
         *count += 1;
         let repeatable = dispatch.path == "/check" || dispatch.path == "/note";
         if *count > 1 && !repeatable {
-            self.breaks("twice", format!("{} {} at {now}", dispatch.try_id, dispatch.path));
+            self.breaks("twice", format!("{} {} at {now}", dispatch.attempt_id, dispatch.path));
         }
-        if self.not_run.contains(&dispatch.try_id) {
-            self.breaks("not-run", format!("{} ran at {now} after it was said not to", dispatch.try_id));
+        if self.not_run.contains(&dispatch.attempt_id) {
+            self.breaks("not-run", format!("{} ran at {now} after it was said not to", dispatch.attempt_id));
         }
         let due = self.accepted.iter().filter(|(at, ..)| at + IN_FORCE < now).map(|(_, position, ..)| *position).max().unwrap_or(0);
         if position < due {
             self.breaks("in-force", format!("a run at {now} by position {position}, {due} was accepted"));
         }
         if process.1.is_some_and(|drained| now > drained + IN_FORCE) {
-            self.breaks("drained", format!("process {} got {} at {now}", process.0, dispatch.try_id));
+            self.breaks("drained", format!("process {} got {} at {now}", process.0, dispatch.attempt_id));
         }
-        if let Some(key) = &dispatch.key {
+        if let Some(key) = &dispatch.shard_key {
             self.spans.entry((dispatch.service.clone(), key.clone())).or_default().push((now, until, process.0));
         }
     }
 
     /// A dead process's run ends with it; others when they say so.
-    pub(super) fn ended(&mut self, now: Micros, dispatch: &transport::Dispatch, process: usize) {
-        if let Some(key) = &dispatch.key {
+    pub(super) fn ended(&mut self, now: Microseconds, dispatch: &transport::AttemptRequest, process: usize) {
+        if let Some(key) = &dispatch.shard_key {
             let spans = self.spans.entry((dispatch.service.clone(), key.clone())).or_default();
             spans.iter_mut().rev().filter(|(_, to, who)| *who == process && *to > now).take(1).for_each(|span| span.1 = now);
         }
     }
 
-    pub(super) fn told(&mut self, now: Micros, service: &str, try_id: &str, trouble: Option<&Trouble>) {
+    pub(super) fn told(&mut self, now: Microseconds, service: &str, try_id: &str, trouble: Option<&Error>) {
         match trouble {
             None => {
                 self.served += 1;
@@ -78,34 +85,34 @@
             }
             Some(trouble) => {
                 self.refused += 1;
-                if trouble.verdict == Verdict::NotRun {
+                if trouble.execution_status == ExecutionStatus::NotRun {
                     if self.ran.contains_key(try_id) {
-                        self.breaks("not-run", format!("{try_id} was said not to have run at {now} ({}), and had", trouble.cause.code()));
+                        self.breaks("not-run", format!("{try_id} was said not to have run at {now} ({}), and had", trouble.kind.code()));
                     }
                     self.not_run.insert(try_id.to_string());
                 }
-                if trouble.cause.worth_asking_again() && trouble.retry_after.is_none() {
-                    self.breaks("come-back", format!("{} says no time", trouble.cause.code()));
+                if trouble.kind.may_retry_later() && trouble.retry_after.is_none() {
+                    self.breaks("come-back", format!("{} says no time", trouble.kind.code()));
                 }
             }
         }
     }
 
-    pub(super) fn first(&mut self, now: Micros, service: &str) {
+    pub(super) fn first(&mut self, now: Microseconds, service: &str) {
         self.firsts.entry(service.to_string()).or_default().push(now);
     }
 
-    pub(super) fn extra(&mut self, now: Micros, service: &str) {
+    pub(super) fn extra(&mut self, now: Microseconds, service: &str) {
         self.extras += 1;
         self.spent.entry(service.to_string()).or_default().push(now);
     }
 
-    pub(super) fn accepted(&mut self, now: Micros, position: Position, version: u64, id: &str) {
+    pub(super) fn accepted(&mut self, now: Microseconds, position: Position, version: u64, id: &str) {
         self.accepted.push((now, position, version, id.to_string()));
     }
 
     /// What a node now holds; `fresh` if it may act on it.
-    pub(super) fn holds(&mut self, now: Micros, node: usize, life: u64, position: Position, fresh: bool) {
+    pub(super) fn holds(&mut self, now: Microseconds, node: usize, life: u64, position: Position, fresh: bool) {
         let held = self.positions.insert((node, life), position).unwrap_or(0);
         let proved = self.proved.get(&node).copied().unwrap_or(0);
         if position < held || fresh && position < proved {
@@ -116,7 +123,7 @@
         }
     }
 
-    pub(super) fn misrouted(&mut self, now: Micros, died: Option<Micros>, told: String) {
+    pub(super) fn misrouted(&mut self, now: Microseconds, died: Option<Microseconds>, told: String) {
         if died.is_none_or(|died| now > died + IN_FORCE) {
             self.breaks("route", format!("{told} at {now}"));
         }
@@ -126,7 +133,7 @@
         self.breaks("cut-off", told);
     }
 
-    pub(super) fn close(&mut self, core: Vec<String>, story: &std::collections::BTreeMap<u64, (String, Position)>, back_by: Micros, nodes: usize) {
+    pub(super) fn close(&mut self, core: Vec<String>, story: &std::collections::BTreeMap<u64, (String, Position)>, back_by: Microseconds, nodes: usize) {
         core.into_iter().for_each(|told| self.breaks("log", told));
         let lost: Vec<String> = self
             .accepted
@@ -155,7 +162,7 @@
             });
         });
         clashes.into_iter().for_each(|told| self.breaks("two-holders", told));
-        let inside = |times: &[Micros], from: Micros| times.iter().filter(|time| (from..from + WINDOW).contains(time)).count();
+        let inside = |times: &[Microseconds], from: Microseconds| times.iter().filter(|time| (from..from + WINDOW).contains(time)).count();
         let over: Vec<String> = self
             .spent
             .iter()
--- a/crates/simulator/src/sim/site_plan.rs
+++ b/crates/simulator/src/sim/site_plan.rs
@@ -1,6 +1,6 @@
 //! What a run of the whole site is told, and what may strike it (design 9.8).
 
-use model::Micros;
+use model::Microseconds;
 
 /// Guards that a variant goes without, to show that the checks see what they are for.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -33,7 +33,7 @@
 pub struct SitePlan {
     pub seed: u64,
     pub seats: u16,
-    pub hop: (Micros, Micros),
+    pub hop: (Microseconds, Microseconds),
     pub without: Without,
 }
 
@@ -42,14 +42,20 @@
         SitePlan { seed, seats: if seed.is_multiple_of(2) { 5 } else { 3 }, hop: (200, 20_000), without: Without::default() }
     }
 
-    pub(super) fn bound(&self) -> Micros {
+    pub(super) fn bound(&self) -> Microseconds {
         if self.without.freshness { 60_000_000 } else { 1_500_000 }
     }
 
-    pub(super) fn house(&self, node: usize) -> legacy_proxy::HouseEnv {
+    pub(super) fn house(&self, node: usize) -> legacy_proxy::SlotOwnerConfig {
         let (bound, guard) = if self.without.key_waits { (0, 0) } else { (1_500_000, 250_000) };
         let beat_patience = if self.without.beats { 60_000_000 } else { 1_200_000 };
-        legacy_proxy::HouseEnv { node: format!("n{node}"), zone: zone(node), beat_patience, bound, guard }
+        legacy_proxy::SlotOwnerConfig {
+            node: format!("n{node}"),
+            zone: zone(node),
+            heartbeat_timeout: beat_patience,
+            proof_lifetime: bound,
+            clock_margin: guard,
+        }
     }
 }
 
@@ -75,12 +81,12 @@
     ("seat", "desk", "/note", false, true),
 ];
 
-pub(super) const WAIT: Micros = 800_000;
+pub(super) const WAIT: Microseconds = 800_000;
 
 pub(super) fn order(lane: &Lane) -> model::Edit {
     let (from, service, path, keyed, repeatable) = *lane;
     let selector = model::Selector { from: vec![from.into()], service: service.into(), methods: vec![], path_prefix: path.into(), labels: Default::default() };
-    let order = model::Order { selector, wait_us: WAIT, importance: 5, repeatable, keyed, leave_zone: true };
+    let order = model::StandingOrder { selector, wait_us: WAIT, importance: 5, idempotent: repeatable, keyed, allow_other_zones: true };
     model::Edit::PutOrder { name: format!("{from}-{}", &path[1..]), order }
 }
 
--- a/crates/simulator/src/sim/site_runs.rs
+++ b/crates/simulator/src/sim/site_runs.rs
@@ -2,14 +2,14 @@
 
 use super::site::{Event, Site};
 use super::site_plan::WAIT;
-use model::{Cause, Micros, Trouble};
+use model::{Cause, Error, Microseconds};
 
 pub(super) struct Run {
     pub node: usize,
     number: u64,
     life: u64,
-    permit: legacy_proxy::house::Permit,
-    dispatch: transport::Dispatch,
+    permit: legacy_proxy::slot_owner::Permit,
+    dispatch: transport::AttemptRequest,
     process: usize,
     /// Its usher died: the back end works on, and nobody hears it.
     pub orphan: bool,
@@ -17,7 +17,7 @@
 
 impl Site {
     /// At the far node, with what is left of the wait by its marks.
-    pub(super) fn arrive(&mut self, number: u64, at: usize, mut dispatch: transport::Dispatch, sent: Micros) {
+    pub(super) fn arrive(&mut self, number: u64, at: usize, mut dispatch: transport::AttemptRequest, sent: Microseconds) {
         let now = self.now;
         let from = self.courses.get(&number).map(|trying| trying.node);
         let lost = self.nodes[at].cut || from.is_some_and(|from| self.nodes[from].cut);
@@ -25,14 +25,14 @@
             return;
         }
         let age = (now - sent).saturating_sub(300_000);
-        dispatch.left = dispatch.left.saturating_sub(age);
+        dispatch.time_left = dispatch.time_left.saturating_sub(age);
         let view = self.nodes[at].view.clone();
         self.runs_waiting.insert(number, dispatch.clone());
-        let granted = self.nodes[at].house.enter(now, &view, number, dispatch);
+        let granted = self.nodes[at].house.admit(now, &view, number, dispatch);
         self.grant(at, granted);
     }
 
-    pub(super) fn grant(&mut self, at: usize, granted: legacy_proxy::house::Granted) {
+    pub(super) fn grant(&mut self, at: usize, granted: legacy_proxy::slot_owner::Admissions) {
         granted.into_iter().for_each(|(number, entered)| {
             let Some(dispatch) = self.runs_waiting.remove(&number) else { return };
             match entered {
@@ -42,7 +42,7 @@
         });
     }
 
-    fn reply_later(&mut self, at: usize, number: u64, answer: Result<(), Trouble>) {
+    fn reply_later(&mut self, at: usize, number: u64, answer: Result<(), Error>) {
         let Some(from) = self.courses.get(&number).map(|trying| trying.node) else { return };
         let wait = if from == at { 0 } else { self.hop() };
         if from == at || !(self.nodes[at].cut || self.nodes[from].cut) {
@@ -51,22 +51,22 @@
     }
 
     /// Whoever has the address now gets the request; it works at most until its wait is over.
-    fn run(&mut self, at: usize, number: u64, permit: legacy_proxy::house::Permit, dispatch: transport::Dispatch) {
+    fn run(&mut self, at: usize, number: u64, permit: legacy_proxy::slot_owner::Permit, dispatch: transport::AttemptRequest) {
         let now = self.now;
         let address: u64 = permit.address.rsplit(':').next().and_then(|port| port.parse().ok()).unwrap_or(0);
         let process = self.addresses.get(&address).copied().filter(|process| self.processes[*process].alive);
         let Some(process) = process else {
-            self.nodes[at].house.done(&permit, true);
-            return self.reply_later(at, number, Err(Trouble::new(Cause::Unreachable, "no conn")));
+            self.nodes[at].house.finish(&permit, true);
+            return self.reply_later(at, number, Err(Error::new(Cause::Unreachable, "no conn")));
         };
         if self.processes[process].service != dispatch.service {
-            let former = self.processes.iter().filter(|held| held.name == dispatch.back_end).filter_map(|held| held.died).max();
-            self.judge.misrouted(now, former, format!("{} for {} reached {}", dispatch.try_id, dispatch.service, self.processes[process].name));
-            self.nodes[at].house.done(&permit, false);
-            return self.reply_later(at, number, Err(Trouble::new(Cause::BadSeal, "refused by another service")));
+            let former = self.processes.iter().filter(|held| held.name == dispatch.backend).filter_map(|held| held.died).max();
+            self.judge.misrouted(now, former, format!("{} for {} reached {}", dispatch.attempt_id, dispatch.service, self.processes[process].name));
+            self.nodes[at].house.finish(&permit, false);
+            return self.reply_later(at, number, Err(Error::new(Cause::BadSeal, "refused by another service")));
         }
         let length = self.draw(1_000..WAIT / 3);
-        let end = (now + length).min(permit.until);
+        let end = (now + length).min(permit.deadline);
         let drained = self.processes[process].drained;
         self.judge.began(now, &dispatch, (process, drained), self.nodes[at].view.slice.position, end);
         let life = self.nodes[at].life;
@@ -81,8 +81,8 @@
             return;
         }
         let gone = self.draw(0..50) == 0;
-        self.nodes[run.node].house.done(&run.permit, false);
-        let answer = if lost || gone { Err(Trouble::new(Cause::BackEndLost, "no answer")) } else { Ok(()) };
+        self.nodes[run.node].house.finish(&run.permit, false);
+        let answer = if lost || gone { Err(Error::new(Cause::BackendLost, "no answer")) } else { Ok(()) };
         self.reply_later(run.node, run.number, answer);
     }
 
@@ -90,7 +90,7 @@
     pub(super) fn die(&mut self, process: usize) {
         let now = self.now;
         (self.processes[process].alive, self.processes[process].died) = (false, Some(now));
-        let ended: Vec<transport::Dispatch> = self.runs.values().filter(|run| run.process == process).map(|run| run.dispatch.clone()).collect();
+        let ended: Vec<transport::AttemptRequest> = self.runs.values().filter(|run| run.process == process).map(|run| run.dispatch.clone()).collect();
         ended.iter().for_each(|dispatch| self.judge.ended(now, dispatch, process));
     }
 
@@ -107,7 +107,7 @@
                 self.judge.cut_off(format!("run {number} at n{at}"));
             }
             if self.courses.get(&number).is_some_and(|trying| trying.node != at) {
-                self.reply_later(at, number, Err(Trouble::new(Cause::MateLost, "the far node was lost")));
+                self.reply_later(at, number, Err(Error::new(Cause::PeerLost, "the far node was lost")));
             }
         });
     }
--- a/crates/simulator/src/sim/world.rs
+++ b/crates/simulator/src/sim/world.rs
@@ -1,7 +1,7 @@
 //! The simulated world: one queue of events ordered by virtual time (design 9.1).
 
 type Micros = mencius::Micros;
-type Seat = mencius::Seat;
+type Seat = mencius::ReplicaId;
 
 #[derive(Debug)]
 pub(super) enum Event {
@@ -14,7 +14,7 @@
 }
 
 pub struct Node {
-    pub machine: Option<mencius::Repertory>,
+    pub machine: Option<mencius::Replica>,
     pub history: Vec<(mencius::Instance, mencius::Value)>,
     pub(super) disk: Vec<mencius::Write>,
     pub(super) unsynced: Option<(u64, Vec<mencius::Write>, bool)>,
@@ -30,7 +30,7 @@
     pub(super) outside: bool,
     /// The disk this node takes for each seat's holder, and changes it has applied.
     pub(super) pins: Vec<u64>,
-    pub(super) book: model::Book,
+    pub(super) book: model::StateMachine,
     pub(super) leapt: Micros,
 }
 
@@ -116,7 +116,7 @@
         node.book = Default::default();
         (node.since_snapshot, node.snapshot_at) = (0, 0);
         let (life, identity) = (node.life, node.identity);
-        let machine = mencius::Repertory::restore(seat, self.plan.seats, identity, self.plan.tuning, self.now, node.disk.clone());
+        let machine = mencius::Replica::restore(seat, self.plan.seats, identity, self.plan.tuning, self.now, node.disk.clone());
         node.machine = Some(machine);
         self.carry_out(seat);
         let now = self.now;
@@ -159,7 +159,7 @@
         self.open[y][x] = false;
         self.epochs[x][y] += 1;
         self.epochs[y][x] += 1;
-        [(a, b), (b, a)].into_iter().for_each(|(seat, mate)| self.feed(seat, mencius::Input::Closed(mate)));
+        [(a, b), (b, a)].into_iter().for_each(|(seat, mate)| self.feed(seat, mencius::Input::ConnectionClosed(mate)));
         self.reopen_soon(a, b);
     }
 
@@ -176,7 +176,7 @@
         }
         self.open[x][y] = true;
         self.open[y][x] = true;
-        [(a, b), (b, a)].into_iter().for_each(|(seat, mate)| self.feed(seat, mencius::Input::Opened(mate)));
+        [(a, b), (b, a)].into_iter().for_each(|(seat, mate)| self.feed(seat, mencius::Input::ConnectionOpened(mate)));
     }
 
     pub(super) fn feed(&mut self, seat: Seat, input: mencius::Input) {
@@ -206,7 +206,7 @@
                 if !self.plan.lying_disk {
                     self.keep(seat);
                 }
-                self.feed(seat, mencius::Input::Synced(ticket));
+                self.feed(seat, mencius::Input::Persisted(ticket));
             }
             Event::Tick { seat, life } if self.nodes[seat as usize].life == life => {
                 if !self.nodes[seat as usize].frozen {
--- a/crates/simulator/src/understudy.rs
+++ b/crates/simulator/src/understudy.rs
@@ -45,8 +45,8 @@
 impl Stage {
     async fn handle(&self, request: &mut salvo::Request, response: &mut salvo::Response) {
         let backstage = &self.0;
-        let header = |name: &str| http_util::header(request, name).unwrap_or_default();
-        let (meant_for, own) = (header(backend_api::SERVICE), backstage.part.service.clone());
+        let header = |name: &str| http_util::header_text(request, name).unwrap_or_default();
+        let (meant_for, own) = (header(backend_api::SERVICE_HEADER), backstage.part.service.clone());
         if meant_for != own {
             backstage.note(&crate::history::Record::Misrouted { by: backstage.part.name.clone(), meant_for, at: model::now() });
             response.status_code(salvo::http::StatusCode::MISDIRECTED_REQUEST);
@@ -56,7 +56,7 @@
         let number = backstage.runs.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         let life = backstage.life.load(std::sync::atomic::Ordering::Relaxed);
         let run = format!("{}-{life}-{number}", backstage.part.name);
-        let try_id = header(backend_api::TRY);
+        let try_id = header(backend_api::ATTEMPT_ID_HEADER);
         backstage.note(&crate::history::Record::Began {
             process: std::process::id(),
             run: run.clone(),
@@ -66,13 +66,13 @@
             life,
             service: backstage.part.service.clone(),
             meant_for,
-            sender: header(backend_api::SENDER),
+            sender: header(backend_api::CLIENT_HEADER),
             path: request.uri().path().to_string(),
-            key: http_util::header(request, backend_api::KEY),
+            key: http_util::header_text(request, backend_api::SHARD_KEY_HEADER),
         });
         tokio::time::sleep(std::time::Duration::from_micros(backstage.part.work_us)).await;
         // Whoever slept beyond the wait does no work any more, as its contract says.
-        let until = began + header(backend_api::WAIT).parse::<u64>().unwrap_or(0);
+        let until = began + header(backend_api::TIME_LEFT_HEADER).parse::<u64>().unwrap_or(0);
         backstage.note(&crate::history::Record::Ended { run: run.clone(), at: model::now().min(until) });
         if model::now() > until {
             response.status_code(salvo::http::StatusCode::GATEWAY_TIMEOUT);
@@ -89,7 +89,7 @@
             (false, _) => (body, seal),
         };
         if let Ok(seal) = salvo::http::HeaderValue::from_str(&seal) {
-            response.headers_mut().insert(backend_api::SEAL, seal);
+            response.headers_mut().insert(backend_api::SEAL_HEADER, seal);
         }
         response.write_body(body).unwrap_or_default();
     }
@@ -101,7 +101,7 @@
     let hot = part.hot.into();
     let backstage = std::sync::Arc::new(Backstage { hot, part, life: Default::default(), runs: Default::default(), book: std::sync::Mutex::new(book) });
     let router = salvo::Router::with_path("{**rest}").goal(Stage(backstage.clone()));
-    let serving = http_util::Serving::start(&backstage.part.listen, router).await.map_err(|error| told(&error))?;
+    let serving = http_util::HttpServer::start(&backstage.part.listen, router).await.map_err(|error| told(&error))?;
     let address = serving.address.to_string();
     let http = reqwest::Client::builder().no_proxy().timeout(std::time::Duration::from_secs(10)).build().map_err(|error| told(&error))?;
     let (given, passes) = tokio::sync::watch::channel(crate::audience::Pass::default());
--- a/crates/simulator/tests/ordering.rs
+++ b/crates/simulator/tests/ordering.rs
@@ -110,7 +110,7 @@
     last_words(&mut world, 6_000_000);
     healed(&mut world, 9);
     assert_eq!(world.findings.broken, Vec::<String>::new());
-    let floors: Vec<u64> = world.nodes.iter().filter_map(|node| node.machine.as_ref().map(mencius::Repertory::floor)).collect();
+    let floors: Vec<u64> = world.nodes.iter().filter_map(|node| node.machine.as_ref().map(mencius::Replica::compaction_point)).collect();
     assert!(floors.iter().all(|floor| *floor > 0), "no log was cut: {floors:?}");
 }
 
--- a/crates/simulator/tests/rolled/back_end.rs
+++ b/crates/simulator/tests/rolled/back_end.rs
@@ -20,7 +20,7 @@
     loop {
         let beside = places[at].beside.borrow().clone();
         sequence += 1;
-        let beat = endpoints::Beat {
+        let beat = endpoints::Heartbeat {
             name: format!("b{at}"),
             service: service(at),
             address: address.clone(),
@@ -28,11 +28,11 @@
             slots: 4,
             draining: false,
             sequence,
-            holds: held.clone(),
-            freed: Vec::new(),
+            held_ranges: held.clone(),
+            released_ranges: Vec::new(),
         };
         if let Some(troupe) = beside
-            && let Some((rows, _)) = troupe.beat(beat).await.flatten()
+            && let Some((rows, _)) = troupe.heartbeat(beat).await.flatten()
         {
             held = rows.into_iter().map(|(from, to, fence, _)| (from, to, fence)).collect();
         }
--- a/crates/simulator/tests/rolled/node.rs
+++ b/crates/simulator/tests/rolled/node.rs
@@ -6,22 +6,31 @@
     /// True: in good order.
     orders: tokio::sync::watch::Sender<Option<bool>>,
     ended: tokio::sync::watch::Receiver<()>,
-    outlook: control::SharedOutlook,
+    outlook: control::SharedVerifiedState,
 }
 
-fn env(at: usize, life: u64, mates: String, seeds: Vec<String>) -> endpoints::NodeEnv {
-    let keys = endpoints::KeysEnv { bound: 9_000_000, guard: 200_000, most: 10_000_000 };
+fn env(at: usize, life: u64, mates: String, seeds: Vec<String>) -> endpoints::NodeConfig {
+    let keys = endpoints::LeaseConfig { proof_validity: 9_000_000, clock_guard: 200_000, max_duration: 10_000_000 };
     let (node, zone) = (format!("n{at}"), format!("z{}", at % 2));
-    endpoints::NodeEnv {
-        troupe: endpoints::TroupeEnv { node, zone, address: mates, life, keys, beat_every: 500_000, drain: 2_000_000, back_end: None },
+    endpoints::NodeConfig {
+        lease_table: endpoints::LeaseTableConfig {
+            node,
+            zone,
+            address: mates,
+            incarnation: life,
+            leases: keys,
+            heartbeat_interval: 500_000,
+            drain_timeout: 2_000_000,
+            backend_address: None,
+        },
         service: crate::site::service(at),
         seeds,
-        words: http_util::words::OWN,
-        pick: outbound::PickEnv { crossing: 0, earned_of_100: 8 },
-        ahead: 1,
-        ask_every: 200_000,
-        watch_every: 1_000_000,
-        watch_patience: 3_500_000,
+        header_names: http_util::headers::DEFAULT_HEADER_NAMES,
+        selection: outbound::SelectorConfig { zone_crossing_cost: 0, retry_deposit: 8 },
+        queued_ahead: 1,
+        proof_interval: 200_000,
+        monitor_interval: 1_000_000,
+        monitor_timeout: 3_500_000,
     }
 }
 
@@ -46,13 +55,13 @@
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
             runtime.block_on(async {
                 let (listener, outbound) = (bind(&mates).await, bind(&front).await);
-                let node = endpoints::Node::start(env(at, life, mates, seeds), listener, model::log::quiet());
+                let node = endpoints::Node::start(env(at, life, mates, seeds), listener, model::logging::discard_logger());
                 node.serve(outbound);
-                beside.send_replace(Some(node.troupe.clone()));
-                drop(told.send(node.following.outlook.clone()));
+                beside.send_replace(Some(node.lease_table.clone()));
+                drop(told.send(node.follower.verified_state.clone()));
                 let in_order = ordered.wait_for(Option::is_some).await.is_ok_and(|ordered| *ordered == Some(true));
                 if in_order {
-                    node.stop(std::time::Duration::ZERO, std::time::Duration::from_secs(120)).await;
+                    node.shut_down(std::time::Duration::ZERO, std::time::Duration::from_secs(120)).await;
                 }
             });
         };
@@ -75,6 +84,6 @@
 
     /// Up to where it believes the bill.
     pub fn position(&self) -> u64 {
-        self.outlook.load().programme.position
+        self.outlook.load().snapshot.position
     }
 }
--- a/crates/simulator/tests/rolled/senders.rs
+++ b/crates/simulator/tests/rolled/senders.rs
@@ -124,10 +124,10 @@
 }
 
 /// A pair of routes after the other, for as long as senders send.
-pub async fn operate(cores: Vec<control::Core>, shared: Arc<Shared>) {
-    use model::bill::{Body, Call, Lane, Service};
-    let put = |name: String, body| model::bill::items::Put { name, version: 1, body, text: String::new() };
-    let service = |name: &str, keyed| put(name.into(), Body::Service(Service { health_path: String::new(), conns: 0, keyed, warm_us: 0 }));
+pub async fn operate(cores: Vec<control::ReplicaHandle>, shared: Arc<Shared>) {
+    use model::cluster_state::{ItemBody, ItemCall, Route, Service};
+    let put = |name: String, body| model::cluster_state::items::ItemPut { name, version: 1, body, text: String::new() };
+    let service = |name: &str, keyed| put(name.into(), ItemBody::Service(Service { health_path: String::new(), max_connections: 0, keyed, slow_start_us: 0 }));
     let mut number = 0;
     while !shared.over.load(Ordering::SeqCst) {
         number += 1;
@@ -135,11 +135,11 @@
         let lane = |kind: &str, repeatable| {
             let shares = vec![(service_name.clone(), 1)];
             let (host, prefix) = ("a.example".to_string(), format!("/{kind}{number}/"));
-            let lane = Lane { host, prefix, repeatable, wait_us: 60_000_000, aim_us: 2_000_000, rank: 0, dispatches: 2, shares };
-            put(format!("{kind}{number}"), Body::Lane(lane))
+            let lane = Route { host, prefix, idempotent: repeatable, wait_us: 60_000_000, latency_target_us: 2_000_000, rank: 0, dispatches: 2, shares };
+            put(format!("{kind}{number}"), ItemBody::Route(lane))
         };
         let puts = vec![service("seat", true), service("ledger", false), lane("e", false), lane("p", true)];
-        let outcome = cores[number as usize % cores.len()].amend(Call { puts, drops: Vec::new() }).await;
+        let outcome = cores[number as usize % cores.len()].change_items(ItemCall { puts, drops: Vec::new() }).await;
         if matches!(outcome, Some(model::Outcome::Accepted { .. })) {
             shared.accepted.store(number, Ordering::SeqCst);
         }
--- a/crates/simulator/tests/rolled/site.rs
+++ b/crates/simulator/tests/rolled/site.rs
@@ -12,7 +12,7 @@
 /// Try to how often it ran.
 pub type Runs = Arc<std::sync::Mutex<std::collections::HashMap<String, usize>>>;
 /// A node as those beside it find it: a later life takes the place.
-pub type Beside = tokio::sync::watch::Sender<Option<endpoints::Troupe>>;
+pub type Beside = tokio::sync::watch::Sender<Option<endpoints::LeaseTableHandle>>;
 
 pub struct Place {
     pub front: String,
@@ -51,32 +51,32 @@
     listener.local_addr().expect("an address").to_string()
 }
 
-async fn seats(folder: &std::path::Path) -> (Vec<control::Core>, Vec<String>) {
+async fn seats(folder: &std::path::Path) -> (Vec<control::ReplicaHandle>, Vec<String>) {
     let mut bound = Vec::new();
     for _ in 0..SEATS {
         bound.push(tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port"));
     }
     let places: Vec<String> = bound.iter().map(|listener| listener.local_addr().expect("an address").to_string()).collect();
     let started = bound.into_iter().zip(0u16..).map(|(listener, seat)| {
-        let env = control::CoreEnv {
+        let env = control::ReplicaConfig {
             name: format!("core-{seat}"),
             zone: "z0".into(),
-            seat,
-            seats: SEATS,
+            replica_id: seat,
+            replica_count: SEATS,
             address: places[seat as usize].clone(),
             seeds: places.clone(),
             folder: folder.join(format!("core-{seat}")),
-            tuning: Default::default(),
-            snapshot_every: 100,
+            timing: Default::default(),
+            snapshot_every_entries: 100,
             replace_after: 0,
-            charter: None,
+            membership: None,
         };
-        let core = control::Core::start(env, model::log::quiet()).expect("a core seat");
-        tokio::spawn(control::news::listen(core.clone(), listener));
+        let core = control::ReplicaHandle::start(env, model::logging::discard_logger()).expect("a core seat");
+        tokio::spawn(control::stream::listen(core.clone(), listener));
         core
     });
-    let cores: Vec<control::Core> = started.collect();
-    until("every seat votes", || cores.iter().all(|core| core.state.load().started)).await;
+    let cores: Vec<control::ReplicaHandle> = started.collect();
+    until("every seat votes", || cores.iter().all(|core| core.status.load().voting)).await;
     (cores, places)
 }
 
--- a/crates/storage/src/keeper.rs
+++ b/crates/storage/src/writer.rs
@@ -1,14 +1,14 @@
 //! The shelf's one owner: a thread of its own, since a sync blocks (design 3.3, 8.1).
 
-pub enum Job {
+pub enum StoreCommand {
     Append {
         ticket: u64,
         writes: Vec<mencius::Write>,
-        afresh: bool,
+        replace_journal: bool,
     },
     /// Holders, and with them where this disk begins to vote, if it is new in its seat: both or neither.
-    Repin {
-        pins: Vec<(u16, crate::Identity)>,
+    ReplacePins {
+        pins: Vec<(u16, crate::DiskId)>,
         writes: Vec<mencius::Write>,
         done: Box<dyn FnOnce(bool) + Send>,
     },
@@ -17,33 +17,33 @@
         done: Box<dyn FnOnce(bool) + Send>,
     },
     Pin {
-        seat: u16,
-        identity: crate::Identity,
-        done: Box<dyn FnOnce(Option<crate::Identity>) + Send>,
+        replica_id: u16,
+        disk_id: crate::DiskId,
+        done: Box<dyn FnOnce(Option<crate::DiskId>) + Send>,
     },
 }
 
 /// Between two tries of a failed write.
-const RETRY_EVERY: std::time::Duration = std::time::Duration::from_millis(200);
+const RETRY_INTERVAL: std::time::Duration = std::time::Duration::from_millis(200);
 
 /// Works through jobs in order. A failed append is tried again until it holds: until then its
 /// ticket is not reported, so nothing that depends on it leaves (design 3.3).
-pub fn keep(
-    mut shelf: crate::Shelf,
-    jobs: std::sync::mpsc::Receiver<Job>,
+pub fn spawn_writer(
+    mut shelf: crate::ReplicaStore,
+    jobs: std::sync::mpsc::Receiver<StoreCommand>,
     synced: impl Fn(u64) + Send + 'static,
     trouble: impl Fn(Option<String>) + Send + 'static,
 ) -> std::io::Result<std::thread::JoinHandle<()>> {
     std::thread::Builder::new().name("vault".into()).spawn(move || {
         for job in jobs {
             match job {
-                Job::Append { ticket, writes, afresh } => {
+                StoreCommand::Append { ticket, writes, replace_journal: afresh } => {
                     append(&mut shelf, &writes, afresh, &trouble);
                     synced(ticket);
                 }
-                Job::Repin { pins, writes, done } => done(shelf.repin(&pins, &writes).is_ok()),
-                Job::Pin { seat, identity, done } => done(shelf.pin(seat, identity).ok()),
-                Job::Retire { done } => match shelf.retire() {
+                StoreCommand::ReplacePins { pins, writes, done } => done(shelf.replace_pins(&pins, &writes).is_ok()),
+                StoreCommand::Pin { replica_id: seat, disk_id: identity, done } => done(shelf.pin_disk(seat, identity).ok()),
+                StoreCommand::Retire { done } => match shelf.retire() {
                     Ok(()) => {
                         // Closed before it is told, so that whoever waits may open it.
                         drop(shelf);
@@ -57,12 +57,12 @@
 }
 
 /// Until it holds.
-fn append(shelf: &mut crate::Shelf, writes: &[mencius::Write], afresh: bool, trouble: &impl Fn(Option<String>)) {
+fn append(shelf: &mut crate::ReplicaStore, writes: &[mencius::Write], afresh: bool, trouble: &impl Fn(Option<String>)) {
     let mut failed = false;
     while let Err(error) = shelf.append(writes, afresh) {
         failed = true;
         trouble(Some(error.to_string()));
-        std::thread::sleep(RETRY_EVERY);
+        std::thread::sleep(RETRY_INTERVAL);
     }
     if failed {
         trouble(None);
--- a/crates/storage/tests/disk.rs
+++ b/crates/storage/tests/disk.rs
@@ -1,6 +1,6 @@
 //! Disks that fill, tear and lose what was not synced, at every numbered operation in turn (design 9.4).
 
-use mencius::{Round, Write};
+use mencius::{ProposalNumber, Write};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
@@ -102,13 +102,13 @@
     Backend(std::sync::Arc::new(std::sync::Mutex::new(disk)))
 }
 
-fn open(backend: &Backend) -> Result<(storage::Shelf, Vec<Write>), storage::Trouble> {
+fn open(backend: &Backend) -> Result<(storage::ReplicaStore, Vec<Write>), storage::Error> {
     let backend = backend.clone();
-    storage::Shelf::open_on(move || backend.clone())
+    storage::ReplicaStore::open_with_backend(move || backend.clone())
 }
 
 fn record(number: u64) -> Vec<Write> {
-    vec![Write::Accept { instance: number, round: Round::FIRST, value: vec![number as u8; 300] }]
+    vec![Write::Accept { instance: number, proposal_number: ProposalNumber::INITIAL, value: vec![number as u8; 300] }]
 }
 
 const RECORDS: u64 = 12;
@@ -129,13 +129,13 @@
     (first + 1..=last).for_each(|point| {
         let backend = disk();
         let (mut shelf, _) = open(&backend).expect("a shelf");
-        let identity = shelf.identity;
+        let identity = shelf.disk_id;
         backend.0.lock().expect("a disk").fault = Fault::Power(point);
         let reported: Vec<u64> = (0..RECORDS).take_while(|number| shelf.append(&record(*number), *number == 6).is_ok()).collect();
         drop(shelf);
         backend.0.lock().expect("a disk").restart(point.wrapping_mul(0x9E37_79B9_7F4A_7C15));
         let (shelf, found) = open(&backend).unwrap_or_else(|trouble| panic!("power lost at {point}: {trouble}"));
-        assert_eq!(shelf.identity, identity);
+        assert_eq!(shelf.disk_id, identity);
         // What was rewritten afresh at the sixth stands for all before it.
         let from = if reported.contains(&6) { 6 } else { 0 };
         let expected: Vec<Write> = reported.iter().filter(|number| **number >= from).flat_map(|number| record(*number)).collect();
@@ -180,25 +180,25 @@
         assert!(!spots.is_empty());
         spots.iter().for_each(|at| disk.held[*at] ^= 1);
     }
-    assert!(matches!(open(&backend), Err(storage::Trouble::Damaged { at: 0 } | storage::Trouble::Store(_))));
+    assert!(matches!(open(&backend), Err(storage::Error::Damaged { position: 0 } | storage::Error::Store(_))));
 }
 
 #[test]
 fn power_lost_while_a_new_disk_is_let_in_leaves_it_knowing_where_it_begins_or_nobody() {
     let pins = [(0u16, 7u64), (2, 9)];
-    let writes = [Write::VoteFrom(1_000_001), Write::Index(1_000_003)];
+    let writes = [Write::VotingRangeStart(1_000_001), Write::Index(1_000_003)];
     let (mut both, mut neither) = (0, 0);
     (1..60u64).for_each(|point| {
         let backend = disk();
         let (mut shelf, _) = open(&backend).expect("a shelf");
         let before = backend.0.lock().expect("a disk").operations;
         backend.0.lock().expect("a disk").fault = Fault::Power(before + point);
-        let kept = shelf.repin(&pins, &writes).is_ok();
+        let kept = shelf.replace_pins(&pins, &writes).is_ok();
         drop(shelf);
         backend.0.lock().expect("a disk").restart(point.wrapping_mul(0x9E37_79B9_7F4A_7C15));
         let (shelf, found) = open(&backend).expect("the shelf");
-        let whole = shelf.pins.len() == 2 && found == writes;
-        assert!(whole || shelf.pins.is_empty() && found.is_empty() && !kept, "power lost at {point}: {:?} {found:?}", shelf.pins);
+        let whole = shelf.pinned_disks.len() == 2 && found == writes;
+        assert!(whole || shelf.pinned_disks.is_empty() && found.is_empty() && !kept, "power lost at {point}: {:?} {found:?}", shelf.pinned_disks);
         (both, neither) = (both + whole as u64, neither + !whole as u64);
     });
     assert!(both > 0 && neither > 0, "{both} {neither}");
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,37 +1,37 @@
 //! Between our own processes: validated `rkyv` frames over FIFO TCP (design 4.2).
 
-mod conn;
-mod cue;
+mod compact_encoding;
+mod connection;
+mod forwarding;
 mod frame;
-mod hail;
-mod short;
+mod handshake;
 pub mod traffic;
 
-pub use conn::{Conn, Sender};
-pub use cue::{Cue, SaidCue, SaidTake, Take};
+pub use compact_encoding::{EncodedHeaders, HeaderDecoder, HeaderEncoder};
+pub use connection::{Connection, FrameSender};
+pub use forwarding::{EncodedRequest, EncodedResponse, ForwardedRequest, ForwardedResponse};
 pub use frame::*;
-pub use hail::{accept, dial};
-pub use short::{Listener, Said, Speaker};
+pub use handshake::{accept, dial};
 
 /// Spoken version; a mate with another is refused with both numbers.
-pub const VERSION: u16 = 5;
+pub const PROTOCOL_VERSION: u16 = 5;
 /// The longest frame taken from a mate.
-pub const FRAME_LIMIT: usize = 16 * 1024 * 1024;
+pub const MAX_FRAME_BYTES: usize = 16 * 1024 * 1024;
 
 #[derive(Debug, thiserror::Error)]
-pub enum Trouble {
+pub enum Error {
     #[error("conn failed: {0}")]
-    Conn(#[from] std::io::Error),
+    Connection(#[from] std::io::Error),
     #[error("conn closed")]
     Closed,
     #[error("a frame of {0} bytes is over the limit")]
-    TooLong(usize),
+    FrameTooLong(usize),
     #[error("a frame that does not hold together")]
-    Garbled,
-    #[error("the mate speaks version {0}, this program {VERSION}")]
-    Version(u16),
+    Malformed,
+    #[error("the mate speaks version {0}, this program {PROTOCOL_VERSION}")]
+    VersionMismatch(u16),
     #[error("refused by the mate: {0}")]
     Refused(String),
     #[error("no answer in time")]
-    Slow,
+    TimedOut,
 }
