--- /dev/null
+++ b/crates/model/tests/recorded_bytes/main.rs
@@ -0,0 +1,137 @@
+//! The bytes of all log entries, answers, changes told to followers, news and snapshots, as an
+//! earlier build wrote them.
+
+mod entries;
+#[path = "../../../test-support/tests/recorded/mod.rs"]
+mod recorded;
+#[path = "../../../test-support/tests/recorded/archive.rs"]
+mod recorded_archive;
+#[path = "../../../test-support/tests/recorded/variants.rs"]
+mod recorded_variants;
+mod samples;
+mod states;
+
+use entries::{deltas, entries, outcomes, verdicts};
+use model::bill::{Delta, Item, Place, Player, Row};
+use model::{BackEnd, Bill, Book, Cause, Grouping, Node, Order, Outcome, Patch, Slice, Trouble, Verdict, entry, pack, terms};
+use recorded::RecordedBytes;
+use recorded_archive::check_archive;
+use samples::{back_end, bodies, grouping, kinds, node, order, phases, place, player, row, text};
+use states::{bill, book, patch, slice};
+
+#[test]
+fn every_log_entry_has_the_recorded_bytes() {
+    let mut recorded = RecordedBytes::of("entries");
+    for (name, entry) in entries() {
+        let bytes = recorded.check(&name, &entry::to_bytes(&entry));
+        assert_eq!(entry::from_bytes(&bytes), Some(entry), "{name}");
+    }
+    recorded.finish();
+}
+
+#[test]
+fn every_answer_of_the_log_has_the_recorded_bytes() {
+    let mut recorded = RecordedBytes::of("outcomes");
+    for (name, outcome) in outcomes() {
+        check_archive!(recorded, name, Outcome, &outcome);
+    }
+    recorded.finish();
+}
+
+#[test]
+fn every_change_told_to_followers_has_the_recorded_bytes() {
+    let mut recorded = RecordedBytes::of("deltas");
+    for (name, delta) in deltas() {
+        check_archive!(recorded, name, Vec<Delta>, &vec![delta]);
+    }
+    for (name, body) in bodies() {
+        let delta = Delta::Item(body.kind(), text("x"), 21, Some(body));
+        check_archive!(recorded, &format!("item-{name}"), Vec<Delta>, &vec![delta]);
+    }
+    for (name, kind) in kinds() {
+        let delta = Delta::Item(kind, text("x"), 22, None);
+        check_archive!(recorded, &format!("item-dropped-{name}"), Vec<Delta>, &vec![delta]);
+    }
+    for (name, phase) in phases() {
+        let delta = Delta::Player(text("b1"), Some(player(phase)));
+        check_archive!(recorded, &format!("player-{name}"), Vec<Delta>, &vec![delta]);
+    }
+    let gone = vec![Delta::Player(text("b1"), None), Delta::Place(text("n1"), None)];
+    check_archive!(recorded, "gone", Vec<Delta>, &gone);
+    recorded.finish();
+}
+
+#[test]
+fn every_trouble_has_the_recorded_bytes() {
+    let mut recorded = RecordedBytes::of("troubles");
+    for cause in Cause::ALL {
+        check_archive!(recorded, cause.code(), Trouble, &Trouble::new(*cause, "why"));
+    }
+    for (name, verdict) in verdicts() {
+        check_archive!(recorded, &format!("verdict-{name}"), Verdict, &verdict);
+    }
+    let later = Trouble::new(Cause::Overloaded, "why").later(1_234_567);
+    check_archive!(recorded, "later", Trouble, &later);
+    recorded.finish();
+}
+
+#[test]
+fn news_and_patches_have_the_recorded_bytes() {
+    let mut recorded = RecordedBytes::of("news");
+    check_archive!(recorded, "slice", Slice, &slice());
+    check_archive!(recorded, "empty-slice", Slice, &Slice::default());
+    check_archive!(recorded, "patch", Patch, &patch());
+    recorded.finish();
+}
+
+#[test]
+fn snapshots_of_both_state_machines_have_the_recorded_bytes() {
+    let mut recorded = RecordedBytes::of("snapshots");
+    let book = book();
+    assert!([book.terms.len(), book.longest.len(), book.seats.len()].iter().all(|held| *held > 0));
+    let bytes = recorded.check("book", &book.to_bytes());
+    assert_eq!(Book::from_bytes(&bytes), Some(book));
+    let bill = bill();
+    assert!(bill.castings.values().any(|(_, rows)| rows.iter().any(|row| !row.owed.is_empty())));
+    let bytes = recorded.check("bill", &bill.to_bytes());
+    assert_eq!(Bill::from_bytes(&bytes), Some(bill));
+    recorded.check("empty-book", &Book::default().to_bytes());
+    recorded.check("empty-bill", &Bill::default().to_bytes());
+    recorded.finish();
+}
+
+#[test]
+fn stored_parts_have_the_recorded_bytes() {
+    let mut recorded = RecordedBytes::of("parts");
+    for (name, phase) in phases() {
+        check_archive!(recorded, &format!("back-end-{name}"), BackEnd, &back_end(phase));
+        check_archive!(recorded, &format!("player-{name}"), Player, &player(phase));
+    }
+    check_archive!(recorded, "node", Node, &node());
+    check_archive!(recorded, "place", Place, &place());
+    check_archive!(recorded, "row", Row, &row());
+    check_archive!(recorded, "grouping", Grouping, &grouping());
+    check_archive!(recorded, "order", Order, &order(false));
+    let item = Item { version: 21, body: Some(bodies()[1].1.clone()), text: text("as sent") };
+    check_archive!(recorded, "item", Item, &item);
+    recorded.finish();
+}
+
+#[test]
+fn long_bytes_are_squeezed_to_the_recorded_bytes() {
+    let mut recorded = RecordedBytes::of("packed");
+    let plain: Vec<u8> = (0..3_000u32).map(|at| (at * at % 251 / (1 + at % 7)) as u8).collect();
+    for (name, plain) in [("short", &plain[..1_023]), ("long", &plain[..1_024]), ("longer", &plain)] {
+        let bytes = recorded.check(name, &pack::pack(plain.to_vec()));
+        assert_eq!(pack::unpack(&bytes).as_deref(), Some(plain), "{name}");
+    }
+    recorded.finish();
+}
+
+/// Where a key goes is agreed by all nodes and by builds that run beside each other.
+#[test]
+fn keys_have_the_recorded_hashes() {
+    let keys = ["", "a", "seat-17", "Ω", "b".repeat(300).as_str()].map(terms::hash);
+    let recorded = [0xe3b0_c442_98fc_1c14, 0xca97_8112_ca1b_bdca, 0xac52_cf95_b7b6_837b, 0xe3c6_22e5_fd53_065d, 0xdccc_1450_d6fc_4232];
+    assert_eq!(keys, recorded);
+}
--- /dev/null
+++ b/crates/storage/tests/recorded_records.rs
@@ -0,0 +1,156 @@
+//! The tables of a disk and the bytes of each stored record, as an earlier build wrote them.
+
+use mencius::{Round, Write};
+use recorded::RecordedBytes;
+use recorded_variants::every_variant;
+use redb::{Database, ReadableDatabase as _, ReadableTable as _, TableDefinition};
+use std::collections::BTreeMap;
+use std::env;
+use std::fs;
+use std::path::{Path, PathBuf};
+use std::process;
+use storage::{Charter, Shelf};
+
+#[path = "../../test-support/tests/recorded/mod.rs"]
+mod recorded;
+#[path = "../../test-support/tests/recorded/variants.rs"]
+mod recorded_variants;
+
+const META: TableDefinition<&str, u64> = TableDefinition::new("meta");
+const PINS: TableDefinition<u16, u64> = TableDefinition::new("pins");
+const JOURNAL: TableDefinition<u64, &[u8]> = TableDefinition::new("journal");
+const ROUND: Round = Round { counter: 3, identity: 0x1122_3344_5566_7788 };
+
+/// A folder for one disk, removed with the value.
+struct Folder(PathBuf);
+
+impl Folder {
+    fn new(name: &str) -> Folder {
+        let folder = env::temp_dir().join(format!("gradeford-records-{name}-{}", process::id()));
+        drop(fs::remove_dir_all(&folder));
+        Folder(folder)
+    }
+
+    fn database(&self) -> Database {
+        Database::open(self.0.join("core.redb")).expect("the file of the disk")
+    }
+}
+
+impl Drop for Folder {
+    fn drop(&mut self) {
+        drop(fs::remove_dir_all(&self.0));
+    }
+}
+
+fn records() -> Vec<(&'static str, Write)> {
+    let value = || vec![0xd1, 0xd2, 0xd3];
+    every_variant!(Write {
+        "index": Write::Index(_) => Write::Index(61),
+        "counter": Write::Counter(_) => Write::Counter(62),
+        "promise": Write::Promise { .. } => {
+            Write::Promise { owner: 2, block: (63, 64), round: ROUND }
+        },
+        "accept": Write::Accept { .. } => {
+            Write::Accept { instance: 65, round: ROUND, value: value() }
+        },
+        "void": Write::Void { .. } => Write::Void { owner: 1, block: (66, 67), round: ROUND },
+        "chosen": Write::Chosen { .. } => Write::Chosen { instance: 68, value: value() },
+        "skipped": Write::Skipped { .. } => Write::Skipped { owner: 0, block: (69, 75) },
+        "snapshot": Write::Snapshot { .. } => {
+            Write::Snapshot { through: 76, state: vec![0xe1, 0xe2] }
+        },
+        "vote-from": Write::VoteFrom(_) => Write::VoteFrom(77),
+    })
+}
+
+fn journal(folder: &Folder) -> BTreeMap<u64, Vec<u8>> {
+    let database = folder.database();
+    let reading = database.begin_read().expect("a read");
+    let table = reading.open_table(JOURNAL).expect("the journal");
+    let rows = table.iter().expect("rows").map(|row| row.expect("a row"));
+    rows.map(|(at, bytes)| (at.value(), bytes.value().to_vec())).collect()
+}
+
+fn meta(folder: &Folder) -> BTreeMap<String, u64> {
+    let database = folder.database();
+    let reading = database.begin_read().expect("a read");
+    let table = reading.open_table(META).expect("the table of single values");
+    let rows = table.iter().expect("rows").map(|row| row.expect("a row"));
+    rows.map(|(name, held)| (name.value().to_string(), held.value())).collect()
+}
+
+fn pins(folder: &Folder) -> BTreeMap<u16, u64> {
+    let database = folder.database();
+    let reading = database.begin_read().expect("a read");
+    let table = reading.open_table(PINS).expect("the table of holders");
+    let rows = table.iter().expect("rows").map(|row| row.expect("a row"));
+    rows.map(|(seat, identity)| (seat.value(), identity.value())).collect()
+}
+
+/// What this build reads from a disk that holds just this record.
+fn read_back(name: &str, record: &[u8]) -> Vec<Write> {
+    let folder = Folder::new(&format!("read-{name}"));
+    drop(open(&folder.0));
+    let database = folder.database();
+    let change = database.begin_write().expect("a change");
+    change.open_table(JOURNAL).expect("the journal").insert(0, record).expect("a record");
+    change.commit().expect("kept");
+    drop(database);
+    open(&folder.0).1
+}
+
+fn open(folder: &Path) -> (Shelf, Vec<Write>) {
+    Shelf::open(folder).expect("a disk that opens")
+}
+
+#[test]
+fn every_stored_record_has_the_recorded_bytes() {
+    let mut recorded = RecordedBytes::of("records");
+    for (name, write) in records() {
+        let folder = Folder::new(name);
+        let (mut shelf, _) = open(&folder.0);
+        shelf.append(std::slice::from_ref(&write), false).expect("kept");
+        drop(shelf);
+        let journal = journal(&folder);
+        assert_eq!(journal.len(), 1);
+        let record = recorded.check(name, &journal[&0]);
+        assert_eq!(read_back(name, &record), [write], "{name}");
+    }
+    recorded.finish();
+}
+
+#[test]
+fn a_disk_has_the_recorded_tables_and_keys() {
+    let folder = Folder::new("tables");
+    let (mut shelf, _) = open(&folder.0);
+    let identity = shelf.identity;
+    shelf.take_seat(Charter { seat: 1, seats: 3, founded: true }, &[(0, 70), (1, 71), (2, 72)]).expect("a seat");
+    shelf.append(&[Write::Index(4)], false).expect("kept");
+    shelf.repin(&[(2, 73)], &[Write::VoteFrom(9), Write::Index(10)]).expect("another holder");
+    shelf.append(&[Write::Index(13)], false).expect("kept");
+    drop(shelf);
+    let single = [("founded", 1), ("identity", identity), ("layout", 3), ("seat", 1), ("seats", 3), ("starts", 1)];
+    assert_eq!(meta(&folder), single.map(|(name, held)| (name.to_string(), held)).into());
+    assert_eq!(pins(&folder), [(0, 70), (2, 73)].into());
+    assert_eq!(journal(&folder).into_keys().collect::<Vec<_>>(), [0, 1, 2]);
+    let (mut shelf, writes) = open(&folder.0);
+    assert_eq!(writes, [Write::Index(4), Write::VoteFrom(9), Write::Index(10), Write::Index(13)]);
+    shelf.append(&[Write::Index(16)], true).expect("afresh");
+    drop(shelf);
+    assert_eq!(journal(&folder).into_keys().collect::<Vec<_>>(), [3]);
+}
+
+#[test]
+fn a_disk_that_gave_up_its_seat_has_the_recorded_tables_and_keys() {
+    let folder = Folder::new("given-up");
+    let (mut shelf, _) = open(&folder.0);
+    shelf.take_seat(Charter { seat: 1, seats: 3, founded: false }, &[(0, 70), (2, 72)]).expect("a seat");
+    shelf.append(&[Write::Index(4)], false).expect("kept");
+    shelf.retire().expect("given up");
+    let identity = shelf.identity;
+    drop(shelf);
+    let single = [("identity", identity), ("layout", 3), ("retired", 1), ("starts", 1)];
+    assert_eq!(meta(&folder), single.map(|(name, held)| (name.to_string(), held)).into());
+    assert!(pins(&folder).is_empty());
+    assert!(journal(&folder).is_empty());
+}
