--- /dev/null
+++ b/crates/backend-api/tests/witness.rs
@@ -0,0 +1,91 @@
+//! What a back end is sent and how it seals its reply, as golden files (`tests/golden/`). How the files are written anew
+//! stands at the head of `crates/test-support/tests/golden_files/mod.rs`: `GRADEFORD_WRITE_GOLDEN=1`.
+
+#[path = "../../test-support/tests/golden_files/mod.rs"]
+mod golden_files;
+
+use backend_api::{Door, seal};
+use golden_files::compare;
+use legacy_proxy::BackDoor;
+use std::io::{BufRead, BufReader, Read, Write};
+use std::net::TcpListener;
+use std::thread;
+use transport::Dispatch;
+
+fn dispatch(key: Option<&str>, fence: Option<u64>, body: &str) -> Dispatch {
+    Dispatch {
+        number: 1,
+        try_id: "desk/1".into(),
+        ordinal: 2,
+        sender_service: "desk".into(),
+        lane: "l".into(),
+        service: "seat".into(),
+        back_end: "seat-0".into(),
+        incarnation: 3,
+        method: "PUT".into(),
+        path: "/a/b".into(),
+        query: "?c=d".into(),
+        headers: vec![("x-app-note".into(), b"n".to_vec()), ("content-type".into(), b"text/plain".to_vec())],
+        body: body.into(),
+        key: key.map(str::to_string),
+        fence,
+        left: 5_000_000,
+        importance: 5,
+        mark: 0,
+    }
+}
+
+/// What the back end is sent, its headers in the order of their names, and what comes of its sealed reply.
+async fn sent(dispatch: Dispatch) -> String {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let address = listener.local_addr().expect("an address").to_string();
+    let try_id = dispatch.try_id.clone();
+    let back_end = thread::spawn(move || {
+        let (stream, _) = listener.accept().expect("a connection");
+        let mut reader = BufReader::new(stream);
+        let mut lines: Vec<String> = reader.by_ref().lines().map(|line| line.expect("text")).take_while(|line| !line.is_empty()).collect();
+        let length = lines.iter().find_map(|line| line.strip_prefix("content-length: ")).map_or(0, |length| length.parse().expect("a length"));
+        let mut body = vec![0; length];
+        reader.read_exact(&mut body).expect("a body");
+        let seal = seal::seal(&try_id, 200, b"done");
+        let head = "HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 4\r\ncontent-type: text/plain\r\nx-app-note: back\r\nx-more: left out\r\n";
+        reader.into_inner().write_all(format!("{head}x-gradeford-seal: {seal}\r\n\r\ndone").as_bytes()).expect("a reply");
+        lines[1..].sort_unstable();
+        format!("{}\n\n{}\n", lines.join("\n"), String::from_utf8(body).expect("text"))
+    });
+    let reply = Door::new().expect("a door").run(&address, &dispatch, 4_000_000).await.expect("a reply");
+    let headers: String = reply.headers.iter().map(|(name, value)| format!("{name}: {}\n", String::from_utf8_lossy(value))).collect();
+    let sent = back_end.join().expect("the back end").replace(&address, "<back end>");
+    format!("{sent}---\n{}\n{headers}seal: {}\n{}\n\n", reply.status, reply.seal, String::from_utf8_lossy(&reply.body))
+}
+
+#[tokio::test]
+async fn a_back_end_is_sent_the_same_head_and_body() {
+    let all = [sent(dispatch(None, None, "")).await, sent(dispatch(Some("k-1"), Some(7), "body")).await];
+    compare("dispatches.txt", &all.concat(), &[]);
+}
+
+#[test]
+fn the_names_of_the_headers_stay() {
+    let names = [
+        backend_api::TRY,
+        backend_api::DISPATCH,
+        backend_api::WAIT,
+        backend_api::SENDER,
+        backend_api::SERVICE,
+        backend_api::INCARNATION,
+        backend_api::KEY,
+        backend_api::FENCE,
+        backend_api::SEAL,
+    ];
+    compare("headers.txt", &format!("{}\n", names.join("\n")), &[]);
+}
+
+#[test]
+fn a_seal_stays_the_same_for_the_same_reply() {
+    let large = vec![7; 70_000];
+    let replies: [(&str, u16, &[u8]); 4] = [("desk/1", 200, b""), ("desk/1", 200, b"body"), ("desk/1", 404, b"body"), ("desk/2", 200, &large)];
+    let seals: String =
+        replies.iter().map(|(try_id, status, body)| format!("{try_id} {status} {}: {}\n", body.len(), seal::seal(try_id, *status, body))).collect();
+    compare("seals.txt", &seals, &[]);
+}
--- /dev/null
+++ b/crates/gradeford-node/tests/witness.rs
@@ -0,0 +1,129 @@
+//! The node's program as golden files (`tests/golden/`): its pages, exit codes, settings and their defaults. How the files are written anew stands at the head of
+//! `crates/test-support/tests/golden_files/mod.rs`: `GRADEFORD_WRITE_GOLDEN=1`.
+
+#[path = "../../test-support/tests/golden_files/mod.rs"]
+mod golden_files;
+#[path = "../../test-support/tests/golden_files/program.rs"]
+mod program;
+
+use golden_files::{Volatile, compare};
+use program::{Program, Settings, told};
+use std::fs;
+
+const PROGRAM: Program = Program { name: "gradeford-node", path: env!("CARGO_BIN_EXE_gradeford-node") };
+
+const REQUIRED: [(&str, &str); 5] =
+    [("name", "\"node\""), ("zone", "\"z\""), ("mates_address", "\"127.0.0.1:0\""), ("local_address", "\"127.0.0.1:0\""), ("seeds", "[\"127.0.0.1:1\"]")];
+
+fn required() -> Settings {
+    Settings::new(&REQUIRED)
+}
+
+#[test]
+fn the_help_page_and_the_version_stay() {
+    compare("help.txt", &told(&PROGRAM, &["--help"]), &[]);
+    compare("version.txt", &told(&PROGRAM, &["--version"]), &[Volatile::Value(env!("CARGO_PKG_VERSION"), "version")]);
+}
+
+#[test]
+fn wrong_flags_keep_their_words_and_exit_code() {
+    let wrong: [&[&str]; 7] =
+        [&[], &["--speed", "9"], &["more"], &["--config"], &["--config", "/nonexistent"], &["--name"], &["--check", "--name", "a", "--speed"]];
+    let all: String = wrong.iter().map(|words| told(&PROGRAM, words)).collect();
+    compare("wrong_flags.txt", &all, &[]);
+}
+
+#[test]
+fn every_setting_is_needed_or_has_a_default() {
+    let mut all = required().checked(&PROGRAM);
+    for (name, _) in REQUIRED {
+        all.push_str(&required().without(name).checked(&PROGRAM));
+    }
+    compare("needed_settings.txt", &all, &[]);
+}
+
+#[test]
+fn wrong_values_keep_their_words_and_right_ones_are_taken() {
+    let values: [(&str, &[&str]); 18] = [
+        ("name", &["\"\"", "1", "\"aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa\""]),
+        ("zone", &["\"\"", "1"]),
+        ("mates_address", &["\"here\"", "\"localhost:1\"", "1"]),
+        ("local_address", &["\"here\"", "\"127.0.0.1\"", "1"]),
+        ("advertised_address", &["\"here\"", "1"]),
+        ("seeds", &["[]", "[\"a\"]", "\"127.0.0.1:1\"", "[1]", TEN_SEEDS]),
+        ("beat_every_us", &["49999", "50000", "1000000", "1000001", "\"x\""]),
+        ("beat_patience_us", &["199999", "200000", "2000000", "2000001", "\"x\""]),
+        ("freshness_us", &["299999", "300000", "1500000", "1500001", "\"x\""]),
+        ("ask_every_us", &["49999", "50000", "500000", "500001", "\"x\""]),
+        ("guard_us", &["49999", "50000", "5000000", "5000001", "\"x\""]),
+        ("extra_allowance", &["-1", "0", "10", "11", "\"x\""]),
+        ("stop_patience_us", &["99999", "100000", "120000000", "120000001", "\"x\""]),
+        ("watch_every_us", &["49999", "50000", "1000000", "1000001", "\"x\""]),
+        ("watch_patience_us", &["199999", "200000", "5000000", "5000001", "\"x\""]),
+        ("homes", &["true", "false", "1", "\"x\""]),
+        ("log_level", &["\"critical\"", "\"error\"", "\"warning\"", "\"info\"", "\"debug\"", "\"trace\"", "\"loud\"", "1"]),
+        ("speed", &["1"]),
+    ];
+    let mut all = String::new();
+    for (name, values) in values {
+        for value in values {
+            all.push_str(&required().with(name, value).checked(&PROGRAM));
+        }
+    }
+    all.push_str(&required().with("beat_every_us", "2").with("guard_us", "0").with("mates_address", "\"here\"").checked(&PROGRAM));
+    compare("settings.txt", &all, &[]);
+}
+
+const TEN_SEEDS: &str = "[\"127.0.0.1:1\",\"127.0.0.1:1\",\"127.0.0.1:1\",\"127.0.0.1:1\",\"127.0.0.1:1\",\"127.0.0.1:1\",\"127.0.0.1:1\",\"127.0.0.1:1\",\"127.0.0.1:1\",\"127.0.0.1:1\"]";
+
+#[test]
+fn a_flag_goes_before_the_file_and_keeps_its_reading() {
+    let with = |words: &[&str]| required().checked_with(&PROGRAM, words);
+    let all = [
+        with(&["--beat-every-us", "4"]),
+        with(&["--name", "1", "--zone", "2"]),
+        with(&["--seeds", "127.0.0.1:1,127.0.0.1:2,"]),
+        with(&["--seeds", ""]),
+        with(&["--homes", "false"]),
+        with(&["--homes", "no"]),
+        with(&["--guard-us", "many"]),
+        with(&["--guard_us", "50000"]),
+        with(&["--log-level", "loud"]),
+    ];
+    compare("flags.txt", &all.concat(), &[]);
+}
+
+#[test]
+fn a_file_that_is_no_toml_keeps_its_words() {
+    let all = ["name = ", "name\n", "name = \"a\"\nname = \"b\"", "[table]\nx = 1", "\u{0}"].map(|text| program::checked_text(&PROGRAM, text, &[]));
+    compare("wrong_files.txt", &all.concat(), &[]);
+}
+
+#[test]
+fn what_cannot_start_keeps_its_exit_code() {
+    // 192.0.2.1 is kept for documents: no machine has it.
+    let foreign = "\"192.0.2.1:1\"";
+    let all: String = ["mates_address", "local_address"].map(|name| required().with(name, foreign).run(&PROGRAM)).concat();
+    compare("failed.txt", &all, &[]);
+}
+
+#[test]
+fn every_default_stays() {
+    let folder = program::folder("node-defaults");
+    // Each default, and a value beside it. A log level is taken up without a restart: `info` shows the lines read here.
+    let defaults = [
+        ("beat_every_us", "300000", "299999"),
+        ("beat_patience_us", "1200000", "1199999"),
+        ("freshness_us", "1500000", "1499999"),
+        ("ask_every_us", "250000", "249999"),
+        ("guard_us", "250000", "249999"),
+        ("extra_allowance", "1", "0"),
+        ("stop_patience_us", "61000000", "60999999"),
+        ("watch_every_us", "200000", "199999"),
+        ("watch_patience_us", "1000000", "999999"),
+        ("homes", "true", "false"),
+    ];
+    let all = program::defaults(&PROGRAM, &folder, &required(), &defaults);
+    fs::remove_dir_all(&folder).expect("clean");
+    compare("defaults.txt", &all, &[]);
+}
