--- a/crates/gradeford-core/tests/witness.rs
+++ b/crates/gradeford-core/tests/witness.rs
@@ -78,7 +78,11 @@
             all.push_str(&required().with(name, value).checked(&PROGRAM));
         }
     }
-    all.push_str(&required().with("seats", "2").with("alpha", "0").with("mates_address", "\"here\"").checked(&PROGRAM));
+    // Several faults are told in any order.
+    let several = required().with("seats", "2").with("alpha", "0").with("mates_address", "\"here\"").checked(&PROGRAM);
+    let mut lines: Vec<&str> = several.lines().collect();
+    lines.sort_unstable();
+    all.push_str(&format!("{}\n", lines.join("\n")));
     compare("settings.txt", &all, &[]);
 }
 
--- a/crates/operator-api/tests/witness.rs
+++ b/crates/operator-api/tests/witness.rs
@@ -174,6 +174,7 @@
         selector("methods", json!([""])),
         selector("path_prefix", json!("x")),
         selector("path_prefix", json!("/a?b")),
+        selector("path_prefix", json!("/a//b")),
         selector("labels", json!({ "Bad Name": "x" })),
         selector("speed", json!(1)),
         grouping("service", json!("")),
@@ -186,10 +187,10 @@
         json!([{ "drop_order": { "name": "check" } }, { "drop_order": { "name": "check" } }]),
     ];
     for (number, edits) in edits.into_iter().enumerate() {
-        office.change(&format!("fault-{number}"), 1, edits).await;
+        // What is no fault is accepted, and the next goes on from there.
+        let version = office.core.book.load().desired.version;
+        office.change(&format!("fault-{number}"), version, edits).await;
     }
-    // No fault.
-    office.change("doubled", 1, selector("path_prefix", json!("/a//b"))).await;
     compare("faults.txt", &office.told, &POSITIONS);
     fs::remove_dir_all(folder).expect("clean");
 }
