--- a/crates/control/src/bootstrap.rs
+++ b/crates/control/src/bootstrap.rs
@@ -88,18 +88,39 @@
             _ = tokio::time::sleep(wait) => break,
         }
     }
-    let disks = members.iter().map(|(address, (identity, _))| (address.clone(), *identity)).chain([(env.address.clone(), shelf.disk_id)]);
+    let disks = members
+        .iter()
+        .map(|(address, (identity, _))| (address.clone(), *identity))
+        .chain([(env.address.clone(), shelf.disk_id)]);
     let mut roster: Vec<(String, u64)> = disks.collect();
     roster.sort();
     let seats = roster.len() as u16;
-    let pins: Vec<(u16, u64)> = roster.iter().zip(0..).map(|((_, identity), seat)| (seat, *identity)).collect();
-    let seat_of = |identity: u64| pins.iter().find(|(_, held)| *held == identity).map(|(seat, _)| *seat).unwrap_or(0);
-    let charter = storage::MembershipRecord { replica_id: seat_of(shelf.disk_id), replica_count: seats, founded: true };
+    let pins: Vec<(u16, u64)> = roster
+        .iter()
+        .zip(0..)
+        .map(|((_, identity), seat)| (seat, *identity))
+        .collect();
+    let seat_of = |identity: u64| {
+        pins.iter()
+            .find(|(_, held)| *held == identity)
+            .map(|(seat, _)| *seat)
+            .unwrap_or(0)
+    };
+    let charter = storage::MembershipRecord {
+        replica_id: seat_of(shelf.disk_id),
+        replica_count: seats,
+        founded: true,
+    };
     // On disk before anyone hears of it: a founder that starts again founds nothing else.
     shelf.record_membership(charter, &pins)?;
     slog::info!(logger, "the core is founded"; "seats" => seats, "seat" => charter.replica_id);
     for (identity, sender) in members.into_values() {
-        let word = transport::Frame::ReplicaAssignment { seat: seat_of(identity), seats, founded: true, pins: pins.clone() };
+        let word = transport::Frame::ReplicaAssignment {
+            seat: seat_of(identity),
+            seats,
+            founded: true,
+            pins: pins.clone(),
+        };
         drop(sender.send(word).await);
     }
     // Their conns end once all has been written.
@@ -124,14 +145,32 @@
         let asked: Vec<&String> = if founder_alone {
             env.seeds.iter().take(1).collect()
         } else {
-            env.seeds.iter().chain(&known).filter(|address| **address != env.address).collect()
+            env.seeds
+                .iter()
+                .chain(&known)
+                .filter(|address| **address != env.address)
+                .collect()
         };
         if let Some(address) = asked.get(turn % asked.len().max(1)) {
             let heard = ask_for_membership(address, handshake(env, shelf.disk_id)).await;
             if let Some((word, told)) = heard {
-                known = told.into_iter().map(|seat| seat.address).filter(|address| !env.seeds.contains(address)).collect();
-                if let transport::Frame::ReplicaAssignment { seat, seats, founded, pins } = word {
-                    let charter = storage::MembershipRecord { replica_id: seat, replica_count: seats, founded };
+                known = told
+                    .into_iter()
+                    .map(|seat| seat.address)
+                    .filter(|address| !env.seeds.contains(address))
+                    .collect();
+                if let transport::Frame::ReplicaAssignment {
+                    seat,
+                    seats,
+                    founded,
+                    pins,
+                } = word
+                {
+                    let charter = storage::MembershipRecord {
+                        replica_id: seat,
+                        replica_count: seats,
+                        founded,
+                    };
                     shelf.record_membership(charter, &pins)?;
                     slog::info!(logger, "has a seat"; "seat" => seat, "seats" => seats, "founded" => founded);
                     return Ok(charter);
@@ -139,16 +178,27 @@
             }
         }
         turn += 1;
-        tokio::time::sleep(std::time::Duration::from_millis(if founder_alone { 60 } else { 120 })).await;
+        tokio::time::sleep(std::time::Duration::from_millis(if founder_alone {
+            60
+        } else {
+            120
+        }))
+        .await;
     }
 }
 
-async fn ask_for_membership(address: &str, own: transport::Handshake) -> Option<(transport::Frame, Vec<transport::KnownReplica>)> {
+async fn ask_for_membership(
+    address: &str,
+    own: transport::Handshake,
+) -> Option<(transport::Frame, Vec<transport::KnownReplica>)> {
     let mut conn = transport::dial(address, own).await.ok()?;
     let patience = std::time::Duration::from_secs(5);
     loop {
-        if let word @ (transport::Frame::ReplicaAssignment { .. } | transport::Frame::NoReplicaAvailable) =
-            tokio::time::timeout(patience, conn.receiver.recv()).await.ok()??
+        if let word @ (transport::Frame::ReplicaAssignment { .. }
+        | transport::Frame::NoReplicaAvailable) =
+            tokio::time::timeout(patience, conn.receiver.recv())
+                .await
+                .ok()??
         {
             return Some((word, conn.peer_handshake.known_replicas));
         }
@@ -156,20 +206,49 @@
 }
 
 /// What a seated process says to a machine that asks for a seat.
-pub(crate) fn membership_answer(core: &crate::ReplicaHandle, greeting: &transport::Handshake) -> transport::Frame {
+pub(crate) fn membership_answer(
+    core: &crate::ReplicaHandle,
+    greeting: &transport::Handshake,
+) -> transport::Frame {
     let seats = core.config.replica_count;
-    let Some((_, _, identity)) = greeting.replica else { return transport::Frame::NoReplicaAvailable };
-    let pins: Vec<(u16, u64)> = core.pinned_disks.load().iter().map(|(seat, held)| (*seat, *held)).chain([core.identity()]).collect();
+    let Some((_, _, identity)) = greeting.replica else {
+        return transport::Frame::NoReplicaAvailable;
+    };
+    let pins: Vec<(u16, u64)> = core
+        .pinned_disks
+        .load()
+        .iter()
+        .map(|(seat, held)| (*seat, *held))
+        .chain([core.identity()])
+        .collect();
     // It missed the founder's word; its disk is named and has no past.
     if let Some((seat, _)) = pins.iter().find(|(_, held)| *held == identity) {
-        let founded = core.config.membership.is_some_and(|charter| charter.founded) && !core.state_machine.load().replica_holders.contains_key(seat);
-        return transport::Frame::ReplicaAssignment { seat: *seat, seats, founded, pins };
+        let founded = core
+            .config
+            .membership
+            .is_some_and(|charter| charter.founded)
+            && !core.state_machine.load().replica_holders.contains_key(seat);
+        return transport::Frame::ReplicaAssignment {
+            seat: *seat,
+            seats,
+            founded,
+            pins,
+        };
     }
     let known = core.known_replicas.borrow();
-    let at_home = pins.iter().find(|(seat, held)| known.get(&(*seat, *held)).is_some_and(|place| place.address == greeting.address));
+    let at_home = pins.iter().find(|(seat, held)| {
+        known
+            .get(&(*seat, *held))
+            .is_some_and(|place| place.address == greeting.address)
+    });
     let vacant = core.status.load().vacant_replicas.first().copied();
     match at_home.map(|(seat, _)| *seat).or(vacant) {
-        Some(seat) => transport::Frame::ReplicaAssignment { seat, seats, founded: false, pins: Vec::new() },
+        Some(seat) => transport::Frame::ReplicaAssignment {
+            seat,
+            seats,
+            founded: false,
+            pins: Vec::new(),
+        },
         None => transport::Frame::NoReplicaAvailable,
     }
 }
--- a/crates/control/src/effects.rs
+++ b/crates/control/src/effects.rs
@@ -7,7 +7,10 @@
         match effect {
             mencius::Effect::Send(seat, frame) => {
                 self.status.frames_sent += 1;
-                let sent = self.connections.get(&seat).map(|(_, sender)| sender.try_send(transport::Frame::Consensus(frame)).is_ok());
+                let sent = self
+                    .connections
+                    .get(&seat)
+                    .map(|(_, sender)| sender.try_send(transport::Frame::Consensus(frame)).is_ok());
                 if sent == Some(false) {
                     // A mate that does not keep up loses the channel; the next one begins with a resync.
                     self.connections.remove(&seat);
@@ -15,30 +18,54 @@
                     self.step(model::now(), mencius::Input::ConnectionClosed(seat));
                 }
             }
-            mencius::Effect::Persist { ticket, writes, replace_journal: afresh } => {
-                drop(self.handle.store_commands.send(storage::StoreCommand::Append { ticket, writes, replace_journal: afresh }));
+            mencius::Effect::Persist {
+                ticket,
+                writes,
+                replace_journal: afresh,
+            } => {
+                drop(
+                    self.handle
+                        .store_commands
+                        .send(storage::StoreCommand::Append {
+                            ticket,
+                            writes,
+                            replace_journal: afresh,
+                        }),
+                );
             }
             mencius::Effect::Apply(instance, value) => self.apply(instance, &value),
             mencius::Effect::NotChosen(value) => self.resubmit(value),
-            mencius::Effect::InstallSnapshot { state, next_instance: through } => {
+            mencius::Effect::InstallSnapshot {
+                state,
+                next_instance: through,
+            } => {
                 match crate::publisher::decode_state(&state) {
                     Some((book, bill)) => {
                         self.state_machine = book;
                         self.publisher.install(bill);
                         self.enforce_voting_range();
                     }
-                    None => slog::error!(self.handle.logger, "a snapshot does not hold together"; "through" => through),
+                    None => {
+                        slog::error!(self.handle.logger, "a snapshot does not hold together"; "through" => through)
+                    }
                 }
-                self.handle.state_machine.store(std::sync::Arc::new(self.state_machine.clone()));
+                self.handle
+                    .state_machine
+                    .store(std::sync::Arc::new(self.state_machine.clone()));
             }
             mencius::Effect::ReadReady(token) => {
                 // Followers hear what was applied before the proof that speaks of it.
                 self.publisher.publish();
                 self.publisher.send_proofs(token);
                 // The reader finds the book at least as new as what it is told.
-                self.handle.state_machine.store(std::sync::Arc::new(self.state_machine.clone()));
+                self.handle
+                    .state_machine
+                    .store(std::sync::Arc::new(self.state_machine.clone()));
                 if let Some(answer) = self.pending_reads.remove(&token) {
-                    answer.send(self.state_machine.position).map(|()| 0).unwrap_or_default();
+                    answer
+                        .send(self.state_machine.position)
+                        .map(|()| 0)
+                        .unwrap_or_default();
                 }
             }
         }
@@ -46,8 +73,12 @@
 
     /// For a caller that still waits. One that was answered, that it is not known to be taken, sends it again itself.
     fn resubmit(&mut self, value: mencius::Value) {
-        let Some(entry) = model::entry::from_bytes(&value) else { return };
-        let awaited = self.pending_submissions.get(&(entry.origin, entry.incarnation, entry.sequence));
+        let Some(entry) = model::entry::from_bytes(&value) else {
+            return;
+        };
+        let awaited =
+            self.pending_submissions
+                .get(&(entry.origin, entry.incarnation, entry.sequence));
         if awaited.is_some_and(|answers| answers.iter().any(|answer| !answer.is_closed())) {
             self.step(model::now(), mencius::Input::Submit(value));
         }
@@ -61,22 +92,39 @@
         let outcome = match entry.operation {
             model::Operation::ClusterState(act) => self.publisher.apply(&asked, act),
             _ => {
-                let outcome = self.state_machine.apply_at(entry, instance, mencius::VOTING_WINDOW);
+                let outcome = self
+                    .state_machine
+                    .apply_at(entry, instance, mencius::VOTING_WINDOW);
                 self.enforce_voting_range();
                 outcome
             }
         };
         slog::debug!(self.handle.logger, "applied"; "instance" => instance, "position" => self.state_machine.position, "origin" => &asked.0, "outcome" => ?outcome);
-        self.pending_submissions.remove(&asked).into_iter().flatten().for_each(|answer| drop(answer.send(outcome.clone())));
+        self.pending_submissions
+            .remove(&asked)
+            .into_iter()
+            .flatten()
+            .for_each(|answer| drop(answer.send(outcome.clone())));
         self.entries_since_snapshot += 1;
         // Past a change of holders all below it is kept as a state: its instances could be finished only by the disks
         // that may vote there, and one of them is gone (design 4.4).
-        let handed_over = self.state_machine.replica_holders.values().any(|(_, after)| (self.snapshot_end..=instance).contains(after));
+        let handed_over = self
+            .state_machine
+            .replica_holders
+            .values()
+            .any(|(_, after)| (self.snapshot_end..=instance).contains(after));
         if self.entries_since_snapshot >= self.handle.config.snapshot_every_entries || handed_over {
             self.entries_since_snapshot = 0;
             self.snapshot_end = instance + 1;
-            let state = crate::publisher::encode_state(&self.state_machine, &self.publisher.cluster_state);
-            self.step(model::now(), mencius::Input::Snapshot { next_instance: instance + 1, state });
+            let state =
+                crate::publisher::encode_state(&self.state_machine, &self.publisher.cluster_state);
+            self.step(
+                model::now(),
+                mencius::Input::Snapshot {
+                    next_instance: instance + 1,
+                    state,
+                },
+            );
         }
     }
 
@@ -84,22 +132,35 @@
         if let Some(machine) = self.replica.as_ref() {
             self.status.voting = true;
             self.status.connected_replicas = machine.reachable_replicas();
-            self.status.had_majority |= self.status.connected_replicas > self.handle.replica_count() as usize / 2;
+            self.status.had_majority |=
+                self.status.connected_replicas > self.handle.replica_count() as usize / 2;
             self.status.applied_below = machine.applied();
             self.status.compacted_below = machine.compaction_point();
-            (self.status.next_own_instance, self.status.highest_seen, self.status.pending_reads) =
-                (machine.index(), machine.highest_instance(), machine.pending_reads());
+            (
+                self.status.next_own_instance,
+                self.status.highest_seen,
+                self.status.pending_reads,
+            ) = (
+                machine.index(),
+                machine.highest_instance(),
+                machine.pending_reads(),
+            );
             self.status.suspected_replicas = machine.suspected_peers();
             let (now, patience) = (model::now(), self.handle.config.replace_after);
-            let vacant = self.unreachable_since.iter().filter(|(seat, since)| **seat != self.handle.config.replica_id && now >= **since + patience);
+            let vacant = self.unreachable_since.iter().filter(|(seat, since)| {
+                **seat != self.handle.config.replica_id && now >= **since + patience
+            });
             self.status.vacant_replicas = vacant.map(|(seat, _)| *seat).collect();
         }
         self.warn_when_stalled();
         // Askers that gave up are let go.
         self.pending_reads.retain(|_, answer| !answer.is_closed());
-        self.pending_submissions.retain(|_, answers| answers.iter().any(|answer| !answer.is_closed()));
+        self.pending_submissions
+            .retain(|_, answers| answers.iter().any(|answer| !answer.is_closed()));
         if **self.handle.status.load() != self.status {
-            self.handle.status.store(std::sync::Arc::new(self.status.clone()));
+            self.handle
+                .status
+                .store(std::sync::Arc::new(self.status.clone()));
         }
     }
 
--- a/crates/control/src/event_loop.rs
+++ b/crates/control/src/event_loop.rs
@@ -16,7 +16,8 @@
     pub(crate) publisher: crate::publisher::UpdatePublisher,
     position: tokio::sync::watch::Sender<model::Position>,
     pub(crate) pending_submissions: PendingSubmissions,
-    pub(crate) pending_reads: std::collections::BTreeMap<u64, tokio::sync::oneshot::Sender<model::Position>>,
+    pub(crate) pending_reads:
+        std::collections::BTreeMap<u64, tokio::sync::oneshot::Sender<model::Position>>,
     last_read_token: u64,
     pub(crate) entries_since_snapshot: u64,
     /// Where the latest own snapshot ends.
@@ -33,8 +34,17 @@
 }
 
 impl ReplicaEventLoop {
-    pub fn new(core: &ReplicaHandle, writes: Vec<mencius::Write>, pins: storage::PinnedDisks, moved: tokio::sync::watch::Sender<model::Position>) -> Self {
-        let state = ReplicaStatus { disk_id: core.disk_id, pinned_peers: pins.len(), ..Default::default() };
+    pub fn new(
+        core: &ReplicaHandle,
+        writes: Vec<mencius::Write>,
+        pins: storage::PinnedDisks,
+        moved: tokio::sync::watch::Sender<model::Position>,
+    ) -> Self {
+        let state = ReplicaStatus {
+            disk_id: core.disk_id,
+            pinned_peers: pins.len(),
+            ..Default::default()
+        };
         core.status.store(std::sync::Arc::new(state.clone()));
         ReplicaEventLoop {
             handle: core.clone(),
@@ -50,13 +60,17 @@
             pending_reads: Default::default(),
             last_read_token: 0,
             // Not all seats write theirs at the same entry.
-            entries_since_snapshot: core.config.snapshot_every_entries * core.config.replica_id as u64 / core.config.replica_count.max(1) as u64,
+            entries_since_snapshot: core.config.snapshot_every_entries
+                * core.config.replica_id as u64
+                / core.config.replica_count.max(1) as u64,
             snapshot_end: 0,
             status: state,
             handover_pushed_at: 0,
             last_progress: (0, 0),
             first_holder_confirmed_by: Default::default(),
-            unreachable_since: (0..core.config.replica_count).map(|seat| (seat, model::now())).collect(),
+            unreachable_since: (0..core.config.replica_count)
+                .map(|seat| (seat, model::now()))
+                .collect(),
             replacement_requested_at: 0,
         }
     }
@@ -66,7 +80,9 @@
         while let Some(first) = buffer.recv().await {
             self.handle_command(first);
             // What has gathered shares one sync.
-            std::iter::from_fn(|| buffer.try_recv().ok()).take(512).for_each(|command| self.handle_command(command));
+            std::iter::from_fn(|| buffer.try_recv().ok())
+                .take(512)
+                .for_each(|command| self.handle_command(command));
             self.advance_replacements();
             self.run_effects();
             self.publish_status();
@@ -91,12 +107,22 @@
         let env = self.handle.config.clone();
         let writes = std::mem::take(&mut self.restored_writes);
         let now = model::now();
-        self.replica = Some(mencius::Replica::restore(env.replica_id, env.replica_count, self.handle.disk_id, env.timing, now, writes));
+        self.replica = Some(mencius::Replica::restore(
+            env.replica_id,
+            env.replica_count,
+            self.handle.disk_id,
+            env.timing,
+            now,
+            writes,
+        ));
         slog::info!(self.handle.logger, "all seats are known, voting begins");
         let held = std::mem::take(&mut self.deferred_commands);
         // Whoever gave up meanwhile was told that its entry was not taken.
-        let given_up = |command: &Command| matches!(command, Command::Submit(_, answer) if answer.is_closed());
-        held.into_iter().filter(|command| !given_up(command)).for_each(|command| self.handle_command(command));
+        let given_up =
+            |command: &Command| matches!(command, Command::Submit(_, answer) if answer.is_closed());
+        held.into_iter()
+            .filter(|command| !given_up(command))
+            .for_each(|command| self.handle_command(command));
         self.run_effects();
     }
 
@@ -127,7 +153,9 @@
                 self.first_holder_confirmed_by.insert(seat);
                 self.start_voting_when_peers_are_known();
             }
-            Command::ReplacementRequested(seat, identity, same_place) => self.replacement_requested(now, seat, identity, same_place),
+            Command::ReplacementRequested(seat, identity, same_place) => {
+                self.replacement_requested(now, seat, identity, same_place)
+            }
             Command::Tick if self.replica.is_none() => {}
             command if self.replica.is_none() => self.deferred_commands.push(command),
             Command::PeerConnected(seat, token, sender) => {
@@ -139,12 +167,20 @@
                 self.step(now, mencius::Input::ConnectionOpened(seat));
             }
             Command::PeerFrame(seat, token, frame) => {
-                if self.connections.get(&seat).is_some_and(|(current, _)| *current == token) {
+                if self
+                    .connections
+                    .get(&seat)
+                    .is_some_and(|(current, _)| *current == token)
+                {
                     self.step(now, mencius::Input::Frame(seat, frame));
                 }
             }
             Command::PeerDisconnected(seat, token) => {
-                if self.connections.get(&seat).is_some_and(|(current, _)| *current == token) {
+                if self
+                    .connections
+                    .get(&seat)
+                    .is_some_and(|(current, _)| *current == token)
+                {
                     self.connections.remove(&seat);
                     self.unreachable_since.insert(seat, now);
                     self.step(now, mencius::Input::ConnectionClosed(seat));
@@ -156,7 +192,10 @@
             }
             Command::Submit(entry, answer) => {
                 let value = model::entry::to_bytes(&entry);
-                self.pending_submissions.entry((entry.origin, entry.incarnation, entry.sequence)).or_default().push(answer);
+                self.pending_submissions
+                    .entry((entry.origin, entry.incarnation, entry.sequence))
+                    .or_default()
+                    .push(answer);
                 self.step(now, mencius::Input::Submit(value));
             }
             Command::ReadBarrier(answer) => {
@@ -178,7 +217,10 @@
     }
 
     fn start_proof_round(&mut self, now: model::Microseconds) {
-        if self.publisher.begin_proof_round(now, self.last_read_token + 1) {
+        if self
+            .publisher
+            .begin_proof_round(now, self.last_read_token + 1)
+        {
             self.last_read_token += 1;
             self.step(now, mencius::Input::ReadIndex(self.last_read_token));
         }
@@ -193,15 +235,23 @@
     fn run_effects(&mut self) {
         let before = self.state_machine.position;
         loop {
-            let effects = self.replica.as_mut().map(mencius::Replica::take_effects).unwrap_or_default();
+            let effects = self
+                .replica
+                .as_mut()
+                .map(mencius::Replica::take_effects)
+                .unwrap_or_default();
             if effects.is_empty() {
                 break;
             }
-            effects.into_iter().for_each(|effect| self.run_effect(effect));
+            effects
+                .into_iter()
+                .for_each(|effect| self.run_effect(effect));
         }
         self.publisher.publish();
         if self.state_machine.position != before {
-            self.handle.state_machine.store(std::sync::Arc::new(self.state_machine.clone()));
+            self.handle
+                .state_machine
+                .store(std::sync::Arc::new(self.state_machine.clone()));
             self.position.send_replace(self.state_machine.position);
         }
     }
--- a/crates/control/src/monitor.rs
+++ b/crates/control/src/monitor.rs
@@ -40,7 +40,9 @@
     tokio::spawn(async move {
         while let Some(report) = outgoing.recv().await {
             // Until this process is registered the log takes no word from it.
-            while let Some(model::Outcome::Superseded { .. }) = reports.report_endpoint_status(report.clone()).await {
+            while let Some(model::Outcome::Superseded { .. }) =
+                reports.report_endpoint_status(report.clone()).await
+            {
                 tokio::time::sleep(REPORT_RETRY_INTERVAL).await;
             }
         }
@@ -49,14 +51,20 @@
     heard
 }
 
-async fn send_heartbeats<G: Fn() -> transport::Handshake + Send + 'static>(env: MonitorConfig, view: crate::view::SharedView, greeting: G) {
-    let mut lines: std::collections::BTreeMap<String, tokio::task::JoinHandle<()>> = Default::default();
+async fn send_heartbeats<G: Fn() -> transport::Handshake + Send + 'static>(
+    env: MonitorConfig,
+    view: crate::view::SharedView,
+    greeting: G,
+) {
+    let mut lines: std::collections::BTreeMap<String, tokio::task::JoinHandle<()>> =
+        Default::default();
     loop {
         let slice = view.load().slice.clone();
-        let addresses: std::collections::BTreeSet<String> = crate::ring::monitors_of(&slice.nodes, &env.node)
-            .into_iter()
-            .filter_map(|watcher| slice.nodes.get(&watcher).map(|node| node.address.clone()))
-            .collect();
+        let addresses: std::collections::BTreeSet<String> =
+            crate::ring::monitors_of(&slice.nodes, &env.node)
+                .into_iter()
+                .filter_map(|watcher| slice.nodes.get(&watcher).map(|node| node.address.clone()))
+                .collect();
         lines.retain(|address, line| {
             let kept = addresses.contains(address) && !line.is_finished();
             if !kept {
@@ -67,13 +75,19 @@
         addresses.into_iter().for_each(|address| {
             let own = greeting();
             let every = std::time::Duration::from_micros(env.heartbeat_interval);
-            lines.entry(address.clone()).or_insert_with(|| tokio::spawn(heartbeat_connection(address, own, every)));
+            lines
+                .entry(address.clone())
+                .or_insert_with(|| tokio::spawn(heartbeat_connection(address, own, every)));
         });
         tokio::time::sleep(std::time::Duration::from_micros(env.heartbeat_interval)).await;
     }
 }
 
-async fn heartbeat_connection(address: String, own: transport::Handshake, every: std::time::Duration) {
+async fn heartbeat_connection(
+    address: String,
+    own: transport::Handshake,
+    every: std::time::Duration,
+) {
     if let Ok(conn) = transport::dial(&address, own).await {
         while conn.sender.try_send(transport::Frame::Heartbeat).is_ok() {
             tokio::time::sleep(every).await;
--- a/crates/control/src/peer_link.rs
+++ b/crates/control/src/peer_link.rs
@@ -10,9 +10,20 @@
     });
     // Until this seat votes it asks often, as an empty disk is let in by whoever it asks.
     let (greeter, asker) = (core.clone(), core.clone());
-    let seats = move || if asker.status.load().voting { asker.config.replica_count as usize } else { usize::MAX };
+    let seats = move || {
+        if asker.status.load().voting {
+            asker.config.replica_count as usize
+        } else {
+            usize::MAX
+        }
+    };
     let greeting = move || greeter.handshake(transport::Purpose::Discover);
-    tokio::spawn(crate::discovery::run(core.known_replicas.clone(), core.config.seeds.clone(), greeting, seats));
+    tokio::spawn(crate::discovery::run(
+        core.known_replicas.clone(),
+        core.config.seeds.clone(),
+        greeting,
+        seats,
+    ));
 }
 
 async fn keep_dialing(core: ReplicaHandle, seat: u16) {
@@ -23,23 +34,43 @@
         let holder = core.pinned_disks.load().get(&seat).copied();
         let place = {
             let known = core.known_replicas.borrow();
-            let told = known.values().filter(|place| place.replica_id == seat && holder.is_none_or(|holder| place.disk_id == holder));
+            let told = known.values().filter(|place| {
+                place.replica_id == seat && holder.is_none_or(|holder| place.disk_id == holder)
+            });
             // Before all have met, of several disks that say so each in turn.
             let told: Vec<&transport::KnownReplica> = told.collect();
-            told.get(turn % told.len().max(1)).map(|place| (*place).clone())
+            told.get(turn % told.len().max(1))
+                .map(|place| (*place).clone())
         };
         turn += 1;
         if let Some(place) = place {
-            let own = transport::Handshake { expected_disk: holder, ..core.handshake(transport::Purpose::Consensus) };
+            let own = transport::Handshake {
+                expected_disk: holder,
+                ..core.handshake(transport::Purpose::Consensus)
+            };
             match transport::dial(&place.address, own).await {
-                Ok(conn) if conn.peer_handshake.replica.map(|(told, seats, _)| (told, seats)) == Some((seat, core.config.replica_count)) => {
-                    if pin_peer(&core, &conn.peer_handshake).await.is_ok() && is_expected_disk(&core, &conn.peer_handshake) {
+                Ok(conn)
+                    if conn
+                        .peer_handshake
+                        .replica
+                        .map(|(told, seats, _)| (told, seats))
+                        == Some((seat, core.config.replica_count)) =>
+                {
+                    if pin_peer(&core, &conn.peer_handshake).await.is_ok()
+                        && is_expected_disk(&core, &conn.peer_handshake)
+                    {
                         serve_peer(&core, conn).await;
                     }
                 }
-                Ok(conn) => slog::warn!(core.logger, "not the seat expected"; "address" => place.address, "found" => ?conn.peer_handshake.replica),
-                Err(transport::Error::Refused(reason)) => drop(core.commands.send(Command::RefusedByPeer(reason)).await),
-                Err(trouble) => slog::debug!(core.logger, "dial"; "seat" => seat, "trouble" => %trouble),
+                Ok(conn) => {
+                    slog::warn!(core.logger, "not the seat expected"; "address" => place.address, "found" => ?conn.peer_handshake.replica)
+                }
+                Err(transport::Error::Refused(reason)) => {
+                    drop(core.commands.send(Command::RefusedByPeer(reason)).await)
+                }
+                Err(trouble) => {
+                    slog::debug!(core.logger, "dial"; "seat" => seat, "trouble" => %trouble)
+                }
             }
         }
         let pause = 100 + rand::random::<u64>() % 100;
@@ -49,54 +80,121 @@
 
 /// Whoever calls another disk than this one is answered, so that it learns whom it found, and no more is said.
 pub(crate) fn is_expected_disk(core: &ReplicaHandle, greeting: &transport::Handshake) -> bool {
-    greeting.expected_disk.is_none_or(|wanted| wanted == core.disk_id)
+    greeting
+        .expected_disk
+        .is_none_or(|wanted| wanted == core.disk_id)
 }
 
 /// An empty disk asks for a seat that is another's here (design 4.4).
-pub(crate) async fn handle_replacement_request(core: &ReplicaHandle, greeting: &transport::Handshake) {
-    let asks = greeting.replica.filter(|(seat, seats, _)| greeting.has_empty_disk && *seats == core.config.replica_count && *seat != core.config.replica_id);
+pub(crate) async fn handle_replacement_request(
+    core: &ReplicaHandle,
+    greeting: &transport::Handshake,
+) {
+    let asks = greeting.replica.filter(|(seat, seats, _)| {
+        greeting.has_empty_disk
+            && *seats == core.config.replica_count
+            && *seat != core.config.replica_id
+    });
     if let Some((seat, _, identity)) = asks
-        && core.pinned_disks.load().get(&seat).is_some_and(|held| *held != identity)
+        && core
+            .pinned_disks
+            .load()
+            .get(&seat)
+            .is_some_and(|held| *held != identity)
     {
         // No two processes share an address: whoever held the seat there is gone.
-        let place = core.known_replicas.borrow().iter().any(|((told, held), place)| *told == seat && *held != identity && place.address == greeting.address);
-        drop(core.commands.send(Command::ReplacementRequested(seat, identity, place)).await);
+        let place = core
+            .known_replicas
+            .borrow()
+            .iter()
+            .any(|((told, held), place)| {
+                *told == seat && *held != identity && place.address == greeting.address
+            });
+        drop(
+            core.commands
+                .send(Command::ReplacementRequested(seat, identity, place))
+                .await,
+        );
     }
 }
 
 /// The first disk met in a seat is written down before anything is said to it.
-pub(crate) async fn pin_peer(core: &ReplicaHandle, greeting: &transport::Handshake) -> Result<(), String> {
+pub(crate) async fn pin_peer(
+    core: &ReplicaHandle,
+    greeting: &transport::Handshake,
+) -> Result<(), String> {
     if !is_expected_disk(core, greeting) {
         return Ok(());
     }
     handle_replacement_request(core, greeting).await;
-    let (seat, seats, identity) = greeting.replica.ok_or("only core seats may open this channel")?;
+    let (seat, seats, identity) = greeting
+        .replica
+        .ok_or("only core seats may open this channel")?;
     if seats != core.config.replica_count || seat >= seats || seat == core.config.replica_id {
-        return Err(format!("seat {seat} of {seats} does not fit seat {} of {}", core.config.replica_id, core.config.replica_count));
+        return Err(format!(
+            "seat {seat} of {seats} does not fit seat {} of {}",
+            core.config.replica_id, core.config.replica_count
+        ));
     }
     let (done, pinned) = tokio::sync::oneshot::channel();
-    let job = storage::StoreCommand::Pin { replica_id: seat, disk_id: identity, done: Box::new(move |held| done.send(held).unwrap_or_default()) };
-    core.store_commands.send(job).map_err(|_| "the disk's owner is gone".to_string())?;
-    let held = pinned.await.ok().flatten().ok_or("the disk cannot keep who holds the seat")?;
+    let job = storage::StoreCommand::Pin {
+        replica_id: seat,
+        disk_id: identity,
+        done: Box::new(move |held| done.send(held).unwrap_or_default()),
+    };
+    core.store_commands
+        .send(job)
+        .map_err(|_| "the disk's owner is gone".to_string())?;
+    let held = pinned
+        .await
+        .ok()
+        .flatten()
+        .ok_or("the disk cannot keep who holds the seat")?;
     if held != identity {
-        return Err(format!("seat {seat} belongs to another disk; an emptied disk may not vote as its old self"));
+        return Err(format!(
+            "seat {seat} belongs to another disk; an emptied disk may not vote as its old self"
+        ));
     }
-    core.commands.send(Command::PeerPinned(seat, identity)).await.map_err(|_| "stopping".to_string())
+    core.commands
+        .send(Command::PeerPinned(seat, identity))
+        .await
+        .map_err(|_| "stopping".to_string())
 }
 
 /// Carries one channel until it breaks.
 pub(crate) async fn serve_peer(core: &ReplicaHandle, mut conn: transport::Connection) {
-    let Some((seat, _, identity)) = conn.peer_handshake.replica else { return };
+    let Some((seat, _, identity)) = conn.peer_handshake.replica else {
+        return;
+    };
     let token = NEXT_CONNECTION_TOKEN.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
     crate::discovery::merge(&core.known_replicas, conn.peer_handshake.known_replicas);
-    let begins = core.state_machine.load().replica_holders.get(&seat).filter(|(holder, _)| *holder == identity).map(|(_, upto)| *upto);
+    let begins = core
+        .state_machine
+        .load()
+        .replica_holders
+        .get(&seat)
+        .filter(|(holder, _)| *holder == identity)
+        .map(|(_, upto)| *upto);
     let own = (core.config.replica_id, core.disk_id);
-    let pins = core.pinned_disks.load().iter().map(|(seat, identity)| (*seat, *identity)).chain([own]).collect();
-    let word = begins.map(|upto| transport::Frame::VotingRange { upto, pins }).unwrap_or(transport::Frame::FoundingReplica);
+    let pins = core
+        .pinned_disks
+        .load()
+        .iter()
+        .map(|(seat, identity)| (*seat, *identity))
+        .chain([own])
+        .collect();
+    let word = begins
+        .map(|upto| transport::Frame::VotingRange { upto, pins })
+        .unwrap_or(transport::Frame::FoundingReplica);
     if conn.sender.send(word).await.is_err() {
         return;
     }
-    if core.commands.send(Command::PeerConnected(seat, token, conn.sender.clone())).await.is_err() {
+    if core
+        .commands
+        .send(Command::PeerConnected(seat, token, conn.sender.clone()))
+        .await
+        .is_err()
+    {
         return;
     }
     drop(conn.sender);
@@ -113,5 +211,9 @@
             return;
         }
     }
-    drop(core.commands.send(Command::PeerDisconnected(seat, token)).await);
+    drop(
+        core.commands
+            .send(Command::PeerDisconnected(seat, token))
+            .await,
+    );
 }
--- a/crates/control/src/relay.rs
+++ b/crates/control/src/relay.rs
@@ -13,7 +13,12 @@
 
 impl Relay {
     /// Serves one subscriber. Ends the conn when this node cannot be its home; it then asks the core.
-    pub async fn serve(&self, mut conn: transport::Connection, wanted: model::state_slice::ServiceSet, held: model::Position) {
+    pub async fn serve(
+        &self,
+        mut conn: transport::Connection,
+        wanted: model::state_slice::ServiceSet,
+        held: model::Position,
+    ) {
         let mut proved = self.verified_at.clone();
         let mut last: Option<model::StateSlice> = None;
         let mut asks: std::collections::VecDeque<(u64, model::Microseconds)> = Default::default();
@@ -21,21 +26,36 @@
             // In this order: the view is stored before the proof that speaks of it.
             let asked = *proved.borrow_and_update();
             let view = self.view.load_full();
-            let fit = self.follows_core_directly.load(std::sync::atomic::Ordering::Relaxed) && wanted.is_subset(&view.slice.services);
+            let fit = self
+                .follows_core_directly
+                .load(std::sync::atomic::Ordering::Relaxed)
+                && wanted.is_subset(&view.slice.services);
             if !fit {
                 return;
             }
             if view.slice.position >= held {
-                if let Some(news) = crate::stream::update_frame(&mut last, view.slice.narrowed_to(&wanted))
+                if let Some(news) =
+                    crate::stream::update_frame(&mut last, view.slice.narrowed_to(&wanted))
                     && conn.sender.send(news).await.is_err()
                 {
                     return;
                 }
-                let done: Vec<u64> = asks.iter().filter(|(_, at)| *at <= asked).map(|(number, _)| *number).collect();
+                let done: Vec<u64> = asks
+                    .iter()
+                    .filter(|(_, at)| *at <= asked)
+                    .map(|(number, _)| *number)
+                    .collect();
                 asks.retain(|(number, _)| !done.contains(number));
                 // The latest of them speaks for all that were asked before it.
                 if let Some(number) = done.into_iter().max()
-                    && conn.sender.send(transport::Frame::Proof { number, position: view.slice.position }).await.is_err()
+                    && conn
+                        .sender
+                        .send(transport::Frame::Proof {
+                            number,
+                            position: view.slice.position,
+                        })
+                        .await
+                        .is_err()
                 {
                     return;
                 }
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -96,7 +96,10 @@
 pub const MAJORITY_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(4_000);
 
 impl ReplicaHandle {
-    pub fn start(env: ReplicaConfig, logger: slog::Logger) -> Result<ReplicaHandle, storage::Error> {
+    pub fn start(
+        env: ReplicaConfig,
+        logger: slog::Logger,
+    ) -> Result<ReplicaHandle, storage::Error> {
         let (shelf, writes) = storage::ReplicaStore::open(&env.folder)?;
         ReplicaHandle::start_on(env, shelf, writes, logger)
     }
@@ -137,7 +140,9 @@
         )?;
         crate::discovery::merge(&core.known_replicas, vec![core.own_location()]);
         slog::info!(core.logger, "core seat starts"; "seat" => core.config.replica_id, "identity" => identity, "writes" => writes.len(), "met" => pins.len());
-        tokio::spawn(crate::event_loop::ReplicaEventLoop::new(&core, writes, pins, moved).run(buffer));
+        tokio::spawn(
+            crate::event_loop::ReplicaEventLoop::new(&core, writes, pins, moved).run(buffer),
+        );
         tokio::spawn(send_ticks(commands));
         crate::peer_link::start(&core);
         Ok(core)
@@ -164,7 +169,11 @@
             zone: self.config.zone.clone(),
             address: self.config.address.clone(),
             incarnation: self.incarnation,
-            replica: Some((self.config.replica_id, self.config.replica_count, self.disk_id)),
+            replica: Some((
+                self.config.replica_id,
+                self.config.replica_count,
+                self.disk_id,
+            )),
             has_empty_disk: self.started_blank && !self.status.load().voting,
             expected_disk: None,
             known_replicas: crate::discovery::list(&self.known_replicas),
@@ -185,18 +194,31 @@
     /// Puts an entry in the log. `None`: not known to be there in time; it may yet take effect.
     pub async fn submit(&self, entry: model::Entry) -> Option<model::Outcome> {
         let (answer, outcome) = tokio::sync::oneshot::channel();
-        self.commands.send(Command::Submit(entry, answer)).await.ok()?;
-        tokio::time::timeout(MAJORITY_TIMEOUT, outcome).await.ok()?.ok()
+        self.commands
+            .send(Command::Submit(entry, answer))
+            .await
+            .ok()?;
+        tokio::time::timeout(MAJORITY_TIMEOUT, outcome)
+            .await
+            .ok()?
+            .ok()
     }
 
     /// An operator's change under this seat's own origin; the book tells repeats by change id.
     pub async fn change(&self, change: model::Change) -> Option<model::Outcome> {
-        self.submit(self.new_entry(model::Operation::Change(change))).await
+        self.submit(self.new_entry(model::Operation::Change(change)))
+            .await
     }
 
     /// Items of an operator: whole or not at all (design 11.1).
-    pub async fn change_items(&self, call: model::cluster_state::ItemCall) -> Option<model::Outcome> {
-        self.submit(self.new_entry(model::Operation::ClusterState(model::cluster_state::ClusterOperation::Items(call)))).await
+    pub async fn change_items(
+        &self,
+        call: model::cluster_state::ItemCall,
+    ) -> Option<model::Outcome> {
+        self.submit(self.new_entry(model::Operation::ClusterState(
+            model::cluster_state::ClusterOperation::Items(call),
+        )))
+        .await
     }
 
     /// All items as they stand now, proved by a majority.
@@ -204,17 +226,31 @@
         self.read_barrier().await?;
         let (answer, items) = tokio::sync::oneshot::channel();
         self.commands.send(Command::ReadItems(answer)).await.ok()?;
-        tokio::time::timeout(MAJORITY_TIMEOUT, items).await.ok()?.ok()
+        tokio::time::timeout(MAJORITY_TIMEOUT, items)
+            .await
+            .ok()?
+            .ok()
     }
 
     /// Another disk is to hold a seat (design 4.4).
-    pub async fn replace_member(&self, change: model::ReplicaReplacement) -> Option<model::Outcome> {
-        self.submit(self.new_entry(model::Operation::ReplaceReplica(change))).await
+    pub async fn replace_member(
+        &self,
+        change: model::ReplicaReplacement,
+    ) -> Option<model::Outcome> {
+        self.submit(self.new_entry(model::Operation::ReplaceReplica(change)))
+            .await
     }
 
     pub(crate) fn new_entry(&self, act: model::Operation) -> model::Entry {
-        let sequence = self.next_sequence.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-        model::Entry { origin: self.config.name.clone(), incarnation: self.incarnation, sequence, operation: act }
+        let sequence = self
+            .next_sequence
+            .fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+        model::Entry {
+            origin: self.config.name.clone(),
+            incarnation: self.incarnation,
+            sequence,
+            operation: act,
+        }
     }
 
     pub fn identity(&self) -> (u16, u64) {
@@ -224,8 +260,14 @@
     /// Everything accepted before this call is in `book` once it answers (design 3.9).
     pub async fn read_barrier(&self) -> Option<model::Position> {
         let (answer, position) = tokio::sync::oneshot::channel();
-        self.commands.send(Command::ReadBarrier(answer)).await.ok()?;
-        tokio::time::timeout(MAJORITY_TIMEOUT, position).await.ok()?.ok()
+        self.commands
+            .send(Command::ReadBarrier(answer))
+            .await
+            .ok()?;
+        tokio::time::timeout(MAJORITY_TIMEOUT, position)
+            .await
+            .ok()?
+            .ok()
     }
 }
 
--- a/crates/control/src/status_reports.rs
+++ b/crates/control/src/status_reports.rs
@@ -6,7 +6,10 @@
     pub logger: slog::Logger,
 }
 
-type PendingReport = (model::Operation, tokio::sync::oneshot::Sender<model::Outcome>);
+type PendingReport = (
+    model::Operation,
+    tokio::sync::oneshot::Sender<model::Outcome>,
+);
 
 /// Hands a report to the log and waits until it is answered.
 #[derive(Clone)]
@@ -18,19 +21,32 @@
 const IDLE_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(5);
 
 impl StatusReporter {
-    pub fn start(env: StatusReporterConfig, known: crate::KnownReplicas, greeting: impl Fn() -> transport::Handshake + Send + 'static) -> StatusReporter {
+    pub fn start(
+        env: StatusReporterConfig,
+        known: crate::KnownReplicas,
+        greeting: impl Fn() -> transport::Handshake + Send + 'static,
+    ) -> StatusReporter {
         let (sender, asked) = tokio::sync::mpsc::channel(256);
         tokio::spawn(run(env, known, greeting, asked));
         StatusReporter(sender)
     }
 
-    pub async fn report_endpoint_status(&self, report: model::endpoint_status::EndpointReport) -> Option<model::Outcome> {
+    pub async fn report_endpoint_status(
+        &self,
+        report: model::endpoint_status::EndpointReport,
+    ) -> Option<model::Outcome> {
         self.submit(model::Operation::EndpointReport(report)).await
     }
 
     /// Of back ends, nodes and keys in the bill (design 11.2).
-    pub async fn report(&self, reports: Vec<model::cluster_state::ClusterReport>) -> Option<model::Outcome> {
-        self.submit(model::Operation::ClusterState(model::cluster_state::ClusterOperation::Reports(reports))).await
+    pub async fn report(
+        &self,
+        reports: Vec<model::cluster_state::ClusterReport>,
+    ) -> Option<model::Outcome> {
+        self.submit(model::Operation::ClusterState(
+            model::cluster_state::ClusterOperation::Reports(reports),
+        ))
+        .await
     }
 
     async fn submit(&self, act: model::Operation) -> Option<model::Outcome> {
@@ -60,10 +76,18 @@
         };
         sequence += 1;
         // The same entry, sequence and all, until it is answered: repeats are dropped by the book.
-        let entry = model::Entry { origin: env.node.clone(), incarnation: env.incarnation, sequence, operation: next.0 };
+        let entry = model::Entry {
+            origin: env.node.clone(),
+            incarnation: env.incarnation,
+            sequence,
+            operation: next.0,
+        };
         let outcome = loop {
             if let Some(line) = conn.as_mut() {
-                let answered = tokio::time::timeout(ANSWER_TIMEOUT, forward(line, &entry)).await.ok().flatten();
+                let answered = tokio::time::timeout(ANSWER_TIMEOUT, forward(line, &entry))
+                    .await
+                    .ok()
+                    .flatten();
                 if let Some(outcome) = answered {
                     break outcome;
                 }
@@ -79,7 +103,11 @@
     }
 }
 
-async fn connect_next(known: &crate::KnownReplicas, turn: &mut usize, greeting: transport::Handshake) -> Option<transport::Connection> {
+async fn connect_next(
+    known: &crate::KnownReplicas,
+    turn: &mut usize,
+    greeting: transport::Handshake,
+) -> Option<transport::Connection> {
     let seats = crate::discovery::list(known);
     let seat = seats.get(*turn % seats.len().max(1))?;
     *turn += 1;
@@ -87,11 +115,16 @@
 }
 
 async fn forward(conn: &mut transport::Connection, entry: &model::Entry) -> Option<model::Outcome> {
-    let frame = transport::Frame::ForwardEntry { number: entry.sequence, entry: Box::new(entry.clone()) };
+    let frame = transport::Frame::ForwardEntry {
+        number: entry.sequence,
+        entry: Box::new(entry.clone()),
+    };
     conn.sender.send(frame).await.ok()?;
     loop {
         match conn.receiver.recv().await? {
-            transport::Frame::EntryOutcome { number, outcome } if number == entry.sequence => return outcome,
+            transport::Frame::EntryOutcome { number, outcome } if number == entry.sequence => {
+                return outcome;
+            }
             _ => {}
         }
     }
--- a/crates/control/src/stream.rs
+++ b/crates/control/src/stream.rs
@@ -1,7 +1,10 @@
 //! What a core seat says to subscribers: slices, proofs, answers to forwarded entries (design 5.2, 6.2).
 
 /// What a subscriber that was last told `last` has to be told: nothing, a patch, or all.
-pub(crate) fn update_frame(last: &mut Option<model::StateSlice>, slice: model::StateSlice) -> Option<transport::Frame> {
+pub(crate) fn update_frame(
+    last: &mut Option<model::StateSlice>,
+    slice: model::StateSlice,
+) -> Option<transport::Frame> {
     let frame = match last.as_ref() {
         Some(held) if held.same_content(&slice) => return None,
         Some(held) => transport::Frame::StatePatch(Box::new(held.diff_to(&slice))),
@@ -26,19 +29,34 @@
         crate::discovery::merge(&judge.known_replicas, greeting.known_replicas.clone());
         match greeting.purpose {
             transport::Purpose::Consensus => crate::peer_link::pin_peer(&judge, &greeting).await?,
-            transport::Purpose::Forward | transport::Purpose::Monitor => return Err("a core seat takes neither requests nor beats".into()),
-            transport::Purpose::Discover => crate::peer_link::handle_replacement_request(&judge, &greeting).await,
-            transport::Purpose::Subscribe | transport::Purpose::Inspect | transport::Purpose::RequestAssignment => {}
+            transport::Purpose::Forward | transport::Purpose::Monitor => {
+                return Err("a core seat takes neither requests nor beats".into());
+            }
+            transport::Purpose::Discover => {
+                crate::peer_link::handle_replacement_request(&judge, &greeting).await
+            }
+            transport::Purpose::Subscribe
+            | transport::Purpose::Inspect
+            | transport::Purpose::RequestAssignment => {}
         }
         Ok(judge.handshake(greeting.purpose))
     })
     .await;
     match accepted {
         Ok(conn) if !crate::peer_link::is_expected_disk(&core, &conn.peer_handshake) => drop(conn),
-        Ok(conn) if conn.peer_handshake.purpose == transport::Purpose::Consensus => crate::peer_link::serve_peer(&core, conn).await,
+        Ok(conn) if conn.peer_handshake.purpose == transport::Purpose::Consensus => {
+            crate::peer_link::serve_peer(&core, conn).await
+        }
         Ok(conn) if conn.peer_handshake.purpose == transport::Purpose::Discover => drop(conn),
         Ok(conn) if conn.peer_handshake.purpose == transport::Purpose::RequestAssignment => {
-            drop(conn.sender.send(crate::bootstrap::membership_answer(&core, &conn.peer_handshake)).await);
+            drop(
+                conn.sender
+                    .send(crate::bootstrap::membership_answer(
+                        &core,
+                        &conn.peer_handshake,
+                    ))
+                    .await,
+            );
             // The caller ends the conn once it has heard.
             let mut heard = conn.receiver;
             drop(tokio::time::timeout(std::time::Duration::from_secs(2), heard.recv()).await);
@@ -98,7 +116,9 @@
             number = proofs.recv() => number,
             moved = changed.changed() => if moved.is_err() { return } else { None },
         };
-        let Some((wanted, held)) = &services else { continue };
+        let Some((wanted, held)) = &services else {
+            continue;
+        };
         // A seat that lags says nothing: news it sent early could later pass for unchanged.
         if core.state_machine.load().position < *held {
             continue;
@@ -112,7 +132,11 @@
             return;
         }
         if let Some(number) = number
-            && conn.sender.send(transport::Frame::Proof { number, position }).await.is_err()
+            && conn
+                .sender
+                .send(transport::Frame::Proof { number, position })
+                .await
+                .is_err()
         {
             return;
         }
--- a/crates/control/src/subscriber.rs
+++ b/crates/control/src/subscriber.rs
@@ -49,7 +49,12 @@
     let (moved, watch) = tokio::sync::watch::channel(0);
     let (proved, proofs) = tokio::sync::watch::channel(0);
     let view: crate::view::SharedView = Default::default();
-    let relay = crate::relay::Relay { view: view.clone(), verified_at: proofs, proof_wanted: Default::default(), follows_core_directly: Default::default() };
+    let relay = crate::relay::Relay {
+        view: view.clone(),
+        verified_at: proofs,
+        proof_wanted: Default::default(),
+        follows_core_directly: Default::default(),
+    };
     let line = SubscriberTask {
         config: env,
         known_replicas: known,
@@ -67,7 +72,11 @@
         logger,
     };
     tokio::spawn(line.run());
-    Subscription { view, position: watch, relay }
+    Subscription {
+        view,
+        position: watch,
+        relay,
+    }
 }
 
 impl<G: Fn() -> transport::Handshake + Send + Sync + 'static> SubscriberTask<G> {
@@ -79,31 +88,49 @@
             let seats = crate::discovery::list(&self.known_replicas);
             let place = home.clone().or_else(|| {
                 turn += 1;
-                seats.get(turn % seats.len().max(1)).map(|seat| seat.address.clone())
+                seats
+                    .get(turn % seats.len().max(1))
+                    .map(|seat| seat.address.clone())
             });
             if let Some(address) = place {
                 match transport::dial(&address, (self.handshake)()).await {
                     Ok(conn) => {
-                        crate::discovery::merge(&self.known_replicas, conn.peer_handshake.known_replicas.clone());
+                        crate::discovery::merge(
+                            &self.known_replicas,
+                            conn.peer_handshake.known_replicas.clone(),
+                        );
                         slog::info!(self.logger, "subscribed"; "upstream" => &conn.peer_handshake.node_name, "home" => home.is_some());
-                        self.follows_core_directly.store(home.is_none(), std::sync::atomic::Ordering::Relaxed);
+                        self.follows_core_directly
+                            .store(home.is_none(), std::sync::atomic::Ordering::Relaxed);
                         self.follow(conn, home.clone()).await;
                     }
-                    Err(trouble) => slog::debug!(self.logger, "dial"; "address" => &address, "trouble" => %trouble),
+                    Err(trouble) => {
+                        slog::debug!(self.logger, "dial"; "address" => &address, "trouble" => %trouble)
+                    }
                 }
             }
             if home.is_some() && home == self.zone_relay() {
                 self.avoided_relay = home.map(|home| (home, model::now() + RELAY_RETRY_AFTER));
             }
-            tokio::time::sleep(std::time::Duration::from_millis(20 + rand::random::<u64>() % 30)).await;
+            tokio::time::sleep(std::time::Duration::from_millis(
+                20 + rand::random::<u64>() % 30,
+            ))
+            .await;
         }
     }
 
     /// The home's address; none when this node is the home, or there is none to trust.
     fn zone_relay(&self) -> Option<String> {
         let view = self.view.load();
-        let (name, address) = crate::zone_relay::select_zone_relay(&view.slice, &self.config.zone, &self.services.borrow())?;
-        let passed_over = self.avoided_relay.as_ref().is_some_and(|(held, until)| *held == address && model::now() < *until);
+        let (name, address) = crate::zone_relay::select_zone_relay(
+            &view.slice,
+            &self.config.zone,
+            &self.services.borrow(),
+        )?;
+        let passed_over = self
+            .avoided_relay
+            .as_ref()
+            .is_some_and(|(held, until)| *held == address && model::now() < *until);
         (self.config.use_zone_relays && name != self.config.node && !passed_over).then_some(address)
     }
 
@@ -114,7 +141,8 @@
         let mut fine = self.subscribe(&conn.sender).await;
         let mut proved = began;
         let hurry = self.proof_wanted.clone();
-        let mut every = tokio::time::interval(std::time::Duration::from_micros(self.config.proof_interval));
+        let mut every =
+            tokio::time::interval(std::time::Duration::from_micros(self.config.proof_interval));
         every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         while fine {
             fine = tokio::select! {
@@ -144,14 +172,22 @@
 
     fn request_proof(&mut self, sender: &transport::FrameSender) -> bool {
         self.last_request += 1;
-        self.pending_requests.push_back((self.last_request, model::now()));
-        sender.try_send(transport::Frame::RequestProof { number: self.last_request }).is_ok()
+        self.pending_requests
+            .push_back((self.last_request, model::now()));
+        sender
+            .try_send(transport::Frame::RequestProof {
+                number: self.last_request,
+            })
+            .is_ok()
     }
 
     async fn subscribe(&mut self, sender: &transport::FrameSender) -> bool {
         let services = self.services.borrow_and_update().clone();
         let held = self.view.load().slice.position;
-        sender.send(transport::Frame::Subscribe { services, held }).await.is_ok()
+        sender
+            .send(transport::Frame::Subscribe { services, held })
+            .await
+            .is_ok()
     }
 
     fn store(&mut self, slice: model::StateSlice) {
@@ -178,10 +214,18 @@
                 self.store(slice);
             }
             transport::Frame::Proof { number, position } => {
-                let asked = self.pending_requests.iter().find(|(asked, _)| *asked == number).map(|(_, at)| *at);
+                let asked = self
+                    .pending_requests
+                    .iter()
+                    .find(|(asked, _)| *asked == number)
+                    .map(|(_, at)| *at);
                 self.pending_requests.retain(|(asked, _)| *asked > number);
                 // Without a base a proof would vouch for what another conn told.
-                let next = asked.filter(|_| self.has_base).and_then(|asked| self.view.load().with_proof(asked, position, self.config.freshness_bound));
+                let next = asked.filter(|_| self.has_base).and_then(|asked| {
+                    self.view
+                        .load()
+                        .with_proof(asked, position, self.config.freshness_bound)
+                });
                 if let Some(view) = next {
                     self.view.store(std::sync::Arc::new(view));
                     self.position.send_modify(|_| {});
--- a/crates/endpoints/src/lease_table.rs
+++ b/crates/endpoints/src/lease_table.rs
@@ -135,13 +135,19 @@
             }
         });
         tokio::spawn(forward_wakeups(commands.clone(), following.changes));
-        LeaseTableHandle { commands, superseded }
+        LeaseTableHandle {
+            commands,
+            superseded,
+        }
     }
 
     /// `None`: the owner is gone.
     pub async fn heartbeat(&self, beat: Heartbeat) -> Option<HeartbeatAnswer> {
         let (answer, answered) = tokio::sync::oneshot::channel();
-        self.commands.send(Command::Heartbeat(Box::new(beat), answer)).await.ok()?;
+        self.commands
+            .send(Command::Heartbeat(Box::new(beat), answer))
+            .await
+            .ok()?;
         answered.await.ok()
     }
 
@@ -152,12 +158,18 @@
 
     pub async fn deregister(&self, name: String) -> Option<()> {
         let (answer, answered) = tokio::sync::oneshot::channel();
-        self.commands.send(Command::Deregister(name, answer)).await.ok()?;
+        self.commands
+            .send(Command::Deregister(name, answer))
+            .await
+            .ok()?;
         answered.await.ok()
     }
 }
 
-async fn forward_wakeups(commands: tokio::sync::mpsc::Sender<Command>, mut moved: tokio::sync::watch::Receiver<u64>) {
+async fn forward_wakeups(
+    commands: tokio::sync::mpsc::Sender<Command>,
+    mut moved: tokio::sync::watch::Receiver<u64>,
+) {
     let mut every = tokio::time::interval(std::time::Duration::from_millis(250));
     every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
@@ -176,14 +188,20 @@
         match command {
             Command::Heartbeat(beat, answer) => self.receive_heartbeat(*beat, answer),
             Command::AnswerDue(name, sequence) => {
-                let due = self.backend.as_ref().is_some_and(|own| own.heartbeat.name == name && own.heartbeat.sequence == sequence);
+                let due = self.backend.as_ref().is_some_and(|own| {
+                    own.heartbeat.name == name && own.heartbeat.sequence == sequence
+                });
                 if due {
                     self.answer_heartbeat(true);
                 }
             }
             Command::Deregister(name, answer) => {
                 self.pending_ends.entry(name.clone()).or_insert(false);
-                if let Some(own) = self.backend.as_mut().filter(|own| own.heartbeat.name == name) {
+                if let Some(own) = self
+                    .backend
+                    .as_mut()
+                    .filter(|own| own.heartbeat.name == name)
+                {
                     own.draining_since.get_or_insert(model::now());
                     own.silent = true;
                 }
@@ -193,7 +211,10 @@
                 let programme = self.verified_state.load().snapshot.clone();
                 if let Some(own) = &self.backend {
                     let rows = programme.placements.get(&own.heartbeat.service);
-                    rows.into_iter().for_each(|rows| self.lease_granter.observe(model::now(), &rows.1, &own.heartbeat.name));
+                    rows.into_iter().for_each(|rows| {
+                        self.lease_granter
+                            .observe(model::now(), &rows.1, &own.heartbeat.name)
+                    });
                 }
                 self.answer_heartbeat(false);
             }
@@ -209,31 +230,72 @@
     /// The back end as the owner of its slots has to know it.
     fn local_backend(&self) -> Option<inbound::LocalBackend> {
         let outlook = self.verified_state.load();
-        let Some(own) = self.backend.as_ref() else { return self.restored_backend(&outlook.snapshot) };
+        let Some(own) = self.backend.as_ref() else {
+            return self.restored_backend(&outlook.snapshot);
+        };
         // Before the first proof nobody here knows what the back end may hold: none of its keys is served (design 11.6).
-        let keyed = outlook.verified_at == 0 || outlook.snapshot.services.get(&own.heartbeat.service).is_some_and(|service| service.keyed);
-        let rows = || own.heartbeat.held_ranges.iter().map(|(from, to, _)| (*from, *to)).collect();
+        let keyed = outlook.verified_at == 0
+            || outlook
+                .snapshot
+                .services
+                .get(&own.heartbeat.service)
+                .is_some_and(|service| service.keyed);
+        let rows = || {
+            own.heartbeat
+                .held_ranges
+                .iter()
+                .map(|(from, to, _)| (*from, *to))
+                .collect()
+        };
         let margin = self.config.heartbeat_interval / 8;
         Some(inbound::LocalBackend {
             name: own.heartbeat.name.clone(),
             address: own.heartbeat.address.clone(),
             slots: own.heartbeat.slots,
-            drains_at: own.draining_since.map(|drained| drained + self.config.drain_timeout * 3 / 4),
-            held_keys: keyed.then(|| inbound::HeldKeys { ranges: rows(), until: own.lease_expires.saturating_sub(margin), pending: Vec::new() }),
+            drains_at: own
+                .draining_since
+                .map(|drained| drained + self.config.drain_timeout * 3 / 4),
+            held_keys: keyed.then(|| inbound::HeldKeys {
+                ranges: rows(),
+                until: own.lease_expires.saturating_sub(margin),
+                pending: Vec::new(),
+            }),
         })
     }
 
     /// Until a beat could not but have come, if it were there.
-    fn restored_backend(&self, programme: &model::cluster_state::StateSnapshot) -> Option<inbound::LocalBackend> {
-        let until = self.started_at + self.config.heartbeat_interval * crate::reports::MAX_MISSED_HEARTBEATS;
-        let address = self.config.backend_address.as_deref().filter(|_| model::now() < until)?;
+    fn restored_backend(
+        &self,
+        programme: &model::cluster_state::StateSnapshot,
+    ) -> Option<inbound::LocalBackend> {
+        let until = self.started_at
+            + self.config.heartbeat_interval * crate::reports::MAX_MISSED_HEARTBEATS;
+        let address = self
+            .config
+            .backend_address
+            .as_deref()
+            .filter(|_| model::now() < until)?;
         crate::restored_backend::restored_backend(programme, &self.config.node, address, until)
-            .filter(|local| !self.ended_names.contains(&local.name) && !self.pending_ends.contains_key(&local.name))
+            .filter(|local| {
+                !self.ended_names.contains(&local.name)
+                    && !self.pending_ends.contains_key(&local.name)
+            })
     }
 
     pub(crate) fn backend_record(&self, own: &LocalBackend) -> BackendRecord {
         let beat = &own.heartbeat;
-        let phase = if own.draining_since.is_some() { model::BackendPhase::Draining } else { model::BackendPhase::Registered };
-        BackendRecord { service: beat.service.clone(), zone: beat.zone.clone(), node: self.config.node.clone(), slots: beat.slots, phase, changed_at: 0 }
+        let phase = if own.draining_since.is_some() {
+            model::BackendPhase::Draining
+        } else {
+            model::BackendPhase::Registered
+        };
+        BackendRecord {
+            service: beat.service.clone(),
+            zone: beat.zone.clone(),
+            node: self.config.node.clone(),
+            slots: beat.slots,
+            phase,
+            changed_at: 0,
+        }
     }
 }
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -11,7 +11,9 @@
 mod reports;
 mod restored_backend;
 
-pub use algorithm::{BackendCapacity, RangeDemand, ShardPlacement, imbalance, initial_placement, rebalance};
+pub use algorithm::{
+    BackendCapacity, RangeDemand, ShardPlacement, imbalance, initial_placement, rebalance,
+};
 pub use lease_table::{Heartbeat, HeartbeatAnswer, LeaseTableConfig, LeaseTableHandle};
 pub use leases::{LeaseConfig, LeaseGrant, LeaseGranter};
 pub use node::{Node, NodeConfig};
--- a/crates/endpoints/src/monitor.rs
+++ b/crates/endpoints/src/monitor.rs
@@ -17,9 +17,16 @@
 ) -> outbound::HeartbeatSender {
     let (heard, mut hears) = tokio::sync::mpsc::channel::<(String, u64)>(1_024);
     tokio::spawn(async move {
-        let (mut watch, mut stand) = (control::ring::FailureDetector::default(), control::ring::RingPosition::default());
-        let mut lines: std::collections::BTreeMap<String, tokio::sync::mpsc::Sender<transport::Frame>> = Default::default();
-        let mut every = tokio::time::interval(std::time::Duration::from_micros(env.heartbeat_interval));
+        let (mut watch, mut stand) = (
+            control::ring::FailureDetector::default(),
+            control::ring::RingPosition::default(),
+        );
+        let mut lines: std::collections::BTreeMap<
+            String,
+            tokio::sync::mpsc::Sender<transport::Frame>,
+        > = Default::default();
+        let mut every =
+            tokio::time::interval(std::time::Duration::from_micros(env.heartbeat_interval));
         every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
@@ -56,8 +63,14 @@
     heard
 }
 
-async fn send_heartbeats(address: String, own: transport::Handshake, mut beats: tokio::sync::mpsc::Receiver<transport::Frame>) {
-    let Ok(conn) = transport::dial(&address, own).await else { return };
+async fn send_heartbeats(
+    address: String,
+    own: transport::Handshake,
+    mut beats: tokio::sync::mpsc::Receiver<transport::Frame>,
+) {
+    let Ok(conn) = transport::dial(&address, own).await else {
+        return;
+    };
     drop(conn.sender.send(transport::Frame::Heartbeat).await);
     while let Some(beat) = beats.recv().await {
         if conn.sender.send(beat).await.is_err() {
--- a/crates/endpoints/src/node.rs
+++ b/crates/endpoints/src/node.rs
@@ -36,24 +36,65 @@
             let greet = greet.clone();
             move || (greet)(purpose)
         };
-        let line =
-            control::FollowerConfig { node: own.node.clone(), zone: own.zone.clone(), proof_interval: env.proof_interval, proof_timeout: env.proof_interval };
-        let following = control::follower::start(line, known.clone(), greeting(transport::Purpose::Subscribe), logger.clone());
-        let reporting = control::StatusReporterConfig { node: own.node.clone(), incarnation: own.incarnation, logger: logger.clone() };
-        let reports = control::StatusReporter::start(reporting, known.clone(), greeting(transport::Purpose::Subscribe));
-        let pit =
-            inbound::ConcurrencyLimiter::start(inbound::ConcurrencyLimiterConfig { header_names: env.header_names.clone(), extra_runs: env.queued_ahead });
-        let troupe = crate::LeaseTableHandle::start(own.clone(), following.clone(), pit.clone(), reports.clone(), logger.clone());
+        let line = control::FollowerConfig {
+            node: own.node.clone(),
+            zone: own.zone.clone(),
+            proof_interval: env.proof_interval,
+            proof_timeout: env.proof_interval,
+        };
+        let following = control::follower::start(
+            line,
+            known.clone(),
+            greeting(transport::Purpose::Subscribe),
+            logger.clone(),
+        );
+        let reporting = control::StatusReporterConfig {
+            node: own.node.clone(),
+            incarnation: own.incarnation,
+            logger: logger.clone(),
+        };
+        let reports = control::StatusReporter::start(
+            reporting,
+            known.clone(),
+            greeting(transport::Purpose::Subscribe),
+        );
+        let pit = inbound::ConcurrencyLimiter::start(inbound::ConcurrencyLimiterConfig {
+            header_names: env.header_names.clone(),
+            extra_runs: env.queued_ahead,
+        });
+        let troupe = crate::LeaseTableHandle::start(
+            own.clone(),
+            following.clone(),
+            pit.clone(),
+            reports.clone(),
+            logger.clone(),
+        );
         let watching = crate::monitor::MonitorConfig {
             node: own.node.clone(),
             incarnation: own.incarnation,
             heartbeat_interval: env.monitor_interval,
             detection_timeout: env.monitor_timeout,
         };
-        let heard = crate::monitor::start(watching, following.verified_state.clone(), reports.clone(), greet.clone());
+        let heard = crate::monitor::start(
+            watching,
+            following.verified_state.clone(),
+            reports.clone(),
+            greet.clone(),
+        );
         let (tell_loads, loads) = tokio::sync::mpsc::channel(1_024);
-        tokio::spawn(outbound::serve_peers(mates, greet.clone(), known.clone(), pit.clone(), (heard, tell_loads)));
-        tokio::spawn(control::discovery::run(known.clone(), env.seeds.clone(), greeting(transport::Purpose::Discover), || 3));
+        tokio::spawn(outbound::serve_peers(
+            mates,
+            greet.clone(),
+            known.clone(),
+            pit.clone(),
+            (heard, tell_loads),
+        ));
+        tokio::spawn(control::discovery::run(
+            known.clone(),
+            env.seeds.clone(),
+            greeting(transport::Purpose::Discover),
+            || 3,
+        ));
         // The duty of placing keys goes with the back end beside this node.
         let mates = outbound::PeerConnections::start(greet);
         let duty = crate::placement::PlacementCoordinator {
@@ -75,11 +116,19 @@
             verified_state: following.verified_state.clone(),
             limiter: pit.clone(),
             peers: mates,
-            selector: outbound::SelectorHandle::start(env.selection, following.verified_state.clone()),
+            selector: outbound::SelectorHandle::start(
+                env.selection,
+                following.verified_state.clone(),
+            ),
             in_flight: calls.clone(),
             logger,
         };
-        let front = outbound::Listener { config: outbound::ListenerConfig { header_names: env.header_names }, proxy: apron };
+        let front = outbound::Listener {
+            config: outbound::ListenerConfig {
+                header_names: env.header_names,
+            },
+            proxy: apron,
+        };
         Node {
             lease_table: troupe,
             listener: front,
@@ -93,20 +142,27 @@
     }
 
     pub fn serve(&self, listener: tokio::net::TcpListener) {
-        tokio::spawn(self.listener.clone().serve(listener, self.shutdown.subscribe()));
+        tokio::spawn(
+            self.listener
+                .clone()
+                .serve(listener, self.shutdown.subscribe()),
+        );
     }
 
     /// Knows what is to be served, and is not on its way out.
     pub fn is_ready(&self) -> bool {
         let outlook = self.follower.verified_state.load();
         let serves = outlook.verified_at > 0 && outlook.snapshot.has_routes();
-        serves && !self.lease_table.is_superseded() && !self.draining.load(std::sync::atomic::Ordering::Relaxed)
+        serves
+            && !self.lease_table.is_superseded()
+            && !self.draining.load(std::sync::atomic::Ordering::Relaxed)
     }
 
     /// Not ready from now on, but serves as before for the notice: until whoever sends requests here has asked and heard it.
     /// Then takes nothing new, and returns once all that was taken has its answer, or patience is over (design 13.7).
     pub async fn shut_down(&self, notice: std::time::Duration, patience: std::time::Duration) {
-        self.draining.store(true, std::sync::atomic::Ordering::Relaxed);
+        self.draining
+            .store(true, std::sync::atomic::Ordering::Relaxed);
         tokio::time::sleep(notice).await;
         self.shutdown.send_replace(true);
         self.in_flight.drain();
@@ -123,7 +179,10 @@
     }
 }
 
-fn handshake_factory(env: &NodeConfig, known: control::KnownReplicas) -> std::sync::Arc<dyn Fn(transport::Purpose) -> transport::Handshake + Send + Sync> {
+fn handshake_factory(
+    env: &NodeConfig,
+    known: control::KnownReplicas,
+) -> std::sync::Arc<dyn Fn(transport::Purpose) -> transport::Handshake + Send + Sync> {
     let own = env.lease_table.clone();
     std::sync::Arc::new(move |purpose| transport::Handshake {
         purpose,
@@ -135,7 +194,10 @@
         has_empty_disk: false,
         expected_disk: None,
         // Who only asks for a run, or beats, tells nothing of the core.
-        known_replicas: if matches!(purpose, transport::Purpose::Forward | transport::Purpose::Monitor) {
+        known_replicas: if matches!(
+            purpose,
+            transport::Purpose::Forward | transport::Purpose::Monitor
+        ) {
             Vec::new()
         } else {
             control::discovery::list(&known)
--- a/crates/endpoints/src/placement.rs
+++ b/crates/endpoints/src/placement.rs
@@ -71,24 +71,41 @@
             }
             let outlook = self.follower.verified_state.load_full();
             let programme = &outlook.snapshot;
-            let keyed = programme.services.get(&self.service).is_some_and(|service| service.keyed);
+            let keyed = programme
+                .services
+                .get(&self.service)
+                .is_some_and(|service| service.keyed);
             if outlook.verified_at == 0 || !keyed {
                 continue;
             }
-            let (_, waiting, ill) = if now >= told_at + BUSY_LOAD_REPORT_INTERVAL { self.limiter.load().await } else { Default::default() };
+            let (_, waiting, ill) = if now >= told_at + BUSY_LOAD_REPORT_INTERVAL {
+                self.limiter.load().await
+            } else {
+                Default::default()
+            };
             let waits = waiting > 0 || ill;
             if waits || now >= told_at + LOAD_REPORT_INTERVAL {
                 told_at = now;
                 self.report_load(programme, &mut told).await;
             }
             told.retain(|_, (at, _)| now < *at + LOAD_REPORT_LIFETIME);
-            let cast: Vec<BackendName> = programme.available_backends(&self.service).iter().map(|one| one.name.clone()).collect();
+            let cast: Vec<BackendName> = programme
+                .available_backends(&self.service)
+                .iter()
+                .map(|one| one.name.clone())
+                .collect();
             if since.0 != cast {
                 since = (cast, now);
             }
             let rank = coordinator_rank(programme, &self.service, &self.node);
             let ill = ills.ejected(now, &told, since.0.len());
-            let Some((base, rows, why)) = plan_placement(programme, &self.service, &told, &ill, (rank == 0).then(|| now.saturating_sub(placed))) else {
+            let Some((base, rows, why)) = plan_placement(
+                programme,
+                &self.service,
+                &told,
+                &ill,
+                (rank == 0).then(|| now.saturating_sub(placed)),
+            ) else {
                 continue;
             };
             let quiet = match why {
@@ -101,8 +118,14 @@
                 continue;
             }
             slog::info!(self.logger, "places keys"; "service" => &self.service, "base" => base, "rows" => rows.len(), "why" => ?why);
-            let outcome =
-                self.reports.report(vec![ClusterReport::ShardsReassigned { service: self.service.clone(), base_placement: base, ranges: rows }]).await;
+            let outcome = self
+                .reports
+                .report(vec![ClusterReport::ShardsReassigned {
+                    service: self.service.clone(),
+                    base_placement: base,
+                    ranges: rows,
+                }])
+                .await;
             placed = model::now();
             if let Some(model::Outcome::Accepted { position, .. }) = outcome {
                 self.wait_until_visible(position).await;
@@ -114,7 +137,9 @@
     async fn wait_until_visible(&mut self, position: model::Position) {
         let outlook = self.follower.verified_state.clone();
         let moved = &mut self.follower.changes;
-        let here = async { while outlook.load().snapshot.position < position && moved.changed().await.is_ok() {} };
+        let here = async {
+            while outlook.load().snapshot.position < position && moved.changed().await.is_ok() {}
+        };
         drop(tokio::time::timeout(std::time::Duration::from_secs(1), here).await);
     }
 
@@ -122,9 +147,21 @@
     async fn report_load(&self, programme: &StateSnapshot, told: &mut LoadReports) {
         let cast = programme.available_backends(&self.service);
         let weight = |name: &str| model::leases::stable_hash(&format!("{}\n{name}", self.service));
-        let Some(first) = cast.iter().max_by_key(|one| weight(&one.node)) else { return };
-        let Some(own) = programme.backends.iter().find(|(_, player)| player.node == self.node && player.service == self.service) else { return };
-        let Some((slots, (run, runs), asked, seen, ill)) = self.limiter.demand(MAX_REPORTED_RANGES).await else { return };
+        let Some(first) = cast.iter().max_by_key(|one| weight(&one.node)) else {
+            return;
+        };
+        let Some(own) = programme
+            .backends
+            .iter()
+            .find(|(_, player)| player.node == self.node && player.service == self.service)
+        else {
+            return;
+        };
+        let Some((slots, (run, runs), asked, seen, ill)) =
+            self.limiter.demand(MAX_REPORTED_RANGES).await
+        else {
+            return;
+        };
         let load = transport::LoadReport {
             service: self.service.clone(),
             backend: own.0.clone(),
@@ -138,7 +175,8 @@
         if first.node == self.node {
             told.insert(own.0.clone(), (model::now(), load));
         } else {
-            self.peers.notify(&first.address, transport::Frame::LoadReport(Box::new(load)));
+            self.peers
+                .notify(&first.address, transport::Frame::LoadReport(Box::new(load)));
         }
     }
 }
@@ -147,7 +185,11 @@
 fn coordinator_rank(programme: &StateSnapshot, service: &str, node: &str) -> u64 {
     let weight = |name: &str| model::leases::stable_hash(&format!("{service}\n{name}"));
     let own = weight(node);
-    programme.available_backends(service).iter().filter(|one| one.node != node && weight(&one.node) > own).count() as u64
+    programme
+        .available_backends(service)
+        .iter()
+        .filter(|one| one.node != node && weight(&one.node) > own)
+        .count() as u64
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -162,55 +204,124 @@
 type PlannedPlacement = (model::Position, crate::ShardPlacement, RebalanceReason);
 
 /// `since`: how long ago this node placed keys last, if the duty is its own.
-fn plan_placement(programme: &StateSnapshot, service: &str, told: &LoadReports, ill: &[BackendName], since: Option<Microseconds>) -> Option<PlannedPlacement> {
+fn plan_placement(
+    programme: &StateSnapshot,
+    service: &str,
+    told: &LoadReports,
+    ill: &[BackendName],
+    since: Option<Microseconds>,
+) -> Option<PlannedPlacement> {
     let cast = programme.available_backends(service);
     if cast.is_empty() {
         return None;
     }
     let empty = (0, model::cluster_state::shard_map::unassigned());
-    let (base, rows) = programme.placements.get(service).map(|held| &**held).unwrap_or(&empty);
+    let (base, rows) = programme
+        .placements
+        .get(service)
+        .map(|held| &**held)
+        .unwrap_or(&empty);
     let names: std::collections::HashSet<&str> = cast.iter().map(|one| one.name.as_str()).collect();
-    let holders: std::collections::HashSet<Option<&str>> = rows.iter().map(|row| row.holder.as_deref()).collect();
-    let orphaned = holders.iter().any(|holder| holder.is_none_or(|holder| !names.contains(holder)));
+    let holders: std::collections::HashSet<Option<&str>> =
+        rows.iter().map(|row| row.holder.as_deref()).collect();
+    let orphaned = holders
+        .iter()
+        .any(|holder| holder.is_none_or(|holder| !names.contains(holder)));
     let unused = names.iter().any(|name| !holders.contains(&Some(name)));
     if !orphaned && !unused && since.is_none_or(|since| since < URGENT_REBALANCE_INTERVAL) {
         return None;
     }
-    let mut asks: Vec<crate::RangeDemand> = told.values().flat_map(|(_, load)| load.demand.iter().map(|(from, to, rate)| (*from, *to, *rate as f64))).collect();
+    let mut asks: Vec<crate::RangeDemand> = told
+        .values()
+        .flat_map(|(_, load)| {
+            load.demand
+                .iter()
+                .map(|(from, to, rate)| (*from, *to, *rate as f64))
+        })
+        .collect();
     asks.sort_by_key(|(from, ..)| *from);
     let parts = backend_capacities(&cast, told, ill);
-    let seen: f64 = told.values().map(|(_, load)| load.demand_samples as f64).sum();
+    let seen: f64 = told
+        .values()
+        .map(|(_, load)| load.demand_samples as f64)
+        .sum();
     // What few requests show may be chance.
     let chance = 0.8 / (seen / parts.len() as f64).sqrt();
     let uneven = |since: Microseconds| {
         let (excess, loads, moving) = crate::imbalance(rows, &asks, &parts);
-        let most = loads.iter().zip(&parts).map(|(load, (_, can))| load / can).fold(0.0, f64::max);
+        let most = loads
+            .iter()
+            .zip(&parts)
+            .map(|(load, (_, can))| load / can)
+            .fold(0.0, f64::max);
         // Where slots stand free anyway a move is not worth its gap.
         let beyond = excess - chance;
         moving * parts.len() as f64 <= MAX_IN_TRANSIT_SHARE
-            && since >= if beyond > 1.0 { URGENT_REBALANCE_INTERVAL } else { REBALANCE_INTERVAL }
-            && beyond > if most > BUSY_UTILIZATION { MAX_BUSY_IMBALANCE } else { MAX_IDLE_IMBALANCE }
+            && since
+                >= if beyond > 1.0 {
+                    URGENT_REBALANCE_INTERVAL
+                } else {
+                    REBALANCE_INTERVAL
+                }
+            && beyond
+                > if most > BUSY_UTILIZATION {
+                    MAX_BUSY_IMBALANCE
+                } else {
+                    MAX_IDLE_IMBALANCE
+                }
     };
     let (why, slack) = match () {
         () if orphaned => (RebalanceReason::Orphaned, 1.0),
         () if unused => (RebalanceReason::WithoutKeys, REBALANCE_TOLERANCE / 2.0),
-        () if seen > MIN_OBSERVED_REQUESTS && since.is_some_and(uneven) => (RebalanceReason::Imbalanced, REBALANCE_TOLERANCE + chance),
+        () if seen > MIN_OBSERVED_REQUESTS && since.is_some_and(uneven) => {
+            (RebalanceReason::Imbalanced, REBALANCE_TOLERANCE + chance)
+        }
         () => return None,
     };
-    let wanted = if *base == 0 { crate::initial_placement(&parts, INITIAL_STRIPES) } else { crate::rebalance(rows, &asks, &parts, slack) };
+    let wanted = if *base == 0 {
+        crate::initial_placement(&parts, INITIAL_STRIPES)
+    } else {
+        crate::rebalance(rows, &asks, &parts, slack)
+    };
     Some((*base, wanted, why))
 }
 
 /// Requests a second that each back end can do: its slots over the mean time of its runs. The fewer of them were
 /// seen, the more it counts as the others do. Who is ill is given little (design 13.8).
-fn backend_capacities(cast: &[model::cluster_state::AvailableBackend], told: &LoadReports, ill: &[BackendName]) -> Vec<crate::BackendCapacity> {
-    let seen = |name: &str| told.get(name).map(|(_, load)| (load.mean_run_time as f64, load.run_count as f64)).unwrap_or((0.0, 0.0));
-    let (sum, count) = cast.iter().map(|one| seen(&one.name)).fold((0.0, 0.0), |(sum, count), (run, runs)| (sum + run * runs, count + runs));
+fn backend_capacities(
+    cast: &[model::cluster_state::AvailableBackend],
+    told: &LoadReports,
+    ill: &[BackendName],
+) -> Vec<crate::BackendCapacity> {
+    let seen = |name: &str| {
+        told.get(name)
+            .map(|(_, load)| (load.mean_run_time as f64, load.run_count as f64))
+            .unwrap_or((0.0, 0.0))
+    };
+    let (sum, count) = cast
+        .iter()
+        .map(|one| seen(&one.name))
+        .fold((0.0, 0.0), |(sum, count), (run, runs)| {
+            (sum + run * runs, count + runs)
+        });
     let mean = if count > 0.0 { sum / count } else { 1e6 };
     let run = |name: &str| {
         let (run, runs) = seen(name);
         (run * runs + mean * MEAN_RUN_TIME_WEIGHT) / (runs + MEAN_RUN_TIME_WEIGHT)
     };
-    let share = |one: &model::cluster_state::AvailableBackend| if ill.contains(&one.name) { EJECTED_CAPACITY_SHARE } else { 1.0 };
-    cast.iter().map(|one| (one.name.clone(), share(one) * one.slots.max(1) as f64 * 1e6 / run(&one.name))).collect()
+    let share = |one: &model::cluster_state::AvailableBackend| {
+        if ill.contains(&one.name) {
+            EJECTED_CAPACITY_SHARE
+        } else {
+            1.0
+        }
+    };
+    cast.iter()
+        .map(|one| {
+            (
+                one.name.clone(),
+                share(one) * one.slots.max(1) as f64 * 1e6 / run(&one.name),
+            )
+        })
+        .collect()
 }
--- a/crates/endpoints/src/placement/outliers.rs
+++ b/crates/endpoints/src/placement/outliers.rs
@@ -17,7 +17,12 @@
 const COMMON_CAUSE_DURATION: Microseconds = 5_000_000;
 
 impl OutlierDetector {
-    pub fn ejected(&mut self, now: Microseconds, told: &super::LoadReports, all: usize) -> Vec<BackendName> {
+    pub fn ejected(
+        &mut self,
+        now: Microseconds,
+        told: &super::LoadReports,
+        all: usize,
+    ) -> Vec<BackendName> {
         let ill = |name: &BackendName| told.get(name).is_some_and(|(_, load)| load.unhealthy);
         self.since.retain(|name, _| ill(name));
         told.keys().filter(|name| ill(name)).for_each(|name| {
@@ -26,7 +31,9 @@
         if self.since.len() * MAX_EJECTED_DIVISOR > all {
             self.common_cause_until = now + COMMON_CAUSE_DURATION;
         }
-        let long = self.since.iter().filter(|(_, since)| now >= self.common_cause_until && now >= **since + CONFIRMATION_DELAY);
+        let long = self.since.iter().filter(|(_, since)| {
+            now >= self.common_cause_until && now >= **since + CONFIRMATION_DELAY
+        });
         long.map(|(name, _)| name.clone()).collect()
     }
 }
--- a/crates/endpoints/src/registration.rs
+++ b/crates/endpoints/src/registration.rs
@@ -22,17 +22,28 @@
 
 impl Registration {
     pub fn new(incarnation: Incarnation) -> Registration {
-        Registration { incarnation, was_registered: false }
+        Registration {
+            incarnation,
+            was_registered: false,
+        }
     }
 
     /// What the log has under the node's name, as of what is known here: that only moves forward, so another
     /// incarnation after the own one came after it.
     pub fn observe(&mut self, registered: Option<&NodeRecord>) -> RegistrationStatus {
-        let Some(held) = registered else { return RegistrationStatus::Unregistered { replaces: 0 } };
+        let Some(held) = registered else {
+            return RegistrationStatus::Unregistered { replaces: 0 };
+        };
         if held.incarnation == self.incarnation {
             self.was_registered = true;
             return RegistrationStatus::Registered;
         }
-        if self.was_registered { RegistrationStatus::Superseded } else { RegistrationStatus::Unregistered { replaces: held.incarnation } }
+        if self.was_registered {
+            RegistrationStatus::Superseded
+        } else {
+            RegistrationStatus::Unregistered {
+                replaces: held.incarnation,
+            }
+        }
     }
 }
