--- a/crates/endpoints/src/reports.rs
+++ b/crates/endpoints/src/reports.rs
@@ -16,8 +16,14 @@
     fn missing_reports(&self, standing: RegistrationStatus) -> Vec<ClusterReport> {
         let programme = self.verified_state.load().snapshot.clone();
         let env = &self.config;
-        let replaces = if let RegistrationStatus::Unregistered { replaces } = standing { replaces } else { env.incarnation };
-        let place = programme.nodes.get(&env.node).is_some_and(|held| held.incarnation == env.incarnation && held.present && held.address == env.address);
+        let replaces = if let RegistrationStatus::Unregistered { replaces } = standing {
+            replaces
+        } else {
+            env.incarnation
+        };
+        let place = programme.nodes.get(&env.node).is_some_and(|held| {
+            held.incarnation == env.incarnation && held.present && held.address == env.address
+        });
         let node = ClusterReport::NodeRegistered {
             node: env.node.clone(),
             zone: env.zone.clone(),
@@ -25,43 +31,89 @@
             incarnation: env.incarnation,
             replaces,
         };
-        let own = self.backend.iter().filter(|own| !self.pending_ends.contains_key(&own.heartbeat.name)).flat_map(|own| {
-            let (name, player) = (own.heartbeat.name.clone(), self.backend_record(own));
-            let held = programme.backends.get(&name);
-            let phase = held.map(|held| held.phase);
-            let joined = match held {
-                None => !own.silent && !own.rejected,
-                Some(held) => held.slots != player.slots || held.node != player.node,
-            };
-            let joined = joined.then(|| ClusterReport::BackendJoined {
-                name: name.clone(),
-                backend: model::cluster_state::BackendRecord { phase: phase.unwrap_or(model::BackendPhase::Registered), ..player },
+        let own = self
+            .backend
+            .iter()
+            .filter(|own| !self.pending_ends.contains_key(&own.heartbeat.name))
+            .flat_map(|own| {
+                let (name, player) = (own.heartbeat.name.clone(), self.backend_record(own));
+                let held = programme.backends.get(&name);
+                let phase = held.map(|held| held.phase);
+                let joined = match held {
+                    None => !own.silent && !own.rejected,
+                    Some(held) => held.slots != player.slots || held.node != player.node,
+                };
+                let joined = joined.then(|| ClusterReport::BackendJoined {
+                    name: name.clone(),
+                    backend: model::cluster_state::BackendRecord {
+                        phase: phase.unwrap_or(model::BackendPhase::Registered),
+                        ..player
+                    },
+                });
+                let silent = (phase == Some(model::BackendPhase::Registered) && own.silent)
+                    || (phase == Some(model::BackendPhase::PresumedGone) && !own.silent);
+                let silent = silent.then(|| ClusterReport::BackendSilent {
+                    name: name.clone(),
+                    silent: own.silent,
+                });
+                let drains = own.draining_since.is_some()
+                    && phase.map_or(!own.rejected, |phase| {
+                        phase == model::BackendPhase::Registered
+                    });
+                let drains = drains.then_some(ClusterReport::BackendDraining { name });
+                [joined, silent, drains].into_iter().flatten()
             });
-            let silent = (phase == Some(model::BackendPhase::Registered) && own.silent) || (phase == Some(model::BackendPhase::PresumedGone) && !own.silent);
-            let silent = silent.then(|| ClusterReport::BackendSilent { name: name.clone(), silent: own.silent });
-            let drains = own.draining_since.is_some() && phase.map_or(!own.rejected, |phase| phase == model::BackendPhase::Registered);
-            let drains = drains.then_some(ClusterReport::BackendDraining { name });
-            [joined, silent, drains].into_iter().flatten()
-        });
         // One that signed off is told once; that its process is gone, too, once that is sure.
-        let ends = self.pending_ends.iter().filter(|(name, surely)| **surely || programme.backends.contains_key(*name));
-        let ends = ends.map(|(name, surely)| ClusterReport::BackendEnded { name: name.clone(), process_gone: *surely });
+        let ends = self
+            .pending_ends
+            .iter()
+            .filter(|(name, surely)| **surely || programme.backends.contains_key(*name));
+        let ends = ends.map(|(name, surely)| ClusterReport::BackendEnded {
+            name: name.clone(),
+            process_gone: *surely,
+        });
         let others = self.other_backend_reports(&programme);
-        (!place).then_some(node).into_iter().chain(self.pending_reports.clone()).chain(own).chain(ends).chain(others).collect()
+        (!place)
+            .then_some(node)
+            .into_iter()
+            .chain(self.pending_reports.clone())
+            .chain(own)
+            .chain(ends)
+            .chain(others)
+            .collect()
     }
 
     /// One back end to a machine: whoever else the log has beside this node is an earlier life, gone with its process,
     /// though this process never heard it. While no other is heard it is only silent.
-    fn other_backend_reports(&self, programme: &model::cluster_state::StateSnapshot) -> Vec<ClusterReport> {
+    fn other_backend_reports(
+        &self,
+        programme: &model::cluster_state::StateSnapshot,
+    ) -> Vec<ClusterReport> {
         // Where the log knows both, the one that beats on is the one that lives.
-        let sure = |own: &&crate::lease_table::LocalBackend| own.heard_repeatedly || !programme.backends.contains_key(&own.heartbeat.name);
-        let (own, sure) = (self.backend.as_ref().map(|own| own.heartbeat.name.as_str()), self.backend.as_ref().is_some_and(|own| sure(&own)));
-        let patient = model::now() > self.started_at + self.config.heartbeat_interval * MAX_MISSED_HEARTBEATS;
-        let here = programme.backends.iter().filter(|(name, player)| player.node == self.config.node && !self.pending_ends.contains_key(*name));
+        let sure = |own: &&crate::lease_table::LocalBackend| {
+            own.heard_repeatedly || !programme.backends.contains_key(&own.heartbeat.name)
+        };
+        let (own, sure) = (
+            self.backend.as_ref().map(|own| own.heartbeat.name.as_str()),
+            self.backend.as_ref().is_some_and(|own| sure(&own)),
+        );
+        let patient =
+            model::now() > self.started_at + self.config.heartbeat_interval * MAX_MISSED_HEARTBEATS;
+        let here = programme.backends.iter().filter(|(name, player)| {
+            player.node == self.config.node && !self.pending_ends.contains_key(*name)
+        });
         here.filter(|(name, _)| own != Some(name))
             .filter_map(|(name, player)| match own {
-                Some(_) => sure.then(|| ClusterReport::BackendEnded { name: name.clone(), process_gone: true }),
-                None => (patient && player.phase == model::BackendPhase::Registered).then(|| ClusterReport::BackendSilent { name: name.clone(), silent: true }),
+                Some(_) => sure.then(|| ClusterReport::BackendEnded {
+                    name: name.clone(),
+                    process_gone: true,
+                }),
+                None => (patient && player.phase == model::BackendPhase::Registered).then(|| {
+                    ClusterReport::BackendSilent {
+                        name: name.clone(),
+                        silent: true,
+                    }
+                }),
             })
             .collect()
     }
@@ -72,7 +124,13 @@
         if self.report_in_flight || self.verified_state.load().verified_at == 0 {
             return;
         }
-        let standing = self.registration.observe(self.verified_state.load().snapshot.nodes.get(&self.config.node));
+        let standing = self.registration.observe(
+            self.verified_state
+                .load()
+                .snapshot
+                .nodes
+                .get(&self.config.node),
+        );
         if standing == RegistrationStatus::Superseded {
             return self.stop_superseded();
         }
@@ -81,8 +139,13 @@
             return;
         }
         self.report_in_flight = true;
-        self.ended_names
-            .extend(wanted.iter().filter_map(|wanted| if let ClusterReport::BackendEnded { name, .. } = wanted { Some(name.clone()) } else { None }));
+        self.ended_names.extend(wanted.iter().filter_map(|wanted| {
+            if let ClusterReport::BackendEnded { name, .. } = wanted {
+                Some(name.clone())
+            } else {
+                None
+            }
+        }));
         let (reports, commands) = (self.reports.clone(), self.commands.clone());
         let outlook = self.verified_state.clone();
         tokio::spawn(async move {
@@ -110,7 +173,11 @@
         }
     }
 
-    pub(crate) fn handle_report_outcome(&mut self, told: Vec<ClusterReport>, outcome: Option<Outcome>) {
+    pub(crate) fn handle_report_outcome(
+        &mut self,
+        told: Vec<ClusterReport>,
+        outcome: Option<Outcome>,
+    ) {
         self.report_in_flight = false;
         match outcome {
             None => return,
@@ -127,7 +194,10 @@
             .for_each(|own| own.rejected = true);
         self.pending_reports.retain(|fact| !told.contains(fact));
         self.pending_ends.retain(|name, surely| {
-            let gone = told.contains(&ClusterReport::BackendEnded { name: name.clone(), process_gone: *surely });
+            let gone = told.contains(&ClusterReport::BackendEnded {
+                name: name.clone(),
+                process_gone: *surely,
+            });
             // One whose process may live is kept in mind until it is sure.
             !(gone && *surely)
         });
@@ -136,15 +206,22 @@
     /// A back end that stopped beating: is its process gone? A conn refused on this machine says so.
     pub(crate) fn check_silence(&mut self) {
         let now = model::now();
-        let Some(own) = self.backend.as_mut() else { return self.check_earlier_backend(now) };
-        if now < own.last_heard + self.config.heartbeat_interval * MAX_MISSED_HEARTBEATS / 2 && !own.silent || own.probing {
+        let Some(own) = self.backend.as_mut() else {
+            return self.check_earlier_backend(now);
+        };
+        if now < own.last_heard + self.config.heartbeat_interval * MAX_MISSED_HEARTBEATS / 2
+            && !own.silent
+            || own.probing
+        {
             return;
         }
         if now > own.last_heard + self.config.heartbeat_interval * MAX_MISSED_HEARTBEATS {
             own.silent = true;
         }
         // Nobody renews what it holds: once that has run out it holds nothing.
-        let over = own.silent && now > own.lease_expires.max(own.earlier_lease_expires) + self.config.heartbeat_interval;
+        let over = own.silent
+            && now
+                > own.lease_expires.max(own.earlier_lease_expires) + self.config.heartbeat_interval;
         let name = own.heartbeat.name.clone();
         if over && self.pending_ends.contains_key(&name) {
             return self.handle_probe_outcome(&name, true);
@@ -152,7 +229,9 @@
         if over {
             self.release_pending_ranges();
         }
-        let Some(own) = self.backend.as_mut() else { return };
+        let Some(own) = self.backend.as_mut() else {
+            return;
+        };
         own.probing = true;
         let (address, name) = (own.heartbeat.address.clone(), own.heartbeat.name.clone());
         self.probe(address, name);
@@ -160,10 +239,23 @@
 
     /// The log names a back end beside this node that this life of the node has not heard: it may be gone.
     fn check_earlier_backend(&mut self, now: model::Microseconds) {
-        let (programme, node) = (self.verified_state.load().snapshot.clone(), &self.config.node);
-        let earlier = programme.backends.iter().find(|(name, player)| player.node == *node && !self.pending_ends.contains_key(*name));
-        let silent = now > self.started_at.max(self.earlier_probed_at) + self.config.heartbeat_interval * 2;
-        if let Some((address, (name, _))) = self.config.backend_address.clone().zip(earlier).filter(|_| silent) {
+        let (programme, node) = (
+            self.verified_state.load().snapshot.clone(),
+            &self.config.node,
+        );
+        let earlier = programme
+            .backends
+            .iter()
+            .find(|(name, player)| player.node == *node && !self.pending_ends.contains_key(*name));
+        let silent =
+            now > self.started_at.max(self.earlier_probed_at) + self.config.heartbeat_interval * 2;
+        if let Some((address, (name, _))) = self
+            .config
+            .backend_address
+            .clone()
+            .zip(earlier)
+            .filter(|_| silent)
+        {
             self.earlier_probed_at = now;
             self.probe(address, name.clone());
         }
@@ -174,8 +266,13 @@
         tokio::spawn(async move {
             let mut refused = 0;
             for _ in 0..2 {
-                let conn = tokio::time::timeout(std::time::Duration::from_millis(300), tokio::net::TcpStream::connect(&address)).await;
-                refused += matches!(conn, Ok(Err(error)) if error.kind() == std::io::ErrorKind::ConnectionRefused) as u8;
+                let conn = tokio::time::timeout(
+                    std::time::Duration::from_millis(300),
+                    tokio::net::TcpStream::connect(&address),
+                )
+                .await;
+                refused += matches!(conn, Ok(Err(error)) if error.kind() == std::io::ErrorKind::ConnectionRefused)
+                    as u8;
                 tokio::time::sleep(std::time::Duration::from_millis(100)).await;
             }
             drop(commands.send(Command::Probed(name, refused == 2)).await);
@@ -187,18 +284,35 @@
         let programme = self.verified_state.load().snapshot.clone();
         let Some(own) = &self.backend else { return };
         let (service, name) = (own.heartbeat.service.clone(), own.heartbeat.name.clone());
-        let rows = programme.placements.get(&service).map(|held| held.1.clone()).unwrap_or_default();
-        let owed = rows.iter().filter(|row| row.pending_releases.iter().any(|(owing, _)| *owing == name));
-        let rows: Vec<_> = owed.map(|row| (row.first_key, row.last_key, String::new())).collect();
-        let fact = ClusterReport::ShardsReleased { service, name, known_through: programme.position, ranges: rows };
-        let owes = matches!(&fact, ClusterReport::ShardsReleased { ranges, .. } if !ranges.is_empty());
+        let rows = programme
+            .placements
+            .get(&service)
+            .map(|held| held.1.clone())
+            .unwrap_or_default();
+        let owed = rows
+            .iter()
+            .filter(|row| row.pending_releases.iter().any(|(owing, _)| *owing == name));
+        let rows: Vec<_> = owed
+            .map(|row| (row.first_key, row.last_key, String::new()))
+            .collect();
+        let fact = ClusterReport::ShardsReleased {
+            service,
+            name,
+            known_through: programme.position,
+            ranges: rows,
+        };
+        let owes =
+            matches!(&fact, ClusterReport::ShardsReleased { ranges, .. } if !ranges.is_empty());
         if owes && !self.pending_reports.contains(&fact) {
             self.pending_reports.push(fact);
         }
     }
 
     pub(crate) fn handle_probe_outcome(&mut self, name: &str, refuses: bool) {
-        self.backend.iter_mut().filter(|own| own.heartbeat.name == name).for_each(|own| own.probing = false);
+        self.backend
+            .iter_mut()
+            .filter(|own| own.heartbeat.name == name)
+            .for_each(|own| own.probing = false);
         if refuses {
             slog::info!(self.logger, "the back end's process is gone"; "name" => name);
             self.pending_ends.insert(name.to_string(), true);
@@ -210,7 +324,9 @@
 /// Up to where the log had come when it gave this answer.
 fn log_position(outcome: &Outcome) -> Option<model::Position> {
     match outcome {
-        Outcome::Accepted { position, .. } | Outcome::Unchanged { position } | Outcome::Superseded { position } => Some(*position),
+        Outcome::Accepted { position, .. }
+        | Outcome::Unchanged { position }
+        | Outcome::Superseded { position } => Some(*position),
         _ => None,
     }
 }
--- a/crates/gradeford-core/src/main.rs
+++ b/crates/gradeford-core/src/main.rs
@@ -19,9 +19,15 @@
 ";
 
 fn main() {
-    let Some((flags, env)) = model::env::start_up::<settings::Settings>("gradeford-core", HELP, settings::SETTING_NAMES) else { return };
+    let Some((flags, env)) =
+        model::env::start_up::<settings::Settings>("gradeford-core", HELP, settings::SETTING_NAMES)
+    else {
+        return;
+    };
     let runtime = tokio::runtime::Runtime::new();
-    let ended = runtime.map_err(|error| error.to_string()).and_then(|runtime| runtime.block_on(run(flags, env)));
+    let ended = runtime
+        .map_err(|error| error.to_string())
+        .and_then(|runtime| runtime.block_on(run(flags, env)));
     if let Err(trouble) = ended {
         eprintln!("gradeford-core: {trouble}");
         std::process::exit(1);
@@ -32,16 +38,29 @@
     let dial = model::logging::LogLevelSwitch::new(env.parsed_log_level());
     let (logger, _guard) = model::logging::start_logger("gradeford-core", &env.name, dial.clone());
     // Before anything else: a signal that comes early must not end the process.
-    let mut stop = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate()).map_err(|error| error.to_string())?;
-    let mut reload = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::hangup()).map_err(|error| error.to_string())?;
+    let mut stop = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
+        .map_err(|error| error.to_string())?;
+    let mut reload = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::hangup())
+        .map_err(|error| error.to_string())?;
     let told = |what: &str, error: &dyn std::fmt::Display| format!("{what}: {error}");
-    let mates = tokio::net::TcpListener::bind(&env.mates_address).await.map_err(|error| told("mates_address", &error))?;
-    let address = mates.local_addr().map_err(|error| told("mates_address", &error))?.to_string();
-    let core = control::ReplicaHandle::start(env.replica_config(address.clone()), logger.clone()).map_err(|error| told("folder", &error))?;
+    let mates = tokio::net::TcpListener::bind(&env.mates_address)
+        .await
+        .map_err(|error| told("mates_address", &error))?;
+    let address = mates
+        .local_addr()
+        .map_err(|error| told("mates_address", &error))?
+        .to_string();
+    let core = control::ReplicaHandle::start(env.replica_config(address.clone()), logger.clone())
+        .map_err(|error| told("folder", &error))?;
     let staying = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true));
-    let office = operator_api::OperatorApi { replica: core.clone(), accepting_work: staying.clone() };
+    let office = operator_api::OperatorApi {
+        replica: core.clone(),
+        accepting_work: staying.clone(),
+    };
     let serving =
-        http_util::HttpServer::start(&env.operators_address, operator_api::router(office)).await.map_err(|error| told("operators_address", &error))?;
+        http_util::HttpServer::start(&env.operators_address, operator_api::router(office))
+            .await
+            .map_err(|error| told("operators_address", &error))?;
     slog::info!(logger, "listening"; "mates" => address, "operators" => serving.address.to_string());
     tokio::spawn(control::stream::listen(core, mates));
     loop {
--- a/crates/gradeford-core/src/settings.rs
+++ b/crates/gradeford-core/src/settings.rs
@@ -36,14 +36,21 @@
     /// Where mates find this process, if not where it listens.
     #[serde(default)]
     pub advertised_address: Option<String>,
-    #[validate(length(min = 1, max = 9, message = "holds 1 to 9 addresses"), custom(function = "model::env::are_addresses"))]
+    #[validate(
+        length(min = 1, max = 9, message = "holds 1 to 9 addresses"),
+        custom(function = "model::env::are_addresses")
+    )]
     pub seeds: Vec<String>,
     pub folder: std::path::PathBuf,
     #[serde(default = "alpha")]
     #[validate(range(min = 1, max = 100_000, message = "is from 1 to 100000"))]
     pub alpha: u64,
     #[serde(default = "tau")]
-    #[validate(range(min = 1_000, max = 1_000_000, message = "is from 1000 to 1000000 microseconds"))]
+    #[validate(range(
+        min = 1_000,
+        max = 1_000_000,
+        message = "is from 1000 to 1000000 microseconds"
+    ))]
     pub tau_us: u64,
     #[serde(default = "beta")]
     #[validate(range(min = 100, max = 125_000, message = "is from 100 to 125000"))]
@@ -82,7 +89,10 @@
 
 fn replaces(after: u64) -> Result<(), validator::ValidationError> {
     let fine = after == 0 || (500_000..=3_600_000_000).contains(&after);
-    fine.then_some(()).ok_or_else(|| validator::ValidationError::new("after").with_message("is 0, or from 500000 to 3600000000 microseconds".into()))
+    fine.then_some(()).ok_or_else(|| {
+        validator::ValidationError::new("after")
+            .with_message("is 0, or from 500000 to 3600000000 microseconds".into())
+    })
 }
 
 fn log_level() -> String {
@@ -91,7 +101,9 @@
 
 fn odd(seats: u16) -> Result<(), validator::ValidationError> {
     let fine = [1, 3, 5, 7, 9].contains(&seats);
-    fine.then_some(()).ok_or_else(|| validator::ValidationError::new("seats").with_message("is 1, 3, 5, 7 or 9".into()))
+    fine.then_some(()).ok_or_else(|| {
+        validator::ValidationError::new("seats").with_message("is 1, 3, 5, 7 or 9".into())
+    })
 }
 
 impl Settings {
@@ -108,7 +120,12 @@
             address: self.advertised_address.clone().unwrap_or(address),
             seeds: self.seeds.clone(),
             folder: self.folder.clone(),
-            timing: mencius::Config { alpha: self.alpha, tau: self.tau_us, beta: self.beta, ..Default::default() },
+            timing: mencius::Config {
+                alpha: self.alpha,
+                tau: self.tau_us,
+                beta: self.beta,
+                ..Default::default()
+            },
             snapshot_every_entries: self.snapshot_every,
             replace_after: self.replace_after_us,
             membership: None,
--- a/crates/gradeford-node/src/health.rs
+++ b/crates/gradeford-node/src/health.rs
@@ -35,15 +35,32 @@
     async fn handle(&self, response: &mut salvo::Response) {
         let view = self.0.view.load();
         let reasons: Vec<&str> = [
-            (!self.0.accepting_work.load(std::sync::atomic::Ordering::Relaxed)).then_some("stopping"),
-            self.0.known_replicas.borrow().is_empty().then_some("knows no core seat yet"),
+            (!self
+                .0
+                .accepting_work
+                .load(std::sync::atomic::Ordering::Relaxed))
+            .then_some("stopping"),
+            self.0
+                .known_replicas
+                .borrow()
+                .is_empty()
+                .then_some("knows no core seat yet"),
             (!view.is_fresh(model::now())).then_some("no proof that its state is current"),
-            (!view.slice.nodes.get(&self.0.name).is_some_and(|node| node.present)).then_some("the log does not know this node as present"),
+            (!view
+                .slice
+                .nodes
+                .get(&self.0.name)
+                .is_some_and(|node| node.present))
+            .then_some("the log does not know this node as present"),
         ]
         .into_iter()
         .flatten()
         .collect();
-        http_util::write_json(response, if reasons.is_empty() { 200 } else { 503 }, &serde_json::json!({ "ready": reasons.is_empty(), "reasons": reasons }));
+        http_util::write_json(
+            response,
+            if reasons.is_empty() { 200 } else { 503 },
+            &serde_json::json!({ "ready": reasons.is_empty(), "reasons": reasons }),
+        );
     }
 }
 
--- a/crates/gradeford-node/src/main.rs
+++ b/crates/gradeford-node/src/main.rs
@@ -22,9 +22,15 @@
 ";
 
 fn main() {
-    let Some((flags, env)) = model::env::start_up::<settings::Settings>("gradeford-node", HELP, settings::SETTING_NAMES) else { return };
+    let Some((flags, env)) =
+        model::env::start_up::<settings::Settings>("gradeford-node", HELP, settings::SETTING_NAMES)
+    else {
+        return;
+    };
     let runtime = tokio::runtime::Runtime::new();
-    let ended = runtime.map_err(|error| error.to_string()).and_then(|runtime| runtime.block_on(run(flags, env)));
+    let ended = runtime
+        .map_err(|error| error.to_string())
+        .and_then(|runtime| runtime.block_on(run(flags, env)));
     if let Err(trouble) = ended {
         eprintln!("gradeford-node: {trouble}");
         std::process::exit(1);
@@ -35,8 +41,10 @@
     let dial = model::logging::LogLevelSwitch::new(env.parsed_log_level());
     let (logger, _guard) = model::logging::start_logger("gradeford-node", &env.name, dial.clone());
     // Before anything else: a signal that comes early must not end the process.
-    let mut stop = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate()).map_err(|error| error.to_string())?;
-    let mut reload = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::hangup()).map_err(|error| error.to_string())?;
+    let mut stop = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
+        .map_err(|error| error.to_string())?;
+    let mut reload = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::hangup())
+        .map_err(|error| error.to_string())?;
     let node = node::Node::start(&env, &logger).await?;
     loop {
         tokio::select! {
--- a/crates/gradeford-node/src/node.rs
+++ b/crates/gradeford-node/src/node.rs
@@ -14,11 +14,19 @@
 }
 
 impl Node {
-    pub async fn start(env: &crate::settings::Settings, logger: &slog::Logger) -> Result<Node, String> {
+    pub async fn start(
+        env: &crate::settings::Settings,
+        logger: &slog::Logger,
+    ) -> Result<Node, String> {
         let told = |what: &str, error: &dyn std::fmt::Display| format!("{what}: {error}");
         let life = model::incarnation::draw();
-        let listener = tokio::net::TcpListener::bind(&env.mates_address).await.map_err(|error| told("mates_address", &error))?;
-        let listening = listener.local_addr().map_err(|error| told("mates_address", &error))?.to_string();
+        let listener = tokio::net::TcpListener::bind(&env.mates_address)
+            .await
+            .map_err(|error| told("mates_address", &error))?;
+        let listening = listener
+            .local_addr()
+            .map_err(|error| told("mates_address", &error))?
+            .to_string();
         let address = env.advertised_address.clone().unwrap_or(listening);
         let known = control::discovery::empty();
         let (services, wanted) = tokio::sync::watch::channel(Default::default());
@@ -47,12 +55,34 @@
             proof_timeout: env.freshness_us / 2,
             use_zone_relays: env.homes,
         };
-        let subscription = control::subscriber::start(line, known.clone(), wanted, greet(transport::Purpose::Subscribe), logger.clone());
-        let reporting = control::StatusReporterConfig { node: env.name.clone(), incarnation: life, logger: logger.clone() };
-        let reports = control::StatusReporter::start(reporting, known.clone(), greet(transport::Purpose::Subscribe));
-        let watching =
-            control::monitor::MonitorConfig { node: env.name.clone(), heartbeat_interval: env.watch_every_us, failure_timeout: env.watch_patience_us };
-        let heard = control::monitor::start(watching, subscription.view.clone(), reports.clone(), greet(transport::Purpose::Monitor));
+        let subscription = control::subscriber::start(
+            line,
+            known.clone(),
+            wanted,
+            greet(transport::Purpose::Subscribe),
+            logger.clone(),
+        );
+        let reporting = control::StatusReporterConfig {
+            node: env.name.clone(),
+            incarnation: life,
+            logger: logger.clone(),
+        };
+        let reports = control::StatusReporter::start(
+            reporting,
+            known.clone(),
+            greet(transport::Purpose::Subscribe),
+        );
+        let watching = control::monitor::MonitorConfig {
+            node: env.name.clone(),
+            heartbeat_interval: env.watch_every_us,
+            failure_timeout: env.watch_patience_us,
+        };
+        let heard = control::monitor::start(
+            watching,
+            subscription.view.clone(),
+            reports.clone(),
+            greet(transport::Purpose::Monitor),
+        );
         let house_env = legacy_proxy::SlotOwnerConfig {
             node: env.name.clone(),
             zone: env.zone.clone(),
@@ -62,18 +92,43 @@
         };
         let (view, moved) = (subscription.view, subscription.position.clone());
         let claims: std::sync::Arc<std::sync::atomic::AtomicU64> = Default::default();
-        let house = legacy_proxy::SlotOwnerHandle::start(house_env, view.clone(), subscription.position, reports.clone(), services, logger.clone());
+        let house = legacy_proxy::SlotOwnerHandle::start(
+            house_env,
+            view.clone(),
+            subscription.position,
+            reports.clone(),
+            services,
+            logger.clone(),
+        );
         let door = backend_api::BackendClient::new().map_err(|error| told("http", &error))?;
-        let far = legacy_proxy::InboundProxy { slot_owner: house.clone(), connector: std::sync::Arc::new(door), logger: logger.clone() };
-        tokio::spawn(legacy_proxy::server::serve_peers(listener, greet(transport::Purpose::Forward), known.clone(), far.clone(), subscription.relay, heard));
+        let far = legacy_proxy::InboundProxy {
+            slot_owner: house.clone(),
+            connector: std::sync::Arc::new(door),
+            logger: logger.clone(),
+        };
+        tokio::spawn(legacy_proxy::server::serve_peers(
+            listener,
+            greet(transport::Purpose::Forward),
+            known.clone(),
+            far.clone(),
+            subscription.relay,
+            heard,
+        ));
         // A node does not know how many seats there are; the first that greets it says so.
-        tokio::spawn(control::discovery::run(known.clone(), env.seeds.clone(), greet(transport::Purpose::Discover), || 3));
+        tokio::spawn(control::discovery::run(
+            known.clone(),
+            env.seeds.clone(),
+            greet(transport::Purpose::Discover),
+            || 3,
+        ));
         let near = legacy_proxy::OutboundProxy {
             node: env.name.clone(),
             zone: env.zone.clone(),
             view: view.clone(),
             inbound: far,
-            peers: legacy_proxy::peer_connections::PeerConnections::start(greet(transport::Purpose::Forward)),
+            peers: legacy_proxy::peer_connections::PeerConnections::start(greet(
+                transport::Purpose::Forward,
+            )),
             selector: legacy_proxy::selector::SelectorHandle::start(),
             retry_budget: legacy_proxy::retry_budget::RetryBudgetHandle::start(env.extra_allowance),
             accepted_attempts: legacy_proxy::accepted_attempts::AcceptedAttemptsHandle::start(),
@@ -102,12 +157,27 @@
             unheld_claims: claims,
             logger: logger.clone(),
         };
-        let router =
-            salvo::Router::new().push(crate::health::router(health)).push(client_api::router(near.clone(), house.clone())).push(backend_api::router(rooms));
-        let serving = http_util::HttpServer::start(&env.local_address, router).await.map_err(|error| told("local_address", &error))?;
+        let router = salvo::Router::new()
+            .push(crate::health::router(health))
+            .push(client_api::router(near.clone(), house.clone()))
+            .push(backend_api::router(rooms));
+        let serving = http_util::HttpServer::start(&env.local_address, router)
+            .await
+            .map_err(|error| told("local_address", &error))?;
         slog::info!(logger, "listening"; "mates" => &address, "local" => serving.address.to_string(), "life" => life);
-        let own = NodeIdentity { name: env.name.clone(), zone: env.zone.clone(), address, incarnation: life };
-        tokio::spawn(announce_presence(own, view, reports.clone(), staying.clone(), logger.clone()));
+        let own = NodeIdentity {
+            name: env.name.clone(),
+            zone: env.zone.clone(),
+            address,
+            incarnation: life,
+        };
+        tokio::spawn(announce_presence(
+            own,
+            view,
+            reports.clone(),
+            staying.clone(),
+            logger.clone(),
+        ));
         Ok(Node {
             proxy: near,
             slot_owner: house,
@@ -121,7 +191,8 @@
 
     /// Takes nothing new, lets what was passed on end, says goodbye.
     pub async fn stop(self, env: &crate::settings::Settings) {
-        self.accepting_work.store(false, std::sync::atomic::Ordering::Relaxed);
+        self.accepting_work
+            .store(false, std::sync::atomic::Ordering::Relaxed);
         self.proxy.drain();
         self.slot_owner.drain().await;
         let patience = std::time::Duration::from_micros(env.stop_patience_us);
@@ -132,13 +203,19 @@
             self.slot_owner.drained().await;
         };
         let clean = tokio::time::timeout(patience, ended).await.is_ok();
-        let farewell = self.status_reports.report_endpoint_status(model::endpoint_status::EndpointReport::NodeLeft {
-            node: self.name.clone(),
-            incarnation: self.incarnation,
-            clean,
-        });
-        tokio::time::timeout(std::time::Duration::from_secs(2), farewell).await.unwrap_or_default();
-        self.http_server.stop(std::time::Duration::from_secs(1)).await;
+        let farewell = self.status_reports.report_endpoint_status(
+            model::endpoint_status::EndpointReport::NodeLeft {
+                node: self.name.clone(),
+                incarnation: self.incarnation,
+                clean,
+            },
+        );
+        tokio::time::timeout(std::time::Duration::from_secs(2), farewell)
+            .await
+            .unwrap_or_default();
+        self.http_server
+            .stop(std::time::Duration::from_secs(1))
+            .await;
     }
 }
 
@@ -170,8 +247,19 @@
         }
         stood |= registered == own.incarnation;
         if registered != own.incarnation || held.is_some_and(|node| !node.present) {
-            let NodeIdentity { name: node, zone, address, incarnation } = own.clone();
-            let report = model::endpoint_status::EndpointReport::NodeRegistered { node, zone, address, incarnation, replaces: registered };
+            let NodeIdentity {
+                name: node,
+                zone,
+                address,
+                incarnation,
+            } = own.clone();
+            let report = model::endpoint_status::EndpointReport::NodeRegistered {
+                node,
+                zone,
+                address,
+                incarnation,
+                replaces: registered,
+            };
             reports.report_endpoint_status(report).await;
         }
         tokio::time::sleep(std::time::Duration::from_millis(300)).await;
--- a/crates/gradeford-node/src/settings.rs
+++ b/crates/gradeford-node/src/settings.rs
@@ -34,36 +34,71 @@
     /// Back ends and senders on this machine.
     #[validate(custom(function = "model::env::is_address"))]
     pub local_address: String,
-    #[validate(length(min = 1, max = 9, message = "holds 1 to 9 addresses"), custom(function = "model::env::are_addresses"))]
+    #[validate(
+        length(min = 1, max = 9, message = "holds 1 to 9 addresses"),
+        custom(function = "model::env::are_addresses")
+    )]
     pub seeds: Vec<String>,
     #[serde(default = "beat_every")]
-    #[validate(range(min = 50_000, max = 1_000_000, message = "is from 50000 to 1000000 microseconds"))]
+    #[validate(range(
+        min = 50_000,
+        max = 1_000_000,
+        message = "is from 50000 to 1000000 microseconds"
+    ))]
     pub beat_every_us: u64,
     #[serde(default = "beat_patience")]
-    #[validate(range(min = 200_000, max = 2_000_000, message = "is from 200000 to 2000000 microseconds"))]
+    #[validate(range(
+        min = 200_000,
+        max = 2_000_000,
+        message = "is from 200000 to 2000000 microseconds"
+    ))]
     pub beat_patience_us: u64,
     /// How long a proof lasts. With two seconds promised to operators, no more than 1.5 s.
     #[serde(default = "freshness")]
-    #[validate(range(min = 300_000, max = 1_500_000, message = "is from 300000 to 1500000 microseconds"))]
+    #[validate(range(
+        min = 300_000,
+        max = 1_500_000,
+        message = "is from 300000 to 1500000 microseconds"
+    ))]
     pub freshness_us: u64,
     #[serde(default = "ask_every")]
-    #[validate(range(min = 50_000, max = 500_000, message = "is from 50000 to 500000 microseconds"))]
+    #[validate(range(
+        min = 50_000,
+        max = 500_000,
+        message = "is from 50000 to 500000 microseconds"
+    ))]
     pub ask_every_us: u64,
     #[serde(default = "guard")]
-    #[validate(range(min = 50_000, max = 5_000_000, message = "is from 50000 to 5000000 microseconds"))]
+    #[validate(range(
+        min = 50_000,
+        max = 5_000_000,
+        message = "is from 50000 to 5000000 microseconds"
+    ))]
     pub guard_us: u64,
     #[serde(default = "allowance")]
     #[validate(range(max = 10, message = "is from 0 to 10"))]
     pub extra_allowance: usize,
     #[serde(default = "stop_patience")]
-    #[validate(range(min = 100_000, max = 120_000_000, message = "is from 100000 to 120000000 microseconds"))]
+    #[validate(range(
+        min = 100_000,
+        max = 120_000_000,
+        message = "is from 100000 to 120000000 microseconds"
+    ))]
     pub stop_patience_us: u64,
     #[serde(default = "watch_every")]
-    #[validate(range(min = 50_000, max = 1_000_000, message = "is from 50000 to 1000000 microseconds"))]
+    #[validate(range(
+        min = 50_000,
+        max = 1_000_000,
+        message = "is from 50000 to 1000000 microseconds"
+    ))]
     pub watch_every_us: u64,
     /// A node silent for so long is reported by its watchers.
     #[serde(default = "watch_patience")]
-    #[validate(range(min = 200_000, max = 5_000_000, message = "is from 200000 to 5000000 microseconds"))]
+    #[validate(range(
+        min = 200_000,
+        max = 5_000_000,
+        message = "is from 200000 to 5000000 microseconds"
+    ))]
     pub watch_patience_us: u64,
     /// Hear the core through the zone's home for one's services.
     #[serde(default = "yes")]
--- a/crates/http-util/src/lib.rs
+++ b/crates/http-util/src/lib.rs
@@ -18,7 +18,11 @@
         let server = salvo::Server::new(salvo::conn::tcp::TcpAcceptor::try_from(listener)?);
         let handle = server.handle();
         let task = tokio::spawn(server.serve(router));
-        Ok(HttpServer { address, handle, task })
+        Ok(HttpServer {
+            address,
+            handle,
+            task,
+        })
     }
 
     /// Takes no more conns and waits until those at work are answered, at most `patience`.
@@ -28,39 +32,72 @@
     }
 }
 
-pub fn write_json<T: serde::Serialize + Sync>(response: &mut salvo::Response, status: u16, value: &T) {
-    response.status_code(salvo::http::StatusCode::from_u16(status).unwrap_or(salvo::http::StatusCode::INTERNAL_SERVER_ERROR));
+pub fn write_json<T: serde::Serialize + Sync>(
+    response: &mut salvo::Response,
+    status: u16,
+    value: &T,
+) {
+    response.status_code(
+        salvo::http::StatusCode::from_u16(status)
+            .unwrap_or(salvo::http::StatusCode::INTERNAL_SERVER_ERROR),
+    );
     response.render(salvo::writing::Json(value));
 }
 
 pub fn header_text(request: &salvo::Request, name: &str) -> Option<String> {
-    request.headers().get(name).and_then(|value| value.to_str().ok()).map(str::to_string)
+    request
+        .headers()
+        .get(name)
+        .and_then(|value| value.to_str().ok())
+        .map(str::to_string)
 }
 
 /// The secret of `Authorization: Bearer …`.
 pub fn bearer_token(request: &salvo::Request) -> Option<String> {
-    header_text(request, "authorization").and_then(|text| text.strip_prefix("Bearer ").map(str::to_string))
+    header_text(request, "authorization")
+        .and_then(|text| text.strip_prefix("Bearer ").map(str::to_string))
 }
 
 /// `None` when it is over the limit or broke off.
 pub async fn read_body(request: &mut salvo::Request) -> Option<Vec<u8>> {
-    request.payload_with_max_size(BODY_LIMIT).await.ok().map(|bytes| bytes.to_vec())
+    request
+        .payload_with_max_size(BODY_LIMIT)
+        .await
+        .ok()
+        .map(|bytes| bytes.to_vec())
 }
 
 /// Reads JSON into a checked type; the fault names the path serde was at.
-pub async fn read_json<T: serde::de::DeserializeOwned>(request: &mut salvo::Request) -> Result<T, model::check::Fault> {
-    let fault = |fault: String| model::check::Fault { path: "body".into(), message: fault };
-    let bytes = read_body(request).await.ok_or_else(|| fault(format!("is over {BODY_LIMIT} bytes or broke off")))?;
+pub async fn read_json<T: serde::de::DeserializeOwned>(
+    request: &mut salvo::Request,
+) -> Result<T, model::check::Fault> {
+    let fault = |fault: String| model::check::Fault {
+        path: "body".into(),
+        message: fault,
+    };
+    let bytes = read_body(request)
+        .await
+        .ok_or_else(|| fault(format!("is over {BODY_LIMIT} bytes or broke off")))?;
     serde_json::from_slice(&bytes).map_err(|error| fault(error.to_string()))
 }
 
 /// A trouble as every HTTP peer sees it (docs/verdicts.md).
 pub fn write_error(response: &mut salvo::Response, try_id: Option<&str>, trouble: &model::Error) {
     let headers = response.headers_mut();
-    let verdict = if trouble.execution_status == model::ExecutionStatus::NotRun { "not-run" } else { "may-have-run" };
-    headers.insert("x-gradeford-verdict", salvo::http::HeaderValue::from_static(verdict));
+    let verdict = if trouble.execution_status == model::ExecutionStatus::NotRun {
+        "not-run"
+    } else {
+        "may-have-run"
+    };
+    headers.insert(
+        "x-gradeford-verdict",
+        salvo::http::HeaderValue::from_static(verdict),
+    );
     if let Some(wait) = trouble.retry_after {
-        headers.insert("retry-after", salvo::http::HeaderValue::from(wait.div_ceil(1_000_000)));
+        headers.insert(
+            "retry-after",
+            salvo::http::HeaderValue::from(wait.div_ceil(1_000_000)),
+        );
     }
     let body = serde_json::json!({
         "verdict": verdict,
--- a/crates/inbound/src/backend_client.rs
+++ b/crates/inbound/src/backend_client.rs
@@ -21,41 +21,69 @@
 
 impl BackendClient {
     pub fn new(words: http_util::headers::HeaderNames) -> BackendClient {
-        BackendClient { header_names: words, connections: Default::default() }
+        BackendClient {
+            header_names: words,
+            connections: Default::default(),
+        }
     }
 
     pub fn clear_connections(&self) {
         self.connections.clear();
     }
 
-    fn build_request(&self, cue: &transport::ForwardedRequest, left: Microseconds) -> Option<HttpRequest> {
-        let builder = hyper::Request::builder().method(cue.method.as_str()).uri(cue.target.as_str());
-        let builder = cue.headers.iter().fold(builder, |builder, (name, value)| builder.header(name.as_str(), value.as_slice()));
+    fn build_request(
+        &self,
+        cue: &transport::ForwardedRequest,
+        left: Microseconds,
+    ) -> Option<HttpRequest> {
+        let builder = hyper::Request::builder()
+            .method(cue.method.as_str())
+            .uri(cue.target.as_str());
+        let builder = cue.headers.iter().fold(builder, |builder, (name, value)| {
+            builder.header(name.as_str(), value.as_slice())
+        });
         builder
             .header(self.header_names.time_left_ms, left / 1_000)
             .header(self.header_names.target_backend, &cue.backend)
             .header(self.header_names.caller, &cue.caller)
-            .body(http_body_util::Full::new(bytes::Bytes::copy_from_slice(&cue.body)))
+            .body(http_body_util::Full::new(bytes::Bytes::copy_from_slice(
+                &cue.body,
+            )))
             .ok()
     }
 
     async fn connect(&self, address: &str) -> Result<crate::connection_pool::HttpSender, Error> {
         let unreachable = |why: String| Error::new(Cause::Unreachable, why);
-        let stream = tokio::time::timeout(CONNECT_TIMEOUT, tokio::net::TcpStream::connect(address)).await;
-        let stream = stream.map_err(|_| unreachable("no conn in time".into()))?.map_err(|error| unreachable(error.to_string()))?;
-        stream.set_nodelay(true).map_err(|error| unreachable(error.to_string()))?;
+        let stream =
+            tokio::time::timeout(CONNECT_TIMEOUT, tokio::net::TcpStream::connect(address)).await;
+        let stream = stream
+            .map_err(|_| unreachable("no conn in time".into()))?
+            .map_err(|error| unreachable(error.to_string()))?;
+        stream
+            .set_nodelay(true)
+            .map_err(|error| unreachable(error.to_string()))?;
         let (sender, conn) =
-            hyper::client::conn::http1::handshake(hyper_util::rt::TokioIo::new(stream)).await.map_err(|error| unreachable(error.to_string()))?;
+            hyper::client::conn::http1::handshake(hyper_util::rt::TokioIo::new(stream))
+                .await
+                .map_err(|error| unreachable(error.to_string()))?;
         tokio::spawn(conn);
         Ok(sender)
     }
 
     /// One request, one answer. A conn that closed before a byte was written is no run: the next one is tried.
-    pub async fn forward(&self, address: &str, cue: &transport::ForwardedRequest, left: Microseconds) -> Result<transport::ForwardedResponse, Error> {
+    pub async fn forward(
+        &self,
+        address: &str,
+        cue: &transport::ForwardedRequest,
+        left: Microseconds,
+    ) -> Result<transport::ForwardedResponse, Error> {
         let began = model::now();
         loop {
             // One that rested may be forgotten without a word: what must not run twice is never sent on it (design 13.9).
-            let kept = cue.idempotent.then(|| self.connections.take(model::now())).flatten();
+            let kept = cue
+                .idempotent
+                .then(|| self.connections.take(model::now()))
+                .flatten();
             let fresh = kept.is_none();
             let (rested, mut sender) = match kept {
                 Some(kept) => kept,
@@ -65,12 +93,21 @@
                 continue;
             }
             let left = left.saturating_sub(model::now() - began);
-            let request = self.build_request(cue, left).ok_or_else(|| Error::new(Cause::BadRequest, "cannot be said to a back end"))?;
+            let request = self
+                .build_request(cue, left)
+                .ok_or_else(|| Error::new(Cause::BadRequest, "cannot be said to a back end"))?;
             match sender.send_request(request).await {
                 Ok(answer) => return self.read_response(cue, answer, sender).await,
                 Err(error) if error.is_canceled() && !fresh => continue,
-                Err(error) if error.is_canceled() => return Err(Error::new(Cause::Unreachable, "the conn closed before the request")),
-                Err(error) if fresh || rested < MIN_STALE_REST => return Err(Error::new(Cause::BackendLost, error.to_string())),
+                Err(error) if error.is_canceled() => {
+                    return Err(Error::new(
+                        Cause::Unreachable,
+                        "the conn closed before the request",
+                    ));
+                }
+                Err(error) if fresh || rested < MIN_STALE_REST => {
+                    return Err(Error::new(Cause::BackendLost, error.to_string()));
+                }
                 // Whether it came again is for the budget, so for the near side.
                 Err(error) => {
                     self.connections.record_stale(model::now(), rested);
@@ -88,31 +125,75 @@
     ) -> Result<transport::ForwardedResponse, Error> {
         let (head, body) = answer.into_parts();
         let said = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
-        let asked = cue.headers.iter().find(|(name, _)| name == self.header_names.attempt_id).map(|(_, value)| value.as_slice());
-        let body = body.collect().await.map_err(|error| Error::new(Cause::BackendLost, error.to_string()))?.to_bytes();
+        let asked = cue
+            .headers
+            .iter()
+            .find(|(name, _)| name == self.header_names.attempt_id)
+            .map(|(_, value)| value.as_slice());
+        let body = body
+            .collect()
+            .await
+            .map_err(|error| Error::new(Cause::BackendLost, error.to_string()))?
+            .to_bytes();
         // An answer that was due to another request, or to none.
-        if head.headers.get(self.header_names.attempt_id).map(|value| value.as_bytes()) != asked {
-            return Err(Error::new(Cause::BadSeal, "the answer belongs to another request"));
+        if head
+            .headers
+            .get(self.header_names.attempt_id)
+            .map(|value| value.as_bytes())
+            != asked
+        {
+            return Err(Error::new(
+                Cause::BadSeal,
+                "the answer belongs to another request",
+            ));
         }
-        if head.status.is_success() && (said(self.header_names.seal).is_none() || head.headers.contains_key("content-encoding")) {
+        if head.status.is_success()
+            && (said(self.header_names.seal).is_none()
+                || head.headers.contains_key("content-encoding"))
+        {
             return Err(Error::new(Cause::BadSeal, "a success without a seal"));
         }
-        let kept = said("keep-alive").and_then(|text| text.split(',').find_map(|part| part.trim().strip_prefix("timeout=")?.parse::<u64>().ok()));
+        let kept = said("keep-alive").and_then(|text| {
+            text.split(',')
+                .find_map(|part| part.trim().strip_prefix("timeout=")?.parse::<u64>().ok())
+        });
         let closes = said("connection").is_some_and(|text| text.eq_ignore_ascii_case("close"));
         if !closes && !sender.is_closed() {
-            self.connections.put_back(model::now(), sender, kept.map(|seconds| seconds * 1_000_000));
+            self.connections.put_back(
+                model::now(),
+                sender,
+                kept.map(|seconds| seconds * 1_000_000),
+            );
         }
         if head.status.as_u16() == 421 || head.headers.contains_key(self.header_names.not_run) {
-            let why = if head.status.as_u16() == 421 { MISDIRECTED.into() } else { format!("the back end turned it away with {}", head.status.as_u16()) };
+            let why = if head.status.as_u16() == 421 {
+                MISDIRECTED.into()
+            } else {
+                format!("the back end turned it away with {}", head.status.as_u16())
+            };
             return Err(Error::new(Cause::Refused, why));
         }
         // To senders these say that it never ran; without the back end's word nobody knows.
         if [408, 429, 503].contains(&head.status.as_u16()) {
-            return Err(Error::new(Cause::BackendLost, format!("a bare {}, which says nothing of whether it ran", head.status.as_u16())));
+            return Err(Error::new(
+                Cause::BackendLost,
+                format!(
+                    "a bare {}, which says nothing of whether it ran",
+                    head.status.as_u16()
+                ),
+            ));
         }
-        let headers =
-            head.headers.iter().filter(|(name, _)| !http_util::headers::is_hop_by_hop(name.as_str()) && name.as_str() != self.header_names.attempt_id);
-        let headers = headers.map(|(name, value)| (name.as_str().to_string(), value.as_bytes().to_vec())).collect();
-        Ok(transport::ForwardedResponse { status: head.status.as_u16(), headers, body: body.to_vec() })
+        let headers = head.headers.iter().filter(|(name, _)| {
+            !http_util::headers::is_hop_by_hop(name.as_str())
+                && name.as_str() != self.header_names.attempt_id
+        });
+        let headers = headers
+            .map(|(name, value)| (name.as_str().to_string(), value.as_bytes().to_vec()))
+            .collect();
+        Ok(transport::ForwardedResponse {
+            status: head.status.as_u16(),
+            headers,
+            body: body.to_vec(),
+        })
     }
 }
--- a/crates/inbound/src/concurrency_limiter.rs
+++ b/crates/inbound/src/concurrency_limiter.rs
@@ -14,8 +14,16 @@
 pub type Outcome = (Result<transport::ForwardedResponse, Error>, Microseconds);
 
 enum Command {
-    Admit(Box<transport::ForwardedRequest>, Microseconds, OutcomeSender),
-    RunEnded { run_id: u64, duration: Option<Microseconds>, result: crate::RunResult },
+    Admit(
+        Box<transport::ForwardedRequest>,
+        Microseconds,
+        OutcomeSender,
+    ),
+    RunEnded {
+        run_id: u64,
+        duration: Option<Microseconds>,
+        result: crate::RunResult,
+    },
     SetBackend(Option<LocalBackend>),
     Drain,
     Load(tokio::sync::oneshot::Sender<(usize, usize, bool)>),
@@ -78,15 +86,36 @@
     pub async fn perform(&self, cue: Box<transport::ForwardedRequest>) -> Outcome {
         let (answer, outcome) = tokio::sync::oneshot::channel();
         let until = model::now() + cue.time_left;
-        let gone = || (Err(Error::new(Cause::ShuttingDown, "this node is stopping")), 0);
-        if self.0.send(Command::Admit(cue, until, answer)).await.is_err() {
+        let gone = || {
+            (
+                Err(Error::new(Cause::ShuttingDown, "this node is stopping")),
+                0,
+            )
+        };
+        if self
+            .0
+            .send(Command::Admit(cue, until, answer))
+            .await
+            .is_err()
+        {
             return gone();
         }
-        outcome.await.unwrap_or_else(|_| (Err(Error::new(Cause::PeerLost, "the owner of the back end's slots is gone")), 0))
+        outcome.await.unwrap_or_else(|_| {
+            (
+                Err(Error::new(
+                    Cause::PeerLost,
+                    "the owner of the back end's slots is gone",
+                )),
+                0,
+            )
+        })
     }
 
     pub async fn set_backend(&self, local: Option<LocalBackend>) {
-        self.0.send(Command::SetBackend(local)).await.unwrap_or_default();
+        self.0
+            .send(Command::SetBackend(local))
+            .await
+            .unwrap_or_default();
     }
 
     /// Takes nothing new from mates or from here.
@@ -113,47 +142,80 @@
     fn handle(&mut self, command: Command) {
         match command {
             Command::Admit(cue, until, answer) => self.admit(cue, until, answer),
-            Command::RunEnded { run_id: number, duration: took, result: ended } => {
+            Command::RunEnded {
+                run_id: number,
+                duration: took,
+                result: ended,
+            } => {
                 self.outliers.run_ended(model::now(), number, ended);
-                took.into_iter().for_each(|took| self.queue.record_run(took));
+                took.into_iter()
+                    .for_each(|took| self.queue.record_run(took));
             }
             Command::SetBackend(local) => self.set_backend(local),
             Command::Drain => self.draining = true,
             Command::Demand(most, answer) => {
-                let local = self.backend.as_ref().and_then(|local| local.held_keys.as_ref().map(|holding| (local.slots, holding.ranges.clone())));
+                let local = self.backend.as_ref().and_then(|local| {
+                    local
+                        .held_keys
+                        .as_ref()
+                        .map(|holding| (local.slots, holding.ranges.clone()))
+                });
                 let asked = local.map(|(slots, rows)| {
                     let (ranges, seen) = self.demand.report(model::now(), &rows, most);
-                    (slots, self.queue.mean_run(), ranges, seen, self.outliers.is_ejected())
+                    (
+                        slots,
+                        self.queue.mean_run(),
+                        ranges,
+                        seen,
+                        self.outliers.is_ejected(),
+                    )
                 });
                 drop(answer.send(asked));
             }
-            Command::Load(answer) => drop(answer.send((self.outliers.running(), self.queue.len(), self.outliers.is_ejected()))),
+            Command::Load(answer) => drop(answer.send((
+                self.outliers.running(),
+                self.queue.len(),
+                self.outliers.is_ejected(),
+            ))),
         }
-        self.outliers.check_overdue(model::now(), self.queue.mean_run());
+        self.outliers
+            .check_overdue(model::now(), self.queue.mean_run());
         self.expire();
         self.start_next();
     }
 
     fn set_backend(&mut self, local: Option<LocalBackend>) {
-        if self.backend.as_ref().map(|held| (&held.name, &held.address)) != local.as_ref().map(|held| (&held.name, &held.address)) {
+        if self
+            .backend
+            .as_ref()
+            .map(|held| (&held.name, &held.address))
+            != local.as_ref().map(|held| (&held.name, &held.address))
+        {
             self.client.clear_connections();
             self.outliers.reset();
         }
         self.backend = local;
         let now = model::now();
-        let gone = self.queue.remove_where(|waiting| refusal_reason(self.backend.as_ref(), now, &waiting.payload.0).is_some());
+        let gone = self.queue.remove_where(|waiting| {
+            refusal_reason(self.backend.as_ref(), now, &waiting.payload.0).is_some()
+        });
         gone.into_iter().for_each(|waiting| {
-            let why = refusal_reason(self.backend.as_ref(), now, &waiting.payload.0).unwrap_or_else(|| Error::new(Cause::NoBackend, "gone"));
+            let why = refusal_reason(self.backend.as_ref(), now, &waiting.payload.0)
+                .unwrap_or_else(|| Error::new(Cause::NoBackend, "gone"));
             self.respond(waiting.payload.1, Err(why));
         });
     }
 
     fn slots(&self) -> usize {
-        self.backend.as_ref().map(|local| local.slots + self.config.extra_runs).unwrap_or(0) as usize
+        self.backend
+            .as_ref()
+            .map(|local| local.slots + self.config.extra_runs)
+            .unwrap_or(0) as usize
     }
 
     fn expected_wait(&self, rank: u8) -> Microseconds {
-        self.queue.expected_wait(model::now(), rank, self.outliers.running(), self.slots())
+        self.queue
+            .expected_wait(model::now(), rank, self.outliers.running(), self.slots())
     }
 
     /// What a request would spend here, for those who pick: the wait, and half of a run, as a slow back end is worth
@@ -166,37 +228,74 @@
         drop(answer.send((outcome, self.reported_wait())));
     }
 
-    fn admit(&mut self, cue: Box<transport::ForwardedRequest>, until: Microseconds, answer: OutcomeSender) {
+    fn admit(
+        &mut self,
+        cue: Box<transport::ForwardedRequest>,
+        until: Microseconds,
+        answer: OutcomeSender,
+    ) {
         let now = model::now();
         if self.draining {
-            return self.respond(answer, Err(Error::new(Cause::ShuttingDown, "this node is stopping")));
+            return self.respond(
+                answer,
+                Err(Error::new(Cause::ShuttingDown, "this node is stopping")),
+            );
         }
         if let Some(trouble) = refusal_reason(self.backend.as_ref(), now, &cue) {
             return self.respond(answer, Err(trouble));
         }
         // Whoever holds a key cannot be passed over here: the placing of keys does that (design 13.8).
-        if let Some(elsewhere) = self.outliers.declines(now, cue.idempotent).filter(|_| cue.shard_key.is_none() && !cue.force) {
-            return drop(answer.send((Err(Error::new(Cause::PassedOver, "its runs come to nothing").with_retry_after(elsewhere)), elsewhere)));
+        if let Some(elsewhere) = self
+            .outliers
+            .declines(now, cue.idempotent)
+            .filter(|_| cue.shard_key.is_none() && !cue.force)
+        {
+            return drop(
+                answer.send((
+                    Err(Error::new(Cause::PassedOver, "its runs come to nothing")
+                        .with_retry_after(elsewhere)),
+                    elsewhere,
+                )),
+            );
         }
-        cue.shard_key.into_iter().for_each(|key| self.demand.record(now, key));
+        cue.shard_key
+            .into_iter()
+            .for_each(|key| self.demand.record(now, key));
         let wait = self.expected_wait(cue.priority);
         // What cannot be answered in time is told at once, with when to come back.
-        if wait > self.queue.longest_acceptable_wait(now, now + cue.latency_target) {
+        if wait
+            > self
+                .queue
+                .longest_acceptable_wait(now, now + cue.latency_target)
+        {
             return self.respond(answer, Err(overloaded(until - now, wait)));
         }
-        let waiting = QueuedRequest { priority: cue.priority, queued_at: now, deadline: until, respond_by: now + cue.latency_target, payload: (cue, answer) };
+        let waiting = QueuedRequest {
+            priority: cue.priority,
+            queued_at: now,
+            deadline: until,
+            respond_by: now + cue.latency_target,
+            payload: (cue, answer),
+        };
         self.queue.push(now, waiting);
     }
 
     fn expire(&mut self) {
         let now = model::now();
-        self.queue.expire(now).into_iter().for_each(|late| self.respond(late.payload.1, Err(overloaded(late.deadline.saturating_sub(now), 0))));
+        self.queue.expire(now).into_iter().for_each(|late| {
+            self.respond(
+                late.payload.1,
+                Err(overloaded(late.deadline.saturating_sub(now), 0)),
+            )
+        });
     }
 
     fn start_next(&mut self) {
         while self.outliers.running() < self.slots() {
             let now = model::now();
-            let Some(next) = self.queue.pop(now) else { return };
+            let Some(next) = self.queue.pop(now) else {
+                return;
+            };
             let (cue, answer) = next.payload;
             if answer.is_closed() {
                 // Its caller is gone: it never begins.
@@ -209,20 +308,43 @@
         }
     }
 
-    fn start_run(&mut self, cue: Box<transport::ForwardedRequest>, until: Microseconds, mut answer: OutcomeSender) {
-        let Some(address) = self.backend.as_ref().map(|local| local.address.clone()) else { return };
+    fn start_run(
+        &mut self,
+        cue: Box<transport::ForwardedRequest>,
+        until: Microseconds,
+        mut answer: OutcomeSender,
+    ) {
+        let Some(address) = self.backend.as_ref().map(|local| local.address.clone()) else {
+            return;
+        };
         let number = self.outliers.run_started(model::now());
-        let (door, commands, wait, began) = (self.client.clone(), self.commands.clone(), self.reported_wait(), model::now());
+        let (door, commands, wait, began) = (
+            self.client.clone(),
+            self.commands.clone(),
+            self.reported_wait(),
+            model::now(),
+        );
         tokio::spawn(async move {
             let left = until.saturating_sub(began);
-            let ran = tokio::time::timeout(std::time::Duration::from_micros(left), door.forward(&address, &cue, left));
+            let ran = tokio::time::timeout(
+                std::time::Duration::from_micros(left),
+                door.forward(&address, &cue, left),
+            );
             let outcome = tokio::select! {
                 ran = ran => ran.unwrap_or_else(|_| Err(Error::new(Cause::TimedOut, "no answer within the wait"))),
                 // What may run again may as well be broken off; anything else the back end ends in its own way.
                 () = answer.closed(), if cue.idempotent => Err(Error::new(Cause::TimedOut, "nobody waits for it any more")),
             };
             let took = outcome.is_ok().then(|| model::now() - began);
-            drop(commands.send(Command::RunEnded { run_id: number, duration: took, result: crate::outlier_detection::classify_run(&outcome) }).await);
+            drop(
+                commands
+                    .send(Command::RunEnded {
+                        run_id: number,
+                        duration: took,
+                        result: crate::outlier_detection::classify_run(&outcome),
+                    })
+                    .await,
+            );
             drop(answer.send((outcome, wait)));
         });
     }
@@ -230,19 +352,39 @@
 
 /// Come back once the wait is shorter, but while there is time left for it; not all at the same moment.
 fn overloaded(left: Microseconds, wait: Microseconds) -> Error {
-    let back = wait.max(left / 8).clamp(MIN_RETRY_AFTER, (left / 3).max(MIN_RETRY_AFTER));
+    let back = wait
+        .max(left / 8)
+        .clamp(MIN_RETRY_AFTER, (left / 3).max(MIN_RETRY_AFTER));
     let spread = back * (80 + rand::random::<u64>() % 21) / 100;
     Error::new(Cause::Overloaded, "it would wait too long").with_retry_after(spread)
 }
 
 /// Why this back end is not to be given the request now; certain not to have run.
-fn refusal_reason(local: Option<&LocalBackend>, now: Microseconds, cue: &transport::ForwardedRequest) -> Option<Error> {
+fn refusal_reason(
+    local: Option<&LocalBackend>,
+    now: Microseconds,
+    cue: &transport::ForwardedRequest,
+) -> Option<Error> {
     let Some(local) = local.filter(|local| local.name == cue.backend) else {
-        return Some(Error::new(Cause::WrongIncarnation, "that back end is not beside this node"));
+        return Some(Error::new(
+            Cause::WrongIncarnation,
+            "that back end is not beside this node",
+        ));
     };
     if !local.accepts_requests(now) {
-        return Some(Error::new(Cause::Draining, "the back end takes nothing new"));
+        return Some(Error::new(
+            Cause::Draining,
+            "the back end takes nothing new",
+        ));
     }
-    let unheld = cue.shard_key.zip(local.held_keys.as_ref()).is_some_and(|(key, holding)| !holding.holds(now, key));
-    unheld.then(|| Error::new(Cause::KeyWithoutHolder, "the back end does not hold the key now"))
+    let unheld = cue
+        .shard_key
+        .zip(local.held_keys.as_ref())
+        .is_some_and(|(key, holding)| !holding.holds(now, key));
+    unheld.then(|| {
+        Error::new(
+            Cause::KeyWithoutHolder,
+            "the back end does not hold the key now",
+        )
+    })
 }
--- a/crates/inbound/src/outlier_detection.rs
+++ b/crates/inbound/src/outlier_detection.rs
@@ -65,7 +65,9 @@
         Ok(_) => RunResult::Failure,
         Err(trouble) => match trouble.kind {
             Cause::BackendLost | Cause::BadSeal | Cause::Unreachable => RunResult::Failure,
-            Cause::Refused if trouble.detail != crate::backend_client::MISDIRECTED => RunResult::Failure,
+            Cause::Refused if trouble.detail != crate::backend_client::MISDIRECTED => {
+                RunResult::Failure
+            }
             _ => RunResult::Inconclusive,
         },
     }
@@ -83,7 +85,9 @@
     }
 
     pub fn run_ended(&mut self, now: Microseconds, number: u64, ended: RunResult) {
-        let Some((began, counted)) = self.running.remove(&number) else { return };
+        let Some((began, counted)) = self.running.remove(&number) else {
+            return;
+        };
         match ended {
             RunResult::Success if !counted => self.record(now, began, true),
             RunResult::Failure if !counted => self.record(now, began, false),
@@ -95,20 +99,37 @@
     pub fn check_overdue(&mut self, now: Microseconds, (mean, runs): (Microseconds, u32)) {
         let longest = (mean * OVERDUE_FACTOR).max(MIN_OVERDUE_TIME);
         if runs >= MIN_SAMPLES_FOR_MEAN {
-            let overdue = self.running.values_mut().filter(|(began, counted)| !counted && now > *began + longest);
-            let began: Vec<Microseconds> = overdue.map(|run| std::mem::replace(run, (run.0, true)).0).collect();
-            began.into_iter().for_each(|began| self.record(now, began, false));
+            let overdue = self
+                .running
+                .values_mut()
+                .filter(|(began, counted)| !counted && now > *began + longest);
+            let began: Vec<Microseconds> = overdue
+                .map(|run| std::mem::replace(run, (run.0, true)).0)
+                .collect();
+            began
+                .into_iter()
+                .for_each(|began| self.record(now, began, false));
         }
-        if self.ejection.as_ref().is_some_and(|ill| now > ill.until + RECOVERY_WITHOUT_TRIALS) {
+        if self
+            .ejection
+            .as_ref()
+            .is_some_and(|ill| now > ill.until + RECOVERY_WITHOUT_TRIALS)
+        {
             self.recover(now);
         }
     }
 
     fn record(&mut self, now: Microseconds, began: Microseconds, good: bool) {
         let kept = (-(now.saturating_sub(self.updated_at) as f64) / DECAY_US).exp();
-        (self.successes, self.failures, self.updated_at) = (self.successes * kept + good as u8 as f64, self.failures * kept + !good as u8 as f64, now);
-        self.recent_failures = (self.recent_failures << 1 | !good as u32) & ((1 << RECENT_RUNS) - 1);
-        let many = self.failures >= MIN_FAILURES && self.failures >= FAILURE_RATIO * (self.successes + self.failures);
+        (self.successes, self.failures, self.updated_at) = (
+            self.successes * kept + good as u8 as f64,
+            self.failures * kept + !good as u8 as f64,
+            now,
+        );
+        self.recent_failures =
+            (self.recent_failures << 1 | !good as u32) & ((1 << RECENT_RUNS) - 1);
+        let many = self.failures >= MIN_FAILURES
+            && self.failures >= FAILURE_RATIO * (self.successes + self.failures);
         match self.ejection.as_mut() {
             // What began before it was tried says nothing new.
             Some(ill) if began < ill.until => {}
@@ -130,13 +151,24 @@
     }
 
     fn eject(&mut self, now: Microseconds) {
-        let term = self.next_ejection_time.clamp(BASE_EJECTION_TIME, MAX_EJECTION_TIME);
-        self.ejection = Some(Ejection { until: now + term, trial_successes: 0 });
+        let term = self
+            .next_ejection_time
+            .clamp(BASE_EJECTION_TIME, MAX_EJECTION_TIME);
+        self.ejection = Some(Ejection {
+            until: now + term,
+            trial_successes: 0,
+        });
         self.next_ejection_time = (term * 2).min(MAX_EJECTION_TIME);
     }
 
     fn recover(&mut self, now: Microseconds) {
-        (self.ejection, self.healthy_since, self.successes, self.failures, self.recent_failures) = (None, now, 0.0, 0.0, 0);
+        (
+            self.ejection,
+            self.healthy_since,
+            self.successes,
+            self.failures,
+            self.recent_failures,
+        ) = (None, now, 0.0, 0.0, 0);
     }
 
     pub fn is_ejected(&self) -> bool {
@@ -149,14 +181,24 @@
         if now < ill.until {
             return Some(ill.until - now);
         }
-        let tried = repeatable || ill.trial_successes >= IDEMPOTENT_TRIALS || now > ill.until + TRIALS_BY_ANY_REQUEST_AFTER;
+        let tried = repeatable
+            || ill.trial_successes >= IDEMPOTENT_TRIALS
+            || now > ill.until + TRIALS_BY_ANY_REQUEST_AFTER;
         (!tried || self.running.len() > ill.trial_successes as usize).then_some(TRIAL_RETRY_AFTER)
     }
 
     /// Another back end took its place.
     pub fn reset(&mut self) {
-        let running = self.running.iter().map(|(number, (began, _))| (*number, (*began, true))).collect();
+        let running = self
+            .running
+            .iter()
+            .map(|(number, (began, _))| (*number, (*began, true)))
+            .collect();
         let begun = self.last_run_id;
-        *self = OutlierDetector { running, last_run_id: begun, ..Default::default() };
+        *self = OutlierDetector {
+            running,
+            last_run_id: begun,
+            ..Default::default()
+        };
     }
 }
--- a/crates/legacy-proxy/src/attempt_loop.rs
+++ b/crates/legacy-proxy/src/attempt_loop.rs
@@ -20,25 +20,63 @@
 }
 
 impl AttemptLoop {
-    pub fn begin(view: &control::View, now: Microseconds, sender: crate::ClientId, ask: Request) -> Result<AttemptLoop, Error> {
+    pub fn begin(
+        view: &control::View,
+        now: Microseconds,
+        sender: crate::ClientId,
+        ask: Request,
+    ) -> Result<AttemptLoop, Error> {
         if !view.is_fresh(now) {
-            return Err(Error::new(Cause::StaleState, "no proof that the state held here is current"));
+            return Err(Error::new(
+                Cause::StaleState,
+                "no proof that the state held here is current",
+            ));
         }
         if !view.slice.services.contains(&sender.service) {
-            return Err(Error::new(Cause::StaleState, "the news of the sender's own service is still on its way").with_retry_after(100_000));
+            return Err(Error::new(
+                Cause::StaleState,
+                "the news of the sender's own service is still on its way",
+            )
+            .with_retry_after(100_000));
         }
         if !view.slice.backends.contains_key(&sender.name) {
-            return Err(Error::new(Cause::NoRoute, format!("no grouping holds {:?} any more, so it speaks for no service", sender.name)));
+            return Err(Error::new(
+                Cause::NoRoute,
+                format!(
+                    "no grouping holds {:?} any more, so it speaks for no service",
+                    sender.name
+                ),
+            ));
         }
-        let lane = view.slice.route(&sender.service, &ask.service, &ask.method, &ask.path);
+        let lane = view
+            .slice
+            .route(&sender.service, &ask.service, &ask.method, &ask.path);
         let Some((lane, order)) = lane.map(|(name, order)| (name.clone(), order.clone())) else {
-            return Err(Error::new(Cause::NoRoute, format!("no standing order lets {:?} send this to {:?}", sender.service, ask.service)));
+            return Err(Error::new(
+                Cause::NoRoute,
+                format!(
+                    "no standing order lets {:?} send this to {:?}",
+                    sender.service, ask.service
+                ),
+            ));
         };
         if order.keyed && ask.shard_key.is_none() {
-            return Err(Error::new(Cause::BadRequest, "this lane needs the header x-gradeford-key"));
+            return Err(Error::new(
+                Cause::BadRequest,
+                "this lane needs the header x-gradeford-key",
+            ));
         }
         let until = now + ask.timeout.unwrap_or(order.wait_us).min(order.wait_us);
-        Ok(AttemptLoop { client: sender, request: ask, route: lane, order, deadline: until, ordinal: 0, passed_over: Vec::new(), may_have_run: None })
+        Ok(AttemptLoop {
+            client: sender,
+            request: ask,
+            route: lane,
+            order,
+            deadline: until,
+            ordinal: 0,
+            passed_over: Vec::new(),
+            may_have_run: None,
+        })
     }
 
     pub fn service(&self) -> &str {
@@ -50,20 +88,38 @@
     }
 
     fn lease<'a>(&self, view: &'a control::View) -> Option<&'a model::leases::Lease> {
-        let key = self.request.shard_key.as_deref().filter(|_| self.order.keyed)?;
+        let key = self
+            .request
+            .shard_key
+            .as_deref()
+            .filter(|_| self.order.keyed)?;
         view.slice.lease(&self.request.service, key)
     }
 
     /// Whom it may go to now; a trouble ends the try.
-    pub fn candidates(&self, view: &control::View, now: Microseconds, zone: &str) -> Result<Vec<Candidate>, Error> {
+    pub fn candidates(
+        &self,
+        view: &control::View,
+        now: Microseconds,
+        zone: &str,
+    ) -> Result<Vec<Candidate>, Error> {
         if now >= self.deadline {
-            return Err(self.final_error(Error::new(Cause::ExpiredBeforeRun, "the wait was over before it could be dispatched")));
+            return Err(self.final_error(Error::new(
+                Cause::ExpiredBeforeRun,
+                "the wait was over before it could be dispatched",
+            )));
         }
         if !view.is_fresh(now) {
-            return Err(self.final_error(Error::new(Cause::StaleState, "no proof that the state held here is current")));
+            return Err(self.final_error(Error::new(
+                Cause::StaleState,
+                "no proof that the state held here is current",
+            )));
         }
         let keyed = self.order.keyed;
-        let holder = self.lease(view).and_then(|term| term.holder.as_ref()).map(|(name, _)| name.as_str());
+        let holder = self
+            .lease(view)
+            .and_then(|term| term.holder.as_ref())
+            .map(|(name, _)| name.as_str());
         let labels = &self.order.selector.labels;
         let fitting = view.slice.backends.iter().filter(|(name, back_end)| {
             back_end.service == self.request.service
@@ -74,21 +130,56 @@
                 && if keyed { holder == Some(name.as_str()) } else { !self.passed_over.contains(name) }
         });
         Ok(fitting
-            .map(|(name, back_end)| Candidate { name: name.clone(), slots: back_end.slots, same_zone: back_end.zone == zone })
+            .map(|(name, back_end)| Candidate {
+                name: name.clone(),
+                slots: back_end.slots,
+                same_zone: back_end.zone == zone,
+            })
             .filter(|candidate| candidate.same_zone || self.order.allow_other_zones)
             .collect())
     }
 
     /// Nobody was there to be picked.
     pub fn no_backend(&self) -> Error {
-        let cause = if self.order.keyed { Cause::KeyWithoutHolder } else { Cause::NoBackend };
-        self.final_error(Error::new(cause, format!("no back end of {:?} can take it now", self.request.service)))
+        let cause = if self.order.keyed {
+            Cause::KeyWithoutHolder
+        } else {
+            Cause::NoBackend
+        };
+        self.final_error(Error::new(
+            cause,
+            format!("no back end of {:?} can take it now", self.request.service),
+        ))
     }
 
-    pub fn next_attempt(&self, view: &control::View, now: Microseconds, picked: &str, node: &str) -> Result<(transport::AttemptRequest, PeerLocation), Error> {
-        let (incarnation, beside) = view.slice.backends.get(picked).map(|held| (held.incarnation, held.node.clone())).unwrap_or_default();
-        let place = view.slice.nodes.get(&beside).map(|held| (held.address.clone(), held.incarnation));
-        let place = if beside == node { None } else { Some(place.ok_or_else(|| Error::new(Cause::Unreachable, "the node beside the back end is not known"))?) };
+    pub fn next_attempt(
+        &self,
+        view: &control::View,
+        now: Microseconds,
+        picked: &str,
+        node: &str,
+    ) -> Result<(transport::AttemptRequest, PeerLocation), Error> {
+        let (incarnation, beside) = view
+            .slice
+            .backends
+            .get(picked)
+            .map(|held| (held.incarnation, held.node.clone()))
+            .unwrap_or_default();
+        let place = view
+            .slice
+            .nodes
+            .get(&beside)
+            .map(|held| (held.address.clone(), held.incarnation));
+        let place = if beside == node {
+            None
+        } else {
+            Some(place.ok_or_else(|| {
+                Error::new(
+                    Cause::Unreachable,
+                    "the node beside the back end is not known",
+                )
+            })?)
+        };
         let dispatch = transport::AttemptRequest {
             request_id: 0,
             attempt_id: self.request.attempt_id.clone(),
@@ -119,7 +210,8 @@
             self.may_have_run = Some(trouble.clone());
             self.ordinal += 1;
         }
-        is_retryable(trouble) && (trouble.execution_status == ExecutionStatus::NotRun || self.order.idempotent)
+        is_retryable(trouble)
+            && (trouble.execution_status == ExecutionStatus::NotRun || self.order.idempotent)
     }
 
     /// Once one dispatch may have run, no later refusal makes the try not run.
--- a/crates/legacy-proxy/src/forwarded_attempts.rs
+++ b/crates/legacy-proxy/src/forwarded_attempts.rs
@@ -24,7 +24,8 @@
 
 impl ForwardedAttempts {
     pub fn contains(&self, service: &str, try_id: &str) -> bool {
-        self.seen.contains(&(service.to_string(), try_id.to_string()))
+        self.seen
+            .contains(&(service.to_string(), try_id.to_string()))
     }
 
     pub fn insert(&mut self, now: model::Microseconds, service: &str, try_id: &str) {
--- a/crates/legacy-proxy/src/in_flight.rs
+++ b/crates/legacy-proxy/src/in_flight.rs
@@ -4,7 +4,10 @@
 
 /// One word holds both the count and whether new calls are refused, so no call slips between.
 #[derive(Clone, Default)]
-pub struct InFlightRequests(std::sync::Arc<std::sync::atomic::AtomicUsize>, std::sync::Arc<tokio::sync::Notify>);
+pub struct InFlightRequests(
+    std::sync::Arc<std::sync::atomic::AtomicUsize>,
+    std::sync::Arc<tokio::sync::Notify>,
+);
 
 pub struct InFlightGuard(InFlightRequests);
 
@@ -16,7 +19,8 @@
     }
 
     pub fn drain(&self) {
-        self.0.fetch_or(DRAINING, std::sync::atomic::Ordering::AcqRel);
+        self.0
+            .fetch_or(DRAINING, std::sync::atomic::Ordering::AcqRel);
     }
 
     /// Returns once nothing is under way; call it after `leave`.
--- a/crates/legacy-proxy/src/inbound_proxy.rs
+++ b/crates/legacy-proxy/src/inbound_proxy.rs
@@ -2,12 +2,18 @@
 
 use model::{Cause, Error};
 
-pub type ForwardFuture<'a> = std::pin::Pin<Box<dyn Future<Output = Result<transport::AttemptResponse, Error>> + Send + 'a>>;
+pub type ForwardFuture<'a> =
+    std::pin::Pin<Box<dyn Future<Output = Result<transport::AttemptResponse, Error>> + Send + 'a>>;
 
 /// How a request gets from this process into the back end.
 pub trait BackendConnector: Send + Sync {
     /// `left` is what remains of the wait. Only a sealed, whole reply comes back as one.
-    fn forward<'a>(&'a self, address: &'a str, dispatch: &'a transport::AttemptRequest, left: model::Microseconds) -> ForwardFuture<'a>;
+    fn forward<'a>(
+        &'a self,
+        address: &'a str,
+        dispatch: &'a transport::AttemptRequest,
+        left: model::Microseconds,
+    ) -> ForwardFuture<'a>;
 }
 
 #[derive(Clone)]
@@ -21,7 +27,10 @@
 const OVERRUN_GRACE: model::Microseconds = 1_000_000;
 
 impl InboundProxy {
-    pub async fn perform(&self, dispatch: transport::AttemptRequest) -> Result<transport::AttemptResponse, Error> {
+    pub async fn perform(
+        &self,
+        dispatch: transport::AttemptRequest,
+    ) -> Result<transport::AttemptResponse, Error> {
         let permit = self.slot_owner.admit(dispatch.clone()).await?;
         let (reply, answered) = tokio::sync::oneshot::channel();
         let left = permit.deadline.saturating_sub(model::now());
@@ -29,15 +38,25 @@
         // On its own: the run goes on, and holds its slot, though the asker may be lost.
         tokio::spawn(async move {
             let patience = std::time::Duration::from_micros(left + OVERRUN_GRACE);
-            let ran = tokio::time::timeout(patience, door.forward(&permit.address, &dispatch, left)).await;
-            let late = || Err(Error::new(Cause::TimedOut, "the back end did not answer in time"));
+            let ran =
+                tokio::time::timeout(patience, door.forward(&permit.address, &dispatch, left))
+                    .await;
+            let late = || {
+                Err(Error::new(
+                    Cause::TimedOut,
+                    "the back end did not answer in time",
+                ))
+            };
             let ran = ran.unwrap_or_else(|_| late());
             let unsent = matches!(&ran, Err(trouble) if trouble.execution_status == model::ExecutionStatus::NotRun);
             // A back end that broke off may still be at work: its slot and key stay taken until its wait is over.
             let lost = matches!(&ran, Err(trouble) if trouble.kind == Cause::BackendLost);
             if lost {
                 tokio::spawn(async move {
-                    tokio::time::sleep(std::time::Duration::from_micros(permit.deadline.saturating_sub(model::now()))).await;
+                    tokio::time::sleep(std::time::Duration::from_micros(
+                        permit.deadline.saturating_sub(model::now()),
+                    ))
+                    .await;
                     house.finish(permit, unsent).await;
                 });
             } else {
--- a/crates/legacy-proxy/src/outbound_proxy.rs
+++ b/crates/legacy-proxy/src/outbound_proxy.rs
@@ -46,14 +46,21 @@
         if !try_id.starts_with(&sender.attempt_prefix) {
             return Err(Error::new(
                 Cause::EarlierIncarnation,
-                format!("tries of this registration are named {}…; what became of this one is not known here", sender.attempt_prefix),
+                format!(
+                    "tries of this registration are named {}…; what became of this one is not known here",
+                    sender.attempt_prefix
+                ),
             ));
         }
         self.accepted_attempts.accept(try_id).await
     }
 
     /// One try that was taken, to its one answer.
-    pub async fn call(&self, sender: crate::ClientId, ask: Request) -> Result<transport::AttemptResponse, Error> {
+    pub async fn call(
+        &self,
+        sender: crate::ClientId,
+        ask: Request,
+    ) -> Result<transport::AttemptResponse, Error> {
         let try_id = ask.attempt_id.clone();
         let answer = self.perform(sender, ask).await;
         self.record_not_run(&try_id, answer.as_ref().err()).await;
@@ -62,22 +69,39 @@
 
     /// What certainly did not run stays so, whoever sends it again.
     pub async fn record_not_run(&self, try_id: &str, trouble: Option<&Error>) {
-        if let Some(trouble) = trouble.filter(|trouble| trouble.execution_status == ExecutionStatus::NotRun) {
-            self.accepted_attempts.did_not_run(try_id, trouble.clone()).await;
+        if let Some(trouble) =
+            trouble.filter(|trouble| trouble.execution_status == ExecutionStatus::NotRun)
+        {
+            self.accepted_attempts
+                .did_not_run(try_id, trouble.clone())
+                .await;
         }
     }
 
-    async fn perform(&self, sender: crate::ClientId, ask: Request) -> Result<transport::AttemptResponse, Error> {
-        let _under_way = self.in_flight.begin().ok_or_else(|| Error::new(Cause::ShuttingDown, "this node is stopping").with_retry_after(1_000_000))?;
-        let mut course = crate::attempt_loop::AttemptLoop::begin(&self.view.load(), model::now(), sender, ask)?;
+    async fn perform(
+        &self,
+        sender: crate::ClientId,
+        ask: Request,
+    ) -> Result<transport::AttemptResponse, Error> {
+        let _under_way = self.in_flight.begin().ok_or_else(|| {
+            Error::new(Cause::ShuttingDown, "this node is stopping").with_retry_after(1_000_000)
+        })?;
+        let mut course =
+            crate::attempt_loop::AttemptLoop::begin(&self.view.load(), model::now(), sender, ask)?;
         self.retry_budget.deposit(course.service()).await;
         loop {
             let view = self.view.load_full();
             let candidates = course.candidates(&view, model::now(), &self.zone)?;
-            let picked = self.selector.select(candidates).await.ok_or_else(|| course.no_backend())?;
+            let picked = self
+                .selector
+                .select(candidates)
+                .await
+                .ok_or_else(|| course.no_backend())?;
             let reply = match course.next_attempt(&view, model::now(), &picked, &self.node) {
                 Ok((dispatch, None)) => self.inbound.perform(dispatch).await,
-                Ok((dispatch, Some((address, life)))) => self.peers.call(&address, life, dispatch).await,
+                Ok((dispatch, Some((address, life)))) => {
+                    self.peers.call(&address, life, dispatch).await
+                }
                 Err(trouble) => Err(trouble),
             };
             let bench = matches!(&reply, Err(trouble) if trouble.kind != Cause::DuplicateAttempt);
@@ -86,7 +110,9 @@
                 Ok(reply) => return Ok(reply),
                 Err(trouble) => trouble,
             };
-            if !course.may_retry(&picked, &trouble) || !self.retry_budget.withdraw(course.service()).await {
+            if !course.may_retry(&picked, &trouble)
+                || !self.retry_budget.withdraw(course.service()).await
+            {
                 return Err(course.final_error(trouble));
             }
             slog::info!(self.inbound.logger, "dispatched again"; "service" => course.service(), "at" => model::now(), "after" => trouble.kind.code());
--- a/crates/legacy-proxy/src/server.rs
+++ b/crates/legacy-proxy/src/server.rs
@@ -30,9 +30,16 @@
     }
 }
 
-async fn serve_connection(mut conn: transport::Connection, far: crate::InboundProxy, relay: control::relay::Relay, heard: control::monitor::HeartbeatSender) {
+async fn serve_connection(
+    mut conn: transport::Connection,
+    far: crate::InboundProxy,
+    relay: control::relay::Relay,
+    heard: control::monitor::HeartbeatSender,
+) {
     let mut marks = crate::age_marks::AgeMarks::new(model::now());
-    let mut every = tokio::time::interval(std::time::Duration::from_micros(crate::age_marks::MARK_INTERVAL));
+    let mut every = tokio::time::interval(std::time::Duration::from_micros(
+        crate::age_marks::MARK_INTERVAL,
+    ));
     every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         let frame = tokio::select! {
@@ -49,23 +56,38 @@
         };
         match frame {
             transport::Frame::Attempt(mut dispatch) => {
-                dispatch.time_left = marks.time_left(model::now(), dispatch.last_watermark, dispatch.time_left);
+                dispatch.time_left =
+                    marks.time_left(model::now(), dispatch.last_watermark, dispatch.time_left);
                 let (far, replies) = (far.clone(), conn.sender.clone());
                 tokio::spawn(async move {
                     let number = dispatch.request_id;
                     let reply = Box::new(far.perform(*dispatch).await);
-                    replies.send(transport::Frame::AttemptResult { request_id: number, reply }).await.unwrap_or_default();
+                    replies
+                        .send(transport::Frame::AttemptResult {
+                            request_id: number,
+                            reply,
+                        })
+                        .await
+                        .unwrap_or_default();
                 });
             }
             transport::Frame::Inspect => {
                 let seen = serde_json::to_vec(&*relay.view.load().slice).unwrap_or_default();
-                conn.sender.send(transport::Frame::Inspection(seen)).await.unwrap_or_default();
+                conn.sender
+                    .send(transport::Frame::Inspection(seen))
+                    .await
+                    .unwrap_or_default();
             }
             transport::Frame::Heartbeat => {
-                let ward = (conn.peer_handshake.node_name.clone(), conn.peer_handshake.incarnation);
+                let ward = (
+                    conn.peer_handshake.node_name.clone(),
+                    conn.peer_handshake.incarnation,
+                );
                 heard.send(ward).await.unwrap_or_default();
             }
-            transport::Frame::Subscribe { services, held } => return relay.serve(conn, services, held).await,
+            transport::Frame::Subscribe { services, held } => {
+                return relay.serve(conn, services, held).await;
+            }
             _ => {}
         }
     }
--- a/crates/legacy-proxy/src/slot_owner.rs
+++ b/crates/legacy-proxy/src/slot_owner.rs
@@ -77,7 +77,8 @@
     pub(crate) backends: std::collections::BTreeMap<String, RegisteredBackend>,
     pub(crate) forwarded_attempts: crate::forwarded_attempts::ForwardedAttempts,
     /// When each key term was first seen here with its fence.
-    pub(crate) fencing_tokens: std::collections::BTreeMap<(String, u16), (model::Position, Microseconds)>,
+    pub(crate) fencing_tokens:
+        std::collections::BTreeMap<(String, u16), (model::Position, Microseconds)>,
     /// The slice whose terms `fences` was last brought up to.
     pub(crate) fenced_slice: std::sync::Arc<model::StateSlice>,
     pub(crate) last_run_id: u64,
@@ -100,26 +101,47 @@
     }
 
     /// Holds the name for a new life, above the one that the log has. A live registration is never taken over.
-    pub fn reserve(&mut self, now: Microseconds, logged: Incarnation, registration: Registration, secret: String) -> Result<Incarnation, Error> {
+    pub fn reserve(
+        &mut self,
+        now: Microseconds,
+        logged: Incarnation,
+        registration: Registration,
+        secret: String,
+    ) -> Result<Incarnation, Error> {
         let held = self.backends.get(&registration.name);
         if self.draining {
             return Err(Error::new(Cause::ShuttingDown, "this node is leaving"));
         }
         if held.is_some_and(|held| {
-            matches!(held.state, RegistrationState::Live | RegistrationState::Draining) && now < held.last_heartbeat + self.config.heartbeat_timeout
+            matches!(
+                held.state,
+                RegistrationState::Live | RegistrationState::Draining
+            ) && now < held.last_heartbeat + self.config.heartbeat_timeout
         }) {
-            return Err(Error::new(Cause::BadRequest, format!("the name {:?} has a live registration", registration.name)));
+            return Err(Error::new(
+                Cause::BadRequest,
+                format!("the name {:?} has a live registration", registration.name),
+            ));
         }
         // An address that now belongs to another back end reaches nobody else any more.
-        let previous =
-            self.backends.values_mut().filter(|held| held.registration.address == registration.address && held.registration.name != registration.name);
-        previous.filter(|held| held.state != RegistrationState::Gone).for_each(|held| {
-            held.state = RegistrationState::Gone;
-            let (name, incarnation) = (held.registration.name.clone(), held.incarnation);
-            self.pending_reports.push(EndpointReport::PhaseChanged { name, incarnation, phase: model::BackendPhase::PresumedGone });
+        let previous = self.backends.values_mut().filter(|held| {
+            held.registration.address == registration.address
+                && held.registration.name != registration.name
         });
+        previous
+            .filter(|held| held.state != RegistrationState::Gone)
+            .for_each(|held| {
+                held.state = RegistrationState::Gone;
+                let (name, incarnation) = (held.registration.name.clone(), held.incarnation);
+                self.pending_reports.push(EndpointReport::PhaseChanged {
+                    name,
+                    incarnation,
+                    phase: model::BackendPhase::PresumedGone,
+                });
+            });
         let held = self.backends.get(&registration.name);
-        let incarnation = model::incarnation::successor(logged.max(held.map_or(0, |held| held.incarnation)));
+        let incarnation =
+            model::incarnation::successor(logged.max(held.map_or(0, |held| held.incarnation)));
         let told_slots = registration.slots;
         let place = RegisteredBackend {
             registration,
@@ -139,14 +161,34 @@
         Ok(incarnation)
     }
 
-    pub fn confirm(&mut self, now: Microseconds, name: &str, incarnation: Incarnation, accepted: bool) {
-        let Some(place) = self.backends.get_mut(name).filter(|place| place.incarnation == incarnation) else { return };
+    pub fn confirm(
+        &mut self,
+        now: Microseconds,
+        name: &str,
+        incarnation: Incarnation,
+        accepted: bool,
+    ) {
+        let Some(place) = self
+            .backends
+            .get_mut(name)
+            .filter(|place| place.incarnation == incarnation)
+        else {
+            return;
+        };
         match accepted {
             true if place.state == RegistrationState::Pending => {
-                place.state = if place.draining { RegistrationState::Draining } else { RegistrationState::Live };
+                place.state = if place.draining {
+                    RegistrationState::Draining
+                } else {
+                    RegistrationState::Live
+                };
                 place.last_heartbeat = now;
                 if place.draining {
-                    self.pending_reports.push(EndpointReport::PhaseChanged { name: name.to_string(), incarnation, phase: model::BackendPhase::Draining });
+                    self.pending_reports.push(EndpointReport::PhaseChanged {
+                        name: name.to_string(),
+                        incarnation,
+                        phase: model::BackendPhase::Draining,
+                    });
                 }
             }
             true => {}
@@ -155,26 +197,48 @@
     }
 
     /// A beat counts only with the secret of this life. Other slots than before hold here at once.
-    pub fn heartbeat(&mut self, now: Microseconds, secret: &str, draining: bool, slots: Option<u32>) -> Option<String> {
-        let place = self.backends.values_mut().find(|place| place.secret == secret && place.state != RegistrationState::Gone)?;
+    pub fn heartbeat(
+        &mut self,
+        now: Microseconds,
+        secret: &str,
+        draining: bool,
+        slots: Option<u32>,
+    ) -> Option<String> {
+        let place = self
+            .backends
+            .values_mut()
+            .find(|place| place.secret == secret && place.state != RegistrationState::Gone)?;
         place.last_heartbeat = now;
         place.draining |= draining;
-        slots.into_iter().for_each(|slots| place.registration.slots = slots);
+        slots
+            .into_iter()
+            .for_each(|slots| place.registration.slots = slots);
         if place.draining && place.state == RegistrationState::Live {
             place.state = RegistrationState::Draining;
             let (name, incarnation) = (place.registration.name.clone(), place.incarnation);
-            self.pending_reports.push(EndpointReport::PhaseChanged { name, incarnation, phase: model::BackendPhase::Draining });
+            self.pending_reports.push(EndpointReport::PhaseChanged {
+                name,
+                incarnation,
+                phase: model::BackendPhase::Draining,
+            });
         }
         Some(place.registration.name.clone())
     }
 
     pub fn deregister(&mut self, secret: &str) -> bool {
-        let place = self.backends.values_mut().find(|place| place.secret == secret && place.state != RegistrationState::Gone);
+        let place = self
+            .backends
+            .values_mut()
+            .find(|place| place.secret == secret && place.state != RegistrationState::Gone);
         place
             .map(|place| {
                 place.state = RegistrationState::Gone;
                 let (name, incarnation) = (place.registration.name.clone(), place.incarnation);
-                self.pending_reports.push(EndpointReport::PhaseChanged { name, incarnation, phase: model::BackendPhase::Deregistered });
+                self.pending_reports.push(EndpointReport::PhaseChanged {
+                    name,
+                    incarnation,
+                    phase: model::BackendPhase::Deregistered,
+                });
             })
             .is_some()
     }
@@ -185,7 +249,10 @@
     }
 
     pub fn running(&self) -> usize {
-        self.backends.values().map(|place| place.running.len()).sum()
+        self.backends
+            .values()
+            .map(|place| place.running.len())
+            .sum()
     }
 
     pub fn queued(&self) -> usize {
@@ -193,7 +260,11 @@
     }
 
     pub fn services(&self) -> model::state_slice::ServiceSet {
-        self.backends.values().filter(|place| place.state != RegistrationState::Gone).map(|place| place.registration.service.clone()).collect()
+        self.backends
+            .values()
+            .filter(|place| place.state != RegistrationState::Gone)
+            .map(|place| place.registration.service.clone())
+            .collect()
     }
 
     /// Secrets that may send, with the service each speaks for.
@@ -202,9 +273,23 @@
             .values()
             .filter(|place| place.state != RegistrationState::Gone)
             .map(|place| {
-                let (name, service) = (place.registration.name.clone(), place.registration.service.clone());
-                let (incarnation, prefix) = (place.incarnation, crate::forwarded_attempts::attempt_prefix(&name, place.registered_incarnation));
-                (place.secret.clone(), crate::ClientId { name, service, incarnation, attempt_prefix: prefix })
+                let (name, service) = (
+                    place.registration.name.clone(),
+                    place.registration.service.clone(),
+                );
+                let (incarnation, prefix) = (
+                    place.incarnation,
+                    crate::forwarded_attempts::attempt_prefix(&name, place.registered_incarnation),
+                );
+                (
+                    place.secret.clone(),
+                    crate::ClientId {
+                        name,
+                        service,
+                        incarnation,
+                        attempt_prefix: prefix,
+                    },
+                )
             })
             .collect()
     }
@@ -214,7 +299,9 @@
     }
 
     pub fn backend(&self, name: &str) -> Option<model::Backend> {
-        self.backends.get(name).map(|place| place.backend(&self.config.node))
+        self.backends
+            .get(name)
+            .map(|place| place.backend(&self.config.node))
     }
 }
 
--- a/crates/legacy-proxy/src/slot_owner_task.rs
+++ b/crates/legacy-proxy/src/slot_owner_task.rs
@@ -7,7 +7,11 @@
 type Admission = Result<Permit, Error>;
 
 pub enum Command {
-    Reserve(Registration, String, ReplySender<Result<Incarnation, Error>>),
+    Reserve(
+        Registration,
+        String,
+        ReplySender<Result<Incarnation, Error>>,
+    ),
     Confirm(String, Incarnation, bool),
     Backend(String, ReplySender<Option<model::Backend>>),
     Heartbeat(String, bool, Option<u32>, ReplySender<Option<String>>),
@@ -48,7 +52,11 @@
     ) -> Self {
         let (commands, buffer) = tokio::sync::mpsc::channel(4_096);
         let (ran, running) = tokio::sync::watch::channel(0);
-        let desk = SlotOwnerHandle { commands, clients: Default::default(), running };
+        let desk = SlotOwnerHandle {
+            commands,
+            clients: Default::default(),
+            running,
+        };
         let (outbox, outgoing) = tokio::sync::mpsc::unbounded_channel();
         tokio::spawn(send_reports(outgoing, reports, desk.clone(), logger));
         let owner = SlotOwnerTask {
@@ -75,32 +83,57 @@
         self.clients.load().get(secret).cloned()
     }
 
-    pub async fn reserve(&self, registration: Registration, secret: String) -> Result<Incarnation, Error> {
-        self.ask(|answer| Command::Reserve(registration, secret, answer)).await.unwrap_or_else(|| Err(stopping_error()))
+    pub async fn reserve(
+        &self,
+        registration: Registration,
+        secret: String,
+    ) -> Result<Incarnation, Error> {
+        self.ask(|answer| Command::Reserve(registration, secret, answer))
+            .await
+            .unwrap_or_else(|| Err(stopping_error()))
     }
 
     pub async fn confirm(&self, name: &str, incarnation: Incarnation, accepted: bool) {
-        self.commands.send(Command::Confirm(name.to_string(), incarnation, accepted)).await.unwrap_or_default();
+        self.commands
+            .send(Command::Confirm(name.to_string(), incarnation, accepted))
+            .await
+            .unwrap_or_default();
     }
 
     pub async fn backend(&self, name: &str) -> Option<model::Backend> {
-        self.ask(|answer| Command::Backend(name.to_string(), answer)).await.flatten()
+        self.ask(|answer| Command::Backend(name.to_string(), answer))
+            .await
+            .flatten()
     }
 
-    pub async fn heartbeat(&self, secret: &str, draining: bool, slots: Option<u32>) -> Option<String> {
-        self.ask(|answer| Command::Heartbeat(secret.to_string(), draining, slots, answer)).await.flatten()
+    pub async fn heartbeat(
+        &self,
+        secret: &str,
+        draining: bool,
+        slots: Option<u32>,
+    ) -> Option<String> {
+        self.ask(|answer| Command::Heartbeat(secret.to_string(), draining, slots, answer))
+            .await
+            .flatten()
     }
 
     pub async fn deregister(&self, secret: &str) -> bool {
-        self.ask(|answer| Command::Deregister(secret.to_string(), answer)).await.unwrap_or(false)
+        self.ask(|answer| Command::Deregister(secret.to_string(), answer))
+            .await
+            .unwrap_or(false)
     }
 
     pub async fn admit(&self, dispatch: transport::AttemptRequest) -> Admission {
-        self.ask(|answer| Command::Admit(Box::new(dispatch), answer)).await.unwrap_or_else(|| Err(stopping_error()))
+        self.ask(|answer| Command::Admit(Box::new(dispatch), answer))
+            .await
+            .unwrap_or_else(|| Err(stopping_error()))
     }
 
     pub async fn finish(&self, permit: Permit, unsent: bool) {
-        self.commands.send(Command::Finish(permit, unsent)).await.unwrap_or_default();
+        self.commands
+            .send(Command::Finish(permit, unsent))
+            .await
+            .unwrap_or_default();
     }
 
     pub async fn drain(&self) {
@@ -134,7 +167,11 @@
 }
 
 impl SlotOwnerTask {
-    async fn run(mut self, mut buffer: tokio::sync::mpsc::Receiver<Command>, mut moved: tokio::sync::watch::Receiver<model::Position>) {
+    async fn run(
+        mut self,
+        mut buffer: tokio::sync::mpsc::Receiver<Command>,
+        mut moved: tokio::sync::watch::Receiver<model::Position>,
+    ) {
         let mut every = tokio::time::interval(std::time::Duration::from_millis(20));
         every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
@@ -149,14 +186,20 @@
             let granted = self.slots.admit_queued(model::now(), &self.view.load());
             self.answer(granted);
             let running = self.slots.running();
-            self.running.send_if_modified(|told| std::mem::replace(told, running) != running);
-            self.slots.take_reports().into_iter().for_each(|report| self.reports.send(report).unwrap_or_default());
+            self.running
+                .send_if_modified(|told| std::mem::replace(told, running) != running);
+            self.slots
+                .take_reports()
+                .into_iter()
+                .for_each(|report| self.reports.send(report).unwrap_or_default());
         }
     }
 
     fn answer(&mut self, granted: Admissions) {
         granted.into_iter().for_each(|(ticket, entered)| {
-            let Some(answer) = self.pending.remove(&ticket) else { return };
+            let Some(answer) = self.pending.remove(&ticket) else {
+                return;
+            };
             if let Err(Ok(permit)) = answer.send(entered) {
                 // The asker is gone, so nothing was passed on.
                 self.slots.finish(&permit, true);
@@ -168,7 +211,13 @@
         let now = model::now();
         match command {
             Command::Reserve(registration, secret, answer) => {
-                let logged = self.view.load().slice.backends.get(&registration.name).map_or(0, |held| held.incarnation);
+                let logged = self
+                    .view
+                    .load()
+                    .slice
+                    .backends
+                    .get(&registration.name)
+                    .map_or(0, |held| held.incarnation);
                 let reserved = self.slots.reserve(now, logged, registration, secret);
                 answer.send(reserved).ignore_unreceived();
                 self.publish();
@@ -177,26 +226,37 @@
                 self.slots.confirm(now, &name, incarnation, accepted);
                 self.publish();
             }
-            Command::Backend(name, answer) => answer.send(self.slots.backend(&name)).ignore_unreceived(),
-            Command::Heartbeat(secret, draining, slots, answer) => answer.send(self.slots.heartbeat(now, &secret, draining, slots)).ignore_unreceived(),
+            Command::Backend(name, answer) => {
+                answer.send(self.slots.backend(&name)).ignore_unreceived()
+            }
+            Command::Heartbeat(secret, draining, slots, answer) => answer
+                .send(self.slots.heartbeat(now, &secret, draining, slots))
+                .ignore_unreceived(),
             Command::Deregister(secret, answer) => {
-                answer.send(self.slots.deregister(&secret)).ignore_unreceived();
+                answer
+                    .send(self.slots.deregister(&secret))
+                    .ignore_unreceived();
                 self.publish();
             }
             Command::Admit(dispatch, answer) => {
                 self.last_ticket += 1;
                 self.pending.insert(self.last_ticket, answer);
-                let granted = self.slots.admit(now, &self.view.load(), self.last_ticket, *dispatch);
+                let granted = self
+                    .slots
+                    .admit(now, &self.view.load(), self.last_ticket, *dispatch);
                 self.answer(granted);
             }
             Command::Finish(permit, unsent) => self.slots.finish(&permit, unsent),
             Command::Drain => self.slots.drain(),
-            Command::Load(answer) => answer.send((self.slots.running(), self.slots.queued())).ignore_unreceived(),
+            Command::Load(answer) => answer
+                .send((self.slots.running(), self.slots.queued()))
+                .ignore_unreceived(),
         }
     }
 
     fn publish(&mut self) {
-        self.clients.store(std::sync::Arc::new(self.slots.clients()));
+        self.clients
+            .store(std::sync::Arc::new(self.slots.clients()));
         let services = self.slots.services();
         self.services.send_if_modified(|held| {
             let differs = *held != services;
@@ -225,8 +285,15 @@
     while let Some(report) = outgoing.recv().await {
         let outcome = reports.report_endpoint_status(report.clone()).await;
         slog::info!(logger, "reported"; "report" => ?report, "outcome" => ?outcome);
-        if let model::endpoint_status::EndpointReport::BackendRegistered { name, backend: back_end } = report {
-            let accepted = matches!(outcome, Some(model::Outcome::Accepted { .. } | model::Outcome::Unchanged { .. }));
+        if let model::endpoint_status::EndpointReport::BackendRegistered {
+            name,
+            backend: back_end,
+        } = report
+        {
+            let accepted = matches!(
+                outcome,
+                Some(model::Outcome::Accepted { .. } | model::Outcome::Unchanged { .. })
+            );
             desk.confirm(&name, back_end.incarnation, accepted).await;
         }
     }
--- a/crates/mencius/src/coordinator_log.rs
+++ b/crates/mencius/src/coordinator_log.rs
@@ -16,25 +16,45 @@
 impl CoordinatorLog {
     /// `Some(None)` is a no-op, `Some(Some(_))` a command, `None` not yet known here.
     pub fn outcome(&self, at: Instance) -> Option<Option<&Value>> {
-        self.chosen.get(&at).map(Some).or_else(|| self.skipped.get(at).map(|_| None))
+        self.chosen
+            .get(&at)
+            .map(Some)
+            .or_else(|| self.skipped.get(at).map(|_| None))
     }
 
     pub fn highest_promised(&self, block: Block) -> ProposalNumber {
-        self.promised.overlapping(block.0, block.1).into_iter().map(|(_, _, round)| round).max().unwrap_or(ProposalNumber::INITIAL)
+        self.promised
+            .overlapping(block.0, block.1)
+            .into_iter()
+            .map(|(_, _, round)| round)
+            .max()
+            .unwrap_or(ProposalNumber::INITIAL)
     }
 
     /// Chosen commands are never overwritten: a skip only fills what lies between them.
     pub fn skip(&mut self, from: Instance, to: Instance) -> Vec<Block> {
-        let cuts: Vec<Instance> = self.chosen.range(from..to.max(from)).map(|(at, _)| *at).collect();
+        let cuts: Vec<Instance> = self
+            .chosen
+            .range(from..to.max(from))
+            .map(|(at, _)| *at)
+            .collect();
         let starts = std::iter::once(from).chain(cuts.iter().map(|at| at + 1));
         let ends = cuts.iter().copied().chain(std::iter::once(to));
-        let fresh: Vec<Block> = starts.zip(ends).filter(|(start, end)| start < end).collect();
-        fresh.iter().for_each(|(start, end)| self.skipped.set(*start, *end, ()));
+        let fresh: Vec<Block> = starts
+            .zip(ends)
+            .filter(|(start, end)| start < end)
+            .collect();
+        fresh
+            .iter()
+            .for_each(|(start, end)| self.skipped.set(*start, *end, ()));
         fresh
     }
 
     pub fn choose(&mut self, at: Instance, value: Value) {
-        debug_assert!(self.skipped.get(at).is_none(), "a skipped instance {at} was chosen with a command");
+        debug_assert!(
+            self.skipped.get(at).is_none(),
+            "a skipped instance {at} was chosen with a command"
+        );
         self.chosen.insert(at, value);
     }
 
@@ -61,16 +81,35 @@
 
     /// What a promise must report: the highest round seen for each command, and voids.
     pub fn promise_report(&self, block: Block) -> crate::replica::PromiseReport {
-        let chosen = self.chosen.range(block.0..block.1).map(|(at, value)| (*at, ProposalNumber::CHOSEN, value.clone()));
-        let accepted =
-            self.accepted.range(block.0..block.1).filter(|(at, _)| !self.chosen.contains_key(at)).map(|(at, (round, value))| (*at, *round, value.clone()));
-        let skipped = self.skipped.overlapping(block.0, block.1).into_iter().map(|(from, to, ())| (from, to, ProposalNumber::CHOSEN));
-        let voids = self.accepted_noops.overlapping(block.0, block.1).into_iter();
-        (chosen.chain(accepted).collect(), voids.chain(skipped).collect())
+        let chosen = self
+            .chosen
+            .range(block.0..block.1)
+            .map(|(at, value)| (*at, ProposalNumber::CHOSEN, value.clone()));
+        let accepted = self
+            .accepted
+            .range(block.0..block.1)
+            .filter(|(at, _)| !self.chosen.contains_key(at))
+            .map(|(at, (round, value))| (*at, *round, value.clone()));
+        let skipped = self
+            .skipped
+            .overlapping(block.0, block.1)
+            .into_iter()
+            .map(|(from, to, ())| (from, to, ProposalNumber::CHOSEN));
+        let voids = self
+            .accepted_noops
+            .overlapping(block.0, block.1)
+            .into_iter();
+        (
+            chosen.chain(accepted).collect(),
+            voids.chain(skipped).collect(),
+        )
     }
 
     pub fn chosen_commands(&self, block: Block) -> Commands {
-        self.chosen.range(block.0..block.1).map(|(at, value)| (*at, value.clone())).collect()
+        self.chosen
+            .range(block.0..block.1)
+            .map(|(at, value)| (*at, value.clone()))
+            .collect()
     }
 
     pub fn highest_command(&self) -> Option<Instance> {
--- a/crates/mencius/src/instance_ranges.rs
+++ b/crates/mencius/src/instance_ranges.rs
@@ -7,13 +7,19 @@
 
 impl<V> Default for InstanceRanges<V> {
     fn default() -> Self {
-        InstanceRanges { ranges: std::collections::BTreeMap::new() }
+        InstanceRanges {
+            ranges: std::collections::BTreeMap::new(),
+        }
     }
 }
 
 impl<V: Copy + PartialEq> InstanceRanges<V> {
     pub fn range_at(&self, at: u64) -> Option<(u64, u64, V)> {
-        self.ranges.range(..=at).next_back().filter(|(_, (to, _))| at < *to).map(|(from, (to, value))| (*from, *to, *value))
+        self.ranges
+            .range(..=at)
+            .next_back()
+            .filter(|(_, (to, _))| at < *to)
+            .map(|(from, (to, value))| (*from, *to, *value))
     }
 
     pub fn get(&self, at: u64) -> Option<V> {
@@ -22,7 +28,10 @@
 
     /// The parts of `from..to` that have a value, clipped to it.
     pub fn overlapping(&self, from: u64, to: u64) -> Vec<(u64, u64, V)> {
-        let head = self.range_at(from).map(|(start, _, _)| start).unwrap_or(from);
+        let head = self
+            .range_at(from)
+            .map(|(start, _, _)| start)
+            .unwrap_or(from);
         self.ranges
             .range(head..to.max(head))
             .map(|(start, (end, value))| ((*start).max(from), (*end).min(to), *value))
@@ -35,7 +44,11 @@
             return;
         }
         self.clear(from, to);
-        let before = self.ranges.range(..from).next_back().map(|(start, span)| (*start, *span));
+        let before = self
+            .ranges
+            .range(..from)
+            .next_back()
+            .map(|(start, span)| (*start, *span));
         let from = match before {
             Some((start, (end, held))) if end == from && held == value => start,
             _ => from,
@@ -52,8 +65,14 @@
 
     pub fn clear(&mut self, from: u64, to: u64) {
         let touched: Vec<(u64, u64, V)> = {
-            let head = self.range_at(from).map(|(start, _, _)| start).unwrap_or(from);
-            self.ranges.range(head..to.max(head)).map(|(start, (end, value))| (*start, *end, *value)).collect()
+            let head = self
+                .range_at(from)
+                .map(|(start, _, _)| start)
+                .unwrap_or(from);
+            self.ranges
+                .range(head..to.max(head))
+                .map(|(start, (end, value))| (*start, *end, *value))
+                .collect()
         };
         touched.into_iter().for_each(|(start, end, value)| {
             self.ranges.remove(&start);
@@ -67,7 +86,9 @@
     }
 
     pub fn iter(&self) -> impl Iterator<Item = (u64, u64, V)> + '_ {
-        self.ranges.iter().map(|(from, (to, value))| (*from, *to, *value))
+        self.ranges
+            .iter()
+            .map(|(from, (to, value))| (*from, *to, *value))
     }
 
     pub fn len(&self) -> usize {
@@ -97,7 +118,11 @@
                 }
             });
             (0..256u64).for_each(|at| assert_eq!(spans.get(at), table[at as usize], "at {at}"));
-            let covered: u64 = spans.overlapping(0, 256).iter().map(|(from, to, _)| to - from).sum();
+            let covered: u64 = spans
+                .overlapping(0, 256)
+                .iter()
+                .map(|(from, to, _)| to - from)
+                .sum();
             assert_eq!(covered, table.iter().flatten().count() as u64);
         });
     }
