--- a/crates/mencius/src/messages.rs
+++ b/crates/mencius/src/messages.rs
@@ -12,16 +12,34 @@
 
 /// A ballot. `identity` is the disk incarnation of the proposer, so that no two
 /// disks ever share a round (design 3.4). The coordinator's own round is `FIRST`.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(
+    Clone,
+    Copy,
+    Debug,
+    Default,
+    PartialEq,
+    Eq,
+    PartialOrd,
+    Ord,
+    rkyv::Archive,
+    rkyv::Serialize,
+    rkyv::Deserialize,
+)]
 pub struct ProposalNumber {
     pub counter: u64,
     pub disk_id: u64,
 }
 
 impl ProposalNumber {
-    pub const INITIAL: ProposalNumber = ProposalNumber { counter: 0, disk_id: 0 };
+    pub const INITIAL: ProposalNumber = ProposalNumber {
+        counter: 0,
+        disk_id: 0,
+    };
     /// What is known to be chosen outranks every ballot when reported in a promise.
-    pub const CHOSEN: ProposalNumber = ProposalNumber { counter: u64::MAX, disk_id: u64::MAX };
+    pub const CHOSEN: ProposalNumber = ProposalNumber {
+        counter: u64::MAX,
+        disk_id: u64::MAX,
+    };
 }
 
 #[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
@@ -115,12 +133,33 @@
 pub enum Write {
     Index(Instance),
     ProposalCounter(u64),
-    Promise { coordinator: ReplicaId, block: Block, proposal_number: ProposalNumber },
-    Accept { instance: Instance, proposal_number: ProposalNumber, value: Value },
-    AcceptNoOps { coordinator: ReplicaId, block: Block, proposal_number: ProposalNumber },
-    Chosen { instance: Instance, value: Value },
-    Skipped { coordinator: ReplicaId, block: Block },
-    Snapshot { next_instance: Instance, state: Vec<u8> },
+    Promise {
+        coordinator: ReplicaId,
+        block: Block,
+        proposal_number: ProposalNumber,
+    },
+    Accept {
+        instance: Instance,
+        proposal_number: ProposalNumber,
+        value: Value,
+    },
+    AcceptNoOps {
+        coordinator: ReplicaId,
+        block: Block,
+        proposal_number: ProposalNumber,
+    },
+    Chosen {
+        instance: Instance,
+        value: Value,
+    },
+    Skipped {
+        coordinator: ReplicaId,
+        block: Block,
+    },
+    Snapshot {
+        next_instance: Instance,
+        state: Vec<u8>,
+    },
     VotingRangeStart(Instance),
 }
 
--- a/crates/mencius/src/propose.rs
+++ b/crates/mencius/src/propose.rs
@@ -11,11 +11,27 @@
         let instance = self.index;
         self.index += self.replica_count;
         self.batch_writes.push(Write::Index(self.index));
-        self.batch_writes.push(Write::Accept { instance, proposal_number: ProposalNumber::INITIAL, value: value.clone() });
-        self.coordinator_log_mut(instance).accepted.insert(instance, (ProposalNumber::INITIAL, value.clone()));
-        self.own_suggestions.insert(instance, (value.clone(), Default::default()));
+        self.batch_writes.push(Write::Accept {
+            instance,
+            proposal_number: ProposalNumber::INITIAL,
+            value: value.clone(),
+        });
+        self.coordinator_log_mut(instance)
+            .accepted
+            .insert(instance, (ProposalNumber::INITIAL, value.clone()));
+        self.own_suggestions
+            .insert(instance, (value.clone(), Default::default()));
         let cursor = self.index;
-        self.peer_ids().into_iter().for_each(|mate| self.send_with_cursor(mate, cursor, Message::Suggest { instance, value: value.clone() }));
+        self.peer_ids().into_iter().for_each(|mate| {
+            self.send_with_cursor(
+                mate,
+                cursor,
+                Message::Suggest {
+                    instance,
+                    value: value.clone(),
+                },
+            )
+        });
         self.send(self.replica_id, Message::Accept { instance });
     }
 
@@ -29,17 +45,42 @@
         if !self.may_vote(instance) {
             return;
         }
-        let known = self.coordinator_logs[from as usize].outcome(instance).map(|outcome| outcome.cloned());
+        let known = self.coordinator_logs[from as usize]
+            .outcome(instance)
+            .map(|outcome| outcome.cloned());
         if let Some(outcome) = known {
             let commands = outcome.into_iter().map(|held| (instance, held)).collect();
-            return self.send(from, Message::Chosen { coordinator: from, block: (instance, instance + 1), commands });
+            return self.send(
+                from,
+                Message::Chosen {
+                    coordinator: from,
+                    block: (instance, instance + 1),
+                    commands,
+                },
+            );
         }
-        if let Some((_, to, round)) = self.coordinator_logs[from as usize].promised.range_at(instance) {
-            return self.send(from, Message::Reject { coordinator: from, proposal_number: round, block: (instance, to) });
+        if let Some((_, to, round)) = self.coordinator_logs[from as usize]
+            .promised
+            .range_at(instance)
+        {
+            return self.send(
+                from,
+                Message::Reject {
+                    coordinator: from,
+                    proposal_number: round,
+                    block: (instance, to),
+                },
+            );
         }
         self.skip_own_through(instance);
-        self.batch_writes.push(Write::Accept { instance, proposal_number: ProposalNumber::INITIAL, value: value.clone() });
-        self.coordinator_log_mut(instance).accepted.insert(instance, (ProposalNumber::INITIAL, value));
+        self.batch_writes.push(Write::Accept {
+            instance,
+            proposal_number: ProposalNumber::INITIAL,
+            value: value.clone(),
+        });
+        self.coordinator_log_mut(instance)
+            .accepted
+            .insert(instance, (ProposalNumber::INITIAL, value));
         self.send(from, Message::Accept { instance });
     }
 
@@ -64,14 +105,20 @@
         if won != Some(true) {
             return;
         }
-        let Some((value, _)) = self.own_suggestions.get(&instance).cloned() else { return };
-        self.peer_ids().into_iter().for_each(|mate| self.send(mate, Message::Learn { instance }));
+        let Some((value, _)) = self.own_suggestions.get(&instance).cloned() else {
+            return;
+        };
+        self.peer_ids()
+            .into_iter()
+            .for_each(|mate| self.send(mate, Message::Learn { instance }));
         self.learn_command(instance, value);
     }
 
     /// Optimization 1 to 3 on the receiving side: what the cursor passes over is no-op.
     pub(crate) fn advance_cursor(&mut self, from: ReplicaId, upto: Instance, cursor: Instance) {
-        let Some(held) = self.coordinator_logs[from as usize].cursor else { return };
+        let Some(held) = self.coordinator_logs[from as usize].cursor else {
+            return;
+        };
         if upto > held {
             self.learn_skip(from, held, upto);
         }
--- a/crates/mencius/src/replica.rs
+++ b/crates/mencius/src/replica.rs
@@ -13,7 +13,10 @@
     pub started_at: Micros,
 }
 
-pub(crate) type PromiseReport = (Vec<(Instance, ProposalNumber, Value)>, Vec<(Instance, Instance, ProposalNumber)>);
+pub(crate) type PromiseReport = (
+    Vec<(Instance, ProposalNumber, Value)>,
+    Vec<(Instance, Instance, ProposalNumber)>,
+);
 
 #[derive(Clone, Debug)]
 pub(crate) struct Peer {
@@ -56,7 +59,8 @@
     pub(crate) coordinator_logs: Vec<crate::CoordinatorLog>,
     pub(crate) peers: Vec<Peer>,
     /// Own suggestions without an outcome, with the seats that accepted them.
-    pub(crate) own_suggestions: std::collections::BTreeMap<Instance, (Value, std::collections::BTreeSet<ReplicaId>)>,
+    pub(crate) own_suggestions:
+        std::collections::BTreeMap<Instance, (Value, std::collections::BTreeSet<ReplicaId>)>,
     pub(crate) rejected: std::collections::BTreeSet<Instance>,
     pub(crate) revocations: std::collections::BTreeMap<ReplicaId, Revocation>,
     pub(crate) revoke_not_before: Vec<Micros>,
@@ -78,7 +82,14 @@
 
 impl Replica {
     /// `writes` is what the disk kept, oldest first; empty on a new disk.
-    pub fn restore(seat: ReplicaId, seats: u16, identity: u64, tuning: Config, now: Micros, writes: Vec<Write>) -> Self {
+    pub fn restore(
+        seat: ReplicaId,
+        seats: u16,
+        identity: u64,
+        tuning: Config,
+        now: Micros,
+        writes: Vec<Write>,
+    ) -> Self {
         let mate = Peer {
             connected: false,
             last_heard: now,
@@ -138,7 +149,10 @@
             Input::Persisted(ticket) => self.on_persisted(ticket),
             Input::Submit(value) => self.suggest(value),
             Input::ReadIndex(token) => self.request_read(token),
-            Input::Snapshot { next_instance: through, state } => self.compact_to_snapshot(through, state),
+            Input::Snapshot {
+                next_instance: through,
+                state,
+            } => self.compact_to_snapshot(through, state),
             Input::StartVotingAfter(upto) => self.start_voting_after(upto),
             Input::StopVotingAfter(upto) => self.stop_voting_after(upto),
             Input::SkipThrough(past) => self.skip_own_through(past),
@@ -150,7 +164,9 @@
     pub fn take_effects(&mut self) -> Vec<Effect> {
         // Whoever asks for more has carried out what it was given before.
         self.executed = self.delivered;
-        while self.persisting.is_none() && !(self.batch_writes.is_empty() && self.batch_frames.is_empty()) {
+        while self.persisting.is_none()
+            && !(self.batch_writes.is_empty() && self.batch_frames.is_empty())
+        {
             let frames = std::mem::take(&mut self.batch_frames);
             if self.batch_writes.is_empty() {
                 self.release(frames);
@@ -163,9 +179,20 @@
             };
             self.batch_writes.clear();
             let outcomes = std::mem::take(&mut self.batch_outcomes);
-            let writes = (writes.0.into_iter().chain(outcomes.into_iter().filter(|_| !writes.1)).collect(), writes.1);
+            let writes = (
+                writes
+                    .0
+                    .into_iter()
+                    .chain(outcomes.into_iter().filter(|_| !writes.1))
+                    .collect(),
+                writes.1,
+            );
             self.persisting = Some((self.last_ticket, frames));
-            self.effects.push(Effect::Persist { ticket: self.last_ticket, writes: writes.0, replace_journal: writes.1 });
+            self.effects.push(Effect::Persist {
+                ticket: self.last_ticket,
+                writes: writes.0,
+                replace_journal: writes.1,
+            });
         }
         self.delivered = self.applied;
         std::mem::take(&mut self.effects)
@@ -179,16 +206,18 @@
     }
 
     fn release(&mut self, frames: Vec<(ReplicaId, Frame)>) {
-        frames.into_iter().for_each(|(to, frame)| match to == self.replica_id {
-            true => self.handle_message(to, frame.message),
-            false => {
-                let mate = &mut self.peers[to as usize];
-                if mate.connected {
-                    mate.last_sent = self.now;
-                    self.effects.push(Effect::Send(to, frame));
+        frames
+            .into_iter()
+            .for_each(|(to, frame)| match to == self.replica_id {
+                true => self.handle_message(to, frame.message),
+                false => {
+                    let mate = &mut self.peers[to as usize];
+                    if mate.connected {
+                        mate.last_sent = self.now;
+                        self.effects.push(Effect::Send(to, frame));
+                    }
                 }
-            }
-        });
+            });
     }
 
     /// The cursor is taken when the frame is drafted: every suggestion below it is drafted already.
@@ -207,7 +236,9 @@
     }
 
     pub(crate) fn peer_ids(&self) -> Vec<ReplicaId> {
-        (0..self.replica_count as ReplicaId).filter(|seat| *seat != self.replica_id).collect()
+        (0..self.replica_count as ReplicaId)
+            .filter(|seat| *seat != self.replica_id)
+            .collect()
     }
 
     pub(crate) fn replica_ids(&self) -> Vec<ReplicaId> {
@@ -245,15 +276,28 @@
     }
 
     pub fn suspected_peers(&self) -> Vec<ReplicaId> {
-        self.peer_ids().into_iter().filter(|seat| self.peers[*seat as usize].suspected).collect()
+        self.peer_ids()
+            .into_iter()
+            .filter(|seat| self.peers[*seat as usize].suspected)
+            .collect()
     }
 
     /// How far this seat knows the log to reach, for status pages.
     pub fn highest_instance(&self) -> Option<Instance> {
-        self.coordinator_logs.iter().filter_map(crate::CoordinatorLog::highest_command).max().max(self.compaction_point.checked_sub(1))
+        self.coordinator_logs
+            .iter()
+            .filter_map(crate::CoordinatorLog::highest_command)
+            .max()
+            .max(self.compaction_point.checked_sub(1))
     }
 
     pub fn reachable_replicas(&self) -> usize {
-        1 + self.peer_ids().iter().filter(|seat| self.peers[**seat as usize].connected && !self.peers[**seat as usize].suspected).count()
+        1 + self
+            .peer_ids()
+            .iter()
+            .filter(|seat| {
+                self.peers[**seat as usize].connected && !self.peers[**seat as usize].suspected
+            })
+            .count()
     }
 }
--- a/crates/mencius/src/timers.rs
+++ b/crates/mencius/src/timers.rs
@@ -31,12 +31,16 @@
         self.suspected_peers().into_iter().for_each(|mate| {
             // Optimization 3: ahead of need, in blocks.
             let reach = self.config.beta;
-            let unknown = self.coordinator_logs[mate as usize].first_unknown(self.first_coordinated_from(mate, self.applied), self.replica_count);
+            let unknown = self.coordinator_logs[mate as usize].first_unknown(
+                self.first_coordinated_from(mate, self.applied),
+                self.replica_count,
+            );
             if unknown < self.index + reach {
                 self.schedule_revocation(mate, self.index + 2 * reach);
             }
         });
-        self.revocations.retain(|_, held| held.started_at + 4 * 250_000 > self.now);
+        self.revocations
+            .retain(|_, held| held.started_at + 4 * 250_000 > self.now);
         self.apply_ready();
     }
 
@@ -46,7 +50,11 @@
         self.stalled.2 = self.now;
         if gap > self.config.initial_suspicion_timeout {
             let now = self.now;
-            self.peers.iter_mut().for_each(|mate| mate.last_heard = mate.last_heard.max(now.saturating_sub(self.config.heartbeat_interval)));
+            self.peers.iter_mut().for_each(|mate| {
+                mate.last_heard = mate
+                    .last_heard
+                    .max(now.saturating_sub(self.config.heartbeat_interval))
+            });
         }
     }
 
@@ -80,25 +88,37 @@
     /// Something known to exist cannot be applied: first ask, then finish it in a higher round.
     fn resolve_stall(&mut self) {
         let (at, since, _) = self.stalled;
-        let waits = self.awaited_instance().is_some_and(|wanted| wanted >= self.applied);
+        let waits = self
+            .awaited_instance()
+            .is_some_and(|wanted| wanted >= self.applied);
         if at != self.applied || !waits {
             self.stalled = (self.applied, self.now, self.stalled.2);
-            self.revocation_attempts.iter_mut().for_each(|attempts| *attempts = 0);
+            self.revocation_attempts
+                .iter_mut()
+                .for_each(|attempts| *attempts = 0);
             return;
         }
         let waited = self.now - since;
         let owner = self.coordinator(self.applied);
         // Ever more slowly: what was asked for may be on its way.
-        let every = self.config.stall_fetch_after << (waited / (4 * self.config.stall_fetch_after)).min(3);
+        let every =
+            self.config.stall_fetch_after << (waited / (4 * self.config.stall_fetch_after)).min(3);
         if waited >= every && waited % every < 2 * self.config.heartbeat_interval {
-            let helpers: Vec<ReplicaId> = self.peer_ids().into_iter().filter(|mate| self.peers[*mate as usize].connected).collect();
+            let helpers: Vec<ReplicaId> = self
+                .peer_ids()
+                .into_iter()
+                .filter(|mate| self.peers[*mate as usize].connected)
+                .collect();
             let turn = (waited / self.config.stall_fetch_after) as usize;
             let applied = self.applied;
             if let Some(helper) = helpers.get(turn % helpers.len().max(1)) {
                 self.send(*helper, Message::FetchOutcomes { from: applied });
             }
         }
-        if owner == self.replica_id && waited >= every && waited % every < self.config.heartbeat_interval {
+        if owner == self.replica_id
+            && waited >= every
+            && waited % every < self.config.heartbeat_interval
+        {
             let at = self.applied;
             self.resend_suggestion(at);
         }
@@ -110,7 +130,9 @@
 
     /// The nearest live seat after the owner goes first; the others leave it time and jitter.
     fn schedule_revocation(&mut self, owner: ReplicaId, to: Instance) {
-        if self.revocations.contains_key(&owner) || self.now < self.revoke_not_before[owner as usize] {
+        if self.revocations.contains_key(&owner)
+            || self.now < self.revoke_not_before[owner as usize]
+        {
             return;
         }
         let before_me = (1..self.replica_count as ReplicaId)
@@ -118,9 +140,11 @@
             .take_while(|seat| *seat != self.replica_id)
             .filter(|seat| !self.peers[*seat as usize].suspected)
             .count() as u64;
-        if before_me > 0 && self.revoke_not_before[owner as usize] == 0 && owner != self.replica_id {
+        if before_me > 0 && self.revoke_not_before[owner as usize] == 0 && owner != self.replica_id
+        {
             let pause = rand::Rng::random_range(&mut self.rng, 0..self.config.heartbeat_interval);
-            self.revoke_not_before[owner as usize] = self.now + before_me * self.config.heartbeat_interval + pause;
+            self.revoke_not_before[owner as usize] =
+                self.now + before_me * self.config.heartbeat_interval + pause;
             return;
         }
         self.revoke_not_before[owner as usize] = 0;
--- a/crates/mencius/src/voting_range.rs
+++ b/crates/mencius/src/voting_range.rs
@@ -6,7 +6,9 @@
     /// Not for the seat's earlier or later holder, and not so far ahead that a change of holders
     /// could have been missed.
     pub(crate) fn may_vote(&self, instance: Instance) -> bool {
-        instance >= self.voting_range_start && instance <= self.voting_range_end && instance < self.executed + VOTING_WINDOW
+        instance >= self.voting_range_start
+            && instance <= self.voting_range_end
+            && instance < self.executed + VOTING_WINDOW
     }
 
     /// A new disk in an old seat begins after `upto`, with its first own instance there.
@@ -15,7 +17,8 @@
             return;
         }
         self.voting_range_start = upto + 1;
-        self.batch_writes.push(Write::VotingRangeStart(self.voting_range_start));
+        self.batch_writes
+            .push(Write::VotingRangeStart(self.voting_range_start));
         if self.index <= upto {
             // Not skipped by this disk: what the earlier holder did there is not its to say.
             self.index = self.first_coordinated_from(self.replica_id, upto + 1);
@@ -43,16 +46,30 @@
 
     pub(crate) fn hand_back_deferred(&mut self) {
         if !self.deferred.is_empty() && self.may_vote(self.index) {
-            std::mem::take(&mut self.deferred).into_iter().for_each(|value| self.effects.push(Effect::NotChosen(value)));
+            std::mem::take(&mut self.deferred)
+                .into_iter()
+                .for_each(|value| self.effects.push(Effect::NotChosen(value)));
         }
     }
 
     /// An own suggestion that lacks a majority is told again to those who have not accepted it:
     /// they may have been too far behind to vote.
     pub(crate) fn resend_suggestion(&mut self, instance: Instance) {
-        let Some((value, seats)) = self.own_suggestions.get(&instance).cloned() else { return };
-        self.peer_ids().into_iter().filter(|seat| !seats.contains(seat)).for_each(|seat| {
-            self.send_with_cursor(seat, instance + self.replica_count, Message::Suggest { instance, value: value.clone() });
-        });
+        let Some((value, seats)) = self.own_suggestions.get(&instance).cloned() else {
+            return;
+        };
+        self.peer_ids()
+            .into_iter()
+            .filter(|seat| !seats.contains(seat))
+            .for_each(|seat| {
+                self.send_with_cursor(
+                    seat,
+                    instance + self.replica_count,
+                    Message::Suggest {
+                        instance,
+                        value: value.clone(),
+                    },
+                );
+            });
     }
 }
--- a/crates/mencius/tests/channel.rs
+++ b/crates/mencius/tests/channel.rs
@@ -23,7 +23,8 @@
 }
 
 fn deliver(machine: &mut Replica, from: u16, sent: Vec<Frame>) {
-    sent.into_iter().for_each(|frame| machine.step(0, Input::Frame(from, frame)));
+    sent.into_iter()
+        .for_each(|frame| machine.step(0, Input::Frame(from, frame)));
 }
 
 #[test]
@@ -40,7 +41,11 @@
 
     // The suggestion leaves, and the conn breaks under it.
     one.step(0, Input::Submit(b"lost on the way".to_vec()));
-    assert!(frames(&mut one, 1).iter().any(|frame| matches!(frame.message, Message::Suggest { instance: 0, .. })));
+    assert!(
+        frames(&mut one, 1)
+            .iter()
+            .any(|frame| matches!(frame.message, Message::Suggest { instance: 0, .. }))
+    );
     one.step(0, Input::ConnectionClosed(1));
     two.step(0, Input::ConnectionClosed(0));
     one.step(0, Input::ConnectionOpened(1));
@@ -48,27 +53,63 @@
 
     // A frame of the new channel whose cursor is past the lost instance proves nothing before the resync.
     assert_eq!(one.index(), 3);
-    deliver(&mut two, 0, vec![Frame { cursor: 3, message: Message::Heartbeat { applied: 0 } }]);
+    deliver(
+        &mut two,
+        0,
+        vec![Frame {
+            cursor: 3,
+            message: Message::Heartbeat { applied: 0 },
+        }],
+    );
     drop(two.take_effects());
     assert_eq!(two.applied(), 0, "the lost suggestion was skipped over");
 
     // The resync brings it again, and the acceptance comes back.
     let to_one = frames(&mut two, 0);
     deliver(&mut one, 1, to_one);
-    deliver(&mut one, 1, vec![Frame { cursor: 1, message: Message::Hello { learned_below: 0, applied: 0 } }]);
+    deliver(
+        &mut one,
+        1,
+        vec![Frame {
+            cursor: 1,
+            message: Message::Hello {
+                learned_below: 0,
+                applied: 0,
+            },
+        }],
+    );
     let to_two = frames(&mut one, 1);
-    assert!(to_two.iter().any(|frame| matches!(frame.message, Message::Suggest { instance: 0, .. })), "{to_two:?}");
+    assert!(
+        to_two
+            .iter()
+            .any(|frame| matches!(frame.message, Message::Suggest { instance: 0, .. })),
+        "{to_two:?}"
+    );
     deliver(&mut two, 0, to_two);
-    assert!(frames(&mut two, 0).iter().any(|frame| frame.message == Message::Accept { instance: 0 }));
+    assert!(
+        frames(&mut two, 0)
+            .iter()
+            .any(|frame| frame.message == Message::Accept { instance: 0 })
+    );
 }
 
 #[test]
 fn only_the_coordinator_may_suggest() {
     let mut two = seat(1);
     two.step(0, Input::ConnectionOpened(0));
-    let forged = Frame { cursor: 3, message: Message::Suggest { instance: 2, value: b"not mine to say".to_vec() } };
+    let forged = Frame {
+        cursor: 3,
+        message: Message::Suggest {
+            instance: 2,
+            value: b"not mine to say".to_vec(),
+        },
+    };
     deliver(&mut two, 0, vec![forged]);
-    assert!(!frames(&mut two, 0).iter().any(|frame| matches!(frame.message, Message::Accept { .. })));
+    assert!(
+        !frames(&mut two, 0)
+            .iter()
+            .any(|frame| matches!(frame.message, Message::Accept { .. }))
+    );
 }
 
 #[test]
@@ -76,9 +117,25 @@
     let mut one = seat(0);
     one.step(0, Input::Submit(b"first".to_vec()));
     let block = (3, 30);
-    let round = mencius::ProposalNumber { counter: 4, disk_id: 9 };
+    let round = mencius::ProposalNumber {
+        counter: 4,
+        disk_id: 9,
+    };
     one.step(0, Input::ConnectionOpened(1));
-    one.step(0, Input::Frame(1, Frame { cursor: 1, message: Message::Prepare { coordinator: 0, proposal_number: round, block } }));
+    one.step(
+        0,
+        Input::Frame(
+            1,
+            Frame {
+                cursor: 1,
+                message: Message::Prepare {
+                    coordinator: 0,
+                    proposal_number: round,
+                    block,
+                },
+            },
+        ),
+    );
     let mut disk = Vec::new();
     loop {
         let effects = one.take_effects();
@@ -95,9 +152,29 @@
     let mut again = Replica::restore(0, 3, 1, Config::default(), 0, disk);
     assert!(again.index() >= 30, "the promised block is left alone");
     again.step(0, Input::ConnectionOpened(1));
-    let lower = mencius::ProposalNumber { counter: 3, disk_id: 9 };
-    again.step(0, Input::Frame(1, Frame { cursor: 1, message: Message::Prepare { coordinator: 0, proposal_number: lower, block } }));
-    assert!(frames(&mut again, 1).iter().any(|frame| matches!(frame.message, Message::Reject { .. })));
+    let lower = mencius::ProposalNumber {
+        counter: 3,
+        disk_id: 9,
+    };
+    again.step(
+        0,
+        Input::Frame(
+            1,
+            Frame {
+                cursor: 1,
+                message: Message::Prepare {
+                    coordinator: 0,
+                    proposal_number: lower,
+                    block,
+                },
+            },
+        ),
+    );
+    assert!(
+        frames(&mut again, 1)
+            .iter()
+            .any(|frame| matches!(frame.message, Message::Reject { .. }))
+    );
 }
 
 #[test]
@@ -107,12 +184,32 @@
     one.step(0, Input::ConnectionOpened(1));
     frames(&mut one, 1);
     one.step(0, Input::Submit(b"to be synced".to_vec()));
-    one.step(0, Input::Frame(1, Frame { cursor: 1, message: Message::ReadIndexRequest { token: 1 } }));
-    let ticket = one.take_effects().into_iter().find_map(|effect| if let Effect::Persist { ticket, .. } = effect { Some(ticket) } else { None });
+    one.step(
+        0,
+        Input::Frame(
+            1,
+            Frame {
+                cursor: 1,
+                message: Message::ReadIndexRequest { token: 1 },
+            },
+        ),
+    );
+    let ticket = one.take_effects().into_iter().find_map(|effect| {
+        if let Effect::Persist { ticket, .. } = effect {
+            Some(ticket)
+        } else {
+            None
+        }
+    });
     // All of it in one breath of the owner: what is released is carried out only after it.
     one.step(0, Input::Persisted(ticket.expect("a sync")));
     one.step(0, Input::ConnectionClosed(1));
     one.step(0, Input::ConnectionOpened(1));
     let sent = frames(&mut one, 1);
-    assert!(!sent.iter().any(|frame| matches!(frame.message, Message::ReadIndexResponse { .. })), "{sent:?}");
+    assert!(
+        !sent
+            .iter()
+            .any(|frame| matches!(frame.message, Message::ReadIndexResponse { .. })),
+        "{sent:?}"
+    );
 }
--- a/crates/mencius/tests/recorded_bytes.rs
+++ b/crates/mencius/tests/recorded_bytes.rs
@@ -12,7 +12,10 @@
 #[path = "../../test-support/tests/recorded/variants.rs"]
 mod recorded_variants;
 
-const ROUND: ProposalNumber = ProposalNumber { counter: 3, disk_id: 0x1122_3344_5566_7788 };
+const ROUND: ProposalNumber = ProposalNumber {
+    counter: 3,
+    disk_id: 0x1122_3344_5566_7788,
+};
 const CURSOR: u64 = 0x0102_0304_0506_0708;
 
 fn messages() -> Vec<(&'static str, Message)> {
@@ -89,10 +92,29 @@
 fn every_message_between_seats_has_the_recorded_bytes() {
     let mut recorded = RecordedBytes::of("messages");
     for (name, message) in messages() {
-        check_archive!(recorded, name, Frame, &Frame { cursor: CURSOR, message });
+        check_archive!(
+            recorded,
+            name,
+            Frame,
+            &Frame {
+                cursor: CURSOR,
+                message
+            }
+        );
     }
-    let nothing = Message::ReadIndexResponse { token: 55, highest_accepted: None };
-    check_archive!(recorded, "read-answer-nothing", Frame, &Frame { cursor: 0, message: nothing });
+    let nothing = Message::ReadIndexResponse {
+        token: 55,
+        highest_accepted: None,
+    };
+    check_archive!(
+        recorded,
+        "read-answer-nothing",
+        Frame,
+        &Frame {
+            cursor: 0,
+            message: nothing
+        }
+    );
     recorded.finish();
 }
 
--- a/crates/model/src/clock.rs
+++ b/crates/model/src/clock.rs
@@ -10,5 +10,8 @@
 
 /// The time of day, for log lines that people read. Nothing is decided by it: it jumps.
 pub fn wall_clock_now() -> Microseconds {
-    std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).map(|since| since.as_micros() as Microseconds).unwrap_or(0)
+    std::time::SystemTime::now()
+        .duration_since(std::time::UNIX_EPOCH)
+        .map(|since| since.as_micros() as Microseconds)
+        .unwrap_or(0)
 }
--- a/crates/model/src/cluster_state/delta.rs
+++ b/crates/model/src/cluster_state/delta.rs
@@ -1,6 +1,9 @@
 //! Changes of the bill as followers hear them, and what a node makes of them (design 11.3).
 
-use super::{BackendRecord, ItemBody, ItemKind, Limits, NodeRecord, Placement, Route, Service, ShardMap, endpoints, items::ItemName, items::ItemVersion};
+use super::{
+    BackendRecord, ItemBody, ItemKind, Limits, NodeRecord, Placement, Route, Service, ShardMap,
+    endpoints, items::ItemName, items::ItemVersion,
+};
 use crate::{BackendName, NodeName, Position, ServiceName};
 
 #[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
@@ -48,7 +51,8 @@
     pub fn route(&self, host: &str, path: &str) -> Option<&Shared<RouteItem>> {
         let lanes = self.routes_by_host.get(host)?;
         // A prefix ends with a slash: the longest that is known, from the whole path down.
-        path.rmatch_indices('/').find_map(|(at, _)| lanes.get(&path[..=at]))
+        path.rmatch_indices('/')
+            .find_map(|(at, _)| lanes.get(&path[..=at]))
     }
 
     pub fn has_routes(&self) -> bool {
@@ -61,25 +65,59 @@
 
     /// A back end that takes new work: registered, beside a node that is there.
     pub fn accepts_work(&self, backend: &BackendRecord) -> bool {
-        backend.phase == crate::BackendPhase::Registered && self.nodes.get(&backend.node).is_some_and(|place| place.present)
+        backend.phase == crate::BackendPhase::Registered
+            && self
+                .nodes
+                .get(&backend.node)
+                .is_some_and(|place| place.present)
     }
 
     /// The whole of what a follower was told, or what changed since what it holds.
-    pub fn updated(&self, from_empty: bool, position: Position, deltas: Vec<Delta>) -> StateSnapshot {
-        let base = if from_empty { StateSnapshot::default() } else { self.clone() };
-        let names = |delta: &Delta| if let Delta::Backend(name, _) = delta { Some(name.clone()) } else { None };
-        let nodes = |delta: &Delta| if let Delta::Node(node, _) = delta { Some(node.clone()) } else { None };
-        let names: std::collections::HashSet<BackendName> = deltas.iter().filter_map(names).collect();
+    pub fn updated(
+        &self,
+        from_empty: bool,
+        position: Position,
+        deltas: Vec<Delta>,
+    ) -> StateSnapshot {
+        let base = if from_empty {
+            StateSnapshot::default()
+        } else {
+            self.clone()
+        };
+        let names = |delta: &Delta| {
+            if let Delta::Backend(name, _) = delta {
+                Some(name.clone())
+            } else {
+                None
+            }
+        };
+        let nodes = |delta: &Delta| {
+            if let Delta::Node(node, _) = delta {
+                Some(node.clone())
+            } else {
+                None
+            }
+        };
+        let names: std::collections::HashSet<BackendName> =
+            deltas.iter().filter_map(names).collect();
         let nodes: std::collections::HashSet<NodeName> = deltas.iter().filter_map(nodes).collect();
         // Of a back end that was told of, both the service it left and the one it came to.
         let touched = |programme: &StateSnapshot| -> Vec<ServiceName> {
-            let told = programme.backends.iter().filter(|(name, player)| names.contains(*name) || nodes.contains(&player.node));
+            let told = programme
+                .backends
+                .iter()
+                .filter(|(name, player)| names.contains(*name) || nodes.contains(&player.node));
             told.map(|(_, player)| player.service.clone()).collect()
         };
-        let before = if from_empty || names.is_empty() { Vec::new() } else { touched(&base) };
+        let before = if from_empty || names.is_empty() {
+            Vec::new()
+        } else {
+            touched(&base)
+        };
         let mut next = deltas.into_iter().fold(base, StateSnapshot::with_delta);
         if !names.is_empty() || !nodes.is_empty() {
-            let touched: std::collections::HashSet<ServiceName> = before.into_iter().chain(touched(&next)).collect();
+            let touched: std::collections::HashSet<ServiceName> =
+                before.into_iter().chain(touched(&next)).collect();
             let casts = next.available_of(&touched);
             let cast = Shared::make_mut(&mut next.available);
             cast.retain(|service, _| !touched.contains(service));
@@ -88,14 +126,29 @@
         StateSnapshot { position, ..next }
     }
 
-    fn available_of(&self, services: &std::collections::HashSet<ServiceName>) -> std::collections::HashMap<ServiceName, Shared<Vec<AvailableBackend>>> {
-        let working = self.backends.iter().filter(|(_, player)| services.contains(&player.service) && self.accepts_work(player));
-        let placed = working.filter_map(|(name, player)| self.located(name, player).map(|placed| (player.service.clone(), placed)));
-        let by_service = placed.fold(std::collections::HashMap::<ServiceName, Vec<AvailableBackend>>::new(), |mut cast, (service, placed)| {
-            cast.entry(service).or_default().push(placed);
-            cast
+    fn available_of(
+        &self,
+        services: &std::collections::HashSet<ServiceName>,
+    ) -> std::collections::HashMap<ServiceName, Shared<Vec<AvailableBackend>>> {
+        let working = self
+            .backends
+            .iter()
+            .filter(|(_, player)| services.contains(&player.service) && self.accepts_work(player));
+        let placed = working.filter_map(|(name, player)| {
+            self.located(name, player)
+                .map(|placed| (player.service.clone(), placed))
         });
-        by_service.into_iter().map(|(service, cast)| (service, Shared::new(cast))).collect()
+        let by_service = placed.fold(
+            std::collections::HashMap::<ServiceName, Vec<AvailableBackend>>::new(),
+            |mut cast, (service, placed)| {
+                cast.entry(service).or_default().push(placed);
+                cast
+            },
+        );
+        by_service
+            .into_iter()
+            .map(|(service, cast)| (service, Shared::new(cast)))
+            .collect()
     }
 
     fn located(&self, name: &str, backend: &BackendRecord) -> Option<AvailableBackend> {
@@ -115,22 +168,40 @@
 
     /// Where a back end is found, though it may take no new work.
     pub fn find_backend(&self, name: &str) -> Option<AvailableBackend> {
-        self.backends.get(name).and_then(|player| self.located(name, player))
+        self.backends
+            .get(name)
+            .and_then(|player| self.located(name, player))
     }
 
     fn with_delta(mut self, delta: Delta) -> StateSnapshot {
         match delta {
-            Delta::Item(ItemKind::Route, name, version, body) => self.put_route(name, version, body),
-            Delta::Item(ItemKind::Service, name, _, Some(ItemBody::Service(service))) => drop(Shared::make_mut(&mut self.services).insert(name, service)),
-            Delta::Item(ItemKind::Service, name, ..) => drop(Shared::make_mut(&mut self.services).remove(&name)),
-            Delta::Item(ItemKind::Limits, _, _, Some(ItemBody::Limits(limits))) => self.limits = Some(limits),
+            Delta::Item(ItemKind::Route, name, version, body) => {
+                self.put_route(name, version, body)
+            }
+            Delta::Item(ItemKind::Service, name, _, Some(ItemBody::Service(service))) => {
+                drop(Shared::make_mut(&mut self.services).insert(name, service))
+            }
+            Delta::Item(ItemKind::Service, name, ..) => {
+                drop(Shared::make_mut(&mut self.services).remove(&name))
+            }
+            Delta::Item(ItemKind::Limits, _, _, Some(ItemBody::Limits(limits))) => {
+                self.limits = Some(limits)
+            }
             Delta::Item(ItemKind::Limits, ..) => self.limits = None,
-            Delta::Backend(name, Some(player)) => drop(Shared::make_mut(&mut self.backends).insert(name, player)),
+            Delta::Backend(name, Some(player)) => {
+                drop(Shared::make_mut(&mut self.backends).insert(name, player))
+            }
             Delta::Backend(name, None) => drop(Shared::make_mut(&mut self.backends).remove(&name)),
-            Delta::Node(name, Some(place)) => drop(Shared::make_mut(&mut self.nodes).insert(name, place)),
+            Delta::Node(name, Some(place)) => {
+                drop(Shared::make_mut(&mut self.nodes).insert(name, place))
+            }
             Delta::Node(name, None) => drop(Shared::make_mut(&mut self.nodes).remove(&name)),
             Delta::ShardRanges(service, at, rows) => {
-                let held = self.placements.get(&service).map(|held| held.1.clone()).unwrap_or_default();
+                let held = self
+                    .placements
+                    .get(&service)
+                    .map(|held| held.1.clone())
+                    .unwrap_or_default();
                 let next = (at, super::shard_map::apply_diff(held, rows));
                 Shared::make_mut(&mut self.placements).insert(service, Shared::new(next));
             }
@@ -139,7 +210,10 @@
     }
 
     fn put_route(&mut self, name: ItemName, version: ItemVersion, body: Option<ItemBody>) {
-        let (named, lanes) = (Shared::make_mut(&mut self.routes_by_name), Shared::make_mut(&mut self.routes_by_host));
+        let (named, lanes) = (
+            Shared::make_mut(&mut self.routes_by_name),
+            Shared::make_mut(&mut self.routes_by_host),
+        );
         if let Some(old) = named.remove(name.as_str()) {
             let (host, prefix) = (old.2.host.as_str(), old.2.prefix.as_str());
             let emptied = lanes.get_mut(host).is_some_and(|held| {
--- a/crates/model/src/cluster_state/endpoints.rs
+++ b/crates/model/src/cluster_state/endpoints.rs
@@ -3,7 +3,16 @@
 use crate::{BackendName, BackendPhase, Incarnation, NodeName, Position, ServiceName, ZoneName};
 
 /// A back end's name is one life: a new start has a new name.
-#[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(
+    Clone,
+    Debug,
+    PartialEq,
+    serde::Serialize,
+    serde::Deserialize,
+    rkyv::Archive,
+    rkyv::Serialize,
+    rkyv::Deserialize,
+)]
 pub struct BackendRecord {
     pub service: ServiceName,
     pub zone: ZoneName,
@@ -14,7 +23,16 @@
     pub changed_at: Position,
 }
 
-#[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(
+    Clone,
+    Debug,
+    PartialEq,
+    serde::Serialize,
+    serde::Deserialize,
+    rkyv::Archive,
+    rkyv::Serialize,
+    rkyv::Deserialize,
+)]
 pub struct NodeRecord {
     pub zone: ZoneName,
     pub address: String,
@@ -89,15 +107,41 @@
 pub type NodeRecords = std::collections::BTreeMap<NodeName, NodeRecord>;
 
 /// Compare-and-set: a registration counts only on top of the incarnation that its sender found in the log.
-pub(crate) fn may_register(nodes: &NodeRecords, node: &str, incarnation: Incarnation, replaces: Incarnation) -> bool {
-    nodes.get(node).is_none_or(|held| held.incarnation == incarnation || held.incarnation == replaces)
+pub(crate) fn may_register(
+    nodes: &NodeRecords,
+    node: &str,
+    incarnation: Incarnation,
+    replaces: Incarnation,
+) -> bool {
+    nodes
+        .get(node)
+        .is_none_or(|held| held.incarnation == incarnation || held.incarnation == replaces)
 }
 
 /// A node is missed once two of its watchers say so, or the only other node there is.
-pub(crate) fn record_observation(nodes: &mut NodeRecords, observer: NodeName, node: &str, incarnation: Incarnation, missed: bool, next: Position) -> bool {
-    let others = nodes.iter().filter(|(name, held)| *name != node && held.present).count();
-    let Some(held) = nodes.get_mut(node).filter(|held| held.incarnation == incarnation) else { return false };
-    let changed = if missed { held.missed_by.insert(observer) } else { held.missed_by.remove(&observer) };
+pub(crate) fn record_observation(
+    nodes: &mut NodeRecords,
+    observer: NodeName,
+    node: &str,
+    incarnation: Incarnation,
+    missed: bool,
+    next: Position,
+) -> bool {
+    let others = nodes
+        .iter()
+        .filter(|(name, held)| *name != node && held.present)
+        .count();
+    let Some(held) = nodes
+        .get_mut(node)
+        .filter(|held| held.incarnation == incarnation)
+    else {
+        return false;
+    };
+    let changed = if missed {
+        held.missed_by.insert(observer)
+    } else {
+        held.missed_by.remove(&observer)
+    };
     let present = held.missed_by.len() < others.clamp(1, 2);
     if present != held.present {
         held.present = present;
@@ -120,10 +164,23 @@
     next: Position,
 ) -> (NameSet, NameSet) {
     let long = |since: Position| since + ABSENT_KEPT_POSITIONS < next;
-    let gone = |node: &str| nodes.get(node).is_none_or(|held| !held.present && long(held.changed_at));
-    let (leave, stay): (Vec<_>, Vec<_>) =
-        backends.iter().partition(|(name, player)| long(player.changed_at) && gone(&player.node) && !named_in_shards.contains(name));
-    let beside: std::collections::HashSet<&NodeName> = stay.into_iter().map(|(_, player)| &player.node).collect();
-    let nodes = nodes.keys().filter(|node| gone(node) && !beside.contains(node)).cloned().collect();
-    (leave.into_iter().map(|(name, _)| name.clone()).collect(), nodes)
+    let gone = |node: &str| {
+        nodes
+            .get(node)
+            .is_none_or(|held| !held.present && long(held.changed_at))
+    };
+    let (leave, stay): (Vec<_>, Vec<_>) = backends.iter().partition(|(name, player)| {
+        long(player.changed_at) && gone(&player.node) && !named_in_shards.contains(name)
+    });
+    let beside: std::collections::HashSet<&NodeName> =
+        stay.into_iter().map(|(_, player)| &player.node).collect();
+    let nodes = nodes
+        .keys()
+        .filter(|node| gone(node) && !beside.contains(node))
+        .cloned()
+        .collect();
+    (
+        leave.into_iter().map(|(name, _)| name.clone()).collect(),
+        nodes,
+    )
 }
--- a/crates/model/src/cluster_state/items.rs
+++ b/crates/model/src/cluster_state/items.rs
@@ -7,7 +7,20 @@
 pub type ItemVersion = u64;
 pub type ItemName = String;
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, serde::Deserialize, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(
+    Clone,
+    Copy,
+    Debug,
+    PartialEq,
+    Eq,
+    PartialOrd,
+    Ord,
+    serde::Serialize,
+    serde::Deserialize,
+    rkyv::Archive,
+    rkyv::Serialize,
+    rkyv::Deserialize,
+)]
 #[rkyv(derive(PartialEq, Eq, PartialOrd, Ord))]
 #[serde(rename_all = "snake_case")]
 pub enum ItemKind {
@@ -29,7 +42,17 @@
 }
 
 /// Where requests of a host and a path prefix go, how long they may wait and how much they matter.
-#[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize, validator::Validate, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(
+    Clone,
+    Debug,
+    PartialEq,
+    serde::Serialize,
+    serde::Deserialize,
+    validator::Validate,
+    rkyv::Archive,
+    rkyv::Serialize,
+    rkyv::Deserialize,
+)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
     #[validate(length(min = 1, max = 253, message = "names a host of 1 to 253 bytes"))]
@@ -39,7 +62,11 @@
     /// May run more than once without harm.
     #[serde(rename = "repeatable")]
     pub idempotent: bool,
-    #[validate(range(min = 1, max = 600_000_000, message = "is from 1 microsecond to ten minutes"))]
+    #[validate(range(
+        min = 1,
+        max = 600_000_000,
+        message = "is from 1 microsecond to ten minutes"
+    ))]
     pub wait_us: Microseconds,
     /// An answer within it is worth its full value; 0 is not said.
     #[serde(default)]
@@ -51,11 +78,24 @@
     /// The most back ends one try may go to.
     #[validate(range(min = 1, max = 16, message = "is from 1 to 16"))]
     pub dispatches: u8,
-    #[validate(length(min = 1, max = 32, message = "names 1 to 32 services"), custom(function = "crate::check::shares"))]
+    #[validate(
+        length(min = 1, max = 32, message = "names 1 to 32 services"),
+        custom(function = "crate::check::shares")
+    )]
     pub shares: Vec<(ServiceName, u32)>,
 }
 
-#[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize, validator::Validate, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(
+    Clone,
+    Debug,
+    PartialEq,
+    serde::Serialize,
+    serde::Deserialize,
+    validator::Validate,
+    rkyv::Archive,
+    rkyv::Serialize,
+    rkyv::Deserialize,
+)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
     #[serde(default)]
@@ -72,20 +112,47 @@
     pub slow_start_us: Microseconds,
 }
 
-#[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize, validator::Validate, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(
+    Clone,
+    Debug,
+    PartialEq,
+    serde::Serialize,
+    serde::Deserialize,
+    validator::Validate,
+    rkyv::Archive,
+    rkyv::Serialize,
+    rkyv::Deserialize,
+)]
 #[serde(deny_unknown_fields)]
 pub struct Limits {
     #[validate(range(min = 256, max = 1_048_576, message = "is from 256 bytes to 1 MiB"))]
     pub header_bytes: u64,
     #[validate(range(max = 1_073_741_824, message = "is at most 1 GiB"))]
     pub body_bytes: u64,
-    #[validate(range(min = 1, max = 600_000_000, message = "is from 1 microsecond to ten minutes"))]
+    #[validate(range(
+        min = 1,
+        max = 600_000_000,
+        message = "is from 1 microsecond to ten minutes"
+    ))]
     pub header_wait_us: Microseconds,
-    #[validate(range(min = 1, max = 86_400_000_000_u64, message = "is from 1 microsecond to a day"))]
+    #[validate(range(
+        min = 1,
+        max = 86_400_000_000_u64,
+        message = "is from 1 microsecond to a day"
+    ))]
     pub idle_us: Microseconds,
 }
 
-#[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(
+    Clone,
+    Debug,
+    PartialEq,
+    serde::Serialize,
+    serde::Deserialize,
+    rkyv::Archive,
+    rkyv::Serialize,
+    rkyv::Deserialize,
+)]
 #[serde(rename_all = "snake_case")]
 pub enum ItemBody {
     #[serde(rename = "lane")]
@@ -109,12 +176,24 @@
             ItemBody::Service(service) => service.validate(),
             ItemBody::Limits(limits) => limits.validate(),
         };
-        checked.err().map(|errors| crate::check::faults_from_errors(path, &errors)).unwrap_or_default()
+        checked
+            .err()
+            .map(|errors| crate::check::faults_from_errors(path, &errors))
+            .unwrap_or_default()
     }
 }
 
 /// `text` is what the operator wrote, kept to be read back as it was sent; `None` was dropped.
-#[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(
+    Clone,
+    Debug,
+    PartialEq,
+    serde::Serialize,
+    serde::Deserialize,
+    rkyv::Archive,
+    rkyv::Serialize,
+    rkyv::Deserialize,
+)]
 pub struct Item {
     pub version: ItemVersion,
     pub body: Option<ItemBody>,
@@ -124,7 +203,17 @@
 pub type Items = std::collections::BTreeMap<(ItemKind, ItemName), Item>;
 
 /// One call of an operator: whole or not at all, though its items hold each for itself.
-#[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(
+    Clone,
+    Debug,
+    Default,
+    PartialEq,
+    serde::Serialize,
+    serde::Deserialize,
+    rkyv::Archive,
+    rkyv::Serialize,
+    rkyv::Deserialize,
+)]
 #[serde(deny_unknown_fields)]
 pub struct ItemCall {
     #[serde(default)]
@@ -133,7 +222,16 @@
     pub drops: Vec<(ItemKind, ItemName, ItemVersion)>,
 }
 
-#[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(
+    Clone,
+    Debug,
+    PartialEq,
+    serde::Serialize,
+    serde::Deserialize,
+    rkyv::Archive,
+    rkyv::Serialize,
+    rkyv::Deserialize,
+)]
 #[serde(deny_unknown_fields)]
 pub struct ItemPut {
     pub name: ItemName,
@@ -146,54 +244,121 @@
 /// All items of a call, in its order.
 pub(crate) fn items_of_call(call: &ItemCall) -> impl Iterator<Item = ((ItemKind, ItemName), Item)> {
     let puts = call.puts.iter().map(|put| {
-        let item = Item { version: put.version, body: Some(put.body.clone()), text: put.text.clone() };
+        let item = Item {
+            version: put.version,
+            body: Some(put.body.clone()),
+            text: put.text.clone(),
+        };
         ((put.body.kind(), put.name.clone()), item)
     });
-    let drops = call.drops.iter().map(|(kind, name, version)| ((*kind, name.clone()), Item { version: *version, body: None, text: String::new() }));
+    let drops = call.drops.iter().map(|(kind, name, version)| {
+        (
+            (*kind, name.clone()),
+            Item {
+                version: *version,
+                body: None,
+                text: String::new(),
+            },
+        )
+    });
     puts.chain(drops)
 }
 
 /// What of the call is newer than what stands, by key.
 pub fn newer_items(items: &Items, call: &ItemCall) -> Items {
-    items_of_call(call).filter(|(key, item)| items.get(key).is_none_or(|held| held.version < item.version)).fold(Items::new(), |mut newer, (key, item)| {
-        // One name twice in a call: the higher version, like everywhere else.
-        if newer.get(&key).is_none_or(|held| held.version < item.version) {
-            newer.insert(key, item);
-        }
-        newer
-    })
+    items_of_call(call)
+        .filter(|(key, item)| {
+            items
+                .get(key)
+                .is_none_or(|held| held.version < item.version)
+        })
+        .fold(Items::new(), |mut newer, (key, item)| {
+            // One name twice in a call: the higher version, like everywhere else.
+            if newer
+                .get(&key)
+                .is_none_or(|held| held.version < item.version)
+            {
+                newer.insert(key, item);
+            }
+            newer
+        })
 }
 
 /// Every fault of the call, judged by what would stand after it.
 pub fn faults(items: &Items, call: &ItemCall) -> Vec<crate::check::Fault> {
-    let fault = |path: String, fault: String| crate::check::Fault { path, message: fault };
-    let named = call.puts.iter().filter(|put| put.name.is_empty() && put.body.kind() != ItemKind::Limits);
-    let nameless = named.map(|put| fault(put.body.kind().public_name().to_string(), "has no name".into()));
-    let alone = call.puts.iter().flat_map(|put| put.body.faults(&format!("{}.{}", put.body.kind().public_name(), put.name.to_lowercase())));
+    let fault = |path: String, fault: String| crate::check::Fault {
+        path,
+        message: fault,
+    };
+    let named = call
+        .puts
+        .iter()
+        .filter(|put| put.name.is_empty() && put.body.kind() != ItemKind::Limits);
+    let nameless = named.map(|put| {
+        fault(
+            put.body.kind().public_name().to_string(),
+            "has no name".into(),
+        )
+    });
+    let alone = call.puts.iter().flat_map(|put| {
+        put.body.faults(&format!(
+            "{}.{}",
+            put.body.kind().public_name(),
+            put.name.to_lowercase()
+        ))
+    });
     let newer = newer_items(items, call);
     let after = |kind: ItemKind, name: &str| {
         let key = (kind, name.to_string());
-        newer.get(&key).or_else(|| items.get(&key)).is_some_and(|item| item.body.is_some())
+        newer
+            .get(&key)
+            .or_else(|| items.get(&key))
+            .is_some_and(|item| item.body.is_some())
     };
     // Lanes that do not change were fine before; without a drop of a service they still are.
-    let services_go = newer.iter().any(|((kind, _), item)| *kind == ItemKind::Service && item.body.is_none());
-    let standing = || items.iter().filter(|(key, _)| !newer.contains_key(*key)).chain(newer.iter());
+    let services_go = newer
+        .iter()
+        .any(|((kind, _), item)| *kind == ItemKind::Service && item.body.is_none());
+    let standing = || {
+        items
+            .iter()
+            .filter(|(key, _)| !newer.contains_key(*key))
+            .chain(newer.iter())
+    };
     let lanes = |all: bool| {
         let of = standing().filter_map(|((kind, name), item)| match (kind, &item.body) {
             (ItemKind::Route, Some(ItemBody::Route(lane))) => Some((name, lane)),
             _ => None,
         });
-        of.filter(|(name, _)| all || newer.contains_key(&(ItemKind::Route, name.to_string()))).collect::<Vec<_>>()
+        of.filter(|(name, _)| all || newer.contains_key(&(ItemKind::Route, name.to_string())))
+            .collect::<Vec<_>>()
     };
     let unknown = lanes(services_go).into_iter().flat_map(|(name, lane)| {
-        let missing = lane.shares.iter().filter(|(service, _)| !after(ItemKind::Service, service));
-        missing.map(|(service, _)| fault(format!("lane.{name}.shares"), format!("no service {service:?}"))).collect::<Vec<_>>()
+        let missing = lane
+            .shares
+            .iter()
+            .filter(|(service, _)| !after(ItemKind::Service, service));
+        missing
+            .map(|(service, _)| {
+                fault(
+                    format!("lane.{name}.shares"),
+                    format!("no service {service:?}"),
+                )
+            })
+            .collect::<Vec<_>>()
     });
-    let changed: std::collections::BTreeMap<(&str, &str), &String> =
-        lanes(false).into_iter().map(|(name, lane)| ((lane.host.as_str(), lane.prefix.as_str()), name)).collect();
+    let changed: std::collections::BTreeMap<(&str, &str), &String> = lanes(false)
+        .into_iter()
+        .map(|(name, lane)| ((lane.host.as_str(), lane.prefix.as_str()), name))
+        .collect();
     let twice = lanes(true).into_iter().filter_map(|(name, lane)| {
-        let other = changed.get(&(lane.host.as_str(), lane.prefix.as_str())).filter(|other| **other != name)?;
-        Some(fault(format!("lane.{name}"), format!("shares host and prefix with {other:?}")))
+        let other = changed
+            .get(&(lane.host.as_str(), lane.prefix.as_str()))
+            .filter(|other| **other != name)?;
+        Some(fault(
+            format!("lane.{name}"),
+            format!("shares host and prefix with {other:?}"),
+        ))
     });
     nameless.chain(alone).chain(unknown).chain(twice).collect()
 }
--- a/crates/model/src/cluster_state/version_history.rs
+++ b/crates/model/src/cluster_state/version_history.rs
@@ -27,7 +27,10 @@
     pub(crate) fn record(&mut self, newer: &Items) {
         for (key, item) in newer {
             let versions = self.0.entry(key.clone()).or_default();
-            versions.push(AcceptedVersion { version: item.version, digest: content_digest(item) });
+            versions.push(AcceptedVersion {
+                version: item.version,
+                digest: content_digest(item),
+            });
             let surplus = versions.len().saturating_sub(VERSIONS_KEPT_PER_ITEM);
             versions.drain(..surplus);
         }
@@ -36,7 +39,8 @@
     /// Every item of the call that has other content than was taken under its version, or that stands twice in the
     /// call with two contents under one version.
     pub(crate) fn conflicts(&self, items: &Items, call: &ItemCall) -> Vec<VersionConflict> {
-        let mut sent: std::collections::BTreeMap<(ItemKey, ItemVersion), Digest> = Default::default();
+        let mut sent: std::collections::BTreeMap<(ItemKey, ItemVersion), Digest> =
+            Default::default();
         let mut conflicts = Vec::new();
         for (key, item) in super::items::items_of_call(call) {
             let digest = content_digest(&item);
@@ -44,7 +48,12 @@
             let earlier = *sent.entry((key.clone(), item.version)).or_insert(digest);
             if earlier != digest || taken.is_some_and(|taken| taken != digest) {
                 let held = items.get(&key).map_or(item.version, |held| held.version);
-                conflicts.push(VersionConflict { kind: key.0, name: key.1, sent_version: item.version, current_version: held });
+                conflicts.push(VersionConflict {
+                    kind: key.0,
+                    name: key.1,
+                    sent_version: item.version,
+                    current_version: held,
+                });
             }
         }
         conflicts
@@ -52,7 +61,10 @@
 
     fn digest_under(&self, key: &ItemKey, version: ItemVersion) -> Option<Digest> {
         let versions = self.0.get(key)?;
-        versions.iter().find(|taken| taken.version == version).map(|taken| taken.digest)
+        versions
+            .iter()
+            .find(|taken| taken.version == version)
+            .map(|taken| taken.digest)
     }
 }
 
--- a/crates/model/src/compression.rs
+++ b/crates/model/src/compression.rs
@@ -17,23 +17,46 @@
 
 /// `None`: what was squeezed does not hold together.
 pub fn decompress(bytes: &[u8]) -> Option<std::borrow::Cow<'_, [u8]>> {
-    let Some(rest) = bytes.strip_prefix(&MAGIC) else { return Some(bytes.into()) };
+    let Some(rest) = bytes.strip_prefix(&MAGIC) else {
+        return Some(bytes.into());
+    };
     let (length, squeezed) = rest.split_at_checked(8)?;
     let length = u64::from_be_bytes(length.try_into().ok()?) as usize;
-    (length <= MAX_DECOMPRESSED_BYTES).then(|| lz4_flex::block::decompress(squeezed, length).ok()).flatten().map(Into::into)
+    (length <= MAX_DECOMPRESSED_BYTES)
+        .then(|| lz4_flex::block::decompress(squeezed, length).ok())
+        .flatten()
+        .map(Into::into)
 }
 
 #[cfg(test)]
 mod tests {
     #[test]
     fn what_is_unpacked_is_what_was_packed_and_damage_is_noticed() {
-        let samples: [Vec<u8>; 4] =
-            [vec![], vec![7; 10], (0..200u32).flat_map(|at| format!("lane {at} of one host").into_bytes()).collect(), super::MAGIC.to_vec()];
-        samples
-            .iter()
-            .for_each(|sample| assert_eq!(crate::compression::decompress(&crate::compression::compress(sample.clone())).as_deref(), Some(sample.as_slice())));
+        let samples: [Vec<u8>; 4] = [
+            vec![],
+            vec![7; 10],
+            (0..200u32)
+                .flat_map(|at| format!("lane {at} of one host").into_bytes())
+                .collect(),
+            super::MAGIC.to_vec(),
+        ];
+        samples.iter().for_each(|sample| {
+            assert_eq!(
+                crate::compression::decompress(&crate::compression::compress(sample.clone()))
+                    .as_deref(),
+                Some(sample.as_slice())
+            )
+        });
         let packed = super::compress(samples[2].clone());
-        assert!(packed.len() * 2 < samples[2].len(), "{} of {}", packed.len(), samples[2].len());
-        assert_eq!(crate::compression::decompress(&packed[..packed.len() - 3]), None);
+        assert!(
+            packed.len() * 2 < samples[2].len(),
+            "{} of {}",
+            packed.len(),
+            samples[2].len()
+        );
+        assert_eq!(
+            crate::compression::decompress(&packed[..packed.len() - 3]),
+            None
+        );
     }
 }
--- a/crates/model/src/desired_state.rs
+++ b/crates/model/src/desired_state.rs
@@ -5,7 +5,17 @@
 use validator::Validate as _;
 
 /// Back ends that announce this service and zone and carry these labels belong to it.
-#[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize, validator::Validate, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(
+    Clone,
+    Debug,
+    PartialEq,
+    serde::Serialize,
+    serde::Deserialize,
+    validator::Validate,
+    rkyv::Archive,
+    rkyv::Serialize,
+    rkyv::Deserialize,
+)]
 #[serde(deny_unknown_fields)]
 pub struct Grouping {
     #[validate(custom(function = "crate::check::name"))]
@@ -19,7 +29,17 @@
 
 /// Which requests an order speaks of. An empty list or map leaves that side open,
 /// except `from`: nobody may call a service that no order lets them call.
-#[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize, validator::Validate, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(
+    Clone,
+    Debug,
+    PartialEq,
+    serde::Serialize,
+    serde::Deserialize,
+    validator::Validate,
+    rkyv::Archive,
+    rkyv::Serialize,
+    rkyv::Deserialize,
+)]
 #[serde(deny_unknown_fields)]
 pub struct Selector {
     #[validate(length(min = 1, max = 64, message = "names 1 to 64 services"))]
@@ -38,13 +58,27 @@
     pub labels: Labels,
 }
 
-#[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize, validator::Validate, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(
+    Clone,
+    Debug,
+    PartialEq,
+    serde::Serialize,
+    serde::Deserialize,
+    validator::Validate,
+    rkyv::Archive,
+    rkyv::Serialize,
+    rkyv::Deserialize,
+)]
 #[serde(deny_unknown_fields)]
 pub struct StandingOrder {
     #[validate(nested)]
     pub selector: Selector,
     /// The longest a request may take, waiting and running together.
-    #[validate(range(min = 1_000, max = 60_000_000, message = "is from 1000 to 60000000 microseconds"))]
+    #[validate(range(
+        min = 1_000,
+        max = 60_000_000,
+        message = "is from 1000 to 60000000 microseconds"
+    ))]
     pub wait_us: crate::Microseconds,
     /// 0 gives way first, 9 last.
     #[serde(default = "crate::check::middle_importance")]
@@ -63,14 +97,33 @@
     pub allow_other_zones: bool,
 }
 
-#[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(
+    Clone,
+    Debug,
+    Default,
+    PartialEq,
+    serde::Serialize,
+    serde::Deserialize,
+    rkyv::Archive,
+    rkyv::Serialize,
+    rkyv::Deserialize,
+)]
 pub struct DesiredState {
     pub version: Position,
     pub groupings: std::collections::BTreeMap<String, Grouping>,
     pub orders: std::collections::BTreeMap<String, StandingOrder>,
 }
 
-#[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(
+    Clone,
+    Debug,
+    PartialEq,
+    serde::Serialize,
+    serde::Deserialize,
+    rkyv::Archive,
+    rkyv::Serialize,
+    rkyv::Deserialize,
+)]
 #[serde(deny_unknown_fields, rename_all = "snake_case")]
 pub enum Edit {
     PutGrouping { name: String, grouping: Grouping },
@@ -80,7 +133,16 @@
 }
 
 /// One atomic change: all of its edits or none, against the version it names.
-#[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(
+    Clone,
+    Debug,
+    PartialEq,
+    serde::Serialize,
+    serde::Deserialize,
+    rkyv::Archive,
+    rkyv::Serialize,
+    rkyv::Deserialize,
+)]
 #[serde(deny_unknown_fields)]
 pub struct Change {
     /// The operator's own name for the change; sending it again is harmless.
@@ -113,6 +175,9 @@
     }
 
     pub fn services(&self) -> std::collections::BTreeSet<&str> {
-        self.groupings.values().map(|grouping| grouping.service.as_str()).collect()
+        self.groupings
+            .values()
+            .map(|grouping| grouping.service.as_str())
+            .collect()
     }
 }
--- a/crates/model/src/endpoint_status.rs
+++ b/crates/model/src/endpoint_status.rs
@@ -2,7 +2,18 @@
 
 use crate::{BackendName, Incarnation, Labels, NodeName, Position, ServiceName, ZoneName};
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(
+    Clone,
+    Copy,
+    Debug,
+    PartialEq,
+    Eq,
+    serde::Serialize,
+    serde::Deserialize,
+    rkyv::Archive,
+    rkyv::Serialize,
+    rkyv::Deserialize,
+)]
 #[serde(rename_all = "snake_case")]
 pub enum BackendPhase {
     Registered,
@@ -12,7 +23,16 @@
     PresumedGone,
 }
 
-#[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(
+    Clone,
+    Debug,
+    PartialEq,
+    serde::Serialize,
+    serde::Deserialize,
+    rkyv::Archive,
+    rkyv::Serialize,
+    rkyv::Deserialize,
+)]
 pub struct Backend {
     pub service: ServiceName,
     pub zone: ZoneName,
@@ -32,7 +52,16 @@
 }
 
 /// A node beside back ends. `reporters` are the watchers that miss it in this life.
-#[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(
+    Clone,
+    Debug,
+    PartialEq,
+    serde::Serialize,
+    serde::Deserialize,
+    rkyv::Archive,
+    rkyv::Serialize,
+    rkyv::Deserialize,
+)]
 pub struct Node {
     pub zone: ZoneName,
     pub address: String,
@@ -92,7 +121,17 @@
     },
 }
 
-#[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(
+    Clone,
+    Debug,
+    Default,
+    PartialEq,
+    serde::Serialize,
+    serde::Deserialize,
+    rkyv::Archive,
+    rkyv::Serialize,
+    rkyv::Deserialize,
+)]
 pub struct EndpointStatus {
     #[serde(rename = "back_ends")]
     pub backends: std::collections::BTreeMap<BackendName, Backend>,
--- a/crates/model/src/entry.rs
+++ b/crates/model/src/entry.rs
@@ -14,7 +14,16 @@
 }
 
 /// Another disk takes a core seat over (design 4.4).
-#[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(
+    Clone,
+    Debug,
+    PartialEq,
+    serde::Serialize,
+    serde::Deserialize,
+    rkyv::Archive,
+    rkyv::Serialize,
+    rkyv::Deserialize,
+)]
 #[serde(deny_unknown_fields)]
 pub struct ReplicaReplacement {
     #[serde(rename = "seat")]
@@ -35,7 +44,16 @@
     pub operation: Operation,
 }
 
-#[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(
+    Clone,
+    Debug,
+    PartialEq,
+    serde::Serialize,
+    serde::Deserialize,
+    rkyv::Archive,
+    rkyv::Serialize,
+    rkyv::Deserialize,
+)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
     /// In the log at this position; for a change also the new version of the desired state.
@@ -71,7 +89,16 @@
 }
 
 /// An item that was taken with other content under the very version that was sent.
-#[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(
+    Clone,
+    Debug,
+    PartialEq,
+    serde::Serialize,
+    serde::Deserialize,
+    rkyv::Archive,
+    rkyv::Serialize,
+    rkyv::Deserialize,
+)]
 pub struct VersionConflict {
     pub kind: crate::cluster_state::ItemKind,
     pub name: crate::cluster_state::items::ItemName,
@@ -84,7 +111,11 @@
 }
 
 pub fn to_bytes(entry: &Entry) -> Vec<u8> {
-    crate::compression::compress(rkyv::to_bytes::<rkyv::rancor::Error>(entry).map(|bytes| bytes.to_vec()).unwrap_or_default())
+    crate::compression::compress(
+        rkyv::to_bytes::<rkyv::rancor::Error>(entry)
+            .map(|bytes| bytes.to_vec())
+            .unwrap_or_default(),
+    )
 }
 
 pub fn from_bytes(bytes: &[u8]) -> Option<Entry> {
--- a/crates/model/src/env.rs
+++ b/crates/model/src/env.rs
@@ -12,14 +12,23 @@
 }
 
 /// Reads `--config FILE`, `--check`, and one `--NAME VALUE` for each setting named.
-pub fn parse_command_line(mut arguments: pico_args::Arguments, settings: &[&'static str]) -> Result<CommandLine, Vec<Fault>> {
-    let fault = |path: &str, error: String| Fault { path: path.into(), message: error };
-    let file: Option<String> = arguments.opt_value_from_str("--config").map_err(|error| vec![fault("--config", error.to_string())])?;
+pub fn parse_command_line(
+    mut arguments: pico_args::Arguments,
+    settings: &[&'static str],
+) -> Result<CommandLine, Vec<Fault>> {
+    let fault = |path: &str, error: String| Fault {
+        path: path.into(),
+        message: error,
+    };
+    let file: Option<String> = arguments
+        .opt_value_from_str("--config")
+        .map_err(|error| vec![fault("--config", error.to_string())])?;
     let check = arguments.contains("--check");
     let mut values = toml::Table::new();
     let mut faults = Vec::new();
     settings.iter().for_each(|setting| {
-        let flag: &'static str = Box::leak(format!("--{}", setting.replace('_', "-")).into_boxed_str());
+        let flag: &'static str =
+            Box::leak(format!("--{}", setting.replace('_', "-")).into_boxed_str());
         match arguments.opt_value_from_str::<_, String>(flag) {
             Ok(Some(text)) => {
                 values.insert(setting.to_string(), parse_value(setting, &text));
@@ -28,18 +37,44 @@
             Err(error) => faults.push(fault(flag, error.to_string())),
         }
     });
-    let unknown = arguments.finish().into_iter().map(|left| fault(&left.to_string_lossy(), "is not a flag of this program".into()));
+    let unknown = arguments.finish().into_iter().map(|left| {
+        fault(
+            &left.to_string_lossy(),
+            "is not a flag of this program".into(),
+        )
+    });
     faults.extend(unknown);
-    if faults.is_empty() { Ok(CommandLine { overrides: values, check_only: check, config_file: file }) } else { Err(faults) }
+    if faults.is_empty() {
+        Ok(CommandLine {
+            overrides: values,
+            check_only: check,
+            config_file: file,
+        })
+    } else {
+        Err(faults)
+    }
 }
 
 /// Settings whose text stays text, though it may look like a number: a zone may well be called 1.
-const TEXT_SETTINGS: [&str; 7] = ["name", "zone", "mates_address", "operators_address", "advertised_address", "local_address", "folder"];
+const TEXT_SETTINGS: [&str; 7] = [
+    "name",
+    "zone",
+    "mates_address",
+    "operators_address",
+    "advertised_address",
+    "local_address",
+    "folder",
+];
 
 /// A flag's text is a list for seeds, plain text for names and places, else a number, a yes or no, or text.
 fn parse_value(setting: &str, text: &str) -> toml::Value {
     if setting == "seeds" {
-        return toml::Value::Array(text.split(',').filter(|part| !part.is_empty()).map(|part| toml::Value::String(part.into())).collect());
+        return toml::Value::Array(
+            text.split(',')
+                .filter(|part| !part.is_empty())
+                .map(|part| toml::Value::String(part.into()))
+                .collect(),
+        );
     }
     if TEXT_SETTINGS.contains(&setting) {
         return toml::Value::String(text.into());
@@ -50,15 +85,30 @@
         .unwrap_or_else(|_| toml::Value::String(text.into()))
 }
 
-pub fn load_settings<T: serde::de::DeserializeOwned + validator::Validate>(flags: &CommandLine) -> Result<T, Vec<Fault>> {
-    let fault = |path: &str, error: String| vec![Fault { path: path.into(), message: error }];
+pub fn load_settings<T: serde::de::DeserializeOwned + validator::Validate>(
+    flags: &CommandLine,
+) -> Result<T, Vec<Fault>> {
+    let fault = |path: &str, error: String| {
+        vec![Fault {
+            path: path.into(),
+            message: error,
+        }]
+    };
     let text = match &flags.config_file {
-        Some(file) => std::fs::read_to_string(file).map_err(|error| fault(file, error.to_string()))?,
+        Some(file) => {
+            std::fs::read_to_string(file).map_err(|error| fault(file, error.to_string()))?
+        }
         None => String::new(),
     };
-    let mut table: toml::Table = text.parse().map_err(|error: toml::de::Error| fault("config", error.message().to_string()))?;
+    let mut table: toml::Table = text
+        .parse()
+        .map_err(|error: toml::de::Error| fault("config", error.message().to_string()))?;
     table.extend(flags.overrides.clone());
-    let settings: T = toml::Value::Table(table).try_into().map_err(|error: toml::de::Error| fault("config", error.to_string().trim().replace('\n', " ")))?;
+    let settings: T = toml::Value::Table(table)
+        .try_into()
+        .map_err(|error: toml::de::Error| {
+            fault("config", error.to_string().trim().replace('\n', " "))
+        })?;
     match validator::Validate::validate(&settings) {
         Ok(()) => Ok(settings),
         Err(errors) => Err(crate::check::faults_from_errors("config", &errors)),
@@ -66,13 +116,18 @@
 }
 
 pub fn print_faults(program: &str, faults: &[Fault]) {
-    faults.iter().for_each(|fault| eprintln!("{program}: {}: {}", fault.path, fault.message));
+    faults
+        .iter()
+        .for_each(|fault| eprintln!("{program}: {}: {}", fault.path, fault.message));
 }
 
 pub fn is_address(text: &str) -> Result<(), validator::ValidationError> {
     text.parse::<std::net::SocketAddr>()
         .map(|_| ())
-        .map_err(|_| validator::ValidationError::new("address").with_message("is an IP number and port, as in 127.0.0.1:7000".into()))
+        .map_err(|_| {
+            validator::ValidationError::new("address")
+                .with_message("is an IP number and port, as in 127.0.0.1:7000".into())
+        })
 }
 
 pub fn are_addresses(list: &[String]) -> Result<(), validator::ValidationError> {
@@ -80,13 +135,18 @@
 }
 
 pub fn is_level(text: &str) -> Result<(), validator::ValidationError> {
-    text.parse::<slog::Level>()
-        .map(|_| ())
-        .map_err(|()| validator::ValidationError::new("level").with_message("is critical, error, warning, info, debug or trace".into()))
+    text.parse::<slog::Level>().map(|_| ()).map_err(|()| {
+        validator::ValidationError::new("level")
+            .with_message("is critical, error, warning, info, debug or trace".into())
+    })
 }
 
 /// What every daemon does before it runs: help, version, settings, `--check`. `None`: that was all.
-pub fn start_up<T: serde::de::DeserializeOwned + validator::Validate>(program: &str, help: &str, names: &[&'static str]) -> Option<(CommandLine, T)> {
+pub fn start_up<T: serde::de::DeserializeOwned + validator::Validate>(
+    program: &str,
+    help: &str,
+    names: &[&'static str],
+) -> Option<(CommandLine, T)> {
     let mut arguments = pico_args::Arguments::from_env();
     if arguments.contains("--help") {
         print!("{help}");
@@ -96,7 +156,8 @@
         println!("{program} {}", env!("CARGO_PKG_VERSION"));
         return None;
     }
-    let settings = parse_command_line(arguments, names).and_then(|flags| load_settings(&flags).map(|settings| (flags, settings)));
+    let settings = parse_command_line(arguments, names)
+        .and_then(|flags| load_settings(&flags).map(|settings| (flags, settings)));
     let (flags, settings) = settings.unwrap_or_else(|faults| {
         print_faults(program, &faults);
         std::process::exit(USAGE_EXIT_CODE)
--- a/crates/model/src/error.rs
+++ b/crates/model/src/error.rs
@@ -1,6 +1,17 @@
 //! Every trouble says whether the request may have run (design 5.4).
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(
+    Clone,
+    Copy,
+    Debug,
+    PartialEq,
+    Eq,
+    serde::Serialize,
+    serde::Deserialize,
+    rkyv::Archive,
+    rkyv::Serialize,
+    rkyv::Deserialize,
+)]
 pub enum ExecutionStatus {
     /// Certain: no back end was, or ever will be, given this try.
     NotRun,
@@ -62,7 +73,17 @@
     }
 }
 
-#[derive(Clone, Debug, PartialEq, thiserror::Error, serde::Serialize, serde::Deserialize, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(
+    Clone,
+    Debug,
+    PartialEq,
+    thiserror::Error,
+    serde::Serialize,
+    serde::Deserialize,
+    rkyv::Archive,
+    rkyv::Serialize,
+    rkyv::Deserialize,
+)]
 #[error("{execution_status:?}: {} ({detail})", kind.code())]
 pub struct Error {
     #[serde(rename = "verdict")]
@@ -76,10 +97,18 @@
 
 impl Error {
     pub fn new(cause: Cause, detail: impl Into<String>) -> Self {
-        Error { execution_status: cause.verdict(), kind: cause, detail: detail.into(), retry_after: cause.may_retry_later().then_some(DEFAULT_RETRY_AFTER) }
+        Error {
+            execution_status: cause.verdict(),
+            kind: cause,
+            detail: detail.into(),
+            retry_after: cause.may_retry_later().then_some(DEFAULT_RETRY_AFTER),
+        }
     }
 
     pub fn with_retry_after(self, wait: crate::Microseconds) -> Self {
-        Error { retry_after: Some(wait), ..self }
+        Error {
+            retry_after: Some(wait),
+            ..self
+        }
     }
 }
--- a/crates/model/src/leases.rs
+++ b/crates/model/src/leases.rs
@@ -9,7 +9,17 @@
 
 /// `owed`: earlier holders, with the position at which each lost the slice, that have not
 /// yet said they are done with it.
-#[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(
+    Clone,
+    Debug,
+    Default,
+    PartialEq,
+    serde::Serialize,
+    serde::Deserialize,
+    rkyv::Archive,
+    rkyv::Serialize,
+    rkyv::Deserialize,
+)]
 pub struct Lease {
     pub holder: Option<LeaseHolder>,
     /// The position that moved the slice here: the fence of every request on it.
@@ -31,14 +41,22 @@
 /// The same on every node and in every version: duties and keys are cut by it.
 pub fn stable_hash(text: &str) -> u64 {
     let digest = <sha2::Sha256 as sha2::Digest>::digest(text.as_bytes());
-    digest.iter().take(8).fold(0, |hash, byte| hash << 8 | *byte as u64)
+    digest
+        .iter()
+        .take(8)
+        .fold(0, |hash, byte| hash << 8 | *byte as u64)
 }
 
 /// Balanced by slots, moving as little as possible: everyone keeps what fits its quota,
 /// and what is left goes to whoever is furthest below theirs.
-pub fn assign(before: &[Lease], candidates: &[(LeaseHolder, u32)], position: Position) -> Vec<Lease> {
+pub fn assign(
+    before: &[Lease],
+    candidates: &[(LeaseHolder, u32)],
+    position: Position,
+) -> Vec<Lease> {
     let quotas = slot_quotas(candidates);
-    let mut held: std::collections::BTreeMap<&LeaseHolder, usize> = std::collections::BTreeMap::new();
+    let mut held: std::collections::BTreeMap<&LeaseHolder, usize> =
+        std::collections::BTreeMap::new();
     let kept: Vec<Option<&LeaseHolder>> = (0..KEY_SLOTS as usize)
         .map(|at| {
             let holder = before.get(at).and_then(|term| term.holder.as_ref())?;
@@ -53,7 +71,12 @@
             kept.or_else(|| {
                 let next = quotas
                     .iter()
-                    .map(|(holder, quota)| (quota.saturating_sub(held.get(holder).copied().unwrap_or(0)), holder))
+                    .map(|(holder, quota)| {
+                        (
+                            quota.saturating_sub(held.get(holder).copied().unwrap_or(0)),
+                            holder,
+                        )
+                    })
                     .filter(|(room, _)| *room > 0)
                     .max_by(|(one, a), (two, b)| one.cmp(two).then_with(|| b.cmp(a)))
                     .map(|(_, holder)| holder)?;
@@ -62,7 +85,17 @@
             })
         })
         .collect();
-    chosen.into_iter().enumerate().map(|(at, holder)| reassigned(before.get(at).cloned().unwrap_or_default(), holder, position)).collect()
+    chosen
+        .into_iter()
+        .enumerate()
+        .map(|(at, holder)| {
+            reassigned(
+                before.get(at).cloned().unwrap_or_default(),
+                holder,
+                position,
+            )
+        })
+        .collect()
 }
 
 fn reassigned(term: Lease, holder: Option<&LeaseHolder>, position: Position) -> Lease {
@@ -70,23 +103,39 @@
         return term;
     }
     let lost = term.holder.into_iter().map(|holder| (holder, position));
-    Lease { holder: holder.cloned(), fencing_token: position, pending_releases: term.pending_releases.into_iter().chain(lost).collect() }
+    Lease {
+        holder: holder.cloned(),
+        fencing_token: position,
+        pending_releases: term.pending_releases.into_iter().chain(lost).collect(),
+    }
 }
 
 /// Whole slices in proportion to slots; the largest remainders get the odd ones.
-fn slot_quotas(candidates: &[(LeaseHolder, u32)]) -> std::collections::BTreeMap<LeaseHolder, usize> {
+fn slot_quotas(
+    candidates: &[(LeaseHolder, u32)],
+) -> std::collections::BTreeMap<LeaseHolder, usize> {
     let slots: u64 = candidates.iter().map(|(_, slots)| *slots as u64).sum();
     if slots == 0 {
         return std::collections::BTreeMap::new();
     }
-    let exact = |own: u32| (own as u64 * KEY_SLOTS as u64 / slots, own as u64 * KEY_SLOTS as u64 % slots);
+    let exact = |own: u32| {
+        (
+            own as u64 * KEY_SLOTS as u64 / slots,
+            own as u64 * KEY_SLOTS as u64 % slots,
+        )
+    };
     let given: u64 = candidates.iter().map(|(_, own)| exact(*own).0).sum();
     let mut order: Vec<&(LeaseHolder, u32)> = candidates.iter().collect();
     order.sort_by(|(a, one), (b, two)| exact(*two).1.cmp(&exact(*one).1).then_with(|| a.cmp(b)));
     order
         .into_iter()
         .zip(0u64..)
-        .map(|((holder, own), rank)| (holder.clone(), (exact(*own).0 + (rank < KEY_SLOTS as u64 - given) as u64) as usize))
+        .map(|((holder, own), rank)| {
+            (
+                holder.clone(),
+                (exact(*own).0 + (rank < KEY_SLOTS as u64 - given) as u64) as usize,
+            )
+        })
         .filter(|(_, quota)| *quota > 0)
         .collect()
 }
@@ -97,14 +146,24 @@
         .iter()
         .cloned()
         .map(|term| Lease {
-            pending_releases: term.pending_releases.iter().filter(|(owing, lost)| owing != holder || *lost > through).cloned().collect(),
+            pending_releases: term
+                .pending_releases
+                .iter()
+                .filter(|(owing, lost)| owing != holder || *lost > through)
+                .cloned()
+                .collect(),
             ..term
         })
         .collect()
 }
 
-pub fn candidates<'a>(back_ends: impl Iterator<Item = (&'a BackendName, &'a Backend)>) -> Vec<(LeaseHolder, u32)> {
-    back_ends.filter(|(_, back_end)| back_end.accepts_work()).map(|(name, back_end)| ((name.clone(), back_end.incarnation), back_end.slots)).collect()
+pub fn candidates<'a>(
+    back_ends: impl Iterator<Item = (&'a BackendName, &'a Backend)>,
+) -> Vec<(LeaseHolder, u32)> {
+    back_ends
+        .filter(|(_, back_end)| back_end.accepts_work())
+        .map(|(name, back_end)| ((name.clone(), back_end.incarnation), back_end.slots))
+        .collect()
 }
 
 #[cfg(test)]
@@ -112,7 +171,10 @@
     use super::*;
 
     fn candidates_of(sizes: &[(u8, u32)]) -> Vec<(LeaseHolder, u32)> {
-        sizes.iter().map(|(name, slots)| ((format!("b{name}"), 1), *slots)).collect()
+        sizes
+            .iter()
+            .map(|(name, slots)| ((format!("b{name}"), 1), *slots))
+            .collect()
     }
 
     #[test]
@@ -121,17 +183,35 @@
             let count = count % 12 + 2;
             let full = candidates_of(&(0..count).map(|name| (name, 9)).collect::<Vec<_>>());
             let leaver = leaver % count;
-            let fewer: Vec<_> = full.iter().filter(|((name, _), _)| *name != format!("b{leaver}")).cloned().collect();
+            let fewer: Vec<_> = full
+                .iter()
+                .filter(|((name, _), _)| *name != format!("b{leaver}"))
+                .cloned()
+                .collect();
             let first = assign(&[], &full, 1);
             let second = assign(&first, &fewer, 2);
             let third = assign(&second, &full, 3);
-            [(&first, count as usize), (&second, count as usize - 1), (&third, count as usize)].into_iter().for_each(|(terms, live)| {
-                let counts = terms.iter().fold(std::collections::BTreeMap::new(), |mut counts, term| {
-                    *counts.entry(term.holder.clone()).or_insert(0usize) += 1;
-                    counts
-                });
+            [
+                (&first, count as usize),
+                (&second, count as usize - 1),
+                (&third, count as usize),
+            ]
+            .into_iter()
+            .for_each(|(terms, live)| {
+                let counts =
+                    terms
+                        .iter()
+                        .fold(std::collections::BTreeMap::new(), |mut counts, term| {
+                            *counts.entry(term.holder.clone()).or_insert(0usize) += 1;
+                            counts
+                        });
                 assert_eq!(counts.len(), live);
-                assert!(counts.values().all(|held| (KEY_SLOTS as usize / live..=KEY_SLOTS as usize / live + 1).contains(held)), "{counts:?}");
+                assert!(
+                    counts.values().all(|held| (KEY_SLOTS as usize / live
+                        ..=KEY_SLOTS as usize / live + 1)
+                        .contains(held)),
+                    "{counts:?}"
+                );
             });
             let leaver = (format!("b{leaver}"), 1);
             first.iter().zip(&second).for_each(|(before, after)| {
@@ -142,8 +222,15 @@
                     assert!(moved && after.pending_releases == vec![(leaver.clone(), 2)]);
                 }
             });
-            let stray = first.iter().zip(&second).filter(|(a, b)| a.holder != b.holder && a.holder.as_ref() != Some(&leaver)).count();
-            assert!(stray <= live_remainder(count as usize), "{stray} slices moved without need");
+            let stray = first
+                .iter()
+                .zip(&second)
+                .filter(|(a, b)| a.holder != b.holder && a.holder.as_ref() != Some(&leaver))
+                .count();
+            assert!(
+                stray <= live_remainder(count as usize),
+                "{stray} slices moved without need"
+            );
         });
     }
 
@@ -157,7 +244,15 @@
         let (one, two) = (candidates_of(&[(1, 4)]), candidates_of(&[(2, 4)]));
         let moved = assign(&assign(&[], &one, 1), &two, 7);
         let holder = ("b1".to_string(), 1);
-        assert!(release(&moved, &holder, 6).iter().all(|term| term.pending_releases.len() == 1));
-        assert!(release(&moved, &holder, 7).iter().all(|term| term.pending_releases.is_empty()));
+        assert!(
+            release(&moved, &holder, 6)
+                .iter()
+                .all(|term| term.pending_releases.len() == 1)
+        );
+        assert!(
+            release(&moved, &holder, 7)
+                .iter()
+                .all(|term| term.pending_releases.is_empty())
+        );
     }
 }
--- a/crates/model/src/logging.rs
+++ b/crates/model/src/logging.rs
@@ -6,11 +6,14 @@
 
 impl LogLevelSwitch {
     pub fn new(level: slog::Level) -> LogLevelSwitch {
-        LogLevelSwitch(std::sync::Arc::new(std::sync::atomic::AtomicUsize::new(level.as_usize())))
+        LogLevelSwitch(std::sync::Arc::new(std::sync::atomic::AtomicUsize::new(
+            level.as_usize(),
+        )))
     }
 
     pub fn set_level(&self, level: slog::Level) {
-        self.0.store(level.as_usize(), std::sync::atomic::Ordering::Relaxed);
+        self.0
+            .store(level.as_usize(), std::sync::atomic::Ordering::Relaxed);
     }
 
     fn allows(&self, level: slog::Level) -> bool {
@@ -18,7 +21,11 @@
     }
 }
 
-pub fn start_logger(program: &'static str, name: &str, level_switch: LogLevelSwitch) -> (slog::Logger, slog_async::AsyncGuard) {
+pub fn start_logger(
+    program: &'static str,
+    name: &str,
+    level_switch: LogLevelSwitch,
+) -> (slog::Logger, slog_async::AsyncGuard) {
     let lines = slog_json::Json::new(std::io::stderr())
         .add_key_value(slog::o!(
             "time_us" => slog::FnValue(|_| crate::clock::wall_clock_now()),
@@ -26,9 +33,20 @@
             "message" => slog::PushFnValue(|record, out| out.emit(record.msg())),
         ))
         .build();
-    let lines = slog::Filter::new(slog::Fuse::new(std::sync::Mutex::new(slog::Fuse::new(lines))), move |record| level_switch.allows(record.level()));
-    let (drain, guard) = slog_async::Async::new(slog::Fuse::new(lines)).chan_size(4_096).build_with_guard();
-    (slog::Logger::root(slog::Fuse::new(drain), slog::o!("program" => program, "name" => name.to_string())), guard)
+    let lines = slog::Filter::new(
+        slog::Fuse::new(std::sync::Mutex::new(slog::Fuse::new(lines))),
+        move |record| level_switch.allows(record.level()),
+    );
+    let (drain, guard) = slog_async::Async::new(slog::Fuse::new(lines))
+        .chan_size(4_096)
+        .build_with_guard();
+    (
+        slog::Logger::root(
+            slog::Fuse::new(drain),
+            slog::o!("program" => program, "name" => name.to_string()),
+        ),
+        guard,
+    )
 }
 
 pub fn discard_logger() -> slog::Logger {
--- a/crates/model/src/state_patch.rs
+++ b/crates/model/src/state_patch.rs
@@ -1,6 +1,9 @@
 //! What changed between two slices, so that news costs what changed and not what there is (design 5.12).
 
-use crate::{Backend, Grouping, Microseconds, Position, StandingOrder, StateSlice, endpoint_status::Node, leases, state_slice::ServiceSet};
+use crate::{
+    Backend, Grouping, Microseconds, Position, StandingOrder, StateSlice, endpoint_status::Node,
+    leases, state_slice::ServiceSet,
+};
 
 type Table<V> = std::collections::BTreeMap<String, V>;
 /// What to put and what to drop.
@@ -20,13 +23,24 @@
 }
 
 fn table_patch<V: Clone + PartialEq>(old: &Table<V>, new: &Table<V>) -> TablePatch<V> {
-    let put = new.iter().filter(|(name, held)| old.get(*name) != Some(*held)).map(|(name, held)| (name.clone(), held.clone())).collect();
-    let gone = old.keys().filter(|name| !new.contains_key(*name)).cloned().collect();
+    let put = new
+        .iter()
+        .filter(|(name, held)| old.get(*name) != Some(*held))
+        .map(|(name, held)| (name.clone(), held.clone()))
+        .collect();
+    let gone = old
+        .keys()
+        .filter(|name| !new.contains_key(*name))
+        .cloned()
+        .collect();
     (put, gone)
 }
 
 fn patched_table<V: Clone>(old: &Table<V>, (put, gone): TablePatch<V>) -> Table<V> {
-    let kept = old.iter().filter(|(name, _)| !gone.contains(*name)).map(|(name, held)| (name.clone(), held.clone()));
+    let kept = old
+        .iter()
+        .filter(|(name, _)| !gone.contains(*name))
+        .map(|(name, held)| (name.clone(), held.clone()));
     kept.chain(put).collect()
 }
 
--- a/crates/model/tests/bill/making.rs
+++ b/crates/model/tests/bill/making.rs
@@ -1,11 +1,19 @@
 //! Short ways to items, calls and reports.
 
 use model::cluster_state::items::ItemPut;
-use model::cluster_state::{BackendRecord, ClusterOperation, ClusterReport, Delta, ItemBody, ItemCall, ItemKind, Limits, Route, Service};
+use model::cluster_state::{
+    BackendRecord, ClusterOperation, ClusterReport, Delta, ItemBody, ItemCall, ItemKind, Limits,
+    Route, Service,
+};
 use model::{BackendPhase, ClusterState, Outcome};
 
 pub fn service(keyed: bool) -> ItemBody {
-    ItemBody::Service(Service { health_path: "/healthz".into(), max_connections: 0, keyed, slow_start_us: 0 })
+    ItemBody::Service(Service {
+        health_path: "/healthz".into(),
+        max_connections: 0,
+        keyed,
+        slow_start_us: 0,
+    })
 }
 
 pub fn lane(host: &str, prefix: &str, service: &str) -> ItemBody {
@@ -13,27 +21,56 @@
 }
 
 pub fn lane_to(host: &str, prefix: &str, shares: Vec<(String, u32)>) -> Route {
-    Route { host: host.into(), prefix: prefix.into(), idempotent: false, wait_us: 1_000_000, latency_target_us: 0, rank: 0, dispatches: 3, shares }
+    Route {
+        host: host.into(),
+        prefix: prefix.into(),
+        idempotent: false,
+        wait_us: 1_000_000,
+        latency_target_us: 0,
+        rank: 0,
+        dispatches: 3,
+        shares,
+    }
 }
 
 pub fn limits(header_bytes: u64) -> ItemBody {
-    ItemBody::Limits(Limits { header_bytes, body_bytes: 1_000, header_wait_us: 1_000_000, idle_us: 1_000_000 })
+    ItemBody::Limits(Limits {
+        header_bytes,
+        body_bytes: 1_000,
+        header_wait_us: 1_000_000,
+        idle_us: 1_000_000,
+    })
 }
 
 pub fn put(name: &str, version: u64, body: ItemBody) -> ItemCall {
-    ItemCall { puts: vec![ItemPut { name: name.into(), version, body, text: format!("{name} {version}") }], drops: Vec::new() }
+    ItemCall {
+        puts: vec![ItemPut {
+            name: name.into(),
+            version,
+            body,
+            text: format!("{name} {version}"),
+        }],
+        drops: Vec::new(),
+    }
 }
 
 pub fn drop_of(kind: ItemKind, name: &str, version: u64) -> ItemCall {
-    ItemCall { puts: Vec::new(), drops: vec![(kind, name.into(), version)] }
+    ItemCall {
+        puts: Vec::new(),
+        drops: vec![(kind, name.into(), version)],
+    }
 }
 
 pub fn both(one: ItemCall, other: ItemCall) -> ItemCall {
-    ItemCall { puts: [one.puts, other.puts].concat(), drops: [one.drops, other.drops].concat() }
+    ItemCall {
+        puts: [one.puts, other.puts].concat(),
+        drops: [one.drops, other.drops].concat(),
+    }
 }
 
 pub fn amend(bill: &mut ClusterState, call: ItemCall) -> Outcome {
-    bill.apply("operator", 1, 0, ClusterOperation::Items(call)).0
+    bill.apply("operator", 1, 0, ClusterOperation::Items(call))
+        .0
 }
 
 /// Where the call is at fault; empty when it was taken, or changed nothing.
@@ -53,33 +90,53 @@
 /// Reports that no earlier one of their origin stands in the way of.
 pub fn tell(bill: &mut ClusterState, reports: Vec<ClusterReport>) -> Vec<Delta> {
     let sequence = SEQUENCE.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-    bill.apply("node", 1, sequence, ClusterOperation::Reports(reports)).1
+    bill.apply("node", 1, sequence, ClusterOperation::Reports(reports))
+        .1
 }
 
 pub fn player(service: &str, node: &str) -> BackendRecord {
-    BackendRecord { service: service.into(), zone: "z0".into(), node: node.into(), slots: 4, phase: BackendPhase::Registered, changed_at: 0 }
+    BackendRecord {
+        service: service.into(),
+        zone: "z0".into(),
+        node: node.into(),
+        slots: 4,
+        phase: BackendPhase::Registered,
+        changed_at: 0,
+    }
 }
 
 pub fn joined(name: &str) -> ClusterReport {
-    ClusterReport::BackendJoined { name: name.into(), backend: player("seat", &format!("node-{name}")) }
+    ClusterReport::BackendJoined {
+        name: name.into(),
+        backend: player("seat", &format!("node-{name}")),
+    }
 }
 
 pub fn ended(name: &str, surely: bool) -> ClusterReport {
-    ClusterReport::BackendEnded { name: name.into(), process_gone: surely }
+    ClusterReport::BackendEnded {
+        name: name.into(),
+        process_gone: surely,
+    }
 }
 
 pub fn recast(base: u64, rows: &[(u16, u16, &str)]) -> ClusterReport {
     ClusterReport::ShardsReassigned {
         service: "seat".into(),
         base_placement: base,
-        ranges: rows.iter().map(|(from, to, name)| (*from, *to, name.to_string())).collect(),
+        ranges: rows
+            .iter()
+            .map(|(from, to, name)| (*from, *to, name.to_string()))
+            .collect(),
     }
 }
 
 /// One keyed service, one lane to it.
 pub fn site() -> ClusterState {
     let mut bill = ClusterState::default();
-    let call = both(put("seat", 1, service(true)), put("book", 1, lane("shop", "/book/", "seat")));
+    let call = both(
+        put("seat", 1, service(true)),
+        put("book", 1, lane("shop", "/book/", "seat")),
+    );
     assert!(matches!(amend(&mut bill, call), Outcome::Accepted { .. }));
     bill
 }
--- a/crates/model/tests/bill/rows.rs
+++ b/crates/model/tests/bill/rows.rs
@@ -12,29 +12,71 @@
     // Few edges, so that they meet; the first and the last key among them.
     let edge = |at: u8| (at % 9) as u32 * 8_192;
     let (from, to) = (edge(one).min(edge(other)), edge(one).max(edge(other)));
-    (from.min(65_535) as u16, to.saturating_sub((to > from) as u32).min(65_535) as u16)
+    (
+        from.min(65_535) as u16,
+        to.saturating_sub((to > from) as u32).min(65_535) as u16,
+    )
 }
 
 fn keys() -> Vec<u16> {
-    (0..=8u32).flat_map(|edge| [edge * 8_192, edge * 8_192 + 1, (edge * 8_192).saturating_sub(1)]).filter(|key| *key <= 65_535).map(|key| key as u16).collect()
+    (0..=8u32)
+        .flat_map(|edge| {
+            [
+                edge * 8_192,
+                edge * 8_192 + 1,
+                (edge * 8_192).saturating_sub(1),
+            ]
+        })
+        .filter(|key| *key <= 65_535)
+        .map(|key| key as u16)
+        .collect()
 }
 
 fn known(row: &ShardRange) -> Known {
-    (row.holder.clone(), row.fencing_token, row.pending_releases.clone(), row.handover_token.clone())
+    (
+        row.holder.clone(),
+        row.fencing_token,
+        row.pending_releases.clone(),
+        row.handover_token.clone(),
+    )
 }
 
 fn whole(rows: &ShardMap) {
-    assert_eq!((rows.first().map(|row| row.first_key), rows.last().map(|row| row.last_key)), (Some(0), Some(65_535)));
+    assert_eq!(
+        (
+            rows.first().map(|row| row.first_key),
+            rows.last().map(|row| row.last_key)
+        ),
+        (Some(0), Some(65_535))
+    );
     assert!(rows.iter().all(|row| row.first_key <= row.last_key));
-    assert!(rows.windows(2).all(|pair| pair[0].last_key as u32 + 1 == pair[1].first_key as u32), "without gaps, and none twice: {rows:?}");
-    assert!(rows.windows(2).all(|pair| known(&pair[0]) != known(&pair[1])), "neighbours alike are one: {rows:?}");
+    assert!(
+        rows.windows(2)
+            .all(|pair| pair[0].last_key as u32 + 1 == pair[1].first_key as u32),
+        "without gaps, and none twice: {rows:?}"
+    );
+    assert!(
+        rows.windows(2)
+            .all(|pair| known(&pair[0]) != known(&pair[1])),
+        "neighbours alike are one: {rows:?}"
+    );
 }
 
 /// One change of rows, and the same of one key.
-fn step(position: u64, held: ShardMap, keys: &mut std::collections::BTreeMap<u16, Known>, (kind, who, one, other): (u8, u8, u8, u8)) -> ShardMap {
+fn step(
+    position: u64,
+    held: ShardMap,
+    keys: &mut std::collections::BTreeMap<u16, Known>,
+    (kind, who, one, other): (u8, u8, u8, u8),
+) -> ShardMap {
     let (name, (from, to)) = (NAMES[who as usize % 4], edges(one, other));
-    let (through, token) = (position.saturating_sub((who / 4 % 6) as u64), format!("token-{position}"));
-    let fence = shard_map::range_of(&held, from).map(|row| row.fencing_token - (who > 200) as u64 * row.fencing_token.min(1)).unwrap_or(0);
+    let (through, token) = (
+        position.saturating_sub((who / 4 % 6) as u64),
+        format!("token-{position}"),
+    );
+    let fence = shard_map::range_of(&held, from)
+        .map(|row| row.fencing_token - (who > 200) as u64 * row.fencing_token.min(1))
+        .unwrap_or(0);
     keys.iter_mut().for_each(|(key, (holder, at, owed, told))| {
         let inside = (from..=to).contains(key);
         match kind % 6 {
@@ -44,7 +86,10 @@
                 *at = position;
             }
             3 if inside => {
-                if owed.iter().any(|(owing, lost)| owing == name && *lost <= through) {
+                if owed
+                    .iter()
+                    .any(|(owing, lost)| owing == name && *lost <= through)
+                {
                     *told = token.clone();
                 }
                 owed.retain(|(owing, lost)| owing != name || *lost > through);
@@ -72,19 +117,44 @@
 fn rows_say_of_each_key_what_it_went_through_and_fences_only_grow() {
     test_support::drawn::<[(u8, u8, u8, u8); 48]>(400, |steps| {
         let mut held = shard_map::unassigned();
-        let mut each: std::collections::BTreeMap<u16, Known> = keys().into_iter().map(|key| (key, (None, 0, Vec::new(), String::new()))).collect();
+        let mut each: std::collections::BTreeMap<u16, Known> = keys()
+            .into_iter()
+            .map(|key| (key, (None, 0, Vec::new(), String::new())))
+            .collect();
         steps.iter().zip(1u64..).for_each(|(drawn, position)| {
             let next = step(position, held.clone(), &mut each, *drawn);
             whole(&next);
             each.iter().for_each(|(key, wanted)| {
-                let row = |rows| shard_map::range_of(rows, *key).expect("every key has a row").clone();
-                assert_eq!(&known(&row(&next)), wanted, "key {key} after {drawn:?} at {position}");
-                assert!(row(&next).fencing_token >= row(&held).fencing_token, "a fence went back");
-                let moved = row(&next).holder.is_some_and(|holder| row(&held).holder != Some(holder));
-                assert!(!moved || row(&next).fencing_token == position && row(&next).fencing_token > row(&held).fencing_token, "a new holder has a new fence");
+                let row = |rows| {
+                    shard_map::range_of(rows, *key)
+                        .expect("every key has a row")
+                        .clone()
+                };
+                assert_eq!(
+                    &known(&row(&next)),
+                    wanted,
+                    "key {key} after {drawn:?} at {position}"
+                );
+                assert!(
+                    row(&next).fencing_token >= row(&held).fencing_token,
+                    "a fence went back"
+                );
+                let moved = row(&next)
+                    .holder
+                    .is_some_and(|holder| row(&held).holder != Some(holder));
+                assert!(
+                    !moved
+                        || row(&next).fencing_token == position
+                            && row(&next).fencing_token > row(&held).fencing_token,
+                    "a new holder has a new fence"
+                );
             });
             let told = shard_map::diff(&held, &next);
-            assert_eq!(shard_map::apply_diff(held.clone(), told), next, "whoever held the old rows and hears the changes holds the new ones");
+            assert_eq!(
+                shard_map::apply_diff(held.clone(), told),
+                next,
+                "whoever held the old rows and hears the changes holds the new ones"
+            );
             held = next;
         });
     });
@@ -95,12 +165,34 @@
     let all = |name: &str| [(0, u16::MAX, name.to_string())];
     let moved = |rows: ShardMap, name: &str, at: u64| shard_map::reassign(rows, &all(name), at);
     // It lost them at 5, had them again, and lost them once more at 9.
-    let back = moved(moved(moved(shard_map::unassigned(), "a", 3), "b", 5), "a", 7);
-    assert_eq!(back[0].pending_releases, [("b".to_string(), 7)], "what it lost at 5 it holds again");
+    let back = moved(
+        moved(moved(shard_map::unassigned(), "a", 3), "b", 5),
+        "a",
+        7,
+    );
+    assert_eq!(
+        back[0].pending_releases,
+        [("b".to_string(), 7)],
+        "what it lost at 5 it holds again"
+    );
     let held = moved(back, "c", 9);
     let late = shard_map::release(held, "a", 8, &[(0, u16::MAX, "old".into())]);
-    assert_eq!(late[0].pending_releases, [("b".to_string(), 7), ("a".to_string(), 9)], "a word from before 9 says nothing of 9");
+    assert_eq!(
+        late[0].pending_releases,
+        [("b".to_string(), 7), ("a".to_string(), 9)],
+        "a word from before 9 says nothing of 9"
+    );
     let now = shard_map::release(late, "a", 9, &[(0, u16::MAX, "new".into())]);
-    assert_eq!((now[0].pending_releases.len(), now[0].handover_token.as_str()), (1, "new"));
-    assert_eq!(shard_map::expire_releases(now.clone(), &[(0, u16::MAX, 7)]), now, "waited out for another fence");
+    assert_eq!(
+        (
+            now[0].pending_releases.len(),
+            now[0].handover_token.as_str()
+        ),
+        (1, "new")
+    );
+    assert_eq!(
+        shard_map::expire_releases(now.clone(), &[(0, u16::MAX, 7)]),
+        now,
+        "waited out for another fence"
+    );
 }
--- a/crates/model/tests/keys.rs
+++ b/crates/model/tests/keys.rs
@@ -2,7 +2,9 @@
 
 mod site;
 
-use model::{Edit, Grouping, Outcome, StandingOrder, StateMachine, endpoint_status::EndpointReport};
+use model::{
+    Edit, Grouping, Outcome, StandingOrder, StateMachine, endpoint_status::EndpointReport,
+};
 use site::{change, order, registered, site, tell};
 
 #[test]
@@ -11,12 +13,32 @@
         let mut book = keyed_site();
         tell(&mut book, "n0", 1, 3, report);
         let terms = &book.leases["seat"];
-        assert!(terms.iter().all(|term| term.holder.as_ref().is_some_and(|(name, _)| name == "seat-1")));
+        assert!(terms.iter().all(|term| {
+            term.holder
+                .as_ref()
+                .is_some_and(|(name, _)| name == "seat-1")
+        }));
         assert!(terms.iter().all(|term| term.fencing_token <= book.position));
-        terms.iter().filter(|term| !term.pending_releases.is_empty()).count()
+        terms
+            .iter()
+            .filter(|term| !term.pending_releases.is_empty())
+            .count()
     };
-    assert_eq!(owed(EndpointReport::NodeLeft { node: "n0".into(), incarnation: 1, clean: true }), 0);
-    assert!(owed(EndpointReport::NodeLeft { node: "n0".into(), incarnation: 1, clean: false }) > 0);
+    assert_eq!(
+        owed(EndpointReport::NodeLeft {
+            node: "n0".into(),
+            incarnation: 1,
+            clean: true
+        }),
+        0
+    );
+    assert!(
+        owed(EndpointReport::NodeLeft {
+            node: "n0".into(),
+            incarnation: 1,
+            clean: false
+        }) > 0
+    );
 }
 
 #[test]
@@ -33,8 +55,14 @@
             _ => Vec::new(),
         }
     };
-    assert_eq!(refused(|order| drop(order.selector.labels.insert("kind".into(), "large".into()))), ["edits[0].order.selector.labels"]);
-    assert_eq!(refused(|order| order.allow_other_zones = false), ["edits[0].order.leave_zone"]);
+    assert_eq!(
+        refused(|order| drop(order.selector.labels.insert("kind".into(), "large".into()))),
+        ["edits[0].order.selector.labels"]
+    );
+    assert_eq!(
+        refused(|order| order.allow_other_zones = false),
+        ["edits[0].order.leave_zone"]
+    );
     assert_eq!(refused(|_| ()), Vec::<String>::new());
 }
 
@@ -51,15 +79,32 @@
 }
 
 fn held(book: &StateMachine, name: &str) -> usize {
-    book.leases["seat"].iter().filter(|term| term.holder.as_ref().is_some_and(|(holder, _)| holder == name)).count()
+    book.leases["seat"]
+        .iter()
+        .filter(|term| {
+            term.holder
+                .as_ref()
+                .is_some_and(|(holder, _)| holder == name)
+        })
+        .count()
 }
 
 #[test]
 fn slots_said_in_a_beat_move_keys_in_proportion() {
     let mut book = keyed_site();
     assert_eq!((held(&book, "seat-0"), held(&book, "seat-1")), (32, 32));
-    let slots = |incarnation, slots| EndpointReport::SlotsChanged { name: "seat-0".into(), incarnation, slots };
-    assert!(matches!(tell(&mut book, "n0", 1, 3, slots(9, 12)), Outcome::Unchanged { .. }), "an earlier life says nothing");
+    let slots = |incarnation, slots| EndpointReport::SlotsChanged {
+        name: "seat-0".into(),
+        incarnation,
+        slots,
+    };
+    assert!(
+        matches!(
+            tell(&mut book, "n0", 1, 3, slots(9, 12)),
+            Outcome::Unchanged { .. }
+        ),
+        "an earlier life says nothing"
+    );
     tell(&mut book, "n0", 1, 4, slots(10, 12));
     assert_eq!((held(&book, "seat-0"), held(&book, "seat-1")), (48, 16));
     tell(&mut book, "n0", 1, 5, slots(10, 0));
@@ -70,17 +115,44 @@
 fn a_grouping_taken_away_takes_its_back_ends_out_and_their_keys_move() {
     let mut book = keyed_site();
     let labelled = |value: &str| {
-        let labels = [("rack".to_string(), value.to_string())].into_iter().collect();
-        Edit::PutGrouping { name: "seat-z0".into(), grouping: Grouping { service: "seat".into(), zone: "z0".into(), labels } }
+        let labels = [("rack".to_string(), value.to_string())]
+            .into_iter()
+            .collect();
+        Edit::PutGrouping {
+            name: "seat-z0".into(),
+            grouping: Grouping {
+                service: "seat".into(),
+                zone: "z0".into(),
+                labels,
+            },
+        }
     };
     let accepted = change(&mut book, "relabel", 2, vec![labelled("b")]);
     assert!(matches!(accepted, Outcome::Accepted { .. }), "{accepted:?}");
     let services: model::state_slice::ServiceSet = ["seat".to_string()].into_iter().collect();
     let slice = model::StateSlice::for_services(&book, &services);
-    assert!(slice.backends.is_empty(), "nobody is offered that no grouping holds");
-    assert!(book.leases["seat"].iter().all(|term| term.holder.is_none() && !term.pending_releases.is_empty()), "and what they held is owed");
-    assert!(matches!(tell(&mut book, "n2", 1, 2, registered("seat-2", "n2", 10)), Outcome::Refused { .. }));
-    let back = Edit::PutGrouping { name: "seat-z0".into(), grouping: Grouping { service: "seat".into(), zone: "z0".into(), labels: Default::default() } };
+    assert!(
+        slice.backends.is_empty(),
+        "nobody is offered that no grouping holds"
+    );
+    assert!(
+        book.leases["seat"]
+            .iter()
+            .all(|term| term.holder.is_none() && !term.pending_releases.is_empty()),
+        "and what they held is owed"
+    );
+    assert!(matches!(
+        tell(&mut book, "n2", 1, 2, registered("seat-2", "n2", 10)),
+        Outcome::Refused { .. }
+    ));
+    let back = Edit::PutGrouping {
+        name: "seat-z0".into(),
+        grouping: Grouping {
+            service: "seat".into(),
+            zone: "z0".into(),
+            labels: Default::default(),
+        },
+    };
     change(&mut book, "back", 3, vec![back]);
     assert_eq!(held(&book, "seat-0") + held(&book, "seat-1"), 64);
 }
--- a/crates/model/tests/recorded_bytes/entries.rs
+++ b/crates/model/tests/recorded_bytes/entries.rs
@@ -1,15 +1,24 @@
 //! Log entries, the answers to them and what followers are told of them.
 
 use crate::recorded_variants::every_variant;
-use crate::samples::{LIFE, back_end, bill_reports, bodies, edits, kinds, phases, place, player, reports, row, text};
+use crate::samples::{
+    LIFE, back_end, bill_reports, bodies, edits, kinds, phases, place, player, reports, row, text,
+};
 use model::check::Fault;
 use model::cluster_state::items::ItemPut;
 use model::cluster_state::{ClusterOperation, Delta, ItemBody, ItemCall, ItemKind};
 use model::endpoint_status::EndpointReport;
-use model::{BackendPhase, Change, Edit, Entry, ExecutionStatus, Operation, Outcome, ReplicaReplacement, VersionConflict};
+use model::{
+    BackendPhase, Change, Edit, Entry, ExecutionStatus, Operation, Outcome, ReplicaReplacement,
+    VersionConflict,
+};
 
 pub fn change(edits: Vec<Edit>) -> Operation {
-    Operation::Change(Change { id: text("change-17"), base_version: 3, edits })
+    Operation::Change(Change {
+        id: text("change-17"),
+        base_version: 3,
+        edits,
+    })
 }
 
 pub fn items(puts: Vec<ItemPut>, drops: Vec<(ItemKind, String, u64)>) -> ClusterOperation {
@@ -17,7 +26,12 @@
 }
 
 pub fn put(name: &str, body: ItemBody) -> ItemPut {
-    ItemPut { name: text(name), version: 21, body, text: text("{\"as\": \"sent\"}") }
+    ItemPut {
+        name: text(name),
+        version: 21,
+        body,
+        text: text("{\"as\": \"sent\"}"),
+    }
 }
 
 pub fn bill_acts() -> Vec<(&'static str, ClusterOperation)> {
@@ -43,28 +57,68 @@
 }
 
 pub fn entry_of(act: Operation) -> Entry {
-    Entry { origin: text("n1"), incarnation: LIFE, sequence: 41, operation: act }
+    Entry {
+        origin: text("n1"),
+        incarnation: LIFE,
+        sequence: 41,
+        operation: act,
+    }
 }
 
 /// Every act, and for acts that carry one of several things one entry for each of these.
 pub fn entries() -> Vec<(String, Entry)> {
     let acts = acts().into_iter().map(|(name, act)| (text(name), act));
-    let edits = edits().into_iter().map(|(name, edit)| (format!("change-{name}"), change(vec![edit])));
-    let standing = reports().into_iter().map(|(name, report)| (format!("standing-{name}"), Operation::EndpointReport(report)));
-    let bill = bill_acts().into_iter().map(|(name, act)| (format!("bill-{name}"), Operation::ClusterState(act)));
-    let puts = bodies().into_iter().map(|(name, body)| (format!("bill-items-put-{name}"), Operation::ClusterState(items(vec![put(name, body)], Vec::new()))));
+    let edits = edits()
+        .into_iter()
+        .map(|(name, edit)| (format!("change-{name}"), change(vec![edit])));
+    let standing = reports().into_iter().map(|(name, report)| {
+        (
+            format!("standing-{name}"),
+            Operation::EndpointReport(report),
+        )
+    });
+    let bill = bill_acts()
+        .into_iter()
+        .map(|(name, act)| (format!("bill-{name}"), Operation::ClusterState(act)));
+    let puts = bodies().into_iter().map(|(name, body)| {
+        (
+            format!("bill-items-put-{name}"),
+            Operation::ClusterState(items(vec![put(name, body)], Vec::new())),
+        )
+    });
     let drops = kinds().into_iter().map(|(name, kind)| {
         let drop = (kind, text("x"), 22);
-        (format!("bill-items-drop-{name}"), Operation::ClusterState(items(Vec::new(), vec![drop])))
+        (
+            format!("bill-items-drop-{name}"),
+            Operation::ClusterState(items(Vec::new(), vec![drop])),
+        )
+    });
+    let told = bill_reports().into_iter().map(|(name, report)| {
+        (
+            format!("bill-reports-{name}"),
+            Operation::ClusterState(ClusterOperation::Reports(vec![report])),
+        )
     });
-    let told =
-        bill_reports().into_iter().map(|(name, report)| (format!("bill-reports-{name}"), Operation::ClusterState(ClusterOperation::Reports(vec![report]))));
     let phases = phases().into_iter().map(|(name, phase)| {
-        let report = EndpointReport::BackendRegistered { name: text("b1"), backend: back_end(phase) };
-        (format!("standing-registered-{name}"), Operation::EndpointReport(report))
+        let report = EndpointReport::BackendRegistered {
+            name: text("b1"),
+            backend: back_end(phase),
+        };
+        (
+            format!("standing-registered-{name}"),
+            Operation::EndpointReport(report),
+        )
     });
-    let all = acts.chain(edits).chain(standing).chain(bill).chain(puts).chain(drops);
-    all.chain(told).chain(phases).map(|(name, act)| (name, entry_of(act))).collect()
+    let all = acts
+        .chain(edits)
+        .chain(standing)
+        .chain(bill)
+        .chain(puts)
+        .chain(drops);
+    all.chain(told)
+        .chain(phases)
+        .map(|(name, act)| (name, entry_of(act)))
+        .collect()
 }
 
 pub fn outcomes() -> Vec<(&'static str, Outcome)> {
--- a/crates/model/tests/recorded_bytes/main.rs
+++ b/crates/model/tests/recorded_bytes/main.rs
@@ -14,8 +14,8 @@
 use entries::{deltas, entries, outcomes, verdicts};
 use model::cluster_state::{BackendRecord, Delta, Item, NodeRecord, ShardRange};
 use model::{
-    Backend, Cause, ClusterState, Error, ExecutionStatus, Grouping, Node, Outcome, StandingOrder, StateMachine, StatePatch, StateSlice, compression, entry,
-    leases,
+    Backend, Cause, ClusterState, Error, ExecutionStatus, Grouping, Node, Outcome, StandingOrder,
+    StateMachine, StatePatch, StateSlice, compression, entry, leases,
 };
 use recorded::RecordedBytes;
 use recorded_archive::check_archive;
@@ -53,13 +53,26 @@
     }
     for (name, kind) in kinds() {
         let delta = Delta::Item(kind, text("x"), 22, None);
-        check_archive!(recorded, &format!("item-dropped-{name}"), Vec<Delta>, &vec![delta]);
+        check_archive!(
+            recorded,
+            &format!("item-dropped-{name}"),
+            Vec<Delta>,
+            &vec![delta]
+        );
     }
     for (name, phase) in phases() {
         let delta = Delta::Backend(text("b1"), Some(player(phase)));
-        check_archive!(recorded, &format!("player-{name}"), Vec<Delta>, &vec![delta]);
+        check_archive!(
+            recorded,
+            &format!("player-{name}"),
+            Vec<Delta>,
+            &vec![delta]
+        );
     }
-    let gone = vec![Delta::Backend(text("b1"), None), Delta::Node(text("n1"), None)];
+    let gone = vec![
+        Delta::Backend(text("b1"), None),
+        Delta::Node(text("n1"), None),
+    ];
     check_archive!(recorded, "gone", Vec<Delta>, &gone);
     recorded.finish();
 }
@@ -71,7 +84,12 @@
         check_archive!(recorded, cause.code(), Error, &Error::new(*cause, "why"));
     }
     for (name, verdict) in verdicts() {
-        check_archive!(recorded, &format!("verdict-{name}"), ExecutionStatus, &verdict);
+        check_archive!(
+            recorded,
+            &format!("verdict-{name}"),
+            ExecutionStatus,
+            &verdict
+        );
     }
     let later = Error::new(Cause::Overloaded, "why").with_retry_after(1_234_567);
     check_archive!(recorded, "later", Error, &later);
@@ -91,11 +109,23 @@
 fn snapshots_of_both_state_machines_have_the_recorded_bytes() {
     let mut recorded = RecordedBytes::of("snapshots");
     let book = book();
-    assert!([book.leases.len(), book.longest_requests.len(), book.replica_holders.len()].iter().all(|held| *held > 0));
+    assert!(
+        [
+            book.leases.len(),
+            book.longest_requests.len(),
+            book.replica_holders.len()
+        ]
+        .iter()
+        .all(|held| *held > 0)
+    );
     let bytes = recorded.check("book", &book.to_bytes());
     assert_eq!(StateMachine::from_bytes(&bytes), Some(book));
     let bill = bill();
-    assert!(bill.placements.values().any(|(_, rows)| rows.iter().any(|row| !row.pending_releases.is_empty())));
+    assert!(
+        bill.placements
+            .values()
+            .any(|(_, rows)| rows.iter().any(|row| !row.pending_releases.is_empty()))
+    );
     let bytes = recorded.check("bill", &bill.to_bytes());
     assert_eq!(ClusterState::from_bytes(&bytes), Some(bill));
     recorded.check("empty-book", &StateMachine::default().to_bytes());
@@ -107,15 +137,29 @@
 fn stored_parts_have_the_recorded_bytes() {
     let mut recorded = RecordedBytes::of("parts");
     for (name, phase) in phases() {
-        check_archive!(recorded, &format!("back-end-{name}"), Backend, &back_end(phase));
-        check_archive!(recorded, &format!("player-{name}"), BackendRecord, &player(phase));
+        check_archive!(
+            recorded,
+            &format!("back-end-{name}"),
+            Backend,
+            &back_end(phase)
+        );
+        check_archive!(
+            recorded,
+            &format!("player-{name}"),
+            BackendRecord,
+            &player(phase)
+        );
     }
     check_archive!(recorded, "node", Node, &node());
     check_archive!(recorded, "place", NodeRecord, &place());
     check_archive!(recorded, "row", ShardRange, &row());
     check_archive!(recorded, "grouping", Grouping, &grouping());
     check_archive!(recorded, "order", StandingOrder, &order(false));
-    let item = Item { version: 21, body: Some(bodies()[1].1.clone()), text: text("as sent") };
+    let item = Item {
+        version: 21,
+        body: Some(bodies()[1].1.clone()),
+        text: text("as sent"),
+    };
     check_archive!(recorded, "item", Item, &item);
     recorded.finish();
 }
@@ -123,10 +167,20 @@
 #[test]
 fn long_bytes_are_squeezed_to_the_recorded_bytes() {
     let mut recorded = RecordedBytes::of("packed");
-    let plain: Vec<u8> = (0..3_000u32).map(|at| (at * at % 251 / (1 + at % 7)) as u8).collect();
-    for (name, plain) in [("short", &plain[..1_023]), ("long", &plain[..1_024]), ("longer", &plain)] {
+    let plain: Vec<u8> = (0..3_000u32)
+        .map(|at| (at * at % 251 / (1 + at % 7)) as u8)
+        .collect();
+    for (name, plain) in [
+        ("short", &plain[..1_023]),
+        ("long", &plain[..1_024]),
+        ("longer", &plain),
+    ] {
         let bytes = recorded.check(name, &compression::compress(plain.to_vec()));
-        assert_eq!(compression::decompress(&bytes).as_deref(), Some(plain), "{name}");
+        assert_eq!(
+            compression::decompress(&bytes).as_deref(),
+            Some(plain),
+            "{name}"
+        );
     }
     recorded.finish();
 }
@@ -135,6 +189,12 @@
 #[test]
 fn keys_have_the_recorded_hashes() {
     let keys = ["", "a", "seat-17", "Ω", "b".repeat(300).as_str()].map(leases::stable_hash);
-    let recorded = [0xe3b0_c442_98fc_1c14, 0xca97_8112_ca1b_bdca, 0xac52_cf95_b7b6_837b, 0xe3c6_22e5_fd53_065d, 0xdccc_1450_d6fc_4232];
+    let recorded = [
+        0xe3b0_c442_98fc_1c14,
+        0xca97_8112_ca1b_bdca,
+        0xac52_cf95_b7b6_837b,
+        0xe3c6_22e5_fd53_065d,
+        0xdccc_1450_d6fc_4232,
+    ];
     assert_eq!(keys, recorded);
 }
--- a/crates/model/tests/recorded_bytes/samples.rs
+++ b/crates/model/tests/recorded_bytes/samples.rs
@@ -1,7 +1,10 @@
 //! Samples of what entries, news and snapshots are made of, one of each variant.
 
 use crate::recorded_variants::every_variant;
-use model::cluster_state::{BackendRecord, ClusterReport, ItemBody, ItemKind, Limits, NodeRecord, Route, Service, ShardRange};
+use model::cluster_state::{
+    BackendRecord, ClusterReport, ItemBody, ItemKind, Limits, NodeRecord, Route, Service,
+    ShardRange,
+};
 use model::desired_state::Selector;
 use model::endpoint_status::EndpointReport;
 use model::{Backend, BackendPhase, Edit, Grouping, Node, StandingOrder};
@@ -22,7 +25,11 @@
 }
 
 pub fn grouping() -> Grouping {
-    Grouping { service: text("seat"), zone: text("z0"), labels: labels() }
+    Grouping {
+        service: text("seat"),
+        zone: text("z0"),
+        labels: labels(),
+    }
 }
 
 pub fn order(keyed: bool) -> StandingOrder {
@@ -56,15 +63,36 @@
 }
 
 pub fn node() -> Node {
-    Node { zone: text("z0"), address: text("10.0.0.1:7000"), incarnation: LIFE, present: true, missed_by: names(["n2", "n3"]), changed_at: 4 }
+    Node {
+        zone: text("z0"),
+        address: text("10.0.0.1:7000"),
+        incarnation: LIFE,
+        present: true,
+        missed_by: names(["n2", "n3"]),
+        changed_at: 4,
+    }
 }
 
 pub fn player(phase: BackendPhase) -> BackendRecord {
-    BackendRecord { service: text("seat"), zone: text("z0"), node: text("n1"), slots: 6, phase, changed_at: 5 }
+    BackendRecord {
+        service: text("seat"),
+        zone: text("z0"),
+        node: text("n1"),
+        slots: 6,
+        phase,
+        changed_at: 5,
+    }
 }
 
 pub fn place() -> NodeRecord {
-    NodeRecord { zone: text("z0"), address: text("10.0.0.1:7000"), incarnation: LIFE, present: true, missed_by: names(["n2"]), changed_at: 4 }
+    NodeRecord {
+        zone: text("z0"),
+        address: text("10.0.0.1:7000"),
+        incarnation: LIFE,
+        present: true,
+        missed_by: names(["n2"]),
+        changed_at: 4,
+    }
 }
 
 pub fn row() -> ShardRange {
--- a/crates/model/tests/site/mod.rs
+++ b/crates/model/tests/site/mod.rs
@@ -1,29 +1,81 @@
 //! A small book: one service, one order, four nodes.
 
-use model::{Backend, BackendPhase, Change, Edit, Entry, Grouping, Operation, Outcome, Selector, StandingOrder, StateMachine, endpoint_status::EndpointReport};
+use model::{
+    Backend, BackendPhase, Change, Edit, Entry, Grouping, Operation, Outcome, Selector,
+    StandingOrder, StateMachine, endpoint_status::EndpointReport,
+};
 
 pub fn grouping(service: &str) -> Edit {
-    let grouping = Grouping { service: service.into(), zone: "z0".into(), labels: Default::default() };
-    Edit::PutGrouping { name: format!("{service}-z0"), grouping }
+    let grouping = Grouping {
+        service: service.into(),
+        zone: "z0".into(),
+        labels: Default::default(),
+    };
+    Edit::PutGrouping {
+        name: format!("{service}-z0"),
+        grouping,
+    }
 }
 
 pub fn order(name: &str, from: &str, service: &str, path: &str) -> Edit {
-    let selector = Selector { from: vec![from.into()], service: service.into(), methods: vec![], path_prefix: path.into(), labels: Default::default() };
-    let order = StandingOrder { selector, wait_us: 1_000_000, importance: 5, idempotent: false, keyed: false, allow_other_zones: true };
-    Edit::PutOrder { name: name.into(), order }
+    let selector = Selector {
+        from: vec![from.into()],
+        service: service.into(),
+        methods: vec![],
+        path_prefix: path.into(),
+        labels: Default::default(),
+    };
+    let order = StandingOrder {
+        selector,
+        wait_us: 1_000_000,
+        importance: 5,
+        idempotent: false,
+        keyed: false,
+        allow_other_zones: true,
+    };
+    Edit::PutOrder {
+        name: name.into(),
+        order,
+    }
 }
 
 pub fn change(book: &mut StateMachine, id: &str, base: u64, edits: Vec<Edit>) -> Outcome {
-    let act = Operation::Change(Change { id: id.into(), base_version: base, edits });
-    book.apply(Entry { origin: "core-0".into(), incarnation: 1, sequence: 0, operation: act })
+    let act = Operation::Change(Change {
+        id: id.into(),
+        base_version: base,
+        edits,
+    });
+    book.apply(Entry {
+        origin: "core-0".into(),
+        incarnation: 1,
+        sequence: 0,
+        operation: act,
+    })
 }
 
-pub fn tell(book: &mut StateMachine, origin: &str, life: u64, sequence: u64, report: EndpointReport) -> Outcome {
-    book.apply(Entry { origin: origin.into(), incarnation: life, sequence, operation: Operation::EndpointReport(report) })
+pub fn tell(
+    book: &mut StateMachine,
+    origin: &str,
+    life: u64,
+    sequence: u64,
+    report: EndpointReport,
+) -> Outcome {
+    book.apply(Entry {
+        origin: origin.into(),
+        incarnation: life,
+        sequence,
+        operation: Operation::EndpointReport(report),
+    })
 }
 
 pub fn node(name: &str, incarnation: u64) -> EndpointReport {
-    EndpointReport::NodeRegistered { node: name.into(), zone: "z0".into(), address: "127.0.0.1:1".into(), incarnation, replaces: incarnation.saturating_sub(1) }
+    EndpointReport::NodeRegistered {
+        node: name.into(),
+        zone: "z0".into(),
+        address: "127.0.0.1:1".into(),
+        incarnation,
+        replaces: incarnation.saturating_sub(1),
+    }
 }
 
 pub fn registered(name: &str, node: &str, incarnation: u64) -> EndpointReport {
@@ -37,13 +89,35 @@
         phase: BackendPhase::Registered,
         changed_at: 0,
     };
-    EndpointReport::BackendRegistered { name: name.into(), backend: back_end }
+    EndpointReport::BackendRegistered {
+        name: name.into(),
+        backend: back_end,
+    }
 }
 
 pub fn site() -> StateMachine {
     let mut book = StateMachine::default();
-    let accepted = change(&mut book, "site", 0, vec![grouping("seat"), order("check", "seat", "seat", "/check")]);
-    assert!(matches!(accepted, Outcome::Accepted { version: 1, .. }), "{accepted:?}");
-    (0..4u64).for_each(|at| assert!(matches!(tell(&mut book, &format!("n{at}"), 1, 1, node(&format!("n{at}"), 1)), Outcome::Accepted { .. })));
+    let accepted = change(
+        &mut book,
+        "site",
+        0,
+        vec![grouping("seat"), order("check", "seat", "seat", "/check")],
+    );
+    assert!(
+        matches!(accepted, Outcome::Accepted { version: 1, .. }),
+        "{accepted:?}"
+    );
+    (0..4u64).for_each(|at| {
+        assert!(matches!(
+            tell(
+                &mut book,
+                &format!("n{at}"),
+                1,
+                1,
+                node(&format!("n{at}"), 1)
+            ),
+            Outcome::Accepted { .. }
+        ))
+    });
     book
 }
--- a/crates/model/tests/verdicts.rs
+++ b/crates/model/tests/verdicts.rs
@@ -12,12 +12,20 @@
         assert!(page.contains(&row), "the page lacks {row}");
     });
     let rows = page.lines().filter(|line| line.starts_with("| `")).count();
-    assert_eq!(rows, model::Cause::ALL.len(), "the page lists causes the code does not have");
+    assert_eq!(
+        rows,
+        model::Cause::ALL.len(),
+        "the page lists causes the code does not have"
+    );
 }
 
 #[test]
 fn whoever_is_refused_for_the_moment_is_told_when_to_come_back() {
-    let silent = model::Cause::ALL.iter().filter(|cause| matches!(cause.status(), 429 | 503));
-    let silent: Vec<_> = silent.filter(|cause| model::Error::new(**cause, "").retry_after.is_none()).collect();
+    let silent = model::Cause::ALL
+        .iter()
+        .filter(|cause| matches!(cause.status(), 429 | 503));
+    let silent: Vec<_> = silent
+        .filter(|cause| model::Error::new(**cause, "").retry_after.is_none())
+        .collect();
     assert!(silent.is_empty(), "{silent:?} do not say when");
 }
--- a/crates/model/tests/witness.rs
+++ b/crates/model/tests/witness.rs
@@ -7,11 +7,15 @@
 
 use golden_files::compare;
 use model::check::Fault;
-use model::cluster_state::{BackendRecord, Item, ItemBody, ItemCall, ItemKind, Limits, NodeRecord, Route, Service, ShardRange};
+use model::cluster_state::{
+    BackendRecord, Item, ItemBody, ItemCall, ItemKind, Limits, NodeRecord, Route, Service,
+    ShardRange,
+};
 use model::leases::Lease;
 use model::{
-    Backend, BackendPhase, Cause, Change, DesiredState, Edit, EndpointStatus, Entry, Error, ExecutionStatus, Grouping, Node, Operation, Outcome,
-    ReplicaReplacement, Selector, StandingOrder, StateMachine, StateSlice, VersionConflict,
+    Backend, BackendPhase, Cause, Change, DesiredState, Edit, EndpointStatus, Entry, Error,
+    ExecutionStatus, Grouping, Node, Operation, Outcome, ReplicaReplacement, Selector,
+    StandingOrder, StateMachine, StateSlice, VersionConflict,
 };
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -27,7 +31,10 @@
     match serde_json::from_str::<T>(text) {
         Ok(value) => {
             let told = serde_json::to_string(&value).expect("JSON");
-            assert_eq!(serde_json::from_str::<T>(&told).expect("it reads what it writes"), value);
+            assert_eq!(
+                serde_json::from_str::<T>(&told).expect("it reads what it writes"),
+                value
+            );
             format!("{text}\n  {told}\n")
         }
         Err(error) => format!("{text}\n  refused: {error}\n"),
@@ -43,18 +50,24 @@
         read::<Grouping>(r#"{"service":"a"}"#),
         read::<Grouping>(r#"{"zone":"z"}"#),
         read::<Selector>(r#"{"from":["a"],"service":"b"}"#),
-        read::<Selector>(r#"{"from":["a"],"service":"b","methods":["GET"],"path_prefix":"/x","labels":{"k":"v"}}"#),
+        read::<Selector>(
+            r#"{"from":["a"],"service":"b","methods":["GET"],"path_prefix":"/x","labels":{"k":"v"}}"#,
+        ),
         read::<Selector>(r#"{"from":["a"]}"#),
         read::<Selector>(r#"{"service":"b"}"#),
         read::<Selector>(r#"{"from":["a"],"service":"b","more":1}"#),
         read::<StandingOrder>(order),
-        read::<StandingOrder>(r#"{"selector":{"from":[],"service":"b"},"wait_us":5,"importance":1,"repeatable":true,"keyed":true,"leave_zone":false}"#),
+        read::<StandingOrder>(
+            r#"{"selector":{"from":[],"service":"b"},"wait_us":5,"importance":1,"repeatable":true,"keyed":true,"leave_zone":false}"#,
+        ),
         read::<StandingOrder>(r#"{"selector":{"from":[],"service":"b"}}"#),
         read::<StandingOrder>(r#"{"wait_us":5}"#),
         read::<StandingOrder>(r#"{"selector":{"from":[],"service":"b"},"wait_us":5,"more":1}"#),
         read::<Edit>(r#"{"put_grouping":{"name":"n","grouping":{"service":"a","zone":"z"}}}"#),
         read::<Edit>(r#"{"drop_grouping":{"name":"n"}}"#),
-        read::<Edit>(&format!(r#"{{"put_order":{{"name":"n","order":{order}}}}}"#)),
+        read::<Edit>(&format!(
+            r#"{{"put_order":{{"name":"n","order":{order}}}}}"#
+        )),
         read::<Edit>(r#"{"drop_order":{"name":"n"}}"#),
         read::<Edit>(r#"{"drop_order":{"name":"n","more":1}}"#),
         read::<Edit>(r#"{"other":{}}"#),
@@ -73,8 +86,12 @@
 #[test]
 fn the_items_of_a_call_keep_their_fields_and_defaults() {
     let all = [
-        read::<Route>(r#"{"host":"h","prefix":"/","repeatable":true,"wait_us":1,"dispatches":1,"shares":[["s",1]]}"#),
-        read::<Route>(r#"{"host":"h","prefix":"/","repeatable":true,"wait_us":1,"aim_us":2,"rank":3,"dispatches":1,"shares":[],"more":1}"#),
+        read::<Route>(
+            r#"{"host":"h","prefix":"/","repeatable":true,"wait_us":1,"dispatches":1,"shares":[["s",1]]}"#,
+        ),
+        read::<Route>(
+            r#"{"host":"h","prefix":"/","repeatable":true,"wait_us":1,"aim_us":2,"rank":3,"dispatches":1,"shares":[],"more":1}"#,
+        ),
         read::<Route>("{}"),
         read::<Service>("{}"),
         read::<Service>(r#"{"health_path":"/h","conns":1,"keyed":true,"warm_us":2}"#),
@@ -82,49 +99,114 @@
         read::<Limits>(r#"{"header_bytes":1,"body_bytes":2,"header_wait_us":3,"idle_us":4}"#),
         read::<Limits>(r#"{"more":1}"#),
         read::<ItemBody>(r#"{"service":{}}"#),
-        read::<ItemBody>(r#"{"limits":{"header_bytes":1,"body_bytes":2,"header_wait_us":3,"idle_us":4}}"#),
-        read::<ItemBody>(r#"{"lane":{"host":"h","prefix":"/","repeatable":true,"wait_us":1,"dispatches":1,"shares":[]}}"#),
+        read::<ItemBody>(
+            r#"{"limits":{"header_bytes":1,"body_bytes":2,"header_wait_us":3,"idle_us":4}}"#,
+        ),
+        read::<ItemBody>(
+            r#"{"lane":{"host":"h","prefix":"/","repeatable":true,"wait_us":1,"dispatches":1,"shares":[]}}"#,
+        ),
         read::<ItemBody>(r#"{"other":{}}"#),
         read::<Item>(r#"{"version":1,"body":null,"text":""}"#),
         read::<ItemCall>("{}"),
-        read::<ItemCall>(r#"{"puts":[{"name":"n","version":1,"body":{"service":{}}}],"drops":[["lane","n",2],["service","n",3],["limits","",4]]}"#),
-        read::<ItemCall>(r#"{"puts":[{"name":"n","version":1,"body":{"service":{}},"text":"t","more":1}]}"#),
+        read::<ItemCall>(
+            r#"{"puts":[{"name":"n","version":1,"body":{"service":{}}}],"drops":[["lane","n",2],["service","n",3],["limits","",4]]}"#,
+        ),
+        read::<ItemCall>(
+            r#"{"puts":[{"name":"n","version":1,"body":{"service":{}},"text":"t","more":1}]}"#,
+        ),
         read::<ItemCall>(r#"{"more":1}"#),
-        line("kinds", &[ItemKind::Route, ItemKind::Service, ItemKind::Limits]),
+        line(
+            "kinds",
+            &[ItemKind::Route, ItemKind::Service, ItemKind::Limits],
+        ),
     ];
     compare("items.txt", &all.concat(), &[]);
 }
 
 fn back_end() -> Backend {
     let labels = [("k".to_string(), "v".to_string())].into();
-    Backend { service: "s".into(), zone: "z".into(), labels, slots: 1, node: "n".into(), incarnation: 2, phase: BackendPhase::Registered, changed_at: 3 }
+    Backend {
+        service: "s".into(),
+        zone: "z".into(),
+        labels,
+        slots: 1,
+        node: "n".into(),
+        incarnation: 2,
+        phase: BackendPhase::Registered,
+        changed_at: 3,
+    }
 }
 
 fn node() -> Node {
-    Node { zone: "z".into(), address: "127.0.0.1:1".into(), incarnation: 1, present: true, missed_by: ["r".to_string()].into(), changed_at: 2 }
+    Node {
+        zone: "z".into(),
+        address: "127.0.0.1:1".into(),
+        incarnation: 1,
+        present: true,
+        missed_by: ["r".to_string()].into(),
+        changed_at: 2,
+    }
 }
 
 #[test]
 fn what_a_change_came_to_keeps_its_words() {
-    let fault = Fault { path: "p".into(), message: "f".into() };
-    let conflict = VersionConflict { kind: ItemKind::Route, name: "n".into(), sent_version: 1, current_version: 2 };
+    let fault = Fault {
+        path: "p".into(),
+        message: "f".into(),
+    };
+    let conflict = VersionConflict {
+        kind: ItemKind::Route,
+        name: "n".into(),
+        sent_version: 1,
+        current_version: 2,
+    };
     let all = [
-        line("accepted", &Outcome::Accepted { position: 1, version: 2 }),
+        line(
+            "accepted",
+            &Outcome::Accepted {
+                position: 1,
+                version: 2,
+            },
+        ),
         line("unchanged", &Outcome::Unchanged { position: 1 }),
         line("stale", &Outcome::Stale { version: 1 }),
-        line("invalid", &Outcome::Invalid { faults: vec![fault] }),
+        line(
+            "invalid",
+            &Outcome::Invalid {
+                faults: vec![fault],
+            },
+        ),
         line("reused", &Outcome::Reused { version: 1 }),
         line("refused", &Outcome::Refused { reason: "r".into() }),
         line("superseded", &Outcome::Superseded { position: 1 }),
-        line("conflict", &Outcome::Conflict { conflicts: vec![conflict] }),
+        line(
+            "conflict",
+            &Outcome::Conflict {
+                conflicts: vec![conflict],
+            },
+        ),
     ];
     compare("outcomes.txt", &all.concat(), &[]);
 }
 
 #[test]
 fn what_stands_keeps_its_fields() {
-    let player = BackendRecord { service: "s".into(), zone: "z".into(), node: "n".into(), slots: 1, phase: BackendPhase::Draining, changed_at: 2 };
-    let place = NodeRecord { zone: "z".into(), address: "a".into(), incarnation: 1, present: true, missed_by: ["m".to_string()].into(), changed_at: 2 };
+    let player = BackendRecord {
+        service: "s".into(),
+        zone: "z".into(),
+        node: "n".into(),
+        slots: 1,
+        phase: BackendPhase::Draining,
+        changed_at: 2,
+    };
+    let place = NodeRecord {
+        zone: "z".into(),
+        address: "a".into(),
+        incarnation: 1,
+        present: true,
+        missed_by: ["m".to_string()].into(),
+        changed_at: 2,
+    };
     let row = ShardRange {
         first_key: Default::default(),
         last_key: Default::default(),
@@ -133,8 +215,15 @@
         pending_releases: vec![("o".into(), 2)],
         handover_token: "t".into(),
     };
-    let term = Lease { holder: Some(("h".into(), 1)), fencing_token: 2, pending_releases: vec![(("o".into(), 3), 4)] };
-    let standing = EndpointStatus { backends: [("b".to_string(), back_end())].into(), nodes: [("n".to_string(), node())].into() };
+    let term = Lease {
+        holder: Some(("h".into(), 1)),
+        fencing_token: 2,
+        pending_releases: vec![(("o".into(), 3), 4)],
+    };
+    let standing = EndpointStatus {
+        backends: [("b".to_string(), back_end())].into(),
+        nodes: [("n".to_string(), node())].into(),
+    };
     let slice = StateSlice {
         services: ["s".to_string()].into(),
         position: 1,
@@ -146,10 +235,31 @@
         ..Default::default()
     };
     let mut book = StateMachine::default();
-    let grouping = Grouping { service: "s".into(), zone: "z".into(), labels: Default::default() };
-    let change = Change { id: "c".into(), base_version: 0, edits: vec![Edit::PutGrouping { name: "g".into(), grouping }] };
-    book.apply(Entry { origin: "o".into(), incarnation: 1, sequence: 1, operation: Operation::Change(change) });
-    let phases = [BackendPhase::Registered, BackendPhase::Draining, BackendPhase::Deregistered, BackendPhase::PresumedGone];
+    let grouping = Grouping {
+        service: "s".into(),
+        zone: "z".into(),
+        labels: Default::default(),
+    };
+    let change = Change {
+        id: "c".into(),
+        base_version: 0,
+        edits: vec![Edit::PutGrouping {
+            name: "g".into(),
+            grouping,
+        }],
+    };
+    book.apply(Entry {
+        origin: "o".into(),
+        incarnation: 1,
+        sequence: 1,
+        operation: Operation::Change(change),
+    });
+    let phases = [
+        BackendPhase::Registered,
+        BackendPhase::Draining,
+        BackendPhase::Deregistered,
+        BackendPhase::PresumedGone,
+    ];
     let all = [
         line("phases", &phases),
         line("standing", &standing),
@@ -167,8 +277,21 @@
 fn every_trouble_keeps_its_cause_verdict_and_words() {
     let causes = Cause::ALL.iter().map(|cause| {
         let trouble = Error::new(*cause, "in words");
-        format!("{} {} {}\n  {trouble}\n  {}", cause.code(), cause.status(), cause.may_retry_later(), line("trouble", &trouble))
+        format!(
+            "{} {} {}\n  {trouble}\n  {}",
+            cause.code(),
+            cause.status(),
+            cause.may_retry_later(),
+            line("trouble", &trouble)
+        )
     });
-    let verdicts = line("verdicts", &[ExecutionStatus::NotRun, ExecutionStatus::MayHaveRun]);
-    compare("troubles.txt", &format!("{verdicts}{}", causes.collect::<String>()), &[]);
+    let verdicts = line(
+        "verdicts",
+        &[ExecutionStatus::NotRun, ExecutionStatus::MayHaveRun],
+    );
+    compare(
+        "troubles.txt",
+        &format!("{verdicts}{}", causes.collect::<String>()),
+        &[],
+    );
 }
--- a/crates/operator-api/src/lib.rs
+++ b/crates/operator-api/src/lib.rs
@@ -22,12 +22,25 @@
         .push(salvo::Router::with_path("ready").get(queries::Readiness(office.clone())))
         .push(
             salvo::Router::with_path("v1")
-                .push(salvo::Router::with_path("changes").post(changes::ApplyChange(office.clone())))
-                .push(salvo::Router::with_path("seats").post(changes::ReplaceReplica(office.clone())))
-                .push(salvo::Router::with_path("desired").get(queries::DesiredState(office.clone())))
-                .push(salvo::Router::with_path("standing").get(queries::EndpointStatus(office.clone())))
-                .push(salvo::Router::with_path("status").get(queries::ReplicaStatus(office.clone())))
+                .push(
+                    salvo::Router::with_path("changes").post(changes::ApplyChange(office.clone())),
+                )
+                .push(
+                    salvo::Router::with_path("seats").post(changes::ReplaceReplica(office.clone())),
+                )
+                .push(
+                    salvo::Router::with_path("desired").get(queries::DesiredState(office.clone())),
+                )
+                .push(
+                    salvo::Router::with_path("standing")
+                        .get(queries::EndpointStatus(office.clone())),
+                )
+                .push(
+                    salvo::Router::with_path("status").get(queries::ReplicaStatus(office.clone())),
+                )
                 .push(salvo::Router::with_path("groupings").push(one(changes::ItemKind::Grouping)))
-                .push(salvo::Router::with_path("orders").push(one(changes::ItemKind::StandingOrder))),
+                .push(
+                    salvo::Router::with_path("orders").push(one(changes::ItemKind::StandingOrder)),
+                ),
         )
 }
--- a/crates/operator-api/src/queries.rs
+++ b/crates/operator-api/src/queries.rs
@@ -9,7 +9,10 @@
 pub(crate) struct ReplicaStatus(pub OperatorApi);
 pub(crate) struct SingleItem(pub OperatorApi, pub ItemKind);
 
-async fn read_current(office: &OperatorApi, response: &mut salvo::Response) -> Option<std::sync::Arc<model::StateMachine>> {
+async fn read_current(
+    office: &OperatorApi,
+    response: &mut salvo::Response,
+) -> Option<std::sync::Arc<model::StateMachine>> {
     if office.replica.read_barrier().await.is_none() {
         let answer = serde_json::json!({ "cause": "no_majority", "detail": "no majority answered, so nothing here is known to be current" });
         http_util::write_json(response, 503, &answer);
@@ -26,7 +29,10 @@
 fn member_disks(core: &control::ReplicaHandle) -> std::collections::BTreeMap<u16, String> {
     let pins = core.pinned_disks.load();
     let others = pins.iter().map(|(seat, identity)| (*seat, *identity));
-    others.chain([core.identity()]).map(|(seat, identity)| (seat, format!("{identity:016x}"))).collect()
+    others
+        .chain([core.identity()])
+        .map(|(seat, identity)| (seat, format!("{identity:016x}")))
+        .collect()
 }
 
 #[salvo::handler]
@@ -41,19 +47,43 @@
     async fn handle(&self, response: &mut salvo::Response) {
         let state = self.0.replica.status.load();
         let majority = self.0.replica.replica_count() as usize / 2 + 1;
-        let staying = self.0.accepting_work.load(std::sync::atomic::Ordering::Relaxed);
+        let staying = self
+            .0
+            .accepting_work
+            .load(std::sync::atomic::Ordering::Relaxed);
         let reasons: Vec<String> = [
             (!staying).then(|| "stopping".to_string()),
-            (!state.voting).then(|| format!("has met {} of {} other seats", state.pinned_peers, self.0.replica.replica_count() - 1)),
-            (state.voting && state.connected_replicas < majority)
-                .then(|| format!("in touch with {} of {} seats", state.connected_replicas, self.0.replica.replica_count())),
-            state.refusal.as_ref().map(|reason| format!("refused by a mate: {reason}")),
-            state.disk_error.as_ref().map(|trouble| format!("disk: {trouble}")),
+            (!state.voting).then(|| {
+                format!(
+                    "has met {} of {} other seats",
+                    state.pinned_peers,
+                    self.0.replica.replica_count() - 1
+                )
+            }),
+            (state.voting && state.connected_replicas < majority).then(|| {
+                format!(
+                    "in touch with {} of {} seats",
+                    state.connected_replicas,
+                    self.0.replica.replica_count()
+                )
+            }),
+            state
+                .refusal
+                .as_ref()
+                .map(|reason| format!("refused by a mate: {reason}")),
+            state
+                .disk_error
+                .as_ref()
+                .map(|trouble| format!("disk: {trouble}")),
         ]
         .into_iter()
         .flatten()
         .collect();
-        http_util::write_json(response, if reasons.is_empty() { 200 } else { 503 }, &serde_json::json!({ "ready": reasons.is_empty(), "reasons": reasons }));
+        http_util::write_json(
+            response,
+            if reasons.is_empty() { 200 } else { 503 },
+            &serde_json::json!({ "ready": reasons.is_empty(), "reasons": reasons }),
+        );
     }
 }
 
@@ -96,14 +126,28 @@
 impl SingleItem {
     async fn handle(&self, request: &mut salvo::Request, response: &mut salvo::Response) {
         let name = request.param::<String>("name").unwrap_or_default();
-        let Some(book) = read_current(&self.0, response).await else { return };
+        let Some(book) = read_current(&self.0, response).await else {
+            return;
+        };
         let found = match self.1 {
-            ItemKind::Grouping => book.desired.groupings.get(&name).and_then(|held| serde_json::to_value(held).ok()),
-            ItemKind::StandingOrder => book.desired.orders.get(&name).and_then(|held| serde_json::to_value(held).ok()),
+            ItemKind::Grouping => book
+                .desired
+                .groupings
+                .get(&name)
+                .and_then(|held| serde_json::to_value(held).ok()),
+            ItemKind::StandingOrder => book
+                .desired
+                .orders
+                .get(&name)
+                .and_then(|held| serde_json::to_value(held).ok()),
         };
         match found {
             Some(held) => http_util::write_json(response, 200, &held),
-            None => http_util::write_json(response, 404, &serde_json::json!({ "cause": "not_found", "name": name })),
+            None => http_util::write_json(
+                response,
+                404,
+                &serde_json::json!({ "cause": "not_found", "name": name }),
+            ),
         }
     }
 }
--- a/crates/operator-api/tests/operators.rs
+++ b/crates/operator-api/tests/operators.rs
@@ -5,8 +5,15 @@
     http_server: http_util::HttpServer,
 }
 
-async fn start_replica(folder: &std::path::Path, number: u16, seats: u16, seeds: Vec<String>) -> (TestReplica, String) {
-    let mates = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
+async fn start_replica(
+    folder: &std::path::Path,
+    number: u16,
+    seats: u16,
+    seeds: Vec<String>,
+) -> (TestReplica, String) {
+    let mates = tokio::net::TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("a port");
     let address = mates.local_addr().expect("an address").to_string();
     let env = control::ReplicaConfig {
         name: format!("core-{number}"),
@@ -21,28 +28,53 @@
         replace_after: 500_000,
         membership: None,
     };
-    let core = control::ReplicaHandle::start(env, model::logging::discard_logger()).expect("a core seat");
+    let core =
+        control::ReplicaHandle::start(env, model::logging::discard_logger()).expect("a core seat");
     tokio::spawn(control::stream::listen(core.clone(), mates));
     let staying = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true));
-    let router = operator_api::router(operator_api::OperatorApi { replica: core.clone(), accepting_work: staying });
-    let serving = http_util::HttpServer::start("127.0.0.1:0", router).await.expect("http");
-    (TestReplica { handle: core, http_server: serving }, address)
+    let router = operator_api::router(operator_api::OperatorApi {
+        replica: core.clone(),
+        accepting_work: staying,
+    });
+    let serving = http_util::HttpServer::start("127.0.0.1:0", router)
+        .await
+        .expect("http");
+    (
+        TestReplica {
+            handle: core,
+            http_server: serving,
+        },
+        address,
+    )
 }
 
 async fn until_started(seat: &TestReplica) {
-    while !seat.handle.status.load().voting || seat.handle.status.load().connected_replicas <= seat.handle.replica_count() as usize / 2 {
+    while !seat.handle.status.load().voting
+        || seat.handle.status.load().connected_replicas <= seat.handle.replica_count() as usize / 2
+    {
         tokio::task::yield_now().await;
     }
 }
 
 fn client() -> reqwest::Client {
-    reqwest::Client::builder().no_proxy().build().expect("a client")
+    reqwest::Client::builder()
+        .no_proxy()
+        .build()
+        .expect("a client")
 }
 
 async fn post(seat: &TestReplica, body: impl Into<reqwest::Body>) -> (u16, serde_json::Value) {
     let url = format!("http://{}/v1/changes", seat.http_server.address);
-    let response = client().post(url).body(body).send().await.expect("an answer");
-    (response.status().as_u16(), response.json().await.expect("JSON"))
+    let response = client()
+        .post(url)
+        .body(body)
+        .send()
+        .await
+        .expect("an answer");
+    (
+        response.status().as_u16(),
+        response.json().await.expect("JSON"),
+    )
 }
 
 fn change(id: &str, base: u64, edits: serde_json::Value) -> String {
@@ -77,28 +109,76 @@
         (put("soon".into(), ""), 400, "body"),
         (put(5.into(), ""), 422, "edits[0].order.wait_us"),
         (change("y", 1, serde_json::json!([])), 422, "edits"),
-        (change("z", 1, serde_json::json!([{ "drop_order": { "name": "absent" } }])), 422, "edits[0].name"),
+        (
+            change(
+                "z",
+                1,
+                serde_json::json!([{ "drop_order": { "name": "absent" } }]),
+            ),
+            422,
+            "edits[0].name",
+        ),
     ];
     for (body, status, path) in cases {
         let (found, answer) = post(&seat, body.clone()).await;
-        assert_eq!((found, answer["faults"][0]["path"].as_str()), (status, Some(path)), "{body} got {answer}");
+        assert_eq!(
+            (found, answer["faults"][0]["path"].as_str()),
+            (status, Some(path)),
+            "{body} got {answer}"
+        );
     }
     // Single edits name their version and their own id, or are refused without effect.
     let url = format!("http://{}/v1/groupings/more", seat.http_server.address);
     let grouping = serde_json::json!({ "service": "seat", "zone": "z1" });
-    let unnamed = client().put(&url).json(&grouping).send().await.expect("an answer");
+    let unnamed = client()
+        .put(&url)
+        .json(&grouping)
+        .send()
+        .await
+        .expect("an answer");
     assert_eq!(unnamed.status().as_u16(), 428);
-    let stale = client().put(&url).json(&grouping).header("if-match", "\"7\"").header("x-change-id", "m").send().await.expect("an answer");
+    let stale = client()
+        .put(&url)
+        .json(&grouping)
+        .header("if-match", "\"7\"")
+        .header("x-change-id", "m")
+        .send()
+        .await
+        .expect("an answer");
     assert_eq!(stale.status().as_u16(), 412);
-    let absent = client().delete(&url).header("if-match", "\"1\"").header("x-change-id", "n").send().await.expect("an answer");
+    let absent = client()
+        .delete(&url)
+        .header("if-match", "\"1\"")
+        .header("x-change-id", "n")
+        .send()
+        .await
+        .expect("an answer");
     assert_eq!(absent.status().as_u16(), 422);
     let no_disk = serde_json::json!({ "seat": 4, "from": "x", "to": "1" });
-    let no_disk = client().post(format!("http://{}/v1/seats", seat.http_server.address)).json(&no_disk).send().await.expect("an answer");
+    let no_disk = client()
+        .post(format!("http://{}/v1/seats", seat.http_server.address))
+        .json(&no_disk)
+        .send()
+        .await
+        .expect("an answer");
     assert_eq!(no_disk.status().as_u16(), 422);
-    let state = client().get(format!("http://{}/v1/desired", seat.http_server.address)).send().await.expect("an answer");
-    assert_eq!(state.headers().get("etag").and_then(|tag| tag.to_str().ok()), Some("\"1\""));
+    let state = client()
+        .get(format!("http://{}/v1/desired", seat.http_server.address))
+        .send()
+        .await
+        .expect("an answer");
+    assert_eq!(
+        state
+            .headers()
+            .get("etag")
+            .and_then(|tag| tag.to_str().ok()),
+        Some("\"1\"")
+    );
     let state: serde_json::Value = state.json().await.expect("JSON");
-    assert_eq!(state["orders"].as_object().map(|orders| orders.len()), Some(1));
+    assert_eq!(
+        state["orders"].as_object().map(|orders| orders.len()),
+        Some(1)
+    );
     std::fs::remove_dir_all(folder).expect("clean");
 }
 
@@ -108,22 +188,41 @@
     let (first, address) = start_replica(&folder, 0, 3, vec![]).await;
     let (second, next) = start_replica(&folder, 1, 3, vec![address.clone()]).await;
     let lonely = post(&first, change("early", 0, site())).await;
-    assert_eq!((lonely.0, lonely.1["verdict"].as_str()), (503, Some("not-run")), "no majority has met yet");
+    assert_eq!(
+        (lonely.0, lonely.1["verdict"].as_str()),
+        (503, Some("not-run")),
+        "no majority has met yet"
+    );
     let (third, _) = start_replica(&folder, 2, 3, vec![address, next]).await;
     for seat in [&first, &second, &third] {
         until_started(seat).await;
     }
     assert_eq!(post(&first, change("site", 0, site())).await.0, 200);
     let edit = |path: &str| serde_json::json!([{ "put_order": { "name": "a", "order": { "selector": { "from": ["seat"], "service": "seat", "path_prefix": path }, "wait_us": 1000000 } } }]);
-    let (one, two) = tokio::join!(post(&first, change("one", 1, edit("/one"))), post(&second, change("two", 1, edit("/two"))));
+    let (one, two) = tokio::join!(
+        post(&first, change("one", 1, edit("/one"))),
+        post(&second, change("two", 1, edit("/two")))
+    );
     let mut statuses = [one.0, two.0];
     statuses.sort();
     assert_eq!(statuses, [200, 412], "{one:?} {two:?}");
-    let (winner, path) = if one.0 == 200 { ("one", "/one") } else { ("two", "/two") };
+    let (winner, path) = if one.0 == 200 {
+        ("one", "/one")
+    } else {
+        ("two", "/two")
+    };
     let again = post(&third, change(winner, 1, edit(path))).await;
-    assert_eq!((again.0, again.1["accepted"]["version"].as_u64()), (200, Some(2)), "{again:?}");
+    assert_eq!(
+        (again.0, again.1["accepted"]["version"].as_u64()),
+        (200, Some(2)),
+        "{again:?}"
+    );
     // Any seat reads back what another accepted.
-    let state = client().get(format!("http://{}/v1/orders/a", third.http_server.address)).send().await.expect("an answer");
+    let state = client()
+        .get(format!("http://{}/v1/orders/a", third.http_server.address))
+        .send()
+        .await
+        .expect("an answer");
     let order: serde_json::Value = state.json().await.expect("JSON");
     assert_eq!(order["selector"]["path_prefix"].as_str(), Some(path));
     std::fs::remove_dir_all(folder).expect("clean");
@@ -145,14 +244,21 @@
         tokio::task::yield_now().await;
     }
     assert!(!emptied.handle.status.load().voting);
-    let ready = client().get(format!("http://{}/ready", emptied.http_server.address)).send().await.expect("an answer");
+    let ready = client()
+        .get(format!("http://{}/ready", emptied.http_server.address))
+        .send()
+        .await
+        .expect("an answer");
     assert_eq!(ready.status().as_u16(), 503);
     let told = ready.text().await.expect("text");
     assert!(told.contains("another disk"), "{told}");
     std::fs::remove_dir_all(folder).expect("clean");
 }
 
-async fn start_replica_on_empty_disk(folder: &std::path::Path, seeds: Vec<String>) -> (TestReplica, String) {
+async fn start_replica_on_empty_disk(
+    folder: &std::path::Path,
+    seeds: Vec<String>,
+) -> (TestReplica, String) {
     start_replica(&folder.join("emptied"), 0, 3, seeds).await
 }
 
@@ -164,7 +270,10 @@
     // The third seat lives in a runtime of its own, which ends as its machine does.
     let machine = tokio::runtime::Runtime::new().expect("a runtime");
     let (place, seeds) = (folder.clone(), vec![address.clone(), next.clone()]);
-    let (third, _) = machine.spawn(async move { start_replica(&place, 2, 3, seeds).await }).await.expect("a seat");
+    let (third, _) = machine
+        .spawn(async move { start_replica(&place, 2, 3, seeds).await })
+        .await
+        .expect("a seat");
     for seat in [&first, &second, &third] {
         until_started(seat).await;
     }
@@ -174,7 +283,11 @@
     let (empty, _) = start_replica(&folder.join("emptied"), 2, 3, vec![address, next]).await;
     until_started(&empty).await;
     // With one of the two others gone, nothing is accepted without the new disk's vote: it has one, and what was accepted before.
-    let state = client().get(format!("http://{}/v1/desired", empty.http_server.address)).send().await.expect("an answer");
+    let state = client()
+        .get(format!("http://{}/v1/desired", empty.http_server.address))
+        .send()
+        .await
+        .expect("an answer");
     let state: serde_json::Value = state.json().await.expect("JSON");
     assert_eq!(state["version"].as_u64(), Some(1), "{state}");
     // The other seats bind theirs to the new disk as they come past the change; the old one counts no more.
--- a/crates/operator-api/tests/witness.rs
+++ b/crates/operator-api/tests/witness.rs
@@ -45,25 +45,60 @@
         let core = ReplicaHandle::start(env, model::logging::discard_logger()).expect("a core");
         tokio::spawn(stream::listen(core.clone(), mates));
         let staying = Arc::new(AtomicBool::new(true));
-        let router = operator_api::router(OperatorApi { replica: core.clone(), accepting_work: staying.clone() });
-        let serving = HttpServer::start("127.0.0.1:0", router).await.expect("http");
-        Office { core, serving, staying, told: String::new() }
+        let router = operator_api::router(OperatorApi {
+            replica: core.clone(),
+            accepting_work: staying.clone(),
+        });
+        let serving = HttpServer::start("127.0.0.1:0", router)
+            .await
+            .expect("http");
+        Office {
+            core,
+            serving,
+            staying,
+            told: String::new(),
+        }
     }
 
     /// Sends one call and writes down call and answer.
     async fn call(&mut self, method: &str, path: &str, headers: &[(&str, &str)], body: &str) {
-        let client = reqwest::Client::builder().no_proxy().build().expect("a client");
+        let client = reqwest::Client::builder()
+            .no_proxy()
+            .build()
+            .expect("a client");
         let method = method.parse::<reqwest::Method>().expect("a method");
-        let request = client.request(method.clone(), format!("http://{}{path}", self.serving.address)).body(body.to_string());
-        let request = headers.iter().fold(request, |request, (name, value)| request.header(*name, *value));
+        let request = client
+            .request(
+                method.clone(),
+                format!("http://{}{path}", self.serving.address),
+            )
+            .body(body.to_string());
+        let request = headers.iter().fold(request, |request, (name, value)| {
+            request.header(*name, *value)
+        });
         let response = request.send().await.expect("an answer");
         let status = response.status().as_u16();
-        let header = |name: &str| response.headers().get(name).map(|value| format!("{name}: {}\n", value.to_str().expect("text"))).unwrap_or_default();
+        let header = |name: &str| {
+            response
+                .headers()
+                .get(name)
+                .map(|value| format!("{name}: {}\n", value.to_str().expect("text")))
+                .unwrap_or_default()
+        };
         let named = ["content-type", "etag", "retry-after"].map(header).concat();
         let answer = response.text().await.expect("text");
-        let told = if answer.starts_with("<!DOCTYPE") { "(a page of the HTTP library)" } else { &answer };
-        let sent: String = headers.iter().map(|(name, value)| format!("{name}: {value}\n")).collect();
-        self.told.push_str(&format!("{method} {path}\n{sent}{body}\n{status}\n{named}{told}\n\n"));
+        let told = if answer.starts_with("<!DOCTYPE") {
+            "(a page of the HTTP library)"
+        } else {
+            &answer
+        };
+        let sent: String = headers
+            .iter()
+            .map(|(name, value)| format!("{name}: {value}\n"))
+            .collect();
+        self.told.push_str(&format!(
+            "{method} {path}\n{sent}{body}\n{status}\n{named}{told}\n\n"
+        ));
     }
 
     async fn change(&mut self, id: &str, base: u64, edits: Value) {
@@ -104,26 +139,59 @@
     office.call("GET", "/v1/desired", &[], "").await;
     office.change("site", 0, site()).await;
     office.change("site", 0, site()).await;
-    office.change("site", 1, json!([{ "drop_order": { "name": "check" } }])).await;
-    office.change("late", 0, json!([{ "drop_order": { "name": "check" } }])).await;
+    office
+        .change("site", 1, json!([{ "drop_order": { "name": "check" } }]))
+        .await;
+    office
+        .change("late", 0, json!([{ "drop_order": { "name": "check" } }]))
+        .await;
     office.change("same", 1, site()).await;
     office.call("GET", "/v1/desired", &[], "").await;
-    for path in ["/v1/groupings/seat-z1", "/v1/orders/check", "/v1/orders/full", "/v1/orders/keyed", "/v1/groupings/none", "/v1/orders/none", "/v1/standing"] {
+    for path in [
+        "/v1/groupings/seat-z1",
+        "/v1/orders/check",
+        "/v1/orders/full",
+        "/v1/orders/keyed",
+        "/v1/groupings/none",
+        "/v1/orders/none",
+        "/v1/standing",
+    ] {
         office.call("GET", path, &[], "").await;
     }
     let named = |base, id| [("if-match", base), ("x-change-id", id)];
     let grouping = r#"{"service":"seat","zone":"z2"}"#;
     let order = r#"{"selector":{"from":["seat"],"service":"seat"},"wait_us":5000}"#;
-    office.call("PUT", "/v1/groupings/more", &named("\"1\"", "more"), grouping).await;
-    office.call("PUT", "/v1/orders/more", &named("2", "order"), order).await;
-    office.call("PUT", "/v1/orders/more", &named("\"1\"", "stale"), order).await;
+    office
+        .call(
+            "PUT",
+            "/v1/groupings/more",
+            &named("\"1\"", "more"),
+            grouping,
+        )
+        .await;
+    office
+        .call("PUT", "/v1/orders/more", &named("2", "order"), order)
+        .await;
+    office
+        .call("PUT", "/v1/orders/more", &named("\"1\"", "stale"), order)
+        .await;
     office.call("PUT", "/v1/orders/more", &[], order).await;
-    office.call("PUT", "/v1/orders/more", &[("if-match", "\"3\"")], order).await;
-    office.call("PUT", "/v1/orders/more", &named("\"3\"", "bad"), "{}").await;
-    office.call("DELETE", "/v1/orders/more", &named("\"3\"", "drop"), "").await;
-    office.call("DELETE", "/v1/orders/more", &named("\"4\"", "absent"), "").await;
+    office
+        .call("PUT", "/v1/orders/more", &[("if-match", "\"3\"")], order)
+        .await;
+    office
+        .call("PUT", "/v1/orders/more", &named("\"3\"", "bad"), "{}")
+        .await;
+    office
+        .call("DELETE", "/v1/orders/more", &named("\"3\"", "drop"), "")
+        .await;
+    office
+        .call("DELETE", "/v1/orders/more", &named("\"4\"", "absent"), "")
+        .await;
     office.call("DELETE", "/v1/groupings/more", &[], "").await;
-    office.call("DELETE", "/v1/groupings/more", &named("\"4\"", "away"), "").await;
+    office
+        .call("DELETE", "/v1/groupings/more", &named("\"4\"", "away"), "")
+        .await;
     compare("changes.txt", &office.told, &POSITIONS);
     fs::remove_dir_all(folder).expect("clean");
 }
@@ -134,11 +202,18 @@
     let mut office = Office::start(&folder, 1).await;
     until_started(&office.core).await;
     office.change("site", 0, site()).await;
-    for body in ["", "not JSON", "{}", r#"{"id":"a","base":1,"edits":[],"speed":9}"#, r#"{"id":"a","base":1,"edits":[{"put_speed":{}}]}"#] {
+    for body in [
+        "",
+        "not JSON",
+        "{}",
+        r#"{"id":"a","base":1,"edits":[],"speed":9}"#,
+        r#"{"id":"a","base":1,"edits":[{"put_speed":{}}]}"#,
+    ] {
         office.call("POST", "/v1/changes", &[], body).await;
     }
     let order = |key: &str, value: Value| {
-        let mut order = json!({ "selector": { "from": ["seat"], "service": "seat" }, "wait_us": 5000 });
+        let mut order =
+            json!({ "selector": { "from": ["seat"], "service": "seat" }, "wait_us": 5000 });
         order[key] = value;
         json!([{ "put_order": { "name": "a", "order": order } }])
     };
@@ -189,7 +264,9 @@
     for (number, edits) in edits.into_iter().enumerate() {
         // What is no fault is accepted, and the next goes on from there.
         let version = office.core.state_machine.load().desired.version;
-        office.change(&format!("fault-{number}"), version, edits).await;
+        office
+            .change(&format!("fault-{number}"), version, edits)
+            .await;
     }
     compare("faults.txt", &office.told, &POSITIONS);
     fs::remove_dir_all(folder).expect("clean");
@@ -202,10 +279,36 @@
     until_started(&office.core).await;
     let identity = format!("{:016x}", office.core.identity().1);
     office.call("GET", "/v1/status", &[], "").await;
-    let seat = KnownReplica { replica_id: 1, disk_id: 2, address: "127.0.0.1:3".into(), zone: "z".into(), start_count: 4 };
-    office.told.push_str(&format!("a known seat: {}\n", serde_json::to_string(&seat).expect("JSON")));
-    let counts = ["applied", "floor", "frames", "highest", "index", "open_reads", "syncs", "traffic", "known", "position", "in_touch", "met"];
-    let volatile: Vec<Volatile> = counts.map(Volatile::Field).into_iter().chain([Volatile::Value(&identity, "identity")]).collect();
+    let seat = KnownReplica {
+        replica_id: 1,
+        disk_id: 2,
+        address: "127.0.0.1:3".into(),
+        zone: "z".into(),
+        start_count: 4,
+    };
+    office.told.push_str(&format!(
+        "a known seat: {}\n",
+        serde_json::to_string(&seat).expect("JSON")
+    ));
+    let counts = [
+        "applied",
+        "floor",
+        "frames",
+        "highest",
+        "index",
+        "open_reads",
+        "syncs",
+        "traffic",
+        "known",
+        "position",
+        "in_touch",
+        "met",
+    ];
+    let volatile: Vec<Volatile> = counts
+        .map(Volatile::Field)
+        .into_iter()
+        .chain([Volatile::Value(&identity, "identity")])
+        .collect();
     compare("status.txt", &office.told, &volatile);
     fs::remove_dir_all(folder).expect("clean");
 }
@@ -219,14 +322,23 @@
     office.call("GET", "/live", &[], "").await;
     office.call("GET", "/ready", &[], "").await;
     office.call("GET", "/v1/none", &[], "").await;
-    for body in ["", "{}", r#"{"seat":0,"from":"1","to":"2","speed":1}"#, r#"{"seat":4,"from":"x","to":"y"}"#, r#"{"seat":0,"from":"1","to":"2"}"#] {
+    for body in [
+        "",
+        "{}",
+        r#"{"seat":0,"from":"1","to":"2","speed":1}"#,
+        r#"{"seat":4,"from":"x","to":"y"}"#,
+        r#"{"seat":0,"from":"1","to":"2"}"#,
+    ] {
         office.call("POST", "/v1/seats", &[], body).await;
     }
     let zero = json!({ "seat": 0, "from": identity, "to": identity }).to_string();
     office.call("POST", "/v1/seats", &[], &zero).await;
     office.staying.store(false, Ordering::Relaxed);
     office.call("GET", "/ready", &[], "").await;
-    let own = [Volatile::Value(&identity, "identity"), Volatile::Field("position")];
+    let own = [
+        Volatile::Value(&identity, "identity"),
+        Volatile::Field("position"),
+    ];
     compare("ready_and_seats.txt", &office.told, &own);
     fs::remove_dir_all(folder).expect("clean");
 }
@@ -241,6 +353,10 @@
     office.call("POST", "/v1/seats", &[], &body).await;
     office.call("GET", "/ready", &[], "").await;
     office.call("GET", "/live", &[], "").await;
-    compare("no_majority.txt", &office.told, &[Volatile::Value(&identity, "identity")]);
+    compare(
+        "no_majority.txt",
+        &office.told,
+        &[Volatile::Value(&identity, "identity")],
+    );
     fs::remove_dir_all(folder).expect("clean");
 }
--- a/crates/outbound/src/listener.rs
+++ b/crates/outbound/src/listener.rs
@@ -23,7 +23,11 @@
 
 impl Listener {
     /// Serves until told to leave: then no conn begins a further request, and what was taken is answered.
-    pub async fn serve(self, listener: tokio::net::TcpListener, shutdown: tokio::sync::watch::Receiver<bool>) {
+    pub async fn serve(
+        self,
+        listener: tokio::net::TcpListener,
+        shutdown: tokio::sync::watch::Receiver<bool>,
+    ) {
         let mut shutdown_requested = shutdown.clone();
         loop {
             tokio::select! {
@@ -35,17 +39,31 @@
         }
     }
 
-    async fn serve_connection(self, stream: tokio::net::TcpStream, mut shutdown: tokio::sync::watch::Receiver<bool>) {
+    async fn serve_connection(
+        self,
+        stream: tokio::net::TcpStream,
+        mut shutdown: tokio::sync::watch::Receiver<bool>,
+    ) {
         drop(stream.set_nodelay(true));
         let limits = self.proxy.verified_state.load().snapshot.limits.clone();
-        let idle_timeout = limits.as_ref().map(|limits| std::time::Duration::from_micros(limits.idle_us)).unwrap_or(DEFAULT_IDLE_TIMEOUT);
-        let max_header_bytes = limits.as_ref().map(|limits| limits.header_bytes as usize).unwrap_or(DEFAULT_MAX_HEADER_BYTES).max(8_192);
+        let idle_timeout = limits
+            .as_ref()
+            .map(|limits| std::time::Duration::from_micros(limits.idle_us))
+            .unwrap_or(DEFAULT_IDLE_TIMEOUT);
+        let max_header_bytes = limits
+            .as_ref()
+            .map(|limits| limits.header_bytes as usize)
+            .unwrap_or(DEFAULT_MAX_HEADER_BYTES)
+            .max(8_192);
         let service = hyper::service::service_fn(move |request| {
             let front = self.clone();
             async move { Ok::<_, std::convert::Infallible>(front.handle(request).await) }
         });
         let mut builder = hyper::server::conn::http1::Builder::new();
-        builder.timer(hyper_util::rt::TokioTimer::new()).header_read_timeout(idle_timeout).max_buf_size(max_header_bytes);
+        builder
+            .timer(hyper_util::rt::TokioTimer::new())
+            .header_read_timeout(idle_timeout)
+            .max_buf_size(max_header_bytes);
         let conn = builder.serve_connection(hyper_util::rt::TokioIo::new(stream), service);
         let mut conn = std::pin::pin!(conn);
         tokio::select! {
@@ -59,29 +77,68 @@
         let received_at = model::now();
         let (head, body) = request.into_parts();
         let header = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
-        let (words, host) = (&self.config.header_names, header("host").unwrap_or_default());
+        let (words, host) = (
+            &self.config.header_names,
+            header("host").unwrap_or_default(),
+        );
         let attempt_id = header(words.attempt_id).unwrap_or_default().to_string();
-        let max_body_bytes =
-            self.proxy.verified_state.load().snapshot.limits.as_ref().map(|limits| limits.body_bytes as usize).unwrap_or(DEFAULT_MAX_BODY_BYTES);
-        let body = match http_body_util::Limited::new(body, max_body_bytes).collect().await {
+        let max_body_bytes = self
+            .proxy
+            .verified_state
+            .load()
+            .snapshot
+            .limits
+            .as_ref()
+            .map(|limits| limits.body_bytes as usize)
+            .unwrap_or(DEFAULT_MAX_BODY_BYTES);
+        let body = match http_body_util::Limited::new(body, max_body_bytes)
+            .collect()
+            .await
+        {
             Ok(body) => body.to_bytes().to_vec(),
             Err(error) if error.is::<http_body_util::LengthLimitError>() => {
-                return self.error_response(&attempt_id, Error::new(Cause::TooLarge, "the body is over the limit"));
+                return self.error_response(
+                    &attempt_id,
+                    Error::new(Cause::TooLarge, "the body is over the limit"),
+                );
+            }
+            Err(_) => {
+                return self.error_response(
+                    &attempt_id,
+                    Error::new(Cause::BadRequest, "the body broke off"),
+                );
             }
-            Err(_) => return self.error_response(&attempt_id, Error::new(Cause::BadRequest, "the body broke off")),
         };
         if attempt_id.is_empty() {
-            return self.error_response(&attempt_id, Error::new(Cause::BadRequest, "the try has no identity"));
+            return self.error_response(
+                &attempt_id,
+                Error::new(Cause::BadRequest, "the try has no identity"),
+            );
         }
         let own_headers = [words.time_left_ms, words.target_backend, words.caller];
-        let headers = head.headers.iter().filter(|(name, _)| !http_util::headers::is_hop_by_hop(name.as_str()) && !own_headers.contains(&name.as_str()));
+        let headers = head.headers.iter().filter(|(name, _)| {
+            !http_util::headers::is_hop_by_hop(name.as_str())
+                && !own_headers.contains(&name.as_str())
+        });
         let request = crate::Request {
-            host: host.split(':').next().unwrap_or_default().to_ascii_lowercase(),
+            host: host
+                .split(':')
+                .next()
+                .unwrap_or_default()
+                .to_ascii_lowercase(),
             method: head.method.as_str().to_string(),
-            target: head.uri.path_and_query().map(|target| target.as_str().to_string()).unwrap_or_default(),
+            target: head
+                .uri
+                .path_and_query()
+                .map(|target| target.as_str().to_string())
+                .unwrap_or_default(),
             shard_key: header(words.shard_key).and_then(|text| text.parse().ok()),
-            timeout: header(words.time_left_ms).and_then(|text| text.parse::<u64>().ok()).map(|left| left * 1_000),
-            headers: headers.map(|(name, value)| (name.as_str().to_string(), value.as_bytes().to_vec())).collect(),
+            timeout: header(words.time_left_ms)
+                .and_then(|text| text.parse::<u64>().ok())
+                .map(|left| left * 1_000),
+            headers: headers
+                .map(|(name, value)| (name.as_str().to_string(), value.as_bytes().to_vec()))
+                .collect(),
             attempt_id: attempt_id.clone(),
             body,
             received_at,
@@ -92,13 +149,29 @@
         }
     }
 
-    fn success_response(&self, attempt_id: &str, response: transport::ForwardedResponse) -> HttpResponse {
+    fn success_response(
+        &self,
+        attempt_id: &str,
+        response: transport::ForwardedResponse,
+    ) -> HttpResponse {
         // The near side knows the try: its name need not come back over the conn between nodes.
-        let builder = hyper::Response::builder().status(response.status).header(self.config.header_names.attempt_id, attempt_id);
-        let builder = response.headers.iter().fold(builder, |builder, (name, value)| builder.header(name.as_str(), value.as_slice()));
+        let builder = hyper::Response::builder()
+            .status(response.status)
+            .header(self.config.header_names.attempt_id, attempt_id);
+        let builder = response
+            .headers
+            .iter()
+            .fold(builder, |builder, (name, value)| {
+                builder.header(name.as_str(), value.as_slice())
+            });
         builder
             .body(http_body_util::Full::new(response.body.into()))
-            .unwrap_or_else(|_| self.error_response("", Error::new(Cause::BadSeal, "an answer that cannot be said")))
+            .unwrap_or_else(|_| {
+                self.error_response(
+                    "",
+                    Error::new(Cause::BadSeal, "an answer that cannot be said"),
+                )
+            })
     }
 
     /// 503 promises that it did not run and never will, and says when to come back; 502 and 504 promise nothing.
@@ -113,9 +186,19 @@
         };
         slog::debug!(self.proxy.logger, "refused"; "try" => attempt_id, "cause" => error.kind.code(), "detail" => &error.detail);
         let retry_after = error.retry_after.unwrap_or(500_000);
-        let builder = hyper::Response::builder().status(status).header("x-gradeford-cause", error.kind.code());
-        let builder = if attempt_id.is_empty() { builder } else { builder.header(self.config.header_names.attempt_id, attempt_id) };
-        let builder = if status == 503 { builder.header("retry-after", format!("{:.3}", retry_after as f64 / 1e6)) } else { builder };
+        let builder = hyper::Response::builder()
+            .status(status)
+            .header("x-gradeford-cause", error.kind.code());
+        let builder = if attempt_id.is_empty() {
+            builder
+        } else {
+            builder.header(self.config.header_names.attempt_id, attempt_id)
+        };
+        let builder = if status == 503 {
+            builder.header("retry-after", format!("{:.3}", retry_after as f64 / 1e6))
+        } else {
+            builder
+        };
         builder.body(Default::default()).unwrap_or_default()
     }
 }
--- a/crates/outbound/src/peer_connections.rs
+++ b/crates/outbound/src/peer_connections.rs
@@ -12,12 +12,15 @@
     Notify(transport::Frame),
 }
 
-pub type HandshakeInfo = std::sync::Arc<dyn Fn(transport::Purpose) -> transport::Handshake + Send + Sync>;
+pub type HandshakeInfo =
+    std::sync::Arc<dyn Fn(transport::Purpose) -> transport::Handshake + Send + Sync>;
 
 /// Address to the queue of the task that carries its conn.
 #[derive(Clone)]
 pub struct PeerConnections {
-    queues: std::sync::Arc<std::sync::Mutex<std::collections::HashMap<String, tokio::sync::mpsc::Sender<Command>>>>,
+    queues: std::sync::Arc<
+        std::sync::Mutex<std::collections::HashMap<String, tokio::sync::mpsc::Sender<Command>>>,
+    >,
     /// Requests of this process are numbered over all conns, so that a late answer meets no later request.
     next_request_id: std::sync::Arc<std::sync::atomic::AtomicU32>,
     handshake_info: HandshakeInfo,
@@ -45,21 +48,51 @@
 
 impl PeerConnections {
     pub fn start(greet: HandshakeInfo) -> PeerConnections {
-        PeerConnections { queues: Default::default(), next_request_id: Default::default(), handshake_info: greet }
+        PeerConnections {
+            queues: Default::default(),
+            next_request_id: Default::default(),
+            handshake_info: greet,
+        }
     }
 
-    pub async fn call(&self, address: &str, cue: Box<transport::ForwardedRequest>) -> inbound::Outcome {
+    pub async fn call(
+        &self,
+        address: &str,
+        cue: Box<transport::ForwardedRequest>,
+    ) -> inbound::Outcome {
         let (answer, outcome) = tokio::sync::oneshot::channel();
         let line = self.queue_to(address);
-        let number = self.next_request_id.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-        if let Err(tokio::sync::mpsc::error::TrySendError::Full(_)) = line.try_send(Command::Forward(number, cue, answer)) {
-            return (Err(Error::new(Cause::Unreachable, "too much waits for that node")), 0);
+        let number = self
+            .next_request_id
+            .fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+        if let Err(tokio::sync::mpsc::error::TrySendError::Full(_)) =
+            line.try_send(Command::Forward(number, cue, answer))
+        {
+            return (
+                Err(Error::new(
+                    Cause::Unreachable,
+                    "too much waits for that node",
+                )),
+                0,
+            );
         }
-        let mut caller = CancelOnDrop { queue: line, number, answered: false };
+        let mut caller = CancelOnDrop {
+            queue: line,
+            number,
+            answered: false,
+        };
         let outcome = outcome.await;
         caller.answered = true;
         // A queue that closed, or a task that ended with it in hand, has written nothing.
-        outcome.unwrap_or_else(|_| (Err(Error::new(Cause::Unreachable, "the conn to that node ended")), 0))
+        outcome.unwrap_or_else(|_| {
+            (
+                Err(Error::new(
+                    Cause::Unreachable,
+                    "the conn to that node ended",
+                )),
+                0,
+            )
+        })
     }
 
     /// Something that may as well be lost.
@@ -69,18 +102,29 @@
 
     /// The lock is a leaf: nothing is awaited or locked under it (design 8.1).
     fn queue_to(&self, address: &str) -> tokio::sync::mpsc::Sender<Command> {
-        let mut lines = self.queues.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        let mut lines = self
+            .queues
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner);
         if let Some(line) = lines.get(address).filter(|line| !line.is_closed()) {
             return line.clone();
         }
         let (line, asked) = tokio::sync::mpsc::channel(QUEUE_CAPACITY);
         lines.insert(address.to_string(), line.clone());
-        tokio::spawn(run_connection(address.to_string(), self.handshake_info.clone(), asked));
+        tokio::spawn(run_connection(
+            address.to_string(),
+            self.handshake_info.clone(),
+            asked,
+        ));
         line
     }
 }
 
-async fn run_connection(address: String, greet: HandshakeInfo, mut asked: tokio::sync::mpsc::Receiver<Command>) {
+async fn run_connection(
+    address: String,
+    greet: HandshakeInfo,
+    mut asked: tokio::sync::mpsc::Receiver<Command>,
+) {
     let conn = transport::dial(&address, (greet)(transport::Purpose::Forward)).await;
     let mut conn = match conn {
         Ok(conn) => conn,
@@ -88,14 +132,19 @@
             asked.close();
             while let Some(next) = asked.recv().await {
                 if let Command::Forward(_, _, answer) = next {
-                    drop(answer.send((Err(Error::new(Cause::Unreachable, trouble.to_string())), 0)));
+                    drop(
+                        answer.send((Err(Error::new(Cause::Unreachable, trouble.to_string())), 0)),
+                    );
                 }
             }
             return;
         }
     };
     let mut pending: std::collections::HashMap<u32, OutcomeSender> = Default::default();
-    let (mut encoder, mut decoder) = (transport::HeaderEncoder::default(), transport::HeaderDecoder::default());
+    let (mut encoder, mut decoder) = (
+        transport::HeaderEncoder::default(),
+        transport::HeaderDecoder::default(),
+    );
     loop {
         tokio::select! {
             next = asked.recv() => {
@@ -142,6 +191,11 @@
         }
     }
     // What was asked and not answered may have run; what still waits in the queue was not said.
-    pending.into_values().for_each(|answer| drop(answer.send((Err(Error::new(Cause::PeerLost, "the conn to that node broke")), 0))));
+    pending.into_values().for_each(|answer| {
+        drop(answer.send((
+            Err(Error::new(Cause::PeerLost, "the conn to that node broke")),
+            0,
+        )))
+    });
     asked.close();
 }
--- a/crates/outbound/src/peer_server.rs
+++ b/crates/outbound/src/peer_server.rs
@@ -14,12 +14,19 @@
 ) {
     loop {
         if let Ok((stream, _)) = listener.accept().await {
-            let (greet, known, pit, heard) = (greet.clone(), known.clone(), pit.clone(), (heard.clone(), loads.clone()));
+            let (greet, known, pit, heard) = (
+                greet.clone(),
+                known.clone(),
+                pit.clone(),
+                (heard.clone(), loads.clone()),
+            );
             tokio::spawn(async move {
                 let accepted = transport::accept(stream, |caller| async move {
                     control::discovery::merge(&known, caller.known_replicas);
                     match caller.purpose {
-                        transport::Purpose::Consensus | transport::Purpose::RequestAssignment => Err("no core seat is here".to_string()),
+                        transport::Purpose::Consensus | transport::Purpose::RequestAssignment => {
+                            Err("no core seat is here".to_string())
+                        }
                         purpose => Ok((greet)(purpose)),
                     }
                 })
@@ -42,8 +49,15 @@
     }
 }
 
-async fn serve_connection(mut conn: transport::Connection, pit: inbound::ConcurrencyLimiter, (heard, loads): (HeartbeatSender, LoadReportSender)) {
-    let (mut encoder, mut decoder) = (transport::HeaderEncoder::default(), transport::HeaderDecoder::default());
+async fn serve_connection(
+    mut conn: transport::Connection,
+    pit: inbound::ConcurrencyLimiter,
+    (heard, loads): (HeartbeatSender, LoadReportSender),
+) {
+    let (mut encoder, mut decoder) = (
+        transport::HeaderEncoder::default(),
+        transport::HeaderDecoder::default(),
+    );
     let (ended, mut outcomes) = tokio::sync::mpsc::channel::<(u32, inbound::Outcome)>(1_024);
     // With the conn goes whoever waited on it.
     let mut running = RunningRequests::default();
@@ -68,7 +82,9 @@
         };
         match frame {
             transport::Frame::ForwardedRequest(number, said) => {
-                let Some(cue) = said.decode(&mut decoder) else { return };
+                let Some(cue) = said.decode(&mut decoder) else {
+                    return;
+                };
                 let (pit, ended) = (pit.clone(), ended.clone());
                 let run = tokio::spawn(async move {
                     let outcome = pit.perform(Box::new(cue)).await;
@@ -77,8 +93,18 @@
                 running.0.insert(number, run.abort_handle());
             }
             // What waits for a slot never begins; what runs is broken off where it may be repeated (design 13.2).
-            transport::Frame::CancelRequest(number) => running.0.remove(&number).into_iter().for_each(|run| run.abort()),
-            transport::Frame::Heartbeat => heard.send((conn.peer_handshake.node_name.clone(), conn.peer_handshake.incarnation)).await.unwrap_or_default(),
+            transport::Frame::CancelRequest(number) => running
+                .0
+                .remove(&number)
+                .into_iter()
+                .for_each(|run| run.abort()),
+            transport::Frame::Heartbeat => heard
+                .send((
+                    conn.peer_handshake.node_name.clone(),
+                    conn.peer_handshake.incarnation,
+                ))
+                .await
+                .unwrap_or_default(),
             // A telling that finds no room is followed by the next.
             transport::Frame::LoadReport(load) => drop(loads.try_send(*load)),
             _ => {}
--- a/crates/outbound/src/retry_budget.rs
+++ b/crates/outbound/src/retry_budget.rs
@@ -24,7 +24,11 @@
     }
 
     fn expire(&mut self, now: Microseconds) {
-        while self.deposits.front().is_some_and(|(at, _)| now >= at + DEPOSIT_LIFETIME) {
+        while self
+            .deposits
+            .front()
+            .is_some_and(|(at, _)| now >= at + DEPOSIT_LIFETIME)
+        {
             self.deposits.pop_front();
         }
     }
--- a/crates/outbound/src/selector.rs
+++ b/crates/outbound/src/selector.rs
@@ -44,24 +44,46 @@
 
 impl Selector {
     pub fn new(env: SelectorConfig) -> Selector {
-        Selector { config: env, backends: Default::default(), retry_budgets: Default::default(), rotation: 0 }
+        Selector {
+            config: env,
+            backends: Default::default(),
+            retry_budgets: Default::default(),
+            rotation: 0,
+        }
     }
 
     pub fn deposit(&mut self, now: Microseconds, service: &str) {
-        self.retry_budgets.entry(service.to_string()).or_default().deposit(now, self.config.retry_deposit);
+        self.retry_budgets
+            .entry(service.to_string())
+            .or_default()
+            .deposit(now, self.config.retry_deposit);
     }
 
     pub fn withdraw(&mut self, now: Microseconds, service: &str) -> bool {
-        self.retry_budgets.entry(service.to_string()).or_default().withdraw(now)
+        self.retry_budgets
+            .entry(service.to_string())
+            .or_default()
+            .withdraw(now)
     }
 
     fn cost(&self, now: Microseconds, candidate: &Candidate) -> (bool, Microseconds) {
-        let zone_crossing_cost = if candidate.same_zone { 0 } else { self.config.zone_crossing_cost };
-        let Some(known) = self.backends.get(&candidate.name) else { return (false, zone_crossing_cost) };
-        let remaining_wait = known.reported_wait.saturating_sub(now.saturating_sub(known.reported_at));
+        let zone_crossing_cost = if candidate.same_zone {
+            0
+        } else {
+            self.config.zone_crossing_cost
+        };
+        let Some(known) = self.backends.get(&candidate.name) else {
+            return (false, zone_crossing_cost);
+        };
+        let remaining_wait = known
+            .reported_wait
+            .saturating_sub(now.saturating_sub(known.reported_at));
         (
             now < known.avoid_until,
-            remaining_wait + zone_crossing_cost + known.in_flight as Microseconds * ASSUMED_RUN_TIME / candidate.slots.max(1) as Microseconds,
+            remaining_wait
+                + zone_crossing_cost
+                + known.in_flight as Microseconds * ASSUMED_RUN_TIME
+                    / candidate.slots.max(1) as Microseconds,
         )
     }
 
@@ -70,7 +92,10 @@
         let count = candidates.len().max(1) as u64;
         // Equal costs take turns.
         let order = |at: usize| (at as u64 + self.rotation) % count;
-        let picked = candidates.iter().enumerate().min_by_key(|(at, candidate)| (self.cost(now, candidate), order(*at)));
+        let picked = candidates
+            .iter()
+            .enumerate()
+            .min_by_key(|(at, candidate)| (self.cost(now, candidate), order(*at)));
         let picked = picked.map(|(_, candidate)| candidate.name.clone())?;
         self.attempt_started(&picked);
         Some(picked)
@@ -80,8 +105,16 @@
         self.backends.entry(name.to_string()).or_default().in_flight += 1;
     }
 
-    pub fn attempt_finished(&mut self, now: Microseconds, name: &str, wait: Option<Microseconds>, bench: bool) {
-        let Some(known) = self.backends.get_mut(name) else { return };
+    pub fn attempt_finished(
+        &mut self,
+        now: Microseconds,
+        name: &str,
+        wait: Option<Microseconds>,
+        bench: bool,
+    ) {
+        let Some(known) = self.backends.get_mut(name) else {
+            return;
+        };
         known.in_flight = known.in_flight.saturating_sub(1);
         if let Some(wait) = wait {
             (known.reported_wait, known.reported_at) = (wait, now);
@@ -92,7 +125,8 @@
     }
 
     pub fn remove_departed(&mut self, programme: &StateSnapshot) {
-        self.backends.retain(|name, known| known.in_flight > 0 || programme.backends.contains_key(name));
+        self.backends
+            .retain(|name, known| known.in_flight > 0 || programme.backends.contains_key(name));
     }
 }
 
@@ -117,10 +151,16 @@
                 let now = model::now();
                 match command {
                     Command::Deposit(service) => picker.deposit(now, &service),
-                    Command::Select(candidates, answer) => drop(answer.send(picker.select(now, &candidates))),
+                    Command::Select(candidates, answer) => {
+                        drop(answer.send(picker.select(now, &candidates)))
+                    }
                     Command::AttemptStarted(name) => picker.attempt_started(&name),
-                    Command::AttemptFinished(name, wait, bench) => picker.attempt_finished(now, &name, wait, bench),
-                    Command::Withdraw(service, answer) => drop(answer.send(picker.withdraw(now, &service))),
+                    Command::AttemptFinished(name, wait, bench) => {
+                        picker.attempt_finished(now, &name, wait, bench)
+                    }
+                    Command::Withdraw(service, answer) => {
+                        drop(answer.send(picker.withdraw(now, &service)))
+                    }
                 }
                 count += 1;
                 if count.is_multiple_of(4_096) {
@@ -150,7 +190,8 @@
     }
 
     pub async fn attempt_finished(&self, name: &str, wait: Option<Microseconds>, bench: bool) {
-        self.send(Command::AttemptFinished(name.into(), wait, bench)).await;
+        self.send(Command::AttemptFinished(name.into(), wait, bench))
+            .await;
     }
 
     pub async fn withdraw(&self, service: &str) -> bool {
