--- a/crates/outbound/tests/back_end/mod.rs
+++ b/crates/outbound/tests/back_end/mod.rs
@@ -31,11 +31,19 @@
                 tokio::spawn(attend(stream, tell.clone(), releases.clone()));
             }
         });
-        BackEnd { address, events, released }
+        BackEnd {
+            address,
+            events,
+            released,
+        }
     }
 
     pub fn count(&self, number: usize) -> usize {
-        self.events.borrow().iter().filter(|event| **event == Event::Began(number)).count()
+        self.events
+            .borrow()
+            .iter()
+            .filter(|event| **event == Event::Began(number))
+            .count()
     }
 
     pub fn ran(&self, number: usize) -> bool {
@@ -48,7 +56,10 @@
 
     pub async fn until(&self, fits: impl Fn(&Event) -> bool) {
         let mut events = self.events.clone();
-        events.wait_for(|events| events.iter().any(&fits)).await.expect("the back end is there");
+        events
+            .wait_for(|events| events.iter().any(&fits))
+            .await
+            .expect("the back end is there");
     }
 
     pub fn release(&self) {
@@ -68,9 +79,18 @@
 
 async fn attend(mut stream: TcpStream, tell: Tell, releases: tokio::sync::watch::Receiver<u64>) {
     while let Some(head) = head(&mut stream).await {
-        let script = head.split(' ').nth(1).unwrap_or_default().trim_start_matches('/').to_string();
+        let script = head
+            .split(' ')
+            .nth(1)
+            .unwrap_or_default()
+            .trim_start_matches('/')
+            .to_string();
         let prefix = format!("{}: ", DEFAULT_HEADER_NAMES.attempt_id);
-        let id = head.lines().find_map(|line| line.strip_prefix(&prefix)).unwrap_or_default().to_string();
+        let id = head
+            .lines()
+            .find_map(|line| line.strip_prefix(&prefix))
+            .unwrap_or_default()
+            .to_string();
         let number: usize = id.trim_start_matches('t').parse().expect("a number");
         tell.send_modify(|events| events.push(Event::Began(number)));
         if script == "silent" && !released(&mut stream, releases.clone()).await {
@@ -110,13 +130,26 @@
         "half" => (whole(id, "").trim_end_matches(id).to_string(), false),
         "garbage" => ("\x01\x02 no answer at all\r\n\r\n".to_string(), false),
         "surplus" => (format!("{}{}", whole(id, ""), whole("t31", "")), true),
-        "unsealed" => (whole(id, "").replace(DEFAULT_HEADER_NAMES.seal, "x-else"), true),
+        "unsealed" => (
+            whole(id, "").replace(DEFAULT_HEADER_NAMES.seal, "x-else"),
+            true,
+        ),
         "encoded" => (whole(id, "content-encoding: gzip\r\n"), true),
-        "continue" => (format!("HTTP/1.1 100 Continue\r\n\r\n{}", whole(id, "")), true),
+        "continue" => (
+            format!("HTTP/1.1 100 Continue\r\n\r\n{}", whole(id, "")),
+            true,
+        ),
         "endless" | "endless-reset" => {
-            let body = if script == "endless" { format!("whole {id}") } else { "who".to_string() };
+            let body = if script == "endless" {
+                format!("whole {id}")
+            } else {
+                "who".to_string()
+            };
             (
-                format!("HTTP/1.1 200 OK\r\n{}: {id}\r\n{}: s\r\nconnection: close\r\n\r\n{body}", DEFAULT_HEADER_NAMES.attempt_id, DEFAULT_HEADER_NAMES.seal),
+                format!(
+                    "HTTP/1.1 200 OK\r\n{}: {id}\r\n{}: s\r\nconnection: close\r\n\r\n{body}",
+                    DEFAULT_HEADER_NAMES.attempt_id, DEFAULT_HEADER_NAMES.seal
+                ),
                 false,
             )
         }
@@ -147,7 +180,9 @@
                 let (to, mut breaks) = (to.clone(), breaks.clone());
                 breaks.mark_unchanged();
                 tokio::spawn(async move {
-                    let Ok(mut to) = TcpStream::connect(to).await else { return };
+                    let Ok(mut to) = TcpStream::connect(to).await else {
+                        return;
+                    };
                     tokio::select! {
                         _ = tokio::io::copy_bidirectional(&mut from, &mut to) => {}
                         _ = breaks.changed() => {}
--- a/crates/simulator/src/billsim/node.rs
+++ b/crates/simulator/src/billsim/node.rs
@@ -57,7 +57,9 @@
         if without.forward {
             self.book = StateFollower::default();
         }
-        transport::Frame::FollowClusterState { held: self.book.begin_connection() }
+        transport::Frame::FollowClusterState {
+            held: self.book.begin_connection(),
+        }
     }
 
     /// False when the conn is of no use any more.
@@ -80,6 +82,10 @@
     /// What its lanes are served from.
     pub fn serves(&self, without: &super::Without) -> Option<std::sync::Arc<StateSnapshot>> {
         let told = || Some(self.book.received().clone()).filter(|told| told.position > 0);
-        if without.proof || without.forward && self.once { told() } else { self.book.verified().map(|outlook| outlook.snapshot) }
+        if without.proof || without.forward && self.once {
+            told()
+        } else {
+            self.book.verified().map(|outlook| outlook.snapshot)
+        }
     }
 }
--- a/crates/simulator/src/billsim/plan.rs
+++ b/crates/simulator/src/billsim/plan.rs
@@ -27,7 +27,15 @@
 impl BillPlan {
     pub fn new(seed: u64) -> Self {
         let seats = if seed.is_multiple_of(2) { 5 } else { 3 };
-        BillPlan { seed, seats, nodes: 5, hop: (100, 4_000), ask_every: 500_000, change_every: 45_000, without: Without::default() }
+        BillPlan {
+            seed,
+            seats,
+            nodes: 5,
+            hop: (100, 4_000),
+            ask_every: 500_000,
+            change_every: 45_000,
+            without: Without::default(),
+        }
     }
 }
 
@@ -52,8 +60,18 @@
     Replace,
 }
 
-pub const BLOWS: [Blow; 10] =
-    [Blow::Restart, Blow::Together, Blow::InTurn, Blow::Stall, Blow::CutNode, Blow::CrashSeat, Blow::CrashCore, Blow::FreezeSeat, Blow::CutSeat, Blow::Replace];
+pub const BLOWS: [Blow; 10] = [
+    Blow::Restart,
+    Blow::Together,
+    Blow::InTurn,
+    Blow::Stall,
+    Blow::CutNode,
+    Blow::CrashSeat,
+    Blow::CrashCore,
+    Blow::FreezeSeat,
+    Blow::CutSeat,
+    Blow::Replace,
+];
 
 /// When, what, whom, and for how long.
 pub type Struck = (Microseconds, Blow, usize, Microseconds);
@@ -67,9 +85,21 @@
         .map(|turn| {
             let at = (turn + 1) * SECOND + rand::Rng::random_range(&mut random, 0..SECOND);
             let kind = kinds[rand::Rng::random_range(&mut random, 0..kinds.len())];
-            (at, kind, rand::Rng::random_range(&mut random, 0..60), rand::Rng::random_range(&mut random, 50_000..2_500_000))
+            (
+                at,
+                kind,
+                rand::Rng::random_range(&mut random, 0..60),
+                rand::Rng::random_range(&mut random, 50_000..2_500_000),
+            )
         })
         .collect();
-    let replaced = drawn.iter().position(|(_, kind, ..)| *kind == Blow::Replace);
-    drawn.into_iter().enumerate().filter(|(at, (_, kind, ..))| *kind != Blow::Replace || Some(*at) == replaced).map(|(_, struck)| struck).collect()
+    let replaced = drawn
+        .iter()
+        .position(|(_, kind, ..)| *kind == Blow::Replace);
+    drawn
+        .into_iter()
+        .enumerate()
+        .filter(|(at, (_, kind, ..))| *kind != Blow::Replace || Some(*at) == replaced)
+        .map(|(_, struck)| struck)
+        .collect()
 }
--- a/crates/simulator/src/billsim/seat.rs
+++ b/crates/simulator/src/billsim/seat.rs
@@ -15,37 +15,60 @@
 /// What followers may hold at each position.
 pub(super) type Truth = std::collections::BTreeMap<Position, StateSnapshot>;
 
-fn act((instance, value): &(mencius::Instance, mencius::Value)) -> Option<(u64, Asked, ClusterOperation)> {
+fn act(
+    (instance, value): &(mencius::Instance, mencius::Value),
+) -> Option<(u64, Asked, ClusterOperation)> {
     let entry = model::entry::from_bytes(value)?;
     let asked = (entry.origin, entry.incarnation, entry.sequence);
-    if let model::Operation::ClusterState(act) = entry.operation { Some((*instance, asked, act)) } else { None }
+    if let model::Operation::ClusterState(act) = entry.operation {
+        Some((*instance, asked, act))
+    } else {
+        None
+    }
 }
 
 impl Seat {
     pub fn begin(life: u64) -> Seat {
-        Seat { life, ..Default::default() }
+        Seat {
+            life,
+            ..Default::default()
+        }
     }
 
     /// All that was applied since the last time leaves as one piece; what was installed, as a whole.
     pub fn fold(&mut self, history: &[(mencius::Instance, mencius::Value)], truth: &mut Truth) {
-        let follows = self.folded == 0 || history.get(self.folded - 1).is_some_and(|(at, _)| *at == self.last);
+        let follows = self.folded == 0
+            || history
+                .get(self.folded - 1)
+                .is_some_and(|(at, _)| *at == self.last);
         let mut learn = |bill: &model::ClusterState| {
-            truth.entry(bill.position).or_insert_with(|| StateSnapshot::default().updated(true, bill.position, bill.full_deltas()));
+            truth.entry(bill.position).or_insert_with(|| {
+                StateSnapshot::default().updated(true, bill.position, bill.full_deltas())
+            });
         };
         if follows {
-            history[self.folded..].iter().filter_map(act).for_each(|(_, asked, act)| {
-                drop(self.desk.apply(&asked, act));
-                learn(&self.desk.cluster_state);
-            });
+            history[self.folded..]
+                .iter()
+                .filter_map(act)
+                .for_each(|(_, asked, act)| {
+                    drop(self.desk.apply(&asked, act));
+                    learn(&self.desk.cluster_state);
+                });
         } else {
             let mut bill = model::ClusterState::default();
-            history.iter().filter_map(act).for_each(|(_, (origin, life, sequence), act)| {
-                drop(bill.apply(&origin, life, sequence, act));
-                learn(&bill);
-            });
+            history
+                .iter()
+                .filter_map(act)
+                .for_each(|(_, (origin, life, sequence), act)| {
+                    drop(bill.apply(&origin, life, sequence, act));
+                    learn(&bill);
+                });
             self.desk.install(bill);
         }
         self.desk.publish();
-        (self.folded, self.last) = (history.len(), history.last().map(|(at, _)| *at).unwrap_or(0));
+        (self.folded, self.last) = (
+            history.len(),
+            history.last().map(|(at, _)| *at).unwrap_or(0),
+        );
     }
 }
--- a/crates/simulator/src/deployment.rs
+++ b/crates/simulator/src/deployment.rs
@@ -30,7 +30,15 @@
     pub lanes: Vec<Lane>,
 }
 
-pub type Lane = (&'static str, &'static str, &'static str, bool, bool, u8, u32);
+pub type Lane = (
+    &'static str,
+    &'static str,
+    &'static str,
+    bool,
+    bool,
+    u8,
+    u32,
+);
 
 pub const WAIT: u64 = 3_000_000;
 
@@ -85,7 +93,10 @@
             sync_us: 5_000,
             hop_us: 500,
             services: vec![("seat", 2)],
-            lanes: vec![("seat", "seat", "/check", true, false, 3, 50), ("seat", "seat", "/checkout", false, true, 7, 50)],
+            lanes: vec![
+                ("seat", "seat", "/check", true, false, 3, 50),
+                ("seat", "seat", "/checkout", false, true, 7, 50),
+            ],
         }),
         _ => None,
     }
@@ -96,7 +107,9 @@
     pub fn back_ends(&self) -> Vec<(String, &'static str, usize)> {
         self.services
             .iter()
-            .flat_map(|(service, count)| (0..*count).map(move |at| (format!("{service}-{at}"), *service)))
+            .flat_map(|(service, count)| {
+                (0..*count).map(move |at| (format!("{service}-{at}"), *service))
+            })
             .enumerate()
             .map(|(at, (name, service))| (name, service, at % self.zones))
             .collect()
--- a/crates/simulator/src/desired_checks.rs
+++ b/crates/simulator/src/desired_checks.rs
@@ -15,7 +15,22 @@
 
 fn sent(records: &[Record]) -> Vec<Sent<'_>> {
     let of = |record| match record {
-        &Record::Change { ref id, ref edits, at, version, position, refused, .. } => Some(Sent { id, edits, at, version, position, refused }),
+        &Record::Change {
+            ref id,
+            ref edits,
+            at,
+            version,
+            position,
+            refused,
+            ..
+        } => Some(Sent {
+            id,
+            edits,
+            at,
+            version,
+            position,
+            refused,
+        }),
         _ => None,
     };
     records.iter().filter_map(of).collect()
@@ -26,41 +41,71 @@
 /// Each version is one accepted change's; a change whose answer was lost may hold the one that is missing.
 fn versions<'a>(sent: &'a [Sent<'a>]) -> (Versions<'a>, Vec<String>) {
     let mut broken = Vec::new();
-    let table = sent.iter().filter_map(|change| change.version.map(|version| (version, change))).fold(Versions::new(), |mut table, (version, change)| {
-        if table.get(&version).is_some_and(|held| held.id != change.id) {
-            broken.push(format!("version {version} was told to {} and to {}", table[&version].id, change.id));
-        }
-        table.entry(version).or_insert(change);
-        table
-    });
+    let table = sent
+        .iter()
+        .filter_map(|change| change.version.map(|version| (version, change)))
+        .fold(Versions::new(), |mut table, (version, change)| {
+            if table.get(&version).is_some_and(|held| held.id != change.id) {
+                broken.push(format!(
+                    "version {version} was told to {} and to {}",
+                    table[&version].id, change.id
+                ));
+            }
+            table.entry(version).or_insert(change);
+            table
+        });
     (table, broken)
 }
 
 fn edits(change: &Sent) -> Vec<model::Edit> {
-    change.edits.iter().filter_map(|edit| serde_json::from_value(edit.clone()).ok()).collect()
+    change
+        .edits
+        .iter()
+        .filter_map(|edit| serde_json::from_value(edit.clone()).ok())
+        .collect()
 }
 
 /// Every state read back is the fold of the accepted changes up to its version: nothing of a refused one, nothing lost.
 pub(crate) fn read_backs(records: &[Record]) -> Vec<String> {
     let sent = sent(records);
     let (table, mut broken) = versions(&sent);
-    let lost: Vec<&Sent> = sent.iter().filter(|change| change.version.is_none() && !change.refused).collect();
+    let lost: Vec<&Sent> = sent
+        .iter()
+        .filter(|change| change.version.is_none() && !change.refused)
+        .collect();
     let top = table.keys().max().copied().unwrap_or(0);
     let reads = records.iter().filter_map(|record| match record {
-        Record::ReadBack { asked, desired, .. } => serde_json::from_value::<model::DesiredState>(desired.clone()).ok().map(|state| (*asked, state)),
+        Record::ReadBack { asked, desired, .. } => {
+            serde_json::from_value::<model::DesiredState>(desired.clone())
+                .ok()
+                .map(|state| (*asked, state))
+        }
         _ => None,
     });
     let reads: Vec<(u64, model::DesiredState)> = reads.collect();
-    let top = reads.iter().map(|(_, state)| state.version).max().unwrap_or(0).max(top);
+    let top = reads
+        .iter()
+        .map(|(_, state)| state.version)
+        .max()
+        .unwrap_or(0)
+        .max(top);
     let mut folded = vec![vec![model::DesiredState::default()]];
     (1..=top).for_each(|version| {
         // What stands at this version: one state, or one for each change that may hold it.
-        let candidates: Vec<&&Sent> = lost.iter().filter(|_| !table.contains_key(&version)).collect();
+        let candidates: Vec<&&Sent> = lost
+            .iter()
+            .filter(|_| !table.contains_key(&version))
+            .collect();
         let known = table.get(&version).into_iter().copied();
         let changes: Vec<&Sent> = known.chain(candidates.into_iter().copied()).collect();
         let states: Vec<model::DesiredState> = folded[version as usize - 1]
             .iter()
-            .flat_map(|before| changes.iter().map(move |change| model::DesiredState { version, ..before.with_edits(&edits(change)) }))
+            .flat_map(|before| {
+                changes.iter().map(move |change| model::DesiredState {
+                    version,
+                    ..before.with_edits(&edits(change))
+                })
+            })
             .filter(|after| {
                 let seen = reads.iter().find(|(_, state)| state.version == version);
                 seen.is_none_or(|(_, state)| state == after)
@@ -73,7 +118,12 @@
         reads
             .iter()
             .filter(|(_, state)| !folded[state.version as usize].contains(state))
-            .map(|(asked, state)| format!("read back at {asked}: version {} is not what the accepted changes make of it", state.version)),
+            .map(|(asked, state)| {
+                format!(
+                    "read back at {asked}: version {} is not what the accepted changes make of it",
+                    state.version
+                )
+            }),
     );
     broken
 }
@@ -81,15 +131,27 @@
 /// A read-back never lacks what had been accepted before it was asked for.
 pub(crate) fn vanished(records: &[Record]) -> Vec<String> {
     let sent = sent(records);
-    let accepted: Vec<(u64, u64)> = sent.iter().filter_map(|change| change.version.map(|version| (change.at, version))).collect();
+    let accepted: Vec<(u64, u64)> = sent
+        .iter()
+        .filter_map(|change| change.version.map(|version| (change.at, version)))
+        .collect();
     let reads = records.iter().filter_map(|record| match record {
-        Record::ReadBack { asked, desired, .. } => Some((*asked, desired["version"].as_u64().unwrap_or(0))),
+        Record::ReadBack { asked, desired, .. } => {
+            Some((*asked, desired["version"].as_u64().unwrap_or(0)))
+        }
         _ => None,
     });
     reads
         .filter_map(|(asked, version)| {
-            let due = accepted.iter().filter(|(at, _)| *at < asked).map(|(_, version)| *version).max().unwrap_or(0);
-            (version < due).then(|| format!("read back at {asked}: version {version}, though {due} had been accepted"))
+            let due = accepted
+                .iter()
+                .filter(|(at, _)| *at < asked)
+                .map(|(_, version)| *version)
+                .max()
+                .unwrap_or(0);
+            (version < due).then(|| {
+                format!("read back at {asked}: version {version}, though {due} had been accepted")
+            })
         })
         .collect()
 }
@@ -98,7 +160,13 @@
 
 fn seen(records: &[Record]) -> Vec<Seen<'_>> {
     let of = |record| match record {
-        &Record::Seen { ref node, life, asked, position, fresh } => Some((node.as_str(), life, asked, position, fresh)),
+        &Record::Seen {
+            ref node,
+            life,
+            asked,
+            position,
+            fresh,
+        } => Some((node.as_str(), life, asked, position, fresh)),
         _ => None,
     };
     let mut seen: Vec<Seen> = records.iter().filter_map(of).collect();
@@ -114,8 +182,17 @@
         .filter_map(|(node, life, asked, position, fresh)| {
             let (last_life, last, proved) = held.get(node).copied().unwrap_or_default();
             let back = life == last_life && position < last || fresh && position < proved;
-            held.insert(node, (life, position, if fresh { proved.max(position) } else { proved }));
-            back.then(|| format!("{node} at {asked}: position {position} after {last}, {proved} proved"))
+            held.insert(
+                node,
+                (
+                    life,
+                    position,
+                    if fresh { proved.max(position) } else { proved },
+                ),
+            );
+            back.then(|| {
+                format!("{node} at {asked}: position {position} after {last}, {proved} proved")
+            })
         })
         .collect()
 }
@@ -123,14 +200,24 @@
 /// Whoever serves two and a half seconds after a change was accepted, serves by it.
 pub(crate) fn late(records: &[Record]) -> Vec<String> {
     let sent = sent(records);
-    let mut accepted: Vec<(u64, u64)> = sent.iter().filter_map(|change| change.position.map(|position| (change.at, position))).collect();
+    let mut accepted: Vec<(u64, u64)> = sent
+        .iter()
+        .filter_map(|change| change.position.map(|position| (change.at, position)))
+        .collect();
     accepted.sort();
     seen(records)
         .into_iter()
         .filter(|(.., fresh)| *fresh)
         .filter_map(|(node, _, asked, position, _)| {
-            let due = accepted.iter().take_while(|(at, _)| at + IN_FORCE <= asked).map(|(_, position)| *position).max().unwrap_or(0);
-            (position < due).then(|| format!("{node} at {asked} serves by {position}, {due} was accepted before"))
+            let due = accepted
+                .iter()
+                .take_while(|(at, _)| at + IN_FORCE <= asked)
+                .map(|(_, position)| *position)
+                .max()
+                .unwrap_or(0);
+            (position < due).then(|| {
+                format!("{node} at {asked} serves by {position}, {due} was accepted before")
+            })
         })
         .collect()
 }
--- a/crates/simulator/src/disk.rs
+++ b/crates/simulator/src/disk.rs
@@ -26,7 +26,10 @@
 
     fn read(folder: &std::path::Path) -> Ill {
         let told = std::fs::read_to_string(folder.join("fault")).unwrap_or_default();
-        [Ill::Slow, Ill::Stalled, Ill::Full, Ill::Torn].into_iter().find(|ill| ill.word() == told.trim()).unwrap_or(Ill::Sound)
+        [Ill::Slow, Ill::Stalled, Ill::Full, Ill::Torn]
+            .into_iter()
+            .find(|ill| ill.word() == told.trim())
+            .unwrap_or(Ill::Sound)
     }
 }
 
@@ -40,8 +43,17 @@
 impl Disk {
     pub fn open(folder: &std::path::Path, sync_us: u64) -> std::io::Result<Disk> {
         std::fs::create_dir_all(folder)?;
-        let file = std::fs::OpenOptions::new().read(true).write(true).create(true).truncate(false).open(folder.join("core.redb"))?;
-        Ok(Disk { file, folder: folder.into(), sync: std::time::Duration::from_micros(sync_us) })
+        let file = std::fs::OpenOptions::new()
+            .read(true)
+            .write(true)
+            .create(true)
+            .truncate(false)
+            .open(folder.join("core.redb"))?;
+        Ok(Disk {
+            file,
+            folder: folder.into(),
+            sync: std::time::Duration::from_micros(sync_us),
+        })
     }
 
     /// Before each operation that changes the file.
@@ -86,9 +98,16 @@
 }
 
 /// A core seat as `gradeford-core` puts it together, over such a disk.
-pub async fn seat(env: control::ReplicaConfig, mates: String, operators: String, sync_us: u64) -> Result<(), String> {
+pub async fn seat(
+    env: control::ReplicaConfig,
+    mates: String,
+    operators: String,
+    sync_us: u64,
+) -> Result<(), String> {
     let told = |error: &dyn std::fmt::Display| error.to_string();
-    let listener = tokio::net::TcpListener::bind(&mates).await.map_err(|error| told(&error))?;
+    let listener = tokio::net::TcpListener::bind(&mates)
+        .await
+        .map_err(|error| told(&error))?;
     let folder = env.folder.clone();
     drop(Disk::open(&folder, sync_us).map_err(|error| told(&error))?);
     // Opened again after a failure, as the vault does.
@@ -98,14 +117,26 @@
             std::process::exit(1)
         })
     };
-    let (shelf, writes) = storage::ReplicaStore::open_with_backend(opened).map_err(|error| told(&error))?;
-    let (logger, _guard) = model::logging::start_logger("seat", &env.name, model::logging::LogLevelSwitch::new(slog::Level::Info));
-    let core = control::ReplicaHandle::start_on(env, shelf, writes, logger).map_err(|error| told(&error))?;
+    let (shelf, writes) =
+        storage::ReplicaStore::open_with_backend(opened).map_err(|error| told(&error))?;
+    let (logger, _guard) = model::logging::start_logger(
+        "seat",
+        &env.name,
+        model::logging::LogLevelSwitch::new(slog::Level::Info),
+    );
+    let core = control::ReplicaHandle::start_on(env, shelf, writes, logger)
+        .map_err(|error| told(&error))?;
     let staying = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true));
-    let office = operator_api::OperatorApi { replica: core.clone(), accepting_work: staying.clone() };
-    let serving = http_util::HttpServer::start(&operators, operator_api::router(office)).await.map_err(|error| told(&error))?;
+    let office = operator_api::OperatorApi {
+        replica: core.clone(),
+        accepting_work: staying.clone(),
+    };
+    let serving = http_util::HttpServer::start(&operators, operator_api::router(office))
+        .await
+        .map_err(|error| told(&error))?;
     tokio::spawn(control::stream::listen(core, listener));
-    let mut stop = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate()).map_err(|error| told(&error))?;
+    let mut stop = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
+        .map_err(|error| told(&error))?;
     stop.recv().await;
     staying.store(false, std::sync::atomic::Ordering::Relaxed);
     serving.stop(std::time::Duration::from_secs(5)).await;
--- a/crates/simulator/src/figures.rs
+++ b/crates/simulator/src/figures.rs
@@ -45,11 +45,15 @@
     let mut sum = std::collections::BTreeMap::<String, (u64, u64)>::new();
     for machine in &fleet.machines {
         if let Some((200, status)) = fleet.get(&machine.local, "/status").await {
-            status["requests_and_extras"].as_object().into_iter().flatten().for_each(|(service, spent)| {
-                let held = sum.entry(service.clone()).or_default();
-                held.0 += spent[0].as_u64().unwrap_or(0);
-                held.1 += spent[1].as_u64().unwrap_or(0);
-            });
+            status["requests_and_extras"]
+                .as_object()
+                .into_iter()
+                .flatten()
+                .for_each(|(service, spent)| {
+                    let held = sum.entry(service.clone()).or_default();
+                    held.0 += spent[0].as_u64().unwrap_or(0);
+                    held.1 += spent[1].as_u64().unwrap_or(0);
+                });
         }
     }
     sum
@@ -57,9 +61,14 @@
 
 fn add_traffic(add: &mut impl FnMut(&'static str, u64), status: &serde_json::Value) {
     let at = |place: usize, part: usize| status["traffic"][place][part].as_u64().unwrap_or(0);
-    [("within_frames", 0, 0), ("within_bytes", 0, 1), ("across_frames", 1, 0), ("across_bytes", 1, 1)]
-        .into_iter()
-        .for_each(|(name, place, part)| add(name, at(place, part)));
+    [
+        ("within_frames", 0, 0),
+        ("within_bytes", 0, 1),
+        ("across_frames", 1, 0),
+        ("across_bytes", 1, 1),
+    ]
+    .into_iter()
+    .for_each(|(name, place, part)| add(name, at(place, part)));
 }
 
 /// Makes `count` changes one after the other and times each until every node holds it.
@@ -73,7 +82,13 @@
             edit["put_order"]["order"]["importance"] = (number % 2 + 4).into();
             edit
         });
-        let (version, position) = fleet.apply(&format!("measure-{number}"), base, edit.into_iter().collect()).await?;
+        let (version, position) = fleet
+            .apply(
+                &format!("measure-{number}"),
+                base,
+                edit.into_iter().collect(),
+            )
+            .await?;
         let began = model::now();
         base = version;
         let everywhere = async {
@@ -81,7 +96,9 @@
                 held(fleet, &machine.local, position).await;
             }
         };
-        tokio::time::timeout(std::time::Duration::from_secs(60), everywhere).await.map_err(|_| "a change never came into force")?;
+        tokio::time::timeout(std::time::Duration::from_secs(60), everywhere)
+            .await
+            .map_err(|_| "a change never came into force")?;
         times.push(model::now() - began);
     }
     Ok(times)
--- a/crates/simulator/src/fleet_plan.rs
+++ b/crates/simulator/src/fleet_plan.rs
@@ -5,8 +5,12 @@
 
 /// A port that was free a moment ago, on a loopback address of this run's own.
 fn free(host: &str) -> Result<String, String> {
-    let listener = std::net::TcpListener::bind(format!("{host}:0")).map_err(|error| error.to_string())?;
-    listener.local_addr().map(|address| address.to_string()).map_err(|error| error.to_string())
+    let listener =
+        std::net::TcpListener::bind(format!("{host}:0")).map_err(|error| error.to_string())?;
+    listener
+        .local_addr()
+        .map(|address| address.to_string())
+        .map_err(|error| error.to_string())
 }
 
 fn parsed(host: &str) -> Result<crate::links::Host, String> {
@@ -16,17 +20,30 @@
 /// Where the process listens, and where others find it: the link stands between.
 fn relayed(links: &crate::links::Links, host: &str) -> Result<(String, String), String> {
     let real = free(host)?;
-    let listener = std::net::TcpListener::bind(format!("{host}:0")).map_err(|error| error.to_string())?;
-    let known = listener.local_addr().map_err(|error| error.to_string())?.to_string();
-    listener.set_nonblocking(true).map_err(|error| error.to_string())?;
-    let listener = tokio::net::TcpListener::from_std(listener).map_err(|error| error.to_string())?;
-    let (links, target) = (links.clone(), real.parse().map_err(|_| "no address".to_string())?);
+    let listener =
+        std::net::TcpListener::bind(format!("{host}:0")).map_err(|error| error.to_string())?;
+    let known = listener
+        .local_addr()
+        .map_err(|error| error.to_string())?
+        .to_string();
+    listener
+        .set_nonblocking(true)
+        .map_err(|error| error.to_string())?;
+    let listener =
+        tokio::net::TcpListener::from_std(listener).map_err(|error| error.to_string())?;
+    let (links, target) = (
+        links.clone(),
+        real.parse().map_err(|_| "no address".to_string())?,
+    );
     tokio::spawn(async move { links.stand_before(listener, target).await });
     Ok((real, known))
 }
 
 fn words(pairs: &[(&str, String)]) -> Vec<String> {
-    pairs.iter().flat_map(|(flag, value)| [format!("--{flag}"), value.clone()]).collect()
+    pairs
+        .iter()
+        .flat_map(|(flag, value)| [format!("--{flag}"), value.clone()])
+        .collect()
 }
 
 impl Fleet {
@@ -44,72 +61,151 @@
         let core = &mut self.cores[seat];
         core.arguments = crate::process::changed(&core.arguments, &moved);
         (core.operators, core.mates) = (operators, known);
-        self.places.send_replace(self.cores.iter().map(|core| core.operators.clone()).collect());
+        self.places.send_replace(
+            self.cores
+                .iter()
+                .map(|core| core.operators.clone())
+                .collect(),
+        );
         Ok(())
     }
 
     /// Must be called within a runtime: the links' relays are its tasks.
-    pub fn plan(deployment: Deployment, folder: std::path::PathBuf, seed: u64, spoil: u32, usher_flags: &[String]) -> Result<Fleet, String> {
+    pub fn plan(
+        deployment: Deployment,
+        folder: std::path::PathBuf,
+        seed: u64,
+        spoil: u32,
+        usher_flags: &[String],
+    ) -> Result<Fleet, String> {
         std::fs::create_dir_all(&folder).map_err(|error| error.to_string())?;
         let id = std::process::id();
-        let host = |machine: usize| format!("127.{}.{}.{}", 16 + id / 250 % 200, id % 250, machine + 1);
+        let host =
+            |machine: usize| format!("127.{}.{}.{}", 16 + id / 250 % 200, id % 250, machine + 1);
         let back_ends = deployment.back_ends();
         let core_zones = (0..deployment.cores).map(|seat| seat % deployment.zones);
-        let zones = core_zones.chain(back_ends.iter().map(|(_, _, zone)| *zone)).enumerate();
-        let zones = zones.map(|(machine, zone)| Ok((parsed(&host(machine))?, zone))).collect::<Result<_, String>>()?;
+        let zones = core_zones
+            .chain(back_ends.iter().map(|(_, _, zone)| *zone))
+            .enumerate();
+        let zones = zones
+            .map(|(machine, zone)| Ok((parsed(&host(machine))?, zone)))
+            .collect::<Result<_, String>>()?;
         let links = crate::links::Links::new(zones, deployment.hop_us);
-        let places = (0..deployment.cores).map(|seat| Ok((relayed(&links, &host(seat))?, free(&host(seat))?))).collect::<Result<Vec<_>, String>>()?;
-        let seeds = places.iter().take(3).map(|((_, known), _)| known.clone()).collect::<Vec<_>>().join(",") + ",";
-        let cores = places.iter().enumerate().map(|(seat, ((mates, known), operators))| {
-            let arguments = words(&[
-                ("name", format!("core-{seat}")),
-                ("zone", format!("z{}", seat % deployment.zones)),
-                ("seat", seat.to_string()),
-                ("seats", deployment.cores.to_string()),
-                ("mates-address", mates.clone()),
-                ("advertised-address", known.clone()),
-                ("operators-address", operators.clone()),
-                ("seeds", seeds.clone()),
-                ("folder", folder.join(format!("core-{seat}")).display().to_string()),
-            ]);
-            Ok(Core { process: None, arguments, operators: operators.clone(), mates: known.clone(), host: parsed(&host(seat))? })
-        });
+        let places = (0..deployment.cores)
+            .map(|seat| Ok((relayed(&links, &host(seat))?, free(&host(seat))?)))
+            .collect::<Result<Vec<_>, String>>()?;
+        let seeds = places
+            .iter()
+            .take(3)
+            .map(|((_, known), _)| known.clone())
+            .collect::<Vec<_>>()
+            .join(",")
+            + ",";
+        let cores = places
+            .iter()
+            .enumerate()
+            .map(|(seat, ((mates, known), operators))| {
+                let arguments = words(&[
+                    ("name", format!("core-{seat}")),
+                    ("zone", format!("z{}", seat % deployment.zones)),
+                    ("seat", seat.to_string()),
+                    ("seats", deployment.cores.to_string()),
+                    ("mates-address", mates.clone()),
+                    ("advertised-address", known.clone()),
+                    ("operators-address", operators.clone()),
+                    ("seeds", seeds.clone()),
+                    (
+                        "folder",
+                        folder.join(format!("core-{seat}")).display().to_string(),
+                    ),
+                ]);
+                Ok(Core {
+                    process: None,
+                    arguments,
+                    operators: operators.clone(),
+                    mates: known.clone(),
+                    host: parsed(&host(seat))?,
+                })
+            });
         let cores = cores.collect::<Result<Vec<_>, String>>()?;
         let rate = deployment.rate / back_ends.len() as f64;
-        let machines = back_ends.iter().enumerate().map(|(at, (name, service, zone))| {
-            let host = host(deployment.cores + at);
-            let ((mates, known), local, listen) = (relayed(&links, &host)?, free(&host)?, free(&host)?);
-            let usher_arguments = words(&[
-                ("name", format!("node-{name}")),
-                ("zone", format!("z{zone}")),
-                ("mates-address", mates.clone()),
-                ("advertised-address", known.clone()),
-                ("local-address", local.clone()),
-                ("seeds", seeds.clone()),
-            ]);
-            let usher_arguments = usher_arguments.into_iter().chain(usher_flags.iter().cloned()).collect();
-            let understudy_arguments = words(&[
-                ("name", name.clone()),
-                ("service", service.to_string()),
-                ("zone", format!("z{zone}")),
-                ("slots", deployment.slots.to_string()),
-                ("node", local.clone()),
-                ("listen", listen),
-                ("history", folder.join(format!("{name}.history")).display().to_string()),
-                ("work", deployment.work_us.to_string()),
-                ("spoil", spoil.to_string()),
-                ("seed", (seed * 1_000 + at as u64).to_string()),
-                ("rate", rate.to_string()),
-                ("hot", "333".to_string()),
-                ("sends", serde_json::to_string(&deployment.sends(service)).unwrap_or_default()),
-            ]);
-            let understudy_arguments = std::iter::once("understudy".to_string()).chain(understudy_arguments).collect();
-            let host = parsed(&host)?;
-            Ok(Machine { usher: None, usher_arguments, understudy: None, understudy_arguments, name: name.clone(), local, mates: known, host })
-        });
+        let machines = back_ends
+            .iter()
+            .enumerate()
+            .map(|(at, (name, service, zone))| {
+                let host = host(deployment.cores + at);
+                let ((mates, known), local, listen) =
+                    (relayed(&links, &host)?, free(&host)?, free(&host)?);
+                let usher_arguments = words(&[
+                    ("name", format!("node-{name}")),
+                    ("zone", format!("z{zone}")),
+                    ("mates-address", mates.clone()),
+                    ("advertised-address", known.clone()),
+                    ("local-address", local.clone()),
+                    ("seeds", seeds.clone()),
+                ]);
+                let usher_arguments = usher_arguments
+                    .into_iter()
+                    .chain(usher_flags.iter().cloned())
+                    .collect();
+                let understudy_arguments = words(&[
+                    ("name", name.clone()),
+                    ("service", service.to_string()),
+                    ("zone", format!("z{zone}")),
+                    ("slots", deployment.slots.to_string()),
+                    ("node", local.clone()),
+                    ("listen", listen),
+                    (
+                        "history",
+                        folder.join(format!("{name}.history")).display().to_string(),
+                    ),
+                    ("work", deployment.work_us.to_string()),
+                    ("spoil", spoil.to_string()),
+                    ("seed", (seed * 1_000 + at as u64).to_string()),
+                    ("rate", rate.to_string()),
+                    ("hot", "333".to_string()),
+                    (
+                        "sends",
+                        serde_json::to_string(&deployment.sends(service)).unwrap_or_default(),
+                    ),
+                ]);
+                let understudy_arguments = std::iter::once("understudy".to_string())
+                    .chain(understudy_arguments)
+                    .collect();
+                let host = parsed(&host)?;
+                Ok(Machine {
+                    usher: None,
+                    usher_arguments,
+                    understudy: None,
+                    understudy_arguments,
+                    name: name.clone(),
+                    local,
+                    mates: known,
+                    host,
+                })
+            });
         let machines = machines.collect::<Result<Vec<_>, String>>()?;
-        let http = reqwest::Client::builder().no_proxy().timeout(std::time::Duration::from_secs(10)).build().map_err(|error| error.to_string())?;
-        let places = tokio::sync::watch::Sender::new(cores.iter().map(|core: &Core| core.operators.clone()).collect());
-        Ok(Fleet { folder, deployment, cores, machines, http, links, places, added: Vec::new(), made_up_disks: false })
+        let http = reqwest::Client::builder()
+            .no_proxy()
+            .timeout(std::time::Duration::from_secs(10))
+            .build()
+            .map_err(|error| error.to_string())?;
+        let places = tokio::sync::watch::Sender::new(
+            cores
+                .iter()
+                .map(|core: &Core| core.operators.clone())
+                .collect(),
+        );
+        Ok(Fleet {
+            folder,
+            deployment,
+            cores,
+            machines,
+            http,
+            links,
+            places,
+            added: Vec::new(),
+            made_up_disks: false,
+        })
     }
 }
--- a/crates/simulator/src/forgers.rs
+++ b/crates/simulator/src/forgers.rs
@@ -19,36 +19,78 @@
         let deployment = &fleet.deployment;
         let last = fleet.machines.len() - 1;
         let (_, service, zone) = deployment.back_ends().pop().unwrap_or_default();
-        let forbidden = |lane: &&crate::deployment::Lane| !deployment.lanes.iter().any(|other| other.0 == service && other.1 == lane.1);
-        let lane = deployment.lanes.iter().find(forbidden).unwrap_or(&deployment.lanes[0]);
+        let forbidden = |lane: &&crate::deployment::Lane| {
+            !deployment
+                .lanes
+                .iter()
+                .any(|other| other.0 == service && other.1 == lane.1)
+        };
+        let lane = deployment
+            .lanes
+            .iter()
+            .find(forbidden)
+            .unwrap_or(&deployment.lanes[0]);
         let target = (lane.1.to_string(), lane.2.to_string());
-        let (usher, notebook, http) = (fleet.machines[last].local.clone(), fleet.notebook(), fleet.http.clone());
-        Forger { usher, zone: format!("z{zone}"), service: service.to_string(), target, notebook, http }
+        let (usher, notebook, http) = (
+            fleet.machines[last].local.clone(),
+            fleet.notebook(),
+            fleet.http.clone(),
+        );
+        Forger {
+            usher,
+            zone: format!("z{zone}"),
+            service: service.to_string(),
+            target,
+            notebook,
+            http,
+        }
     }
 
     /// Registered with no slots: it only sends.
     async fn register(&self, name: &str) -> Option<(String, String)> {
         let ask = serde_json::json!({ "name": name, "service": self.service, "zone": self.zone, "slots": 0, "address": "127.0.0.1:9" });
-        let answer = self.http.post(format!("http://{}/back-end/register", self.usher)).json(&ask).send().await.ok()?;
+        let answer = self
+            .http
+            .post(format!("http://{}/back-end/register", self.usher))
+            .json(&ask)
+            .send()
+            .await
+            .ok()?;
         let told: serde_json::Value = answer.json().await.ok()?;
-        Some((told["secret"].as_str()?.to_string(), told["try_prefix"].as_str()?.to_string()))
+        Some((
+            told["secret"].as_str()?.to_string(),
+            told["try_prefix"].as_str()?.to_string(),
+        ))
     }
 
     async fn lie(&self, secret: &str, prefix: &str, number: u64) -> Result<(), String> {
         let (service, path) = &self.target;
         let (try_id, asked) = (format!("{prefix}{}/{number}", self.service), model::now());
-        let request = self.http.post(format!("http://{}/call/{service}{path}", self.usher)).bearer_auth(secret);
+        let request = self
+            .http
+            .post(format!("http://{}/call/{service}{path}", self.usher))
+            .bearer_auth(secret);
         let lies = [
             (backend_api::CLIENT_HEADER, service.as_str()),
             (backend_api::SERVICE_HEADER, &self.service),
             (backend_api::INCARNATION_HEADER, "1"),
             (backend_api::FENCING_TOKEN_HEADER, "1"),
         ];
-        let request = lies.into_iter().fold(request, |request, (name, value)| request.header(name, value));
-        let answer = request.header(backend_api::ATTEMPT_ID_HEADER, &try_id).header(backend_api::SHARD_KEY_HEADER, "hot").send().await;
+        let request = lies.into_iter().fold(request, |request, (name, value)| {
+            request.header(name, value)
+        });
+        let answer = request
+            .header(backend_api::ATTEMPT_ID_HEADER, &try_id)
+            .header(backend_api::SHARD_KEY_HEADER, "hot")
+            .send()
+            .await;
         let Ok(response) = answer else { return Ok(()) };
         let status = response.status().as_u16();
-        let verdict = response.headers().get("x-gradeford-verdict").and_then(|value| value.to_str().ok()).map(str::to_string);
+        let verdict = response
+            .headers()
+            .get("x-gradeford-verdict")
+            .and_then(|value| value.to_str().ok())
+            .map(str::to_string);
         let told: serde_json::Value = response.json().await.unwrap_or_default();
         self.notebook.note(&Record::Told {
             try_id,
@@ -71,18 +113,32 @@
 }
 
 /// In its own name with our headers set, with no secret at all, under another's names, and with an ended life's secret.
-pub async fn work(forger: Forger, mut stop: tokio::sync::watch::Receiver<bool>) -> Result<(), String> {
+pub async fn work(
+    forger: Forger,
+    mut stop: tokio::sync::watch::Receiver<bool>,
+) -> Result<(), String> {
     for turn in 0u64.. {
         let name = format!("forger-{turn}");
         if let Some((secret, prefix)) = forger.register(&name).await {
             forger.lie(&secret, &prefix, 0).await?;
             forger.lie("0123456789abcdef", &prefix, 1).await?;
             forger.lie(&secret, "seat-0.1.", 2).await?;
-            let off = forger.http.post(format!("http://{}/back-end/sign-off", forger.usher)).bearer_auth(&secret).send().await;
+            let off = forger
+                .http
+                .post(format!("http://{}/back-end/sign-off", forger.usher))
+                .bearer_auth(&secret)
+                .send()
+                .await;
             drop(off);
             forger.lie(&secret, &prefix, 3).await?;
         }
-        if tokio::time::timeout(std::time::Duration::from_millis(200), stop.wait_for(|stop| *stop)).await.is_ok() {
+        if tokio::time::timeout(
+            std::time::Duration::from_millis(200),
+            stop.wait_for(|stop| *stop),
+        )
+        .await
+        .is_ok()
+        {
             return Ok(());
         }
     }
--- a/crates/simulator/src/history.rs
+++ b/crates/simulator/src/history.rs
@@ -130,20 +130,43 @@
 }
 
 pub fn read(folder: &std::path::Path) -> std::io::Result<Vec<Record>> {
-    let files: Vec<_> = std::fs::read_dir(folder)?.filter_map(Result::ok).filter(|file| file.path().extension().is_some_and(|end| end == "history")).collect();
+    let files: Vec<_> = std::fs::read_dir(folder)?
+        .filter_map(Result::ok)
+        .filter(|file| file.path().extension().is_some_and(|end| end == "history"))
+        .collect();
     // A killed process may leave its last line unfinished.
-    let lines = files.into_iter().map(|file| std::fs::read_to_string(file.path())).collect::<Result<Vec<_>, _>>()?;
-    Ok(lines.iter().flat_map(|text| text.lines()).filter_map(|line| serde_json::from_str(line).ok()).collect())
+    let lines = files
+        .into_iter()
+        .map(|file| std::fs::read_to_string(file.path()))
+        .collect::<Result<Vec<_>, _>>()?;
+    Ok(lines
+        .iter()
+        .flat_map(|text| text.lines())
+        .filter_map(|line| serde_json::from_str(line).ok())
+        .collect())
 }
 
 /// What ushers wrote down of extra dispatches, as their logs have it.
 pub fn extras(folder: &std::path::Path) -> std::io::Result<Vec<Record>> {
-    let logs = std::fs::read_dir(folder)?.filter_map(Result::ok).filter(|file| file.file_name().to_string_lossy().starts_with("node-"));
+    let logs = std::fs::read_dir(folder)?
+        .filter_map(Result::ok)
+        .filter(|file| file.file_name().to_string_lossy().starts_with("node-"));
     let of = |line: &str| {
         let told: serde_json::Value = serde_json::from_str(line).ok()?;
         let text = |name: &str| told[name].as_str().map(str::to_string);
-        Some(Record::Extra { node: text("name")?, service: text("service")?, at: told["at"].as_u64()? })
+        Some(Record::Extra {
+            node: text("name")?,
+            service: text("service")?,
+            at: told["at"].as_u64()?,
+        })
     };
-    let texts = logs.map(|file| std::fs::read_to_string(file.path())).collect::<Result<Vec<_>, _>>()?;
-    Ok(texts.iter().flat_map(|text| text.lines()).filter(|line| line.contains("\"dispatched again\"")).filter_map(of).collect())
+    let texts = logs
+        .map(|file| std::fs::read_to_string(file.path()))
+        .collect::<Result<Vec<_>, _>>()?;
+    Ok(texts
+        .iter()
+        .flat_map(|text| text.lines())
+        .filter(|line| line.contains("\"dispatched again\""))
+        .filter_map(of)
+        .collect())
 }
--- a/crates/simulator/src/hollow/events.rs
+++ b/crates/simulator/src/hollow/events.rs
@@ -9,22 +9,53 @@
 
 fn watched(log: &Log, at: usize) -> Vec<(usize, ClusterReport)> {
     let node = format!("n{at}");
-    let life = log.bill.nodes.get(&node).map(|place| place.incarnation).unwrap_or(0);
+    let life = log
+        .bill
+        .nodes
+        .get(&node)
+        .map(|place| place.incarnation)
+        .unwrap_or(0);
     // Who they are does not matter to the count.
-    let watchers = (1..=control::ring::MONITORS_PER_NODE.min(log.plan.nodes - 1)).map(|step| (at + step) % log.plan.nodes);
+    let watchers = (1..=control::ring::MONITORS_PER_NODE.min(log.plan.nodes - 1))
+        .map(|step| (at + step) % log.plan.nodes);
     watchers
-        .map(|watcher| (watcher, ClusterReport::NodeObserved { observer: format!("n{watcher}"), node: node.clone(), incarnation: life, missed: true }))
+        .map(|watcher| {
+            (
+                watcher,
+                ClusterReport::NodeObserved {
+                    observer: format!("n{watcher}"),
+                    node: node.clone(),
+                    incarnation: life,
+                    missed: true,
+                },
+            )
+        })
         .collect()
 }
 
 /// Drains, its keys go and are let go, it signs off; then it comes back under a new life and gets keys again.
 pub(super) fn restart(log: &mut Log, at: usize) {
     let (service, name) = (at % log.plan.services, super::node::back_end(at, 1));
-    log.report(at, vec![ClusterReport::BackendDraining { name: name.clone() }]);
+    log.report(
+        at,
+        vec![ClusterReport::BackendDraining { name: name.clone() }],
+    );
     log.place(service);
     log.let_go(service, &[]);
-    log.report(at, vec![ClusterReport::BackendEnded { name: name.clone(), process_gone: false }]);
-    log.report(at, vec![ClusterReport::BackendEnded { name, process_gone: true }]);
+    log.report(
+        at,
+        vec![ClusterReport::BackendEnded {
+            name: name.clone(),
+            process_gone: false,
+        }],
+    );
+    log.report(
+        at,
+        vec![ClusterReport::BackendEnded {
+            name,
+            process_gone: true,
+        }],
+    );
     let reports = vec![log.node(at, 2), log.joined(at, 2)];
     log.report(at, reports);
     log.place(service);
@@ -33,8 +64,16 @@
 
 pub(super) fn lost(log: &mut Log, gone: &[usize]) {
     let watched: Vec<_> = gone.iter().flat_map(|at| watched(log, *at)).collect();
-    watched.into_iter().for_each(|(watcher, report)| log.report(watcher, vec![report]));
-    let names: Vec<String> = log.bill.backends.iter().filter(|(_, player)| gone.contains(&number(&player.node))).map(|(name, _)| name.clone()).collect();
+    watched
+        .into_iter()
+        .for_each(|(watcher, report)| log.report(watcher, vec![report]));
+    let names: Vec<String> = log
+        .bill
+        .backends
+        .iter()
+        .filter(|(_, player)| gone.contains(&number(&player.node)))
+        .map(|(name, _)| name.clone())
+        .collect();
     services(log, gone).into_iter().for_each(|service| {
         log.place(service);
         log.let_go(service, &names);
@@ -48,11 +87,32 @@
 /// As new machines, or as the same that were only cut off.
 pub(super) fn back(log: &mut Log, gone: &[usize], same: bool) {
     gone.iter().for_each(|at| {
-        let life = log.bill.nodes.get(&format!("n{at}")).map(|place| place.incarnation).unwrap_or(1) + !same as u64;
-        let old: Vec<String> = log.bill.backends.iter().filter(|(_, player)| number(&player.node) == *at).map(|(name, _)| name.clone()).collect();
-        let ended = old.into_iter().filter(|_| !same).map(|name| ClusterReport::BackendEnded { name, process_gone: true });
+        let life = log
+            .bill
+            .nodes
+            .get(&format!("n{at}"))
+            .map(|place| place.incarnation)
+            .unwrap_or(1)
+            + !same as u64;
+        let old: Vec<String> = log
+            .bill
+            .backends
+            .iter()
+            .filter(|(_, player)| number(&player.node) == *at)
+            .map(|(name, _)| name.clone())
+            .collect();
+        let ended = old
+            .into_iter()
+            .filter(|_| !same)
+            .map(|name| ClusterReport::BackendEnded {
+                name,
+                process_gone: true,
+            });
         let joined = (!same).then(|| log.joined(*at, life));
-        let reports = std::iter::once(log.node(*at, life)).chain(joined).chain(ended).collect();
+        let reports = std::iter::once(log.node(*at, life))
+            .chain(joined)
+            .chain(ended)
+            .collect();
         log.report(*at, reports);
     });
     services(log, gone).into_iter().for_each(|service| {
@@ -72,19 +132,40 @@
         missed_by: Default::default(),
         changed_at: place.changed_at,
     };
-    places.iter().map(|(name, place)| (name.clone(), node(place))).collect()
+    places
+        .iter()
+        .map(|(name, place)| (name.clone(), node(place)))
+        .collect()
 }
 
 /// A region that is cut off: looks at the silence until the other side misses all of it, and how many of the other
 /// side two watchers inside will have missed by the time they are heard again.
 pub(super) fn rounds(log: &Log, region: &[usize]) -> (usize, usize) {
     let mut nodes = ring(&log.bill.nodes);
-    let inside: std::collections::BTreeSet<String> = region.iter().map(|at| format!("n{at}")).collect();
-    let by = |nodes: &Nodes, name: &String, of: bool| control::ring::monitors_of(nodes, name).iter().filter(|watcher| inside.contains(*watcher) == of).count();
-    let wrongly = nodes.keys().filter(|name| !inside.contains(*name) && by(&nodes, name, true) >= 2).count();
+    let inside: std::collections::BTreeSet<String> =
+        region.iter().map(|at| format!("n{at}")).collect();
+    let by = |nodes: &Nodes, name: &String, of: bool| {
+        control::ring::monitors_of(nodes, name)
+            .iter()
+            .filter(|watcher| inside.contains(*watcher) == of)
+            .count()
+    };
+    let wrongly = nodes
+        .keys()
+        .filter(|name| !inside.contains(*name) && by(&nodes, name, true) >= 2)
+        .count();
     let rounds = (1..=20).find(|_| {
-        let missed: Vec<String> = inside.iter().filter(|name| nodes[*name].present && by(&nodes, name, false) >= 2).cloned().collect();
-        missed.iter().for_each(|name| nodes.entry(name.clone()).or_insert_with(|| unreachable!()).present = false);
+        let missed: Vec<String> = inside
+            .iter()
+            .filter(|name| nodes[*name].present && by(&nodes, name, false) >= 2)
+            .cloned()
+            .collect();
+        missed.iter().for_each(|name| {
+            nodes
+                .entry(name.clone())
+                .or_insert_with(|| unreachable!())
+                .present = false
+        });
         inside.iter().all(|name| !nodes[name].present) || missed.is_empty()
     });
     (rounds.unwrap_or(20), wrongly)
@@ -104,25 +185,116 @@
 pub(super) fn took(log: &Log) -> std::collections::BTreeMap<&'static str, f64> {
     let (bill, plan) = (&log.bill, log.plan);
     let whole = StateSnapshot::default().updated(true, bill.position, bill.full_deltas());
-    let place = bill.nodes.iter().next().map(|(name, place)| model::cluster_state::Delta::Node(name.clone(), Some(place.clone())));
-    let lane = model::cluster_state::Delta::Item(model::cluster_state::ItemKind::Route, "l0".into(), 9, plan.change(0).puts.pop().map(|put| put.body));
-    let rows = bill.placements.values().next().map(|held| held.1.clone()).unwrap_or_default();
-    let parts: Vec<endpoints::BackendCapacity> = rows.iter().filter_map(|row| row.holder.clone()).map(|name| (name, 8.0)).collect();
-    let away = bill.nodes.iter().map(|(name, place)| (format!("{name}.old"), model::cluster_state::NodeRecord { present: false, ..place.clone() }));
+    let place =
+        bill.nodes.iter().next().map(|(name, place)| {
+            model::cluster_state::Delta::Node(name.clone(), Some(place.clone()))
+        });
+    let lane = model::cluster_state::Delta::Item(
+        model::cluster_state::ItemKind::Route,
+        "l0".into(),
+        9,
+        plan.change(0).puts.pop().map(|put| put.body),
+    );
+    let rows = bill
+        .placements
+        .values()
+        .next()
+        .map(|held| held.1.clone())
+        .unwrap_or_default();
+    let parts: Vec<endpoints::BackendCapacity> = rows
+        .iter()
+        .filter_map(|row| row.holder.clone())
+        .map(|name| (name, 8.0))
+        .collect();
+    let away = bill.nodes.iter().map(|(name, place)| {
+        (
+            format!("{name}.old"),
+            model::cluster_state::NodeRecord {
+                present: false,
+                ..place.clone()
+            },
+        )
+    });
     let twice = std::sync::Arc::new(bill.nodes.clone().into_iter().chain(away).collect());
-    let (places, mut stand) = (std::sync::Arc::new(bill.nodes.clone()), control::ring::RingPosition::default());
+    let (places, mut stand) = (
+        std::sync::Arc::new(bill.nodes.clone()),
+        control::ring::RingPosition::default(),
+    );
     let times = (20_000 / plan.nodes as u32).max(5);
     std::collections::BTreeMap::from([
         // What a node does twice a second (crates/troupe/src/watch.rs).
         ("ring tick", timed(20_000, || stand.update(&places, "n0"))),
-        ("ring made", timed(times, || control::ring::RingPosition::default().update(&places, "n0"))),
-        ("ring made, twice the names", timed(times, || control::ring::RingPosition::default().update(&twice, "n0"))),
-        ("told of a place", timed(times, || drop(std::hint::black_box(whole.updated(false, 9, place.iter().cloned().collect()))))),
-        ("told of a lane", timed(times, || drop(std::hint::black_box(whole.updated(false, 9, vec![lane.clone()]))))),
-        ("told the whole", timed(5, || drop(std::hint::black_box(StateSnapshot::default().updated(true, 9, bill.full_deltas()))))),
-        ("whole as bytes", timed(5, || drop(std::hint::black_box(bulletin(true, bill.full_deltas()))))),
-        ("snapshot", timed(5, || drop(std::hint::black_box(bill.to_bytes())))),
-        ("items judged", timed(5, || drop(std::hint::black_box(model::cluster_state::items::faults(&bill.items, &plan.change(0)))))),
-        ("cast of a service", timed(50, || drop(std::hint::black_box(endpoints::rebalance(&rows, &[], &parts, 0.0))))),
+        (
+            "ring made",
+            timed(times, || {
+                control::ring::RingPosition::default().update(&places, "n0")
+            }),
+        ),
+        (
+            "ring made, twice the names",
+            timed(times, || {
+                control::ring::RingPosition::default().update(&twice, "n0")
+            }),
+        ),
+        (
+            "told of a place",
+            timed(times, || {
+                drop(std::hint::black_box(whole.updated(
+                    false,
+                    9,
+                    place.iter().cloned().collect(),
+                )))
+            }),
+        ),
+        (
+            "told of a lane",
+            timed(times, || {
+                drop(std::hint::black_box(whole.updated(
+                    false,
+                    9,
+                    vec![lane.clone()],
+                )))
+            }),
+        ),
+        (
+            "told the whole",
+            timed(5, || {
+                drop(std::hint::black_box(StateSnapshot::default().updated(
+                    true,
+                    9,
+                    bill.full_deltas(),
+                )))
+            }),
+        ),
+        (
+            "whole as bytes",
+            timed(5, || {
+                drop(std::hint::black_box(bulletin(true, bill.full_deltas())))
+            }),
+        ),
+        (
+            "snapshot",
+            timed(5, || drop(std::hint::black_box(bill.to_bytes()))),
+        ),
+        (
+            "items judged",
+            timed(5, || {
+                drop(std::hint::black_box(model::cluster_state::items::faults(
+                    &bill.items,
+                    &plan.change(0),
+                )))
+            }),
+        ),
+        (
+            "cast of a service",
+            timed(50, || {
+                drop(std::hint::black_box(endpoints::rebalance(
+                    &rows,
+                    &[],
+                    &parts,
+                    0.0,
+                )))
+            }),
+        ),
     ])
 }
--- a/crates/simulator/src/hollow/flags.rs
+++ b/crates/simulator/src/hollow/flags.rs
@@ -19,7 +19,12 @@
 type Faults = Vec<String>;
 
 /// A flag that must be there, or one with a default.
-fn number<T: std::str::FromStr>(arguments: &mut pico_args::Arguments, faults: &mut Faults, flag: &'static str, otherwise: Option<T>) -> Option<T>
+fn number<T: std::str::FromStr>(
+    arguments: &mut pico_args::Arguments,
+    faults: &mut Faults,
+    flag: &'static str,
+    otherwise: Option<T>,
+) -> Option<T>
 where
     T::Err: std::fmt::Display,
 {
@@ -35,21 +40,75 @@
 pub fn read(mut arguments: pico_args::Arguments) -> Result<(Plan, bool), String> {
     let mut faults = Faults::new();
     let counted = arguments.contains("--counted");
-    let mut size = |flag, otherwise| number::<usize>(&mut arguments, &mut faults, flag, otherwise).unwrap_or(1);
-    let (nodes, services, zones, regions) = (size("--nodes", None), size("--services", None), size("--zones", None), size("--regions", None));
-    let (seats, lanes) = (size("--seats", Some(5)), size("--lanes", Some(services.saturating_mul(3))));
-    let (changes, restarts, lost) = (size("--changes", Some(0)), size("--restarts", Some(0)), size("--lost", Some(0)));
-    let mut time = |flag, otherwise| number::<u64>(&mut arguments, &mut faults, flag, Some(otherwise)).unwrap_or(otherwise);
+    let mut size = |flag, otherwise| {
+        number::<usize>(&mut arguments, &mut faults, flag, otherwise).unwrap_or(1)
+    };
+    let (nodes, services, zones, regions) = (
+        size("--nodes", None),
+        size("--services", None),
+        size("--zones", None),
+        size("--regions", None),
+    );
+    let (seats, lanes) = (
+        size("--seats", Some(5)),
+        size("--lanes", Some(services.saturating_mul(3))),
+    );
+    let (changes, restarts, lost) = (
+        size("--changes", Some(0)),
+        size("--restarts", Some(0)),
+        size("--lost", Some(0)),
+    );
+    let mut time = |flag, otherwise| {
+        number::<u64>(&mut arguments, &mut faults, flag, Some(otherwise)).unwrap_or(otherwise)
+    };
     let (seconds, hop, cut) = (time("--seconds", 20), time("--hop", 0), time("--cut", 0));
-    let parts = number(&mut arguments, &mut faults, "--parts", Some("whole".to_string())).unwrap_or_default();
+    let parts = number(
+        &mut arguments,
+        &mut faults,
+        "--parts",
+        Some("whole".to_string()),
+    )
+    .unwrap_or_default();
     let folder = std::env::temp_dir().join(format!("gradeford-hollow-{}", std::process::id()));
-    faults.extend(arguments.finish().into_iter().map(|left| format!("{}: is not a flag of this command", left.to_string_lossy())));
+    faults.extend(
+        arguments
+            .finish()
+            .into_iter()
+            .map(|left| format!("{}: is not a flag of this command", left.to_string_lossy())),
+    );
     let named = Parts::named(&parts);
-    faults.extend(named.is_none().then(|| format!("--parts: there is no {parts:?}")));
+    faults.extend(
+        named
+            .is_none()
+            .then(|| format!("--parts: there is no {parts:?}")),
+    );
     let parts = named.unwrap_or(Parts::Whole);
-    let plan = Plan { nodes, services, zones, regions, seats, lanes, seconds, changes, restarts, lost, hop, cut, parts, folder };
+    let plan = Plan {
+        nodes,
+        services,
+        zones,
+        regions,
+        seats,
+        lanes,
+        seconds,
+        changes,
+        restarts,
+        lost,
+        hop,
+        cut,
+        parts,
+        folder,
+    };
     if faults.is_empty() {
-        faults.extend(plan.faults(!counted).into_iter().map(|(flag, told)| format!("{flag}: {told}")));
+        faults.extend(
+            plan.faults(!counted)
+                .into_iter()
+                .map(|(flag, told)| format!("{flag}: {told}")),
+        );
+    }
+    if faults.is_empty() {
+        Ok((plan, counted))
+    } else {
+        Err(faults.join("; "))
     }
-    if faults.is_empty() { Ok((plan, counted)) } else { Err(faults.join("; ")) }
 }
--- a/crates/simulator/src/hollow/meter.rs
+++ b/crates/simulator/src/hollow/meter.rs
@@ -18,27 +18,46 @@
 pub const ROLES: [&str; 5] = ["node", "core", "vault", "links", "acting"];
 
 fn role(thread: &str) -> &'static str {
-    ROLES.into_iter().find(|role| thread.starts_with(role)).unwrap_or("acting")
+    ROLES
+        .into_iter()
+        .find(|role| thread.starts_with(role))
+        .unwrap_or("acting")
 }
 
 pub fn reading(cores: &[control::ReplicaHandle]) -> Reading {
-    let threads = std::fs::read_dir("/proc/self/task").into_iter().flatten().flatten();
+    let threads = std::fs::read_dir("/proc/self/task")
+        .into_iter()
+        .flatten()
+        .flatten();
     let ran = threads.filter_map(|thread| {
         let word = |name: &str| std::fs::read_to_string(thread.path().join(name)).ok();
         let ran = word("schedstat")?.split_whitespace().next()?.parse().ok()?;
-        Some(((role(word("comm")?.trim()), thread.file_name().to_str()?.parse().ok()?), ran))
+        Some((
+            (
+                role(word("comm")?.trim()),
+                thread.file_name().to_str()?.parse().ok()?,
+            ),
+            ran,
+        ))
     });
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
-    let memory = line.and_then(|line| line.split_whitespace().nth(1)).and_then(|kilobytes| kilobytes.parse::<u64>().ok());
+    let memory = line
+        .and_then(|line| line.split_whitespace().nth(1))
+        .and_then(|kilobytes| kilobytes.parse::<u64>().ok());
     Reading {
         at: model::now(),
         ran: ran.collect(),
         memory: memory.unwrap_or(0) * 1_024,
-        descriptors: std::fs::read_dir("/proc/self/fd").map(|held| held.count() as u64).unwrap_or(0),
+        descriptors: std::fs::read_dir("/proc/self/fd")
+            .map(|held| held.count() as u64)
+            .unwrap_or(0),
         said: transport::traffic::by_kind(),
         syncs: cores.iter().map(|core| core.status.load().disk_syncs).sum(),
-        applied: cores.first().map(|core| core.status.load().applied_below).unwrap_or(0),
+        applied: cores
+            .first()
+            .map(|core| core.status.load().applied_below)
+            .unwrap_or(0),
     }
 }
 
@@ -56,17 +75,40 @@
     let span = (after.at - before.at).max(1) as f64;
     let of = |role: &'static str| {
         let held = after.ran.iter().filter(|((held, _), _)| *held == role);
-        let mut grown: Vec<u64> = held.map(|(thread, ran)| ran.saturating_sub(before.ran.get(thread).copied().unwrap_or(0)) / 1_000).collect();
+        let mut grown: Vec<u64> = held
+            .map(|(thread, ran)| {
+                ran.saturating_sub(before.ran.get(thread).copied().unwrap_or(0)) / 1_000
+            })
+            .collect();
         grown.sort();
         let part = |ran: Option<&u64>| ran.map(|ran| *ran as f64 / span * 1_000.0).unwrap_or(0.0);
         let middle_of_1000 = part(grown.get(grown.len() / 2));
-        (role, Used { threads: grown.len(), sum_us: grown.iter().sum(), middle_of_1000, most_of_1000: part(grown.last()) })
+        (
+            role,
+            Used {
+                threads: grown.len(),
+                sum_us: grown.iter().sum(),
+                middle_of_1000,
+                most_of_1000: part(grown.last()),
+            },
+        )
     };
-    ROLES.into_iter().map(of).filter(|(_, used)| used.threads > 0).collect()
+    ROLES
+        .into_iter()
+        .map(of)
+        .filter(|(_, used)| used.threads > 0)
+        .collect()
 }
 
-pub fn said(before: &Reading, after: &Reading) -> std::collections::BTreeMap<&'static str, (u64, u64)> {
+pub fn said(
+    before: &Reading,
+    after: &Reading,
+) -> std::collections::BTreeMap<&'static str, (u64, u64)> {
     let pairs = before.said.iter().zip(after.said);
     let grown = pairs.map(|(before, after)| (after.0 - before.0, after.1 - before.1));
-    transport::traffic::KINDS.into_iter().zip(grown).filter(|(_, (frames, _))| *frames > 0).collect()
+    transport::traffic::KINDS
+        .into_iter()
+        .zip(grown)
+        .filter(|(_, (frames, _))| *frames > 0)
+        .collect()
 }
--- a/crates/simulator/src/hollow/mod.rs
+++ b/crates/simulator/src/hollow/mod.rs
@@ -22,14 +22,19 @@
 /// Only a broken run meets this.
 const PATIENCE: std::time::Duration = std::time::Duration::from_secs(300);
 
-pub(crate) async fn until(what: &str, holds: impl Fn() -> bool) -> Result<model::Microseconds, String> {
+pub(crate) async fn until(
+    what: &str,
+    holds: impl Fn() -> bool,
+) -> Result<model::Microseconds, String> {
     let began = model::now();
     let waits = async {
         while !holds() {
             tokio::time::sleep(std::time::Duration::from_millis(10)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, waits).await.map_err(|_| format!("in vain: {what}"))?;
+    tokio::time::timeout(PATIENCE, waits)
+        .await
+        .map_err(|_| format!("in vain: {what}"))?;
     Ok(model::now() - began)
 }
 
@@ -38,9 +43,14 @@
         return Ok(None);
     }
     let hosts = (0..plan.seats).map(|seat| (plan.host(seat), plan.region(seat)));
-    let hosts = hosts.chain((0..plan.nodes).map(|at| (plan.host(plan.seats + at), plan.region(at))));
+    let hosts =
+        hosts.chain((0..plan.nodes).map(|at| (plan.host(plan.seats + at), plan.region(at))));
     let links = crate::links::Links::new(hosts.collect(), plan.hop);
-    let threads = tokio::runtime::Builder::new_multi_thread().worker_threads(2).thread_name("links").enable_all().build();
+    let threads = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(2)
+        .thread_name("links")
+        .enable_all()
+        .build();
     let threads = std::sync::Arc::new(threads.map_err(|error| error.to_string())?);
     Ok(Some((links, threads)))
 }
@@ -53,7 +63,12 @@
     let line = progress.then(|| {
         tokio::spawn(async move {
             loop {
-                eprintln!("hollow: {}", shown.lock().unwrap_or_else(std::sync::PoisonError::into_inner));
+                eprintln!(
+                    "hollow: {}",
+                    shown
+                        .lock()
+                        .unwrap_or_else(std::sync::PoisonError::into_inner)
+                );
                 tokio::time::sleep(std::time::Duration::from_secs(1)).await;
             }
         })
--- a/crates/simulator/src/hollow/node.rs
+++ b/crates/simulator/src/hollow/node.rs
@@ -38,7 +38,13 @@
 }
 
 /// As `tour usher` is set (platform/src/usher.rs).
-fn env(plan: &Plan, places: &[String], at: usize, life: u64, address: String) -> endpoints::NodeConfig {
+fn env(
+    plan: &Plan,
+    places: &[String],
+    at: usize,
+    life: u64,
+    address: String,
+) -> endpoints::NodeConfig {
     let most = 10_000_000;
     endpoints::NodeConfig {
         lease_table: endpoints::LeaseTableConfig {
@@ -46,7 +52,11 @@
             zone: plan.zone(at),
             address,
             incarnation: life,
-            leases: endpoints::LeaseConfig { proof_validity: most * 9 / 10, clock_guard: 200_000, max_duration: most },
+            leases: endpoints::LeaseConfig {
+                proof_validity: most * 9 / 10,
+                clock_guard: 200_000,
+                max_duration: most,
+            },
             heartbeat_interval: BEAT_EVERY,
             backend_address: None,
             drain_timeout: 2_000_000,
@@ -54,7 +64,10 @@
         service: plan.service(at),
         seeds: places.to_vec(),
         header_names: http_util::headers::DEFAULT_HEADER_NAMES,
-        selection: outbound::SelectorConfig { zone_crossing_cost: 15_000, retry_deposit: 8 },
+        selection: outbound::SelectorConfig {
+            zone_crossing_cost: 15_000,
+            retry_deposit: 8,
+        },
         queued_ahead: 1,
         proof_interval: 1_000_000,
         monitor_interval: 500_000,
@@ -64,7 +77,8 @@
 
 pub fn start(making: &Making, at: usize, life: u64) -> Result<Hollow, String> {
     let plan = making.plan.clone();
-    let (listener, address) = super::seats::bind(plan.host(plan.seats + at), making.links.as_ref())?;
+    let (listener, address) =
+        super::seats::bind(plan.host(plan.seats + at), making.links.as_ref())?;
     let env = env(&plan, &making.places, at, life, address);
     let (orders, mut ordered) = tokio::sync::mpsc::unbounded_channel();
     let (ends, ended) = tokio::sync::watch::channel(());
@@ -73,9 +87,13 @@
     let name = back_end.clone();
     let plays = move || {
         let _ends = ends;
-        let Ok(runtime) = super::seats::runtime() else { return };
+        let Ok(runtime) = super::seats::runtime() else {
+            return;
+        };
         runtime.block_on(async {
-            let Ok(listener) = tokio::net::TcpListener::from_std(listener) else { return };
+            let Ok(listener) = tokio::net::TcpListener::from_std(listener) else {
+                return;
+            };
             let part = Part::start(&plan, env.clone(), known, listener);
             drop(told.send(part.following()));
             let acts = async {
@@ -86,13 +104,27 @@
             };
             acts.await;
             if let Part::Whole(node, ..) = &part {
-                node.shut_down(std::time::Duration::ZERO, std::time::Duration::from_millis(500)).await;
+                node.shut_down(
+                    std::time::Duration::ZERO,
+                    std::time::Duration::from_millis(500),
+                )
+                .await;
             }
         });
     };
-    std::thread::Builder::new().name(format!("node-{at}")).spawn(plays).map_err(|error| error.to_string())?;
+    std::thread::Builder::new()
+        .name(format!("node-{at}"))
+        .spawn(plays)
+        .map_err(|error| error.to_string())?;
     let following = hears.recv().map_err(|error| error.to_string())?;
-    Ok(Hollow { at, back_end, life, following, orders, ended })
+    Ok(Hollow {
+        at,
+        back_end,
+        life,
+        following,
+        orders,
+        ended,
+    })
 }
 
 impl Hollow {
@@ -113,7 +145,12 @@
 }
 
 impl Part {
-    fn start(plan: &Plan, env: endpoints::NodeConfig, known: control::KnownReplicas, listener: tokio::net::TcpListener) -> Part {
+    fn start(
+        plan: &Plan,
+        env: endpoints::NodeConfig,
+        known: control::KnownReplicas,
+        listener: tokio::net::TcpListener,
+    ) -> Part {
         let logger = model::logging::discard_logger();
         if plan.parts == Parts::Whole {
             return Part::Whole(Box::new(endpoints::Node::start(env, listener, logger)));
@@ -143,16 +180,37 @@
             proof_interval: env.proof_interval,
             proof_timeout: env.proof_interval * 2,
         };
-        let following = control::follower::start(line, mine.clone(), greeting(transport::Purpose::Subscribe), logger.clone());
-        tokio::spawn(control::discovery::run(mine.clone(), env.seeds.clone(), greeting(transport::Purpose::Discover), || 3));
+        let following = control::follower::start(
+            line,
+            mine.clone(),
+            greeting(transport::Purpose::Subscribe),
+            logger.clone(),
+        );
+        tokio::spawn(control::discovery::run(
+            mine.clone(),
+            env.seeds.clone(),
+            greeting(transport::Purpose::Discover),
+            || 3,
+        ));
         if plan.parts == Parts::Following {
             return Part::Following(following);
         }
-        let reporting = control::StatusReporterConfig { node: own.node.clone(), incarnation: own.incarnation, logger: logger.clone() };
-        let reports = control::StatusReporter::start(reporting, mine, greeting(transport::Purpose::Subscribe));
-        let pit =
-            inbound::ConcurrencyLimiter::start(inbound::ConcurrencyLimiterConfig { header_names: env.header_names.clone(), extra_runs: env.queued_ahead });
-        let troupe = endpoints::LeaseTableHandle::start(own, following.clone(), pit, reports, logger);
+        let reporting = control::StatusReporterConfig {
+            node: own.node.clone(),
+            incarnation: own.incarnation,
+            logger: logger.clone(),
+        };
+        let reports = control::StatusReporter::start(
+            reporting,
+            mine,
+            greeting(transport::Purpose::Subscribe),
+        );
+        let pit = inbound::ConcurrencyLimiter::start(inbound::ConcurrencyLimiterConfig {
+            header_names: env.header_names.clone(),
+            extra_runs: env.queued_ahead,
+        });
+        let troupe =
+            endpoints::LeaseTableHandle::start(own, following.clone(), pit, reports, logger);
         Part::Troupe(following, troupe)
     }
 
@@ -173,11 +231,23 @@
 }
 
 /// Beats until it is ordered to go; in good order only once it has drained, and nobody beats for it any more.
-async fn act(troupe: &endpoints::LeaseTableHandle, env: &endpoints::NodeConfig, name: String, orders: &mut tokio::sync::mpsc::UnboundedReceiver<Order>) {
+async fn act(
+    troupe: &endpoints::LeaseTableHandle,
+    env: &endpoints::NodeConfig,
+    name: String,
+    orders: &mut tokio::sync::mpsc::UnboundedReceiver<Order>,
+) {
     // The process is found alive by whoever dials it.
-    let Ok(process) = std::net::TcpListener::bind("127.0.0.1:0") else { return };
-    let address = process.local_addr().map(|address| address.to_string()).unwrap_or_default();
-    let mut every = tokio::time::interval(std::time::Duration::from_micros(env.lease_table.heartbeat_interval));
+    let Ok(process) = std::net::TcpListener::bind("127.0.0.1:0") else {
+        return;
+    };
+    let address = process
+        .local_addr()
+        .map(|address| address.to_string())
+        .unwrap_or_default();
+    let mut every = tokio::time::interval(std::time::Duration::from_micros(
+        env.lease_table.heartbeat_interval,
+    ));
     every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let (mut sequence, mut held, mut lost): (u64, Rows, Vec<(u16, u16)>) = Default::default();
     let mut drains: Option<model::Microseconds> = None;
@@ -203,10 +273,16 @@
             draining: drains.is_some(),
             sequence,
             held_ranges: held.clone(),
-            released_ranges: std::mem::take(&mut lost).into_iter().map(|(from, to)| (from, to, format!("t{sequence}"))).collect(),
+            released_ranges: std::mem::take(&mut lost)
+                .into_iter()
+                .map(|(from, to)| (from, to, format!("t{sequence}")))
+                .collect(),
         };
         if let Some(Some((rows, _))) = troupe.heartbeat(beat).await {
-            let kept: Rows = rows.into_iter().map(|(from, to, fence, _)| (from, to, fence)).collect();
+            let kept: Rows = rows
+                .into_iter()
+                .map(|(from, to, fence, _)| (from, to, fence))
+                .collect();
             lost = less(&held, &kept);
             held = kept;
         }
@@ -223,7 +299,10 @@
 
 /// The keys of `held` that are not in `kept`.
 fn less(held: &Rows, kept: &Rows) -> Vec<(u16, u16)> {
-    let whole = held.iter().map(|(from, to, _)| (*from as u32, *to as u32)).collect::<Vec<_>>();
+    let whole = held
+        .iter()
+        .map(|(from, to, _)| (*from as u32, *to as u32))
+        .collect::<Vec<_>>();
     let left = kept.iter().fold(whole, |left, (from, to, _)| {
         let (from, to) = (*from as u32, *to as u32);
         let cut = |(low, high): (u32, u32)| {
@@ -233,7 +312,9 @@
         };
         left.into_iter().flat_map(cut).collect()
     });
-    left.into_iter().map(|(from, to)| (from as u16, to as u16)).collect()
+    left.into_iter()
+        .map(|(from, to)| (from as u16, to as u16))
+        .collect()
 }
 
 #[cfg(test)]
@@ -242,7 +323,10 @@
     fn what_is_lost_is_what_was_held_and_is_no_more() {
         let held = vec![(0, 99, 3), (200, u16::MAX, 3)];
         assert_eq!(super::less(&held, &held), vec![]);
-        assert_eq!(super::less(&held, &vec![(0, 49, 3), (300, 399, 9)]), vec![(50, 99), (200, 299), (400, u16::MAX)]);
+        assert_eq!(
+            super::less(&held, &vec![(0, 49, 3), (300, 399, 9)]),
+            vec![(50, 99), (200, 299), (400, u16::MAX)]
+        );
         assert_eq!(super::less(&held, &vec![]), vec![(0, 99), (200, u16::MAX)]);
     }
 }
--- a/crates/simulator/src/hollow/plan.rs
+++ b/crates/simulator/src/hollow/plan.rs
@@ -14,10 +14,14 @@
 
 impl Parts {
     pub fn named(name: &str) -> Option<Parts> {
-        [("following", Parts::Following), ("troupe", Parts::Troupe), ("whole", Parts::Whole)]
-            .into_iter()
-            .find(|(held, _)| *held == name)
-            .map(|(_, parts)| parts)
+        [
+            ("following", Parts::Following),
+            ("troupe", Parts::Troupe),
+            ("whole", Parts::Whole),
+        ]
+        .into_iter()
+        .find(|(held, _)| *held == name)
+        .map(|(_, parts)| parts)
     }
 }
 
@@ -57,7 +61,8 @@
     /// `conns`: it is to be played, not only counted.
     pub fn faults(&self, conns: bool) -> Vec<Fault> {
         let range = |flag: &'static str, held: usize, least: usize, most: usize| {
-            (held < least || held > most).then(|| (flag, format!("{held} is not from {least} to {most}")))
+            (held < least || held > most)
+                .then(|| (flag, format!("{held} is not from {least} to {most}")))
         };
         let ranges = [
             range("--nodes", self.nodes, 1, 4_096),
@@ -73,14 +78,47 @@
             range("--hop", self.hop as usize, 0, 1_000_000),
             range("--cut", self.cut as usize, 0, 3_600),
         ];
-        let alone = (self.cut > 0 && self.regions < 2).then(|| ("--cut", "there is only one region".to_string()));
-        let partly = (self.parts != Parts::Whole && (self.restarts + self.lost) as u64 + self.cut > 0)
-            .then(|| ("--parts", "restarts, lost machines and cuts are for whole nodes".to_string()));
+        let alone = (self.cut > 0 && self.regions < 2)
+            .then(|| ("--cut", "there is only one region".to_string()));
+        let partly = (self.parts != Parts::Whole
+            && (self.restarts + self.lost) as u64 + self.cut > 0)
+            .then(|| {
+                (
+                    "--parts",
+                    "restarts, lost machines and cuts are for whole nodes".to_string(),
+                )
+            });
         let (needed, allowed) = (self.descriptors(), descriptors_allowed());
-        let files = (conns && needed > allowed).then(|| ("--nodes", format!("{} nodes need {needed} descriptors, {allowed} are allowed", self.nodes)));
-        let (needed, allowed) = (self.memory() >> 20, (memory_of_machine() / 100 * MEMORY_PART) >> 20);
-        let memory = (conns && needed > allowed).then(|| ("--nodes", format!("{} nodes need {needed} MB, {allowed} may be used", self.nodes)));
-        ranges.into_iter().flatten().chain(alone).chain(partly).chain(files).chain(memory).collect()
+        let files = (conns && needed > allowed).then(|| {
+            (
+                "--nodes",
+                format!(
+                    "{} nodes need {needed} descriptors, {allowed} are allowed",
+                    self.nodes
+                ),
+            )
+        });
+        let (needed, allowed) = (
+            self.memory() >> 20,
+            (memory_of_machine() / 100 * MEMORY_PART) >> 20,
+        );
+        let memory = (conns && needed > allowed).then(|| {
+            (
+                "--nodes",
+                format!(
+                    "{} nodes need {needed} MB, {allowed} may be used",
+                    self.nodes
+                ),
+            )
+        });
+        ranges
+            .into_iter()
+            .flatten()
+            .chain(alone)
+            .chain(partly)
+            .chain(files)
+            .chain(memory)
+            .collect()
     }
 
     /// Both ends of every conn are in this process; a link makes four of two.
@@ -130,38 +168,69 @@
             dispatches: 2,
             shares: vec![(self.service(at), 1)],
         });
-        model::cluster_state::items::ItemPut { name: format!("l{at}"), version, text: serde_json::to_string(&body).unwrap_or_default(), body }
+        model::cluster_state::items::ItemPut {
+            name: format!("l{at}"),
+            version,
+            text: serde_json::to_string(&body).unwrap_or_default(),
+            body,
+        }
     }
 
     /// All services and lanes, as the operators first write them.
     pub fn first_call(&self) -> model::cluster_state::ItemCall {
         let services = (0..self.services).map(|at| {
-            let service = model::cluster_state::Service { health_path: "/health".into(), max_connections: 0, keyed: self.keyed(at), slow_start_us: 0 };
+            let service = model::cluster_state::Service {
+                health_path: "/health".into(),
+                max_connections: 0,
+                keyed: self.keyed(at),
+                slow_start_us: 0,
+            };
             let body = model::cluster_state::ItemBody::Service(service);
-            model::cluster_state::items::ItemPut { name: self.service(at), version: 1, text: serde_json::to_string(&body).unwrap_or_default(), body }
+            model::cluster_state::items::ItemPut {
+                name: self.service(at),
+                version: 1,
+                text: serde_json::to_string(&body).unwrap_or_default(),
+                body,
+            }
         });
         let lanes = (0..self.lanes).map(|at| self.lane(at, 1));
-        model::cluster_state::ItemCall { puts: services.chain(lanes).collect(), drops: Vec::new() }
+        model::cluster_state::ItemCall {
+            puts: services.chain(lanes).collect(),
+            drops: Vec::new(),
+        }
     }
 
     /// One lane is written anew.
     pub fn change(&self, number: usize) -> model::cluster_state::ItemCall {
-        model::cluster_state::ItemCall { puts: vec![self.lane(number % self.lanes, number as u64 + 2)], drops: Vec::new() }
+        model::cluster_state::ItemCall {
+            puts: vec![self.lane(number % self.lanes, number as u64 + 2)],
+            drops: Vec::new(),
+        }
     }
 
     /// An address of the loopback for each process; other sites on this machine have others.
     pub fn host(&self, at: usize) -> crate::links::Host {
         let site = 64 + std::process::id() % 128;
-        std::net::IpAddr::V4(std::net::Ipv4Addr::new(127, site as u8, (at / 250) as u8 + 1, (at % 250) as u8 + 1))
+        std::net::IpAddr::V4(std::net::Ipv4Addr::new(
+            127,
+            site as u8,
+            (at / 250) as u8 + 1,
+            (at % 250) as u8 + 1,
+        ))
     }
 }
 
 fn descriptors_allowed() -> u64 {
-    rustix::process::getrlimit(rustix::process::Resource::Nofile).current.unwrap_or(u64::MAX)
+    rustix::process::getrlimit(rustix::process::Resource::Nofile)
+        .current
+        .unwrap_or(u64::MAX)
 }
 
 fn memory_of_machine() -> u64 {
     let text = std::fs::read_to_string("/proc/meminfo").unwrap_or_default();
     let line = text.lines().find(|line| line.starts_with("MemTotal:"));
-    line.and_then(|line| line.split_whitespace().nth(1)).and_then(|kilobytes| kilobytes.parse::<u64>().ok()).unwrap_or(0) * 1_024
+    line.and_then(|line| line.split_whitespace().nth(1))
+        .and_then(|kilobytes| kilobytes.parse::<u64>().ok())
+        .unwrap_or(0)
+        * 1_024
 }
--- a/crates/simulator/src/hollow/report.rs
+++ b/crates/simulator/src/hollow/report.rs
@@ -33,10 +33,19 @@
 
 impl Begun {
     pub fn new(name: &'static str, reading: Reading, tally: Tally) -> Begun {
-        Begun { name, reading, tally }
+        Begun {
+            name,
+            reading,
+            tally,
+        }
     }
 
-    pub fn ended(self, after: Reading, tally: Tally, extra: std::collections::BTreeMap<&'static str, f64>) -> Stage {
+    pub fn ended(
+        self,
+        after: Reading,
+        tally: Tally,
+        extra: std::collections::BTreeMap<&'static str, f64>,
+    ) -> Stage {
         let before = &self.reading;
         Stage {
             name: self.name,
@@ -69,7 +78,11 @@
     }
 
     pub fn table(&self) -> String {
-        self.stages.iter().map(Stage::table).collect::<Vec<_>>().join("\n")
+        self.stages
+            .iter()
+            .map(Stage::table)
+            .collect::<Vec<_>>()
+            .join("\n")
     }
 }
 
@@ -105,7 +118,15 @@
                 *bytes as f64 / self.seconds
             )
         });
-        let extra = self.extra.iter().map(|(name, value)| format!("  {name:<20} {value}"));
-        std::iter::once(head).chain(used).chain(said).chain(extra).collect::<Vec<_>>().join("\n")
+        let extra = self
+            .extra
+            .iter()
+            .map(|(name, value)| format!("  {name:<20} {value}"));
+        std::iter::once(head)
+            .chain(used)
+            .chain(said)
+            .chain(extra)
+            .collect::<Vec<_>>()
+            .join("\n")
     }
 }
--- a/crates/simulator/src/hollow/stages.rs
+++ b/crates/simulator/src/hollow/stages.rs
@@ -20,7 +20,11 @@
     tell(&told, "the core starts".into());
     let cut = links.as_ref().map(|(links, _)| links.clone());
     let site = Site::start(plan, links).await?;
-    let mut play = Play { site, stages: Vec::new(), told };
+    let mut play = Play {
+        site,
+        stages: Vec::new(),
+        told,
+    };
     play.gather().await?;
     play.rest().await?;
     if play.site.plan.changes > 0 {
@@ -35,27 +39,47 @@
     if let Some(links) = cut.filter(|_| play.site.plan.cut > 0) {
         play.cut(&links).await?;
     }
-    Ok(Report { plan: (*play.site.plan).clone(), stages: play.stages })
+    Ok(Report {
+        plan: (*play.site.plan).clone(),
+        stages: play.stages,
+    })
 }
 
 fn tell(told: &Told, line: String) {
-    *told.lock().unwrap_or_else(std::sync::PoisonError::into_inner) = line;
+    *told
+        .lock()
+        .unwrap_or_else(std::sync::PoisonError::into_inner) = line;
 }
 
 impl Play {
     fn tell(&self, line: String) {
-        tell(&self.told, format!("{line}; {} nodes, log at {}", self.site.live().count(), self.site.witness.programme().position));
+        tell(
+            &self.told,
+            format!(
+                "{line}; {} nodes, log at {}",
+                self.site.live().count(),
+                self.site.witness.programme().position
+            ),
+        );
     }
 
     fn begin(&self, name: &'static str) -> super::report::Begun {
         self.tell(name.into());
-        super::report::Begun::new(name, super::meter::reading(&self.site.seats.cores), self.site.witness.tally())
+        super::report::Begun::new(
+            name,
+            super::meter::reading(&self.site.seats.cores),
+            self.site.witness.tally(),
+        )
     }
 
     fn end(&mut self, begun: super::report::Begun, extra: Extra) {
         let ghosts = ("ghosts", self.site.ghosts() as f64);
         let extra = extra.into_iter().chain([ghosts]).collect();
-        self.stages.push(begun.ended(super::meter::reading(&self.site.seats.cores), self.site.witness.tally(), extra));
+        self.stages.push(begun.ended(
+            super::meter::reading(&self.site.seats.cores),
+            self.site.witness.tally(),
+            extra,
+        ));
     }
 
     /// All nodes come, a few at a time, until the log says all of them.
@@ -86,7 +110,9 @@
     }
 
     fn pace(&self, count: usize) -> tokio::time::Interval {
-        let mut every = tokio::time::interval(std::time::Duration::from_secs(self.site.plan.seconds) / count as u32);
+        let mut every = tokio::time::interval(
+            std::time::Duration::from_secs(self.site.plan.seconds) / count as u32,
+        );
         every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         every
     }
@@ -98,12 +124,19 @@
         for number in 0..self.site.plan.changes {
             every.tick().await;
             self.tell(format!("change {number}"));
-            let (core, asked) = (&self.site.seats.cores[number % self.site.plan.seats], model::now());
-            let Some(model::Outcome::Accepted { position, .. }) = core.change_items(self.site.plan.change(number)).await else {
+            let (core, asked) = (
+                &self.site.seats.cores[number % self.site.plan.seats],
+                model::now(),
+            );
+            let Some(model::Outcome::Accepted { position, .. }) =
+                core.change_items(self.site.plan.change(number)).await
+            else {
                 return Err(format!("change {number} was not taken"));
             };
             answered.push(model::now() - asked);
-            let holds = |held: &super::node::Hollow| held.following.verified_state.load().snapshot.position >= position;
+            let holds = |held: &super::node::Hollow| {
+                held.following.verified_state.load().snapshot.position >= position
+            };
             super::until("a change is in force", || self.site.live().all(holds)).await?;
             in_force.push(model::now() - asked);
         }
@@ -166,22 +199,34 @@
         order.sort_by_key(|at| at % plan.zones);
         let gone: Vec<usize> = order.into_iter().take(plan.lost).collect();
         let began = model::now();
-        let left: Vec<_> = gone.iter().filter_map(|at| self.site.nodes[*at].take()).collect();
+        let left: Vec<_> = gone
+            .iter()
+            .filter_map(|at| self.site.nodes[*at].take())
+            .collect();
         left.iter().for_each(|held| held.order(Order::Vanish));
         for held in left {
             held.gone().await;
         }
         let absent = || {
             let programme = self.site.witness.programme();
-            gone.iter().all(|at| programme.nodes.get(&format!("n{at}")).is_some_and(|place| !place.present))
+            gone.iter().all(|at| {
+                programme
+                    .nodes
+                    .get(&format!("n{at}"))
+                    .is_some_and(|place| !place.present)
+            })
         };
         super::until("all that are lost are missed", absent).await?;
         let missed = model::now() - began;
         self.site.settled("their keys are held by others").await?;
-        let extra = Extra::from([("missed_us", missed as f64), ("settled_us", (model::now() - began) as f64)]);
+        let extra = Extra::from([
+            ("missed_us", missed as f64),
+            ("settled_us", (model::now() - began) as f64),
+        ]);
         self.end(begun, extra);
         let begun = self.begin("back");
-        gone.into_iter().try_for_each(|at| self.site.start_node(at))?;
+        gone.into_iter()
+            .try_for_each(|at| self.site.start_node(at))?;
         let waited = self.site.settled("all that came back are placed").await?;
         tokio::time::sleep(AFTER).await;
         self.end(begun, Extra::from([("settled_us", waited as f64)]));
@@ -193,25 +238,50 @@
         let (plan, begun) = (self.site.plan.clone(), self.begin("cut"));
         let region = plan.regions - 1;
         let all = (0..plan.seats).map(|seat| (plan.host(seat), plan.region(seat)));
-        let all: Vec<_> = all.chain((0..plan.nodes).map(|at| (plan.host(plan.seats + at), plan.region(at)))).collect();
-        let (inside, outside): (Vec<_>, Vec<_>) = all.into_iter().partition(|(_, held)| *held == region);
-        inside.iter().flat_map(|(one, _)| outside.iter().map(move |(two, _)| (*one, *two))).for_each(|(one, two)| {
-            links.cut(one, two);
-            links.cut(two, one);
-        });
+        let all: Vec<_> = all
+            .chain((0..plan.nodes).map(|at| (plan.host(plan.seats + at), plan.region(at))))
+            .collect();
+        let (inside, outside): (Vec<_>, Vec<_>) =
+            all.into_iter().partition(|(_, held)| *held == region);
+        inside
+            .iter()
+            .flat_map(|(one, _)| outside.iter().map(move |(two, _)| (*one, *two)))
+            .for_each(|(one, two)| {
+                links.cut(one, two);
+                links.cut(two, one);
+            });
         self.site.witness.absent_most();
         tokio::time::sleep(std::time::Duration::from_secs(plan.cut)).await;
         let absent = self.site.witness.absent_most();
-        let of =
-            |absent: &[usize], inside: bool| absent.iter().enumerate().filter(|(held, _)| (*held == region) == inside).map(|(_, count)| *count as f64).sum();
-        self.end(begun, Extra::from([("absent_inside", of(&absent, true)), ("absent_outside", of(&absent, false))]));
+        let of = |absent: &[usize], inside: bool| {
+            absent
+                .iter()
+                .enumerate()
+                .filter(|(held, _)| (*held == region) == inside)
+                .map(|(_, count)| *count as f64)
+                .sum()
+        };
+        self.end(
+            begun,
+            Extra::from([
+                ("absent_inside", of(&absent, true)),
+                ("absent_outside", of(&absent, false)),
+            ]),
+        );
         let begun = self.begin("joined");
         links.mend();
         let waited = self.site.settled("both sides are one again").await?;
         tokio::time::sleep(AFTER * 4).await;
         self.site.settled("both sides stay one").await?;
         let absent = self.site.witness.absent_most();
-        self.end(begun, Extra::from([("settled_us", waited as f64), ("absent_inside", of(&absent, true)), ("absent_outside", of(&absent, false))]));
+        self.end(
+            begun,
+            Extra::from([
+                ("settled_us", waited as f64),
+                ("absent_inside", of(&absent, true)),
+                ("absent_outside", of(&absent, false)),
+            ]),
+        );
         Ok(())
     }
 }
--- a/crates/simulator/src/hollow/witness.rs
+++ b/crates/simulator/src/hollow/witness.rs
@@ -36,8 +36,18 @@
             expected_disk: None,
             known_replicas: Vec::new(),
         };
-        let env = control::FollowerConfig { node: name, zone, proof_interval: 1_000_000, proof_timeout: 2_000_000 };
-        let following = control::follower::start(env, known, move || own.clone(), model::logging::discard_logger());
+        let env = control::FollowerConfig {
+            node: name,
+            zone,
+            proof_interval: 1_000_000,
+            proof_timeout: 2_000_000,
+        };
+        let following = control::follower::start(
+            env,
+            known,
+            move || own.clone(),
+            model::logging::discard_logger(),
+        );
         let tally = std::sync::Arc::new(std::sync::Mutex::new(Tally::default()));
         let (counts, line) = (tally.clone(), following.clone());
         tokio::spawn(async move {
@@ -46,7 +56,9 @@
             while moved.changed().await.is_ok() {
                 let next = line.verified_state.load().snapshot.clone();
                 if next.position != last.position {
-                    let mut counts = counts.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+                    let mut counts = counts
+                        .lock()
+                        .unwrap_or_else(std::sync::PoisonError::into_inner);
                     counts.add(&plan, &last, &next);
                     last = next;
                 }
@@ -60,12 +72,18 @@
     }
 
     pub fn tally(&self) -> Tally {
-        self.tally.lock().unwrap_or_else(std::sync::PoisonError::into_inner).clone()
+        self.tally
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
+            .clone()
     }
 
     /// The most that were absent since the last time.
     pub fn absent_most(&self) -> Vec<usize> {
-        let mut tally = self.tally.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        let mut tally = self
+            .tally
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner);
         let now = tally.absent.clone();
         std::mem::replace(&mut tally.absent_most, now)
     }
@@ -80,27 +98,44 @@
             if !std::sync::Arc::ptr_eq(before, held) {
                 self.placements += (before.0 != held.0) as u64;
                 let (rows, keys) = moved(&before.1, &held.1);
-                (self.rows_moved, self.keys_moved) = (self.rows_moved + rows, self.keys_moved + keys);
+                (self.rows_moved, self.keys_moved) =
+                    (self.rows_moved + rows, self.keys_moved + keys);
             }
         });
         if !std::sync::Arc::ptr_eq(&last.nodes, &next.nodes) {
-            let gone = next.nodes.iter().filter(|(_, place)| !place.present).filter_map(|(name, _)| name[1..].parse::<usize>().ok());
+            let gone = next
+                .nodes
+                .iter()
+                .filter(|(_, place)| !place.present)
+                .filter_map(|(name, _)| name[1..].parse::<usize>().ok());
             self.absent = gone.fold(vec![0; plan.regions], |mut absent, at| {
                 absent[plan.region(at)] += 1;
                 absent
             });
             self.absent_most.resize(plan.regions, 0);
-            self.absent_most.iter_mut().zip(&self.absent).for_each(|(most, now)| *most = (*most).max(*now));
+            self.absent_most
+                .iter_mut()
+                .zip(&self.absent)
+                .for_each(|(most, now)| *most = (*most).max(*now));
         }
     }
 }
 
 /// Rows and keys of `new` that another holder has than in `old`.
 pub fn moved(old: &ShardMap, new: &ShardMap) -> (u64, u64) {
-    let pieces = new.iter().filter(|row| row.holder.is_some()).flat_map(|row| {
-        let others = old.iter().filter(|held| held.first_key <= row.last_key && row.first_key <= held.last_key && held.holder != row.holder);
-        others.map(|held| (held.last_key.min(row.last_key) - held.first_key.max(row.first_key)) as u64 + 1)
-    });
+    let pieces = new
+        .iter()
+        .filter(|row| row.holder.is_some())
+        .flat_map(|row| {
+            let others = old.iter().filter(|held| {
+                held.first_key <= row.last_key
+                    && row.first_key <= held.last_key
+                    && held.holder != row.holder
+            });
+            others.map(|held| {
+                (held.last_key.min(row.last_key) - held.first_key.max(row.first_key)) as u64 + 1
+            })
+        });
     pieces.fold((0, 0), |(rows, keys), size| (rows + 1, keys + size))
 }
 
@@ -110,8 +145,17 @@
 
     #[test]
     fn keys_that_change_hands_are_counted_once() {
-        let cast = |parts: &[(u16, u16, &str)]| -> Vec<(u16, u16, String)> { parts.iter().map(|(from, to, name)| (*from, *to, name.to_string())).collect() };
-        let first = shard_map::reassign(shard_map::unassigned(), &cast(&[(0, 9_999, "a"), (10_000, u16::MAX, "b")]), 1);
+        let cast = |parts: &[(u16, u16, &str)]| -> Vec<(u16, u16, String)> {
+            parts
+                .iter()
+                .map(|(from, to, name)| (*from, *to, name.to_string()))
+                .collect()
+        };
+        let first = shard_map::reassign(
+            shard_map::unassigned(),
+            &cast(&[(0, 9_999, "a"), (10_000, u16::MAX, "b")]),
+            1,
+        );
         let second = shard_map::reassign(first.clone(), &cast(&[(5_000, 14_999, "c")]), 2);
         assert_eq!(super::moved(&shard_map::unassigned(), &first), (2, 65_536));
         assert_eq!(super::moved(&first, &second), (2, 10_000));
--- a/crates/simulator/src/keysim/blows.rs
+++ b/crates/simulator/src/keysim/blows.rs
@@ -56,8 +56,17 @@
         .map(|(chunk, turn)| {
             let time = 4_000_000 + turn * 1_300_000 + chunk[0] as u64 * 4_000;
             // Most are short; some outlast every hold.
-            let length = if chunk[2] < 160 { 50_000 + chunk[2] as u64 * 20_000 } else { chunk[2] as u64 * 60_000 };
-            (time, kinds[chunk[0] as usize % kinds.len()], chunk[1] as usize, length)
+            let length = if chunk[2] < 160 {
+                50_000 + chunk[2] as u64 * 20_000
+            } else {
+                chunk[2] as u64 * 60_000
+            };
+            (
+                time,
+                kinds[chunk[0] as usize % kinds.len()],
+                chunk[1] as usize,
+                length,
+            )
         })
         .collect()
 }
@@ -65,7 +74,9 @@
 /// The blows that a seed draws, `count` of them.
 pub fn draw(kinds: &[Blow], seed: u64, count: usize) -> Vec<Struck> {
     let mut random: rand::rngs::StdRng = rand::SeedableRng::seed_from_u64(seed + 1_000);
-    let bytes: Vec<u8> = (0..count * 3).map(|_| rand::Rng::random_range(&mut random, 0..=255u8)).collect();
+    let bytes: Vec<u8> = (0..count * 3)
+        .map(|_| rand::Rng::random_range(&mut random, 0..=255u8))
+        .collect();
     blows(kinds, &bytes)
 }
 
@@ -101,12 +112,21 @@
                 self.nodes[at].frozen = false;
                 let late = std::mem::take(&mut self.nodes[at].late);
                 // What waits on several conns is read in any order.
-                let (mut beats, rest): (Vec<Event>, Vec<Event>) = late.into_iter().partition(|event| matches!(event, Event::BeatComes(..)));
+                let (mut beats, rest): (Vec<Event>, Vec<Event>) = late
+                    .into_iter()
+                    .partition(|event| matches!(event, Event::BeatComes(..)));
                 if self.draw((0, 1)) == 0 {
                     beats.reverse();
                 }
-                let (first, second) = if self.draw((0, 1)) == 0 { (beats, rest) } else { (rest, beats) };
-                first.into_iter().chain(second).for_each(|event| self.happen(event));
+                let (first, second) = if self.draw((0, 1)) == 0 {
+                    (beats, rest)
+                } else {
+                    (rest, beats)
+                };
+                first
+                    .into_iter()
+                    .chain(second)
+                    .for_each(|event| self.happen(event));
             }
             Blow::Cut => self.nodes[at].cut = false,
             Blow::Dumb => self.nodes[at].dumb = false,
@@ -134,12 +154,19 @@
         let life = node.incarnation();
         // Two watchers miss it in time, as the ring of nodes has them do.
         if length > 3_000_000 && self.log.out_until <= self.now {
-            let missed =
-                |by: usize| ClusterReport::NodeObserved { observer: format!("node-{by}"), node: format!("node-{at}"), incarnation: life, missed: true };
+            let missed = |by: usize| ClusterReport::NodeObserved {
+                observer: format!("node-{by}"),
+                node: format!("node-{at}"),
+                incarnation: life,
+                missed: true,
+            };
             let watchers = [(at + 1) % self.plan.nodes, (at + 2) % self.plan.nodes];
             let now = self.now;
             watchers.into_iter().zip(0u64..).for_each(|(by, turn)| {
-                self.at(now + 2_600_000 + turn * 100_000, Event::Missed(by, now + turn, vec![missed(by)]));
+                self.at(
+                    now + 2_600_000 + turn * 100_000,
+                    Event::Missed(by, now + turn, vec![missed(by)]),
+                );
             });
         }
     }
--- a/crates/simulator/src/keysim/judge.rs
+++ b/crates/simulator/src/keysim/judge.rs
@@ -20,26 +20,57 @@
     }
 
     /// `taker` has just taken up or renewed what it holds.
-    pub(super) fn taken(&mut self, now: Microseconds, players: &[super::player::Player], taker: usize) {
+    pub(super) fn taken(
+        &mut self,
+        now: Microseconds,
+        players: &[super::player::Player],
+        taker: usize,
+    ) {
         let own = players[taker].held(now);
-        let others = players.iter().zip(0..).filter(|(player, at)| *at != taker && player.alive);
-        let clash = others.flat_map(|(player, _)| player.held(now).into_iter().map(|row| (player.name(), row))).find_map(|(name, (from, to, fence))| {
-            let met = own.iter().find(|(start, end, _)| *start <= to && from <= *end)?;
-            Some(format!("{} holds {met:?}, {name} holds {:?}", players[taker].name(), (from, to, fence)))
-        });
-        clash.into_iter().for_each(|told| self.breaks(now, "owner", told));
+        let others = players
+            .iter()
+            .zip(0..)
+            .filter(|(player, at)| *at != taker && player.alive);
+        let clash = others
+            .flat_map(|(player, _)| player.held(now).into_iter().map(|row| (player.name(), row)))
+            .find_map(|(name, (from, to, fence))| {
+                let met = own
+                    .iter()
+                    .find(|(start, end, _)| *start <= to && from <= *end)?;
+                Some(format!(
+                    "{} holds {met:?}, {name} holds {:?}",
+                    players[taker].name(),
+                    (from, to, fence)
+                ))
+            });
+        clash
+            .into_iter()
+            .for_each(|told| self.breaks(now, "owner", told));
     }
 
     /// At the end, well after the last fault: every key has a holder, and everyone who is there holds some.
     pub(super) fn close(&mut self, now: Microseconds, players: &[super::player::Player]) {
-        let mut held: Vec<(ShardKey, ShardKey)> =
-            players.iter().filter(|player| player.alive).flat_map(|player| player.held(now)).map(|(from, to, _)| (from, to)).collect();
+        let mut held: Vec<(ShardKey, ShardKey)> = players
+            .iter()
+            .filter(|player| player.alive)
+            .flat_map(|player| player.held(now))
+            .map(|(from, to, _)| (from, to))
+            .collect();
         held.sort();
-        let reach = held.iter().fold(0u32, |reach, (from, to)| if *from as u32 <= reach { reach.max(*to as u32 + 1) } else { reach });
+        let reach = held.iter().fold(0u32, |reach, (from, to)| {
+            if *from as u32 <= reach {
+                reach.max(*to as u32 + 1)
+            } else {
+                reach
+            }
+        });
         if reach <= ShardKey::MAX as u32 {
             self.breaks(now, "unheld", format!("nobody holds key {reach}: {held:?}"));
         }
-        let idle = players.iter().filter(|player| player.alive && player.held(now).is_empty()).map(super::player::Player::name);
+        let idle = players
+            .iter()
+            .filter(|player| player.alive && player.held(now).is_empty())
+            .map(super::player::Player::name);
         let idle: Vec<String> = idle.collect();
         if !idle.is_empty() {
             self.breaks(now, "idle", format!("{idle:?} live and hold nothing"));
--- a/crates/simulator/src/keysim/line.rs
+++ b/crates/simulator/src/keysim/line.rs
@@ -20,8 +20,15 @@
 
 impl Stage {
     pub(super) fn start(&mut self, at: usize) {
-        let guard = if self.plan.without.slow_clock { 0 } else { self.plan.keys.clock_guard };
-        let env = endpoints::LeaseConfig { clock_guard: guard, ..self.plan.keys };
+        let guard = if self.plan.without.slow_clock {
+            0
+        } else {
+            self.plan.keys.clock_guard
+        };
+        let env = endpoints::LeaseConfig {
+            clock_guard: guard,
+            ..self.plan.keys
+        };
         let clock = self.clock(at);
         self.nodes[at].begin(at, env, clock);
         let life = self.nodes[at].life;
@@ -34,7 +41,13 @@
         let (clock, seats) = (self.clock(at), self.log.seats.len());
         let seat = self.draw((0, seats as u64 - 1)) as usize;
         let node = &mut self.nodes[at];
-        node.line = super::line::Line { conn: node.line.conn + 1, seat, broken: node.cut, proved: clock, ..Default::default() };
+        node.line = super::line::Line {
+            conn: node.line.conn + 1,
+            seat,
+            broken: node.cut,
+            proved: clock,
+            ..Default::default()
+        };
         let (conn, held) = (node.line.conn, node.programme.position);
         self.after((300, 5_000), Event::Follow(at, conn, held));
     }
@@ -60,7 +73,11 @@
     fn say(&mut self, told: Vec<((usize, u64), Told)>) {
         told.into_iter().for_each(|((at, conn), told)| {
             if self.carries(at, conn) {
-                let slow = if self.draw((0, 19)) == 0 { 700_000 } else { 10_000 };
+                let slow = if self.draw((0, 19)) == 0 {
+                    700_000
+                } else {
+                    10_000
+                };
                 let time = self.now + self.draw((300, slow));
                 let latest = &mut self.nodes[at].line.latest;
                 *latest = time.max(*latest + 1);
@@ -106,14 +123,24 @@
         match told {
             // Forward only.
             Told::News { to, .. } if to <= node.programme.position => {}
-            Told::News { afresh, from, to, deltas } if afresh || from == node.programme.position => {
+            Told::News {
+                afresh,
+                from,
+                to,
+                deltas,
+            } if afresh || from == node.programme.position => {
                 node.programme = node.programme.updated(afresh, to, deltas);
                 node.observe(clock);
                 self.tell(at);
             }
             Told::News { .. } => self.connect(at),
             Told::Proof { number, position } => {
-                let asked = node.line.asks.iter().find(|(asked, _)| *asked == number).map(|(_, at)| *at);
+                let asked = node
+                    .line
+                    .asks
+                    .iter()
+                    .find(|(asked, _)| *asked == number)
+                    .map(|(_, at)| *at);
                 node.line.asks.retain(|(asked, _)| *asked > number);
                 if let Some(asked) = asked.filter(|_| position <= node.programme.position) {
                     node.line.proved = clock;
--- a/crates/simulator/src/keysim/log.rs
+++ b/crates/simulator/src/keysim/log.rs
@@ -6,8 +6,16 @@
 /// What a seat says on a conn: news from one position to another, or a proof by number.
 #[derive(Clone, Debug)]
 pub(super) enum Told {
-    News { afresh: bool, from: Position, to: Position, deltas: Vec<Delta> },
-    Proof { number: u64, position: Position },
+    News {
+        afresh: bool,
+        from: Position,
+        to: Position,
+        deltas: Vec<Delta>,
+    },
+    Proof {
+        number: u64,
+        position: Position,
+    },
 }
 
 pub(super) type Entry = (String, u64, u64, Vec<ClusterReport>);
@@ -36,20 +44,38 @@
 
 impl Log {
     pub fn new(seats: usize) -> Log {
-        Log { entries: Vec::new(), bill: ClusterState::default(), seats: (0..seats).map(|_| Seat::default()).collect(), times: Vec::new(), out_until: 0 }
+        Log {
+            entries: Vec::new(),
+            bill: ClusterState::default(),
+            seats: (0..seats).map(|_| Seat::default()).collect(),
+            times: Vec::new(),
+            out_until: 0,
+        }
     }
 
     pub fn items(&mut self, call: model::cluster_state::ItemCall) {
         // Before anything else: all seats hold the items.
-        drop(self.bill.apply("operator", 1, 0, ClusterOperation::Items(call)));
+        drop(
+            self.bill
+                .apply("operator", 1, 0, ClusterOperation::Items(call)),
+        );
         let bill = &self.bill;
-        self.seats.iter_mut().for_each(|seat| seat.bill = bill.clone());
+        self.seats
+            .iter_mut()
+            .for_each(|seat| seat.bill = bill.clone());
     }
 
     pub fn order(&mut self, now: Microseconds, entry: Entry) -> Outcome {
         self.times.push(now);
         self.entries.push(entry.clone());
-        self.bill.apply(&entry.0, entry.1, entry.2, ClusterOperation::Reports(entry.3)).0
+        self.bill
+            .apply(
+                &entry.0,
+                entry.1,
+                entry.2,
+                ClusterOperation::Reports(entry.3),
+            )
+            .0
     }
 }
 
@@ -63,26 +89,49 @@
             .flat_map(|(conn, held)| {
                 let since = history.iter().position(|(from, ..)| from == held);
                 let news = match since {
-                    Some(at) => history[at..].iter().map(|(from, to, deltas)| (false, *from, *to, deltas.clone())).collect(),
+                    Some(at) => history[at..]
+                        .iter()
+                        .map(|(from, to, deltas)| (false, *from, *to, deltas.clone()))
+                        .collect(),
                     None => vec![(true, 0, bill.position, bill.full_deltas())],
                 };
                 *held = bill.position;
                 let conn = *conn;
-                news.into_iter().map(move |(afresh, from, to, deltas)| (conn, Told::News { afresh, from, to, deltas })).collect::<Vec<_>>()
+                news.into_iter()
+                    .map(move |(afresh, from, to, deltas)| {
+                        (
+                            conn,
+                            Told::News {
+                                afresh,
+                                from,
+                                to,
+                                deltas,
+                            },
+                        )
+                    })
+                    .collect::<Vec<_>>()
             })
             .collect()
     }
 
     fn prove(&mut self) -> Vec<(Conn, Told)> {
         let (applied, position) = (self.applied, self.bill.position);
-        let done = self.asks.extract_if(.., |(_, _, needed)| *needed <= applied);
-        done.map(|(conn, number, _)| (conn, Told::Proof { number, position })).collect()
+        let done = self
+            .asks
+            .extract_if(.., |(_, _, needed)| *needed <= applied);
+        done.map(|(conn, number, _)| (conn, Told::Proof { number, position }))
+            .collect()
     }
 
     /// News goes before the proof that leans on it.
     pub fn apply(&mut self, entry: Entry) -> Vec<(Conn, Told)> {
         let before = self.bill.position;
-        let (_, deltas) = self.bill.apply(&entry.0, entry.1, entry.2, ClusterOperation::Reports(entry.3));
+        let (_, deltas) = self.bill.apply(
+            &entry.0,
+            entry.1,
+            entry.2,
+            ClusterOperation::Reports(entry.3),
+        );
         self.applied += 1;
         if !deltas.is_empty() {
             self.history.push((before, self.bill.position, deltas));
--- a/crates/simulator/src/keysim/mod.rs
+++ b/crates/simulator/src/keysim/mod.rs
@@ -17,7 +17,13 @@
 
 /// One simulated service from its beginning through the blows to its recovery; what was broken, and the stage.
 pub fn play(plan: KeyPlan, struck: &[Struck]) -> (Vec<String>, Stage) {
-    let end = struck.iter().map(|(at, _, _, length)| at + length).max().unwrap_or(3_000_000).max(3_000_000) + plan.recovery();
+    let end = struck
+        .iter()
+        .map(|(at, _, _, length)| at + length)
+        .max()
+        .unwrap_or(3_000_000)
+        .max(3_000_000)
+        + plan.recovery();
     let mut stage = Stage::new(plan);
     struck.iter().for_each(|blow| stage.strikes(*blow));
     stage.run_until(end);
--- a/crates/simulator/src/keysim/node.rs
+++ b/crates/simulator/src/keysim/node.rs
@@ -83,13 +83,31 @@
 
     /// A new process: all that was in memory is gone.
     pub fn begin(&mut self, at: usize, env: endpoints::LeaseConfig, began: Microseconds) {
-        let (life, rate, cut, dumb, conns) = (self.life + 1, self.rate, self.cut, self.dumb, self.line.conn + 1);
-        *self = Node { life, rate, cut, dumb, began, up: true, ..Node::new(at, rate, env) };
+        let (life, rate, cut, dumb, conns) = (
+            self.life + 1,
+            self.rate,
+            self.cut,
+            self.dumb,
+            self.line.conn + 1,
+        );
+        *self = Node {
+            life,
+            rate,
+            cut,
+            dumb,
+            began,
+            up: true,
+            ..Node::new(at, rate, env)
+        };
         self.line.conn = conns;
     }
 
     pub fn rows(&self) -> model::cluster_state::ShardMap {
-        self.programme.placements.get(super::stage::SERVICE).map(|held| held.1.clone()).unwrap_or_default()
+        self.programme
+            .placements
+            .get(super::stage::SERVICE)
+            .map(|held| held.1.clone())
+            .unwrap_or_default()
     }
 
     pub fn observe(&mut self, now: Microseconds) {
@@ -99,21 +117,39 @@
         }
     }
 
-    pub fn beat(&mut self, plan: &super::KeyPlan, now: Microseconds, beat: endpoints::Heartbeat) -> endpoints::HeartbeatAnswer {
-        let within = |span: Microseconds| self.own.as_ref().is_some_and(|own| own.beat.name != beat.name && now < own.heard + span);
+    pub fn beat(
+        &mut self,
+        plan: &super::KeyPlan,
+        now: Microseconds,
+        beat: endpoints::Heartbeat,
+    ) -> endpoints::HeartbeatAnswer {
+        let within = |span: Microseconds| {
+            self.own
+                .as_ref()
+                .is_some_and(|own| own.beat.name != beat.name && now < own.heard + span)
+        };
         let known = self.programme.backends.contains_key(&beat.name);
-        let earlier = !plan.without.late && (within(plan.beat_every / 4) || known && within(plan.beat_every * 2));
+        let earlier = !plan.without.late
+            && (within(plan.beat_every / 4) || known && within(plan.beat_every * 2));
         if earlier || self.ends.contains_key(&beat.name) || self.over.contains(&beat.name) {
             return None;
         }
-        if self.own.as_ref().is_some_and(|own| own.beat.name == beat.name && own.beat.sequence >= beat.sequence) {
+        if self
+            .own
+            .as_ref()
+            .is_some_and(|own| own.beat.name == beat.name && own.beat.sequence >= beat.sequence)
+        {
             return None;
         }
         if let Some(earlier) = self.own.take_if(|own| own.beat.name != beat.name) {
             self.ends.insert(earlier.beat.name, true);
         }
         if !beat.released_ranges.is_empty() {
-            let through = if plan.without.through { Position::MAX } else { self.programme.position };
+            let through = if plan.without.through {
+                Position::MAX
+            } else {
+                self.programme.position
+            };
             self.facts.push(ClusterReport::ShardsReleased {
                 service: beat.service.clone(),
                 name: beat.name.clone(),
@@ -121,29 +157,68 @@
                 ranges: beat.released_ranges.clone(),
             });
         }
-        let unknown = if plan.without.memory || beat.held_ranges.is_empty() { 0 } else { now + plan.keys.max_duration };
-        let (held_until, told_before) = self.own.as_ref().map(|own| (own.held_until, own.told_before)).unwrap_or((0, unknown));
+        let unknown = if plan.without.memory || beat.held_ranges.is_empty() {
+            0
+        } else {
+            now + plan.keys.max_duration
+        };
+        let (held_until, told_before) = self
+            .own
+            .as_ref()
+            .map(|own| (own.held_until, own.told_before))
+            .unwrap_or((0, unknown));
         let drained = self.own.as_ref().is_some_and(|own| own.drained) || beat.draining;
         let beats_on = self.own.is_some();
-        let mut own = Own { heard: now, drained, held_until, told_before, silent: false, probing: false, beats_on, beat };
+        let mut own = Own {
+            heard: now,
+            drained,
+            held_until,
+            told_before,
+            silent: false,
+            probing: false,
+            beats_on,
+            beat,
+        };
         let answer = self.grant(plan, now, &mut own);
         self.own = Some(own);
         answer
     }
 
-    fn grant(&mut self, plan: &super::KeyPlan, now: Microseconds, own: &mut Own) -> endpoints::HeartbeatAnswer {
+    fn grant(
+        &mut self,
+        plan: &super::KeyPlan,
+        now: Microseconds,
+        own: &mut Own,
+    ) -> endpoints::HeartbeatAnswer {
         let mut rows = self.rows();
         if plan.without.wait {
             rows.iter_mut().for_each(|row| row.pending_releases.clear());
         }
-        let proved = if plan.without.proof && self.proved > 0 { now } else { self.proved };
-        let grant = self.keys.grant(now, proved, &rows, &own.beat.name, &own.beat.held_ranges)?;
-        let hold = if plan.without.slow_clock { (grant.duration * 103 / 100).min(plan.keys.max_duration) } else { grant.duration };
+        let proved = if plan.without.proof && self.proved > 0 {
+            now
+        } else {
+            self.proved
+        };
+        let grant = self
+            .keys
+            .grant(now, proved, &rows, &own.beat.name, &own.beat.held_ranges)?;
+        let hold = if plan.without.slow_clock {
+            (grant.duration * 103 / 100).min(plan.keys.max_duration)
+        } else {
+            grant.duration
+        };
         if !grant.waited_out.is_empty() {
-            self.facts.push(ClusterReport::ReleasesExpired { service: own.beat.service.clone(), ranges: grant.waited_out });
+            self.facts.push(ClusterReport::ReleasesExpired {
+                service: own.beat.service.clone(),
+                ranges: grant.waited_out,
+            });
         }
         own.held_until = now + hold;
-        own.beat.held_ranges = grant.ranges.iter().map(|(from, to, fence, _)| (*from, *to, *fence)).collect();
+        own.beat.held_ranges = grant
+            .ranges
+            .iter()
+            .map(|(from, to, fence, _)| (*from, *to, *fence))
+            .collect();
         Some((grant.ranges, hold))
     }
 
@@ -167,9 +242,18 @@
                 return None;
             }
             // It may be heard again; what it owed it holds no more.
-            let owed = rows.iter().filter(|row| row.pending_releases.iter().any(|(owing, _)| *owing == name));
-            let rows: Vec<(u16, u16, String)> = owed.map(|row| (row.first_key, row.last_key, String::new())).collect();
-            let fact = ClusterReport::ShardsReleased { service: own.beat.service.clone(), name: name.clone(), known_through: position, ranges: rows.clone() };
+            let owed = rows
+                .iter()
+                .filter(|row| row.pending_releases.iter().any(|(owing, _)| *owing == name));
+            let rows: Vec<(u16, u16, String)> = owed
+                .map(|row| (row.first_key, row.last_key, String::new()))
+                .collect();
+            let fact = ClusterReport::ShardsReleased {
+                service: own.beat.service.clone(),
+                name: name.clone(),
+                known_through: position,
+                ranges: rows.clone(),
+            };
             if !rows.is_empty() && !self.facts.contains(&fact) {
                 self.facts.push(fact);
             }
--- a/crates/simulator/src/keysim/placing.rs
+++ b/crates/simulator/src/keysim/placing.rs
@@ -22,11 +22,19 @@
 
 fn rank(programme: &StateSnapshot, node: &str) -> u64 {
     let weight = |name: &str| model::leases::stable_hash(&format!("{SERVICE}\n{name}"));
-    programme.available_backends(SERVICE).iter().filter(|one| one.node != node && weight(&one.node) > weight(node)).count() as u64
+    programme
+        .available_backends(SERVICE)
+        .iter()
+        .filter(|one| one.node != node && weight(&one.node) > weight(node))
+        .count() as u64
 }
 
 fn base(programme: &StateSnapshot) -> (Position, model::cluster_state::ShardMap) {
-    programme.placements.get(SERVICE).map(|held| (held.0, held.1.clone())).unwrap_or_else(|| (0, model::cluster_state::shard_map::unassigned()))
+    programme
+        .placements
+        .get(SERVICE)
+        .map(|held| (held.0, held.1.clone()))
+        .unwrap_or_else(|| (0, model::cluster_state::shard_map::unassigned()))
 }
 
 /// What is needed: someone who is gone holds keys, or someone who came holds none.
@@ -34,29 +42,56 @@
     let cast = programme.available_backends(SERVICE);
     let (base, rows) = base(programme);
     let held = |name: &str| rows.iter().any(|row| row.holder.as_deref() == Some(name));
-    let orphaned = rows.iter().any(|row| row.holder.as_ref().is_none_or(|holder| !cast.iter().any(|one| one.name == *holder)));
+    let orphaned = rows.iter().any(|row| {
+        row.holder
+            .as_ref()
+            .is_none_or(|holder| !cast.iter().any(|one| one.name == *holder))
+    });
     if cast.is_empty() || !orphaned && cast.iter().all(|one| held(&one.name)) {
         return None;
     }
-    let parts: Vec<endpoints::BackendCapacity> = cast.iter().map(|one| (one.name.clone(), one.slots.max(1) as f64)).collect();
-    Some((ClusterReport::ShardsReassigned { service: SERVICE.into(), base_placement: base, ranges: endpoints::rebalance(&rows, &[], &parts, 0.0) }, orphaned))
+    let parts: Vec<endpoints::BackendCapacity> = cast
+        .iter()
+        .map(|one| (one.name.clone(), one.slots.max(1) as f64))
+        .collect();
+    Some((
+        ClusterReport::ShardsReassigned {
+            service: SERVICE.into(),
+            base_placement: base,
+            ranges: endpoints::rebalance(&rows, &[], &parts, 0.0),
+        },
+        orphaned,
+    ))
 }
 
 impl Stage {
     pub(super) fn mind_placement(&mut self, at: usize) {
         let now = self.now;
         let node = &mut self.nodes[at];
-        node.duty.until.take_if(|(position, until)| node.programme.position >= *position || now >= *until);
+        node.duty
+            .until
+            .take_if(|(position, until)| node.programme.position >= *position || now >= *until);
         if node.proved == 0 || node.duty.placing || node.duty.until.is_some() {
             return;
         }
-        let cast: Vec<BackendName> = node.programme.available_backends(SERVICE).iter().map(|one| one.name.clone()).collect();
+        let cast: Vec<BackendName> = node
+            .programme
+            .available_backends(SERVICE)
+            .iter()
+            .map(|one| one.name.clone())
+            .collect();
         if node.duty.cast != cast {
             (node.duty.cast, node.duty.since) = (cast, now);
         }
-        let Some((recast, urgent)) = plan(&node.programme) else { return };
+        let Some((recast, urgent)) = plan(&node.programme) else {
+            return;
+        };
         let first = base(&node.programme).0 == 0;
-        let quiet = if first { 1_300_000 } else { 300_000 * !urgent as u64 };
+        let quiet = if first {
+            1_300_000
+        } else {
+            300_000 * !urgent as u64
+        };
         if now >= node.duty.since + quiet + 700_000 * rank(&node.programme, &node.name) {
             node.duty.placing = true;
             self.post(at, Whose::Duty, vec![recast]);
@@ -69,14 +104,21 @@
             return;
         }
         let cast = self.nodes[at].programme.available_backends(SERVICE);
-        let parts: Vec<endpoints::BackendCapacity> = cast.iter().map(|one| (one.name.clone(), self.draw((1, 9)) as f64)).collect();
+        let parts: Vec<endpoints::BackendCapacity> = cast
+            .iter()
+            .map(|one| (one.name.clone(), self.draw((1, 9)) as f64))
+            .collect();
         let (base, rows) = base(&self.nodes[at].programme);
         if base > 0 && !parts.is_empty() {
             self.nodes[at].duty.placing = true;
             self.post(
                 at,
                 Whose::Duty,
-                vec![ClusterReport::ShardsReassigned { service: SERVICE.into(), base_placement: base, ranges: endpoints::rebalance(&rows, &[], &parts, 0.0) }],
+                vec![ClusterReport::ShardsReassigned {
+                    service: SERVICE.into(),
+                    base_placement: base,
+                    ranges: endpoints::rebalance(&rows, &[], &parts, 0.0),
+                }],
             );
         }
     }
--- a/crates/simulator/src/keysim/plan.rs
+++ b/crates/simulator/src/keysim/plan.rs
@@ -42,9 +42,21 @@
 
 impl KeyPlan {
     pub fn new(seed: u64) -> Self {
-        let keys = endpoints::LeaseConfig { proof_validity: 9_000_000, clock_guard: 200_000, max_duration: 10_000_000 };
+        let keys = endpoints::LeaseConfig {
+            proof_validity: 9_000_000,
+            clock_guard: 200_000,
+            max_duration: 10_000_000,
+        };
         let nodes = 3 + (seed % 6) as usize;
-        KeyPlan { seed, nodes, keys, beat_every: 1_500_000, drain: 2_000_000, ask_every: 1_000_000, without: Without::default() }
+        KeyPlan {
+            seed,
+            nodes,
+            keys,
+            beat_every: 1_500_000,
+            drain: 2_000_000,
+            ask_every: 1_000_000,
+            without: Without::default(),
+        }
     }
 
     /// Within it every key is held again: a node's watchers, a placement that found its base moved, the bound, beats.
--- a/crates/simulator/src/keysim/player.rs
+++ b/crates/simulator/src/keysim/player.rs
@@ -42,7 +42,11 @@
             let before = (start < *from).then(|| (start, end.min(from.saturating_sub(1)), fence));
             let after = (end > *to).then(|| (start.max(to.saturating_add(1)), end, fence));
             let apart = end < *from || start > *to;
-            if apart { vec![(start, end, fence)] } else { before.into_iter().chain(after).collect() }
+            if apart {
+                vec![(start, end, fence)]
+            } else {
+                before.into_iter().chain(after).collect()
+            }
         });
         cut.collect()
     })
@@ -76,7 +80,11 @@
 
     /// What it may begin requests on; what it only still works on counts, too.
     pub(super) fn held(&self, now: Microseconds) -> Vec<Row> {
-        self.held.iter().filter(|held| held.until > now).map(|held| held.row).collect()
+        self.held
+            .iter()
+            .filter(|held| held.until > now)
+            .map(|held| held.row)
+            .collect()
     }
 
     pub(super) fn beat(&mut self, now: Microseconds) -> endpoints::Heartbeat {
@@ -99,35 +107,64 @@
     }
 
     /// Takes what an answer tells it to hold. What it has to let go by number, and fences that went back.
-    pub(super) fn takes(&mut self, now: Microseconds, sent: Microseconds, rows: Vec<Row>, hold: Microseconds) -> (Vec<u64>, Vec<Row>) {
+    pub(super) fn takes(
+        &mut self,
+        now: Microseconds,
+        sent: Microseconds,
+        rows: Vec<Row>,
+        hold: Microseconds,
+    ) -> (Vec<u64>, Vec<Row>) {
         let until = sent + hold + hold * self.slow / 1_000;
-        let newer = |row: &Row| self.seen.iter().any(|seen| seen.0 <= row.1 && row.0 <= seen.1 && seen.2 > row.2);
+        let newer = |row: &Row| {
+            self.seen
+                .iter()
+                .any(|seen| seen.0 <= row.1 && row.0 <= seen.1 && seen.2 > row.2)
+        };
         let (back, rows): (Vec<Row>, Vec<Row>) = rows.into_iter().partition(newer);
-        let taken: Vec<(ShardKey, ShardKey)> = rows.iter().map(|(from, to, _)| (*from, *to)).collect();
+        let taken: Vec<(ShardKey, ShardKey)> =
+            rows.iter().map(|(from, to, _)| (*from, *to)).collect();
         let before = std::mem::take(&mut self.held);
         let mut let_go = Vec::new();
         let pieces = &mut self.pieces;
-        let left = before.into_iter().filter(|held| held.until > now).flat_map(|held| {
-            let cut = outside(held.row, &taken).into_iter().map(|row| {
-                *pieces += 1;
-                let whole = held.going.filter(|_| row == held.row);
-                let going = whole.unwrap_or(*pieces);
-                if whole.is_none() {
-                    let_go.push(going);
-                }
-                Held { row, until: held.until, going: Some(going) }
+        let left = before
+            .into_iter()
+            .filter(|held| held.until > now)
+            .flat_map(|held| {
+                let cut = outside(held.row, &taken).into_iter().map(|row| {
+                    *pieces += 1;
+                    let whole = held.going.filter(|_| row == held.row);
+                    let going = whole.unwrap_or(*pieces);
+                    if whole.is_none() {
+                        let_go.push(going);
+                    }
+                    Held {
+                        row,
+                        until: held.until,
+                        going: Some(going),
+                    }
+                });
+                cut.collect::<Vec<_>>()
             });
-            cut.collect::<Vec<_>>()
-        });
         self.held = left.collect();
-        self.held.extend(rows.iter().map(|row| Held { row: *row, until, going: None }));
-        self.seen = self.seen.iter().flat_map(|seen| outside(*seen, &taken)).chain(rows).collect();
+        self.held.extend(rows.iter().map(|row| Held {
+            row: *row,
+            until,
+            going: None,
+        }));
+        self.seen = self
+            .seen
+            .iter()
+            .flat_map(|seen| outside(*seen, &taken))
+            .chain(rows)
+            .collect();
         (let_go, back)
     }
 
     /// Work on what it was to let go is over.
     pub(super) fn lets_go(&mut self, now: Microseconds, piece: u64, token: String) -> bool {
-        let Some(at) = self.held.iter().position(|held| held.going == Some(piece)) else { return false };
+        let Some(at) = self.held.iter().position(|held| held.going == Some(piece)) else {
+            return false;
+        };
         let held = self.held.remove(at);
         let in_time = held.until > now;
         if in_time {
--- a/crates/simulator/src/links.rs
+++ b/crates/simulator/src/links.rs
@@ -16,7 +16,11 @@
 impl Links {
     pub fn new(zones: std::collections::HashMap<Host, usize>, hop_us: u64) -> Links {
         let cuts = std::sync::Arc::new(tokio::sync::watch::Sender::new(Cuts::new()));
-        Links { cuts, zones: std::sync::Arc::new(zones), hop: std::time::Duration::from_micros(hop_us) }
+        Links {
+            cuts,
+            zones: std::sync::Arc::new(zones),
+            hop: std::time::Duration::from_micros(hop_us),
+        }
     }
 
     /// Bytes from `from` to `to` go nowhere until mended.
@@ -32,11 +36,19 @@
 
     fn delay(&self, one: Host, two: Host) -> std::time::Duration {
         let same = self.zones.get(&one) == self.zones.get(&two);
-        if same { std::time::Duration::ZERO } else { self.hop }
+        if same {
+            std::time::Duration::ZERO
+        } else {
+            self.hop
+        }
     }
 
     /// Stands before one process: what is dialed here reaches it over the link.
-    pub async fn stand_before(&self, listener: tokio::net::TcpListener, target: std::net::SocketAddr) {
+    pub async fn stand_before(
+        &self,
+        listener: tokio::net::TcpListener,
+        target: std::net::SocketAddr,
+    ) {
         loop {
             if let Ok((stream, from)) = listener.accept().await {
                 tokio::spawn(self.clone().carry(stream, from.ip(), target));
@@ -53,11 +65,18 @@
         // A first packet needs both ways.
         self.whole(from, target.ip()).await;
         self.whole(target.ip(), from).await;
-        let Ok(far) = tokio::net::TcpStream::connect(target).await else { return };
-        [&near, &far].into_iter().for_each(|stream| stream.set_nodelay(true).unwrap_or_default());
+        let Ok(far) = tokio::net::TcpStream::connect(target).await else {
+            return;
+        };
+        [&near, &far]
+            .into_iter()
+            .for_each(|stream| stream.set_nodelay(true).unwrap_or_default());
         let (near_reader, near_writer) = near.into_split();
         let (far_reader, far_writer) = far.into_split();
-        let there = tokio::spawn(self.clone().one_way(near_reader, far_writer, from, target.ip()));
+        let there = tokio::spawn(
+            self.clone()
+                .one_way(near_reader, far_writer, from, target.ip()),
+        );
         let back = tokio::spawn(self.one_way(far_reader, near_writer, target.ip(), from));
         // Either end closing closes the conn.
         let (there_ends, back_ends) = (there.abort_handle(), back.abort_handle());
@@ -67,13 +86,27 @@
         }
     }
 
-    async fn one_way(self, mut reader: tokio::net::tcp::OwnedReadHalf, mut writer: tokio::net::tcp::OwnedWriteHalf, from: Host, to: Host) {
-        let (sender, mut pieces) = tokio::sync::mpsc::channel::<(tokio::time::Instant, Vec<u8>)>(256);
+    async fn one_way(
+        self,
+        mut reader: tokio::net::tcp::OwnedReadHalf,
+        mut writer: tokio::net::tcp::OwnedWriteHalf,
+        from: Host,
+        to: Host,
+    ) {
+        let (sender, mut pieces) =
+            tokio::sync::mpsc::channel::<(tokio::time::Instant, Vec<u8>)>(256);
         let delay = self.delay(from, to);
         let reading = async move {
             let mut piece = vec![0; 64 * 1024];
             while let Ok(length @ 1..) = reader.read(&mut piece).await {
-                if sender.send((tokio::time::Instant::now() + delay, piece[..length].to_vec())).await.is_err() {
+                if sender
+                    .send((
+                        tokio::time::Instant::now() + delay,
+                        piece[..length].to_vec(),
+                    ))
+                    .await
+                    .is_err()
+                {
                     return;
                 }
             }
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -26,22 +26,24 @@
         return print!("{HELP}{}", simulator::hollow::flags::HELP);
     }
     let runtime = tokio::runtime::Runtime::new();
-    let ended = runtime.map_err(|error| error.to_string()).and_then(|runtime| match arguments.subcommand() {
-        Ok(Some(word)) if word == "run" => runtime.block_on(perform(arguments)),
-        Ok(Some(word)) if word == "all" => runtime.block_on(all(arguments)),
-        Ok(Some(word)) if word == "simulate" => simulate(arguments),
-        Ok(Some(word)) if word == "count" => {
-            count();
-            Ok(())
-        }
-        Ok(Some(word)) if word == "hollow" => runtime.block_on(hollow(arguments)),
-        Ok(Some(word)) if word == "seat" => runtime.block_on(seat(arguments)),
-        Ok(Some(word)) if word == "understudy" => runtime.block_on(understudy(arguments)),
-        _ => {
-            eprint!("{HELP}");
-            std::process::exit(2)
-        }
-    });
+    let ended = runtime
+        .map_err(|error| error.to_string())
+        .and_then(|runtime| match arguments.subcommand() {
+            Ok(Some(word)) if word == "run" => runtime.block_on(perform(arguments)),
+            Ok(Some(word)) if word == "all" => runtime.block_on(all(arguments)),
+            Ok(Some(word)) if word == "simulate" => simulate(arguments),
+            Ok(Some(word)) if word == "count" => {
+                count();
+                Ok(())
+            }
+            Ok(Some(word)) if word == "hollow" => runtime.block_on(hollow(arguments)),
+            Ok(Some(word)) if word == "seat" => runtime.block_on(seat(arguments)),
+            Ok(Some(word)) if word == "understudy" => runtime.block_on(understudy(arguments)),
+            _ => {
+                eprint!("{HELP}");
+                std::process::exit(2)
+            }
+        });
     if let Err(trouble) = ended {
         eprintln!("simulator: {trouble}");
         std::process::exit(1);
@@ -58,14 +60,30 @@
     if count == 0 || length == 0 || length > 1_000 || from.checked_add(count).is_none() {
         wrong("--count is at least 1, --length from 1 to 1000");
     }
-    let bytes = blows.map(|text| simulator::sim::trial::parsed(&text).unwrap_or_else(|| wrong("--blows is hexadecimal, six digits a blow")));
+    let bytes = blows.map(|text| {
+        simulator::sim::trial::parsed(&text)
+            .unwrap_or_else(|| wrong("--blows is hexadecimal, six digits a blow"))
+    });
     let sum = match bytes {
         Some(bytes) => simulator::sim::trial::one(from, &bytes),
         None => simulator::sim::trial::many(from, count, length),
     };
-    println!("{} sites, {} runs, {} served, {} dispatched again, {} moves of keys", sum.sites, sum.runs, sum.served, sum.extras, sum.moves);
-    sum.broken.iter().for_each(|(seed, blows, told)| println!("broken: --from {seed} --blows {blows}: {told}"));
-    if sum.broken.is_empty() { Ok(()) } else { Err(format!("{} of {} sites broke a promise", sum.broken.len(), sum.sites)) }
+    println!(
+        "{} sites, {} runs, {} served, {} dispatched again, {} moves of keys",
+        sum.sites, sum.runs, sum.served, sum.extras, sum.moves
+    );
+    sum.broken
+        .iter()
+        .for_each(|(seed, blows, told)| println!("broken: --from {seed} --blows {blows}: {told}"));
+    if sum.broken.is_empty() {
+        Ok(())
+    } else {
+        Err(format!(
+            "{} of {} sites broke a promise",
+            sum.broken.len(),
+            sum.sites
+        ))
+    }
 }
 
 fn wrong(told: &str) -> ! {
@@ -110,11 +128,22 @@
 /// Costs of an entry under some settings of α and τ, with one or all seats suggesting, sparsely or in a burst.
 fn count() {
     println!("{}", simulator::sim::count::HEAD);
-    let settings = [(20, 50_000), (20, 10_000), (20, 200_000), (1, 50_000), (200, 50_000)];
+    let settings = [
+        (20, 50_000),
+        (20, 10_000),
+        (20, 200_000),
+        (1, 50_000),
+        (200, 50_000),
+    ];
     settings.iter().for_each(|(alpha, tau)| {
-        [(20_000, true), (20_000, false), (200, true), (200, false)].iter().for_each(|(gap, one_seat)| {
-            println!("{}", simulator::sim::count::line(5, *alpha, *tau, *gap, 400, *one_seat));
-        });
+        [(20_000, true), (20_000, false), (200, true), (200, false)]
+            .iter()
+            .for_each(|(gap, one_seat)| {
+                println!(
+                    "{}",
+                    simulator::sim::count::line(5, *alpha, *tau, *gap, 400, *one_seat)
+                );
+            });
     });
 }
 
@@ -124,12 +153,19 @@
     let usher_flags: Option<String> = usage(arguments.opt_value_from_str("--node-flags"));
     simulator::run::Plan {
         site: String::new(),
-        scenario: usage(arguments.opt_value_from_str("--scenario")).unwrap_or_else(|| "midway".into()),
+        scenario: usage(arguments.opt_value_from_str("--scenario"))
+            .unwrap_or_else(|| "midway".into()),
         seconds: usage(arguments.opt_value_from_str("--seconds")).unwrap_or(30),
         seed: usage(arguments.opt_value_from_str("--seed")).unwrap_or(1),
         spoil: usage(arguments.opt_value_from_str("--spoil")).unwrap_or(5),
-        folder: folder.unwrap_or_else(|| std::env::temp_dir().join(format!("gradeford-rehearsal-{}", std::process::id()))),
-        usher_flags: usher_flags.unwrap_or_default().split_whitespace().map(str::to_string).collect(),
+        folder: folder.unwrap_or_else(|| {
+            std::env::temp_dir().join(format!("gradeford-rehearsal-{}", std::process::id()))
+        }),
+        usher_flags: usher_flags
+            .unwrap_or_default()
+            .split_whitespace()
+            .map(str::to_string)
+            .collect(),
         changes: usage(arguments.opt_value_from_str("--changes")).unwrap_or(5),
     }
 }
@@ -141,37 +177,80 @@
     checked(&site, &plan.scenario, &plan.folder);
     unused(&plan.folder);
     let report = simulator::run::run(simulator::run::Plan { site, ..plan }).await?;
-    println!("{}", serde_json::to_string_pretty(&report).unwrap_or_default());
-    if report.held() { Ok(()) } else { Err("an invariant was broken".into()) }
+    println!(
+        "{}",
+        serde_json::to_string_pretty(&report).unwrap_or_default()
+    );
+    if report.held() {
+        Ok(())
+    } else {
+        Err("an invariant was broken".into())
+    }
 }
 
 /// Every scenario at every site named, one line each, and a table of what was broken.
 async fn all(mut arguments: pico_args::Arguments) -> Result<(), String> {
     let plan = plan(&mut arguments);
     let only: Option<String> = usage(arguments.opt_value_from_str("--only"));
-    let sites: Vec<String> = arguments.finish().into_iter().map(|site| site.to_string_lossy().into_owned()).collect();
-    let sites = if sites.is_empty() { vec!["swanreach".to_string(), "kurasa".to_string()] } else { sites };
-    sites.iter().for_each(|site| checked(site, "quiet", &plan.folder));
+    let sites: Vec<String> = arguments
+        .finish()
+        .into_iter()
+        .map(|site| site.to_string_lossy().into_owned())
+        .collect();
+    let sites = if sites.is_empty() {
+        vec!["swanreach".to_string(), "kurasa".to_string()]
+    } else {
+        sites
+    };
+    sites
+        .iter()
+        .for_each(|site| checked(site, "quiet", &plan.folder));
     let known = |word: &str| simulator::scenario::NAMES.contains(&word) || word == "day";
-    if let Some(word) = only.iter().flat_map(|only| only.split(',')).find(|word| !known(word)) {
+    if let Some(word) = only
+        .iter()
+        .flat_map(|only| only.split(','))
+        .find(|word| !known(word))
+    {
         wrong(&format!("there is no scenario {word:?}"));
     }
-    let folders = sites.iter().flat_map(|site| simulator::scenario::NAMES.iter().map(move |name| format!("{site}-{name}")));
+    let folders = sites.iter().flat_map(|site| {
+        simulator::scenario::NAMES
+            .iter()
+            .map(move |name| format!("{site}-{name}"))
+    });
     folders.for_each(|name| unused(&plan.folder.join(name)));
     let mut broken = 0;
-    println!("{:<11} {:<20} {:>4} {:>7} {:>7} {:>7} {:>7}  invariants", "site", "scenario", "seed", "asked", "served", "not-run", "may");
+    println!(
+        "{:<11} {:<20} {:>4} {:>7} {:>7} {:>7} {:>7}  invariants",
+        "site", "scenario", "seed", "asked", "served", "not-run", "may"
+    );
     for site in &sites {
         let chosen = simulator::scenario::NAMES
             .iter()
             .chain(&["day"])
-            .filter(|name| only.as_deref().is_none_or(|only| only.split(',').any(|word| word == **name)) && (**name != "day" || only.is_some()));
+            .filter(|name| {
+                only.as_deref()
+                    .is_none_or(|only| only.split(',').any(|word| word == **name))
+                    && (**name != "day" || only.is_some())
+            });
         for name in chosen {
             let folder = plan.folder.join(format!("{site}-{name}"));
-            let one =
-                simulator::run::Plan { site: site.clone(), scenario: name.to_string(), folder, changes: 0, usher_flags: plan.usher_flags.clone(), ..plan };
+            let one = simulator::run::Plan {
+                site: site.clone(),
+                scenario: name.to_string(),
+                folder,
+                changes: 0,
+                usher_flags: plan.usher_flags.clone(),
+                ..plan
+            };
             let (report, verdict) = match simulator::run::run(one).await {
                 Ok(report) if report.held() && report.not_provoked.is_empty() => {
-                    let back = report.back_us.values().max().map(|back| format!(", back after {} ms", back / 1_000)).unwrap_or_default();
+                    let back = report
+                        .back_us
+                        .values()
+                        .max()
+                        .map(|back| format!(", back after {} ms", back / 1_000))
+                        .unwrap_or_default();
                     (report, format!("held{back}"))
                 }
                 Ok(report) if report.held() => {
@@ -179,25 +258,49 @@
                     (report, told)
                 }
                 Ok(report) => {
-                    let found = report.invariants.iter().filter(|(_, found)| !found.is_empty());
-                    let told = found.map(|(name, found)| format!("{name} BROKEN {} times, first {}", found.len(), found[0])).collect::<Vec<_>>().join("; ");
+                    let found = report
+                        .invariants
+                        .iter()
+                        .filter(|(_, found)| !found.is_empty());
+                    let told = found
+                        .map(|(name, found)| {
+                            format!("{name} BROKEN {} times, first {}", found.len(), found[0])
+                        })
+                        .collect::<Vec<_>>()
+                        .join("; ");
                     (report, told)
                 }
                 Err(trouble) => (Default::default(), format!("did not run: {trouble}")),
             };
             broken += !verdict.starts_with("held") as usize;
-            let counts = [report.asked, report.served, report.not_run, report.may_have_run];
-            println!("{site:<11} {name:<20} {:>4} {:>7} {:>7} {:>7} {:>7}  {verdict}", plan.seed, counts[0], counts[1], counts[2], counts[3]);
+            let counts = [
+                report.asked,
+                report.served,
+                report.not_run,
+                report.may_have_run,
+            ];
+            println!(
+                "{site:<11} {name:<20} {:>4} {:>7} {:>7} {:>7} {:>7}  {verdict}",
+                plan.seed, counts[0], counts[1], counts[2], counts[3]
+            );
         }
     }
-    if broken == 0 { Ok(()) } else { Err(format!("{broken} scenarios broke an invariant")) }
+    if broken == 0 {
+        Ok(())
+    } else {
+        Err(format!("{broken} scenarios broke an invariant"))
+    }
 }
 
 /// Stdout: a table, then one line of JSON.
 async fn hollow(arguments: pico_args::Arguments) -> Result<(), String> {
-    let (plan, counted) = simulator::hollow::flags::read(arguments).unwrap_or_else(|told| wrong(&told));
+    let (plan, counted) =
+        simulator::hollow::flags::read(arguments).unwrap_or_else(|told| wrong(&told));
     if counted {
-        println!("{}", serde_json::to_string(&simulator::hollow::counted::count(&plan)).unwrap_or_default());
+        println!(
+            "{}",
+            serde_json::to_string(&simulator::hollow::counted::count(&plan)).unwrap_or_default()
+        );
         return Ok(());
     }
     let report = simulator::hollow::run(plan, true).await?;
@@ -208,7 +311,11 @@
 /// Takes what `gradeford-core` takes, and how long a sync is.
 async fn seat(mut arguments: pico_args::Arguments) -> Result<(), String> {
     let mut text = |flag: &'static str| usage(arguments.value_from_str::<_, String>(flag));
-    let (mates, operators, seeds) = (text("--mates-address"), text("--operators-address"), text("--seeds"));
+    let (mates, operators, seeds) = (
+        text("--mates-address"),
+        text("--operators-address"),
+        text("--seeds"),
+    );
     let env = control::ReplicaConfig {
         name: text("--name"),
         zone: text("--zone"),
@@ -216,7 +323,11 @@
         folder: text("--folder").into(),
         replica_id: usage(arguments.value_from_str("--seat")),
         replica_count: usage(arguments.value_from_str("--seats")),
-        seeds: seeds.split(',').filter(|seed| !seed.is_empty()).map(str::to_string).collect(),
+        seeds: seeds
+            .split(',')
+            .filter(|seed| !seed.is_empty())
+            .map(str::to_string)
+            .collect(),
         timing: Default::default(),
         snapshot_every_entries: 500,
         replace_after: 3_000_000,
--- a/crates/simulator/src/notes.rs
+++ b/crates/simulator/src/notes.rs
@@ -10,8 +10,12 @@
     /// A note that cannot be written would make a history that proves nothing.
     pub fn note(&self, record: &Record) -> Result<(), String> {
         let line = serde_json::to_string(record).unwrap_or_default() + "\n";
-        let book = std::fs::OpenOptions::new().create(true).append(true).open(&self.0);
-        book.and_then(|mut book| std::io::Write::write_all(&mut book, line.as_bytes())).map_err(|error| error.to_string())
+        let book = std::fs::OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(&self.0);
+        book.and_then(|mut book| std::io::Write::write_all(&mut book, line.as_bytes()))
+            .map_err(|error| error.to_string())
     }
 }
 
@@ -22,7 +26,10 @@
 
     /// A back end that was killed got its last work then.
     pub fn note_leaving(&self, at: usize) -> Result<(), String> {
-        self.notebook().note(&Record::Leaving { by: self.machines[at].name.clone(), at: model::now() })
+        self.notebook().note(&Record::Leaving {
+            by: self.machines[at].name.clone(),
+            at: model::now(),
+        })
     }
 
     /// The last fault is over: from here service has so long to come back.
@@ -31,7 +38,19 @@
     }
 
     /// A lane about to change, and changed: between the two either state may hold.
-    pub fn note_lane(&self, lane: crate::deployment::Lane, allowed: bool, accepted: bool) -> Result<(), String> {
-        self.notebook().note(&Record::Lane { sender: lane.0.into(), service: lane.1.into(), path: lane.2.into(), allowed, accepted, at: model::now() })
+    pub fn note_lane(
+        &self,
+        lane: crate::deployment::Lane,
+        allowed: bool,
+        accepted: bool,
+    ) -> Result<(), String> {
+        self.notebook().note(&Record::Lane {
+            sender: lane.0.into(),
+            service: lane.1.into(),
+            path: lane.2.into(),
+            allowed,
+            accepted,
+            at: model::now(),
+        })
     }
 }
--- a/crates/simulator/src/operators.rs
+++ b/crates/simulator/src/operators.rs
@@ -28,42 +28,95 @@
     }
 
     /// One change to one seat, noted with whatever came back.
-    pub async fn send(&self, seat: usize, id: &str, base: u64, edits: &[serde_json::Value]) -> Result<Answer, String> {
+    pub async fn send(
+        &self,
+        seat: usize,
+        id: &str,
+        base: u64,
+        edits: &[serde_json::Value],
+    ) -> Result<Answer, String> {
         let asked = model::now();
         let body = serde_json::json!({ "id": id, "base": base, "edits": edits });
-        let sent = self.http.post(format!("http://{}/v1/changes", self.place(seat))).json(&body).send().await;
+        let sent = self
+            .http
+            .post(format!("http://{}/v1/changes", self.place(seat)))
+            .json(&body)
+            .send()
+            .await;
         let (status, told) = match sent {
-            Ok(response) => (response.status().as_u16(), response.json::<serde_json::Value>().await.unwrap_or_default()),
+            Ok(response) => (
+                response.status().as_u16(),
+                response
+                    .json::<serde_json::Value>()
+                    .await
+                    .unwrap_or_default(),
+            ),
             Err(_) => (0, serde_json::Value::Null),
         };
-        let (version, position) = (told["accepted"]["version"].as_u64(), told["accepted"]["position"].as_u64());
+        let (version, position) = (
+            told["accepted"]["version"].as_u64(),
+            told["accepted"]["position"].as_u64(),
+        );
         let answer = match (version.zip(position), status) {
             (Some((version, position)), _) => Answer::Accepted(version, position),
             (None, 400..=499) => Answer::Refused(status, told.to_string()),
-            (None, 503) if told["verdict"] == "not-run" => Answer::Refused(status, told.to_string()),
+            (None, 503) if told["verdict"] == "not-run" => {
+                Answer::Refused(status, told.to_string())
+            }
             _ => Answer::Unknown,
         };
         let refused = matches!(answer, Answer::Refused(..));
-        self.notebook.note(&Record::Change { id: id.into(), edits: edits.to_vec(), asked, at: model::now(), status, version, position, refused })?;
+        self.notebook.note(&Record::Change {
+            id: id.into(),
+            edits: edits.to_vec(),
+            asked,
+            at: model::now(),
+            status,
+            version,
+            position,
+            refused,
+        })?;
         Ok(answer)
     }
 
     /// The whole desired state, as this seat proves it.
     pub async fn read(&self, seat: usize) -> Result<Option<u64>, String> {
         let asked = model::now();
-        let answer = self.http.get(format!("http://{}/v1/desired", self.place(seat))).send().await;
-        let Some(response) = answer.ok().filter(|response| response.status().is_success()) else { return Ok(None) };
-        let Ok(desired) = response.json::<serde_json::Value>().await else { return Ok(None) };
+        let answer = self
+            .http
+            .get(format!("http://{}/v1/desired", self.place(seat)))
+            .send()
+            .await;
+        let Some(response) = answer
+            .ok()
+            .filter(|response| response.status().is_success())
+        else {
+            return Ok(None);
+        };
+        let Ok(desired) = response.json::<serde_json::Value>().await else {
+            return Ok(None);
+        };
         let version = desired["version"].as_u64();
-        self.notebook.note(&Record::ReadBack { asked, at: model::now(), desired })?;
+        self.notebook.note(&Record::ReadBack {
+            asked,
+            at: model::now(),
+            desired,
+        })?;
         Ok(version)
     }
 
     /// To every seat in turn until one says for certain; the same id, so that it takes effect once at most.
-    pub async fn settle(&self, id: &str, base: u64, edits: &[serde_json::Value]) -> Result<Answer, String> {
+    pub async fn settle(
+        &self,
+        id: &str,
+        base: u64,
+        edits: &[serde_json::Value],
+    ) -> Result<Answer, String> {
         for turn in 0..200 {
             match self.send(turn, id, base, edits).await? {
-                Answer::Unknown | Answer::Refused(503, _) => tokio::time::sleep(std::time::Duration::from_millis(50)).await,
+                Answer::Unknown | Answer::Refused(503, _) => {
+                    tokio::time::sleep(std::time::Duration::from_millis(50)).await
+                }
                 answer => return Ok(answer),
             }
         }
@@ -102,7 +155,12 @@
 }
 
 /// Several operators through the whole run, until told to stop; then what was left open is settled.
-pub async fn work(operator: Operator, service: &'static str, seed: u64, mut stop: tokio::sync::watch::Receiver<bool>) -> Result<(), String> {
+pub async fn work(
+    operator: Operator,
+    service: &'static str,
+    seed: u64,
+    mut stop: tokio::sync::watch::Receiver<bool>,
+) -> Result<(), String> {
     let mut random: rand::rngs::StdRng = rand::SeedableRng::seed_from_u64(seed);
     let mut open: Vec<(String, u64, Vec<serde_json::Value>)> = Vec::new();
     for turn in 0u64.. {
@@ -111,27 +169,47 @@
             base = operator.version(seat) => base?,
             _ = stop.wait_for(|stop| *stop) => break,
         };
-        let (one, two) = (vec![harmless(service, "one", turn)], vec![harmless(service, "two", turn)]);
+        let (one, two) = (
+            vec![harmless(service, "one", turn)],
+            vec![harmless(service, "two", turn)],
+        );
         let broken = vec![
             harmless(service, "broken", turn),
             serde_json::json!({ "put_order": { "name": "broken", "order": {
             "selector": { "from": ["nobody"], "service": "nowhere" }, "wait_us": 1 } } }),
         ];
         let name = |kind: &str| format!("{kind}-{turn}");
-        let sent: Vec<(String, u64, Vec<serde_json::Value>)> = match rand::Rng::random_range(&mut random, 0..6) {
-            0 => vec![(name("stale"), base.saturating_sub(1), one)],
-            1 => vec![(name("broken"), base, broken)],
-            2 => vec![(name("twice"), base, one.clone()), (name("twice"), base, one)],
-            _ => vec![(name("one"), base, one), (name("two"), base, two)],
-        };
-        let racing: Vec<_> = sent.iter().zip(seat..).map(|((id, base, edits), seat)| operator.send(seat, id, *base, edits)).collect();
+        let sent: Vec<(String, u64, Vec<serde_json::Value>)> =
+            match rand::Rng::random_range(&mut random, 0..6) {
+                0 => vec![(name("stale"), base.saturating_sub(1), one)],
+                1 => vec![(name("broken"), base, broken)],
+                2 => vec![
+                    (name("twice"), base, one.clone()),
+                    (name("twice"), base, one),
+                ],
+                _ => vec![(name("one"), base, one), (name("two"), base, two)],
+            };
+        let racing: Vec<_> = sent
+            .iter()
+            .zip(seat..)
+            .map(|((id, base, edits), seat)| operator.send(seat, id, *base, edits))
+            .collect();
         let mut answers = Vec::new();
         for pending in join(racing).await {
             answers.push(pending?);
         }
-        open.extend(sent.into_iter().zip(answers).filter(|(_, answer)| *answer == Answer::Unknown).map(|(change, _)| change));
-        let pause = std::time::Duration::from_millis(rand::Rng::random_range(&mut random, 100..400));
-        if tokio::time::timeout(pause, stop.wait_for(|stop| *stop)).await.is_ok() {
+        open.extend(
+            sent.into_iter()
+                .zip(answers)
+                .filter(|(_, answer)| *answer == Answer::Unknown)
+                .map(|(change, _)| change),
+        );
+        let pause =
+            std::time::Duration::from_millis(rand::Rng::random_range(&mut random, 100..400));
+        if tokio::time::timeout(pause, stop.wait_for(|stop| *stop))
+            .await
+            .is_ok()
+        {
             break;
         }
     }
@@ -142,7 +220,9 @@
     operator.version(0).await.map(drop)
 }
 
-async fn join<F: Future<Output = Result<Answer, String>>>(racing: Vec<F>) -> Vec<Result<Answer, String>> {
+async fn join<F: Future<Output = Result<Answer, String>>>(
+    racing: Vec<F>,
+) -> Vec<Result<Answer, String>> {
     let mut racing = racing.into_iter();
     match (racing.next(), racing.next()) {
         (Some(one), Some(two)) => {
@@ -155,16 +235,35 @@
 }
 
 /// What one node says of itself, five times a second.
-pub async fn watch(node: String, address: String, http: reqwest::Client, notebook: crate::notes::Notebook) -> Result<(), String> {
+pub async fn watch(
+    node: String,
+    address: String,
+    http: reqwest::Client,
+    notebook: crate::notes::Notebook,
+) -> Result<(), String> {
     let mut every = tokio::time::interval(std::time::Duration::from_millis(200));
     every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         every.tick().await;
         let asked = model::now();
-        let Ok(response) = http.get(format!("http://{address}/status")).send().await else { continue };
-        let Ok(told) = response.json::<serde_json::Value>().await else { continue };
+        let Ok(response) = http.get(format!("http://{address}/status")).send().await else {
+            continue;
+        };
+        let Ok(told) = response.json::<serde_json::Value>().await else {
+            continue;
+        };
         let number = |name: &str| told[name].as_u64().unwrap_or(0);
-        let (life, position, fresh) = (number("life"), number("position"), number("fresh_for_us") > 0);
-        notebook.note(&Record::Seen { node: node.clone(), life, asked, position, fresh })?;
+        let (life, position, fresh) = (
+            number("life"),
+            number("position"),
+            number("fresh_for_us") > 0,
+        );
+        notebook.note(&Record::Seen {
+            node: node.clone(),
+            life,
+            asked,
+            position,
+            fresh,
+        })?;
     }
 }
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -2,15 +2,24 @@
 
 /// The word behind a flag.
 pub fn flag<'a>(arguments: &'a [String], flag: &str) -> Option<&'a String> {
-    arguments.iter().position(|held| held == flag).and_then(|place| arguments.get(place + 1))
+    arguments
+        .iter()
+        .position(|held| held == flag)
+        .and_then(|place| arguments.get(place + 1))
 }
 
 /// The same words, but for these flags.
 pub fn changed(arguments: &[String], flags: &[(&str, String)]) -> Vec<String> {
-    flags.iter().fold(arguments.to_vec(), |mut arguments, (flag, value)| {
-        arguments.iter().position(|held| held == flag).into_iter().for_each(|place| arguments[place + 1] = value.clone());
-        arguments
-    })
+    flags
+        .iter()
+        .fold(arguments.to_vec(), |mut arguments, (flag, value)| {
+            arguments
+                .iter()
+                .position(|held| held == flag)
+                .into_iter()
+                .for_each(|place| arguments[place + 1] = value.clone());
+            arguments
+        })
 }
 
 pub struct Process {
@@ -20,12 +29,28 @@
 
 impl Process {
     /// `program` stands beside this one; its log goes to a file in the run's folder.
-    pub fn start(folder: &std::path::Path, name: &str, program: &str, arguments: &[String]) -> Result<Process, String> {
+    pub fn start(
+        folder: &std::path::Path,
+        name: &str,
+        program: &str,
+        arguments: &[String],
+    ) -> Result<Process, String> {
         let beside = std::env::current_exe().map_err(|error| error.to_string())?;
         // Tests live one folder deeper than programs.
-        let folders = beside.ancestors().skip(1).take(2).map(|folder| folder.join(program));
-        let path = folders.into_iter().find(|path| path.exists()).ok_or_else(|| format!("{program} is not built; run cargo build --workspace first"))?;
-        let log = std::fs::OpenOptions::new().create(true).append(true).open(folder.join(format!("{name}.log"))).map_err(|error| error.to_string())?;
+        let folders = beside
+            .ancestors()
+            .skip(1)
+            .take(2)
+            .map(|folder| folder.join(program));
+        let path = folders
+            .into_iter()
+            .find(|path| path.exists())
+            .ok_or_else(|| format!("{program} is not built; run cargo build --workspace first"))?;
+        let log = std::fs::OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(folder.join(format!("{name}.log")))
+            .map_err(|error| error.to_string())?;
         let child = std::process::Command::new(path)
             .args(arguments)
             .stdin(std::process::Stdio::null())
@@ -33,7 +58,10 @@
             .stderr(log)
             .spawn()
             .map_err(|error| format!("{program}: {error}"))?;
-        Ok(Process { name: name.to_string(), child })
+        Ok(Process {
+            name: name.to_string(),
+            child,
+        })
     }
 
     pub fn signal(&self, signal: rustix::process::Signal) {
--- a/crates/simulator/src/promises.rs
+++ b/crates/simulator/src/promises.rs
@@ -19,9 +19,21 @@
         .collect();
     let mut spans: std::collections::BTreeMap<(&str, &str), Vec<Span>> = Default::default();
     records.iter().for_each(|record| {
-        if let Record::Began { run, at, process, service, key: Some(key), .. } = record {
+        if let Record::Began {
+            run,
+            at,
+            process,
+            service,
+            key: Some(key),
+            ..
+        } = record
+        {
             // A run without an end was killed with its back end: it did nothing after its beginning.
-            spans.entry((service, key)).or_default().push((*at, ends.get(run.as_str()).copied().unwrap_or(*at), *process));
+            spans.entry((service, key)).or_default().push((
+                *at,
+                ends.get(run.as_str()).copied().unwrap_or(*at),
+                *process,
+            ));
         }
     });
     spans
@@ -36,7 +48,9 @@
                     if *to > latest.0 {
                         latest = (*to, *process);
                     }
-                    clash.then(|| format!("{service} {key} at {from} by process {process} and another"))
+                    clash.then(|| {
+                        format!("{service} {key} at {from} by process {process} and another")
+                    })
                 })
                 .collect::<Vec<_>>()
         })
@@ -52,13 +66,26 @@
     leavings
         .flat_map(|(leaver, left)| {
             let began = records.iter().filter_map(move |record| match record {
-                Record::Began { try_id, by, process, at, .. } if by == leaver => Some((try_id, *process, *at)),
+                Record::Began {
+                    try_id,
+                    by,
+                    process,
+                    at,
+                    ..
+                } if by == leaver => Some((try_id, *process, *at)),
                 _ => None,
             });
             // The process that left; its successor of the same name may begin what it likes.
-            let left_process = began.clone().filter(|(_, _, at)| *at <= left).max_by_key(|(_, _, at)| *at).map(|(_, process, _)| process);
-            let late = began.filter(move |(_, process, at)| *at > left + IN_FORCE && Some(*process) == left_process);
-            late.map(move |(try_id, ..)| format!("{try_id} at {leaver}")).collect::<Vec<_>>()
+            let left_process = began
+                .clone()
+                .filter(|(_, _, at)| *at <= left)
+                .max_by_key(|(_, _, at)| *at)
+                .map(|(_, process, _)| process);
+            let late = began.filter(move |(_, process, at)| {
+                *at > left + IN_FORCE && Some(*process) == left_process
+            });
+            late.map(move |(try_id, ..)| format!("{try_id} at {leaver}"))
+                .collect::<Vec<_>>()
         })
         .collect()
 }
@@ -68,21 +95,50 @@
     let lanes: Vec<(&str, &str, &str, bool, bool, u64)> = records
         .iter()
         .filter_map(|record| match record {
-            Record::Lane { sender, service, path, allowed, accepted, at } => Some((sender.as_str(), service.as_str(), path.as_str(), *allowed, *accepted, *at)),
+            Record::Lane {
+                sender,
+                service,
+                path,
+                allowed,
+                accepted,
+                at,
+            } => Some((
+                sender.as_str(),
+                service.as_str(),
+                path.as_str(),
+                *allowed,
+                *accepted,
+                *at,
+            )),
             _ => None,
         })
         .collect();
     let forbidden = lanes.iter().filter(|lane| !lane.3 && lane.4).map(|lane| {
-        let back = lanes.iter().filter(|other| other.3 && !other.4 && other.5 > lane.5).map(|other| other.5).min();
+        let back = lanes
+            .iter()
+            .filter(|other| other.3 && !other.4 && other.5 > lane.5)
+            .map(|other| other.5)
+            .min();
         (lane, lane.5 + IN_FORCE, back.unwrap_or(u64::MAX))
     });
     forbidden
         .flat_map(|(lane, from, to)| {
             records.iter().filter_map(move |record| match record {
-                Record::Began { try_id, at, sender, service, path, .. }
-                    if (sender.as_str(), service.as_str()) == (lane.0, lane.1) && path == lane.2 && (from..to).contains(at) =>
+                Record::Began {
+                    try_id,
+                    at,
+                    sender,
+                    service,
+                    path,
+                    ..
+                } if (sender.as_str(), service.as_str()) == (lane.0, lane.1)
+                    && path == lane.2
+                    && (from..to).contains(at) =>
                 {
-                    Some(format!("{try_id} {} after the change", at - from + IN_FORCE))
+                    Some(format!(
+                        "{try_id} {} after the change",
+                        at - from + IN_FORCE
+                    ))
                 }
                 _ => None,
             })
@@ -93,22 +149,47 @@
 /// Every service that sends is served again in the last two and a half seconds.
 pub(crate) fn silent_at_the_end(records: &[Record]) -> Vec<String> {
     let told = records.iter().filter_map(|record| match record {
-        Record::Told { service, at, verdict, .. } => Some((service.as_str(), *at, verdict.is_none())),
+        Record::Told {
+            service,
+            at,
+            verdict,
+            ..
+        } => Some((service.as_str(), *at, verdict.is_none())),
         _ => None,
     });
     let end = told.clone().map(|(_, at, _)| at).max().unwrap_or(0);
-    let senders: std::collections::BTreeSet<&str> = told.clone().map(|(service, ..)| service).collect();
-    let served: std::collections::BTreeSet<&str> = told.filter(|(_, at, fine)| *fine && *at + IN_FORCE >= end).map(|(service, ..)| service).collect();
-    senders.difference(&served).map(|service| format!("{service} is not served at the end")).collect()
+    let senders: std::collections::BTreeSet<&str> =
+        told.clone().map(|(service, ..)| service).collect();
+    let served: std::collections::BTreeSet<&str> = told
+        .filter(|(_, at, fine)| *fine && *at + IN_FORCE >= end)
+        .map(|(service, ..)| service)
+        .collect();
+    senders
+        .difference(&served)
+        .map(|service| format!("{service} is not served at the end"))
+        .collect()
 }
 
 /// A request that reached another service than it was meant for, longer after the address' owner died than it may take.
 pub(crate) fn misrouted(records: &[Record]) -> Vec<String> {
-    let left: Vec<u64> = records.iter().filter_map(|record| if let Record::Leaving { at, .. } = record { Some(*at) } else { None }).collect();
+    let left: Vec<u64> = records
+        .iter()
+        .filter_map(|record| {
+            if let Record::Leaving { at, .. } = record {
+                Some(*at)
+            } else {
+                None
+            }
+        })
+        .collect();
     records
         .iter()
         .filter_map(|record| match record {
-            Record::Misrouted { by, meant_for, at } if !left.iter().any(|left| (*left..*left + IN_FORCE).contains(at)) => {
+            Record::Misrouted { by, meant_for, at }
+                if !left
+                    .iter()
+                    .any(|left| (*left..*left + IN_FORCE).contains(at)) =>
+            {
                 Some(format!("a request for {meant_for} reached {by} at {at}"))
             }
             _ => None,
@@ -125,11 +206,20 @@
             _ => None,
         })
         .collect();
-    const CUTS: [&str; 4] = ["own_usher_lost", "mate_lost", "back_end_lost", "ran_out_of_time"];
+    const CUTS: [&str; 4] = [
+        "own_usher_lost",
+        "mate_lost",
+        "back_end_lost",
+        "ran_out_of_time",
+    ];
     records
         .iter()
         .filter_map(|record| match record {
-            Record::Told { try_id, cause: Some(cause), .. } if CUTS.contains(&cause.as_str()) && began.contains(try_id.as_str()) => {
+            Record::Told {
+                try_id,
+                cause: Some(cause),
+                ..
+            } if CUTS.contains(&cause.as_str()) && began.contains(try_id.as_str()) => {
                 Some(format!("{try_id}: {cause}"))
             }
             _ => None,
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -55,7 +55,15 @@
 impl Step {
     /// Takes a fault away, or is the last of one.
     pub fn heals(&self) -> bool {
-        matches!(self, Step::Start(_) | Step::Wake(_) | Step::Mend | Step::StartEverything | Step::StartCore | Step::Allow)
+        matches!(
+            self,
+            Step::Start(_)
+                | Step::Wake(_)
+                | Step::Mend
+                | Step::StartEverything
+                | Step::StartCore
+                | Step::Allow
+        )
     }
 }
 
@@ -72,7 +80,13 @@
 }
 
 pub(crate) fn scenario(name: &'static str, length: u64, steps: Vec<(u64, Step)>) -> Scenario {
-    Scenario { name, steps, length, planned: false, provokes: &["an accepted change", "a refused change", "a second arrival"] }
+    Scenario {
+        name,
+        steps,
+        length,
+        planned: false,
+        provokes: &["an accepted change", "a refused change", "a second arrival"],
+    }
 }
 
 pub const NAMES: &[&str] = &[
@@ -122,79 +136,199 @@
     let (at, seat) = (seed as usize % machines, seed as usize % cores);
     let found = match name {
         "quiet" => scenario("quiet", 5_000, vec![]),
-        "core-killed" => {
-            scenario("core-killed", 9_000, vec![(2_000, Step::Kill(Who::Core(seat))), (2_500, Step::Forbid), (6_000, Step::Start(Who::Core(seat)))])
-        }
+        "core-killed" => scenario(
+            "core-killed",
+            9_000,
+            vec![
+                (2_000, Step::Kill(Who::Core(seat))),
+                (2_500, Step::Forbid),
+                (6_000, Step::Start(Who::Core(seat))),
+            ],
+        ),
         // Nobody does anything; then others die until the wiped seat's vote is needed.
         "core-wiped" => {
-            let others = (1..=(cores - 1) / 2).map(|step| (10_000, Step::Kill(Who::Core((seat + step) % cores))));
-            let steps = [(1_000, Step::Forbid), (2_000, Step::Wipe(seat))].into_iter().chain(others).chain([(12_000, Step::Allow)]);
+            let others = (1..=(cores - 1) / 2)
+                .map(|step| (10_000, Step::Kill(Who::Core((seat + step) % cores))));
+            let steps = [(1_000, Step::Forbid), (2_000, Step::Wipe(seat))]
+                .into_iter()
+                .chain(others)
+                .chain([(12_000, Step::Allow)]);
             scenario("core-wiped", 15_000, steps.collect())
         }
         // After the replacement another seat dies: with a short core the new disk's vote is needed.
         "core-replaced" => {
-            let others = (1..=(cores - 1) / 2).map(|step| (9_000, Step::Kill(Who::Core((seat + step) % cores))));
-            let steps = [(1_000, Step::Forbid), (2_000, Step::Replace(seat))].into_iter().chain(others).chain([(11_000, Step::Allow)]);
+            let others = (1..=(cores - 1) / 2)
+                .map(|step| (9_000, Step::Kill(Who::Core((seat + step) % cores))));
+            let steps = [(1_000, Step::Forbid), (2_000, Step::Replace(seat))]
+                .into_iter()
+                .chain(others)
+                .chain([(11_000, Step::Allow)]);
             scenario("core-replaced", 15_000, steps.collect())
         }
         "core-split" => {
             let few = (0..cores / 2).map(|step| (seat + step) % cores).collect();
-            scenario("core-split", 12_000, vec![(2_000, Step::Split(few)), (3_000, Step::Forbid), (7_000, Step::Mend), (8_500, Step::Allow)])
+            scenario(
+                "core-split",
+                12_000,
+                vec![
+                    (2_000, Step::Split(few)),
+                    (3_000, Step::Forbid),
+                    (7_000, Step::Mend),
+                    (8_500, Step::Allow),
+                ],
+            )
         }
         "core-majority-lost" => {
             let many = (0..=cores / 2).map(|step| (seat + step) % cores);
-            let kills = many.clone().map(|seat| (2_000, Step::Kill(Who::Core(seat))));
+            let kills = many
+                .clone()
+                .map(|seat| (2_000, Step::Kill(Who::Core(seat))));
             let starts = many.map(|seat| (6_000, Step::Start(Who::Core(seat))));
             scenario("core-majority-lost", 14_000, kills.chain(starts).collect())
         }
-        "core-frozen" => {
-            scenario("core-frozen", 9_000, vec![(2_000, Step::Freeze(Who::Core(seat))), (3_000, Step::Forbid), (6_000, Step::Wake(Who::Core(seat)))])
-        }
-        "core-muted" => scenario("core-muted", 9_000, vec![(2_000, Step::Mute(Who::Core(seat))), (3_000, Step::Forbid), (6_000, Step::Mend)]),
-        "node-killed" => scenario("node-killed", 11_000, vec![(2_000, Step::Kill(Who::Usher(at))), (6_000, Step::Start(Who::Usher(at)))]),
-        "node-isolated" => scenario("node-isolated", 12_000, vec![(2_000, Step::Isolate(Who::Usher(at))), (2_500, Step::Forbid), (7_000, Step::Mend)]),
-        "node-frozen" => {
-            scenario("node-frozen", 12_000, vec![(2_000, Step::Freeze(Who::Usher(at))), (2_500, Step::Forbid), (7_000, Step::Wake(Who::Usher(at)))])
-        }
-        "back-end-killed" => scenario("back-end-killed", 10_000, vec![(2_000, Step::Kill(Who::BackEnd(at))), (5_000, Step::Start(Who::BackEnd(at)))]),
-        "back-end-frozen" => scenario("back-end-frozen", 14_000, vec![(2_000, Step::Freeze(Who::BackEnd(at))), (8_000, Step::Wake(Who::BackEnd(at)))]),
+        "core-frozen" => scenario(
+            "core-frozen",
+            9_000,
+            vec![
+                (2_000, Step::Freeze(Who::Core(seat))),
+                (3_000, Step::Forbid),
+                (6_000, Step::Wake(Who::Core(seat))),
+            ],
+        ),
+        "core-muted" => scenario(
+            "core-muted",
+            9_000,
+            vec![
+                (2_000, Step::Mute(Who::Core(seat))),
+                (3_000, Step::Forbid),
+                (6_000, Step::Mend),
+            ],
+        ),
+        "node-killed" => scenario(
+            "node-killed",
+            11_000,
+            vec![
+                (2_000, Step::Kill(Who::Usher(at))),
+                (6_000, Step::Start(Who::Usher(at))),
+            ],
+        ),
+        "node-isolated" => scenario(
+            "node-isolated",
+            12_000,
+            vec![
+                (2_000, Step::Isolate(Who::Usher(at))),
+                (2_500, Step::Forbid),
+                (7_000, Step::Mend),
+            ],
+        ),
+        "node-frozen" => scenario(
+            "node-frozen",
+            12_000,
+            vec![
+                (2_000, Step::Freeze(Who::Usher(at))),
+                (2_500, Step::Forbid),
+                (7_000, Step::Wake(Who::Usher(at))),
+            ],
+        ),
+        "back-end-killed" => scenario(
+            "back-end-killed",
+            10_000,
+            vec![
+                (2_000, Step::Kill(Who::BackEnd(at))),
+                (5_000, Step::Start(Who::BackEnd(at))),
+            ],
+        ),
+        "back-end-frozen" => scenario(
+            "back-end-frozen",
+            14_000,
+            vec![
+                (2_000, Step::Freeze(Who::BackEnd(at))),
+                (8_000, Step::Wake(Who::BackEnd(at))),
+            ],
+        ),
         "back-ends-replaced" => {
             let steps = (0..3).flat_map(|turn| {
                 let who = Who::BackEnd((at + turn) % machines);
-                [(1_000 + turn as u64 * 3_000, Step::Stop(who)), (3_000 + turn as u64 * 3_000, Step::Start(who))]
+                [
+                    (1_000 + turn as u64 * 3_000, Step::Stop(who)),
+                    (3_000 + turn as u64 * 3_000, Step::Start(who)),
+                ]
             });
-            Scenario { planned: true, ..scenario("back-ends-replaced", 13_000, steps.collect()) }
+            Scenario {
+                planned: true,
+                ..scenario("back-ends-replaced", 13_000, steps.collect())
+            }
         }
         // The last third of the machines: a whole service at both sites.
         "service-down" => {
             let struck = machines * 2 / 3..machines;
-            let kills = struck.clone().map(|at| (2_000, Step::Kill(Who::BackEnd(at))));
+            let kills = struck
+                .clone()
+                .map(|at| (2_000, Step::Kill(Who::BackEnd(at))));
             let starts = struck.map(|at| (5_000, Step::Start(Who::BackEnd(at))));
             scenario("service-down", 11_000, kills.chain(starts).collect())
         }
         "service-slow" => {
             let struck = machines * 2 / 3..machines;
-            let stops = struck.clone().map(|at| (2_000, Step::Freeze(Who::BackEnd(at))));
+            let stops = struck
+                .clone()
+                .map(|at| (2_000, Step::Freeze(Who::BackEnd(at))));
             let wakes = struck.map(|at| (2_900, Step::Wake(Who::BackEnd(at))));
             scenario("service-slow", 9_000, stops.chain(wakes).collect())
         }
         "nodes-rolled" => {
             let steps = (0..3).flat_map(|turn| {
                 let who = Who::Usher((at + turn) % machines);
-                [(1_000 + turn as u64 * 3_500, Step::Stop(who)), (2_500 + turn as u64 * 3_500, Step::Start(who))]
+                [
+                    (1_000 + turn as u64 * 3_500, Step::Stop(who)),
+                    (2_500 + turn as u64 * 3_500, Step::Start(who)),
+                ]
             });
-            Scenario { planned: true, ..scenario("nodes-rolled", 14_000, steps.collect()) }
+            Scenario {
+                planned: true,
+                ..scenario("nodes-rolled", 14_000, steps.collect())
+            }
         }
         "core-rolled" => {
             let steps = (0..cores).flat_map(|turn| {
                 let who = Who::Core((seat + turn) % cores);
-                [(1_000 + turn as u64 * 2_000, Step::Stop(who)), (2_000 + turn as u64 * 2_000, Step::Start(who))]
+                [
+                    (1_000 + turn as u64 * 2_000, Step::Stop(who)),
+                    (2_000 + turn as u64 * 2_000, Step::Start(who)),
+                ]
             });
-            Scenario { planned: true, ..scenario("core-rolled", 3_000 + cores as u64 * 2_000, steps.collect()) }
+            Scenario {
+                planned: true,
+                ..scenario("core-rolled", 3_000 + cores as u64 * 2_000, steps.collect())
+            }
         }
-        "core-herd" => scenario("core-herd", 14_000, vec![(1_000, Step::Forbid), (2_000, Step::KillCore), (6_000, Step::StartCore)]),
-        "power-loss" => scenario("power-loss", 14_000, vec![(1_000, Step::Forbid), (2_000, Step::KillEverything), (4_000, Step::StartEverything)]),
-        "orders-changed" => scenario("orders-changed", 12_000, vec![(1_500, Step::Forbid), (5_000, Step::Allow), (7_500, Step::Forbid)]),
+        "core-herd" => scenario(
+            "core-herd",
+            14_000,
+            vec![
+                (1_000, Step::Forbid),
+                (2_000, Step::KillCore),
+                (6_000, Step::StartCore),
+            ],
+        ),
+        "power-loss" => scenario(
+            "power-loss",
+            14_000,
+            vec![
+                (1_000, Step::Forbid),
+                (2_000, Step::KillEverything),
+                (4_000, Step::StartEverything),
+            ],
+        ),
+        "orders-changed" => scenario(
+            "orders-changed",
+            12_000,
+            vec![
+                (1_500, Step::Forbid),
+                (5_000, Step::Allow),
+                (7_500, Step::Forbid),
+            ],
+        ),
         _ => return crate::scenario_more::named(name, (machines, cores, zones), seed),
     };
     Some(found)
