--- a/crates/simulator/src/serving_checks.rs
+++ b/crates/simulator/src/serving_checks.rs
@@ -22,7 +22,19 @@
 /// First arrivals at the service they were meant for.
 fn told(records: &[Record]) -> impl Iterator<Item = Told<'_>> {
     records.iter().filter_map(|record| match record {
-        Record::Told { target, asked, at, wait, status, verdict, cause, come_back, key, again: false, .. } => Some(Told {
+        Record::Told {
+            target,
+            asked,
+            at,
+            wait,
+            status,
+            verdict,
+            cause,
+            come_back,
+            key,
+            again: false,
+            ..
+        } => Some(Told {
             service: target,
             asked: *asked,
             at: *at,
@@ -43,14 +55,22 @@
         Record::Extra { service, at, .. } => Some((service.as_str(), *at)),
         _ => None,
     });
-    let gathered = |mut table: std::collections::BTreeMap<String, Vec<u64>>, (service, at): (&str, u64)| {
+    let gathered = |mut table: std::collections::BTreeMap<String, Vec<u64>>,
+                    (service, at): (&str, u64)| {
         table.entry(service.to_string()).or_default().push(at);
         table
     };
     let mut extras = extras.fold(Default::default(), gathered);
-    let mut asked = told(records).map(|told| (told.service, told.asked)).fold(Default::default(), gathered);
-    extras.values_mut().chain(asked.values_mut()).for_each(|times| times.sort());
-    let inside = |times: &[u64], from: u64, to: u64| times.partition_point(|time| *time < to) - times.partition_point(|time| *time < from);
+    let mut asked = told(records)
+        .map(|told| (told.service, told.asked))
+        .fold(Default::default(), gathered);
+    extras
+        .values_mut()
+        .chain(asked.values_mut())
+        .for_each(|times| times.sort());
+    let inside = |times: &[u64], from: u64, to: u64| {
+        times.partition_point(|time| *time < to) - times.partition_point(|time| *time < from)
+    };
     extras
         .iter()
         .flat_map(|(service, times)| {
@@ -65,33 +85,75 @@
 
 /// Refused for the moment, and not told when to come back.
 pub(crate) fn silent_refusals(records: &[Record]) -> Vec<String> {
-    let silent = told(records).filter(|told| told.verdict == Some("not-run") && matches!(told.status, 429 | 503) && !told.come_back);
-    silent.map(|told| format!("{} at {}: {} does not say when", told.service, told.at, told.cause.unwrap_or("?"))).collect()
+    let silent = told(records).filter(|told| {
+        told.verdict == Some("not-run") && matches!(told.status, 429 | 503) && !told.come_back
+    });
+    silent
+        .map(|told| {
+            format!(
+                "{} at {}: {} does not say when",
+                told.service,
+                told.at,
+                told.cause.unwrap_or("?")
+            )
+        })
+        .collect()
 }
 
 /// Kept until near the deadline though there was nothing more to wait for. Whoever waited in a buffer until
 /// a more important one came, or until its time was over, had something to wait for.
 pub(crate) fn held_back(records: &[Record]) -> Vec<String> {
     const WAITED: [&str; 2] = ["too_late", "overloaded"];
-    let late = told(records).filter(|told| told.verdict == Some("not-run") && told.at - told.asked > told.wait * 9 / 10);
+    let late = told(records).filter(|told| {
+        told.verdict == Some("not-run") && told.at - told.asked > told.wait * 9 / 10
+    });
     // An usher that stands still answers nothing, at either end; nobody has given the try up meanwhile.
-    let stood = |record: &Record| if let Record::Stood { from, to, .. } = record { Some((*from, *to)) } else { None };
+    let stood = |record: &Record| {
+        if let Record::Stood { from, to, .. } = record {
+            Some((*from, *to))
+        } else {
+            None
+        }
+    };
     let stood: Vec<(u64, u64)> = records.iter().filter_map(stood).collect();
-    let late = late.filter(|told| !stood.iter().any(|(from, to)| told.asked < *to && told.at > *from));
+    let late = late.filter(|told| {
+        !stood
+            .iter()
+            .any(|(from, to)| told.asked < *to && told.at > *from)
+    });
     let late = late.filter(|told| !told.cause.is_some_and(|cause| WAITED.contains(&cause)));
-    late.map(|told| format!("{}: {} after {} of {}", told.service, told.cause.unwrap_or("?"), told.at - told.asked, told.wait)).collect()
+    late.map(|told| {
+        format!(
+            "{}: {} after {} of {}",
+            told.service,
+            told.cause.unwrap_or("?"),
+            told.at - told.asked,
+            told.wait
+        )
+    })
+    .collect()
 }
 
 fn heated(records: &[Record]) -> Option<u64> {
-    records.iter().find_map(|record| if let Record::Heated { at } = record { Some(*at) } else { None })
+    records.iter().find_map(|record| {
+        if let Record::Heated { at } = record {
+            Some(*at)
+        } else {
+            None
+        }
+    })
 }
 
 /// Served share of the other keys, before one key swamps the rest and after.
 pub(crate) fn crowded_out(records: &[Record]) -> Vec<String> {
-    let Some(heated) = heated(records) else { return Vec::new() };
+    let Some(heated) = heated(records) else {
+        return Vec::new();
+    };
     let share = |hot: bool| {
-        let others: Vec<bool> =
-            told(records).filter(|told| told.key.is_some_and(|key| key != "hot") && (told.asked > heated) == hot).map(|told| told.verdict.is_none()).collect();
+        let others: Vec<bool> = told(records)
+            .filter(|told| told.key.is_some_and(|key| key != "hot") && (told.asked > heated) == hot)
+            .map(|told| told.verdict.is_none())
+            .collect();
         others.iter().filter(|served| **served).count() * 1_000 / others.len().max(1)
     };
     let (before, after) = (share(false), share(true));
@@ -101,18 +163,42 @@
 
 /// Service to how long after the last fault it was served, and whoever was not in time.
 pub(crate) fn back(records: &[Record]) -> (std::collections::BTreeMap<String, u64>, Vec<String>) {
-    let healed = records.iter().filter_map(|record| if let Record::Healed { at } = record { Some(*at) } else { None }).max();
-    let Some(healed) = healed else { return Default::default() };
+    let healed = records
+        .iter()
+        .filter_map(|record| {
+            if let Record::Healed { at } = record {
+                Some(*at)
+            } else {
+                None
+            }
+        })
+        .max();
+    let Some(healed) = healed else {
+        return Default::default();
+    };
     let end = told(records).map(|told| told.at).max().unwrap_or(0);
     let after = || told(records).filter(move |told| told.asked >= healed);
-    let services: std::collections::BTreeSet<String> = told(records).map(|told| told.service.to_string()).collect();
-    let served = after().filter(|told| told.verdict.is_none()).fold(std::collections::BTreeMap::<String, u64>::new(), |mut served, told| {
-        let since = told.at - healed;
-        served.entry(told.service.to_string()).and_modify(|held| *held = since.min(*held)).or_insert(since);
+    let services: std::collections::BTreeSet<String> =
+        told(records).map(|told| told.service.to_string()).collect();
+    let served = after().filter(|told| told.verdict.is_none()).fold(
+        std::collections::BTreeMap::<String, u64>::new(),
+        |mut served, told| {
+            let since = told.at - healed;
+            served
+                .entry(told.service.to_string())
+                .and_modify(|held| *held = since.min(*held))
+                .or_insert(since);
+            served
+        },
+    );
+    let late = services.iter().filter(|service| {
         served
+            .get(*service)
+            .map_or(end > healed + BACK_WITHIN, |since| *since > BACK_WITHIN)
     });
-    let late = services.iter().filter(|service| served.get(*service).map_or(end > healed + BACK_WITHIN, |since| *since > BACK_WITHIN));
-    let late = late.map(|service| format!("{service} was not served within 15 s of the end of the last fault")).collect();
+    let late = late
+        .map(|service| format!("{service} was not served within 15 s of the end of the last fault"))
+        .collect();
     (served, late)
 }
 
--- a/crates/simulator/src/sim/check.rs
+++ b/crates/simulator/src/sim/check.rs
@@ -31,43 +31,69 @@
         if let Some(submission) = self.submitted.get_mut(value) {
             submission.applied.get_or_insert(now);
         } else {
-            self.broken.push(format!("seat {seat} applied at {at} what nobody proposed"));
+            self.broken
+                .push(format!("seat {seat} applied at {at} what nobody proposed"));
         }
         let held = self.chosen.entry(at).or_insert_with(|| value.to_vec());
         if held != value {
-            self.broken.push(format!("instance {at} has two values, the second at seat {seat}"));
+            self.broken.push(format!(
+                "instance {at} has two values, the second at seat {seat}"
+            ));
         }
         if at % seats as u64 == seat as u64 {
-            let waited = since.filter(|since| !since.caller_gone).map_or(0, |since| now.saturating_sub(since.at));
+            let waited = since
+                .filter(|since| !since.caller_gone)
+                .map_or(0, |since| now.saturating_sub(since.at));
             self.slowest = self.slowest.max(waited);
             self.answered.insert(at, value.to_vec());
         }
     }
 
     pub fn note_submitted(&mut self, value: Vec<u8>, seat: u16, at: u64) {
-        self.submitted.insert(value, Submission { seat, at, caller_gone: false, applied: None });
+        self.submitted.insert(
+            value,
+            Submission {
+                seat,
+                at,
+                caller_gone: false,
+                applied: None,
+            },
+        );
     }
 
     /// Whoever waited at a seat that died waits no longer.
     pub fn crashed(&mut self, seat: u16) {
-        self.submitted.values_mut().filter(|held| held.seat == seat).for_each(|held| held.caller_gone = true);
+        self.submitted
+            .values_mut()
+            .filter(|held| held.seat == seat)
+            .for_each(|held| held.caller_gone = true);
     }
 
     /// Whether the caller of an entry still waits for its answer.
     pub fn waits_for(&self, value: &[u8], now: u64, patience: u64) -> bool {
-        let waits = |held: &Submission| patience == u64::MAX || !held.caller_gone && now <= held.at.saturating_add(patience);
+        let waits = |held: &Submission| {
+            patience == u64::MAX || !held.caller_gone && now <= held.at.saturating_add(patience)
+        };
         self.submitted.get(value).is_some_and(waits)
     }
 
     /// Entries that first took effect so long after they were submitted.
     pub fn late(&self, after: u64) -> Vec<&[u8]> {
-        let late = |held: &Submission| held.applied.is_some_and(|applied| applied > held.at + after);
-        self.submitted.iter().filter(|(_, held)| late(held)).map(|(value, _)| value.as_slice()).collect()
+        let late = |held: &Submission| {
+            held.applied
+                .is_some_and(|applied| applied > held.at + after)
+        };
+        self.submitted
+            .iter()
+            .filter(|(_, held)| late(held))
+            .map(|(value, _)| value.as_slice())
+            .collect()
     }
 
     /// A read must see at least what any seat had applied when it was asked: that may have been told (design 11.6).
     pub fn read_asked(&mut self, token: u64) {
-        self.asked.insert(token, self.chosen.last_key_value().map(|(at, _)| *at));
+        self.asked
+            .insert(token, self.chosen.last_key_value().map(|(at, _)| *at));
     }
 
     pub fn read_done(&mut self, token: u64, applied: u64) {
@@ -75,7 +101,9 @@
         if let Some(Some(told)) = self.asked.remove(&token)
             && applied <= told
         {
-            self.broken.push(format!("read {token} was proved at {applied} though {told} had been applied before it"));
+            self.broken.push(format!(
+                "read {token} was proved at {applied} though {told} had been applied before it"
+            ));
         }
     }
 
@@ -85,7 +113,12 @@
 
     /// At the end, with all faults mended: all copies are equal and lack nothing that was answered.
     pub fn close(&mut self, nodes: &[super::world::Node]) {
-        let longest = nodes.iter().map(|node| &node.history).max_by_key(|history| history.len()).cloned().unwrap_or_default();
+        let longest = nodes
+            .iter()
+            .map(|node| &node.history)
+            .max_by_key(|history| history.len())
+            .cloned()
+            .unwrap_or_default();
         nodes.iter().zip(0..).for_each(|(node, seat): (&super::world::Node, usize)| {
             if node.history != longest {
                 let differs = node.history.iter().zip(&longest).position(|(a, b)| a != b);
@@ -97,14 +130,25 @@
             }
         });
         let held: std::collections::BTreeMap<u64, Vec<u8>> = longest.into_iter().collect();
-        let lost: Vec<u64> = self.answered.iter().filter(|(at, value)| held.get(at) != Some(value)).map(|(at, _)| *at).collect();
+        let lost: Vec<u64> = self
+            .answered
+            .iter()
+            .filter(|(at, value)| held.get(at) != Some(value))
+            .map(|(at, _)| *at)
+            .collect();
         if !lost.is_empty() {
-            self.broken.push(format!("answered entries vanished: {lost:?}"));
+            self.broken
+                .push(format!("answered entries vanished: {lost:?}"));
         }
-        (0..nodes.len()).map(|seat| format!("last {seat}").into_bytes()).for_each(|last| {
-            if !held.values().any(|value| *value == last) {
-                self.broken.push(format!("{:?} was never applied though all faults were mended", String::from_utf8_lossy(&last)));
-            }
-        });
+        (0..nodes.len())
+            .map(|seat| format!("last {seat}").into_bytes())
+            .for_each(|last| {
+                if !held.values().any(|value| *value == last) {
+                    self.broken.push(format!(
+                        "{:?} was never applied though all faults were mended",
+                        String::from_utf8_lossy(&last)
+                    ));
+                }
+            });
     }
 }
--- a/crates/simulator/src/sim/effects.rs
+++ b/crates/simulator/src/sim/effects.rs
@@ -7,7 +7,10 @@
 impl super::world::Node {
     /// Records on the disk that are not a snapshot.
     pub fn records_beside_snapshot(&self) -> usize {
-        self.disk.iter().filter(|write| !matches!(write, mencius::Write::Snapshot { .. })).count()
+        self.disk
+            .iter()
+            .filter(|write| !matches!(write, mencius::Write::Snapshot { .. }))
+            .count()
     }
 }
 
@@ -32,7 +35,11 @@
 
     /// Each effect is a numbered point; a plan may crash the seat just before it is carried out.
     pub(super) fn carry_out(&mut self, seat: Seat) {
-        let effects = self.nodes[seat as usize].machine.as_mut().map(mencius::Replica::take_effects).unwrap_or_default();
+        let effects = self.nodes[seat as usize]
+            .machine
+            .as_mut()
+            .map(mencius::Replica::take_effects)
+            .unwrap_or_default();
         for effect in effects {
             self.nodes[seat as usize].points += 1;
             self.counts.points += 1;
@@ -52,17 +59,38 @@
         match effect {
             mencius::Effect::Send(to, frame) => {
                 self.counts.frames += 1;
-                *self.counts.kinds.entry(super::count::kind(&frame.message)).or_default() += 1;
-                self.counts.revocations += matches!(frame.message, mencius::Message::Prepare { .. }) as u64;
+                *self
+                    .counts
+                    .kinds
+                    .entry(super::count::kind(&frame.message))
+                    .or_default() += 1;
+                self.counts.revocations +=
+                    matches!(frame.message, mencius::Message::Prepare { .. }) as u64;
                 let (x, y) = (seat as usize, to as usize);
                 let time = (self.now + self.draw(self.plan.hop)).max(self.last_delivery[x][y] + 1);
                 self.last_delivery[x][y] = time;
                 let epoch = self.epochs[x][y];
-                self.at(time, Event::Deliver { from: seat, to, epoch, frame });
+                self.at(
+                    time,
+                    Event::Deliver {
+                        from: seat,
+                        to,
+                        epoch,
+                        frame,
+                    },
+                );
             }
-            mencius::Effect::Persist { ticket, writes, replace_journal: afresh } => {
+            mencius::Effect::Persist {
+                ticket,
+                writes,
+                replace_journal: afresh,
+            } => {
                 self.counts.syncs += 1;
-                let wait = if self.plan.lying_disk { 0 } else { self.draw(self.plan.sync) + self.nodes[seat as usize].disk_slow };
+                let wait = if self.plan.lying_disk {
+                    0
+                } else {
+                    self.draw(self.plan.sync) + self.nodes[seat as usize].disk_slow
+                };
                 let life = self.nodes[seat as usize].life;
                 if self.plan.lying_disk {
                     self.keep(seat);
@@ -74,7 +102,8 @@
             mencius::Effect::Apply(at, value) => {
                 self.nodes[seat as usize].history.push((at, value.clone()));
                 self.mind_replacement(seat, at, &value);
-                self.findings.applied(self.now, seat, at, &value, self.plan.seats);
+                self.findings
+                    .applied(self.now, seat, at, &value, self.plan.seats);
                 self.snapshot_when_due(seat, at + 1);
             }
             mencius::Effect::NotChosen(value) => {
@@ -84,15 +113,23 @@
                 }
             }
             mencius::Effect::InstallSnapshot { state, .. } => {
-                self.nodes[seat as usize].history = rkyv::from_bytes::<Vec<(u64, Vec<u8>)>, rkyv::rancor::Error>(&state).unwrap_or_default();
+                self.nodes[seat as usize].history =
+                    rkyv::from_bytes::<Vec<(u64, Vec<u8>)>, rkyv::rancor::Error>(&state)
+                        .unwrap_or_default();
                 // The state a snapshot stands for knows the holders too.
                 self.nodes[seat as usize].book = Default::default();
                 let history = self.nodes[seat as usize].history.clone();
-                history.into_iter().for_each(|(at, value)| self.mind_replacement(seat, at, &value));
+                history
+                    .into_iter()
+                    .for_each(|(at, value)| self.mind_replacement(seat, at, &value));
             }
             mencius::Effect::ReadReady(token) => {
                 let node = &mut self.nodes[seat as usize];
-                let applied = node.machine.as_ref().map(mencius::Replica::applied).unwrap_or(0);
+                let applied = node
+                    .machine
+                    .as_ref()
+                    .map(mencius::Replica::applied)
+                    .unwrap_or(0);
                 self.findings.read_done(token, applied);
                 self.done.push((token, seat));
             }
@@ -104,12 +141,25 @@
         node.since_snapshot += 1;
         let due = self.plan.snapshot_every > 0 && node.since_snapshot >= self.plan.snapshot_every;
         // As the daemon's driver does it: what lies below a change could be finished only by disks of that time.
-        let handed_over = self.plan.snapshot_past_change && node.book.replica_holders.values().any(|(_, after)| (node.snapshot_at..through).contains(after));
+        let handed_over = self.plan.snapshot_past_change
+            && node
+                .book
+                .replica_holders
+                .values()
+                .any(|(_, after)| (node.snapshot_at..through).contains(after));
         if due || handed_over {
             (node.since_snapshot, node.snapshot_at) = (0, through);
-            let state = rkyv::to_bytes::<rkyv::rancor::Error>(&node.history).map(|bytes| bytes.to_vec()).unwrap_or_default();
+            let state = rkyv::to_bytes::<rkyv::rancor::Error>(&node.history)
+                .map(|bytes| bytes.to_vec())
+                .unwrap_or_default();
             if let Some(machine) = node.machine.as_mut() {
-                machine.step(self.now, mencius::Input::Snapshot { next_instance: through, state });
+                machine.step(
+                    self.now,
+                    mencius::Input::Snapshot {
+                        next_instance: through,
+                        state,
+                    },
+                );
             }
         }
     }
--- a/crates/simulator/src/sim/faults.rs
+++ b/crates/simulator/src/sim/faults.rs
@@ -50,18 +50,30 @@
             1 => vec![(time, Fault::Freeze(seat)), (back, Fault::Wake(seat))],
             2 if seat != other => vec![(time, Fault::Cut(seat, other)), (back, Fault::Mend)],
             3 if seat != other => vec![(time, Fault::Drop(seat, other))],
-            4 => (0..seats).filter(|mate| *mate != seat).map(|mate| (time, Fault::Cut(seat, mate))).chain([(back, Fault::Mend)]).collect(),
-            5 => vec![(time, Fault::SlowDisk(seat, 600_000)), (back, Fault::SlowDisk(seat, 0))],
+            4 => (0..seats)
+                .filter(|mate| *mate != seat)
+                .map(|mate| (time, Fault::Cut(seat, mate)))
+                .chain([(back, Fault::Mend)])
+                .collect(),
+            5 => vec![
+                (time, Fault::SlowDisk(seat, 600_000)),
+                (back, Fault::SlowDisk(seat, 0)),
+            ],
             _ => Vec::new(),
         };
-        faults.into_iter().for_each(|(time, fault)| world.at_fault(time, fault));
+        faults
+            .into_iter()
+            .for_each(|(time, fault)| world.at_fault(time, fault));
     });
     let entries = seconds * 20;
     (0..entries).for_each(|number| {
         let seat = (number * 7 % seats as u64) as Seat;
         let time = 100_000 + number * 50_000;
         world.at_fault(time, Fault::Submit(seat, number.to_be_bytes().to_vec()));
-        world.at_fault(time + 20_000, Fault::Read(((number + 3) % seats as u64) as Seat, number));
+        world.at_fault(
+            time + 20_000,
+            Fault::Read(((number + 3) % seats as u64) as Seat, number),
+        );
     });
     let end = seconds * 1_000_000 + 2_000_000;
     world.at_fault(end, Fault::Mend);
@@ -71,6 +83,9 @@
         world.at_fault(end, Fault::Start(seat));
     });
     (0..seats).for_each(|seat| {
-        world.at_fault(end + 2_500_000, Fault::Submit(seat, format!("last {seat}").into_bytes()));
+        world.at_fault(
+            end + 2_500_000,
+            Fault::Submit(seat, format!("last {seat}").into_bytes()),
+        );
     });
 }
--- a/crates/simulator/src/sim/site.rs
+++ b/crates/simulator/src/sim/site.rs
@@ -116,7 +116,9 @@
             site.nodes.push(node);
             let offset = 400_000 + at as Microseconds * 7_000;
             site.present(at);
-            [Event::Pump(at), Event::Ask(at), Event::Come(at)].into_iter().for_each(|event| site.at(offset, event));
+            [Event::Pump(at), Event::Ask(at), Event::Come(at)]
+                .into_iter()
+                .for_each(|event| site.at(offset, event));
             site.at(1_000_000 + offset, Event::Send(at, u64::MAX));
         });
         site
@@ -128,7 +130,11 @@
             view: Default::default(),
             taken: Default::default(),
             picker: Default::default(),
-            budget: legacy_proxy::retry_budget::RetryBudget::new(if self.plan.without.budget { 1_000_000 } else { 1 }),
+            budget: legacy_proxy::retry_budget::RetryBudget::new(if self.plan.without.budget {
+                1_000_000
+            } else {
+                1
+            }),
             // Drawn as a process does it: in no order.
             life: model::leases::stable_hash(&format!("{at} {}", self.now)),
             frozen: false,
@@ -149,8 +155,19 @@
     /// On top of the incarnation that the node's own news has.
     pub(super) fn registration(&self, at: usize) -> EndpointReport {
         let (node, incarnation) = (format!("n{at}"), self.nodes[at].life);
-        let replaces = self.nodes[at].view.slice.nodes.get(&node).map_or(0, |held| held.incarnation);
-        EndpointReport::NodeRegistered { node, zone: zone(at), address: format!("127.0.0.1:{at}"), incarnation, replaces }
+        let replaces = self.nodes[at]
+            .view
+            .slice
+            .nodes
+            .get(&node)
+            .map_or(0, |held| held.incarnation);
+        EndpointReport::NodeRegistered {
+            node,
+            zone: zone(at),
+            address: format!("127.0.0.1:{at}"),
+            incarnation,
+            replaces,
+        }
     }
 
     /// The node says that it is there.
@@ -162,9 +179,15 @@
     /// The process ends with all it knew; another begins at the same place.
     pub(super) fn restart(&mut self, at: usize) {
         let cut = self.nodes[at].cut;
-        self.nodes[at] = Node { cut, ..self.fresh_node(at) };
+        self.nodes[at] = Node {
+            cut,
+            ..self.fresh_node(at)
+        };
         self.courses.retain(|_, trying| trying.node != at);
-        self.runs.values_mut().filter(|run| run.node == at).for_each(|run| run.orphan = true);
+        self.runs
+            .values_mut()
+            .filter(|run| run.node == at)
+            .for_each(|run| run.orphan = true);
         self.present(at);
     }
 
@@ -186,18 +209,36 @@
     }
 
     /// Another process comes under the name of `at`'s back end, at an address of its own.
-    pub(super) fn new_process(&mut self, at: usize, name: String, service: &'static str, address: Option<u64>) {
+    pub(super) fn new_process(
+        &mut self,
+        at: usize,
+        name: String,
+        service: &'static str,
+        address: Option<u64>,
+    ) {
         let process = self.processes.len();
         let address = address.unwrap_or(1_000 + process as u64);
         self.addresses.insert(address, process);
         let blank = (String::new(), String::new());
-        self.processes.push(Process { name, service, node: at, alive: true, beats: true, drained: None, died: None, secret: blank.0, prefix: blank.1 });
+        self.processes.push(Process {
+            name,
+            service,
+            node: at,
+            alive: true,
+            beats: true,
+            drained: None,
+            died: None,
+            secret: blank.0,
+            prefix: blank.1,
+        });
         self.at(self.now, Event::Beat(process));
     }
 
     pub(super) fn main_process(&self, at: usize) -> Option<usize> {
         let name = format!("b{at}");
-        self.processes.iter().rposition(|process| process.name == name && process.alive && process.beats)
+        self.processes
+            .iter()
+            .rposition(|process| process.name == name && process.alive && process.beats)
     }
 
     pub(super) fn come(&mut self, at: usize) {
--- a/crates/simulator/src/sim/site_calls.rs
+++ b/crates/simulator/src/sim/site_calls.rs
@@ -26,12 +26,30 @@
         let number = if number == u64::MAX {
             let pause = self.draw(20_000..60_000);
             self.at(self.now + pause, Event::Send(at, u64::MAX));
-            let Some(process) = self.main_process(at).filter(|process| !self.processes[*process].prefix.is_empty()) else { return };
+            let Some(process) = self
+                .main_process(at)
+                .filter(|process| !self.processes[*process].prefix.is_empty())
+            else {
+                return;
+            };
             let own = self.processes[process].service;
             let lanes: Vec<Lane> = LANES.iter().filter(|lane| lane.0 == own).copied().collect();
-            let (lane, key) = (lanes[self.draw(0..lanes.len() as u64) as usize], format!("k{}", self.draw(0..5)));
-            let id = format!("{}{}/{}", self.processes[process].prefix, own, self.tries.len());
-            self.tries.push(Try { id, lane, key, process });
+            let (lane, key) = (
+                lanes[self.draw(0..lanes.len() as u64) as usize],
+                format!("k{}", self.draw(0..5)),
+            );
+            let id = format!(
+                "{}{}/{}",
+                self.processes[process].prefix,
+                own,
+                self.tries.len()
+            );
+            self.tries.push(Try {
+                id,
+                lane,
+                key,
+                process,
+            });
             let number = self.tries.len() as u64 - 1;
             if self.draw(0..8) == 0 {
                 let later = self.draw(0..4_000_000);
@@ -43,7 +61,10 @@
         };
         let (now, again) = (self.now, &self.tries[number as usize]);
         // Whoever sends it has the registration of this moment, though the name is of an earlier one.
-        let secret = self.main_process(at).filter(|process| *process == again.process).map(|process| self.processes[process].secret.clone());
+        let secret = self
+            .main_process(at)
+            .filter(|process| *process == again.process)
+            .map(|process| self.processes[process].secret.clone());
         let Some(secret) = secret else { return };
         let (try_id, lane, key) = (again.id.clone(), again.lane, again.key.clone());
         let taken = self.take(at, &secret, &try_id);
@@ -68,21 +89,39 @@
             Ok(course) => {
                 self.nodes[at].budget.deposit(lane.1);
                 self.judge.first(now, lane.1);
-                self.step(Trying { node: at, course, picked: String::new(), try_id });
+                self.step(Trying {
+                    node: at,
+                    course,
+                    picked: String::new(),
+                    try_id,
+                });
             }
             Err(trouble) => self.answer(at, lane.1, &try_id, Err(trouble)),
         }
     }
 
-    fn take(&mut self, at: usize, secret: &str, try_id: &str) -> Result<legacy_proxy::ClientId, Error> {
+    fn take(
+        &mut self,
+        at: usize,
+        secret: &str,
+        try_id: &str,
+    ) -> Result<legacy_proxy::ClientId, Error> {
         let without = self.plan.without.identity;
         let node = &mut self.nodes[at];
-        let sender = node.house.clients().get(secret).cloned().ok_or_else(|| Error::new(Cause::UnknownClient, "no such secret"))?;
+        let sender = node
+            .house
+            .clients()
+            .get(secret)
+            .cloned()
+            .ok_or_else(|| Error::new(Cause::UnknownClient, "no such secret"))?;
         if without {
             return Ok(sender);
         }
         if !try_id.starts_with(&sender.attempt_prefix) {
-            return Err(Error::new(Cause::EarlierIncarnation, "of another registration"));
+            return Err(Error::new(
+                Cause::EarlierIncarnation,
+                "of another registration",
+            ));
         }
         node.taken.accept(try_id).map(|()| sender)
     }
@@ -93,7 +132,8 @@
         {
             self.nodes[at].taken.did_not_run(try_id, trouble);
         }
-        self.judge.told(self.now, service, try_id, answer.as_ref().err());
+        self.judge
+            .told(self.now, service, try_id, answer.as_ref().err());
     }
 
     /// Pick and dispatch, or the final answer.
@@ -110,20 +150,31 @@
             let trouble = trying.course.no_backend();
             return self.finish(trying, Err(trouble));
         };
-        let dispatched = trying.course.next_attempt(&node.view, now, &picked, &format!("n{at}"));
+        let dispatched = trying
+            .course
+            .next_attempt(&node.view, now, &picked, &format!("n{at}"));
         trying.picked = picked;
         self.numbers += 1;
         let (number, until) = (self.numbers, trying.course.deadline());
         self.courses.insert(number, trying);
         match dispatched {
-            Ok((dispatch, None)) => self.at(now, Event::Arrive(number, at, Box::new(dispatch), now)),
+            Ok((dispatch, None)) => {
+                self.at(now, Event::Arrive(number, at, Box::new(dispatch), now))
+            }
             Ok((dispatch, Some((address, life)))) => {
-                let to: usize = address.rsplit(':').next().and_then(|port| port.parse().ok()).unwrap_or(0);
+                let to: usize = address
+                    .rsplit(':')
+                    .next()
+                    .and_then(|port| port.parse().ok())
+                    .unwrap_or(0);
                 let time = now + self.hop();
                 if self.nodes[to].life == life {
                     self.at(time, Event::Arrive(number, to, Box::new(dispatch), now));
                 } else {
-                    self.at(time, Event::Reply(number, Err(Error::new(Cause::Unreachable, "another life"))));
+                    self.at(
+                        time,
+                        Event::Reply(number, Err(Error::new(Cause::Unreachable, "another life"))),
+                    );
                 }
             }
             Err(trouble) => self.at(now, Event::Reply(number, Err(trouble))),
@@ -139,17 +190,25 @@
     /// The far side's answer, or the end of the wait, reaches the own usher.
     pub(super) fn reply(&mut self, number: u64, answer: Result<(), Error>) {
         let now = self.now;
-        let Some(mut trying) = self.courses.remove(&number) else { return };
+        let Some(mut trying) = self.courses.remove(&number) else {
+            return;
+        };
         let node = &mut self.nodes[trying.node];
         let bench = matches!(&answer, Err(trouble) if trouble.kind != Cause::DuplicateAttempt);
         node.picker.attempt_finished(now, &trying.picked, bench);
-        let Err(mut trouble) = answer else { return self.finish(trying, Ok(())) };
-        if self.plan.without.honest_verdicts && matches!(trouble.kind, Cause::PeerLost | Cause::BackendLost) {
+        let Err(mut trouble) = answer else {
+            return self.finish(trying, Ok(()));
+        };
+        if self.plan.without.honest_verdicts
+            && matches!(trouble.kind, Cause::PeerLost | Cause::BackendLost)
+        {
             trouble.execution_status = ExecutionStatus::NotRun;
         }
         let picked = trying.picked.clone();
         let service = trying.course.service().to_string();
-        if trying.course.may_retry(&picked, &trouble) && self.nodes[trying.node].budget.withdraw(&service) {
+        if trying.course.may_retry(&picked, &trouble)
+            && self.nodes[trying.node].budget.withdraw(&service)
+        {
             self.judge.extra(now, &service);
             return self.step(trying);
         }
--- a/crates/simulator/src/sim/site_events.rs
+++ b/crates/simulator/src/sim/site_events.rs
@@ -9,7 +9,11 @@
 impl Site {
     fn place_of(event: &Event) -> Option<usize> {
         match event {
-            Event::Pump(at) | Event::Ask(at) | Event::Proved(at, ..) | Event::Send(at, _) | Event::Arrive(_, at, ..) => Some(*at),
+            Event::Pump(at)
+            | Event::Ask(at)
+            | Event::Proved(at, ..)
+            | Event::Send(at, _)
+            | Event::Arrive(_, at, ..) => Some(*at),
             Event::AtHome(at, ..) | Event::Reported(at, ..) => Some(*at),
             _ => None,
         }
@@ -17,7 +21,9 @@
 
     pub(super) fn happen(&mut self, event: Event) {
         let waits = match &event {
-            Event::Reply(number, _) | Event::Late(number) => self.courses.get(number).map(|trying| trying.node),
+            Event::Reply(number, _) | Event::Late(number) => {
+                self.courses.get(number).map(|trying| trying.node)
+            }
             Event::RunEnds(number) => self.runs.get(number).map(|run| run.node),
             Event::Beat(process) => Some(self.processes[*process].node),
             other => Site::place_of(other),
@@ -54,18 +60,30 @@
             Event::Proved(at, asked, slice) => self.proved(at, asked, *slice),
             Event::Beat(process) => self.beat(process),
             Event::Report(at, life, seat, entry) => {
-                let reaches = self.nodes[at].life == life && !self.nodes[at].cut && self.core.up(seat);
+                let reaches =
+                    self.nodes[at].life == life && !self.nodes[at].cut && self.core.up(seat);
                 if reaches {
-                    self.reports.insert((entry.origin.clone(), entry.incarnation, entry.sequence), at);
+                    self.reports.insert(
+                        (entry.origin.clone(), entry.incarnation, entry.sequence),
+                        at,
+                    );
                     self.core.submit(seat, &entry);
                 }
             }
-            Event::Reported(at, life, sequence, outcome) => self.reported(at, life, sequence, outcome),
+            Event::Reported(at, life, sequence, outcome) => {
+                self.reported(at, life, sequence, outcome)
+            }
             Event::Operate => self.operate(),
             Event::Send(at, number) => self.send(at, number),
             Event::Arrive(number, at, dispatch, sent) => self.arrive(number, at, *dispatch, sent),
             Event::Reply(number, answer) => self.reply(number, answer),
-            Event::Late(number) => self.reply(number, Err(model::Error::new(model::Cause::TimedOut, "no answer in time"))),
+            Event::Late(number) => self.reply(
+                number,
+                Err(model::Error::new(
+                    model::Cause::TimedOut,
+                    "no answer in time",
+                )),
+            ),
             Event::RunEnds(number) => self.run_ends(number),
             Event::Come(at) => self.come(at),
         }
@@ -88,8 +106,13 @@
             }
         });
         proofs.into_iter().for_each(|(token, seat)| {
-            let Some((at, asked)) = self.reads.remove(&token) else { return };
-            let slice = model::StateSlice::for_services(self.core.book(seat), &self.nodes[at].house.services());
+            let Some((at, asked)) = self.reads.remove(&token) else {
+                return;
+            };
+            let slice = model::StateSlice::for_services(
+                self.core.book(seat),
+                &self.nodes[at].house.services(),
+            );
             let time = self.now + self.hop();
             self.at(time, Event::Proved(at, asked, Box::new(slice)));
         });
@@ -100,14 +123,23 @@
         let (now, wait) = (self.now, self.hop());
         let seats = self.plan.seats;
         let node = &mut self.nodes[at];
-        let home = control::zone_relay::select_zone_relay(&node.view.slice, &super::site_plan::zone(at), &node.house.services());
-        let home = home.and_then(|(name, _)| name[1..].parse::<usize>().ok()).filter(|home| *home != at);
+        let home = control::zone_relay::select_zone_relay(
+            &node.view.slice,
+            &super::site_plan::zone(at),
+            &node.house.services(),
+        );
+        let home = home
+            .and_then(|(name, _)| name[1..].parse::<usize>().ok())
+            .filter(|home| *home != at);
         if now > node.proved + PATIENCE {
             node.proved = now;
             node.seat = (node.seat + 1) % seats;
             node.passed_over = home.map(|home| (home, now + 3_000_000));
         }
-        let home = home.filter(|home| node.passed_over.is_none_or(|(passed, until)| passed != *home || now >= until));
+        let home = home.filter(|home| {
+            node.passed_over
+                .is_none_or(|(passed, until)| passed != *home || now >= until)
+        });
         node.direct = home.is_none();
         if node.cut {
             return;
@@ -132,19 +164,34 @@
         node.proved = now;
         match node.view.with_update(slice.clone()) {
             Some(view) => node.view = view,
-            None if any_order => node.view = control::View { slice: std::sync::Arc::new(slice), fresh_until: asked + bound },
+            None if any_order => {
+                node.view = control::View {
+                    slice: std::sync::Arc::new(slice),
+                    fresh_until: asked + bound,
+                }
+            }
             None => {}
         }
-        node.view.with_proof(asked, position, bound).into_iter().for_each(|view| node.view = view);
+        node.view
+            .with_proof(asked, position, bound)
+            .into_iter()
+            .for_each(|view| node.view = view);
         let (life, held, fresh) = (node.life, node.view.slice.clone(), node.view.is_fresh(now));
-        let (ready, later): (Vec<_>, Vec<_>) = std::mem::take(&mut node.askers).into_iter().partition(|(.., arrived)| *arrived <= asked);
+        let (ready, later): (Vec<_>, Vec<_>) = std::mem::take(&mut node.askers)
+            .into_iter()
+            .partition(|(.., arrived)| *arrived <= asked);
         node.askers = later;
         self.judge.holds(now, at, life, held.position, fresh);
         ready.into_iter().for_each(|(from, asked, _)| {
             let wanted = self.nodes[from].house.services();
-            if wanted.is_subset(&held.services) && held.position >= self.nodes[from].view.slice.position {
+            if wanted.is_subset(&held.services)
+                && held.position >= self.nodes[from].view.slice.position
+            {
                 let time = now + self.hop();
-                self.at(time, Event::Proved(from, asked, Box::new(held.narrowed_to(&wanted))));
+                self.at(
+                    time,
+                    Event::Proved(from, asked, Box::new(held.narrowed_to(&wanted))),
+                );
             }
         });
     }
@@ -156,7 +203,15 @@
         let granted = node.house.admit_queued(now, &view);
         let mut reports = node.house.take_reports();
         if self.plan.without.drains {
-            reports.retain(|report| !matches!(report, EndpointReport::PhaseChanged { phase: model::BackendPhase::Draining, .. }));
+            reports.retain(|report| {
+                !matches!(
+                    report,
+                    EndpointReport::PhaseChanged {
+                        phase: model::BackendPhase::Draining,
+                        ..
+                    }
+                )
+            });
         }
         node.outbox.extend(reports);
         self.grant(at, granted);
@@ -175,11 +230,22 @@
             && let Some(report) = node.outbox.pop_front()
         {
             node.sequence += 1;
-            let entry = Entry { origin: format!("n{at}"), incarnation: node.life, sequence: node.sequence, operation: Operation::EndpointReport(report) };
+            let entry = Entry {
+                origin: format!("n{at}"),
+                incarnation: node.life,
+                sequence: node.sequence,
+                operation: Operation::EndpointReport(report),
+            };
             node.entry = Some((entry, 0));
         }
         let (life, seat) = (node.life, node.seat);
-        let Some((entry, sent)) = node.entry.as_mut().filter(|(_, sent)| *sent == 0 || now > *sent + 700_000) else { return };
+        let Some((entry, sent)) = node
+            .entry
+            .as_mut()
+            .filter(|(_, sent)| *sent == 0 || now > *sent + 700_000)
+        else {
+            return;
+        };
         if *sent > 0 {
             node.seat = (seat + 1) % seats;
         }
@@ -196,7 +262,12 @@
         match report {
             EndpointReport::NodeRegistered { .. } => {}
             // The back end registers anew, above what the log has.
-            EndpointReport::BackendRegistered { name, backend: back_end } => node.house.confirm(self.now, &name, back_end.incarnation, false),
+            EndpointReport::BackendRegistered {
+                name,
+                backend: back_end,
+            } => node
+                .house
+                .confirm(self.now, &name, back_end.incarnation, false),
             other => node.outbox.push_front(other),
         }
         node.outbox.push_front(registration);
@@ -204,15 +275,31 @@
 
     fn reported(&mut self, at: usize, life: u64, sequence: u64, outcome: Outcome) {
         let node = &mut self.nodes[at];
-        let own = node.life == life && node.entry.as_ref().is_some_and(|(entry, _)| entry.sequence == sequence);
-        let Some((entry, _)) = node.entry.take_if(|_| own && !node.cut) else { return };
-        if let (Outcome::Superseded { .. }, Operation::EndpointReport(report)) = (&outcome, &entry.operation) {
+        let own = node.life == life
+            && node
+                .entry
+                .as_ref()
+                .is_some_and(|(entry, _)| entry.sequence == sequence);
+        let Some((entry, _)) = node.entry.take_if(|_| own && !node.cut) else {
+            return;
+        };
+        if let (Outcome::Superseded { .. }, Operation::EndpointReport(report)) =
+            (&outcome, &entry.operation)
+        {
             return self.superseded(at, report.clone());
         }
         let node = &mut self.nodes[at];
-        if let Operation::EndpointReport(EndpointReport::BackendRegistered { name, backend: back_end }) = entry.operation {
-            let accepted = matches!(outcome, Outcome::Accepted { .. } | Outcome::Unchanged { .. });
-            node.house.confirm(self.now, &name, back_end.incarnation, accepted);
+        if let Operation::EndpointReport(EndpointReport::BackendRegistered {
+            name,
+            backend: back_end,
+        }) = entry.operation
+        {
+            let accepted = matches!(
+                outcome,
+                Outcome::Accepted { .. } | Outcome::Unchanged { .. }
+            );
+            node.house
+                .confirm(self.now, &name, back_end.incarnation, accepted);
         }
         self.post(at);
     }
--- a/crates/simulator/src/sim/site_judge.rs
+++ b/crates/simulator/src/sim/site_judge.rs
@@ -49,32 +49,75 @@
         *count += 1;
         let repeatable = dispatch.path == "/check" || dispatch.path == "/note";
         if *count > 1 && !repeatable {
-            self.breaks("twice", format!("{} {} at {now}", dispatch.attempt_id, dispatch.path));
+            self.breaks(
+                "twice",
+                format!("{} {} at {now}", dispatch.attempt_id, dispatch.path),
+            );
         }
         if self.not_run.contains(&dispatch.attempt_id) {
-            self.breaks("not-run", format!("{} ran at {now} after it was said not to", dispatch.attempt_id));
+            self.breaks(
+                "not-run",
+                format!(
+                    "{} ran at {now} after it was said not to",
+                    dispatch.attempt_id
+                ),
+            );
         }
-        let due = self.accepted.iter().filter(|(at, ..)| at + IN_FORCE < now).map(|(_, position, ..)| *position).max().unwrap_or(0);
+        let due = self
+            .accepted
+            .iter()
+            .filter(|(at, ..)| at + IN_FORCE < now)
+            .map(|(_, position, ..)| *position)
+            .max()
+            .unwrap_or(0);
         if position < due {
-            self.breaks("in-force", format!("a run at {now} by position {position}, {due} was accepted"));
+            self.breaks(
+                "in-force",
+                format!("a run at {now} by position {position}, {due} was accepted"),
+            );
         }
         if process.1.is_some_and(|drained| now > drained + IN_FORCE) {
-            self.breaks("drained", format!("process {} got {} at {now}", process.0, dispatch.attempt_id));
+            self.breaks(
+                "drained",
+                format!("process {} got {} at {now}", process.0, dispatch.attempt_id),
+            );
         }
         if let Some(key) = &dispatch.shard_key {
-            self.spans.entry((dispatch.service.clone(), key.clone())).or_default().push((now, until, process.0));
+            self.spans
+                .entry((dispatch.service.clone(), key.clone()))
+                .or_default()
+                .push((now, until, process.0));
         }
     }
 
     /// A dead process's run ends with it; others when they say so.
-    pub(super) fn ended(&mut self, now: Microseconds, dispatch: &transport::AttemptRequest, process: usize) {
+    pub(super) fn ended(
+        &mut self,
+        now: Microseconds,
+        dispatch: &transport::AttemptRequest,
+        process: usize,
+    ) {
         if let Some(key) = &dispatch.shard_key {
-            let spans = self.spans.entry((dispatch.service.clone(), key.clone())).or_default();
-            spans.iter_mut().rev().filter(|(_, to, who)| *who == process && *to > now).take(1).for_each(|span| span.1 = now);
+            let spans = self
+                .spans
+                .entry((dispatch.service.clone(), key.clone()))
+                .or_default();
+            spans
+                .iter_mut()
+                .rev()
+                .filter(|(_, to, who)| *who == process && *to > now)
+                .take(1)
+                .for_each(|span| span.1 = now);
         }
     }
 
-    pub(super) fn told(&mut self, now: Microseconds, service: &str, try_id: &str, trouble: Option<&Error>) {
+    pub(super) fn told(
+        &mut self,
+        now: Microseconds,
+        service: &str,
+        try_id: &str,
+        trouble: Option<&Error>,
+    ) {
         match trouble {
             None => {
                 self.served += 1;
@@ -87,7 +130,13 @@
                 self.refused += 1;
                 if trouble.execution_status == ExecutionStatus::NotRun {
                     if self.ran.contains_key(try_id) {
-                        self.breaks("not-run", format!("{try_id} was said not to have run at {now} ({}), and had", trouble.kind.code()));
+                        self.breaks(
+                            "not-run",
+                            format!(
+                                "{try_id} was said not to have run at {now} ({}), and had",
+                                trouble.kind.code()
+                            ),
+                        );
                     }
                     self.not_run.insert(try_id.to_string());
                 }
@@ -99,7 +148,10 @@
     }
 
     pub(super) fn first(&mut self, now: Microseconds, service: &str) {
-        self.firsts.entry(service.to_string()).or_default().push(now);
+        self.firsts
+            .entry(service.to_string())
+            .or_default()
+            .push(now);
     }
 
     pub(super) fn extra(&mut self, now: Microseconds, service: &str) {
@@ -107,23 +159,44 @@
         self.spent.entry(service.to_string()).or_default().push(now);
     }
 
-    pub(super) fn accepted(&mut self, now: Microseconds, position: Position, version: u64, id: &str) {
+    pub(super) fn accepted(
+        &mut self,
+        now: Microseconds,
+        position: Position,
+        version: u64,
+        id: &str,
+    ) {
         self.accepted.push((now, position, version, id.to_string()));
     }
 
     /// What a node now holds; `fresh` if it may act on it.
-    pub(super) fn holds(&mut self, now: Microseconds, node: usize, life: u64, position: Position, fresh: bool) {
+    pub(super) fn holds(
+        &mut self,
+        now: Microseconds,
+        node: usize,
+        life: u64,
+        position: Position,
+        fresh: bool,
+    ) {
         let held = self.positions.insert((node, life), position).unwrap_or(0);
         let proved = self.proved.get(&node).copied().unwrap_or(0);
         if position < held || fresh && position < proved {
-            self.breaks("slid-back", format!("n{node} at {now}: {position} after {held}, {proved} proved"));
+            self.breaks(
+                "slid-back",
+                format!("n{node} at {now}: {position} after {held}, {proved} proved"),
+            );
         }
         if fresh {
             self.proved.insert(node, proved.max(position));
         }
     }
 
-    pub(super) fn misrouted(&mut self, now: Microseconds, died: Option<Microseconds>, told: String) {
+    pub(super) fn misrouted(
+        &mut self,
+        now: Microseconds,
+        died: Option<Microseconds>,
+        told: String,
+    ) {
         if died.is_none_or(|died| now > died + IN_FORCE) {
             self.breaks("route", format!("{told} at {now}"));
         }
@@ -133,18 +206,33 @@
         self.breaks("cut-off", told);
     }
 
-    pub(super) fn close(&mut self, core: Vec<String>, story: &std::collections::BTreeMap<u64, (String, Position)>, back_by: Microseconds, nodes: usize) {
+    pub(super) fn close(
+        &mut self,
+        core: Vec<String>,
+        story: &std::collections::BTreeMap<u64, (String, Position)>,
+        back_by: Microseconds,
+        nodes: usize,
+    ) {
         core.into_iter().for_each(|told| self.breaks("log", told));
         let lost: Vec<String> = self
             .accepted
             .iter()
-            .filter(|(_, position, version, id)| story.get(version) != Some(&(id.clone(), *position)))
-            .map(|(_, _, version, id)| format!("{id} at version {version} was accepted and is not in the log"))
+            .filter(|(_, position, version, id)| {
+                story.get(version) != Some(&(id.clone(), *position))
+            })
+            .map(|(_, _, version, id)| {
+                format!("{id} at version {version} was accepted and is not in the log")
+            })
+            .collect();
+        lost.into_iter()
+            .for_each(|told| self.breaks("vanished", told));
+        let late: Vec<String> = ["seat", "desk"]
+            .iter()
+            .filter(|service| self.served_at.get(**service).is_none_or(|at| *at < back_by))
+            .map(|service| service.to_string())
             .collect();
-        lost.into_iter().for_each(|told| self.breaks("vanished", told));
-        let late: Vec<String> =
-            ["seat", "desk"].iter().filter(|service| self.served_at.get(**service).is_none_or(|at| *at < back_by)).map(|service| service.to_string()).collect();
-        late.into_iter().for_each(|told| self.breaks("back", format!("{told} is not served after all faults")));
+        late.into_iter()
+            .for_each(|told| self.breaks("back", format!("{told} is not served after all faults")));
         let mut clashes = Vec::new();
         self.spans.iter_mut().for_each(|((service, key), spans)| {
             spans.sort();
@@ -154,23 +242,41 @@
                     self.moves += 1;
                 }
                 if *from < latest.0 && *who != latest.1 {
-                    clashes.push(format!("{service} {key} at {from} by {who} and {}", latest.1));
+                    clashes.push(format!(
+                        "{service} {key} at {from} by {who} and {}",
+                        latest.1
+                    ));
                 }
                 if *to > latest.0 {
                     latest = (*to, *who);
                 }
             });
         });
-        clashes.into_iter().for_each(|told| self.breaks("two-holders", told));
-        let inside = |times: &[Microseconds], from: Microseconds| times.iter().filter(|time| (from..from + WINDOW).contains(time)).count();
+        clashes
+            .into_iter()
+            .for_each(|told| self.breaks("two-holders", told));
+        let inside = |times: &[Microseconds], from: Microseconds| {
+            times
+                .iter()
+                .filter(|time| (from..from + WINDOW).contains(time))
+                .count()
+        };
         let over: Vec<String> = self
             .spent
             .iter()
             .flat_map(|(service, spent)| {
-                let firsts = self.firsts.get(service).map(Vec::as_slice).unwrap_or_default();
-                spent.iter().filter(move |from| inside(spent, **from) > inside(firsts, **from) / 5 + nodes).map(move |from| format!("{service} from {from}"))
+                let firsts = self
+                    .firsts
+                    .get(service)
+                    .map(Vec::as_slice)
+                    .unwrap_or_default();
+                spent
+                    .iter()
+                    .filter(move |from| inside(spent, **from) > inside(firsts, **from) / 5 + nodes)
+                    .map(move |from| format!("{service} from {from}"))
             })
             .collect();
-        over.into_iter().for_each(|told| self.breaks("extras", told));
+        over.into_iter()
+            .for_each(|told| self.breaks("extras", told));
     }
 }
--- a/crates/simulator/src/sim/site_plan.rs
+++ b/crates/simulator/src/sim/site_plan.rs
@@ -39,16 +39,33 @@
 
 impl SitePlan {
     pub fn new(seed: u64) -> Self {
-        SitePlan { seed, seats: if seed.is_multiple_of(2) { 5 } else { 3 }, hop: (200, 20_000), without: Without::default() }
+        SitePlan {
+            seed,
+            seats: if seed.is_multiple_of(2) { 5 } else { 3 },
+            hop: (200, 20_000),
+            without: Without::default(),
+        }
     }
 
     pub(super) fn bound(&self) -> Microseconds {
-        if self.without.freshness { 60_000_000 } else { 1_500_000 }
+        if self.without.freshness {
+            60_000_000
+        } else {
+            1_500_000
+        }
     }
 
     pub(super) fn house(&self, node: usize) -> legacy_proxy::SlotOwnerConfig {
-        let (bound, guard) = if self.without.key_waits { (0, 0) } else { (1_500_000, 250_000) };
-        let beat_patience = if self.without.beats { 60_000_000 } else { 1_200_000 };
+        let (bound, guard) = if self.without.key_waits {
+            (0, 0)
+        } else {
+            (1_500_000, 250_000)
+        };
+        let beat_patience = if self.without.beats {
+            60_000_000
+        } else {
+            1_200_000
+        };
         legacy_proxy::SlotOwnerConfig {
             node: format!("n{node}"),
             zone: zone(node),
@@ -85,19 +102,50 @@
 
 pub(super) fn order(lane: &Lane) -> model::Edit {
     let (from, service, path, keyed, repeatable) = *lane;
-    let selector = model::Selector { from: vec![from.into()], service: service.into(), methods: vec![], path_prefix: path.into(), labels: Default::default() };
-    let order = model::StandingOrder { selector, wait_us: WAIT, importance: 5, idempotent: repeatable, keyed, allow_other_zones: true };
-    model::Edit::PutOrder { name: format!("{from}-{}", &path[1..]), order }
+    let selector = model::Selector {
+        from: vec![from.into()],
+        service: service.into(),
+        methods: vec![],
+        path_prefix: path.into(),
+        labels: Default::default(),
+    };
+    let order = model::StandingOrder {
+        selector,
+        wait_us: WAIT,
+        importance: 5,
+        idempotent: repeatable,
+        keyed,
+        allow_other_zones: true,
+    };
+    model::Edit::PutOrder {
+        name: format!("{from}-{}", &path[1..]),
+        order,
+    }
 }
 
 pub(super) fn grouping(service: &str, zone: &str, label: Option<u64>) -> model::Edit {
-    let labels = label.map(|turn| ("turn".to_string(), turn.to_string())).into_iter().collect();
-    let name = format!("{service}-{zone}{}", if label.is_some() { "-more" } else { "" });
-    model::Edit::PutGrouping { name, grouping: model::Grouping { service: service.into(), zone: zone.into(), labels } }
+    let labels = label
+        .map(|turn| ("turn".to_string(), turn.to_string()))
+        .into_iter()
+        .collect();
+    let name = format!(
+        "{service}-{zone}{}",
+        if label.is_some() { "-more" } else { "" }
+    );
+    model::Edit::PutGrouping {
+        name,
+        grouping: model::Grouping {
+            service: service.into(),
+            zone: zone.into(),
+            labels,
+        },
+    }
 }
 
 pub(super) fn founding() -> Vec<model::Edit> {
-    let groupings = ["seat", "desk"].into_iter().flat_map(|service| ["z0", "z1"].map(|zone| grouping(service, zone, None)));
+    let groupings = ["seat", "desk"]
+        .into_iter()
+        .flat_map(|service| ["z0", "z1"].map(|zone| grouping(service, zone, None)));
     groupings.chain(LANES.iter().map(order)).collect()
 }
 
@@ -127,7 +175,10 @@
 pub fn blows(site: &mut super::Site, bytes: &[u8]) {
     let seats = site.plan.seats;
     // One change of holder at a time: the book refuses a second, which the made-up core does not.
-    let only = bytes.chunks_exact(3).position(|chunk| chunk[0] % 20 == 13).map(|place| place as u64 + 1);
+    let only = bytes
+        .chunks_exact(3)
+        .position(|chunk| chunk[0] % 20 == 13)
+        .map(|place| place as u64 + 1);
     bytes.chunks_exact(3).zip(1u64..).for_each(|(chunk, turn)| {
         let (at, seat) = (chunk[1] as usize % NODES, chunk[1] as u16 % seats);
         let time = 1_500_000 + turn * 1_500_000 + chunk[2] as u64 * 2_000;
@@ -142,19 +193,51 @@
             6 => vec![(time, Blow::Silence(at))],
             7 => vec![(time, Blow::Drain(at))],
             8 => vec![(time, Blow::Usurp(at))],
-            9 => vec![(time, core(super::Fault::Crash(seat))), (back, core(super::Fault::Start(seat)))],
-            10 => vec![(time, core(super::Fault::Freeze(seat))), (back, core(super::Fault::Wake(seat)))],
+            9 => vec![
+                (time, core(super::Fault::Crash(seat))),
+                (back, core(super::Fault::Start(seat))),
+            ],
+            10 => vec![
+                (time, core(super::Fault::Freeze(seat))),
+                (back, core(super::Fault::Wake(seat))),
+            ],
             11 => (0..seats)
                 .filter(|mate| *mate != seat)
-                .flat_map(|mate| [(time, core(super::Fault::Cut(seat, mate))), (time, core(super::Fault::Cut(mate, seat)))])
+                .flat_map(|mate| {
+                    [
+                        (time, core(super::Fault::Cut(seat, mate))),
+                        (time, core(super::Fault::Cut(mate, seat))),
+                    ]
+                })
                 .chain([(back, core(super::Fault::Mend))])
                 .collect(),
-            12 => vec![(time, core(super::Fault::SlowDisk(seat, 400_000))), (back, core(super::Fault::SlowDisk(seat, 0)))],
+            12 => vec![
+                (time, core(super::Fault::SlowDisk(seat, 400_000))),
+                (back, core(super::Fault::SlowDisk(seat, 0))),
+            ],
             13 if only == Some(turn) => vec![(time, core(super::Fault::Replace(seat)))],
-            14 => (0..seats).flat_map(|seat| [(time, core(super::Fault::Crash(seat))), (time + 400_000, core(super::Fault::Start(seat)))]).collect(),
-            15 | 16 => vec![(time, Blow::Lane(chunk[1] as usize % LANES.len(), false)), (back + 2_500_000, Blow::Lane(chunk[1] as usize % LANES.len(), true))],
-            _ => vec![(time, Blow::Restart(at)), (time + 50_000, Blow::Restart((at + 1) % NODES))],
+            14 => (0..seats)
+                .flat_map(|seat| {
+                    [
+                        (time, core(super::Fault::Crash(seat))),
+                        (time + 400_000, core(super::Fault::Start(seat))),
+                    ]
+                })
+                .collect(),
+            15 | 16 => vec![
+                (time, Blow::Lane(chunk[1] as usize % LANES.len(), false)),
+                (
+                    back + 2_500_000,
+                    Blow::Lane(chunk[1] as usize % LANES.len(), true),
+                ),
+            ],
+            _ => vec![
+                (time, Blow::Restart(at)),
+                (time + 50_000, Blow::Restart((at + 1) % NODES)),
+            ],
         };
-        found.into_iter().for_each(|(time, blow)| site.strike_at(time, blow));
+        found
+            .into_iter()
+            .for_each(|(time, blow)| site.strike_at(time, blow));
     });
 }
--- a/crates/simulator/src/sim/site_runs.rs
+++ b/crates/simulator/src/sim/site_runs.rs
@@ -17,7 +17,13 @@
 
 impl Site {
     /// At the far node, with what is left of the wait by its marks.
-    pub(super) fn arrive(&mut self, number: u64, at: usize, mut dispatch: transport::AttemptRequest, sent: Microseconds) {
+    pub(super) fn arrive(
+        &mut self,
+        number: u64,
+        at: usize,
+        mut dispatch: transport::AttemptRequest,
+        sent: Microseconds,
+    ) {
         let now = self.now;
         let from = self.courses.get(&number).map(|trying| trying.node);
         let lost = self.nodes[at].cut || from.is_some_and(|from| self.nodes[from].cut);
@@ -34,7 +40,9 @@
 
     pub(super) fn grant(&mut self, at: usize, granted: legacy_proxy::slot_owner::Admissions) {
         granted.into_iter().for_each(|(number, entered)| {
-            let Some(dispatch) = self.runs_waiting.remove(&number) else { return };
+            let Some(dispatch) = self.runs_waiting.remove(&number) else {
+                return;
+            };
             match entered {
                 Ok(permit) => self.run(at, number, permit, dispatch),
                 Err(trouble) => self.reply_later(at, number, Err(trouble)),
@@ -43,7 +51,9 @@
     }
 
     fn reply_later(&mut self, at: usize, number: u64, answer: Result<(), Error>) {
-        let Some(from) = self.courses.get(&number).map(|trying| trying.node) else { return };
+        let Some(from) = self.courses.get(&number).map(|trying| trying.node) else {
+            return;
+        };
         let wait = if from == at { 0 } else { self.hop() };
         if from == at || !(self.nodes[at].cut || self.nodes[from].cut) {
             self.at(self.now + wait, Event::Reply(number, answer));
@@ -51,38 +61,92 @@
     }
 
     /// Whoever has the address now gets the request; it works at most until its wait is over.
-    fn run(&mut self, at: usize, number: u64, permit: legacy_proxy::slot_owner::Permit, dispatch: transport::AttemptRequest) {
+    fn run(
+        &mut self,
+        at: usize,
+        number: u64,
+        permit: legacy_proxy::slot_owner::Permit,
+        dispatch: transport::AttemptRequest,
+    ) {
         let now = self.now;
-        let address: u64 = permit.address.rsplit(':').next().and_then(|port| port.parse().ok()).unwrap_or(0);
-        let process = self.addresses.get(&address).copied().filter(|process| self.processes[*process].alive);
+        let address: u64 = permit
+            .address
+            .rsplit(':')
+            .next()
+            .and_then(|port| port.parse().ok())
+            .unwrap_or(0);
+        let process = self
+            .addresses
+            .get(&address)
+            .copied()
+            .filter(|process| self.processes[*process].alive);
         let Some(process) = process else {
             self.nodes[at].house.finish(&permit, true);
             return self.reply_later(at, number, Err(Error::new(Cause::Unreachable, "no conn")));
         };
         if self.processes[process].service != dispatch.service {
-            let former = self.processes.iter().filter(|held| held.name == dispatch.backend).filter_map(|held| held.died).max();
-            self.judge.misrouted(now, former, format!("{} for {} reached {}", dispatch.attempt_id, dispatch.service, self.processes[process].name));
+            let former = self
+                .processes
+                .iter()
+                .filter(|held| held.name == dispatch.backend)
+                .filter_map(|held| held.died)
+                .max();
+            self.judge.misrouted(
+                now,
+                former,
+                format!(
+                    "{} for {} reached {}",
+                    dispatch.attempt_id, dispatch.service, self.processes[process].name
+                ),
+            );
             self.nodes[at].house.finish(&permit, false);
-            return self.reply_later(at, number, Err(Error::new(Cause::BadSeal, "refused by another service")));
+            return self.reply_later(
+                at,
+                number,
+                Err(Error::new(Cause::BadSeal, "refused by another service")),
+            );
         }
         let length = self.draw(1_000..WAIT / 3);
         let end = (now + length).min(permit.deadline);
         let drained = self.processes[process].drained;
-        self.judge.began(now, &dispatch, (process, drained), self.nodes[at].view.slice.position, end);
+        self.judge.began(
+            now,
+            &dispatch,
+            (process, drained),
+            self.nodes[at].view.slice.position,
+            end,
+        );
         let life = self.nodes[at].life;
-        self.runs.insert(number, Run { node: at, number, life, permit, dispatch, process, orphan: false });
+        self.runs.insert(
+            number,
+            Run {
+                node: at,
+                number,
+                life,
+                permit,
+                dispatch,
+                process,
+                orphan: false,
+            },
+        );
         self.at(end, Event::RunEnds(number));
     }
 
     pub(super) fn run_ends(&mut self, number: u64) {
-        let Some(run) = self.runs.remove(&number) else { return };
+        let Some(run) = self.runs.remove(&number) else {
+            return;
+        };
         let lost = !self.processes[run.process].alive;
         if run.orphan || self.nodes[run.node].life != run.life {
             return;
         }
         let gone = self.draw(0..50) == 0;
         self.nodes[run.node].house.finish(&run.permit, false);
-        let answer = if lost || gone { Err(Error::new(Cause::BackendLost, "no answer")) } else { Ok(()) };
+        let answer = if lost || gone {
+            Err(Error::new(Cause::BackendLost, "no answer"))
+        } else {
+            Ok(())
+        };
         self.reply_later(run.node, run.number, answer);
     }
 
@@ -90,24 +154,45 @@
     pub(super) fn die(&mut self, process: usize) {
         let now = self.now;
         (self.processes[process].alive, self.processes[process].died) = (false, Some(now));
-        let ended: Vec<transport::AttemptRequest> = self.runs.values().filter(|run| run.process == process).map(|run| run.dispatch.clone()).collect();
-        ended.iter().for_each(|dispatch| self.judge.ended(now, dispatch, process));
+        let ended: Vec<transport::AttemptRequest> = self
+            .runs
+            .values()
+            .filter(|run| run.process == process)
+            .map(|run| run.dispatch.clone())
+            .collect();
+        ended
+            .iter()
+            .for_each(|dispatch| self.judge.ended(now, dispatch, process));
     }
 
     /// Nothing that was passed on from here or to here is under way.
     pub(super) fn idle(&self, at: usize) -> bool {
-        self.nodes[at].house.running() == 0 && !self.courses.values().any(|trying| trying.node == at)
+        self.nodes[at].house.running() == 0
+            && !self.courses.values().any(|trying| trying.node == at)
     }
 
     /// A node ends: whoever waited for it learns that it is lost.
     pub(super) fn lose(&mut self, at: usize, planned: bool) {
-        let waiting: Vec<u64> = self.runs.values().filter(|run| run.node == at && !run.orphan).map(|run| run.number).collect();
+        let waiting: Vec<u64> = self
+            .runs
+            .values()
+            .filter(|run| run.node == at && !run.orphan)
+            .map(|run| run.number)
+            .collect();
         waiting.into_iter().for_each(|number| {
             if planned {
                 self.judge.cut_off(format!("run {number} at n{at}"));
             }
-            if self.courses.get(&number).is_some_and(|trying| trying.node != at) {
-                self.reply_later(at, number, Err(Error::new(Cause::PeerLost, "the far node was lost")));
+            if self
+                .courses
+                .get(&number)
+                .is_some_and(|trying| trying.node != at)
+            {
+                self.reply_later(
+                    at,
+                    number,
+                    Err(Error::new(Cause::PeerLost, "the far node was lost")),
+                );
             }
         });
     }
--- a/crates/simulator/src/sim/tenure.rs
+++ b/crates/simulator/src/sim/tenure.rs
@@ -27,22 +27,51 @@
             return;
         }
         let (now, next) = (self.now, (helper + 1) % self.plan.seats);
-        self.at(now + KNOCK_EVERY, Event::Knock { seat, identity, helper: next });
+        self.at(
+            now + KNOCK_EVERY,
+            Event::Knock {
+                seat,
+                identity,
+                helper: next,
+            },
+        );
         let from = self.nodes[helper as usize].pins[seat as usize];
-        let known = self.nodes[helper as usize].book.replica_holders.get(&seat).is_some_and(|(holder, _)| *holder == identity);
+        let known = self.nodes[helper as usize]
+            .book
+            .replica_holders
+            .get(&seat)
+            .is_some_and(|(holder, _)| *holder == identity);
         if helper == seat || known || from == identity || !self.runs(helper as usize) {
             return;
         }
-        let act = model::Operation::ReplaceReplica(model::ReplicaReplacement { replica_id: seat, old_disk: from, new_disk: identity });
-        let entry = model::Entry { origin: format!("core-{helper}"), incarnation: 1, sequence: now, operation: act };
+        let act = model::Operation::ReplaceReplica(model::ReplicaReplacement {
+            replica_id: seat,
+            old_disk: from,
+            new_disk: identity,
+        });
+        let entry = model::Entry {
+            origin: format!("core-{helper}"),
+            incarnation: 1,
+            sequence: now,
+            operation: act,
+        };
         self.submit(helper, model::entry::to_bytes(&entry));
     }
 
     pub(super) fn mind_replacement(&mut self, at_seat: Seat, instance: u64, value: &[u8]) {
-        let Some(entry) = model::entry::from_bytes(value).filter(|entry| matches!(entry.operation, model::Operation::ReplaceReplica(_))) else { return };
+        let Some(entry) = model::entry::from_bytes(value)
+            .filter(|entry| matches!(entry.operation, model::Operation::ReplaceReplica(_)))
+        else {
+            return;
+        };
         let node = &mut self.nodes[at_seat as usize];
         node.book.apply_at(entry, instance, mencius::VOTING_WINDOW);
-        let lost = node.book.replica_holders.get(&at_seat).filter(|(holder, _)| *holder != node.identity).map(|(_, after)| *after);
+        let lost = node
+            .book
+            .replica_holders
+            .get(&at_seat)
+            .filter(|(holder, _)| *holder != node.identity)
+            .map(|(_, after)| *after);
         if let (Some(after), Some(machine)) = (lost, node.machine.as_mut()) {
             machine.step(self.now, mencius::Input::StopVotingAfter(after));
         }
@@ -51,7 +80,9 @@
     /// Pushes the log over a pending change, and takes the new disk for the holder once past it.
     pub(super) fn hand_over(&mut self, seat: Seat) {
         let node = &mut self.nodes[seat as usize];
-        let Some(applied) = node.machine.as_ref().map(mencius::Replica::applied) else { return };
+        let Some(applied) = node.machine.as_ref().map(mencius::Replica::applied) else {
+            return;
+        };
         if node.book.replica_holders.is_empty() || self.now < node.leapt + 100_000 {
             return;
         }
@@ -60,10 +91,18 @@
             .book
             .replica_holders
             .iter()
-            .filter(|(other, (holder, after))| **other != seat && *after < applied && node.pins[**other as usize] != *holder)
+            .filter(|(other, (holder, after))| {
+                **other != seat && *after < applied && node.pins[**other as usize] != *holder
+            })
             .map(|(other, (holder, _))| (*other, *holder))
             .collect();
-        let pending = node.book.replica_holders.values().map(|(_, after)| *after).filter(|after| *after >= applied).min();
+        let pending = node
+            .book
+            .replica_holders
+            .values()
+            .map(|(_, after)| *after)
+            .filter(|after| *after >= applied)
+            .min();
         moved.into_iter().for_each(|(other, holder)| {
             self.nodes[seat as usize].pins[other as usize] = holder;
             self.close(seat, other);
@@ -79,14 +118,25 @@
     pub(super) fn let_in(&mut self, mate: Seat, seat: Seat) {
         let (helper, node) = (&self.nodes[mate as usize], &self.nodes[seat as usize]);
         let known = helper.machine.is_some() && helper.pins[seat as usize] == node.identity;
-        let Some((_, after)) = helper.book.replica_holders.get(&seat).copied().filter(|_| node.outside && known) else { return };
+        let Some((_, after)) = helper
+            .book
+            .replica_holders
+            .get(&seat)
+            .copied()
+            .filter(|_| node.outside && known)
+        else {
+            return;
+        };
         let mut pins = helper.pins.clone();
         pins[mate as usize] = helper.identity;
         let first = mencius::first_instance_of(after + 1, seat, self.plan.seats);
         let node = &mut self.nodes[seat as usize];
         (node.outside, node.pins) = (false, pins);
         // Kept together with the holders, before it says anything.
-        node.disk.extend([mencius::Write::VotingRangeStart(after + 1), mencius::Write::Index(first)]);
+        node.disk.extend([
+            mencius::Write::VotingRangeStart(after + 1),
+            mencius::Write::Index(first),
+        ]);
         self.start(seat);
     }
 
--- a/crates/simulator/src/sim/trial.rs
+++ b/crates/simulator/src/sim/trial.rs
@@ -15,7 +15,9 @@
 /// The blows that a seed draws, `count` of them.
 pub fn drawn(seed: u64, count: usize) -> Vec<u8> {
     let mut random: rand::rngs::StdRng = rand::SeedableRng::seed_from_u64(seed);
-    (0..count * 3).map(|_| rand::Rng::random_range(&mut random, 0..=255u8)).collect()
+    (0..count * 3)
+        .map(|_| rand::Rng::random_range(&mut random, 0..=255u8))
+        .collect()
 }
 
 pub fn hexadecimal(bytes: &[u8]) -> String {
@@ -25,7 +27,12 @@
 /// Three bytes a blow, in hexadecimal.
 pub fn parsed(text: &str) -> Option<Vec<u8>> {
     let fine = !text.is_empty() && text.len().is_multiple_of(6) && text.is_ascii();
-    fine.then(|| (0..text.len() / 2).map(|at| u8::from_str_radix(&text[at * 2..at * 2 + 2], 16).ok()).collect()).flatten()
+    fine.then(|| {
+        (0..text.len() / 2)
+            .map(|at| u8::from_str_radix(&text[at * 2..at * 2 + 2], 16).ok())
+            .collect()
+    })
+    .flatten()
 }
 
 #[derive(Debug, Default)]
@@ -41,27 +48,47 @@
 
 /// Seeds from `first` on, over the machine's cores.
 pub fn many(first: u64, count: u64, length: usize) -> Sum {
-    let cores = std::thread::available_parallelism().map(usize::from).unwrap_or(1) as u64;
+    let cores = std::thread::available_parallelism()
+        .map(usize::from)
+        .unwrap_or(1) as u64;
     let workers: Vec<_> = (0..cores)
         .map(|core| {
             std::thread::spawn(move || {
-                (first..first + count).filter(|seed| seed % cores == core).map(|seed| one(seed, &drawn(seed, length))).collect::<Vec<_>>()
+                (first..first + count)
+                    .filter(|seed| seed % cores == core)
+                    .map(|seed| one(seed, &drawn(seed, length)))
+                    .collect::<Vec<_>>()
             })
         })
         .collect();
-    workers.into_iter().filter_map(|worker| worker.join().ok()).flatten().fold(Sum::default(), |sum, one| Sum {
-        sites: sum.sites + one.sites,
-        runs: sum.runs + one.runs,
-        served: sum.served + one.served,
-        extras: sum.extras + one.extras,
-        moves: sum.moves + one.moves,
-        broken: sum.broken.into_iter().chain(one.broken).collect(),
-    })
+    workers
+        .into_iter()
+        .filter_map(|worker| worker.join().ok())
+        .flatten()
+        .fold(Sum::default(), |sum, one| Sum {
+            sites: sum.sites + one.sites,
+            runs: sum.runs + one.runs,
+            served: sum.served + one.served,
+            extras: sum.extras + one.extras,
+            moves: sum.moves + one.moves,
+            broken: sum.broken.into_iter().chain(one.broken).collect(),
+        })
 }
 
 pub fn one(seed: u64, bytes: &[u8]) -> Sum {
     let (broken, site) = play(super::SitePlan::new(seed), bytes);
     let judge = &site.judge;
-    let broken = broken.into_iter().take(1).map(|told| (seed, hexadecimal(bytes), told)).collect();
-    Sum { sites: 1, runs: judge.runs, served: judge.served, extras: judge.extras, moves: judge.moves, broken }
+    let broken = broken
+        .into_iter()
+        .take(1)
+        .map(|told| (seed, hexadecimal(bytes), told))
+        .collect();
+    Sum {
+        sites: 1,
+        runs: judge.runs,
+        served: judge.served,
+        extras: judge.extras,
+        moves: judge.moves,
+        broken,
+    }
 }
--- a/crates/simulator/src/sim/world.rs
+++ b/crates/simulator/src/sim/world.rs
@@ -5,11 +5,30 @@
 
 #[derive(Debug)]
 pub(super) enum Event {
-    Deliver { from: Seat, to: Seat, epoch: u64, frame: mencius::Frame },
-    Synced { seat: Seat, life: u64, ticket: u64 },
-    Tick { seat: Seat, life: u64 },
-    Reopen { a: Seat, b: Seat },
-    Knock { seat: Seat, identity: u64, helper: Seat },
+    Deliver {
+        from: Seat,
+        to: Seat,
+        epoch: u64,
+        frame: mencius::Frame,
+    },
+    Synced {
+        seat: Seat,
+        life: u64,
+        ticket: u64,
+    },
+    Tick {
+        seat: Seat,
+        life: u64,
+    },
+    Reopen {
+        a: Seat,
+        b: Seat,
+    },
+    Knock {
+        seat: Seat,
+        identity: u64,
+        helper: Seat,
+    },
     Fault(super::Fault),
 }
 
@@ -116,12 +135,21 @@
         node.book = Default::default();
         (node.since_snapshot, node.snapshot_at) = (0, 0);
         let (life, identity) = (node.life, node.identity);
-        let machine = mencius::Replica::restore(seat, self.plan.seats, identity, self.plan.tuning, self.now, node.disk.clone());
+        let machine = mencius::Replica::restore(
+            seat,
+            self.plan.seats,
+            identity,
+            self.plan.tuning,
+            self.now,
+            node.disk.clone(),
+        );
         node.machine = Some(machine);
         self.carry_out(seat);
         let now = self.now;
         self.at(now + 10_000, Event::Tick { seat, life });
-        (0..self.plan.seats).filter(|mate| *mate != seat).for_each(|mate| self.reopen_soon(seat, mate));
+        (0..self.plan.seats)
+            .filter(|mate| *mate != seat)
+            .for_each(|mate| self.reopen_soon(seat, mate));
     }
 
     pub fn crash(&mut self, seat: Seat) {
@@ -131,13 +159,19 @@
         node.unsynced = None;
         node.frozen = false;
         node.late.clear();
-        (0..self.plan.seats).filter(|mate| *mate != seat).for_each(|mate| self.close(seat, mate));
+        (0..self.plan.seats)
+            .filter(|mate| *mate != seat)
+            .for_each(|mate| self.close(seat, mate));
     }
 
     pub fn freeze(&mut self, seat: Seat, frozen: bool) {
         let node = &mut self.nodes[seat as usize];
         node.frozen = frozen;
-        let late = if frozen { Vec::new() } else { std::mem::take(&mut node.late) };
+        let late = if frozen {
+            Vec::new()
+        } else {
+            std::mem::take(&mut node.late)
+        };
         late.into_iter().for_each(|event| self.happen(event));
     }
 
@@ -159,13 +193,17 @@
         self.open[y][x] = false;
         self.epochs[x][y] += 1;
         self.epochs[y][x] += 1;
-        [(a, b), (b, a)].into_iter().for_each(|(seat, mate)| self.feed(seat, mencius::Input::ConnectionClosed(mate)));
+        [(a, b), (b, a)]
+            .into_iter()
+            .for_each(|(seat, mate)| self.feed(seat, mencius::Input::ConnectionClosed(mate)));
         self.reopen_soon(a, b);
     }
 
     fn reopen(&mut self, a: Seat, b: Seat) {
         let (x, y) = (a as usize, b as usize);
-        let both = [a, b].iter().all(|seat| self.nodes[*seat as usize].machine.is_some() && !self.nodes[*seat as usize].frozen);
+        let both = [a, b].iter().all(|seat| {
+            self.nodes[*seat as usize].machine.is_some() && !self.nodes[*seat as usize].frozen
+        });
         if self.open[x][y] {
             return;
         }
@@ -176,7 +214,9 @@
         }
         self.open[x][y] = true;
         self.open[y][x] = true;
-        [(a, b), (b, a)].into_iter().for_each(|(seat, mate)| self.feed(seat, mencius::Input::ConnectionOpened(mate)));
+        [(a, b), (b, a)]
+            .into_iter()
+            .for_each(|(seat, mate)| self.feed(seat, mencius::Input::ConnectionOpened(mate)));
     }
 
     pub(super) fn feed(&mut self, seat: Seat, input: mencius::Input) {
@@ -189,10 +229,22 @@
 
     fn happen(&mut self, event: Event) {
         match event {
-            Event::Deliver { from, to, epoch, frame } => {
+            Event::Deliver {
+                from,
+                to,
+                epoch,
+                frame,
+            } => {
                 if self.nodes[to as usize].frozen {
-                    self.nodes[to as usize].late.push(Event::Deliver { from, to, epoch, frame });
-                } else if self.epochs[from as usize][to as usize] == epoch && !self.cut[from as usize][to as usize] {
+                    self.nodes[to as usize].late.push(Event::Deliver {
+                        from,
+                        to,
+                        epoch,
+                        frame,
+                    });
+                } else if self.epochs[from as usize][to as usize] == epoch
+                    && !self.cut[from as usize][to as usize]
+                {
                     self.feed(to, mencius::Input::Frame(from, frame));
                 } else if self.epochs[from as usize][to as usize] == epoch {
                     // A one-way cut: what is lost breaks the channel, as TCP would in time.
@@ -201,7 +253,11 @@
             }
             Event::Synced { seat, life, ticket } if self.nodes[seat as usize].life == life => {
                 if self.nodes[seat as usize].frozen {
-                    return self.nodes[seat as usize].late.push(Event::Synced { seat, life, ticket });
+                    return self.nodes[seat as usize].late.push(Event::Synced {
+                        seat,
+                        life,
+                        ticket,
+                    });
                 }
                 if !self.plan.lying_disk {
                     self.keep(seat);
@@ -217,7 +273,11 @@
                 self.at(now + 10_000, Event::Tick { seat, life });
             }
             Event::Reopen { a, b } => self.reopen(a, b),
-            Event::Knock { seat, identity, helper } => self.knock(seat, identity, helper),
+            Event::Knock {
+                seat,
+                identity,
+                helper,
+            } => self.knock(seat, identity, helper),
             Event::Fault(fault) => fault.strike(self),
             Event::Synced { .. } | Event::Tick { .. } => {}
         }
--- a/crates/simulator/src/stagehand.rs
+++ b/crates/simulator/src/stagehand.rs
@@ -14,7 +14,11 @@
 
 impl Stagehand {
     pub fn new(fleet: Fleet) -> Self {
-        Stagehand { fleet, changes: 0, frozen: Vec::new() }
+        Stagehand {
+            fleet,
+            changes: 0,
+            frozen: Vec::new(),
+        }
     }
 
     fn place(&mut self, who: Who) -> &mut Option<Process> {
@@ -41,7 +45,11 @@
     }
 
     fn kill(&mut self, who: Who) -> Result<(), String> {
-        let killed = self.place(who).take().map(|mut process| process.kill()).is_some();
+        let killed = self
+            .place(who)
+            .take()
+            .map(|mut process| process.kill())
+            .is_some();
         match who {
             Who::BackEnd(at) if killed => self.fleet.note_leaving(at),
             _ => Ok(()),
@@ -57,18 +65,26 @@
                     tokio::time::sleep(std::time::Duration::from_millis(10)).await;
                 }
             };
-            tokio::time::timeout(std::time::Duration::from_secs(20), gone).await.unwrap_or_default();
+            tokio::time::timeout(std::time::Duration::from_secs(20), gone)
+                .await
+                .unwrap_or_default();
         }
     }
 
     fn everyone(&self) -> Vec<Who> {
         let cores = (0..self.fleet.cores.len()).map(Who::Core);
-        let machines = (0..self.fleet.machines.len()).flat_map(|at| [Who::Usher(at), Who::BackEnd(at)]);
+        let machines =
+            (0..self.fleet.machines.len()).flat_map(|at| [Who::Usher(at), Who::BackEnd(at)]);
         cores.chain(machines).collect()
     }
 
     fn hosts(&self) -> Vec<crate::links::Host> {
-        self.fleet.cores.iter().map(|core| core.host).chain(self.fleet.machines.iter().map(|machine| machine.host)).collect()
+        self.fleet
+            .cores
+            .iter()
+            .map(|core| core.host)
+            .chain(self.fleet.machines.iter().map(|machine| machine.host))
+            .collect()
     }
 
     pub async fn take(&mut self, step: Step) -> Result<(), String> {
@@ -84,35 +100,64 @@
             Step::Replace(seat) => self.replace(seat).await?,
             Step::Freeze(who) => {
                 self.frozen.push((who, model::now()));
-                self.place(who).iter().for_each(|process| process.signal(Signal::STOP));
+                self.place(who)
+                    .iter()
+                    .for_each(|process| process.signal(Signal::STOP));
             }
             Step::Wake(who) => self.wake(who)?,
             Step::Isolate(who) => {
                 let own = self.host(who);
-                self.hosts().into_iter().filter(|host| *host != own).for_each(|host| {
-                    self.fleet.links.cut(own, host);
-                    self.fleet.links.cut(host, own);
-                });
+                self.hosts()
+                    .into_iter()
+                    .filter(|host| *host != own)
+                    .for_each(|host| {
+                        self.fleet.links.cut(own, host);
+                        self.fleet.links.cut(host, own);
+                    });
             }
             Step::Mute(who) => {
                 let own = self.host(who);
-                self.hosts().into_iter().filter(|host| *host != own).for_each(|host| self.fleet.links.cut(own, host));
+                self.hosts()
+                    .into_iter()
+                    .filter(|host| *host != own)
+                    .for_each(|host| self.fleet.links.cut(own, host));
             }
             Step::Split(few) => {
-                let (inside, outside): (Vec<_>, Vec<_>) = self.fleet.cores.iter().enumerate().partition(|(seat, _)| few.contains(seat));
-                inside.iter().flat_map(|(_, one)| outside.iter().map(move |(_, two)| (one.host, two.host))).for_each(|(one, two)| {
-                    self.fleet.links.cut(one, two);
-                    self.fleet.links.cut(two, one);
-                });
+                let (inside, outside): (Vec<_>, Vec<_>) = self
+                    .fleet
+                    .cores
+                    .iter()
+                    .enumerate()
+                    .partition(|(seat, _)| few.contains(seat));
+                inside
+                    .iter()
+                    .flat_map(|(_, one)| outside.iter().map(move |(_, two)| (one.host, two.host)))
+                    .for_each(|(one, two)| {
+                        self.fleet.links.cut(one, two);
+                        self.fleet.links.cut(two, one);
+                    });
             }
             Step::Mend => self.fleet.links.mend(),
-            Step::KillEverything => self.everyone().into_iter().try_for_each(|who| self.kill(who))?,
-            Step::StartEverything => self.everyone().into_iter().try_for_each(|who| self.start(who))?,
-            Step::KillCore => (0..self.fleet.cores.len()).try_for_each(|seat| self.kill(Who::Core(seat)))?,
-            Step::StartCore => (0..self.fleet.cores.len()).try_for_each(|seat| self.start(Who::Core(seat)))?,
+            Step::KillEverything => self
+                .everyone()
+                .into_iter()
+                .try_for_each(|who| self.kill(who))?,
+            Step::StartEverything => self
+                .everyone()
+                .into_iter()
+                .try_for_each(|who| self.start(who))?,
+            Step::KillCore => {
+                (0..self.fleet.cores.len()).try_for_each(|seat| self.kill(Who::Core(seat)))?
+            }
+            Step::StartCore => {
+                (0..self.fleet.cores.len()).try_for_each(|seat| self.start(Who::Core(seat)))?
+            }
             Step::Forbid => self.change(false).await?,
             Step::Allow => self.change(true).await?,
-            Step::Reload(who) => self.place(who).iter().for_each(|process| process.signal(Signal::HUP)),
+            Step::Reload(who) => self
+                .place(who)
+                .iter()
+                .for_each(|process| process.signal(Signal::HUP)),
             Step::Inherit { from, beside } => {
                 let other = self.other_service(from);
                 let address = self.fleet.listen(from);
@@ -122,10 +167,20 @@
                 let service = self.fleet.service(beside);
                 self.fleet.add_back_end(beside, &service, None)?;
             }
-            Step::DrainAdded => self.fleet.added.iter().for_each(|process| process.signal(Signal::TERM)),
+            Step::DrainAdded => self
+                .fleet
+                .added
+                .iter()
+                .for_each(|process| process.signal(Signal::TERM)),
             Step::Heat => {
-                self.fleet.notebook().note(&crate::history::Record::Heated { at: model::now() })?;
-                self.fleet.machines.iter().flat_map(|machine| &machine.understudy).for_each(|process| process.signal(Signal::USR1));
+                self.fleet
+                    .notebook()
+                    .note(&crate::history::Record::Heated { at: model::now() })?;
+                self.fleet
+                    .machines
+                    .iter()
+                    .flat_map(|machine| &machine.understudy)
+                    .for_each(|process| process.signal(Signal::USR1));
             }
             Step::Disk(seat, ill) => self.spoil(seat, ill)?,
             Step::AckThenLose(seat) => self.ack_then_lose(seat).await?,
@@ -142,14 +197,39 @@
         self.fleet.plan_core_again(seat)?;
         self.start(Who::Core(seat))?;
         let fleet = &self.fleet;
-        let (new, other) = (fleet.cores[seat].operators.clone(), fleet.cores[(seat + 1) % fleet.cores.len()].operators.clone());
-        fleet.until("the empty machine tells its disk", || async { fleet.get(&new, "/v1/status").await.is_some() }).await?;
-        let told = |answer: Option<(u16, serde_json::Value)>| answer.map(|(_, status)| status).ok_or("no status".to_string());
-        let (fresh, held) = (told(fleet.get(&new, "/v1/status").await)?, told(fleet.get(&other, "/v1/status").await)?);
+        let (new, other) = (
+            fleet.cores[seat].operators.clone(),
+            fleet.cores[(seat + 1) % fleet.cores.len()]
+                .operators
+                .clone(),
+        );
+        fleet
+            .until("the empty machine tells its disk", || async {
+                fleet.get(&new, "/v1/status").await.is_some()
+            })
+            .await?;
+        let told = |answer: Option<(u16, serde_json::Value)>| {
+            answer
+                .map(|(_, status)| status)
+                .ok_or("no status".to_string())
+        };
+        let (fresh, held) = (
+            told(fleet.get(&new, "/v1/status").await)?,
+            told(fleet.get(&other, "/v1/status").await)?,
+        );
         let ask = serde_json::json!({ "seat": seat, "from": held["holders"][seat.to_string()], "to": fresh["identity"] });
-        let answer = fleet.http.post(format!("http://{other}/v1/seats")).json(&ask).send().await.map_err(|error| error.to_string())?;
+        let answer = fleet
+            .http
+            .post(format!("http://{other}/v1/seats"))
+            .json(&ask)
+            .send()
+            .await
+            .map_err(|error| error.to_string())?;
         if !answer.status().is_success() {
-            return Err(format!("the replacement got {}", answer.text().await.unwrap_or_default()));
+            return Err(format!(
+                "the replacement got {}",
+                answer.text().await.unwrap_or_default()
+            ));
         }
         fleet.until_ready(&[new]).await
     }
@@ -158,13 +238,18 @@
     async fn ack_then_lose(&mut self, seat: usize) -> Result<(), String> {
         let operator = self.fleet.operator();
         let put = self.first_order()?;
-        let base = operator.read(seat).await?.ok_or("the seat told no version")?;
+        let base = operator
+            .read(seat)
+            .await?
+            .ok_or("the seat told no version")?;
         let answer = operator.send(seat, "acked-then-lost", base, &[put]).await?;
         self.burn(seat)?;
         self.fleet.plan_core_again(seat)?;
         self.start(Who::Core(seat))?;
         match answer {
-            crate::operators::Answer::Refused(412, _) | crate::operators::Answer::Accepted(..) => Ok(()),
+            crate::operators::Answer::Refused(412, _) | crate::operators::Answer::Accepted(..) => {
+                Ok(())
+            }
             other => Err(format!("the change got {other:?}")),
         }
     }
@@ -172,39 +257,67 @@
     /// Power and disk go together.
     fn burn(&mut self, seat: usize) -> Result<(), String> {
         self.kill(Who::Core(seat))?;
-        std::fs::remove_dir_all(self.fleet.folder.join(format!("core-{seat}"))).map_err(|error| error.to_string())
+        std::fs::remove_dir_all(self.fleet.folder.join(format!("core-{seat}")))
+            .map_err(|error| error.to_string())
     }
 
     fn spoil(&mut self, seat: usize, ill: crate::disk::Ill) -> Result<(), String> {
-        let folder = crate::process::flag(&self.fleet.cores[seat].arguments, "--folder").ok_or("the seat has no folder")?;
-        std::fs::write(std::path::Path::new(folder).join("fault"), ill.word()).map_err(|error| error.to_string())
+        let folder = crate::process::flag(&self.fleet.cores[seat].arguments, "--folder")
+            .ok_or("the seat has no folder")?;
+        std::fs::write(std::path::Path::new(folder).join("fault"), ill.word())
+            .map_err(|error| error.to_string())
     }
 
     fn first_order(&self) -> Result<serde_json::Value, String> {
-        self.fleet.deployment.edits().into_iter().find(|edit| edit.get("put_order").is_some()).ok_or("the site has no order".into())
+        self.fleet
+            .deployment
+            .edits()
+            .into_iter()
+            .find(|edit| edit.get("put_order").is_some())
+            .ok_or("the site has no order".into())
     }
 
     fn other_service(&self, at: usize) -> String {
         let own = self.fleet.service(at);
-        let mut others = self.fleet.deployment.services.iter().map(|(service, _)| service.to_string());
-        others.rfind(|service| *service != own).unwrap_or(own.clone())
+        let mut others = self
+            .fleet
+            .deployment
+            .services
+            .iter()
+            .map(|(service, _)| service.to_string());
+        others
+            .rfind(|service| *service != own)
+            .unwrap_or(own.clone())
     }
 
     fn wake(&mut self, who: Who) -> Result<(), String> {
-        let since = self.frozen.iter().find(|(held, _)| *held == who).map(|(_, since)| *since);
+        let since = self
+            .frozen
+            .iter()
+            .find(|(held, _)| *held == who)
+            .map(|(_, since)| *since);
         self.frozen.retain(|(held, _)| *held != who);
         if let (Who::Usher(at), Some(from)) = (who, since) {
             let by = self.fleet.machines[at].name.clone();
-            self.fleet.notebook().note(&crate::history::Record::Stood { by, from, to: model::now() })?;
+            self.fleet.notebook().note(&crate::history::Record::Stood {
+                by,
+                from,
+                to: model::now(),
+            })?;
         }
-        self.place(who).iter().for_each(|process| process.signal(Signal::CONT));
+        self.place(who)
+            .iter()
+            .for_each(|process| process.signal(Signal::CONT));
         Ok(())
     }
 
     /// Nothing stays frozen or cut.
     pub fn settle(&mut self) -> Result<(), String> {
         self.fleet.links.mend();
-        self.frozen.clone().into_iter().try_for_each(|(who, _)| self.wake(who))
+        self.frozen
+            .clone()
+            .into_iter()
+            .try_for_each(|(who, _)| self.wake(who))
     }
 
     /// The first lane goes or comes back, whoever else changes things meanwhile.
@@ -212,9 +325,18 @@
         self.changes += 1;
         let put = self.first_order()?;
         let name = put["put_order"]["name"].clone();
-        let edit = if allow { put } else { serde_json::json!({ "drop_order": { "name": name } }) };
-        self.fleet.note_lane(self.fleet.deployment.lanes[0], allow, false)?;
-        self.fleet.operator().insist(&format!("step-{}", self.changes), &[edit]).await?;
-        self.fleet.note_lane(self.fleet.deployment.lanes[0], allow, true)
+        let edit = if allow {
+            put
+        } else {
+            serde_json::json!({ "drop_order": { "name": name } })
+        };
+        self.fleet
+            .note_lane(self.fleet.deployment.lanes[0], allow, false)?;
+        self.fleet
+            .operator()
+            .insist(&format!("step-{}", self.changes), &[edit])
+            .await?;
+        self.fleet
+            .note_lane(self.fleet.deployment.lanes[0], allow, true)
     }
 }
--- a/crates/simulator/src/understudy.rs
+++ b/crates/simulator/src/understudy.rs
@@ -46,14 +46,23 @@
     async fn handle(&self, request: &mut salvo::Request, response: &mut salvo::Response) {
         let backstage = &self.0;
         let header = |name: &str| http_util::header_text(request, name).unwrap_or_default();
-        let (meant_for, own) = (header(backend_api::SERVICE_HEADER), backstage.part.service.clone());
+        let (meant_for, own) = (
+            header(backend_api::SERVICE_HEADER),
+            backstage.part.service.clone(),
+        );
         if meant_for != own {
-            backstage.note(&crate::history::Record::Misrouted { by: backstage.part.name.clone(), meant_for, at: model::now() });
+            backstage.note(&crate::history::Record::Misrouted {
+                by: backstage.part.name.clone(),
+                meant_for,
+                at: model::now(),
+            });
             response.status_code(salvo::http::StatusCode::MISDIRECTED_REQUEST);
             return;
         }
         let began = model::now();
-        let number = backstage.runs.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+        let number = backstage
+            .runs
+            .fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         let life = backstage.life.load(std::sync::atomic::Ordering::Relaxed);
         let run = format!("{}-{life}-{number}", backstage.part.name);
         let try_id = header(backend_api::ATTEMPT_ID_HEADER);
@@ -72,13 +81,22 @@
         });
         tokio::time::sleep(std::time::Duration::from_micros(backstage.part.work_us)).await;
         // Whoever slept beyond the wait does no work any more, as its contract says.
-        let until = began + header(backend_api::TIME_LEFT_HEADER).parse::<u64>().unwrap_or(0);
-        backstage.note(&crate::history::Record::Ended { run: run.clone(), at: model::now().min(until) });
+        let until = began
+            + header(backend_api::TIME_LEFT_HEADER)
+                .parse::<u64>()
+                .unwrap_or(0);
+        backstage.note(&crate::history::Record::Ended {
+            run: run.clone(),
+            at: model::now().min(until),
+        });
         if model::now() > until {
             response.status_code(salvo::http::StatusCode::GATEWAY_TIMEOUT);
             return;
         }
-        let body = serde_json::json!({ "try": try_id, "run": run, "service": backstage.part.service }).to_string().into_bytes();
+        let body =
+            serde_json::json!({ "try": try_id, "run": run, "service": backstage.part.service })
+                .to_string()
+                .into_bytes();
         let seal = backend_api::seal::seal(&try_id, 200, &body);
         // A spoilt reply ran all the same: half a body, no seal, or another's seal.
         let spoilt = rand::random::<u32>() % 1_000 < backstage.part.spoil;
@@ -89,7 +107,9 @@
             (false, _) => (body, seal),
         };
         if let Ok(seal) = salvo::http::HeaderValue::from_str(&seal) {
-            response.headers_mut().insert(backend_api::SEAL_HEADER, seal);
+            response
+                .headers_mut()
+                .insert(backend_api::SEAL_HEADER, seal);
         }
         response.write_body(body).unwrap_or_default();
     }
@@ -97,26 +117,57 @@
 
 pub async fn run(part: Part) -> Result<(), String> {
     let told = |error: &dyn std::fmt::Display| error.to_string();
-    let book = std::fs::OpenOptions::new().create(true).append(true).open(&part.history).map_err(|error| told(&error))?;
+    let book = std::fs::OpenOptions::new()
+        .create(true)
+        .append(true)
+        .open(&part.history)
+        .map_err(|error| told(&error))?;
     let hot = part.hot.into();
-    let backstage = std::sync::Arc::new(Backstage { hot, part, life: Default::default(), runs: Default::default(), book: std::sync::Mutex::new(book) });
+    let backstage = std::sync::Arc::new(Backstage {
+        hot,
+        part,
+        life: Default::default(),
+        runs: Default::default(),
+        book: std::sync::Mutex::new(book),
+    });
     let router = salvo::Router::with_path("{**rest}").goal(Stage(backstage.clone()));
-    let serving = http_util::HttpServer::start(&backstage.part.listen, router).await.map_err(|error| told(&error))?;
+    let serving = http_util::HttpServer::start(&backstage.part.listen, router)
+        .await
+        .map_err(|error| told(&error))?;
     let address = serving.address.to_string();
-    let http = reqwest::Client::builder().no_proxy().timeout(std::time::Duration::from_secs(10)).build().map_err(|error| told(&error))?;
+    let http = reqwest::Client::builder()
+        .no_proxy()
+        .timeout(std::time::Duration::from_secs(10))
+        .build()
+        .map_err(|error| told(&error))?;
     let (given, passes) = tokio::sync::watch::channel(crate::audience::Pass::default());
     let beating = tokio::spawn(beat(backstage.clone(), http.clone(), address, given));
-    let sending = tokio::spawn(crate::audience::send(backstage.clone(), http.clone(), passes.clone()));
-    let mut stop = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate()).map_err(|error| told(&error))?;
-    let mut heat = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::user_defined1()).map_err(|error| told(&error))?;
+    let sending = tokio::spawn(crate::audience::send(
+        backstage.clone(),
+        http.clone(),
+        passes.clone(),
+    ));
+    let mut stop = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
+        .map_err(|error| told(&error))?;
+    let mut heat = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::user_defined1())
+        .map_err(|error| told(&error))?;
     while tokio::select! { _ = stop.recv() => false, _ = heat.recv() => true } {
-        backstage.hot.store(900, std::sync::atomic::Ordering::Relaxed);
+        backstage
+            .hot
+            .store(900, std::sync::atomic::Ordering::Relaxed);
     }
     // A planned end: no more sending, drain, let runs end, sign off.
     sending.abort();
     let usher = &backstage.part.usher;
-    let say = |path: &str| http.post(format!("http://{usher}/back-end/{path}")).bearer_auth(passes.borrow().secret.clone()).send();
-    backstage.note(&crate::history::Record::Leaving { by: backstage.part.name.clone(), at: model::now() });
+    let say = |path: &str| {
+        http.post(format!("http://{usher}/back-end/{path}"))
+            .bearer_auth(passes.borrow().secret.clone())
+            .send()
+    };
+    backstage.note(&crate::history::Record::Leaving {
+        by: backstage.part.name.clone(),
+        at: model::now(),
+    });
     drop(say("drain").await);
     tokio::time::sleep(std::time::Duration::from_millis(500)).await;
     drop(say("sign-off").await);
@@ -126,29 +177,65 @@
 }
 
 /// Registers until it is taken, beats until it is told to register again.
-async fn beat(backstage: std::sync::Arc<Backstage>, http: reqwest::Client, address: String, given: tokio::sync::watch::Sender<crate::audience::Pass>) {
+async fn beat(
+    backstage: std::sync::Arc<Backstage>,
+    http: reqwest::Client,
+    address: String,
+    given: tokio::sync::watch::Sender<crate::audience::Pass>,
+) {
     let part = &backstage.part;
     let usher = format!("http://{}/back-end", part.usher);
     loop {
         let ask = serde_json::json!({ "name": part.name, "service": part.service, "zone": part.zone, "slots": part.slots, "address": address });
-        let answer: Option<serde_json::Value> = match http.post(format!("{usher}/register")).json(&ask).send().await {
+        let answer: Option<serde_json::Value> = match http
+            .post(format!("{usher}/register"))
+            .json(&ask)
+            .send()
+            .await
+        {
             Ok(response) if response.status().is_success() => response.json().await.ok(),
             _ => None,
         };
         if let Some(answer) = answer {
             let secret = answer["secret"].as_str().unwrap_or_default().to_string();
-            backstage.life.store(answer["incarnation"].as_u64().unwrap_or(0), std::sync::atomic::Ordering::Relaxed);
-            let try_prefix = answer["try_prefix"].as_str().map(str::to_string).unwrap_or_else(|| format!("{}.{}.", part.name, answer["incarnation"]));
-            given.send_replace(crate::audience::Pass { secret: secret.clone(), try_prefix });
-            let pause = std::time::Duration::from_micros(answer["beat_every_us"].as_u64().unwrap_or(300_000));
+            backstage.life.store(
+                answer["incarnation"].as_u64().unwrap_or(0),
+                std::sync::atomic::Ordering::Relaxed,
+            );
+            let try_prefix = answer["try_prefix"]
+                .as_str()
+                .map(str::to_string)
+                .unwrap_or_else(|| format!("{}.{}.", part.name, answer["incarnation"]));
+            given.send_replace(crate::audience::Pass {
+                secret: secret.clone(),
+                try_prefix,
+            });
+            let pause = std::time::Duration::from_micros(
+                answer["beat_every_us"].as_u64().unwrap_or(300_000),
+            );
             let mut keys: Vec<serde_json::Value> = Vec::new();
             loop {
                 tokio::time::sleep(pause).await;
                 let beat = serde_json::json!({ "service": part.service, "zone": part.zone, "slots": part.slots, "state": "serving", "keys": keys });
-                let beaten = http.post(format!("{usher}/beat")).bearer_auth(&secret).json(&beat).send().await;
-                let Some(told) = beaten.ok().filter(|response| response.status().is_success()) else { break };
+                let beaten = http
+                    .post(format!("{usher}/beat"))
+                    .bearer_auth(&secret)
+                    .json(&beat)
+                    .send()
+                    .await;
+                let Some(told) = beaten
+                    .ok()
+                    .filter(|response| response.status().is_success())
+                else {
+                    break;
+                };
                 let told: serde_json::Value = told.json().await.unwrap_or_default();
-                keys = told["terms"].as_array().into_iter().flatten().map(|term| term["slice"].clone()).collect();
+                keys = told["terms"]
+                    .as_array()
+                    .into_iter()
+                    .flatten()
+                    .map(|term| term["slice"].clone())
+                    .collect();
             }
         }
         tokio::time::sleep(std::time::Duration::from_millis(200)).await;
--- a/crates/simulator/tests/bills.rs
+++ b/crates/simulator/tests/bills.rs
@@ -4,14 +4,20 @@
 use simulator::billsim::{BLOWS, BillPlan, Blow, Stage, Struck, Without, draw, play};
 
 fn over<T: Send>(seeds: std::ops::Range<u64>, work: impl Fn(u64) -> T + Sync) -> Vec<T> {
-    let cores = std::thread::available_parallelism().map(usize::from).unwrap_or(1) as u64;
+    let cores = std::thread::available_parallelism()
+        .map(usize::from)
+        .unwrap_or(1) as u64;
     std::thread::scope(|scope| {
         let work = &work;
         let turns = (0..cores).map(|core| {
             let own = seeds.clone().filter(move |seed| seed % cores == core);
             scope.spawn(move || own.map(work).collect::<Vec<_>>())
         });
-        turns.collect::<Vec<_>>().into_iter().flat_map(|turn| turn.join().expect("a run")).collect()
+        turns
+            .collect::<Vec<_>>()
+            .into_iter()
+            .flat_map(|turn| turn.join().expect("a run"))
+            .collect()
     })
 }
 
@@ -22,9 +28,14 @@
         assert_eq!(stage.broken, Vec::<String>::new(), "seed {seed}");
         (stage.judged, stage.restarts, stage.older_told())
     });
-    let (judged, restarts, older) = played.into_iter().fold((0, 0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1, sum.2 + one.2));
+    let (judged, restarts, older) = played.into_iter().fold((0, 0, 0), |sum, one| {
+        (sum.0 + one.0, sum.1 + one.1, sum.2 + one.2)
+    });
     // Nodes that had begun anew were told older bills than they had, and did not serve them.
-    assert!(judged > 1_000_000 && restarts > 1_000 && older > 50, "{judged} judged, {restarts} restarts, {older} older bulletins");
+    assert!(
+        judged > 1_000_000 && restarts > 1_000 && older > 50,
+        "{judged} judged, {restarts} restarts, {older} older bulletins"
+    );
 }
 
 /// Seeds and blows alike: held with every guard, and without one the promise is seen broken.
@@ -32,25 +43,65 @@
     let blows = |seed| -> Vec<Struck> { draw(kinds, seed, 8) };
     let breaks = |seed: u64| {
         let whole: Stage = play(BillPlan::new(seed), &blows(seed));
-        assert_eq!(whole.broken, Vec::<String>::new(), "seed {seed}: it holds with its guards");
-        play(BillPlan { without, ..BillPlan::new(seed) }, &blows(seed)).broken.iter().any(|told| told.starts_with("back"))
+        assert_eq!(
+            whole.broken,
+            Vec::<String>::new(),
+            "seed {seed}: it holds with its guards"
+        );
+        play(
+            BillPlan {
+                without,
+                ..BillPlan::new(seed)
+            },
+            &blows(seed),
+        )
+        .broken
+        .iter()
+        .any(|told| told.starts_with("back"))
     };
-    assert!((0..4u64).any(|turn| over(turn * 8..turn * 8 + 8, breaks).contains(&true)), "{without:?}: nobody was seen to go back");
+    assert!(
+        (0..4u64).any(|turn| over(turn * 8..turn * 8 + 8, breaks).contains(&true)),
+        "{without:?}: nobody was seen to go back"
+    );
 }
 
-const LAGS: [Blow; 5] = [Blow::CutSeat, Blow::Restart, Blow::CutSeat, Blow::Together, Blow::InTurn];
+const LAGS: [Blow; 5] = [
+    Blow::CutSeat,
+    Blow::Restart,
+    Blow::CutSeat,
+    Blow::Together,
+    Blow::InTurn,
+];
 
 #[test]
 fn bills_served_before_a_proof_are_caught() {
-    caught(Without { proof: true, ..Default::default() }, &LAGS);
+    caught(
+        Without {
+            proof: true,
+            ..Default::default()
+        },
+        &LAGS,
+    );
 }
 
 #[test]
 fn proofs_that_ask_no_majority_are_caught() {
-    caught(Without { quorum: true, ..Default::default() }, &LAGS);
+    caught(
+        Without {
+            quorum: true,
+            ..Default::default()
+        },
+        &LAGS,
+    );
 }
 
 #[test]
 fn nodes_that_forget_what_they_hold_at_a_new_conn_are_caught() {
-    caught(Without { forward: true, ..Default::default() }, &[Blow::CutSeat, Blow::CutNode, Blow::CrashSeat, Blow::Stall]);
+    caught(
+        Without {
+            forward: true,
+            ..Default::default()
+        },
+        &[Blow::CutSeat, Blow::CutNode, Blow::CrashSeat, Blow::Stall],
+    );
 }
--- a/crates/simulator/tests/catch_up.rs
+++ b/crates/simulator/tests/catch_up.rs
@@ -28,13 +28,20 @@
     world.findings.close(&nodes);
     world.nodes = nodes;
     let broken = &world.findings.broken;
-    assert!(broken.is_empty(), "{context}: {:#?}", broken.iter().take(6).collect::<Vec<_>>());
+    assert!(
+        broken.is_empty(),
+        "{context}: {:#?}",
+        broken.iter().take(6).collect::<Vec<_>>()
+    );
 }
 
 #[test]
 fn a_member_that_was_away_through_thousands_of_changes_is_up_to_date_in_time() {
     for (seats, seed) in [(3, 1), (3, 2), (4, 3), (5, 4), (7, 5), (11, 6)] {
-        let mut world = World::new(Plan { snapshot_every: 500, ..Plan::new(seats, seed) });
+        let mut world = World::new(Plan {
+            snapshot_every: 500,
+            ..Plan::new(seats, seed)
+        });
         let back = 31 * SECOND;
         world.at_fault(LEAVES, Fault::Crash(AWAY));
         world.at_fault(back, Fault::Start(AWAY));
@@ -45,7 +52,10 @@
         let count = orders(&mut world, back);
         world.run_until(back + CATCH_UP);
         let lengths: Vec<usize> = world.nodes.iter().map(|node| node.history.len()).collect();
-        assert!(lengths[0] as u64 >= count * 9 / 10, "{seats} seats: {lengths:?} entries of {count}");
+        assert!(
+            lengths[0] as u64 >= count * 9 / 10,
+            "{seats} seats: {lengths:?} entries of {count}"
+        );
         // What it is given now is chosen and applied everywhere.
         for seat in 0..seats {
             world.submit(seat, format!("last {seat}").into_bytes());
@@ -58,7 +68,10 @@
 #[test]
 fn a_member_that_is_behind_proves_no_read_that_misses_what_was_answered() {
     for seed in 0..12 {
-        let mut world = World::new(Plan { snapshot_every: 50, ..Plan::new(3, seed) });
+        let mut world = World::new(Plan {
+            snapshot_every: 50,
+            ..Plan::new(3, seed)
+        });
         let back = 6 * SECOND;
         world.at_fault(LEAVES, Fault::Crash(AWAY));
         world.at_fault(back, Fault::Start(AWAY));
@@ -67,10 +80,17 @@
             world.at_fault(back + number * 5_000, Fault::Read(AWAY, number));
         }
         for seat in 0..3 {
-            world.at_fault(back + 2 * SECOND, Fault::Submit(seat, format!("last {seat}").into_bytes()));
+            world.at_fault(
+                back + 2 * SECOND,
+                Fault::Submit(seat, format!("last {seat}").into_bytes()),
+            );
         }
         world.run_until(back + CATCH_UP);
-        assert!(world.findings.reads_done > 150, "seed {seed}: {} reads", world.findings.reads_done);
+        assert!(
+            world.findings.reads_done > 150,
+            "seed {seed}: {} reads",
+            world.findings.reads_done
+        );
         closed(&mut world, &format!("seed {seed}"));
     }
 }
@@ -78,19 +98,28 @@
 #[test]
 fn a_member_that_dies_again_and_again_while_it_catches_up_ends_whole() {
     for seed in 0..8 {
-        let mut world = World::new(Plan { snapshot_every: 100, ..Plan::new(3, seed) });
+        let mut world = World::new(Plan {
+            snapshot_every: 100,
+            ..Plan::new(3, seed)
+        });
         world.at_fault(LEAVES, Fault::Crash(AWAY));
         orders(&mut world, 16 * SECOND);
         // From within the first frames of a resync to well into the tail.
         for turn in 0..16 {
             let time = 8 * SECOND + turn * 500_000;
             world.at_fault(time, Fault::Start(AWAY));
-            world.at_fault(time + 3_000 + turn * turn * 1_500 + seed * 400, Fault::Crash(AWAY));
+            world.at_fault(
+                time + 3_000 + turn * turn * 1_500 + seed * 400,
+                Fault::Crash(AWAY),
+            );
         }
         let back = 17 * SECOND;
         world.at_fault(back, Fault::Start(AWAY));
         for seat in 0..3 {
-            world.at_fault(back + 3 * SECOND, Fault::Submit(seat, format!("last {seat}").into_bytes()));
+            world.at_fault(
+                back + 3 * SECOND,
+                Fault::Submit(seat, format!("last {seat}").into_bytes()),
+            );
         }
         world.run_until(back + 2 * CATCH_UP);
         closed(&mut world, &format!("seed {seed}"));
@@ -100,11 +129,17 @@
 #[test]
 fn five_thousand_changes_leave_a_bounded_log_on_every_disk() {
     // The state of this simulator is the whole history, so what is counted is the log beside the snapshot.
-    let mut world = World::new(Plan { snapshot_every: 500, ..Plan::new(3, 1) });
+    let mut world = World::new(Plan {
+        snapshot_every: 500,
+        ..Plan::new(3, 1)
+    });
     let end = LEAVES + 5_000 * EVERY;
     let count = (end - LEAVES) / EVERY;
     for number in 0..count {
-        world.at_fault(LEAVES + number * EVERY, Fault::Submit((number % 3) as u16, number.to_be_bytes().to_vec()));
+        world.at_fault(
+            LEAVES + number * EVERY,
+            Fault::Submit((number % 3) as u16, number.to_be_bytes().to_vec()),
+        );
     }
     let mut most = 0;
     for step in 1..=end / SECOND {
--- a/crates/simulator/tests/cut.rs
+++ b/crates/simulator/tests/cut.rs
@@ -23,7 +23,13 @@
     RestartedInside,
 }
 
-const TROUBLES: [Trouble; 5] = [Trouble::Cut, Trouble::HearsNobody, Trouble::IsHeardByNobody, Trouble::Frozen, Trouble::RestartedInside];
+const TROUBLES: [Trouble; 5] = [
+    Trouble::Cut,
+    Trouble::HearsNobody,
+    Trouble::IsHeardByNobody,
+    Trouble::Frozen,
+    Trouble::RestartedInside,
+];
 
 fn strike(world: &mut World, trouble: Trouble) {
     let others = 1..world.plan.seats;
@@ -32,8 +38,12 @@
             world.at_fault(BEGINS, Fault::Freeze(CUT_OFF));
             world.at_fault(HEALS, Fault::Wake(CUT_OFF));
         }
-        Trouble::HearsNobody => others.for_each(|mate| world.at_fault(BEGINS, Fault::Cut(mate, CUT_OFF))),
-        Trouble::IsHeardByNobody => others.for_each(|mate| world.at_fault(BEGINS, Fault::Cut(CUT_OFF, mate))),
+        Trouble::HearsNobody => {
+            others.for_each(|mate| world.at_fault(BEGINS, Fault::Cut(mate, CUT_OFF)))
+        }
+        Trouble::IsHeardByNobody => {
+            others.for_each(|mate| world.at_fault(BEGINS, Fault::Cut(CUT_OFF, mate)))
+        }
         Trouble::Cut | Trouble::RestartedInside => others.for_each(|mate| {
             world.at_fault(BEGINS, Fault::Cut(CUT_OFF, mate));
             world.at_fault(BEGINS, Fault::Cut(mate, CUT_OFF));
@@ -57,7 +67,10 @@
 }
 
 fn played(seats: u16, seed: u64, trouble: Trouble, caller_patience: u64) -> World {
-    let mut world = World::new(Plan { caller_patience, ..Plan::new(seats, seed) });
+    let mut world = World::new(Plan {
+        caller_patience,
+        ..Plan::new(seats, seed)
+    });
     strike(&mut world, trouble);
     call(&mut world);
     world.run_until(HEALS + CATCH_UP);
@@ -68,29 +81,55 @@
 fn nothing_that_a_seat_kept_in_hand_takes_effect_long_after_its_caller_was_answered() {
     for (seats, seed, trouble) in drawn() {
         let world = played(seats, seed, trouble, PATIENCE);
-        assert_eq!(world.findings.broken, Vec::<String>::new(), "{seats} seats, seed {seed}, {trouble:?}");
+        assert_eq!(
+            world.findings.broken,
+            Vec::<String>::new(),
+            "{seats} seats, seed {seed}, {trouble:?}"
+        );
         let late = world.findings.late(PATIENCE + DECIDED);
-        assert!(late.is_empty(), "{seats} seats, seed {seed}, {trouble:?}: {late:?} took effect late");
+        assert!(
+            late.is_empty(),
+            "{seats} seats, seed {seed}, {trouble:?}: {late:?} took effect late"
+        );
     }
 }
 
 #[test]
 fn suggestions_that_are_made_again_for_nobody_are_caught() {
-    let late = drawn().any(|(seats, seed, trouble)| !played(seats, seed, trouble, u64::MAX).findings.late(PATIENCE + DECIDED).is_empty());
-    assert!(late, "no order took effect long after its caller was answered");
+    let late = drawn().any(|(seats, seed, trouble)| {
+        !played(seats, seed, trouble, u64::MAX)
+            .findings
+            .late(PATIENCE + DECIDED)
+            .is_empty()
+    });
+    assert!(
+        late,
+        "no order took effect long after its caller was answered"
+    );
 }
 
 #[test]
 fn no_read_is_proved_at_a_seat_that_reaches_no_majority() {
     for (seats, seed, trouble) in drawn() {
-        let mut world = World::new(Plan { caller_patience: PATIENCE, ..Plan::new(seats, seed) });
+        let mut world = World::new(Plan {
+            caller_patience: PATIENCE,
+            ..Plan::new(seats, seed)
+        });
         strike(&mut world, trouble);
         call(&mut world);
         world.run_until(BEGINS + SECOND);
         world.done.clear();
         world.run_until(HEALS - 1);
-        let proved: Vec<u64> = world.done.iter().filter(|(_, seat)| *seat == CUT_OFF).map(|(token, _)| *token).collect();
-        assert!(proved.is_empty(), "{seats} seats, seed {seed}, {trouble:?}: reads {proved:?} were proved");
+        let proved: Vec<u64> = world
+            .done
+            .iter()
+            .filter(|(_, seat)| *seat == CUT_OFF)
+            .map(|(token, _)| *token)
+            .collect();
+        assert!(
+            proved.is_empty(),
+            "{seats} seats, seed {seed}, {trouble:?}: reads {proved:?} were proved"
+        );
         assert!(world.done.len() > 20, "the others prove");
     }
 }
@@ -103,14 +142,29 @@
         let last = b"after the cut".to_vec();
         world.submit(CUT_OFF, last.clone());
         world.run_until(HEALS + CATCH_UP + SECOND);
-        let holds = |node: &simulator::sim::Node| node.history.iter().any(|(_, value)| *value == last);
-        assert!(world.nodes.iter().all(holds), "{seats} seats, seed {seed}, {trouble:?}");
-        let lengths: std::collections::BTreeSet<usize> = world.nodes.iter().map(|node| node.history.len()).collect();
-        assert_eq!(lengths.len(), 1, "{seats} seats, seed {seed}, {trouble:?}: {lengths:?} entries");
+        let holds =
+            |node: &simulator::sim::Node| node.history.iter().any(|(_, value)| *value == last);
+        assert!(
+            world.nodes.iter().all(holds),
+            "{seats} seats, seed {seed}, {trouble:?}"
+        );
+        let lengths: std::collections::BTreeSet<usize> =
+            world.nodes.iter().map(|node| node.history.len()).collect();
+        assert_eq!(
+            lengths.len(),
+            1,
+            "{seats} seats, seed {seed}, {trouble:?}: {lengths:?} entries"
+        );
     }
 }
 
 fn drawn() -> impl Iterator<Item = (u16, u64, Trouble)> {
     let seats = [3u16, 4, 5, 7];
-    seats.into_iter().flat_map(|seats| (1..7u64).flat_map(move |seed| TROUBLES.into_iter().map(move |trouble| (seats, seed, trouble))))
+    seats.into_iter().flat_map(|seats| {
+        (1..7u64).flat_map(move |seed| {
+            TROUBLES
+                .into_iter()
+                .map(move |trouble| (seats, seed, trouble))
+        })
+    })
 }
--- a/crates/simulator/tests/ordering.rs
+++ b/crates/simulator/tests/ordering.rs
@@ -28,7 +28,11 @@
     test_support::drawn::<(u64, [u8; 36])>(150, |(seed, bytes)| {
         let seats = if seed % 2 == 0 { 5 } else { 3 };
         let world = play(Plan::new(seats, *seed), bytes, 6);
-        assert!(world.findings.broken.is_empty(), "seed {seed} bytes {bytes:?}: {:#?}", world.findings.broken);
+        assert!(
+            world.findings.broken.is_empty(),
+            "seed {seed} bytes {bytes:?}: {:#?}",
+            world.findings.broken
+        );
     });
 }
 
@@ -37,20 +41,34 @@
     let seats = 3;
     let points = play(Plan::new(seats, 7), &[], 1).counts.points / seats as u64;
     (1..points).step_by(3).for_each(|point| {
-        let plan = Plan { crash_at: Some(((point % seats as u64) as u16, point)), ..Plan::new(seats, 7) };
+        let plan = Plan {
+            crash_at: Some(((point % seats as u64) as u16, point)),
+            ..Plan::new(seats, 7)
+        };
         let world = play(plan, &[], 1);
-        assert!(world.findings.broken.is_empty(), "crash at point {point}: {:#?}", world.findings.broken);
+        assert!(
+            world.findings.broken.is_empty(),
+            "crash at point {point}: {:#?}",
+            world.findings.broken
+        );
     });
 }
 
 #[test]
 fn a_disk_that_lies_about_syncs_is_caught() {
     let broken = (1..40u64).find(|seed| {
-        let plan = Plan { lying_disk: true, snapshot_every: 0, ..Plan::new(3, *seed) };
+        let plan = Plan {
+            lying_disk: true,
+            snapshot_every: 0,
+            ..Plan::new(3, *seed)
+        };
         let crashes: Vec<u8> = (0..12u8).flat_map(|turn| [0, turn, 20]).collect();
         !play(plan, &crashes, 6).findings.broken.is_empty()
     });
-    assert!(broken.is_some(), "no seed showed what an answer before its sync loses");
+    assert!(
+        broken.is_some(),
+        "no seed showed what an answer before its sync loses"
+    );
 }
 
 fn healed(world: &mut World, seconds: u64) {
@@ -61,7 +79,12 @@
 }
 
 fn last_words(world: &mut World, time: u64) {
-    (0..world.plan.seats).for_each(|seat| world.at_fault(time, Fault::Submit(seat, format!("last {seat}").into_bytes())));
+    (0..world.plan.seats).for_each(|seat| {
+        world.at_fault(
+            time,
+            Fault::Submit(seat, format!("last {seat}").into_bytes()),
+        )
+    });
 }
 
 #[test]
@@ -72,7 +95,10 @@
         world.at_fault(1_000_000, Fault::Crash(lost));
         (0..80u64).for_each(|number| {
             let seat = ((number + seed) % 5) as u16;
-            world.at_fault(500_000 + number * 50_000, Fault::Submit(seat, number.to_be_bytes().to_vec()));
+            world.at_fault(
+                500_000 + number * 50_000,
+                Fault::Submit(seat, number.to_be_bytes().to_vec()),
+            );
         });
         world.at_fault(6_000_000, Fault::Start(lost));
         last_words(&mut world, 8_000_000);
@@ -82,67 +108,122 @@
         world.findings.slowest
     });
     let slowest = slowest.max().unwrap_or(0);
-    assert!(slowest > 0 && slowest < 2_000_000, "an entry took {slowest} microseconds");
+    assert!(
+        slowest > 0 && slowest < 2_000_000,
+        "an entry took {slowest} microseconds"
+    );
 }
 
 #[test]
 fn a_falsely_revoked_coordinator_suggests_again() {
     let mut world = World::new(Plan::new(3, 11));
     // Its frames are lost, it lives on: the others revoke what it suggested meanwhile.
-    [(0, 1), (0, 2)].into_iter().for_each(|(from, to)| world.at_fault(1_000_000, Fault::Cut(from, to)));
-    world.at_fault(1_010_000, Fault::Submit(0, b"kept through a revocation".to_vec()));
+    [(0, 1), (0, 2)]
+        .into_iter()
+        .for_each(|(from, to)| world.at_fault(1_000_000, Fault::Cut(from, to)));
+    world.at_fault(
+        1_010_000,
+        Fault::Submit(0, b"kept through a revocation".to_vec()),
+    );
     world.at_fault(1_020_000, Fault::Submit(1, b"pushes the log on".to_vec()));
     world.at_fault(3_000_000, Fault::Mend);
     last_words(&mut world, 5_000_000);
     healed(&mut world, 8);
     assert_eq!(world.findings.broken, Vec::<String>::new());
     assert!(world.counts.revocations > 0);
-    let held = world.nodes[1].history.iter().filter(|(_, value)| value == b"kept through a revocation").count();
+    let held = world.nodes[1]
+        .history
+        .iter()
+        .filter(|(_, value)| value == b"kept through a revocation")
+        .count();
     assert_eq!(held, 1, "{:?}", world.nodes[1].history);
 }
 
 #[test]
 fn a_seat_that_was_away_long_catches_up_by_snapshot_and_tail() {
-    let mut world = World::new(Plan { snapshot_every: 20, ..Plan::new(3, 5) });
+    let mut world = World::new(Plan {
+        snapshot_every: 20,
+        ..Plan::new(3, 5)
+    });
     world.at_fault(500_000, Fault::Crash(2));
-    (0..150u64).for_each(|number| world.at_fault(600_000 + number * 20_000, Fault::Submit((number % 2) as u16, number.to_be_bytes().to_vec())));
+    (0..150u64).for_each(|number| {
+        world.at_fault(
+            600_000 + number * 20_000,
+            Fault::Submit((number % 2) as u16, number.to_be_bytes().to_vec()),
+        )
+    });
     world.at_fault(5_000_000, Fault::Start(2));
     last_words(&mut world, 6_000_000);
     healed(&mut world, 9);
     assert_eq!(world.findings.broken, Vec::<String>::new());
-    let floors: Vec<u64> = world.nodes.iter().filter_map(|node| node.machine.as_ref().map(mencius::Replica::compaction_point)).collect();
-    assert!(floors.iter().all(|floor| *floor > 0), "no log was cut: {floors:?}");
+    let floors: Vec<u64> = world
+        .nodes
+        .iter()
+        .filter_map(|node| {
+            node.machine
+                .as_ref()
+                .map(mencius::Replica::compaction_point)
+        })
+        .collect();
+    assert!(
+        floors.iter().all(|floor| *floor > 0),
+        "no log was cut: {floors:?}"
+    );
 }
 
 #[test]
 fn a_replaced_seat_loses_nothing_whoever_fails_meanwhile() {
     test_support::drawn::<(u64, [u8; 6])>(60, |(seed, bytes)| {
         let seats = if seed % 2 == 0 { 5u16 } else { 3 };
-        let mut world = World::new(Plan { snapshot_every: 15, ..Plan::new(seats, *seed) });
+        let mut world = World::new(Plan {
+            snapshot_every: 15,
+            ..Plan::new(seats, *seed)
+        });
         let lost = (seed % seats as u64) as u16;
         (0..100u64).for_each(|number| {
             let seat = (number % seats as u64) as u16;
-            world.at_fault(200_000 + number * 70_000, Fault::Submit(seat, number.to_be_bytes().to_vec()));
-            world.at_fault(230_000 + number * 70_000, Fault::Read((seat + 1) % seats, number));
+            world.at_fault(
+                200_000 + number * 70_000,
+                Fault::Submit(seat, number.to_be_bytes().to_vec()),
+            );
+            world.at_fault(
+                230_000 + number * 70_000,
+                Fault::Read((seat + 1) % seats, number),
+            );
         });
         world.at_fault(1_500_000, Fault::Replace(lost));
         // Others fail around and after the change of hands, each for a while.
         bytes.chunks_exact(2).zip(0u64..).for_each(|(chunk, turn)| {
-            let (seat, time) = ((chunk[0] as u16) % seats, 1_400_000 + turn * 1_600_000 + chunk[1] as u64 * 5_000);
+            let (seat, time) = (
+                (chunk[0] as u16) % seats,
+                1_400_000 + turn * 1_600_000 + chunk[1] as u64 * 5_000,
+            );
             if seat != lost {
                 world.at_fault(time, Fault::Crash(seat));
                 world.at_fault(time + 900_000, Fault::Start(seat));
             }
         });
         // With the new disk's vote needed for a majority.
-        (1..=seats / 2).for_each(|step| world.at_fault(9_000_000, Fault::Crash((lost + step) % seats)));
-        world.at_fault(9_500_000, Fault::Submit(lost, b"needs the new vote".to_vec()));
-        (1..=seats / 2).for_each(|step| world.at_fault(12_000_000, Fault::Start((lost + step) % seats)));
+        (1..=seats / 2)
+            .for_each(|step| world.at_fault(9_000_000, Fault::Crash((lost + step) % seats)));
+        world.at_fault(
+            9_500_000,
+            Fault::Submit(lost, b"needs the new vote".to_vec()),
+        );
+        (1..=seats / 2)
+            .for_each(|step| world.at_fault(12_000_000, Fault::Start((lost + step) % seats)));
         last_words(&mut world, 14_000_000);
         world.run_until(11_900_000);
-        let voted = world.nodes[lost as usize].history.iter().any(|(_, value)| value == b"needs the new vote");
+        let voted = world.nodes[lost as usize]
+            .history
+            .iter()
+            .any(|(_, value)| value == b"needs the new vote");
         healed(&mut world, 18);
-        assert!(world.findings.broken.is_empty(), "seed {seed}: {:#?}", world.findings.broken);
+        assert!(
+            world.findings.broken.is_empty(),
+            "seed {seed}: {:#?}",
+            world.findings.broken
+        );
         assert!(voted, "seed {seed}: the new disk's vote did not count");
     });
 }
@@ -152,11 +233,17 @@
     (0..24u64).for_each(|turn| {
         // The lost disk alone had written down that its unused turns are no-ops: after the power comes back the others
         // have to finish them, far below where the change of hands took them.
-        let mut world = World::new(Plan { snapshot_every: 0, ..Plan::new(3, 40 + turn) });
+        let mut world = World::new(Plan {
+            snapshot_every: 0,
+            ..Plan::new(3, 40 + turn)
+        });
         let lost = (turn % 3) as u16;
         (0..120u64).for_each(|number| {
             let seat = (lost + 1 + (number % 2) as u16) % 3;
-            world.at_fault(200_000 + number * 50_000, Fault::Submit(seat, number.to_be_bytes().to_vec()));
+            world.at_fault(
+                200_000 + number * 50_000,
+                Fault::Submit(seat, number.to_be_bytes().to_vec()),
+            );
         });
         world.at_fault(1_500_000, Fault::Replace(lost));
         // From before the new disk is let in until well after: everybody loses power at once.
@@ -167,6 +254,10 @@
         });
         last_words(&mut world, 9_000_000);
         healed(&mut world, 13);
-        assert!(world.findings.broken.is_empty(), "power lost at {power}: {:#?}", world.findings.broken);
+        assert!(
+            world.findings.broken.is_empty(),
+            "power lost at {power}: {:#?}",
+            world.findings.broken
+        );
     });
 }
--- a/crates/simulator/tests/path.rs
+++ b/crates/simulator/tests/path.rs
@@ -21,9 +21,14 @@
         usher_flags: vec![],
         changes: 2,
     };
-    let report = runtime().block_on(simulator::run::run(plan)).expect("the rehearsal runs");
+    let report = runtime()
+        .block_on(simulator::run::run(plan))
+        .expect("the rehearsal runs");
     // How soon service is back is a matter of the machine: that is for rehearsals, not for a verdict here.
-    let broken = report.invariants.iter().filter(|(name, found)| *name != "service_is_back" && !found.is_empty());
+    let broken = report
+        .invariants
+        .iter()
+        .filter(|(name, found)| *name != "service_is_back" && !found.is_empty());
     assert_eq!(broken.count(), 0, "{report:#?}");
     assert!(report.served > 0, "{report:#?}");
     std::fs::remove_dir_all(folder).expect("clean");
--- a/crates/simulator/tests/programs.rs
+++ b/crates/simulator/tests/programs.rs
@@ -10,7 +10,11 @@
 fn outcome(name: &str, words: &[&str]) -> (Option<i32>, String, String) {
     let output = program(name).args(words).output().expect("it runs");
     let text = |bytes: Vec<u8>| String::from_utf8_lossy(&bytes).into_owned();
-    (output.status.code(), text(output.stdout), text(output.stderr))
+    (
+        output.status.code(),
+        text(output.stdout),
+        text(output.stderr),
+    )
 }
 
 #[test]
@@ -37,23 +41,36 @@
     assert_eq!(outcome("gradeford-core", &fine).0, Some(0));
     let with = |flag: &str, value: &str| {
         let place = fine.iter().position(|word| *word == flag).expect("a flag") + 1;
-        let words: Vec<&str> = fine.iter().enumerate().map(|(at, word)| if at == place { value } else { *word }).collect();
+        let words: Vec<&str> = fine
+            .iter()
+            .enumerate()
+            .map(|(at, word)| if at == place { value } else { *word })
+            .collect();
         outcome("gradeford-core", &words)
     };
-    [("--seats", "4", "seats"), ("--mates-address", "here", "mates_address"), ("--seat", "nine", "seat"), ("--seeds", "a,b", "seeds")].iter().for_each(
-        |(flag, value, named)| {
-            let (code, _, told) = with(flag, value);
-            assert_eq!(code, Some(2), "{flag} {value}");
-            assert!(told.contains(named), "{told}");
-        },
-    );
+    [
+        ("--seats", "4", "seats"),
+        ("--mates-address", "here", "mates_address"),
+        ("--seat", "nine", "seat"),
+        ("--seeds", "a,b", "seeds"),
+    ]
+    .iter()
+    .for_each(|(flag, value, named)| {
+        let (code, _, told) = with(flag, value);
+        assert_eq!(code, Some(2), "{flag} {value}");
+        assert!(told.contains(named), "{told}");
+    });
     let (code, _, told) = outcome("gradeford-node", &["--speed", "9"]);
     assert!(code == Some(2) && told.contains("--speed"), "{told}");
     let used = std::env::temp_dir().join(format!("gradeford-used-{}", std::process::id()));
     std::fs::create_dir_all(&used).expect("a folder");
     std::fs::write(used.join("rehearsal.history"), "").expect("a file");
     let folder = used.display().to_string();
-    assert_eq!(outcome("simulator", &["run", "small", "--folder", &folder]).0, Some(2), "an earlier run's folder");
+    assert_eq!(
+        outcome("simulator", &["run", "small", "--folder", &folder]).0,
+        Some(2),
+        "an earlier run's folder"
+    );
     std::fs::remove_dir_all(used).expect("clean");
     let wrong: [&[&str]; 7] = [
         &["run", "nowhere"],
@@ -64,8 +81,17 @@
         &["simulate", "--blows", "12"],
         &["simulate", "--strikes", "1"],
     ];
-    wrong.iter().for_each(|words| assert_eq!(outcome("simulator", words).0, Some(2), "{words:?}"));
-    ["gradeford-core", "gradeford-node", "gradefordctl", "simulator"].iter().for_each(|name| assert_eq!(outcome(name, &["--help"]).0, Some(0), "{name}"));
+    wrong
+        .iter()
+        .for_each(|words| assert_eq!(outcome("simulator", words).0, Some(2), "{words:?}"));
+    [
+        "gradeford-core",
+        "gradeford-node",
+        "gradefordctl",
+        "simulator",
+    ]
+    .iter()
+    .for_each(|name| assert_eq!(outcome(name, &["--help"]).0, Some(0), "{name}"));
 }
 
 #[test]
@@ -78,9 +104,17 @@
         &["--core", "127.0.0.1:1", "delete", "order", "Bad Name"],
         &["--core", "127.0.0.1:1", "apply", "/nonexistent"],
     ];
-    wrong.iter().for_each(|words| assert_eq!(outcome("gradefordctl", words).0, Some(2), "{words:?}"));
-    assert_eq!(outcome("gradefordctl", &["--core", "127.0.0.1:1", "get"]).0, Some(3));
-    assert_eq!(outcome("gradefordctl", &["compare", "127.0.0.1:1", "127.0.0.1:1"]).0, Some(3));
+    wrong
+        .iter()
+        .for_each(|words| assert_eq!(outcome("gradefordctl", words).0, Some(2), "{words:?}"));
+    assert_eq!(
+        outcome("gradefordctl", &["--core", "127.0.0.1:1", "get"]).0,
+        Some(3)
+    );
+    assert_eq!(
+        outcome("gradefordctl", &["compare", "127.0.0.1:1", "127.0.0.1:1"]).0,
+        Some(3)
+    );
 }
 
 #[test]
@@ -89,9 +123,16 @@
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
     runtime.block_on(async {
         let deployment = simulator::deployment::named("small").expect("a site");
-        let mut fleet = simulator::fleet::Fleet::plan(deployment, folder.clone(), 1, 0, &[]).expect("a plan");
-        (0..3).try_for_each(|seat| fleet.start_core(seat)).expect("core seats");
-        let operators: Vec<String> = fleet.cores.iter().map(|core| core.operators.clone()).collect();
+        let mut fleet =
+            simulator::fleet::Fleet::plan(deployment, folder.clone(), 1, 0, &[]).expect("a plan");
+        (0..3)
+            .try_for_each(|seat| fleet.start_core(seat))
+            .expect("core seats");
+        let operators: Vec<String> = fleet
+            .cores
+            .iter()
+            .map(|core| core.operators.clone())
+            .collect();
         fleet.until_ready(&operators).await.expect("a core");
         let all = operators.join(",");
         let file = |name: &str, text: serde_json::Value| {
@@ -100,22 +141,59 @@
             path.display().to_string()
         };
         let call = |words: &[&str]| {
-            let (code, told, _) = outcome("gradefordctl", &[&["--core", all.as_str()], words].concat());
-            (code, serde_json::from_str::<serde_json::Value>(&told).unwrap_or_default())
+            let (code, told, _) =
+                outcome("gradefordctl", &[&["--core", all.as_str()], words].concat());
+            (
+                code,
+                serde_json::from_str::<serde_json::Value>(&told).unwrap_or_default(),
+            )
         };
-        let site = file("site.json", serde_json::json!({ "edits": fleet.deployment.edits() }));
+        let site = file(
+            "site.json",
+            serde_json::json!({ "edits": fleet.deployment.edits() }),
+        );
         let (code, answer) = call(&["apply", &site, "--id", "site"]);
-        assert_eq!((code, answer["accepted"]["version"].as_u64()), (Some(0), Some(1)));
-        assert_eq!(call(&["apply", &site, "--id", "site", "--base", "0"]).0, Some(0), "a repeat is harmless");
-        assert_eq!(call(&["apply", &site, "--id", "again", "--base", "0"]).0, Some(1), "stale");
-        let mut order = fleet.deployment.edits().pop().map(|edit| edit["put_order"]["order"].clone()).expect("an order");
+        assert_eq!(
+            (code, answer["accepted"]["version"].as_u64()),
+            (Some(0), Some(1))
+        );
+        assert_eq!(
+            call(&["apply", &site, "--id", "site", "--base", "0"]).0,
+            Some(0),
+            "a repeat is harmless"
+        );
+        assert_eq!(
+            call(&["apply", &site, "--id", "again", "--base", "0"]).0,
+            Some(1),
+            "stale"
+        );
+        let mut order = fleet
+            .deployment
+            .edits()
+            .pop()
+            .map(|edit| edit["put_order"]["order"].clone())
+            .expect("an order");
         order["importance"] = 9.into();
         let dear = file("dear.json", order.clone());
-        assert_eq!(call(&["edit", "order", "seat-seat-checkout", &dear]).0, Some(0));
-        assert_eq!(call(&["get", "order", "seat-seat-checkout"]).1["importance"].as_u64(), Some(9));
+        assert_eq!(
+            call(&["edit", "order", "seat-seat-checkout", &dear]).0,
+            Some(0)
+        );
+        assert_eq!(
+            call(&["get", "order", "seat-seat-checkout"]).1["importance"].as_u64(),
+            Some(9)
+        );
         order["importance"] = 99.into();
-        let (code, answer) = call(&["edit", "order", "seat-seat-checkout", &file("over.json", order)]);
-        assert_eq!((code, answer["faults"][0]["path"].as_str()), (Some(1), Some("edits[0].order.importance")));
+        let (code, answer) = call(&[
+            "edit",
+            "order",
+            "seat-seat-checkout",
+            &file("over.json", order),
+        ]);
+        assert_eq!(
+            (code, answer["faults"][0]["path"].as_str()),
+            (Some(1), Some("edits[0].order.importance"))
+        );
         assert_eq!(call(&["delete", "order", "seat-seat-check"]).0, Some(0));
         assert_eq!(call(&["get", "order", "seat-seat-check"]).0, Some(1));
         assert_eq!(call(&["get"]).1["version"].as_u64(), Some(3));
@@ -126,7 +204,10 @@
             let places = (fleet.cores[0].mates.as_str(), fleet.cores[2].mates.as_str());
             outcome("gradefordctl", &["compare", places.0, places.1]).0 == Some(0)
         };
-        fleet.until("two seats believe the same", alike).await.expect("alike");
+        fleet
+            .until("two seats believe the same", alike)
+            .await
+            .expect("alike");
         fleet.stop().await;
     });
     std::fs::remove_dir_all(folder).expect("clean");
@@ -140,11 +221,17 @@
     let fine = "name = \"n\"\nzone = \"z\"\nmates_address = \"127.0.0.1:0\"\nlocal_address = \"127.0.0.1:0\"\nseeds = [\"127.0.0.1:1\"]\n";
     std::fs::write(&config, fine).expect("a file");
     let words = ["--config".to_string(), config.display().to_string()];
-    let mut usher = simulator::process::Process::start(&folder, "gradeford-node", "gradeford-node", &words).expect("a node");
+    let mut usher =
+        simulator::process::Process::start(&folder, "gradeford-node", "gradeford-node", &words)
+            .expect("a node");
     let log = || std::fs::read_to_string(folder.join("gradeford-node.log")).unwrap_or_default();
     let until = |usher: &mut simulator::process::Process, word: &str| {
         while !log().contains(word) {
-            assert!(usher.ended().is_none() || log().contains(word), "it ended before it said {word:?}: {}", log());
+            assert!(
+                usher.ended().is_none() || log().contains(word),
+                "it ended before it said {word:?}: {}",
+                log()
+            );
             std::thread::yield_now();
         }
     };
--- a/crates/simulator/tests/repairs.rs
+++ b/crates/simulator/tests/repairs.rs
@@ -35,7 +35,10 @@
     for number in 0..(end - SECOND) / 100_000 {
         let (time, seat) = (SECOND / 2 + number * 100_000, (number % seats) as u16);
         world.at_fault(time, Fault::Submit(seat, number.to_be_bytes().to_vec()));
-        world.at_fault(time + 30_000, Fault::Read((seat + 1) % world.plan.seats, number));
+        world.at_fault(
+            time + 30_000,
+            Fault::Read((seat + 1) % world.plan.seats, number),
+        );
     }
 }
 
@@ -46,7 +49,8 @@
     for round in 0..ROUNDS {
         let first = victims(round, seats, seed);
         let lost: Vec<u16> = (0..losses).map(|more| (first + more) % seats).collect();
-        lost.iter().for_each(|seat| world.at_fault(time, Fault::Replace(*seat)));
+        lost.iter()
+            .for_each(|seat| world.at_fault(time, Fault::Replace(*seat)));
         // The others lose power in the same moment, in every second round.
         if power && round % 2 == 1 {
             for seat in (0..seats).filter(|seat| !lost.contains(seat)) {
@@ -57,7 +61,12 @@
         time += AWAY + CATCH_UP;
     }
     orders(&mut world, time);
-    (0..seats).for_each(|seat| world.at_fault(time, Fault::Submit(seat, format!("last {seat}").into_bytes())));
+    (0..seats).for_each(|seat| {
+        world.at_fault(
+            time,
+            Fault::Submit(seat, format!("last {seat}").into_bytes()),
+        )
+    });
     world.run_until(time + CATCH_UP);
     let nodes = std::mem::take(&mut world.nodes);
     world.findings.close(&nodes);
@@ -68,10 +77,17 @@
 fn holds(victims: Victims, power: bool) {
     for (seats, losses) in CORES {
         for seed in 0..8 {
-            let plan = Plan { snapshot_every: 25, ..Plan::new(seats, seed) };
+            let plan = Plan {
+                snapshot_every: 25,
+                ..Plan::new(seats, seed)
+            };
             let world = played(plan, losses, victims, power);
             let broken = &world.findings.broken;
-            assert!(broken.is_empty(), "{seats} seats, {losses} lost at once, seed {seed}: {:#?}", broken.iter().take(6).collect::<Vec<_>>());
+            assert!(
+                broken.is_empty(),
+                "{seats} seats, {losses} lost at once, seed {seed}: {:#?}",
+                broken.iter().take(6).collect::<Vec<_>>()
+            );
         }
     }
 }
@@ -101,10 +117,20 @@
 #[test]
 fn without_a_snapshot_past_each_change_a_second_loss_is_caught() {
     let broken = (0..40u64).any(|seed| {
-        let plan = Plan { snapshot_every: 0, snapshot_past_change: false, ..Plan::new(3, seed) };
-        !played(plan, 1, the_one_that_repaired_it, true).findings.broken.is_empty()
+        let plan = Plan {
+            snapshot_every: 0,
+            snapshot_past_change: false,
+            ..Plan::new(3, seed)
+        };
+        !played(plan, 1, the_one_that_repaired_it, true)
+            .findings
+            .broken
+            .is_empty()
     });
-    assert!(broken, "no seed showed what the snapshot past a change is for");
+    assert!(
+        broken,
+        "no seed showed what the snapshot past a change is for"
+    );
 }
 
 /// A round of troubles within what may be lost at once, drawn.
@@ -114,7 +140,10 @@
     for more in 0..losses {
         let seat = (u16::from(first) + more * (1 + u16::from(kind / 16) % 3)) % seats;
         match kind % 6 {
-            0 | 1 => world.at_fault(time + u64::from(more) * u64::from(length) * 2_000, Fault::Replace(seat)),
+            0 | 1 => world.at_fault(
+                time + u64::from(more) * u64::from(length) * 2_000,
+                Fault::Replace(seat),
+            ),
             2 => {
                 world.at_fault(time, Fault::Crash(seat));
                 world.at_fault(back, Fault::Start(seat));
@@ -153,7 +182,11 @@
 fn drawn_losses_within_the_budget_lose_nothing_and_never_stop_the_core() {
     test_support::drawn::<(u8, u64, [(u8, u8, u8); 6])>(120, |(core, seed, rounds)| {
         let (seats, losses) = CORES[usize::from(*core) % CORES.len()];
-        let plan = Plan { snapshot_every: 10 + (*seed % 60) as usize, caller_patience: 900_000, ..Plan::new(seats, *seed) };
+        let plan = Plan {
+            snapshot_every: 10 + (*seed % 60) as usize,
+            caller_patience: 900_000,
+            ..Plan::new(seats, *seed)
+        };
         let mut world = World::new(plan);
         let mut time = 2 * SECOND;
         for round in rounds {
@@ -165,11 +198,20 @@
             world.at_fault(time, Fault::Wake(seat));
             world.at_fault(time, Fault::Start(seat));
         }
-        (0..seats).for_each(|seat| world.at_fault(time + CATCH_UP, Fault::Submit(seat, format!("last {seat}").into_bytes())));
+        (0..seats).for_each(|seat| {
+            world.at_fault(
+                time + CATCH_UP,
+                Fault::Submit(seat, format!("last {seat}").into_bytes()),
+            )
+        });
         world.run_until(time + CATCH_UP + 2 * SECOND);
         let nodes = std::mem::take(&mut world.nodes);
         world.findings.close(&nodes);
         let broken = &world.findings.broken;
-        assert!(broken.is_empty(), "{seats} seats, {losses} lost at once, seed {seed}, {rounds:?}: {:#?}", broken.iter().take(6).collect::<Vec<_>>());
+        assert!(
+            broken.is_empty(),
+            "{seats} seats, {losses} lost at once, seed {seed}, {rounds:?}: {:#?}",
+            broken.iter().take(6).collect::<Vec<_>>()
+        );
     });
 }
--- a/crates/simulator/tests/replaced.rs
+++ b/crates/simulator/tests/replaced.rs
@@ -12,13 +12,30 @@
     let seats = plan.seats;
     let mut world = World::new(plan);
     let power = (3 * replaced.len() as u64 - 2) * SECOND + PAST;
-    replaced.iter().zip(0u64..).for_each(|(seat, turn)| world.at_fault((1 + 3 * turn) * SECOND, Fault::Replace(*seat)));
-    (0..power / 50_000)
-        .for_each(|number| world.at_fault(200_000 + number * 50_000, Fault::Submit((number % seats as u64) as u16, number.to_be_bytes().to_vec())));
+    replaced
+        .iter()
+        .zip(0u64..)
+        .for_each(|(seat, turn)| world.at_fault((1 + 3 * turn) * SECOND, Fault::Replace(*seat)));
+    (0..power / 50_000).for_each(|number| {
+        world.at_fault(
+            200_000 + number * 50_000,
+            Fault::Submit(
+                (number % seats as u64) as u16,
+                number.to_be_bytes().to_vec(),
+            ),
+        )
+    });
     (0..seats).for_each(|seat| world.at_fault(power, Fault::Crash(seat)));
-    (0..seats).filter(|seat| *seat != wiped).for_each(|seat| world.at_fault(power + 400_000, Fault::Start(seat)));
+    (0..seats)
+        .filter(|seat| *seat != wiped)
+        .for_each(|seat| world.at_fault(power + 400_000, Fault::Start(seat)));
     world.at_fault(power + 600_000, Fault::Replace(wiped));
-    (0..seats).for_each(|seat| world.at_fault(power + 4 * SECOND, Fault::Submit(seat, format!("last {seat}").into_bytes())));
+    (0..seats).for_each(|seat| {
+        world.at_fault(
+            power + 4 * SECOND,
+            Fault::Submit(seat, format!("last {seat}").into_bytes()),
+        )
+    });
     world.run_until(power + seconds * SECOND);
     let nodes = std::mem::take(&mut world.nodes);
     world.findings.close(&nodes);
@@ -27,14 +44,27 @@
 }
 
 /// As many are replaced before as leave no majority of the first disks once one more is lost.
-const CASES: [(u16, &[u16], u16); 4] = [(4, &[1], 3), (4, &[0], 1), (5, &[1, 3], 0), (5, &[4, 0], 2)];
+const CASES: [(u16, &[u16], u16); 4] =
+    [(4, &[1], 3), (4, &[0], 1), (5, &[1, 3], 0), (5, &[4, 0], 2)];
 
 #[test]
 fn a_second_disk_lost_with_the_power_does_not_stop_the_log() {
     (1..7u64).for_each(|seed| {
         CASES.iter().for_each(|(seats, replaced, wiped)| {
-            let world = play(Plan { snapshot_every: 0, ..Plan::new(*seats, seed) }, replaced, *wiped, 9);
-            assert!(world.findings.broken.is_empty(), "seed {seed}, {replaced:?} then {wiped} of {seats}: {:#?}", world.findings.broken);
+            let world = play(
+                Plan {
+                    snapshot_every: 0,
+                    ..Plan::new(*seats, seed)
+                },
+                replaced,
+                *wiped,
+                9,
+            );
+            assert!(
+                world.findings.broken.is_empty(),
+                "seed {seed}, {replaced:?} then {wiped} of {seats}: {:#?}",
+                world.findings.broken
+            );
         });
     });
 }
@@ -43,12 +73,29 @@
 fn without_a_snapshot_past_the_change_the_log_stands_for_ever() {
     CASES.iter().for_each(|(seats, replaced, wiped)| {
         let stands = |seed: u64| {
-            let plan = Plan { snapshot_every: 0, snapshot_past_change: false, ..Plan::new(*seats, seed) };
+            let plan = Plan {
+                snapshot_every: 0,
+                snapshot_past_change: false,
+                ..Plan::new(*seats, seed)
+            };
             let world = play(plan, replaced, *wiped, 40);
-            let lies = world.findings.broken.iter().find(|told| told.contains("two values"));
+            let lies = world
+                .findings
+                .broken
+                .iter()
+                .find(|told| told.contains("two values"));
             assert_eq!(lies, None, "it stands, it does not lie");
-            (0..*seats).all(|seat| world.findings.broken.iter().any(|told| told.starts_with(&format!("\"last {seat}\" was never applied"))))
+            (0..*seats).all(|seat| {
+                world
+                    .findings
+                    .broken
+                    .iter()
+                    .any(|told| told.starts_with(&format!("\"last {seat}\" was never applied")))
+            })
         };
-        assert!((1..7u64).any(stands), "{replaced:?} then {wiped} of {seats}: it went on without the snapshot");
+        assert!(
+            (1..7u64).any(stands),
+            "{replaced:?} then {wiped} of {seats}: it went on without the snapshot"
+        );
     });
 }
--- a/crates/simulator/tests/rolled/back_end.rs
+++ b/crates/simulator/tests/rolled/back_end.rs
@@ -6,7 +6,9 @@
 
 pub fn start(at: usize, places: Arc<Vec<Place>>, runs: Runs) {
     tokio::spawn(async move {
-        let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("a port");
         let address = listener.local_addr().expect("an address").to_string();
         tokio::spawn(beats(at, address, places));
         while let Ok((stream, _)) = listener.accept().await {
@@ -34,7 +36,10 @@
         if let Some(troupe) = beside
             && let Some((rows, _)) = troupe.heartbeat(beat).await.flatten()
         {
-            held = rows.into_iter().map(|(from, to, fence, _)| (from, to, fence)).collect();
+            held = rows
+                .into_iter()
+                .map(|(from, to, fence, _)| (from, to, fence))
+                .collect();
         }
         tokio::time::sleep(std::time::Duration::from_millis(100)).await;
     }
@@ -49,7 +54,9 @@
         }
         if let Some(end) = taken.windows(4).position(|four| four == b"\r\n\r\n") {
             let head = String::from_utf8_lossy(&taken[..end]).to_ascii_lowercase();
-            let length: usize = said(&head, "content-length").and_then(|text| text.parse().ok()).unwrap_or(0);
+            let length: usize = said(&head, "content-length")
+                .and_then(|text| text.parse().ok())
+                .unwrap_or(0);
             if taken.len() >= end + 4 + length {
                 break (head, end + 4 + length);
             }
@@ -60,12 +67,16 @@
     *runs.lock().expect("runs").entry(id.clone()).or_default() += 1;
     tokio::time::sleep(std::time::Duration::from_millis(15)).await;
     let body = format!("ran {id}");
-    let answer =
-        format!("HTTP/1.1 200 OK\r\nx-gradeford-try: {id}\r\nx-gradeford-seal: {id}\r\nconnection: close\r\ncontent-length: {}\r\n\r\n{body}", body.len());
+    let answer = format!(
+        "HTTP/1.1 200 OK\r\nx-gradeford-try: {id}\r\nx-gradeford-seal: {id}\r\nconnection: close\r\ncontent-length: {}\r\n\r\n{body}",
+        body.len()
+    );
     stream.write_all(answer.as_bytes()).await.ok()?;
     stream.shutdown().await.ok()
 }
 
 pub fn said(head: &str, name: &str) -> Option<String> {
-    head.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(':')).map(|text| text.trim().to_string())
+    head.lines()
+        .find_map(|line| line.strip_prefix(name)?.strip_prefix(':'))
+        .map(|text| text.trim().to_string())
 }
--- a/crates/simulator/tests/rolled/main.rs
+++ b/crates/simulator/tests/rolled/main.rs
@@ -18,22 +18,49 @@
         _ if one.effectful && ran(one) > 1 => told("a try ran twice", one),
         Outcome::Whole if ran(one) == 0 => told("a success that nobody ran", one),
         Outcome::Other => told("an answer to another try, or half of one", one),
-        Outcome::Status(503) if one.effectful && ran(one) > 0 => told("it was told not to have run", one),
-        Outcome::Status(404) if one.lane <= one.shown => told("a route it had served before is not known", one),
+        Outcome::Status(503) if one.effectful && ran(one) > 0 => {
+            told("it was told not to have run", one)
+        }
+        Outcome::Status(404) if one.lane <= one.shown => {
+            told("a route it had served before is not known", one)
+        }
         Outcome::Whole | Outcome::Status(503 | 404) => {}
-        _ if one.clean && ran(one) > 0 => told("it ran, and its answer was dropped though nothing was killed", one),
+        _ if one.clean && ran(one) > 0 => told(
+            "it ran, and its answer was dropped though nothing was killed",
+            one,
+        ),
         _ => {}
     });
     let known: std::collections::BTreeSet<&String> = tries.iter().map(|one| &one.id).collect();
     let strange: Vec<&String> = runs.keys().filter(|id| !known.contains(id)).collect();
     assert!(strange.is_empty(), "nobody sent these: {strange:?}");
-    let count = |what: &str, fits: &dyn Fn(&Try) -> bool| format!("{what} {}", tries.iter().filter(|one| fits(one)).count());
-    let statuses = [404, 502, 503, 504].map(|status| count(&status.to_string(), &|one| one.outcome == Outcome::Status(status)));
-    let others = [count("tries", &|_| true), count("whole", &|one| one.outcome == Outcome::Whole), count("broken", &|one| one.outcome == Outcome::Broken)];
+    let count = |what: &str, fits: &dyn Fn(&Try) -> bool| {
+        format!("{what} {}", tries.iter().filter(|one| fits(one)).count())
+    };
+    let statuses = [404, 502, 503, 504].map(|status| {
+        count(&status.to_string(), &|one| {
+            one.outcome == Outcome::Status(status)
+        })
+    });
+    let others = [
+        count("tries", &|_| true),
+        count("whole", &|one| one.outcome == Outcome::Whole),
+        count("broken", &|one| one.outcome == Outcome::Broken),
+    ];
     eprintln!("{}, {}", others.join(", "), statuses.join(", "));
-    let whole = |clean: bool| tries.iter().filter(|one| one.clean == clean && one.outcome == Outcome::Whole).count();
+    let whole = |clean: bool| {
+        tries
+            .iter()
+            .filter(|one| one.clean == clean && one.outcome == Outcome::Whole)
+            .count()
+    };
     // Each node served in each of its lives, or the site would not have come so far.
-    assert!(whole(true) >= 4 * NODES && whole(false) > 0, "{} and {} served", whole(true), whole(false));
+    assert!(
+        whole(true) >= 4 * NODES && whole(false) > 0,
+        "{} and {} served",
+        whole(true),
+        whole(false)
+    );
 }
 
 #[test]
--- a/crates/simulator/tests/rolled/node.rs
+++ b/crates/simulator/tests/rolled/node.rs
@@ -10,7 +10,11 @@
 }
 
 fn env(at: usize, life: u64, mates: String, seeds: Vec<String>) -> endpoints::NodeConfig {
-    let keys = endpoints::LeaseConfig { proof_validity: 9_000_000, clock_guard: 200_000, max_duration: 10_000_000 };
+    let keys = endpoints::LeaseConfig {
+        proof_validity: 9_000_000,
+        clock_guard: 200_000,
+        max_duration: 10_000_000,
+    };
     let (node, zone) = (format!("n{at}"), format!("z{}", at % 2));
     endpoints::NodeConfig {
         lease_table: endpoints::LeaseTableConfig {
@@ -26,7 +30,10 @@
         service: crate::site::service(at),
         seeds,
         header_names: http_util::headers::DEFAULT_HEADER_NAMES,
-        selection: outbound::SelectorConfig { zone_crossing_cost: 0, retry_deposit: 8 },
+        selection: outbound::SelectorConfig {
+            zone_crossing_cost: 0,
+            retry_deposit: 8,
+        },
         queued_ahead: 1,
         proof_interval: 200_000,
         monitor_interval: 1_000_000,
@@ -49,24 +56,49 @@
         let (orders, mut ordered) = tokio::sync::watch::channel(None);
         let (ends, ended) = tokio::sync::watch::channel(());
         let (told, hears) = std::sync::mpsc::channel();
-        let (front, mates, beside) = (place.front.clone(), place.mates.clone(), place.beside.clone());
+        let (front, mates, beside) = (
+            place.front.clone(),
+            place.mates.clone(),
+            place.beside.clone(),
+        );
         let plays = move || {
             let _ends = ends;
-            let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+            let runtime = tokio::runtime::Builder::new_current_thread()
+                .enable_all()
+                .build()
+                .expect("a runtime");
             runtime.block_on(async {
                 let (listener, outbound) = (bind(&mates).await, bind(&front).await);
-                let node = endpoints::Node::start(env(at, life, mates, seeds), listener, model::logging::discard_logger());
+                let node = endpoints::Node::start(
+                    env(at, life, mates, seeds),
+                    listener,
+                    model::logging::discard_logger(),
+                );
                 node.serve(outbound);
                 beside.send_replace(Some(node.lease_table.clone()));
                 drop(told.send(node.follower.verified_state.clone()));
-                let in_order = ordered.wait_for(Option::is_some).await.is_ok_and(|ordered| *ordered == Some(true));
+                let in_order = ordered
+                    .wait_for(Option::is_some)
+                    .await
+                    .is_ok_and(|ordered| *ordered == Some(true));
                 if in_order {
-                    node.shut_down(std::time::Duration::ZERO, std::time::Duration::from_secs(120)).await;
+                    node.shut_down(
+                        std::time::Duration::ZERO,
+                        std::time::Duration::from_secs(120),
+                    )
+                    .await;
                 }
             });
         };
-        std::thread::Builder::new().name(format!("node-{at}.{life}")).spawn(plays).expect("a thread");
-        Running { orders, ended, outlook: hears.recv().expect("it starts") }
+        std::thread::Builder::new()
+            .name(format!("node-{at}.{life}"))
+            .spawn(plays)
+            .expect("a thread");
+        Running {
+            orders,
+            ended,
+            outlook: hears.recv().expect("it starts"),
+        }
     }
 
     pub fn leave(&self) {
--- a/crates/simulator/tests/rolled/senders.rs
+++ b/crates/simulator/tests/rolled/senders.rs
@@ -60,8 +60,13 @@
             over: Default::default(),
         };
         let shared = Arc::new(shared);
-        let tasks = (0..SENDERS).map(|sender| tokio::spawn(send(sender, shared.clone()))).collect();
-        Senders { shared, tasks: std::sync::Mutex::new(tasks) }
+        let tasks = (0..SENDERS)
+            .map(|sender| tokio::spawn(send(sender, shared.clone())))
+            .collect();
+        Senders {
+            shared,
+            tasks: std::sync::Mutex::new(tasks),
+        }
     }
 
     pub async fn end(&self) {
@@ -78,18 +83,34 @@
     while !shared.over.load(Ordering::SeqCst) {
         number += 1;
         let at = (sender + number) % shared.fronts.len();
-        let (effectful, newest) = (!number.is_multiple_of(3), shared.accepted.load(Ordering::SeqCst));
+        let (effectful, newest) = (
+            !number.is_multiple_of(3),
+            shared.accepted.load(Ordering::SeqCst),
+        );
         let shown = shared.shown[at].load(Ordering::SeqCst);
         // The newest there is, and by turns the newest this node has served from.
-        let lane = if number.is_multiple_of(2) { newest } else { shown.max(1) };
+        let lane = if number.is_multiple_of(2) {
+            newest
+        } else {
+            shown.max(1)
+        };
         if newest == 0 {
             tokio::time::sleep(std::time::Duration::from_millis(5)).await;
             continue;
         }
-        let before = (shared.phase.load(Ordering::SeqCst), shared.killing.load(Ordering::SeqCst));
+        let before = (
+            shared.phase.load(Ordering::SeqCst),
+            shared.killing.load(Ordering::SeqCst),
+        );
         let id = format!("try-{sender}-{number}");
         let kind = if effectful { "e" } else { "p" };
-        let outcome = one(&shared.fronts[at], &id, &format!("/{kind}{lane}/x"), (sender * 8_191 + number * 131) as u16).await;
+        let outcome = one(
+            &shared.fronts[at],
+            &id,
+            &format!("/{kind}{lane}/x"),
+            (sender * 8_191 + number * 131) as u16,
+        )
+        .await;
         let clean = !before.1 && before.0 == shared.phase.load(Ordering::SeqCst);
         if outcome == Outcome::Whole {
             shared.served[at].fetch_add(1, Ordering::SeqCst);
@@ -98,22 +119,40 @@
         if matches!(outcome, Outcome::Broken | Outcome::Status(_)) {
             tokio::time::sleep(std::time::Duration::from_millis(20)).await;
         }
-        shared.tries.lock().expect("tries").push(Try { id, effectful, lane, shown, clean, outcome });
+        shared.tries.lock().expect("tries").push(Try {
+            id,
+            effectful,
+            lane,
+            shown,
+            clean,
+            outcome,
+        });
     }
 }
 
 async fn one(front: &str, id: &str, path: &str, key: u16) -> Outcome {
-    let Ok(mut stream) = tokio::net::TcpStream::connect(front).await else { return Outcome::Broken };
+    let Ok(mut stream) = tokio::net::TcpStream::connect(front).await else {
+        return Outcome::Broken;
+    };
     let head = format!(
         "POST {path} HTTP/1.1\r\nhost: a.example\r\nx-gradeford-try: {id}\r\nx-gradeford-key: {key}\r\nconnection: close\r\ncontent-length: 2\r\n\r\nok"
     );
     let mut heard = Vec::new();
-    if stream.write_all(head.as_bytes()).await.is_err() || stream.read_to_end(&mut heard).await.is_err() {
+    if stream.write_all(head.as_bytes()).await.is_err()
+        || stream.read_to_end(&mut heard).await.is_err()
+    {
         return Outcome::Broken;
     }
     let heard = String::from_utf8_lossy(&heard).to_ascii_lowercase();
-    let Some((head, body)) = heard.split_once("\r\n\r\n") else { return Outcome::Broken };
-    let Some(status) = head.strip_prefix("http/1.1 ").and_then(|rest| rest.get(..3)?.parse().ok()) else { return Outcome::Other };
+    let Some((head, body)) = heard.split_once("\r\n\r\n") else {
+        return Outcome::Broken;
+    };
+    let Some(status) = head
+        .strip_prefix("http/1.1 ")
+        .and_then(|rest| rest.get(..3)?.parse().ok())
+    else {
+        return Outcome::Other;
+    };
     let own = crate::back_end::said(head, "x-gradeford-try").as_deref() == Some(id);
     match status {
         _ if !own => Outcome::Other,
@@ -126,8 +165,23 @@
 /// A pair of routes after the other, for as long as senders send.
 pub async fn operate(cores: Vec<control::ReplicaHandle>, shared: Arc<Shared>) {
     use model::cluster_state::{ItemBody, ItemCall, Route, Service};
-    let put = |name: String, body| model::cluster_state::items::ItemPut { name, version: 1, body, text: String::new() };
-    let service = |name: &str, keyed| put(name.into(), ItemBody::Service(Service { health_path: String::new(), max_connections: 0, keyed, slow_start_us: 0 }));
+    let put = |name: String, body| model::cluster_state::items::ItemPut {
+        name,
+        version: 1,
+        body,
+        text: String::new(),
+    };
+    let service = |name: &str, keyed| {
+        put(
+            name.into(),
+            ItemBody::Service(Service {
+                health_path: String::new(),
+                max_connections: 0,
+                keyed,
+                slow_start_us: 0,
+            }),
+        )
+    };
     let mut number = 0;
     while !shared.over.load(Ordering::SeqCst) {
         number += 1;
@@ -135,11 +189,30 @@
         let lane = |kind: &str, repeatable| {
             let shares = vec![(service_name.clone(), 1)];
             let (host, prefix) = ("a.example".to_string(), format!("/{kind}{number}/"));
-            let lane = Route { host, prefix, idempotent: repeatable, wait_us: 60_000_000, latency_target_us: 2_000_000, rank: 0, dispatches: 2, shares };
+            let lane = Route {
+                host,
+                prefix,
+                idempotent: repeatable,
+                wait_us: 60_000_000,
+                latency_target_us: 2_000_000,
+                rank: 0,
+                dispatches: 2,
+                shares,
+            };
             put(format!("{kind}{number}"), ItemBody::Route(lane))
         };
-        let puts = vec![service("seat", true), service("ledger", false), lane("e", false), lane("p", true)];
-        let outcome = cores[number as usize % cores.len()].change_items(ItemCall { puts, drops: Vec::new() }).await;
+        let puts = vec![
+            service("seat", true),
+            service("ledger", false),
+            lane("e", false),
+            lane("p", true),
+        ];
+        let outcome = cores[number as usize % cores.len()]
+            .change_items(ItemCall {
+                puts,
+                drops: Vec::new(),
+            })
+            .await;
         if matches!(outcome, Some(model::Outcome::Accepted { .. })) {
             shared.accepted.store(number, Ordering::SeqCst);
         }
--- a/crates/simulator/tests/rolled/site.rs
+++ b/crates/simulator/tests/rolled/site.rs
@@ -43,7 +43,9 @@
             tokio::time::sleep(std::time::Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(BOUND, turns).await.unwrap_or_else(|_| panic!("in vain: {what}"));
+    tokio::time::timeout(BOUND, turns)
+        .await
+        .unwrap_or_else(|_| panic!("in vain: {what}"));
 }
 
 fn free(host: &str) -> String {
@@ -54,9 +56,16 @@
 async fn seats(folder: &std::path::Path) -> (Vec<control::ReplicaHandle>, Vec<String>) {
     let mut bound = Vec::new();
     for _ in 0..SEATS {
-        bound.push(tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port"));
+        bound.push(
+            tokio::net::TcpListener::bind("127.0.0.1:0")
+                .await
+                .expect("a port"),
+        );
     }
-    let places: Vec<String> = bound.iter().map(|listener| listener.local_addr().expect("an address").to_string()).collect();
+    let places: Vec<String> = bound
+        .iter()
+        .map(|listener| listener.local_addr().expect("an address").to_string())
+        .collect();
     let started = bound.into_iter().zip(0u16..).map(|(listener, seat)| {
         let env = control::ReplicaConfig {
             name: format!("core-{seat}"),
@@ -71,12 +80,16 @@
             replace_after: 0,
             membership: None,
         };
-        let core = control::ReplicaHandle::start(env, model::logging::discard_logger()).expect("a core seat");
+        let core = control::ReplicaHandle::start(env, model::logging::discard_logger())
+            .expect("a core seat");
         tokio::spawn(control::stream::listen(core.clone(), listener));
         core
     });
     let cores: Vec<control::ReplicaHandle> = started.collect();
-    until("every seat votes", || cores.iter().all(|core| core.status.load().voting)).await;
+    until("every seat votes", || {
+        cores.iter().all(|core| core.status.load().voting)
+    })
+    .await;
     (cores, places)
 }
 
@@ -88,17 +101,35 @@
         // Addresses of their own, so that no conn of another process takes one while its node is away.
         let place = |at: usize| {
             let host = format!("127.61.7.{}", at + 1);
-            Place { front: free(&host), mates: free(&host), beside: tokio::sync::watch::Sender::new(None) }
+            Place {
+                front: free(&host),
+                mates: free(&host),
+                beside: tokio::sync::watch::Sender::new(None),
+            }
         };
         let places: Arc<Vec<Place>> = Arc::new((0..NODES).map(place).collect());
         let runs = Runs::default();
         (0..NODES).for_each(|at| crate::back_end::start(at, places.clone(), runs.clone()));
         let senders = Senders::start(places.iter().map(|place| place.front.clone()).collect());
         tokio::spawn(crate::senders::operate(cores, senders.shared.clone()));
-        let mut site = Site { runs, places, seeds, nodes: Vec::new(), lives: 0, had: vec![0; NODES], senders, folder };
+        let mut site = Site {
+            runs,
+            places,
+            seeds,
+            nodes: Vec::new(),
+            lives: 0,
+            had: vec![0; NODES],
+            senders,
+            folder,
+        };
         for at in 0..NODES {
             site.lives += 1;
-            site.nodes.push(Running::start(at, site.lives, &site.places[at], site.seeds.clone()));
+            site.nodes.push(Running::start(
+                at,
+                site.lives,
+                &site.places[at],
+                site.seeds.clone(),
+            ));
         }
         site
     }
@@ -139,9 +170,17 @@
     pub async fn serves(&self, at: usize) {
         let (node, shared) = (&self.nodes[at], &self.senders.shared);
         until("a node believes something", || node.position() > 0).await;
-        assert!(node.position() >= self.had[at], "node {at} came back at {}, it had {}", node.position(), self.had[at]);
+        assert!(
+            node.position() >= self.had[at],
+            "node {at} came back at {}, it had {}",
+            node.position(),
+            self.had[at]
+        );
         let before = shared.served[at].load(Ordering::SeqCst);
-        until("a node serves", || shared.served[at].load(Ordering::SeqCst) > before).await;
+        until("a node serves", || {
+            shared.served[at].load(Ordering::SeqCst) > before
+        })
+        .await;
     }
 
     pub async fn all_serve(&self) {
--- a/crates/simulator/tests/site.rs
+++ b/crates/simulator/tests/site.rs
@@ -14,7 +14,11 @@
 fn drawn_faults_break_no_promise() {
     test_support::drawn::<(u64, [u8; 24])>(100, |(seed, bytes)| {
         let (broken, site) = play(SitePlan::new(*seed), bytes);
-        assert!(broken.is_empty(), "seed {seed} {bytes:?}: {:#?}", broken.iter().take(8).collect::<Vec<_>>());
+        assert!(
+            broken.is_empty(),
+            "seed {seed} {bytes:?}: {:#?}",
+            broken.iter().take(8).collect::<Vec<_>>()
+        );
         assert!(site.judge.served > 0 && site.judge.runs > 0);
     });
 }
@@ -22,13 +26,32 @@
 /// Seeds and blows alike: held with every guard, and without one the promise is seen broken.
 fn caught(without: Without, blows: [u8; 6], promises: &[&str]) {
     let breaks = |seed: u64| {
-        let bytes: Vec<u8> = (0..6u8).flat_map(|turn| [blows[turn as usize], turn.wrapping_mul(seed as u8 + 1), 200]).collect();
+        let bytes: Vec<u8> = (0..6u8)
+            .flat_map(|turn| [blows[turn as usize], turn.wrapping_mul(seed as u8 + 1), 200])
+            .collect();
         let whole = play(SitePlan::new(seed), &bytes).0;
-        assert_eq!(whole, Vec::<String>::new(), "seed {seed}: it holds with its guards");
-        let found = play(SitePlan { without, ..SitePlan::new(seed) }, &bytes).0;
-        found.iter().filter_map(|told| told.split(':').next()).any(|name| promises.contains(&name))
+        assert_eq!(
+            whole,
+            Vec::<String>::new(),
+            "seed {seed}: it holds with its guards"
+        );
+        let found = play(
+            SitePlan {
+                without,
+                ..SitePlan::new(seed)
+            },
+            &bytes,
+        )
+        .0;
+        found
+            .iter()
+            .filter_map(|told| told.split(':').next())
+            .any(|name| promises.contains(&name))
     };
-    assert!((0..30u64).any(breaks), "{without:?}: {promises:?} was not seen broken");
+    assert!(
+        (0..30u64).any(breaks),
+        "{without:?}: {promises:?} was not seen broken"
+    );
 }
 
 const FREEZE: u8 = 0;
@@ -44,55 +67,132 @@
 
 #[test]
 fn tries_not_taken_once_run_twice() {
-    caught(Without { identity: true, ..Default::default() }, [RESTART, KILL, RESTART, CUT, RESTART, KILL], &["twice"]);
+    caught(
+        Without {
+            identity: true,
+            ..Default::default()
+        },
+        [RESTART, KILL, RESTART, CUT, RESTART, KILL],
+        &["twice"],
+    );
 }
 
 #[test]
 fn a_lost_mate_taken_for_not_run_is_caught() {
-    caught(Without { honest_verdicts: true, ..Default::default() }, [RESTART, KILL, RESTART, RESTART, RESTART, KILL], &["not-run"]);
+    caught(
+        Without {
+            honest_verdicts: true,
+            ..Default::default()
+        },
+        [RESTART, KILL, RESTART, RESTART, RESTART, KILL],
+        &["not-run"],
+    );
 }
 
 #[test]
 fn free_extra_dispatches_are_caught() {
-    caught(Without { budget: true, ..Default::default() }, [KILL, RESTART, KILL, STOP, KILL, RESTART], &["extras"]);
+    caught(
+        Without {
+            budget: true,
+            ..Default::default()
+        },
+        [KILL, RESTART, KILL, STOP, KILL, RESTART],
+        &["extras"],
+    );
 }
 
 #[test]
 fn holders_that_do_not_wait_are_caught() {
-    caught(Without { key_waits: true, ..Default::default() }, [RESTART, CUT, RESTART, SILENCE, CUT, RESTART], &["two-holders"]);
+    caught(
+        Without {
+            key_waits: true,
+            ..Default::default()
+        },
+        [RESTART, CUT, RESTART, SILENCE, CUT, RESTART],
+        &["two-holders"],
+    );
 }
 
 #[test]
 fn proofs_trusted_too_long_are_caught() {
-    caught(Without { freshness: true, ..Default::default() }, [CUT, LANE, CUT, CUT, LANE, CUT], &["in-force"]);
+    caught(
+        Without {
+            freshness: true,
+            ..Default::default()
+        },
+        [CUT, LANE, CUT, CUT, LANE, CUT],
+        &["in-force"],
+    );
 }
 
 #[test]
 fn older_news_taken_up_is_caught() {
-    caught(Without { news_order: true, ..Default::default() }, [CUT, FREEZE, CUT, FREEZE, CUT, FREEZE], &["slid-back"]);
+    caught(
+        Without {
+            news_order: true,
+            ..Default::default()
+        },
+        [CUT, FREEZE, CUT, FREEZE, CUT, FREEZE],
+        &["slid-back"],
+    );
 }
 
 #[test]
 fn answers_before_the_log_has_the_change_are_caught() {
-    caught(Without { commit: true, ..Default::default() }, [POWER, LANE, POWER, LANE, POWER, LANE], &["vanished"]);
+    caught(
+        Without {
+            commit: true,
+            ..Default::default()
+        },
+        [POWER, LANE, POWER, LANE, POWER, LANE],
+        &["vanished"],
+    );
 }
 
 #[test]
 fn stops_without_patience_are_caught() {
-    caught(Without { patience: true, ..Default::default() }, [STOP, STOP, STOP, STOP, STOP, STOP], &["cut-off"]);
+    caught(
+        Without {
+            patience: true,
+            ..Default::default()
+        },
+        [STOP, STOP, STOP, STOP, STOP, STOP],
+        &["cut-off"],
+    );
 }
 
 #[test]
 fn silent_back_ends_taken_for_live_are_caught_when_their_address_is_reused() {
-    caught(Without { beats: true, ..Default::default() }, [USURP, KILL, USURP, USURP, KILL, USURP], &["route"]);
+    caught(
+        Without {
+            beats: true,
+            ..Default::default()
+        },
+        [USURP, KILL, USURP, USURP, KILL, USURP],
+        &["route"],
+    );
 }
 
 #[test]
 fn drains_not_heard_are_caught() {
-    caught(Without { drains: true, ..Default::default() }, [DRAIN, DRAIN, DRAIN, DRAIN, DRAIN, DRAIN], &["drained"]);
+    caught(
+        Without {
+            drains: true,
+            ..Default::default()
+        },
+        [DRAIN, DRAIN, DRAIN, DRAIN, DRAIN, DRAIN],
+        &["drained"],
+    );
 }
 
 #[test]
 fn disks_that_lie_about_syncs_are_caught() {
-    caught(Without { syncs: true, ..Default::default() }, [POWER, POWER, POWER, POWER, POWER, POWER], &["log", "vanished"]);
+    caught(
+        Without {
+            syncs: true,
+            ..Default::default()
+        },
+        [POWER, POWER, POWER, POWER, POWER, POWER],
+        &["log", "vanished"],
+    );
 }
--- a/crates/storage/src/writer.rs
+++ b/crates/storage/src/writer.rs
@@ -13,9 +13,7 @@
         done: Box<dyn FnOnce(bool) + Send>,
     },
     /// Another disk holds this one's seat. Nothing is kept after it: the process is to end.
-    Retire {
-        done: Box<dyn FnOnce(bool) + Send>,
-    },
+    Retire { done: Box<dyn FnOnce(bool) + Send> },
     Pin {
         replica_id: u16,
         disk_id: crate::DiskId,
@@ -34,30 +32,47 @@
     synced: impl Fn(u64) + Send + 'static,
     trouble: impl Fn(Option<String>) + Send + 'static,
 ) -> std::io::Result<std::thread::JoinHandle<()>> {
-    std::thread::Builder::new().name("vault".into()).spawn(move || {
-        for job in jobs {
-            match job {
-                StoreCommand::Append { ticket, writes, replace_journal: afresh } => {
-                    append(&mut shelf, &writes, afresh, &trouble);
-                    synced(ticket);
-                }
-                StoreCommand::ReplacePins { pins, writes, done } => done(shelf.replace_pins(&pins, &writes).is_ok()),
-                StoreCommand::Pin { replica_id: seat, disk_id: identity, done } => done(shelf.pin_disk(seat, identity).ok()),
-                StoreCommand::Retire { done } => match shelf.retire() {
-                    Ok(()) => {
-                        // Closed before it is told, so that whoever waits may open it.
-                        drop(shelf);
-                        return done(true);
+    std::thread::Builder::new()
+        .name("vault".into())
+        .spawn(move || {
+            for job in jobs {
+                match job {
+                    StoreCommand::Append {
+                        ticket,
+                        writes,
+                        replace_journal: afresh,
+                    } => {
+                        append(&mut shelf, &writes, afresh, &trouble);
+                        synced(ticket);
                     }
-                    Err(_) => done(false),
-                },
+                    StoreCommand::ReplacePins { pins, writes, done } => {
+                        done(shelf.replace_pins(&pins, &writes).is_ok())
+                    }
+                    StoreCommand::Pin {
+                        replica_id: seat,
+                        disk_id: identity,
+                        done,
+                    } => done(shelf.pin_disk(seat, identity).ok()),
+                    StoreCommand::Retire { done } => match shelf.retire() {
+                        Ok(()) => {
+                            // Closed before it is told, so that whoever waits may open it.
+                            drop(shelf);
+                            return done(true);
+                        }
+                        Err(_) => done(false),
+                    },
+                }
             }
-        }
-    })
+        })
 }
 
 /// Until it holds.
-fn append(shelf: &mut crate::ReplicaStore, writes: &[mencius::Write], afresh: bool, trouble: &impl Fn(Option<String>)) {
+fn append(
+    shelf: &mut crate::ReplicaStore,
+    writes: &[mencius::Write],
+    afresh: bool,
+    trouble: &impl Fn(Option<String>),
+) {
     let mut failed = false;
     while let Err(error) = shelf.append(writes, afresh) {
         failed = true;
--- a/crates/storage/tests/disk.rs
+++ b/crates/storage/tests/disk.rs
@@ -41,11 +41,14 @@
             Fault::Power(at) if self.operations >= at => {
                 self.dead = true;
                 if let Some((offset, data)) = data {
-                    self.unsynced.push((offset, data[..data.len() / 2].to_vec()));
+                    self.unsynced
+                        .push((offset, data[..data.len() / 2].to_vec()));
                 }
                 return Err(lost());
             }
-            Fault::Full(at) if self.operations >= at => return Err(std::io::ErrorKind::StorageFull.into()),
+            Fault::Full(at) if self.operations >= at => {
+                return Err(std::io::ErrorKind::StorageFull.into());
+            }
             _ => {}
         }
         if let Some((offset, data)) = data {
@@ -58,8 +61,13 @@
     /// What a machine finds when it starts again.
     fn restart(&mut self, chance: u64) {
         let mut bytes = self.synced.clone();
-        self.unsynced.drain(..).zip(0u32..).filter(|(_, at)| chance >> (at % 61) & 1 == 1).for_each(|((offset, data), _)| place(&mut bytes, offset, &data));
-        (self.synced, self.held, self.fault, self.dead) = (bytes.clone(), bytes, Fault::None, false);
+        self.unsynced
+            .drain(..)
+            .zip(0u32..)
+            .filter(|(_, at)| chance >> (at % 61) & 1 == 1)
+            .for_each(|((offset, data), _)| place(&mut bytes, offset, &data));
+        (self.synced, self.held, self.fault, self.dead) =
+            (bytes.clone(), bytes, Fault::None, false);
     }
 }
 
@@ -98,7 +106,14 @@
 }
 
 fn disk() -> Backend {
-    let disk = Disk { synced: vec![], held: vec![], unsynced: vec![], operations: 0, fault: Fault::None, dead: false };
+    let disk = Disk {
+        synced: vec![],
+        held: vec![],
+        unsynced: vec![],
+        operations: 0,
+        fault: Fault::None,
+        dead: false,
+    };
     Backend(std::sync::Arc::new(std::sync::Mutex::new(disk)))
 }
 
@@ -108,7 +123,11 @@
 }
 
 fn record(number: u64) -> Vec<Write> {
-    vec![Write::Accept { instance: number, proposal_number: ProposalNumber::INITIAL, value: vec![number as u8; 300] }]
+    vec![Write::Accept {
+        instance: number,
+        proposal_number: ProposalNumber::INITIAL,
+        value: vec![number as u8; 300],
+    }]
 }
 
 const RECORDS: u64 = 12;
@@ -131,17 +150,36 @@
         let (mut shelf, _) = open(&backend).expect("a shelf");
         let identity = shelf.disk_id;
         backend.0.lock().expect("a disk").fault = Fault::Power(point);
-        let reported: Vec<u64> = (0..RECORDS).take_while(|number| shelf.append(&record(*number), *number == 6).is_ok()).collect();
+        let reported: Vec<u64> = (0..RECORDS)
+            .take_while(|number| shelf.append(&record(*number), *number == 6).is_ok())
+            .collect();
         drop(shelf);
-        backend.0.lock().expect("a disk").restart(point.wrapping_mul(0x9E37_79B9_7F4A_7C15));
-        let (shelf, found) = open(&backend).unwrap_or_else(|trouble| panic!("power lost at {point}: {trouble}"));
+        backend
+            .0
+            .lock()
+            .expect("a disk")
+            .restart(point.wrapping_mul(0x9E37_79B9_7F4A_7C15));
+        let (shelf, found) =
+            open(&backend).unwrap_or_else(|trouble| panic!("power lost at {point}: {trouble}"));
         assert_eq!(shelf.disk_id, identity);
         // What was rewritten afresh at the sixth stands for all before it.
         let from = if reported.contains(&6) { 6 } else { 0 };
-        let expected: Vec<Write> = reported.iter().filter(|number| **number >= from).flat_map(|number| record(*number)).collect();
+        let expected: Vec<Write> = reported
+            .iter()
+            .filter(|number| **number >= from)
+            .flat_map(|number| record(*number))
+            .collect();
         let next = reported.len() as u64;
-        let one_more: Vec<Write> = if next == 6 { record(6) } else { expected.iter().cloned().chain(record(next)).collect() };
-        assert!(found == expected || found == one_more, "power lost at {point}, reported {reported:?}, found {}", found.len());
+        let one_more: Vec<Write> = if next == 6 {
+            record(6)
+        } else {
+            expected.iter().cloned().chain(record(next)).collect()
+        };
+        assert!(
+            found == expected || found == one_more,
+            "power lost at {point}, reported {reported:?}, found {}",
+            found.len()
+        );
     });
 }
 
@@ -164,7 +202,11 @@
         });
         drop(shelf);
         let found = open(&backend).expect("the shelf").1;
-        assert_eq!(found, (0..RECORDS).flat_map(record).collect::<Vec<_>>(), "full at {point}");
+        assert_eq!(
+            found,
+            (0..RECORDS).flat_map(record).collect::<Vec<_>>(),
+            "full at {point}"
+        );
     });
 }
 
@@ -176,11 +218,20 @@
     drop(shelf);
     {
         let mut disk = backend.0.lock().expect("a disk");
-        let spots: Vec<usize> = disk.held.windows(64).enumerate().filter(|(_, bytes)| bytes.iter().all(|byte| *byte == 200)).map(|(at, _)| at).collect();
+        let spots: Vec<usize> = disk
+            .held
+            .windows(64)
+            .enumerate()
+            .filter(|(_, bytes)| bytes.iter().all(|byte| *byte == 200))
+            .map(|(at, _)| at)
+            .collect();
         assert!(!spots.is_empty());
         spots.iter().for_each(|at| disk.held[*at] ^= 1);
     }
-    assert!(matches!(open(&backend), Err(storage::Error::Damaged { position: 0 } | storage::Error::Store(_))));
+    assert!(matches!(
+        open(&backend),
+        Err(storage::Error::Damaged { position: 0 } | storage::Error::Store(_))
+    ));
 }
 
 #[test]
@@ -195,10 +246,18 @@
         backend.0.lock().expect("a disk").fault = Fault::Power(before + point);
         let kept = shelf.replace_pins(&pins, &writes).is_ok();
         drop(shelf);
-        backend.0.lock().expect("a disk").restart(point.wrapping_mul(0x9E37_79B9_7F4A_7C15));
+        backend
+            .0
+            .lock()
+            .expect("a disk")
+            .restart(point.wrapping_mul(0x9E37_79B9_7F4A_7C15));
         let (shelf, found) = open(&backend).expect("the shelf");
         let whole = shelf.pinned_disks.len() == 2 && found == writes;
-        assert!(whole || shelf.pinned_disks.is_empty() && found.is_empty() && !kept, "power lost at {point}: {:?} {found:?}", shelf.pinned_disks);
+        assert!(
+            whole || shelf.pinned_disks.is_empty() && found.is_empty() && !kept,
+            "power lost at {point}: {:?} {found:?}",
+            shelf.pinned_disks
+        );
         (both, neither) = (both + whole as u64, neither + !whole as u64);
     });
     assert!(both > 0 && neither > 0, "{both} {neither}");
