--- a/crates/storage/tests/recorded_records.rs
+++ b/crates/storage/tests/recorded_records.rs
@@ -19,7 +19,10 @@
 const META: TableDefinition<&str, u64> = TableDefinition::new("meta");
 const PINS: TableDefinition<u16, u64> = TableDefinition::new("pins");
 const JOURNAL: TableDefinition<u64, &[u8]> = TableDefinition::new("journal");
-const ROUND: ProposalNumber = ProposalNumber { counter: 3, disk_id: 0x1122_3344_5566_7788 };
+const ROUND: ProposalNumber = ProposalNumber {
+    counter: 3,
+    disk_id: 0x1122_3344_5566_7788,
+};
 
 /// A folder for one disk, removed with the value.
 struct Folder(PathBuf);
@@ -68,15 +71,19 @@
     let reading = database.begin_read().expect("a read");
     let table = reading.open_table(JOURNAL).expect("the journal");
     let rows = table.iter().expect("rows").map(|row| row.expect("a row"));
-    rows.map(|(at, bytes)| (at.value(), bytes.value().to_vec())).collect()
+    rows.map(|(at, bytes)| (at.value(), bytes.value().to_vec()))
+        .collect()
 }
 
 fn meta(folder: &Folder) -> BTreeMap<String, u64> {
     let database = folder.database();
     let reading = database.begin_read().expect("a read");
-    let table = reading.open_table(META).expect("the table of single values");
+    let table = reading
+        .open_table(META)
+        .expect("the table of single values");
     let rows = table.iter().expect("rows").map(|row| row.expect("a row"));
-    rows.map(|(name, held)| (name.value().to_string(), held.value())).collect()
+    rows.map(|(name, held)| (name.value().to_string(), held.value()))
+        .collect()
 }
 
 fn pins(folder: &Folder) -> BTreeMap<u16, u64> {
@@ -84,7 +91,8 @@
     let reading = database.begin_read().expect("a read");
     let table = reading.open_table(PINS).expect("the table of holders");
     let rows = table.iter().expect("rows").map(|row| row.expect("a row"));
-    rows.map(|(seat, identity)| (seat.value(), identity.value())).collect()
+    rows.map(|(seat, identity)| (seat.value(), identity.value()))
+        .collect()
 }
 
 /// What this build reads from a disk that holds just this record.
@@ -93,7 +101,11 @@
     drop(open(&folder.0));
     let database = folder.database();
     let change = database.begin_write().expect("a change");
-    change.open_table(JOURNAL).expect("the journal").insert(0, record).expect("a record");
+    change
+        .open_table(JOURNAL)
+        .expect("the journal")
+        .insert(0, record)
+        .expect("a record");
     change.commit().expect("kept");
     drop(database);
     open(&folder.0).1
@@ -109,7 +121,9 @@
     for (name, write) in records() {
         let folder = Folder::new(name);
         let (mut shelf, _) = open(&folder.0);
-        shelf.append(std::slice::from_ref(&write), false).expect("kept");
+        shelf
+            .append(std::slice::from_ref(&write), false)
+            .expect("kept");
         drop(shelf);
         let journal = journal(&folder);
         assert_eq!(journal.len(), 1);
@@ -124,17 +138,46 @@
     let folder = Folder::new("tables");
     let (mut shelf, _) = open(&folder.0);
     let identity = shelf.disk_id;
-    shelf.record_membership(MembershipRecord { replica_id: 1, replica_count: 3, founded: true }, &[(0, 70), (1, 71), (2, 72)]).expect("a seat");
+    shelf
+        .record_membership(
+            MembershipRecord {
+                replica_id: 1,
+                replica_count: 3,
+                founded: true,
+            },
+            &[(0, 70), (1, 71), (2, 72)],
+        )
+        .expect("a seat");
     shelf.append(&[Write::Index(4)], false).expect("kept");
-    shelf.replace_pins(&[(2, 73)], &[Write::VotingRangeStart(9), Write::Index(10)]).expect("another holder");
+    shelf
+        .replace_pins(&[(2, 73)], &[Write::VotingRangeStart(9), Write::Index(10)])
+        .expect("another holder");
     shelf.append(&[Write::Index(13)], false).expect("kept");
     drop(shelf);
-    let single = [("founded", 1), ("identity", identity), ("layout", 3), ("seat", 1), ("seats", 3), ("starts", 1)];
-    assert_eq!(meta(&folder), single.map(|(name, held)| (name.to_string(), held)).into());
+    let single = [
+        ("founded", 1),
+        ("identity", identity),
+        ("layout", 3),
+        ("seat", 1),
+        ("seats", 3),
+        ("starts", 1),
+    ];
+    assert_eq!(
+        meta(&folder),
+        single.map(|(name, held)| (name.to_string(), held)).into()
+    );
     assert_eq!(pins(&folder), [(0, 70), (2, 73)].into());
     assert_eq!(journal(&folder).into_keys().collect::<Vec<_>>(), [0, 1, 2]);
     let (mut shelf, writes) = open(&folder.0);
-    assert_eq!(writes, [Write::Index(4), Write::VotingRangeStart(9), Write::Index(10), Write::Index(13)]);
+    assert_eq!(
+        writes,
+        [
+            Write::Index(4),
+            Write::VotingRangeStart(9),
+            Write::Index(10),
+            Write::Index(13)
+        ]
+    );
     shelf.append(&[Write::Index(16)], true).expect("afresh");
     drop(shelf);
     assert_eq!(journal(&folder).into_keys().collect::<Vec<_>>(), [3]);
@@ -144,13 +187,30 @@
 fn a_disk_that_gave_up_its_seat_has_the_recorded_tables_and_keys() {
     let folder = Folder::new("given-up");
     let (mut shelf, _) = open(&folder.0);
-    shelf.record_membership(MembershipRecord { replica_id: 1, replica_count: 3, founded: false }, &[(0, 70), (2, 72)]).expect("a seat");
+    shelf
+        .record_membership(
+            MembershipRecord {
+                replica_id: 1,
+                replica_count: 3,
+                founded: false,
+            },
+            &[(0, 70), (2, 72)],
+        )
+        .expect("a seat");
     shelf.append(&[Write::Index(4)], false).expect("kept");
     shelf.retire().expect("given up");
     let identity = shelf.disk_id;
     drop(shelf);
-    let single = [("identity", identity), ("layout", 3), ("retired", 1), ("starts", 1)];
-    assert_eq!(meta(&folder), single.map(|(name, held)| (name.to_string(), held)).into());
+    let single = [
+        ("identity", identity),
+        ("layout", 3),
+        ("retired", 1),
+        ("starts", 1),
+    ];
+    assert_eq!(
+        meta(&folder),
+        single.map(|(name, held)| (name.to_string(), held)).into()
+    );
     assert!(pins(&folder).is_empty());
     assert!(journal(&folder).is_empty());
 }
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -10,7 +10,9 @@
     (0..count).for_each(|number| {
         let random: rand::rngs::StdRng = rand::SeedableRng::seed_from_u64(SEED + number);
         let mut driver = Rng::new(random, &Options::default());
-        let Some(value) = T::generate(&mut driver) else { return };
+        let Some(value) = T::generate(&mut driver) else {
+            return;
+        };
         let passed = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| case(&value)));
         if let Err(failure) = passed {
             eprintln!("drawn case {number} failed: {value:?}");
--- a/crates/test-support/tests/golden_files/mod.rs
+++ b/crates/test-support/tests/golden_files/mod.rs
@@ -17,23 +17,33 @@
 
 /// Compares `text` with the golden file `name`, after its volatile parts were replaced by placeholders.
 pub fn compare(name: &str, text: &str, volatile: &[Volatile]) {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
+    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(name);
     let found = with_placeholders(text, volatile);
     if std::env::var_os("GRADEFORD_WRITE_GOLDEN").is_some_and(|value| value == "1") {
-        std::fs::create_dir_all(path.parent().expect("a folder")).expect("the folder of golden files");
+        std::fs::create_dir_all(path.parent().expect("a folder"))
+            .expect("the folder of golden files");
         std::fs::write(&path, &found).expect("a golden file");
         return;
     }
-    let golden = std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
-    assert!(golden == found, "{} differs.\n--- golden\n{golden}\n--- found\n{found}", path.display());
+    let golden = std::fs::read_to_string(&path)
+        .unwrap_or_else(|error| panic!("{}: {error}", path.display()));
+    assert!(
+        golden == found,
+        "{} differs.\n--- golden\n{golden}\n--- found\n{found}",
+        path.display()
+    );
 }
 
 /// Replaces each volatile part, in the order given.
 pub fn with_placeholders(text: &str, volatile: &[Volatile]) -> String {
-    volatile.iter().fold(text.to_string(), |text, part| match part {
-        Volatile::Value(value, name) => text.replace(value, &format!("<{name}>")),
-        Volatile::Field(field) => field_replaced(&text, field),
-    })
+    volatile
+        .iter()
+        .fold(text.to_string(), |text, part| match part {
+            Volatile::Value(value, name) => text.replace(value, &format!("<{name}>")),
+            Volatile::Field(field) => field_replaced(&text, field),
+        })
 }
 
 fn field_replaced(text: &str, field: &str) -> String {
--- a/crates/test-support/tests/golden_files/program.rs
+++ b/crates/test-support/tests/golden_files/program.rs
@@ -20,17 +20,33 @@
 pub fn folder(name: &str) -> PathBuf {
     static NEXT: AtomicU64 = AtomicU64::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
-    let folder = env::temp_dir().join(format!("gradeford-witness-{name}-{}-{number}", process::id()));
+    let folder = env::temp_dir().join(format!(
+        "gradeford-witness-{name}-{}-{number}",
+        process::id()
+    ));
     fs::create_dir_all(&folder).expect("a folder");
     folder
 }
 
 /// Flags, exit code and both outputs; the lines of the log, which are JSON, are left out.
 pub fn told(program: &Program, words: &[&str]) -> String {
-    let output = Command::new(program.path).args(words).output().expect("it runs");
-    let [out, err] = [output.stdout, output.stderr].map(|bytes| String::from_utf8(bytes).expect("text"));
-    let err: String = err.lines().filter(|line| !line.starts_with('{')).map(|line| format!("{line}\n")).collect();
-    format!("$ {} {}\nexit code {:?}\n--- out\n{out}--- err\n{err}\n", program.name, words.join(" "), output.status.code())
+    let output = Command::new(program.path)
+        .args(words)
+        .output()
+        .expect("it runs");
+    let [out, err] =
+        [output.stdout, output.stderr].map(|bytes| String::from_utf8(bytes).expect("text"));
+    let err: String = err
+        .lines()
+        .filter(|line| !line.starts_with('{'))
+        .map(|line| format!("{line}\n"))
+        .collect();
+    format!(
+        "$ {} {}\nexit code {:?}\n--- out\n{out}--- err\n{err}\n",
+        program.name,
+        words.join(" "),
+        output.status.code()
+    )
 }
 
 /// A settings file of one line a setting.
@@ -42,8 +58,14 @@
 
 impl Settings {
     pub fn new(lines: &[(&str, &str)]) -> Settings {
-        let lines = lines.iter().map(|(name, value)| (name.to_string(), value.to_string())).collect();
-        Settings { lines, changed: String::new() }
+        let lines = lines
+            .iter()
+            .map(|(name, value)| (name.to_string(), value.to_string()))
+            .collect();
+        Settings {
+            lines,
+            changed: String::new(),
+        }
     }
 
     pub fn with(mut self, name: &str, value: &str) -> Settings {
@@ -60,7 +82,10 @@
     }
 
     fn text(&self) -> String {
-        self.lines.iter().map(|(name, value)| format!("{name} = {value}\n")).collect()
+        self.lines
+            .iter()
+            .map(|(name, value)| format!("{name} = {value}\n"))
+            .collect()
     }
 
     /// What `--check` says of these settings.
@@ -69,7 +94,11 @@
     }
 
     pub fn checked_with(&self, program: &Program, words: &[&str]) -> String {
-        format!("{}{}", self.changed, checked_text(program, &self.text(), words))
+        format!(
+            "{}{}",
+            self.changed,
+            checked_text(program, &self.text(), words)
+        )
     }
 
     /// What the program says that cannot start with these settings.
@@ -94,15 +123,30 @@
 
 /// Runs the program with each setting left out and says whether it takes a reload with the supposed default, and one
 /// with the value beside it, for a change.
-pub fn defaults(program: &Program, folder: &Path, settings: &Settings, supposed: &[(&str, &str, &str)]) -> String {
+pub fn defaults(
+    program: &Program,
+    folder: &Path,
+    settings: &Settings,
+    supposed: &[(&str, &str, &str)],
+) -> String {
     let file = folder.join("settings.toml");
     let daemon = Daemon::start(program, &file, settings);
     let mut told = String::new();
     for (name, default, beside) in supposed {
         for value in [default, beside] {
             let changes = daemon.reload(&settings.clone().with(name, value));
-            told.push_str(&format!("{name} = {value}: {}\n", if changes { "needs a restart" } else { "as it was" }));
-            assert!(!daemon.reload(settings), "{name}: the first settings are as they were");
+            told.push_str(&format!(
+                "{name} = {value}: {}\n",
+                if changes {
+                    "needs a restart"
+                } else {
+                    "as it was"
+                }
+            ));
+            assert!(
+                !daemon.reload(settings),
+                "{name}: the first settings are as they were"
+            );
         }
     }
     let code = daemon.stop();
@@ -119,12 +163,24 @@
 impl Daemon {
     fn start(program: &Program, file: &Path, settings: &Settings) -> Daemon {
         fs::write(file, settings.text()).expect("a settings file");
-        let mut child = Command::new(program.path).arg("--config").arg(file).stderr(Stdio::piped()).spawn().expect("it starts");
+        let mut child = Command::new(program.path)
+            .arg("--config")
+            .arg(file)
+            .stderr(Stdio::piped())
+            .spawn()
+            .expect("it starts");
         let log = BufReader::new(child.stderr.take().expect("a pipe")).lines();
         let (sender, lines) = channel();
         // Reads to the end of the pipe, also when nobody listens any more: the program never waits for its reader.
-        thread::spawn(move || log.map_while(Result::ok).for_each(|line| drop(sender.send(line))));
-        let daemon = Daemon { child, lines, file: file.to_path_buf() };
+        thread::spawn(move || {
+            log.map_while(Result::ok)
+                .for_each(|line| drop(sender.send(line)))
+        });
+        let daemon = Daemon {
+            child,
+            lines,
+            file: file.to_path_buf(),
+        };
         daemon.line("\"listening\"");
         daemon
     }
@@ -132,7 +188,10 @@
     /// The next line of the log that holds the word; none comes after the program ended.
     fn line(&self, word: &str) -> String {
         loop {
-            let line = self.lines.recv_timeout(PATIENCE).unwrap_or_else(|error| panic!("no line with {word}: {error}"));
+            let line = self
+                .lines
+                .recv_timeout(PATIENCE)
+                .unwrap_or_else(|error| panic!("no line with {word}: {error}"));
             if line.contains(word) {
                 return line;
             }
@@ -140,7 +199,10 @@
     }
 
     fn signal(&self, name: &str) {
-        let sent = Command::new("kill").args([name, &self.child.id().to_string()]).status().expect("kill runs");
+        let sent = Command::new("kill")
+            .args([name, &self.child.id().to_string()])
+            .status()
+            .expect("kill runs");
         assert!(sent.success(), "the daemon is there");
     }
 
--- a/crates/test-support/tests/placeholders.rs
+++ b/crates/test-support/tests/placeholders.rs
@@ -8,12 +8,18 @@
 fn a_volatile_field_is_replaced_whole_whatever_its_value() {
     let text = r#"{"a":1,"life":"x,\"}","b":{"life":{"c":[1,2]},"d":3},"life":[4]}"#;
     let found = with_placeholders(text, &[Volatile::Field("life")]);
-    assert_eq!(found, r#"{"a":1,"life":<life>,"b":{"life":<life>,"d":3},"life":<life>}"#);
+    assert_eq!(
+        found,
+        r#"{"a":1,"life":<life>,"b":{"life":<life>,"d":3},"life":<life>}"#
+    );
 }
 
 #[test]
 fn a_volatile_value_is_replaced_wherever_it_stands() {
-    let found = with_placeholders("127.0.0.1:4312 and 127.0.0.1:43", &[Volatile::Value("127.0.0.1:4312", "address")]);
+    let found = with_placeholders(
+        "127.0.0.1:4312 and 127.0.0.1:43",
+        &[Volatile::Value("127.0.0.1:4312", "address")],
+    );
     assert_eq!(found, "<address> and 127.0.0.1:43");
 }
 
--- a/crates/test-support/tests/recorded/archive.rs
+++ b/crates/test-support/tests/recorded/archive.rs
@@ -9,7 +9,12 @@
         let mut aligned = rkyv::util::AlignedVec::<16>::with_capacity(recorded.len());
         aligned.extend_from_slice(&recorded);
         let decoded = rkyv::from_bytes::<$type, rkyv::rancor::Error>(&aligned);
-        assert_eq!(&decoded.expect("recorded bytes that hold together"), value, "{}", $name);
+        assert_eq!(
+            &decoded.expect("recorded bytes that hold together"),
+            value,
+            "{}",
+            $name
+        );
     }};
 }
 
--- a/crates/test-support/tests/recorded/mod.rs
+++ b/crates/test-support/tests/recorded/mod.rs
@@ -24,7 +24,9 @@
 impl RecordedBytes {
     pub fn of(family: &str) -> RecordedBytes {
         RecordedBytes {
-            folder: Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(family),
+            folder: Path::new(env!("CARGO_MANIFEST_DIR"))
+                .join("tests/fixtures")
+                .join(family),
             checked: BTreeSet::new(),
             writes: env::var_os("GRADEFORD_WRITE_FIXTURES").is_some(),
         }
@@ -35,13 +37,21 @@
     pub fn check(&mut self, name: &str, encoded: &[u8]) -> Vec<u8> {
         let file = format!("{name}.hex");
         let path = self.folder.join(&file);
-        assert!(self.checked.insert(file), "two values under the name {name}");
+        assert!(
+            self.checked.insert(file),
+            "two values under the name {name}"
+        );
         if self.writes {
             fs::create_dir_all(&self.folder).expect("the folder of fixtures");
             fs::write(&path, to_hex(encoded)).expect("a fixture is written");
         }
-        let recorded = fs::read_to_string(&path).unwrap_or_else(|error| panic!("no recorded bytes in {}: {error}", path.display()));
-        assert_eq!(to_hex(encoded), recorded, "{name} is encoded otherwise than it was recorded");
+        let recorded = fs::read_to_string(&path)
+            .unwrap_or_else(|error| panic!("no recorded bytes in {}: {error}", path.display()));
+        assert_eq!(
+            to_hex(encoded),
+            recorded,
+            "{name} is encoded otherwise than it was recorded"
+        );
         from_hex(&recorded)
     }
 
@@ -49,12 +59,19 @@
     pub fn finish(self) {
         let entries = fs::read_dir(&self.folder).expect("the folder of fixtures");
         for entry in entries {
-            let file = entry.expect("an entry").file_name().into_string().expect("a plain name");
+            let file = entry
+                .expect("an entry")
+                .file_name()
+                .into_string()
+                .expect("a plain name");
             if self.writes && !self.checked.contains(&file) {
                 fs::remove_file(self.folder.join(&file)).expect("a stale fixture is removed");
                 continue;
             }
-            assert!(self.checked.contains(&file), "{file} is recorded and no value is left for it");
+            assert!(
+                self.checked.contains(&file),
+                "{file} is recorded and no value is left for it"
+            );
         }
     }
 }
@@ -62,11 +79,15 @@
 pub fn to_hex(bytes: &[u8]) -> String {
     let digits: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
     let lines = digits.as_bytes().chunks(DIGITS_A_LINE);
-    lines.map(|line| format!("{}\n", String::from_utf8_lossy(line))).collect()
+    lines
+        .map(|line| format!("{}\n", String::from_utf8_lossy(line)))
+        .collect()
 }
 
 fn from_hex(text: &str) -> Vec<u8> {
     let digits: String = text.split_whitespace().collect();
     let pairs = (0..digits.len()).step_by(2);
-    pairs.map(|at| u8::from_str_radix(&digits[at..at + 2], 16).expect("two digits")).collect()
+    pairs
+        .map(|at| u8::from_str_radix(&digits[at..at + 2], 16).expect("two digits"))
+        .collect()
 }
--- a/crates/transport/src/compact_encoding.rs
+++ b/crates/transport/src/compact_encoding.rs
@@ -34,7 +34,12 @@
     pub fn encode(&mut self, pairs: Vec<Header>) -> EncodedHeaders {
         let mut said = EncodedHeaders::default();
         // Pairs that share a name keep their order: none of them is said by number.
-        let distinct = pairs.iter().map(|(name, _)| name).collect::<std::collections::HashSet<_>>().len() == pairs.len();
+        let distinct = pairs
+            .iter()
+            .map(|(name, _)| name)
+            .collect::<std::collections::HashSet<_>>()
+            .len()
+            == pairs.len();
         pairs.into_iter().for_each(|pair| {
             if let Some(known) = self.header_indices.get(&pair).filter(|_| distinct) {
                 return said.known.push(*known);
@@ -48,9 +53,12 @@
                     next
                 }
             };
-            let again = distinct && self.header_indices.len() < MAX_HEADERS && self.seen_once.contains(&pair);
+            let again = distinct
+                && self.header_indices.len() < MAX_HEADERS
+                && self.seen_once.contains(&pair);
             if again {
-                self.header_indices.insert(pair.clone(), self.header_indices.len() as u16);
+                self.header_indices
+                    .insert(pair.clone(), self.header_indices.len() as u16);
                 said.indexed.push((name, pair.1));
             } else {
                 said.literals.push((name, pair.1.clone()));
@@ -73,12 +81,29 @@
     /// `None`: the other end speaks of what it never said.
     pub fn decode(&mut self, said: EncodedHeaders) -> Option<Vec<Header>> {
         self.names.extend(said.new_names);
-        let named = |(name, value): (u16, Vec<u8>)| self.names.get(name as usize).map(|name| (name.clone(), value));
-        let values = said.literals.into_iter().map(named).collect::<Option<Vec<Header>>>()?;
-        let kept = said.indexed.into_iter().map(named).collect::<Option<Vec<Header>>>()?;
+        let named = |(name, value): (u16, Vec<u8>)| {
+            self.names
+                .get(name as usize)
+                .map(|name| (name.clone(), value))
+        };
+        let values = said
+            .literals
+            .into_iter()
+            .map(named)
+            .collect::<Option<Vec<Header>>>()?;
+        let kept = said
+            .indexed
+            .into_iter()
+            .map(named)
+            .collect::<Option<Vec<Header>>>()?;
         self.headers.extend(kept.iter().cloned());
-        let known = said.known.into_iter().map(|at| self.headers.get(at as usize).cloned()).collect::<Option<Vec<Header>>>()?;
-        (self.names.len() <= 2 * MAX_NAMES && self.headers.len() <= MAX_HEADERS).then(|| values.into_iter().chain(kept).chain(known).collect())
+        let known = said
+            .known
+            .into_iter()
+            .map(|at| self.headers.get(at as usize).cloned())
+            .collect::<Option<Vec<Header>>>()?;
+        (self.names.len() <= 2 * MAX_NAMES && self.headers.len() <= MAX_HEADERS)
+            .then(|| values.into_iter().chain(kept).chain(known).collect())
     }
 }
 
@@ -90,14 +115,23 @@
     fn what_is_heard_is_what_was_said_and_repeats_cost_little() {
         let (mut speaker, mut listener) = (HeaderEncoder::default(), HeaderDecoder::default());
         let request = |at: u32| {
-            let fixed =
-                [("host", "a.example"), ("user-agent", "sdk/1.9"), ("accept", "*/*")].map(|(name, value)| (name.to_string(), value.as_bytes().to_vec()));
-            fixed.into_iter().chain([("try".to_string(), format!("{at:016x}").into_bytes())]).collect::<Vec<Header>>()
+            let fixed = [
+                ("host", "a.example"),
+                ("user-agent", "sdk/1.9"),
+                ("accept", "*/*"),
+            ]
+            .map(|(name, value)| (name.to_string(), value.as_bytes().to_vec()));
+            fixed
+                .into_iter()
+                .chain([("try".to_string(), format!("{at:016x}").into_bytes())])
+                .collect::<Vec<Header>>()
         };
         let lengths: Vec<usize> = (0..5)
             .map(|at| {
                 let said = speaker.encode(request(at));
-                let length = rkyv::to_bytes::<rkyv::rancor::Error>(&said).expect("bytes").len();
+                let length = rkyv::to_bytes::<rkyv::rancor::Error>(&said)
+                    .expect("bytes")
+                    .len();
                 let mut heard = listener.decode(said).expect("known words");
                 let mut sent = request(at);
                 heard.sort();
@@ -112,8 +146,15 @@
     #[test]
     fn two_of_one_name_keep_their_order_and_unsaid_numbers_are_noticed() {
         let (mut speaker, mut listener) = (HeaderEncoder::default(), HeaderDecoder::default());
-        let twice: Vec<Header> = ["b", "a", "b"].map(|value| ("cookie".to_string(), value.as_bytes().to_vec())).into();
-        (0..3).for_each(|_| assert_eq!(listener.decode(speaker.encode(twice.clone())), Some(twice.clone())));
+        let twice: Vec<Header> = ["b", "a", "b"]
+            .map(|value| ("cookie".to_string(), value.as_bytes().to_vec()))
+            .into();
+        (0..3).for_each(|_| {
+            assert_eq!(
+                listener.decode(speaker.encode(twice.clone())),
+                Some(twice.clone())
+            )
+        });
         let one = vec![("x".to_string(), vec![1])];
         (0..2).for_each(|_| drop(speaker.encode(one.clone())));
         assert_eq!(HeaderDecoder::default().decode(speaker.encode(one)), None);
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -30,11 +30,13 @@
     let mut bytes = rkyv::util::AlignedVec::<16>::with_capacity(length);
     bytes.resize(length, 0);
     reader.read_exact(&mut bytes).await?;
-    rkyv::from_bytes::<crate::Frame, rkyv::rancor::Error>(&bytes).map_err(|_| crate::Error::Malformed)
+    rkyv::from_bytes::<crate::Frame, rkyv::rancor::Error>(&bytes)
+        .map_err(|_| crate::Error::Malformed)
 }
 
 pub(crate) fn encode_frame(frame: &crate::Frame, out: &mut Vec<u8>) -> Result<(), crate::Error> {
-    let bytes = rkyv::to_bytes::<rkyv::rancor::Error>(frame).map_err(|_| crate::Error::Malformed)?;
+    let bytes =
+        rkyv::to_bytes::<rkyv::rancor::Error>(frame).map_err(|_| crate::Error::Malformed)?;
     if bytes.len() > crate::MAX_FRAME_BYTES {
         return Err(crate::Error::FrameTooLong(bytes.len()));
     }
@@ -45,7 +47,10 @@
     Ok(())
 }
 
-pub(crate) async fn write_frame(writer: &mut SocketWriter, frame: &crate::Frame) -> Result<(), crate::Error> {
+pub(crate) async fn write_frame(
+    writer: &mut SocketWriter,
+    frame: &crate::Frame,
+) -> Result<(), crate::Error> {
     let mut out = Vec::new();
     encode_frame(frame, &mut out)?;
     Ok(writer.write_all(&out).await?)
@@ -54,14 +59,22 @@
 /// A mate on a narrow link may take long for much; one that takes nothing for a while is gone.
 async fn write_in_chunks(writer: &mut SocketWriter, out: &[u8]) -> bool {
     for piece in out.chunks(WRITE_CHUNK_BYTES) {
-        if !matches!(tokio::time::timeout(WRITE_TIMEOUT, writer.write_all(piece)).await, Ok(Ok(()))) {
+        if !matches!(
+            tokio::time::timeout(WRITE_TIMEOUT, writer.write_all(piece)).await,
+            Ok(Ok(()))
+        ) {
             return false;
         }
     }
     true
 }
 
-pub(crate) fn start(zone: &str, greeting: crate::Handshake, mut reader: SocketReader, mut writer: SocketWriter) -> Connection {
+pub(crate) fn start(
+    zone: &str,
+    greeting: crate::Handshake,
+    mut reader: SocketReader,
+    mut writer: SocketWriter,
+) -> Connection {
     let (sender, mut outgoing) = tokio::sync::mpsc::channel::<crate::Frame>(CHANNEL_CAPACITY);
     let (incoming, receiver) = tokio::sync::mpsc::channel(CHANNEL_CAPACITY);
     let (ended, mut reading_ended) = tokio::sync::oneshot::channel::<()>();
@@ -86,9 +99,13 @@
             let Some(first) = first else { break };
             out.clear();
             // What has gathered leaves in one write.
-            let more = std::iter::from_fn(|| outgoing.try_recv().ok()).take(255).collect::<Vec<_>>();
+            let more = std::iter::from_fn(|| outgoing.try_recv().ok())
+                .take(255)
+                .collect::<Vec<_>>();
             let frames = more.len() + 1;
-            let whole = std::iter::once(first).chain(more).try_for_each(|frame| encode_frame(&frame, &mut out));
+            let whole = std::iter::once(first)
+                .chain(more)
+                .try_for_each(|frame| encode_frame(&frame, &mut out));
             counted.count(frames, out.len());
             if whole.is_err() || !write_in_chunks(&mut writer, &out).await {
                 break;
@@ -96,7 +113,11 @@
         }
         reading.abort();
     });
-    Connection { peer_handshake: greeting, sender, receiver }
+    Connection {
+        peer_handshake: greeting,
+        sender,
+        receiver,
+    }
 }
 
 #[cfg(test)]
@@ -112,7 +133,10 @@
         let lengths = [
             length(&crate::Frame::Heartbeat),
             length(&crate::Frame::RequestProof { number: 1 }),
-            length(&crate::Frame::Proof { number: 1, position: 1 }),
+            length(&crate::Frame::Proof {
+                number: 1,
+                position: 1,
+            }),
             length(&core(mencius::Message::Heartbeat { applied: 1 })),
         ];
         assert!(lengths.iter().all(|length| *length <= 128), "{lengths:?}");
--- a/crates/transport/src/forwarding.rs
+++ b/crates/transport/src/forwarding.rs
@@ -49,8 +49,12 @@
 
 impl ForwardedRequest {
     pub fn encode(self, speaker: &mut crate::HeaderEncoder) -> EncodedRequest {
-        let ours =
-            [(BACKEND_FIELD, self.backend), (CALLER_FIELD, self.caller), (METHOD_FIELD, self.method)].map(|(name, held)| (name.to_string(), held.into_bytes()));
+        let ours = [
+            (BACKEND_FIELD, self.backend),
+            (CALLER_FIELD, self.caller),
+            (METHOD_FIELD, self.method),
+        ]
+        .map(|(name, held)| (name.to_string(), held.into_bytes()));
         EncodedRequest {
             headers: speaker.encode(ours.into_iter().chain(self.headers).collect()),
             target: self.target,
@@ -67,8 +71,15 @@
 
 impl EncodedRequest {
     pub fn decode(self, listener: &mut crate::HeaderDecoder) -> Option<ForwardedRequest> {
-        let (ours, headers): (Headers, Headers) = listener.decode(self.headers)?.into_iter().partition(|(name, _)| name.starts_with(':'));
-        let own = |name: &str| ours.iter().find(|(held, _)| held == name).and_then(|(_, value)| String::from_utf8(value.clone()).ok());
+        let (ours, headers): (Headers, Headers) = listener
+            .decode(self.headers)?
+            .into_iter()
+            .partition(|(name, _)| name.starts_with(':'));
+        let own = |name: &str| {
+            ours.iter()
+                .find(|(held, _)| held == name)
+                .and_then(|(_, value)| String::from_utf8(value.clone()).ok())
+        };
         Some(ForwardedRequest {
             backend: own(BACKEND_FIELD)?,
             caller: own(CALLER_FIELD)?,
@@ -103,12 +114,20 @@
 
 impl ForwardedResponse {
     pub fn encode(self, speaker: &mut crate::HeaderEncoder) -> EncodedResponse {
-        EncodedResponse { headers: speaker.encode(self.headers), status: self.status, body: self.body }
+        EncodedResponse {
+            headers: speaker.encode(self.headers),
+            status: self.status,
+            body: self.body,
+        }
     }
 }
 
 impl EncodedResponse {
     pub fn decode(self, listener: &mut crate::HeaderDecoder) -> Option<ForwardedResponse> {
-        Some(ForwardedResponse { headers: listener.decode(self.headers)?, status: self.status, body: self.body })
+        Some(ForwardedResponse {
+            headers: listener.decode(self.headers)?,
+            status: self.status,
+            body: self.body,
+        })
     }
 }
--- a/crates/transport/src/frame.rs
+++ b/crates/transport/src/frame.rs
@@ -20,7 +20,9 @@
     RequestAssignment,
 }
 
-#[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+#[derive(
+    Clone, Debug, PartialEq, Eq, serde::Serialize, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize,
+)]
 pub struct KnownReplica {
     #[serde(rename = "seat")]
     pub replica_id: u16,
--- a/crates/transport/src/traffic.rs
+++ b/crates/transport/src/traffic.rs
@@ -20,8 +20,14 @@
     }
 }
 
-pub static SAME_ZONE: TrafficCounter = TrafficCounter { frames: AtomicU64::new(0), bytes: AtomicU64::new(0) };
-pub static CROSS_ZONE: TrafficCounter = TrafficCounter { frames: AtomicU64::new(0), bytes: AtomicU64::new(0) };
+pub static SAME_ZONE: TrafficCounter = TrafficCounter {
+    frames: AtomicU64::new(0),
+    bytes: AtomicU64::new(0),
+};
+pub static CROSS_ZONE: TrafficCounter = TrafficCounter {
+    frames: AtomicU64::new(0),
+    bytes: AtomicU64::new(0),
+};
 
 pub(crate) fn counter_between(one: &str, two: &str) -> &'static TrafficCounter {
     if one == two { &SAME_ZONE } else { &CROSS_ZONE }
@@ -33,9 +39,17 @@
 }
 
 /// What a frame is for. A conn that only asks which core seats are known carries nothing but greetings.
-pub const KINDS: [&str; 11] = ["greeting", "acquaint", "core", "forward", "answer", "ask", "proof", "bulletin", "beat", "call", "other"];
+pub const KINDS: [&str; 11] = [
+    "greeting", "acquaint", "core", "forward", "answer", "ask", "proof", "bulletin", "beat",
+    "call", "other",
+];
 
-static BY_KIND: [TrafficCounter; KINDS.len()] = [const { TrafficCounter { frames: AtomicU64::new(0), bytes: AtomicU64::new(0) } }; KINDS.len()];
+static BY_KIND: [TrafficCounter; KINDS.len()] = [const {
+    TrafficCounter {
+        frames: AtomicU64::new(0),
+        bytes: AtomicU64::new(0),
+    }
+}; KINDS.len()];
 
 fn kind_index(frame: &crate::Frame) -> usize {
     match frame {
--- a/crates/transport/tests/recorded_frames/main.rs
+++ b/crates/transport/tests/recorded_frames/main.rs
@@ -18,10 +18,16 @@
 /// A frame as bytes, as the far side of the conn reads it.
 async fn read_raw(stream: &mut TcpStream) -> Vec<u8> {
     let mut bytes = vec![0; LENGTH_AND_VERSION];
-    stream.read_exact(&mut bytes).await.expect("length and version");
+    stream
+        .read_exact(&mut bytes)
+        .await
+        .expect("length and version");
     let length = u32::from_be_bytes(bytes[..4].try_into().expect("four bytes")) as usize;
     bytes.resize(LENGTH_AND_VERSION + length, 0);
-    stream.read_exact(&mut bytes[LENGTH_AND_VERSION..]).await.expect("a whole frame");
+    stream
+        .read_exact(&mut bytes[LENGTH_AND_VERSION..])
+        .await
+        .expect("a whole frame");
     bytes
 }
 
@@ -32,7 +38,10 @@
     let address = listener.local_addr().expect("an address");
     let mut stream = TcpStream::connect(address).await.expect("a stream");
     let (accepted, _) = listener.accept().await.expect("a caller");
-    stream.write_all(greeting_bytes).await.expect("a greeting is sent");
+    stream
+        .write_all(greeting_bytes)
+        .await
+        .expect("a greeting is sent");
     let own = greeting(Purpose::Consensus);
     let taken = accept(accepted, async |called: Handshake| {
         assert_eq!(called, greeting(Purpose::Consensus));
@@ -43,8 +52,16 @@
     (conn, stream)
 }
 
-async fn check(recorded: &mut RecordedBytes, (conn, stream): &mut (Connection, TcpStream), name: &str, frame: Frame) {
-    conn.sender.send(frame.clone()).await.expect("the conn is open");
+async fn check(
+    recorded: &mut RecordedBytes,
+    (conn, stream): &mut (Connection, TcpStream),
+    name: &str,
+    frame: Frame,
+) {
+    conn.sender
+        .send(frame.clone())
+        .await
+        .expect("the conn is open");
     let bytes = recorded.check(name, &read_raw(stream).await);
     stream.write_all(&bytes).await.expect("the conn is open");
     assert_eq!(conn.receiver.recv().await, Some(frame), "{name}");
@@ -55,7 +72,12 @@
     let frame = Frame::Handshake(Box::new(greeting(Purpose::Consensus)));
     let archive = rkyv::to_bytes::<rkyv::rancor::Error>(&frame).expect("an archive");
     let length = (archive.len() as u32).to_be_bytes();
-    [&length[..], &transport::PROTOCOL_VERSION.to_be_bytes(), &archive].concat()
+    [
+        &length[..],
+        &transport::PROTOCOL_VERSION.to_be_bytes(),
+        &archive,
+    ]
+    .concat()
 }
 
 #[tokio::test]
@@ -63,7 +85,9 @@
     let mut recorded = RecordedBytes::of("frames");
     let opening = recorded.check("greeting-to-open", &opening());
     let mut conn = conn(&mut recorded, &opening).await;
-    let all = frames().into_iter().map(|(name, frame)| (name.to_string(), frame));
+    let all = frames()
+        .into_iter()
+        .map(|(name, frame)| (name.to_string(), frame));
     for (name, frame) in all.chain(further_frames()) {
         check(&mut recorded, &mut conn, &name, frame).await;
     }
--- a/crates/transport/tests/recorded_frames/samples.rs
+++ b/crates/transport/tests/recorded_frames/samples.rs
@@ -5,7 +5,8 @@
 use model::endpoint_status::EndpointReport;
 use model::{Cause, Entry, Error, Operation, Outcome, StateSlice};
 use transport::{
-    AttemptRequest, AttemptResponse, ForwardedRequest, ForwardedResponse, Frame, Handshake, HeaderEncoder, Headers, KnownReplica, LoadReport, Purpose,
+    AttemptRequest, AttemptResponse, ForwardedRequest, ForwardedResponse, Frame, Handshake,
+    HeaderEncoder, Headers, KnownReplica, LoadReport, Purpose,
 };
 
 const IDENTITY: u64 = 0x1122_3344_5566_7788;
@@ -27,7 +28,13 @@
 }
 
 pub fn core_seat() -> KnownReplica {
-    KnownReplica { replica_id: 2, disk_id: IDENTITY, address: text("10.0.0.1:7000"), zone: text("z0"), start_count: 4 }
+    KnownReplica {
+        replica_id: 2,
+        disk_id: IDENTITY,
+        address: text("10.0.0.1:7000"),
+        zone: text("z0"),
+        start_count: 4,
+    }
 }
 
 pub fn greeting(purpose: Purpose) -> Handshake {
@@ -45,8 +52,12 @@
 }
 
 pub fn headers(number: u32) -> Headers {
-    let held = [("host", text("seats.example")), ("try", format!("{number:08x}"))];
-    held.map(|(name, value)| (name.to_string(), value.into_bytes())).into()
+    let held = [
+        ("host", text("seats.example")),
+        ("try", format!("{number:08x}")),
+    ];
+    held.map(|(name, value)| (name.to_string(), value.into_bytes()))
+        .into()
 }
 
 pub fn cue(number: u32) -> ForwardedRequest {
@@ -67,7 +78,11 @@
 }
 
 pub fn take() -> ForwardedResponse {
-    ForwardedResponse { status: 201, headers: headers(7), body: b"an answer".to_vec() }
+    ForwardedResponse {
+        status: 201,
+        headers: headers(7),
+        body: b"an answer".to_vec(),
+    }
 }
 
 pub fn dispatch() -> AttemptRequest {
@@ -94,7 +109,12 @@
 }
 
 pub fn reply() -> AttemptResponse {
-    AttemptResponse { status: 200, headers: headers(2), body: b"an answer".to_vec(), seal: text("sealed") }
+    AttemptResponse {
+        status: 200,
+        headers: headers(2),
+        body: b"an answer".to_vec(),
+        seal: text("sealed"),
+    }
 }
 
 pub fn load() -> LoadReport {
@@ -111,12 +131,25 @@
 }
 
 pub fn entry() -> Entry {
-    let act = Operation::EndpointReport(EndpointReport::NodeLeft { node: text("n1"), incarnation: 5, clean: true });
-    Entry { origin: text("n1"), incarnation: 5, sequence: 41, operation: act }
+    let act = Operation::EndpointReport(EndpointReport::NodeLeft {
+        node: text("n1"),
+        incarnation: 5,
+        clean: true,
+    });
+    Entry {
+        origin: text("n1"),
+        incarnation: 5,
+        sequence: 41,
+        operation: act,
+    }
 }
 
 pub fn slice(position: u64) -> StateSlice {
-    StateSlice { position, longest_requests: [(text("seat"), position)].into(), ..StateSlice::default() }
+    StateSlice {
+        position,
+        longest_requests: [(text("seat"), position)].into(),
+        ..StateSlice::default()
+    }
 }
 
 pub fn frames() -> Vec<(&'static str, Frame)> {
@@ -185,15 +218,50 @@
 
 /// Frames that look otherwise within the same variant.
 pub fn further_frames() -> Vec<(String, Frame)> {
-    let greetings = purposes().into_iter().map(|(name, purpose)| (format!("greeting-{name}"), Frame::Handshake(Box::new(greeting(purpose)))));
-    let of_a_node = Handshake { replica: None, has_empty_disk: false, expected_disk: None, known_replicas: Vec::new(), ..greeting(Purpose::Forward) };
-    let plain_dispatch = AttemptRequest { shard_key: None, fencing_token: None, ..dispatch() };
-    let lost = Error { retry_after: None, ..Error::new(Cause::PeerLost, "cut") };
+    let greetings = purposes().into_iter().map(|(name, purpose)| {
+        (
+            format!("greeting-{name}"),
+            Frame::Handshake(Box::new(greeting(purpose))),
+        )
+    });
+    let of_a_node = Handshake {
+        replica: None,
+        has_empty_disk: false,
+        expected_disk: None,
+        known_replicas: Vec::new(),
+        ..greeting(Purpose::Forward)
+    };
+    let plain_dispatch = AttemptRequest {
+        shard_key: None,
+        fencing_token: None,
+        ..dispatch()
+    };
+    let lost = Error {
+        retry_after: None,
+        ..Error::new(Cause::PeerLost, "cut")
+    };
     let others = [
         ("greeting-of-a-node", Frame::Handshake(Box::new(of_a_node))),
-        ("answer-not-known", Frame::EntryOutcome { number: 99, outcome: None }),
-        ("dispatch-without-a-key", Frame::Attempt(Box::new(plain_dispatch))),
-        ("reply-of-trouble", Frame::AttemptResult { request_id: 100, reply: Box::new(Err(lost)) }),
+        (
+            "answer-not-known",
+            Frame::EntryOutcome {
+                number: 99,
+                outcome: None,
+            },
+        ),
+        (
+            "dispatch-without-a-key",
+            Frame::Attempt(Box::new(plain_dispatch)),
+        ),
+        (
+            "reply-of-trouble",
+            Frame::AttemptResult {
+                request_id: 100,
+                reply: Box::new(Err(lost)),
+            },
+        ),
     ];
-    greetings.chain(others.map(|(name, frame)| (name.to_string(), frame))).collect()
+    greetings
+        .chain(others.map(|(name, frame)| (name.to_string(), frame)))
+        .collect()
 }
