--- a/crates/backend-api/src/backend_client.rs
+++ b/crates/backend-api/src/backend_client.rs
@@ -2,6 +2,7 @@
 //! to whoever took over an address (design 5.3).
 
 use model::{Cause, Error};
+use std::time::Duration;
 
 pub struct BackendClient {
     http: reqwest::Client,
@@ -13,7 +14,7 @@
             .pool_max_idle_per_host(0)
             .retry(reqwest::retry::never())
             .redirect(reqwest::redirect::Policy::none())
-            .connect_timeout(std::time::Duration::from_millis(500))
+            .connect_timeout(Duration::from_millis(500))
             .no_proxy()
             .build()?;
         Ok(BackendClient { http })
--- a/crates/backend-api/src/registration.rs
+++ b/crates/backend-api/src/registration.rs
@@ -1,6 +1,10 @@
 //! What a back end asks of the node beside it (docs/operators/back-ends.md).
 
 use model::{Cause, Error};
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::sync::atomic::AtomicU64;
+use std::time::Duration;
 
 #[derive(Clone)]
 pub struct BackendApiConfig {
@@ -14,7 +18,7 @@
     /// Moves with all news and proofs.
     pub view_changes: tokio::sync::watch::Receiver<model::Position>,
     /// Slices that back ends claimed in beats and do not hold.
-    pub unheld_claims: std::sync::Arc<std::sync::atomic::AtomicU64>,
+    pub unheld_claims: Arc<AtomicU64>,
     pub logger: slog::Logger,
 }
 
@@ -84,7 +88,7 @@
         return Err(bad_request("slots is from 0 to 4096"));
     }
     ask.address
-        .parse::<std::net::SocketAddr>()
+        .parse::<SocketAddr>()
         .map(|_| ())
         .map_err(|_| bad_request("address is an IP number and port"))
 }
@@ -133,7 +137,7 @@
                 backend: back_end,
             };
             let outcome = tokio::time::timeout(
-                std::time::Duration::from_secs(5),
+                Duration::from_secs(5),
                 env.status_reports.report_endpoint_status(report),
             )
             .await
@@ -183,7 +187,7 @@
             && view.slice.services.contains(service)
             && view.is_fresh(model::now())
     });
-    drop(tokio::time::timeout(std::time::Duration::from_secs(2), seen).await);
+    drop(tokio::time::timeout(Duration::from_secs(2), seen).await);
 }
 
 #[salvo::handler]
--- a/crates/control/src/bootstrap.rs
+++ b/crates/control/src/bootstrap.rs
@@ -1,5 +1,8 @@
 //! How a core machine comes to its seat: by the founding, once, or in place of one that is gone (design 12.1).
 
+use std::collections::BTreeMap;
+use std::time::Duration;
+
 pub struct BootstrapConfig {
     /// Where mates reach this process.
     pub address: String,
@@ -16,7 +19,7 @@
     pub founder_only_period: model::Microseconds,
 }
 
-type Candidates = std::collections::BTreeMap<String, (u64, transport::FrameSender)>;
+type Candidates = BTreeMap<String, (u64, transport::FrameSender)>;
 
 fn handshake(env: &BootstrapConfig, identity: u64) -> transport::Handshake {
     transport::Handshake {
@@ -63,7 +66,7 @@
     let mut conns = Vec::new();
     loop {
         let until = (latest + env.quiet_period).max(began + env.minimum_wait);
-        let wait = std::time::Duration::from_micros(until.saturating_sub(model::now()));
+        let wait = Duration::from_micros(until.saturating_sub(model::now()));
         tokio::select! {
             accepted = listener.accept() => if let Ok((stream, _)) = accepted {
                 let (own, enlisted) = (handshake(env, shelf.disk_id), enlisted.clone());
@@ -125,7 +128,7 @@
     }
     // Their conns end once all has been written.
     tokio::spawn(async move {
-        tokio::time::sleep(std::time::Duration::from_millis(500)).await;
+        tokio::time::sleep(Duration::from_millis(500)).await;
         drop(conns);
     });
     Ok(charter)
@@ -178,12 +181,7 @@
             }
         }
         turn += 1;
-        tokio::time::sleep(std::time::Duration::from_millis(if founder_alone {
-            60
-        } else {
-            120
-        }))
-        .await;
+        tokio::time::sleep(Duration::from_millis(if founder_alone { 60 } else { 120 })).await;
     }
 }
 
@@ -192,7 +190,7 @@
     own: transport::Handshake,
 ) -> Option<(transport::Frame, Vec<transport::KnownReplica>)> {
     let mut conn = transport::dial(address, own).await.ok()?;
-    let patience = std::time::Duration::from_secs(5);
+    let patience = Duration::from_secs(5);
     loop {
         if let word @ (transport::Frame::ReplicaAssignment { .. }
         | transport::Frame::NoReplicaAvailable) =
--- a/crates/control/src/discovery.rs
+++ b/crates/control/src/discovery.rs
@@ -1,12 +1,15 @@
 //! How processes learn where the core seats are: greetings carry what each knows (design 4.3).
 
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use std::time::Duration;
+
 /// Seat and disk to the latest known place. A watch channel is the table; its lock is a leaf (design 8.1).
-pub type KnownReplicas = std::sync::Arc<
-    tokio::sync::watch::Sender<std::collections::BTreeMap<(u16, u64), transport::KnownReplica>>,
->;
+pub type KnownReplicas =
+    Arc<tokio::sync::watch::Sender<BTreeMap<(u16, u64), transport::KnownReplica>>>;
 
 pub fn empty() -> KnownReplicas {
-    std::sync::Arc::new(tokio::sync::watch::Sender::new(Default::default()))
+    Arc::new(tokio::sync::watch::Sender::new(Default::default()))
 }
 
 pub fn list(known: &KnownReplicas) -> Vec<transport::KnownReplica> {
@@ -32,10 +35,7 @@
 }
 
 /// Until something new is known, and no longer than that.
-pub async fn changed_within<T>(
-    known: &mut tokio::sync::watch::Receiver<T>,
-    most: std::time::Duration,
-) {
+pub async fn changed_within<T>(known: &mut tokio::sync::watch::Receiver<T>, most: Duration) {
     drop(tokio::time::timeout(most, known.changed()).await);
 }
 
@@ -79,7 +79,7 @@
             }
         }
         let pause = if complete { 5_000 } else { 200 };
-        tokio::time::sleep(std::time::Duration::from_millis(pause)).await;
+        tokio::time::sleep(Duration::from_millis(pause)).await;
     }
 }
 
--- a/crates/control/src/effects.rs
+++ b/crates/control/src/effects.rs
@@ -1,6 +1,7 @@
 //! What the ordering asks of its driver, and what the owner shows of itself (design 3.2, 3.8).
 
 use crate::event_loop::ReplicaEventLoop;
+use std::sync::Arc;
 
 impl ReplicaEventLoop {
     pub(crate) fn run_effect(&mut self, effect: mencius::Effect) {
@@ -51,7 +52,7 @@
                 }
                 self.handle
                     .state_machine
-                    .store(std::sync::Arc::new(self.state_machine.clone()));
+                    .store(Arc::new(self.state_machine.clone()));
             }
             mencius::Effect::ReadReady(token) => {
                 // Followers hear what was applied before the proof that speaks of it.
@@ -60,7 +61,7 @@
                 // The reader finds the book at least as new as what it is told.
                 self.handle
                     .state_machine
-                    .store(std::sync::Arc::new(self.state_machine.clone()));
+                    .store(Arc::new(self.state_machine.clone()));
                 if let Some(answer) = self.pending_reads.remove(&token) {
                     answer
                         .send(self.state_machine.position)
@@ -158,9 +159,7 @@
         self.pending_submissions
             .retain(|_, answers| answers.iter().any(|answer| !answer.is_closed()));
         if **self.handle.status.load() != self.status {
-            self.handle
-                .status
-                .store(std::sync::Arc::new(self.status.clone()));
+            self.handle.status.store(Arc::new(self.status.clone()));
         }
     }
 
--- a/crates/control/src/event_loop.rs
+++ b/crates/control/src/event_loop.rs
@@ -1,8 +1,12 @@
 //! The one owner of log and book: a command queue in, effects out (design 3.2, 8.1).
 
 use crate::replica::{Command, OutcomeSender, ReplicaHandle, ReplicaStatus};
+use std::collections::BTreeMap;
+use std::collections::BTreeSet;
+use std::collections::HashMap;
+use std::sync::Arc;
 
-type PendingSubmissions = std::collections::HashMap<(String, u64, u64), Vec<OutcomeSender>>;
+type PendingSubmissions = HashMap<(String, u64, u64), Vec<OutcomeSender>>;
 
 pub(crate) struct ReplicaEventLoop {
     pub(crate) handle: ReplicaHandle,
@@ -11,13 +15,12 @@
     pub(crate) pinned_disks: storage::PinnedDisks,
     /// What came before all seats had met (design 4.1).
     pub(crate) deferred_commands: Vec<Command>,
-    pub(crate) connections: std::collections::BTreeMap<u16, (u64, transport::FrameSender)>,
+    pub(crate) connections: BTreeMap<u16, (u64, transport::FrameSender)>,
     pub(crate) state_machine: model::StateMachine,
     pub(crate) publisher: crate::publisher::UpdatePublisher,
     position: tokio::sync::watch::Sender<model::Position>,
     pub(crate) pending_submissions: PendingSubmissions,
-    pub(crate) pending_reads:
-        std::collections::BTreeMap<u64, tokio::sync::oneshot::Sender<model::Position>>,
+    pub(crate) pending_reads: BTreeMap<u64, tokio::sync::oneshot::Sender<model::Position>>,
     last_read_token: u64,
     pub(crate) entries_since_snapshot: u64,
     /// Where the latest own snapshot ends.
@@ -27,9 +30,9 @@
     /// Where the log stood when it last moved, and when that was.
     pub(crate) last_progress: (u64, model::Microseconds),
     /// Mates that take this disk for the first in its seat.
-    first_holder_confirmed_by: std::collections::BTreeSet<u16>,
+    first_holder_confirmed_by: BTreeSet<u16>,
     /// Seats without a channel, since when; and when a change of holder was last asked for.
-    pub(crate) unreachable_since: std::collections::BTreeMap<u16, model::Microseconds>,
+    pub(crate) unreachable_since: BTreeMap<u16, model::Microseconds>,
     pub(crate) replacement_requested_at: model::Microseconds,
 }
 
@@ -45,7 +48,7 @@
             pinned_peers: pins.len(),
             ..Default::default()
         };
-        core.status.store(std::sync::Arc::new(state.clone()));
+        core.status.store(Arc::new(state.clone()));
         ReplicaEventLoop {
             handle: core.clone(),
             replica: None,
@@ -251,7 +254,7 @@
         if self.state_machine.position != before {
             self.handle
                 .state_machine
-                .store(std::sync::Arc::new(self.state_machine.clone()));
+                .store(Arc::new(self.state_machine.clone()));
             self.position.send_replace(self.state_machine.position);
         }
     }
--- a/crates/control/src/follower.rs
+++ b/crates/control/src/follower.rs
@@ -1,15 +1,19 @@
 //! A node's side: it follows one core seat, its own zone's first, and holds the bill as it was told (design 11.3).
 
+use std::cmp::Reverse;
+use std::sync::Arc;
+use std::time::Duration;
+
 /// What a node believes: nothing before the first proof of its life (design 11.6). From then on it serves lanes from
 /// the newest it ever held; only the right to grant keys needs a fresh proof, and lasts from when that was asked (11.5).
 #[derive(Clone, Debug, Default)]
 pub struct VerifiedState {
-    pub snapshot: std::sync::Arc<model::cluster_state::StateSnapshot>,
+    pub snapshot: Arc<model::cluster_state::StateSnapshot>,
     /// When the latest proof was asked; 0 before the first.
     pub verified_at: model::Microseconds,
 }
 
-pub type SharedVerifiedState = std::sync::Arc<arc_swap::ArcSwap<VerifiedState>>;
+pub type SharedVerifiedState = Arc<arc_swap::ArcSwap<VerifiedState>>;
 
 pub struct FollowerConfig {
     pub node: String,
@@ -77,7 +81,7 @@
         (
             seat.zone != zone,
             model::leases::stable_hash(&format!("{name}{}", seat.replica_id)),
-            std::cmp::Reverse(seat.start_count),
+            Reverse(seat.start_count),
         )
     });
     seats
@@ -135,7 +139,7 @@
             // Once round without any use: no seat proves anything now, and asking them all faster does not help.
             let round = (turns.turn / seats.len().max(1)).min(4) as u64;
             let pause = 20 + 150 * round;
-            tokio::time::sleep(std::time::Duration::from_millis(
+            tokio::time::sleep(Duration::from_millis(
                 pause + rand::random::<u64>() % (pause + 10),
             ))
             .await;
@@ -155,8 +159,7 @@
             model::now(),
             conn.peer_handshake.zone != self.config.zone,
         );
-        let mut every =
-            tokio::time::interval(std::time::Duration::from_micros(self.config.proof_interval));
+        let mut every = tokio::time::interval(Duration::from_micros(self.config.proof_interval));
         every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         while fine {
             fine = tokio::select! {
@@ -185,7 +188,7 @@
         if heard != crate::verification::UpdateOutcome::Ignored
             && let Some(outlook) = self.follower.verified()
         {
-            self.verified_state.store(std::sync::Arc::new(outlook));
+            self.verified_state.store(Arc::new(outlook));
             self.changes.send_modify(|moved| *moved += 1);
         }
         heard != crate::verification::UpdateOutcome::Inconsistent
--- a/crates/control/src/monitor.rs
+++ b/crates/control/src/monitor.rs
@@ -1,12 +1,16 @@
 //! Beats to this node's watchers, and the watch over its wards (design 5.10).
 
+use std::collections::BTreeMap;
+use std::collections::BTreeSet;
+use std::time::Duration;
+
 pub struct MonitorConfig {
     pub node: String,
     pub heartbeat_interval: model::Microseconds,
     pub failure_timeout: model::Microseconds,
 }
 
-const REPORT_RETRY_INTERVAL: std::time::Duration = std::time::Duration::from_millis(300);
+const REPORT_RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Tells the watch that a ward was heard.
 pub type HeartbeatSender = tokio::sync::mpsc::Sender<(String, model::Incarnation)>;
@@ -22,7 +26,7 @@
     let (outbox, mut outgoing) = tokio::sync::mpsc::unbounded_channel();
     tokio::spawn(async move {
         let mut watch = crate::ring::FailureDetector::default();
-        let mut every = tokio::time::interval(std::time::Duration::from_micros(patience / 10));
+        let mut every = tokio::time::interval(Duration::from_micros(patience / 10));
         every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
@@ -56,15 +60,13 @@
     view: crate::view::SharedView,
     greeting: G,
 ) {
-    let mut lines: std::collections::BTreeMap<String, tokio::task::JoinHandle<()>> =
-        Default::default();
+    let mut lines: BTreeMap<String, tokio::task::JoinHandle<()>> = Default::default();
     loop {
         let slice = view.load().slice.clone();
-        let addresses: std::collections::BTreeSet<String> =
-            crate::ring::monitors_of(&slice.nodes, &env.node)
-                .into_iter()
-                .filter_map(|watcher| slice.nodes.get(&watcher).map(|node| node.address.clone()))
-                .collect();
+        let addresses: BTreeSet<String> = crate::ring::monitors_of(&slice.nodes, &env.node)
+            .into_iter()
+            .filter_map(|watcher| slice.nodes.get(&watcher).map(|node| node.address.clone()))
+            .collect();
         lines.retain(|address, line| {
             let kept = addresses.contains(address) && !line.is_finished();
             if !kept {
@@ -74,20 +76,16 @@
         });
         addresses.into_iter().for_each(|address| {
             let own = greeting();
-            let every = std::time::Duration::from_micros(env.heartbeat_interval);
+            let every = Duration::from_micros(env.heartbeat_interval);
             lines
                 .entry(address.clone())
                 .or_insert_with(|| tokio::spawn(heartbeat_connection(address, own, every)));
         });
-        tokio::time::sleep(std::time::Duration::from_micros(env.heartbeat_interval)).await;
+        tokio::time::sleep(Duration::from_micros(env.heartbeat_interval)).await;
     }
 }
 
-async fn heartbeat_connection(
-    address: String,
-    own: transport::Handshake,
-    every: std::time::Duration,
-) {
+async fn heartbeat_connection(address: String, own: transport::Handshake, every: Duration) {
     if let Ok(conn) = transport::dial(&address, own).await {
         while conn.sender.try_send(transport::Frame::Heartbeat).is_ok() {
             tokio::time::sleep(every).await;
--- a/crates/control/src/peer_link.rs
+++ b/crates/control/src/peer_link.rs
@@ -1,8 +1,10 @@
 //! Channels between core seats: the lower seat dials, both bind the other's disk (design 4.1, 4.2).
 
 use crate::replica::{Command, ReplicaHandle};
+use std::sync::atomic::AtomicU64;
+use std::time::Duration;
 
-static NEXT_CONNECTION_TOKEN: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(1);
+static NEXT_CONNECTION_TOKEN: AtomicU64 = AtomicU64::new(1);
 
 pub(crate) fn start(core: &ReplicaHandle) {
     (core.config.replica_id + 1..core.config.replica_count).for_each(|seat| {
@@ -74,7 +76,7 @@
             }
         }
         let pause = 100 + rand::random::<u64>() % 100;
-        crate::discovery::changed_within(&mut heard, std::time::Duration::from_millis(pause)).await;
+        crate::discovery::changed_within(&mut heard, Duration::from_millis(pause)).await;
     }
 }
 
@@ -199,7 +201,7 @@
     }
     drop(conn.sender);
     // Mates beat far more often than this: silence so long is a dead channel.
-    let patience = std::time::Duration::from_secs(3);
+    let patience = Duration::from_secs(3);
     while let Ok(Some(frame)) = tokio::time::timeout(patience, conn.receiver.recv()).await {
         let command = match frame {
             transport::Frame::Consensus(frame) => Command::PeerFrame(seat, token, frame),
--- a/crates/control/src/publisher.rs
+++ b/crates/control/src/publisher.rs
@@ -1,5 +1,8 @@
 //! The bill at a core seat, and its followers: each hears what changed since what it holds (design 11.3).
 
+use std::collections::BTreeMap;
+use std::collections::VecDeque;
+
 /// What followers that were away a moment can still be told as changes.
 const MAX_HISTORY_UPDATES: usize = 512;
 const MAX_HISTORY_BYTES: usize = 1_048_576;
@@ -21,12 +24,12 @@
     pub cluster_state: model::ClusterState,
     /// Applied and not yet told: from where, and what changed.
     unpublished: (model::Position, Vec<model::cluster_state::Delta>),
-    history: std::collections::VecDeque<EncodedUpdate>,
+    history: VecDeque<EncodedUpdate>,
     followers: Vec<Follower>,
     /// All that stood at a position, as it was last told; what came since follows from the history.
     snapshot: Option<(model::Position, Vec<u8>)>,
     /// By the round that proves them, and those that wait for the next one.
-    proof_rounds: std::collections::BTreeMap<u64, Vec<(u64, transport::FrameSender)>>,
+    proof_rounds: BTreeMap<u64, Vec<(u64, transport::FrameSender)>>,
     waiting_requests: Vec<(u64, transport::FrameSender)>,
     /// When the latest round set out.
     last_round_at: model::Microseconds,
--- a/crates/control/src/relay.rs
+++ b/crates/control/src/relay.rs
@@ -1,14 +1,18 @@
 //! What a home tells the nodes of its zone: its own news, and proofs no older than their asking (design 5.9).
 
+use std::collections::VecDeque;
+use std::sync::Arc;
+use std::sync::atomic::AtomicBool;
+
 #[derive(Clone)]
 pub struct Relay {
     pub view: crate::view::SharedView,
     /// When the latest proof from the core was asked; moves with every proof.
     pub verified_at: tokio::sync::watch::Receiver<model::Microseconds>,
     /// Asks the core now instead of at the next turn.
-    pub proof_wanted: std::sync::Arc<tokio::sync::Notify>,
+    pub proof_wanted: Arc<tokio::sync::Notify>,
     /// Only a node that hears the core itself may be a home: no chains, no rings.
-    pub follows_core_directly: std::sync::Arc<std::sync::atomic::AtomicBool>,
+    pub follows_core_directly: Arc<AtomicBool>,
 }
 
 impl Relay {
@@ -21,7 +25,7 @@
     ) {
         let mut proved = self.verified_at.clone();
         let mut last: Option<model::StateSlice> = None;
-        let mut asks: std::collections::VecDeque<(u64, model::Microseconds)> = Default::default();
+        let mut asks: VecDeque<(u64, model::Microseconds)> = Default::default();
         loop {
             // In this order: the view is stored before the proof that speaks of it.
             let asked = *proved.borrow_and_update();
--- a/crates/control/src/replacement.rs
+++ b/crates/control/src/replacement.rs
@@ -2,6 +2,7 @@
 
 use crate::event_loop::ReplicaEventLoop;
 use crate::replica::Command;
+use std::sync::Arc;
 
 /// Between two pushes of the log towards the instance where a seat changes hands.
 const HANDOVER_PUSH_INTERVAL: model::Microseconds = 100_000;
@@ -14,7 +15,7 @@
         self.status.pinned_peers = self.pinned_disks.len();
         self.handle
             .pinned_disks
-            .store(std::sync::Arc::new(self.pinned_disks.clone()));
+            .store(Arc::new(self.pinned_disks.clone()));
         self.start_voting_when_peers_are_known();
     }
 
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -1,5 +1,11 @@
 //! A core seat as the rest of the process sees it (design 4).
 
+use std::path::PathBuf;
+use std::sync::Arc;
+use std::sync::atomic::AtomicU64;
+use std::sync::mpsc::Sender;
+use std::time::Duration;
+
 pub struct ReplicaConfig {
     pub name: String,
     pub zone: String,
@@ -8,7 +14,7 @@
     /// Where mates reach this process.
     pub address: String,
     pub seeds: Vec<String>,
-    pub folder: std::path::PathBuf,
+    pub folder: PathBuf,
     pub timing: mencius::Config,
     pub snapshot_every_entries: u64,
     /// How long a seat's holder must be away before an empty disk that asks for the seat gets it; 0 is never.
@@ -73,27 +79,27 @@
 #[derive(Clone)]
 pub struct ReplicaHandle {
     pub(crate) commands: tokio::sync::mpsc::Sender<Command>,
-    pub(crate) store_commands: std::sync::mpsc::Sender<storage::StoreCommand>,
-    pub state_machine: std::sync::Arc<arc_swap::ArcSwap<model::StateMachine>>,
+    pub(crate) store_commands: Sender<storage::StoreCommand>,
+    pub state_machine: Arc<arc_swap::ArcSwap<model::StateMachine>>,
     pub position: tokio::sync::watch::Receiver<model::Position>,
-    pub status: std::sync::Arc<arc_swap::ArcSwap<ReplicaStatus>>,
+    pub status: Arc<arc_swap::ArcSwap<ReplicaStatus>>,
     pub known_replicas: crate::KnownReplicas,
-    pub(crate) config: std::sync::Arc<ReplicaConfig>,
+    pub(crate) config: Arc<ReplicaConfig>,
     pub(crate) disk_id: u64,
     /// Which disk holds each other seat.
-    pub pinned_disks: std::sync::Arc<arc_swap::ArcSwap<storage::PinnedDisks>>,
+    pub pinned_disks: Arc<arc_swap::ArcSwap<storage::PinnedDisks>>,
     /// This disk had kept nothing when the process began.
     pub(crate) started_blank: bool,
     /// Tells this process's entries from those of an earlier one.
     pub(crate) incarnation: model::Incarnation,
     pub(crate) start_count: u64,
-    pub(crate) next_sequence: std::sync::Arc<std::sync::atomic::AtomicU64>,
+    pub(crate) next_sequence: Arc<AtomicU64>,
     pub(crate) logger: slog::Logger,
 }
 
 const COMMAND_QUEUE_CAPACITY: usize = 4_096;
 /// A majority that has not answered by then is not there: the truth about a change is then unknown.
-pub const MAJORITY_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(4_000);
+pub const MAJORITY_TIMEOUT: Duration = Duration::from_millis(4_000);
 
 impl ReplicaHandle {
     pub fn start(
@@ -124,12 +130,12 @@
             known_replicas: crate::discovery::empty(),
             disk_id: identity,
             started_blank: writes.is_empty(),
-            pinned_disks: std::sync::Arc::new(arc_swap::ArcSwap::from_pointee(pins.clone())),
+            pinned_disks: Arc::new(arc_swap::ArcSwap::from_pointee(pins.clone())),
             incarnation: model::incarnation::draw(),
             start_count: shelf.start_count,
             next_sequence: Default::default(),
             logger,
-            config: std::sync::Arc::new(env),
+            config: Arc::new(env),
         };
         let (synced, disk) = (commands.clone(), commands.clone());
         storage::spawn_writer(
@@ -272,7 +278,7 @@
 }
 
 async fn send_ticks(commands: tokio::sync::mpsc::Sender<Command>) {
-    let mut every = tokio::time::interval(std::time::Duration::from_millis(10));
+    let mut every = tokio::time::interval(Duration::from_millis(10));
     every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         every.tick().await;
--- a/crates/control/src/retirement.rs
+++ b/crates/control/src/retirement.rs
@@ -1,10 +1,13 @@
 //! A core machine that comes back to find its seat another disk's: it asks the seats it knows, lets its disk go, and is an
 //! empty machine from then on, which takes the next vacant seat (design 12.3).
 
+use std::collections::BTreeMap;
+use std::time::Duration;
+
 /// Between two rounds of asking.
-const ROUND_INTERVAL: std::time::Duration = std::time::Duration::from_secs(1);
+const ROUND_INTERVAL: Duration = Duration::from_secs(1);
 /// A seat that has not answered by then is not counted.
-const ANSWER_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(1);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// What the other seats say of this disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -45,7 +48,7 @@
 
 async fn ask_peers(core: &crate::ReplicaHandle) -> PeerAnswers {
     let (own, _) = core.identity();
-    let mut heard = std::collections::BTreeMap::new();
+    let mut heard = BTreeMap::new();
     for place in crate::discovery::list(&core.known_replicas)
         .into_iter()
         .filter(|place| place.replica_id != own)
--- a/crates/control/src/ring.rs
+++ b/crates/control/src/ring.rs
@@ -1,11 +1,14 @@
 //! Who beats to whom, and who is missed (design 5.10). Pure, with the time told to it.
 
 use model::{Incarnation, Microseconds, NodeName, endpoint_status::EndpointReport};
+use std::collections::BTreeMap;
+use std::collections::BTreeSet;
+use std::sync::Arc;
 
 /// Each node beats to the next few on the ring of present nodes.
 pub const MONITORS_PER_NODE: usize = 3;
 
-type Nodes = std::collections::BTreeMap<NodeName, model::Node>;
+type Nodes = BTreeMap<NodeName, model::Node>;
 
 fn ring_order(nodes: &Nodes) -> Vec<&NodeName> {
     let mut ring: Vec<&NodeName> = nodes
@@ -55,11 +58,11 @@
 /// Where one node stands on the ring: what follows from the places, made anew only when these are others.
 #[derive(Default)]
 pub struct RingPosition {
-    places: Option<std::sync::Arc<model::cluster_state::endpoints::NodeRecords>>,
+    places: Option<Arc<model::cluster_state::endpoints::NodeRecords>>,
     /// Addresses of those it beats to.
-    pub monitor_addresses: std::collections::BTreeSet<String>,
+    pub monitor_addresses: BTreeSet<String>,
     /// Those that beat to it.
-    pub monitored_peers: std::collections::BTreeSet<MonitoredPeer>,
+    pub monitored_peers: BTreeSet<MonitoredPeer>,
     /// How often the ring was made.
     pub rebuild_count: u64,
 }
@@ -67,13 +70,13 @@
 impl RingPosition {
     pub fn update(
         &mut self,
-        places: &std::sync::Arc<model::cluster_state::endpoints::NodeRecords>,
+        places: &Arc<model::cluster_state::endpoints::NodeRecords>,
         name: &str,
     ) {
         if self
             .places
             .as_ref()
-            .is_some_and(|held| std::sync::Arc::ptr_eq(held, places))
+            .is_some_and(|held| Arc::ptr_eq(held, places))
         {
             return;
         }
@@ -99,7 +102,7 @@
 #[derive(Default)]
 pub struct FailureDetector {
     /// Ward and life to when it was last heard, and whether it was reported missing.
-    peers: std::collections::BTreeMap<(NodeName, Incarnation), (Microseconds, bool)>,
+    peers: BTreeMap<(NodeName, Incarnation), (Microseconds, bool)>,
     last_tick: Microseconds,
 }
 
@@ -128,7 +131,7 @@
     pub fn check(
         &mut self,
         now: Microseconds,
-        wards: &std::collections::BTreeSet<MonitoredPeer>,
+        wards: &BTreeSet<MonitoredPeer>,
         name: &str,
         patience: Microseconds,
     ) -> Vec<EndpointReport> {
--- a/crates/control/src/status_reports.rs
+++ b/crates/control/src/status_reports.rs
@@ -1,5 +1,7 @@
 //! Reports on their way to the log, one at a time, through whichever core seat answers (design 5.8).
 
+use std::time::Duration;
+
 pub struct StatusReporterConfig {
     pub node: String,
     pub incarnation: model::Incarnation,
@@ -16,9 +18,9 @@
 pub struct StatusReporter(tokio::sync::mpsc::Sender<PendingReport>);
 
 /// A seat that has not answered by then may be cut off; the same entry then goes to another.
-const ANSWER_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(700);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
 /// A conn nothing was said on for so long is let go.
-const IDLE_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(5);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl StatusReporter {
     pub fn start(
@@ -94,7 +96,7 @@
             }
             conn = connect_next(&known, &mut turn, greeting()).await;
             if conn.is_none() {
-                tokio::time::sleep(std::time::Duration::from_millis(50)).await;
+                tokio::time::sleep(Duration::from_millis(50)).await;
             }
         };
         slog::info!(env.logger, "reported"; "sequence" => sequence, "outcome" => ?outcome);
--- a/crates/control/src/stream.rs
+++ b/crates/control/src/stream.rs
@@ -1,5 +1,7 @@
 //! What a core seat says to subscribers: slices, proofs, answers to forwarded entries (design 5.2, 6.2).
 
+use std::time::Duration;
+
 /// What a subscriber that was last told `last` has to be told: nothing, a patch, or all.
 pub(crate) fn update_frame(
     last: &mut Option<model::StateSlice>,
@@ -59,7 +61,7 @@
             );
             // The caller ends the conn once it has heard.
             let mut heard = conn.receiver;
-            drop(tokio::time::timeout(std::time::Duration::from_secs(2), heard.recv()).await);
+            drop(tokio::time::timeout(Duration::from_secs(2), heard.recv()).await);
         }
         Ok(conn) => serve_subscriber(core, conn).await,
         Err(trouble) => slog::debug!(core.logger, "a caller was not taken"; "trouble" => %trouble),
--- a/crates/control/src/subscriber.rs
+++ b/crates/control/src/subscriber.rs
@@ -1,5 +1,10 @@
 //! A node's side: one conn upstream, to its home or to a core seat, for news and proofs (design 5.9, 6.1).
 
+use std::collections::VecDeque;
+use std::sync::Arc;
+use std::sync::atomic::AtomicBool;
+use std::time::Duration;
+
 pub struct SubscriptionConfig {
     pub node: String,
     pub zone: String,
@@ -24,9 +29,9 @@
     position: tokio::sync::watch::Sender<model::Position>,
     verified_at: tokio::sync::watch::Sender<model::Microseconds>,
     services: tokio::sync::watch::Receiver<model::state_slice::ServiceSet>,
-    proof_wanted: std::sync::Arc<tokio::sync::Notify>,
-    follows_core_directly: std::sync::Arc<std::sync::atomic::AtomicBool>,
-    pending_requests: std::collections::VecDeque<(u64, model::Microseconds)>,
+    proof_wanted: Arc<tokio::sync::Notify>,
+    follows_core_directly: Arc<AtomicBool>,
+    pending_requests: VecDeque<(u64, model::Microseconds)>,
     last_request: u64,
     /// The view rests on what the present conn has told.
     has_base: bool,
@@ -112,10 +117,7 @@
             if home.is_some() && home == self.zone_relay() {
                 self.avoided_relay = home.map(|home| (home, model::now() + RELAY_RETRY_AFTER));
             }
-            tokio::time::sleep(std::time::Duration::from_millis(
-                20 + rand::random::<u64>() % 30,
-            ))
-            .await;
+            tokio::time::sleep(Duration::from_millis(20 + rand::random::<u64>() % 30)).await;
         }
     }
 
@@ -141,8 +143,7 @@
         let mut fine = self.subscribe(&conn.sender).await;
         let mut proved = began;
         let hurry = self.proof_wanted.clone();
-        let mut every =
-            tokio::time::interval(std::time::Duration::from_micros(self.config.proof_interval));
+        let mut every = tokio::time::interval(Duration::from_micros(self.config.proof_interval));
         every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         while fine {
             fine = tokio::select! {
@@ -161,7 +162,7 @@
                     self.request_proof(&conn.sender) && trusted && settled
                 }
                 _ = hurry.notified() => {
-                    tokio::time::sleep(std::time::Duration::from_micros(PROOF_BATCH_WINDOW)).await;
+                    tokio::time::sleep(Duration::from_micros(PROOF_BATCH_WINDOW)).await;
                     self.request_proof(&conn.sender)
                 }
                 changed = self.services.changed() => changed.is_ok() && home.is_none() && self.subscribe(&conn.sender).await,
@@ -194,7 +195,7 @@
         match self.view.load().with_update(slice) {
             Some(view) => {
                 let position = view.slice.position;
-                self.view.store(std::sync::Arc::new(view));
+                self.view.store(Arc::new(view));
                 self.position.send_replace(position);
             }
             // What this conn tells is not what is held: nothing more of it fits.
@@ -227,7 +228,7 @@
                         .with_proof(asked, position, self.config.freshness_bound)
                 });
                 if let Some(view) = next {
-                    self.view.store(std::sync::Arc::new(view));
+                    self.view.store(Arc::new(view));
                     self.position.send_modify(|_| {});
                     self.verified_at.send_replace(asked.unwrap_or(0));
                     *proved = model::now();
--- a/crates/control/src/verification.rs
+++ b/crates/control/src/verification.rs
@@ -2,14 +2,16 @@
 //! time told to it.
 
 use model::Microseconds;
+use std::collections::VecDeque;
+use std::sync::Arc;
 
 #[derive(Default)]
 pub struct StateFollower {
-    received: std::sync::Arc<model::cluster_state::StateSnapshot>,
+    received: Arc<model::cluster_state::StateSnapshot>,
     /// When the latest proof was asked; 0 before the first.
     verified_at: Microseconds,
     /// On the conn of now: number, and when it was asked.
-    pending_requests: std::collections::VecDeque<(u64, Microseconds)>,
+    pending_requests: VecDeque<(u64, Microseconds)>,
     last_request: u64,
 }
 
@@ -59,7 +61,7 @@
                 else {
                     return UpdateOutcome::Inconsistent;
                 };
-                self.received = std::sync::Arc::new(self.received.updated(afresh, to, deltas));
+                self.received = Arc::new(self.received.updated(afresh, to, deltas));
                 UpdateOutcome::Updated
             }
             transport::Frame::Proof { number, position } => {
@@ -81,7 +83,7 @@
     }
 
     /// Believed or not.
-    pub fn received(&self) -> &std::sync::Arc<model::cluster_state::StateSnapshot> {
+    pub fn received(&self) -> &Arc<model::cluster_state::StateSnapshot> {
         &self.received
     }
 
--- a/crates/control/src/view.rs
+++ b/crates/control/src/view.rs
@@ -1,13 +1,15 @@
 //! What a node believes, and until when it may act on it (design 6.1).
 
+use std::sync::Arc;
+
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    pub slice: std::sync::Arc<model::StateSlice>,
+    pub slice: Arc<model::StateSlice>,
     /// Proof holds until then, on the clock that counts suspend.
     pub fresh_until: model::Microseconds,
 }
 
-pub type SharedView = std::sync::Arc<arc_swap::ArcSwap<View>>;
+pub type SharedView = Arc<arc_swap::ArcSwap<View>>;
 
 impl View {
     pub fn is_fresh(&self, now: model::Microseconds) -> bool {
@@ -18,7 +20,7 @@
     pub fn with_update(&self, slice: model::StateSlice) -> Option<View> {
         let older = slice.position < self.slice.position;
         (!older).then(|| View {
-            slice: std::sync::Arc::new(slice),
+            slice: Arc::new(slice),
             fresh_until: self.fresh_until,
         })
     }
@@ -34,7 +36,7 @@
         let fresh_until = self.fresh_until.max(asked + bound);
         // News would have come before the proof: what is held here is what stands at `position`.
         let slice = match position > self.slice.position {
-            true => std::sync::Arc::new(model::StateSlice {
+            true => Arc::new(model::StateSlice {
                 position,
                 ..(*self.slice).clone()
             }),
--- a/crates/control/tests/recorded_bulletins.rs
+++ b/crates/control/tests/recorded_bulletins.rs
@@ -4,7 +4,7 @@
 use control::publisher::UpdatePublisher;
 use control::verification::StateFollower;
 use model::cluster_state::items::ItemPut;
-use model::cluster_state::{ClusterOperation, ItemBody, ItemCall, Limits, Service, StateSnapshot};
+use model::cluster_state::{ItemBody, ItemCall, Limits, Service, StateSnapshot};
 use recorded::RecordedBytes;
 use tokio::sync::mpsc;
 use transport::Frame;
--- a/crates/control/tests/seats/founding.rs
+++ b/crates/control/tests/seats/founding.rs
@@ -1,6 +1,8 @@
 //! Core machines come to their seats: by the founding, once, or in place of one that is gone (design 12.1).
 
 use crate::machines::{Machine, enlists, greets, soon, told, until};
+use std::collections::BTreeSet;
+use std::path::PathBuf;
 
 const NEVER: u64 = 3_600_000_000;
 
@@ -78,7 +80,7 @@
     for start in starts.collect::<Vec<_>>() {
         seated.push(start.await.expect("a seat"));
     }
-    let seats: std::collections::BTreeSet<u16> = seated
+    let seats: BTreeSet<u16> = seated
         .iter()
         .map(|(charter, _)| charter.replica_id)
         .collect();
@@ -143,7 +145,7 @@
     Vec<control::ReplicaHandle>,
     Vec<String>,
     (u16, u64),
-    Vec<std::path::PathBuf>,
+    Vec<PathBuf>,
 ) {
     let machines = Machine::all(test, 4).await;
     let (seeds, folders) = (
@@ -409,7 +411,7 @@
 }
 
 /// Once the process that had the disk has let it go.
-async fn reopened(folder: std::path::PathBuf) -> (storage::ReplicaStore, Vec<mencius::Write>) {
+async fn reopened(folder: PathBuf) -> (storage::ReplicaStore, Vec<mencius::Write>) {
     loop {
         if let Ok(opened) = storage::ReplicaStore::open(&folder) {
             return opened;
--- a/crates/control/tests/seats/machines.rs
+++ b/crates/control/tests/seats/machines.rs
@@ -1,7 +1,10 @@
 //! Core machines in one process, over loopback: a folder, a listener and an address each.
 
+use std::path::PathBuf;
+use std::time::Duration;
+
 pub struct Machine {
-    pub folder: std::path::PathBuf,
+    pub folder: PathBuf,
     pub address: String,
     pub listener: tokio::net::TcpListener,
 }
@@ -9,7 +12,7 @@
 pub type Seated = (storage::MembershipRecord, control::ReplicaHandle);
 
 /// Only a broken run meets it.
-const BOUND: std::time::Duration = std::time::Duration::from_secs(60);
+const BOUND: Duration = Duration::from_secs(60);
 
 /// Awaits what comes soon unless something is broken, and says what did not come.
 pub async fn soon<T>(what: &str, work: impl Future<Output = T>) -> T {
--- a/crates/endpoints/src/algorithm.rs
+++ b/crates/endpoints/src/algorithm.rs
@@ -3,6 +3,7 @@
 
 use model::BackendName;
 use model::cluster_state::{ShardKey, ShardMap};
+use std::collections::HashMap;
 
 /// A back end and how much it can do, in any unit.
 pub type BackendCapacity = (BackendName, f64);
@@ -58,7 +59,7 @@
         KEY_COUNT / BASELINE_SHARE
     };
     let spread = |from: u32, to: u32| whole * BASELINE_SHARE * (to - from + 1) as f64 / KEY_COUNT;
-    let places: std::collections::HashMap<&str, usize> = parts
+    let places: HashMap<&str, usize> = parts
         .iter()
         .enumerate()
         .map(|(at, (name, _))| (name.as_str(), at))
--- a/crates/endpoints/src/heartbeat.rs
+++ b/crates/endpoints/src/heartbeat.rs
@@ -4,9 +4,10 @@
 use crate::leases::LeaseGrant;
 use model::cluster_state::{ClusterReport, ShardKey};
 use model::{Microseconds, Position};
+use std::time::Duration;
 
 /// An answer is kept back so long at most: whoever beats waits a second for it.
-const MAX_ANSWER_DELAY: std::time::Duration = std::time::Duration::from_millis(650);
+const MAX_ANSWER_DELAY: Duration = Duration::from_millis(650);
 
 impl LeaseTableTask {
     pub(crate) fn receive_heartbeat(&mut self, beat: Heartbeat, answer: AnswerSender) {
--- a/crates/endpoints/src/lease_table.rs
+++ b/crates/endpoints/src/lease_table.rs
@@ -3,6 +3,9 @@
 use crate::leases::{LeaseConfig, LeaseGranter};
 use model::cluster_state::{BackendRecord, ClusterReport, ShardKey};
 use model::{Microseconds, Position};
+use std::collections::BTreeMap;
+use std::collections::BTreeSet;
+use std::time::Duration;
 
 #[derive(Clone)]
 pub struct LeaseTableConfig {
@@ -76,9 +79,9 @@
     pub(crate) lease_granter: LeaseGranter,
     pub(crate) backend: Option<LocalBackend>,
     /// Ends still to be told, and whether each is sure.
-    pub(crate) pending_ends: std::collections::BTreeMap<String, bool>,
+    pub(crate) pending_ends: BTreeMap<String, bool>,
     /// Names this process tells the end of: a late beat brings none back.
-    pub(crate) ended_names: std::collections::BTreeSet<String>,
+    pub(crate) ended_names: BTreeSet<String>,
     pub(crate) pending_reports: Vec<ClusterReport>,
     /// When this process began.
     pub(crate) started_at: Microseconds,
@@ -170,7 +173,7 @@
     commands: tokio::sync::mpsc::Sender<Command>,
     mut moved: tokio::sync::watch::Receiver<u64>,
 ) {
-    let mut every = tokio::time::interval(std::time::Duration::from_millis(250));
+    let mut every = tokio::time::interval(Duration::from_millis(250));
     every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         let command = tokio::select! {
--- a/crates/endpoints/src/leases.rs
+++ b/crates/endpoints/src/leases.rs
@@ -3,6 +3,7 @@
 
 use model::cluster_state::{ShardKey, ShardMap};
 use model::{Microseconds, Position};
+use std::collections::BTreeMap;
 
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseConfig {
@@ -27,7 +28,7 @@
 pub struct LeaseGranter {
     config: LeaseConfig,
     /// When this node first saw the rows of a fence: whoever lost them may have been granted until a bound later.
-    first_seen: std::collections::BTreeMap<Position, Microseconds>,
+    first_seen: BTreeMap<Position, Microseconds>,
 }
 
 /// A back end's clock may run two in a hundred slow; one more for ours.
--- a/crates/endpoints/src/monitor.rs
+++ b/crates/endpoints/src/monitor.rs
@@ -1,6 +1,9 @@
 //! Beats to this node's watchers on the ring of nodes, and the watch over its wards (design 5.10).
 
 use model::cluster_state::ClusterReport;
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use std::time::Duration;
 
 pub struct MonitorConfig {
     pub node: String,
@@ -13,7 +16,7 @@
     env: MonitorConfig,
     outlook: control::SharedVerifiedState,
     reports: control::StatusReporter,
-    greet: std::sync::Arc<dyn Fn(transport::Purpose) -> transport::Handshake + Send + Sync>,
+    greet: Arc<dyn Fn(transport::Purpose) -> transport::Handshake + Send + Sync>,
 ) -> outbound::HeartbeatSender {
     let (heard, mut hears) = tokio::sync::mpsc::channel::<(String, u64)>(1_024);
     tokio::spawn(async move {
@@ -21,12 +24,9 @@
             control::ring::FailureDetector::default(),
             control::ring::RingPosition::default(),
         );
-        let mut lines: std::collections::BTreeMap<
-            String,
-            tokio::sync::mpsc::Sender<transport::Frame>,
-        > = Default::default();
-        let mut every =
-            tokio::time::interval(std::time::Duration::from_micros(env.heartbeat_interval));
+        let mut lines: BTreeMap<String, tokio::sync::mpsc::Sender<transport::Frame>> =
+            Default::default();
+        let mut every = tokio::time::interval(Duration::from_micros(env.heartbeat_interval));
         every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
@@ -49,7 +49,7 @@
                     let registered = outlook.snapshot.nodes.get(&env.node).is_some_and(|place| place.incarnation == env.incarnation);
                     let missed = if proved && registered { watch.check(model::now(), &stand.monitored_peers, &env.node, env.detection_timeout) } else { Vec::new() };
                     let told: Vec<ClusterReport> = missed.into_iter().filter_map(|report| match report {
-                        model::endpoint_status::EndpointReport::NodeObserved { observer, node, incarnation, missed } => Some(ClusterReport::NodeObserved { observer, node, incarnation: incarnation, missed }),
+                        model::endpoint_status::EndpointReport::NodeObserved { observer, node, incarnation, missed } => Some(ClusterReport::NodeObserved { observer, node, incarnation, missed }),
                         _ => None,
                     }).collect();
                     if !told.is_empty() {
--- a/crates/endpoints/src/node.rs
+++ b/crates/endpoints/src/node.rs
@@ -1,5 +1,9 @@
 //! Puts the parts of a node together, and takes them down in order (design 13.7).
 
+use std::sync::Arc;
+use std::sync::atomic::AtomicBool;
+use std::time::Duration;
+
 #[derive(Clone)]
 pub struct NodeConfig {
     pub lease_table: crate::LeaseTableConfig,
@@ -22,7 +26,7 @@
     limiter: inbound::ConcurrencyLimiter,
     in_flight: outbound::InFlightRequests,
     /// Told from outside that it is to go: no longer ready, though it serves on for a while.
-    draining: std::sync::atomic::AtomicBool,
+    draining: AtomicBool,
     shutdown: tokio::sync::watch::Sender<bool>,
 }
 
@@ -160,7 +164,7 @@
 
     /// Not ready from now on, but serves as before for the notice: until whoever sends requests here has asked and heard it.
     /// Then takes nothing new, and returns once all that was taken has its answer, or patience is over (design 13.7).
-    pub async fn shut_down(&self, notice: std::time::Duration, patience: std::time::Duration) {
+    pub async fn shut_down(&self, notice: Duration, patience: Duration) {
         self.draining
             .store(true, std::sync::atomic::Ordering::Relaxed);
         tokio::time::sleep(notice).await;
@@ -170,10 +174,10 @@
         let ended = async {
             self.in_flight.drained().await;
             while self.limiter.load().await.0 > 0 {
-                tokio::time::sleep(std::time::Duration::from_millis(10)).await;
+                tokio::time::sleep(Duration::from_millis(10)).await;
             }
             // Answers that were given are still on their way out of this process.
-            tokio::time::sleep(std::time::Duration::from_millis(60)).await;
+            tokio::time::sleep(Duration::from_millis(60)).await;
         };
         drop(tokio::time::timeout(patience, ended).await);
     }
@@ -182,9 +186,9 @@
 fn handshake_factory(
     env: &NodeConfig,
     known: control::KnownReplicas,
-) -> std::sync::Arc<dyn Fn(transport::Purpose) -> transport::Handshake + Send + Sync> {
+) -> Arc<dyn Fn(transport::Purpose) -> transport::Handshake + Send + Sync> {
     let own = env.lease_table.clone();
-    std::sync::Arc::new(move |purpose| transport::Handshake {
+    Arc::new(move |purpose| transport::Handshake {
         purpose,
         node_name: own.node.clone(),
         zone: own.zone.clone(),
--- a/crates/endpoints/src/placement.rs
+++ b/crates/endpoints/src/placement.rs
@@ -1,6 +1,10 @@
 //! The duty of placing a service's keys: one node beside it does it, the next in order when that one does not
 //! (design 11.4). What it puts in the log counts only on top of the placement it saw, so two do no harm.
 
+use std::collections::BTreeMap;
+use std::collections::HashSet;
+use std::time::Duration;
+
 #[cfg(test)]
 mod outlier_simulation;
 mod outliers;
@@ -54,11 +58,11 @@
 }
 
 /// Latest word of each back end.
-type LoadReports = std::collections::BTreeMap<BackendName, (Microseconds, transport::LoadReport)>;
+type LoadReports = BTreeMap<BackendName, (Microseconds, transport::LoadReport)>;
 
 impl PlacementCoordinator {
     pub async fn run(mut self) {
-        let mut every = tokio::time::interval(std::time::Duration::from_millis(100));
+        let mut every = tokio::time::interval(Duration::from_millis(100));
         every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let mut since: (Vec<BackendName>, Microseconds) = Default::default();
         let mut told = LoadReports::new();
@@ -140,7 +144,7 @@
         let here = async {
             while outlook.load().snapshot.position < position && moved.changed().await.is_ok() {}
         };
-        drop(tokio::time::timeout(std::time::Duration::from_secs(1), here).await);
+        drop(tokio::time::timeout(Duration::from_secs(1), here).await);
     }
 
     /// What the back end beside this node is asked for, told to whoever has the duty.
@@ -221,9 +225,8 @@
         .get(service)
         .map(|held| &**held)
         .unwrap_or(&empty);
-    let names: std::collections::HashSet<&str> = cast.iter().map(|one| one.name.as_str()).collect();
-    let holders: std::collections::HashSet<Option<&str>> =
-        rows.iter().map(|row| row.holder.as_deref()).collect();
+    let names: HashSet<&str> = cast.iter().map(|one| one.name.as_str()).collect();
+    let holders: HashSet<Option<&str>> = rows.iter().map(|row| row.holder.as_deref()).collect();
     let orphaned = holders
         .iter()
         .any(|holder| holder.is_none_or(|holder| !names.contains(holder)));
--- a/crates/endpoints/src/placement/outlier_simulation.rs
+++ b/crates/endpoints/src/placement/outlier_simulation.rs
@@ -4,6 +4,7 @@
 use super::*;
 use model::cluster_state::{BackendRecord, ClusterOperation, Service};
 use rand::Rng as _;
+use std::collections::BTreeMap;
 
 const BACKENDS: usize = 24;
 const SLOTS: u32 = 9;
@@ -149,7 +150,7 @@
         was_unhealthy: false,
     };
     let mut players: Vec<SimulatedBackend> = (0..BACKENDS).map(|_| player()).collect();
-    let mut ends: std::collections::BTreeMap<(Microseconds, u64), Completion> = Default::default();
+    let mut ends: BTreeMap<(Microseconds, u64), Completion> = Default::default();
     let mut ills = OutlierDetector::default();
     let (mut told, mut seen, mut releases, mut placed, mut begun, mut due) = (
         LoadReports::new(),
--- a/crates/endpoints/src/placement/outliers.rs
+++ b/crates/endpoints/src/placement/outliers.rs
@@ -1,10 +1,11 @@
 //! Whose illness is its own: those told ill for a while, where it was not many at a time (design 13.8). Pure.
 
 use model::{BackendName, Microseconds};
+use std::collections::BTreeMap;
 
 #[derive(Default)]
 pub struct OutlierDetector {
-    since: std::collections::BTreeMap<BackendName, Microseconds>,
+    since: BTreeMap<BackendName, Microseconds>,
     /// Many were ill at one time, so what they share is; until then.
     common_cause_until: Microseconds,
 }
--- a/crates/endpoints/src/reports.rs
+++ b/crates/endpoints/src/reports.rs
@@ -4,9 +4,11 @@
 use crate::registration::RegistrationStatus;
 use model::Outcome;
 use model::cluster_state::ClusterReport;
+use std::io::ErrorKind;
+use std::time::Duration;
 
 /// Between a report that changed nothing or was not taken and the next one.
-const REPORT_RETRY_DELAY: std::time::Duration = std::time::Duration::from_millis(200);
+const REPORT_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Beats that may be missed before the back end is taken for silent.
 pub(crate) const MAX_MISSED_HEARTBEATS: u64 = 3;
@@ -154,10 +156,10 @@
             if let Some(position) = outcome.as_ref().and_then(log_position) {
                 let here = async {
                     while outlook.load().snapshot.position < position {
-                        tokio::time::sleep(std::time::Duration::from_millis(5)).await;
+                        tokio::time::sleep(Duration::from_millis(5)).await;
                     }
                 };
-                drop(tokio::time::timeout(std::time::Duration::from_millis(500), here).await);
+                drop(tokio::time::timeout(Duration::from_millis(500), here).await);
             }
             if !matches!(outcome, Some(Outcome::Accepted { .. })) {
                 tokio::time::sleep(REPORT_RETRY_DELAY).await;
@@ -267,13 +269,13 @@
             let mut refused = 0;
             for _ in 0..2 {
                 let conn = tokio::time::timeout(
-                    std::time::Duration::from_millis(300),
+                    Duration::from_millis(300),
                     tokio::net::TcpStream::connect(&address),
                 )
                 .await;
-                refused += matches!(conn, Ok(Err(error)) if error.kind() == std::io::ErrorKind::ConnectionRefused)
+                refused += matches!(conn, Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused)
                     as u8;
-                tokio::time::sleep(std::time::Duration::from_millis(100)).await;
+                tokio::time::sleep(Duration::from_millis(100)).await;
             }
             drop(commands.send(Command::Probed(name, refused == 2)).await);
         });
--- a/crates/endpoints/tests/leaving.rs
+++ b/crates/endpoints/tests/leaving.rs
@@ -1,10 +1,12 @@
 //! A node that is told to go (design 13.7).
 
 use model::cluster_state::{Delta, ItemBody, ItemKind, Route, StateSnapshot};
+use std::sync::Arc;
+use std::time::Duration;
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 
-const BOUND: std::time::Duration = std::time::Duration::from_secs(30);
-const DAY: std::time::Duration = std::time::Duration::from_secs(86_400);
+const BOUND: Duration = Duration::from_secs(30);
+const DAY: Duration = Duration::from_secs(86_400);
 
 async fn node() -> (endpoints::Node, String) {
     let keys = endpoints::LeaseConfig {
@@ -69,8 +71,8 @@
     );
     node.follower
         .verified_state
-        .store(std::sync::Arc::new(control::VerifiedState {
-            snapshot: std::sync::Arc::new(programme),
+        .store(Arc::new(control::VerifiedState {
+            snapshot: Arc::new(programme),
             verified_at: 1,
         }));
     let senders = bind().await;
@@ -118,7 +120,7 @@
         first.contains("404") && second.contains("404"),
         "{first:?} {second:?}"
     );
-    tokio::time::timeout(BOUND, node.shut_down(std::time::Duration::ZERO, BOUND))
+    tokio::time::timeout(BOUND, node.shut_down(Duration::ZERO, BOUND))
         .await
         .expect("nothing is under way");
     assert!(ask(&address).await.is_err(), "nobody is left to answer");
--- a/crates/endpoints/tests/scene/mod.rs
+++ b/crates/endpoints/tests/scene/mod.rs
@@ -2,10 +2,12 @@
 
 use model::cluster_state::{BackendRecord, ClusterOperation, ClusterReport, Service};
 use model::{BackendPhase, Microseconds};
+use std::sync::Arc;
+use std::time::Duration;
 
 pub const BEAT: Microseconds = 40_000;
 pub const MOST: Microseconds = 1_200_000;
-pub const BOUND: std::time::Duration = std::time::Duration::from_secs(30);
+pub const BOUND: Duration = Duration::from_secs(30);
 
 pub type Heard = (Microseconds, ClusterReport);
 
@@ -111,8 +113,8 @@
             bill.position,
             bill.full_deltas(),
         );
-        outlook.store(std::sync::Arc::new(control::VerifiedState {
-            snapshot: std::sync::Arc::new(programme),
+        outlook.store(Arc::new(control::VerifiedState {
+            snapshot: Arc::new(programme),
             verified_at: 1,
         }));
     };
--- a/crates/endpoints/tests/unproved.rs
+++ b/crates/endpoints/tests/unproved.rs
@@ -3,9 +3,10 @@
 
 use model::Cause;
 use model::cluster_state::{ClusterOperation, ItemBody, ItemCall, Limits, Route, Service};
+use std::time::Duration;
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 
-const BOUND: std::time::Duration = std::time::Duration::from_secs(60);
+const BOUND: Duration = Duration::from_secs(60);
 
 fn greets(purpose: transport::Purpose) -> transport::Handshake {
     let (name, zone, address) = ("core-0".to_string(), "z0".to_string(), String::new());
--- a/crates/gradeford-core/src/main.rs
+++ b/crates/gradeford-core/src/main.rs
@@ -1,5 +1,10 @@
 //! A core seat: orders the log, keeps it on disk, brings versions to the nodes (docs/operators/running.md).
 
+use std::fmt::Display;
+use std::sync::Arc;
+use std::sync::atomic::AtomicBool;
+use std::time::Duration;
+
 mod settings;
 
 const HELP: &str = "\
@@ -42,7 +47,7 @@
         .map_err(|error| error.to_string())?;
     let mut reload = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::hangup())
         .map_err(|error| error.to_string())?;
-    let told = |what: &str, error: &dyn std::fmt::Display| format!("{what}: {error}");
+    let told = |what: &str, error: &dyn Display| format!("{what}: {error}");
     let mates = tokio::net::TcpListener::bind(&env.mates_address)
         .await
         .map_err(|error| told("mates_address", &error))?;
@@ -52,7 +57,7 @@
         .to_string();
     let core = control::ReplicaHandle::start(env.replica_config(address.clone()), logger.clone())
         .map_err(|error| told("folder", &error))?;
-    let staying = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true));
+    let staying = Arc::new(AtomicBool::new(true));
     let office = operator_api::OperatorApi {
         replica: core.clone(),
         accepting_work: staying.clone(),
@@ -79,6 +84,6 @@
     }
     slog::info!(logger, "stopping");
     staying.store(false, std::sync::atomic::Ordering::Relaxed);
-    serving.stop(std::time::Duration::from_secs(5)).await;
+    serving.stop(Duration::from_secs(5)).await;
     Ok(())
 }
--- a/crates/gradeford-core/src/settings.rs
+++ b/crates/gradeford-core/src/settings.rs
@@ -1,5 +1,7 @@
 //! The settings of a core seat (docs/operators/settings.md).
 
+use std::path::PathBuf;
+
 pub const SETTING_NAMES: &[&str] = &[
     "name",
     "zone",
@@ -41,7 +43,7 @@
         custom(function = "model::env::are_addresses")
     )]
     pub seeds: Vec<String>,
-    pub folder: std::path::PathBuf,
+    pub folder: PathBuf,
     #[serde(default = "alpha")]
     #[validate(range(min = 1, max = 100_000, message = "is from 1 to 100000"))]
     pub alpha: u64,
--- a/crates/gradeford-node/src/health.rs
+++ b/crates/gradeford-node/src/health.rs
@@ -1,5 +1,9 @@
 //! `/live`, `/ready`, `/status` of a node (docs/operators/running.md).
 
+use std::sync::Arc;
+use std::sync::atomic::AtomicBool;
+use std::sync::atomic::AtomicU64;
+
 #[derive(Clone)]
 pub struct HealthApi {
     pub name: String,
@@ -7,9 +11,9 @@
     pub known_replicas: control::KnownReplicas,
     pub slot_owner: legacy_proxy::SlotOwnerHandle,
     pub retry_budget: legacy_proxy::retry_budget::RetryBudgetHandle,
-    pub unheld_claims: std::sync::Arc<std::sync::atomic::AtomicU64>,
+    pub unheld_claims: Arc<AtomicU64>,
     pub incarnation: u64,
-    pub accepting_work: std::sync::Arc<std::sync::atomic::AtomicBool>,
+    pub accepting_work: Arc<AtomicBool>,
 }
 
 struct Liveness;
--- a/crates/gradeford-node/src/node.rs
+++ b/crates/gradeford-node/src/node.rs
@@ -1,14 +1,17 @@
 //! Puts the parts of a node together, and takes them down in order.
 
+use std::fmt::Display;
 use std::sync::Arc;
+use std::sync::atomic::AtomicU64;
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
+use std::time::Duration;
 
 pub struct Node {
     proxy: legacy_proxy::OutboundProxy,
     slot_owner: legacy_proxy::SlotOwnerHandle,
     status_reports: control::StatusReporter,
     http_server: http_util::HttpServer,
-    accepting_work: std::sync::Arc<std::sync::atomic::AtomicBool>,
+    accepting_work: Arc<std::sync::atomic::AtomicBool>,
     name: String,
     incarnation: u64,
 }
@@ -18,7 +21,7 @@
         env: &crate::settings::Settings,
         logger: &slog::Logger,
     ) -> Result<Node, String> {
-        let told = |what: &str, error: &dyn std::fmt::Display| format!("{what}: {error}");
+        let told = |what: &str, error: &dyn Display| format!("{what}: {error}");
         let life = model::incarnation::draw();
         let listener = tokio::net::TcpListener::bind(&env.mates_address)
             .await
@@ -91,7 +94,7 @@
             clock_margin: env.guard_us,
         };
         let (view, moved) = (subscription.view, subscription.position.clone());
-        let claims: std::sync::Arc<std::sync::atomic::AtomicU64> = Default::default();
+        let claims: Arc<AtomicU64> = Default::default();
         let house = legacy_proxy::SlotOwnerHandle::start(
             house_env,
             view.clone(),
@@ -103,7 +106,7 @@
         let door = backend_api::BackendClient::new().map_err(|error| told("http", &error))?;
         let far = legacy_proxy::InboundProxy {
             slot_owner: house.clone(),
-            connector: std::sync::Arc::new(door),
+            connector: Arc::new(door),
             logger: logger.clone(),
         };
         tokio::spawn(legacy_proxy::server::serve_peers(
@@ -134,7 +137,7 @@
             accepted_attempts: legacy_proxy::accepted_attempts::AcceptedAttemptsHandle::start(),
             in_flight: Default::default(),
         };
-        let staying = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true));
+        let staying = Arc::new(std::sync::atomic::AtomicBool::new(true));
         let health = crate::health::HealthApi {
             name: env.name.clone(),
             view: view.clone(),
@@ -195,7 +198,7 @@
             .store(false, std::sync::atomic::Ordering::Relaxed);
         self.proxy.drain();
         self.slot_owner.drain().await;
-        let patience = std::time::Duration::from_micros(env.stop_patience_us);
+        let patience = Duration::from_micros(env.stop_patience_us);
         let ended = async {
             self.proxy.drained().await;
             // What mates passed on here ends after its own near side has left.
@@ -210,12 +213,10 @@
                 clean,
             },
         );
-        tokio::time::timeout(std::time::Duration::from_secs(2), farewell)
+        tokio::time::timeout(Duration::from_secs(2), farewell)
             .await
             .unwrap_or_default();
-        self.http_server
-            .stop(std::time::Duration::from_secs(1))
-            .await;
+        self.http_server.stop(Duration::from_secs(1)).await;
     }
 }
 
@@ -262,6 +263,6 @@
             };
             reports.report_endpoint_status(report).await;
         }
-        tokio::time::sleep(std::time::Duration::from_millis(300)).await;
+        tokio::time::sleep(Duration::from_millis(300)).await;
     }
 }
--- a/crates/gradefordctl/src/compare.rs
+++ b/crates/gradefordctl/src/compare.rs
@@ -1,5 +1,8 @@
 //! What two nodes believe, where they differ, and since which version (docs/operators/gradefordctl.md).
 
+use std::collections::BTreeSet;
+use std::time::Duration;
+
 pub async fn run(one: &str, two: &str) -> i32 {
     let (left, right) = (fetch_state(one).await, fetch_state(two).await);
     let (Some(left), Some(right)) = (left, right) else {
@@ -26,7 +29,7 @@
     }
 }
 
-type NodeState = (std::collections::BTreeSet<String>, serde_json::Value);
+type NodeState = (BTreeSet<String>, serde_json::Value);
 
 async fn fetch_state(address: &str) -> Option<NodeState> {
     let greeting = transport::Handshake {
@@ -56,7 +59,7 @@
             _ => Err("closed before it answered".into()),
         }
     };
-    match tokio::time::timeout(std::time::Duration::from_secs(3), seen).await {
+    match tokio::time::timeout(Duration::from_secs(3), seen).await {
         Ok(Ok(seen)) => Some((subscribed_services(&seen), in_node_form(seen))),
         Ok(Err(trouble)) => {
             eprintln!("gradefordctl: {address}: {trouble}");
@@ -69,7 +72,7 @@
     }
 }
 
-fn subscribed_services(seen: &serde_json::Value) -> std::collections::BTreeSet<String> {
+fn subscribed_services(seen: &serde_json::Value) -> BTreeSet<String> {
     seen["services"]
         .as_array()
         .into_iter()
--- a/crates/gradefordctl/src/core_client.rs
+++ b/crates/gradefordctl/src/core_client.rs
@@ -1,5 +1,7 @@
 //! Asking core seats in turn until one answers.
 
+use std::time::Duration;
+
 pub struct CoreClient {
     http: reqwest::Client,
     cores: Vec<String>,
@@ -11,8 +13,8 @@
     pub fn new(cores: Vec<String>) -> Result<CoreClient, String> {
         let http = reqwest::Client::builder()
             .no_proxy()
-            .connect_timeout(std::time::Duration::from_secs(1))
-            .timeout(std::time::Duration::from_secs(8))
+            .connect_timeout(Duration::from_secs(1))
+            .timeout(Duration::from_secs(8))
             .build()
             .map_err(|error| error.to_string())?;
         Ok(CoreClient { http, cores })
--- a/crates/http-util/src/lib.rs
+++ b/crates/http-util/src/lib.rs
@@ -1,12 +1,15 @@
 //! HTTP plumbing the three outward peers share: binding, bodies, JSON, a stop that lets work end.
 
+use std::net::SocketAddr;
+use std::time::Duration;
+
 pub mod headers;
 
 /// The largest body taken from a sender, a back end or an operator.
 pub const BODY_LIMIT: usize = 1024 * 1024;
 
 pub struct HttpServer {
-    pub address: std::net::SocketAddr,
+    pub address: SocketAddr,
     handle: salvo::server::ServerHandle,
     task: tokio::task::JoinHandle<()>,
 }
@@ -26,7 +29,7 @@
     }
 
     /// Takes no more conns and waits until those at work are answered, at most `patience`.
-    pub async fn stop(self, patience: std::time::Duration) {
+    pub async fn stop(self, patience: Duration) {
         self.handle.stop_graceful(patience);
         drop(tokio::time::timeout(patience, self.task).await);
     }
--- a/crates/inbound/src/admission_queue.rs
+++ b/crates/inbound/src/admission_queue.rs
@@ -2,6 +2,8 @@
 //! answered within its aim goes behind all that can (design 13.3). Pure, with the time told to it.
 
 use model::Microseconds;
+use std::collections::BTreeMap;
+use std::collections::VecDeque;
 
 pub struct QueuedRequest<T> {
     pub priority: u8,
@@ -13,8 +15,7 @@
     pub payload: T,
 }
 
-type QueuesByPriority<T> =
-    std::collections::BTreeMap<u8, std::collections::VecDeque<QueuedRequest<T>>>;
+type QueuesByPriority<T> = BTreeMap<u8, VecDeque<QueuedRequest<T>>>;
 
 pub struct AdmissionQueue<T> {
     on_time: QueuesByPriority<T>,
@@ -24,7 +25,7 @@
     mean_run_us: f64,
     runs_seen: u64,
     /// Requests taken in, by rank: a decaying count, and when it was last brought up to date.
-    arrivals: std::collections::BTreeMap<u8, (f64, Microseconds)>,
+    arrivals: BTreeMap<u8, (f64, Microseconds)>,
 }
 
 /// Before any run was seen.
--- a/crates/inbound/src/backend_client.rs
+++ b/crates/inbound/src/backend_client.rs
@@ -2,6 +2,7 @@
 
 use http_body_util::BodyExt as _;
 use model::{Cause, Error, Microseconds};
+use std::time::Duration;
 
 pub struct BackendClient {
     pub header_names: http_util::headers::HeaderNames,
@@ -9,7 +10,7 @@
 }
 
 /// A conn is made on this machine: one that takes longer has nobody at its other end.
-const CONNECT_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(1_000);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// It is another back end, or does not hold the key: no sign of how it does.
 pub(crate) const MISDIRECTED: &str = "the back end turned it away with 421";
--- a/crates/inbound/src/concurrency_limiter.rs
+++ b/crates/inbound/src/concurrency_limiter.rs
@@ -2,6 +2,8 @@
 
 use crate::{AdmissionQueue, LocalBackend, QueuedRequest};
 use model::{Cause, Error, Microseconds};
+use std::sync::Arc;
+use std::time::Duration;
 
 pub struct ConcurrencyLimiterConfig {
     pub header_names: http_util::headers::HeaderNames,
@@ -40,7 +42,7 @@
 struct LimiterTask {
     config: ConcurrencyLimiterConfig,
     commands: tokio::sync::mpsc::Sender<Command>,
-    client: std::sync::Arc<crate::BackendClient>,
+    client: Arc<crate::BackendClient>,
     backend: Option<LocalBackend>,
     queue: AdmissionQueue<(Box<transport::ForwardedRequest>, OutcomeSender)>,
     demand: crate::KeyDemand,
@@ -51,12 +53,12 @@
 /// When a refused request may come again, at least.
 const MIN_RETRY_AFTER: Microseconds = 100_000;
 /// Between two looks at who was held too long, while nothing else happens.
-const EXPIRY_INTERVAL: std::time::Duration = std::time::Duration::from_millis(20);
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(20);
 
 impl ConcurrencyLimiter {
     pub fn start(env: ConcurrencyLimiterConfig) -> ConcurrencyLimiter {
         let (commands, mut buffer) = tokio::sync::mpsc::channel(4_096);
-        let door = std::sync::Arc::new(crate::BackendClient::new(env.header_names.clone()));
+        let door = Arc::new(crate::BackendClient::new(env.header_names.clone()));
         let mut owner = LimiterTask {
             config: env,
             commands: commands.clone(),
@@ -327,7 +329,7 @@
         tokio::spawn(async move {
             let left = until.saturating_sub(began);
             let ran = tokio::time::timeout(
-                std::time::Duration::from_micros(left),
+                Duration::from_micros(left),
                 door.forward(&address, &cue, left),
             );
             let outcome = tokio::select! {
--- a/crates/inbound/src/connection_pool.rs
+++ b/crates/inbound/src/connection_pool.rs
@@ -1,17 +1,21 @@
 //! Conns into the back end that wait for their next request, and how long they may (design 13.4, 13.9).
 
 use model::Microseconds;
+use std::collections::VecDeque;
+use std::sync::Mutex;
+use std::sync::MutexGuard;
+use std::sync::PoisonError;
 
 pub type HttpSender = hyper::client::conn::http1::SendRequest<http_body_util::Full<bytes::Bytes>>;
 
 /// Idle conns, the latest used last.
 #[derive(Default)]
-pub struct ConnectionPool(std::sync::Mutex<PooledConnections>);
+pub struct ConnectionPool(Mutex<PooledConnections>);
 
 #[derive(Default)]
 struct PooledConnections {
     /// Since when it rests, and until when it may by the back end's own word.
-    idle: std::collections::VecDeque<(Microseconds, Microseconds, HttpSender)>,
+    idle: VecDeque<(Microseconds, Microseconds, HttpSender)>,
     idle_limit: IdleLimit,
 }
 
@@ -56,10 +60,8 @@
 }
 
 impl ConnectionPool {
-    fn lock(&self) -> std::sync::MutexGuard<'_, PooledConnections> {
-        self.0
-            .lock()
-            .unwrap_or_else(std::sync::PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, PooledConnections> {
+        self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// The one used last that is still open, and for how long it rested.
--- a/crates/inbound/src/key_demand.rs
+++ b/crates/inbound/src/key_demand.rs
@@ -3,10 +3,11 @@
 
 use model::Microseconds;
 use model::cluster_state::ShardKey;
+use std::collections::BTreeMap;
 
 #[derive(Default)]
 pub struct KeyDemand {
-    counts: std::collections::BTreeMap<ShardKey, f32>,
+    counts: BTreeMap<ShardKey, f32>,
     /// Over how many seconds the counts were gathered, older ones counting as little as what they hold.
     window_seconds: f32,
     updated_at: Option<Microseconds>,
--- a/crates/inbound/src/outlier_detection.rs
+++ b/crates/inbound/src/outlier_detection.rs
@@ -2,6 +2,7 @@
 //! with the time told to it.
 
 use model::{Cause, Error, Microseconds};
+use std::collections::BTreeMap;
 
 /// What the end of a run says of the back end.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -14,7 +15,7 @@
 #[derive(Default)]
 pub struct OutlierDetector {
     /// Began, and whether it was counted as bad already.
-    running: std::collections::BTreeMap<u64, (Microseconds, bool)>,
+    running: BTreeMap<u64, (Microseconds, bool)>,
     last_run_id: u64,
     /// Decaying counts.
     successes: f64,
--- a/crates/inbound/tests/forgotten.rs
+++ b/crates/inbound/tests/forgotten.rs
@@ -1,9 +1,11 @@
 //! A stand-in back end that forgets every conn it has answered on: the next thing sent there is reset (design 13.9).
 
+use std::sync::Arc;
+use std::sync::Mutex;
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 
 /// The requests in the order of their arrival: the number of the conn, how many came on it before, and the method.
-type Arrivals = std::sync::Arc<std::sync::Mutex<Vec<(usize, usize, String)>>>;
+type Arrivals = Arc<Mutex<Vec<(usize, usize, String)>>>;
 
 async fn back_end() -> (String, Arrivals) {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
--- a/crates/legacy-proxy/src/accepted_attempts.rs
+++ b/crates/legacy-proxy/src/accepted_attempts.rs
@@ -1,6 +1,8 @@
 //! Tries this node has taken, and the answers of those that certainly did not run (design 5.5).
 
 use model::{Cause, Error};
+use std::collections::HashMap;
+use std::collections::VecDeque;
 
 /// Counted, not timed: a sender that slept for an hour finds its try still known when it wakes.
 pub const MAX_ATTEMPTS: usize = 65_536;
@@ -9,8 +11,8 @@
 #[derive(Default)]
 pub struct AcceptedAttempts {
     /// `None` while it is under way, and for ever once it may have run.
-    table: std::collections::HashMap<String, Option<Error>>,
-    order: std::collections::VecDeque<String>,
+    table: HashMap<String, Option<Error>>,
+    order: VecDeque<String>,
 }
 
 impl AcceptedAttempts {
--- a/crates/legacy-proxy/src/age_marks.rs
+++ b/crates/legacy-proxy/src/age_marks.rs
@@ -1,6 +1,7 @@
 //! How old a dispatch can be at most, without comparing two machines' clocks (design 5.11).
 
 use model::Microseconds;
+use std::collections::VecDeque;
 
 pub const MARK_INTERVAL: Microseconds = 100_000;
 /// An honest dispatch names a mark this young: one turn, and the way there and back.
@@ -10,7 +11,7 @@
 /// The far side tells numbered marks; a dispatch names the last one its sender had seen, so it
 /// cannot have been sent before that mark was.
 pub struct AgeMarks {
-    sent: std::collections::VecDeque<(u64, Microseconds)>,
+    sent: VecDeque<(u64, Microseconds)>,
 }
 
 impl AgeMarks {
--- a/crates/legacy-proxy/src/forwarded_attempts.rs
+++ b/crates/legacy-proxy/src/forwarded_attempts.rs
@@ -1,5 +1,8 @@
 //! Identities of tries already passed on, kept as long as one could still arrive (design 5.5).
 
+use std::collections::HashSet;
+use std::collections::VecDeque;
+
 /// Tries are named under a registration: another life of the node or of the sender is told apart.
 pub fn attempt_prefix(name: &str, registered: model::Incarnation) -> String {
     format!("{name}.{registered}.")
@@ -15,8 +18,8 @@
 
 #[derive(Default)]
 pub struct ForwardedAttempts {
-    seen: std::collections::HashSet<(String, String)>,
-    order: std::collections::VecDeque<(model::Microseconds, (String, String))>,
+    seen: HashSet<(String, String)>,
+    order: VecDeque<(model::Microseconds, (String, String))>,
 }
 
 /// The longest wait an order may name is a minute; a frame older than that is refused by its mark.
--- a/crates/legacy-proxy/src/inbound_proxy.rs
+++ b/crates/legacy-proxy/src/inbound_proxy.rs
@@ -1,9 +1,12 @@
 //! Beside the picked back end: last check, slot, pass on, answer (design 5.3).
 
 use model::{Cause, Error};
+use std::pin::Pin;
+use std::sync::Arc;
+use std::time::Duration;
 
 pub type ForwardFuture<'a> =
-    std::pin::Pin<Box<dyn Future<Output = Result<transport::AttemptResponse, Error>> + Send + 'a>>;
+    Pin<Box<dyn Future<Output = Result<transport::AttemptResponse, Error>> + Send + 'a>>;
 
 /// How a request gets from this process into the back end.
 pub trait BackendConnector: Send + Sync {
@@ -19,7 +22,7 @@
 #[derive(Clone)]
 pub struct InboundProxy {
     pub slot_owner: crate::SlotOwnerHandle,
-    pub connector: std::sync::Arc<dyn BackendConnector>,
+    pub connector: Arc<dyn BackendConnector>,
     pub logger: slog::Logger,
 }
 
@@ -37,7 +40,7 @@
         let (door, house) = (self.connector.clone(), self.slot_owner.clone());
         // On its own: the run goes on, and holds its slot, though the asker may be lost.
         tokio::spawn(async move {
-            let patience = std::time::Duration::from_micros(left + OVERRUN_GRACE);
+            let patience = Duration::from_micros(left + OVERRUN_GRACE);
             let ran =
                 tokio::time::timeout(patience, door.forward(&permit.address, &dispatch, left))
                     .await;
@@ -53,7 +56,7 @@
             let lost = matches!(&ran, Err(trouble) if trouble.kind == Cause::BackendLost);
             if lost {
                 tokio::spawn(async move {
-                    tokio::time::sleep(std::time::Duration::from_micros(
+                    tokio::time::sleep(Duration::from_micros(
                         permit.deadline.saturating_sub(model::now()),
                     ))
                     .await;
@@ -67,7 +70,7 @@
         });
         let late = Error::new(Cause::TimedOut, "the back end did not answer in time");
         let lost = Error::new(Cause::BackendLost, "the run was lost");
-        match tokio::time::timeout(std::time::Duration::from_micros(left), answered).await {
+        match tokio::time::timeout(Duration::from_micros(left), answered).await {
             Ok(answer) => answer.unwrap_or(Err(lost)),
             Err(_) => Err(late),
         }
--- a/crates/legacy-proxy/src/peer_connections.rs
+++ b/crates/legacy-proxy/src/peer_connections.rs
@@ -1,6 +1,10 @@
 //! Conns to other ushers, one each, replies told apart by number (design 5.2).
 
 use model::{Cause, Error};
+use std::collections::HashMap;
+use std::sync::Arc;
+use std::sync::atomic::AtomicU64;
+use std::time::Duration;
 
 type ReplySender = tokio::sync::oneshot::Sender<Result<transport::AttemptResponse, Error>>;
 
@@ -21,7 +25,7 @@
 #[derive(Clone)]
 pub struct PeerConnections {
     commands: tokio::sync::mpsc::Sender<Command>,
-    next_request_id: std::sync::Arc<std::sync::atomic::AtomicU64>,
+    next_request_id: Arc<AtomicU64>,
 }
 
 /// What waits for a conn that is being dialed has certainly not left.
@@ -35,7 +39,7 @@
         incarnation: u64,
         sender: transport::FrameSender,
         mark: u64,
-        pending: std::collections::HashMap<u64, ReplySender>,
+        pending: HashMap<u64, ReplySender>,
     },
 }
 
@@ -46,7 +50,7 @@
             commands: commands.clone(),
             connections: Default::default(),
             last_connection_id: 0,
-            handshake: std::sync::Arc::new(greeting),
+            handshake: Arc::new(greeting),
         };
         tokio::spawn(owner.run(buffer));
         PeerConnections {
@@ -67,7 +71,7 @@
             .next_request_id
             .fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         dispatch.request_id = number;
-        let wait = std::time::Duration::from_micros(dispatch.time_left);
+        let wait = Duration::from_micros(dispatch.time_left);
         let command = Command::Call {
             address: address.to_string(),
             incarnation,
@@ -97,9 +101,9 @@
 
 struct ConnectionsTask {
     commands: tokio::sync::mpsc::Sender<Command>,
-    connections: std::collections::HashMap<String, Connection>,
+    connections: HashMap<String, Connection>,
     last_connection_id: u64,
-    handshake: std::sync::Arc<dyn Fn() -> transport::Handshake + Send + Sync>,
+    handshake: Arc<dyn Fn() -> transport::Handshake + Send + Sync>,
 }
 
 impl ConnectionsTask {
--- a/crates/legacy-proxy/src/retry_budget.rs
+++ b/crates/legacy-proxy/src/retry_budget.rs
@@ -1,5 +1,9 @@
 //! Extra dispatches: one in five requests and a small allowance, in any ten seconds (design 5.6).
 
+use std::collections::BTreeMap;
+use std::collections::HashMap;
+use std::sync::Arc;
+
 #[cfg(test)]
 const WINDOW: model::Microseconds = 10_000_000;
 
@@ -12,7 +16,7 @@
 #[derive(Default)]
 pub struct RetryBudget {
     allowance: Fifths,
-    buckets: std::collections::HashMap<String, Fifths>,
+    buckets: HashMap<String, Fifths>,
 }
 
 impl RetryBudget {
@@ -49,8 +53,7 @@
 }
 
 /// Requests and extra dispatches by service since the start, for status pages.
-pub type RetryCounts =
-    std::sync::Arc<arc_swap::ArcSwap<std::collections::BTreeMap<String, (u64, u64)>>>;
+pub type RetryCounts = Arc<arc_swap::ArcSwap<BTreeMap<String, (u64, u64)>>>;
 
 impl RetryBudgetHandle {
     pub fn start(allowance: usize) -> Self {
@@ -59,7 +62,7 @@
         let published = spent.clone();
         tokio::spawn(async move {
             let mut budget = RetryBudget::new(allowance);
-            let mut counts = std::collections::BTreeMap::<String, (u64, u64)>::new();
+            let mut counts = BTreeMap::<String, (u64, u64)>::new();
             while let Some(command) = commands.recv().await {
                 match command {
                     Command::Deposit(service) => {
@@ -72,7 +75,7 @@
                         answer.send(granted).unwrap_or_default();
                     }
                 }
-                published.store(std::sync::Arc::new(counts.clone()));
+                published.store(Arc::new(counts.clone()));
             }
         });
         RetryBudgetHandle {
@@ -81,7 +84,7 @@
         }
     }
 
-    pub fn counts(&self) -> std::sync::Arc<std::collections::BTreeMap<String, (u64, u64)>> {
+    pub fn counts(&self) -> Arc<BTreeMap<String, (u64, u64)>> {
         self.counts.load_full()
     }
 
--- a/crates/legacy-proxy/src/selector.rs
+++ b/crates/legacy-proxy/src/selector.rs
@@ -1,6 +1,7 @@
 //! Which back end gets the next request: in the zone first, then by load (design 5.2).
 
 use model::Microseconds;
+use std::collections::HashMap;
 
 /// After a refusal or a lost mate a back end is passed over so long, unless nobody else is left.
 const FAILURE_COOLDOWN: Microseconds = 300_000;
@@ -15,7 +16,7 @@
 #[derive(Default)]
 pub struct Selector {
     /// Dispatches under way from here, and until when it sits on the bench.
-    backends: std::collections::HashMap<String, (u32, Microseconds)>,
+    backends: HashMap<String, (u32, Microseconds)>,
 }
 
 impl Selector {
--- a/crates/legacy-proxy/src/server.rs
+++ b/crates/legacy-proxy/src/server.rs
@@ -1,5 +1,8 @@
 //! What a node answers its mates (design 5.2).
 
+use std::sync::Arc;
+use std::time::Duration;
+
 pub async fn serve_peers(
     listener: tokio::net::TcpListener,
     greeting: impl Fn() -> transport::Handshake + Send + Sync + 'static,
@@ -8,7 +11,7 @@
     relay: control::relay::Relay,
     heard: control::monitor::HeartbeatSender,
 ) {
-    let greeting = std::sync::Arc::new(greeting);
+    let greeting = Arc::new(greeting);
     loop {
         if let Ok((stream, _)) = listener.accept().await {
             let (greeting, known, far) = (greeting.clone(), known.clone(), far.clone());
@@ -37,9 +40,7 @@
     heard: control::monitor::HeartbeatSender,
 ) {
     let mut marks = crate::age_marks::AgeMarks::new(model::now());
-    let mut every = tokio::time::interval(std::time::Duration::from_micros(
-        crate::age_marks::MARK_INTERVAL,
-    ));
+    let mut every = tokio::time::interval(Duration::from_micros(crate::age_marks::MARK_INTERVAL));
     every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         let frame = tokio::select! {
--- a/crates/legacy-proxy/src/slot_owner.rs
+++ b/crates/legacy-proxy/src/slot_owner.rs
@@ -1,6 +1,9 @@
 //! The back ends beside this node: slots, buffers, tries. Pure, with the time told to it (design 5.3).
 
 use model::{Cause, Error, Incarnation, Microseconds, endpoint_status::EndpointReport};
+use std::collections::BTreeMap;
+use std::collections::HashMap;
+use std::sync::Arc;
 
 #[derive(Clone, Debug)]
 pub struct SlotOwnerConfig {
@@ -43,7 +46,7 @@
     pub draining: bool,
     pub last_heartbeat: Microseconds,
     /// Run number to key.
-    pub running: std::collections::BTreeMap<u64, Option<String>>,
+    pub running: BTreeMap<u64, Option<String>>,
     pub queued: Vec<QueuedRequest>,
     pub reported_released: model::Position,
     /// What the log was last told.
@@ -74,13 +77,12 @@
 
 pub struct SlotOwner {
     pub(crate) config: SlotOwnerConfig,
-    pub(crate) backends: std::collections::BTreeMap<String, RegisteredBackend>,
+    pub(crate) backends: BTreeMap<String, RegisteredBackend>,
     pub(crate) forwarded_attempts: crate::forwarded_attempts::ForwardedAttempts,
     /// When each key term was first seen here with its fence.
-    pub(crate) fencing_tokens:
-        std::collections::BTreeMap<(String, u16), (model::Position, Microseconds)>,
+    pub(crate) fencing_tokens: BTreeMap<(String, u16), (model::Position, Microseconds)>,
     /// The slice whose terms `fences` was last brought up to.
-    pub(crate) fenced_slice: std::sync::Arc<model::StateSlice>,
+    pub(crate) fenced_slice: Arc<model::StateSlice>,
     pub(crate) last_run_id: u64,
     pub(crate) draining: bool,
     pub(crate) pending_reports: Vec<EndpointReport>,
@@ -268,7 +270,7 @@
     }
 
     /// Secrets that may send, with the service each speaks for.
-    pub fn clients(&self) -> std::collections::HashMap<String, crate::ClientId> {
+    pub fn clients(&self) -> HashMap<String, crate::ClientId> {
         self.backends
             .values()
             .filter(|place| place.state != RegistrationState::Gone)
--- a/crates/legacy-proxy/src/slot_owner_queue.rs
+++ b/crates/legacy-proxy/src/slot_owner_queue.rs
@@ -2,6 +2,9 @@
 
 use crate::slot_owner::{Admissions, Permit, QueuedRequest, RegistrationState, SlotOwner};
 use model::{Cause, Error, Incarnation, Microseconds, endpoint_status::EndpointReport};
+use std::cmp::Reverse;
+use std::collections::BTreeSet;
+use std::sync::Arc;
 
 const SHED_RETRY_AFTER: Microseconds = 250_000;
 
@@ -113,7 +116,7 @@
                 .queued
                 .iter()
                 .enumerate()
-                .min_by_key(|(at, held)| (held.dispatch.priority, std::cmp::Reverse(*at)));
+                .min_by_key(|(at, held)| (held.dispatch.priority, Reverse(*at)));
             match least
                 .filter(|(_, held)| held.dispatch.priority < waiter.dispatch.priority)
                 .map(|(at, _)| at)
@@ -165,7 +168,7 @@
             .get_mut(name)
             .map(|place| std::mem::take(&mut place.queued))
             .unwrap_or_default();
-        waiting.sort_by_key(|waiter| std::cmp::Reverse(waiter.dispatch.priority));
+        waiting.sort_by_key(|waiter| Reverse(waiter.dispatch.priority));
         let mut granted = Vec::new();
         let mut kept = Vec::new();
         waiting.into_iter().for_each(|waiter| {
@@ -247,7 +250,7 @@
 
     /// Once for each slice of news, not for each request.
     fn observe_fences(&mut self, now: Microseconds, view: &control::View) {
-        if std::sync::Arc::ptr_eq(&self.fenced_slice, &view.slice) {
+        if Arc::ptr_eq(&self.fenced_slice, &view.slice) {
             return;
         }
         self.fenced_slice = view.slice.clone();
@@ -286,7 +289,7 @@
                 .for_each(|place| {
                     let name = place.registration.name.clone();
                     let holder = (name.clone(), place.incarnation);
-                    let owing: std::collections::BTreeSet<Incarnation> = terms
+                    let owing: BTreeSet<Incarnation> = terms
                         .iter()
                         .flat_map(|term| &term.pending_releases)
                         .filter(|((owing, life), lost)| {
--- a/crates/legacy-proxy/src/slot_owner_task.rs
+++ b/crates/legacy-proxy/src/slot_owner_task.rs
@@ -2,6 +2,9 @@
 
 use crate::slot_owner::{Admissions, Permit, Registration, SlotOwner, SlotOwnerConfig};
 use model::{Error, Incarnation};
+use std::collections::HashMap;
+use std::sync::Arc;
+use std::time::Duration;
 
 type ReplySender<T> = tokio::sync::oneshot::Sender<T>;
 type Admission = Result<Permit, Error>;
@@ -32,12 +35,12 @@
     pub attempt_prefix: String,
 }
 
-type Clients = std::collections::HashMap<String, ClientId>;
+type Clients = HashMap<String, ClientId>;
 
 #[derive(Clone)]
 pub struct SlotOwnerHandle {
     commands: tokio::sync::mpsc::Sender<Command>,
-    clients: std::sync::Arc<arc_swap::ArcSwap<Clients>>,
+    clients: Arc<arc_swap::ArcSwap<Clients>>,
     running: tokio::sync::watch::Receiver<usize>,
 }
 
@@ -158,9 +161,9 @@
 struct SlotOwnerTask {
     slots: SlotOwner,
     view: control::view::SharedView,
-    pending: std::collections::HashMap<u64, ReplySender<Admission>>,
+    pending: HashMap<u64, ReplySender<Admission>>,
     last_ticket: u64,
-    clients: std::sync::Arc<arc_swap::ArcSwap<Clients>>,
+    clients: Arc<arc_swap::ArcSwap<Clients>>,
     services: tokio::sync::watch::Sender<model::state_slice::ServiceSet>,
     reports: tokio::sync::mpsc::UnboundedSender<model::endpoint_status::EndpointReport>,
     running: tokio::sync::watch::Sender<usize>,
@@ -172,7 +175,7 @@
         mut buffer: tokio::sync::mpsc::Receiver<Command>,
         mut moved: tokio::sync::watch::Receiver<model::Position>,
     ) {
-        let mut every = tokio::time::interval(std::time::Duration::from_millis(20));
+        let mut every = tokio::time::interval(Duration::from_millis(20));
         every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
@@ -255,8 +258,7 @@
     }
 
     fn publish(&mut self) {
-        self.clients
-            .store(std::sync::Arc::new(self.slots.clients()));
+        self.clients.store(Arc::new(self.slots.clients()));
         let services = self.slots.services();
         self.services.send_if_modified(|held| {
             let differs = *held != services;
--- a/crates/legacy-proxy/tests/scene/mod.rs
+++ b/crates/legacy-proxy/tests/scene/mod.rs
@@ -3,6 +3,7 @@
 use legacy_proxy::slot_owner::{Permit, Registration};
 use legacy_proxy::{SlotOwner, SlotOwnerConfig};
 use model::{Cause, Selector, StandingOrder, leases::Lease};
+use std::sync::Arc;
 
 pub const SECOND: u64 = 1_000_000;
 
@@ -85,14 +86,14 @@
             .insert("seat".into(), vec![term; model::leases::KEY_SLOTS as usize]);
         slice.longest_requests.insert("seat".into(), 3 * SECOND);
         scene.view = control::View {
-            slice: std::sync::Arc::new(slice),
+            slice: Arc::new(slice),
             fresh_until: 1_000 * SECOND,
         };
         scene
     }
 
     pub fn edit(&mut self, edit: impl FnOnce(&mut model::StateSlice)) {
-        edit(std::sync::Arc::make_mut(&mut self.view.slice));
+        edit(Arc::make_mut(&mut self.view.slice));
     }
 
     pub fn dispatch(&self, try_id: &str, path: &str) -> transport::AttemptRequest {
--- a/crates/mencius/src/coordinator_log.rs
+++ b/crates/mencius/src/coordinator_log.rs
@@ -1,13 +1,14 @@
 //! What one seat knows about the instances of one coordinator (design 3.3).
 
 use crate::messages::{Block, Commands, Instance, ProposalNumber, Value};
+use std::collections::BTreeMap;
 
 #[derive(Clone, Debug, Default)]
 pub struct CoordinatorLog {
     pub promised: crate::InstanceRanges<ProposalNumber>,
-    pub accepted: std::collections::BTreeMap<Instance, (ProposalNumber, Value)>,
+    pub accepted: BTreeMap<Instance, (ProposalNumber, Value)>,
     pub accepted_noops: crate::InstanceRanges<ProposalNumber>,
-    pub chosen: std::collections::BTreeMap<Instance, Value>,
+    pub chosen: BTreeMap<Instance, Value>,
     pub skipped: crate::InstanceRanges<()>,
     /// How far the coordinator's word on this channel reaches; None before a resync.
     pub cursor: Option<Instance>,
--- a/crates/mencius/src/instance_ranges.rs
+++ b/crates/mencius/src/instance_ranges.rs
@@ -1,14 +1,16 @@
 //! Ranges of instances that share one value, kept as ranges (design 3.3).
 
+use std::collections::BTreeMap;
+
 #[derive(Clone, Debug, PartialEq)]
 pub struct InstanceRanges<V> {
-    ranges: std::collections::BTreeMap<u64, (u64, V)>,
+    ranges: BTreeMap<u64, (u64, V)>,
 }
 
 impl<V> Default for InstanceRanges<V> {
     fn default() -> Self {
         InstanceRanges {
-            ranges: std::collections::BTreeMap::new(),
+            ranges: BTreeMap::new(),
         }
     }
 }
--- a/crates/mencius/src/replica.rs
+++ b/crates/mencius/src/replica.rs
@@ -1,15 +1,18 @@
 //! The machine's state and its door: one input at a time, effects collected (design 3.2).
 
 use crate::messages::*;
+use std::collections::BTreeMap;
+use std::collections::BTreeSet;
+use std::collections::VecDeque;
 
 /// A revocation this seat leads for one owner's block (design 3.6).
 #[derive(Clone, Debug)]
 pub(crate) struct Revocation {
     pub proposal_number: ProposalNumber,
     pub block: Block,
-    pub promises: std::collections::BTreeMap<ReplicaId, PromiseReport>,
+    pub promises: BTreeMap<ReplicaId, PromiseReport>,
     pub proposal: Option<Commands>,
-    pub accepted_by: std::collections::BTreeSet<ReplicaId>,
+    pub accepted_by: BTreeSet<ReplicaId>,
     pub started_at: Micros,
 }
 
@@ -36,7 +39,7 @@
 pub(crate) struct ReadIndexRound {
     pub token: ReadToken,
     pub requested_by: Vec<ReadToken>,
-    pub responses: std::collections::BTreeMap<ReplicaId, Option<Instance>>,
+    pub responses: BTreeMap<ReplicaId, Option<Instance>>,
     pub started_at: Micros,
 }
 
@@ -54,15 +57,14 @@
     pub(crate) delivered: Instance,
     pub(crate) voting_range_start: Instance,
     pub(crate) voting_range_end: Instance,
-    pub(crate) deferred: std::collections::VecDeque<Value>,
+    pub(crate) deferred: VecDeque<Value>,
     pub(crate) applied: Instance,
     pub(crate) coordinator_logs: Vec<crate::CoordinatorLog>,
     pub(crate) peers: Vec<Peer>,
     /// Own suggestions without an outcome, with the seats that accepted them.
-    pub(crate) own_suggestions:
-        std::collections::BTreeMap<Instance, (Value, std::collections::BTreeSet<ReplicaId>)>,
-    pub(crate) rejected: std::collections::BTreeSet<Instance>,
-    pub(crate) revocations: std::collections::BTreeMap<ReplicaId, Revocation>,
+    pub(crate) own_suggestions: BTreeMap<Instance, (Value, BTreeSet<ReplicaId>)>,
+    pub(crate) rejected: BTreeSet<Instance>,
+    pub(crate) revocations: BTreeMap<ReplicaId, Revocation>,
     pub(crate) revoke_not_before: Vec<Micros>,
     /// Revocations of each owner begun since the log last moved.
     pub(crate) revocation_attempts: Vec<u32>,
--- a/crates/mencius/src/revocation.rs
+++ b/crates/mencius/src/revocation.rs
@@ -1,6 +1,7 @@
 //! Rule 3 and Optimization 3: finishing instances on behalf of a silent coordinator (design 3.6).
 
 use crate::messages::*;
+use std::collections::BTreeMap;
 
 impl crate::Replica {
     pub(crate) fn back_off_revocation(&mut self, owner: ReplicaId) {
@@ -155,14 +156,12 @@
 }
 
 /// A value that may have been accepted is carried on; the highest round decides (paper 4.2).
-fn values_to_propose(
-    reports: &std::collections::BTreeMap<ReplicaId, crate::replica::PromiseReport>,
-) -> Commands {
+fn values_to_propose(reports: &BTreeMap<ReplicaId, crate::replica::PromiseReport>) -> Commands {
     let best = reports
         .values()
         .flat_map(|(commands, _)| commands.iter())
         .fold(
-            std::collections::BTreeMap::<Instance, (ProposalNumber, &Value)>::new(),
+            BTreeMap::<Instance, (ProposalNumber, &Value)>::new(),
             |mut best, (at, round, value)| {
                 let held = best.entry(*at).or_insert((*round, value));
                 if held.0 < *round {
--- a/crates/model/src/check.rs
+++ b/crates/model/src/check.rs
@@ -1,6 +1,7 @@
 //! Every fault of a change, each with its path (design 2.2).
 
 use crate::desired_state::{DesiredState, Edit, Selector, StandingOrder};
+use std::collections::BTreeSet;
 
 #[derive(
     Clone,
@@ -216,7 +217,7 @@
     own.into_iter()
         .chain(missing)
         .chain(faults_of_state(&after))
-        .collect::<std::collections::BTreeSet<_>>()
+        .collect::<BTreeSet<_>>()
         .into_iter()
         .collect()
 }
--- a/crates/model/src/clock.rs
+++ b/crates/model/src/clock.rs
@@ -1,5 +1,8 @@
 //! Whole microseconds on a clock that goes on while the machine sleeps (design 6.1).
 
+use std::time::SystemTime;
+use std::time::UNIX_EPOCH;
+
 pub type Microseconds = u64;
 
 /// CLOCK_BOOTTIME: unlike the usual monotonic clock it counts suspend.
@@ -10,8 +13,8 @@
 
 /// The time of day, for log lines that people read. Nothing is decided by it: it jumps.
 pub fn wall_clock_now() -> Microseconds {
-    std::time::SystemTime::now()
-        .duration_since(std::time::UNIX_EPOCH)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
         .map(|since| since.as_micros() as Microseconds)
         .unwrap_or(0)
 }
--- a/crates/model/src/cluster_state/delta.rs
+++ b/crates/model/src/cluster_state/delta.rs
@@ -5,6 +5,10 @@
     endpoints, items::ItemName, items::ItemVersion,
 };
 use crate::{BackendName, NodeName, Position, ServiceName};
+use std::collections::BTreeMap;
+use std::collections::HashMap;
+use std::collections::HashSet;
+use std::sync::Arc;
 
 #[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub enum Delta {
@@ -15,25 +19,25 @@
     ShardRanges(ServiceName, Position, ShardMap),
 }
 
-type Shared<T> = std::sync::Arc<T>;
+type Shared<T> = Arc<T>;
 /// A lane with the name and version of its item.
 pub type RouteItem = (ItemName, ItemVersion, Route);
 /// By prefix. Keys and lanes are shared, so that a copy costs a pointer for each.
-type RoutesByPrefix = std::collections::HashMap<Shared<str>, Shared<RouteItem>>;
+type RoutesByPrefix = HashMap<Shared<str>, Shared<RouteItem>>;
 
 /// What a node holds of the bill. Parts that did not change are shared with the one before.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StateSnapshot {
     pub position: Position,
-    routes_by_host: Shared<std::collections::HashMap<Shared<str>, Shared<RoutesByPrefix>>>,
-    routes_by_name: Shared<std::collections::HashMap<Shared<str>, Shared<RouteItem>>>,
-    pub services: Shared<std::collections::BTreeMap<ServiceName, Service>>,
+    routes_by_host: Shared<HashMap<Shared<str>, Shared<RoutesByPrefix>>>,
+    routes_by_name: Shared<HashMap<Shared<str>, Shared<RouteItem>>>,
+    pub services: Shared<BTreeMap<ServiceName, Service>>,
     pub limits: Option<Limits>,
     pub backends: Shared<endpoints::BackendRecords>,
     pub nodes: Shared<endpoints::NodeRecords>,
-    pub placements: Shared<std::collections::BTreeMap<ServiceName, Shared<Placement>>>,
+    pub placements: Shared<BTreeMap<ServiceName, Shared<Placement>>>,
     /// Back ends that take new work, by service; follows from players and places.
-    available: Shared<std::collections::HashMap<ServiceName, Shared<Vec<AvailableBackend>>>>,
+    available: Shared<HashMap<ServiceName, Shared<Vec<AvailableBackend>>>>,
 }
 
 /// A back end that takes new work, with the place of the node beside it.
@@ -98,9 +102,8 @@
                 None
             }
         };
-        let names: std::collections::HashSet<BackendName> =
-            deltas.iter().filter_map(names).collect();
-        let nodes: std::collections::HashSet<NodeName> = deltas.iter().filter_map(nodes).collect();
+        let names: HashSet<BackendName> = deltas.iter().filter_map(names).collect();
+        let nodes: HashSet<NodeName> = deltas.iter().filter_map(nodes).collect();
         // Of a back end that was told of, both the service it left and the one it came to.
         let touched = |programme: &StateSnapshot| -> Vec<ServiceName> {
             let told = programme
@@ -116,8 +119,7 @@
         };
         let mut next = deltas.into_iter().fold(base, StateSnapshot::with_delta);
         if !names.is_empty() || !nodes.is_empty() {
-            let touched: std::collections::HashSet<ServiceName> =
-                before.into_iter().chain(touched(&next)).collect();
+            let touched: HashSet<ServiceName> = before.into_iter().chain(touched(&next)).collect();
             let casts = next.available_of(&touched);
             let cast = Shared::make_mut(&mut next.available);
             cast.retain(|service, _| !touched.contains(service));
@@ -128,8 +130,8 @@
 
     fn available_of(
         &self,
-        services: &std::collections::HashSet<ServiceName>,
-    ) -> std::collections::HashMap<ServiceName, Shared<Vec<AvailableBackend>>> {
+        services: &HashSet<ServiceName>,
+    ) -> HashMap<ServiceName, Shared<Vec<AvailableBackend>>> {
         let working = self
             .backends
             .iter()
@@ -139,7 +141,7 @@
                 .map(|placed| (player.service.clone(), placed))
         });
         let by_service = placed.fold(
-            std::collections::HashMap::<ServiceName, Vec<AvailableBackend>>::new(),
+            HashMap::<ServiceName, Vec<AvailableBackend>>::new(),
             |mut cast, (service, placed)| {
                 cast.entry(service).or_default().push(placed);
                 cast
--- a/crates/model/src/cluster_state/endpoints.rs
+++ b/crates/model/src/cluster_state/endpoints.rs
@@ -1,6 +1,9 @@
 //! Back ends and nodes as the log knows them, and what changes them (design 11.2).
 
 use crate::{BackendName, BackendPhase, Incarnation, NodeName, Position, ServiceName, ZoneName};
+use std::collections::BTreeMap;
+use std::collections::BTreeSet;
+use std::collections::HashSet;
 
 /// A back end's name is one life: a new start has a new name.
 #[derive(
@@ -39,7 +42,7 @@
     #[serde(rename = "life")]
     pub incarnation: Incarnation,
     pub present: bool,
-    pub missed_by: std::collections::BTreeSet<NodeName>,
+    pub missed_by: BTreeSet<NodeName>,
     #[serde(rename = "since")]
     pub changed_at: Position,
 }
@@ -103,8 +106,8 @@
     },
 }
 
-pub type BackendRecords = std::collections::BTreeMap<BackendName, BackendRecord>;
-pub type NodeRecords = std::collections::BTreeMap<NodeName, NodeRecord>;
+pub type BackendRecords = BTreeMap<BackendName, BackendRecord>;
+pub type NodeRecords = BTreeMap<NodeName, NodeRecord>;
 
 /// Compare-and-set: a registration counts only on top of the incarnation that its sender found in the log.
 pub(crate) fn may_register(
@@ -153,14 +156,14 @@
 /// An absent node is kept for so many positions.
 const ABSENT_KEPT_POSITIONS: Position = 4_096;
 
-type NameSet = std::collections::BTreeSet<String>;
+type NameSet = BTreeSet<String>;
 
 /// Who was away for long: back ends beside nodes that are, unless a row of keys names them, and such nodes with no
 /// back end left (design 11.7).
 pub(crate) fn long_absent(
     backends: &BackendRecords,
     nodes: &NodeRecords,
-    named_in_shards: &std::collections::HashSet<&BackendName>,
+    named_in_shards: &HashSet<&BackendName>,
     next: Position,
 ) -> (NameSet, NameSet) {
     let long = |since: Position| since + ABSENT_KEPT_POSITIONS < next;
@@ -172,8 +175,7 @@
     let (leave, stay): (Vec<_>, Vec<_>) = backends.iter().partition(|(name, player)| {
         long(player.changed_at) && gone(&player.node) && !named_in_shards.contains(name)
     });
-    let beside: std::collections::HashSet<&NodeName> =
-        stay.into_iter().map(|(_, player)| &player.node).collect();
+    let beside: HashSet<&NodeName> = stay.into_iter().map(|(_, player)| &player.node).collect();
     let nodes = nodes
         .keys()
         .filter(|node| gone(node) && !beside.contains(node))
--- a/crates/model/src/cluster_state/items.rs
+++ b/crates/model/src/cluster_state/items.rs
@@ -1,6 +1,7 @@
 //! What operators write item by item, each under a version of its own; the highest holds (design 11.1).
 
 use crate::{Microseconds, ServiceName};
+use std::collections::BTreeMap;
 // `nested` and the derive need the trait in scope.
 use validator::Validate as _;
 
@@ -200,7 +201,7 @@
     pub text: String,
 }
 
-pub type Items = std::collections::BTreeMap<(ItemKind, ItemName), Item>;
+pub type Items = BTreeMap<(ItemKind, ItemName), Item>;
 
 /// One call of an operator: whole or not at all, though its items hold each for itself.
 #[derive(
@@ -347,7 +348,7 @@
             })
             .collect::<Vec<_>>()
     });
-    let changed: std::collections::BTreeMap<(&str, &str), &String> = lanes(false)
+    let changed: BTreeMap<(&str, &str), &String> = lanes(false)
         .into_iter()
         .map(|(name, lane)| ((lane.host.as_str(), lane.prefix.as_str()), name))
         .collect();
--- a/crates/model/src/cluster_state/mod.rs
+++ b/crates/model/src/cluster_state/mod.rs
@@ -1,6 +1,8 @@
 //! The second part of what the log drives: items, back ends, nodes and rows of keys, and what each entry
 //! changed of them, so that followers hear changes and not states (design 11).
 
+use std::collections::BTreeMap;
+
 mod delta;
 pub mod endpoints;
 pub mod items;
@@ -34,10 +36,10 @@
     pub items: items::Items,
     pub backends: endpoints::BackendRecords,
     pub nodes: endpoints::NodeRecords,
-    pub placements: std::collections::BTreeMap<ServiceName, Placement>,
+    pub placements: BTreeMap<ServiceName, Placement>,
     version_history: version_history::VersionHistory,
-    ended_backends: std::collections::BTreeMap<BackendName, Position>,
-    origins: std::collections::BTreeMap<String, (u64, u64, Position)>,
+    ended_backends: BTreeMap<BackendName, Position>,
+    origins: BTreeMap<String, (u64, u64, Position)>,
 }
 
 impl ClusterState {
--- a/crates/model/src/cluster_state/shard_map.rs
+++ b/crates/model/src/cluster_state/shard_map.rs
@@ -1,6 +1,7 @@
 //! Which back end holds which keys: rows over all keys of a service, cut anywhere (design 11.4).
 
 use crate::{BackendName, Position};
+use std::collections::HashMap;
 
 pub type ShardKey = u16;
 
@@ -240,8 +241,7 @@
 
 /// What of `new` is not in `old`, for followers that hold `old`.
 pub fn diff(old: &ShardMap, new: &ShardMap) -> ShardMap {
-    let held: std::collections::HashMap<ShardKey, &ShardRange> =
-        old.iter().map(|row| (row.first_key, row)).collect();
+    let held: HashMap<ShardKey, &ShardRange> = old.iter().map(|row| (row.first_key, row)).collect();
     new.iter()
         .filter(|row| held.get(&row.first_key) != Some(row))
         .cloned()
--- a/crates/model/src/cluster_state/version_history.rs
+++ b/crates/model/src/cluster_state/version_history.rs
@@ -3,6 +3,7 @@
 
 use super::items::{Item, ItemCall, ItemKind, ItemName, ItemVersion, Items};
 use crate::VersionConflict;
+use std::collections::BTreeMap;
 
 /// The latest versions of an item whose contents are remembered. An operator repeats an order for seconds, and an item
 /// changes a few times a day; what is older counts as a repeat, as it was confirmed or overtaken long ago.
@@ -14,7 +15,7 @@
 type ItemKey = (ItemKind, ItemName);
 
 #[derive(Clone, Debug, Default, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct VersionHistory(std::collections::BTreeMap<ItemKey, Vec<AcceptedVersion>>);
+pub struct VersionHistory(BTreeMap<ItemKey, Vec<AcceptedVersion>>);
 
 #[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 struct AcceptedVersion {
@@ -39,8 +40,7 @@
     /// Every item of the call that has other content than was taken under its version, or that stands twice in the
     /// call with two contents under one version.
     pub(crate) fn conflicts(&self, items: &Items, call: &ItemCall) -> Vec<VersionConflict> {
-        let mut sent: std::collections::BTreeMap<(ItemKey, ItemVersion), Digest> =
-            Default::default();
+        let mut sent: BTreeMap<(ItemKey, ItemVersion), Digest> = Default::default();
         let mut conflicts = Vec::new();
         for (key, item) in super::items::items_of_call(call) {
             let digest = content_digest(&item);
--- a/crates/model/src/compression.rs
+++ b/crates/model/src/compression.rs
@@ -1,5 +1,7 @@
 //! Large bytes are squeezed before they are sent or kept (design 11.3): items of one site look much alike.
 
+use std::borrow::Cow;
+
 /// What squeezed bytes begin with; an `rkyv` archive that began so by chance would be one in 2^64.
 const MAGIC: [u8; 8] = [0xf0, 0x9f, b'g', b'f', 0x00, b'l', b'z', b'4'];
 /// Below it nothing is won.
@@ -16,7 +18,7 @@
 }
 
 /// `None`: what was squeezed does not hold together.
-pub fn decompress(bytes: &[u8]) -> Option<std::borrow::Cow<'_, [u8]>> {
+pub fn decompress(bytes: &[u8]) -> Option<Cow<'_, [u8]>> {
     let Some(rest) = bytes.strip_prefix(&MAGIC) else {
         return Some(bytes.into());
     };
--- a/crates/model/src/desired_state.rs
+++ b/crates/model/src/desired_state.rs
@@ -1,6 +1,8 @@
 //! What operators write: groupings and standing orders (design 2.1).
 
 use crate::{Labels, Position, ServiceName, ZoneName};
+use std::collections::BTreeMap;
+use std::collections::BTreeSet;
 // `nested` needs the trait in scope.
 use validator::Validate as _;
 
@@ -110,8 +112,8 @@
 )]
 pub struct DesiredState {
     pub version: Position,
-    pub groupings: std::collections::BTreeMap<String, Grouping>,
-    pub orders: std::collections::BTreeMap<String, StandingOrder>,
+    pub groupings: BTreeMap<String, Grouping>,
+    pub orders: BTreeMap<String, StandingOrder>,
 }
 
 #[derive(
@@ -174,7 +176,7 @@
         })
     }
 
-    pub fn services(&self) -> std::collections::BTreeSet<&str> {
+    pub fn services(&self) -> BTreeSet<&str> {
         self.groupings
             .values()
             .map(|grouping| grouping.service.as_str())
--- a/crates/model/src/endpoint_status.rs
+++ b/crates/model/src/endpoint_status.rs
@@ -1,6 +1,8 @@
 //! The standing of back ends and nodes, as the log knows it (design 2.4).
 
 use crate::{BackendName, Incarnation, Labels, NodeName, Position, ServiceName, ZoneName};
+use std::collections::BTreeMap;
+use std::collections::BTreeSet;
 
 #[derive(
     Clone,
@@ -68,7 +70,7 @@
     pub incarnation: Incarnation,
     pub present: bool,
     #[serde(rename = "reporters")]
-    pub missed_by: std::collections::BTreeSet<NodeName>,
+    pub missed_by: BTreeSet<NodeName>,
     #[serde(rename = "since")]
     pub changed_at: Position,
 }
@@ -134,6 +136,6 @@
 )]
 pub struct EndpointStatus {
     #[serde(rename = "back_ends")]
-    pub backends: std::collections::BTreeMap<BackendName, Backend>,
-    pub nodes: std::collections::BTreeMap<NodeName, Node>,
+    pub backends: BTreeMap<BackendName, Backend>,
+    pub nodes: BTreeMap<NodeName, Node>,
 }
--- a/crates/model/src/env.rs
+++ b/crates/model/src/env.rs
@@ -1,6 +1,7 @@
 //! Settings from a file, overridden by flags, every fault named at once (design 10.1).
 
 use crate::check::Fault;
+use std::net::SocketAddr;
 
 pub const USAGE_EXIT_CODE: i32 = 2;
 
@@ -122,12 +123,10 @@
 }
 
 pub fn is_address(text: &str) -> Result<(), validator::ValidationError> {
-    text.parse::<std::net::SocketAddr>()
-        .map(|_| ())
-        .map_err(|_| {
-            validator::ValidationError::new("address")
-                .with_message("is an IP number and port, as in 127.0.0.1:7000".into())
-        })
+    text.parse::<SocketAddr>().map(|_| ()).map_err(|_| {
+        validator::ValidationError::new("address")
+            .with_message("is an IP number and port, as in 127.0.0.1:7000".into())
+    })
 }
 
 pub fn are_addresses(list: &[String]) -> Result<(), validator::ValidationError> {
--- a/crates/model/src/leases.rs
+++ b/crates/model/src/leases.rs
@@ -1,6 +1,7 @@
 //! Key terms: a pure function of the log's state (design 7).
 
 use crate::{Backend, BackendName, Incarnation, Microseconds, Position, ServiceName};
+use std::collections::BTreeMap;
 
 /// Slices of keys per service.
 pub const KEY_SLOTS: u16 = 64;
@@ -29,10 +30,10 @@
     pub pending_releases: Vec<(LeaseHolder, Position)>,
 }
 
-pub type LeaseTable = std::collections::BTreeMap<ServiceName, Vec<Lease>>;
+pub type LeaseTable = BTreeMap<ServiceName, Vec<Lease>>;
 
 /// The longest run ever permitted on a service's keys, which a next holder must wait out.
-pub type LongestRequests = std::collections::BTreeMap<ServiceName, Microseconds>;
+pub type LongestRequests = BTreeMap<ServiceName, Microseconds>;
 
 pub fn key_slot(key: &str) -> KeySlot {
     (stable_hash(key) % KEY_SLOTS as u64) as KeySlot
@@ -55,8 +56,7 @@
     position: Position,
 ) -> Vec<Lease> {
     let quotas = slot_quotas(candidates);
-    let mut held: std::collections::BTreeMap<&LeaseHolder, usize> =
-        std::collections::BTreeMap::new();
+    let mut held: BTreeMap<&LeaseHolder, usize> = BTreeMap::new();
     let kept: Vec<Option<&LeaseHolder>> = (0..KEY_SLOTS as usize)
         .map(|at| {
             let holder = before.get(at).and_then(|term| term.holder.as_ref())?;
@@ -111,12 +111,10 @@
 }
 
 /// Whole slices in proportion to slots; the largest remainders get the odd ones.
-fn slot_quotas(
-    candidates: &[(LeaseHolder, u32)],
-) -> std::collections::BTreeMap<LeaseHolder, usize> {
+fn slot_quotas(candidates: &[(LeaseHolder, u32)]) -> BTreeMap<LeaseHolder, usize> {
     let slots: u64 = candidates.iter().map(|(_, slots)| *slots as u64).sum();
     if slots == 0 {
-        return std::collections::BTreeMap::new();
+        return BTreeMap::new();
     }
     let exact = |own: u32| {
         (
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,5 +1,7 @@
 //! The words all parts of gradeford share: desired state, standing, terms, verdicts (design 2).
 
+use std::collections::BTreeMap;
+
 pub mod check;
 pub mod clock;
 pub mod cluster_state;
@@ -34,4 +36,4 @@
 pub type ZoneName = String;
 pub type BackendName = String;
 pub type NodeName = String;
-pub type Labels = std::collections::BTreeMap<String, String>;
+pub type Labels = BTreeMap<String, String>;
--- a/crates/model/src/logging.rs
+++ b/crates/model/src/logging.rs
@@ -1,14 +1,16 @@
 //! JSON lines to standard error (design 10.3).
 
+use std::sync::Arc;
+use std::sync::Mutex;
+use std::sync::atomic::AtomicUsize;
+
 /// How much is told; a reload turns it while the program runs.
 #[derive(Clone)]
-pub struct LogLevelSwitch(std::sync::Arc<std::sync::atomic::AtomicUsize>);
+pub struct LogLevelSwitch(Arc<AtomicUsize>);
 
 impl LogLevelSwitch {
     pub fn new(level: slog::Level) -> LogLevelSwitch {
-        LogLevelSwitch(std::sync::Arc::new(std::sync::atomic::AtomicUsize::new(
-            level.as_usize(),
-        )))
+        LogLevelSwitch(Arc::new(AtomicUsize::new(level.as_usize())))
     }
 
     pub fn set_level(&self, level: slog::Level) {
@@ -34,7 +36,7 @@
         ))
         .build();
     let lines = slog::Filter::new(
-        slog::Fuse::new(std::sync::Mutex::new(slog::Fuse::new(lines))),
+        slog::Fuse::new(Mutex::new(slog::Fuse::new(lines))),
         move |record| level_switch.allows(record.level()),
     );
     let (drain, guard) = slog_async::Async::new(slog::Fuse::new(lines))
--- a/crates/model/src/state_machine.rs
+++ b/crates/model/src/state_machine.rs
@@ -4,6 +4,8 @@
     Backend, BackendPhase, Change, DesiredState, EndpointStatus, Entry, Operation, Outcome,
     Position, endpoint_status::EndpointReport, endpoint_status_rules::Rejection, leases,
 };
+use std::collections::BTreeMap;
+use std::collections::BTreeSet;
 
 /// Remembered changes and origins; both are part of the snapshot (design 2.3).
 const MAX_REMEMBERED_CHANGES: usize = 1_024;
@@ -30,12 +32,12 @@
     pub longest_requests: leases::LongestRequests,
     /// Seats that changed hands: the disk that holds it, after which instance.
     #[serde(rename = "seats")]
-    pub replica_holders: std::collections::BTreeMap<u16, (u64, u64)>,
+    pub replica_holders: BTreeMap<u16, (u64, u64)>,
     /// Change id to the position it was decided at, its edits' digest, and the answer.
     #[serde(rename = "changes")]
-    decided_changes: std::collections::BTreeMap<String, (Position, Vec<u8>, Outcome)>,
+    decided_changes: BTreeMap<String, (Position, Vec<u8>, Outcome)>,
     /// Origin to its life, last sequence, position and answer.
-    origins: std::collections::BTreeMap<String, (u64, u64, Position, Outcome)>,
+    origins: BTreeMap<String, (u64, u64, Position, Outcome)>,
 }
 
 impl StateMachine {
@@ -226,12 +228,12 @@
 
     /// Key terms follow from desired state and standing; nothing else decides them.
     fn reassign_leases(&mut self) {
-        let keyed: std::collections::BTreeMap<String, u64> = self
+        let keyed: BTreeMap<String, u64> = self
             .desired
             .orders
             .values()
             .filter(|order| order.keyed)
-            .fold(std::collections::BTreeMap::new(), |mut longest, order| {
+            .fold(BTreeMap::new(), |mut longest, order| {
                 let held = longest.entry(order.selector.service.clone()).or_insert(0);
                 *held = order.wait_us.max(*held);
                 longest
@@ -241,7 +243,7 @@
             .keys()
             .chain(self.leases.keys())
             .cloned()
-            .collect::<std::collections::BTreeSet<_>>()
+            .collect::<BTreeSet<_>>()
             .into_iter()
             .collect();
         services.into_iter().for_each(|service| {
@@ -331,7 +333,7 @@
 }
 
 fn evict_oldest<V>(
-    table: &mut std::collections::BTreeMap<String, V>,
+    table: &mut BTreeMap<String, V>,
     keep: usize,
     position: impl Fn(&V) -> Position,
 ) {
--- a/crates/model/src/state_patch.rs
+++ b/crates/model/src/state_patch.rs
@@ -4,10 +4,12 @@
     Backend, Grouping, Microseconds, Position, StandingOrder, StateSlice, endpoint_status::Node,
     leases, state_slice::ServiceSet,
 };
+use std::collections::BTreeMap;
+use std::collections::BTreeSet;
 
-type Table<V> = std::collections::BTreeMap<String, V>;
+type Table<V> = BTreeMap<String, V>;
 /// What to put and what to drop.
-pub type TablePatch<V> = (Table<V>, std::collections::BTreeSet<String>);
+pub type TablePatch<V> = (Table<V>, BTreeSet<String>);
 
 #[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct StatePatch {
--- a/crates/model/src/state_slice.rs
+++ b/crates/model/src/state_slice.rs
@@ -4,6 +4,8 @@
     Backend, Grouping, Microseconds, Position, ServiceName, StandingOrder, StateMachine,
     endpoint_status::Node, leases,
 };
+use std::collections::BTreeMap;
+use std::collections::BTreeSet;
 
 #[derive(
     Clone,
@@ -21,18 +23,18 @@
     pub services: ServiceSet,
     pub position: Position,
     pub version: Position,
-    pub groupings: std::collections::BTreeMap<String, Grouping>,
-    pub orders: std::collections::BTreeMap<String, StandingOrder>,
+    pub groupings: BTreeMap<String, Grouping>,
+    pub orders: BTreeMap<String, StandingOrder>,
     #[serde(rename = "back_ends")]
-    pub backends: std::collections::BTreeMap<String, Backend>,
-    pub nodes: std::collections::BTreeMap<String, Node>,
+    pub backends: BTreeMap<String, Backend>,
+    pub nodes: BTreeMap<String, Node>,
     #[serde(rename = "terms")]
     pub leases: leases::LeaseTable,
     #[serde(rename = "longest")]
-    pub longest_requests: std::collections::BTreeMap<ServiceName, Microseconds>,
+    pub longest_requests: BTreeMap<ServiceName, Microseconds>,
 }
 
-pub type ServiceSet = std::collections::BTreeSet<ServiceName>;
+pub type ServiceSet = BTreeSet<ServiceName>;
 
 impl StateSlice {
     /// What ushers need that have back ends of `services` beside them.
@@ -133,10 +135,7 @@
             .any(|from| services.contains(from))
 }
 
-fn touched_services(
-    orders: &std::collections::BTreeMap<String, StandingOrder>,
-    services: &ServiceSet,
-) -> ServiceSet {
+fn touched_services(orders: &BTreeMap<String, StandingOrder>, services: &ServiceSet) -> ServiceSet {
     orders
         .values()
         .map(|order| order.selector.service.clone())
@@ -145,9 +144,9 @@
 }
 
 fn of_services<V: Clone>(
-    table: &std::collections::BTreeMap<ServiceName, V>,
+    table: &BTreeMap<ServiceName, V>,
     services: &ServiceSet,
-) -> std::collections::BTreeMap<ServiceName, V> {
+) -> BTreeMap<ServiceName, V> {
     table
         .iter()
         .filter(|(service, _)| services.contains(*service))
@@ -156,9 +155,9 @@
 }
 
 fn filtered<V: Clone>(
-    table: &std::collections::BTreeMap<String, V>,
+    table: &BTreeMap<String, V>,
     wanted: impl Fn(&V) -> bool,
-) -> std::collections::BTreeMap<String, V> {
+) -> BTreeMap<String, V> {
     table
         .iter()
         .filter(|(_, held)| wanted(held))
--- a/crates/model/tests/bill/conflicts.rs
+++ b/crates/model/tests/bill/conflicts.rs
@@ -4,6 +4,8 @@
 use crate::making::*;
 use model::cluster_state::{ClusterOperation, ClusterReport, ItemCall, ItemKind};
 use model::{ClusterState, Outcome};
+use std::collections::BTreeMap;
+use std::ops::Range;
 
 /// Contents of one route that differ, as two operators write them.
 fn route(name: &str, version: u64, prefix: &str) -> ItemCall {
@@ -129,7 +131,7 @@
 #[test]
 fn hundreds_of_versions_of_an_item_keep_a_bounded_record() {
     let mut bill = site();
-    let grown = |bill: &mut ClusterState, versions: std::ops::Range<u64>| {
+    let grown = |bill: &mut ClusterState, versions: Range<u64>| {
         versions.for_each(|version| drop(amend(bill, route("sell", version, "/one/"))));
         bill.to_bytes().len()
     };
@@ -146,8 +148,7 @@
 fn drawn_races_and_repeats_confirm_one_content_of_each_version_and_refuse_nothing_confirmed() {
     test_support::drawn::<[(u8, u8, u8); 80]>(300, |steps| {
         let mut bill = site();
-        let mut confirmed_content: std::collections::BTreeMap<(String, u64), u8> =
-            Default::default();
+        let mut confirmed_content: BTreeMap<(String, u64), u8> = Default::default();
         for (name, version, content) in steps {
             let (name, version, content) = (
                 format!("route-{}", name % 3),
@@ -166,7 +167,7 @@
                 (Outcome::Conflict { .. }, None) => panic!("a conflict with nothing"),
                 (_, Some(earlier)) => assert_eq!(earlier, content, "two contents were confirmed"),
                 (Outcome::Accepted { .. }, None) => {
-                    drop(confirmed_content.insert((name, version), content))
+                    let _ = confirmed_content.insert((name, version), content);
                 }
                 (outcome, None) => assert!(confirmed(outcome), "{outcome:?}"),
             }
--- a/crates/model/tests/bill/making.rs
+++ b/crates/model/tests/bill/making.rs
@@ -6,6 +6,7 @@
     Route, Service,
 };
 use model::{BackendPhase, ClusterState, Outcome};
+use std::sync::atomic::AtomicU64;
 
 pub fn service(keyed: bool) -> ItemBody {
     ItemBody::Service(Service {
@@ -85,7 +86,7 @@
     }
 }
 
-static SEQUENCE: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(1);
+static SEQUENCE: AtomicU64 = AtomicU64::new(1);
 
 /// Reports that no earlier one of their origin stands in the way of.
 pub fn tell(bill: &mut ClusterState, reports: Vec<ClusterReport>) -> Vec<Delta> {
--- a/crates/model/tests/bill/programme.rs
+++ b/crates/model/tests/bill/programme.rs
@@ -3,6 +3,7 @@
 use crate::making::*;
 use model::ClusterState;
 use model::cluster_state::{ClusterOperation, ClusterReport, Delta, ItemKind, StateSnapshot};
+use std::sync::Arc;
 
 type Drawn = (u8, u8, u8, u8);
 
@@ -201,7 +202,7 @@
         let before = std::mem::replace(&mut held, next);
         assert_eq!(held, whole(&bill));
         let made = |at: &usize| {
-            !std::sync::Arc::ptr_eq(
+            !Arc::ptr_eq(
                 &before.available_backends(&format!("service-{at}")),
                 &held.available_backends(&format!("service-{at}")),
             )
--- a/crates/model/tests/bill/rows.rs
+++ b/crates/model/tests/bill/rows.rs
@@ -1,6 +1,7 @@
 //! Rows of keys against what each key is to go through, one by one (design 11.4).
 
 use model::cluster_state::shard_map::{self, ShardMap, ShardRange};
+use std::collections::BTreeMap;
 
 const NAMES: [&str; 4] = ["a", "b", "c", "d"];
 
@@ -66,7 +67,7 @@
 fn step(
     position: u64,
     held: ShardMap,
-    keys: &mut std::collections::BTreeMap<u16, Known>,
+    keys: &mut BTreeMap<u16, Known>,
     (kind, who, one, other): (u8, u8, u8, u8),
 ) -> ShardMap {
     let (name, (from, to)) = (NAMES[who as usize % 4], edges(one, other));
@@ -117,7 +118,7 @@
 fn rows_say_of_each_key_what_it_went_through_and_fences_only_grow() {
     test_support::drawn::<[(u8, u8, u8, u8); 48]>(400, |steps| {
         let mut held = shard_map::unassigned();
-        let mut each: std::collections::BTreeMap<u16, Known> = keys()
+        let mut each: BTreeMap<u16, Known> = keys()
             .into_iter()
             .map(|key| (key, (None, 0, Vec::new(), String::new())))
             .collect();
--- a/crates/operator-api/src/lib.rs
+++ b/crates/operator-api/src/lib.rs
@@ -1,5 +1,8 @@
 //! Operators: changes, reading back, standing, health (docs/operators/changes.md).
 
+use std::sync::Arc;
+use std::sync::atomic::AtomicBool;
+
 mod changes;
 mod queries;
 
@@ -7,7 +10,7 @@
 pub struct OperatorApi {
     pub replica: control::ReplicaHandle,
     /// False once the process has been told to stop.
-    pub accepting_work: std::sync::Arc<std::sync::atomic::AtomicBool>,
+    pub accepting_work: Arc<AtomicBool>,
 }
 
 pub fn router(office: OperatorApi) -> salvo::Router {
--- a/crates/operator-api/src/queries.rs
+++ b/crates/operator-api/src/queries.rs
@@ -1,6 +1,8 @@
 //! Reading back: through a quorum read, so that what was accepted anywhere is seen (design 3.9).
 
 use crate::{OperatorApi, changes::ItemKind};
+use std::collections::BTreeMap;
+use std::sync::Arc;
 
 pub(crate) struct Liveness;
 pub(crate) struct Readiness(pub OperatorApi);
@@ -12,7 +14,7 @@
 async fn read_current(
     office: &OperatorApi,
     response: &mut salvo::Response,
-) -> Option<std::sync::Arc<model::StateMachine>> {
+) -> Option<Arc<model::StateMachine>> {
     if office.replica.read_barrier().await.is_none() {
         let answer = serde_json::json!({ "cause": "no_majority", "detail": "no majority answered, so nothing here is known to be current" });
         http_util::write_json(response, 503, &answer);
@@ -26,7 +28,7 @@
 }
 
 /// Seat to the disk that holds it, as this seat has it on its own disk.
-fn member_disks(core: &control::ReplicaHandle) -> std::collections::BTreeMap<u16, String> {
+fn member_disks(core: &control::ReplicaHandle) -> BTreeMap<u16, String> {
     let pins = core.pinned_disks.load();
     let others = pins.iter().map(|(seat, identity)| (*seat, *identity));
     others
--- a/crates/operator-api/tests/operators.rs
+++ b/crates/operator-api/tests/operators.rs
@@ -1,12 +1,17 @@
 //! Operators against a core in this process: faults, races, repeats, and no majority (design 2.2, 4.1).
 
+use std::path::Path;
+use std::path::PathBuf;
+use std::sync::Arc;
+use std::sync::atomic::AtomicBool;
+
 struct TestReplica {
     handle: control::ReplicaHandle,
     http_server: http_util::HttpServer,
 }
 
 async fn start_replica(
-    folder: &std::path::Path,
+    folder: &Path,
     number: u16,
     seats: u16,
     seeds: Vec<String>,
@@ -31,7 +36,7 @@
     let core =
         control::ReplicaHandle::start(env, model::logging::discard_logger()).expect("a core seat");
     tokio::spawn(control::stream::listen(core.clone(), mates));
-    let staying = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true));
+    let staying = Arc::new(AtomicBool::new(true));
     let router = operator_api::router(operator_api::OperatorApi {
         replica: core.clone(),
         accepting_work: staying,
@@ -88,7 +93,7 @@
     ])
 }
 
-fn temp_dir(name: &str) -> std::path::PathBuf {
+fn temp_dir(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!("gradeford-{name}-{}", std::process::id()))
 }
 
@@ -255,10 +260,7 @@
     std::fs::remove_dir_all(folder).expect("clean");
 }
 
-async fn start_replica_on_empty_disk(
-    folder: &std::path::Path,
-    seeds: Vec<String>,
-) -> (TestReplica, String) {
+async fn start_replica_on_empty_disk(folder: &Path, seeds: Vec<String>) -> (TestReplica, String) {
     start_replica(&folder.join("emptied"), 0, 3, seeds).await
 }
 
--- a/crates/outbound/src/in_flight.rs
+++ b/crates/outbound/src/in_flight.rs
@@ -1,13 +1,13 @@
 //! Calls under way, so that a stop takes no new ones and waits for the rest (design 8.3).
 
+use std::sync::Arc;
+use std::sync::atomic::AtomicUsize;
+
 const DRAINING: usize = 1 << (usize::BITS - 1);
 
 /// One word holds both the count and whether new calls are refused, so no call slips between.
 #[derive(Clone, Default)]
-pub struct InFlightRequests(
-    std::sync::Arc<std::sync::atomic::AtomicUsize>,
-    std::sync::Arc<tokio::sync::Notify>,
-);
+pub struct InFlightRequests(Arc<AtomicUsize>, Arc<tokio::sync::Notify>);
 
 pub struct InFlightGuard(InFlightRequests);
 
--- a/crates/outbound/src/listener.rs
+++ b/crates/outbound/src/listener.rs
@@ -2,6 +2,8 @@
 
 use http_body_util::BodyExt as _;
 use model::{Cause, Error, ExecutionStatus};
+use std::convert::Infallible;
+use std::time::Duration;
 
 #[derive(Clone)]
 pub struct ListenerConfig {
@@ -17,7 +19,7 @@
 type HttpResponse = hyper::Response<http_body_util::Full<bytes::Bytes>>;
 
 /// Where no limits are set yet.
-const DEFAULT_IDLE_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(15);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 const DEFAULT_MAX_HEADER_BYTES: usize = 65_536;
 const DEFAULT_MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 
@@ -48,7 +50,7 @@
         let limits = self.proxy.verified_state.load().snapshot.limits.clone();
         let idle_timeout = limits
             .as_ref()
-            .map(|limits| std::time::Duration::from_micros(limits.idle_us))
+            .map(|limits| Duration::from_micros(limits.idle_us))
             .unwrap_or(DEFAULT_IDLE_TIMEOUT);
         let max_header_bytes = limits
             .as_ref()
@@ -57,7 +59,7 @@
             .max(8_192);
         let service = hyper::service::service_fn(move |request| {
             let front = self.clone();
-            async move { Ok::<_, std::convert::Infallible>(front.handle(request).await) }
+            async move { Ok::<_, Infallible>(front.handle(request).await) }
         });
         let mut builder = hyper::server::conn::http1::Builder::new();
         builder
--- a/crates/outbound/src/peer_connections.rs
+++ b/crates/outbound/src/peer_connections.rs
@@ -1,6 +1,12 @@
 //! Conns to the nodes beside other back ends: one each, many requests on it (design 13.2).
 
 use model::{Cause, Error};
+use std::collections::HashMap;
+use std::sync::Arc;
+use std::sync::Mutex;
+use std::sync::PoisonError;
+use std::sync::atomic::AtomicU32;
+use std::time::Duration;
 
 type OutcomeSender = tokio::sync::oneshot::Sender<inbound::Outcome>;
 
@@ -12,17 +18,14 @@
     Notify(transport::Frame),
 }
 
-pub type HandshakeInfo =
-    std::sync::Arc<dyn Fn(transport::Purpose) -> transport::Handshake + Send + Sync>;
+pub type HandshakeInfo = Arc<dyn Fn(transport::Purpose) -> transport::Handshake + Send + Sync>;
 
 /// Address to the queue of the task that carries its conn.
 #[derive(Clone)]
 pub struct PeerConnections {
-    queues: std::sync::Arc<
-        std::sync::Mutex<std::collections::HashMap<String, tokio::sync::mpsc::Sender<Command>>>,
-    >,
+    queues: Arc<Mutex<HashMap<String, tokio::sync::mpsc::Sender<Command>>>>,
     /// Requests of this process are numbered over all conns, so that a late answer meets no later request.
-    next_request_id: std::sync::Arc<std::sync::atomic::AtomicU32>,
+    next_request_id: Arc<AtomicU32>,
     handshake_info: HandshakeInfo,
 }
 
@@ -43,7 +46,7 @@
 }
 
 /// A conn that nothing was asked on for so long is let go.
-const IDLE_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(30);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 const QUEUE_CAPACITY: usize = 1_024;
 
 impl PeerConnections {
@@ -102,10 +105,7 @@
 
     /// The lock is a leaf: nothing is awaited or locked under it (design 8.1).
     fn queue_to(&self, address: &str) -> tokio::sync::mpsc::Sender<Command> {
-        let mut lines = self
-            .queues
-            .lock()
-            .unwrap_or_else(std::sync::PoisonError::into_inner);
+        let mut lines = self.queues.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(line) = lines.get(address).filter(|line| !line.is_closed()) {
             return line.clone();
         }
@@ -140,7 +140,7 @@
             return;
         }
     };
-    let mut pending: std::collections::HashMap<u32, OutcomeSender> = Default::default();
+    let mut pending: HashMap<u32, OutcomeSender> = Default::default();
     let (mut encoder, mut decoder) = (
         transport::HeaderEncoder::default(),
         transport::HeaderDecoder::default(),
--- a/crates/outbound/src/peer_server.rs
+++ b/crates/outbound/src/peer_server.rs
@@ -1,5 +1,7 @@
 //! What a node answers its mates: requests for the back end beside it, and beats (design 13.2, 5.10).
 
+use std::collections::HashMap;
+
 /// Tells the watch that a ward was heard.
 pub type HeartbeatSender = tokio::sync::mpsc::Sender<(String, model::Incarnation)>;
 /// What back ends are asked for, told to whoever places keys here.
@@ -41,7 +43,7 @@
 
 /// Requests of one conn, by number.
 #[derive(Default)]
-struct RunningRequests(std::collections::HashMap<u32, tokio::task::AbortHandle>);
+struct RunningRequests(HashMap<u32, tokio::task::AbortHandle>);
 
 impl Drop for RunningRequests {
     fn drop(&mut self) {
--- a/crates/outbound/src/proxy.rs
+++ b/crates/outbound/src/proxy.rs
@@ -1,6 +1,7 @@
 //! One request from end to end: its lane, whom it goes to, whether it may go again (design 13.5).
 
 use model::{Cause, Error, ExecutionStatus, Microseconds};
+use std::time::Duration;
 
 #[derive(Clone)]
 pub struct OutboundProxy {
@@ -31,7 +32,7 @@
 }
 
 /// Between two looks at who holds a key that is on its way from one to another.
-const RESELECT_INTERVAL: std::time::Duration = std::time::Duration::from_millis(15);
+const RESELECT_INTERVAL: Duration = Duration::from_millis(15);
 /// Back ends that pass a request over before one has to take it.
 const MAX_PASSED_OVER: u8 = 2;
 /// How much later than the wait a mate's last word may come.
@@ -204,11 +205,8 @@
     time_left: Microseconds,
     call: impl Future<Output = inbound::Outcome>,
 ) -> inbound::Outcome {
-    let outcome = tokio::time::timeout(
-        std::time::Duration::from_micros(time_left + PEER_RESPONSE_GRACE),
-        call,
-    )
-    .await;
+    let outcome =
+        tokio::time::timeout(Duration::from_micros(time_left + PEER_RESPONSE_GRACE), call).await;
     outcome.unwrap_or_else(|_| {
         (
             Err(Error::new(
--- a/crates/outbound/src/retry_budget.rs
+++ b/crates/outbound/src/retry_budget.rs
@@ -2,13 +2,14 @@
 //! any window no more than a share of the requests (design 13.10). Pure, with the time told to it.
 
 use model::Microseconds;
+use std::collections::VecDeque;
 
 /// What was earned lately, by when. Nothing is there at the start, and nothing lasts: what is spent in a window was
 /// earned in it or in the half before it.
 #[derive(Default)]
 pub struct RetryBudget {
     /// By the grain it was earned in, the oldest first.
-    deposits: std::collections::VecDeque<(Microseconds, u64)>,
+    deposits: VecDeque<(Microseconds, u64)>,
 }
 
 const RETRY_COST: u64 = 100;
--- a/crates/outbound/src/selector.rs
+++ b/crates/outbound/src/selector.rs
@@ -2,6 +2,7 @@
 
 use model::Microseconds;
 use model::cluster_state::StateSnapshot;
+use std::collections::HashMap;
 
 /// How long a back end that was lost or refused is passed over, while there are others.
 const FAILURE_COOLDOWN: Microseconds = 300_000;
@@ -37,8 +38,8 @@
 /// Pure, with the time told to it.
 pub struct Selector {
     config: SelectorConfig,
-    backends: std::collections::HashMap<String, BackendLoad>,
-    retry_budgets: std::collections::HashMap<String, crate::RetryBudget>,
+    backends: HashMap<String, BackendLoad>,
+    retry_budgets: HashMap<String, crate::RetryBudget>,
     rotation: u64,
 }
 
@@ -159,7 +160,7 @@
                         picker.attempt_finished(now, &name, wait, bench)
                     }
                     Command::Withdraw(service, answer) => {
-                        drop(answer.send(picker.withdraw(now, &service)))
+                        let _ = answer.send(picker.withdraw(now, &service));
                     }
                 }
                 count += 1;
--- a/crates/outbound/src/selector/tests.rs
+++ b/crates/outbound/src/selector/tests.rs
@@ -3,6 +3,7 @@
 
 use super::*;
 use rand::Rng as _;
+use std::collections::BTreeMap;
 
 const BACK_ENDS: usize = 16;
 const NEAR: usize = 40;
@@ -54,7 +55,7 @@
     let mut near: Vec<Selector> = (0..NEAR).map(|_| Selector::new(env)).collect();
     let mut far: Vec<(inbound::OutlierDetector, inbound::AdmissionQueue<()>)> =
         (0..BACK_ENDS).map(|_| Default::default()).collect();
-    let mut ends: std::collections::BTreeMap<(Microseconds, u64), End> = Default::default();
+    let mut ends: BTreeMap<(Microseconds, u64), End> = Default::default();
     let until = scene.to + 12 * SECOND;
     let (mut seen, mut due, mut begun) = (
         Seen {
--- a/crates/outbound/tests/back_end/mod.rs
+++ b/crates/outbound/tests/back_end/mod.rs
@@ -1,6 +1,8 @@
 //! A back end that does what the path of a request says, and a relay that breaks conns.
 
 use http_util::headers::DEFAULT_HEADER_NAMES;
+use std::sync::Arc;
+use std::time::Duration;
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::{TcpListener, TcpStream};
 
@@ -25,7 +27,7 @@
         let address = listener.local_addr().expect("an address").to_string();
         let (tell, events) = tokio::sync::watch::channel(Vec::new());
         let (released, releases) = tokio::sync::watch::channel(0);
-        let tell = std::sync::Arc::new(tell);
+        let tell = Arc::new(tell);
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 tokio::spawn(attend(stream, tell.clone(), releases.clone()));
@@ -75,7 +77,7 @@
     Some(String::from_utf8_lossy(&head).to_string())
 }
 
-type Tell = std::sync::Arc<tokio::sync::watch::Sender<Vec<Event>>>;
+type Tell = Arc<tokio::sync::watch::Sender<Vec<Event>>>;
 
 async fn attend(mut stream: TcpStream, tell: Tell, releases: tokio::sync::watch::Receiver<u64>) {
     while let Some(head) = head(&mut stream).await {
@@ -160,7 +162,7 @@
         return false;
     }
     if script.ends_with("reset") {
-        drop(socket2::SockRef::from(&*stream).set_linger(Some(std::time::Duration::ZERO)));
+        drop(socket2::SockRef::from(&*stream).set_linger(Some(Duration::ZERO)));
     }
     open
 }
--- a/crates/outbound/tests/callers.rs
+++ b/crates/outbound/tests/callers.rs
@@ -2,6 +2,9 @@
 //! answer meets another caller, what must not run twice runs once, and nobody works for a caller that is gone
 //! (design 13.2, 13.4; docs/control-plane.md, point 5).
 
+use std::sync::Arc;
+use std::task::Poll;
+
 mod back_end;
 
 use back_end::{BackEnd, Event};
@@ -54,8 +57,7 @@
         .expect("a port");
     let far = listener.local_addr().expect("an address").to_string();
     let relay = back_end::Relay::start(far).await;
-    let greet: outbound::HandshakeInfo =
-        std::sync::Arc::new(|purpose| greeting(purpose, "127.0.0.1:0"));
+    let greet: outbound::HandshakeInfo = Arc::new(|purpose| greeting(purpose, "127.0.0.1:0"));
     let (heard, _) = tokio::sync::mpsc::channel(8);
     let (loads, _) = tokio::sync::mpsc::channel(8);
     tokio::spawn(outbound::serve_peers(
@@ -308,14 +310,14 @@
     let mut pending: Vec<_> = calls.map(|call| (Box::pin(call), None)).collect();
     std::future::poll_fn(|context| {
         for (call, done) in pending.iter_mut().filter(|(_, done)| done.is_none()) {
-            if let std::task::Poll::Ready(outcome) = call.as_mut().poll(context) {
+            if let Poll::Ready(outcome) = call.as_mut().poll(context) {
                 *done = Some(outcome);
             }
         }
         if pending.iter().all(|(_, done)| done.is_some()) {
-            std::task::Poll::Ready(())
+            Poll::Ready(())
         } else {
-            std::task::Poll::Pending
+            Poll::Pending
         }
     })
     .await;
--- a/crates/simulator/src/audience.rs
+++ b/crates/simulator/src/audience.rs
@@ -1,6 +1,9 @@
 //! A stand-in sender: what it asked and what it was told (design 9.5).
 
-type Backstage = std::sync::Arc<crate::understudy::Backstage>;
+use std::sync::Arc;
+use std::time::Duration;
+
+type Backstage = Arc<crate::understudy::Backstage>;
 
 /// What the latest registration gave: nothing is sent before the first.
 #[derive(Clone, Debug, Default)]
@@ -26,7 +29,7 @@
         return;
     }
     let mut random: rand::rngs::StdRng = rand::SeedableRng::seed_from_u64(part.seed);
-    let mut every = tokio::time::interval(std::time::Duration::from_secs_f64(1.0 / part.rate));
+    let mut every = tokio::time::interval(Duration::from_secs_f64(1.0 / part.rate));
     every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     for number in 0u64.. {
         every.tick().await;
@@ -83,7 +86,7 @@
         let (backstage, http, passes, one) =
             (backstage.clone(), http.clone(), passes.clone(), one.clone());
         async move {
-            tokio::time::sleep(std::time::Duration::from_micros(pause)).await;
+            tokio::time::sleep(Duration::from_micros(pause)).await;
             arrive(&backstage, &http, &passes, &one, true).await
         }
     };
--- a/crates/simulator/src/billsim/node.rs
+++ b/crates/simulator/src/billsim/node.rs
@@ -3,8 +3,10 @@
 use control::verification::{StateFollower, UpdateOutcome};
 use model::cluster_state::StateSnapshot;
 use model::{Microseconds, Position};
+use std::collections::VecDeque;
+use std::sync::Arc;
 
-type Way = std::collections::VecDeque<(Microseconds, transport::Frame)>;
+type Way = VecDeque<(Microseconds, transport::Frame)>;
 
 /// A conn to one life of a seat, with what is on its way on it.
 pub(super) struct Line {
@@ -80,7 +82,7 @@
     }
 
     /// What its lanes are served from.
-    pub fn serves(&self, without: &super::Without) -> Option<std::sync::Arc<StateSnapshot>> {
+    pub fn serves(&self, without: &super::Without) -> Option<Arc<StateSnapshot>> {
         let told = || Some(self.book.received().clone()).filter(|told| told.position > 0);
         if without.proof || without.forward && self.once {
             told()
--- a/crates/simulator/src/billsim/seat.rs
+++ b/crates/simulator/src/billsim/seat.rs
@@ -2,6 +2,7 @@
 
 use model::Position;
 use model::cluster_state::{ClusterOperation, StateSnapshot};
+use std::collections::BTreeMap;
 
 #[derive(Default)]
 pub(super) struct Seat {
@@ -13,7 +14,7 @@
 
 type Asked = (String, u64, u64);
 /// What followers may hold at each position.
-pub(super) type Truth = std::collections::BTreeMap<Position, StateSnapshot>;
+pub(super) type Truth = BTreeMap<Position, StateSnapshot>;
 
 fn act(
     (instance, value): &(mencius::Instance, mencius::Value),
--- a/crates/simulator/src/checker.rs
+++ b/crates/simulator/src/checker.rs
@@ -1,6 +1,7 @@
 //! What must hold over all that stand-ins saw (design 9.5).
 
 use crate::history::{Record, Report};
+use std::collections::HashMap;
 
 /// What is allowed at this site and in this scenario.
 pub struct Rules<'a> {
@@ -22,15 +23,14 @@
         .iter()
         .filter(|record| matches!(record, Record::Began { .. }))
         .collect();
-    let runs = began.iter().fold(
-        std::collections::HashMap::<&str, usize>::new(),
-        |mut runs, record| {
+    let runs = began
+        .iter()
+        .fold(HashMap::<&str, usize>::new(), |mut runs, record| {
             if let Record::Began { try_id, .. } = record {
                 *runs.entry(try_id).or_default() += 1;
             }
             runs
-        },
-    );
+        });
     let mut broken =
         |name: &str, found: Vec<String>| drop(report.invariants.insert(name.to_string(), found));
     broken(
--- a/crates/simulator/src/desired_checks.rs
+++ b/crates/simulator/src/desired_checks.rs
@@ -1,6 +1,7 @@
 //! What operators were told, read back, and what nodes held: one story, or a broken promise (design 9.5).
 
 use crate::history::Record;
+use std::collections::BTreeMap;
 
 const IN_FORCE: u64 = 2_500_000;
 
@@ -36,7 +37,7 @@
     records.iter().filter_map(of).collect()
 }
 
-type Versions<'a> = std::collections::BTreeMap<u64, &'a Sent<'a>>;
+type Versions<'a> = BTreeMap<u64, &'a Sent<'a>>;
 
 /// Each version is one accepted change's; a change whose answer was lost may hold the one that is missing.
 fn versions<'a>(sent: &'a [Sent<'a>]) -> (Versions<'a>, Vec<String>) {
@@ -176,7 +177,7 @@
 
 /// Within a life never, and over a restart not below what it had proved.
 pub(crate) fn slid_back(records: &[Record]) -> Vec<String> {
-    let mut held: std::collections::BTreeMap<&str, (u64, u64, u64)> = Default::default();
+    let mut held: BTreeMap<&str, (u64, u64, u64)> = Default::default();
     seen(records)
         .into_iter()
         .filter_map(|(node, life, asked, position, fresh)| {
--- a/crates/simulator/src/disk.rs
+++ b/crates/simulator/src/disk.rs
@@ -1,5 +1,16 @@
 //! A core seat's disk that is slow, stalls, fills up or tears, as a file in its folder says (design 9.4).
 
+use std::fmt::Display;
+use std::fs::File;
+use std::fs::OpenOptions;
+use std::io::ErrorKind;
+use std::os::unix::fs::FileExt;
+use std::path::Path;
+use std::path::PathBuf;
+use std::sync::Arc;
+use std::sync::atomic::AtomicBool;
+use std::time::Duration;
+
 /// What the file `fault` in the seat's folder may say; nothing, or no file, is a sound disk.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Ill {
@@ -24,7 +35,7 @@
         }
     }
 
-    fn read(folder: &std::path::Path) -> Ill {
+    fn read(folder: &Path) -> Ill {
         let told = std::fs::read_to_string(folder.join("fault")).unwrap_or_default();
         [Ill::Slow, Ill::Stalled, Ill::Full, Ill::Torn]
             .into_iter()
@@ -35,15 +46,15 @@
 
 #[derive(Debug)]
 pub struct Disk {
-    file: std::fs::File,
-    folder: std::path::PathBuf,
-    sync: std::time::Duration,
+    file: File,
+    folder: PathBuf,
+    sync: Duration,
 }
 
 impl Disk {
-    pub fn open(folder: &std::path::Path, sync_us: u64) -> std::io::Result<Disk> {
+    pub fn open(folder: &Path, sync_us: u64) -> std::io::Result<Disk> {
         std::fs::create_dir_all(folder)?;
-        let file = std::fs::OpenOptions::new()
+        let file = OpenOptions::new()
             .read(true)
             .write(true)
             .create(true)
@@ -52,7 +63,7 @@
         Ok(Disk {
             file,
             folder: folder.into(),
-            sync: std::time::Duration::from_micros(sync_us),
+            sync: Duration::from_micros(sync_us),
         })
     }
 
@@ -60,8 +71,8 @@
     fn suffer(&self) -> std::io::Result<Ill> {
         loop {
             match Ill::read(&self.folder) {
-                Ill::Stalled => std::thread::sleep(std::time::Duration::from_millis(20)),
-                Ill::Full => return Err(std::io::ErrorKind::StorageFull.into()),
+                Ill::Stalled => std::thread::sleep(Duration::from_millis(20)),
+                Ill::Full => return Err(ErrorKind::StorageFull.into()),
                 ill => return Ok(ill),
             }
         }
@@ -74,7 +85,7 @@
     }
 
     fn read(&self, offset: u64, out: &mut [u8]) -> std::io::Result<()> {
-        std::os::unix::fs::FileExt::read_exact_at(&self.file, out, offset)
+        FileExt::read_exact_at(&self.file, out, offset)
     }
 
     fn set_len(&self, length: u64) -> std::io::Result<()> {
@@ -90,10 +101,10 @@
 
     fn write(&self, offset: u64, data: &[u8]) -> std::io::Result<()> {
         if self.suffer()? == Ill::Torn {
-            std::os::unix::fs::FileExt::write_all_at(&self.file, &data[..data.len() / 2], offset)?;
+            FileExt::write_all_at(&self.file, &data[..data.len() / 2], offset)?;
             std::process::abort();
         }
-        std::os::unix::fs::FileExt::write_all_at(&self.file, data, offset)
+        FileExt::write_all_at(&self.file, data, offset)
     }
 }
 
@@ -104,7 +115,7 @@
     operators: String,
     sync_us: u64,
 ) -> Result<(), String> {
-    let told = |error: &dyn std::fmt::Display| error.to_string();
+    let told = |error: &dyn Display| error.to_string();
     let listener = tokio::net::TcpListener::bind(&mates)
         .await
         .map_err(|error| told(&error))?;
@@ -126,7 +137,7 @@
     );
     let core = control::ReplicaHandle::start_on(env, shelf, writes, logger)
         .map_err(|error| told(&error))?;
-    let staying = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true));
+    let staying = Arc::new(AtomicBool::new(true));
     let office = operator_api::OperatorApi {
         replica: core.clone(),
         accepting_work: staying.clone(),
@@ -139,6 +150,6 @@
         .map_err(|error| told(&error))?;
     stop.recv().await;
     staying.store(false, std::sync::atomic::Ordering::Relaxed);
-    serving.stop(std::time::Duration::from_secs(5)).await;
+    serving.stop(Duration::from_secs(5)).await;
     Ok(())
 }
--- a/crates/simulator/src/figures.rs
+++ b/crates/simulator/src/figures.rs
@@ -1,6 +1,8 @@
 //! Counts taken from the processes of a running site (docs/measurements.md).
 
 use crate::fleet::Fleet;
+use std::collections::BTreeMap;
+use std::time::Duration;
 
 #[derive(Debug, Default, serde::Serialize)]
 pub struct Figures {
@@ -16,10 +18,10 @@
     pub bytes_across_zones: u64,
     pub seconds: f64,
     /// Service to requests and extra dispatches, summed over the nodes at the end.
-    pub requests_and_extras: std::collections::BTreeMap<String, (u64, u64)>,
+    pub requests_and_extras: BTreeMap<String, (u64, u64)>,
 }
 
-type Sums = std::collections::BTreeMap<&'static str, u64>;
+type Sums = BTreeMap<&'static str, u64>;
 
 /// Sums over all processes that answer.
 pub async fn sums(fleet: &Fleet) -> Sums {
@@ -41,8 +43,8 @@
 }
 
 /// What each usher spent of its budget of extra dispatches, and the sum.
-pub async fn extras(fleet: &Fleet) -> std::collections::BTreeMap<String, (u64, u64)> {
-    let mut sum = std::collections::BTreeMap::<String, (u64, u64)>::new();
+pub async fn extras(fleet: &Fleet) -> BTreeMap<String, (u64, u64)> {
+    let mut sum = BTreeMap::<String, (u64, u64)>::new();
     for machine in &fleet.machines {
         if let Some((200, status)) = fleet.get(&machine.local, "/status").await {
             status["requests_and_extras"]
@@ -96,7 +98,7 @@
                 held(fleet, &machine.local, position).await;
             }
         };
-        tokio::time::timeout(std::time::Duration::from_secs(60), everywhere)
+        tokio::time::timeout(Duration::from_secs(60), everywhere)
             .await
             .map_err(|_| "a change never came into force")?;
         times.push(model::now() - began);
@@ -109,7 +111,7 @@
     loop {
         match fleet.get(address, "/status").await {
             Some((200, status)) if status["position"].as_u64() >= Some(position) => return,
-            _ => tokio::time::sleep(std::time::Duration::from_millis(2)).await,
+            _ => tokio::time::sleep(Duration::from_millis(2)).await,
         }
     }
 }
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -3,6 +3,8 @@
 use crate::deployment::Deployment;
 use crate::operators::Answer;
 use crate::process::Process;
+use std::path::PathBuf;
+use std::time::Duration;
 
 pub struct Core {
     pub process: Option<Process>,
@@ -24,7 +26,7 @@
 }
 
 pub struct Fleet {
-    pub folder: std::path::PathBuf,
+    pub folder: PathBuf,
     pub deployment: Deployment,
     pub cores: Vec<Core>,
     pub machines: Vec<Machine>,
@@ -202,10 +204,10 @@
     ) -> Result<(), String> {
         let waiting = async {
             while !holds().await {
-                tokio::time::sleep(std::time::Duration::from_millis(50)).await;
+                tokio::time::sleep(Duration::from_millis(50)).await;
             }
         };
-        tokio::time::timeout(std::time::Duration::from_secs(60), waiting)
+        tokio::time::timeout(Duration::from_secs(60), waiting)
             .await
             .map_err(|_| format!("never came: {what}"))
     }
@@ -264,10 +266,10 @@
                 .for_each(|process| process.signal(rustix::process::Signal::TERM));
             let ended = async {
                 while !group.iter_mut().all(|process| process.ended().is_some()) {
-                    tokio::time::sleep(std::time::Duration::from_millis(20)).await;
+                    tokio::time::sleep(Duration::from_millis(20)).await;
                 }
             };
-            tokio::time::timeout(std::time::Duration::from_secs(15), ended)
+            tokio::time::timeout(Duration::from_secs(15), ended)
                 .await
                 .unwrap_or_default();
         }
--- a/crates/simulator/src/fleet_plan.rs
+++ b/crates/simulator/src/fleet_plan.rs
@@ -2,11 +2,13 @@
 
 use crate::deployment::Deployment;
 use crate::fleet::{Core, Fleet, Machine};
+use std::net::TcpListener;
+use std::path::PathBuf;
+use std::time::Duration;
 
 /// A port that was free a moment ago, on a loopback address of this run's own.
 fn free(host: &str) -> Result<String, String> {
-    let listener =
-        std::net::TcpListener::bind(format!("{host}:0")).map_err(|error| error.to_string())?;
+    let listener = TcpListener::bind(format!("{host}:0")).map_err(|error| error.to_string())?;
     listener
         .local_addr()
         .map(|address| address.to_string())
@@ -20,8 +22,7 @@
 /// Where the process listens, and where others find it: the link stands between.
 fn relayed(links: &crate::links::Links, host: &str) -> Result<(String, String), String> {
     let real = free(host)?;
-    let listener =
-        std::net::TcpListener::bind(format!("{host}:0")).map_err(|error| error.to_string())?;
+    let listener = TcpListener::bind(format!("{host}:0")).map_err(|error| error.to_string())?;
     let known = listener
         .local_addr()
         .map_err(|error| error.to_string())?
@@ -73,7 +74,7 @@
     /// Must be called within a runtime: the links' relays are its tasks.
     pub fn plan(
         deployment: Deployment,
-        folder: std::path::PathBuf,
+        folder: PathBuf,
         seed: u64,
         spoil: u32,
         usher_flags: &[String],
@@ -187,7 +188,7 @@
         let machines = machines.collect::<Result<Vec<_>, String>>()?;
         let http = reqwest::Client::builder()
             .no_proxy()
-            .timeout(std::time::Duration::from_secs(10))
+            .timeout(Duration::from_secs(10))
             .build()
             .map_err(|error| error.to_string())?;
         let places = tokio::sync::watch::Sender::new(
--- a/crates/simulator/src/forgers.rs
+++ b/crates/simulator/src/forgers.rs
@@ -1,6 +1,7 @@
 //! Stand-ins that lie: about their service, with old secrets, with another's secret and names (design 9.5).
 
 use crate::history::Record;
+use std::time::Duration;
 
 #[derive(Clone)]
 pub struct Forger {
@@ -132,12 +133,9 @@
             drop(off);
             forger.lie(&secret, &prefix, 3).await?;
         }
-        if tokio::time::timeout(
-            std::time::Duration::from_millis(200),
-            stop.wait_for(|stop| *stop),
-        )
-        .await
-        .is_ok()
+        if tokio::time::timeout(Duration::from_millis(200), stop.wait_for(|stop| *stop))
+            .await
+            .is_ok()
         {
             return Ok(());
         }
--- a/crates/simulator/src/history.rs
+++ b/crates/simulator/src/history.rs
@@ -1,5 +1,8 @@
 //! What stand-ins saw, one JSON line each, and what must hold over all of it (design 9.5).
 
+use std::collections::BTreeMap;
+use std::path::Path;
+
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum Record {
@@ -114,13 +117,13 @@
     pub served: usize,
     pub not_run: usize,
     pub may_have_run: usize,
-    pub causes: std::collections::BTreeMap<String, usize>,
+    pub causes: BTreeMap<String, usize>,
     pub figures: crate::figures::Figures,
     /// Service to how long after the last fault it was served again.
-    pub back_us: std::collections::BTreeMap<String, u64>,
+    pub back_us: BTreeMap<String, u64>,
     /// What the scenario was to bring about and did not: nothing was proved about it.
     pub not_provoked: Vec<String>,
-    pub invariants: std::collections::BTreeMap<String, Vec<String>>,
+    pub invariants: BTreeMap<String, Vec<String>>,
 }
 
 impl Report {
@@ -129,7 +132,7 @@
     }
 }
 
-pub fn read(folder: &std::path::Path) -> std::io::Result<Vec<Record>> {
+pub fn read(folder: &Path) -> std::io::Result<Vec<Record>> {
     let files: Vec<_> = std::fs::read_dir(folder)?
         .filter_map(Result::ok)
         .filter(|file| file.path().extension().is_some_and(|end| end == "history"))
@@ -147,7 +150,7 @@
 }
 
 /// What ushers wrote down of extra dispatches, as their logs have it.
-pub fn extras(folder: &std::path::Path) -> std::io::Result<Vec<Record>> {
+pub fn extras(folder: &Path) -> std::io::Result<Vec<Record>> {
     let logs = std::fs::read_dir(folder)?
         .filter_map(Result::ok)
         .filter(|file| file.file_name().to_string_lossy().starts_with("node-"));
--- a/crates/simulator/src/hollow/counted.rs
+++ b/crates/simulator/src/hollow/counted.rs
@@ -2,6 +2,7 @@
 //! pure parts take, without conns (docs/CAPACITY.md).
 
 use model::cluster_state::{ClusterOperation, ClusterReport, ClusterState, Delta};
+use std::collections::BTreeMap;
 
 /// Of one event: entries offered to the log, those that changed the bill, and what one follower hears of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize)]
@@ -22,12 +23,12 @@
     pub lanes: usize,
     pub bill_bytes: usize,
     pub whole_bytes: usize,
-    pub costs: std::collections::BTreeMap<&'static str, Cost>,
+    pub costs: BTreeMap<&'static str, Cost>,
     /// Of a region cut off: how often silence is looked at until all are missed, and who is missed wrongly at the join.
     pub region_rounds: usize,
     pub region_wrongly: usize,
     /// Processor time of one call, in microseconds.
-    pub took: std::collections::BTreeMap<&'static str, f64>,
+    pub took: BTreeMap<&'static str, f64>,
 }
 
 pub(super) struct Log<'a> {
@@ -180,7 +181,7 @@
                 .map(move |(owing, _)| (owing.clone(), row.first_key, row.last_key))
         });
         let by_owing = owed.fold(
-            std::collections::BTreeMap::<String, Vec<(u16, u16, String)>>::new(),
+            BTreeMap::<String, Vec<(u16, u16, String)>>::new(),
             |mut held, (owing, from, to)| {
                 held.entry(owing).or_default().push((from, to, "t".into()));
                 held
@@ -215,7 +216,7 @@
                     .map(|holder| (holder, (row.first_key, row.last_key, row.fencing_token)))
             });
         let by_holder = settled.fold(
-            std::collections::BTreeMap::<String, Vec<_>>::new(),
+            BTreeMap::<String, Vec<_>>::new(),
             |mut held, (holder, row)| {
                 held.entry(holder).or_default().push(row);
                 held
--- a/crates/simulator/src/hollow/events.rs
+++ b/crates/simulator/src/hollow/events.rs
@@ -2,8 +2,11 @@
 
 use super::counted::{Log, bulletin};
 use model::cluster_state::{ClusterReport, StateSnapshot};
+use std::collections::BTreeMap;
+use std::collections::BTreeSet;
+use std::sync::Arc;
 
-fn services(log: &Log, gone: &[usize]) -> std::collections::BTreeSet<usize> {
+fn services(log: &Log, gone: &[usize]) -> BTreeSet<usize> {
     gone.iter().map(|at| at % log.plan.services).collect()
 }
 
@@ -121,7 +124,7 @@
     });
 }
 
-type Nodes = std::collections::BTreeMap<String, model::Node>;
+type Nodes = BTreeMap<String, model::Node>;
 
 fn ring(places: &model::cluster_state::endpoints::NodeRecords) -> Nodes {
     let node = |place: &model::cluster_state::NodeRecord| model::Node {
@@ -142,8 +145,7 @@
 /// side two watchers inside will have missed by the time they are heard again.
 pub(super) fn rounds(log: &Log, region: &[usize]) -> (usize, usize) {
     let mut nodes = ring(&log.bill.nodes);
-    let inside: std::collections::BTreeSet<String> =
-        region.iter().map(|at| format!("n{at}")).collect();
+    let inside: BTreeSet<String> = region.iter().map(|at| format!("n{at}")).collect();
     let by = |nodes: &Nodes, name: &String, of: bool| {
         control::ring::monitors_of(nodes, name)
             .iter()
@@ -182,7 +184,7 @@
     (ran() - before) / times as f64
 }
 
-pub(super) fn took(log: &Log) -> std::collections::BTreeMap<&'static str, f64> {
+pub(super) fn took(log: &Log) -> BTreeMap<&'static str, f64> {
     let (bill, plan) = (&log.bill, log.plan);
     let whole = StateSnapshot::default().updated(true, bill.position, bill.full_deltas());
     let place =
@@ -215,13 +217,13 @@
             },
         )
     });
-    let twice = std::sync::Arc::new(bill.nodes.clone().into_iter().chain(away).collect());
+    let twice = Arc::new(bill.nodes.clone().into_iter().chain(away).collect());
     let (places, mut stand) = (
-        std::sync::Arc::new(bill.nodes.clone()),
+        Arc::new(bill.nodes.clone()),
         control::ring::RingPosition::default(),
     );
     let times = (20_000 / plan.nodes as u32).max(5);
-    std::collections::BTreeMap::from([
+    BTreeMap::from([
         // What a node does twice a second (crates/troupe/src/watch.rs).
         ("ring tick", timed(20_000, || stand.update(&places, "n0"))),
         (
--- a/crates/simulator/src/hollow/flags.rs
+++ b/crates/simulator/src/hollow/flags.rs
@@ -1,6 +1,8 @@
 //! The command's flags: every fault is named, and nothing starts before.
 
 use super::{Parts, Plan};
+use std::fmt::Display;
+use std::str::FromStr;
 
 pub const HELP: &str = "
        rehearsal hollow --nodes N --services S --zones Z --regions R [flags]
@@ -19,14 +21,14 @@
 type Faults = Vec<String>;
 
 /// A flag that must be there, or one with a default.
-fn number<T: std::str::FromStr>(
+fn number<T: FromStr>(
     arguments: &mut pico_args::Arguments,
     faults: &mut Faults,
     flag: &'static str,
     otherwise: Option<T>,
 ) -> Option<T>
 where
-    T::Err: std::fmt::Display,
+    T::Err: Display,
 {
     match arguments.opt_value_from_str(flag) {
         Ok(None) if otherwise.is_none() => faults.push(format!("{flag}: is missing")),
--- a/crates/simulator/src/hollow/meter.rs
+++ b/crates/simulator/src/hollow/meter.rs
@@ -1,11 +1,13 @@
 //! What a hollow site has used so far, by role: every node, every core seat and every disk has a thread of its
 //! own, and the kernel says how long each ran.
 
+use std::collections::BTreeMap;
+
 #[derive(Clone, Debug, Default)]
 pub struct Reading {
     pub at: model::Microseconds,
     /// Thread to nanoseconds on a processor.
-    pub ran: std::collections::BTreeMap<(&'static str, u32), u64>,
+    pub ran: BTreeMap<(&'static str, u32), u64>,
     pub memory: u64,
     pub descriptors: u64,
     /// Frames and bytes, in the order of `transport::traffic::KINDS`.
@@ -71,7 +73,7 @@
 }
 
 /// Threads that ended in between are not seen: what they used is lost.
-pub fn used(before: &Reading, after: &Reading) -> std::collections::BTreeMap<&'static str, Used> {
+pub fn used(before: &Reading, after: &Reading) -> BTreeMap<&'static str, Used> {
     let span = (after.at - before.at).max(1) as f64;
     let of = |role: &'static str| {
         let held = after.ran.iter().filter(|((held, _), _)| *held == role);
@@ -100,10 +102,7 @@
         .collect()
 }
 
-pub fn said(
-    before: &Reading,
-    after: &Reading,
-) -> std::collections::BTreeMap<&'static str, (u64, u64)> {
+pub fn said(before: &Reading, after: &Reading) -> BTreeMap<&'static str, (u64, u64)> {
     let pairs = before.said.iter().zip(after.said);
     let grown = pairs.map(|(before, after)| (after.0 - before.0, after.1 - before.1));
     transport::traffic::KINDS
--- a/crates/simulator/src/hollow/mod.rs
+++ b/crates/simulator/src/hollow/mod.rs
@@ -1,6 +1,11 @@
 //! The control side of many nodes in one process: real conns over the loopback to real core seats, no requests
 //! (docs/CAPACITY.md).
 
+use std::sync::Arc;
+use std::sync::Mutex;
+use std::sync::PoisonError;
+use std::time::Duration;
+
 pub mod counted;
 mod events;
 pub mod flags;
@@ -17,10 +22,10 @@
 pub use report::{Report, Stage};
 
 /// Links between regions, and the threads that carry them.
-pub(crate) type Linked = (crate::links::Links, std::sync::Arc<tokio::runtime::Runtime>);
+pub(crate) type Linked = (crate::links::Links, Arc<tokio::runtime::Runtime>);
 
 /// Only a broken run meets this.
-const PATIENCE: std::time::Duration = std::time::Duration::from_secs(300);
+const PATIENCE: Duration = Duration::from_secs(300);
 
 pub(crate) async fn until(
     what: &str,
@@ -29,7 +34,7 @@
     let began = model::now();
     let waits = async {
         while !holds() {
-            tokio::time::sleep(std::time::Duration::from_millis(10)).await;
+            tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
     tokio::time::timeout(PATIENCE, waits)
@@ -51,25 +56,23 @@
         .thread_name("links")
         .enable_all()
         .build();
-    let threads = std::sync::Arc::new(threads.map_err(|error| error.to_string())?);
+    let threads = Arc::new(threads.map_err(|error| error.to_string())?);
     Ok(Some((links, threads)))
 }
 
 /// Plays the stages the plan names, one after the other. With `progress` a line a second says where it is.
 pub async fn run(plan: Plan, progress: bool) -> Result<Report, String> {
     let (links, folder) = (links(&plan)?, plan.folder.clone());
-    let told = std::sync::Arc::new(std::sync::Mutex::new(String::new()));
+    let told = Arc::new(Mutex::new(String::new()));
     let shown = told.clone();
     let line = progress.then(|| {
         tokio::spawn(async move {
             loop {
                 eprintln!(
                     "hollow: {}",
-                    shown
-                        .lock()
-                        .unwrap_or_else(std::sync::PoisonError::into_inner)
+                    shown.lock().unwrap_or_else(PoisonError::into_inner)
                 );
-                tokio::time::sleep(std::time::Duration::from_secs(1)).await;
+                tokio::time::sleep(Duration::from_secs(1)).await;
             }
         })
     });
--- a/crates/simulator/src/hollow/node.rs
+++ b/crates/simulator/src/hollow/node.rs
@@ -2,6 +2,10 @@
 //! beats, holds the keys it is told to, lets go of those it lost, drains and ends.
 
 use super::{Parts, Plan};
+use std::net::TcpListener;
+use std::sync::Arc;
+use std::thread::Builder;
+use std::time::Duration;
 
 pub enum Order {
     /// In good order: the back end drains and signs off, the node stops.
@@ -23,7 +27,7 @@
 /// What a node is made of; its place in the site says the rest.
 #[derive(Clone)]
 pub struct Making {
-    pub plan: std::sync::Arc<Plan>,
+    pub plan: Arc<Plan>,
     pub places: Vec<String>,
     pub links: Option<super::Linked>,
     pub known: control::KnownReplicas,
@@ -104,15 +108,12 @@
             };
             acts.await;
             if let Part::Whole(node, ..) = &part {
-                node.shut_down(
-                    std::time::Duration::ZERO,
-                    std::time::Duration::from_millis(500),
-                )
-                .await;
+                node.shut_down(Duration::ZERO, Duration::from_millis(500))
+                    .await;
             }
         });
     };
-    std::thread::Builder::new()
+    Builder::new()
         .name(format!("node-{at}"))
         .spawn(plays)
         .map_err(|error| error.to_string())?;
@@ -238,16 +239,15 @@
     orders: &mut tokio::sync::mpsc::UnboundedReceiver<Order>,
 ) {
     // The process is found alive by whoever dials it.
-    let Ok(process) = std::net::TcpListener::bind("127.0.0.1:0") else {
+    let Ok(process) = TcpListener::bind("127.0.0.1:0") else {
         return;
     };
     let address = process
         .local_addr()
         .map(|address| address.to_string())
         .unwrap_or_default();
-    let mut every = tokio::time::interval(std::time::Duration::from_micros(
-        env.lease_table.heartbeat_interval,
-    ));
+    let mut every =
+        tokio::time::interval(Duration::from_micros(env.lease_table.heartbeat_interval));
     every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let (mut sequence, mut held, mut lost): (u64, Rows, Vec<(u16, u16)>) = Default::default();
     let mut drains: Option<model::Microseconds> = None;
@@ -290,9 +290,9 @@
         if drains.is_some_and(|until| model::now() >= until && lost.is_empty()) {
             troupe.deregister(name.clone()).await.unwrap_or_default();
             // Its process ends a moment later, and the node with the next look at it.
-            tokio::time::sleep(std::time::Duration::from_millis(50)).await;
+            tokio::time::sleep(Duration::from_millis(50)).await;
             drop(process);
-            return tokio::time::sleep(std::time::Duration::from_millis(700)).await;
+            return tokio::time::sleep(Duration::from_millis(700)).await;
         }
     }
 }
--- a/crates/simulator/src/hollow/plan.rs
+++ b/crates/simulator/src/hollow/plan.rs
@@ -1,5 +1,9 @@
 //! How many of what a hollow site has, what befalls it, and what of that does not fit this machine.
 
+use std::net::IpAddr;
+use std::net::Ipv4Addr;
+use std::path::PathBuf;
+
 /// What of a node is played: all of it, or less, so that the difference of two runs is one part's cost.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
@@ -45,7 +49,7 @@
     pub cut: u64,
     pub parts: Parts,
     #[serde(skip)]
-    pub folder: std::path::PathBuf,
+    pub folder: PathBuf,
 }
 
 /// A flag and what is wrong with it.
@@ -211,7 +215,7 @@
     /// An address of the loopback for each process; other sites on this machine have others.
     pub fn host(&self, at: usize) -> crate::links::Host {
         let site = 64 + std::process::id() % 128;
-        std::net::IpAddr::V4(std::net::Ipv4Addr::new(
+        IpAddr::V4(Ipv4Addr::new(
             127,
             site as u8,
             (at / 250) as u8 + 1,
--- a/crates/simulator/src/hollow/report.rs
+++ b/crates/simulator/src/hollow/report.rs
@@ -2,6 +2,7 @@
 
 use super::meter::{Reading, Used};
 use super::witness::Tally;
+use std::collections::BTreeMap;
 
 #[derive(Debug, serde::Serialize)]
 pub struct Stage {
@@ -13,10 +14,10 @@
     pub syncs: u64,
     pub memory: u64,
     pub descriptors: u64,
-    pub used: std::collections::BTreeMap<&'static str, Used>,
+    pub used: BTreeMap<&'static str, Used>,
     /// What frames were for, to frames and bytes.
-    pub said: std::collections::BTreeMap<&'static str, (u64, u64)>,
-    pub extra: std::collections::BTreeMap<&'static str, f64>,
+    pub said: BTreeMap<&'static str, (u64, u64)>,
+    pub extra: BTreeMap<&'static str, f64>,
 }
 
 #[derive(Debug, serde::Serialize)]
@@ -40,12 +41,7 @@
         }
     }
 
-    pub fn ended(
-        self,
-        after: Reading,
-        tally: Tally,
-        extra: std::collections::BTreeMap<&'static str, f64>,
-    ) -> Stage {
+    pub fn ended(self, after: Reading, tally: Tally, extra: BTreeMap<&'static str, f64>) -> Stage {
         let before = &self.reading;
         Stage {
             name: self.name,
--- a/crates/simulator/src/hollow/seats.rs
+++ b/crates/simulator/src/hollow/seats.rs
@@ -1,6 +1,8 @@
 //! Core seats of a hollow site: the product's own, each on one thread as its daemon runs, over a real disk.
 
 use super::Plan;
+use std::net::TcpListener;
+use std::thread::Builder;
 
 pub struct Seats {
     pub cores: Vec<control::ReplicaHandle>,
@@ -13,9 +15,9 @@
 pub fn bind(
     host: crate::links::Host,
     links: Option<&super::Linked>,
-) -> Result<(std::net::TcpListener, String), String> {
+) -> Result<(TcpListener, String), String> {
     let bound = || {
-        let listener = std::net::TcpListener::bind((host, 0)).map_err(|error| error.to_string())?;
+        let listener = TcpListener::bind((host, 0)).map_err(|error| error.to_string())?;
         listener
             .set_nonblocking(true)
             .map_err(|error| error.to_string())?;
@@ -68,7 +70,7 @@
             };
             let (running, ends) = tokio::sync::oneshot::channel();
             let (told, hears) = std::sync::mpsc::channel();
-            let thread = std::thread::Builder::new().name(env.name.clone());
+            let thread = Builder::new().name(env.name.clone());
             let sits = move || {
                 let Ok(runtime) = runtime() else { return };
                 runtime.block_on(async {
--- a/crates/simulator/src/hollow/site.rs
+++ b/crates/simulator/src/hollow/site.rs
@@ -3,9 +3,11 @@
 use super::node::{Hollow, Making};
 use super::{Parts, Plan};
 use model::cluster_state::ClusterReport;
+use std::collections::HashSet;
+use std::sync::Arc;
 
 pub struct Site {
-    pub plan: std::sync::Arc<Plan>,
+    pub plan: Arc<Plan>,
     pub seats: super::seats::Seats,
     pub nodes: Vec<Option<Hollow>>,
     pub witness: super::witness::Witness,
@@ -16,7 +18,7 @@
 impl Site {
     pub async fn start(plan: Plan, links: Option<super::Linked>) -> Result<Site, String> {
         let seats = super::seats::start(&plan, links.as_ref()).await?;
-        let plan = std::sync::Arc::new(plan);
+        let plan = Arc::new(plan);
         let known = seats.known(&plan);
         let witness = super::witness::Witness::start(plan.clone(), known.clone());
         let making = Making {
@@ -196,8 +198,7 @@
     /// Back ends in the log that beat nowhere any more, beside nodes that are there.
     pub fn ghosts(&self) -> usize {
         let programme = self.witness.programme();
-        let lives: std::collections::HashSet<&String> =
-            self.live().map(|held| &held.back_end).collect();
+        let lives: HashSet<&String> = self.live().map(|held| &held.back_end).collect();
         let working = programme
             .backends
             .iter()
--- a/crates/simulator/src/hollow/stages.rs
+++ b/crates/simulator/src/hollow/stages.rs
@@ -3,12 +3,17 @@
 use super::node::Order;
 use super::site::Site;
 use super::{Parts, Plan, Report, Stage};
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use std::sync::Mutex;
+use std::sync::PoisonError;
+use std::time::Duration;
 
-type Told = std::sync::Arc<std::sync::Mutex<String>>;
-type Extra = std::collections::BTreeMap<&'static str, f64>;
+type Told = Arc<Mutex<String>>;
+type Extra = BTreeMap<&'static str, f64>;
 
 /// After a stage's last deed, so that what follows from it is counted with it.
-const AFTER: std::time::Duration = std::time::Duration::from_millis(1_500);
+const AFTER: Duration = Duration::from_millis(1_500);
 
 struct Play {
     site: Site,
@@ -46,9 +51,7 @@
 }
 
 fn tell(told: &Told, line: String) {
-    *told
-        .lock()
-        .unwrap_or_else(std::sync::PoisonError::into_inner) = line;
+    *told.lock().unwrap_or_else(PoisonError::into_inner) = line;
 }
 
 impl Play {
@@ -89,7 +92,7 @@
             self.site.start_node(at)?;
             if at % 16 == 15 {
                 self.tell("gather".into());
-                tokio::time::sleep(std::time::Duration::from_millis(100)).await;
+                tokio::time::sleep(Duration::from_millis(100)).await;
             }
         }
         if self.site.plan.parts != Parts::Whole {
@@ -102,17 +105,16 @@
 
     async fn rest(&mut self) -> Result<(), String> {
         // Conns that only the beginning needed have gone by then.
-        tokio::time::sleep(std::time::Duration::from_secs(6)).await;
+        tokio::time::sleep(Duration::from_secs(6)).await;
         let begun = self.begin("rest");
-        tokio::time::sleep(std::time::Duration::from_secs(self.site.plan.seconds)).await;
+        tokio::time::sleep(Duration::from_secs(self.site.plan.seconds)).await;
         self.end(begun, Extra::new());
         Ok(())
     }
 
     fn pace(&self, count: usize) -> tokio::time::Interval {
-        let mut every = tokio::time::interval(
-            std::time::Duration::from_secs(self.site.plan.seconds) / count as u32,
-        );
+        let mut every =
+            tokio::time::interval(Duration::from_secs(self.site.plan.seconds) / count as u32);
         every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         every
     }
@@ -251,7 +253,7 @@
                 links.cut(two, one);
             });
         self.site.witness.absent_most();
-        tokio::time::sleep(std::time::Duration::from_secs(plan.cut)).await;
+        tokio::time::sleep(Duration::from_secs(plan.cut)).await;
         let absent = self.site.witness.absent_most();
         let of = |absent: &[usize], inside: bool| {
             absent
--- a/crates/simulator/src/hollow/witness.rs
+++ b/crates/simulator/src/hollow/witness.rs
@@ -1,6 +1,9 @@
 //! One more follower, which counts what the log says as it hears it.
 
 use model::cluster_state::{ShardMap, StateSnapshot};
+use std::sync::Arc;
+use std::sync::Mutex;
+use std::sync::PoisonError;
 
 /// Sums from the beginning; a stage is the difference of two.
 #[derive(Clone, Debug, Default, serde::Serialize)]
@@ -19,11 +22,11 @@
 
 pub struct Witness {
     pub following: control::FollowerHandle,
-    tally: std::sync::Arc<std::sync::Mutex<Tally>>,
+    tally: Arc<Mutex<Tally>>,
 }
 
 impl Witness {
-    pub fn start(plan: std::sync::Arc<super::Plan>, known: control::KnownReplicas) -> Witness {
+    pub fn start(plan: Arc<super::Plan>, known: control::KnownReplicas) -> Witness {
         let (name, zone) = ("witness".to_string(), plan.zone(0));
         let own = transport::Handshake {
             purpose: transport::Purpose::Subscribe,
@@ -48,17 +51,15 @@
             move || own.clone(),
             model::logging::discard_logger(),
         );
-        let tally = std::sync::Arc::new(std::sync::Mutex::new(Tally::default()));
+        let tally = Arc::new(Mutex::new(Tally::default()));
         let (counts, line) = (tally.clone(), following.clone());
         tokio::spawn(async move {
             let mut moved = line.changes.clone();
-            let mut last = std::sync::Arc::new(StateSnapshot::default());
+            let mut last = Arc::new(StateSnapshot::default());
             while moved.changed().await.is_ok() {
                 let next = line.verified_state.load().snapshot.clone();
                 if next.position != last.position {
-                    let mut counts = counts
-                        .lock()
-                        .unwrap_or_else(std::sync::PoisonError::into_inner);
+                    let mut counts = counts.lock().unwrap_or_else(PoisonError::into_inner);
                     counts.add(&plan, &last, &next);
                     last = next;
                 }
@@ -67,23 +68,20 @@
         Witness { following, tally }
     }
 
-    pub fn programme(&self) -> std::sync::Arc<StateSnapshot> {
+    pub fn programme(&self) -> Arc<StateSnapshot> {
         self.following.verified_state.load().snapshot.clone()
     }
 
     pub fn tally(&self) -> Tally {
         self.tally
             .lock()
-            .unwrap_or_else(std::sync::PoisonError::into_inner)
+            .unwrap_or_else(PoisonError::into_inner)
             .clone()
     }
 
     /// The most that were absent since the last time.
     pub fn absent_most(&self) -> Vec<usize> {
-        let mut tally = self
-            .tally
-            .lock()
-            .unwrap_or_else(std::sync::PoisonError::into_inner);
+        let mut tally = self.tally.lock().unwrap_or_else(PoisonError::into_inner);
         let now = tally.absent.clone();
         std::mem::replace(&mut tally.absent_most, now)
     }
@@ -92,17 +90,17 @@
 impl Tally {
     fn add(&mut self, plan: &super::Plan, last: &StateSnapshot, next: &StateSnapshot) {
         self.entries += next.position - last.position;
-        let empty = std::sync::Arc::new((0, model::cluster_state::shard_map::unassigned()));
+        let empty = Arc::new((0, model::cluster_state::shard_map::unassigned()));
         next.placements.iter().for_each(|(service, held)| {
             let before = last.placements.get(service).unwrap_or(&empty);
-            if !std::sync::Arc::ptr_eq(before, held) {
+            if !Arc::ptr_eq(before, held) {
                 self.placements += (before.0 != held.0) as u64;
                 let (rows, keys) = moved(&before.1, &held.1);
                 (self.rows_moved, self.keys_moved) =
                     (self.rows_moved + rows, self.keys_moved + keys);
             }
         });
-        if !std::sync::Arc::ptr_eq(&last.nodes, &next.nodes) {
+        if !Arc::ptr_eq(&last.nodes, &next.nodes) {
             let gone = next
                 .nodes
                 .iter()
--- a/crates/simulator/src/keysim/node.rs
+++ b/crates/simulator/src/keysim/node.rs
@@ -2,6 +2,8 @@
 
 use model::cluster_state::{ClusterReport, StateSnapshot};
 use model::{Microseconds, Position};
+use std::collections::BTreeMap;
+use std::collections::BTreeSet;
 
 /// A back end as it told of itself.
 pub(super) struct Own {
@@ -32,8 +34,8 @@
     pub programme: StateSnapshot,
     pub proved: Microseconds,
     pub own: Option<Own>,
-    pub ends: std::collections::BTreeMap<String, bool>,
-    pub over: std::collections::BTreeSet<String>,
+    pub ends: BTreeMap<String, bool>,
+    pub over: BTreeSet<String>,
     pub facts: Vec<ClusterReport>,
     pub line: super::line::Line,
     pub post: super::telling::Post,
--- a/crates/simulator/src/keysim/stage.rs
+++ b/crates/simulator/src/keysim/stage.rs
@@ -5,6 +5,7 @@
 use super::player::Player;
 use model::cluster_state::ClusterReport;
 use model::{Microseconds, Outcome, Position};
+use std::collections::BTreeMap;
 
 pub(super) const SERVICE: &str = "seat";
 const SEATS: usize = 3;
@@ -39,7 +40,7 @@
     pub(super) log: Log,
     pub(super) nodes: Vec<Node>,
     pub(super) players: Vec<Player>,
-    events: std::collections::BTreeMap<(Microseconds, u64), Event>,
+    events: BTreeMap<(Microseconds, u64), Event>,
     order: u64,
     random: rand::rngs::StdRng,
 }
--- a/crates/simulator/src/keysim/telling.rs
+++ b/crates/simulator/src/keysim/telling.rs
@@ -3,6 +3,7 @@
 use super::stage::{Event, Stage};
 use model::cluster_state::{BackendRecord, ClusterReport};
 use model::{BackendPhase, Microseconds, Outcome, Position};
+use std::collections::VecDeque;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Whose {
@@ -14,7 +15,7 @@
 #[derive(Default)]
 pub(super) struct Post {
     pub sequence: u64,
-    pub waiting: std::collections::VecDeque<(Whose, Vec<ClusterReport>)>,
+    pub waiting: VecDeque<(Whose, Vec<ClusterReport>)>,
     pub out: Option<(Whose, Vec<ClusterReport>)>,
     pub telling: bool,
     /// Until the news of it is here, or this long, the same would be wanted again.
--- a/crates/simulator/src/links.rs
+++ b/crates/simulator/src/links.rs
@@ -1,25 +1,31 @@
 //! The network between machines of a rehearsal: delays between zones, and cuts that can be mended (design 9.6).
 
+use std::collections::HashMap;
+use std::collections::HashSet;
+use std::net::IpAddr;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-pub type Host = std::net::IpAddr;
-type Cuts = std::collections::HashSet<(Host, Host)>;
+pub type Host = IpAddr;
+type Cuts = HashSet<(Host, Host)>;
 
 /// Shared by all relays; a cut stalls bytes as a lost network would, it resets nothing.
 #[derive(Clone)]
 pub struct Links {
-    cuts: std::sync::Arc<tokio::sync::watch::Sender<Cuts>>,
-    zones: std::sync::Arc<std::collections::HashMap<Host, usize>>,
-    hop: std::time::Duration,
+    cuts: Arc<tokio::sync::watch::Sender<Cuts>>,
+    zones: Arc<HashMap<Host, usize>>,
+    hop: Duration,
 }
 
 impl Links {
-    pub fn new(zones: std::collections::HashMap<Host, usize>, hop_us: u64) -> Links {
-        let cuts = std::sync::Arc::new(tokio::sync::watch::Sender::new(Cuts::new()));
+    pub fn new(zones: HashMap<Host, usize>, hop_us: u64) -> Links {
+        let cuts = Arc::new(tokio::sync::watch::Sender::new(Cuts::new()));
         Links {
             cuts,
-            zones: std::sync::Arc::new(zones),
-            hop: std::time::Duration::from_micros(hop_us),
+            zones: Arc::new(zones),
+            hop: Duration::from_micros(hop_us),
         }
     }
 
@@ -34,21 +40,13 @@
         self.cuts.send_modify(Cuts::clear);
     }
 
-    fn delay(&self, one: Host, two: Host) -> std::time::Duration {
+    fn delay(&self, one: Host, two: Host) -> Duration {
         let same = self.zones.get(&one) == self.zones.get(&two);
-        if same {
-            std::time::Duration::ZERO
-        } else {
-            self.hop
-        }
+        if same { Duration::ZERO } else { self.hop }
     }
 
     /// Stands before one process: what is dialed here reaches it over the link.
-    pub async fn stand_before(
-        &self,
-        listener: tokio::net::TcpListener,
-        target: std::net::SocketAddr,
-    ) {
+    pub async fn stand_before(&self, listener: tokio::net::TcpListener, target: SocketAddr) {
         loop {
             if let Ok((stream, from)) = listener.accept().await {
                 tokio::spawn(self.clone().carry(stream, from.ip(), target));
@@ -61,7 +59,7 @@
         drop(cuts.wait_for(|cuts| !cuts.contains(&(from, to))).await);
     }
 
-    async fn carry(self, near: tokio::net::TcpStream, from: Host, target: std::net::SocketAddr) {
+    async fn carry(self, near: tokio::net::TcpStream, from: Host, target: SocketAddr) {
         // A first packet needs both ways.
         self.whole(from, target.ip()).await;
         self.whole(target.ip(), from).await;
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -1,5 +1,8 @@
 //! Rehearsals for gradeford. Test-only: the one program here that starts others.
 
+use std::path::Path;
+use std::path::PathBuf;
+
 const HELP: &str = "\
 simulator: tries gradeford on one machine
 
@@ -99,14 +102,14 @@
 }
 
 /// An earlier run's disks and histories would be taken for this one's.
-fn unused(folder: &std::path::Path) {
+fn unused(folder: &Path) {
     if folder.join("rehearsal.history").exists() {
         wrong(&format!("{} holds an earlier run", folder.display()));
     }
 }
 
 /// Names are checked before anything is started.
-fn checked(site: &str, scenario: &str, folder: &std::path::Path) {
+fn checked(site: &str, scenario: &str, folder: &Path) {
     if simulator::deployment::named(site).is_none() {
         wrong(&format!("there is no site {site:?}"));
     }
@@ -149,7 +152,7 @@
 
 /// What `run` and `all` share: everything but the site and the scenario.
 fn plan(arguments: &mut pico_args::Arguments) -> simulator::run::Plan {
-    let folder: Option<std::path::PathBuf> = usage(arguments.opt_value_from_str("--folder"));
+    let folder: Option<PathBuf> = usage(arguments.opt_value_from_str("--folder"));
     let usher_flags: Option<String> = usage(arguments.opt_value_from_str("--node-flags"));
     simulator::run::Plan {
         site: String::new(),
--- a/crates/simulator/src/notes.rs
+++ b/crates/simulator/src/notes.rs
@@ -1,20 +1,20 @@
 //! What the rehearsal itself writes into the histories (design 9.5).
 
 use crate::history::Record;
+use std::fs::OpenOptions;
+use std::io::Write;
+use std::path::PathBuf;
 
 /// Appends to one file; clones share it through the file system.
 #[derive(Clone, Debug)]
-pub struct Notebook(pub std::path::PathBuf);
+pub struct Notebook(pub PathBuf);
 
 impl Notebook {
     /// A note that cannot be written would make a history that proves nothing.
     pub fn note(&self, record: &Record) -> Result<(), String> {
         let line = serde_json::to_string(record).unwrap_or_default() + "\n";
-        let book = std::fs::OpenOptions::new()
-            .create(true)
-            .append(true)
-            .open(&self.0);
-        book.and_then(|mut book| std::io::Write::write_all(&mut book, line.as_bytes()))
+        let book = OpenOptions::new().create(true).append(true).open(&self.0);
+        book.and_then(|mut book| Write::write_all(&mut book, line.as_bytes()))
             .map_err(|error| error.to_string())
     }
 }
--- a/crates/simulator/src/operators.rs
+++ b/crates/simulator/src/operators.rs
@@ -1,6 +1,7 @@
 //! Stand-in operators: changes that are right, stale, broken, raced and sent twice, each with its answer (design 9.5).
 
 use crate::history::Record;
+use std::time::Duration;
 
 pub type Places = tokio::sync::watch::Receiver<Vec<String>>;
 
@@ -115,7 +116,7 @@
         for turn in 0..200 {
             match self.send(turn, id, base, edits).await? {
                 Answer::Unknown | Answer::Refused(503, _) => {
-                    tokio::time::sleep(std::time::Duration::from_millis(50)).await
+                    tokio::time::sleep(Duration::from_millis(50)).await
                 }
                 answer => return Ok(answer),
             }
@@ -128,7 +129,7 @@
             if let Some(version) = self.read(seat + turn).await? {
                 return Ok(version);
             }
-            tokio::time::sleep(std::time::Duration::from_millis(50)).await;
+            tokio::time::sleep(Duration::from_millis(50)).await;
         }
         Err("no seat".into())
     }
@@ -204,8 +205,7 @@
                 .filter(|(_, answer)| *answer == Answer::Unknown)
                 .map(|(change, _)| change),
         );
-        let pause =
-            std::time::Duration::from_millis(rand::Rng::random_range(&mut random, 100..400));
+        let pause = Duration::from_millis(rand::Rng::random_range(&mut random, 100..400));
         if tokio::time::timeout(pause, stop.wait_for(|stop| *stop))
             .await
             .is_ok()
@@ -241,7 +241,7 @@
     http: reqwest::Client,
     notebook: crate::notes::Notebook,
 ) -> Result<(), String> {
-    let mut every = tokio::time::interval(std::time::Duration::from_millis(200));
+    let mut every = tokio::time::interval(Duration::from_millis(200));
     every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         every.tick().await;
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -1,5 +1,12 @@
 //! Processes of a rehearsal. Only this program starts any; it ends those it started, by id.
 
+use std::fs::OpenOptions;
+use std::path::Path;
+use std::process::Child;
+use std::process::Command;
+use std::process::ExitStatus;
+use std::process::Stdio;
+
 /// The word behind a flag.
 pub fn flag<'a>(arguments: &'a [String], flag: &str) -> Option<&'a String> {
     arguments
@@ -24,13 +31,13 @@
 
 pub struct Process {
     pub name: String,
-    child: std::process::Child,
+    child: Child,
 }
 
 impl Process {
     /// `program` stands beside this one; its log goes to a file in the run's folder.
     pub fn start(
-        folder: &std::path::Path,
+        folder: &Path,
         name: &str,
         program: &str,
         arguments: &[String],
@@ -46,15 +53,15 @@
             .into_iter()
             .find(|path| path.exists())
             .ok_or_else(|| format!("{program} is not built; run cargo build --workspace first"))?;
-        let log = std::fs::OpenOptions::new()
+        let log = OpenOptions::new()
             .create(true)
             .append(true)
             .open(folder.join(format!("{name}.log")))
             .map_err(|error| error.to_string())?;
-        let child = std::process::Command::new(path)
+        let child = Command::new(path)
             .args(arguments)
-            .stdin(std::process::Stdio::null())
-            .stdout(std::process::Stdio::null())
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
             .stderr(log)
             .spawn()
             .map_err(|error| format!("{program}: {error}"))?;
@@ -75,7 +82,7 @@
         drop(self.child.wait());
     }
 
-    pub fn ended(&mut self) -> Option<std::process::ExitStatus> {
+    pub fn ended(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 }
--- a/crates/simulator/src/promises.rs
+++ b/crates/simulator/src/promises.rs
@@ -1,6 +1,10 @@
 //! What must hold between times: keys, drains, changes, returns (design 9.5).
 
 use crate::history::Record;
+use std::collections::BTreeMap;
+use std::collections::BTreeSet;
+use std::collections::HashMap;
+use std::collections::HashSet;
 
 /// What operators and back ends are promised, with the half second the brief leaves.
 const IN_FORCE: u64 = 2_500_000;
@@ -10,14 +14,14 @@
 
 /// Two back ends at work on one key of one service at the same time.
 pub(crate) fn overlaps(records: &[Record]) -> Vec<String> {
-    let ends: std::collections::HashMap<&str, u64> = records
+    let ends: HashMap<&str, u64> = records
         .iter()
         .filter_map(|record| match record {
             Record::Ended { run, at } => Some((run.as_str(), *at)),
             _ => None,
         })
         .collect();
-    let mut spans: std::collections::BTreeMap<(&str, &str), Vec<Span>> = Default::default();
+    let mut spans: BTreeMap<(&str, &str), Vec<Span>> = Default::default();
     records.iter().for_each(|record| {
         if let Record::Began {
             run,
@@ -158,9 +162,8 @@
         _ => None,
     });
     let end = told.clone().map(|(_, at, _)| at).max().unwrap_or(0);
-    let senders: std::collections::BTreeSet<&str> =
-        told.clone().map(|(service, ..)| service).collect();
-    let served: std::collections::BTreeSet<&str> = told
+    let senders: BTreeSet<&str> = told.clone().map(|(service, ..)| service).collect();
+    let served: BTreeSet<&str> = told
         .filter(|(_, at, fine)| *fine && *at + IN_FORCE >= end)
         .map(|(service, ..)| service)
         .collect();
@@ -199,7 +202,7 @@
 
 /// Requests that ran, or were running, and whose senders never got the answer because of a planned end.
 pub(crate) fn cut_off(records: &[Record]) -> Vec<String> {
-    let began: std::collections::HashSet<&str> = records
+    let began: HashSet<&str> = records
         .iter()
         .filter_map(|record| match record {
             Record::Began { try_id, .. } => Some(try_id.as_str()),
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -1,12 +1,15 @@
 //! A whole rehearsal: start a site, load it, break something, check what everyone saw (design 9.5).
 
+use std::path::PathBuf;
+use std::time::Duration;
+
 pub struct Plan {
     pub site: String,
     pub scenario: String,
     pub seconds: u64,
     pub seed: u64,
     pub spoil: u32,
-    pub folder: std::path::PathBuf,
+    pub folder: PathBuf,
     /// Given to every node, for paired runs.
     pub usher_flags: Vec<String>,
     /// Operators' changes to make and time before anything is broken.
@@ -53,16 +56,16 @@
         .map(|(at, _)| *at)
         .unwrap_or(scenario.length);
     let company = Company::gather(&stage.fleet, &plan, &deployment);
-    let figures = measure(&stage.fleet, &plan, std::time::Duration::from_millis(quiet)).await?;
+    let figures = measure(&stage.fleet, &plan, Duration::from_millis(quiet)).await?;
     for (at, step) in scenario.steps {
-        tokio::time::sleep_until(began + std::time::Duration::from_millis(at)).await;
+        tokio::time::sleep_until(began + Duration::from_millis(at)).await;
         let told = format!("{step:?}");
         stage
             .take(step)
             .await
             .map_err(|error| format!("{told}: {error}"))?;
     }
-    tokio::time::sleep_until(began + std::time::Duration::from_millis(scenario.length)).await;
+    tokio::time::sleep_until(began + Duration::from_millis(scenario.length)).await;
     stage.settle()?;
     company.leave().await?;
     let requests_and_extras = crate::figures::extras(&stage.fleet).await;
@@ -164,7 +167,7 @@
     async fn leave(self) -> Result<(), String> {
         self.stop.send_replace(true);
         for worker in self.workers {
-            let ended = tokio::time::timeout(std::time::Duration::from_secs(60), worker).await;
+            let ended = tokio::time::timeout(Duration::from_secs(60), worker).await;
             ended
                 .map_err(|_| "an operator was never told what became of a change")?
                 .map_err(|error| error.to_string())??;
@@ -201,7 +204,7 @@
 async fn measure(
     fleet: &crate::fleet::Fleet,
     plan: &Plan,
-    third: std::time::Duration,
+    third: Duration,
 ) -> Result<crate::figures::Figures, String> {
     let (began, before, version) = (
         model::now(),
@@ -209,10 +212,7 @@
         fleet.version().await?,
     );
     let in_force_us = crate::figures::changes(fleet, plan.changes).await?;
-    tokio::time::sleep(
-        third.saturating_sub(std::time::Duration::from_micros(model::now() - began)),
-    )
-    .await;
+    tokio::time::sleep(third.saturating_sub(Duration::from_micros(model::now() - began))).await;
     let after = crate::figures::sums(fleet).await;
     let grown =
         |name: &str| after.get(name).copied().unwrap_or(0) - before.get(name).copied().unwrap_or(0);
--- a/crates/simulator/src/serving_checks.rs
+++ b/crates/simulator/src/serving_checks.rs
@@ -1,6 +1,8 @@
 //! Budgets, refusals, returns: what senders are promised beside their verdicts (design 5.4, 5.6).
 
 use crate::history::Record;
+use std::collections::BTreeMap;
+use std::collections::BTreeSet;
 
 const WINDOW: u64 = 10_000_000;
 /// Between a request's asking and its counting at the node.
@@ -55,8 +57,7 @@
         Record::Extra { service, at, .. } => Some((service.as_str(), *at)),
         _ => None,
     });
-    let gathered = |mut table: std::collections::BTreeMap<String, Vec<u64>>,
-                    (service, at): (&str, u64)| {
+    let gathered = |mut table: BTreeMap<String, Vec<u64>>, (service, at): (&str, u64)| {
         table.entry(service.to_string()).or_default().push(at);
         table
     };
@@ -162,7 +163,7 @@
 }
 
 /// Service to how long after the last fault it was served, and whoever was not in time.
-pub(crate) fn back(records: &[Record]) -> (std::collections::BTreeMap<String, u64>, Vec<String>) {
+pub(crate) fn back(records: &[Record]) -> (BTreeMap<String, u64>, Vec<String>) {
     let healed = records
         .iter()
         .filter_map(|record| {
@@ -178,10 +179,9 @@
     };
     let end = told(records).map(|told| told.at).max().unwrap_or(0);
     let after = || told(records).filter(move |told| told.asked >= healed);
-    let services: std::collections::BTreeSet<String> =
-        told(records).map(|told| told.service.to_string()).collect();
+    let services: BTreeSet<String> = told(records).map(|told| told.service.to_string()).collect();
     let served = after().filter(|told| told.verdict.is_none()).fold(
-        std::collections::BTreeMap::<String, u64>::new(),
+        BTreeMap::<String, u64>::new(),
         |mut served, told| {
             let since = told.at - healed;
             served
@@ -219,7 +219,7 @@
                 Record::Began { service, key: Some(key), process, .. } => Some(((service, key), *process)),
                 _ => None,
             });
-            let holders = began.fold(std::collections::BTreeMap::<_, std::collections::BTreeSet<u32>>::new(), |mut holders, (key, process)| {
+            let holders = began.fold(BTreeMap::<_, BTreeSet<u32>>::new(), |mut holders, (key, process)| {
                 holders.entry(key).or_default().insert(process);
                 holders
             });
