--- a/crates/simulator/src/sim/check.rs
+++ b/crates/simulator/src/sim/check.rs
@@ -1,5 +1,7 @@
 //! What must hold in every run, checked while it runs and at its end (design 9.3).
 
+use std::collections::BTreeMap;
+
 /// An entry that was handed to a seat.
 #[derive(Clone, Copy, Debug)]
 pub struct Submission {
@@ -13,14 +15,14 @@
 
 #[derive(Default)]
 pub struct Findings {
-    pub submitted: std::collections::BTreeMap<Vec<u8>, Submission>,
+    pub submitted: BTreeMap<Vec<u8>, Submission>,
     /// The longest an entry took until its own seat had applied it.
     pub slowest: u64,
     /// The one value of each instance, by whoever applied it first.
-    chosen: std::collections::BTreeMap<u64, Vec<u8>>,
+    chosen: BTreeMap<u64, Vec<u8>>,
     /// What its own seat applied: an operator may have been told "accepted".
-    answered: std::collections::BTreeMap<u64, Vec<u8>>,
-    asked: std::collections::BTreeMap<u64, Option<u64>>,
+    answered: BTreeMap<u64, Vec<u8>>,
+    asked: BTreeMap<u64, Option<u64>>,
     pub reads_done: u64,
     pub broken: Vec<String>,
 }
@@ -129,7 +131,7 @@
                 ));
             }
         });
-        let held: std::collections::BTreeMap<u64, Vec<u8>> = longest.into_iter().collect();
+        let held: BTreeMap<u64, Vec<u8>> = longest.into_iter().collect();
         let lost: Vec<u64> = self
             .answered
             .iter()
--- a/crates/simulator/src/sim/plan.rs
+++ b/crates/simulator/src/sim/plan.rs
@@ -1,5 +1,7 @@
 //! What a simulated run is told, and what it counts (design 9.1).
 
+use std::collections::BTreeMap;
+
 type Micros = mencius::Micros;
 type Seat = mencius::ReplicaId;
 
@@ -43,7 +45,7 @@
 
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Counts {
-    pub kinds: std::collections::BTreeMap<&'static str, u64>,
+    pub kinds: BTreeMap<&'static str, u64>,
     pub frames: u64,
     pub syncs: u64,
     pub revocations: u64,
--- a/crates/simulator/src/sim/site.rs
+++ b/crates/simulator/src/sim/site.rs
@@ -3,6 +3,9 @@
 
 use super::site_plan::{Blow, NODES, SitePlan, service, zone};
 use model::{Microseconds, endpoint_status::EndpointReport};
+use std::collections::BTreeMap;
+use std::collections::VecDeque;
+use std::ops::Range;
 
 pub(super) enum Event {
     Blow(Blow),
@@ -37,7 +40,7 @@
     pub leaving: bool,
     pub late: Vec<Event>,
     /// Reports that wait, the one on its way, and its turn over the seats.
-    pub outbox: std::collections::VecDeque<EndpointReport>,
+    pub outbox: VecDeque<EndpointReport>,
     pub sequence: u64,
     pub entry: Option<(model::Entry, Microseconds)>,
     pub seat: u16,
@@ -69,20 +72,20 @@
     pub(super) nodes: Vec<Node>,
     pub(super) processes: Vec<Process>,
     /// Address to the process that has it now.
-    pub(super) addresses: std::collections::BTreeMap<u64, usize>,
-    pub(super) courses: std::collections::BTreeMap<u64, super::site_calls::Trying>,
+    pub(super) addresses: BTreeMap<u64, usize>,
+    pub(super) courses: BTreeMap<u64, super::site_calls::Trying>,
     pub(super) tries: Vec<super::site_calls::Try>,
     /// Dispatches that wait for a slot.
-    pub(super) runs_waiting: std::collections::BTreeMap<u64, transport::AttemptRequest>,
-    pub(super) runs: std::collections::BTreeMap<u64, super::site_runs::Run>,
+    pub(super) runs_waiting: BTreeMap<u64, transport::AttemptRequest>,
+    pub(super) runs: BTreeMap<u64, super::site_runs::Run>,
     pub(super) numbers: u64,
     /// Read tokens: the node that asked, and when.
-    pub(super) reads: std::collections::BTreeMap<u64, (usize, Microseconds)>,
-    pub(super) reports: std::collections::BTreeMap<(String, u64, u64), usize>,
-    pub(super) changes: std::collections::BTreeMap<(String, u64, u64), String>,
+    pub(super) reads: BTreeMap<u64, (usize, Microseconds)>,
+    pub(super) reports: BTreeMap<(String, u64, u64), usize>,
+    pub(super) changes: BTreeMap<(String, u64, u64), String>,
     pub(super) operated: u64,
     pub(super) random: rand::rngs::StdRng,
-    events: std::collections::BTreeMap<(Microseconds, u64), Event>,
+    events: BTreeMap<(Microseconds, u64), Event>,
     order: u64,
 }
 
@@ -204,7 +207,7 @@
         rand::Rng::random_range(&mut self.random, self.plan.hop.0..=self.plan.hop.1)
     }
 
-    pub(super) fn draw(&mut self, range: std::ops::Range<u64>) -> u64 {
+    pub(super) fn draw(&mut self, range: Range<u64>) -> u64 {
         rand::Rng::random_range(&mut self.random, range)
     }
 
--- a/crates/simulator/src/sim/site_core.rs
+++ b/crates/simulator/src/sim/site_core.rs
@@ -1,6 +1,7 @@
 //! The core of a simulated site: ordering machines and disks, and a book at each seat (design 9.8).
 
 use model::{Entry, Outcome, Position, StateMachine};
+use std::collections::BTreeMap;
 
 /// What a seat has made of its log.
 #[derive(Default)]
@@ -94,7 +95,7 @@
     }
 
     /// At the end: every accepted change of the longest copy, by version.
-    pub fn story(&self) -> std::collections::BTreeMap<Position, (String, Position)> {
+    pub fn story(&self) -> BTreeMap<Position, (String, Position)> {
         let longest = self
             .world
             .nodes
--- a/crates/simulator/src/sim/site_events.rs
+++ b/crates/simulator/src/sim/site_events.rs
@@ -2,6 +2,7 @@
 
 use super::site::{Event, Site};
 use model::{Entry, Microseconds, Operation, Outcome, endpoint_status::EndpointReport};
+use std::sync::Arc;
 
 const ASK_EVERY: Microseconds = 250_000;
 const PATIENCE: Microseconds = 750_000;
@@ -166,7 +167,7 @@
             Some(view) => node.view = view,
             None if any_order => {
                 node.view = control::View {
-                    slice: std::sync::Arc::new(slice),
+                    slice: Arc::new(slice),
                     fresh_until: asked + bound,
                 }
             }
--- a/crates/simulator/src/sim/site_judge.rs
+++ b/crates/simulator/src/sim/site_judge.rs
@@ -1,6 +1,8 @@
 //! What must never happen at a simulated site, judged while it runs and at its end (design 9.8).
 
 use model::{Error, ExecutionStatus, Microseconds, Position};
+use std::collections::BTreeMap;
+use std::collections::BTreeSet;
 
 /// The promise to operators and back ends.
 const IN_FORCE: Microseconds = 2_000_000;
@@ -18,16 +20,16 @@
     pub extras: usize,
     pub moves: usize,
     /// Try to how often it ran.
-    ran: std::collections::BTreeMap<String, usize>,
-    not_run: std::collections::BTreeSet<String>,
+    ran: BTreeMap<String, usize>,
+    not_run: BTreeSet<String>,
     /// Service and key to who worked on it, from, to.
-    spans: std::collections::BTreeMap<(String, String), Vec<Span>>,
+    spans: BTreeMap<(String, String), Vec<Span>>,
     accepted: Vec<(Microseconds, Position, u64, String)>,
-    positions: std::collections::BTreeMap<(usize, u64), Position>,
-    proved: std::collections::BTreeMap<usize, Position>,
-    firsts: std::collections::BTreeMap<String, Vec<Microseconds>>,
-    spent: std::collections::BTreeMap<String, Vec<Microseconds>>,
-    served_at: std::collections::BTreeMap<String, Microseconds>,
+    positions: BTreeMap<(usize, u64), Position>,
+    proved: BTreeMap<usize, Position>,
+    firsts: BTreeMap<String, Vec<Microseconds>>,
+    spent: BTreeMap<String, Vec<Microseconds>>,
+    served_at: BTreeMap<String, Microseconds>,
 }
 
 impl Judge {
@@ -209,7 +211,7 @@
     pub(super) fn close(
         &mut self,
         core: Vec<String>,
-        story: &std::collections::BTreeMap<u64, (String, Position)>,
+        story: &BTreeMap<u64, (String, Position)>,
         back_by: Microseconds,
         nodes: usize,
     ) {
--- a/crates/simulator/src/sim/world.rs
+++ b/crates/simulator/src/sim/world.rs
@@ -1,5 +1,7 @@
 //! The simulated world: one queue of events ordered by virtual time (design 9.1).
 
+use std::collections::BTreeMap;
+
 type Micros = mencius::Micros;
 type Seat = mencius::ReplicaId;
 
@@ -60,7 +62,7 @@
     pub counts: super::Counts,
     pub findings: super::Findings,
     pub done: Vec<(u64, Seat)>,
-    events: std::collections::BTreeMap<(Micros, u64), Event>,
+    events: BTreeMap<(Micros, u64), Event>,
     order: u64,
     random: rand::rngs::StdRng,
     pub(super) epochs: Vec<Vec<u64>>,
--- a/crates/simulator/src/stagehand.rs
+++ b/crates/simulator/src/stagehand.rs
@@ -4,6 +4,8 @@
 use crate::process::Process;
 use crate::scenario::{Step, Who};
 use rustix::process::Signal;
+use std::path::Path;
+use std::time::Duration;
 
 pub struct Stagehand {
     pub fleet: Fleet,
@@ -62,10 +64,10 @@
             process.signal(Signal::TERM);
             let gone = async {
                 while process.ended().is_none() {
-                    tokio::time::sleep(std::time::Duration::from_millis(10)).await;
+                    tokio::time::sleep(Duration::from_millis(10)).await;
                 }
             };
-            tokio::time::timeout(std::time::Duration::from_secs(20), gone)
+            tokio::time::timeout(Duration::from_secs(20), gone)
                 .await
                 .unwrap_or_default();
         }
@@ -264,7 +266,7 @@
     fn spoil(&mut self, seat: usize, ill: crate::disk::Ill) -> Result<(), String> {
         let folder = crate::process::flag(&self.fleet.cores[seat].arguments, "--folder")
             .ok_or("the seat has no folder")?;
-        std::fs::write(std::path::Path::new(folder).join("fault"), ill.word())
+        std::fs::write(Path::new(folder).join("fault"), ill.word())
             .map_err(|error| error.to_string())
     }
 
--- a/crates/simulator/src/understudy.rs
+++ b/crates/simulator/src/understudy.rs
@@ -1,5 +1,16 @@
 //! A stand-in back end: registers, beats, runs, seals, and sends on its own account (design 9.5).
 
+use std::fmt::Display;
+use std::fs::File;
+use std::fs::OpenOptions;
+use std::io::Write;
+use std::path::PathBuf;
+use std::sync::Arc;
+use std::sync::Mutex;
+use std::sync::atomic::AtomicU32;
+use std::sync::atomic::AtomicU64;
+use std::time::Duration;
+
 #[derive(Clone, Debug)]
 pub struct Part {
     pub name: String,
@@ -8,7 +19,7 @@
     pub slots: u32,
     pub usher: String,
     pub listen: String,
-    pub history: std::path::PathBuf,
+    pub history: PathBuf,
     pub work_us: u64,
     /// Out of a thousand replies, how many are spoilt in some way.
     pub spoil: u32,
@@ -22,11 +33,11 @@
 
 pub struct Backstage {
     pub part: Part,
-    pub life: std::sync::atomic::AtomicU64,
-    pub runs: std::sync::atomic::AtomicU64,
-    pub book: std::sync::Mutex<std::fs::File>,
+    pub life: AtomicU64,
+    pub runs: AtomicU64,
+    pub book: Mutex<File>,
     /// Out of a thousand keyed requests, how many name the one hot key.
-    pub hot: std::sync::atomic::AtomicU32,
+    pub hot: AtomicU32,
 }
 
 impl Backstage {
@@ -34,12 +45,12 @@
     pub fn note(&self, record: &crate::history::Record) {
         let line = serde_json::to_string(record).unwrap_or_default() + "\n";
         if let Ok(mut book) = self.book.lock() {
-            std::io::Write::write_all(&mut *book, line.as_bytes()).unwrap_or_default();
+            Write::write_all(&mut *book, line.as_bytes()).unwrap_or_default();
         }
     }
 }
 
-struct Stage(std::sync::Arc<Backstage>);
+struct Stage(Arc<Backstage>);
 
 #[salvo::handler]
 impl Stage {
@@ -79,7 +90,7 @@
             path: request.uri().path().to_string(),
             key: http_util::header_text(request, backend_api::SHARD_KEY_HEADER),
         });
-        tokio::time::sleep(std::time::Duration::from_micros(backstage.part.work_us)).await;
+        tokio::time::sleep(Duration::from_micros(backstage.part.work_us)).await;
         // Whoever slept beyond the wait does no work any more, as its contract says.
         let until = began
             + header(backend_api::TIME_LEFT_HEADER)
@@ -116,19 +127,19 @@
 }
 
 pub async fn run(part: Part) -> Result<(), String> {
-    let told = |error: &dyn std::fmt::Display| error.to_string();
-    let book = std::fs::OpenOptions::new()
+    let told = |error: &dyn Display| error.to_string();
+    let book = OpenOptions::new()
         .create(true)
         .append(true)
         .open(&part.history)
         .map_err(|error| told(&error))?;
     let hot = part.hot.into();
-    let backstage = std::sync::Arc::new(Backstage {
+    let backstage = Arc::new(Backstage {
         hot,
         part,
         life: Default::default(),
         runs: Default::default(),
-        book: std::sync::Mutex::new(book),
+        book: Mutex::new(book),
     });
     let router = salvo::Router::with_path("{**rest}").goal(Stage(backstage.clone()));
     let serving = http_util::HttpServer::start(&backstage.part.listen, router)
@@ -137,7 +148,7 @@
     let address = serving.address.to_string();
     let http = reqwest::Client::builder()
         .no_proxy()
-        .timeout(std::time::Duration::from_secs(10))
+        .timeout(Duration::from_secs(10))
         .build()
         .map_err(|error| told(&error))?;
     let (given, passes) = tokio::sync::watch::channel(crate::audience::Pass::default());
@@ -169,16 +180,16 @@
         at: model::now(),
     });
     drop(say("drain").await);
-    tokio::time::sleep(std::time::Duration::from_millis(500)).await;
+    tokio::time::sleep(Duration::from_millis(500)).await;
     drop(say("sign-off").await);
     beating.abort();
-    serving.stop(std::time::Duration::from_secs(3)).await;
+    serving.stop(Duration::from_secs(3)).await;
     Ok(())
 }
 
 /// Registers until it is taken, beats until it is told to register again.
 async fn beat(
-    backstage: std::sync::Arc<Backstage>,
+    backstage: Arc<Backstage>,
     http: reqwest::Client,
     address: String,
     given: tokio::sync::watch::Sender<crate::audience::Pass>,
@@ -210,9 +221,7 @@
                 secret: secret.clone(),
                 try_prefix,
             });
-            let pause = std::time::Duration::from_micros(
-                answer["beat_every_us"].as_u64().unwrap_or(300_000),
-            );
+            let pause = Duration::from_micros(answer["beat_every_us"].as_u64().unwrap_or(300_000));
             let mut keys: Vec<serde_json::Value> = Vec::new();
             loop {
                 tokio::time::sleep(pause).await;
@@ -238,6 +247,6 @@
                     .collect();
             }
         }
-        tokio::time::sleep(std::time::Duration::from_millis(200)).await;
+        tokio::time::sleep(Duration::from_millis(200)).await;
     }
 }
--- a/crates/simulator/tests/again.rs
+++ b/crates/simulator/tests/again.rs
@@ -1,6 +1,7 @@
 //! One try sent again: at a restarted usher, with the old secret and a new one, twice at once (design 5.5).
 
 use simulator::history::Record;
+use std::path::Path;
 
 type Answer = (u16, Option<String>, serde_json::Value);
 
@@ -39,7 +40,7 @@
     )
 }
 
-fn runs(folder: &std::path::Path, wanted: &str) -> usize {
+fn runs(folder: &Path, wanted: &str) -> usize {
     let records = simulator::history::read(folder).expect("histories");
     records
         .iter()
--- a/crates/simulator/tests/bills.rs
+++ b/crates/simulator/tests/bills.rs
@@ -2,8 +2,9 @@
 //! that is cut, killed and replaced; and variants that each lack one guard (design 11.6).
 
 use simulator::billsim::{BLOWS, BillPlan, Blow, Stage, Struck, Without, draw, play};
+use std::ops::Range;
 
-fn over<T: Send>(seeds: std::ops::Range<u64>, work: impl Fn(u64) -> T + Sync) -> Vec<T> {
+fn over<T: Send>(seeds: Range<u64>, work: impl Fn(u64) -> T + Sync) -> Vec<T> {
     let cores = std::thread::available_parallelism()
         .map(usize::from)
         .unwrap_or(1) as u64;
--- a/crates/simulator/tests/cut.rs
+++ b/crates/simulator/tests/cut.rs
@@ -2,6 +2,7 @@
 //! reach it (design 3.2, docs/control-plane.md, point 1).
 
 use simulator::sim::{Fault, Plan, World};
+use std::collections::BTreeSet;
 
 const SECOND: u64 = 1_000_000;
 /// A caller is told by then that its entry is not known to be taken.
@@ -148,8 +149,7 @@
             world.nodes.iter().all(holds),
             "{seats} seats, seed {seed}, {trouble:?}"
         );
-        let lengths: std::collections::BTreeSet<usize> =
-            world.nodes.iter().map(|node| node.history.len()).collect();
+        let lengths: BTreeSet<usize> = world.nodes.iter().map(|node| node.history.len()).collect();
         assert_eq!(
             lengths.len(),
             1,
--- a/crates/simulator/tests/hollow.rs
+++ b/crates/simulator/tests/hollow.rs
@@ -1,5 +1,9 @@
 //! The smallest hollow site, judged by what it counted and not by how long it took (docs/CAPACITY.md).
 
+use std::process::Command;
+use std::sync::Mutex;
+use std::sync::PoisonError;
+
 fn plan(name: &str) -> simulator::hollow::Plan {
     simulator::hollow::Plan {
         nodes: 6,
@@ -20,12 +24,10 @@
 }
 
 /// Frames are counted for the whole process: one site at a time.
-static ALONE: std::sync::Mutex<()> = std::sync::Mutex::new(());
+static ALONE: Mutex<()> = Mutex::new(());
 
 fn played(plan: simulator::hollow::Plan) -> simulator::hollow::Report {
-    let _alone = ALONE
-        .lock()
-        .unwrap_or_else(std::sync::PoisonError::into_inner);
+    let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
     runtime
         .block_on(simulator::hollow::run(plan, false))
@@ -144,7 +146,7 @@
         .expect("the build's folder")
         .join("simulator");
     let told = |words: &[&str]| {
-        let output = std::process::Command::new(&program)
+        let output = Command::new(&program)
             .arg("hollow")
             .args(words)
             .output()
--- a/crates/simulator/tests/keys.rs
+++ b/crates/simulator/tests/keys.rs
@@ -1,9 +1,10 @@
 //! Keys in virtual time under drawn blows, and variants that each lack one guard (design 11.4, 11.5).
 
 use simulator::keysim::{BLOWS, Blow, KeyPlan, Stage, Struck, Without, draw, play};
+use std::ops::Range;
 
 /// Seeds over the machine's cores, in the order of the seeds.
-fn over<T: Send>(seeds: std::ops::Range<u64>, work: impl Fn(u64) -> T + Sync) -> Vec<T> {
+fn over<T: Send>(seeds: Range<u64>, work: impl Fn(u64) -> T + Sync) -> Vec<T> {
     let cores = std::thread::available_parallelism()
         .map(usize::from)
         .unwrap_or(1) as u64;
--- a/crates/simulator/tests/path.rs
+++ b/crates/simulator/tests/path.rs
@@ -1,10 +1,12 @@
 //! The whole path in separate processes: discovery, one change, requests, a kill of each kind (design 9.5).
 
+use std::path::PathBuf;
+
 fn runtime() -> tokio::runtime::Runtime {
     tokio::runtime::Runtime::new().expect("a runtime")
 }
 
-fn folder(name: &str) -> std::path::PathBuf {
+fn folder(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!("gradeford-{name}-{}", std::process::id()))
 }
 
--- a/crates/simulator/tests/programs.rs
+++ b/crates/simulator/tests/programs.rs
@@ -1,9 +1,11 @@
 //! The programs as an operator meets them: flags, exit codes, reload, callboard (docs/operators).
 
-fn program(name: &str) -> std::process::Command {
+use std::process::Command;
+
+fn program(name: &str) -> Command {
     let own = std::env::current_exe().expect("a path");
     let folder = own.ancestors().nth(2).expect("the build's folder");
-    std::process::Command::new(folder.join(name))
+    Command::new(folder.join(name))
 }
 
 /// Exit code, standard output, standard error.
--- a/crates/simulator/tests/rolled/back_end.rs
+++ b/crates/simulator/tests/rolled/back_end.rs
@@ -2,6 +2,7 @@
 
 use crate::site::{Place, Runs, service};
 use std::sync::Arc;
+use std::time::Duration;
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 
 pub fn start(at: usize, places: Arc<Vec<Place>>, runs: Runs) {
@@ -41,7 +42,7 @@
                 .map(|(from, to, fence, _)| (from, to, fence))
                 .collect();
         }
-        tokio::time::sleep(std::time::Duration::from_millis(100)).await;
+        tokio::time::sleep(Duration::from_millis(100)).await;
     }
 }
 
@@ -65,7 +66,7 @@
     assert_eq!(taken.len(), whole, "nothing is smuggled behind a request");
     let id = said(&head, "x-gradeford-try")?;
     *runs.lock().expect("runs").entry(id.clone()).or_default() += 1;
-    tokio::time::sleep(std::time::Duration::from_millis(15)).await;
+    tokio::time::sleep(Duration::from_millis(15)).await;
     let body = format!("ran {id}");
     let answer = format!(
         "HTTP/1.1 200 OK\r\nx-gradeford-try: {id}\r\nx-gradeford-seal: {id}\r\nconnection: close\r\ncontent-length: {}\r\n\r\n{body}",
--- a/crates/simulator/tests/rolled/main.rs
+++ b/crates/simulator/tests/rolled/main.rs
@@ -1,6 +1,8 @@
 //! Real nodes beside made-up back ends, a real core and live senders over loopback: nodes are stopped in turn, killed
 //! together and stopped together while routes are added. Judged by try, never by time (design 11.6).
 
+use std::collections::BTreeSet;
+
 mod back_end;
 mod node;
 mod senders;
@@ -31,7 +33,7 @@
         ),
         _ => {}
     });
-    let known: std::collections::BTreeSet<&String> = tries.iter().map(|one| &one.id).collect();
+    let known: BTreeSet<&String> = tries.iter().map(|one| &one.id).collect();
     let strange: Vec<&String> = runs.keys().filter(|id| !known.contains(id)).collect();
     assert!(strange.is_empty(), "nobody sent these: {strange:?}");
     let count = |what: &str, fits: &dyn Fn(&Try) -> bool| {
--- a/crates/simulator/tests/rolled/node.rs
+++ b/crates/simulator/tests/rolled/node.rs
@@ -1,6 +1,8 @@
 //! One life of a node on a thread of its own, as its process runs; dropped with its thread.
 
 use crate::site::Place;
+use std::thread::Builder;
+use std::time::Duration;
 
 pub struct Running {
     /// True: in good order.
@@ -47,7 +49,7 @@
         if let Ok(listener) = tokio::net::TcpListener::bind(address).await {
             return listener;
         }
-        tokio::time::sleep(std::time::Duration::from_millis(5)).await;
+        tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
@@ -82,15 +84,12 @@
                     .await
                     .is_ok_and(|ordered| *ordered == Some(true));
                 if in_order {
-                    node.shut_down(
-                        std::time::Duration::ZERO,
-                        std::time::Duration::from_secs(120),
-                    )
-                    .await;
+                    node.shut_down(Duration::ZERO, Duration::from_secs(120))
+                        .await;
                 }
             });
         };
-        std::thread::Builder::new()
+        Builder::new()
             .name(format!("node-{at}.{life}"))
             .spawn(plays)
             .expect("a thread");
--- a/crates/simulator/tests/rolled/senders.rs
+++ b/crates/simulator/tests/rolled/senders.rs
@@ -1,7 +1,9 @@
 //! Live senders, each try with an identity of its own, and an operator who adds a route now and then.
 
 use std::sync::Arc;
+use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::time::Duration;
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 
 #[derive(Clone, Debug, PartialEq)]
@@ -28,7 +30,7 @@
 
 pub struct Shared {
     fronts: Vec<String>,
-    pub tries: std::sync::Mutex<Vec<Try>>,
+    pub tries: Mutex<Vec<Try>>,
     pub served: Vec<AtomicU64>,
     shown: Vec<AtomicU64>,
     /// The newest route that was accepted.
@@ -40,7 +42,7 @@
 
 pub struct Senders {
     pub shared: Arc<Shared>,
-    tasks: std::sync::Mutex<Vec<tokio::task::JoinHandle<()>>>,
+    tasks: Mutex<Vec<tokio::task::JoinHandle<()>>>,
 }
 
 const SENDERS: usize = 8;
@@ -65,7 +67,7 @@
             .collect();
         Senders {
             shared,
-            tasks: std::sync::Mutex::new(tasks),
+            tasks: Mutex::new(tasks),
         }
     }
 
@@ -95,7 +97,7 @@
             shown.max(1)
         };
         if newest == 0 {
-            tokio::time::sleep(std::time::Duration::from_millis(5)).await;
+            tokio::time::sleep(Duration::from_millis(5)).await;
             continue;
         }
         let before = (
@@ -117,7 +119,7 @@
             shared.shown[at].fetch_max(lane, Ordering::SeqCst);
         }
         if matches!(outcome, Outcome::Broken | Outcome::Status(_)) {
-            tokio::time::sleep(std::time::Duration::from_millis(20)).await;
+            tokio::time::sleep(Duration::from_millis(20)).await;
         }
         shared.tries.lock().expect("tries").push(Try {
             id,
@@ -216,6 +218,6 @@
         if matches!(outcome, Some(model::Outcome::Accepted { .. })) {
             shared.accepted.store(number, Ordering::SeqCst);
         }
-        tokio::time::sleep(std::time::Duration::from_millis(150)).await;
+        tokio::time::sleep(Duration::from_millis(150)).await;
     }
 }
--- a/crates/simulator/tests/rolled/site.rs
+++ b/crates/simulator/tests/rolled/site.rs
@@ -2,15 +2,21 @@
 
 use crate::node::Running;
 use crate::senders::{Senders, Try};
+use std::collections::HashMap;
+use std::net::TcpListener;
+use std::path::Path;
+use std::path::PathBuf;
 use std::sync::Arc;
+use std::sync::Mutex;
 use std::sync::atomic::Ordering;
+use std::time::Duration;
 
 pub const NODES: usize = 4;
 const SEATS: u16 = 3;
-const BOUND: std::time::Duration = std::time::Duration::from_secs(240);
+const BOUND: Duration = Duration::from_secs(240);
 
 /// Try to how often it ran.
-pub type Runs = Arc<std::sync::Mutex<std::collections::HashMap<String, usize>>>;
+pub type Runs = Arc<Mutex<HashMap<String, usize>>>;
 /// A node as those beside it find it: a later life takes the place.
 pub type Beside = tokio::sync::watch::Sender<Option<endpoints::LeaseTableHandle>>;
 
@@ -29,7 +35,7 @@
     /// The newest bill each node was seen with, in any life.
     had: Vec<u64>,
     senders: Senders,
-    folder: std::path::PathBuf,
+    folder: PathBuf,
 }
 
 /// Even nodes stand beside a service that is divided by key.
@@ -40,7 +46,7 @@
 pub async fn until(what: &str, holds: impl Fn() -> bool) {
     let turns = async {
         while !holds() {
-            tokio::time::sleep(std::time::Duration::from_millis(5)).await;
+            tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
     tokio::time::timeout(BOUND, turns)
@@ -49,11 +55,11 @@
 }
 
 fn free(host: &str) -> String {
-    let listener = std::net::TcpListener::bind((host, 0)).expect("a port");
+    let listener = TcpListener::bind((host, 0)).expect("a port");
     listener.local_addr().expect("an address").to_string()
 }
 
-async fn seats(folder: &std::path::Path) -> (Vec<control::ReplicaHandle>, Vec<String>) {
+async fn seats(folder: &Path) -> (Vec<control::ReplicaHandle>, Vec<String>) {
     let mut bound = Vec::new();
     for _ in 0..SEATS {
         bound.push(
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -1,6 +1,7 @@
 //! The file itself. Every commit is synced before it is reported (design 3.3).
 
 use redb::ReadableTable as _;
+use std::path::Path;
 
 const META: redb::TableDefinition<&str, u64> = redb::TableDefinition::new("meta");
 const PINNED_DISKS: redb::TableDefinition<u16, u64> = redb::TableDefinition::new("pins");
@@ -35,9 +36,7 @@
 
 impl ReplicaStore {
     /// Opens the file in `folder`, or makes it with a new identity, and reads the journal back.
-    pub fn open(
-        folder: &std::path::Path,
-    ) -> Result<(ReplicaStore, Vec<mencius::Write>), crate::Error> {
+    pub fn open(folder: &Path) -> Result<(ReplicaStore, Vec<mencius::Write>), crate::Error> {
         std::fs::create_dir_all(folder)?;
         let path = folder.join("core.redb");
         ReplicaStore::load(Box::new(move || {
--- a/crates/storage/src/writer.rs
+++ b/crates/storage/src/writer.rs
@@ -1,5 +1,10 @@
 //! The shelf's one owner: a thread of its own, since a sync blocks (design 3.3, 8.1).
 
+use std::sync::mpsc::Receiver;
+use std::thread::Builder;
+use std::thread::JoinHandle;
+use std::time::Duration;
+
 pub enum StoreCommand {
     Append {
         ticket: u64,
@@ -22,48 +27,46 @@
 }
 
 /// Between two tries of a failed write.
-const RETRY_INTERVAL: std::time::Duration = std::time::Duration::from_millis(200);
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Works through jobs in order. A failed append is tried again until it holds: until then its
 /// ticket is not reported, so nothing that depends on it leaves (design 3.3).
 pub fn spawn_writer(
     mut shelf: crate::ReplicaStore,
-    jobs: std::sync::mpsc::Receiver<StoreCommand>,
+    jobs: Receiver<StoreCommand>,
     synced: impl Fn(u64) + Send + 'static,
     trouble: impl Fn(Option<String>) + Send + 'static,
-) -> std::io::Result<std::thread::JoinHandle<()>> {
-    std::thread::Builder::new()
-        .name("vault".into())
-        .spawn(move || {
-            for job in jobs {
-                match job {
-                    StoreCommand::Append {
-                        ticket,
-                        writes,
-                        replace_journal: afresh,
-                    } => {
-                        append(&mut shelf, &writes, afresh, &trouble);
-                        synced(ticket);
-                    }
-                    StoreCommand::ReplacePins { pins, writes, done } => {
-                        done(shelf.replace_pins(&pins, &writes).is_ok())
-                    }
-                    StoreCommand::Pin {
-                        replica_id: seat,
-                        disk_id: identity,
-                        done,
-                    } => done(shelf.pin_disk(seat, identity).ok()),
-                    StoreCommand::Retire { done } => match shelf.retire() {
-                        Ok(()) => {
-                            // Closed before it is told, so that whoever waits may open it.
-                            drop(shelf);
-                            return done(true);
-                        }
-                        Err(_) => done(false),
-                    },
+) -> std::io::Result<JoinHandle<()>> {
+    Builder::new().name("vault".into()).spawn(move || {
+        for job in jobs {
+            match job {
+                StoreCommand::Append {
+                    ticket,
+                    writes,
+                    replace_journal: afresh,
+                } => {
+                    append(&mut shelf, &writes, afresh, &trouble);
+                    synced(ticket);
                 }
+                StoreCommand::ReplacePins { pins, writes, done } => {
+                    done(shelf.replace_pins(&pins, &writes).is_ok())
+                }
+                StoreCommand::Pin {
+                    replica_id: seat,
+                    disk_id: identity,
+                    done,
+                } => done(shelf.pin_disk(seat, identity).ok()),
+                StoreCommand::Retire { done } => match shelf.retire() {
+                    Ok(()) => {
+                        // Closed before it is told, so that whoever waits may open it.
+                        drop(shelf);
+                        return done(true);
+                    }
+                    Err(_) => done(false),
+                },
             }
-        })
+        }
+    })
 }
 
 /// Until it holds.
--- a/crates/storage/tests/disk.rs
+++ b/crates/storage/tests/disk.rs
@@ -1,6 +1,9 @@
 //! Disks that fill, tear and lose what was not synced, at every numbered operation in turn (design 9.4).
 
 use mencius::{ProposalNumber, Write};
+use std::io::ErrorKind;
+use std::sync::Arc;
+use std::sync::Mutex;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
@@ -22,7 +25,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Backend(std::sync::Arc<std::sync::Mutex<Disk>>);
+struct Backend(Arc<Mutex<Disk>>);
 
 fn place(bytes: &mut Vec<u8>, offset: u64, data: &[u8]) {
     let end = offset as usize + data.len();
@@ -47,7 +50,7 @@
                 return Err(lost());
             }
             Fault::Full(at) if self.operations >= at => {
-                return Err(std::io::ErrorKind::StorageFull.into());
+                return Err(ErrorKind::StorageFull.into());
             }
             _ => {}
         }
@@ -114,7 +117,7 @@
         fault: Fault::None,
         dead: false,
     };
-    Backend(std::sync::Arc::new(std::sync::Mutex::new(disk)))
+    Backend(Arc::new(Mutex::new(disk)))
 }
 
 fn open(backend: &Backend) -> Result<(storage::ReplicaStore, Vec<Write>), storage::Error> {
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -2,18 +2,20 @@
 //! Bolero's own engine seeds all but its first case from the machine (design 9.9).
 
 use bolero::generator::bolero_generator::driver::{Options, Rng};
+use std::fmt::Debug;
+use std::panic::AssertUnwindSafe;
 
 const SEED: u64 = 20_111;
 
 /// Calls `case` with `count` values; a failing case is named by its number and shown.
-pub fn drawn<T: bolero::generator::TypeGenerator + std::fmt::Debug>(count: u64, case: impl Fn(&T)) {
+pub fn drawn<T: bolero::generator::TypeGenerator + Debug>(count: u64, case: impl Fn(&T)) {
     (0..count).for_each(|number| {
         let random: rand::rngs::StdRng = rand::SeedableRng::seed_from_u64(SEED + number);
         let mut driver = Rng::new(random, &Options::default());
         let Some(value) = T::generate(&mut driver) else {
             return;
         };
-        let passed = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| case(&value)));
+        let passed = std::panic::catch_unwind(AssertUnwindSafe(|| case(&value)));
         if let Err(failure) = passed {
             eprintln!("drawn case {number} failed: {value:?}");
             std::panic::resume_unwind(failure);
--- a/crates/transport/src/compact_encoding.rs
+++ b/crates/transport/src/compact_encoding.rs
@@ -1,6 +1,9 @@
 //! Pairs that are said again and again on one conn are said by number (design 13.2). Both ends keep the same table,
 //! as a conn is one FIFO channel; a new conn begins with empty ones.
 
+use std::collections::HashMap;
+use std::collections::HashSet;
+
 pub type Header = (String, Vec<u8>);
 
 /// What new names and pairs were added to the table, and the pairs themselves.
@@ -19,9 +22,9 @@
 
 #[derive(Default)]
 pub struct HeaderEncoder {
-    name_indices: std::collections::HashMap<String, u16>,
-    header_indices: std::collections::HashMap<Header, u16>,
-    seen_once: std::collections::HashSet<Header>,
+    name_indices: HashMap<String, u16>,
+    header_indices: HashMap<Header, u16>,
+    seen_once: HashSet<Header>,
 }
 
 #[derive(Default)]
@@ -37,7 +40,7 @@
         let distinct = pairs
             .iter()
             .map(|(name, _)| name)
-            .collect::<std::collections::HashSet<_>>()
+            .collect::<HashSet<_>>()
             .len()
             == pairs.len();
         pairs.into_iter().for_each(|pair| {
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -1,11 +1,12 @@
 //! One conn: a reader and a writer task, channels to both (design 4.2).
 
+use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 /// Frames waiting for one mate; a full buffer means the mate is not keeping up.
 const CHANNEL_CAPACITY: usize = 1_024;
 const WRITE_CHUNK_BYTES: usize = 16 * 1024;
-const WRITE_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(2);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
 pub type FrameSender = tokio::sync::mpsc::Sender<crate::Frame>;
 
--- a/crates/transport/src/frame.rs
+++ b/crates/transport/src/frame.rs
@@ -1,6 +1,7 @@
 //! All that our processes say to each other (design 4.2).
 
 use model::{BackendName, Incarnation, Microseconds, NodeName, Position, ServiceName, ZoneName};
+use std::collections::BTreeSet;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub enum Purpose {
@@ -124,7 +125,7 @@
     },
     /// News begins once the teller's book has reached `held`.
     Subscribe {
-        services: std::collections::BTreeSet<ServiceName>,
+        services: BTreeSet<ServiceName>,
         held: Position,
     },
     StateUpdate(Box<model::StateSlice>),
--- a/crates/transport/src/handshake.rs
+++ b/crates/transport/src/handshake.rs
@@ -1,8 +1,12 @@
 //! The first words on a conn, from both sides (design 4.2).
 
-const HANDSHAKE_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(1);
+use std::io::ErrorKind;
+use std::net::SocketAddr;
+use std::time::Duration;
 
-const TCP_USER_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(3);
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(1);
+
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(3);
 
 async fn within_timeout<T>(
     work: impl Future<Output = Result<T, crate::Error>>,
@@ -30,20 +34,18 @@
 
 /// Goes out from the address this process is known by, so that a site's own rules can tell who dials.
 async fn connect(address: &str, own: &str) -> Result<tokio::net::TcpStream, crate::Error> {
-    let bad = |error| {
-        crate::Error::Connection(std::io::Error::new(std::io::ErrorKind::InvalidInput, error))
-    };
-    let target: std::net::SocketAddr = address.parse().map_err(bad)?;
+    let bad = |error| crate::Error::Connection(std::io::Error::new(ErrorKind::InvalidInput, error));
+    let target: SocketAddr = address.parse().map_err(bad)?;
     let socket = if target.is_ipv4() {
         tokio::net::TcpSocket::new_v4()?
     } else {
         tokio::net::TcpSocket::new_v6()?
     };
     let from = own
-        .parse::<std::net::SocketAddr>()
+        .parse::<SocketAddr>()
         .ok()
         .filter(|own| !own.ip().is_unspecified() && own.is_ipv4() == target.is_ipv4());
-    from.map(|own| socket.bind(std::net::SocketAddr::new(own.ip(), 0)))
+    from.map(|own| socket.bind(SocketAddr::new(own.ip(), 0)))
         .transpose()?;
     Ok(socket.connect(target).await?)
 }
