--- a/crates/control/src/bootstrap.rs
+++ b/crates/control/src/bootstrap.rs
@@ -73,7 +73,7 @@
                 tokio::spawn(async move {
                     let judged = |caller: transport::Handshake| async move {
                         let fits = caller.purpose == transport::Purpose::RequestAssignment && caller.replica.is_some();
-                        if fits { Ok(own) } else { Err("the core is not founded yet".to_string()) }
+                        if fits { Ok(own) } else { Err("the core is not founded yet".into()) }
                     };
                     if let Ok(conn) = transport::accept(stream, judged).await {
                         drop(enlisted.send(conn).await);
@@ -119,10 +119,10 @@
     slog::info!(logger, "the core is founded"; "seats" => seats, "seat" => charter.replica_id);
     for (identity, sender) in members.into_values() {
         let word = transport::Frame::ReplicaAssignment {
-            seat: seat_of(identity),
-            seats,
-            founded: true,
-            pins: pins.clone(),
+            replica_id: seat_of(identity),
+            replica_count: seats,
+            founding: true,
+            pinned_disks: pins.clone(),
         };
         drop(sender.send(word).await);
     }
@@ -163,10 +163,10 @@
                     .filter(|address| !env.seeds.contains(address))
                     .collect();
                 if let transport::Frame::ReplicaAssignment {
-                    seat,
-                    seats,
-                    founded,
-                    pins,
+                    replica_id: seat,
+                    replica_count: seats,
+                    founding: founded,
+                    pinned_disks: pins,
                 } = word
                 {
                     let charter = storage::MembershipRecord {
@@ -227,10 +227,10 @@
             .is_some_and(|charter| charter.founded)
             && !core.state_machine.load().replica_holders.contains_key(seat);
         return transport::Frame::ReplicaAssignment {
-            seat: *seat,
-            seats,
-            founded,
-            pins,
+            replica_id: *seat,
+            replica_count: seats,
+            founding: founded,
+            pinned_disks: pins,
         };
     }
     let known = core.known_replicas.borrow();
@@ -242,10 +242,10 @@
     let vacant = core.status.load().vacant_replicas.first().copied();
     match at_home.map(|(seat, _)| *seat).or(vacant) {
         Some(seat) => transport::Frame::ReplicaAssignment {
-            seat,
-            seats,
-            founded: false,
-            pins: Vec::new(),
+            replica_id: seat,
+            replica_count: seats,
+            founding: false,
+            pinned_disks: Vec::new(),
         },
         None => transport::Frame::NoReplicaAvailable,
     }
--- a/crates/control/src/follower.rs
+++ b/crates/control/src/follower.rs
@@ -151,7 +151,9 @@
         let held = self.follower.begin_connection();
         let mut fine = conn
             .sender
-            .send(transport::Frame::FollowClusterState { held })
+            .send(transport::Frame::FollowClusterState {
+                held_position: held,
+            })
             .await
             .is_ok();
         let (mut proved, began, away) = (
--- a/crates/control/src/peer_link.rs
+++ b/crates/control/src/peer_link.rs
@@ -186,7 +186,10 @@
         .chain([own])
         .collect();
     let word = begins
-        .map(|upto| transport::Frame::VotingRange { upto, pins })
+        .map(|upto| transport::Frame::VotingRange {
+            votes_after: upto,
+            pinned_disks: pins,
+        })
         .unwrap_or(transport::Frame::FoundingReplica);
     if conn.sender.send(word).await.is_err() {
         return;
@@ -205,7 +208,10 @@
     while let Ok(Some(frame)) = tokio::time::timeout(patience, conn.receiver.recv()).await {
         let command = match frame {
             transport::Frame::Consensus(frame) => Command::PeerFrame(seat, token, frame),
-            transport::Frame::VotingRange { upto, pins } => Command::Admitted(upto, pins),
+            transport::Frame::VotingRange {
+                votes_after: upto,
+                pinned_disks: pins,
+            } => Command::Admitted(upto, pins),
             transport::Frame::FoundingReplica => Command::FirstHolderConfirmed(seat),
             _ => continue,
         };
--- a/crates/control/src/publisher.rs
+++ b/crates/control/src/publisher.rs
@@ -114,7 +114,7 @@
             .flatten()
             .for_each(|(number, sender)| {
                 drop(sender.try_send(transport::Frame::Proof {
-                    number,
+                    request_id: number,
                     position: self.cluster_state.position,
                 }));
             });
@@ -159,7 +159,7 @@
             let changes = |at: usize| {
                 let news = history.iter().skip(at);
                 news.map(|(from, to, news)| transport::Frame::ClusterStateUpdate {
-                    afresh: false,
+                    is_snapshot: false,
                     from: *from,
                     to: *to,
                     deltas: news.clone(),
@@ -197,7 +197,7 @@
                             None => {
                                 let (to, deltas) = whole.clone().unwrap_or_default();
                                 let told = transport::Frame::ClusterStateUpdate {
-                                    afresh: true,
+                                    is_snapshot: true,
                                     from: 0,
                                     to,
                                     deltas,
@@ -286,7 +286,7 @@
             (0, 0, held),
             |(count, length, held), frame| {
                 let transport::Frame::ClusterStateUpdate {
-                    afresh,
+                    is_snapshot: afresh,
                     from,
                     to,
                     deltas: news,
@@ -370,7 +370,10 @@
                 desk.send_proofs(token);
                 std::iter::from_fn(|| proofs.try_recv().ok())
                     .map(|frame| {
-                        if let transport::Frame::Proof { number, .. } = frame {
+                        if let transport::Frame::Proof {
+                            request_id: number, ..
+                        } = frame
+                        {
                             number
                         } else {
                             0
--- a/crates/control/src/relay.rs
+++ b/crates/control/src/relay.rs
@@ -55,7 +55,7 @@
                     && conn
                         .sender
                         .send(transport::Frame::Proof {
-                            number,
+                            request_id: number,
                             position: view.slice.position,
                         })
                         .await
@@ -66,7 +66,7 @@
             }
             tokio::select! {
                 frame = conn.receiver.recv() => match frame {
-                    Some(transport::Frame::RequestProof { number }) => {
+                    Some(transport::Frame::RequestProof { request_id: number }) => {
                         asks.push_back((number, model::now()));
                         self.proof_wanted.notify_one();
                     }
--- a/crates/control/src/retirement.rs
+++ b/crates/control/src/retirement.rs
@@ -80,7 +80,9 @@
     loop {
         match conn.receiver.recv().await? {
             transport::Frame::ReplicaAssignment {
-                seat: told, pins, ..
+                replica_id: told,
+                pinned_disks: pins,
+                ..
             } => return Some((seat, told == own && !pins.is_empty())),
             transport::Frame::NoReplicaAvailable => return Some((seat, false)),
             _ => {}
--- a/crates/control/src/status_reports.rs
+++ b/crates/control/src/status_reports.rs
@@ -118,13 +118,16 @@
 
 async fn forward(conn: &mut transport::Connection, entry: &model::Entry) -> Option<model::Outcome> {
     let frame = transport::Frame::ForwardEntry {
-        number: entry.sequence,
+        request_id: entry.sequence,
         entry: Box::new(entry.clone()),
     };
     conn.sender.send(frame).await.ok()?;
     loop {
         match conn.receiver.recv().await? {
-            transport::Frame::EntryOutcome { number, outcome } if number == entry.sequence => {
+            transport::Frame::EntryOutcome {
+                request_id: number,
+                outcome,
+            } if number == entry.sequence => {
                 return outcome;
             }
             _ => {}
--- a/crates/control/src/stream.rs
+++ b/crates/control/src/stream.rs
@@ -77,20 +77,20 @@
     loop {
         let number = tokio::select! {
             frame = conn.receiver.recv() => match frame {
-                Some(transport::Frame::Subscribe { services: wanted, held }) => {
+                Some(transport::Frame::Subscribe { services: wanted, held_position: held }) => {
                     services = Some((wanted, held));
                     None
                 }
-                Some(transport::Frame::FollowClusterState { held }) => {
+                Some(transport::Frame::FollowClusterState { held_position: held }) => {
                     follows = true;
                     drop(core.commands.send(crate::replica::Command::Follow(held, conn.sender.clone())).await);
                     continue;
                 }
-                Some(transport::Frame::RequestProof { number }) if follows => {
+                Some(transport::Frame::RequestProof { request_id: number }) if follows => {
                     drop(core.commands.send(crate::replica::Command::RequestProof(number, conn.sender.clone())).await);
                     continue;
                 }
-                Some(transport::Frame::RequestProof { number }) => {
+                Some(transport::Frame::RequestProof { request_id: number }) => {
                     let (reader, proved) = (core.clone(), proved.clone());
                     tokio::spawn(async move {
                         if reader.read_barrier().await.is_some() {
@@ -99,11 +99,11 @@
                     });
                     continue;
                 }
-                Some(transport::Frame::ForwardEntry { number, entry }) => {
+                Some(transport::Frame::ForwardEntry { request_id: number, entry }) => {
                     let (writer, answers) = (core.clone(), conn.sender.clone());
                     tokio::spawn(async move {
                         let outcome = writer.submit(*entry).await;
-                        drop(answers.send(transport::Frame::EntryOutcome { number, outcome }).await);
+                        drop(answers.send(transport::Frame::EntryOutcome { request_id: number, outcome }).await);
                     });
                     continue;
                 }
@@ -136,7 +136,10 @@
         if let Some(number) = number
             && conn
                 .sender
-                .send(transport::Frame::Proof { number, position })
+                .send(transport::Frame::Proof {
+                    request_id: number,
+                    position,
+                })
                 .await
                 .is_err()
         {
--- a/crates/control/src/subscriber.rs
+++ b/crates/control/src/subscriber.rs
@@ -177,7 +177,7 @@
             .push_back((self.last_request, model::now()));
         sender
             .try_send(transport::Frame::RequestProof {
-                number: self.last_request,
+                request_id: self.last_request,
             })
             .is_ok()
     }
@@ -186,7 +186,10 @@
         let services = self.services.borrow_and_update().clone();
         let held = self.view.load().slice.position;
         sender
-            .send(transport::Frame::Subscribe { services, held })
+            .send(transport::Frame::Subscribe {
+                services,
+                held_position: held,
+            })
             .await
             .is_ok()
     }
@@ -214,7 +217,10 @@
                 let slice = self.view.load().slice.with_patch(*patch);
                 self.store(slice);
             }
-            transport::Frame::Proof { number, position } => {
+            transport::Frame::Proof {
+                request_id: number,
+                position,
+            } => {
                 let asked = self
                     .pending_requests
                     .iter()
--- a/crates/control/src/verification.rs
+++ b/crates/control/src/verification.rs
@@ -35,7 +35,7 @@
         self.last_request += 1;
         self.pending_requests.push_back((self.last_request, now));
         transport::Frame::RequestProof {
-            number: self.last_request,
+            request_id: self.last_request,
         }
     }
 
@@ -47,7 +47,7 @@
     pub fn handle_frame(&mut self, frame: transport::Frame) -> UpdateOutcome {
         match frame {
             transport::Frame::ClusterStateUpdate {
-                afresh,
+                is_snapshot: afresh,
                 from,
                 to,
                 deltas,
@@ -64,7 +64,10 @@
                 self.received = Arc::new(self.received.updated(afresh, to, deltas));
                 UpdateOutcome::Updated
             }
-            transport::Frame::Proof { number, position } => {
+            transport::Frame::Proof {
+                request_id: number,
+                position,
+            } => {
                 let asked = self
                     .pending_requests
                     .iter()
@@ -136,7 +139,7 @@
         book.request_proof(100);
         assert_eq!(
             book.handle_frame(transport::Frame::Proof {
-                number: 1,
+                request_id: 1,
                 position: 6
             }),
             UpdateOutcome::Ignored,
@@ -146,7 +149,7 @@
         assert_eq!(book.begin_connection(), 5);
         assert_eq!(
             book.handle_frame(transport::Frame::Proof {
-                number: 2,
+                request_id: 2,
                 position: 5
             }),
             UpdateOutcome::Ignored,
@@ -155,7 +158,7 @@
         book.request_proof(300);
         assert_eq!(
             book.handle_frame(transport::Frame::Proof {
-                number: 3,
+                request_id: 3,
                 position: 5
             }),
             UpdateOutcome::Verified
--- a/crates/control/tests/recorded_bulletins.rs
+++ b/crates/control/tests/recorded_bulletins.rs
@@ -55,7 +55,7 @@
 ) {
     for (number, frame) in frames.into_iter().enumerate() {
         let Frame::ClusterStateUpdate {
-            afresh,
+            is_snapshot: afresh,
             from,
             to,
             deltas,
@@ -65,7 +65,7 @@
         };
         let deltas = recorded.check(&format!("{name}-{number}"), &deltas);
         follower.handle_frame(Frame::ClusterStateUpdate {
-            afresh,
+            is_snapshot: afresh,
             from,
             to,
             deltas,
--- a/crates/control/tests/seats/first_words.rs
+++ b/crates/control/tests/seats/first_words.rs
@@ -39,8 +39,8 @@
     let words = vec![
         transport::Frame::FoundingReplica,
         transport::Frame::VotingRange {
-            upto: 1_000_000,
-            pins: vec![(1, 77)],
+            votes_after: 1_000_000,
+            pinned_disks: vec![(1, 77)],
         },
     ];
     tokio::spawn(mate(other.listener, words));
--- a/crates/control/tests/seats/founding.rs
+++ b/crates/control/tests/seats/founding.rs
@@ -226,10 +226,10 @@
         assert_eq!(
             here,
             transport::Frame::ReplicaAssignment {
-                seat,
-                seats: 4,
-                founded: false,
-                pins: Vec::new()
+                replica_id: seat,
+                replica_count: 4,
+                founding: false,
+                pinned_disks: Vec::new()
             }
         );
         assert_eq!(
@@ -239,7 +239,7 @@
         );
         let again = told(at, enlists("127.0.0.1:9", lost)).await;
         assert!(
-            matches!(again, transport::Frame::ReplicaAssignment { seat: told, founded: true, .. } if told == seat),
+            matches!(again, transport::Frame::ReplicaAssignment { replica_id: told, founding: true, .. } if told == seat),
             "the disk that was named keeps its seat: {again:?}"
         );
     }
--- a/crates/endpoints/tests/scene/mod.rs
+++ b/crates/endpoints/tests/scene/mod.rs
@@ -144,7 +144,11 @@
                 continue;
             };
             while let Some(frame) = conn.receiver.recv().await {
-                let transport::Frame::ForwardEntry { number, entry } = frame else {
+                let transport::Frame::ForwardEntry {
+                    request_id: number,
+                    entry,
+                } = frame
+                else {
                     continue;
                 };
                 let model::Operation::ClusterState(ClusterOperation::Reports(reports)) =
@@ -169,7 +173,7 @@
                 drop(
                     conn.sender
                         .send(transport::Frame::EntryOutcome {
-                            number,
+                            request_id: number,
                             outcome: Some(outcome),
                         })
                         .await,
--- a/crates/endpoints/tests/unproved.rs
+++ b/crates/endpoints/tests/unproved.rs
@@ -127,11 +127,13 @@
             let mut desk = desk();
             while let Some(frame) = conn.receiver.recv().await {
                 match frame {
-                    transport::Frame::FollowClusterState { held: told } => {
+                    transport::Frame::FollowClusterState {
+                        held_position: told,
+                    } => {
                         held.send_modify(|held| *held = told.max(*held));
                         desk.add_follower(told, conn.sender.clone());
                     }
-                    transport::Frame::RequestProof { number } if *proves.borrow() => {
+                    transport::Frame::RequestProof { request_id: number } if *proves.borrow() => {
                         desk.request_proof(number, conn.sender.clone());
                         desk.begin_proof_round(number * 1_000_000, number);
                         desk.send_proofs(number);
--- a/crates/gradefordctl/tests/witness_compare.rs
+++ b/crates/gradefordctl/tests/witness_compare.rs
@@ -36,7 +36,7 @@
             if judged {
                 Ok(greeting())
             } else {
-                Err("not this one".to_string())
+                Err("not this one".into())
             }
         })
         .await;
--- a/crates/legacy-proxy/src/server.rs
+++ b/crates/legacy-proxy/src/server.rs
@@ -20,7 +20,7 @@
                 let accepted = transport::accept(stream, |caller| async move {
                     control::discovery::merge(&known, caller.known_replicas);
                     match caller.purpose {
-                        transport::Purpose::Consensus => Err("no core seat is here".to_string()),
+                        transport::Purpose::Consensus => Err("no core seat is here".into()),
                         _ => Ok((greeting)()),
                     }
                 })
@@ -86,7 +86,10 @@
                 );
                 heard.send(ward).await.unwrap_or_default();
             }
-            transport::Frame::Subscribe { services, held } => {
+            transport::Frame::Subscribe {
+                services,
+                held_position: held,
+            } => {
                 return relay.serve(conn, services, held).await;
             }
             _ => {}
--- a/crates/outbound/src/peer_connections.rs
+++ b/crates/outbound/src/peer_connections.rs
@@ -175,7 +175,7 @@
             },
             frame = conn.receiver.recv() => match frame {
                 Some(transport::Frame::ForwardedResponse(number, wait, take)) => {
-                    let Some(take) = take.decode(&mut decoder) else { break };
+                    let Ok(take) = take.decode(&mut decoder) else { break };
                     pending.remove(&number).into_iter().for_each(|answer| drop(answer.send((Ok(take.clone()), wait as u64))));
                 }
                 Some(transport::Frame::ForwardFailed(number, wait, trouble)) => {
--- a/crates/outbound/src/peer_server.rs
+++ b/crates/outbound/src/peer_server.rs
@@ -27,7 +27,7 @@
                     control::discovery::merge(&known, caller.known_replicas);
                     match caller.purpose {
                         transport::Purpose::Consensus | transport::Purpose::RequestAssignment => {
-                            Err("no core seat is here".to_string())
+                            Err("no core seat is here".into())
                         }
                         purpose => Ok((greet)(purpose)),
                     }
@@ -84,7 +84,7 @@
         };
         match frame {
             transport::Frame::ForwardedRequest(number, said) => {
-                let Some(cue) = said.decode(&mut decoder) else {
+                let Ok(cue) = said.decode(&mut decoder) else {
                     return;
                 };
                 let (pit, ended) = (pit.clone(), ended.clone());
--- a/crates/simulator/src/billsim/node.rs
+++ b/crates/simulator/src/billsim/node.rs
@@ -60,7 +60,7 @@
             self.book = StateFollower::default();
         }
         transport::Frame::FollowClusterState {
-            held: self.book.begin_connection(),
+            held_position: self.book.begin_connection(),
         }
     }
 
--- a/crates/simulator/src/billsim/stage.rs
+++ b/crates/simulator/src/billsim/stage.rs
@@ -260,10 +260,10 @@
         {
             let desk = &mut self.seats[line.seat].desk;
             match frame {
-                transport::Frame::FollowClusterState { held } => {
-                    desk.add_follower(held, line.sender.clone())
-                }
-                transport::Frame::RequestProof { number } => {
+                transport::Frame::FollowClusterState {
+                    held_position: held,
+                } => desk.add_follower(held, line.sender.clone()),
+                transport::Frame::RequestProof { request_id: number } => {
                     desk.request_proof(number, line.sender.clone())
                 }
                 _ => {}
--- a/crates/simulator/src/hollow/counted.rs
+++ b/crates/simulator/src/hollow/counted.rs
@@ -50,7 +50,7 @@
         .map(|bytes| bytes.to_vec())
         .unwrap_or_default();
     transport::Frame::ClusterStateUpdate {
-        afresh,
+        is_snapshot: afresh,
         from: 0,
         to: 1,
         deltas,
@@ -67,7 +67,7 @@
             operation: model::Operation::ClusterState(act.clone()),
         };
         let length_of_entry = length(&transport::Frame::ForwardEntry {
-            number: self.sequence,
+            request_id: self.sequence,
             entry: Box::new(entry),
         });
         let before = self.bill.placements.clone();
--- a/crates/transport/src/compact_encoding.rs
+++ b/crates/transport/src/compact_encoding.rs
@@ -1,25 +1,40 @@
-//! Pairs that are said again and again on one conn are said by number (design 13.2). Both ends keep the same table,
-//! as a conn is one FIFO channel; a new conn begins with empty ones.
+//! Compact encoding of headers: what is repeated on one connection is sent by number (design 13.2).
+//!
+//! Both ends keep the same tables, which works because a connection delivers everything in order: a
+//! name is numbered when it is first sent, a whole header when it is sent for the second time. A new
+//! connection begins with empty tables.
 
-use std::collections::HashMap;
-use std::collections::HashSet;
+use std::collections::{HashMap, HashSet};
 
+use crate::Error;
+
+/// A header's name and value.
 pub type Header = (String, Vec<u8>);
 
-/// What new names and pairs were added to the table, and the pairs themselves.
+/// The headers of one message; those of the same name are in the order in which they were sent.
+pub type Headers = Vec<Header>;
+
+/// Names after which a connection is to be replaced; see [`HeaderEncoder::is_full`].
+const MAX_NAMES: usize = 512;
+/// Whole headers that are sent by number at the most.
+const MAX_HEADERS: usize = 2_048;
+/// Headers remembered as seen once, of which a second sight makes one worth a number.
+const MAX_SEEN_ONCE: usize = 4_096;
+
+/// The headers of one message as they travel, with what they add to the tables.
 #[derive(Clone, Debug, Default, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct EncodedHeaders {
+    /// Names that get the next free numbers.
     new_names: Vec<String>,
+    /// Headers (number of the name, value) that get the next free numbers.
     indexed: Vec<(u16, Vec<u8>)>,
+    /// Headers (number of the name, value) that get none.
     literals: Vec<(u16, Vec<u8>)>,
+    /// Numbers of headers sent before.
     known: Vec<u16>,
 }
 
-const MAX_NAMES: usize = 512;
-const MAX_HEADERS: usize = 2_048;
-/// Pairs seen once, of which a second sight makes one worth keeping.
-const MAX_SEEN_ONCE: usize = 4_096;
-
+/// The sending end's tables.
 #[derive(Default)]
 pub struct HeaderEncoder {
     name_indices: HashMap<String, u16>,
@@ -27,6 +42,7 @@
     seen_once: HashSet<Header>,
 }
 
+/// The receiving end's tables.
 #[derive(Default)]
 pub struct HeaderDecoder {
     names: Vec<String>,
@@ -34,132 +50,95 @@
 }
 
 impl HeaderEncoder {
-    pub fn encode(&mut self, pairs: Vec<Header>) -> EncodedHeaders {
-        let mut said = EncodedHeaders::default();
-        // Pairs that share a name keep their order: none of them is said by number.
-        let distinct = pairs
-            .iter()
-            .map(|(name, _)| name)
-            .collect::<HashSet<_>>()
-            .len()
-            == pairs.len();
-        pairs.into_iter().for_each(|pair| {
-            if let Some(known) = self.header_indices.get(&pair).filter(|_| distinct) {
-                return said.known.push(*known);
+    /// Encodes the headers of one message, which has to be sent: the tables now count on it.
+    pub fn encode(&mut self, headers: Headers) -> EncodedHeaders {
+        let mut encoded = EncodedHeaders::default();
+        // Headers that share a name keep their order, so none of that message is sent by number.
+        let may_index = has_distinct_names(&headers);
+        for header in headers {
+            if let Some(index) = self.header_indices.get(&header).filter(|_| may_index) {
+                encoded.known.push(*index);
+                continue;
             }
-            let name = match self.name_indices.get(&pair.0) {
-                Some(name) => *name,
-                None => {
-                    let next = self.name_indices.len() as u16;
-                    self.name_indices.insert(pair.0.clone(), next);
-                    said.new_names.push(pair.0.clone());
-                    next
-                }
-            };
-            let again = distinct
-                && self.header_indices.len() < MAX_HEADERS
-                && self.seen_once.contains(&pair);
-            if again {
+            let name = self.name_index(&header, &mut encoded.new_names);
+            let is_worth_indexing =
+                self.header_indices.len() < MAX_HEADERS && self.seen_once.contains(&header);
+            if may_index && is_worth_indexing {
+                let (_, value) = header.clone();
                 self.header_indices
-                    .insert(pair.clone(), self.header_indices.len() as u16);
-                said.indexed.push((name, pair.1));
+                    .insert(header, self.header_indices.len() as u16);
+                encoded.indexed.push((name, value));
             } else {
-                said.literals.push((name, pair.1.clone()));
-                if self.seen_once.len() >= MAX_SEEN_ONCE {
-                    self.seen_once.clear();
-                }
-                self.seen_once.insert(pair);
+                let (_, value) = header.clone();
+                encoded.literals.push((name, value));
+                self.remember(header);
             }
-        });
-        said
+        }
+        encoded
     }
 
-    /// A table that is full of names is begun anew with a new conn.
+    /// Whether a new connection, with empty tables, should take over from this one.
     pub fn is_full(&self) -> bool {
         self.name_indices.len() > MAX_NAMES
     }
-}
 
-impl HeaderDecoder {
-    /// `None`: the other end speaks of what it never said.
-    pub fn decode(&mut self, said: EncodedHeaders) -> Option<Vec<Header>> {
-        self.names.extend(said.new_names);
-        let named = |(name, value): (u16, Vec<u8>)| {
-            self.names
-                .get(name as usize)
-                .map(|name| (name.clone(), value))
-        };
-        let values = said
-            .literals
-            .into_iter()
-            .map(named)
-            .collect::<Option<Vec<Header>>>()?;
-        let kept = said
-            .indexed
-            .into_iter()
-            .map(named)
-            .collect::<Option<Vec<Header>>>()?;
-        self.headers.extend(kept.iter().cloned());
-        let known = said
-            .known
-            .into_iter()
-            .map(|at| self.headers.get(at as usize).cloned())
-            .collect::<Option<Vec<Header>>>()?;
-        (self.names.len() <= 2 * MAX_NAMES && self.headers.len() <= MAX_HEADERS)
-            .then(|| values.into_iter().chain(kept).chain(known).collect())
+    /// The number of the header's name, which is a new one if it was never sent.
+    fn name_index(&mut self, (name, _): &Header, new_names: &mut Vec<String>) -> u16 {
+        if let Some(index) = self.name_indices.get(name) {
+            return *index;
+        }
+        let index = self.name_indices.len() as u16;
+        self.name_indices.insert(name.clone(), index);
+        new_names.push(name.clone());
+        index
+    }
+
+    fn remember(&mut self, header: Header) {
+        if self.seen_once.len() >= MAX_SEEN_ONCE {
+            self.seen_once.clear();
+        }
+        self.seen_once.insert(header);
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
+impl HeaderDecoder {
+    /// Decodes the headers of the next message; headers of different names may change places.
+    ///
+    /// # Errors
+    ///
+    /// [`Error::Malformed`] if a number was never given out or the tables outgrow their bounds; the
+    /// tables of the two ends may then differ, and the connection has to be closed.
+    pub fn decode(&mut self, encoded: EncodedHeaders) -> Result<Headers, Error> {
+        self.names.extend(encoded.new_names);
+        let mut headers = self.with_names(encoded.literals)?;
+        let indexed = self.with_names(encoded.indexed)?;
+        self.headers.extend(indexed.iter().cloned());
+        headers.extend(indexed);
+        for index in encoded.known {
+            headers.push(
+                self.headers
+                    .get(usize::from(index))
+                    .ok_or(Error::Malformed)?
+                    .clone(),
+            );
+        }
+        if self.names.len() > 2 * MAX_NAMES || self.headers.len() > MAX_HEADERS {
+            return Err(Error::Malformed);
+        }
+        Ok(headers)
+    }
 
-    #[test]
-    fn what_is_heard_is_what_was_said_and_repeats_cost_little() {
-        let (mut speaker, mut listener) = (HeaderEncoder::default(), HeaderDecoder::default());
-        let request = |at: u32| {
-            let fixed = [
-                ("host", "a.example"),
-                ("user-agent", "sdk/1.9"),
-                ("accept", "*/*"),
-            ]
-            .map(|(name, value)| (name.to_string(), value.as_bytes().to_vec()));
-            fixed
-                .into_iter()
-                .chain([("try".to_string(), format!("{at:016x}").into_bytes())])
-                .collect::<Vec<Header>>()
+    /// Puts the names in the place of their numbers.
+    fn with_names(&self, headers: Vec<(u16, Vec<u8>)>) -> Result<Headers, Error> {
+        let named = |(index, value)| {
+            let name = self.names.get(usize::from(index)).ok_or(Error::Malformed)?;
+            Ok((name.clone(), value))
         };
-        let lengths: Vec<usize> = (0..5)
-            .map(|at| {
-                let said = speaker.encode(request(at));
-                let length = rkyv::to_bytes::<rkyv::rancor::Error>(&said)
-                    .expect("bytes")
-                    .len();
-                let mut heard = listener.decode(said).expect("known words");
-                let mut sent = request(at);
-                heard.sort();
-                sent.sort();
-                assert_eq!(heard, sent);
-                length
-            })
-            .collect();
-        assert!(lengths[4] * 2 < lengths[0], "{lengths:?}");
+        headers.into_iter().map(named).collect()
     }
+}
 
-    #[test]
-    fn two_of_one_name_keep_their_order_and_unsaid_numbers_are_noticed() {
-        let (mut speaker, mut listener) = (HeaderEncoder::default(), HeaderDecoder::default());
-        let twice: Vec<Header> = ["b", "a", "b"]
-            .map(|value| ("cookie".to_string(), value.as_bytes().to_vec()))
-            .into();
-        (0..3).for_each(|_| {
-            assert_eq!(
-                listener.decode(speaker.encode(twice.clone())),
-                Some(twice.clone())
-            )
-        });
-        let one = vec![("x".to_string(), vec![1])];
-        (0..2).for_each(|_| drop(speaker.encode(one.clone())));
-        assert_eq!(HeaderDecoder::default().decode(speaker.encode(one)), None);
-    }
+fn has_distinct_names(headers: &[Header]) -> bool {
+    let names: HashSet<&str> = headers.iter().map(|(name, _)| name.as_str()).collect();
+    names.len() == headers.len()
 }
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -1,145 +1,164 @@
-//! One conn: a reader and a writer task, channels to both (design 4.2).
+//! One open connection: a task that reads frames, a task that writes them, a channel to each.
+//!
+//! A frame on the wire is its length in bytes (`u32`, big-endian), the protocol version (`u16`,
+//! big-endian) and its `rkyv` bytes. Either task's end closes the connection (design 4.2).
 
+use std::iter;
 use std::time::Duration;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// Frames waiting for one mate; a full buffer means the mate is not keeping up.
+use rkyv::rancor;
+use rkyv::util::AlignedVec;
+use tokio::io::{AsyncReadExt, AsyncWriteExt, BufReader};
+use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
+use tokio::sync::{mpsc, oneshot};
+use tokio::time::timeout;
+
+use crate::traffic::{self, TrafficCounter};
+use crate::{Error, Frame, Handshake, MAX_FRAME_BYTES, PROTOCOL_VERSION};
+
+/// Frames that may wait in each direction; a full channel means that the receiver is not keeping up.
 const CHANNEL_CAPACITY: usize = 1_024;
+/// Frames that leave in one write at the most.
+const MAX_FRAMES_PER_WRITE: usize = 256;
+/// Bytes that a peer has to take within [`WRITE_TIMEOUT`].
 const WRITE_CHUNK_BYTES: usize = 16 * 1024;
+/// How long a peer may take for [`WRITE_CHUNK_BYTES`].
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Length and version in front of each frame, in bytes.
+const PREFIX_BYTES: usize = size_of::<u32>() + size_of::<u16>();
 
-pub type FrameSender = tokio::sync::mpsc::Sender<crate::Frame>;
+/// Where frames for a peer are put; closed once the connection has ended.
+pub type FrameSender = mpsc::Sender<Frame>;
 
+pub(crate) type SocketReader = BufReader<OwnedReadHalf>;
+pub(crate) type SocketWriter = OwnedWriteHalf;
+
+/// An open connection after both handshakes.
+///
+/// It ends when every [`FrameSender`] is dropped, when the peer closes it, when either side breaks
+/// the protocol, or when the peer takes nothing for two seconds.
 pub struct Connection {
-    pub peer_handshake: crate::Handshake,
+    /// What the peer said of itself.
+    pub peer_handshake: Handshake,
+    /// Takes frames for the peer.
     pub sender: FrameSender,
-    pub receiver: tokio::sync::mpsc::Receiver<crate::Frame>,
+    /// Yields the peer's frames in the order in which it sent them, and `None` at the end.
+    pub receiver: mpsc::Receiver<Frame>,
 }
 
-pub(crate) type SocketReader = tokio::io::BufReader<tokio::net::tcp::OwnedReadHalf>;
-pub(crate) type SocketWriter = tokio::net::tcp::OwnedWriteHalf;
-
-pub(crate) async fn read_frame(reader: &mut SocketReader) -> Result<crate::Frame, crate::Error> {
+/// Reads one frame; waits until it is complete.
+pub(crate) async fn read_frame(reader: &mut SocketReader) -> Result<Frame, Error> {
     let length = reader.read_u32().await? as usize;
     let version = reader.read_u16().await?;
-    if version != crate::PROTOCOL_VERSION {
-        return Err(crate::Error::VersionMismatch(version));
+    if version != PROTOCOL_VERSION {
+        return Err(Error::VersionMismatch(version));
     }
-    if length > crate::MAX_FRAME_BYTES {
-        return Err(crate::Error::FrameTooLong(length));
+    if length > MAX_FRAME_BYTES {
+        return Err(Error::FrameTooLong(length));
     }
-    let mut bytes = rkyv::util::AlignedVec::<16>::with_capacity(length);
+    let mut bytes = AlignedVec::<16>::with_capacity(length);
     bytes.resize(length, 0);
     reader.read_exact(&mut bytes).await?;
-    rkyv::from_bytes::<crate::Frame, rkyv::rancor::Error>(&bytes)
-        .map_err(|_| crate::Error::Malformed)
+    rkyv::from_bytes::<Frame, rancor::Error>(&bytes).map_err(|_| Error::Malformed)
 }
 
-pub(crate) fn encode_frame(frame: &crate::Frame, out: &mut Vec<u8>) -> Result<(), crate::Error> {
-    let bytes =
-        rkyv::to_bytes::<rkyv::rancor::Error>(frame).map_err(|_| crate::Error::Malformed)?;
-    if bytes.len() > crate::MAX_FRAME_BYTES {
-        return Err(crate::Error::FrameTooLong(bytes.len()));
+/// Appends a frame with its prefix to `buffer` and counts it by its kind.
+pub(crate) fn encode_frame(frame: &Frame, buffer: &mut Vec<u8>) -> Result<(), Error> {
+    let bytes = rkyv::to_bytes::<rancor::Error>(frame).map_err(|_| Error::Malformed)?;
+    if bytes.len() > MAX_FRAME_BYTES {
+        return Err(Error::FrameTooLong(bytes.len()));
     }
-    out.extend_from_slice(&(bytes.len() as u32).to_be_bytes());
-    out.extend_from_slice(&crate::PROTOCOL_VERSION.to_be_bytes());
-    out.extend_from_slice(&bytes);
-    crate::traffic::record(frame, bytes.len() + 6);
+    buffer.extend_from_slice(&(bytes.len() as u32).to_be_bytes());
+    buffer.extend_from_slice(&PROTOCOL_VERSION.to_be_bytes());
+    buffer.extend_from_slice(&bytes);
+    traffic::record(frame, PREFIX_BYTES + bytes.len());
     Ok(())
 }
 
-pub(crate) async fn write_frame(
-    writer: &mut SocketWriter,
-    frame: &crate::Frame,
-) -> Result<(), crate::Error> {
-    let mut out = Vec::new();
-    encode_frame(frame, &mut out)?;
-    Ok(writer.write_all(&out).await?)
-}
-
-/// A mate on a narrow link may take long for much; one that takes nothing for a while is gone.
-async fn write_in_chunks(writer: &mut SocketWriter, out: &[u8]) -> bool {
-    for piece in out.chunks(WRITE_CHUNK_BYTES) {
-        if !matches!(
-            tokio::time::timeout(WRITE_TIMEOUT, writer.write_all(piece)).await,
-            Ok(Ok(()))
-        ) {
-            return false;
-        }
-    }
-    true
+/// Writes one frame of a handshake, before the writer task exists.
+pub(crate) async fn write_frame(writer: &mut SocketWriter, frame: &Frame) -> Result<(), Error> {
+    let mut buffer = Vec::new();
+    encode_frame(frame, &mut buffer)?;
+    Ok(writer.write_all(&buffer).await?)
 }
 
+/// Starts both tasks once the handshakes are done. `zone` is that of this process.
 pub(crate) fn start(
     zone: &str,
-    greeting: crate::Handshake,
-    mut reader: SocketReader,
+    peer_handshake: Handshake,
+    reader: SocketReader,
     mut writer: SocketWriter,
 ) -> Connection {
-    let (sender, mut outgoing) = tokio::sync::mpsc::channel::<crate::Frame>(CHANNEL_CAPACITY);
-    let (incoming, receiver) = tokio::sync::mpsc::channel(CHANNEL_CAPACITY);
-    let (ended, mut reading_ended) = tokio::sync::oneshot::channel::<()>();
-    let reading = tokio::spawn(async move {
-        // Dropped with this task, which the writer hears at once.
-        let _ended = ended;
-        while let Ok(frame) = read_frame(&mut reader).await {
-            if incoming.send(frame).await.is_err() {
-                break;
-            }
-        }
-    });
-    let counted = crate::traffic::counter_between(zone, &greeting.zone);
+    let (sender, mut outgoing) = mpsc::channel(CHANNEL_CAPACITY);
+    let (incoming, receiver) = mpsc::channel(CHANNEL_CAPACITY);
+    let (reader_alive, reader_ended) = oneshot::channel();
+    let counter = traffic::counter_between(zone, &peer_handshake.zone);
+    let reading = tokio::spawn(read_frames(reader, incoming, reader_alive));
     tokio::spawn(async move {
-        let mut out = Vec::new();
-        loop {
-            let first = tokio::select! {
-                frame = outgoing.recv() => frame,
-                // The mate is gone: whoever holds a sender learns it by the closed channel.
-                _ = &mut reading_ended => None,
-            };
-            let Some(first) = first else { break };
-            out.clear();
-            // What has gathered leaves in one write.
-            let more = std::iter::from_fn(|| outgoing.try_recv().ok())
-                .take(255)
-                .collect::<Vec<_>>();
-            let frames = more.len() + 1;
-            let whole = std::iter::once(first)
-                .chain(more)
-                .try_for_each(|frame| encode_frame(&frame, &mut out));
-            counted.count(frames, out.len());
-            if whole.is_err() || !write_in_chunks(&mut writer, &out).await {
-                break;
-            }
-        }
+        write_frames(&mut writer, &mut outgoing, reader_ended, counter).await;
         reading.abort();
     });
     Connection {
-        peer_handshake: greeting,
+        peer_handshake,
         sender,
         receiver,
     }
 }
 
-#[cfg(test)]
-mod tests {
-    #[test]
-    fn a_beat_does_not_pay_for_the_largest_frame() {
-        let length = |frame: &crate::Frame| {
-            let mut out = Vec::new();
-            super::encode_frame(frame, &mut out).expect("it fits");
-            out.len()
+/// Hands frames to the owner until the stream ends, breaks the protocol or nobody receives them.
+///
+/// `_reader_alive` is dropped with this task, which tells the writer that the connection is over.
+async fn read_frames(
+    mut reader: SocketReader,
+    incoming: mpsc::Sender<Frame>,
+    _reader_alive: oneshot::Sender<()>,
+) {
+    while let Ok(frame) = read_frame(&mut reader).await {
+        if incoming.send(frame).await.is_err() {
+            break;
+        }
+    }
+}
+
+/// Sends frames until every sender is dropped, reading has ended or a write fails.
+async fn write_frames(
+    writer: &mut SocketWriter,
+    outgoing: &mut mpsc::Receiver<Frame>,
+    mut reader_ended: oneshot::Receiver<()>,
+    counter: &TrafficCounter,
+) {
+    let mut buffer = Vec::new();
+    loop {
+        let first = tokio::select! {
+            frame = outgoing.recv() => frame,
+            // The peer is gone: whoever holds a sender learns it by the closed channel.
+            _ = &mut reader_ended => None,
         };
-        let core = |message| crate::Frame::Consensus(mencius::Frame { cursor: 1, message });
-        let lengths = [
-            length(&crate::Frame::Heartbeat),
-            length(&crate::Frame::RequestProof { number: 1 }),
-            length(&crate::Frame::Proof {
-                number: 1,
-                position: 1,
-            }),
-            length(&core(mencius::Message::Heartbeat { applied: 1 })),
-        ];
-        assert!(lengths.iter().all(|length| *length <= 128), "{lengths:?}");
+        let Some(first) = first else { return };
+        // Everything that waits leaves in one write.
+        let mut frames = vec![first];
+        frames.extend(iter::from_fn(|| outgoing.try_recv().ok()).take(MAX_FRAMES_PER_WRITE - 1));
+        buffer.clear();
+        let encoded = frames
+            .iter()
+            .try_for_each(|frame| encode_frame(frame, &mut buffer));
+        counter.count(frames.len(), buffer.len());
+        if encoded.is_err() || write_in_chunks(writer, &buffer).await.is_err() {
+            return;
+        }
     }
 }
+
+/// Writes everything, with a time-out for each chunk: a peer on a narrow link may take long for
+/// much, while one that takes nothing for a while is gone.
+async fn write_in_chunks(writer: &mut SocketWriter, bytes: &[u8]) -> Result<(), Error> {
+    for chunk in bytes.chunks(WRITE_CHUNK_BYTES) {
+        timeout(WRITE_TIMEOUT, writer.write_all(chunk))
+            .await
+            .map_err(|_| Error::TimedOut)??;
+    }
+    Ok(())
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/transport/src/forwarding.rs
+++ b/crates/transport/src/forwarding.rs
@@ -1,33 +1,45 @@
-//! Requests and answers between the nodes beside two back ends (design 13.2).
+//! Requests and responses between the nodes beside two backends (design 13.2).
+//!
+//! Backend, caller and method travel as headers with reserved names, so that the compact encoding
+//! sends them by number too.
 
-use crate::Headers;
 use model::{BackendName, Microseconds, ServiceName};
 
-/// A request on its way to the node beside the back end that is to run it (design 13.2).
+use crate::{EncodedHeaders, Error, HeaderDecoder, HeaderEncoder, Headers};
+
+/// A request on its way to the node beside the backend that is to run it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ForwardedRequest {
+    /// Backend that is to run it.
     pub backend: BackendName,
-    /// The service of the machine where the request began.
+    /// Service of the machine where the request began.
     pub caller: ServiceName,
+    /// HTTP method.
     pub method: String,
     /// Path and query as they were sent.
     pub target: String,
+    /// End-to-end headers.
     pub headers: Headers,
+    /// Body, complete.
     pub body: Vec<u8>,
+    /// Key by which a sharded service's backend was selected.
     pub shard_key: Option<u16>,
-    /// What is left of the wait, and of the time in which an answer is worth most.
+    /// What is left of the caller's wait, in microseconds.
     pub time_left: Microseconds,
+    /// What is left of the time in which an answer is worth most, in microseconds.
     pub latency_target: Microseconds,
+    /// Priority in the queue beside the backend.
     pub priority: u8,
+    /// Whether running it twice does no harm.
     pub idempotent: bool,
-    /// Others passed it over: the back end is to take it however it does (design 13.8).
+    /// Others passed it over: the backend is to take it even if it counts as unhealthy (design 13.8).
     pub force: bool,
 }
 
-/// A cue as it is said on a conn (design 13.2).
+/// A [`ForwardedRequest`] as it travels on a connection.
 #[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct EncodedRequest {
-    headers: crate::EncodedHeaders,
+    headers: EncodedHeaders,
     target: String,
     body: Vec<u8>,
     shard_key: Option<u16>,
@@ -38,25 +50,46 @@
     force: bool,
 }
 
+/// A backend's response as it came.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ForwardedResponse {
+    /// HTTP status.
+    pub status: u16,
+    /// Headers for the caller.
+    pub headers: Headers,
+    /// Body, complete.
+    pub body: Vec<u8>,
+}
+
+/// A [`ForwardedResponse`] as it travels on a connection.
+#[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
+pub struct EncodedResponse {
+    headers: EncodedHeaders,
+    status: u16,
+    body: Vec<u8>,
+}
+
+/// Reserved name of the header that holds the backend. No HTTP header begins with a colon.
 const BACKEND_FIELD: &str = ":to";
+/// Reserved name of the header that holds the caller's service.
 const CALLER_FIELD: &str = ":from";
+/// Reserved name of the header that holds the method.
 const METHOD_FIELD: &str = ":method";
 
-/// An hour; no wait is longer.
-fn capped_micros(time: Microseconds) -> u32 {
-    time.min(3_600_000_000) as u32
-}
+/// An hour in microseconds. No wait is longer, and it fits the 32 bits that it travels in.
+const MAX_WAIT: Microseconds = 3_600_000_000;
 
 impl ForwardedRequest {
-    pub fn encode(self, speaker: &mut crate::HeaderEncoder) -> EncodedRequest {
-        let ours = [
+    /// Encodes the request for the connection that `encoder` belongs to, on which it has to be sent.
+    pub fn encode(self, encoder: &mut HeaderEncoder) -> EncodedRequest {
+        let fields = [
             (BACKEND_FIELD, self.backend),
             (CALLER_FIELD, self.caller),
             (METHOD_FIELD, self.method),
-        ]
-        .map(|(name, held)| (name.to_string(), held.into_bytes()));
+        ];
+        let fields = fields.map(|(name, value)| (name.to_string(), value.into_bytes()));
         EncodedRequest {
-            headers: speaker.encode(ours.into_iter().chain(self.headers).collect()),
+            headers: encoder.encode(fields.into_iter().chain(self.headers).collect()),
             target: self.target,
             body: self.body,
             shard_key: self.shard_key,
@@ -70,26 +103,27 @@
 }
 
 impl EncodedRequest {
-    pub fn decode(self, listener: &mut crate::HeaderDecoder) -> Option<ForwardedRequest> {
-        let (ours, headers): (Headers, Headers) = listener
+    /// Decodes the next request of the connection that `decoder` belongs to.
+    ///
+    /// # Errors
+    ///
+    /// [`Error::Malformed`] if the headers cannot be decoded or a reserved one is missing or not
+    /// UTF-8; the connection has to be closed.
+    pub fn decode(self, decoder: &mut HeaderDecoder) -> Result<ForwardedRequest, Error> {
+        let (fields, headers): (Headers, Headers) = decoder
             .decode(self.headers)?
             .into_iter()
             .partition(|(name, _)| name.starts_with(':'));
-        let own = |name: &str| {
-            ours.iter()
-                .find(|(held, _)| held == name)
-                .and_then(|(_, value)| String::from_utf8(value.clone()).ok())
-        };
-        Some(ForwardedRequest {
-            backend: own(BACKEND_FIELD)?,
-            caller: own(CALLER_FIELD)?,
-            method: own(METHOD_FIELD)?,
+        Ok(ForwardedRequest {
+            backend: field(&fields, BACKEND_FIELD)?,
+            caller: field(&fields, CALLER_FIELD)?,
+            method: field(&fields, METHOD_FIELD)?,
             target: self.target,
             headers,
             body: self.body,
             shard_key: self.shard_key,
-            time_left: self.time_left as Microseconds,
-            latency_target: self.latency_target as Microseconds,
+            time_left: Microseconds::from(self.time_left),
+            latency_target: Microseconds::from(self.latency_target),
             priority: self.priority,
             idempotent: self.idempotent,
             force: self.force,
@@ -97,25 +131,12 @@
     }
 }
 
-/// A back end's answer as it came.
-#[derive(Clone, Debug, PartialEq)]
-pub struct ForwardedResponse {
-    pub status: u16,
-    pub headers: Headers,
-    pub body: Vec<u8>,
-}
-
-#[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct EncodedResponse {
-    headers: crate::EncodedHeaders,
-    status: u16,
-    body: Vec<u8>,
-}
-
 impl ForwardedResponse {
-    pub fn encode(self, speaker: &mut crate::HeaderEncoder) -> EncodedResponse {
+    /// Encodes the response for the connection that `encoder` belongs to, on which it has to be sent.
+    pub fn encode(self, encoder: &mut HeaderEncoder) -> EncodedResponse {
+        let headers = encoder.encode(self.headers);
         EncodedResponse {
-            headers: speaker.encode(self.headers),
+            headers,
             status: self.status,
             body: self.body,
         }
@@ -123,11 +144,30 @@
 }
 
 impl EncodedResponse {
-    pub fn decode(self, listener: &mut crate::HeaderDecoder) -> Option<ForwardedResponse> {
-        Some(ForwardedResponse {
-            headers: listener.decode(self.headers)?,
+    /// Decodes the next response of the connection that `decoder` belongs to.
+    ///
+    /// # Errors
+    ///
+    /// [`Error::Malformed`] if the headers cannot be decoded; the connection has to be closed.
+    pub fn decode(self, decoder: &mut HeaderDecoder) -> Result<ForwardedResponse, Error> {
+        let headers = decoder.decode(self.headers)?;
+        Ok(ForwardedResponse {
             status: self.status,
+            headers,
             body: self.body,
         })
     }
 }
+
+fn capped_micros(time: Microseconds) -> u32 {
+    time.min(MAX_WAIT) as u32
+}
+
+/// The text of a reserved header.
+fn field(fields: &Headers, wanted: &str) -> Result<String, Error> {
+    let (_, value) = fields
+        .iter()
+        .find(|(name, _)| name == wanted)
+        .ok_or(Error::Malformed)?;
+    String::from_utf8(value.clone()).map_err(|_| Error::Malformed)
+}
--- a/crates/transport/src/frame.rs
+++ b/crates/transport/src/frame.rs
@@ -1,181 +1,132 @@
-//! All that our processes say to each other (design 4.2).
+//! Everything that gradeford's processes say to each other on a connection (design 4.2).
 
-use model::{BackendName, Incarnation, Microseconds, NodeName, Position, ServiceName, ZoneName};
 use std::collections::BTreeSet;
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub enum Purpose {
-    /// Only to learn which core seats are known.
-    Discover,
-    /// Seat to seat, the ordering's channel.
-    Consensus,
-    /// A node to a core seat or to its home: news, proofs, forwarded entries.
-    Subscribe,
-    /// Usher to usher: requests.
-    Forward,
-    /// Beats to a watcher.
-    Monitor,
-    /// A look at what a node believes.
-    Inspect,
-    /// A core machine without a seat asks for one (design 12.1).
-    RequestAssignment,
-}
-
-#[derive(
-    Clone, Debug, PartialEq, Eq, serde::Serialize, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize,
-)]
-pub struct KnownReplica {
-    #[serde(rename = "seat")]
-    pub replica_id: u16,
-    #[serde(rename = "identity")]
-    pub disk_id: u64,
-    pub address: String,
-    pub zone: ZoneName,
-    /// How often this disk was started: of one disk, the greater number has the better address.
-    #[serde(rename = "starts")]
-    pub start_count: u64,
-}
-
-#[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct Handshake {
-    pub purpose: Purpose,
-    pub node_name: NodeName,
-    pub zone: ZoneName,
-    pub address: String,
-    pub incarnation: Incarnation,
-    /// Set by core seats only: seat, number of seats, disk identity.
-    pub replica: Option<(u16, u16, u64)>,
-    /// A core seat's disk that has kept nothing yet.
-    pub has_empty_disk: bool,
-    /// The disk that the caller of a core channel takes for the holder of the seat it calls.
-    pub expected_disk: Option<u64>,
-    pub known_replicas: Vec<KnownReplica>,
-}
-
-pub type Headers = Vec<(String, Vec<u8>)>;
+use model::{Entry, Outcome, Position, ServiceName, StatePatch, StateSlice};
 
-#[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct AttemptRequest {
-    pub request_id: u64,
-    pub attempt_id: String,
-    /// Counts the repeats of a try that may have run, on lanes that allow them.
-    pub ordinal: u32,
-    pub client_service: ServiceName,
-    pub route: String,
-    pub service: ServiceName,
-    pub backend: BackendName,
-    pub incarnation: Incarnation,
-    pub method: String,
-    pub path: String,
-    pub query: String,
-    pub headers: Headers,
-    pub body: Vec<u8>,
-    pub shard_key: Option<String>,
-    pub fencing_token: Option<Position>,
-    /// What is left of the sender's wait; the far side counts from receipt.
-    pub time_left: Microseconds,
-    pub priority: u8,
-    /// The far side's latest mark seen on this conn: it tells how old the dispatch can be at most.
-    pub last_watermark: u64,
-}
+use crate::{
+    AttemptRequest, AttemptResponse, EncodedRequest, EncodedResponse, Handshake, KnownReplica,
+    LoadReport,
+};
 
-#[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct AttemptResponse {
-    pub status: u16,
-    pub headers: Headers,
-    pub body: Vec<u8>,
-    pub seal: String,
-}
-
-/// What a back end is asked for and how fast it is, told to the node that places its service's keys (design 11.4).
-#[derive(Clone, Debug, Default, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct LoadReport {
-    pub service: ServiceName,
-    pub backend: BackendName,
-    pub slots: u32,
-    /// Mean time of a run there, and of how many.
-    pub mean_run_time: Microseconds,
-    pub run_count: u32,
-    /// Requests a second on ranges of the keys it holds, and how many requests say so.
-    pub demand: Vec<(u16, u16, f32)>,
-    pub demand_samples: f32,
-    /// Its runs come to nothing (design 13.8).
-    pub unhealthy: bool,
-}
-
-/// Large parts are boxed: a frame is as long as its longest part that is not.
+/// One frame. Its form on the wire is the order of variants and fields, which therefore stays.
+///
+/// Large parts are boxed, because a frame is as long as its longest part that is not.
 #[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub enum Frame {
+    /// First frame in each direction: who speaks and what for.
     Handshake(Box<Handshake>),
+    /// Answer to a handshake that is refused; holds the reason.
     HandshakeRefused(String),
+    /// Replicas that the sender knows of.
     KnownReplicas(Vec<KnownReplica>),
+    /// A message of the consensus.
     Consensus(mencius::Frame),
-    /// To a disk that took a seat over: after which instance it votes, and which disks hold the other seats.
+    /// To a disk that replaced a member: after which instance it votes, and which disks hold the
+    /// other replicas.
     VotingRange {
-        upto: u64,
-        pins: Vec<(u16, u64)>,
+        /// Last instance in which the new disk has no vote.
+        votes_after: u64,
+        /// Replica number and disk of each member.
+        pinned_disks: Vec<(u16, u64)>,
     },
+    /// An entry for the log, from a node to a replica.
     ForwardEntry {
-        number: u64,
-        entry: Box<model::Entry>,
+        /// Repeated in the answer.
+        request_id: u64,
+        /// The entry.
+        entry: Box<Entry>,
     },
+    /// What came of a forwarded entry.
     EntryOutcome {
-        number: u64,
-        outcome: Option<model::Outcome>,
+        /// That of [`Frame::ForwardEntry`].
+        request_id: u64,
+        /// `None` if no majority has decided in time.
+        outcome: Option<Outcome>,
     },
-    /// News begins once the teller's book has reached `held`.
+    /// Asks for state updates; they begin once the sender of updates has reached `held_position`.
     Subscribe {
+        /// Services that the subscriber wants to hear of.
         services: BTreeSet<ServiceName>,
-        held: Position,
+        /// Position that the subscriber has reached.
+        held_position: Position,
     },
-    StateUpdate(Box<model::StateSlice>),
-    /// Against the last news or patch on this conn.
-    StatePatch(Box<model::StatePatch>),
+    /// All of the state that the subscriber asked for.
+    StateUpdate(Box<StateSlice>),
+    /// What changed since the last update or patch on this connection.
+    StatePatch(Box<StatePatch>),
+    /// Asks for a proof that the subscriber's state is current.
     RequestProof {
-        number: u64,
+        /// Repeated in the proof.
+        request_id: u64,
     },
-    /// Asked after `number` was sent: everything accepted before is in `position`.
+    /// Everything accepted before the request for this proof was sent is in `position`.
     Proof {
-        number: u64,
+        /// That of [`Frame::RequestProof`].
+        request_id: u64,
+        /// Position up to which the subscriber must have come.
         position: Position,
     },
+    /// The sender is alive.
     Heartbeat,
+    /// A number that grows with the sender's clock, from which it tells the age of attempts.
     Watermark(u64),
+    /// An attempt of a request.
     Attempt(Box<AttemptRequest>),
+    /// The end of an attempt.
     AttemptResult {
+        /// That of [`AttemptRequest`].
         request_id: u64,
+        /// The backend's answer, or why there is none.
         reply: Box<Result<AttemptResponse, model::Error>>,
     },
+    /// Asks for all the state that the peer has.
     Inspect,
+    /// The state that was asked for, as JSON.
     Inspection(Vec<u8>),
-    /// Changes of the bill are wanted from here on (design 11.3).
+    /// Changes of the cluster state are wanted from here on (design 11.3).
     FollowClusterState {
-        held: Position,
+        /// Position that the follower has reached.
+        held_position: Position,
     },
-    /// `deltas`: an `rkyv` list. `afresh` is all that stands, else what changed since `from`.
+    /// A change of the cluster state.
     ClusterStateUpdate {
-        afresh: bool,
+        /// Whether `deltas` is the complete state, else what changed since `from`.
+        is_snapshot: bool,
+        /// Position before the change.
         from: Position,
+        /// Position after the change.
         to: Position,
+        /// An `rkyv` list of deltas.
         deltas: Vec<u8>,
     },
-    ForwardedRequest(u32, Box<crate::EncodedRequest>),
-    /// The caller of this request waits for it no longer.
+    /// A request, with its number on this connection.
+    ForwardedRequest(u32, Box<EncodedRequest>),
+    /// The caller of the request with this number waits for it no longer.
     CancelRequest(u32),
+    /// A backend's load.
     LoadReport(Box<LoadReport>),
-    /// How long a request would wait there now, and what came of this one.
-    ForwardedResponse(u32, u32, Box<crate::EncodedResponse>),
+    /// The response to the request with the first number; the second is how long a request would
+    /// wait there now, in microseconds.
+    ForwardedResponse(u32, u32, Box<EncodedResponse>),
+    /// Why the request with the first number has no response; the second number is as in
+    /// [`Frame::ForwardedResponse`].
     ForwardFailed(u32, u32, Box<model::Error>),
-    /// The sender takes nothing new: it stops in good order.
+    /// The sender takes nothing new: it is shutting down.
     ShuttingDown,
-    /// Which seat a core machine is to take; `founded` says with whom the core begins (design 12.1).
+    /// Which replica a core machine is to become (design 12.1).
     ReplicaAssignment {
-        seat: u16,
-        seats: u16,
-        founded: bool,
-        pins: Vec<(u16, u64)>,
+        /// Its replica number.
+        replica_id: u16,
+        /// How many replicas there are.
+        replica_count: u16,
+        /// Whether the core begins with the disks in `pinned_disks`.
+        founding: bool,
+        /// Replica number and disk of each member.
+        pinned_disks: Vec<(u16, u64)>,
     },
+    /// No replica is free for the core machine that asked.
     NoReplicaAvailable,
-    /// Where a disk took its seat over by no change, this is the first word instead of `Admit`.
+    /// First frame in the place of [`Frame::VotingRange`] where the sender replaced no member.
     FoundingReplica,
 }
--- a/crates/transport/tests/recorded_frames/main.rs
+++ b/crates/transport/tests/recorded_frames/main.rs
@@ -114,7 +114,7 @@
         let said = take().encode(&mut speaker);
         let frame = Frame::ForwardedResponse(number, 5, Box::new(said.clone()));
         check(&mut recorded, &mut conn, &format!("taken-{number}"), frame).await;
-        assert_eq!(said.decode(&mut listener), Some(take()));
+        assert_eq!(said.decode(&mut listener).expect("known words"), take());
     }
     recorded.finish();
 }
--- a/crates/transport/tests/recorded_frames/samples.rs
+++ b/crates/transport/tests/recorded_frames/samples.rs
@@ -166,21 +166,21 @@
                 commands: vec![(65, vec![0xa1, 0xa2, 0xa3])],
             },
         }),
-        "admit": Frame::VotingRange { .. } => Frame::VotingRange { upto: 71, pins: vec![(0, 72), (2, 73)] },
+        "admit": Frame::VotingRange { .. } => Frame::VotingRange { votes_after: 71, pinned_disks: vec![(0, 72), (2, 73)] },
         "forward": Frame::ForwardEntry { .. } => {
-            Frame::ForwardEntry { number: 74, entry: Box::new(entry()) }
+            Frame::ForwardEntry { request_id: 74, entry: Box::new(entry()) }
         },
         "answer": Frame::EntryOutcome { .. } => Frame::EntryOutcome {
-            number: 75,
+            request_id: 75,
             outcome: Some(Outcome::Accepted { position: 76, version: 77 }),
         },
         "subscribe": Frame::Subscribe { .. } => {
-            Frame::Subscribe { services: [text("seat"), text("web")].into(), held: 78 }
+            Frame::Subscribe { services: [text("seat"), text("web")].into(), held_position: 78 }
         },
         "news": Frame::StateUpdate(_) => Frame::StateUpdate(Box::new(slice(79))),
         "patch": Frame::StatePatch(_) => Frame::StatePatch(Box::new(slice(79).diff_to(&slice(80)))),
-        "ask": Frame::RequestProof { .. } => Frame::RequestProof { number: 83 },
-        "proof": Frame::Proof { .. } => Frame::Proof { number: 84, position: 85 },
+        "ask": Frame::RequestProof { .. } => Frame::RequestProof { request_id: 83 },
+        "proof": Frame::Proof { .. } => Frame::Proof { request_id: 84, position: 85 },
         "beat": Frame::Heartbeat => Frame::Heartbeat,
         "mark": Frame::Watermark(_) => Frame::Watermark(86),
         "dispatch": Frame::Attempt(_) => Frame::Attempt(Box::new(dispatch())),
@@ -189,9 +189,9 @@
         },
         "look": Frame::Inspect => Frame::Inspect,
         "seen": Frame::Inspection(_) => Frame::Inspection(b"{}".to_vec()),
-        "follow": Frame::FollowClusterState { .. } => Frame::FollowClusterState { held: 88 },
+        "follow": Frame::FollowClusterState { .. } => Frame::FollowClusterState { held_position: 88 },
         "bulletin": Frame::ClusterStateUpdate { .. } => {
-            Frame::ClusterStateUpdate { afresh: true, from: 89, to: 90, deltas: vec![0xb1, 0xb2] }
+            Frame::ClusterStateUpdate { is_snapshot: true, from: 89, to: 90, deltas: vec![0xb1, 0xb2] }
         },
         "cue": Frame::ForwardedRequest(..) => {
             Frame::ForwardedRequest(91, Box::new(cue(1).encode(&mut HeaderEncoder::default())))
@@ -206,10 +206,10 @@
         },
         "leaving": Frame::ShuttingDown => Frame::ShuttingDown,
         "roster": Frame::ReplicaAssignment { .. } => Frame::ReplicaAssignment {
-            seat: 1,
-            seats: 3,
-            founded: true,
-            pins: vec![(0, 97), (2, 98)],
+            replica_id: 1,
+            replica_count: 3,
+            founding: true,
+            pinned_disks: vec![(0, 97), (2, 98)],
         },
         "no-seat": Frame::NoReplicaAvailable => Frame::NoReplicaAvailable,
         "founder": Frame::FoundingReplica => Frame::FoundingReplica,
@@ -245,7 +245,7 @@
         (
             "answer-not-known",
             Frame::EntryOutcome {
-                number: 99,
+                request_id: 99,
                 outcome: None,
             },
         ),
