--- a/crates/control/src/effects.rs
+++ b/crates/control/src/effects.rs
@@ -137,15 +137,10 @@
                 self.status.connected_replicas > self.handle.replica_count() as usize / 2;
             self.status.applied_below = machine.applied();
             self.status.compacted_below = machine.compaction_point();
-            (
-                self.status.next_own_instance,
-                self.status.highest_seen,
-                self.status.pending_reads,
-            ) = (
-                machine.index(),
-                machine.highest_instance(),
-                machine.pending_reads(),
-            );
+            (self.status.next_own_instance, self.status.highest_seen) =
+                (machine.index(), machine.highest_instance());
+            let reads = machine.pending_reads();
+            self.status.pending_reads = (reads.waiting, reads.in_round, reads.awaited_instances);
             self.status.suspected_replicas = machine.suspected_peers();
             let (now, patience) = (model::now(), self.handle.config.replace_after);
             let vacant = self.unreachable_since.iter().filter(|(seat, since)| {
--- a/crates/mencius/src/acceptor.rs
+++ b/crates/mencius/src/acceptor.rs
@@ -1,117 +1,168 @@
-//! The acceptor's side of a higher round (paper 4.2, Revoke; design 3.6).
+//! The acceptor's side of a revocation (paper 4.2, Revoke; design 3.6).
 
-use crate::messages::*;
+use crate::messages::{Block, Commands, Message, ProposalNumber, ReplicaId, Write};
+use crate::replica::Replica;
+use crate::state::Ballot;
 
-impl crate::Replica {
-    pub(crate) fn on_prepare(
-        &mut self,
-        from: ReplicaId,
-        owner: ReplicaId,
-        round: ProposalNumber,
-        block: Block,
-    ) {
-        if from != self.replica_id {
-            self.back_off_revocation(owner);
-        }
-        if block.0 < self.compaction_point {
-            return self.send_outcomes(from, block.0);
-        }
-        if !self.may_vote(block.0) || !self.may_vote(block.1 - 1) {
-            return;
-        }
-        let promised = self.coordinator_logs[owner as usize].highest_promised(block);
-        if promised >= round {
-            return self.send(
+impl Replica {
+    /// Takes the messages of a revoker.
+    pub(crate) fn handle_acceptor_message(&mut self, from: ReplicaId, message: Message) {
+        match message {
+            Message::Prepare {
+                coordinator,
+                proposal_number,
+                block,
+            } => self.on_prepare(
+                from,
+                Ballot {
+                    coordinator,
+                    proposal_number,
+                    block,
+                },
+            ),
+            Message::Propose {
+                coordinator,
+                proposal_number,
+                block,
+                commands,
+            } => self.on_propose(
                 from,
-                Message::Reject {
-                    coordinator: owner,
-                    proposal_number: promised,
+                Ballot {
+                    coordinator,
+                    proposal_number,
                     block,
                 },
-            );
+                commands,
+            ),
+            other => debug_assert!(false, "not for an acceptor: {other:?}"),
         }
-        self.coordinator_logs[owner as usize]
-            .promised
-            .set(block.0, block.1, round);
-        self.batch_writes.push(Write::Promise {
-            coordinator: owner,
+    }
+
+    /// Phase 1: promises to accept nothing below the ballot's number, and reports what it accepted.
+    pub(crate) fn on_prepare(&mut self, from: ReplicaId, ballot: Ballot) {
+        let Ballot {
+            coordinator,
+            proposal_number,
             block,
-            proposal_number: round,
-        });
-        if owner == self.replica_id {
-            self.skip_own_block(block);
+        } = ballot;
+        if from != self.replica_id {
+            self.back_off_revocation(coordinator);
+        }
+        if !self.may_answer(from, block) {
+            return;
+        }
+        let promised = self.log_of(coordinator).highest_promised(block);
+        if promised >= proposal_number {
+            self.reject(from, ballot, promised);
+            return;
+        }
+        self.promise(ballot);
+        if coordinator == self.replica_id {
+            self.skip_own_below(block.1);
         }
-        let (commands, voids) = self.coordinator_logs[owner as usize].promise_report(block);
+        let report = self.log_of(coordinator).promise_report(block);
         self.send(
             from,
             Message::Promise {
-                coordinator: owner,
-                proposal_number: round,
+                coordinator,
+                proposal_number,
                 block,
-                commands,
-                accepted_noops: voids,
+                commands: report.commands,
+                accepted_noops: report.accepted_noops,
             },
         );
     }
 
-    pub(crate) fn on_propose(
-        &mut self,
-        from: ReplicaId,
-        owner: ReplicaId,
-        round: ProposalNumber,
-        block: Block,
-        commands: Commands,
-    ) {
-        if block.0 < self.compaction_point {
-            return self.send_outcomes(from, block.0);
+    /// Phase 2: accepts no-op in the whole block, but for the commands listed.
+    pub(crate) fn on_propose(&mut self, from: ReplicaId, ballot: Ballot, commands: Commands) {
+        let Ballot {
+            coordinator,
+            proposal_number,
+            block,
+        } = ballot;
+        if !self.may_answer(from, block) {
+            return;
         }
-        if !self.may_vote(block.0) || !self.may_vote(block.1 - 1) {
+        let promised = self.log_of(coordinator).highest_promised(block);
+        if promised > proposal_number {
+            self.reject(from, ballot, promised);
             return;
         }
-        let promised = self.coordinator_logs[owner as usize].highest_promised(block);
-        if promised > round {
-            return self.send(
-                from,
-                Message::Reject {
-                    coordinator: owner,
-                    proposal_number: promised,
-                    block,
-                },
-            );
+        self.promise(ballot);
+        self.accept_proposal(ballot, commands);
+        if coordinator == self.replica_id {
+            self.skip_own_below(block.1);
         }
-        let share = &mut self.coordinator_logs[owner as usize];
-        share.promised.set(block.0, block.1, round);
-        share.accepted_noops.set(block.0, block.1, round);
-        self.batch_writes.push(Write::Promise {
-            coordinator: owner,
+        self.send(
+            from,
+            Message::AcceptProposal {
+                coordinator,
+                proposal_number,
+                block,
+            },
+        );
+    }
+
+    /// Whether this replica may vote in all of a block. To a proposer that is behind the
+    /// compaction point it sends the outcomes instead.
+    fn may_answer(&mut self, from: ReplicaId, (start, end): Block) -> bool {
+        if start < self.compaction_point {
+            self.send_outcomes(from, start);
+            return false;
+        }
+        self.may_vote(start) && self.may_vote(end - 1)
+    }
+
+    fn reject(&mut self, to: ReplicaId, ballot: Ballot, promised: ProposalNumber) {
+        let Ballot {
+            coordinator, block, ..
+        } = ballot;
+        self.send(
+            to,
+            Message::Reject {
+                coordinator,
+                proposal_number: promised,
+                block,
+            },
+        );
+    }
+
+    fn promise(&mut self, ballot: Ballot) {
+        let Ballot {
+            coordinator,
+            proposal_number,
             block,
-            proposal_number: round,
+        } = ballot;
+        self.log_of_mut(coordinator).promise(block, proposal_number);
+        self.batch.writes.push(Write::Promise {
+            coordinator,
+            block,
+            proposal_number,
         });
-        self.batch_writes.push(Write::AcceptNoOps {
-            coordinator: owner,
+    }
+
+    fn accept_proposal(&mut self, ballot: Ballot, commands: Commands) {
+        let Ballot {
+            coordinator,
+            proposal_number,
+            block,
+        } = ballot;
+        self.log_of_mut(coordinator)
+            .accept_noops(block, proposal_number);
+        self.batch.writes.push(Write::AcceptNoOps {
+            coordinator,
             block,
-            proposal_number: round,
+            proposal_number,
         });
-        commands.into_iter().for_each(|(instance, value)| {
-            self.batch_writes.push(Write::Accept {
+        for (instance, value) in commands {
+            let write = Write::Accept {
                 instance,
-                proposal_number: round,
+                proposal_number,
                 value: value.clone(),
-            });
-            self.coordinator_logs[owner as usize]
-                .accepted
-                .insert(instance, (round, value));
-        });
-        if owner == self.replica_id {
-            self.skip_own_block(block);
+            };
+            self.batch.writes.push(write);
+            self.log_of_mut(coordinator)
+                .accept(instance, proposal_number, value);
         }
-        self.send(
-            from,
-            Message::AcceptProposal {
-                coordinator: owner,
-                proposal_number: round,
-                block,
-            },
-        );
     }
 }
--- a/crates/mencius/src/apply.rs
+++ b/crates/mencius/src/apply.rs
@@ -1,242 +1,241 @@
-//! Applying in order, snapshots, and what a restart finds (design 3.2, 3.8).
+//! Delivery in order, snapshots, and what a restart finds (design 3.2, 3.8).
 
-use crate::messages::*;
+use std::collections::BTreeSet;
+use std::iter::once;
 
-impl crate::Replica {
+use crate::coordinator_log::CoordinatorLog;
+use crate::messages::{Effect, Instance, ReplicaId, Value, Write};
+use crate::replica::Replica;
+use crate::state::{OwnSuggestion, Snapshot};
+
+impl Replica {
+    /// Gives out, in order, every command whose predecessors are all learned (paper 4.3, commit).
     pub(crate) fn apply_ready(&mut self) {
         loop {
-            let next = self
-                .replica_ids()
-                .into_iter()
-                .map(|owner| {
-                    self.coordinator_logs[owner as usize].first_not_skipped(
-                        self.first_coordinated_from(owner, self.applied),
-                        self.replica_count,
-                    )
-                })
-                .min()
-                .unwrap_or(self.applied);
-            // Everything below `next` is no-op: jump, however wide the revoked block was.
-            self.applied = self.applied.max(next);
-            let owner = self.coordinator(self.applied);
-            match self.coordinator_logs[owner as usize]
-                .chosen
-                .get(&self.applied)
-                .cloned()
-            {
-                Some(value) => {
-                    self.effects.push(Effect::Apply(self.applied, value));
-                    self.applied += 1;
-                }
-                None => break,
-            }
+            // Everything below is no-op: jump, however wide the revoked block was.
+            self.applied = self.applied.max(self.first_not_skipped());
+            let instance = self.applied;
+            let Some(value) = self.log_at(instance).chosen.get(&instance).cloned() else {
+                break;
+            };
+            self.effects.push(Effect::Apply(instance, value));
+            self.applied += 1;
         }
         self.complete_reads();
         self.hand_back_deferred();
     }
 
-    /// The driver's state through `through` is given: the log below is let go.
-    pub(crate) fn compact_to_snapshot(&mut self, through: Instance, state: Vec<u8>) {
-        if through <= self.compaction_point || through > self.applied {
+    /// The first instance from `applied` on that is not a known no-op, of any coordinator.
+    fn first_not_skipped(&self) -> Instance {
+        let firsts = self.replica_ids().map(|coordinator| {
+            let from = self.first_coordinated_from(coordinator, self.applied);
+            self.log_of(coordinator)
+                .first_not_skipped(from, self.replica_count)
+        });
+        firsts.min().unwrap_or(self.applied)
+    }
+
+    /// The driver's state is given: the log below is let go.
+    pub(crate) fn compact_to_snapshot(&mut self, next_instance: Instance, state: Vec<u8>) {
+        if next_instance <= self.compaction_point || next_instance > self.applied {
             return;
         }
-        self.compact_below(through);
-        self.batch_writes.push(Write::Snapshot {
-            next_instance: through,
-            state: state.clone(),
-        });
-        self.snapshot = Some((through, state));
-        self.replace_journal = true;
+        self.keep_snapshot(next_instance, state);
     }
 
-    pub(crate) fn on_snapshot(&mut self, through: Instance, state: Vec<u8>) {
-        if through <= self.applied {
+    /// A peer's snapshot, for a replica that is behind that peer's compaction point.
+    pub(crate) fn on_snapshot(&mut self, next_instance: Instance, state: Vec<u8>) {
+        if next_instance <= self.applied {
             return;
         }
-        self.compact_below(through);
-        self.applied = through;
-        self.batch_writes.push(Write::Snapshot {
-            next_instance: through,
-            state: state.clone(),
-        });
-        self.replace_journal = true;
-        self.snapshot = Some((through, state.clone()));
+        self.applied = next_instance;
+        self.keep_snapshot(next_instance, state.clone());
         self.effects.push(Effect::InstallSnapshot {
-            next_instance: through,
+            next_instance,
             state,
         });
-        self.skip_own_below(through);
+        self.skip_own_below(next_instance);
         // Own suggestions below may have been chosen or lost; the state machine drops a repeat.
-        let unknown: Vec<Instance> = self
+        let passed = self
             .own_suggestions
-            .range(..through)
-            .map(|(at, _)| *at)
-            .collect();
-        unknown.into_iter().for_each(|at| self.hand_back(at));
+            .range(..next_instance)
+            .map(|(instance, _)| *instance);
+        let passed: Vec<Instance> = passed.collect();
+        for instance in passed {
+            self.hand_back(instance);
+        }
         self.apply_ready();
     }
 
-    fn compact_below(&mut self, through: Instance) {
-        self.compaction_point = through;
-        self.coordinator_logs
-            .iter_mut()
-            .for_each(|share| share.compact_below(through));
-        self.revocations.retain(|_, held| held.block.0 >= through);
+    fn keep_snapshot(&mut self, next_instance: Instance, state: Vec<u8>) {
+        self.compact_below(next_instance);
+        self.batch.writes.push(Write::Snapshot {
+            next_instance,
+            state: state.clone(),
+        });
+        self.batch.replace_journal = true;
+        self.snapshot = Some(Snapshot {
+            next_instance,
+            state,
+        });
+    }
+
+    fn compact_below(&mut self, end: Instance) {
+        self.compaction_point = end;
+        for log in &mut self.coordinator_logs {
+            log.compact_below(end);
+        }
+        self.revocations
+            .retain(|_, revocation| revocation.block.0 >= end);
     }
 
     /// The whole state as writes: what a compacted disk holds.
     pub(crate) fn full_state_writes(&self) -> Vec<Write> {
-        let head = self
-            .snapshot
-            .iter()
-            .map(|(through, state)| Write::Snapshot {
-                next_instance: *through,
-                state: state.clone(),
+        let mut writes = Vec::new();
+        if let Some(Snapshot {
+            next_instance,
+            state,
+        }) = self.snapshot.clone()
+        {
+            writes.push(Write::Snapshot {
+                next_instance,
+                state,
             });
-        let own = [
-            Write::VotingRangeStart(self.voting_range_start),
-            Write::Index(self.index),
-            Write::ProposalCounter(self.proposal_counter),
-        ];
-        let shares = self.coordinator_logs.iter().zip(0..).flat_map(
-            |(share, owner): (&crate::CoordinatorLog, ReplicaId)| {
-                let promised = share
-                    .promised
-                    .iter()
-                    .map(move |(from, to, round)| Write::Promise {
-                        coordinator: owner,
-                        block: (from, to),
-                        proposal_number: round,
-                    });
-                let void =
-                    share
-                        .accepted_noops
-                        .iter()
-                        .map(move |(from, to, round)| Write::AcceptNoOps {
-                            coordinator: owner,
-                            block: (from, to),
-                            proposal_number: round,
-                        });
-                let accepted = share
-                    .accepted
-                    .iter()
-                    .map(|(at, (round, value))| Write::Accept {
-                        instance: *at,
-                        proposal_number: *round,
-                        value: value.clone(),
-                    });
-                let chosen = share.chosen.iter().map(|(at, value)| Write::Chosen {
-                    instance: *at,
-                    value: value.clone(),
-                });
-                let skipped = share
-                    .skipped
-                    .iter()
-                    .map(move |(from, to, ())| Write::Skipped {
-                        coordinator: owner,
-                        block: (from, to),
-                    });
-                promised
-                    .chain(void)
-                    .chain(accepted)
-                    .chain(chosen)
-                    .chain(skipped)
-            },
-        );
-        head.chain(own).chain(shares).collect()
+        }
+        writes.push(Write::VotingRangeStart(self.voting_range_start));
+        writes.push(Write::Index(self.index));
+        writes.push(Write::ProposalCounter(self.proposal_counter));
+        for coordinator in self.replica_ids() {
+            push_log_writes(&mut writes, coordinator, self.log_of(coordinator));
+        }
+        writes
     }
 
+    /// Takes a write back from the disk.
     pub(crate) fn replay(&mut self, write: Write) {
         match write {
             Write::Index(index) => self.index = self.index.max(index),
-            Write::VotingRangeStart(from) => {
-                self.voting_range_start = self.voting_range_start.max(from)
-            }
             Write::ProposalCounter(counter) => {
                 self.proposal_counter = self.proposal_counter.max(counter)
             }
             Write::Promise {
-                coordinator: owner,
+                coordinator,
                 block,
-                proposal_number: round,
-            } => self.coordinator_logs[owner as usize]
-                .promised
-                .set(block.0, block.1, round),
+                proposal_number,
+            } => self.log_of_mut(coordinator).promise(block, proposal_number),
             Write::Accept {
                 instance,
-                proposal_number: round,
+                proposal_number,
                 value,
-            } => {
-                self.coordinator_log_mut(instance)
-                    .accepted
-                    .insert(instance, (round, value));
-            }
+            } => self
+                .log_at_mut(instance)
+                .accept(instance, proposal_number, value),
             Write::AcceptNoOps {
-                coordinator: owner,
+                coordinator,
                 block,
-                proposal_number: round,
-            } => self.coordinator_logs[owner as usize]
-                .accepted_noops
-                .set(block.0, block.1, round),
+                proposal_number,
+            } => self
+                .log_of_mut(coordinator)
+                .accept_noops(block, proposal_number),
             Write::Chosen { instance, value } => {
-                self.coordinator_log_mut(instance)
-                    .chosen
-                    .insert(instance, value);
+                self.log_at_mut(instance).chosen.insert(instance, value);
             }
             Write::Skipped {
-                coordinator: owner,
-                block,
-            } => {
-                self.coordinator_logs[owner as usize].skip(block.0, block.1);
-            }
+                coordinator,
+                block: (start, end),
+            } => self.log_of_mut(coordinator).skip(start, end),
             Write::Snapshot {
-                next_instance: through,
+                next_instance,
                 state,
-            } => {
-                self.compact_below(through);
-                self.applied = through;
-                self.snapshot = Some((through, state));
+            } => self.replay_snapshot(next_instance, state),
+            Write::VotingRangeStart(start) => {
+                self.voting_range_start = self.voting_range_start.max(start)
             }
         }
     }
 
-    /// After a restart: own unused instances below the kept index are skipped, suggestions
-    /// without a known outcome are taken up again under their old instance.
+    fn replay_snapshot(&mut self, next_instance: Instance, state: Vec<u8>) {
+        self.compact_below(next_instance);
+        self.applied = next_instance;
+        self.snapshot = Some(Snapshot {
+            next_instance,
+            state,
+        });
+    }
+
+    /// After a restart: own unused instances below the kept index are skipped, suggestions without
+    /// a known outcome are taken up again under their old instance.
     pub(crate) fn resume(&mut self) {
-        let own = self.replica_id as usize;
-        let open: Vec<(Instance, Value)> = self.coordinator_logs[own]
+        let own = self.log_of(self.replica_id);
+        let open = own
             .accepted
             .iter()
-            .filter(|(at, _)| self.coordinator_logs[own].outcome(**at).is_none())
-            .map(|(at, (_, value))| (*at, value.clone()))
-            .collect();
-        // An earlier holder's instances are not this disk's to call skipped.
-        let starts = std::iter::once(self.compaction_point.max(self.voting_range_start))
-            .chain(open.iter().map(|(at, _)| at + 1))
-            .collect::<Vec<_>>();
-        let ends = open
-            .iter()
-            .map(|(at, _)| *at)
-            .chain(std::iter::once(self.index))
-            .collect::<Vec<_>>();
-        starts
-            .into_iter()
-            .zip(ends)
-            .filter(|(from, to)| from < to)
-            .for_each(|(from, to)| {
-                self.coordinator_logs[own].skip(from, to);
-            });
-        let seat = self.replica_id;
-        self.own_suggestions = open
-            .into_iter()
-            .map(|(at, value)| (at, (value, [seat].into_iter().collect())))
+            .filter(|(instance, _)| own.outcome(**instance).is_none());
+        let open: Vec<(Instance, Value)> = open
+            .map(|(instance, accepted)| (*instance, accepted.value.clone()))
             .collect();
-        if let Some((through, state)) = self.snapshot.clone() {
+        self.skip_unused_between(&open);
+        let replica_id = self.replica_id;
+        let suggested = open.into_iter().map(|(instance, value)| {
+            let accepted_by = BTreeSet::from([replica_id]);
+            (instance, OwnSuggestion { value, accepted_by })
+        });
+        self.own_suggestions = suggested.collect();
+        if let Some(Snapshot {
+            next_instance,
+            state,
+        }) = self.snapshot.clone()
+        {
             self.effects.push(Effect::InstallSnapshot {
-                next_instance: through,
+                next_instance,
                 state,
             });
         }
         self.apply_ready();
     }
+
+    /// Skips the own instances below the index that hold no open suggestion.
+    fn skip_unused_between(&mut self, open: &[(Instance, Value)]) {
+        // The instances of an earlier disk of this replica are not this disk's to call skipped.
+        let first = self.compaction_point.max(self.voting_range_start);
+        let starts = once(first).chain(open.iter().map(|(instance, _)| instance + 1));
+        let ends = open
+            .iter()
+            .map(|(instance, _)| *instance)
+            .chain(once(self.index));
+        for (start, end) in starts.zip(ends) {
+            self.log_of_mut(self.replica_id).skip(start, end);
+        }
+    }
+}
+
+/// What is known of one coordinator's instances, as writes.
+fn push_log_writes(writes: &mut Vec<Write>, coordinator: ReplicaId, log: &CoordinatorLog) {
+    writes.extend(log.promised.iter().map(|range| Write::Promise {
+        coordinator,
+        block: (range.start, range.end),
+        proposal_number: range.value,
+    }));
+    writes.extend(log.accepted_noops.iter().map(|range| Write::AcceptNoOps {
+        coordinator,
+        block: (range.start, range.end),
+        proposal_number: range.value,
+    }));
+    writes.extend(
+        log.accepted
+            .iter()
+            .map(|(instance, accepted)| Write::Accept {
+                instance: *instance,
+                proposal_number: accepted.proposal_number,
+                value: accepted.value.clone(),
+            }),
+    );
+    writes.extend(log.chosen.iter().map(|(instance, value)| Write::Chosen {
+        instance: *instance,
+        value: value.clone(),
+    }));
+    writes.extend(log.skipped.iter().map(|range| Write::Skipped {
+        coordinator,
+        block: (range.start, range.end),
+    }));
 }
--- a/crates/mencius/src/catch_up.rs
+++ b/crates/mencius/src/catch_up.rs
@@ -1,175 +1,222 @@
-//! A channel's first words. Implicit skips are sound only on an unbroken channel, so each new
-//! one starts by sending again whatever the mate may have missed (paper 4.5; design 3.5).
+//! What is sent again: on a new connection, and to a replica that is behind (paper 4.5; design
+//! 3.5).
+//!
+//! Implicit skips are sound only on an unbroken connection (paper 4.1, 4.4), so each new
+//! one begins with a `Hello` that says what the sender knows, answered by a `Resync` and all that
+//! the other may have missed. Until the resync the cursors of that connection count for nothing.
 
-use crate::messages::*;
+use crate::coordinator_log::Outcome;
+use crate::messages::{Commands, Effect, Instance, Message, Micros, ReplicaId, Value};
+use crate::replica::Replica;
+use crate::state::SentOutcomes;
 
-/// What so many bytes take on a narrow link and a slow processor; less is sent again whenever it is asked for.
-const RESEND_DELAY: Micros = 100_000;
+/// Outcomes of so many bytes are given [`RESEND_DELAY`] to arrive before they are sent again: what
+/// they take on a narrow link and a slow processor. Fewer are sent again whenever they are asked
+/// for.
 const RESEND_DELAY_BYTES: usize = 32 * 1024;
+/// In microseconds.
+const RESEND_DELAY: Micros = 100_000;
+/// The most commands in one `Outcomes` message.
 pub(crate) const MAX_OUTCOMES_PER_MESSAGE: usize = 512;
 
-impl crate::Replica {
-    pub(crate) fn on_connection_opened(&mut self, mate: ReplicaId) {
-        self.peers[mate as usize].connected = true;
-        self.peers[mate as usize].sent_outcomes = (0, 0);
-        self.coordinator_logs[mate as usize].cursor = None;
-        self.record_contact(mate);
-        let know = self.coordinator_logs[mate as usize].first_unknown(
-            self.first_coordinated_from(mate, self.compaction_point),
-            self.replica_count,
-        );
-        let applied = self.applied;
-        self.send(
-            mate,
+impl Replica {
+    /// Takes what a peer sends to catch up, or to let this replica do so.
+    pub(crate) fn handle_catch_up_message(&mut self, from: ReplicaId, message: Message) {
+        match message {
             Message::Hello {
-                learned_below: know,
+                learned_below,
                 applied,
+            } => self.on_hello(from, learned_below, applied),
+            Message::Resync { from: start } => self.on_resync(from, start),
+            Message::FetchOutcomes { from: start } => self.send_outcomes(from, start),
+            Message::Outcomes { block, commands } => self.on_outcomes(from, block, commands),
+            Message::Snapshot {
+                next_instance,
+                state,
+            } => self.on_snapshot(next_instance, state),
+            other => debug_assert!(false, "not for catching up: {other:?}"),
+        }
+    }
+
+    pub(crate) fn on_connection_opened(&mut self, peer: ReplicaId) {
+        self.peer_mut(peer).connected = true;
+        self.peer_mut(peer).sent_outcomes = None;
+        self.log_of_mut(peer).cursor = None;
+        self.record_contact(peer);
+        let learned_below = self.first_unknown_of(peer, self.compaction_point);
+        self.send(
+            peer,
+            Message::Hello {
+                learned_below,
+                applied: self.applied,
             },
         );
-        // A read set out while this mate was away: whoever waits for it need not wait for the next asking.
-        let asks = self
-            .reads
-            .current_round
-            .as_ref()
-            .filter(|round| !round.responses.contains_key(&mate))
-            .map(|round| round.token);
-        asks.into_iter()
-            .for_each(|token| self.send(mate, Message::ReadIndexRequest { token }));
+        self.request_read_index_of(peer);
     }
 
-    pub(crate) fn on_connection_closed(&mut self, mate: ReplicaId) {
-        self.peers[mate as usize].connected = false;
-        self.coordinator_logs[mate as usize].cursor = None;
-        self.batch_frames.retain(|(to, _)| *to != mate);
-        if let Some((_, frames)) = self.persisting.as_mut() {
-            frames.retain(|(to, _)| *to != mate);
+    pub(crate) fn on_connection_closed(&mut self, peer: ReplicaId) {
+        self.peer_mut(peer).connected = false;
+        self.log_of_mut(peer).cursor = None;
+        self.batch.frames.retain(|frame| frame.to != peer);
+        if let Some(batch) = &mut self.persisting {
+            batch.frames.retain(|frame| frame.to != peer);
         }
-        // Nor what is released and not carried out yet: the next channel may lead to a later life of that seat.
+        // Nor what is released and not yet taken: the next connection may lead to a later
+        // incarnation of that replica.
         self.effects
-            .retain(|effect| !matches!(effect, Effect::Send(to, _) if *to == mate));
+            .retain(|effect| !matches!(effect, Effect::Send(to, _) if *to == peer));
     }
 
-    pub(crate) fn on_hello(&mut self, from: ReplicaId, know: Instance, applied: Instance) {
-        self.peers[from as usize].applied = applied;
+    fn on_hello(&mut self, from: ReplicaId, learned_below: Instance, applied: Instance) {
+        self.peer_mut(from).applied = applied;
         if applied < self.applied {
             self.send_outcomes(from, applied);
         }
-        // What an earlier holder of this seat said is not this disk's to tell: others do.
-        let start = know.max(self.compaction_point).max(self.voting_range_start);
+        // What an earlier disk of this replica said is not this disk's to repeat: others do.
+        let start = learned_below
+            .max(self.compaction_point)
+            .max(self.voting_range_start);
         self.send_with_cursor(from, start, Message::Resync { from: start });
-        let spoken: Vec<(Instance, Value)> = self.coordinator_logs[self.replica_id as usize]
-            .accepted
-            .range(start..)
-            .map(|(at, (_, value))| (*at, value.clone()))
+        self.repeat_own_suggestions(from, start);
+        self.send(from, Message::Skip);
+    }
+
+    /// Suggests again, in order, all own instances from `start` on that are not known no-ops, each
+    /// with the cursor that it first had.
+    fn repeat_own_suggestions(&mut self, to: ReplicaId, start: Instance) {
+        let coordinator = self.replica_id;
+        let accepted = self.log_of(coordinator).accepted.range(start..);
+        let suggested: Vec<(Instance, Value)> = accepted
+            .map(|(instance, accepted)| (*instance, accepted.value.clone()))
             .collect();
-        spoken.into_iter().for_each(|(instance, value)| {
-            match self.coordinator_logs[self.replica_id as usize]
-                .outcome(instance)
-                .map(|outcome| outcome.is_some())
-            {
-                Some(true) => {
+        for (instance, value) in suggested {
+            match self.log_of(coordinator).outcome(instance) {
+                Some(Outcome::Command(_)) => {
                     let block = (instance, instance + 1);
                     let commands = vec![(instance, value)];
-                    self.send_with_cursor(
-                        from,
-                        instance,
-                        Message::Chosen {
-                            coordinator: self.replica_id,
-                            block,
-                            commands,
-                        },
-                    )
+                    let message = Message::Chosen {
+                        coordinator,
+                        block,
+                        commands,
+                    };
+                    self.send_with_cursor(to, instance, message);
                 }
                 // A lost suggestion is a no-op like the unused instances around it.
-                Some(false) => {}
-                None => self.send_with_cursor(
-                    from,
-                    instance + self.replica_count,
-                    Message::Suggest { instance, value },
-                ),
+                Some(Outcome::NoOp) => {}
+                None => {
+                    let cursor = instance + self.replica_count;
+                    self.send_with_cursor(to, cursor, Message::Suggest { instance, value });
+                }
             }
-        });
-        self.send(from, Message::Skip);
+        }
     }
 
-    pub(crate) fn on_resync(&mut self, from: ReplicaId, start: Instance) {
-        // What lies below and is not known here comes by snapshot or run, never from the cursor.
-        self.coordinator_logs[from as usize].cursor = Some(start);
+    fn on_resync(&mut self, from: ReplicaId, start: Instance) {
+        // What lies below and is not known here comes by snapshot or outcomes, never from the
+        // cursor.
+        self.log_of_mut(from).cursor = Some(start);
     }
 
-    /// All outcomes from `start` on, as far as they are known without a gap.
-    pub(crate) fn send_outcomes(&mut self, to: ReplicaId, start: Instance) {
-        // It may still be on its way: a mate on a narrow link asks often, and must not be sent the same each time.
-        if to == self.replica_id
-            || self.peers[to as usize].sent_outcomes.0 == start + 1
-                && self.now < self.peers[to as usize].sent_outcomes.1
-        {
+    /// Sends all outcomes from `from` on, as far as they are known: the snapshot if they are
+    /// compacted away, then what is applied, then each coordinator's known stretch above that.
+    pub(crate) fn send_outcomes(&mut self, to: ReplicaId, from: Instance) {
+        if to == self.replica_id || self.may_still_arrive(to, from) {
             return;
         }
-        if let Some((through, state)) = self
-            .snapshot
-            .clone()
-            .filter(|_| start < self.compaction_point)
-        {
-            self.send(
-                to,
-                Message::Snapshot {
-                    next_instance: through,
-                    state,
-                },
-            );
+        if from < self.compaction_point {
+            self.send_snapshot(to);
         }
-        let asked = start;
-        let start = start.max(self.compaction_point);
+        let start = from.max(self.compaction_point);
         let end = self.applied.max(start);
-        let mut commands: Commands = self
-            .coordinator_logs
-            .iter()
-            .flat_map(|share| share.chosen_commands((start, end)))
-            .collect();
-        commands.sort_by_key(|(at, _)| *at);
-        let cut = commands
+        let mut commands = self.chosen_commands_of_all(start, end);
+        let sent_below = commands
             .get(MAX_OUTCOMES_PER_MESSAGE)
-            .map(|(at, _)| *at)
-            .unwrap_or(end);
+            .map_or(end, |(instance, _)| *instance);
         commands.truncate(MAX_OUTCOMES_PER_MESSAGE);
-        let mut bytes: usize = commands.iter().map(|(_, value)| value.len()).sum::<usize>()
-            + self
-                .snapshot
-                .as_ref()
-                .filter(|(through, _)| *through == start)
-                .map(|(_, state)| state.len())
-                .unwrap_or(0);
-        if start < cut {
+        let mut bytes = value_bytes(&commands) + self.snapshot_bytes_at(start);
+        if start < sent_below {
             self.send(
                 to,
                 Message::Outcomes {
-                    block: (start, cut),
+                    block: (start, sent_below),
                     commands,
                 },
             );
         }
-        // Beyond the gap, each owner's known stretch may still be what the asker lacks.
-        self.replica_ids().into_iter().for_each(|owner| {
-            let from = self.first_coordinated_from(owner, end);
-            let known =
-                self.coordinator_logs[owner as usize].first_unknown(from, self.replica_count);
-            if from < known && cut == end {
-                let commands = self.coordinator_logs[owner as usize].chosen_commands((from, known));
-                bytes += commands.iter().map(|(_, value)| value.len()).sum::<usize>();
+        if sent_below == end {
+            bytes += self.send_known_stretches(to, end);
+        }
+        let delay = RESEND_DELAY * (bytes / RESEND_DELAY_BYTES) as Micros;
+        let resend_not_before = self.now + delay;
+        self.peer_mut(to).sent_outcomes = Some(SentOutcomes {
+            from,
+            resend_not_before,
+        });
+    }
+
+    /// A peer on a narrow link asks often, and must not be sent the same each time.
+    fn may_still_arrive(&self, to: ReplicaId, from: Instance) -> bool {
+        self.peer(to)
+            .sent_outcomes
+            .is_some_and(|sent| sent.from == from && self.now < sent.resend_not_before)
+    }
+
+    fn send_snapshot(&mut self, to: ReplicaId) {
+        if let Some(snapshot) = self.snapshot.clone() {
+            let next_instance = snapshot.next_instance;
+            self.send(
+                to,
+                Message::Snapshot {
+                    next_instance,
+                    state: snapshot.state,
+                },
+            );
+        }
+    }
+
+    /// The size of the snapshot, if it ends at `instance`.
+    fn snapshot_bytes_at(&self, instance: Instance) -> usize {
+        let snapshot = self.snapshot.as_ref();
+        let snapshot = snapshot.filter(|snapshot| snapshot.next_instance == instance);
+        snapshot.map_or(0, |snapshot| snapshot.state.len())
+    }
+
+    fn chosen_commands_of_all(&self, start: Instance, end: Instance) -> Commands {
+        let logs = self.coordinator_logs.iter();
+        let mut commands: Commands = logs
+            .flat_map(|log| log.chosen_commands((start, end)))
+            .collect();
+        commands.sort_by_key(|(instance, _)| *instance);
+        commands
+    }
+
+    /// Beyond the first gap, each coordinator's known stretch may still be what the peer lacks.
+    /// Returns the bytes of the commands sent.
+    fn send_known_stretches(&mut self, to: ReplicaId, from: Instance) -> usize {
+        let mut bytes = 0;
+        for coordinator in self.replica_ids() {
+            let start = self.first_coordinated_from(coordinator, from);
+            let end = self
+                .log_of(coordinator)
+                .first_unknown(start, self.replica_count);
+            if start < end {
+                let block = (start, end);
+                let commands = self.log_of(coordinator).chosen_commands(block);
+                bytes += value_bytes(&commands);
                 self.send(
                     to,
                     Message::Chosen {
-                        coordinator: owner,
-                        block: (from, known),
+                        coordinator,
+                        block,
                         commands,
                     },
                 );
             }
-        });
-        self.peers[to as usize].sent_outcomes = (
-            asked + 1,
-            self.now + RESEND_DELAY * (bytes / RESEND_DELAY_BYTES) as Micros,
-        );
+        }
+        bytes
     }
 }
+
+fn value_bytes(commands: &Commands) -> usize {
+    commands.iter().map(|(_, value)| value.len()).sum()
+}
--- a/crates/mencius/src/coordinator_log.rs
+++ b/crates/mencius/src/coordinator_log.rs
@@ -1,128 +1,192 @@
-//! What one seat knows about the instances of one coordinator (design 3.3).
+//! What one replica knows about the instances of one coordinator (design 3.3).
 
-use crate::messages::{Block, Commands, Instance, ProposalNumber, Value};
 use std::collections::BTreeMap;
+use std::iter::once;
 
+use crate::instance_ranges::InstanceRanges;
+use crate::messages::{
+    Block, Commands, Instance, ProposalNumber, ReportedCommand, ReportedNoOps, Value,
+};
+
+/// A command with the highest proposal that it was accepted in here.
+#[derive(Clone, Debug)]
+pub(crate) struct AcceptedValue {
+    pub proposal_number: ProposalNumber,
+    pub value: Value,
+}
+
+/// What came of an instance, where that is known.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) enum Outcome<'log> {
+    NoOp,
+    Command(&'log Value),
+}
+
+/// What an acceptor reports with its promise.
 #[derive(Clone, Debug, Default)]
-pub struct CoordinatorLog {
-    pub promised: crate::InstanceRanges<ProposalNumber>,
-    pub accepted: BTreeMap<Instance, (ProposalNumber, Value)>,
-    pub accepted_noops: crate::InstanceRanges<ProposalNumber>,
+pub(crate) struct PromiseReport {
+    pub commands: Vec<ReportedCommand>,
+    pub accepted_noops: Vec<ReportedNoOps>,
+}
+
+/// The instances of one coordinator, as this replica knows them. Instances of other coordinators
+/// lie within the ranges and mean nothing there.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct CoordinatorLog {
+    /// The highest number promised; where there is none, [`ProposalNumber::INITIAL`] holds.
+    pub promised: InstanceRanges<ProposalNumber>,
+    /// Accepted commands.
+    pub accepted: BTreeMap<Instance, AcceptedValue>,
+    /// Accepted proposals of no-op, but where `accepted` has a command of the same number.
+    pub accepted_noops: InstanceRanges<ProposalNumber>,
+    /// Commands known to be chosen.
     pub chosen: BTreeMap<Instance, Value>,
-    pub skipped: crate::InstanceRanges<()>,
-    /// How far the coordinator's word on this channel reaches; None before a resync.
+    /// Instances known to be no-ops.
+    pub skipped: InstanceRanges<()>,
+    /// Below it the coordinator has suggested on this connection all that it ever will. `None`
+    /// until the connection's resync.
     pub cursor: Option<Instance>,
 }
 
 impl CoordinatorLog {
-    /// `Some(None)` is a no-op, `Some(Some(_))` a command, `None` not yet known here.
-    pub fn outcome(&self, at: Instance) -> Option<Option<&Value>> {
-        self.chosen
-            .get(&at)
-            .map(Some)
-            .or_else(|| self.skipped.get(at).map(|_| None))
+    /// `None` while the outcome is not known here.
+    pub(crate) fn outcome(&self, instance: Instance) -> Option<Outcome<'_>> {
+        match self.chosen.get(&instance) {
+            Some(value) => Some(Outcome::Command(value)),
+            None => self.skipped.contains(instance).then_some(Outcome::NoOp),
+        }
     }
 
-    pub fn highest_promised(&self, block: Block) -> ProposalNumber {
-        self.promised
-            .overlapping(block.0, block.1)
-            .into_iter()
-            .map(|(_, _, round)| round)
+    /// The highest number promised anywhere in a block.
+    pub(crate) fn highest_promised(&self, (start, end): Block) -> ProposalNumber {
+        let promises = self.promised.overlapping(start, end).into_iter();
+        promises
+            .map(|range| range.value)
             .max()
             .unwrap_or(ProposalNumber::INITIAL)
     }
 
-    /// Chosen commands are never overwritten: a skip only fills what lies between them.
-    pub fn skip(&mut self, from: Instance, to: Instance) -> Vec<Block> {
-        let cuts: Vec<Instance> = self
+    /// Promises a number for all instances in a block.
+    pub(crate) fn promise(&mut self, (start, end): Block, proposal_number: ProposalNumber) {
+        self.promised.set(start, end, proposal_number);
+    }
+
+    /// Accepts a command.
+    pub(crate) fn accept(
+        &mut self,
+        instance: Instance,
+        proposal_number: ProposalNumber,
+        value: Value,
+    ) {
+        self.accepted.insert(
+            instance,
+            AcceptedValue {
+                proposal_number,
+                value,
+            },
+        );
+    }
+
+    /// Accepts no-op in a block, but for the commands accepted under the same number.
+    pub(crate) fn accept_noops(&mut self, (start, end): Block, proposal_number: ProposalNumber) {
+        self.accepted_noops.set(start, end, proposal_number);
+    }
+
+    /// Learns no-ops. Chosen commands are never overwritten: a skip fills what lies between them.
+    pub(crate) fn skip(&mut self, start: Instance, end: Instance) {
+        let commands = self
             .chosen
-            .range(from..to.max(from))
-            .map(|(at, _)| *at)
-            .collect();
-        let starts = std::iter::once(from).chain(cuts.iter().map(|at| at + 1));
-        let ends = cuts.iter().copied().chain(std::iter::once(to));
-        let fresh: Vec<Block> = starts
-            .zip(ends)
-            .filter(|(start, end)| start < end)
-            .collect();
-        fresh
-            .iter()
-            .for_each(|(start, end)| self.skipped.set(*start, *end, ()));
-        fresh
+            .range(start..end.max(start))
+            .map(|(instance, _)| *instance);
+        let commands: Vec<Instance> = commands.collect();
+        let starts = once(start).chain(commands.iter().map(|instance| instance + 1));
+        let ends = commands.iter().copied().chain(once(end));
+        for (start, end) in starts.zip(ends) {
+            self.skipped.set(start, end, ());
+        }
     }
 
-    pub fn choose(&mut self, at: Instance, value: Value) {
+    /// Learns a command.
+    pub(crate) fn choose(&mut self, instance: Instance, value: Value) {
         debug_assert!(
-            self.skipped.get(at).is_none(),
-            "a skipped instance {at} was chosen with a command"
+            !self.skipped.contains(instance),
+            "instance {instance} is a no-op and was chosen with a command"
         );
-        self.chosen.insert(at, value);
+        self.chosen.insert(instance, value);
     }
 
-    /// First instance at or after `from`, in steps of `seats`, whose outcome is unknown.
-    pub fn first_unknown(&self, from: Instance, seats: u64) -> Instance {
-        let mut at = from;
+    /// The first instance of the coordinator whose outcome is unknown. `from` is an instance of
+    /// the coordinator to begin at, `replica_count` the distance to its next.
+    pub(crate) fn first_unknown(&self, from: Instance, replica_count: u64) -> Instance {
+        let mut instance = from;
         loop {
-            at = match (self.chosen.contains_key(&at), self.skipped.range_at(at)) {
-                (true, _) => at + seats,
-                (false, Some((_, to, _))) => at + (to - at).div_ceil(seats) * seats,
-                (false, None) => return at,
-            };
+            if self.chosen.contains_key(&instance) {
+                instance += replica_count;
+            } else if let Some(range) = self.skipped.range_at(instance) {
+                instance = first_step_at_or_above(range.end, instance, replica_count);
+            } else {
+                return instance;
+            }
         }
     }
 
-    /// First instance at or after `from` that is not a known no-op.
-    pub fn first_not_skipped(&self, from: Instance, seats: u64) -> Instance {
-        let mut at = from;
-        while let Some((_, to, _)) = self.skipped.range_at(at) {
-            at += (to - at).div_ceil(seats) * seats;
+    /// The first instance of the coordinator that is not a known no-op, from one of its instances.
+    pub(crate) fn first_not_skipped(&self, from: Instance, replica_count: u64) -> Instance {
+        let mut instance = from;
+        while let Some(range) = self.skipped.range_at(instance) {
+            instance = first_step_at_or_above(range.end, instance, replica_count);
         }
-        at
+        instance
     }
 
-    /// What a promise must report: the highest round seen for each command, and voids.
-    pub fn promise_report(&self, block: Block) -> crate::replica::PromiseReport {
-        let chosen = self
-            .chosen
-            .range(block.0..block.1)
-            .map(|(at, value)| (*at, ProposalNumber::CHOSEN, value.clone()));
-        let accepted = self
-            .accepted
-            .range(block.0..block.1)
+    /// What a promise must report of a block. Known outcomes are reported as accepted in
+    /// [`ProposalNumber::CHOSEN`].
+    pub(crate) fn promise_report(&self, (start, end): Block) -> PromiseReport {
+        let chosen = self.chosen.range(start..end);
+        let chosen = chosen.map(|(at, value)| (*at, ProposalNumber::CHOSEN, value.clone()));
+        let accepted = self.accepted.range(start..end);
+        let accepted = accepted
             .filter(|(at, _)| !self.chosen.contains_key(at))
-            .map(|(at, (round, value))| (*at, *round, value.clone()));
-        let skipped = self
-            .skipped
-            .overlapping(block.0, block.1)
-            .into_iter()
-            .map(|(from, to, ())| (from, to, ProposalNumber::CHOSEN));
-        let voids = self
-            .accepted_noops
-            .overlapping(block.0, block.1)
-            .into_iter();
-        (
-            chosen.chain(accepted).collect(),
-            voids.chain(skipped).collect(),
-        )
+            .map(|(at, accepted)| (*at, accepted.proposal_number, accepted.value.clone()));
+        let skipped = self.skipped.overlapping(start, end).into_iter();
+        let skipped = skipped.map(|range| (range.start, range.end, ProposalNumber::CHOSEN));
+        let noops = self.accepted_noops.overlapping(start, end).into_iter();
+        let noops = noops.map(|range| (range.start, range.end, range.value));
+        PromiseReport {
+            commands: chosen.chain(accepted).collect(),
+            accepted_noops: noops.chain(skipped).collect(),
+        }
     }
 
-    pub fn chosen_commands(&self, block: Block) -> Commands {
+    /// The commands known to be chosen in a block.
+    pub(crate) fn chosen_commands(&self, (start, end): Block) -> Commands {
         self.chosen
-            .range(block.0..block.1)
+            .range(start..end)
             .map(|(at, value)| (*at, value.clone()))
             .collect()
     }
 
-    pub fn highest_command(&self) -> Option<Instance> {
-        let accepted = self.accepted.last_key_value().map(|(at, _)| *at);
-        accepted.max(self.chosen.last_key_value().map(|(at, _)| *at))
+    /// The highest instance with an accepted or chosen command.
+    pub(crate) fn highest_command(&self) -> Option<Instance> {
+        let accepted = self
+            .accepted
+            .last_key_value()
+            .map(|(instance, _)| *instance);
+        let chosen = self.chosen.last_key_value().map(|(instance, _)| *instance);
+        accepted.max(chosen)
     }
 
-    pub fn compact_below(&mut self, floor: Instance) {
-        self.promised.clear(0, floor);
-        self.accepted_noops.clear(0, floor);
-        self.skipped.clear(0, floor);
-        self.accepted = self.accepted.split_off(&floor);
-        self.chosen = self.chosen.split_off(&floor);
+    /// Forgets what lies below `end`, as a snapshot covers it.
+    pub(crate) fn compact_below(&mut self, end: Instance) {
+        self.promised.clear(0, end);
+        self.accepted_noops.clear(0, end);
+        self.skipped.clear(0, end);
+        self.accepted = self.accepted.split_off(&end);
+        self.chosen = self.chosen.split_off(&end);
     }
 }
+
+/// The first of `from`, `from + step`, ... that is not below `bound`.
+fn first_step_at_or_above(bound: Instance, from: Instance, step: u64) -> Instance {
+    from + (bound - from).div_ceil(step) * step
+}
--- a/crates/mencius/src/instance_ranges.rs
+++ b/crates/mencius/src/instance_ranges.rs
@@ -1,131 +1,134 @@
-//! Ranges of instances that share one value, kept as ranges (design 3.3).
+//! Ranges of instances that share one value, kept as ranges (design 3.3): a revoked block of
+//! hundreds of thousands of no-ops takes one entry.
 
 use std::collections::BTreeMap;
 
+use crate::messages::Instance;
+
+/// The instances from `start` on and below `end`, and their value.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) struct ValuedRange<V> {
+    pub start: Instance,
+    pub end: Instance,
+    pub value: V,
+}
+
+/// A map from instances to values, stored by ranges. Ranges with equal values that touch are one.
 #[derive(Clone, Debug, PartialEq)]
-pub struct InstanceRanges<V> {
-    ranges: BTreeMap<u64, (u64, V)>,
+pub(crate) struct InstanceRanges<V> {
+    /// By the start of the range. No two overlap and none is empty.
+    by_start: BTreeMap<Instance, RangeEnd<V>>,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct RangeEnd<V> {
+    end: Instance,
+    value: V,
 }
 
 impl<V> Default for InstanceRanges<V> {
     fn default() -> Self {
         InstanceRanges {
-            ranges: BTreeMap::new(),
+            by_start: BTreeMap::new(),
         }
     }
 }
 
 impl<V: Copy + PartialEq> InstanceRanges<V> {
-    pub fn range_at(&self, at: u64) -> Option<(u64, u64, V)> {
-        self.ranges
-            .range(..=at)
-            .next_back()
-            .filter(|(_, (to, _))| at < *to)
-            .map(|(from, (to, value))| (*from, *to, *value))
+    /// The whole range that `instance` lies in.
+    pub(crate) fn range_at(&self, instance: Instance) -> Option<ValuedRange<V>> {
+        let (&start, &RangeEnd { end, value }) = self.by_start.range(..=instance).next_back()?;
+        (instance < end).then_some(ValuedRange { start, end, value })
     }
 
-    pub fn get(&self, at: u64) -> Option<V> {
-        self.range_at(at).map(|(_, _, value)| value)
+    pub(crate) fn contains(&self, instance: Instance) -> bool {
+        self.range_at(instance).is_some()
     }
 
-    /// The parts of `from..to` that have a value, clipped to it.
-    pub fn overlapping(&self, from: u64, to: u64) -> Vec<(u64, u64, V)> {
-        let head = self
-            .range_at(from)
-            .map(|(start, _, _)| start)
-            .unwrap_or(from);
-        self.ranges
-            .range(head..to.max(head))
-            .map(|(start, (end, value))| ((*start).max(from), (*end).min(to), *value))
-            .filter(|(start, end, _)| start < end)
+    /// The parts of the instances from `start` on and below `end` that have a value, in order.
+    pub(crate) fn overlapping(&self, start: Instance, end: Instance) -> Vec<ValuedRange<V>> {
+        self.touching(start, end)
+            .map(|range| ValuedRange {
+                start: range.start.max(start),
+                end: range.end.min(end),
+                value: range.value,
+            })
+            .filter(|range| range.start < range.end)
             .collect()
     }
 
-    pub fn set(&mut self, from: u64, to: u64, value: V) {
-        if from >= to {
+    /// Gives the instances from `start` on and below `end` a value, in place of any that they had.
+    pub(crate) fn set(&mut self, start: Instance, end: Instance, value: V) {
+        if start >= end {
             return;
         }
-        self.clear(from, to);
-        let before = self
-            .ranges
-            .range(..from)
-            .next_back()
-            .map(|(start, span)| (*start, *span));
-        let from = match before {
-            Some((start, (end, held))) if end == from && held == value => start,
-            _ => from,
-        };
-        let to = match self.ranges.get(&to).copied() {
-            Some((end, held)) if held == value => {
-                self.ranges.remove(&to);
-                end
-            }
-            _ => to,
-        };
-        self.ranges.insert(from, (to, value));
+        self.clear(start, end);
+        let start = self
+            .start_of_equal_neighbour_before(start, value)
+            .unwrap_or(start);
+        let end = self.take_equal_neighbour_after(end, value).unwrap_or(end);
+        self.by_start.insert(start, RangeEnd { end, value });
     }
 
-    pub fn clear(&mut self, from: u64, to: u64) {
-        let touched: Vec<(u64, u64, V)> = {
-            let head = self
-                .range_at(from)
-                .map(|(start, _, _)| start)
-                .unwrap_or(from);
-            self.ranges
-                .range(head..to.max(head))
-                .map(|(start, (end, value))| (*start, *end, *value))
-                .collect()
-        };
-        touched.into_iter().for_each(|(start, end, value)| {
-            self.ranges.remove(&start);
-            if start < from {
-                self.ranges.insert(start, (from, value));
+    /// Takes the value from the instances from `start` on and below `end`.
+    pub(crate) fn clear(&mut self, start: Instance, end: Instance) {
+        let touched: Vec<ValuedRange<V>> = self.touching(start, end).collect();
+        for range in touched {
+            self.by_start.remove(&range.start);
+            if range.start < start {
+                self.by_start.insert(
+                    range.start,
+                    RangeEnd {
+                        end: start,
+                        value: range.value,
+                    },
+                );
             }
-            if end > to {
-                self.ranges.insert(to, (end, value));
+            if range.end > end {
+                self.by_start.insert(
+                    end,
+                    RangeEnd {
+                        end: range.end,
+                        value: range.value,
+                    },
+                );
             }
-        });
+        }
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (u64, u64, V)> + '_ {
-        self.ranges
+    /// All ranges, in order.
+    pub(crate) fn iter(&self) -> impl Iterator<Item = ValuedRange<V>> + '_ {
+        self.by_start
             .iter()
-            .map(|(from, (to, value))| (*from, *to, *value))
+            .map(|(&start, &RangeEnd { end, value })| ValuedRange { start, end, value })
     }
 
-    pub fn len(&self) -> usize {
-        self.ranges.len()
+    /// The whole ranges that have an instance from `start` on and below `end`.
+    fn touching(
+        &self,
+        start: Instance,
+        end: Instance,
+    ) -> impl Iterator<Item = ValuedRange<V>> + '_ {
+        let first = self.range_at(start).map_or(start, |range| range.start);
+        self.by_start
+            .range(first..end.max(first))
+            .map(|(&start, &RangeEnd { end, value })| ValuedRange { start, end, value })
     }
 
-    pub fn is_empty(&self) -> bool {
-        self.ranges.is_empty()
+    fn start_of_equal_neighbour_before(&self, start: Instance, value: V) -> Option<Instance> {
+        let (&before, neighbour) = self.by_start.range(..start).next_back()?;
+        (neighbour.end == start && neighbour.value == value).then_some(before)
     }
-}
 
-#[cfg(test)]
-mod tests {
-    #[test]
-    fn spans_agree_with_a_plain_table() {
-        test_support::drawn::<Vec<(u8, u8, u8)>>(2_000, |steps| {
-            let mut spans = super::InstanceRanges::default();
-            let mut table = [None; 256];
-            steps.iter().for_each(|(from, length, value)| {
-                let to = (*from as u64 + *length as u64).min(255);
-                if value % 5 == 0 {
-                    spans.clear(*from as u64, to);
-                    (*from as u64..to).for_each(|at| table[at as usize] = None);
-                } else {
-                    spans.set(*from as u64, to, value % 3);
-                    (*from as u64..to).for_each(|at| table[at as usize] = Some(value % 3));
-                }
-            });
-            (0..256u64).for_each(|at| assert_eq!(spans.get(at), table[at as usize], "at {at}"));
-            let covered: u64 = spans
-                .overlapping(0, 256)
-                .iter()
-                .map(|(from, to, _)| to - from)
-                .sum();
-            assert_eq!(covered, table.iter().flatten().count() as u64);
-        });
+    fn take_equal_neighbour_after(&mut self, end: Instance, value: V) -> Option<Instance> {
+        let neighbour = *self.by_start.get(&end)?;
+        if neighbour.value != value {
+            return None;
+        }
+        self.by_start.remove(&end);
+        Some(neighbour.end)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/mencius/src/learner.rs
+++ b/crates/mencius/src/learner.rs
@@ -1,12 +1,14 @@
-//! Learning outcomes, whoever brings them, and applying them in order (design 3.2).
+//! Incoming frames, and learning outcomes from whoever brings them (design 3.2).
 
-use crate::messages::*;
+use crate::catch_up::MAX_OUTCOMES_PER_MESSAGE;
+use crate::messages::{Block, Commands, Frame, Instance, Message, ReplicaId, Value, Write};
+use crate::replica::Replica;
 
-impl crate::Replica {
+impl Replica {
     pub(crate) fn on_frame(&mut self, from: ReplicaId, frame: Frame) {
         self.record_contact(from);
         let cursor = match &frame.message {
-            // These two speak of the channel itself and move the cursor on their own.
+            // These two move the cursor themselves.
             Message::Suggest { .. } | Message::Resync { .. } => None,
             _ => Some(frame.cursor),
         };
@@ -17,163 +19,115 @@
         self.apply_ready();
     }
 
+    /// Handles a message of a peer or of this replica to itself.
     pub(crate) fn handle_message(&mut self, from: ReplicaId, message: Message) {
         match message {
-            Message::Hello {
-                learned_below: know,
-                applied,
-            } => self.on_hello(from, know, applied),
-            Message::Resync { from: start } => self.on_resync(from, start),
             Message::Suggest { instance, value } => self.on_suggest(from, instance, value),
             Message::Accept { instance } => self.on_accept(from, instance),
             Message::Learn { instance } => self.on_learn(from, instance),
-            Message::Skip => {}
-            Message::Heartbeat { applied } => self.peers[from as usize].applied = applied,
-            Message::Prepare {
-                coordinator: owner,
-                proposal_number: round,
-                block,
-            } => self.on_prepare(from, owner, round, block),
-            Message::Promise {
-                coordinator: owner,
-                proposal_number: round,
-                block,
-                commands,
-                accepted_noops: voids,
-            } => self.on_promise(from, owner, round, block, (commands, voids)),
-            Message::Propose {
-                coordinator: owner,
-                proposal_number: round,
-                block,
-                commands,
-            } => self.on_propose(from, owner, round, block, commands),
-            Message::AcceptProposal {
-                coordinator: owner,
-                proposal_number: round,
-                block,
-            } => self.on_accept_proposal(from, owner, round, block),
-            Message::Reject {
-                coordinator: owner,
-                proposal_number: round,
-                block,
-            } => self.on_reject(owner, round, block),
             Message::Chosen {
-                coordinator: owner,
+                coordinator,
                 block,
                 commands,
-            } => self.on_chosen(owner, block, commands),
-            Message::FetchOutcomes { from: start } => self.send_outcomes(from, start),
-            Message::Outcomes { block, commands } => self.on_outcomes(from, block, commands),
-            Message::Snapshot {
-                next_instance: through,
-                state,
-            } => self.on_snapshot(through, state),
+            } => self.on_chosen(coordinator, block, commands),
+            Message::Skip => {}
+            Message::Heartbeat { applied } => self.peer_mut(from).applied = applied,
+            Message::Prepare { .. } | Message::Propose { .. } => {
+                self.handle_acceptor_message(from, message)
+            }
+            Message::Promise { .. } | Message::AcceptProposal { .. } | Message::Reject { .. } => {
+                self.handle_proposer_message(from, message)
+            }
+            Message::Hello { .. }
+            | Message::Resync { .. }
+            | Message::FetchOutcomes { .. }
+            | Message::Outcomes { .. }
+            | Message::Snapshot { .. } => self.handle_catch_up_message(from, message),
             Message::ReadIndexRequest { token } => self.on_read_index_request(from, token),
             Message::ReadIndexResponse {
                 token,
-                highest_accepted: highest,
-            } => self.on_read_index_response(from, token, highest),
+                highest_accepted,
+            } => self.on_read_index_response(from, token, highest_accepted),
         }
         self.apply_ready();
     }
 
-    /// At most one command can ever be proposed in an instance, so any held copy is the one.
+    /// The command accepted here is the one chosen: at most one can ever be proposed in an
+    /// instance (paper 4.2).
     fn on_learn(&mut self, from: ReplicaId, instance: Instance) {
-        if instance < self.compaction_point
-            || self.coordinator_logs[self.coordinator(instance) as usize]
-                .outcome(instance)
-                .is_some()
-        {
+        if self.is_learned(instance) {
             return;
         }
-        match self
-            .coordinator_log_mut(instance)
-            .accepted
-            .get(&instance)
-            .cloned()
-        {
-            Some((_, value)) => self.learn_command(instance, value),
-            None => {
-                let applied = self.applied;
-                self.send(from, Message::FetchOutcomes { from: applied })
-            }
+        match self.log_at(instance).accepted.get(&instance) {
+            Some(accepted) => self.learn_command(instance, accepted.value.clone()),
+            None => self.send(from, Message::FetchOutcomes { from: self.applied }),
         }
     }
 
+    fn is_learned(&self, instance: Instance) -> bool {
+        instance < self.compaction_point || self.log_at(instance).outcome(instance).is_some()
+    }
+
     pub(crate) fn learn_command(&mut self, instance: Instance, value: Value) {
-        if instance < self.compaction_point
-            || self
-                .coordinator_log_mut(instance)
-                .outcome(instance)
-                .is_some()
-        {
+        if self.is_learned(instance) {
             return;
         }
-        self.batch_outcomes.push(Write::Chosen {
+        self.batch.outcomes.push(Write::Chosen {
             instance,
             value: value.clone(),
         });
-        self.coordinator_log_mut(instance).choose(instance, value);
+        self.log_at_mut(instance).choose(instance, value);
         self.own_suggestions.remove(&instance);
         self.rejected.remove(&instance);
     }
 
-    pub(crate) fn learn_skip(&mut self, owner: ReplicaId, from: Instance, to: Instance) {
-        let from = from.max(self.compaction_point);
-        self.coordinator_logs[owner as usize].skip(from, to);
-        if owner == self.replica_id {
-            let lost: Vec<Instance> = self
-                .own_suggestions
-                .range(from..to.max(from))
-                .map(|(at, _)| *at)
-                .filter(|at| {
-                    self.coordinator_logs[owner as usize]
-                        .skipped
-                        .get(*at)
-                        .is_some()
-                })
+    /// Learns that a coordinator's instances are no-ops, but for those with a chosen command.
+    pub(crate) fn learn_skip(&mut self, coordinator: ReplicaId, start: Instance, end: Instance) {
+        let start = start.max(self.compaction_point);
+        self.log_of_mut(coordinator).skip(start, end);
+        if coordinator == self.replica_id {
+            let skipped = &self.log_of(coordinator).skipped;
+            let suggested = self.own_suggestions.range(start..end.max(start));
+            let suggested = suggested.map(|(instance, _)| *instance);
+            let lost: Vec<Instance> = suggested
+                .filter(|instance| skipped.contains(*instance))
                 .collect();
-            lost.into_iter().for_each(|at| self.hand_back(at));
+            for instance in lost {
+                self.hand_back(instance);
+            }
         }
     }
 
-    /// A block of one owner whose outcome somebody knows in full.
-    pub(crate) fn on_chosen(&mut self, owner: ReplicaId, block: Block, commands: Commands) {
-        let seats = self.replica_count;
-        commands
-            .into_iter()
-            .filter(|(at, _)| *at >= block.0 && *at < block.1 && at % seats == owner as u64)
-            .for_each(|(at, value)| self.learn_command(at, value));
-        if owner == self.replica_id {
-            self.skip_own_block(block);
+    /// A block of one coordinator whose outcome somebody knows in full.
+    pub(crate) fn on_chosen(&mut self, coordinator: ReplicaId, block: Block, commands: Commands) {
+        let (start, end) = block;
+        for (instance, value) in commands {
+            if (start..end).contains(&instance) && self.coordinator(instance) == coordinator {
+                self.learn_command(instance, value);
+            }
         }
-        self.batch_outcomes.push(Write::Skipped {
-            coordinator: owner,
-            block,
-        });
-        self.learn_skip(owner, block.0, block.1);
-    }
-
-    fn on_outcomes(&mut self, from: ReplicaId, block: Block, commands: Commands) {
-        let more = commands.len() >= crate::catch_up::MAX_OUTCOMES_PER_MESSAGE;
-        commands
-            .into_iter()
-            .for_each(|(at, value)| self.learn_command(at, value));
-        self.skip_own_below(block.1);
-        self.replica_ids()
-            .into_iter()
-            .for_each(|owner| self.learn_skip(owner, block.0, block.1));
-        self.apply_ready();
-        if more {
-            let applied = self.applied;
-            self.send(from, Message::FetchOutcomes { from: applied });
+        if coordinator == self.replica_id {
+            self.skip_own_below(end);
         }
+        self.batch
+            .outcomes
+            .push(Write::Skipped { coordinator, block });
+        self.learn_skip(coordinator, start, end);
     }
 
-    /// Others already know the outcome of everything below: none of it is left to suggest in.
-    pub(crate) fn skip_own_below(&mut self, end: Instance) {
-        if end > self.index {
-            self.skip_own_through(end - 1);
+    /// A block of all coordinators whose outcome somebody knows in full.
+    pub(crate) fn on_outcomes(&mut self, from: ReplicaId, (start, end): Block, commands: Commands) {
+        let more_to_fetch = commands.len() >= MAX_OUTCOMES_PER_MESSAGE;
+        for (instance, value) in commands {
+            self.learn_command(instance, value);
+        }
+        self.skip_own_below(end);
+        for coordinator in self.replica_ids() {
+            self.learn_skip(coordinator, start, end);
+        }
+        self.apply_ready();
+        if more_to_fetch {
+            self.send(from, Message::FetchOutcomes { from: self.applied });
         }
     }
 }
--- a/crates/mencius/src/propose.rs
+++ b/crates/mencius/src/propose.rs
@@ -1,43 +1,49 @@
-//! Rules 1, 2 and 4: suggesting in one's own instances (paper 4.3; design 3.2).
+//! Rules 1, 2 and 4: suggesting and skipping in one's own instances (paper 4.3; design 3.2).
 
-use crate::messages::*;
+use std::collections::BTreeSet;
 
-impl crate::Replica {
-    /// Rule 1. The value waits for its sync in the draft before any mate sees it.
+use crate::coordinator_log::Outcome;
+use crate::messages::{Effect, Instance, Message, ProposalNumber, ReplicaId, Value, Write};
+use crate::replica::Replica;
+use crate::state::OwnSuggestion;
+
+impl Replica {
+    /// Rule 1: suggests a command in the instance that the index stands at. The suggestion is in
+    /// the batch, so it is synced before any peer sees it.
     pub(crate) fn suggest(&mut self, value: Value) {
-        if self.index < self.voting_range_start || !self.may_vote(self.index) {
-            return self.deferred.push_back(value);
+        if !self.may_vote(self.index) {
+            self.deferred.push_back(value);
+            return;
         }
         let instance = self.index;
         self.index += self.replica_count;
-        self.batch_writes.push(Write::Index(self.index));
-        self.batch_writes.push(Write::Accept {
-            instance,
-            proposal_number: ProposalNumber::INITIAL,
+        self.batch.writes.push(Write::Index(self.index));
+        self.accept_suggestion(instance, value.clone());
+        let suggestion = OwnSuggestion {
             value: value.clone(),
-        });
-        self.coordinator_log_mut(instance)
-            .accepted
-            .insert(instance, (ProposalNumber::INITIAL, value.clone()));
-        self.own_suggestions
-            .insert(instance, (value.clone(), Default::default()));
-        let cursor = self.index;
-        self.peer_ids().into_iter().for_each(|mate| {
-            self.send_with_cursor(
-                mate,
-                cursor,
-                Message::Suggest {
-                    instance,
-                    value: value.clone(),
-                },
-            )
-        });
+            accepted_by: BTreeSet::new(),
+        };
+        self.own_suggestions.insert(instance, suggestion);
+        self.send_to_peers(&Message::Suggest { instance, value });
         self.send(self.replica_id, Message::Accept { instance });
     }
 
-    /// Rule 2, the receiver's half. The envelope's cursor is not used: the instance says it all.
+    fn accept_suggestion(&mut self, instance: Instance, value: Value) {
+        let proposal_number = ProposalNumber::INITIAL;
+        let write = Write::Accept {
+            instance,
+            proposal_number,
+            value: value.clone(),
+        };
+        self.batch.writes.push(write);
+        self.log_at_mut(instance)
+            .accept(instance, proposal_number, value);
+    }
+
+    /// Rule 2, the receiver's half. The cursor of the frame is not needed: by Optimization 2 the
+    /// suggestion itself says that the coordinator's earlier instances are no-ops.
     pub(crate) fn on_suggest(&mut self, from: ReplicaId, instance: Instance, value: Value) {
-        // Simple consensus, enforced on receipt: only the coordinator may suggest.
+        // Simple consensus, enforced on receipt: only the coordinator may suggest (paper 4.2).
         if self.coordinator(instance) != from || instance < self.compaction_point {
             return;
         }
@@ -45,99 +51,96 @@
         if !self.may_vote(instance) {
             return;
         }
-        let known = self.coordinator_logs[from as usize]
-            .outcome(instance)
-            .map(|outcome| outcome.cloned());
-        if let Some(outcome) = known {
-            let commands = outcome.into_iter().map(|held| (instance, held)).collect();
-            return self.send(
+        if let Some(outcome) = self.log_of(from).outcome(instance) {
+            let commands = match outcome {
+                Outcome::Command(value) => vec![(instance, value.clone())],
+                Outcome::NoOp => Vec::new(),
+            };
+            let block = (instance, instance + 1);
+            self.send(
                 from,
                 Message::Chosen {
                     coordinator: from,
-                    block: (instance, instance + 1),
+                    block,
                     commands,
                 },
             );
+            return;
         }
-        if let Some((_, to, round)) = self.coordinator_logs[from as usize]
-            .promised
-            .range_at(instance)
-        {
-            return self.send(
+        if let Some(promised) = self.log_of(from).promised.range_at(instance) {
+            self.send(
                 from,
                 Message::Reject {
                     coordinator: from,
-                    proposal_number: round,
-                    block: (instance, to),
+                    proposal_number: promised.value,
+                    block: (instance, promised.end),
                 },
             );
+            return;
         }
         self.skip_own_through(instance);
-        self.batch_writes.push(Write::Accept {
-            instance,
-            proposal_number: ProposalNumber::INITIAL,
-            value: value.clone(),
-        });
-        self.coordinator_log_mut(instance)
-            .accepted
-            .insert(instance, (ProposalNumber::INITIAL, value));
+        self.accept_suggestion(instance, value);
         self.send(from, Message::Accept { instance });
     }
 
-    /// Own unused instances below `past` will never be used.
-    pub(crate) fn skip_own_through(&mut self, past: Instance) {
-        if past < self.index {
-            return;
-        }
-        let before = self.index;
-        self.index = self.first_coordinated_from(self.replica_id, past + 1);
-        self.batch_writes.push(Write::Index(self.index));
-        let index = self.index;
-        self.learn_skip(self.replica_id, before, index);
-    }
-
+    /// A replica accepted an own suggestion; with a majority the command is chosen.
     pub(crate) fn on_accept(&mut self, from: ReplicaId, instance: Instance) {
         let majority = self.majority();
-        let won = self.own_suggestions.get_mut(&instance).map(|(_, seats)| {
-            seats.insert(from);
-            seats.len() >= majority
-        });
-        if won != Some(true) {
-            return;
-        }
-        let Some((value, _)) = self.own_suggestions.get(&instance).cloned() else {
+        let Some(suggestion) = self.own_suggestions.get_mut(&instance) else {
             return;
         };
-        self.peer_ids()
-            .into_iter()
-            .for_each(|mate| self.send(mate, Message::Learn { instance }));
+        suggestion.accepted_by.insert(from);
+        if suggestion.accepted_by.len() < majority {
+            return;
+        }
+        let value = suggestion.value.clone();
+        self.send_to_peers(&Message::Learn { instance });
         self.learn_command(instance, value);
     }
 
-    /// Optimization 1 to 3 on the receiving side: what the cursor passes over is no-op.
-    pub(crate) fn advance_cursor(&mut self, from: ReplicaId, upto: Instance, cursor: Instance) {
-        let Some(held) = self.coordinator_logs[from as usize].cursor else {
+    /// Rule 2: the own unused instances up to and including `last` will never be used.
+    pub(crate) fn skip_own_through(&mut self, last: Instance) {
+        if last < self.index {
             return;
-        };
-        if upto > held {
-            self.learn_skip(from, held, upto);
         }
-        self.coordinator_logs[from as usize].cursor = Some(held.max(cursor));
+        let start = self.index;
+        self.index = self.first_coordinated_from(self.replica_id, last + 1);
+        self.batch.writes.push(Write::Index(self.index));
+        self.learn_skip(self.replica_id, start, self.index);
     }
 
-    /// A block of own instances went to a higher round: never suggest there (design 3.6).
-    pub(crate) fn skip_own_block(&mut self, block: Block) {
-        if block.1 > self.index {
-            self.skip_own_through(block.1 - 1);
+    /// The own instances below `end` are decided or promised away to a higher proposal: none is left
+    /// to suggest in (design 3.6).
+    pub(crate) fn skip_own_below(&mut self, end: Instance) {
+        if end > self.index {
+            self.skip_own_through(end - 1);
+        }
+    }
+
+    /// Optimizations 1 to 3 on the receiving side: what a coordinator's cursor passes over is
+    /// no-op. `skipped_below` bounds what becomes no-op, `cursor` is the new cursor.
+    pub(crate) fn advance_cursor(
+        &mut self,
+        coordinator: ReplicaId,
+        skipped_below: Instance,
+        cursor: Instance,
+    ) {
+        let Some(known) = self.log_of(coordinator).cursor else {
+            return;
+        };
+        if skipped_below > known {
+            self.learn_skip(coordinator, known, skipped_below);
         }
+        self.log_of_mut(coordinator).cursor = Some(known.max(cursor));
     }
 
-    /// Rule 4, as far as the driver wants it: a suggestion that lost to no-op is suggested again only for a caller that
-    /// still waits. One whose caller was told that it was not taken would else take effect long after.
+    /// Rule 4 as far as the driver wants it: a command that lost to no-op is suggested again only
+    /// for a caller that still waits. One whose caller was told that it was not taken would
+    /// otherwise take effect long after (design 3.2).
     pub(crate) fn hand_back(&mut self, instance: Instance) {
         self.rejected.remove(&instance);
-        if let Some((value, _)) = self.own_suggestions.remove(&instance) {
-            self.effects.push(Effect::NotChosen(value));
+        if let Some(suggestion) = self.own_suggestions.remove(&instance) {
+            self.effects.push(Effect::NotChosen(suggestion.value));
         }
     }
 }
--- a/crates/mencius/src/read_index.rs
+++ b/crates/mencius/src/read_index.rs
@@ -1,153 +1,147 @@
-//! The quorum read: ask a majority for the highest accepted command, commit through it (design 3.9).
+//! Linearizable reads through a quorum, an addition to the paper (design 3.9; ReadIndex in Raft).
+//!
+//! A replica asks a majority for the highest instance in which they accepted a command, and answers
+//! once it has applied through the highest of these. Whatever was answered to anyone before had
+//! been accepted by a majority, so at least one of those asked reports it. One round of messages
+//! serves all reads that came before it set out.
 
-use crate::messages::*;
+use std::collections::BTreeMap;
+use std::mem::take;
 
-#[derive(Clone, Debug, Default)]
-pub(crate) struct ReadIndexState {
-    pub last_token: ReadToken,
-    /// Asked since the round under way set out; they need a round of their own.
-    pub waiting: Vec<ReadToken>,
-    pub current_round: Option<crate::replica::ReadIndexRound>,
-    /// A majority has answered; what remains is to apply through the instance named.
-    pub confirmed: Vec<(Option<Instance>, Vec<ReadToken>)>,
+use crate::messages::{Effect, Instance, Message, ReadToken, ReplicaId};
+use crate::replica::Replica;
+use crate::state::{ConfirmedReads, ReadIndexRound};
+
+/// Reads of one replica that are not answered yet.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct PendingReads {
+    /// Reads that wait for the next round.
+    pub waiting: usize,
+    /// Reads in the round under way.
+    pub in_round: usize,
+    /// For each finished round whose reads are not answered: the instance to be applied first.
+    pub awaited_instances: Vec<Instance>,
 }
 
-impl crate::Replica {
+impl Replica {
     pub(crate) fn request_read(&mut self, token: ReadToken) {
         self.reads.waiting.push(token);
         self.start_read_round();
     }
 
+    /// Begins a round for the waiting reads, if none is under way.
     pub(crate) fn start_read_round(&mut self) {
-        if self.reads.current_round.is_some()
-            || self.reads.waiting.is_empty()
-            || !self.has_caught_up()
-        {
+        let idle = self.reads.current_round.is_none() && !self.reads.waiting.is_empty();
+        if !idle || !self.has_caught_up() {
             return;
         }
         self.reads.last_token += 1;
         let token = self.reads.last_token;
-        let asked_by = std::mem::take(&mut self.reads.waiting);
-        self.reads.current_round = Some(crate::replica::ReadIndexRound {
+        self.reads.current_round = Some(ReadIndexRound {
             token,
-            requested_by: asked_by,
-            responses: Default::default(),
-            started_at: self.now,
+            requested_by: take(&mut self.reads.waiting),
+            responses: BTreeMap::new(),
+            sent_at: self.now,
         });
-        self.peer_ids()
-            .into_iter()
-            .for_each(|mate| self.send(mate, Message::ReadIndexRequest { token }));
-        let highest = self.highest_instance();
-        self.on_read_index_response(self.replica_id, token, highest);
+        self.send_to_peers(&Message::ReadIndexRequest { token });
+        self.on_read_index_response(self.replica_id, token, self.highest_instance());
     }
 
-    /// Asked again on a fresh channel, or when the answers were lost with one.
+    /// Repeats the requests of a round whose responses do not come: they may have been lost with a
+    /// connection.
     pub(crate) fn retry_read_round(&mut self) {
-        let stale = self
-            .reads
-            .current_round
-            .as_ref()
-            .is_some_and(|round| self.now >= round.started_at + self.config.stall_fetch_after);
-        if !stale {
+        let Some(round) = &mut self.reads.current_round else {
+            return;
+        };
+        if self.now < round.sent_at + self.config.stall_fetch_after {
             return;
         }
-        if let Some(round) = self.reads.current_round.as_mut() {
-            round.started_at = self.now;
+        round.sent_at = self.now;
+        for peer in self.peer_ids() {
+            self.request_read_index_of(peer);
         }
-        let round = self.reads.current_round.as_ref().map(|round| {
-            (
-                round.token,
-                round.responses.keys().copied().collect::<Vec<_>>(),
-            )
-        });
-        if let Some((token, answered)) = round {
-            self.peer_ids()
-                .into_iter()
-                .filter(|mate| !answered.contains(mate))
-                .for_each(|mate| self.send(mate, Message::ReadIndexRequest { token }));
+    }
+
+    /// Sends the request of the round under way to a peer that has not responded to it.
+    pub(crate) fn request_read_index_of(&mut self, peer: ReplicaId) {
+        let Some(round) = &self.reads.current_round else {
+            return;
+        };
+        let token = round.token;
+        if !round.responses.contains_key(&peer) {
+            self.send(peer, Message::ReadIndexRequest { token });
         }
     }
 
     pub(crate) fn on_read_index_request(&mut self, from: ReplicaId, token: ReadToken) {
-        if !self.has_caught_up() {
-            return;
+        if self.has_caught_up() {
+            let highest_accepted = self.highest_instance();
+            self.send(
+                from,
+                Message::ReadIndexResponse {
+                    token,
+                    highest_accepted,
+                },
+            );
         }
-        let highest = self.highest_instance();
-        self.send(
-            from,
-            Message::ReadIndexResponse {
-                token,
-                highest_accepted: highest,
-            },
-        );
     }
 
     pub(crate) fn on_read_index_response(
         &mut self,
         from: ReplicaId,
         token: ReadToken,
-        highest: Option<Instance>,
+        highest_accepted: Option<Instance>,
     ) {
         let majority = self.majority();
-        let answered = self
-            .reads
-            .current_round
-            .as_mut()
-            .filter(|round| round.token == token)
-            .map(|round| {
-                round.responses.insert(from, highest);
-                round.responses.len() >= majority
-            });
-        if answered != Some(true) {
-            return;
-        }
-        if let Some(round) = self.reads.current_round.take() {
-            let through = round.responses.values().copied().max().flatten();
-            self.reads.confirmed.push((through, round.requested_by));
-        }
+        let responded = self.reads.current_round.take_if(|round| {
+            if round.token != token {
+                return false;
+            }
+            round.responses.insert(from, highest_accepted);
+            round.responses.len() >= majority
+        });
+        let Some(round) = responded else { return };
+        let read_index = round.responses.into_values().max().flatten();
+        self.reads.confirmed.push(ConfirmedReads {
+            read_index,
+            tokens: round.requested_by,
+        });
         self.complete_reads();
         self.start_read_round();
     }
 
+    /// Answers the confirmed reads whose index is applied.
     pub(crate) fn complete_reads(&mut self) {
         let applied = self.applied;
-        let (done, open): (Vec<_>, Vec<_>) = std::mem::take(&mut self.reads.confirmed)
+        let is_applied = |reads: &ConfirmedReads| reads.read_index.is_none_or(|at| at < applied);
+        let (ready, waiting): (Vec<_>, Vec<_>) = take(&mut self.reads.confirmed)
             .into_iter()
-            .partition(|(through, _)| through.is_none_or(|through| through < applied));
-        self.reads.confirmed = open;
-        self.effects.extend(
-            done.into_iter()
-                .flat_map(|(_, tokens)| tokens)
-                .map(Effect::ReadReady),
-        );
+            .partition(is_applied);
+        self.reads.confirmed = waiting;
+        let tokens = ready.into_iter().flat_map(|reads| reads.tokens);
+        self.effects.extend(tokens.map(Effect::ReadReady));
     }
 
-    /// Reads of this seat that are not proved yet: waiting for a round, in one, and for instances to be applied.
-    pub fn pending_reads(&self) -> (usize, usize, Vec<Instance>) {
-        let round = self
-            .reads
-            .current_round
-            .as_ref()
-            .map(|round| round.requested_by.len())
-            .unwrap_or(0);
-        (
-            self.reads.waiting.len(),
-            round,
-            self.reads
-                .confirmed
-                .iter()
-                .filter_map(|(through, _)| *through)
-                .collect(),
-        )
+    /// The reads that are not answered yet, for status pages.
+    pub fn pending_reads(&self) -> PendingReads {
+        let round = self.reads.current_round.as_ref();
+        PendingReads {
+            waiting: self.reads.waiting.len(),
+            in_round: round.map_or(0, |round| round.requested_by.len()),
+            awaited_instances: self.read_indexes().collect(),
+        }
     }
 
-    /// The furthest instance somebody waits for here; nothing waits when this is not above `applied`.
+    /// The highest instance that a read waits for or that is known to hold a command. Nothing waits
+    /// where it is below `applied`.
     pub(crate) fn awaited_instance(&self) -> Option<Instance> {
+        self.read_indexes().max().max(self.highest_instance())
+    }
+
+    fn read_indexes(&self) -> impl Iterator<Item = Instance> + '_ {
         self.reads
             .confirmed
             .iter()
-            .filter_map(|(through, _)| *through)
-            .max()
-            .max(self.highest_instance())
+            .filter_map(|reads| reads.read_index)
     }
 }
--- a/crates/mencius/src/replica.rs
+++ b/crates/mencius/src/replica.rs
@@ -1,305 +1,366 @@
-//! The machine's state and its door: one input at a time, effects collected (design 3.2).
-
-use crate::messages::*;
-use std::collections::BTreeMap;
-use std::collections::BTreeSet;
-use std::collections::VecDeque;
-
-/// A revocation this seat leads for one owner's block (design 3.6).
-#[derive(Clone, Debug)]
-pub(crate) struct Revocation {
-    pub proposal_number: ProposalNumber,
-    pub block: Block,
-    pub promises: BTreeMap<ReplicaId, PromiseReport>,
-    pub proposal: Option<Commands>,
-    pub accepted_by: BTreeSet<ReplicaId>,
-    pub started_at: Micros,
-}
+//! The state of a replica and its entry points: one input at a time, effects collected
+//! (design 3.2), writes and frames gathered into batches that are synced as one (design 3.3).
 
-pub(crate) type PromiseReport = (
-    Vec<(Instance, ProposalNumber, Value)>,
-    Vec<(Instance, Instance, ProposalNumber)>,
-);
-
-#[derive(Clone, Debug)]
-pub(crate) struct Peer {
-    pub connected: bool,
-    pub last_heard: Micros,
-    pub suspicion_timeout: Micros,
-    pub suspected: bool,
-    pub announced_cursor: Instance,
-    pub announced_at: Micros,
-    pub last_sent: Micros,
-    pub applied: Instance,
-    /// From where a run was sent, and until when it is not sent again.
-    pub sent_outcomes: (Instance, Micros),
-}
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::mem::take;
 
-#[derive(Clone, Debug, Default)]
-pub(crate) struct ReadIndexRound {
-    pub token: ReadToken,
-    pub requested_by: Vec<ReadToken>,
-    pub responses: BTreeMap<ReplicaId, Option<Instance>>,
-    pub started_at: Micros,
-}
+use rand::SeedableRng;
+use rand::rngs::StdRng;
+
+use crate::config::Config;
+use crate::coordinator_log::CoordinatorLog;
+use crate::messages::{
+    Effect, Frame, Input, Instance, Message, Micros, PersistTicket, ReplicaId, Value, Write,
+    first_instance_of,
+};
+use crate::state::{
+    Batch, OutgoingFrame, OwnSuggestion, Peer, PersistingBatch, ReadIndexState, Revocation,
+    Snapshot, Stall,
+};
 
+/// One replica of the replicated log.
+///
+/// It owns no clock, disk or socket: [`step`](Replica::step) takes one [`Input`] and the time,
+/// [`take_effects`](Replica::take_effects) gives the [`Effect`]s to carry out.
 pub struct Replica {
     pub(crate) replica_id: ReplicaId,
     pub(crate) replica_count: u64,
+    /// The identity of this replica's disk; part of each of its proposal numbers.
     pub(crate) disk_id: u64,
     pub(crate) config: Config,
+    /// The latest time handed in.
     pub(crate) now: Micros,
+    /// Drawn from a fixed seed, so that the same inputs have the same effects.
+    pub(crate) rng: StdRng,
+
+    // The durable state; the writes that change it are in `Write`.
+    /// The next own instance to suggest in: I_p (paper 4.3).
     pub(crate) index: Instance,
+    /// The highest counter of a proposal number used or seen.
     pub(crate) proposal_counter: u64,
+    /// What is known of the instances of each coordinator, by replica id.
+    pub(crate) coordinator_logs: Vec<CoordinatorLog>,
+    pub(crate) snapshot: Option<Snapshot>,
+    /// Everything below is compacted away and only in the snapshot.
     pub(crate) compaction_point: Instance,
-    /// Applied and, by now, carried out by the driver: a change of holders among it is in force.
-    pub(crate) executed: Instance,
-    pub(crate) delivered: Instance,
+    /// The first instance that this disk may vote in (design 4.4).
     pub(crate) voting_range_start: Instance,
+
+    // Delivery in order.
+    /// All instances below were given out with `Effect::Apply` or are no-ops.
+    pub(crate) applied: Instance,
+    /// `applied` at the last `take_effects`.
+    pub(crate) delivered: Instance,
+    /// All instances below are carried out by the driver: a change of a replica's disk among them
+    /// is in force.
+    pub(crate) executed: Instance,
+    /// The last instance that this disk may vote in, as far as the log says (design 4.4).
     pub(crate) voting_range_end: Instance,
+
+    // Own suggestions.
+    /// Those without a known outcome.
+    pub(crate) own_suggestions: BTreeMap<Instance, OwnSuggestion>,
+    /// Those that an acceptor rejected for a higher promise.
+    pub(crate) rejected: BTreeSet<Instance>,
+    /// Commands that came while the index was outside of the voting range.
     pub(crate) deferred: VecDeque<Value>,
-    pub(crate) applied: Instance,
-    pub(crate) coordinator_logs: Vec<crate::CoordinatorLog>,
+
+    // Peers, suspicion and revocation.
+    /// By replica id; the entry of this replica itself is not used.
     pub(crate) peers: Vec<Peer>,
-    /// Own suggestions without an outcome, with the seats that accepted them.
-    pub(crate) own_suggestions: BTreeMap<Instance, (Value, BTreeSet<ReplicaId>)>,
-    pub(crate) rejected: BTreeSet<Instance>,
+    /// The revocations that this replica leads, by the coordinator revoked.
     pub(crate) revocations: BTreeMap<ReplicaId, Revocation>,
+    /// By the coordinator: no revocation is begun before this time. 0 where none was delayed.
     pub(crate) revoke_not_before: Vec<Micros>,
-    /// Revocations of each owner begun since the log last moved.
+    /// By the coordinator: revocations begun since the log last moved.
     pub(crate) revocation_attempts: Vec<u32>,
-    pub(crate) stalled: (Instance, Micros, Micros),
-    pub(crate) reads: crate::read_index::ReadIndexState,
-    pub(crate) snapshot: Option<(Instance, Vec<u8>)>,
-    pub(crate) batch_writes: Vec<Write>,
-    /// Outcomes can be asked for again, so they wait for the next sync instead of causing one.
-    pub(crate) batch_outcomes: Vec<Write>,
-    pub(crate) batch_frames: Vec<(ReplicaId, Frame)>,
-    pub(crate) replace_journal: bool,
-    pub(crate) persisting: Option<(PersistTicket, Vec<(ReplicaId, Frame)>)>,
+    pub(crate) stall: Stall,
+    pub(crate) last_tick: Micros,
+
+    pub(crate) reads: ReadIndexState,
+
+    // Batching.
+    pub(crate) batch: Batch,
+    pub(crate) persisting: Option<PersistingBatch>,
     pub(crate) last_ticket: PersistTicket,
+    /// Released and not yet taken by the driver.
     pub(crate) effects: Vec<Effect>,
-    pub(crate) rng: rand::rngs::StdRng,
 }
 
 impl Replica {
-    /// `writes` is what the disk kept, oldest first; empty on a new disk.
+    /// Brings a replica back from what its disk kept.
+    ///
+    /// `replica_id` is below `replica_count`; `disk_id` is unique to this disk and not 0; `writes`
+    /// are all that was persisted, oldest first, and empty on a new disk.
     pub fn restore(
-        seat: ReplicaId,
-        seats: u16,
-        identity: u64,
-        tuning: Config,
+        replica_id: ReplicaId,
+        replica_count: u16,
+        disk_id: u64,
+        config: Config,
         now: Micros,
         writes: Vec<Write>,
     ) -> Self {
-        let mate = Peer {
-            connected: false,
-            last_heard: now,
-            suspicion_timeout: tuning.initial_suspicion_timeout,
-            suspected: false,
-            announced_cursor: 0,
-            announced_at: now,
-            last_sent: now,
-            applied: 0,
-            sent_outcomes: (0, 0),
-        };
-        let mut machine = Replica {
-            replica_id: seat,
-            replica_count: seats as u64,
-            disk_id: identity,
-            config: tuning,
+        let mut replica = Self::empty(replica_id, replica_count, disk_id, config, now);
+        for write in writes {
+            replica.replay(write);
+        }
+        replica.resume();
+        replica
+    }
+
+    fn empty(
+        replica_id: ReplicaId,
+        replica_count: u16,
+        disk_id: u64,
+        config: Config,
+        now: Micros,
+    ) -> Self {
+        let count = usize::from(replica_count);
+        Replica {
+            replica_id,
+            replica_count: u64::from(replica_count),
+            disk_id,
+            config,
             now,
-            index: seat as Instance,
+            rng: StdRng::seed_from_u64(disk_id),
+            index: Instance::from(replica_id),
             proposal_counter: 0,
+            coordinator_logs: vec![CoordinatorLog::default(); count],
+            snapshot: None,
             compaction_point: 0,
-            executed: 0,
-            delivered: 0,
             voting_range_start: 0,
-            voting_range_end: Instance::MAX,
-            deferred: Default::default(),
             applied: 0,
-            coordinator_logs: vec![crate::CoordinatorLog::default(); seats as usize],
-            peers: vec![mate; seats as usize],
-            own_suggestions: Default::default(),
-            rejected: Default::default(),
-            revocations: Default::default(),
-            revoke_not_before: vec![0; seats as usize],
-            revocation_attempts: vec![0; seats as usize],
-            stalled: (0, now, now),
-            reads: Default::default(),
-            snapshot: None,
-            batch_writes: Vec::new(),
-            batch_outcomes: Vec::new(),
-            batch_frames: Vec::new(),
-            replace_journal: false,
+            delivered: 0,
+            executed: 0,
+            voting_range_end: Instance::MAX,
+            own_suggestions: BTreeMap::new(),
+            rejected: BTreeSet::new(),
+            deferred: VecDeque::new(),
+            peers: vec![Peer::new(now, config.initial_suspicion_timeout); count],
+            revocations: BTreeMap::new(),
+            revoke_not_before: vec![0; count],
+            revocation_attempts: vec![0; count],
+            stall: Stall {
+                instance: 0,
+                since: now,
+            },
+            last_tick: now,
+            reads: ReadIndexState::default(),
+            batch: Batch::default(),
             persisting: None,
             last_ticket: 0,
             effects: Vec::new(),
-            rng: rand::SeedableRng::seed_from_u64(identity),
-        };
-        writes.into_iter().for_each(|write| machine.replay(write));
-        machine.resume();
-        machine
+        }
     }
 
+    /// Takes in one input. `now` never goes back: an earlier time counts as the latest one.
     pub fn step(&mut self, now: Micros, input: Input) {
         self.now = self.now.max(now);
         match input {
-            Input::ConnectionOpened(mate) => self.on_connection_opened(mate),
-            Input::ConnectionClosed(mate) => self.on_connection_closed(mate),
-            Input::Frame(mate, frame) => self.on_frame(mate, frame),
+            Input::ConnectionOpened(peer) => self.on_connection_opened(peer),
+            Input::ConnectionClosed(peer) => self.on_connection_closed(peer),
+            Input::Frame(peer, frame) => self.on_frame(peer, frame),
             Input::Persisted(ticket) => self.on_persisted(ticket),
             Input::Submit(value) => self.suggest(value),
             Input::ReadIndex(token) => self.request_read(token),
             Input::Snapshot {
-                next_instance: through,
+                next_instance,
                 state,
-            } => self.compact_to_snapshot(through, state),
-            Input::StartVotingAfter(upto) => self.start_voting_after(upto),
-            Input::StopVotingAfter(upto) => self.stop_voting_after(upto),
-            Input::SkipThrough(past) => self.skip_own_through(past),
+            } => self.compact_to_snapshot(next_instance, state),
+            Input::StartVotingAfter(instance) => self.start_voting_after(instance),
+            Input::StopVotingAfter(instance) => self.stop_voting_after(instance),
+            Input::SkipThrough(instance) => self.skip_own_through(instance),
             Input::Tick => self.tick(),
         }
     }
 
-    /// Closes the draft: one sync for all that gathered, nothing leaves before it (design 3.3).
+    /// The effects since the last call, to be carried out in order before the next input.
+    ///
+    /// Closes the batch: one sync for all that gathered, and no frame of a batch leaves before its
+    /// writes are synced, nor any later frame before an earlier one (design 3.3).
     pub fn take_effects(&mut self) -> Vec<Effect> {
         // Whoever asks for more has carried out what it was given before.
         self.executed = self.delivered;
-        while self.persisting.is_none()
-            && !(self.batch_writes.is_empty() && self.batch_frames.is_empty())
-        {
-            let frames = std::mem::take(&mut self.batch_frames);
-            if self.batch_writes.is_empty() {
+        while self.persisting.is_none() && !self.batch.is_empty() {
+            if self.batch.writes.is_empty() {
+                let frames = take(&mut self.batch.frames);
                 self.release(frames);
-                continue;
+            } else {
+                self.persist_batch();
             }
-            self.last_ticket += 1;
-            let writes = match std::mem::take(&mut self.replace_journal) {
-                true => (self.full_state_writes(), true),
-                false => (std::mem::take(&mut self.batch_writes), false),
-            };
-            self.batch_writes.clear();
-            let outcomes = std::mem::take(&mut self.batch_outcomes);
-            let writes = (
-                writes
-                    .0
-                    .into_iter()
-                    .chain(outcomes.into_iter().filter(|_| !writes.1))
-                    .collect(),
-                writes.1,
-            );
-            self.persisting = Some((self.last_ticket, frames));
-            self.effects.push(Effect::Persist {
-                ticket: self.last_ticket,
-                writes: writes.0,
-                replace_journal: writes.1,
-            });
         }
         self.delivered = self.applied;
-        std::mem::take(&mut self.effects)
+        take(&mut self.effects)
+    }
+
+    fn persist_batch(&mut self) {
+        let Batch {
+            mut writes,
+            outcomes,
+            frames,
+            replace_journal,
+        } = take(&mut self.batch);
+        if replace_journal {
+            writes = self.full_state_writes();
+        } else {
+            writes.extend(outcomes);
+        }
+        self.last_ticket += 1;
+        let ticket = self.last_ticket;
+        self.persisting = Some(PersistingBatch { ticket, frames });
+        self.effects.push(Effect::Persist {
+            ticket,
+            writes,
+            replace_journal,
+        });
     }
 
     fn on_persisted(&mut self, ticket: PersistTicket) {
-        match self.persisting.take() {
-            Some((awaited, frames)) if awaited == ticket => self.release(frames),
-            other => self.persisting = other,
+        if let Some(batch) = self.persisting.take_if(|batch| batch.ticket == ticket) {
+            self.release(batch.frames);
         }
     }
 
-    fn release(&mut self, frames: Vec<(ReplicaId, Frame)>) {
-        frames
-            .into_iter()
-            .for_each(|(to, frame)| match to == self.replica_id {
-                true => self.handle_message(to, frame.message),
-                false => {
-                    let mate = &mut self.peers[to as usize];
-                    if mate.connected {
-                        mate.last_sent = self.now;
-                        self.effects.push(Effect::Send(to, frame));
-                    }
-                }
-            });
+    /// Lets frames go whose batch is synced; this replica's messages to itself are handled here.
+    fn release(&mut self, frames: Vec<OutgoingFrame>) {
+        let now = self.now;
+        for OutgoingFrame { to, frame } in frames {
+            if to == self.replica_id {
+                self.handle_message(to, frame.message);
+                continue;
+            }
+            let peer = self.peer_mut(to);
+            if peer.connected {
+                peer.last_sent = now;
+                self.effects.push(Effect::Send(to, frame));
+            }
+        }
     }
 
-    /// The cursor is taken when the frame is drafted: every suggestion below it is drafted already.
+    /// Puts a message into the batch. Its cursor is the index as it stands now: every suggestion
+    /// below is in the batch already, or was sent before.
     pub(crate) fn send(&mut self, to: ReplicaId, message: Message) {
-        let cursor = self.index;
-        self.send_with_cursor(to, cursor, message);
+        self.send_with_cursor(to, self.index, message);
     }
 
     pub(crate) fn send_with_cursor(&mut self, to: ReplicaId, cursor: Instance, message: Message) {
-        if to != self.replica_id && !self.peers[to as usize].connected {
+        if to != self.replica_id && !self.peer(to).connected {
             return;
         }
-        let mate = &mut self.peers[to as usize];
-        mate.announced_cursor = mate.announced_cursor.max(cursor);
-        self.batch_frames.push((to, Frame { cursor, message }));
+        let peer = self.peer_mut(to);
+        peer.announced_cursor = peer.announced_cursor.max(cursor);
+        self.batch.frames.push(OutgoingFrame {
+            to,
+            frame: Frame { cursor, message },
+        });
     }
 
-    pub(crate) fn peer_ids(&self) -> Vec<ReplicaId> {
-        (0..self.replica_count as ReplicaId)
-            .filter(|seat| *seat != self.replica_id)
-            .collect()
+    pub(crate) fn send_to_peers(&mut self, message: &Message) {
+        for peer in self.peer_ids() {
+            self.send(peer, message.clone());
+        }
     }
 
-    pub(crate) fn replica_ids(&self) -> Vec<ReplicaId> {
-        (0..self.replica_count as ReplicaId).collect()
+    /// All replicas but this one.
+    pub(crate) fn peer_ids(&self) -> impl Iterator<Item = ReplicaId> + use<> {
+        let own = self.replica_id;
+        self.replica_ids()
+            .filter(move |replica_id| *replica_id != own)
     }
 
+    /// All replicas, this one among them.
+    pub(crate) fn replica_ids(&self) -> impl Iterator<Item = ReplicaId> + use<> {
+        0..self.replica_count as ReplicaId
+    }
+
+    pub(crate) fn peer(&self, replica_id: ReplicaId) -> &Peer {
+        &self.peers[usize::from(replica_id)]
+    }
+
+    pub(crate) fn peer_mut(&mut self, replica_id: ReplicaId) -> &mut Peer {
+        &mut self.peers[usize::from(replica_id)]
+    }
+
+    /// The replica that coordinates an instance: instance cn + p belongs to p (paper 4.2).
     pub(crate) fn coordinator(&self, instance: Instance) -> ReplicaId {
         (instance % self.replica_count) as ReplicaId
     }
 
-    pub(crate) fn coordinator_log_mut(&mut self, instance: Instance) -> &mut crate::CoordinatorLog {
-        let owner = self.coordinator(instance);
-        &mut self.coordinator_logs[owner as usize]
+    pub(crate) fn log_of(&self, coordinator: ReplicaId) -> &CoordinatorLog {
+        &self.coordinator_logs[usize::from(coordinator)]
+    }
+
+    pub(crate) fn log_of_mut(&mut self, coordinator: ReplicaId) -> &mut CoordinatorLog {
+        &mut self.coordinator_logs[usize::from(coordinator)]
     }
 
-    /// Smallest instance of `owner` that is not below `from`.
-    pub(crate) fn first_coordinated_from(&self, owner: ReplicaId, from: Instance) -> Instance {
-        first_instance_of(from, owner, self.replica_count as u16)
+    /// The log that an instance stands in: that of its coordinator.
+    pub(crate) fn log_at(&self, instance: Instance) -> &CoordinatorLog {
+        self.log_of(self.coordinator(instance))
     }
 
+    pub(crate) fn log_at_mut(&mut self, instance: Instance) -> &mut CoordinatorLog {
+        self.log_of_mut(self.coordinator(instance))
+    }
+
+    /// The smallest instance of `coordinator` that is not below `from`.
+    pub(crate) fn first_coordinated_from(
+        &self,
+        coordinator: ReplicaId,
+        from: Instance,
+    ) -> Instance {
+        first_instance_of(from, coordinator, self.replica_count as u16)
+    }
+
+    /// The first instance of `coordinator`, not below `from`, whose outcome is unknown here.
+    pub(crate) fn first_unknown_of(&self, coordinator: ReplicaId, from: Instance) -> Instance {
+        let first = self.first_coordinated_from(coordinator, from);
+        self.log_of(coordinator)
+            .first_unknown(first, self.replica_count)
+    }
+
+    /// How many replicas a quorum takes (paper 4.4: f + 1 of 2f + 1).
     pub(crate) fn majority(&self) -> usize {
         self.replica_count as usize / 2 + 1
     }
 
+    /// All instances below are applied: given out with [`Effect::Apply`], in a snapshot, or no-ops.
     pub fn applied(&self) -> Instance {
         self.applied
     }
 
+    /// Everything below is compacted away and only in the latest snapshot.
     pub fn compaction_point(&self) -> Instance {
         self.compaction_point
     }
 
+    /// The next instance that this replica suggests in: I_p (paper 4.3).
     pub fn index(&self) -> Instance {
         self.index
     }
 
+    /// The peers that are held for failed.
     pub fn suspected_peers(&self) -> Vec<ReplicaId> {
         self.peer_ids()
-            .into_iter()
-            .filter(|seat| self.peers[*seat as usize].suspected)
+            .filter(|peer| self.peer(*peer).suspected)
             .collect()
     }
 
-    /// How far this seat knows the log to reach, for status pages.
+    /// The highest instance known to hold a command. Revoked blocks far ahead do not count.
     pub fn highest_instance(&self) -> Option<Instance> {
-        self.coordinator_logs
+        let commands = self
+            .coordinator_logs
             .iter()
-            .filter_map(crate::CoordinatorLog::highest_command)
-            .max()
-            .max(self.compaction_point.checked_sub(1))
+            .filter_map(CoordinatorLog::highest_command);
+        commands.max().max(self.compaction_point.checked_sub(1))
     }
 
+    /// How many replicas are connected and not suspected, this one included.
     pub fn reachable_replicas(&self) -> usize {
+        let reachable = |peer: &Peer| peer.connected && !peer.suspected;
         1 + self
             .peer_ids()
-            .iter()
-            .filter(|seat| {
-                self.peers[**seat as usize].connected && !self.peers[**seat as usize].suspected
-            })
+            .filter(|peer| reachable(self.peer(*peer)))
             .count()
     }
 }
--- a/crates/mencius/src/revocation.rs
+++ b/crates/mencius/src/revocation.rs
@@ -1,186 +1,253 @@
-//! Rule 3 and Optimization 3: finishing instances on behalf of a silent coordinator (design 3.6).
+//! Rule 3 and Optimization 3: finishing instances on behalf of a coordinator that does not (paper
+//! 4.2 to 4.4; design 3.6).
+//!
+//! A revocation runs both phases of Coordinated Paxos over a block of one coordinator's instances,
+//! with a number above every promise. Only the coordinator ever proposes a command in an instance,
+//! so at most one command can have been accepted there, and it is carried on.
 
-use crate::messages::*;
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
-impl crate::Replica {
-    pub(crate) fn back_off_revocation(&mut self, owner: ReplicaId) {
-        // Seats that outbid each other on slow machines finish nothing: each waits ever longer, by chance.
-        let pause =
-            self.config.stall_revoke_after << self.revocation_attempts[owner as usize].min(3);
-        let pause = pause + rand::Rng::random_range(&mut self.rng, 0..pause);
-        self.revoke_not_before[owner as usize] = self.now + pause;
+use rand::Rng;
+
+use crate::config::VOTING_WINDOW;
+use crate::coordinator_log::PromiseReport;
+use crate::messages::{
+    Block, Commands, Instance, Message, ProposalNumber, ReplicaId, Value, Write,
+};
+use crate::replica::Replica;
+use crate::state::{Ballot, Revocation};
+
+/// A back-off doubles with each attempt, this many times.
+const MAX_BACK_OFF_DOUBLINGS: u32 = 3;
+
+impl Replica {
+    /// Takes the answers of the acceptors.
+    pub(crate) fn handle_proposer_message(&mut self, from: ReplicaId, message: Message) {
+        match message {
+            Message::Promise {
+                coordinator,
+                proposal_number,
+                block,
+                commands,
+                accepted_noops,
+            } => {
+                let ballot = Ballot {
+                    coordinator,
+                    proposal_number,
+                    block,
+                };
+                self.on_promise(
+                    from,
+                    ballot,
+                    PromiseReport {
+                        commands,
+                        accepted_noops,
+                    },
+                )
+            }
+            Message::AcceptProposal {
+                coordinator,
+                proposal_number,
+                block,
+            } => self.on_accept_proposal(
+                from,
+                Ballot {
+                    coordinator,
+                    proposal_number,
+                    block,
+                },
+            ),
+            Message::Reject {
+                coordinator,
+                proposal_number,
+                block,
+            } => self.on_reject(Ballot {
+                coordinator,
+                proposal_number,
+                block,
+            }),
+            other => debug_assert!(false, "not for a proposer: {other:?}"),
+        }
     }
 
-    /// Phase 1 over one block. The round is unique to this disk and never used twice.
-    pub(crate) fn start_revocation(&mut self, owner: ReplicaId, to: Instance) {
-        let from = self.coordinator_logs[owner as usize].first_unknown(
-            self.first_coordinated_from(owner, self.applied),
-            self.replica_count,
-        );
-        // No further than anybody may vote: after a restart the own index can be far above what is applied.
-        let to = to.min(self.applied + VOTING_WINDOW / 2);
-        if from >= to {
+    /// Leaves a coordinator to another revoker for a while. Replicas that outbid each other on slow
+    /// machines finish nothing, so each waits ever longer, by chance.
+    pub(crate) fn back_off_revocation(&mut self, coordinator: ReplicaId) {
+        let attempts = self.revocation_attempts[usize::from(coordinator)];
+        let pause = self.config.stall_revoke_after << attempts.min(MAX_BACK_OFF_DOUBLINGS);
+        let pause = pause + self.rng.random_range(0..pause);
+        self.revoke_not_before[usize::from(coordinator)] = self.now + pause;
+    }
+
+    /// Phase 1 over the coordinator's instances from the first unknown one to below `end`.
+    pub(crate) fn start_revocation(&mut self, coordinator: ReplicaId, end: Instance) {
+        let start = self.first_unknown_of(coordinator, self.applied);
+        // No further than anybody may vote: after a restart the own index can be far above what is
+        // applied.
+        let end = end.min(self.applied + VOTING_WINDOW / 2);
+        if start >= end {
             return;
         }
-        let block = (from, to);
-        self.revocation_attempts[owner as usize] += 1;
-        self.proposal_counter = self.proposal_counter.max(
-            self.coordinator_logs[owner as usize]
-                .highest_promised(block)
-                .counter,
-        ) + 1;
-        self.batch_writes
-            .push(Write::ProposalCounter(self.proposal_counter));
-        let round = ProposalNumber {
-            counter: self.proposal_counter,
-            disk_id: self.disk_id,
-        };
-        let revocation = crate::replica::Revocation {
-            proposal_number: round,
+        let block = (start, end);
+        self.revocation_attempts[usize::from(coordinator)] += 1;
+        let proposal_number = self.next_proposal_number(coordinator, block);
+        let revocation = Revocation {
+            proposal_number,
             block,
-            promises: Default::default(),
+            promises: BTreeMap::new(),
             proposal: None,
-            accepted_by: Default::default(),
+            accepted_by: BTreeSet::new(),
             started_at: self.now,
         };
-        self.revocations.insert(owner, revocation);
-        self.peer_ids().into_iter().for_each(|mate| {
-            self.send(
-                mate,
-                Message::Prepare {
-                    coordinator: owner,
-                    proposal_number: round,
-                    block,
-                },
-            )
+        self.revocations.insert(coordinator, revocation);
+        self.send_to_peers(&Message::Prepare {
+            coordinator,
+            proposal_number,
+            block,
         });
-        self.on_prepare(self.replica_id, owner, round, block);
+        self.on_prepare(
+            self.replica_id,
+            Ballot {
+                coordinator,
+                proposal_number,
+                block,
+            },
+        );
     }
 
-    pub(crate) fn on_promise(
-        &mut self,
-        from: ReplicaId,
-        owner: ReplicaId,
-        round: ProposalNumber,
-        block: Block,
-        report: crate::replica::PromiseReport,
-    ) {
+    /// A number above every promise known here, unique to this disk and never used twice.
+    fn next_proposal_number(&mut self, coordinator: ReplicaId, block: Block) -> ProposalNumber {
+        let promised = self.log_of(coordinator).highest_promised(block);
+        self.proposal_counter = self.proposal_counter.max(promised.counter) + 1;
+        self.batch
+            .writes
+            .push(Write::ProposalCounter(self.proposal_counter));
+        ProposalNumber {
+            counter: self.proposal_counter,
+            disk_id: self.disk_id,
+        }
+    }
+
+    /// With promises of a majority, phase 2 begins.
+    fn on_promise(&mut self, from: ReplicaId, ballot: Ballot, report: PromiseReport) {
+        let Ballot {
+            coordinator,
+            proposal_number,
+            block,
+        } = ballot;
         let majority = self.majority();
-        let Some(revocation) = self.revocations.get_mut(&owner) else {
+        let Some(revocation) = self.revocations.get_mut(&coordinator) else {
             return;
         };
-        if revocation.proposal_number != round
-            || revocation.block != block
-            || revocation.proposal.is_some()
-        {
+        if !revocation.is_of(ballot) || revocation.proposal.is_some() {
             return;
         }
         revocation.promises.insert(from, report);
         if revocation.promises.len() < majority {
             return;
         }
-        let commands = values_to_propose(&revocation.promises);
+        let commands = commands_to_propose(&revocation.promises);
         revocation.proposal = Some(commands.clone());
-        self.peer_ids().into_iter().for_each(|mate| {
-            self.send(
-                mate,
-                Message::Propose {
-                    coordinator: owner,
-                    proposal_number: round,
-                    block,
-                    commands: commands.clone(),
-                },
-            )
+        self.send_to_peers(&Message::Propose {
+            coordinator,
+            proposal_number,
+            block,
+            commands: commands.clone(),
         });
-        self.on_propose(self.replica_id, owner, round, block, commands);
+        self.on_propose(self.replica_id, ballot, commands);
     }
 
-    pub(crate) fn on_accept_proposal(
-        &mut self,
-        from: ReplicaId,
-        owner: ReplicaId,
-        round: ProposalNumber,
-        block: Block,
-    ) {
+    /// With acceptances of a majority, the block is chosen.
+    fn on_accept_proposal(&mut self, from: ReplicaId, ballot: Ballot) {
+        let Ballot {
+            coordinator, block, ..
+        } = ballot;
         let majority = self.majority();
-        let Some(revocation) = self.revocations.get_mut(&owner) else {
+        let Some(revocation) = self.revocations.get_mut(&coordinator) else {
             return;
         };
-        if revocation.proposal_number != round || revocation.block != block {
+        if !revocation.is_of(ballot) {
             return;
         }
         revocation.accepted_by.insert(from);
         if revocation.accepted_by.len() < majority {
             return;
         }
-        let commands = self
-            .revocations
-            .remove(&owner)
-            .and_then(|held| held.proposal)
+        let revocation = self.revocations.remove(&coordinator);
+        let commands = revocation
+            .and_then(|revocation| revocation.proposal)
             .unwrap_or_default();
-        self.peer_ids().into_iter().for_each(|mate| {
-            self.send(
-                mate,
-                Message::Chosen {
-                    coordinator: owner,
-                    block,
-                    commands: commands.clone(),
-                },
-            )
+        self.send_to_peers(&Message::Chosen {
+            coordinator,
+            block,
+            commands: commands.clone(),
         });
-        self.on_chosen(owner, block, commands);
+        self.on_chosen(coordinator, block, commands);
     }
 
-    /// Either a mate holds a higher promise than our revocation, or than our suggestion.
-    pub(crate) fn on_reject(&mut self, owner: ReplicaId, round: ProposalNumber, block: Block) {
-        self.proposal_counter = self.proposal_counter.max(round.counter);
-        let outdone = self
+    /// A peer has promised the number in `ballot`, which is higher than that of this replica's
+    /// revocation or suggestion.
+    fn on_reject(&mut self, ballot: Ballot) {
+        let Ballot {
+            coordinator,
+            proposal_number,
+            block: (start, end),
+        } = ballot;
+        self.proposal_counter = self.proposal_counter.max(proposal_number.counter);
+        let outbid = self
             .revocations
-            .get(&owner)
-            .is_some_and(|held| held.proposal_number < round && held.block.0 < block.1);
-        if outdone {
-            self.revocations.remove(&owner);
-            self.back_off_revocation(owner);
+            .get(&coordinator)
+            .is_some_and(|revocation| {
+                let (revoked_from, _) = revocation.block;
+                revocation.proposal_number < proposal_number && revoked_from < end
+            });
+        if outbid {
+            self.revocations.remove(&coordinator);
+            self.back_off_revocation(coordinator);
         }
-        if owner == self.replica_id {
-            self.rejected.extend(
-                self.own_suggestions
-                    .range(block.0..block.1)
-                    .map(|(at, _)| *at)
-                    .collect::<Vec<_>>(),
-            );
-            self.skip_own_block(block);
+        if coordinator == self.replica_id {
+            let suggested = self
+                .own_suggestions
+                .range(start..end)
+                .map(|(instance, _)| *instance);
+            self.rejected.extend(suggested);
+            self.skip_own_below(end);
         }
     }
 }
 
-/// A value that may have been accepted is carried on; the highest round decides (paper 4.2).
-fn values_to_propose(reports: &BTreeMap<ReplicaId, crate::replica::PromiseReport>) -> Commands {
-    let best = reports
-        .values()
-        .flat_map(|(commands, _)| commands.iter())
-        .fold(
-            BTreeMap::<Instance, (ProposalNumber, &Value)>::new(),
-            |mut best, (at, round, value)| {
-                let held = best.entry(*at).or_insert((*round, value));
-                if held.0 < *round {
-                    *held = (*round, value);
-                }
-                best
-            },
-        );
-    let voided = |at: Instance| {
-        reports
-            .values()
-            .flat_map(|(_, voids)| voids.iter())
-            .filter(|(from, to, _)| (*from..*to).contains(&at))
-            .map(|(_, _, round)| *round)
-            .max()
-    };
-    best.into_iter()
-        // In one round a command and a void never meet: the proposal lists its commands.
-        .filter(|(at, (round, _))| voided(*at).is_none_or(|void| void <= *round))
-        .map(|(at, (_, value))| (at, value.clone()))
+/// The commands that may have been chosen: in each instance the one accepted in the highest
+/// proposal, unless a higher one had no-op there (paper 4.2).
+fn commands_to_propose(promises: &BTreeMap<ReplicaId, PromiseReport>) -> Commands {
+    let mut highest = BTreeMap::<Instance, (ProposalNumber, &Value)>::new();
+    for (instance, proposal_number, value) in promises.values().flat_map(|report| &report.commands)
+    {
+        let known = highest
+            .entry(*instance)
+            .or_insert((*proposal_number, value));
+        if known.0 < *proposal_number {
+            *known = (*proposal_number, value);
+        }
+    }
+    highest
+        .into_iter()
+        // In one proposal a command and a no-op never meet: it lists its commands.
+        .filter(|(instance, (proposal_number, _))| {
+            highest_noop(promises, *instance).is_none_or(|noop| noop <= *proposal_number)
+        })
+        .map(|(instance, (_, value))| (instance, value.clone()))
         .collect()
 }
+
+/// The highest proposal in which no-op is reported as accepted in an instance.
+fn highest_noop(
+    promises: &BTreeMap<ReplicaId, PromiseReport>,
+    instance: Instance,
+) -> Option<ProposalNumber> {
+    promises
+        .values()
+        .flat_map(|report| &report.accepted_noops)
+        .filter(|(start, end, _)| (*start..*end).contains(&instance))
+        .map(|(_, _, proposal_number)| *proposal_number)
+        .max()
+}
--- a/crates/mencius/src/status.rs
+++ b/crates/mencius/src/status.rs
@@ -1,40 +1,41 @@
-//! What a person who reads the logs of a standing log wants to know.
+//! A description of the replica for the logs, for whoever looks into a log that does not move.
 
-impl crate::Replica {
-    /// Each seat's channel and how far its turns are known, for logs.
+use crate::messages::ReplicaId;
+use crate::replica::Replica;
+
+impl Replica {
+    /// Each replica's connection and how far its instances are known, the revocations under way,
+    /// and the bounds of this replica, as one line of text.
     pub fn diagnostics(&self) -> String {
-        let told = self.replica_ids().into_iter().map(|seat| {
-            let (mate, share) = (
-                &self.peers[seat as usize],
-                &self.coordinator_logs[seat as usize],
-            );
-            let unknown = share.first_unknown(
-                self.first_coordinated_from(seat, self.applied),
-                self.replica_count,
-            );
-            format!(
-                "{seat}: open {} suspected {} applied {} unknown from {unknown}",
-                mate.connected, mate.suspected, mate.applied
-            )
-        });
-        let revoking = self.revocations.iter().map(|(owner, held)| {
+        let replicas = self
+            .replica_ids()
+            .map(|replica_id| self.describe_replica(replica_id));
+        let revocations = self.revocations.iter().map(|(coordinator, revocation)| {
             format!(
-                "revoking {owner} {:?} {:?} reports {} accepts {}",
-                held.block,
-                held.proposal_number,
-                held.promises.len(),
-                held.accepted_by.len()
+                "revoking {coordinator} {:?} {:?} promises {} accepted by {}",
+                revocation.block,
+                revocation.proposal_number,
+                revocation.promises.len(),
+                revocation.accepted_by.len()
             )
         });
-        told.chain(revoking)
-            .chain([format!(
-                "from {} until {} floor {} carried out {}",
-                self.voting_range_start,
-                self.voting_range_end,
-                self.compaction_point,
-                self.executed
-            )])
+        let bounds = format!(
+            "voting range {} to {} compaction point {} executed {}",
+            self.voting_range_start, self.voting_range_end, self.compaction_point, self.executed
+        );
+        replicas
+            .chain(revocations)
+            .chain([bounds])
             .collect::<Vec<_>>()
             .join("; ")
     }
+
+    fn describe_replica(&self, replica_id: ReplicaId) -> String {
+        let peer = self.peer(replica_id);
+        let unknown = self.first_unknown_of(replica_id, self.applied);
+        format!(
+            "{replica_id}: connected {} suspected {} applied {} unknown from {unknown}",
+            peer.connected, peer.suspected, peer.applied
+        )
+    }
 }
--- a/crates/mencius/src/timers.rs
+++ b/crates/mencius/src/timers.rs
@@ -1,153 +1,189 @@
-//! Time: beats, skip flushing, suspicion, and what is stuck (design 3.6, 3.7).
+//! What happens as time passes: heartbeats, overdue skips, suspicion, and instances that do not
+//! finish (design 3.6, 3.7).
 
-use crate::messages::*;
+use std::mem::take;
 
-impl crate::Replica {
+use rand::Rng;
+
+use crate::messages::{Instance, Message, Micros, ReplicaId};
+use crate::replica::Replica;
+use crate::state::Stall;
+
+/// A revocation without an outcome is given up after this, so that another can begin. In
+/// microseconds.
+const REVOCATION_TIMEOUT: Micros = 1_000_000;
+/// The pause between two fetches is `stall_fetch_after` at first. It doubles each time that so many
+/// times `stall_fetch_after` have passed.
+const FETCHES_PER_DOUBLING: u64 = 4;
+/// How often that pause doubles at most.
+const MAX_FETCH_DOUBLINGS: u64 = 3;
+
+impl Replica {
+    /// Anything that a peer sends shows that it runs.
     pub(crate) fn record_contact(&mut self, from: ReplicaId) {
         if from == self.replica_id {
             return;
         }
-        let at_most = self.config.max_suspicion_timeout;
-        let mate = &mut self.peers[from as usize];
-        mate.last_heard = self.now;
-        if std::mem::take(&mut mate.suspected) {
-            // It was alive after all, or came back: be slower to suspect it next time.
-            mate.suspicion_timeout = (mate.suspicion_timeout * 3 / 2).min(at_most);
+        let now = self.now;
+        let max_timeout = self.config.max_suspicion_timeout;
+        let peer = self.peer_mut(from);
+        peer.last_heard = now;
+        if take(&mut peer.suspected) {
+            // It was alive after all, or came back: be slower to suspect it next time (paper 4.1,
+            // unreliable failure detector).
+            peer.suspicion_timeout = (peer.suspicion_timeout * 3 / 2).min(max_timeout);
         }
     }
 
     pub(crate) fn tick(&mut self) {
         self.excuse_own_pause();
-        self.peer_ids().into_iter().for_each(|mate| {
-            self.flush_skips(mate);
-            self.send_heartbeat(mate);
-            self.check_suspicion(mate);
-        });
-        self.retry_read_round();
-        if !self.reads.waiting.is_empty() {
-            self.start_read_round();
+        for peer in self.peer_ids() {
+            self.flush_skips(peer);
+            self.send_heartbeat(peer);
+            self.check_suspicion(peer);
         }
+        self.retry_read_round();
+        self.start_read_round();
         self.resolve_stall();
-        self.suspected_peers().into_iter().for_each(|mate| {
-            // Optimization 3: ahead of need, in blocks.
-            let reach = self.config.beta;
-            let unknown = self.coordinator_logs[mate as usize].first_unknown(
-                self.first_coordinated_from(mate, self.applied),
-                self.replica_count,
-            );
-            if unknown < self.index + reach {
-                self.schedule_revocation(mate, self.index + 2 * reach);
-            }
-        });
+        for peer in self.suspected_peers() {
+            self.revoke_ahead(peer);
+        }
+        let now = self.now;
         self.revocations
-            .retain(|_, held| held.started_at + 4 * 250_000 > self.now);
+            .retain(|_, revocation| revocation.started_at + REVOCATION_TIMEOUT > now);
         self.apply_ready();
     }
 
-    /// A machine that slept must not blame its mates for its own silence.
+    /// A replica that did not run for a while must not blame its peers for its own silence.
     fn excuse_own_pause(&mut self) {
-        let gap = self.now - self.stalled.2;
-        self.stalled.2 = self.now;
-        if gap > self.config.initial_suspicion_timeout {
-            let now = self.now;
-            self.peers.iter_mut().for_each(|mate| {
-                mate.last_heard = mate
-                    .last_heard
-                    .max(now.saturating_sub(self.config.heartbeat_interval))
-            });
+        let pause = self.now - self.last_tick;
+        self.last_tick = self.now;
+        if pause > self.config.initial_suspicion_timeout {
+            let excused = self.now.saturating_sub(self.config.heartbeat_interval);
+            for peer in &mut self.peers {
+                peer.last_heard = peer.last_heard.max(excused);
+            }
         }
     }
 
-    /// Accelerator 1.
+    /// Accelerator 1 (paper 4.4): skips that a peer was not told of are sent once there are more
+    /// than α, or after τ.
     fn flush_skips(&mut self, to: ReplicaId) {
-        let mate = &self.peers[to as usize];
-        let outstanding = self.index.saturating_sub(mate.announced_cursor) / self.replica_count;
-        let waited = self.now.saturating_sub(mate.announced_at);
+        let peer = self.peer(to);
+        let outstanding = self.index.saturating_sub(peer.announced_cursor) / self.replica_count;
+        let waited = self.now.saturating_sub(peer.announced_at);
         if outstanding == 0 {
-            self.peers[to as usize].announced_at = self.now;
+            self.peer_mut(to).announced_at = self.now;
         } else if outstanding > self.config.alpha || waited >= self.config.tau {
             self.send(to, Message::Skip);
-            self.peers[to as usize].announced_at = self.now;
+            self.peer_mut(to).announced_at = self.now;
         }
     }
 
     fn send_heartbeat(&mut self, to: ReplicaId) {
-        if self.now >= self.peers[to as usize].last_sent + self.config.heartbeat_interval {
-            let applied = self.applied;
-            self.send(to, Message::Heartbeat { applied });
+        if self.now >= self.peer(to).last_sent + self.config.heartbeat_interval {
+            self.send(
+                to,
+                Message::Heartbeat {
+                    applied: self.applied,
+                },
+            );
         }
     }
 
-    fn check_suspicion(&mut self, seat: ReplicaId) {
-        let mate = &mut self.peers[seat as usize];
-        if !mate.suspected && self.now > mate.last_heard + mate.suspicion_timeout {
-            mate.suspected = true;
+    fn check_suspicion(&mut self, peer: ReplicaId) {
+        let now = self.now;
+        let peer = self.peer_mut(peer);
+        if now > peer.last_heard + peer.suspicion_timeout {
+            peer.suspected = true;
         }
     }
 
-    /// Something known to exist cannot be applied: first ask, then finish it in a higher round.
+    /// An instance that is known to exist cannot be applied: its outcome is first asked for, then
+    /// its coordinator is revoked, suspected or not (design 3.6).
     fn resolve_stall(&mut self) {
-        let (at, since, _) = self.stalled;
-        let waits = self
+        let awaited = self
             .awaited_instance()
-            .is_some_and(|wanted| wanted >= self.applied);
-        if at != self.applied || !waits {
-            self.stalled = (self.applied, self.now, self.stalled.2);
-            self.revocation_attempts
-                .iter_mut()
-                .for_each(|attempts| *attempts = 0);
+            .is_some_and(|awaited| awaited >= self.applied);
+        if self.stall.instance != self.applied || !awaited {
+            self.stall = Stall {
+                instance: self.applied,
+                since: self.now,
+            };
+            self.revocation_attempts.fill(0);
             return;
         }
-        let waited = self.now - since;
-        let owner = self.coordinator(self.applied);
-        // Ever more slowly: what was asked for may be on its way.
-        let every =
-            self.config.stall_fetch_after << (waited / (4 * self.config.stall_fetch_after)).min(3);
-        if waited >= every && waited % every < 2 * self.config.heartbeat_interval {
-            let helpers: Vec<ReplicaId> = self
-                .peer_ids()
-                .into_iter()
-                .filter(|mate| self.peers[*mate as usize].connected)
-                .collect();
-            let turn = (waited / self.config.stall_fetch_after) as usize;
-            let applied = self.applied;
-            if let Some(helper) = helpers.get(turn % helpers.len().max(1)) {
-                self.send(*helper, Message::FetchOutcomes { from: applied });
-            }
+        let waited = self.now - self.stall.since;
+        let coordinator = self.coordinator(self.applied);
+        let own = coordinator == self.replica_id;
+        if self.fetch_is_due(waited, 2 * self.config.heartbeat_interval) {
+            self.fetch_from_next_peer(waited);
         }
-        if owner == self.replica_id
-            && waited >= every
-            && waited % every < self.config.heartbeat_interval
-        {
-            let at = self.applied;
-            self.resend_suggestion(at);
+        if own && self.fetch_is_due(waited, self.config.heartbeat_interval) {
+            self.resend_suggestion(self.applied);
         }
-        let hopeless = owner != self.replica_id || self.rejected.contains(&self.applied);
-        if waited >= self.config.stall_revoke_after && hopeless {
-            self.schedule_revocation(owner, self.index.max(self.applied + 1));
+        let revocable = !own || self.rejected.contains(&self.applied);
+        if waited >= self.config.stall_revoke_after && revocable {
+            self.schedule_revocation(coordinator, self.index.max(self.applied + 1));
         }
     }
 
-    /// The nearest live seat after the owner goes first; the others leave it time and jitter.
-    fn schedule_revocation(&mut self, owner: ReplicaId, to: Instance) {
-        if self.revocations.contains_key(&owner)
-            || self.now < self.revoke_not_before[owner as usize]
-        {
+    /// Whether `waited` lies within `window` after a multiple of the pause between fetches. The
+    /// pause grows, as what was asked for may be on its way.
+    fn fetch_is_due(&self, waited: Micros, window: Micros) -> bool {
+        let base = self.config.stall_fetch_after;
+        let doublings = (waited / (FETCHES_PER_DOUBLING * base)).min(MAX_FETCH_DOUBLINGS);
+        let pause = base << doublings;
+        waited >= pause && waited % pause < window
+    }
+
+    /// Asks the connected peers in turn.
+    fn fetch_from_next_peer(&mut self, waited: Micros) {
+        let connected: Vec<ReplicaId> = self
+            .peer_ids()
+            .filter(|peer| self.peer(*peer).connected)
+            .collect();
+        let turn = (waited / self.config.stall_fetch_after) as usize;
+        if let Some(peer) = connected.get(turn % connected.len().max(1)) {
+            self.send(*peer, Message::FetchOutcomes { from: self.applied });
+        }
+    }
+
+    /// Optimization 3 (paper 4.4): a suspected coordinator is revoked ahead of need, in blocks.
+    fn revoke_ahead(&mut self, coordinator: ReplicaId) {
+        let beta = self.config.beta;
+        if self.first_unknown_of(coordinator, self.applied) < self.index + beta {
+            self.schedule_revocation(coordinator, self.index + 2 * beta);
+        }
+    }
+
+    /// Begins a revocation of the coordinator's instances below `end`, now or later: the nearest
+    /// live replica after the coordinator goes first, the others leave it time and jitter.
+    fn schedule_revocation(&mut self, coordinator: ReplicaId, end: Instance) {
+        let not_before = self.revoke_not_before[usize::from(coordinator)];
+        if self.revocations.contains_key(&coordinator) || self.now < not_before {
             return;
         }
-        let before_me = (1..self.replica_count as ReplicaId)
-            .map(|step| (owner + step) % self.replica_count as ReplicaId)
-            .take_while(|seat| *seat != self.replica_id)
-            .filter(|seat| !self.peers[*seat as usize].suspected)
-            .count() as u64;
-        if before_me > 0 && self.revoke_not_before[owner as usize] == 0 && owner != self.replica_id
-        {
-            let pause = rand::Rng::random_range(&mut self.rng, 0..self.config.heartbeat_interval);
-            self.revoke_not_before[owner as usize] =
-                self.now + before_me * self.config.heartbeat_interval + pause;
+        let earlier = self.live_replicas_between(coordinator);
+        if earlier > 0 && not_before == 0 && coordinator != self.replica_id {
+            let interval = self.config.heartbeat_interval;
+            let jitter = self.rng.random_range(0..interval);
+            self.revoke_not_before[usize::from(coordinator)] =
+                self.now + earlier * interval + jitter;
             return;
         }
-        self.revoke_not_before[owner as usize] = 0;
-        self.start_revocation(owner, to);
+        self.revoke_not_before[usize::from(coordinator)] = 0;
+        self.start_revocation(coordinator, end);
+    }
+
+    /// How many replicas that are not suspected come after the coordinator and before this one,
+    /// counted around the group.
+    fn live_replicas_between(&self, coordinator: ReplicaId) -> u64 {
+        let count = self.replica_count as ReplicaId;
+        (1..count)
+            .map(|step| (coordinator + step) % count)
+            .take_while(|replica_id| *replica_id != self.replica_id)
+            .filter(|replica_id| !self.peer(*replica_id).suspected)
+            .count() as u64
     }
 }
--- a/crates/mencius/tests/recorded_bytes.rs
+++ b/crates/mencius/tests/recorded_bytes.rs
@@ -1,4 +1,5 @@
-//! The bytes of all messages between seats and of all writes to a disk, as an earlier build wrote them.
+//! The bytes of all messages between replicas and of all writes to a disk, as an earlier
+//! build wrote them.
 
 use mencius::{Frame, Message, ProposalNumber, Write};
 use recorded::RecordedBytes;
@@ -12,7 +13,7 @@
 #[path = "../../test-support/tests/recorded/variants.rs"]
 mod recorded_variants;
 
-const ROUND: ProposalNumber = ProposalNumber {
+const PROPOSAL: ProposalNumber = ProposalNumber {
     counter: 3,
     disk_id: 0x1122_3344_5566_7788,
 };
@@ -29,26 +30,26 @@
         "skip": Message::Skip => Message::Skip,
         "beat": Message::Heartbeat { .. } => Message::Heartbeat { applied: 17 },
         "prepare": Message::Prepare { .. } => {
-            Message::Prepare { coordinator: 2, proposal_number: ROUND, block: (18, 19) }
+            Message::Prepare { coordinator: 2, proposal_number: PROPOSAL, block: (18, 19) }
         },
         "promise": Message::Promise { .. } => Message::Promise {
             coordinator: 2,
-            proposal_number: ROUND,
+            proposal_number: PROPOSAL,
             block: (18, 30),
             commands: vec![(20, ProposalNumber::CHOSEN, value()), (23, ProposalNumber::INITIAL, Vec::new())],
-            accepted_noops: vec![(26, 29, ROUND)],
+            accepted_noops: vec![(26, 29, PROPOSAL)],
         },
         "propose": Message::Propose { .. } => Message::Propose {
             coordinator: 2,
-            proposal_number: ROUND,
+            proposal_number: PROPOSAL,
             block: (18, 30),
             commands: vec![(20, value())],
         },
         "accepted": Message::AcceptProposal { .. } => {
-            Message::AcceptProposal { coordinator: 1, proposal_number: ROUND, block: (31, 32) }
+            Message::AcceptProposal { coordinator: 1, proposal_number: PROPOSAL, block: (31, 32) }
         },
         "refuse": Message::Reject { .. } => {
-            Message::Reject { coordinator: 0, proposal_number: ROUND, block: (33, 34) }
+            Message::Reject { coordinator: 0, proposal_number: PROPOSAL, block: (33, 34) }
         },
         "chosen": Message::Chosen { .. } => {
             Message::Chosen { coordinator: 1, block: (35, 39), commands: vec![(37, value())] }
@@ -73,12 +74,12 @@
         "index": Write::Index(_) => Write::Index(61),
         "counter": Write::ProposalCounter(_) => Write::ProposalCounter(62),
         "promise": Write::Promise { .. } => {
-            Write::Promise { coordinator: 2, block: (63, 64), proposal_number: ROUND }
+            Write::Promise { coordinator: 2, block: (63, 64), proposal_number: PROPOSAL }
         },
         "accept": Write::Accept { .. } => {
-            Write::Accept { instance: 65, proposal_number: ROUND, value: value() }
+            Write::Accept { instance: 65, proposal_number: PROPOSAL, value: value() }
         },
-        "void": Write::AcceptNoOps { .. } => Write::AcceptNoOps { coordinator: 1, block: (66, 67), proposal_number: ROUND },
+        "void": Write::AcceptNoOps { .. } => Write::AcceptNoOps { coordinator: 1, block: (66, 67), proposal_number: PROPOSAL },
         "chosen": Write::Chosen { .. } => Write::Chosen { instance: 68, value: value() },
         "skipped": Write::Skipped { .. } => Write::Skipped { coordinator: 0, block: (69, 75) },
         "snapshot": Write::Snapshot { .. } => {
@@ -89,7 +90,7 @@
 }
 
 #[test]
-fn every_message_between_seats_has_the_recorded_bytes() {
+fn every_message_between_replicas_has_the_recorded_bytes() {
     let mut recorded = RecordedBytes::of("messages");
     for (name, message) in messages() {
         check_archive!(
