--- a/crates/control/src/bootstrap.rs
+++ b/crates/control/src/bootstrap.rs
@@ -115,7 +115,7 @@
         founded: true,
     };
     // On disk before anyone hears of it: a founder that starts again founds nothing else.
-    shelf.record_membership(charter, &pins)?;
+    shelf.record_membership(charter, &pins.iter().copied().collect())?;
     slog::info!(logger, "the core is founded"; "seats" => seats, "seat" => charter.replica_id);
     for (identity, sender) in members.into_values() {
         let word = transport::Frame::ReplicaAssignment {
@@ -174,7 +174,7 @@
                         replica_count: seats,
                         founded,
                     };
-                    shelf.record_membership(charter, &pins)?;
+                    shelf.record_membership(charter, &pins.into_iter().collect())?;
                     slog::info!(logger, "has a seat"; "seat" => seat, "seats" => seats, "founded" => founded);
                     return Ok(charter);
                 }
--- a/crates/control/src/effects.rs
+++ b/crates/control/src/effects.rs
@@ -24,15 +24,7 @@
                 writes,
                 replace_journal: afresh,
             } => {
-                drop(
-                    self.handle
-                        .store_commands
-                        .send(storage::StoreCommand::Append {
-                            ticket,
-                            writes,
-                            replace_journal: afresh,
-                        }),
-                );
+                self.handle.store_writer.append(ticket, writes, afresh);
             }
             mencius::Effect::Apply(instance, value) => self.apply(instance, &value),
             mencius::Effect::NotChosen(value) => self.resubmit(value),
--- a/crates/control/src/peer_link.rs
+++ b/crates/control/src/peer_link.rs
@@ -138,20 +138,9 @@
             core.config.replica_id, core.config.replica_count
         ));
     }
-    let (done, pinned) = tokio::sync::oneshot::channel();
-    let job = storage::StoreCommand::Pin {
-        replica_id: seat,
-        disk_id: identity,
-        done: Box::new(move |held| done.send(held).unwrap_or_default()),
-    };
-    core.store_commands
-        .send(job)
-        .map_err(|_| "the disk's owner is gone".to_string())?;
-    let held = pinned
-        .await
-        .ok()
-        .flatten()
-        .ok_or("the disk cannot keep who holds the seat")?;
+    let pinned = core.store_writer.pin_disk(seat, identity).await;
+    let held =
+        pinned.map_err(|error| format!("the disk cannot keep who holds the seat: {error}"))?;
     if held != identity {
         return Err(format!(
             "seat {seat} belongs to another disk; an emptied disk may not vote as its old self"
--- a/crates/control/src/replacement.rs
+++ b/crates/control/src/replacement.rs
@@ -109,16 +109,14 @@
 
     fn persist_members(&self, pins: Vec<(u16, u64)>, writes: Vec<mencius::Write>) {
         let (commands, kept) = (self.handle.commands.clone(), (pins.clone(), writes.clone()));
-        let done = Box::new(move |fine| {
-            if fine {
+        let replaced = move |result: Result<(), storage::Error>| {
+            if result.is_ok() {
                 drop(commands.blocking_send(Command::MembersReplaced(kept.0, kept.1)));
             }
-        });
-        drop(
-            self.handle
-                .store_commands
-                .send(storage::StoreCommand::ReplacePins { pins, writes, done }),
-        );
+        };
+        self.handle
+            .store_writer
+            .replace_pins(pins.into_iter().collect(), writes, replaced);
     }
 
     /// Pushes the log over a pending change of hands; past it, the new disk is the seat's holder here.
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -3,7 +3,6 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
-use std::sync::mpsc::Sender;
 use std::time::Duration;
 
 pub struct ReplicaConfig {
@@ -79,7 +78,7 @@
 #[derive(Clone)]
 pub struct ReplicaHandle {
     pub(crate) commands: tokio::sync::mpsc::Sender<Command>,
-    pub(crate) store_commands: Sender<storage::StoreCommand>,
+    pub(crate) store_writer: storage::StoreWriter,
     pub state_machine: Arc<arc_swap::ArcSwap<model::StateMachine>>,
     pub position: tokio::sync::watch::Receiver<model::Position>,
     pub status: Arc<arc_swap::ArcSwap<ReplicaStatus>>,
@@ -106,8 +105,8 @@
         env: ReplicaConfig,
         logger: slog::Logger,
     ) -> Result<ReplicaHandle, storage::Error> {
-        let (shelf, writes) = storage::ReplicaStore::open(&env.folder)?;
-        ReplicaHandle::start_on(env, shelf, writes, logger)
+        let recovered = storage::ReplicaStore::open(&env.folder)?;
+        ReplicaHandle::start_on(env, recovered.store, recovered.writes, logger)
     }
 
     /// Over a shelf that is open already: rehearsals bring disks that fail (design 9.4).
@@ -118,12 +117,23 @@
         logger: slog::Logger,
     ) -> Result<ReplicaHandle, storage::Error> {
         let (commands, buffer) = tokio::sync::mpsc::channel(COMMAND_QUEUE_CAPACITY);
-        let (jobs, work) = std::sync::mpsc::channel();
         let (moved, changed) = tokio::sync::watch::channel(0);
         let (identity, pins) = (shelf.disk_id, shelf.pinned_disks.clone());
+        let start_count = shelf.start_count;
+        let reports = commands.clone();
+        let store_writer = storage::StoreWriter::spawn(shelf, move |event| {
+            let command = match event {
+                storage::WriterEvent::Persisted(ticket) => Command::Synced(ticket),
+                storage::WriterEvent::AppendFailed(error) => {
+                    Command::DiskStatus(Some(error.to_string()))
+                }
+                storage::WriterEvent::Recovered => Command::DiskStatus(None),
+            };
+            drop(reports.blocking_send(command));
+        })?;
         let core = ReplicaHandle {
             commands: commands.clone(),
-            store_commands: jobs,
+            store_writer,
             state_machine: Default::default(),
             position: changed,
             status: Default::default(),
@@ -132,18 +142,11 @@
             started_blank: writes.is_empty(),
             pinned_disks: Arc::new(arc_swap::ArcSwap::from_pointee(pins.clone())),
             incarnation: model::incarnation::draw(),
-            start_count: shelf.start_count,
+            start_count,
             next_sequence: Default::default(),
             logger,
             config: Arc::new(env),
         };
-        let (synced, disk) = (commands.clone(), commands.clone());
-        storage::spawn_writer(
-            shelf,
-            work,
-            move |ticket| drop(synced.blocking_send(Command::Synced(ticket))),
-            move |trouble| drop(disk.blocking_send(Command::DiskStatus(trouble))),
-        )?;
         crate::discovery::merge(&core.known_replicas, vec![core.own_location()]);
         slog::info!(core.logger, "core seat starts"; "seat" => core.config.replica_id, "identity" => identity, "writes" => writes.len(), "met" => pins.len());
         tokio::spawn(
--- a/crates/control/src/retirement.rs
+++ b/crates/control/src/retirement.rs
@@ -89,11 +89,7 @@
 }
 
 async fn retire_disk(core: &crate::ReplicaHandle) -> bool {
-    let (done, retired) = tokio::sync::oneshot::channel();
-    let job = storage::StoreCommand::Retire {
-        done: Box::new(move |fine| done.send(fine).unwrap_or_default()),
-    };
-    core.store_commands.send(job).is_ok() && retired.await.unwrap_or(false)
+    core.store_writer.retire().await.is_ok()
 }
 
 #[cfg(test)]
--- a/crates/control/tests/disks/main.rs
+++ b/crates/control/tests/disks/main.rs
@@ -67,8 +67,8 @@
 }
 
 fn held_by(folder: &Path) -> Held {
-    let (shelf, writes) = storage::ReplicaStore::open(folder).expect("a disk that opens");
-    Held::read(&shelf, writes)
+    let opened = storage::ReplicaStore::open(folder).expect("a disk that opens");
+    Held::read(&opened.store, opened.writes)
 }
 
 #[test]
@@ -149,7 +149,10 @@
     let (mut cores, mut copies) = (Vec::new(), Vec::new());
     for (machine, name) in machines.into_iter().zip(DISKS) {
         copies.push(CopiedDisk::into(machine.folder.clone(), name));
-        let (shelf, writes) = machine.shelf();
+        let storage::RecoveredStore {
+            store: shelf,
+            writes,
+        } = machine.shelf();
         let settings = machine.core(&addresses, shelf.membership, NEVER);
         let core = control::ReplicaHandle::start_on(
             settings,
--- a/crates/control/tests/disks/writing.rs
+++ b/crates/control/tests/disks/writing.rs
@@ -201,12 +201,12 @@
         compression::compress(bytes),
     )
     .expect("a fixture");
-    let (shelf, writes) = ReplicaStore::open(disk).expect("a disk that opens");
+    let opened = ReplicaStore::open(disk).expect("a disk that opens");
     fs::write(
         folder.join(format!("{name}.txt")),
-        Held::read(&shelf, writes).to_string(),
+        Held::read(&opened.store, opened.writes).to_string(),
     )
     .expect("a fixture");
-    drop(shelf);
+    drop(opened.store);
     fs::remove_dir_all(disk).expect("the disk is removed");
 }
--- a/crates/control/tests/seats/first_words.rs
+++ b/crates/control/tests/seats/first_words.rs
@@ -34,7 +34,10 @@
 /// Where an empty disk begins that is first told it is the first in its seat, and then where its seat begins.
 async fn begins(test: &str, charter: Option<storage::MembershipRecord>) -> u64 {
     let (own, other) = (Machine::new(test, 0).await, Machine::new(test, 1).await);
-    let (shelf, writes) = own.shelf();
+    let storage::RecoveredStore {
+        store: shelf,
+        writes,
+    } = own.shelf();
     let seeds = [other.address.clone()];
     let words = vec![
         transport::Frame::FoundingReplica,
--- a/crates/control/tests/seats/founding.rs
+++ b/crates/control/tests/seats/founding.rs
@@ -53,7 +53,7 @@
 
 /// Takes part in the founding, and is gone before it hears whom the core begins with.
 async fn enlists_and_dies(founder: &str, machine: &Machine) -> u64 {
-    let identity = machine.shelf().0.disk_id;
+    let identity = machine.shelf().store.disk_id;
     drop(
         soon(
             "a conn",
@@ -121,7 +121,7 @@
     drop(again);
     let mut seated = Vec::new();
     for machine in machines {
-        let identity = machine.shelf().0.disk_id;
+        let identity = machine.shelf().store.disk_id;
         let (given, core) = machine.start(&seeds, true, NEVER).await;
         assert!(given.founded && given.replica_count == 3, "{given:?}");
         assert!(
@@ -155,7 +155,7 @@
             .map(|machine| machine.folder.clone())
             .collect(),
     );
-    let lost = machines[3].shelf().0.disk_id;
+    let lost = machines[3].shelf().store.disk_id;
     let mut machines = machines.into_iter();
     let (founder, others) = (machines.next().expect("a founder"), machines);
     let starts: Vec<_> = others
@@ -368,8 +368,8 @@
         .map(|(seat, held)| (*seat, *held))
         .chain([cores[0].identity()])
         .collect();
-    let (mut shelf, _) = old.shelf();
-    let others: Vec<(u16, u64)> = pins.into_iter().filter(|(held, _)| *held != seat).collect();
+    let mut shelf = old.shelf().store;
+    let others: storage::PinnedDisks = pins.into_iter().filter(|(held, _)| *held != seat).collect();
     shelf
         .record_membership(
             storage::MembershipRecord {
@@ -395,7 +395,10 @@
     // No seat is vacant now: it is told none, and votes nowhere.
     let asked = told(&seeds[0], enlists("127.0.0.1:9", lost)).await;
     assert_eq!(asked, transport::Frame::NoReplicaAvailable);
-    let (left, writes) = soon("the disk", reopened(folder)).await;
+    let storage::RecoveredStore {
+        store: left,
+        writes,
+    } = soon("the disk", reopened(folder)).await;
     assert!(
         left.membership.is_none()
             && left.pinned_disks.is_empty()
@@ -411,7 +414,7 @@
 }
 
 /// Once the process that had the disk has let it go.
-async fn reopened(folder: PathBuf) -> (storage::ReplicaStore, Vec<mencius::Write>) {
+async fn reopened(folder: PathBuf) -> storage::RecoveredStore {
     loop {
         if let Ok(opened) = storage::ReplicaStore::open(&folder) {
             return opened;
--- a/crates/control/tests/seats/machines.rs
+++ b/crates/control/tests/seats/machines.rs
@@ -54,7 +54,7 @@
         machines
     }
 
-    pub fn shelf(&self) -> (storage::ReplicaStore, Vec<mencius::Write>) {
+    pub fn shelf(&self) -> storage::RecoveredStore {
         storage::ReplicaStore::open(&self.folder).expect("a shelf")
     }
 
@@ -79,7 +79,10 @@
         storage::ReplicaStore,
         Vec<mencius::Write>,
     ) {
-        let (mut shelf, writes) = self.shelf();
+        let storage::RecoveredStore {
+            store: mut shelf,
+            writes,
+        } = self.shelf();
         let env = self.founding(seeds, first);
         let logger = model::logging::discard_logger();
         let settled =
--- a/crates/simulator/src/disk.rs
+++ b/crates/simulator/src/disk.rs
@@ -128,8 +128,10 @@
             std::process::exit(1)
         })
     };
-    let (shelf, writes) =
-        storage::ReplicaStore::open_with_backend(opened).map_err(|error| told(&error))?;
+    let storage::RecoveredStore {
+        store: shelf,
+        writes,
+    } = storage::ReplicaStore::open_with_backend(opened).map_err(|error| told(&error))?;
     let (logger, _guard) = model::logging::start_logger(
         "seat",
         &env.name,
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,24 +1,23 @@
-//! What a core machine keeps on its disk: one journal of writes in `redb` (design 3.3, 3.8).
+//! What a replica keeps on its disk, in one `redb` file: the journal of `mencius` writes, which
+//! replica the disk was given, and which disks it has met for the other replicas (design 3.3, 3.8,
+//! 4.1).
+//!
+//! | module | what it does |
+//! | --- | --- |
+//! | `store` | the file: reading it at start, one synced transaction a change |
+//! | `writer` | the thread that owns the open store, and the handle to it |
+//! | `record` | the form of a record in the journal |
+//! | `identity` | disk identities and membership |
+//! | `error` | what can fail |
+#![deny(missing_docs)]
 
+mod error;
 mod identity;
+mod record;
 mod store;
 mod writer;
 
+pub use error::Error;
 pub use identity::{DiskId, MembershipRecord, PinnedDisks};
-pub use store::ReplicaStore;
-pub use writer::{StoreCommand, spawn_writer};
-
-/// The layout of the file; another number is refused by name.
-pub const LAYOUT_VERSION: u64 = 3;
-
-#[derive(Debug, thiserror::Error)]
-pub enum Error {
-    #[error("the data folder cannot be used: {0}")]
-    Folder(#[from] std::io::Error),
-    #[error("the store failed: {0}")]
-    Store(#[from] redb::Error),
-    #[error("the store has layout {found}, this program knows {LAYOUT_VERSION}")]
-    Layout { found: u64 },
-    #[error("record {position} of the journal is damaged")]
-    Damaged { position: u64 },
-}
+pub use store::{LAYOUT_VERSION, RecoveredStore, ReplicaStore};
+pub use writer::{StoreWriter, WriterEvent};
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -1,347 +1,343 @@
-//! The file itself. Every commit is synced before it is reported (design 3.3).
+//! The file. Every transaction is synced before it is reported (design 3.3).
 
-use redb::ReadableTable as _;
+use std::fs::create_dir_all;
 use std::path::Path;
 
-const META: redb::TableDefinition<&str, u64> = redb::TableDefinition::new("meta");
-const PINNED_DISKS: redb::TableDefinition<u16, u64> = redb::TableDefinition::new("pins");
-/// The keys in `META` of the seat that this disk was given.
-const MEMBERSHIP_KEYS: [&str; 3] = ["seat", "seats", "founded"];
-/// The key in `META` under which starts are counted.
-const STARTS: &str = "starts";
-/// The key in `META` that is there once this disk gave up a seat.
-const RETIRED: &str = "retired";
-const JOURNAL: redb::TableDefinition<u64, &[u8]> = redb::TableDefinition::new("journal");
+use mencius::{ReplicaId, Write};
+use redb::{
+    Builder, Database, ReadableTable, StorageBackend, Table, TableDefinition, WriteTransaction,
+};
 
-/// How the store is opened, and opened again after a failure has spoilt it.
-type Opener = Box<dyn Fn() -> Result<redb::Database, crate::Error> + Send>;
+use crate::error::Error;
+use crate::identity::{DiskId, MembershipRecord, PinnedDisks, generate};
+use crate::record::{decode, encode};
 
+/// The layout of the file. A file with another one is refused by its number.
+pub const LAYOUT_VERSION: u64 = 3;
+
+/// The file in the data folder.
+const FILE_NAME: &str = "core.redb";
+
+// The names of tables and keys are on the disks of running sites and stay as they are.
+/// Numbers by name: the keys are below.
+const META: TableDefinition<&str, u64> = TableDefinition::new("meta");
+/// The disk of each other replica.
+const PINNED_DISKS: TableDefinition<ReplicaId, DiskId> = TableDefinition::new("pins");
+/// Records by their position, which is one above the last with each record.
+const JOURNAL: TableDefinition<u64, &[u8]> = TableDefinition::new("journal");
+const LAYOUT_KEY: &str = "layout";
+const DISK_ID_KEY: &str = "identity";
+const START_COUNT_KEY: &str = "starts";
+/// Is there once this disk gave up a replica.
+const RETIRED_KEY: &str = "retired";
+/// These three are there once the disk was given a replica.
+const REPLICA_ID_KEY: &str = "seat";
+const REPLICA_COUNT_KEY: &str = "seats";
+const FOUNDED_KEY: &str = "founded";
+
+type MetaTable<'transaction> = Table<'transaction, &'static str, u64>;
+
+/// How the database is opened, and opened again after a failure has spoilt it.
+type Opener = Box<dyn Fn() -> Result<Database, Error> + Send>;
+
+/// The open store of one replica. Meant to be owned by a [`StoreWriter`](crate::StoreWriter), as
+/// each change waits for a sync.
 pub struct ReplicaStore {
-    database: Option<redb::Database>,
+    /// `None` after a failed change, until the next one opens it again.
+    database: Option<Database>,
     opener: Opener,
+    /// The position of the next journal record.
     next_position: u64,
-    pub disk_id: crate::DiskId,
-    pub pinned_disks: crate::PinnedDisks,
-    /// The seat this disk was given, if it was not told by settings.
-    pub membership: Option<crate::MembershipRecord>,
-    /// Its seat was another disk's and it was let go: this disk never founds a core.
+    /// This disk's identity.
+    pub disk_id: DiskId,
+    /// The disks of the other replicas.
+    pub pinned_disks: PinnedDisks,
+    /// The replica that this disk was given, if the settings do not say.
+    pub membership: Option<MembershipRecord>,
+    /// Another disk took over its replica and it was let go: this disk never founds a group.
     pub retired: bool,
-    /// How often a process has opened this store, this one included: a later start has the greater number.
+    /// How often a process has opened this store, this one included: a later start has the greater
+    /// number.
     pub start_count: u64,
 }
 
-fn store_error<E: Into<redb::Error>>(error: E) -> crate::Error {
-    crate::Error::Store(error.into())
+/// A store and what its journal held.
+pub struct RecoveredStore {
+    /// The store, open.
+    pub store: ReplicaStore,
+    /// All writes of the journal, oldest first; for [`mencius::Replica::restore`].
+    pub writes: Vec<Write>,
 }
 
 impl ReplicaStore {
-    /// Opens the file in `folder`, or makes it with a new identity, and reads the journal back.
-    pub fn open(folder: &Path) -> Result<(ReplicaStore, Vec<mencius::Write>), crate::Error> {
-        std::fs::create_dir_all(folder)?;
-        let path = folder.join("core.redb");
-        ReplicaStore::load(Box::new(move || {
-            redb::Database::create(&path).map_err(store_error)
-        }))
+    /// Opens the store in `folder`, or makes it with a new identity, and reads the journal back.
+    ///
+    /// # Errors
+    /// [`Error::Folder`], [`Error::Store`], [`Error::Layout`], or [`Error::Damaged`] if a record
+    /// does not fit its digest.
+    pub fn open(folder: &Path) -> Result<RecoveredStore, Error> {
+        create_dir_all(folder)?;
+        let path = folder.join(FILE_NAME);
+        Self::load(Box::new(move || Ok(Database::create(&path)?)))
     }
 
-    /// Over any storage: the fault tests bring their own (design 9.4).
-    pub fn open_with_backend<B: redb::StorageBackend>(
+    /// As [`open`](ReplicaStore::open), over any storage: the tests of disk faults bring their own
+    /// (design 9.4).
+    ///
+    /// # Errors
+    /// As [`open`](ReplicaStore::open), without [`Error::Folder`].
+    pub fn open_with_backend<B: StorageBackend>(
         backend: impl Fn() -> B + Send + 'static,
-    ) -> Result<(ReplicaStore, Vec<mencius::Write>), crate::Error> {
-        ReplicaStore::load(Box::new(move || {
-            redb::Builder::new()
-                .create_with_backend(backend())
-                .map_err(store_error)
+    ) -> Result<RecoveredStore, Error> {
+        Self::load(Box::new(move || {
+            Ok(Builder::new().create_with_backend(backend())?)
         }))
     }
 
-    fn load(opener: Opener) -> Result<(ReplicaStore, Vec<mencius::Write>), crate::Error> {
+    fn load(opener: Opener) -> Result<RecoveredStore, Error> {
         let database = opener()?;
-        let change = database.begin_write().map_err(store_error)?;
-        let (identity, charter, retired, starts, pins, raw) = {
-            let mut meta = change.open_table(META).map_err(store_error)?;
-            let found = meta
-                .get("layout")
-                .map_err(store_error)?
-                .map(|held| held.value());
-            match found {
-                Some(crate::LAYOUT_VERSION) => {}
-                Some(found) => return Err(crate::Error::Layout { found }),
-                None => {
-                    meta.insert("layout", crate::LAYOUT_VERSION)
-                        .map_err(store_error)?;
-                    meta.insert("identity", crate::identity::generate())
-                        .map_err(store_error)?;
-                }
-            }
-            let identity = meta
-                .get("identity")
-                .map_err(store_error)?
-                .map(|held| held.value())
-                .unwrap_or_default();
-            let starts = meta
-                .get(STARTS)
-                .map_err(store_error)?
-                .map(|held| held.value())
-                .unwrap_or_default()
-                + 1;
-            meta.insert(STARTS, starts).map_err(store_error)?;
-            let word = |name: &str| {
-                meta.get(name)
-                    .map(|held| held.map(|held| held.value()))
-                    .map_err(store_error)
-            };
-            let [seat, seats, founded] = MEMBERSHIP_KEYS;
-            let charter = word(seat)?.zip(word(seats)?).zip(word(founded)?);
-            let charter = charter.map(|((seat, seats), founded)| crate::MembershipRecord {
-                replica_id: seat as u16,
-                replica_count: seats as u16,
-                founded: founded == 1,
-            });
-            let retired = word(RETIRED)?.is_some();
-            let pins = change.open_table(PINNED_DISKS).map_err(store_error)?;
-            let pins = pins
-                .iter()
-                .map_err(store_error)?
-                .map(|row| {
-                    row.map(|(seat, identity)| (seat.value(), identity.value()))
-                        .map_err(store_error)
-                })
-                .collect::<Result<crate::PinnedDisks, _>>()?;
-            let journal = change.open_table(JOURNAL).map_err(store_error)?;
-            let raw = journal
-                .iter()
-                .map_err(store_error)?
-                .map(|row| {
-                    row.map(|(at, bytes)| (at.value(), bytes.value().to_vec()))
-                        .map_err(store_error)
-                })
-                .collect::<Result<Vec<(u64, Vec<u8>)>, _>>()?;
-            (identity, charter, retired, starts, pins, raw)
+        let transaction = database.begin_write()?;
+        let meta = read_meta(&transaction)?;
+        let pinned_disks = read_pinned_disks(&transaction)?;
+        let journal = read_journal(&transaction)?;
+        transaction.commit()?;
+        let store = ReplicaStore {
+            database: Some(database),
+            opener,
+            next_position: journal.last().map_or(0, |record| record.position + 1),
+            disk_id: meta.disk_id,
+            pinned_disks,
+            membership: meta.membership,
+            retired: meta.retired,
+            start_count: meta.start_count,
         };
-        change.commit().map_err(store_error)?;
-        let next = raw.last().map(|(at, _)| at + 1).unwrap_or(0);
-        let writes = raw
-            .into_iter()
-            .map(|(at, bytes)| decode(&bytes).ok_or(crate::Error::Damaged { position: at }))
-            .collect::<Result<Vec<Vec<mencius::Write>>, _>>()?;
-        Ok((
-            ReplicaStore {
-                database: Some(database),
-                opener,
-                next_position: next,
-                disk_id: identity,
-                pinned_disks: pins,
-                membership: charter,
-                retired,
-                start_count: starts,
-            },
-            writes.into_iter().flatten().collect(),
-        ))
+        Ok(RecoveredStore {
+            store,
+            writes: decode_journal(&journal)?,
+        })
     }
 
-    /// One transaction, one sync. `afresh` replaces all that was kept. After a failure it may be called
-    /// again with the same: whether the first got through is looked up, not guessed.
-    pub fn append(&mut self, writes: &[mencius::Write], afresh: bool) -> Result<(), crate::Error> {
-        let bytes = encode(writes);
-        let next = self.next_position;
-        self.transact(|change| {
-            let mut journal = change.open_table(JOURNAL).map_err(store_error)?;
-            if journal.get(next).map_err(store_error)?.is_some() {
+    /// Adds a record of `writes` to the journal. With `replace_journal` it replaces all records.
+    ///
+    /// After a failure it may be called again with the same writes: whether the first call got
+    /// through is looked up by the record's position, not guessed.
+    ///
+    /// # Errors
+    /// [`Error::Store`]; the store may be used further.
+    pub fn append(&mut self, writes: &[Write], replace_journal: bool) -> Result<(), Error> {
+        let record = encode(writes)?;
+        let position = self.next_position;
+        self.transact(|transaction| {
+            let mut journal = transaction.open_table(JOURNAL)?;
+            if journal.get(position)?.is_some() {
                 return Ok(());
             }
-            if afresh {
-                journal.retain(|_, _| false).map_err(store_error)?;
+            if replace_journal {
+                journal.retain(|_, _| false)?;
             }
-            journal
-                .insert(next, bytes.as_slice())
-                .map_err(store_error)?;
+            journal.insert(position, record.as_slice())?;
             Ok(())
         })?;
         self.next_position += 1;
         Ok(())
     }
 
-    /// A store that failed once answers nothing more: it is closed and opened again.
-    fn transact(
-        &mut self,
-        work: impl FnOnce(&redb::WriteTransaction) -> Result<(), crate::Error>,
-    ) -> Result<(), crate::Error> {
-        let database = match self.database.take() {
-            Some(database) => database,
-            None => (self.opener)()?,
-        };
-        let change = database.begin_write().map_err(store_error)?;
-        work(&change)?;
-        change.commit().map_err(store_error)?;
-        self.database = Some(database);
-        Ok(())
+    /// Binds a replica to the disk first met for it. Returns the disk that it is bound to now.
+    ///
+    /// # Errors
+    /// [`Error::Store`]; nothing is bound then.
+    pub fn pin_disk(&mut self, replica_id: ReplicaId, disk_id: DiskId) -> Result<DiskId, Error> {
+        if let Some(pinned) = self.pinned_disks.get(&replica_id) {
+            return Ok(*pinned);
+        }
+        self.replace_pins(&PinnedDisks::from([(replica_id, disk_id)]), &[])?;
+        Ok(disk_id)
     }
 
-    /// Seats changed hands in the log; `writes` go into the journal in the same transaction.
-    pub fn replace_pins(
-        &mut self,
-        pins: &[(u16, crate::DiskId)],
-        writes: &[mencius::Write],
-    ) -> Result<(), crate::Error> {
-        let (next, bytes) = (self.next_position, encode(writes));
-        self.transact(|change| {
-            let mut table = change.open_table(PINNED_DISKS).map_err(store_error)?;
-            pins.iter().try_for_each(|(seat, identity)| {
-                table.insert(seat, identity).map(drop).map_err(store_error)
-            })?;
+    /// Binds replicas to the disks that took them over. `writes` go into the journal in the same
+    /// transaction, so that a disk never knows one without the other.
+    ///
+    /// # Errors
+    /// [`Error::Store`]; nothing is changed then.
+    pub fn replace_pins(&mut self, pins: &PinnedDisks, writes: &[Write]) -> Result<(), Error> {
+        let position = self.next_position;
+        let record = encode(writes)?;
+        self.transact(|transaction| {
+            insert_pins(transaction, pins)?;
             if !writes.is_empty() {
-                change
-                    .open_table(JOURNAL)
-                    .map_err(store_error)?
-                    .insert(next, bytes.as_slice())
-                    .map_err(store_error)?;
+                transaction
+                    .open_table(JOURNAL)?
+                    .insert(position, record.as_slice())?;
             }
             Ok(())
         })?;
-        self.next_position += !writes.is_empty() as u64;
-        self.pinned_disks.extend(pins.iter().copied());
+        if !writes.is_empty() {
+            self.next_position += 1;
+        }
+        self.pinned_disks.extend(pins);
         Ok(())
     }
 
-    /// Keeps which seat this disk was given and, at a founding, who holds the others (design 12.1).
+    /// Keeps which replica this disk was given and, when a group is founded, the disks of the
+    /// others (design 12.1). An entry of `pins` for this replica is passed over.
+    ///
+    /// # Errors
+    /// [`Error::Store`]; nothing is changed then.
     pub fn record_membership(
         &mut self,
-        charter: crate::MembershipRecord,
-        pins: &[(u16, crate::DiskId)],
-    ) -> Result<(), crate::Error> {
-        self.transact(|change| {
-            let mut meta = change.open_table(META).map_err(store_error)?;
-            let words = MEMBERSHIP_KEYS.into_iter().zip([
-                charter.replica_id as u64,
-                charter.replica_count as u64,
-                charter.founded as u64,
-            ]);
-            words.into_iter().try_for_each(|(name, held)| {
-                meta.insert(name, held).map(drop).map_err(store_error)
-            })?;
-            let mut table = change.open_table(PINNED_DISKS).map_err(store_error)?;
-            pins.iter()
-                .filter(|(seat, _)| *seat != charter.replica_id)
-                .try_for_each(|(seat, identity)| {
-                    table.insert(seat, identity).map(drop).map_err(store_error)
-                })
+        membership: MembershipRecord,
+        pins: &PinnedDisks,
+    ) -> Result<(), Error> {
+        let mut pins = pins.clone();
+        pins.remove(&membership.replica_id);
+        self.transact(|transaction| {
+            let mut meta = transaction.open_table(META)?;
+            meta.insert(REPLICA_ID_KEY, u64::from(membership.replica_id))?;
+            meta.insert(REPLICA_COUNT_KEY, u64::from(membership.replica_count))?;
+            meta.insert(FOUNDED_KEY, u64::from(membership.founded))?;
+            insert_pins(transaction, &pins)
         })?;
-        self.pinned_disks.extend(
-            pins.iter()
-                .filter(|(seat, _)| *seat != charter.replica_id)
-                .copied(),
-        );
-        self.membership = Some(charter);
+        self.pinned_disks.extend(pins);
+        self.membership = Some(membership);
         Ok(())
     }
 
-    /// Another disk holds this one's seat for good: all that was kept for the seat goes, and the disk is a new one.
-    pub fn retire(&mut self) -> Result<(), crate::Error> {
-        let identity = crate::identity::generate();
-        self.transact(|change| {
-            let mut meta = change.open_table(META).map_err(store_error)?;
-            MEMBERSHIP_KEYS
-                .iter()
-                .try_for_each(|name| meta.remove(*name).map(drop).map_err(store_error))?;
-            meta.insert("identity", identity).map_err(store_error)?;
-            meta.insert(RETIRED, 1).map_err(store_error)?;
-            change
-                .open_table(PINNED_DISKS)
-                .map_err(store_error)?
-                .retain(|_, _| false)
-                .map_err(store_error)?;
-            change
-                .open_table(JOURNAL)
-                .map_err(store_error)?
-                .retain(|_, _| false)
-                .map_err(store_error)
+    /// Another disk holds this one's replica for good: all that was kept for the replica goes, and
+    /// the disk is a new one, with a new identity.
+    ///
+    /// # Errors
+    /// [`Error::Store`]; nothing is changed then.
+    pub fn retire(&mut self) -> Result<(), Error> {
+        let disk_id = generate();
+        self.transact(|transaction| {
+            let mut meta = transaction.open_table(META)?;
+            for key in [REPLICA_ID_KEY, REPLICA_COUNT_KEY, FOUNDED_KEY] {
+                meta.remove(key)?;
+            }
+            meta.insert(DISK_ID_KEY, disk_id)?;
+            meta.insert(RETIRED_KEY, 1)?;
+            transaction.open_table(PINNED_DISKS)?.retain(|_, _| false)?;
+            transaction.open_table(JOURNAL)?.retain(|_, _| false)?;
+            Ok(())
         })?;
-        self.disk_id = identity;
-        (self.membership, self.retired) = (None, true);
+        self.disk_id = disk_id;
+        self.membership = None;
+        self.retired = true;
         self.pinned_disks.clear();
         Ok(())
     }
 
-    /// Binds a seat to the disk first met in it. Answers the identity held afterwards.
-    pub fn pin_disk(
+    /// Makes a change in one synced transaction. A database that failed once answers nothing more:
+    /// it is closed, and the next change opens it again (design 3.10).
+    fn transact(
         &mut self,
-        seat: u16,
-        identity: crate::DiskId,
-    ) -> Result<crate::DiskId, crate::Error> {
-        if let Some(held) = self.pinned_disks.get(&seat) {
-            return Ok(*held);
+        change: impl FnOnce(&WriteTransaction) -> Result<(), Error>,
+    ) -> Result<(), Error> {
+        let database = match self.database.take() {
+            Some(database) => database,
+            None => (self.opener)()?,
+        };
+        let transaction = database.begin_write()?;
+        change(&transaction)?;
+        transaction.commit()?;
+        self.database = Some(database);
+        Ok(())
+    }
+}
+
+struct Meta {
+    disk_id: DiskId,
+    membership: Option<MembershipRecord>,
+    retired: bool,
+    start_count: u64,
+}
+
+struct JournalRecord {
+    position: u64,
+    bytes: Vec<u8>,
+}
+
+/// Reads the meta table, begins it in a new file, and counts this start.
+fn read_meta(transaction: &WriteTransaction) -> Result<Meta, Error> {
+    let mut meta = transaction.open_table(META)?;
+    match meta_value(&meta, LAYOUT_KEY)? {
+        Some(LAYOUT_VERSION) => {}
+        Some(found) => {
+            return Err(Error::Layout {
+                found,
+                expected: LAYOUT_VERSION,
+            });
+        }
+        None => {
+            meta.insert(LAYOUT_KEY, LAYOUT_VERSION)?;
+            meta.insert(DISK_ID_KEY, generate())?;
         }
-        self.replace_pins(&[(seat, identity)], &[])?;
-        Ok(identity)
     }
+    let start_count = meta_value(&meta, START_COUNT_KEY)?.unwrap_or_default() + 1;
+    meta.insert(START_COUNT_KEY, start_count)?;
+    Ok(Meta {
+        disk_id: meta_value(&meta, DISK_ID_KEY)?.unwrap_or_default(),
+        membership: read_membership(&meta)?,
+        retired: meta_value(&meta, RETIRED_KEY)?.is_some(),
+        start_count,
+    })
 }
 
-const DIGEST_LENGTH: usize = 16;
+fn read_membership(meta: &MetaTable) -> Result<Option<MembershipRecord>, Error> {
+    let replica_id = meta_value(meta, REPLICA_ID_KEY)?;
+    let replica_count = meta_value(meta, REPLICA_COUNT_KEY)?;
+    let founded = meta_value(meta, FOUNDED_KEY)?;
+    let (Some(replica_id), Some(replica_count), Some(founded)) =
+        (replica_id, replica_count, founded)
+    else {
+        return Ok(None);
+    };
+    Ok(Some(MembershipRecord {
+        replica_id: replica_id as ReplicaId,
+        replica_count: replica_count as u16,
+        founded: founded == 1,
+    }))
+}
 
-fn digest(bytes: &[u8]) -> Vec<u8> {
-    <sha2::Sha256 as sha2::Digest>::digest(bytes)[..DIGEST_LENGTH].to_vec()
+fn meta_value(meta: &MetaTable, key: &str) -> Result<Option<u64>, Error> {
+    Ok(meta.get(key)?.map(|value| value.value()))
 }
 
-/// A record begins with a digest of the rest: damage is noticed when it is read.
-fn encode(writes: &[mencius::Write]) -> Vec<u8> {
-    let bytes = rkyv::to_bytes::<rkyv::rancor::Error>(&writes.to_vec())
-        .map(|bytes| bytes.to_vec())
-        .unwrap_or_default();
-    [digest(&bytes), bytes].concat()
+fn read_pinned_disks(transaction: &WriteTransaction) -> Result<PinnedDisks, Error> {
+    let mut pins = PinnedDisks::new();
+    for row in transaction.open_table(PINNED_DISKS)?.iter()? {
+        let (replica_id, disk_id) = row?;
+        pins.insert(replica_id.value(), disk_id.value());
+    }
+    Ok(pins)
 }
 
-fn decode(record: &[u8]) -> Option<Vec<mencius::Write>> {
-    let (_, bytes) = record
-        .split_at_checked(DIGEST_LENGTH)
-        .filter(|(told, bytes)| digest(bytes) == *told)?;
-    let mut aligned = rkyv::util::AlignedVec::<16>::with_capacity(bytes.len());
-    aligned.extend_from_slice(bytes);
-    rkyv::from_bytes::<Vec<mencius::Write>, rkyv::rancor::Error>(&aligned).ok()
+fn insert_pins(transaction: &WriteTransaction, pins: &PinnedDisks) -> Result<(), Error> {
+    let mut table = transaction.open_table(PINNED_DISKS)?;
+    for (replica_id, disk_id) in pins {
+        table.insert(replica_id, disk_id)?;
+    }
+    Ok(())
 }
 
-#[cfg(test)]
-mod tests {
-    use mencius::{ProposalNumber, Write};
+fn read_journal(transaction: &WriteTransaction) -> Result<Vec<JournalRecord>, Error> {
+    let mut records = Vec::new();
+    for row in transaction.open_table(JOURNAL)?.iter()? {
+        let (position, bytes) = row?;
+        records.push(JournalRecord {
+            position: position.value(),
+            bytes: bytes.value().to_vec(),
+        });
+    }
+    Ok(records)
+}
 
-    #[test]
-    fn a_reopened_shelf_keeps_identity_pins_and_order() {
-        let folder = std::env::temp_dir().join(format!("gradeford-vault-{}", std::process::id()));
-        let writes = vec![
-            Write::Index(7),
-            Write::Accept {
-                instance: 2,
-                proposal_number: ProposalNumber::INITIAL,
-                value: vec![1, 2],
-            },
-        ];
-        let identity = {
-            let (mut shelf, found) = super::ReplicaStore::open(&folder).expect("a new shelf");
-            assert!(found.is_empty());
-            shelf.append(&writes, false).expect("append");
-            shelf
-                .append(&[Write::ProposalCounter(3)], false)
-                .expect("append");
-            assert_eq!(shelf.pin_disk(1, 11).expect("pin"), 11);
-            assert_eq!(
-                shelf.pin_disk(1, 12).expect("pin"),
-                11,
-                "a seat stays with the disk first met"
-            );
-            shelf.disk_id
-        };
-        let (mut shelf, found) = super::ReplicaStore::open(&folder).expect("the same shelf");
-        assert_eq!(
-            (shelf.disk_id, shelf.pinned_disks.get(&1)),
-            (identity, Some(&11))
-        );
-        assert_eq!(found, [writes, vec![Write::ProposalCounter(3)]].concat());
-        shelf.append(&[Write::Index(9)], true).expect("afresh");
-        drop(shelf);
-        assert_eq!(
-            crate::store::ReplicaStore::open(&folder).expect("again").1,
-            vec![Write::Index(9)]
-        );
-        std::fs::remove_dir_all(&folder).expect("clean");
+fn decode_journal(journal: &[JournalRecord]) -> Result<Vec<Write>, Error> {
+    let mut writes = Vec::new();
+    for JournalRecord { position, bytes } in journal {
+        writes.extend(decode(bytes).ok_or(Error::Damaged {
+            position: *position,
+        })?);
     }
+    Ok(writes)
 }
--- a/crates/storage/tests/recorded_records.rs
+++ b/crates/storage/tests/recorded_records.rs
@@ -9,7 +9,8 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::process;
-use storage::{MembershipRecord, ReplicaStore};
+use std::slice;
+use storage::{MembershipRecord, PinnedDisks, ReplicaStore};
 
 #[path = "../../test-support/tests/recorded/mod.rs"]
 mod recorded;
@@ -19,7 +20,7 @@
 const META: TableDefinition<&str, u64> = TableDefinition::new("meta");
 const PINS: TableDefinition<u16, u64> = TableDefinition::new("pins");
 const JOURNAL: TableDefinition<u64, &[u8]> = TableDefinition::new("journal");
-const ROUND: ProposalNumber = ProposalNumber {
+const PROPOSAL: ProposalNumber = ProposalNumber {
     counter: 3,
     disk_id: 0x1122_3344_5566_7788,
 };
@@ -51,12 +52,12 @@
         "index": Write::Index(_) => Write::Index(61),
         "counter": Write::ProposalCounter(_) => Write::ProposalCounter(62),
         "promise": Write::Promise { .. } => {
-            Write::Promise { coordinator: 2, block: (63, 64), proposal_number: ROUND }
+            Write::Promise { coordinator: 2, block: (63, 64), proposal_number: PROPOSAL }
         },
         "accept": Write::Accept { .. } => {
-            Write::Accept { instance: 65, proposal_number: ROUND, value: value() }
+            Write::Accept { instance: 65, proposal_number: PROPOSAL, value: value() }
         },
-        "void": Write::AcceptNoOps { .. } => Write::AcceptNoOps { coordinator: 1, block: (66, 67), proposal_number: ROUND },
+        "void": Write::AcceptNoOps { .. } => Write::AcceptNoOps { coordinator: 1, block: (66, 67), proposal_number: PROPOSAL },
         "chosen": Write::Chosen { .. } => Write::Chosen { instance: 68, value: value() },
         "skipped": Write::Skipped { .. } => Write::Skipped { coordinator: 0, block: (69, 75) },
         "snapshot": Write::Snapshot { .. } => {
@@ -89,9 +90,9 @@
 fn pins(folder: &Folder) -> BTreeMap<u16, u64> {
     let database = folder.database();
     let reading = database.begin_read().expect("a read");
-    let table = reading.open_table(PINS).expect("the table of holders");
+    let table = reading.open_table(PINS).expect("the table of disks");
     let rows = table.iter().expect("rows").map(|row| row.expect("a row"));
-    rows.map(|(seat, identity)| (seat.value(), identity.value()))
+    rows.map(|(replica, disk)| (replica.value(), disk.value()))
         .collect()
 }
 
@@ -112,7 +113,8 @@
 }
 
 fn open(folder: &Path) -> (ReplicaStore, Vec<Write>) {
-    ReplicaStore::open(folder).expect("a disk that opens")
+    let recovered = ReplicaStore::open(folder).expect("a disk that opens");
+    (recovered.store, recovered.writes)
 }
 
 #[test]
@@ -120,11 +122,9 @@
     let mut recorded = RecordedBytes::of("records");
     for (name, write) in records() {
         let folder = Folder::new(name);
-        let (mut shelf, _) = open(&folder.0);
-        shelf
-            .append(std::slice::from_ref(&write), false)
-            .expect("kept");
-        drop(shelf);
+        let (mut store, _) = open(&folder.0);
+        store.append(slice::from_ref(&write), false).expect("kept");
+        drop(store);
         let journal = journal(&folder);
         assert_eq!(journal.len(), 1);
         let record = recorded.check(name, &journal[&0]);
@@ -136,27 +136,30 @@
 #[test]
 fn a_disk_has_the_recorded_tables_and_keys() {
     let folder = Folder::new("tables");
-    let (mut shelf, _) = open(&folder.0);
-    let identity = shelf.disk_id;
-    shelf
+    let (mut store, _) = open(&folder.0);
+    let disk_id = store.disk_id;
+    store
         .record_membership(
             MembershipRecord {
                 replica_id: 1,
                 replica_count: 3,
                 founded: true,
             },
-            &[(0, 70), (1, 71), (2, 72)],
+            &PinnedDisks::from([(0, 70), (1, 71), (2, 72)]),
         )
-        .expect("a seat");
-    shelf.append(&[Write::Index(4)], false).expect("kept");
-    shelf
-        .replace_pins(&[(2, 73)], &[Write::VotingRangeStart(9), Write::Index(10)])
-        .expect("another holder");
-    shelf.append(&[Write::Index(13)], false).expect("kept");
-    drop(shelf);
+        .expect("a membership");
+    store.append(&[Write::Index(4)], false).expect("kept");
+    store
+        .replace_pins(
+            &PinnedDisks::from([(2, 73)]),
+            &[Write::VotingRangeStart(9), Write::Index(10)],
+        )
+        .expect("another disk");
+    store.append(&[Write::Index(13)], false).expect("kept");
+    drop(store);
     let single = [
         ("founded", 1),
-        ("identity", identity),
+        ("identity", disk_id),
         ("layout", 3),
         ("seat", 1),
         ("seats", 3),
@@ -168,7 +171,7 @@
     );
     assert_eq!(pins(&folder), [(0, 70), (2, 73)].into());
     assert_eq!(journal(&folder).into_keys().collect::<Vec<_>>(), [0, 1, 2]);
-    let (mut shelf, writes) = open(&folder.0);
+    let (mut store, writes) = open(&folder.0);
     assert_eq!(
         writes,
         [
@@ -178,31 +181,33 @@
             Write::Index(13)
         ]
     );
-    shelf.append(&[Write::Index(16)], true).expect("afresh");
-    drop(shelf);
+    store
+        .append(&[Write::Index(16)], true)
+        .expect("a replaced journal");
+    drop(store);
     assert_eq!(journal(&folder).into_keys().collect::<Vec<_>>(), [3]);
 }
 
 #[test]
-fn a_disk_that_gave_up_its_seat_has_the_recorded_tables_and_keys() {
+fn a_disk_that_gave_up_its_replica_has_the_recorded_tables_and_keys() {
     let folder = Folder::new("given-up");
-    let (mut shelf, _) = open(&folder.0);
-    shelf
+    let (mut store, _) = open(&folder.0);
+    store
         .record_membership(
             MembershipRecord {
                 replica_id: 1,
                 replica_count: 3,
                 founded: false,
             },
-            &[(0, 70), (2, 72)],
+            &PinnedDisks::from([(0, 70), (2, 72)]),
         )
-        .expect("a seat");
-    shelf.append(&[Write::Index(4)], false).expect("kept");
-    shelf.retire().expect("given up");
-    let identity = shelf.disk_id;
-    drop(shelf);
+        .expect("a membership");
+    store.append(&[Write::Index(4)], false).expect("kept");
+    store.retire().expect("given up");
+    let disk_id = store.disk_id;
+    drop(store);
     let single = [
-        ("identity", identity),
+        ("identity", disk_id),
         ("layout", 3),
         ("retired", 1),
         ("starts", 1),
--- /dev/null
+++ b/crates/storage/tests/store/writer.rs
@@ -0,0 +1,79 @@
+//! The writer's thread, as its handle shows it.
+
+use std::env::temp_dir;
+use std::fs::remove_dir_all;
+use std::process;
+use std::sync::mpsc::channel;
+use std::time::Duration;
+
+use mencius::Write;
+use storage::{Error, PinnedDisks, ReplicaStore, StoreWriter, WriterEvent};
+
+use crate::faulty_disk::{Fault, FaultyDisk};
+
+/// Far longer than a retry takes.
+const TIMEOUT: Duration = Duration::from_secs(20);
+
+#[test]
+fn a_ticket_is_reported_only_once_its_append_holds() {
+    let disk = FaultyDisk::new();
+    let store = disk.open_store().expect("a store").store;
+    let full_from = disk.state().operations + 1;
+    disk.state().fault = Fault::Full(full_from);
+    let (events, reported) = channel();
+    let writer = StoreWriter::spawn(store, move |event| drop(events.send(event))).expect("writer");
+    writer.append(7, vec![Write::Index(3)], false);
+
+    let first = reported.recv_timeout(TIMEOUT).expect("an event");
+    assert!(
+        matches!(first, WriterEvent::AppendFailed(Error::Store(_))),
+        "{first:?}"
+    );
+    disk.state().fault = Fault::None;
+    let mut later = reported.recv_timeout(TIMEOUT).expect("an event");
+    while let WriterEvent::AppendFailed(_) = later {
+        later = reported.recv_timeout(TIMEOUT).expect("an event");
+    }
+    assert!(matches!(later, WriterEvent::Recovered), "{later:?}");
+    let last = reported.recv_timeout(TIMEOUT).expect("an event");
+    assert!(matches!(last, WriterEvent::Persisted(7)), "{last:?}");
+
+    // The thread ends with the last handle, and what it kept is there.
+    drop(writer);
+    assert!(
+        reported.recv_timeout(TIMEOUT).is_err(),
+        "the writer still runs"
+    );
+    assert_eq!(
+        disk.open_store().expect("the store").writes,
+        [Write::Index(3)]
+    );
+}
+
+#[tokio::test]
+async fn a_retired_disk_is_closed_and_new_once_its_writer_says_so() {
+    let folder = temp_dir().join(format!("gradeford-retired-{}", process::id()));
+    let store = ReplicaStore::open(&folder).expect("a store").store;
+    let disk_id = store.disk_id;
+    let writer = StoreWriter::spawn(store, |_| {}).expect("writer");
+    let (kept, answer) = channel();
+    let pins = PinnedDisks::from([(1, 11)]);
+    writer.replace_pins(pins, vec![Write::Index(3)], move |result| {
+        drop(kept.send(result))
+    });
+    assert_eq!(
+        writer.pin_disk(1, 12).await.expect("pin"),
+        11,
+        "in the order of the calls"
+    );
+    assert!(answer.recv_timeout(TIMEOUT).expect("an answer").is_ok());
+
+    writer.retire().await.expect("retire");
+    let reopened = ReplicaStore::open(&folder).expect("closed before it was reported");
+    assert!(reopened.store.retired);
+    assert_ne!(reopened.store.disk_id, disk_id);
+    assert!(reopened.store.pinned_disks.is_empty() && reopened.writes.is_empty());
+    let stopped = writer.pin_disk(2, 13).await;
+    assert!(matches!(stopped, Err(Error::WriterStopped)), "{stopped:?}");
+    remove_dir_all(&folder).expect("clean");
+}
