--- a/crates/backend-api/src/backend_client.rs
+++ b/crates/backend-api/src/backend_client.rs
@@ -1,7 +1,7 @@
 //! Into the back end over HTTP: a new conn for each request, so that nothing is ever sent twice or
 //! to whoever took over an address (design 5.3).
 
-use model::{Cause, Error};
+use model::{Error, ErrorKind};
 use std::time::Duration;
 
 pub struct BackendClient {
@@ -27,7 +27,7 @@
         left: model::Microseconds,
     ) -> Result<transport::AttemptResponse, Error> {
         let method = reqwest::Method::from_bytes(dispatch.method.as_bytes())
-            .map_err(|_| Error::new(Cause::BadRequest, "not a method"))?;
+            .map_err(|_| Error::new(ErrorKind::BadRequest, "not a method"))?;
         let request = dispatch.headers.iter().fold(
             self.http.request(
                 method,
@@ -54,14 +54,14 @@
         let request = request
             .body(dispatch.body.clone())
             .build()
-            .map_err(|error| Error::new(Cause::BadRequest, error.to_string()))?;
+            .map_err(|error| Error::new(ErrorKind::BadRequest, error.to_string()))?;
         let response =
             self.http
                 .execute(request)
                 .await
                 .map_err(|error| match error.is_connect() {
-                    true => Error::new(Cause::Unreachable, "the back end takes no conn"),
-                    false => Error::new(Cause::BackendLost, error.to_string()),
+                    true => Error::new(ErrorKind::Unreachable, "the back end takes no conn"),
+                    false => Error::new(ErrorKind::BackendLost, error.to_string()),
                 })?;
         let status = response.status().as_u16();
         let seal = response
@@ -81,7 +81,7 @@
         let body = read_whole_body(response).await?;
         if seal != crate::seal::seal(&dispatch.attempt_id, status, &body) {
             return Err(Error::new(
-                Cause::BadSeal,
+                ErrorKind::BadSeal,
                 "the reply is not sealed for this try",
             ));
         }
@@ -100,13 +100,13 @@
         match response.chunk().await {
             Ok(Some(chunk)) if body.len() + chunk.len() > http_util::BODY_LIMIT => {
                 return Err(Error::new(
-                    Cause::ResponseTooLarge,
+                    ErrorKind::ResponseTooLarge,
                     format!("the reply is over {} bytes", http_util::BODY_LIMIT),
                 ));
             }
             Ok(Some(chunk)) => body.extend_from_slice(&chunk),
             Ok(None) => return Ok(body),
-            Err(error) => return Err(Error::new(Cause::BackendLost, error.to_string())),
+            Err(error) => return Err(Error::new(ErrorKind::BackendLost, error.to_string())),
         }
     }
 }
--- a/crates/backend-api/src/registration.rs
+++ b/crates/backend-api/src/registration.rs
@@ -1,6 +1,6 @@
 //! What a back end asks of the node beside it (docs/operators/back-ends.md).
 
-use model::{Cause, Error};
+use model::{Error, ErrorKind};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -66,13 +66,13 @@
 }
 
 fn bad_request(detail: impl Into<String>) -> Error {
-    Error::new(Cause::BadRequest, detail)
+    Error::new(ErrorKind::BadRequest, detail)
 }
 
 fn validate(env: &BackendApiConfig, ask: &RegisterRequest) -> Result<(), Error> {
     let names = [&ask.name, &ask.service]
         .into_iter()
-        .all(|name| model::check::is_valid_name(name));
+        .all(|name| model::validation::is_valid_name(name));
     if !names {
         return Err(bad_request(
             "name and service are 1 to 63 of a-z, 0-9 and '-'",
@@ -131,7 +131,7 @@
                 .slot_owner
                 .backend(&name)
                 .await
-                .ok_or_else(|| Error::new(Cause::ShuttingDown, "this node is stopping"))?;
+                .ok_or_else(|| Error::new(ErrorKind::ShuttingDown, "this node is stopping"))?;
             let report = model::endpoint_status::EndpointReport::BackendRegistered {
                 name: name.clone(),
                 backend: back_end,
@@ -165,7 +165,8 @@
             .await;
         let position = accepted.ok_or_else(|| match outcome {
             Some(model::Outcome::Refused { reason }) => bad_request(reason),
-            _ => Error::new(Cause::StaleState, "the core did not answer").with_retry_after(500_000),
+            _ => Error::new(ErrorKind::StaleState, "the core did not answer")
+                .with_retry_after(500_000),
         })?;
         wait_until_visible(env, position, &service).await;
         let try_prefix = legacy_proxy::forwarded_attempts::attempt_prefix(&name, incarnation);
--- a/crates/backend-api/tests/door.rs
+++ b/crates/backend-api/tests/door.rs
@@ -1,7 +1,7 @@
 //! Only a whole, sealed reply to this very try is a success (design 5.3).
 
 use legacy_proxy::BackendConnector;
-use model::{Cause, ExecutionStatus};
+use model::{ErrorKind, ExecutionStatus};
 
 struct BackendStandIn;
 
@@ -91,11 +91,11 @@
         .expect("the back end's own refusal is its answer");
     assert_eq!(refusal.status, 404);
     let spoilt = [
-        ("/truncated", Cause::BadSeal),
-        ("/unsealed", Cause::BadSeal),
-        ("/anothers", Cause::BadSeal),
-        ("/status", Cause::BadSeal),
-        ("/large", Cause::ResponseTooLarge),
+        ("/truncated", ErrorKind::BadSeal),
+        ("/unsealed", ErrorKind::BadSeal),
+        ("/anothers", ErrorKind::BadSeal),
+        ("/status", ErrorKind::BadSeal),
+        ("/large", ErrorKind::ResponseTooLarge),
     ];
     for (path, cause) in spoilt {
         let trouble = door
@@ -134,7 +134,7 @@
         .expect_err("half an answer");
     assert_eq!(
         (lost.kind, lost.execution_status),
-        (Cause::BackendLost, ExecutionStatus::MayHaveRun)
+        (ErrorKind::BackendLost, ExecutionStatus::MayHaveRun)
     );
     hanging_up.await.expect("it hung up");
     let closed = door
@@ -143,6 +143,6 @@
         .expect_err("nobody listens");
     assert_eq!(
         (closed.kind, closed.execution_status),
-        (Cause::Unreachable, ExecutionStatus::NotRun)
+        (ErrorKind::Unreachable, ExecutionStatus::NotRun)
     );
 }
--- a/crates/client-api/src/lib.rs
+++ b/crates/client-api/src/lib.rs
@@ -1,6 +1,6 @@
 //! Senders: one function a request, read from top to bottom (design 5.2).
 
-use model::{Cause, Error};
+use model::{Error, ErrorKind};
 
 /// Headers that speak of one conn, or that only we may set.
 fn is_reserved_header(name: &str) -> bool {
@@ -77,10 +77,13 @@
         };
         let try_id = try_id
             .filter(named)
-            .ok_or_else(|| Error::new(Cause::BadRequest, "the header x-gradeford-try is the registration's try_prefix and a name, at most 192 letters"))?;
+            .ok_or_else(|| Error::new(ErrorKind::BadRequest, "the header x-gradeford-try is the registration's try_prefix and a name, at most 192 letters"))?;
         // An earlier life of this node may have known the secret, and taken the try.
         let sender = self.slot_owner.client(&secret).ok_or_else(|| {
-            Error::new(Cause::UnknownClient, "no live registration has this secret")
+            Error::new(
+                ErrorKind::UnknownClient,
+                "no live registration has this secret",
+            )
         })?;
         self.proxy.accept(&sender, &try_id).await?;
         let ask = match self.read_request(request, try_id.clone()).await {
@@ -94,7 +97,7 @@
         let near = self.proxy.clone();
         let run = tokio::spawn(async move { near.call(sender, ask).await });
         run.await
-            .unwrap_or_else(|_| Err(Error::new(Cause::PeerLost, "the request's task broke")))
+            .unwrap_or_else(|_| Err(Error::new(ErrorKind::PeerLost, "the request's task broke")))
     }
 
     async fn read_request(
@@ -105,7 +108,10 @@
         let wait = http_util::header_text(request, "x-gradeford-wait")
             .map(|text| {
                 text.parse::<model::Microseconds>().map_err(|_| {
-                    Error::new(Cause::BadRequest, "x-gradeford-wait is whole microseconds")
+                    Error::new(
+                        ErrorKind::BadRequest,
+                        "x-gradeford-wait is whole microseconds",
+                    )
                 })
             })
             .transpose()?;
@@ -127,7 +133,7 @@
         let method = request.method().as_str().to_string();
         let body = http_util::read_body(request).await.ok_or_else(|| {
             Error::new(
-                Cause::TooLarge,
+                ErrorKind::TooLarge,
                 format!(
                     "the body is over {} bytes or broke off",
                     http_util::BODY_LIMIT
@@ -161,7 +167,7 @@
     let dots = rest.split('/').any(|part| part == "." || part == "..");
     if !rest.starts_with('/') || tricky || dots {
         return Err(Error::new(
-            Cause::BadRequest,
+            ErrorKind::BadRequest,
             "the path holds dots, doubled or encoded slashes",
         ));
     }
--- a/crates/endpoints/tests/unproved.rs
+++ b/crates/endpoints/tests/unproved.rs
@@ -1,7 +1,7 @@
 //! A node that has just begun, before its first proof: it says so at once and runs nothing on what it was told
 //! (design 11.6).
 
-use model::Cause;
+use model::ErrorKind;
 use model::cluster_state::{ClusterOperation, ItemBody, ItemCall, Limits, Route, Service};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
@@ -305,11 +305,11 @@
                 .await
                 .0
                 .expect_err("nobody answers there");
-            if trouble.kind != Cause::WrongIncarnation {
+            if trouble.kind != ErrorKind::WrongIncarnation {
                 return trouble.kind;
             }
             tokio::task::yield_now().await;
         }
     };
-    assert_eq!(soon("a refusal", cause).await, Cause::KeyWithoutHolder);
+    assert_eq!(soon("a refusal", cause).await, ErrorKind::KeyWithoutHolder);
 }
--- a/crates/gradeford-core/src/settings.rs
+++ b/crates/gradeford-core/src/settings.rs
@@ -31,16 +31,16 @@
     pub seat: u16,
     #[validate(custom(function = "odd"))]
     pub seats: u16,
-    #[validate(custom(function = "model::env::is_address"))]
+    #[validate(custom(function = "model::settings::is_address"))]
     pub mates_address: String,
-    #[validate(custom(function = "model::env::is_address"))]
+    #[validate(custom(function = "model::settings::is_address"))]
     pub operators_address: String,
     /// Where mates find this process, if not where it listens.
     #[serde(default)]
     pub advertised_address: Option<String>,
     #[validate(
         length(min = 1, max = 9, message = "holds 1 to 9 addresses"),
-        custom(function = "model::env::are_addresses")
+        custom(function = "model::settings::are_addresses")
     )]
     pub seeds: Vec<String>,
     pub folder: PathBuf,
@@ -65,7 +65,7 @@
     #[validate(custom(function = "replaces"))]
     pub replace_after_us: u64,
     #[serde(default = "log_level")]
-    #[validate(custom(function = "model::env::is_level"))]
+    #[validate(custom(function = "model::settings::is_level"))]
     pub log_level: String,
 }
 
--- a/crates/gradeford-node/src/main.rs
+++ b/crates/gradeford-node/src/main.rs
@@ -22,9 +22,11 @@
 ";
 
 fn main() {
-    let Some((flags, env)) =
-        model::env::start_up::<settings::Settings>("gradeford-node", HELP, settings::SETTING_NAMES)
-    else {
+    let Some((flags, env)) = model::settings::start_up::<settings::Settings>(
+        "gradeford-node",
+        HELP,
+        settings::SETTING_NAMES,
+    ) else {
         return;
     };
     let runtime = tokio::runtime::Runtime::new();
@@ -37,7 +39,7 @@
     }
 }
 
-async fn run(flags: model::env::CommandLine, env: settings::Settings) -> Result<(), String> {
+async fn run(flags: model::settings::CommandLine, env: settings::Settings) -> Result<(), String> {
     let dial = model::logging::LogLevelSwitch::new(env.parsed_log_level());
     let (logger, _guard) = model::logging::start_logger("gradeford-node", &env.name, dial.clone());
     // Before anything else: a signal that comes early must not end the process.
@@ -49,7 +51,7 @@
     loop {
         tokio::select! {
             _ = stop.recv() => break,
-            _ = reload.recv() => match model::env::load_settings::<settings::Settings>(&flags) {
+            _ = reload.recv() => match model::settings::load_settings::<settings::Settings>(&flags) {
                 Ok(fresh) => {
                     dial.set_level(fresh.parsed_log_level());
                     // Only the log level is taken up while running; the rest needs a restart, and this says so.
--- a/crates/gradeford-node/src/settings.rs
+++ b/crates/gradeford-node/src/settings.rs
@@ -27,16 +27,16 @@
     pub name: String,
     #[validate(length(min = 1, max = 63, message = "is 1 to 63 bytes"))]
     pub zone: String,
-    #[validate(custom(function = "model::env::is_address"))]
+    #[validate(custom(function = "model::settings::is_address"))]
     pub mates_address: String,
     #[serde(default)]
     pub advertised_address: Option<String>,
     /// Back ends and senders on this machine.
-    #[validate(custom(function = "model::env::is_address"))]
+    #[validate(custom(function = "model::settings::is_address"))]
     pub local_address: String,
     #[validate(
         length(min = 1, max = 9, message = "holds 1 to 9 addresses"),
-        custom(function = "model::env::are_addresses")
+        custom(function = "model::settings::are_addresses")
     )]
     pub seeds: Vec<String>,
     #[serde(default = "beat_every")]
@@ -104,7 +104,7 @@
     #[serde(default = "yes")]
     pub homes: bool,
     #[serde(default = "log_level")]
-    #[validate(custom(function = "model::env::is_level"))]
+    #[validate(custom(function = "model::settings::is_level"))]
     pub log_level: String,
 }
 
--- a/crates/gradefordctl/src/commands.rs
+++ b/crates/gradefordctl/src/commands.rs
@@ -108,7 +108,7 @@
 }
 
 fn checked_name(name: &str) -> Result<&str, String> {
-    model::check::is_valid_name(name)
+    model::validation::is_valid_name(name)
         .then_some(name)
         .ok_or_else(|| format!("{name:?} is not 1 to 63 of a-z, 0-9 and '-'"))
 }
--- a/crates/http-util/src/lib.rs
+++ b/crates/http-util/src/lib.rs
@@ -73,8 +73,8 @@
 /// Reads JSON into a checked type; the fault names the path serde was at.
 pub async fn read_json<T: serde::de::DeserializeOwned>(
     request: &mut salvo::Request,
-) -> Result<T, model::check::Fault> {
-    let fault = |fault: String| model::check::Fault {
+) -> Result<T, model::validation::Fault> {
+    let fault = |fault: String| model::validation::Fault {
         path: "body".into(),
         message: fault,
     };
@@ -109,5 +109,5 @@
         "try": try_id,
         "retry_after_us": trouble.retry_after,
     });
-    write_json(response, trouble.kind.status(), &body);
+    write_json(response, trouble.kind.http_status(), &body);
 }
--- a/crates/http-util/tests/witness.rs
+++ b/crates/http-util/tests/witness.rs
@@ -6,7 +6,7 @@
 
 use golden_files::compare;
 use http_util::HttpServer;
-use model::{Cause, Change, Error};
+use model::{Change, Error, ErrorKind};
 use salvo::{Request, Response, Router};
 use std::fmt::Write as _;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -19,7 +19,7 @@
 impl Troubled {
     async fn handle(&self, request: &mut Request, response: &mut Response) {
         let code = request.param::<String>("code").unwrap_or_default();
-        let cause = Cause::ALL
+        let cause = ErrorKind::ALL
             .iter()
             .find(|cause| cause.code() == code)
             .expect("a cause");
@@ -78,7 +78,7 @@
         .await
         .expect("http");
     let mut told = String::new();
-    for cause in Cause::ALL {
+    for cause in ErrorKind::ALL {
         for query in ["", "?later"] {
             let path = format!("/{}{query}", cause.code());
             writeln!(
--- a/crates/inbound/src/backend_client.rs
+++ b/crates/inbound/src/backend_client.rs
@@ -1,7 +1,7 @@
 //! Into the back end over HTTP, and what may be said of a request that brought no answer (design 13.4).
 
 use http_body_util::BodyExt as _;
-use model::{Cause, Error, Microseconds};
+use model::{Error, ErrorKind, Microseconds};
 use std::time::Duration;
 
 pub struct BackendClient {
@@ -54,7 +54,7 @@
     }
 
     async fn connect(&self, address: &str) -> Result<crate::connection_pool::HttpSender, Error> {
-        let unreachable = |why: String| Error::new(Cause::Unreachable, why);
+        let unreachable = |why: String| Error::new(ErrorKind::Unreachable, why);
         let stream =
             tokio::time::timeout(CONNECT_TIMEOUT, tokio::net::TcpStream::connect(address)).await;
         let stream = stream
@@ -96,23 +96,26 @@
             let left = left.saturating_sub(model::now() - began);
             let request = self
                 .build_request(cue, left)
-                .ok_or_else(|| Error::new(Cause::BadRequest, "cannot be said to a back end"))?;
+                .ok_or_else(|| Error::new(ErrorKind::BadRequest, "cannot be said to a back end"))?;
             match sender.send_request(request).await {
                 Ok(answer) => return self.read_response(cue, answer, sender).await,
                 Err(error) if error.is_canceled() && !fresh => continue,
                 Err(error) if error.is_canceled() => {
                     return Err(Error::new(
-                        Cause::Unreachable,
+                        ErrorKind::Unreachable,
                         "the conn closed before the request",
                     ));
                 }
                 Err(error) if fresh || rested < MIN_STALE_REST => {
-                    return Err(Error::new(Cause::BackendLost, error.to_string()));
+                    return Err(Error::new(ErrorKind::BackendLost, error.to_string()));
                 }
                 // Whether it came again is for the budget, so for the near side.
                 Err(error) => {
                     self.connections.record_stale(model::now(), rested);
-                    return Err(Error::new(Cause::ConnectionForgotten, error.to_string()));
+                    return Err(Error::new(
+                        ErrorKind::ConnectionForgotten,
+                        error.to_string(),
+                    ));
                 }
             }
         }
@@ -134,7 +137,7 @@
         let body = body
             .collect()
             .await
-            .map_err(|error| Error::new(Cause::BackendLost, error.to_string()))?
+            .map_err(|error| Error::new(ErrorKind::BackendLost, error.to_string()))?
             .to_bytes();
         // An answer that was due to another request, or to none.
         if head
@@ -144,7 +147,7 @@
             != asked
         {
             return Err(Error::new(
-                Cause::BadSeal,
+                ErrorKind::BadSeal,
                 "the answer belongs to another request",
             ));
         }
@@ -152,7 +155,7 @@
             && (said(self.header_names.seal).is_none()
                 || head.headers.contains_key("content-encoding"))
         {
-            return Err(Error::new(Cause::BadSeal, "a success without a seal"));
+            return Err(Error::new(ErrorKind::BadSeal, "a success without a seal"));
         }
         let kept = said("keep-alive").and_then(|text| {
             text.split(',')
@@ -172,12 +175,12 @@
             } else {
                 format!("the back end turned it away with {}", head.status.as_u16())
             };
-            return Err(Error::new(Cause::Refused, why));
+            return Err(Error::new(ErrorKind::Refused, why));
         }
         // To senders these say that it never ran; without the back end's word nobody knows.
         if [408, 429, 503].contains(&head.status.as_u16()) {
             return Err(Error::new(
-                Cause::BackendLost,
+                ErrorKind::BackendLost,
                 format!(
                     "a bare {}, which says nothing of whether it ran",
                     head.status.as_u16()
--- a/crates/inbound/src/concurrency_limiter.rs
+++ b/crates/inbound/src/concurrency_limiter.rs
@@ -1,7 +1,7 @@
 //! The one owner of the back end's slots: a command queue in, runs out (design 13.2, 13.3).
 
 use crate::{AdmissionQueue, LocalBackend, QueuedRequest};
-use model::{Cause, Error, Microseconds};
+use model::{Error, ErrorKind, Microseconds};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -90,7 +90,7 @@
         let until = model::now() + cue.time_left;
         let gone = || {
             (
-                Err(Error::new(Cause::ShuttingDown, "this node is stopping")),
+                Err(Error::new(ErrorKind::ShuttingDown, "this node is stopping")),
                 0,
             )
         };
@@ -105,7 +105,7 @@
         outcome.await.unwrap_or_else(|_| {
             (
                 Err(Error::new(
-                    Cause::PeerLost,
+                    ErrorKind::PeerLost,
                     "the owner of the back end's slots is gone",
                 )),
                 0,
@@ -203,7 +203,7 @@
         });
         gone.into_iter().for_each(|waiting| {
             let why = refusal_reason(self.backend.as_ref(), now, &waiting.payload.0)
-                .unwrap_or_else(|| Error::new(Cause::NoBackend, "gone"));
+                .unwrap_or_else(|| Error::new(ErrorKind::NoBackend, "gone"));
             self.respond(waiting.payload.1, Err(why));
         });
     }
@@ -240,7 +240,7 @@
         if self.draining {
             return self.respond(
                 answer,
-                Err(Error::new(Cause::ShuttingDown, "this node is stopping")),
+                Err(Error::new(ErrorKind::ShuttingDown, "this node is stopping")),
             );
         }
         if let Some(trouble) = refusal_reason(self.backend.as_ref(), now, &cue) {
@@ -254,8 +254,10 @@
         {
             return drop(
                 answer.send((
-                    Err(Error::new(Cause::PassedOver, "its runs come to nothing")
-                        .with_retry_after(elsewhere)),
+                    Err(
+                        Error::new(ErrorKind::PassedOver, "its runs come to nothing")
+                            .with_retry_after(elsewhere),
+                    ),
                     elsewhere,
                 )),
             );
@@ -333,9 +335,9 @@
                 door.forward(&address, &cue, left),
             );
             let outcome = tokio::select! {
-                ran = ran => ran.unwrap_or_else(|_| Err(Error::new(Cause::TimedOut, "no answer within the wait"))),
+                ran = ran => ran.unwrap_or_else(|_| Err(Error::new(ErrorKind::TimedOut, "no answer within the wait"))),
                 // What may run again may as well be broken off; anything else the back end ends in its own way.
-                () = answer.closed(), if cue.idempotent => Err(Error::new(Cause::TimedOut, "nobody waits for it any more")),
+                () = answer.closed(), if cue.idempotent => Err(Error::new(ErrorKind::TimedOut, "nobody waits for it any more")),
             };
             let took = outcome.is_ok().then(|| model::now() - began);
             drop(
@@ -358,7 +360,7 @@
         .max(left / 8)
         .clamp(MIN_RETRY_AFTER, (left / 3).max(MIN_RETRY_AFTER));
     let spread = back * (80 + rand::random::<u64>() % 21) / 100;
-    Error::new(Cause::Overloaded, "it would wait too long").with_retry_after(spread)
+    Error::new(ErrorKind::Overloaded, "it would wait too long").with_retry_after(spread)
 }
 
 /// Why this back end is not to be given the request now; certain not to have run.
@@ -369,13 +371,13 @@
 ) -> Option<Error> {
     let Some(local) = local.filter(|local| local.name == cue.backend) else {
         return Some(Error::new(
-            Cause::WrongIncarnation,
+            ErrorKind::WrongIncarnation,
             "that back end is not beside this node",
         ));
     };
     if !local.accepts_requests(now) {
         return Some(Error::new(
-            Cause::Draining,
+            ErrorKind::Draining,
             "the back end takes nothing new",
         ));
     }
@@ -385,7 +387,7 @@
         .is_some_and(|(key, holding)| !holding.holds(now, key));
     unheld.then(|| {
         Error::new(
-            Cause::KeyWithoutHolder,
+            ErrorKind::KeyWithoutHolder,
             "the back end does not hold the key now",
         )
     })
--- a/crates/inbound/src/outlier_detection.rs
+++ b/crates/inbound/src/outlier_detection.rs
@@ -1,7 +1,7 @@
 //! How the back end beside this node does, judged by what became of its runs and by nothing else (design 13.8). Pure,
 //! with the time told to it.
 
-use model::{Cause, Error, Microseconds};
+use model::{Error, ErrorKind, Microseconds};
 use std::collections::BTreeMap;
 
 /// What the end of a run says of the back end.
@@ -65,8 +65,10 @@
         Ok(take) if take.status < 500 => RunResult::Success,
         Ok(_) => RunResult::Failure,
         Err(trouble) => match trouble.kind {
-            Cause::BackendLost | Cause::BadSeal | Cause::Unreachable => RunResult::Failure,
-            Cause::Refused if trouble.detail != crate::backend_client::MISDIRECTED => {
+            ErrorKind::BackendLost | ErrorKind::BadSeal | ErrorKind::Unreachable => {
+                RunResult::Failure
+            }
+            ErrorKind::Refused if trouble.detail != crate::backend_client::MISDIRECTED => {
                 RunResult::Failure
             }
             _ => RunResult::Inconclusive,
--- a/crates/inbound/tests/promises.rs
+++ b/crates/inbound/tests/promises.rs
@@ -1,7 +1,7 @@
 //! What a back end answers with a status that promises it did not run, with and without the word that it did not
 //! (design 13.4).
 
-use model::{Cause, ExecutionStatus};
+use model::{ErrorKind, ExecutionStatus};
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 
 /// Answers each request with the head that its path names.
@@ -44,7 +44,7 @@
     address
 }
 
-async fn answered(address: &str, target: &str) -> Result<u16, (Cause, ExecutionStatus)> {
+async fn answered(address: &str, target: &str) -> Result<u16, (ErrorKind, ExecutionStatus)> {
     let cue = transport::ForwardedRequest {
         backend: "b".into(),
         caller: "seat".into(),
@@ -74,7 +74,7 @@
         let marked = answered(&address, &format!("/{status}/marked")).await;
         assert_eq!(
             marked,
-            Err((Cause::Refused, ExecutionStatus::NotRun)),
+            Err((ErrorKind::Refused, ExecutionStatus::NotRun)),
             "{status}"
         );
     }
@@ -82,14 +82,14 @@
         let bare = answered(&address, &format!("/{status}/bare")).await;
         assert_eq!(
             bare,
-            Err((Cause::BackendLost, ExecutionStatus::MayHaveRun)),
+            Err((ErrorKind::BackendLost, ExecutionStatus::MayHaveRun)),
             "{status}: nobody said that it did not run"
         );
     }
     // A back end that is not the one asked for says so by the status alone; all else is its own answer.
     assert_eq!(
         answered(&address, "/421/bare").await,
-        Err((Cause::Refused, ExecutionStatus::NotRun))
+        Err((ErrorKind::Refused, ExecutionStatus::NotRun))
     );
     for status in [400, 404, 409, 500, 504] {
         assert_eq!(
--- a/crates/legacy-proxy/src/accepted_attempts.rs
+++ b/crates/legacy-proxy/src/accepted_attempts.rs
@@ -1,6 +1,6 @@
 //! Tries this node has taken, and the answers of those that certainly did not run (design 5.5).
 
-use model::{Cause, Error};
+use model::{Error, ErrorKind};
 use std::collections::HashMap;
 use std::collections::VecDeque;
 
@@ -22,7 +22,7 @@
             Some(Some(first)) => return Err(first.clone()),
             Some(None) => {
                 return Err(Error::new(
-                    Cause::DuplicateAttempt,
+                    ErrorKind::DuplicateAttempt,
                     "this node has taken this try before; its first answer stands",
                 ));
             }
@@ -78,7 +78,7 @@
             .unwrap_or_default();
         taken.await.unwrap_or_else(|_| {
             Err(Error::new(
-                Cause::DuplicateAttempt,
+                ErrorKind::DuplicateAttempt,
                 "the table of tries is gone; whether it ran is not known here",
             ))
         })
@@ -103,9 +103,12 @@
         let again = taken.accept("seat-0.7.a").expect_err("under way");
         assert_eq!(
             (again.kind, again.execution_status),
-            (Cause::DuplicateAttempt, model::ExecutionStatus::MayHaveRun)
+            (
+                ErrorKind::DuplicateAttempt,
+                model::ExecutionStatus::MayHaveRun
+            )
         );
-        let first = Error::new(Cause::StaleState, "no proof");
+        let first = Error::new(ErrorKind::StaleState, "no proof");
         assert_eq!(taken.accept("seat-0.7.b"), Ok(()));
         taken.did_not_run("seat-0.7.b", first.clone());
         assert_eq!(
--- a/crates/legacy-proxy/src/attempt_loop.rs
+++ b/crates/legacy-proxy/src/attempt_loop.rs
@@ -2,7 +2,7 @@
 
 use crate::outbound_proxy::Request;
 use crate::selector::Candidate;
-use model::{Cause, Error, ExecutionStatus, Microseconds};
+use model::{Error, ErrorKind, ExecutionStatus, Microseconds};
 
 /// Address and life of the node beside the picked back end; none when it is this one.
 pub type PeerLocation = Option<(String, u64)>;
@@ -28,20 +28,20 @@
     ) -> Result<AttemptLoop, Error> {
         if !view.is_fresh(now) {
             return Err(Error::new(
-                Cause::StaleState,
+                ErrorKind::StaleState,
                 "no proof that the state held here is current",
             ));
         }
         if !view.slice.services.contains(&sender.service) {
             return Err(Error::new(
-                Cause::StaleState,
+                ErrorKind::StaleState,
                 "the news of the sender's own service is still on its way",
             )
             .with_retry_after(100_000));
         }
         if !view.slice.backends.contains_key(&sender.name) {
             return Err(Error::new(
-                Cause::NoRoute,
+                ErrorKind::NoRoute,
                 format!(
                     "no grouping holds {:?} any more, so it speaks for no service",
                     sender.name
@@ -53,7 +53,7 @@
             .route(&sender.service, &ask.service, &ask.method, &ask.path);
         let Some((lane, order)) = lane.map(|(name, order)| (name.clone(), order.clone())) else {
             return Err(Error::new(
-                Cause::NoRoute,
+                ErrorKind::NoRoute,
                 format!(
                     "no standing order lets {:?} send this to {:?}",
                     sender.service, ask.service
@@ -62,7 +62,7 @@
         };
         if order.keyed && ask.shard_key.is_none() {
             return Err(Error::new(
-                Cause::BadRequest,
+                ErrorKind::BadRequest,
                 "this lane needs the header x-gradeford-key",
             ));
         }
@@ -105,13 +105,13 @@
     ) -> Result<Vec<Candidate>, Error> {
         if now >= self.deadline {
             return Err(self.final_error(Error::new(
-                Cause::ExpiredBeforeRun,
+                ErrorKind::ExpiredBeforeRun,
                 "the wait was over before it could be dispatched",
             )));
         }
         if !view.is_fresh(now) {
             return Err(self.final_error(Error::new(
-                Cause::StaleState,
+                ErrorKind::StaleState,
                 "no proof that the state held here is current",
             )));
         }
@@ -142,9 +142,9 @@
     /// Nobody was there to be picked.
     pub fn no_backend(&self) -> Error {
         let cause = if self.order.keyed {
-            Cause::KeyWithoutHolder
+            ErrorKind::KeyWithoutHolder
         } else {
-            Cause::NoBackend
+            ErrorKind::NoBackend
         };
         self.final_error(Error::new(
             cause,
@@ -175,7 +175,7 @@
         } else {
             Some(place.ok_or_else(|| {
                 Error::new(
-                    Cause::Unreachable,
+                    ErrorKind::Unreachable,
                     "the node beside the back end is not known",
                 )
             })?)
@@ -224,17 +224,17 @@
 fn is_retryable(trouble: &Error) -> bool {
     !matches!(
         trouble.kind,
-        Cause::NoRoute
-            | Cause::BadRequest
-            | Cause::TooLarge
-            | Cause::ExpiredBeforeRun
-            | Cause::DuplicateAttempt
-            | Cause::EarlierIncarnation
-            | Cause::StaleState
-            | Cause::NoBackend
-            | Cause::KeyWithoutHolder
-            | Cause::KeyOverloaded
-            | Cause::UnknownClient
-            | Cause::TimedOut
+        ErrorKind::NoRoute
+            | ErrorKind::BadRequest
+            | ErrorKind::TooLarge
+            | ErrorKind::ExpiredBeforeRun
+            | ErrorKind::DuplicateAttempt
+            | ErrorKind::EarlierIncarnation
+            | ErrorKind::StaleState
+            | ErrorKind::NoBackend
+            | ErrorKind::KeyWithoutHolder
+            | ErrorKind::KeyOverloaded
+            | ErrorKind::UnknownClient
+            | ErrorKind::TimedOut
     )
 }
--- a/crates/legacy-proxy/src/forwarded_attempts.rs
+++ b/crates/legacy-proxy/src/forwarded_attempts.rs
@@ -11,7 +11,7 @@
 /// Named under some registration, though maybe not the present one.
 pub fn is_attempt_id(try_id: &str) -> bool {
     let mut parts = try_id.splitn(3, '.');
-    let named = parts.next().is_some_and(model::check::is_valid_name);
+    let named = parts.next().is_some_and(model::validation::is_valid_name);
     let lived = parts.next().is_some_and(|life| life.parse::<u64>().is_ok());
     named && lived && parts.next().is_some_and(|rest| !rest.is_empty())
 }
--- a/crates/legacy-proxy/src/inbound_proxy.rs
+++ b/crates/legacy-proxy/src/inbound_proxy.rs
@@ -1,6 +1,6 @@
 //! Beside the picked back end: last check, slot, pass on, answer (design 5.3).
 
-use model::{Cause, Error};
+use model::{Error, ErrorKind};
 use std::pin::Pin;
 use std::sync::Arc;
 use std::time::Duration;
@@ -46,14 +46,14 @@
                     .await;
             let late = || {
                 Err(Error::new(
-                    Cause::TimedOut,
+                    ErrorKind::TimedOut,
                     "the back end did not answer in time",
                 ))
             };
             let ran = ran.unwrap_or_else(|_| late());
             let unsent = matches!(&ran, Err(trouble) if trouble.execution_status == model::ExecutionStatus::NotRun);
             // A back end that broke off may still be at work: its slot and key stay taken until its wait is over.
-            let lost = matches!(&ran, Err(trouble) if trouble.kind == Cause::BackendLost);
+            let lost = matches!(&ran, Err(trouble) if trouble.kind == ErrorKind::BackendLost);
             if lost {
                 tokio::spawn(async move {
                     tokio::time::sleep(Duration::from_micros(
@@ -68,8 +68,8 @@
             // The asker may have stopped waiting.
             reply.send(ran).is_ok()
         });
-        let late = Error::new(Cause::TimedOut, "the back end did not answer in time");
-        let lost = Error::new(Cause::BackendLost, "the run was lost");
+        let late = Error::new(ErrorKind::TimedOut, "the back end did not answer in time");
+        let lost = Error::new(ErrorKind::BackendLost, "the run was lost");
         match tokio::time::timeout(Duration::from_micros(left), answered).await {
             Ok(answer) => answer.unwrap_or(Err(lost)),
             Err(_) => Err(late),
--- a/crates/legacy-proxy/src/outbound_proxy.rs
+++ b/crates/legacy-proxy/src/outbound_proxy.rs
@@ -1,6 +1,6 @@
 //! Beside the sender: lane, pick, dispatch, and dispatch again where that is allowed (design 5.2).
 
-use model::{Cause, Error, ExecutionStatus};
+use model::{Error, ErrorKind, ExecutionStatus};
 
 /// One request as its sender put it.
 #[derive(Clone, Debug)]
@@ -45,7 +45,7 @@
     pub async fn accept(&self, sender: &crate::ClientId, try_id: &str) -> Result<(), Error> {
         if !try_id.starts_with(&sender.attempt_prefix) {
             return Err(Error::new(
-                Cause::EarlierIncarnation,
+                ErrorKind::EarlierIncarnation,
                 format!(
                     "tries of this registration are named {}…; what became of this one is not known here",
                     sender.attempt_prefix
@@ -84,7 +84,7 @@
         ask: Request,
     ) -> Result<transport::AttemptResponse, Error> {
         let _under_way = self.in_flight.begin().ok_or_else(|| {
-            Error::new(Cause::ShuttingDown, "this node is stopping").with_retry_after(1_000_000)
+            Error::new(ErrorKind::ShuttingDown, "this node is stopping").with_retry_after(1_000_000)
         })?;
         let mut course =
             crate::attempt_loop::AttemptLoop::begin(&self.view.load(), model::now(), sender, ask)?;
@@ -104,7 +104,8 @@
                 }
                 Err(trouble) => Err(trouble),
             };
-            let bench = matches!(&reply, Err(trouble) if trouble.kind != Cause::DuplicateAttempt);
+            let bench =
+                matches!(&reply, Err(trouble) if trouble.kind != ErrorKind::DuplicateAttempt);
             self.selector.attempt_finished(&picked, bench).await;
             let trouble = match reply {
                 Ok(reply) => return Ok(reply),
--- a/crates/legacy-proxy/src/peer_connections.rs
+++ b/crates/legacy-proxy/src/peer_connections.rs
@@ -1,6 +1,6 @@
 //! Conns to other ushers, one each, replies told apart by number (design 5.2).
 
-use model::{Cause, Error};
+use model::{Error, ErrorKind};
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -79,19 +79,18 @@
             answer,
         };
         if self.commands.send(command).await.is_err() {
-            return Err(Error::new(Cause::ShuttingDown, "this node is stopping"));
+            return Err(Error::new(ErrorKind::ShuttingDown, "this node is stopping"));
         }
         match tokio::time::timeout(wait, answered).await {
-            Ok(answer) => {
-                answer.unwrap_or_else(|_| Err(Error::new(Cause::PeerLost, "the far node was lost")))
-            }
+            Ok(answer) => answer
+                .unwrap_or_else(|_| Err(Error::new(ErrorKind::PeerLost, "the far node was lost"))),
             Err(_) => {
                 self.commands
                     .send(Command::CallerGone(address.to_string(), number))
                     .await
                     .unwrap_or_default();
                 Err(Error::new(
-                    Cause::TimedOut,
+                    ErrorKind::TimedOut,
                     "the far node did not answer in time",
                 ))
             }
@@ -222,7 +221,7 @@
                 ));
             }
             Err(trouble) => waiting.into_iter().for_each(|(_, _, answer)| {
-                drop(answer.send(Err(Error::new(Cause::Unreachable, trouble.to_string()))));
+                drop(answer.send(Err(Error::new(ErrorKind::Unreachable, trouble.to_string()))));
             }),
         }
     }
@@ -251,7 +250,7 @@
     dispatch.last_watermark = *mark;
     if life != *found {
         let trouble = Error::new(
-            Cause::Unreachable,
+            ErrorKind::Unreachable,
             "another life of the far node answers there",
         );
         return drop(answer.send(Err(trouble)));
@@ -263,7 +262,7 @@
         }
         // It never entered the buffer, so it never left.
         Err(_) => drop(answer.send(Err(Error::new(
-            Cause::Unreachable,
+            ErrorKind::Unreachable,
             "the conn to the far node takes nothing",
         )))),
     }
--- a/crates/legacy-proxy/src/slot_owner.rs
+++ b/crates/legacy-proxy/src/slot_owner.rs
@@ -1,6 +1,6 @@
 //! The back ends beside this node: slots, buffers, tries. Pure, with the time told to it (design 5.3).
 
-use model::{Cause, Error, Incarnation, Microseconds, endpoint_status::EndpointReport};
+use model::{Error, ErrorKind, Incarnation, Microseconds, endpoint_status::EndpointReport};
 use std::collections::BTreeMap;
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -112,7 +112,7 @@
     ) -> Result<Incarnation, Error> {
         let held = self.backends.get(&registration.name);
         if self.draining {
-            return Err(Error::new(Cause::ShuttingDown, "this node is leaving"));
+            return Err(Error::new(ErrorKind::ShuttingDown, "this node is leaving"));
         }
         if held.is_some_and(|held| {
             matches!(
@@ -121,7 +121,7 @@
             ) && now < held.last_heartbeat + self.config.heartbeat_timeout
         }) {
             return Err(Error::new(
-                Cause::BadRequest,
+                ErrorKind::BadRequest,
                 format!("the name {:?} has a live registration", registration.name),
             ));
         }
--- a/crates/legacy-proxy/src/slot_owner_check.rs
+++ b/crates/legacy-proxy/src/slot_owner_check.rs
@@ -1,7 +1,7 @@
 //! The last check before a request is passed on (design 5.3).
 
 use crate::slot_owner::{RegisteredBackend, RegistrationState, SlotOwner};
-use model::{Cause, Error, Microseconds};
+use model::{Error, ErrorKind, Microseconds};
 
 impl SlotOwner {
     /// Every reason not to pass it on is certain: nothing has left for the back end yet.
@@ -12,7 +12,7 @@
         dispatch: &transport::AttemptRequest,
     ) -> Result<&RegisteredBackend, Error> {
         if self.draining {
-            return Err(Error::new(Cause::ShuttingDown, "this node is leaving"));
+            return Err(Error::new(ErrorKind::ShuttingDown, "this node is leaving"));
         }
         let place = self
             .backends
@@ -23,31 +23,34 @@
             })
             .ok_or_else(|| {
                 Error::new(
-                    Cause::WrongIncarnation,
+                    ErrorKind::WrongIncarnation,
                     "that life of the back end is not beside this node",
                 )
             })?;
         match place.state {
             _ if place.draining => {
-                return Err(Error::new(Cause::Draining, "the back end is draining"));
+                return Err(Error::new(ErrorKind::Draining, "the back end is draining"));
             }
             RegistrationState::Live => {}
             RegistrationState::Draining => {
-                return Err(Error::new(Cause::Draining, "the back end is draining"));
+                return Err(Error::new(ErrorKind::Draining, "the back end is draining"));
             }
             RegistrationState::Pending | RegistrationState::Gone => {
                 return Err(Error::new(
-                    Cause::WrongIncarnation,
+                    ErrorKind::WrongIncarnation,
                     "the back end is not there",
                 ));
             }
         }
         if now >= place.last_heartbeat + self.config.heartbeat_timeout {
-            return Err(Error::new(Cause::NoBackend, "the back end has gone silent"));
+            return Err(Error::new(
+                ErrorKind::NoBackend,
+                "the back end has gone silent",
+            ));
         }
         if !view.is_fresh(now) {
             return Err(Error::new(
-                Cause::StaleState,
+                ErrorKind::StaleState,
                 "no proof that the state held here is current",
             )
             .with_retry_after(500_000));
@@ -60,11 +63,11 @@
         match logged.map(|held| held.phase) {
             Some(model::BackendPhase::Registered) => {}
             Some(model::BackendPhase::Draining) => {
-                return Err(Error::new(Cause::Draining, "the back end is draining"));
+                return Err(Error::new(ErrorKind::Draining, "the back end is draining"));
             }
             _ => {
                 return Err(Error::new(
-                    Cause::WrongIncarnation,
+                    ErrorKind::WrongIncarnation,
                     "the log does not know this life as registered",
                 ));
             }
@@ -75,8 +78,8 @@
             &dispatch.method,
             &dispatch.path,
         );
-        let (_, order) =
-            lane.ok_or_else(|| Error::new(Cause::NoRoute, "no standing order lets it through"))?;
+        let (_, order) = lane
+            .ok_or_else(|| Error::new(ErrorKind::NoRoute, "no standing order lets it through"))?;
         let labels = &place.registration.labels;
         if !order
             .selector
@@ -85,7 +88,7 @@
             .all(|(name, value)| labels.get(name) == Some(value))
         {
             return Err(Error::new(
-                Cause::NoRoute,
+                ErrorKind::NoRoute,
                 "the order asks for other labels",
             ));
         }
@@ -97,7 +100,7 @@
             &SlotOwner::attempt_identity(dispatch),
         ) {
             return Err(Error::new(
-                Cause::DuplicateAttempt,
+                ErrorKind::DuplicateAttempt,
                 "this try was passed on before",
             ));
         }
@@ -115,17 +118,20 @@
         let key = dispatch
             .shard_key
             .as_deref()
-            .ok_or_else(|| Error::new(Cause::BadRequest, "this lane needs a key"))?;
+            .ok_or_else(|| Error::new(ErrorKind::BadRequest, "this lane needs a key"))?;
         let term = view
             .slice
             .lease(&dispatch.service, key)
-            .ok_or_else(|| Error::new(Cause::KeyWithoutHolder, "nobody holds the key"))?;
+            .ok_or_else(|| Error::new(ErrorKind::KeyWithoutHolder, "nobody holds the key"))?;
         let holder = term
             .holder
             .as_ref()
             .is_some_and(|(name, life)| *name == dispatch.backend && *life == place.incarnation);
         if !holder || dispatch.fencing_token != Some(term.fencing_token) {
-            return Err(Error::new(Cause::StaleFencingToken, "the key has moved"));
+            return Err(Error::new(
+                ErrorKind::StaleFencingToken,
+                "the key has moved",
+            ));
         }
         if term.pending_releases.is_empty() {
             return Ok(());
@@ -147,14 +153,15 @@
         match free {
             Some(free) if now >= free => Ok(()),
             Some(free) => Err(Error::new(
-                Cause::KeyWithoutHolder,
+                ErrorKind::KeyWithoutHolder,
                 "an earlier holder may still be serving the key",
             )
             .with_retry_after(free - now)),
-            None => Err(
-                Error::new(Cause::KeyWithoutHolder, "the move of the key is news here")
-                    .with_retry_after(100_000),
-            ),
+            None => Err(Error::new(
+                ErrorKind::KeyWithoutHolder,
+                "the move of the key is news here",
+            )
+            .with_retry_after(100_000)),
         }
     }
 
--- a/crates/legacy-proxy/src/slot_owner_queue.rs
+++ b/crates/legacy-proxy/src/slot_owner_queue.rs
@@ -1,7 +1,7 @@
 //! Slots and bounded buffers: who goes in, who waits, who gives way (design 5.3, 5.7).
 
 use crate::slot_owner::{Admissions, Permit, QueuedRequest, RegistrationState, SlotOwner};
-use model::{Cause, Error, Incarnation, Microseconds, endpoint_status::EndpointReport};
+use model::{Error, ErrorKind, Incarnation, Microseconds, endpoint_status::EndpointReport};
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -19,7 +19,7 @@
     ) -> Admissions {
         let until = now + dispatch.time_left;
         let checked = match dispatch.time_left {
-            0 => Err(Error::new(Cause::ExpiredBeforeRun, "no time is left")),
+            0 => Err(Error::new(ErrorKind::ExpiredBeforeRun, "no time is left")),
             _ => self.check(now, view, &dispatch).map(|_| ()),
         };
         if let Err(trouble) = checked {
@@ -101,14 +101,15 @@
             .count();
         if same >= bound / 2 {
             let trouble = Error::new(
-                Cause::KeyOverloaded,
+                ErrorKind::KeyOverloaded,
                 "the key has filled its share of the buffer",
             )
             .with_retry_after(SHED_RETRY_AFTER);
             return vec![(waiter.ticket, Err(trouble))];
         }
         let full = || {
-            Error::new(Cause::Overloaded, "the buffer is full").with_retry_after(SHED_RETRY_AFTER)
+            Error::new(ErrorKind::Overloaded, "the buffer is full")
+                .with_retry_after(SHED_RETRY_AFTER)
         };
         let mut shed = Vec::new();
         if place.queued.len() >= bound {
@@ -174,7 +175,7 @@
         waiting.into_iter().for_each(|waiter| {
             let judged = if waiter.deadline <= now {
                 Err(Error::new(
-                    Cause::ExpiredBeforeRun,
+                    ErrorKind::ExpiredBeforeRun,
                     "its time ran out in the buffer",
                 ))
             } else {
--- a/crates/legacy-proxy/src/slot_owner_task.rs
+++ b/crates/legacy-proxy/src/slot_owner_task.rs
@@ -155,7 +155,7 @@
 }
 
 fn stopping_error() -> Error {
-    Error::new(model::Cause::ShuttingDown, "this node is stopping")
+    Error::new(model::ErrorKind::ShuttingDown, "this node is stopping")
 }
 
 struct SlotOwnerTask {
--- a/crates/legacy-proxy/tests/beats.rs
+++ b/crates/legacy-proxy/tests/beats.rs
@@ -2,7 +2,7 @@
 
 mod scene;
 
-use model::{Cause, endpoint_status::EndpointReport};
+use model::{ErrorKind, endpoint_status::EndpointReport};
 use scene::{SECOND, Scene};
 
 fn slots_told(scene: &mut Scene) -> Vec<u32> {
@@ -82,7 +82,10 @@
             .insert("seat".into(), vec![term; model::leases::KEY_SLOTS as usize]);
     });
     let dispatch = scene.dispatch("after", "/plain");
-    assert_eq!(scene.cause(SECOND, dispatch), Some(Cause::WrongIncarnation));
+    assert_eq!(
+        scene.cause(SECOND, dispatch),
+        Some(ErrorKind::WrongIncarnation)
+    );
     let released = |scene: &mut Scene| {
         drop(scene.house.admit_queued(SECOND, &scene.view));
         scene
--- a/crates/legacy-proxy/tests/house.rs
+++ b/crates/legacy-proxy/tests/house.rs
@@ -3,7 +3,9 @@
 mod scene;
 
 use legacy_proxy::slot_owner::Registration;
-use model::{BackendPhase, Cause, ExecutionStatus, endpoint_status::EndpointReport, leases::Lease};
+use model::{
+    BackendPhase, ErrorKind, ExecutionStatus, endpoint_status::EndpointReport, leases::Lease,
+};
 use scene::{SECOND, Scene};
 
 #[test]
@@ -16,7 +18,7 @@
         ..scene.view.clone()
     };
     let current = std::mem::replace(&mut scene.view, stale);
-    assert_eq!(scene.cause(at, good.clone()), Some(Cause::StaleState));
+    assert_eq!(scene.cause(at, good.clone()), Some(ErrorKind::StaleState));
     scene.view = current;
     assert_eq!(
         scene.cause(
@@ -26,7 +28,7 @@
                 ..good.clone()
             }
         ),
-        Some(Cause::ExpiredBeforeRun)
+        Some(ErrorKind::ExpiredBeforeRun)
     );
     assert_eq!(
         scene.cause(
@@ -36,7 +38,7 @@
                 ..good.clone()
             }
         ),
-        Some(Cause::WrongIncarnation)
+        Some(ErrorKind::WrongIncarnation)
     );
     assert_eq!(
         scene.cause(
@@ -46,7 +48,7 @@
                 ..good.clone()
             }
         ),
-        Some(Cause::WrongIncarnation)
+        Some(ErrorKind::WrongIncarnation)
     );
     assert_eq!(
         scene.cause(
@@ -56,7 +58,7 @@
                 ..good.clone()
             }
         ),
-        Some(Cause::NoRoute)
+        Some(ErrorKind::NoRoute)
     );
     assert_eq!(
         scene.cause(
@@ -66,7 +68,7 @@
                 ..good.clone()
             }
         ),
-        Some(Cause::NoRoute)
+        Some(ErrorKind::NoRoute)
     );
     assert_eq!(
         scene.cause(
@@ -76,16 +78,16 @@
                 ..scene.dispatch("k", "/keyed")
             }
         ),
-        Some(Cause::StaleFencingToken)
+        Some(ErrorKind::StaleFencingToken)
     );
     assert_eq!(scene.cause(at, good.clone()), None);
     assert_eq!(
         scene.cause(at, good),
-        Some(Cause::DuplicateAttempt),
+        Some(ErrorKind::DuplicateAttempt),
         "passed on once already"
     );
     assert_eq!(
-        Cause::DuplicateAttempt.verdict(),
+        ErrorKind::DuplicateAttempt.execution_status(),
         ExecutionStatus::MayHaveRun
     );
     assert_eq!(
@@ -93,7 +95,7 @@
         Some("seat-0")
     );
     let late = scene.dispatch("late", "/plain");
-    assert_eq!(scene.cause(at, late), Some(Cause::Draining));
+    assert_eq!(scene.cause(at, late), Some(ErrorKind::Draining));
 }
 
 #[test]
@@ -106,7 +108,7 @@
             .values_mut()
             .for_each(|held| held.phase = BackendPhase::Draining)
     });
-    assert_eq!(scene.cause(SECOND, one), Some(Cause::Draining));
+    assert_eq!(scene.cause(SECOND, one), Some(ErrorKind::Draining));
     scene.edit(|slice| {
         slice
             .backends
@@ -122,7 +124,7 @@
     let two = scene.dispatch("two", "/plain");
     assert_eq!(
         scene.cause(SECOND, two),
-        Some(Cause::WrongIncarnation),
+        Some(ErrorKind::WrongIncarnation),
         "the old life is over"
     );
 }
@@ -144,7 +146,7 @@
         .for_each(|number| assert!(enter(&mut scene, &format!("w{number}"), "/plain").is_empty()));
     let refused = enter(&mut scene, "w4", "/plain");
     assert!(
-        matches!(&refused[0].1, Err(trouble) if trouble.kind == Cause::Overloaded && trouble.retry_after.is_some())
+        matches!(&refused[0].1, Err(trouble) if trouble.kind == ErrorKind::Overloaded && trouble.retry_after.is_some())
     );
     let shed = enter(&mut scene, "dear", "/dear");
     assert_eq!(shed.len(), 1, "the last plain one gives way");
@@ -159,7 +161,7 @@
     let late = scene.house.admit_queued(3 * SECOND, &scene.view);
     assert_eq!(late.len(), 3);
     assert!(late.iter().all(
-        |(_, entered)| matches!(entered, Err(trouble) if trouble.kind == Cause::ExpiredBeforeRun)
+        |(_, entered)| matches!(entered, Err(trouble) if trouble.kind == ErrorKind::ExpiredBeforeRun)
     ));
 }
 
@@ -169,7 +171,7 @@
     let mut crowded = 0;
     (0..30).for_each(|number| {
         let dispatch = scene.dispatch(&format!("hot{number}"), "/keyed");
-        crowded += (scene.cause(0, dispatch) == Some(Cause::KeyOverloaded)) as usize;
+        crowded += (scene.cause(0, dispatch) == Some(ErrorKind::KeyOverloaded)) as usize;
     });
     assert_eq!(scene.house.running(), 6);
     assert_eq!(scene.house.queued(), 8);
@@ -208,7 +210,10 @@
     };
     let free = SECOND + 1_500_000 + 250_000 + 3 * SECOND;
     let (early, timely) = (moved(&scene, "early"), moved(&scene, "timely"));
-    assert_eq!(scene.cause(free - 1, early), Some(Cause::KeyWithoutHolder));
+    assert_eq!(
+        scene.cause(free - 1, early),
+        Some(ErrorKind::KeyWithoutHolder)
+    );
     assert_eq!(scene.cause(free, timely), None);
     // With the release in the log nothing is left to wait for.
     scene.edit(|slice| {
@@ -282,7 +287,7 @@
         .reserve(SECOND, 0, next, "another".into())
         .expect("a new name");
     let old = scene.dispatch("old", "/plain");
-    assert_eq!(scene.cause(SECOND, old), Some(Cause::WrongIncarnation));
+    assert_eq!(scene.cause(SECOND, old), Some(ErrorKind::WrongIncarnation));
     let taken = Registration {
         name: "other-0".into(),
         service: "other".into(),
@@ -338,7 +343,7 @@
     let back_end = scene.house.backend("seat-0").expect("registered again");
     scene.edit(|slice| drop(slice.backends.insert("seat-0".into(), back_end)));
     let late = scene.dispatch("late", "/plain");
-    assert_eq!(scene.cause(SECOND, late), Some(Cause::Draining));
+    assert_eq!(scene.cause(SECOND, late), Some(ErrorKind::Draining));
     let reports = scene.house.take_reports();
     assert!(
         reports.iter().any(|report| matches!(
--- a/crates/legacy-proxy/tests/scene/mod.rs
+++ b/crates/legacy-proxy/tests/scene/mod.rs
@@ -2,7 +2,7 @@
 
 use legacy_proxy::slot_owner::{Permit, Registration};
 use legacy_proxy::{SlotOwner, SlotOwnerConfig};
-use model::{Cause, Selector, StandingOrder, leases::Lease};
+use model::{ErrorKind, Selector, StandingOrder, leases::Lease};
 use std::sync::Arc;
 
 pub const SECOND: u64 = 1_000_000;
@@ -128,7 +128,7 @@
         self.house.admit(now, &self.view, self.tickets, dispatch)
     }
 
-    pub fn cause(&mut self, now: u64, dispatch: transport::AttemptRequest) -> Option<Cause> {
+    pub fn cause(&mut self, now: u64, dispatch: transport::AttemptRequest) -> Option<ErrorKind> {
         let entered = self.enter(now, dispatch);
         entered
             .into_iter()
--- a/crates/model/src/cluster_state/items.rs
+++ b/crates/model/src/cluster_state/items.rs
@@ -58,7 +58,7 @@
 pub struct Route {
     #[validate(length(min = 1, max = 253, message = "names a host of 1 to 253 bytes"))]
     pub host: String,
-    #[validate(custom(function = "crate::check::prefix"))]
+    #[validate(custom(function = "crate::validation::prefix"))]
     pub prefix: String,
     /// May run more than once without harm.
     #[serde(rename = "repeatable")]
@@ -81,7 +81,7 @@
     pub dispatches: u8,
     #[validate(
         length(min = 1, max = 32, message = "names 1 to 32 services"),
-        custom(function = "crate::check::shares")
+        custom(function = "crate::validation::shares")
     )]
     pub shares: Vec<(ServiceName, u32)>,
 }
@@ -171,7 +171,7 @@
         }
     }
 
-    pub(crate) fn faults(&self, path: &str) -> Vec<crate::check::Fault> {
+    pub(crate) fn faults(&self, path: &str) -> Vec<crate::validation::Fault> {
         let checked = match self {
             ItemBody::Route(lane) => lane.validate(),
             ItemBody::Service(service) => service.validate(),
@@ -179,7 +179,7 @@
         };
         checked
             .err()
-            .map(|errors| crate::check::faults_from_errors(path, &errors))
+            .map(|errors| crate::validation::faults_from_errors(path, &errors))
             .unwrap_or_default()
     }
 }
@@ -286,8 +286,8 @@
 }
 
 /// Every fault of the call, judged by what would stand after it.
-pub fn faults(items: &Items, call: &ItemCall) -> Vec<crate::check::Fault> {
-    let fault = |path: String, fault: String| crate::check::Fault {
+pub fn faults(items: &Items, call: &ItemCall) -> Vec<crate::validation::Fault> {
+    let fault = |path: String, fault: String| crate::validation::Fault {
         path,
         message: fault,
     };
--- a/crates/model/src/desired_state.rs
+++ b/crates/model/src/desired_state.rs
@@ -20,12 +20,12 @@
 )]
 #[serde(deny_unknown_fields)]
 pub struct Grouping {
-    #[validate(custom(function = "crate::check::name"))]
+    #[validate(custom(function = "crate::validation::name"))]
     pub service: ServiceName,
-    #[validate(custom(function = "crate::check::name"))]
+    #[validate(custom(function = "crate::validation::name"))]
     pub zone: ZoneName,
     #[serde(default)]
-    #[validate(custom(function = "crate::check::labels"))]
+    #[validate(custom(function = "crate::validation::labels"))]
     pub labels: Labels,
 }
 
@@ -46,17 +46,17 @@
 pub struct Selector {
     #[validate(length(min = 1, max = 64, message = "names 1 to 64 services"))]
     pub from: Vec<ServiceName>,
-    #[validate(custom(function = "crate::check::name"))]
+    #[validate(custom(function = "crate::validation::name"))]
     pub service: ServiceName,
     #[serde(default)]
-    #[validate(custom(function = "crate::check::methods"))]
+    #[validate(custom(function = "crate::validation::methods"))]
     pub methods: Vec<String>,
-    #[serde(default = "crate::check::any_path")]
-    #[validate(custom(function = "crate::check::path"))]
+    #[serde(default = "crate::validation::any_path")]
+    #[validate(custom(function = "crate::validation::path"))]
     pub path_prefix: String,
     /// Only back ends with these labels serve it.
     #[serde(default)]
-    #[validate(custom(function = "crate::check::labels"))]
+    #[validate(custom(function = "crate::validation::labels"))]
     pub labels: Labels,
 }
 
@@ -83,7 +83,7 @@
     ))]
     pub wait_us: crate::Microseconds,
     /// 0 gives way first, 9 last.
-    #[serde(default = "crate::check::middle_importance")]
+    #[serde(default = "crate::validation::middle_importance")]
     #[validate(range(max = 9, message = "is from 0 to 9"))]
     pub importance: u8,
     /// May run twice without harm: only then is a try repeated that may have run.
@@ -94,7 +94,7 @@
     #[serde(default)]
     pub keyed: bool,
     /// `true` lets requests leave their zone when it has no back end.
-    #[serde(default = "crate::check::yes")]
+    #[serde(default = "crate::validation::yes")]
     #[serde(rename = "leave_zone")]
     pub allow_other_zones: bool,
 }
--- a/crates/model/src/entry.rs
+++ b/crates/model/src/entry.rs
@@ -1,6 +1,6 @@
 //! What the log holds, and what applying it answered (design 2.3).
 
-use crate::{Change, Incarnation, Position, check::Fault, endpoint_status};
+use crate::{Change, Incarnation, Position, endpoint_status, validation::Fault};
 
 #[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub enum Operation {
--- a/crates/model/src/error.rs
+++ b/crates/model/src/error.rs
@@ -23,13 +23,13 @@
     ($($name:ident = $code:literal, $verdict:ident, $status:literal;)*) => {
         #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
         #[serde(rename_all = "snake_case")]
-        pub enum Cause { $(#[serde(rename = $code)] $name),* }
+        pub enum ErrorKind { $(#[serde(rename = $code)] $name),* }
 
-        impl Cause {
-            pub const ALL: &[Cause] = &[$(Cause::$name),*];
-            pub fn code(self) -> &'static str { match self { $(Cause::$name => $code),* } }
-            pub fn verdict(self) -> ExecutionStatus { match self { $(Cause::$name => ExecutionStatus::$verdict),* } }
-            pub fn status(self) -> u16 { match self { $(Cause::$name => $status),* } }
+        impl ErrorKind {
+            pub const ALL: &[ErrorKind] = &[$(ErrorKind::$name),*];
+            pub fn code(self) -> &'static str { match self { $(ErrorKind::$name => $code),* } }
+            pub fn execution_status(self) -> ExecutionStatus { match self { $(ErrorKind::$name => ExecutionStatus::$verdict),* } }
+            pub fn http_status(self) -> u16 { match self { $(ErrorKind::$name => $status),* } }
         }
     };
 }
@@ -66,10 +66,10 @@
 /// When to come back, where nothing better is known.
 const DEFAULT_RETRY_AFTER: crate::Microseconds = 500_000;
 
-impl Cause {
+impl ErrorKind {
     /// Refused for the moment: every such answer says when to come back.
     pub fn may_retry_later(self) -> bool {
-        matches!(self.status(), 429 | 503)
+        matches!(self.http_status(), 429 | 503)
     }
 }
 
@@ -89,16 +89,16 @@
     #[serde(rename = "verdict")]
     pub execution_status: ExecutionStatus,
     #[serde(rename = "cause")]
-    pub kind: Cause,
+    pub kind: ErrorKind,
     pub detail: String,
     /// When it is worth asking again, if that can be said.
     pub retry_after: Option<crate::Microseconds>,
 }
 
 impl Error {
-    pub fn new(cause: Cause, detail: impl Into<String>) -> Self {
+    pub fn new(cause: ErrorKind, detail: impl Into<String>) -> Self {
         Error {
-            execution_status: cause.verdict(),
+            execution_status: cause.execution_status(),
             kind: cause,
             detail: detail.into(),
             retry_after: cause.may_retry_later().then_some(DEFAULT_RETRY_AFTER),
--- a/crates/model/src/env.rs
+++ b/crates/model/src/settings.rs
@@ -1,6 +1,6 @@
 //! Settings from a file, overridden by flags, every fault named at once (design 10.1).
 
-use crate::check::Fault;
+use crate::validation::Fault;
 use std::net::SocketAddr;
 
 pub const USAGE_EXIT_CODE: i32 = 2;
@@ -112,7 +112,7 @@
         })?;
     match validator::Validate::validate(&settings) {
         Ok(()) => Ok(settings),
-        Err(errors) => Err(crate::check::faults_from_errors("config", &errors)),
+        Err(errors) => Err(crate::validation::faults_from_errors("config", &errors)),
     }
 }
 
--- a/crates/model/src/state_machine.rs
+++ b/crates/model/src/state_machine.rs
@@ -175,7 +175,7 @@
                 version: self.desired.version,
             };
         }
-        let faults = crate::check::faults_against(&self.desired, &change.edits);
+        let faults = crate::validation::faults_against(&self.desired, &change.edits);
         if !faults.is_empty() {
             return Outcome::Invalid { faults };
         }
--- a/crates/model/tests/recorded_bytes/entries.rs
+++ b/crates/model/tests/recorded_bytes/entries.rs
@@ -4,10 +4,10 @@
 use crate::samples::{
     LIFE, back_end, bill_reports, bodies, edits, kinds, phases, place, player, reports, row, text,
 };
-use model::check::Fault;
 use model::cluster_state::items::ItemPut;
 use model::cluster_state::{ClusterOperation, Delta, ItemBody, ItemCall, ItemKind};
 use model::endpoint_status::EndpointReport;
+use model::validation::Fault;
 use model::{
     BackendPhase, Change, Edit, Entry, ExecutionStatus, Operation, Outcome, ReplicaReplacement,
     VersionConflict,
--- a/crates/model/tests/recorded_bytes/main.rs
+++ b/crates/model/tests/recorded_bytes/main.rs
@@ -14,8 +14,8 @@
 use entries::{deltas, entries, outcomes, verdicts};
 use model::cluster_state::{BackendRecord, Delta, Item, NodeRecord, ShardRange};
 use model::{
-    Backend, Cause, ClusterState, Error, ExecutionStatus, Grouping, Node, Outcome, StandingOrder,
-    StateMachine, StatePatch, StateSlice, compression, entry, leases,
+    Backend, ClusterState, Error, ErrorKind, ExecutionStatus, Grouping, Node, Outcome,
+    StandingOrder, StateMachine, StatePatch, StateSlice, compression, entry, leases,
 };
 use recorded::RecordedBytes;
 use recorded_archive::check_archive;
@@ -80,7 +80,7 @@
 #[test]
 fn every_trouble_has_the_recorded_bytes() {
     let mut recorded = RecordedBytes::of("troubles");
-    for cause in Cause::ALL {
+    for cause in ErrorKind::ALL {
         check_archive!(recorded, cause.code(), Error, &Error::new(*cause, "why"));
     }
     for (name, verdict) in verdicts() {
@@ -91,7 +91,7 @@
             &verdict
         );
     }
-    let later = Error::new(Cause::Overloaded, "why").with_retry_after(1_234_567);
+    let later = Error::new(ErrorKind::Overloaded, "why").with_retry_after(1_234_567);
     check_archive!(recorded, "later", Error, &later);
     recorded.finish();
 }
--- a/crates/model/tests/witness.rs
+++ b/crates/model/tests/witness.rs
@@ -6,14 +6,14 @@
 mod golden_files;
 
 use golden_files::compare;
-use model::check::Fault;
 use model::cluster_state::{
     BackendRecord, Item, ItemBody, ItemCall, ItemKind, Limits, NodeRecord, Route, Service,
     ShardRange,
 };
 use model::leases::Lease;
+use model::validation::Fault;
 use model::{
-    Backend, BackendPhase, Cause, Change, DesiredState, Edit, EndpointStatus, Entry, Error,
+    Backend, BackendPhase, Change, DesiredState, Edit, EndpointStatus, Entry, Error, ErrorKind,
     ExecutionStatus, Grouping, Node, Operation, Outcome, ReplicaReplacement, Selector,
     StandingOrder, StateMachine, StateSlice, VersionConflict,
 };
@@ -275,12 +275,12 @@
 
 #[test]
 fn every_trouble_keeps_its_cause_verdict_and_words() {
-    let causes = Cause::ALL.iter().map(|cause| {
+    let causes = ErrorKind::ALL.iter().map(|cause| {
         let trouble = Error::new(*cause, "in words");
         format!(
             "{} {} {}\n  {trouble}\n  {}",
             cause.code(),
-            cause.status(),
+            cause.http_status(),
             cause.may_retry_later(),
             line("trouble", &trouble)
         )
--- a/crates/operator-api/src/changes.rs
+++ b/crates/operator-api/src/changes.rs
@@ -28,7 +28,7 @@
 
 type StatusAndBody = (u16, serde_json::Value);
 
-fn invalid(status: u16, faults: Vec<model::check::Fault>) -> StatusAndBody {
+fn invalid(status: u16, faults: Vec<model::validation::Fault>) -> StatusAndBody {
     (
         status,
         serde_json::json!({ "verdict": "not-run", "cause": "invalid", "faults": faults }),
@@ -92,12 +92,12 @@
 
 async fn replace_replica(office: &OperatorApi, ask: ReplaceRequest) -> StatusAndBody {
     let seats = office.replica.replica_count();
-    let seat_fault = (ask.replica_id >= seats).then(|| model::check::Fault {
+    let seat_fault = (ask.replica_id >= seats).then(|| model::validation::Fault {
         path: "seat".into(),
         message: format!("is from 0 to {}", seats - 1),
     });
     let disk = |path: &str, text: &str| {
-        u64::from_str_radix(text, 16).map_err(|_| model::check::Fault {
+        u64::from_str_radix(text, 16).map_err(|_| model::validation::Fault {
             path: path.into(),
             message: "is a disk's identity in hexadecimal".into(),
         })
@@ -165,7 +165,7 @@
     let fault = |path: &str, fault: &str| {
         invalid(
             428,
-            vec![model::check::Fault {
+            vec![model::validation::Fault {
                 path: path.into(),
                 message: fault.into(),
             }],
@@ -197,13 +197,14 @@
 }
 
 async fn submit(office: &OperatorApi, change: model::Change) -> StatusAndBody {
-    let id_fault = (change.id.is_empty() || change.id.len() > 128).then(|| model::check::Fault {
-        path: "id".into(),
-        message: "is 1 to 128 bytes".into(),
-    });
+    let id_fault =
+        (change.id.is_empty() || change.id.len() > 128).then(|| model::validation::Fault {
+            path: "id".into(),
+            message: "is 1 to 128 bytes".into(),
+        });
     let found: Vec<_> = id_fault
         .into_iter()
-        .chain(model::check::faults_of_edits(&change.edits))
+        .chain(model::validation::faults_of_edits(&change.edits))
         .collect();
     if !found.is_empty() {
         return invalid(422, found);
--- a/crates/outbound/src/listener.rs
+++ b/crates/outbound/src/listener.rs
@@ -1,7 +1,7 @@
 //! Senders' conns: requests taken whole, answers given whole (design 13.1).
 
 use http_body_util::BodyExt as _;
-use model::{Cause, Error, ExecutionStatus};
+use model::{Error, ErrorKind, ExecutionStatus};
 use std::convert::Infallible;
 use std::time::Duration;
 
@@ -101,20 +101,20 @@
             Err(error) if error.is::<http_body_util::LengthLimitError>() => {
                 return self.error_response(
                     &attempt_id,
-                    Error::new(Cause::TooLarge, "the body is over the limit"),
+                    Error::new(ErrorKind::TooLarge, "the body is over the limit"),
                 );
             }
             Err(_) => {
                 return self.error_response(
                     &attempt_id,
-                    Error::new(Cause::BadRequest, "the body broke off"),
+                    Error::new(ErrorKind::BadRequest, "the body broke off"),
                 );
             }
         };
         if attempt_id.is_empty() {
             return self.error_response(
                 &attempt_id,
-                Error::new(Cause::BadRequest, "the try has no identity"),
+                Error::new(ErrorKind::BadRequest, "the try has no identity"),
             );
         }
         let own_headers = [words.time_left_ms, words.target_backend, words.caller];
@@ -171,7 +171,7 @@
             .unwrap_or_else(|_| {
                 self.error_response(
                     "",
-                    Error::new(Cause::BadSeal, "an answer that cannot be said"),
+                    Error::new(ErrorKind::BadSeal, "an answer that cannot be said"),
                 )
             })
     }
@@ -179,11 +179,11 @@
     /// 503 promises that it did not run and never will, and says when to come back; 502 and 504 promise nothing.
     fn error_response(&self, attempt_id: &str, error: Error) -> HttpResponse {
         let status = match (error.execution_status, error.kind) {
-            (_, Cause::NoRoute) => 404,
-            (_, Cause::BadRequest) => 400,
-            (_, Cause::TooLarge) => 413,
+            (_, ErrorKind::NoRoute) => 404,
+            (_, ErrorKind::BadRequest) => 400,
+            (_, ErrorKind::TooLarge) => 413,
             (ExecutionStatus::NotRun, _) => 503,
-            (ExecutionStatus::MayHaveRun, Cause::TimedOut) => 504,
+            (ExecutionStatus::MayHaveRun, ErrorKind::TimedOut) => 504,
             (ExecutionStatus::MayHaveRun, _) => 502,
         };
         slog::debug!(self.proxy.logger, "refused"; "try" => attempt_id, "cause" => error.kind.code(), "detail" => &error.detail);
--- a/crates/outbound/src/peer_connections.rs
+++ b/crates/outbound/src/peer_connections.rs
@@ -1,6 +1,6 @@
 //! Conns to the nodes beside other back ends: one each, many requests on it (design 13.2).
 
-use model::{Cause, Error};
+use model::{Error, ErrorKind};
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -73,7 +73,7 @@
         {
             return (
                 Err(Error::new(
-                    Cause::Unreachable,
+                    ErrorKind::Unreachable,
                     "too much waits for that node",
                 )),
                 0,
@@ -90,7 +90,7 @@
         outcome.unwrap_or_else(|_| {
             (
                 Err(Error::new(
-                    Cause::Unreachable,
+                    ErrorKind::Unreachable,
                     "the conn to that node ended",
                 )),
                 0,
@@ -132,9 +132,10 @@
             asked.close();
             while let Some(next) = asked.recv().await {
                 if let Command::Forward(_, _, answer) = next {
-                    drop(
-                        answer.send((Err(Error::new(Cause::Unreachable, trouble.to_string())), 0)),
-                    );
+                    drop(answer.send((
+                        Err(Error::new(ErrorKind::Unreachable, trouble.to_string())),
+                        0,
+                    )));
                 }
             }
             return;
@@ -168,7 +169,7 @@
                     Ok(()) => drop(pending.insert(number, answer)),
                     // What was not said is not in the other end's table either: the conn has to end.
                     Err(_) => {
-                        drop(answer.send((Err(Error::new(Cause::Unreachable, "the conn takes nothing more")), 0)));
+                        drop(answer.send((Err(Error::new(ErrorKind::Unreachable, "the conn takes nothing more")), 0)));
                         break;
                     }
                 }
@@ -193,7 +194,10 @@
     // What was asked and not answered may have run; what still waits in the queue was not said.
     pending.into_values().for_each(|answer| {
         drop(answer.send((
-            Err(Error::new(Cause::PeerLost, "the conn to that node broke")),
+            Err(Error::new(
+                ErrorKind::PeerLost,
+                "the conn to that node broke",
+            )),
             0,
         )))
     });
--- a/crates/outbound/src/proxy.rs
+++ b/crates/outbound/src/proxy.rs
@@ -1,6 +1,6 @@
 //! One request from end to end: its lane, whom it goes to, whether it may go again (design 13.5).
 
-use model::{Cause, Error, ExecutionStatus, Microseconds};
+use model::{Error, ErrorKind, ExecutionStatus, Microseconds};
 use std::time::Duration;
 
 #[derive(Clone)]
@@ -43,20 +43,21 @@
 impl OutboundProxy {
     pub async fn perform(&self, request: Request) -> Result<transport::ForwardedResponse, Error> {
         let _under_way = self.in_flight.begin().ok_or_else(|| {
-            Error::new(Cause::ShuttingDown, "this node is stopping").with_retry_after(1_000_000)
+            Error::new(ErrorKind::ShuttingDown, "this node is stopping").with_retry_after(1_000_000)
         })?;
         let outlook = self.verified_state.load_full();
         if outlook.verified_at == 0 || !outlook.snapshot.has_routes() {
             return Err(Error::new(
-                Cause::StaleState,
+                ErrorKind::StaleState,
                 "nothing is known yet of what is to be served",
             )
             .with_retry_after(300_000));
         }
         let path = request.target.split('?').next().unwrap_or_default();
         let item = outlook.snapshot.route(&request.host, path).cloned();
-        let item = item
-            .ok_or_else(|| Error::new(Cause::NoRoute, "no lane begins this path on this host"))?;
+        let item = item.ok_or_else(|| {
+            Error::new(ErrorKind::NoRoute, "no lane begins this path on this host")
+        })?;
         let lane = &item.2;
         let service = select_service(lane, &request.attempt_id);
         let latency_target = if lane.latency_target_us == 0 {
@@ -98,7 +99,7 @@
             if now >= deadline {
                 return Err(preserve_execution_status(
                     Error::new(
-                        Cause::ExpiredBeforeRun,
+                        ErrorKind::ExpiredBeforeRun,
                         "the wait was over before it could be dispatched",
                     ),
                     may_have_run,
@@ -115,9 +116,9 @@
             let Some(selected) = selected else {
                 if now >= admission_deadline {
                     let kind = if forwarded.shard_key.is_some() {
-                        Cause::KeyWithoutHolder
+                        ErrorKind::KeyWithoutHolder
                     } else {
-                        Cause::NoBackend
+                        ErrorKind::NoBackend
                     };
                     return Err(preserve_execution_status(
                         Error::new(kind, "nobody can take it now").with_retry_after(300_000),
@@ -149,7 +150,10 @@
             };
             let connection_lost = matches!(
                 trouble.kind,
-                Cause::Unreachable | Cause::PeerLost | Cause::BackendLost | Cause::ShuttingDown
+                ErrorKind::Unreachable
+                    | ErrorKind::PeerLost
+                    | ErrorKind::BackendLost
+                    | ErrorKind::ShuttingDown
             );
             self.selector
                 .attempt_finished(
@@ -160,7 +164,7 @@
                 .await;
             passed_over.push(selected.name);
             // However many are ill, a request goes past few of them.
-            ejection_refusals += (trouble.kind == Cause::PassedOver) as u8;
+            ejection_refusals += (trouble.kind == ErrorKind::PassedOver) as u8;
             forwarded.force = ejection_refusals >= MAX_PASSED_OVER;
             let certainly_not_run = trouble.execution_status == ExecutionStatus::NotRun;
             may_have_run |= !certainly_not_run;
@@ -170,7 +174,7 @@
                 return Err(preserve_execution_status(trouble, may_have_run));
             }
             // What a back end was given counts, though it ran nothing.
-            let reached_backend = !certainly_not_run || trouble.kind == Cause::Refused;
+            let reached_backend = !certainly_not_run || trouble.kind == ErrorKind::Refused;
             attempts += reached_backend as u8;
             if reached_backend
                 && (attempts >= lane.dispatches || !self.selector.withdraw(&service).await)
@@ -210,7 +214,7 @@
     outcome.unwrap_or_else(|_| {
         (
             Err(Error::new(
-                Cause::TimedOut,
+                ErrorKind::TimedOut,
                 "that node answered nothing in time",
             )),
             0,
@@ -224,7 +228,7 @@
         return trouble;
     }
     Error::new(
-        Cause::BackendLost,
+        ErrorKind::BackendLost,
         format!(
             "an earlier dispatch may have run; then: {}",
             trouble.kind.code()
@@ -253,17 +257,17 @@
 /// Troubles that another back end, or a moment later, may not have.
 fn is_retryable(trouble: &Error, keyed: bool) -> bool {
     match trouble.kind {
-        Cause::PassedOver
-        | Cause::Unreachable
-        | Cause::PeerLost
-        | Cause::BackendLost
-        | Cause::ConnectionForgotten
-        | Cause::BadSeal
-        | Cause::ShuttingDown
-        | Cause::WrongIncarnation
-        | Cause::Draining
-        | Cause::KeyWithoutHolder => true,
-        Cause::Overloaded | Cause::Refused => !keyed,
+        ErrorKind::PassedOver
+        | ErrorKind::Unreachable
+        | ErrorKind::PeerLost
+        | ErrorKind::BackendLost
+        | ErrorKind::ConnectionForgotten
+        | ErrorKind::BadSeal
+        | ErrorKind::ShuttingDown
+        | ErrorKind::WrongIncarnation
+        | ErrorKind::Draining
+        | ErrorKind::KeyWithoutHolder => true,
+        ErrorKind::Overloaded | ErrorKind::Refused => !keyed,
         _ => false,
     }
 }
@@ -296,7 +300,7 @@
 
     #[test]
     fn what_may_have_run_is_never_said_not_to_have_run() {
-        let refusal = || Error::new(Cause::Overloaded, "full").with_retry_after(1);
+        let refusal = || Error::new(ErrorKind::Overloaded, "full").with_retry_after(1);
         assert_eq!(
             preserve_execution_status(refusal(), false).execution_status,
             ExecutionStatus::NotRun
@@ -306,8 +310,8 @@
             ExecutionStatus::MayHaveRun
         );
         assert_eq!(
-            preserve_execution_status(Error::new(Cause::TimedOut, ""), true).kind,
-            Cause::TimedOut
+            preserve_execution_status(Error::new(ErrorKind::TimedOut, ""), true).kind,
+            ErrorKind::TimedOut
         );
     }
 
@@ -317,7 +321,7 @@
         let trouble = outcome.expect_err("nobody answers");
         assert_eq!(
             (trouble.kind, trouble.execution_status),
-            (Cause::TimedOut, ExecutionStatus::MayHaveRun)
+            (ErrorKind::TimedOut, ExecutionStatus::MayHaveRun)
         );
     }
 }
--- a/crates/outbound/tests/callers.rs
+++ b/crates/outbound/tests/callers.rs
@@ -8,7 +8,7 @@
 mod back_end;
 
 use back_end::{BackEnd, Event};
-use model::{Cause, ExecutionStatus};
+use model::{ErrorKind, ExecutionStatus};
 use std::time::Duration;
 
 const BOUND: Duration = Duration::from_secs(300);
@@ -302,7 +302,7 @@
     let (outcome, _) = site.near.call(&site.far, other).await;
     assert_eq!(
         outcome.expect_err("it is not there").kind,
-        Cause::WrongIncarnation
+        ErrorKind::WrongIncarnation
     );
 }
 
--- a/crates/simulator/src/sim/site_calls.rs
+++ b/crates/simulator/src/sim/site_calls.rs
@@ -2,7 +2,7 @@
 
 use super::site::{Event, Site};
 use super::site_plan::{LANES, Lane, WAIT};
-use model::{Cause, Error, ExecutionStatus};
+use model::{Error, ErrorKind, ExecutionStatus};
 
 /// A try as its sender knows it: it may send it more than once.
 pub(super) struct Try {
@@ -70,7 +70,7 @@
         let taken = self.take(at, &secret, &try_id);
         let begun = taken.and_then(|sender| {
             if self.nodes[at].leaving {
-                return Err(Error::new(Cause::ShuttingDown, "stopping"));
+                return Err(Error::new(ErrorKind::ShuttingDown, "stopping"));
             }
             let ask = legacy_proxy::Request {
                 attempt_id: try_id.clone(),
@@ -113,13 +113,13 @@
             .clients()
             .get(secret)
             .cloned()
-            .ok_or_else(|| Error::new(Cause::UnknownClient, "no such secret"))?;
+            .ok_or_else(|| Error::new(ErrorKind::UnknownClient, "no such secret"))?;
         if without {
             return Ok(sender);
         }
         if !try_id.starts_with(&sender.attempt_prefix) {
             return Err(Error::new(
-                Cause::EarlierIncarnation,
+                ErrorKind::EarlierIncarnation,
                 "of another registration",
             ));
         }
@@ -173,7 +173,10 @@
                 } else {
                     self.at(
                         time,
-                        Event::Reply(number, Err(Error::new(Cause::Unreachable, "another life"))),
+                        Event::Reply(
+                            number,
+                            Err(Error::new(ErrorKind::Unreachable, "another life")),
+                        ),
                     );
                 }
             }
@@ -194,13 +197,13 @@
             return;
         };
         let node = &mut self.nodes[trying.node];
-        let bench = matches!(&answer, Err(trouble) if trouble.kind != Cause::DuplicateAttempt);
+        let bench = matches!(&answer, Err(trouble) if trouble.kind != ErrorKind::DuplicateAttempt);
         node.picker.attempt_finished(now, &trying.picked, bench);
         let Err(mut trouble) = answer else {
             return self.finish(trying, Ok(()));
         };
         if self.plan.without.honest_verdicts
-            && matches!(trouble.kind, Cause::PeerLost | Cause::BackendLost)
+            && matches!(trouble.kind, ErrorKind::PeerLost | ErrorKind::BackendLost)
         {
             trouble.execution_status = ExecutionStatus::NotRun;
         }
--- a/crates/simulator/src/sim/site_events.rs
+++ b/crates/simulator/src/sim/site_events.rs
@@ -81,7 +81,7 @@
             Event::Late(number) => self.reply(
                 number,
                 Err(model::Error::new(
-                    model::Cause::TimedOut,
+                    model::ErrorKind::TimedOut,
                     "no answer in time",
                 )),
             ),
--- a/crates/simulator/src/sim/site_runs.rs
+++ b/crates/simulator/src/sim/site_runs.rs
@@ -2,7 +2,7 @@
 
 use super::site::{Event, Site};
 use super::site_plan::WAIT;
-use model::{Cause, Error, Microseconds};
+use model::{Error, ErrorKind, Microseconds};
 
 pub(super) struct Run {
     pub node: usize,
@@ -82,7 +82,11 @@
             .filter(|process| self.processes[*process].alive);
         let Some(process) = process else {
             self.nodes[at].house.finish(&permit, true);
-            return self.reply_later(at, number, Err(Error::new(Cause::Unreachable, "no conn")));
+            return self.reply_later(
+                at,
+                number,
+                Err(Error::new(ErrorKind::Unreachable, "no conn")),
+            );
         };
         if self.processes[process].service != dispatch.service {
             let former = self
@@ -103,7 +107,7 @@
             return self.reply_later(
                 at,
                 number,
-                Err(Error::new(Cause::BadSeal, "refused by another service")),
+                Err(Error::new(ErrorKind::BadSeal, "refused by another service")),
             );
         }
         let length = self.draw(1_000..WAIT / 3);
@@ -143,7 +147,7 @@
         let gone = self.draw(0..50) == 0;
         self.nodes[run.node].house.finish(&run.permit, false);
         let answer = if lost || gone {
-            Err(Error::new(Cause::BackendLost, "no answer"))
+            Err(Error::new(ErrorKind::BackendLost, "no answer"))
         } else {
             Ok(())
         };
@@ -191,7 +195,7 @@
                 self.reply_later(
                     at,
                     number,
-                    Err(Error::new(Cause::PeerLost, "the far node was lost")),
+                    Err(Error::new(ErrorKind::PeerLost, "the far node was lost")),
                 );
             }
         });
--- a/crates/transport/tests/recorded_frames/samples.rs
+++ b/crates/transport/tests/recorded_frames/samples.rs
@@ -3,7 +3,7 @@
 use crate::recorded_variants::every_variant;
 use mencius::{Message, ProposalNumber};
 use model::endpoint_status::EndpointReport;
-use model::{Cause, Entry, Error, Operation, Outcome, StateSlice};
+use model::{Entry, Error, ErrorKind, Operation, Outcome, StateSlice};
 use transport::{
     AttemptRequest, AttemptResponse, ForwardedRequest, ForwardedResponse, Frame, Handshake,
     HeaderEncoder, Headers, KnownReplica, LoadReport, Purpose,
@@ -202,7 +202,7 @@
             Frame::ForwardedResponse(93, 94, Box::new(take().encode(&mut HeaderEncoder::default())))
         },
         "untaken": Frame::ForwardFailed(..) => {
-            Frame::ForwardFailed(95, 96, Box::new(Error::new(Cause::Overloaded, "full")))
+            Frame::ForwardFailed(95, 96, Box::new(Error::new(ErrorKind::Overloaded, "full")))
         },
         "leaving": Frame::ShuttingDown => Frame::ShuttingDown,
         "roster": Frame::ReplicaAssignment { .. } => Frame::ReplicaAssignment {
@@ -238,7 +238,7 @@
     };
     let lost = Error {
         retry_after: None,
-        ..Error::new(Cause::PeerLost, "cut")
+        ..Error::new(ErrorKind::PeerLost, "cut")
     };
     let others = [
         ("greeting-of-a-node", Frame::Handshake(Box::new(of_a_node))),
