--- a/crates/operator-api/src/changes.rs
+++ b/crates/operator-api/src/changes.rs
@@ -1,263 +1,243 @@
-//! Writing: each call is one atomic change against the version it names (design 2.2).
+//! Changes: each call is one atomic change against the version it names (design 2.2).
 
-use crate::OperatorApi;
+use http_util::{header_text, read_json};
+use model::validation::{self, Fault};
+use model::{Change, Edit, Outcome, ReplicaReplacement};
+use salvo::{Request, Response};
+use serde_json::json;
 
-#[derive(Clone, Copy)]
-pub(crate) enum ItemKind {
-    Grouping,
-    StandingOrder,
+use crate::api::{Answer, ItemKind, OperatorApi, fault};
+
+/// Longest name of a change, in bytes.
+const MAX_CHANGE_ID_BYTES: usize = 128;
+
+/// `POST /v1/changes`: several edits at once.
+pub(crate) struct ApplyChange {
+    pub(crate) api: OperatorApi,
 }
 
-pub(crate) struct ApplyChange(pub OperatorApi);
-pub(crate) struct PutItem(pub OperatorApi, pub ItemKind);
-pub(crate) struct DeleteItem(pub OperatorApi, pub ItemKind);
+/// `PUT` of a named item: one edit.
+pub(crate) struct PutItem {
+    pub(crate) api: OperatorApi,
+    pub(crate) kind: ItemKind,
+}
 
-pub(crate) struct ReplaceReplica(pub OperatorApi);
+/// `DELETE` of a named item: one edit.
+pub(crate) struct DeleteItem {
+    pub(crate) api: OperatorApi,
+    pub(crate) kind: ItemKind,
+}
+
+/// `POST /v1/seats`: another disk takes the place of a member.
+pub(crate) struct ReplaceReplica {
+    pub(crate) api: OperatorApi,
+}
 
 /// Disks are named in hexadecimal, as status pages show them.
 #[derive(serde::Deserialize)]
-#[serde(deny_unknown_fields)]
+// The faults that operators see name the type so.
+#[serde(deny_unknown_fields, expecting = "struct ReplaceAsk")]
 struct ReplaceRequest {
     #[serde(rename = "seat")]
     replica_id: u16,
     #[serde(rename = "from")]
-    current_disk: String,
+    old_disk: String,
     #[serde(rename = "to")]
     new_disk: String,
 }
 
-type StatusAndBody = (u16, serde_json::Value);
-
-fn invalid(status: u16, faults: Vec<model::validation::Fault>) -> StatusAndBody {
-    (
-        status,
-        serde_json::json!({ "verdict": "not-run", "cause": "invalid", "faults": faults }),
-    )
-}
-
 #[salvo::handler]
 impl ApplyChange {
-    async fn handle(&self, request: &mut salvo::Request, response: &mut salvo::Response) {
-        let (status, answer) = match http_util::read_json::<model::Change>(request).await {
-            Ok(change) => submit(&self.0, change).await,
-            Err(fault) => invalid(400, vec![fault]),
+    async fn handle(&self, request: &mut Request, response: &mut Response) {
+        let answer = match read_json::<Change>(request).await {
+            Ok(change) => submit(&self.api, change).await,
+            Err(fault) => Answer::invalid(400, vec![fault]),
         };
-        http_util::write_json(response, status, &answer);
+        answer.write(response);
     }
 }
 
 #[salvo::handler]
 impl PutItem {
-    async fn handle(&self, request: &mut salvo::Request, response: &mut salvo::Response) {
+    async fn handle(&self, request: &mut Request, response: &mut Response) {
         let name = request.param::<String>("name").unwrap_or_default();
-        let edit = match self.1 {
-            ItemKind::Grouping => http_util::read_json(request)
+        let edit = match self.kind {
+            ItemKind::Grouping => read_json(request)
                 .await
-                .map(|grouping| model::Edit::PutGrouping { name, grouping }),
-            ItemKind::StandingOrder => http_util::read_json(request)
+                .map(|grouping| Edit::PutGrouping { name, grouping }),
+            ItemKind::StandingOrder => read_json(request)
                 .await
-                .map(|order| model::Edit::PutOrder { name, order }),
+                .map(|order| Edit::PutOrder { name, order }),
         };
-        let (status, answer) = match edit {
-            Ok(edit) => submit_edit(&self.0, request, edit).await,
-            Err(fault) => invalid(400, vec![fault]),
+        let answer = match edit {
+            Ok(edit) => submit_edit(&self.api, request, edit).await,
+            Err(fault) => Answer::invalid(400, vec![fault]),
         };
-        http_util::write_json(response, status, &answer);
+        answer.write(response);
     }
 }
 
 #[salvo::handler]
 impl DeleteItem {
-    async fn handle(&self, request: &mut salvo::Request, response: &mut salvo::Response) {
+    async fn handle(&self, request: &mut Request, response: &mut Response) {
         let name = request.param::<String>("name").unwrap_or_default();
-        let edit = match self.1 {
-            ItemKind::Grouping => model::Edit::DropGrouping { name },
-            ItemKind::StandingOrder => model::Edit::DropOrder { name },
+        let edit = match self.kind {
+            ItemKind::Grouping => Edit::DropGrouping { name },
+            ItemKind::StandingOrder => Edit::DropOrder { name },
         };
-        let (status, answer) = submit_edit(&self.0, request, edit).await;
-        http_util::write_json(response, status, &answer);
+        submit_edit(&self.api, request, edit).await.write(response);
     }
 }
 
 #[salvo::handler]
 impl ReplaceReplica {
-    async fn handle(&self, request: &mut salvo::Request, response: &mut salvo::Response) {
-        let (status, answer) = match http_util::read_json::<ReplaceRequest>(request).await {
-            Ok(ask) => replace_replica(&self.0, ask).await,
-            Err(fault) => invalid(400, vec![fault]),
+    async fn handle(&self, request: &mut Request, response: &mut Response) {
+        let answer = match read_json::<ReplaceRequest>(request).await {
+            Ok(request) => replace_replica(&self.api, request).await,
+            Err(fault) => Answer::invalid(400, vec![fault]),
         };
-        http_util::write_json(response, status, &answer);
+        answer.write(response);
     }
 }
 
-async fn replace_replica(office: &OperatorApi, ask: ReplaceRequest) -> StatusAndBody {
-    let seats = office.replica.replica_count();
-    let seat_fault = (ask.replica_id >= seats).then(|| model::validation::Fault {
-        path: "seat".into(),
-        message: format!("is from 0 to {}", seats - 1),
-    });
-    let disk = |path: &str, text: &str| {
-        u64::from_str_radix(text, 16).map_err(|_| model::validation::Fault {
-            path: path.into(),
-            message: "is a disk's identity in hexadecimal".into(),
-        })
-    };
-    let (from, to) = (disk("from", &ask.current_disk), disk("to", &ask.new_disk));
-    let found: Vec<_> = seat_fault
-        .into_iter()
-        .chain(from.clone().err())
-        .chain(to.clone().err())
-        .collect();
-    let (Ok(from), Ok(to), true) = (from, to, found.is_empty()) else {
-        return invalid(422, found);
+async fn replace_replica(api: &OperatorApi, request: ReplaceRequest) -> Answer {
+    let replacement = match checked_replacement(&request, api.replica.replica_count()) {
+        Ok(replacement) => replacement,
+        Err(faults) => return Answer::invalid(422, faults),
     };
-    // The disk that is to go must be the one that holds the seat here; the log decides between two operators.
-    let (own, identity) = office.replica.identity();
-    let holder = if own == ask.replica_id {
-        Some(identity)
-    } else {
-        office
-            .replica
-            .pinned_disks
-            .load()
-            .get(&ask.replica_id)
-            .copied()
-    };
-    if holder != Some(from) {
-        let detail = format!(
-            "seat {} is held by {:016x}",
-            ask.replica_id,
-            holder.unwrap_or(0)
-        );
-        return (
-            412,
-            serde_json::json!({ "verdict": "not-run", "cause": "stale", "detail": detail }),
-        );
+    // The disk that is to go must be the member here; between two operators the log decides.
+    let member = member_disk(api, replacement.replica_id);
+    if member != Some(replacement.old_disk) {
+        let (replica_id, disk) = (replacement.replica_id, member.unwrap_or(0));
+        let detail = format!("seat {replica_id} is held by {disk:016x}");
+        let body = json!({ "verdict": "not-run", "cause": "stale", "detail": detail });
+        return Answer { status: 412, body };
     }
-    if !office.replica.reaches_majority() {
-        return no_majority();
+    if !api.replica.reaches_majority() {
+        return Answer::no_majority();
     }
-    response_to(
-        office
-            .replica
-            .replace_member(model::ReplicaReplacement {
-                replica_id: ask.replica_id,
-                old_disk: from,
-                new_disk: to,
-            })
-            .await,
-    )
+    outcome_answer(api.replica.replace_member(replacement).await)
 }
 
-/// Not handed to the log at all: certain not to take effect.
-fn no_majority() -> StatusAndBody {
-    (
-        503,
-        serde_json::json!({ "verdict": "not-run", "cause": "no_majority", "detail": "this core seat is not in touch with a majority" }),
-    )
+/// All faults of the request at once.
+fn checked_replacement(
+    request: &ReplaceRequest,
+    replica_count: u16,
+) -> Result<ReplicaReplacement, Vec<Fault>> {
+    let replica_id = request.replica_id;
+    let mut faults = Vec::new();
+    if replica_id >= replica_count {
+        faults.push(fault("seat", format!("is from 0 to {}", replica_count - 1)));
+    }
+    let disks = [("from", &request.old_disk), ("to", &request.new_disk)].map(|(path, text)| {
+        u64::from_str_radix(text, 16)
+            .map_err(|_| fault(path, "is a disk's identity in hexadecimal"))
+    });
+    match disks {
+        [Ok(old_disk), Ok(new_disk)] if faults.is_empty() => Ok(ReplicaReplacement {
+            replica_id,
+            old_disk,
+            new_disk,
+        }),
+        disks => {
+            faults.extend(disks.into_iter().filter_map(Result::err));
+            Err(faults)
+        }
+    }
 }
 
-async fn submit_edit(
-    office: &OperatorApi,
-    request: &salvo::Request,
-    edit: model::Edit,
-) -> StatusAndBody {
-    let fault = |path: &str, fault: &str| {
-        invalid(
-            428,
-            vec![model::validation::Fault {
-                path: path.into(),
-                message: fault.into(),
-            }],
-        )
-    };
-    let Some(base) = http_util::header_text(request, "if-match")
-        .and_then(|text| text.trim_matches('"').parse().ok())
-    else {
-        return fault(
-            "If-Match",
-            "names the version this change was made from, as GET /v1/desired gave it in ETag",
-        );
+/// The disk that this replica takes for the member.
+fn member_disk(api: &OperatorApi, replica_id: u16) -> Option<u64> {
+    let (own_id, own_disk) = api.replica.identity();
+    if own_id == replica_id {
+        return Some(own_disk);
+    }
+    api.replica.pinned_disks.load().get(&replica_id).copied()
+}
+
+/// Submits a change of one edit, whose base version and name stand in headers.
+async fn submit_edit(api: &OperatorApi, request: &Request, edit: Edit) -> Answer {
+    let missing = |header: &str, message: &str| Answer::invalid(428, vec![fault(header, message)]);
+    let base_version =
+        header_text(request, "if-match").and_then(|text| text.trim_matches('"').parse().ok());
+    let Some(base_version) = base_version else {
+        let message =
+            "names the version this change was made from, as GET /v1/desired gave it in ETag";
+        return missing("If-Match", message);
     };
-    let Some(id) = http_util::header_text(request, "x-change-id") else {
-        return fault(
+    let Some(id) = header_text(request, "x-change-id") else {
+        return missing(
             "X-Change-Id",
             "names the change, so that sending it again is harmless",
         );
     };
     submit(
-        office,
-        model::Change {
+        api,
+        Change {
             id,
-            base_version: base,
+            base_version,
             edits: vec![edit],
         },
     )
     .await
 }
 
-async fn submit(office: &OperatorApi, change: model::Change) -> StatusAndBody {
-    let id_fault =
-        (change.id.is_empty() || change.id.len() > 128).then(|| model::validation::Fault {
-            path: "id".into(),
-            message: "is 1 to 128 bytes".into(),
-        });
-    let found: Vec<_> = id_fault
-        .into_iter()
-        .chain(model::validation::faults_of_edits(&change.edits))
-        .collect();
-    if !found.is_empty() {
-        return invalid(422, found);
+async fn submit(api: &OperatorApi, change: Change) -> Answer {
+    let mut faults = Vec::new();
+    if change.id.is_empty() || change.id.len() > MAX_CHANGE_ID_BYTES {
+        faults.push(fault("id", format!("is 1 to {MAX_CHANGE_ID_BYTES} bytes")));
     }
-    if !office.replica.reaches_majority() {
-        return no_majority();
+    faults.extend(validation::faults_of_edits(&change.edits));
+    if !faults.is_empty() {
+        return Answer::invalid(422, faults);
     }
-    response_to(office.replica.change(change).await)
+    if !api.replica.reaches_majority() {
+        return Answer::no_majority();
+    }
+    outcome_answer(api.replica.change(change).await)
 }
 
-fn response_to(outcome: Option<model::Outcome>) -> StatusAndBody {
+fn outcome_answer(outcome: Option<Outcome>) -> Answer {
     match outcome {
-        Some(outcome) => outcome_response(outcome),
+        Some(outcome) => decided_answer(outcome),
         None => {
             let detail = "no majority answered in time; the change may yet take effect, send it again to learn";
-            (
-                503,
-                serde_json::json!({ "verdict": "may-have-run", "cause": "no_answer", "detail": detail }),
-            )
+            let body = json!({ "verdict": "may-have-run", "cause": "no_answer", "detail": detail });
+            Answer { status: 503, body }
         }
     }
 }
 
-fn outcome_response(outcome: model::Outcome) -> StatusAndBody {
-    match outcome {
-        model::Outcome::Accepted { position, version } => (
+fn decided_answer(outcome: Outcome) -> Answer {
+    let (status, body) = match outcome {
+        Outcome::Accepted { position, version } => (
             200,
-            serde_json::json!({ "accepted": { "position": position, "version": version } }),
+            json!({ "accepted": { "position": position, "version": version } }),
         ),
-        model::Outcome::Unchanged { position } => (
-            200,
-            serde_json::json!({ "unchanged": { "position": position } }),
-        ),
-        model::Outcome::Stale { version } => (
+        Outcome::Unchanged { position } => (200, json!({ "unchanged": { "position": position } })),
+        Outcome::Stale { version } => (
             412,
-            serde_json::json!({ "verdict": "not-run", "cause": "stale", "version": version }),
+            json!({ "verdict": "not-run", "cause": "stale", "version": version }),
         ),
-        model::Outcome::Invalid { faults: found } => invalid(422, found),
-        model::Outcome::Reused { version } => (
-            409,
-            serde_json::json!({ "verdict": "not-run", "cause": "id_reused", "version": version, "detail": "another change had this id" }),
-        ),
-        model::Outcome::Conflict { conflicts } => (
+        Outcome::Invalid { faults } => return Answer::invalid(422, faults),
+        Outcome::Reused { version } => {
+            let detail = "another change had this id";
+            let cause = "id_reused";
+            let body = json!({ "verdict": "not-run", "cause": cause, "version": version, "detail": detail });
+            (409, body)
+        }
+        Outcome::Conflict { conflicts } => (
             409,
-            serde_json::json!({ "verdict": "not-run", "cause": "conflict", "conflicts": conflicts }),
+            json!({ "verdict": "not-run", "cause": "conflict", "conflicts": conflicts }),
         ),
-        model::Outcome::Superseded { position } => (
+        Outcome::Superseded { position } => (
             409,
-            serde_json::json!({ "verdict": "not-run", "cause": "superseded", "position": position }),
+            json!({ "verdict": "not-run", "cause": "superseded", "position": position }),
         ),
-        model::Outcome::Refused { reason } => (
+        Outcome::Refused { reason } => (
             409,
-            serde_json::json!({ "verdict": "not-run", "cause": "refused", "detail": reason }),
+            json!({ "verdict": "not-run", "cause": "refused", "detail": reason }),
         ),
-    }
+    };
+    Answer { status, body }
 }
--- a/crates/operator-api/src/lib.rs
+++ b/crates/operator-api/src/lib.rs
@@ -1,49 +1,49 @@
-//! Operators: changes, reading back, standing, health (docs/operators/changes.md).
+//! The operators' HTTP interface of a replica: changes of the desired state, reading it back, what
+//! became of it, and the health of the replica (docs/operators/changes.md).
 
-use std::sync::Arc;
-use std::sync::atomic::AtomicBool;
+#![deny(missing_docs)]
 
+mod api;
 mod changes;
 mod queries;
 
-#[derive(Clone)]
-pub struct OperatorApi {
-    pub replica: control::ReplicaHandle,
-    /// False once the process has been told to stop.
-    pub accepting_work: Arc<AtomicBool>,
+use salvo::Router;
+
+pub use api::OperatorApi;
+
+use api::ItemKind;
+use changes::{ApplyChange, DeleteItem, PutItem, ReplaceReplica};
+use queries::{DesiredState, EndpointStatus, Liveness, Readiness, ReplicaStatus, SingleItem};
+
+/// All routes of the interface.
+pub fn router(api: OperatorApi) -> Router {
+    let version_1 = Router::with_path("v1")
+        .push(Router::with_path("changes").post(ApplyChange { api: api.clone() }))
+        .push(Router::with_path("seats").post(ReplaceReplica { api: api.clone() }))
+        .push(Router::with_path("desired").get(DesiredState { api: api.clone() }))
+        .push(Router::with_path("standing").get(EndpointStatus { api: api.clone() }))
+        .push(Router::with_path("status").get(ReplicaStatus { api: api.clone() }))
+        .push(Router::with_path("groupings").push(item_router(&api, ItemKind::Grouping)))
+        .push(Router::with_path("orders").push(item_router(&api, ItemKind::StandingOrder)));
+    Router::new()
+        .push(Router::with_path("live").get(Liveness))
+        .push(Router::with_path("ready").get(Readiness { api }))
+        .push(version_1)
 }
 
-pub fn router(office: OperatorApi) -> salvo::Router {
-    let one = |kind: changes::ItemKind| {
-        salvo::Router::with_path("{name}")
-            .get(queries::SingleItem(office.clone(), kind))
-            .put(changes::PutItem(office.clone(), kind))
-            .delete(changes::DeleteItem(office.clone(), kind))
-    };
-    salvo::Router::new()
-        .push(salvo::Router::with_path("live").get(queries::Liveness))
-        .push(salvo::Router::with_path("ready").get(queries::Readiness(office.clone())))
-        .push(
-            salvo::Router::with_path("v1")
-                .push(
-                    salvo::Router::with_path("changes").post(changes::ApplyChange(office.clone())),
-                )
-                .push(
-                    salvo::Router::with_path("seats").post(changes::ReplaceReplica(office.clone())),
-                )
-                .push(
-                    salvo::Router::with_path("desired").get(queries::DesiredState(office.clone())),
-                )
-                .push(
-                    salvo::Router::with_path("standing")
-                        .get(queries::EndpointStatus(office.clone())),
-                )
-                .push(
-                    salvo::Router::with_path("status").get(queries::ReplicaStatus(office.clone())),
-                )
-                .push(salvo::Router::with_path("groupings").push(one(changes::ItemKind::Grouping)))
-                .push(
-                    salvo::Router::with_path("orders").push(one(changes::ItemKind::StandingOrder)),
-                ),
-        )
+/// Routes of one kind of named items.
+fn item_router(api: &OperatorApi, kind: ItemKind) -> Router {
+    Router::with_path("{name}")
+        .get(SingleItem {
+            api: api.clone(),
+            kind,
+        })
+        .put(PutItem {
+            api: api.clone(),
+            kind,
+        })
+        .delete(DeleteItem {
+            api: api.clone(),
+            kind,
+        })
 }
--- a/crates/operator-api/src/queries.rs
+++ b/crates/operator-api/src/queries.rs
@@ -1,155 +1,191 @@
-//! Reading back: through a quorum read, so that what was accepted anywhere is seen (design 3.9).
+//! Queries: the log's state goes through a quorum read, so that what was accepted anywhere is seen
+//! (design 3.9); health and status are this replica's own.
 
-use crate::{OperatorApi, changes::ItemKind};
 use std::collections::BTreeMap;
 use std::sync::Arc;
+use std::sync::atomic::Ordering::Relaxed;
 
+use control::ReplicaHandle;
+use model::StateMachine;
+use salvo::http::HeaderValue;
+use salvo::{Request, Response};
+use serde_json::{Value, json};
+
+use crate::api::{Answer, ItemKind, OperatorApi};
+
+/// `GET /live`: the process answers.
 pub(crate) struct Liveness;
-pub(crate) struct Readiness(pub OperatorApi);
-pub(crate) struct DesiredState(pub OperatorApi);
-pub(crate) struct EndpointStatus(pub OperatorApi);
-pub(crate) struct ReplicaStatus(pub OperatorApi);
-pub(crate) struct SingleItem(pub OperatorApi, pub ItemKind);
-
-async fn read_current(
-    office: &OperatorApi,
-    response: &mut salvo::Response,
-) -> Option<Arc<model::StateMachine>> {
-    if office.replica.read_barrier().await.is_none() {
-        let answer = serde_json::json!({ "cause": "no_majority", "detail": "no majority answered, so nothing here is known to be current" });
-        http_util::write_json(response, 503, &answer);
-        return None;
-    }
-    let book = office.replica.state_machine.load_full();
-    if let Ok(tag) = salvo::http::HeaderValue::from_str(&format!("\"{}\"", book.desired.version)) {
-        response.headers_mut().insert("etag", tag);
-    }
-    Some(book)
+
+/// `GET /ready`: the replica takes part, or why it does not.
+pub(crate) struct Readiness {
+    pub(crate) api: OperatorApi,
 }
 
-/// Seat to the disk that holds it, as this seat has it on its own disk.
-fn member_disks(core: &control::ReplicaHandle) -> BTreeMap<u16, String> {
-    let pins = core.pinned_disks.load();
-    let others = pins.iter().map(|(seat, identity)| (*seat, *identity));
-    others
-        .chain([core.identity()])
-        .map(|(seat, identity)| (seat, format!("{identity:016x}")))
-        .collect()
+/// `GET /v1/desired`: the complete desired state.
+pub(crate) struct DesiredState {
+    pub(crate) api: OperatorApi,
+}
+
+/// `GET /v1/standing`: backends, nodes and key leases.
+pub(crate) struct EndpointStatus {
+    pub(crate) api: OperatorApi,
+}
+
+/// `GET /v1/status`: this replica's own counters.
+pub(crate) struct ReplicaStatus {
+    pub(crate) api: OperatorApi,
+}
+
+/// `GET` of a named item.
+pub(crate) struct SingleItem {
+    pub(crate) api: OperatorApi,
+    pub(crate) kind: ItemKind,
 }
 
 #[salvo::handler]
 impl Liveness {
-    async fn handle(&self, response: &mut salvo::Response) {
-        http_util::write_json(response, 200, &serde_json::json!({ "live": true }));
+    async fn handle(&self, response: &mut Response) {
+        http_util::write_json(response, 200, &json!({ "live": true }));
     }
 }
 
 #[salvo::handler]
 impl Readiness {
-    async fn handle(&self, response: &mut salvo::Response) {
-        let state = self.0.replica.status.load();
-        let majority = self.0.replica.replica_count() as usize / 2 + 1;
-        let staying = self
-            .0
-            .accepting_work
-            .load(std::sync::atomic::Ordering::Relaxed);
-        let reasons: Vec<String> = [
-            (!staying).then(|| "stopping".to_string()),
-            (!state.voting).then(|| {
-                format!(
-                    "has met {} of {} other seats",
-                    state.pinned_peers,
-                    self.0.replica.replica_count() - 1
-                )
-            }),
-            (state.voting && state.connected_replicas < majority).then(|| {
-                format!(
-                    "in touch with {} of {} seats",
-                    state.connected_replicas,
-                    self.0.replica.replica_count()
-                )
-            }),
-            state
-                .refusal
-                .as_ref()
-                .map(|reason| format!("refused by a mate: {reason}")),
-            state
-                .disk_error
-                .as_ref()
-                .map(|trouble| format!("disk: {trouble}")),
-        ]
-        .into_iter()
-        .flatten()
-        .collect();
-        http_util::write_json(
-            response,
-            if reasons.is_empty() { 200 } else { 503 },
-            &serde_json::json!({ "ready": reasons.is_empty(), "reasons": reasons }),
-        );
+    async fn handle(&self, response: &mut Response) {
+        let reasons = reasons_not_ready(&self.api);
+        let status = if reasons.is_empty() { 200 } else { 503 };
+        let body = json!({ "ready": reasons.is_empty(), "reasons": reasons });
+        http_util::write_json(response, status, &body);
     }
 }
 
 #[salvo::handler]
 impl DesiredState {
-    async fn handle(&self, response: &mut salvo::Response) {
-        if let Some(book) = read_current(&self.0, response).await {
-            http_util::write_json(response, 200, &book.desired);
+    async fn handle(&self, response: &mut Response) {
+        if let Some(state) = read_current(&self.api, response).await {
+            http_util::write_json(response, 200, &state.desired);
         }
     }
 }
 
 #[salvo::handler]
 impl EndpointStatus {
-    async fn handle(&self, response: &mut salvo::Response) {
-        if let Some(book) = read_current(&self.0, response).await {
-            let answer = serde_json::json!({ "position": book.position, "standing": book.endpoint_status, "terms": book.leases });
-            http_util::write_json(response, 200, &answer);
+    async fn handle(&self, response: &mut Response) {
+        if let Some(state) = read_current(&self.api, response).await {
+            let body = json!({
+                "position": state.position, "standing": state.endpoint_status, "terms": state.leases,
+            });
+            http_util::write_json(response, 200, &body);
         }
     }
 }
 
 #[salvo::handler]
 impl ReplicaStatus {
-    async fn handle(&self, response: &mut salvo::Response) {
-        let state = self.0.replica.status.load();
-        let book = self.0.replica.state_machine.load();
-        let answer = serde_json::json!({
-            "started": state.voting, "identity": format!("{:016x}", state.disk_id), "met": state.pinned_peers, "in_touch": state.connected_replicas,
-            "applied": state.applied_below, "floor": state.compacted_below, "index": state.next_own_instance, "highest": state.highest_seen,
-            "open_reads": state.pending_reads, "suspects": state.suspected_replicas, "syncs": state.disk_syncs, "frames": state.frames_sent,
-            "disk": state.disk_error, "refused": state.refusal, "position": book.position, "version": book.desired.version,
-            "known": control::discovery::list(&self.0.replica.known_replicas), "holders": member_disks(&self.0.replica), "traffic": transport::traffic::by_zone(),
+    async fn handle(&self, response: &mut Response) {
+        let replica = &self.api.replica;
+        let status = replica.status.load();
+        let state = replica.state_machine.load();
+        let body = json!({
+            "started": status.voting,
+            "identity": format!("{:016x}", status.disk_id),
+            "met": status.pinned_peers,
+            "in_touch": status.connected_replicas,
+            "applied": status.applied_below,
+            "floor": status.compacted_below,
+            "index": status.next_own_instance,
+            "highest": status.highest_seen,
+            "open_reads": status.pending_reads,
+            "suspects": status.suspected_replicas,
+            "syncs": status.disk_syncs,
+            "frames": status.frames_sent,
+            "disk": status.disk_error,
+            "refused": status.refusal,
+            "position": state.position,
+            "version": state.desired.version,
+            "known": control::discovery::list(&replica.known_replicas),
+            "holders": member_disks(replica),
+            "traffic": transport::traffic::by_zone(),
         });
-        http_util::write_json(response, 200, &answer);
+        http_util::write_json(response, 200, &body);
     }
 }
 
 #[salvo::handler]
 impl SingleItem {
-    async fn handle(&self, request: &mut salvo::Request, response: &mut salvo::Response) {
+    async fn handle(&self, request: &mut Request, response: &mut Response) {
         let name = request.param::<String>("name").unwrap_or_default();
-        let Some(book) = read_current(&self.0, response).await else {
+        let Some(state) = read_current(&self.api, response).await else {
             return;
         };
-        let found = match self.1 {
-            ItemKind::Grouping => book
-                .desired
-                .groupings
-                .get(&name)
-                .and_then(|held| serde_json::to_value(held).ok()),
-            ItemKind::StandingOrder => book
-                .desired
-                .orders
-                .get(&name)
-                .and_then(|held| serde_json::to_value(held).ok()),
-        };
-        match found {
-            Some(held) => http_util::write_json(response, 200, &held),
-            None => http_util::write_json(
-                response,
-                404,
-                &serde_json::json!({ "cause": "not_found", "name": name }),
-            ),
+        match item_json(&state, self.kind, &name) {
+            Some(item) => http_util::write_json(response, 200, &item),
+            None => {
+                let body = json!({ "cause": "not_found", "name": name });
+                http_util::write_json(response, 404, &body);
+            }
         }
     }
 }
+
+/// The state with everything that was accepted before the call, and its version in `ETag`. Without
+/// a majority it answers so itself.
+async fn read_current(api: &OperatorApi, response: &mut Response) -> Option<Arc<StateMachine>> {
+    if api.replica.read_barrier().await.is_none() {
+        let detail = "no majority answered, so nothing here is known to be current";
+        let body = json!({ "cause": "no_majority", "detail": detail });
+        Answer { status: 503, body }.write(response);
+        return None;
+    }
+    let state = api.replica.state_machine.load_full();
+    if let Ok(tag) = HeaderValue::from_str(&format!("\"{}\"", state.desired.version)) {
+        response.headers_mut().insert("etag", tag);
+    }
+    Some(state)
+}
+
+/// Why the replica is not ready, in words for operators.
+fn reasons_not_ready(api: &OperatorApi) -> Vec<String> {
+    let status = api.replica.status.load();
+    let replica_count = api.replica.replica_count();
+    let majority = usize::from(replica_count) / 2 + 1;
+    let mut reasons = Vec::new();
+    if !api.accepting_work.load(Relaxed) {
+        reasons.push("stopping".to_string());
+    }
+    if !status.voting {
+        let (met, others) = (status.pinned_peers, replica_count - 1);
+        reasons.push(format!("has met {met} of {others} other seats"));
+    } else if status.connected_replicas < majority {
+        let connected = status.connected_replicas;
+        reasons.push(format!(
+            "in touch with {connected} of {replica_count} seats"
+        ));
+    }
+    if let Some(reason) = &status.refusal {
+        reasons.push(format!("refused by a mate: {reason}"));
+    }
+    if let Some(error) = &status.disk_error {
+        reasons.push(format!("disk: {error}"));
+    }
+    reasons
+}
+
+/// Each replica's disk, as this replica has it on its own.
+fn member_disks(replica: &ReplicaHandle) -> BTreeMap<u16, String> {
+    let pinned_disks = replica.pinned_disks.load();
+    let peers = pinned_disks
+        .iter()
+        .map(|(replica_id, disk)| (*replica_id, *disk));
+    peers
+        .chain([replica.identity()])
+        .map(|(replica_id, disk)| (replica_id, format!("{disk:016x}")))
+        .collect()
+}
+
+fn item_json(state: &StateMachine, kind: ItemKind, name: &str) -> Option<Value> {
+    match kind {
+        ItemKind::Grouping => serde_json::to_value(state.desired.groupings.get(name)?).ok(),
+        ItemKind::StandingOrder => serde_json::to_value(state.desired.orders.get(name)?).ok(),
+    }
+}
