--- a/crates/control/src/effects.rs
+++ b/crates/control/src/effects.rs
@@ -74,7 +74,7 @@
 
     /// For a caller that still waits. One that was answered, that it is not known to be taken, sends it again itself.
     fn resubmit(&mut self, value: mencius::Value) {
-        let Some(entry) = model::entry::from_bytes(&value) else {
+        let Some(entry) = model::Entry::from_bytes(&value).ok() else {
             return;
         };
         let awaited =
@@ -86,7 +86,7 @@
     }
 
     fn apply(&mut self, instance: u64, value: &[u8]) {
-        let Some(entry) = model::entry::from_bytes(value) else {
+        let Some(entry) = model::Entry::from_bytes(value).ok() else {
             return slog::error!(self.handle.logger, "an entry does not hold together"; "instance" => instance);
         };
         let asked = (entry.origin.clone(), entry.incarnation, entry.sequence);
--- a/crates/control/src/event_loop.rs
+++ b/crates/control/src/event_loop.rs
@@ -194,7 +194,7 @@
                 self.step(now, mencius::Input::Persisted(ticket));
             }
             Command::Submit(entry, answer) => {
-                let value = model::entry::to_bytes(&entry);
+                let value = entry.to_bytes();
                 self.pending_submissions
                     .entry((entry.origin, entry.incarnation, entry.sequence))
                     .or_default()
--- a/crates/control/src/publisher.rs
+++ b/crates/control/src/publisher.rs
@@ -225,7 +225,7 @@
 
 /// Changes as a follower reads them; none that do not hold together.
 pub(crate) fn decode_deltas(bytes: &[u8]) -> Option<Vec<model::cluster_state::Delta>> {
-    let bytes = model::compression::decompress(bytes)?;
+    let bytes = model::compression::decompress(bytes).ok()?;
     let mut aligned = rkyv::util::AlignedVec::<16>::with_capacity(bytes.len());
     aligned.extend_from_slice(&bytes);
     rkyv::from_bytes::<Vec<model::cluster_state::Delta>, rkyv::rancor::Error>(&aligned).ok()
@@ -238,13 +238,13 @@
 }
 
 pub(crate) fn decode_state(state: &[u8]) -> Option<(model::StateMachine, model::ClusterState)> {
-    let state = model::compression::decompress(state)?;
+    let state = model::compression::decompress(state).ok()?;
     let (length, rest) = state.split_at_checked(8)?;
     let length = u64::from_be_bytes(length.try_into().ok()?) as usize;
     let (book, bill) = rest.split_at_checked(length)?;
     Some((
-        model::StateMachine::from_bytes(book)?,
-        model::ClusterState::from_bytes(bill)?,
+        model::StateMachine::from_bytes(book).ok()?,
+        model::ClusterState::from_bytes(bill).ok()?,
     ))
 }
 
--- a/crates/control/src/replacement.rs
+++ b/crates/control/src/replacement.rs
@@ -103,7 +103,7 @@
             old_disk: from,
             new_disk: identity,
         });
-        let entry = model::entry::to_bytes(&self.handle.new_entry(change));
+        let entry = self.handle.new_entry(change).to_bytes();
         self.step(now, mencius::Input::Submit(entry));
     }
 
@@ -146,7 +146,7 @@
                 now,
                 mencius::Input::SkipThrough(after.min(applied + mencius::VOTING_WINDOW / 2)),
             );
-            let barrier = model::entry::to_bytes(&self.handle.new_entry(model::Operation::Barrier));
+            let barrier = self.handle.new_entry(model::Operation::Barrier).to_bytes();
             self.step(now, mencius::Input::Submit(barrier));
         }
         let moved: Vec<(u16, u64)> = self
--- a/crates/control/tests/disks/entries.rs
+++ b/crates/control/tests/disks/entries.rs
@@ -1,11 +1,11 @@
 //! The entries that the recorded disks hold.
 
+use model::Selector;
 use model::cluster_state::items::ItemPut;
 use model::cluster_state::{
     BackendRecord, ClusterOperation, ClusterReport, ItemBody, ItemCall, ItemKind, Limits, Route,
     Service,
 };
-use model::desired_state::Selector;
 use model::endpoint_status::EndpointReport;
 use model::{Backend, BackendPhase, Change, Edit, Entry, Grouping, Operation, StandingOrder};
 
--- a/crates/control/tests/disks/held.rs
+++ b/crates/control/tests/disks/held.rs
@@ -6,7 +6,7 @@
 use crate::machines::soon;
 use control::ReplicaHandle;
 use mencius::{Effect, Replica, VOTING_WINDOW, Write};
-use model::{ClusterState, Operation, StateMachine, compression, entry, leases};
+use model::{ClusterState, Entry, Operation, StateMachine, compression, leases};
 use std::collections::BTreeMap;
 use std::fmt;
 use std::fs;
@@ -178,7 +178,7 @@
 }
 
 fn apply(book: &mut StateMachine, bill: &mut ClusterState, instance: u64, value: &[u8]) {
-    let entry = entry::from_bytes(value).expect("an entry that holds together");
+    let entry = Entry::from_bytes(value).expect("an entry that holds together");
     match entry.operation {
         Operation::ClusterState(act) => {
             drop(bill.apply(&entry.origin, entry.incarnation, entry.sequence, act))
--- a/crates/model/src/clock.rs
+++ b/crates/model/src/clock.rs
@@ -1,17 +1,24 @@
-//! Whole microseconds on a clock that goes on while the machine sleeps (design 6.1).
+//! Time in whole microseconds: a boot clock for decisions, the time of day for log lines.
 
-use std::time::SystemTime;
-use std::time::UNIX_EPOCH;
+use std::time::{SystemTime, UNIX_EPOCH};
 
+use rustix::time::{ClockId, clock_gettime};
+
+/// A duration, or a point in time on the clock of [`now`], in microseconds.
 pub type Microseconds = u64;
 
-/// CLOCK_BOOTTIME: unlike the usual monotonic clock it counts suspend.
+/// Microseconds since the machine started (`CLOCK_BOOTTIME`).
+///
+/// Unlike the usual monotonic clock it counts the time the machine is suspended: a lease must not
+/// outlive its bound because its holder slept (design 6.1).
 pub fn now() -> Microseconds {
-    let time = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
+    let time = clock_gettime(ClockId::Boottime);
     time.tv_sec as u64 * 1_000_000 + time.tv_nsec as u64 / 1_000
 }
 
-/// The time of day, for log lines that people read. Nothing is decided by it: it jumps.
+/// Microseconds since the Unix epoch, for log lines that people read.
+///
+/// No decision is made by it, as it may be set forward and back.
 pub fn wall_clock_now() -> Microseconds {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/model/src/cluster_state/endpoints.rs
+++ b/crates/model/src/cluster_state/endpoints.rs
@@ -1,11 +1,11 @@
 //! Back ends and nodes as the log knows them, and what changes them (design 11.2).
 
+use std::collections::{BTreeMap, BTreeSet, HashSet};
+
+use crate::registration::observers_needed;
 use crate::{BackendName, BackendPhase, Incarnation, NodeName, Position, ServiceName, ZoneName};
-use std::collections::BTreeMap;
-use std::collections::BTreeSet;
-use std::collections::HashSet;
 
-/// A back end's name is one life: a new start has a new name.
+/// A back end. Its name is one incarnation: a new start has a new name.
 #[derive(
     Clone,
     Debug,
@@ -17,15 +17,22 @@
     rkyv::Deserialize,
 )]
 pub struct BackendRecord {
+    /// The service it serves.
     pub service: ServiceName,
+    /// The zone it stands in.
     pub zone: ZoneName,
+    /// The node beside it.
     pub node: NodeName,
+    /// How many requests it runs at once.
     pub slots: u32,
+    /// How far its life has come.
     pub phase: BackendPhase,
+    /// The position that brought it into its phase.
     #[serde(rename = "since")]
     pub changed_at: Position,
 }
 
+/// A node beside back ends.
 #[derive(
     Clone,
     Debug,
@@ -37,91 +44,29 @@
     rkyv::Deserialize,
 )]
 pub struct NodeRecord {
+    /// The zone it stands in.
     pub zone: ZoneName,
+    /// Where other nodes reach it: an IP number and port.
     pub address: String,
+    /// Which process of the name is registered.
     #[serde(rename = "life")]
     pub incarnation: Incarnation,
+    /// Fewer observers miss it than it takes to presume it gone.
     pub present: bool,
+    /// The observers that miss this incarnation.
     pub missed_by: BTreeSet<NodeName>,
+    /// The position that made it present or absent.
     #[serde(rename = "since")]
     pub changed_at: Position,
 }
 
-/// What may stand in the log beside changes of items.
-#[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub enum ClusterReport {
-    NodeRegistered {
-        node: NodeName,
-        zone: ZoneName,
-        address: String,
-        incarnation: Incarnation,
-        /// The incarnation that the sender found registered, 0 if none: counts only while that one still is.
-        replaces: Incarnation,
-    },
-    /// For good: nothing lives beside it any more.
-    NodeLeft {
-        node: NodeName,
-        incarnation: Incarnation,
-    },
-    NodeObserved {
-        observer: NodeName,
-        node: NodeName,
-        incarnation: Incarnation,
-        missed: bool,
-    },
-    BackendJoined {
-        name: BackendName,
-        backend: BackendRecord,
-    },
-    BackendDraining {
-        name: BackendName,
-    },
-    /// Not heard though its process may live, or heard again: it takes no new work meanwhile.
-    BackendSilent {
-        name: BackendName,
-        silent: bool,
-    },
-    /// `surely`: its process is gone, so it holds nothing; else it was only not heard.
-    BackendEnded {
-        name: BackendName,
-        process_gone: bool,
-    },
-    /// Who is to hold which keys; counts only on top of the placement it names (design 11.4).
-    ShardsReassigned {
-        service: ServiceName,
-        base_placement: Position,
-        ranges: Vec<(u16, u16, BackendName)>,
-    },
-    /// An earlier holder has let go, as far as it knew the log, and what it handed over.
-    ShardsReleased {
-        service: ServiceName,
-        name: BackendName,
-        known_through: Position,
-        ranges: Vec<(u16, u16, String)>,
-    },
-    /// Whoever held these before this fence can hold them no more: the bound is over.
-    ReleasesExpired {
-        service: ServiceName,
-        ranges: Vec<(u16, u16, Position)>,
-    },
-}
-
+/// Back ends by name.
 pub type BackendRecords = BTreeMap<BackendName, BackendRecord>;
+/// Nodes by name.
 pub type NodeRecords = BTreeMap<NodeName, NodeRecord>;
 
-/// Compare-and-set: a registration counts only on top of the incarnation that its sender found in the log.
-pub(crate) fn may_register(
-    nodes: &NodeRecords,
-    node: &str,
-    incarnation: Incarnation,
-    replaces: Incarnation,
-) -> bool {
-    nodes
-        .get(node)
-        .is_none_or(|held| held.incarnation == incarnation || held.incarnation == replaces)
-}
-
-/// A node is missed once two of its watchers say so, or the only other node there is.
+/// Counts a word of an observer. A node is absent once enough observers miss it, and present again
+/// once fewer do.
 pub(crate) fn record_observation(
     nodes: &mut NodeRecords,
     observer: NodeName,
@@ -129,60 +74,65 @@
     incarnation: Incarnation,
     missed: bool,
     next: Position,
-) -> bool {
+) {
     let others = nodes
         .iter()
-        .filter(|(name, held)| *name != node && held.present)
+        .filter(|(name, other)| *name != node && other.present)
         .count();
-    let Some(held) = nodes
+    let current = nodes
         .get_mut(node)
-        .filter(|held| held.incarnation == incarnation)
-    else {
-        return false;
-    };
-    let changed = if missed {
-        held.missed_by.insert(observer)
+        .filter(|current| current.incarnation == incarnation);
+    let Some(current) = current else { return };
+    if missed {
+        current.missed_by.insert(observer);
     } else {
-        held.missed_by.remove(&observer)
-    };
-    let present = held.missed_by.len() < others.clamp(1, 2);
-    if present != held.present {
-        held.present = present;
-        held.changed_at = next;
+        current.missed_by.remove(&observer);
+    }
+    let present = current.missed_by.len() < observers_needed(others);
+    if present != current.present {
+        current.present = present;
+        current.changed_at = next;
     }
-    changed
 }
 
-/// An absent node is kept for so many positions.
+/// For how many positions an absent node is kept.
 const ABSENT_KEPT_POSITIONS: Position = 4_096;
 
-type NameSet = BTreeSet<String>;
+/// The names of back ends and of nodes that were absent for long.
+#[derive(Debug, Default, PartialEq)]
+pub(crate) struct LongAbsent {
+    /// Back ends beside such nodes, unless a range of keys names them.
+    pub(crate) backends: BTreeSet<BackendName>,
+    /// Such nodes with no back end left.
+    pub(crate) nodes: BTreeSet<NodeName>,
+}
 
-/// Who was away for long: back ends beside nodes that are, unless a row of keys names them, and such nodes with no
-/// back end left (design 11.7).
+/// Who was absent for so long that it is forgotten (design 11.7).
 pub(crate) fn long_absent(
     backends: &BackendRecords,
     nodes: &NodeRecords,
     named_in_shards: &HashSet<&BackendName>,
     next: Position,
-) -> (NameSet, NameSet) {
-    let long = |since: Position| since + ABSENT_KEPT_POSITIONS < next;
-    let gone = |node: &str| {
+) -> LongAbsent {
+    let long_ago = |position: Position| position + ABSENT_KEPT_POSITIONS < next;
+    let is_gone = |name: &str| {
         nodes
-            .get(node)
-            .is_none_or(|held| !held.present && long(held.changed_at))
+            .get(name)
+            .is_none_or(|node| !node.present && long_ago(node.changed_at))
     };
-    let (leave, stay): (Vec<_>, Vec<_>) = backends.iter().partition(|(name, player)| {
-        long(player.changed_at) && gone(&player.node) && !named_in_shards.contains(name)
-    });
-    let beside: HashSet<&NodeName> = stay.into_iter().map(|(_, player)| &player.node).collect();
-    let nodes = nodes
+    let mut absent = LongAbsent::default();
+    let mut nodes_in_use: HashSet<&NodeName> = HashSet::new();
+    for (name, backend) in backends {
+        if long_ago(backend.changed_at) && is_gone(&backend.node) && !named_in_shards.contains(name)
+        {
+            absent.backends.insert(name.clone());
+        } else {
+            nodes_in_use.insert(&backend.node);
+        }
+    }
+    let unused = nodes
         .keys()
-        .filter(|node| gone(node) && !beside.contains(node))
-        .cloned()
-        .collect();
-    (
-        leave.into_iter().map(|(name, _)| name.clone()).collect(),
-        nodes,
-    )
+        .filter(|name| is_gone(name) && !nodes_in_use.contains(name));
+    absent.nodes = unused.cloned().collect();
+    absent
 }
--- a/crates/model/src/cluster_state/mod.rs
+++ b/crates/model/src/cluster_state/mod.rs
@@ -1,450 +1,481 @@
-//! The second part of what the log drives: items, back ends, nodes and rows of keys, and what each entry
-//! changed of them, so that followers hear changes and not states (design 11).
-
-use std::collections::BTreeMap;
+//! The state machine of items, back ends, nodes and the shard maps of keyed services, and what each
+//! entry changed of it, so that followers receive changes and not states (design 11).
+//!
+//! It is driven by the same log as [`StateMachine`](crate::StateMachine); an entry is for one of
+//! the two.
 
 mod delta;
 pub mod endpoints;
 pub mod items;
+pub mod placement;
+mod report;
 pub mod shard_map;
+mod snapshot;
 mod version_history;
 
-pub use delta::{AvailableBackend, Delta, StateSnapshot};
-pub use endpoints::{BackendRecord, ClusterReport, NodeRecord};
+use std::collections::{BTreeMap, HashSet};
+
+pub use delta::Delta;
+pub use endpoints::{BackendRecord, NodeRecord};
 pub use items::{Item, ItemBody, ItemCall, ItemKind, Limits, Route, Service};
+pub use placement::Placement;
+pub use report::ClusterReport;
 pub use shard_map::{ShardKey, ShardMap, ShardRange};
+pub use snapshot::{AvailableBackend, RouteItem, StateSnapshot};
 
-use crate::{BackendName, Incarnation, Outcome, Position, ServiceName};
+use crate::{BackendName, BackendPhase, DecodeError, Incarnation, NodeName, Outcome, Position};
+use crate::{archive, registration};
+use placement::{Placements, Reassignment};
+use version_history::{CallDigests, VersionHistory};
 
-/// Ends of back ends are remembered for so many positions: a late word does not bring one back.
+/// For how many positions the ends of back ends are remembered: a late word does not bring one
+/// back.
 const ENDED_KEPT_POSITIONS: Position = 20_000;
+/// Origins whose last sequence is remembered.
 const MAX_REMEMBERED_ORIGINS: usize = 4_096;
+/// Old names are looked for at each position that is a multiple of it.
+const CLEANUP_INTERVAL_POSITIONS: Position = 256;
 
-/// What the log may hold for the bill. Reports of one origin go together, one entry at a time.
+/// What the log may hold for the cluster state.
 #[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub enum ClusterOperation {
+    /// An operator's call.
     Items(ItemCall),
+    /// Reports of one origin. They go together, one entry at a time.
     Reports(Vec<ClusterReport>),
 }
 
-/// Rows of a service, and the position of its latest placement.
-pub type Placement = (Position, ShardMap);
+/// What an entry did, and the deltas that followers are sent of it.
+type Applied = (Outcome, Vec<Delta>);
 
+/// The state that entries of items and cluster reports lead to.
 #[derive(Clone, Debug, Default, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct ClusterState {
+    /// The position of the last entry that changed this state.
     pub position: Position,
+    /// Items by kind and name.
     pub items: items::Items,
+    /// Back ends by name.
     pub backends: endpoints::BackendRecords,
+    /// Nodes by name.
     pub nodes: endpoints::NodeRecords,
-    pub placements: BTreeMap<ServiceName, Placement>,
-    version_history: version_history::VersionHistory,
+    /// The placements of keyed services.
+    pub placements: Placements,
+    version_history: VersionHistory,
+    /// Back ends that ended, and when.
     ended_backends: BTreeMap<BackendName, Position>,
+    /// By origin: its incarnation, its last sequence, and the position after it.
     origins: BTreeMap<String, (u64, u64, Position)>,
 }
 
 impl ClusterState {
-    /// What the entry did, and what followers must be told of it.
+    /// Applies an operation. The answer is what it did, and what followers must be sent of it.
+    ///
+    /// `origin`, `incarnation` and `sequence` are those of the entry; only reports are judged by
+    /// them.
     pub fn apply(
         &mut self,
         origin: &str,
-        life: u64,
+        incarnation: Incarnation,
         sequence: u64,
-        act: ClusterOperation,
-    ) -> (Outcome, Vec<Delta>) {
-        match act {
+        operation: ClusterOperation,
+    ) -> Applied {
+        match operation {
             ClusterOperation::Items(call) => self.apply_call(call),
             ClusterOperation::Reports(reports) => {
-                if !self.is_from_registered_incarnation(origin, life, &reports) {
-                    return (
-                        Outcome::Superseded {
-                            position: self.position,
-                        },
-                        Vec::new(),
-                    );
-                }
-                let known = self.origins.get(origin);
-                if known.is_some_and(|(held, last, _)| *held == life && *last >= sequence) {
-                    return (
-                        Outcome::Unchanged {
-                            position: self.position,
-                        },
-                        Vec::new(),
-                    );
-                }
-                let next = self.position + 1;
-                let mut deltas: Vec<Delta> = reports
-                    .into_iter()
-                    .flat_map(|report| self.apply_report(report, next))
-                    .collect();
-                self.origins
-                    .insert(origin.to_string(), (life, sequence, next));
-                self.forget_old_entries(next);
-                if deltas.is_empty() {
-                    return (
-                        Outcome::Unchanged {
-                            position: self.position,
-                        },
-                        deltas,
-                    );
-                }
-                deltas.extend(self.remove_long_absent(next));
-                self.position = next;
-                (
-                    Outcome::Accepted {
-                        position: next,
-                        version: 0,
-                    },
-                    deltas,
-                )
+                self.apply_reports(origin, incarnation, sequence, reports)
             }
         }
     }
 
-    /// Whether this incarnation is the registered one of its origin, or becomes it with these very reports. Incarnations
-    /// are drawn and only compared for equality: their order is the order of their registrations in the log.
-    fn is_from_registered_incarnation(
-        &self,
-        origin: &str,
-        life: Incarnation,
-        reports: &[ClusterReport],
-    ) -> bool {
-        let registration = reports.iter().find_map(|report| match report {
-            ClusterReport::NodeRegistered { node, replaces, .. } if node == origin => {
-                Some(*replaces)
-            }
-            _ => None,
-        });
-        if let Some(replaces) = registration {
-            return endpoints::may_register(&self.nodes, origin, life, replaces);
-        }
-        let registered = self.nodes.get(origin).map(|place| place.incarnation);
-        let registered = registered.or_else(|| self.origins.get(origin).map(|(held, ..)| *held));
-        registered.is_none_or(|held| held == life)
-    }
-
-    fn apply_call(&mut self, call: ItemCall) -> (Outcome, Vec<Delta>) {
+    fn apply_call(&mut self, call: ItemCall) -> Applied {
         let faults = items::faults(&self.items, &call);
         if !faults.is_empty() {
             return (Outcome::Invalid { faults }, Vec::new());
         }
-        let conflicts = self.version_history.conflicts(&self.items, &call);
+        let digests = CallDigests::of(&call);
+        let conflicts = self.version_history.conflicts(&self.items, &digests);
         if !conflicts.is_empty() {
             return (Outcome::Conflict { conflicts }, Vec::new());
         }
         let newer = items::newer_items(&self.items, &call);
         if newer.is_empty() {
+            return self.unchanged();
+        }
+        self.position += 1;
+        let deltas = newer.iter().map(item_delta).collect();
+        self.version_history.record(&newer, &digests);
+        self.items.extend(newer);
+        (
+            Outcome::Accepted {
+                position: self.position,
+                version: 0,
+            },
+            deltas,
+        )
+    }
+
+    /// Reports of one origin are taken once, in the order of their sequence.
+    fn apply_reports(
+        &mut self,
+        origin: &str,
+        incarnation: Incarnation,
+        sequence: u64,
+        reports: Vec<ClusterReport>,
+    ) -> Applied {
+        if !self.is_from_registered_incarnation(origin, incarnation, &reports) {
             return (
-                Outcome::Unchanged {
+                Outcome::Superseded {
                     position: self.position,
                 },
                 Vec::new(),
             );
         }
-        self.position += 1;
-        let told = newer
-            .iter()
-            .map(|((kind, name), item)| {
-                Delta::Item(*kind, name.clone(), item.version, item.body.clone())
-            })
-            .collect();
-        self.version_history.record(&newer);
-        self.items.extend(newer);
+        let last = self.origins.get(origin);
+        if last.is_some_and(|(known, last, _)| *known == incarnation && *last >= sequence) {
+            return self.unchanged();
+        }
+        let next = self.position + 1;
+        let mut deltas = Vec::new();
+        for report in reports {
+            deltas.extend(self.apply_report(report, next));
+        }
+        self.origins
+            .insert(origin.to_string(), (incarnation, sequence, next));
+        self.forget_old_entries(next);
+        if deltas.is_empty() {
+            return self.unchanged();
+        }
+        deltas.extend(self.remove_long_absent(next));
+        self.position = next;
         (
             Outcome::Accepted {
-                position: self.position,
+                position: next,
                 version: 0,
             },
-            told,
+            deltas,
+        )
+    }
+
+    fn unchanged(&self) -> Applied {
+        (
+            Outcome::Unchanged {
+                position: self.position,
+            },
+            Vec::new(),
         )
     }
 
+    fn is_from_registered_incarnation(
+        &self,
+        origin: &str,
+        sender: Incarnation,
+        reports: &[ClusterReport],
+    ) -> bool {
+        let registered = self.nodes.get(origin).map(|node| node.incarnation);
+        let last_seen = self
+            .origins
+            .get(origin)
+            .map(|(incarnation, ..)| *incarnation);
+        let registration = reports.iter().find_map(|report| match report {
+            ClusterReport::NodeRegistered { node, replaces, .. } if node == origin => {
+                Some(*replaces)
+            }
+            _ => None,
+        });
+        registration::may_report(registered, last_seen, sender, registration)
+    }
+
     fn apply_report(&mut self, report: ClusterReport, next: Position) -> Vec<Delta> {
         match report {
             ClusterReport::NodeRegistered {
                 node,
                 zone,
                 address,
-                incarnation: life,
+                incarnation,
                 replaces,
             } => {
-                let held = self.nodes.get(&node);
-                let stands = held.is_some_and(|held| {
-                    held.incarnation == life && held.present && held.address == address
-                });
-                if stands || !endpoints::may_register(&self.nodes, &node, life, replaces) {
-                    return Vec::new();
-                }
-                let place = NodeRecord {
+                let registration = NodeRecord {
                     zone,
                     address,
-                    incarnation: life,
+                    incarnation,
                     present: true,
                     missed_by: Default::default(),
                     changed_at: next,
                 };
-                self.nodes.insert(node.clone(), place);
-                self.node_delta(&node)
+                self.register_node(node, registration, replaces)
+                    .into_iter()
+                    .collect()
             }
-            ClusterReport::NodeLeft {
-                node,
-                incarnation: life,
-            } => {
-                let gone = self
-                    .nodes
-                    .get(&node)
-                    .is_some_and(|held| held.incarnation == life)
-                    && !self.backends.values().any(|player| player.node == node);
-                if gone {
-                    self.nodes.remove(&node);
-                }
-                if gone {
-                    self.node_delta(&node)
-                } else {
-                    Vec::new()
-                }
+            ClusterReport::NodeLeft { node, incarnation } => {
+                self.node_left(&node, incarnation).into_iter().collect()
             }
             ClusterReport::NodeObserved {
-                observer: watcher,
+                observer,
                 node,
-                incarnation: life,
+                incarnation,
                 missed,
             } => {
-                let before = self.nodes.get(&node).map(|held| held.present);
-                endpoints::record_observation(&mut self.nodes, watcher, &node, life, missed, next);
-                if self.nodes.get(&node).map(|held| held.present) == before {
-                    Vec::new()
-                } else {
-                    self.node_delta(&node)
-                }
+                let delta = self.observe_node(observer, &node, incarnation, missed, next);
+                delta.into_iter().collect()
             }
-            ClusterReport::BackendJoined {
-                name,
-                backend: player,
-            } => {
-                let known = self.backends.get(&name).is_some_and(|held| {
-                    held.phase != player.phase
-                        || BackendRecord {
-                            changed_at: held.changed_at,
-                            ..player.clone()
-                        } == *held
-                });
-                if known || self.ended_backends.contains_key(&name) {
-                    return Vec::new();
-                }
-                self.backends.insert(
-                    name.clone(),
-                    BackendRecord {
-                        changed_at: next,
-                        ..player
-                    },
-                );
-                self.backend_delta(&name)
+            ClusterReport::BackendJoined { name, backend } => {
+                let backend = BackendRecord {
+                    changed_at: next,
+                    ..backend
+                };
+                self.backend_joined(name, backend).into_iter().collect()
             }
             ClusterReport::BackendDraining { name } => {
-                let Some(held) = self
-                    .backends
-                    .get_mut(&name)
-                    .filter(|held| held.phase == crate::BackendPhase::Registered)
-                else {
-                    return Vec::new();
-                };
-                (held.phase, held.changed_at) = (crate::BackendPhase::Draining, next);
-                self.backend_delta(&name)
+                let (from, to) = (BackendPhase::Registered, BackendPhase::Draining);
+                self.change_phase(&name, from, to, next)
+                    .into_iter()
+                    .collect()
             }
             ClusterReport::BackendSilent { name, silent } => {
-                let (from, to) = (
-                    crate::BackendPhase::Registered,
-                    crate::BackendPhase::PresumedGone,
-                );
-                let (from, to) = if silent { (from, to) } else { (to, from) };
-                let Some(held) = self
-                    .backends
-                    .get_mut(&name)
-                    .filter(|held| held.phase == from)
-                else {
-                    return Vec::new();
-                };
-                (held.phase, held.changed_at) = (to, next);
-                self.backend_delta(&name)
-            }
-            ClusterReport::BackendEnded {
-                name,
-                process_gone: surely,
-            } => {
-                self.ended_backends.insert(name.clone(), next);
-                let gone = if self.backends.remove(&name).is_some() {
-                    self.backend_delta(&name)
-                } else {
-                    Vec::new()
-                };
-                let services: Vec<ServiceName> = if surely {
-                    self.placements.keys().cloned().collect()
+                let (heard, not_heard) = (BackendPhase::Registered, BackendPhase::PresumedGone);
+                let (from, to) = if silent {
+                    (heard, not_heard)
                 } else {
-                    Vec::new()
+                    (not_heard, heard)
                 };
-                gone.into_iter()
-                    .chain(services.into_iter().flat_map(|service| {
-                        self.change_shard_map(&service, |rows| {
-                            shard_map::remove_backend(rows, &name)
-                        })
-                    }))
+                self.change_phase(&name, from, to, next)
+                    .into_iter()
                     .collect()
             }
+            ClusterReport::BackendEnded { name, process_gone } => {
+                self.backend_ended(name, process_gone, next)
+            }
             ClusterReport::ShardsReassigned {
                 service,
-                base_placement: base,
-                ranges: rows,
+                base_placement,
+                ranges,
             } => {
-                let held = self
-                    .placements
-                    .get(&service)
-                    .map(|(at, _)| *at)
-                    .unwrap_or(0);
-                let live = |name: &str| {
-                    self.backends
-                        .get(name)
-                        .is_some_and(|player| player.service == service)
+                let reassignment = Reassignment {
+                    service,
+                    base_placement,
+                    ranges,
                 };
-                let ordered = rows.windows(2).all(|pair| pair[0].1 < pair[1].0);
-                if held != base
-                    || !ordered
-                    || !rows.iter().all(|(from, to, name)| from <= to && live(name))
-                {
-                    return Vec::new();
-                }
-                let held = self
-                    .placements
-                    .get(&service)
-                    .map(|(_, rows)| rows.clone())
-                    .unwrap_or_else(shard_map::unassigned);
-                let moved = shard_map::reassign(held.clone(), &rows, next);
-                let changes = shard_map::diff(&held, &moved);
-                // One that moves nothing is none: followers, who hear only of changes, still stand on the one before.
-                if changes.is_empty() {
-                    return Vec::new();
-                }
-                self.placements.insert(service.clone(), (next, moved));
-                vec![Delta::ShardRanges(service, next, changes)]
+                let delta = reassignment.apply(&mut self.placements, &self.backends, next);
+                delta.into_iter().collect()
             }
             ClusterReport::ShardsReleased {
                 service,
                 name,
-                known_through: through,
-                ranges: rows,
-            } => self.change_shard_map(&service, |held| {
-                shard_map::release(held, &name, through, &rows)
-            }),
-            ClusterReport::ReleasesExpired {
-                service,
-                ranges: rows,
-            } => self.change_shard_map(&service, |held| shard_map::expire_releases(held, &rows)),
+                known_through,
+                ranges,
+            } => {
+                let release = |map| shard_map::release(map, &name, known_through, &ranges);
+                let delta = placement::change_shard_map(&mut self.placements, &service, release);
+                delta.into_iter().collect()
+            }
+            ClusterReport::ReleasesExpired { service, ranges } => {
+                let expire = |map| shard_map::expire_releases(map, &ranges);
+                let delta = placement::change_shard_map(&mut self.placements, &service, expire);
+                delta.into_iter().collect()
+            }
         }
     }
 
-    fn change_shard_map(
+    fn register_node(
         &mut self,
-        service: &str,
-        change: impl FnOnce(ShardMap) -> ShardMap,
+        name: NodeName,
+        registration: NodeRecord,
+        replaces: Incarnation,
+    ) -> Option<Delta> {
+        let current = self.nodes.get(&name);
+        let incarnation = registration.incarnation;
+        let is_registered = current.is_some_and(|current| {
+            current.incarnation == incarnation
+                && current.present
+                && current.address == registration.address
+        });
+        let registered = current.map(|current| current.incarnation);
+        if is_registered || !registration::may_register(registered, incarnation, replaces) {
+            return None;
+        }
+        self.nodes.insert(name.clone(), registration);
+        Some(self.node_delta(&name))
+    }
+
+    fn node_left(&mut self, name: &str, incarnation: Incarnation) -> Option<Delta> {
+        let is_current = self
+            .nodes
+            .get(name)
+            .is_some_and(|node| node.incarnation == incarnation);
+        if !is_current || self.backends.values().any(|backend| backend.node == name) {
+            return None;
+        }
+        self.nodes.remove(name);
+        Some(self.node_delta(name))
+    }
+
+    fn observe_node(
+        &mut self,
+        observer: NodeName,
+        name: &str,
+        incarnation: Incarnation,
+        missed: bool,
+        next: Position,
+    ) -> Option<Delta> {
+        let is_present = |state: &Self| state.nodes.get(name).map(|node| node.present);
+        let before = is_present(self);
+        endpoints::record_observation(&mut self.nodes, observer, name, incarnation, missed, next);
+        (is_present(self) != before).then(|| self.node_delta(name))
+    }
+
+    /// A late word neither brings an ended back end back nor turns back a phase.
+    fn backend_joined(&mut self, name: BackendName, backend: BackendRecord) -> Option<Delta> {
+        let is_known = self.backends.get(&name).is_some_and(|current| {
+            let changed_at = current.changed_at;
+            current.phase != backend.phase
+                || *current
+                    == BackendRecord {
+                        changed_at,
+                        ..backend.clone()
+                    }
+        });
+        if is_known || self.ended_backends.contains_key(&name) {
+            return None;
+        }
+        self.backends.insert(name.clone(), backend);
+        Some(self.backend_delta(&name))
+    }
+
+    fn change_phase(
+        &mut self,
+        name: &str,
+        from: BackendPhase,
+        to: BackendPhase,
+        next: Position,
+    ) -> Option<Delta> {
+        let backend = self
+            .backends
+            .get_mut(name)
+            .filter(|backend| backend.phase == from)?;
+        backend.phase = to;
+        backend.changed_at = next;
+        Some(self.backend_delta(name))
+    }
+
+    fn backend_ended(
+        &mut self,
+        name: BackendName,
+        process_gone: bool,
+        next: Position,
     ) -> Vec<Delta> {
-        let Some((at, held)) = self.placements.get_mut(service) else {
-            return Vec::new();
-        };
-        let next = change(held.clone());
-        let changes = shard_map::diff(held, &next);
-        *held = next;
-        if changes.is_empty() {
-            Vec::new()
-        } else {
-            vec![Delta::ShardRanges(service.to_string(), *at, changes)]
+        self.ended_backends.insert(name.clone(), next);
+        let mut deltas = Vec::new();
+        if self.backends.remove(&name).is_some() {
+            deltas.push(self.backend_delta(&name));
+        }
+        if process_gone {
+            let services: Vec<_> = self.placements.keys().cloned().collect();
+            for service in services {
+                let remove = |map| shard_map::remove_backend(map, &name);
+                deltas.extend(placement::change_shard_map(
+                    &mut self.placements,
+                    &service,
+                    remove,
+                ));
+            }
         }
+        deltas
     }
 
-    fn node_delta(&self, node: &str) -> Vec<Delta> {
-        vec![Delta::Node(
-            node.to_string(),
-            self.nodes.get(node).map(|held| NodeRecord {
-                missed_by: Default::default(),
-                ..held.clone()
-            }),
-        )]
+    fn node_delta(&self, name: &str) -> Delta {
+        let node = self.nodes.get(name);
+        let without_observers = node.map(|node| NodeRecord {
+            missed_by: Default::default(),
+            ..node.clone()
+        });
+        Delta::Node(name.to_string(), without_observers)
     }
 
-    fn backend_delta(&self, name: &str) -> Vec<Delta> {
-        vec![Delta::Backend(
-            name.to_string(),
-            self.backends.get(name).cloned(),
-        )]
+    fn backend_delta(&self, name: &str) -> Delta {
+        Delta::Backend(name.to_string(), self.backends.get(name).cloned())
     }
 
     fn forget_old_entries(&mut self, next: Position) {
-        if next.is_multiple_of(256) {
+        if next.is_multiple_of(CLEANUP_INTERVAL_POSITIONS) {
             self.ended_backends
-                .retain(|_, at| *at + ENDED_KEPT_POSITIONS > next);
+                .retain(|_, ended_at| *ended_at + ENDED_KEPT_POSITIONS > next);
         }
         if self.origins.len() > MAX_REMEMBERED_ORIGINS {
             let oldest = self
                 .origins
                 .iter()
-                .min_by_key(|(_, (_, _, at))| *at)
-                .map(|(origin, _)| origin.clone());
-            self.origins
-                .retain(|origin, _| Some(origin) != oldest.as_ref());
+                .min_by_key(|(_, (_, _, position))| *position);
+            if let Some(oldest) = oldest.map(|(origin, _)| origin.clone()) {
+                self.origins.remove(&oldest);
+            }
         }
     }
 
-    /// Names that were away for long are forgotten (design 11.7).
+    /// Forgets back ends and nodes that were absent for long (design 11.7).
     fn remove_long_absent(&mut self, next: Position) -> Vec<Delta> {
-        if !next.is_multiple_of(256) {
+        if !next.is_multiple_of(CLEANUP_INTERVAL_POSITIONS) {
             return Vec::new();
         }
-        let rows = self.placements.values().flat_map(|(_, rows)| rows);
-        let named = rows
-            .flat_map(|row| {
-                row.holder
-                    .iter()
-                    .chain(row.pending_releases.iter().map(|(name, _)| name))
-            })
-            .collect();
-        let (players, places) = endpoints::long_absent(&self.backends, &self.nodes, &named, next);
-        self.backends.retain(|name, _| !players.contains(name));
-        self.nodes.retain(|node, _| !places.contains(node));
-        self.nodes
-            .values_mut()
-            .filter(|held| held.present)
-            .for_each(|held| held.missed_by.retain(|watcher| !places.contains(watcher)));
-        let players = players.iter().flat_map(|name| self.backend_delta(name));
-        players
-            .chain(places.iter().flat_map(|node| self.node_delta(node)))
+        let named = self.named_in_shards();
+        let absent = endpoints::long_absent(&self.backends, &self.nodes, &named, next);
+        self.backends
+            .retain(|name, _| !absent.backends.contains(name));
+        self.nodes.retain(|name, _| !absent.nodes.contains(name));
+        for node in self.nodes.values_mut().filter(|node| node.present) {
+            node.missed_by
+                .retain(|observer| !absent.nodes.contains(observer));
+        }
+        let backends = absent.backends.iter().map(|name| self.backend_delta(name));
+        backends
+            .chain(absent.nodes.iter().map(|name| self.node_delta(name)))
             .collect()
     }
 
-    /// All that stands, as changes from nothing.
-    pub fn full_deltas(&self) -> Vec<Delta> {
-        let items = self.items.iter().filter(|(_, item)| item.body.is_some());
-        let items = items.map(|((kind, name), item)| {
-            Delta::Item(*kind, name.clone(), item.version, item.body.clone())
+    /// Back ends that hold keys, or may still hold some.
+    fn named_in_shards(&self) -> HashSet<&BackendName> {
+        let ranges = self.placements.values().flat_map(|(_, ranges)| ranges);
+        let names = ranges.flat_map(|range| {
+            let pending = range.pending_releases.iter().map(|(name, _)| name);
+            range.holder.iter().chain(pending)
         });
-        let places = self.nodes.keys().flat_map(|node| self.node_delta(node));
-        let players = self
-            .backends
-            .keys()
-            .flat_map(|name| self.backend_delta(name));
-        let rows = self
+        names.collect()
+    }
+
+    /// All of the state, as changes from nothing.
+    pub fn full_deltas(&self) -> Vec<Delta> {
+        let items = self
+            .items
+            .iter()
+            .filter(|(_, item)| item.body.is_some())
+            .map(item_delta);
+        let nodes = self.nodes.keys().map(|name| self.node_delta(name));
+        let backends = self.backends.keys().map(|name| self.backend_delta(name));
+        let ranges = self
             .placements
             .iter()
-            .map(|(service, (at, rows))| Delta::ShardRanges(service.clone(), *at, rows.clone()));
-        items.chain(places).chain(players).chain(rows).collect()
+            .map(|(service, (placed_at, ranges))| {
+                Delta::ShardRanges(service.clone(), *placed_at, ranges.clone())
+            });
+        items.chain(nodes).chain(backends).chain(ranges).collect()
     }
 
+    /// The archive for a snapshot.
     pub fn to_bytes(&self) -> Vec<u8> {
-        rkyv::to_bytes::<rkyv::rancor::Error>(self)
-            .map(|bytes| bytes.to_vec())
-            .unwrap_or_default()
+        archive::to_bytes(self)
     }
 
-    pub fn from_bytes(bytes: &[u8]) -> Option<ClusterState> {
-        let mut aligned = rkyv::util::AlignedVec::<16>::with_capacity(bytes.len());
-        aligned.extend_from_slice(bytes);
-        rkyv::from_bytes::<ClusterState, rkyv::rancor::Error>(&aligned).ok()
+    /// Reads what [`ClusterState::to_bytes`] wrote.
+    ///
+    /// # Errors
+    ///
+    /// [`DecodeError`] if the bytes are no archive of a cluster state.
+    pub fn from_bytes(bytes: &[u8]) -> Result<ClusterState, DecodeError> {
+        archive::from_bytes(bytes)
     }
 }
+
+fn item_delta((key, item): (&items::ItemKey, &Item)) -> Delta {
+    let (kind, name) = key.clone();
+    Delta::Item(kind, name, item.version, item.body.clone())
+}
--- a/crates/model/src/cluster_state/shard_map.rs
+++ b/crates/model/src/cluster_state/shard_map.rs
@@ -1,12 +1,13 @@
-//! Which back end holds which keys: rows over all keys of a service, cut anywhere (design 11.4).
+//! Which back end holds which keys: ranges over all keys of a service, cut anywhere (design 11.4).
 
-use crate::{BackendName, Position};
 use std::collections::HashMap;
 
+use crate::{BackendName, Position};
+
+/// A key of a keyed service.
 pub type ShardKey = u16;
 
-/// `owed`: earlier holders, and where in the log each lost the row, that may still hold it.
-/// `token`: what the last holder handed over.
+/// Keys next to each other that went through the same.
 #[derive(
     Clone,
     Debug,
@@ -18,39 +19,44 @@
     rkyv::Deserialize,
 )]
 pub struct ShardRange {
+    /// The first key of the range.
     #[serde(rename = "from")]
     pub first_key: ShardKey,
+    /// The last key of the range.
     #[serde(rename = "to")]
     pub last_key: ShardKey,
+    /// The back end that is to hold the keys.
     pub holder: Option<BackendName>,
-    /// The position that moved the row here.
+    /// The position that moved the range here. It only grows.
     #[serde(rename = "fence")]
     pub fencing_token: Position,
+    /// Earlier holders that may still hold the range, with the position at which each lost it.
     #[serde(rename = "owed")]
     pub pending_releases: Vec<(BackendName, Position)>,
+    /// What the last holder handed over; opaque.
     #[serde(rename = "token")]
     pub handover_token: String,
 }
 
 impl ShardRange {
     fn same_assignment(&self, other: &ShardRange) -> bool {
-        (
-            &self.holder,
-            self.fencing_token,
-            &self.pending_releases,
-            &self.handover_token,
-        ) == (
-            &other.holder,
-            other.fencing_token,
-            &other.pending_releases,
-            &other.handover_token,
-        )
+        self.holder == other.holder
+            && self.fencing_token == other.fencing_token
+            && self.pending_releases == other.pending_releases
+            && self.handover_token == other.handover_token
+    }
+
+    fn is_pending_from(&self, backend: &str) -> bool {
+        self.pending_releases
+            .iter()
+            .any(|(earlier, _)| earlier == backend)
     }
 }
 
-/// Ordered, without gaps, over all keys.
+/// The ranges of a service: ordered, without gaps, over all keys.
 pub type ShardMap = Vec<ShardRange>;
 
+/// The map of a service that no back end holds keys of.
 pub fn unassigned() -> ShardMap {
     vec![ShardRange {
         first_key: 0,
@@ -62,211 +68,199 @@
     }]
 }
 
-pub fn range_of(rows: &ShardMap, key: ShardKey) -> Option<&ShardRange> {
-    rows.get(rows.partition_point(|row| row.last_key < key))
-}
-
-/// The rows with cuts at the edges of the spans; the parts inside one are changed by it. One pass over both, as
-/// spans are ordered and none overlaps another; those that do are taken one after the other.
-fn change_spans<T>(
-    rows: ShardMap,
-    spans: &[(ShardKey, ShardKey, T)],
-    change: &dyn Fn(ShardRange, &T) -> ShardRange,
-) -> ShardMap {
-    if spans.windows(2).any(|pair| pair[0].1 >= pair[1].0) {
-        return spans
-            .chunks(1)
-            .fold(rows, |rows, span| change_spans(rows, span, change));
-    }
-    let mut out = ShardMap::with_capacity(rows.len() + spans.len());
-    let mut next = 0;
-    rows.into_iter().for_each(|mut row| {
-        while spans
-            .get(next)
-            .is_some_and(|(_, to, _)| *to < row.first_key)
-        {
-            next += 1;
-        }
-        // A span may reach into the rows after this one: it is looked at again there.
-        let mut at = next;
-        while let Some((from, to, told)) = spans.get(at).filter(|(from, ..)| *from <= row.last_key)
-        {
-            if *from > row.first_key {
-                out.push(ShardRange {
-                    last_key: from - 1,
-                    ..row.clone()
-                });
-                row.first_key = *from;
-            }
-            if *to >= row.last_key {
-                return out.push(change(row, told));
-            }
-            out.push(change(
-                ShardRange {
-                    last_key: *to,
-                    ..row.clone()
-                },
-                told,
-            ));
-            row.first_key = to + 1;
-            at += 1;
-        }
-        out.push(row);
-    });
-    out
-}
-
-/// Neighbours that differ in nothing but their keys become one.
-fn merge_neighbours(rows: ShardMap) -> ShardMap {
-    rows.into_iter()
-        .fold(Vec::new(), |mut done: ShardMap, row| {
-            match done.last_mut() {
-                Some(last) if last.same_assignment(&row) => last.last_key = row.last_key,
-                _ => done.push(row),
-            }
-            done
-        })
+/// The range that a key lies in; `None` only if the map is empty.
+pub fn range_of(ranges: &ShardMap, key: ShardKey) -> Option<&ShardRange> {
+    ranges.get(ranges.partition_point(|range| range.last_key < key))
 }
 
-/// Hands rows to whom the placement names; who keeps a row keeps its fence. Whoever gets one back owes it to nobody: what
-/// it lost earlier it holds now.
+/// Assigns spans of keys (first, last, holder) to the holders that a placement names.
+///
+/// Who keeps a range keeps its fencing token. Whoever gets a range back has no release pending of
+/// it: what it lost earlier it holds now.
 pub fn reassign(
-    rows: ShardMap,
+    ranges: ShardMap,
     assignments: &[(ShardKey, ShardKey, BackendName)],
     position: Position,
 ) -> ShardMap {
-    let moved = |row: ShardRange, holder: &BackendName| {
-        if row.holder.as_ref() == Some(holder) {
-            return row;
+    let assigned = |range: ShardRange, holder: &BackendName| {
+        if range.holder.as_ref() == Some(holder) {
+            return range;
         }
-        let lost = row.holder.into_iter().map(|old| (old, position));
+        let mut pending_releases = range.pending_releases;
+        pending_releases.extend(range.holder.map(|earlier| (earlier, position)));
+        pending_releases.retain(|(earlier, _)| earlier != holder);
+        let (holder, fencing_token) = (Some(holder.clone()), position);
         ShardRange {
-            holder: Some(holder.clone()),
-            fencing_token: position,
-            pending_releases: row
-                .pending_releases
-                .into_iter()
-                .chain(lost)
-                .filter(|(owing, _)| owing != holder)
-                .collect(),
-            ..row
+            holder,
+            fencing_token,
+            pending_releases,
+            ..range
         }
     };
-    merge_neighbours(change_spans(rows, assignments, &moved))
+    merge_neighbours(change_spans(ranges, assignments, &assigned))
 }
 
-/// `name` has let these go, knowing the log up to `through`.
+/// `backend` has released spans of keys (first, last, what it hands over), knowing the log up to
+/// `known_through`: what it lost later stays pending.
 pub fn release(
-    rows: ShardMap,
-    name: &str,
+    ranges: ShardMap,
+    backend: &str,
     known_through: Position,
     released_spans: &[(ShardKey, ShardKey, String)],
 ) -> ShardMap {
-    let mut let_go = released_spans.to_vec();
-    let_go.sort();
-    merge_neighbours(change_spans(
-        rows,
-        &let_go,
-        &|row: ShardRange, token: &String| {
-            let owes = row
-                .pending_releases
-                .iter()
-                .any(|(owing, lost)| owing == name && *lost <= known_through);
-            let owed = row
-                .pending_releases
-                .into_iter()
-                .filter(|(owing, lost)| owing != name || *lost > known_through)
-                .collect();
-            let token = if owes && !token.is_empty() {
-                token.clone()
-            } else {
-                row.handover_token
-            };
-            ShardRange {
-                pending_releases: owed,
-                handover_token: token,
-                ..row
-            }
-        },
-    ))
+    let mut released_spans = released_spans.to_vec();
+    released_spans.sort();
+    let released = |mut range: ShardRange, token: &String| {
+        let pending_before = range.pending_releases.len();
+        range
+            .pending_releases
+            .retain(|(earlier, lost_at)| earlier != backend || *lost_at > known_through);
+        if range.pending_releases.len() < pending_before && !token.is_empty() {
+            range.handover_token.clone_from(token);
+        }
+        range
+    };
+    merge_neighbours(change_spans(ranges, &released_spans, &released))
 }
 
-/// All that was lost at or before the fence under which the row is now held is over.
-pub fn expire_releases(rows: ShardMap, expired: &[(ShardKey, ShardKey, Position)]) -> ShardMap {
-    let mut done = expired.to_vec();
-    done.sort();
-    merge_neighbours(change_spans(
-        rows,
-        &done,
-        &|row: ShardRange, fence: &Position| {
-            if row.fencing_token == *fence {
-                ShardRange {
-                    pending_releases: Vec::new(),
-                    ..row
-                }
-            } else {
-                row
-            }
-        },
-    ))
+/// Ends the pending releases of spans of keys (first, last, fencing token) that are still held
+/// under the token: whoever held them before has been waited out.
+pub fn expire_releases(ranges: ShardMap, expired: &[(ShardKey, ShardKey, Position)]) -> ShardMap {
+    let mut expired = expired.to_vec();
+    expired.sort();
+    let expire = |mut range: ShardRange, fencing_token: &Position| {
+        if range.fencing_token == *fencing_token {
+            range.pending_releases.clear();
+        }
+        range
+    };
+    merge_neighbours(change_spans(ranges, &expired, &expire))
 }
 
 /// A back end whose process is gone holds nothing and hands nothing over.
-pub fn remove_backend(rows: ShardMap, name: &str) -> ShardMap {
-    merge_neighbours(
-        rows.into_iter()
-            .map(|row| {
-                let held = row.holder.as_deref() == Some(name);
-                let owed: Vec<_> = row
-                    .pending_releases
-                    .iter()
-                    .filter(|(owing, _)| owing != name)
-                    .cloned()
-                    .collect();
-                let token = if held || owed.len() != row.pending_releases.len() {
-                    String::new()
-                } else {
-                    row.handover_token
-                };
-                ShardRange {
-                    holder: row.holder.filter(|_| !held),
-                    pending_releases: owed,
-                    handover_token: token,
-                    ..row
-                }
-            })
-            .collect(),
-    )
+pub fn remove_backend(mut ranges: ShardMap, backend: &str) -> ShardMap {
+    for range in &mut ranges {
+        let is_holder = range.holder.as_deref() == Some(backend);
+        if is_holder || range.is_pending_from(backend) {
+            range.handover_token.clear();
+        }
+        if is_holder {
+            range.holder = None;
+        }
+        range
+            .pending_releases
+            .retain(|(earlier, _)| earlier != backend);
+    }
+    merge_neighbours(ranges)
 }
 
-/// What of `new` is not in `old`, for followers that hold `old`.
+/// The ranges of `new` that are not in `old`, for followers that hold `old`.
 pub fn diff(old: &ShardMap, new: &ShardMap) -> ShardMap {
-    let held: HashMap<ShardKey, &ShardRange> = old.iter().map(|row| (row.first_key, row)).collect();
+    let old: HashMap<ShardKey, &ShardRange> =
+        old.iter().map(|range| (range.first_key, range)).collect();
     new.iter()
-        .filter(|row| held.get(&row.first_key) != Some(row))
+        .filter(|range| old.get(&range.first_key) != Some(range))
         .cloned()
         .collect()
 }
 
-/// The rows with these put in their place.
-pub fn apply_diff(rows: ShardMap, changes: ShardMap) -> ShardMap {
+/// The map with the ranges of a [`diff`] put in their place.
+pub fn apply_diff(ranges: ShardMap, changes: ShardMap) -> ShardMap {
     let mut next = 0;
-    let mut kept: ShardMap = rows
-        .into_iter()
-        .filter(|row| {
-            while changes
-                .get(next)
-                .is_some_and(|change| change.last_key < row.first_key)
-            {
-                next += 1;
-            }
-            changes
-                .get(next)
-                .is_none_or(|change| change.first_key > row.last_key)
-        })
-        .collect();
-    kept.extend(changes);
+    let mut result = ShardMap::with_capacity(ranges.len() + changes.len());
+    for range in ranges {
+        while changes
+            .get(next)
+            .is_some_and(|change| change.last_key < range.first_key)
+        {
+            next += 1;
+        }
+        if changes
+            .get(next)
+            .is_none_or(|change| change.first_key > range.last_key)
+        {
+            result.push(range);
+        }
+    }
+    result.extend(changes);
     // Two ordered runs: the sort joins them in one pass.
-    kept.sort_by_key(|row| row.first_key);
-    kept
+    result.sort_by_key(|range| range.first_key);
+    result
+}
+
+/// A change of one range, by what its span says.
+type RangeChange<'a, T> = &'a dyn Fn(ShardRange, &T) -> ShardRange;
+
+/// The map with cuts at the edges of the spans; the parts inside a span are changed by it.
+///
+/// One pass over both, as spans are ordered and none overlaps another; those that do are taken one
+/// after the other.
+fn change_spans<T>(
+    ranges: ShardMap,
+    spans: &[(ShardKey, ShardKey, T)],
+    change: RangeChange<T>,
+) -> ShardMap {
+    if spans.windows(2).any(|pair| pair[0].1 >= pair[1].0) {
+        let one_by_one = spans.chunks(1);
+        return one_by_one.fold(ranges, |ranges, span| change_spans(ranges, span, change));
+    }
+    let mut result = ShardMap::with_capacity(ranges.len() + spans.len());
+    let mut next = 0;
+    for range in ranges {
+        while spans
+            .get(next)
+            .is_some_and(|(_, last_key, _)| *last_key < range.first_key)
+        {
+            next += 1;
+        }
+        // A span may reach into the ranges after this one: it is looked at again there.
+        change_range(range, &spans[next..], change, &mut result);
+    }
+    result
+}
+
+/// Cuts one range at the edges of the spans that begin in or before it, and changes the parts.
+fn change_range<T>(
+    mut range: ShardRange,
+    spans: &[(ShardKey, ShardKey, T)],
+    change: RangeChange<T>,
+    result: &mut ShardMap,
+) {
+    for (first_key, last_key, what) in spans {
+        if *first_key > range.last_key {
+            break;
+        }
+        if *first_key > range.first_key {
+            result.push(ShardRange {
+                last_key: first_key - 1,
+                ..range.clone()
+            });
+            range.first_key = *first_key;
+        }
+        if *last_key >= range.last_key {
+            result.push(change(range, what));
+            return;
+        }
+        result.push(change(
+            ShardRange {
+                last_key: *last_key,
+                ..range.clone()
+            },
+            what,
+        ));
+        range.first_key = last_key + 1;
+    }
+    result.push(range);
+}
+
+/// Neighbours that differ in nothing but their keys become one.
+fn merge_neighbours(ranges: ShardMap) -> ShardMap {
+    let mut merged: ShardMap = Vec::new();
+    for range in ranges {
+        match merged.last_mut() {
+            Some(last) if last.same_assignment(&range) => last.last_key = range.last_key,
+            _ => merged.push(range),
+        }
+    }
+    merged
 }
--- a/crates/model/src/compression.rs
+++ b/crates/model/src/compression.rs
@@ -1,64 +1,49 @@
-//! Large bytes are squeezed before they are sent or kept (design 11.3): items of one site look much alike.
+//! LZ4 compression of large byte strings before they are sent or stored.
+//!
+//! Items of one site look much alike, so a state of many items shrinks to a fraction
+//! (design 11.3).
 
 use std::borrow::Cow;
 
-/// What squeezed bytes begin with; an `rkyv` archive that began so by chance would be one in 2^64.
+use crate::DecodeError;
+
+/// What compressed bytes begin with. An `rkyv` archive that began so by chance would be one in
+/// 2^64.
 const MAGIC: [u8; 8] = [0xf0, 0x9f, b'g', b'f', 0x00, b'l', b'z', b'4'];
-/// Below it nothing is won.
+/// Shorter bytes are left as they are: nothing is won.
 const MIN_COMPRESSED_BYTES: usize = 1_024;
-/// The longest that is taken for honest.
+/// The longest decompressed form that is accepted; a longer claim is taken for damage.
 const MAX_DECOMPRESSED_BYTES: usize = 256 * 1024 * 1024;
+/// The length of the decompressed form, big-endian, between the magic and the LZ4 block.
+const LENGTH_BYTES: usize = 8;
 
+/// Compresses bytes from 1 KiB on, and shorter ones that begin like compressed ones.
 pub fn compress(bytes: Vec<u8>) -> Vec<u8> {
     if bytes.len() < MIN_COMPRESSED_BYTES && !bytes.starts_with(&MAGIC) {
         return bytes;
     }
-    let squeezed = lz4_flex::block::compress(&bytes);
-    [&MAGIC[..], &(bytes.len() as u64).to_be_bytes(), &squeezed].concat()
+    let block = lz4_flex::block::compress(&bytes);
+    [&MAGIC[..], &(bytes.len() as u64).to_be_bytes(), &block].concat()
 }
 
-/// `None`: what was squeezed does not hold together.
-pub fn decompress(bytes: &[u8]) -> Option<Cow<'_, [u8]>> {
+/// The bytes that [`compress`] was given.
+///
+/// # Errors
+///
+/// [`DecodeError::Compression`] if the bytes begin like compressed ones and do not decompress to
+/// the length they claim, or claim more than 256 MiB.
+pub fn decompress(bytes: &[u8]) -> Result<Cow<'_, [u8]>, DecodeError> {
     let Some(rest) = bytes.strip_prefix(&MAGIC) else {
-        return Some(bytes.into());
+        return Ok(bytes.into());
     };
-    let (length, squeezed) = rest.split_at_checked(8)?;
-    let length = u64::from_be_bytes(length.try_into().ok()?) as usize;
-    (length <= MAX_DECOMPRESSED_BYTES)
-        .then(|| lz4_flex::block::decompress(squeezed, length).ok())
-        .flatten()
-        .map(Into::into)
-}
-
-#[cfg(test)]
-mod tests {
-    #[test]
-    fn what_is_unpacked_is_what_was_packed_and_damage_is_noticed() {
-        let samples: [Vec<u8>; 4] = [
-            vec![],
-            vec![7; 10],
-            (0..200u32)
-                .flat_map(|at| format!("lane {at} of one host").into_bytes())
-                .collect(),
-            super::MAGIC.to_vec(),
-        ];
-        samples.iter().for_each(|sample| {
-            assert_eq!(
-                crate::compression::decompress(&crate::compression::compress(sample.clone()))
-                    .as_deref(),
-                Some(sample.as_slice())
-            )
-        });
-        let packed = super::compress(samples[2].clone());
-        assert!(
-            packed.len() * 2 < samples[2].len(),
-            "{} of {}",
-            packed.len(),
-            samples[2].len()
-        );
-        assert_eq!(
-            crate::compression::decompress(&packed[..packed.len() - 3]),
-            None
-        );
+    let (length, block) = rest
+        .split_first_chunk::<LENGTH_BYTES>()
+        .ok_or(DecodeError::Compression)?;
+    let length = u64::from_be_bytes(*length) as usize;
+    if length > MAX_DECOMPRESSED_BYTES {
+        return Err(DecodeError::Compression);
     }
+    lz4_flex::block::decompress(block, length)
+        .map(Cow::from)
+        .map_err(|_| DecodeError::Compression)
 }
--- a/crates/model/src/endpoint_status.rs
+++ b/crates/model/src/endpoint_status.rs
@@ -1,9 +1,17 @@
-//! The standing of back ends and nodes, as the log knows it (design 2.4).
+//! Back ends and nodes as the log knows them, for groupings and standing orders (design 2.4).
+//!
+//! The [cluster state](crate::cluster_state) keeps its own records of back ends and nodes, with
+//! other rules: there a back end's name is one incarnation, and an absent node keeps its back ends.
+
+mod report;
+
+use std::collections::{BTreeMap, BTreeSet};
+
+pub use report::EndpointReport;
 
 use crate::{BackendName, Incarnation, Labels, NodeName, Position, ServiceName, ZoneName};
-use std::collections::BTreeMap;
-use std::collections::BTreeSet;
 
+/// How far the life of a back end has come. It only ever moves on.
 #[derive(
     Clone,
     Copy,
@@ -18,13 +26,18 @@
 )]
 #[serde(rename_all = "snake_case")]
 pub enum BackendPhase {
+    /// Takes work.
     Registered,
+    /// Finishes what it has and takes nothing new.
     Draining,
+    /// Said itself that it is done.
     #[serde(rename = "signed_off")]
     Deregistered,
+    /// Was not heard of for too long, or its node was lost.
     PresumedGone,
 }
 
+/// A registered back end.
 #[derive(
     Clone,
     Debug,
@@ -36,24 +49,33 @@
     rkyv::Deserialize,
 )]
 pub struct Backend {
+    /// The service it serves.
     pub service: ServiceName,
+    /// The zone it stands in.
     pub zone: ZoneName,
+    /// The labels it carries.
     pub labels: Labels,
+    /// How many requests it runs at once.
     pub slots: u32,
+    /// The node beside it.
     pub node: NodeName,
+    /// Which registration of the name this is; later ones are higher.
     pub incarnation: Incarnation,
+    /// How far its life has come.
     pub phase: BackendPhase,
+    /// The position that brought it into its phase.
     #[serde(rename = "since")]
     pub changed_at: Position,
 }
 
 impl Backend {
+    /// Whether it may be given new requests.
     pub fn accepts_work(&self) -> bool {
         self.phase == BackendPhase::Registered
     }
 }
 
-/// A node beside back ends. `reporters` are the watchers that miss it in this life.
+/// A node beside back ends.
 #[derive(
     Clone,
     Debug,
@@ -65,64 +87,23 @@
     rkyv::Deserialize,
 )]
 pub struct Node {
+    /// The zone it stands in.
     pub zone: ZoneName,
+    /// Where other nodes reach it: an IP number and port.
     pub address: String,
+    /// Which process of the name is registered.
     pub incarnation: Incarnation,
+    /// Neither left nor presumed gone.
     pub present: bool,
+    /// The observers that miss this incarnation.
     #[serde(rename = "reporters")]
     pub missed_by: BTreeSet<NodeName>,
+    /// The position that made it present or absent.
     #[serde(rename = "since")]
     pub changed_at: Position,
 }
 
-/// What a node saw, in the form the log keeps it.
-#[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub enum EndpointReport {
-    NodeRegistered {
-        node: NodeName,
-        zone: ZoneName,
-        address: String,
-        incarnation: Incarnation,
-        /// The incarnation that the sender found registered, 0 if none: counts only while that one still is.
-        replaces: Incarnation,
-    },
-    /// A planned end. `clean`: every run beside it had ended, and it passes nothing on any more.
-    NodeLeft {
-        node: NodeName,
-        incarnation: Incarnation,
-        clean: bool,
-    },
-    /// A watcher misses a node, or (`missed: false`) hears it again.
-    NodeObserved {
-        observer: NodeName,
-        node: NodeName,
-        incarnation: Incarnation,
-        missed: bool,
-    },
-    BackendRegistered {
-        name: BackendName,
-        backend: Backend,
-    },
-    PhaseChanged {
-        name: BackendName,
-        incarnation: Incarnation,
-        phase: BackendPhase,
-    },
-    /// The holder of a moved slice has no run left on it (design 7.3).
-    LeasesReleased {
-        service: ServiceName,
-        name: BackendName,
-        incarnation: Incarnation,
-        known_through: Position,
-    },
-    /// A beat named another number of slots.
-    SlotsChanged {
-        name: BackendName,
-        incarnation: Incarnation,
-        slots: u32,
-    },
-}
-
+/// All back ends and nodes that are known.
 #[derive(
     Clone,
     Debug,
@@ -135,7 +116,9 @@
     rkyv::Deserialize,
 )]
 pub struct EndpointStatus {
+    /// Back ends by name; those that ended are remembered for a while.
     #[serde(rename = "back_ends")]
     pub backends: BTreeMap<BackendName, Backend>,
+    /// Nodes by name.
     pub nodes: BTreeMap<NodeName, Node>,
 }
--- a/crates/model/src/endpoint_status_rules.rs
+++ b/crates/model/src/endpoint_status_rules.rs
@@ -1,27 +1,33 @@
-//! How each report changes the standing. Repeats and late reports of an earlier life do nothing (design 2.4).
+//! How each report changes the endpoint status. Repeats and late reports of an earlier incarnation
+//! do nothing (design 2.4).
 
+use crate::endpoint_status::{EndpointReport, Node};
+use crate::registration::{may_register, observers_needed};
 use crate::{
-    Backend, BackendPhase, Position, StateMachine, endpoint_status::EndpointReport,
-    endpoint_status::Node, leases,
+    Backend, BackendName, BackendPhase, Incarnation, NodeName, Position, StateMachine, leases,
 };
 
-/// Signed-off and gone back ends are remembered this long, counted in positions, then forgotten.
+/// For how many positions back ends that ended are remembered.
 const ENDED_KEPT_POSITIONS: Position = 10_000;
 
-/// Why a report does not hold.
-#[derive(Debug, PartialEq)]
+/// Why a report does not hold. The texts reach operators.
+#[derive(Debug, PartialEq, thiserror::Error)]
 pub(crate) enum Rejection {
-    Refused(String),
+    /// No grouping takes the back end in.
+    #[error("no grouping fits service {service:?} in zone {zone:?} with these labels")]
+    NoGrouping { service: String, zone: String },
+    /// The node beside the back end is not present.
+    #[error("the node {node:?} is not present")]
+    NodeAbsent { node: NodeName },
+    /// Another node has a live back end of this name.
+    #[error("the name {name:?} is live beside the node {node:?}")]
+    NameTaken { name: BackendName, node: NodeName },
     /// The log has a later incarnation than the sender knew.
+    #[error("a later incarnation is registered")]
     Superseded,
 }
 
-impl From<String> for Rejection {
-    fn from(reason: String) -> Rejection {
-        Rejection::Refused(reason)
-    }
-}
-
+/// Applies a report at position `next`.
 pub(crate) fn apply(
     state: &mut StateMachine,
     report: EndpointReport,
@@ -35,215 +41,234 @@
             incarnation,
             replaces,
         } => {
-            let held = state.endpoint_status.nodes.get(&node);
-            if held
-                .is_some_and(|held| held.incarnation != incarnation && held.incarnation != replaces)
-            {
-                return Err(Rejection::Superseded);
-            }
-            let same = held.is_some_and(|held| {
-                held.incarnation == incarnation && held.present && held.address == address
-            });
-            if same {
-                return Ok(());
-            }
-            let new_life = held.is_none_or(|held| held.incarnation != incarnation);
-            let reporters = Default::default();
-            state.endpoint_status.nodes.insert(
-                node.clone(),
-                Node {
-                    zone,
-                    address,
-                    incarnation,
-                    present: true,
-                    missed_by: reporters,
-                    changed_at: next,
-                },
-            );
-            if new_life {
-                presume_backends_gone(state, &node, next);
-            }
-            Ok(())
+            let registration = Node {
+                zone,
+                address,
+                incarnation,
+                present: true,
+                missed_by: Default::default(),
+                changed_at: next,
+            };
+            return register_node(state, node, registration, replaces);
         }
         EndpointReport::NodeLeft {
             node,
             incarnation,
             clean,
         } => {
-            let current = state
-                .endpoint_status
-                .nodes
-                .get_mut(&node)
-                .filter(|held| held.incarnation == incarnation && held.present);
-            if let Some(held) = current {
-                held.present = false;
-                held.changed_at = next;
-                presume_backends_gone(state, &node, next);
-                if clean {
-                    state.release_leases_of_node(&node);
-                }
-            }
-            Ok(())
+            node_left(state, &node, incarnation, clean, next);
         }
         EndpointReport::NodeObserved {
-            observer: watcher,
+            observer,
             node,
             incarnation,
             missed,
-        } => record_observation(state, watcher, node, incarnation, missed, next),
-        EndpointReport::BackendRegistered {
-            name,
-            backend: back_end,
-        } => register_backend(state, name, back_end, next),
+        } => {
+            record_observation(state, observer, &node, incarnation, missed, next);
+        }
+        EndpointReport::BackendRegistered { name, backend } => {
+            return register_backend(state, name, backend, next);
+        }
         EndpointReport::PhaseChanged {
             name,
             incarnation,
             phase,
         } => {
-            let current = state
-                .endpoint_status
-                .backends
-                .get_mut(&name)
-                .filter(|held| held.incarnation == incarnation);
-            let Some(held) = current else { return Ok(()) };
-            if phase_rank(phase) > phase_rank(held.phase) {
-                held.phase = phase;
-                held.changed_at = next;
+            if let Some(backend) = registered_backend(state, &name, incarnation) {
+                advance_phase(backend, phase, next);
             }
-            Ok(())
         }
         EndpointReport::SlotsChanged {
             name,
             incarnation,
             slots,
         } => {
-            let current = state
-                .endpoint_status
-                .backends
-                .get_mut(&name)
-                .filter(|held| held.incarnation == incarnation);
-            current.into_iter().for_each(|held| held.slots = slots);
-            Ok(())
+            if let Some(backend) = registered_backend(state, &name, incarnation) {
+                backend.slots = slots;
+            }
         }
         EndpointReport::LeasesReleased {
             service,
             name,
             incarnation,
-            known_through: through,
+            known_through,
         } => {
             if let Some(held) = state.leases.get_mut(&service) {
-                *held = leases::release(held, &(name, incarnation), through);
+                *held = leases::release(held, &(name, incarnation), known_through);
             }
-            Ok(())
         }
     }
+    Ok(())
 }
 
-/// A life only ever moves on: registered, draining, then one of the two ends.
-fn phase_rank(phase: BackendPhase) -> u8 {
-    match phase {
-        BackendPhase::Registered => 0,
-        BackendPhase::Draining => 1,
-        BackendPhase::Deregistered | BackendPhase::PresumedGone => 2,
+fn register_node(
+    state: &mut StateMachine,
+    name: NodeName,
+    registration: Node,
+    replaces: Incarnation,
+) -> Result<(), Rejection> {
+    let current = state.endpoint_status.nodes.get(&name);
+    let incarnation = registration.incarnation;
+    if !may_register(current.map(|node| node.incarnation), incarnation, replaces) {
+        return Err(Rejection::Superseded);
+    }
+    let known = current.filter(|node| node.incarnation == incarnation);
+    if known.is_some_and(|node| node.present && node.address == registration.address) {
+        return Ok(());
+    }
+    let (is_new, position) = (known.is_none(), registration.changed_at);
+    state
+        .endpoint_status
+        .nodes
+        .insert(name.clone(), registration);
+    if is_new {
+        presume_backends_gone(state, &name, position);
+    }
+    Ok(())
+}
+
+fn node_left(
+    state: &mut StateMachine,
+    name: &str,
+    incarnation: Incarnation,
+    clean: bool,
+    next: Position,
+) {
+    let Some(node) = present_node(state, name, incarnation) else {
+        return;
+    };
+    node.present = false;
+    node.changed_at = next;
+    presume_backends_gone(state, name, next);
+    if clean {
+        state.release_leases_of_node(name);
+    }
+}
+
+/// A node is presumed gone once enough observers miss it.
+fn record_observation(
+    state: &mut StateMachine,
+    observer: NodeName,
+    name: &str,
+    incarnation: Incarnation,
+    missed: bool,
+    next: Position,
+) {
+    let nodes = state.endpoint_status.nodes.iter();
+    let others = nodes
+        .filter(|(other, node)| *other != name && node.present)
+        .count();
+    let Some(node) = present_node(state, name, incarnation) else {
+        return;
+    };
+    if missed {
+        node.missed_by.insert(observer);
+    } else {
+        node.missed_by.remove(&observer);
+    }
+    if node.missed_by.len() >= observers_needed(others) {
+        node.present = false;
+        node.missed_by.clear();
+        node.changed_at = next;
+        presume_backends_gone(state, name, next);
     }
 }
 
 fn register_backend(
     state: &mut StateMachine,
-    name: String,
-    back_end: Backend,
+    name: BackendName,
+    backend: Backend,
     next: Position,
 ) -> Result<(), Rejection> {
-    if !state.matches_grouping(&back_end) {
-        return Err(format!(
-            "no grouping fits service {:?} in zone {:?} with these labels",
-            back_end.service, back_end.zone
-        )
-        .into());
+    if !state.matches_grouping(&backend) {
+        return Err(Rejection::NoGrouping {
+            service: backend.service,
+            zone: backend.zone,
+        });
     }
-    let present = state
-        .endpoint_status
+    let status = &mut state.endpoint_status;
+    if !status
         .nodes
-        .get(&back_end.node)
-        .is_some_and(|node| node.present);
-    if !present {
-        return Err(format!("the node {:?} is not present", back_end.node).into());
+        .get(&backend.node)
+        .is_some_and(|node| node.present)
+    {
+        return Err(Rejection::NodeAbsent { node: backend.node });
     }
-    if let Some(held) = state.endpoint_status.backends.get(&name) {
-        if held.incarnation >= back_end.incarnation {
-            return if held.incarnation == back_end.incarnation {
-                Ok(())
-            } else {
-                Err(Rejection::Superseded)
-            };
+    if let Some(current) = status.backends.get(&name) {
+        if current.incarnation == backend.incarnation {
+            return Ok(());
+        }
+        if current.incarnation > backend.incarnation {
+            return Err(Rejection::Superseded);
         }
-        let elsewhere = held.node != back_end.node && phase_rank(held.phase) < 2;
-        if elsewhere {
-            return Err(
-                format!("the name {name:?} is live beside the node {:?}", held.node).into(),
-            );
+        if current.node != backend.node && !has_ended(current) {
+            return Err(Rejection::NameTaken {
+                name,
+                node: current.node.clone(),
+            });
         }
     }
-    state.endpoint_status.backends.insert(
-        name,
-        Backend {
-            phase: BackendPhase::Registered,
-            changed_at: next,
-            ..back_end
-        },
-    );
-    let forgotten = next.saturating_sub(ENDED_KEPT_POSITIONS);
-    state
-        .endpoint_status
+    let registered = Backend {
+        phase: BackendPhase::Registered,
+        changed_at: next,
+        ..backend
+    };
+    status.backends.insert(name, registered);
+    let forgotten_before = next.saturating_sub(ENDED_KEPT_POSITIONS);
+    status
         .backends
-        .retain(|_, held| phase_rank(held.phase) < 2 || held.changed_at >= forgotten);
+        .retain(|_, backend| !has_ended(backend) || backend.changed_at >= forgotten_before);
     Ok(())
 }
 
-/// A node is presumed gone once two of its watchers miss it, or the only one there is.
-fn record_observation(
-    state: &mut StateMachine,
-    watcher: String,
-    node: String,
-    incarnation: u64,
-    missed: bool,
-    next: Position,
-) -> Result<(), Rejection> {
-    let others = state
-        .endpoint_status
-        .nodes
-        .iter()
-        .filter(|(name, held)| **name != node && held.present)
-        .count();
-    let Some(held) = state
-        .endpoint_status
-        .nodes
-        .get_mut(&node)
-        .filter(|held| held.incarnation == incarnation && held.present)
-    else {
-        return Ok(());
-    };
-    match missed {
-        true => held.missed_by.insert(watcher),
-        false => held.missed_by.remove(&watcher),
-    };
-    if held.missed_by.len() >= others.clamp(1, 2) {
-        held.present = false;
-        held.missed_by.clear();
-        held.changed_at = next;
-        presume_backends_gone(state, &node, next);
+/// The node, if this incarnation of it is present.
+fn present_node<'a>(
+    state: &'a mut StateMachine,
+    name: &str,
+    incarnation: Incarnation,
+) -> Option<&'a mut Node> {
+    let node = state.endpoint_status.nodes.get_mut(name);
+    node.filter(|node| node.incarnation == incarnation && node.present)
+}
+
+/// The back end, if this is its registered incarnation.
+fn registered_backend<'a>(
+    state: &'a mut StateMachine,
+    name: &str,
+    incarnation: Incarnation,
+) -> Option<&'a mut Backend> {
+    let backend = state.endpoint_status.backends.get_mut(name);
+    backend.filter(|backend| backend.incarnation == incarnation)
+}
+
+fn advance_phase(backend: &mut Backend, phase: BackendPhase, next: Position) {
+    if phase_rank(phase) > phase_rank(backend.phase) {
+        backend.phase = phase;
+        backend.changed_at = next;
+    }
+}
+
+/// A life only ever moves on: registered, draining, then one of the two ends.
+fn phase_rank(phase: BackendPhase) -> u8 {
+    match phase {
+        BackendPhase::Registered => 0,
+        BackendPhase::Draining => 1,
+        BackendPhase::Deregistered | BackendPhase::PresumedGone => 2,
     }
-    Ok(())
+}
+
+fn has_ended(backend: &Backend) -> bool {
+    matches!(
+        backend.phase,
+        BackendPhase::Deregistered | BackendPhase::PresumedGone
+    )
 }
 
 fn presume_backends_gone(state: &mut StateMachine, node: &str, next: Position) {
-    state
-        .endpoint_status
-        .backends
-        .values_mut()
-        .filter(|held| held.node == node && phase_rank(held.phase) < 2)
-        .for_each(|held| {
-            held.phase = BackendPhase::PresumedGone;
-            held.changed_at = next;
-        });
+    for backend in state.endpoint_status.backends.values_mut() {
+        if backend.node == node && !has_ended(backend) {
+            backend.phase = BackendPhase::PresumedGone;
+            backend.changed_at = next;
+        }
+    }
 }
--- a/crates/model/src/settings.rs
+++ b/crates/model/src/settings.rs
@@ -1,81 +1,96 @@
-//! Settings from a file, overridden by flags, every fault named at once (design 10.1).
+//! Settings of a daemon: read from a TOML file, overridden by flags, with every fault named at once
+//! (design 10.1).
 
-use crate::validation::Fault;
 use std::net::SocketAddr;
+use std::{fs, process};
 
+use pico_args::Arguments;
+use serde::de::DeserializeOwned;
+use validator::{Validate, ValidationError};
+
+use crate::validation::{self, Fault};
+
+/// The exit code of a daemon whose flags or settings are at fault.
 pub const USAGE_EXIT_CODE: i32 = 2;
 
-/// Flags common to the daemons.
+/// Settings whose text stays text, though it may look like a number: a zone may well be called 1.
+const TEXT_SETTINGS: [&str; 7] = [
+    "name",
+    "zone",
+    "mates_address",
+    "operators_address",
+    "advertised_address",
+    "local_address",
+    "folder",
+];
+
+/// What the command line of a daemon says.
 pub struct CommandLine {
+    /// Settings given as flags; they win over the file.
     pub overrides: toml::Table,
+    /// Only check the settings (`--check`).
     pub check_only: bool,
+    /// The settings file (`--config`).
     pub config_file: Option<String>,
 }
 
 /// Reads `--config FILE`, `--check`, and one `--NAME VALUE` for each setting named.
+///
+/// # Errors
+///
+/// Every flag that is unknown or lacks its value.
 pub fn parse_command_line(
-    mut arguments: pico_args::Arguments,
+    mut arguments: Arguments,
     settings: &[&'static str],
 ) -> Result<CommandLine, Vec<Fault>> {
-    let fault = |path: &str, error: String| Fault {
-        path: path.into(),
-        message: error,
-    };
-    let file: Option<String> = arguments
+    let config_file: Option<String> = arguments
         .opt_value_from_str("--config")
-        .map_err(|error| vec![fault("--config", error.to_string())])?;
-    let check = arguments.contains("--check");
-    let mut values = toml::Table::new();
+        .map_err(|error| vec![fault("--config", error)])?;
+    let check_only = arguments.contains("--check");
+    let mut overrides = toml::Table::new();
     let mut faults = Vec::new();
-    settings.iter().for_each(|setting| {
+    for setting in settings {
+        // The parser wants names that live as long as the program; there are a few dozen.
         let flag: &'static str =
             Box::leak(format!("--{}", setting.replace('_', "-")).into_boxed_str());
         match arguments.opt_value_from_str::<_, String>(flag) {
             Ok(Some(text)) => {
-                values.insert(setting.to_string(), parse_value(setting, &text));
+                overrides.insert(setting.to_string(), parse_value(setting, &text));
             }
             Ok(None) => {}
-            Err(error) => faults.push(fault(flag, error.to_string())),
+            Err(error) => faults.push(fault(flag, error)),
         }
-    });
-    let unknown = arguments.finish().into_iter().map(|left| {
-        fault(
-            &left.to_string_lossy(),
-            "is not a flag of this program".into(),
-        )
-    });
-    faults.extend(unknown);
+    }
+    let unknown = arguments.finish();
+    faults.extend(
+        unknown
+            .iter()
+            .map(|flag| fault(&flag.to_string_lossy(), "is not a flag of this program")),
+    );
     if faults.is_empty() {
         Ok(CommandLine {
-            overrides: values,
-            check_only: check,
-            config_file: file,
+            overrides,
+            check_only,
+            config_file,
         })
     } else {
         Err(faults)
     }
 }
 
-/// Settings whose text stays text, though it may look like a number: a zone may well be called 1.
-const TEXT_SETTINGS: [&str; 7] = [
-    "name",
-    "zone",
-    "mates_address",
-    "operators_address",
-    "advertised_address",
-    "local_address",
-    "folder",
-];
+fn fault(path: &str, message: impl ToString) -> Fault {
+    Fault {
+        path: path.into(),
+        message: message.to_string(),
+    }
+}
 
-/// A flag's text is a list for seeds, plain text for names and places, else a number, a yes or no, or text.
+/// A flag's text is a list for seeds, plain text for names and places, else a number, a yes or no,
+/// or text.
 fn parse_value(setting: &str, text: &str) -> toml::Value {
     if setting == "seeds" {
-        return toml::Value::Array(
-            text.split(',')
-                .filter(|part| !part.is_empty())
-                .map(|part| toml::Value::String(part.into()))
-                .collect(),
-        );
+        let addresses = text.split(',').filter(|part| !part.is_empty());
+        return toml::Value::Array(addresses.map(|part| part.to_string().into()).collect());
     }
     if TEXT_SETTINGS.contains(&setting) {
         return toml::Value::String(text.into());
@@ -86,67 +101,86 @@
         .unwrap_or_else(|_| toml::Value::String(text.into()))
 }
 
-pub fn load_settings<T: serde::de::DeserializeOwned + validator::Validate>(
-    flags: &CommandLine,
+/// The settings of the file and the flags, validated.
+///
+/// # Errors
+///
+/// That the file cannot be read or parsed, or every setting that is out of its range.
+pub fn load_settings<T: DeserializeOwned + Validate>(
+    command_line: &CommandLine,
 ) -> Result<T, Vec<Fault>> {
-    let fault = |path: &str, error: String| {
-        vec![Fault {
-            path: path.into(),
-            message: error,
-        }]
-    };
-    let text = match &flags.config_file {
-        Some(file) => {
-            std::fs::read_to_string(file).map_err(|error| fault(file, error.to_string()))?
-        }
+    let text = match &command_line.config_file {
+        Some(file) => fs::read_to_string(file).map_err(|error| vec![fault(file, error)])?,
         None => String::new(),
     };
-    let mut table: toml::Table = text
-        .parse()
-        .map_err(|error: toml::de::Error| fault("config", error.message().to_string()))?;
-    table.extend(flags.overrides.clone());
+    let parsed = text.parse::<toml::Table>();
+    let mut table = parsed.map_err(|error| vec![fault("config", error.message())])?;
+    table.extend(command_line.overrides.clone());
     let settings: T = toml::Value::Table(table)
         .try_into()
-        .map_err(|error: toml::de::Error| {
-            fault("config", error.to_string().trim().replace('\n', " "))
-        })?;
-    match validator::Validate::validate(&settings) {
+        .map_err(|error| vec![fault("config", one_line(&error))])?;
+    match settings.validate() {
         Ok(()) => Ok(settings),
-        Err(errors) => Err(crate::validation::faults_from_errors("config", &errors)),
+        Err(errors) => Err(validation::faults_from_errors("config", &errors)),
     }
 }
 
+fn one_line(error: &toml::de::Error) -> String {
+    error.to_string().trim().replace('\n', " ")
+}
+
+/// Prints each fault as a line on standard error.
 pub fn print_faults(program: &str, faults: &[Fault]) {
-    faults
-        .iter()
-        .for_each(|fault| eprintln!("{program}: {}: {}", fault.path, fault.message));
+    for fault in faults {
+        eprintln!("{program}: {}: {}", fault.path, fault.message);
+    }
 }
 
-pub fn is_address(text: &str) -> Result<(), validator::ValidationError> {
-    text.parse::<SocketAddr>().map(|_| ()).map_err(|_| {
-        validator::ValidationError::new("address")
+/// Validates an IP number and port.
+///
+/// # Errors
+///
+/// What an address looks like.
+pub fn is_address(text: &str) -> Result<(), ValidationError> {
+    let parsed = text.parse::<SocketAddr>();
+    parsed.map(|_| ()).map_err(|_| {
+        ValidationError::new("address")
             .with_message("is an IP number and port, as in 127.0.0.1:7000".into())
     })
 }
 
-pub fn are_addresses(list: &[String]) -> Result<(), validator::ValidationError> {
+/// Validates a list of IP numbers and ports.
+///
+/// # Errors
+///
+/// What an address looks like, if one of the list does not.
+pub fn are_addresses(list: &[String]) -> Result<(), ValidationError> {
     list.iter().try_for_each(|text| is_address(text))
 }
 
-pub fn is_level(text: &str) -> Result<(), validator::ValidationError> {
-    text.parse::<slog::Level>().map(|_| ()).map_err(|()| {
-        validator::ValidationError::new("level")
+/// Validates the name of a log level.
+///
+/// # Errors
+///
+/// The names there are.
+pub fn is_level(text: &str) -> Result<(), ValidationError> {
+    let parsed = text.parse::<slog::Level>();
+    parsed.map(|_| ()).map_err(|()| {
+        ValidationError::new("level")
             .with_message("is critical, error, warning, info, debug or trace".into())
     })
 }
 
-/// What every daemon does before it runs: help, version, settings, `--check`. `None`: that was all.
-pub fn start_up<T: serde::de::DeserializeOwned + validator::Validate>(
+/// What every daemon does before it runs: `--help`, `--version`, settings, `--check`.
+///
+/// `None` means that this was all there was to do. If the flags or settings are at fault, it prints
+/// the faults and ends the process with [`USAGE_EXIT_CODE`].
+pub fn start_up<T: DeserializeOwned + Validate>(
     program: &str,
     help: &str,
     names: &[&'static str],
 ) -> Option<(CommandLine, T)> {
-    let mut arguments = pico_args::Arguments::from_env();
+    let mut arguments = Arguments::from_env();
     if arguments.contains("--help") {
         print!("{help}");
         return None;
@@ -155,15 +189,16 @@
         println!("{program} {}", env!("CARGO_PKG_VERSION"));
         return None;
     }
-    let settings = parse_command_line(arguments, names)
-        .and_then(|flags| load_settings(&flags).map(|settings| (flags, settings)));
-    let (flags, settings) = settings.unwrap_or_else(|faults| {
+    let loaded = parse_command_line(arguments, names).and_then(|command_line| {
+        load_settings(&command_line).map(|settings| (command_line, settings))
+    });
+    let (command_line, settings) = loaded.unwrap_or_else(|faults| {
         print_faults(program, &faults);
-        std::process::exit(USAGE_EXIT_CODE)
+        process::exit(USAGE_EXIT_CODE)
     });
-    if flags.check_only {
+    if command_line.check_only {
         println!("{program}: the settings are fine");
         return None;
     }
-    Some((flags, settings))
+    Some((command_line, settings))
 }
--- a/crates/model/src/state_machine.rs
+++ b/crates/model/src/state_machine.rs
@@ -1,16 +1,29 @@
-//! The state machine the log drives: same entries, same book, everywhere (design 2.3).
+//! The state machine of groupings and standing orders: the same entries give the same state on
+//! every replica (design 2.3).
 
+use std::collections::{BTreeMap, BTreeSet};
+
+use sha2::{Digest as _, Sha256};
+
+use crate::endpoint_status::EndpointReport;
+use crate::endpoint_status_rules::{self, Rejection};
+use crate::leases::{self, LeaseHolder, LeaseTable, LongestRequests};
 use crate::{
-    Backend, BackendPhase, Change, DesiredState, EndpointStatus, Entry, Operation, Outcome,
-    Position, endpoint_status::EndpointReport, endpoint_status_rules::Rejection, leases,
+    Backend, BackendName, BackendPhase, Change, DecodeError, DesiredState, EndpointStatus, Entry,
+    Incarnation, Microseconds, Operation, Outcome, Position, ReplicaReplacement, ServiceName,
 };
-use std::collections::BTreeMap;
-use std::collections::BTreeSet;
+use crate::{archive, registration, validation};
 
-/// Remembered changes and origins; both are part of the snapshot (design 2.3).
+/// Decided changes that are remembered, to answer a repeat as the first time.
 const MAX_REMEMBERED_CHANGES: usize = 1_024;
+/// Origins whose last report is remembered, to tell a repeat from a new one.
 const MAX_REMEMBERED_ORIGINS: usize = 1_024;
 
+/// The state that entries of groupings, standing orders, endpoint reports and replica replacements
+/// lead to.
+///
+/// The tables of repeats are bounded and part of the snapshot. When a change id has been evicted,
+/// the base version still refuses its repeat as stale.
 #[derive(
     Clone,
     Debug,
@@ -22,26 +35,32 @@
     rkyv::Deserialize,
 )]
 pub struct StateMachine {
+    /// The position of the last entry that changed this state.
     pub position: Position,
+    /// Groupings and standing orders.
     pub desired: DesiredState,
+    /// Back ends and nodes.
     #[serde(rename = "standing")]
     pub endpoint_status: EndpointStatus,
+    /// Who holds which keys, by service.
     #[serde(rename = "terms")]
-    pub leases: leases::LeaseTable,
+    pub leases: LeaseTable,
+    /// The longest run that was ever permitted on the keys of each service.
     #[serde(rename = "longest")]
-    pub longest_requests: leases::LongestRequests,
-    /// Seats that changed hands: the disk that holds it, after which instance.
+    pub longest_requests: LongestRequests,
+    /// Replicas that were replaced: the disk that is the replica now, and after which instance.
     #[serde(rename = "seats")]
     pub replica_holders: BTreeMap<u16, (u64, u64)>,
-    /// Change id to the position it was decided at, its edits' digest, and the answer.
+    /// By change id: the position of the decision, the digest of the edits, and the answer.
     #[serde(rename = "changes")]
     decided_changes: BTreeMap<String, (Position, Vec<u8>, Outcome)>,
-    /// Origin to its life, last sequence, position and answer.
+    /// By origin: its incarnation, its last sequence, the position after it, and the answer.
     origins: BTreeMap<String, (u64, u64, Position, Outcome)>,
 }
 
 impl StateMachine {
-    /// `instance` is where the entry stands in the log, `window` how far ahead a seat changes hands.
+    /// Applies the entry of a log instance. A replica that is replaced changes hands `window`
+    /// instances after the one of the entry.
     pub fn apply_at(&mut self, entry: Entry, instance: u64, window: u64) -> Outcome {
         match entry.operation {
             Operation::ReplaceReplica(change) => self.replace_replica(change, instance, window),
@@ -51,7 +70,7 @@
 
     fn replace_replica(
         &mut self,
-        change: crate::ReplicaReplacement,
+        change: ReplicaReplacement,
         instance: u64,
         window: u64,
     ) -> Outcome {
@@ -68,79 +87,72 @@
                 ));
             }
         }
-        if let Some((seat, _)) = self
-            .replica_holders
-            .iter()
-            .find(|(_, (_, after))| *after >= instance)
-        {
-            return refused(format!("seat {seat} is changing hands; one at a time"));
+        let mut replacements = self.replica_holders.iter();
+        if let Some((replica, _)) = replacements.find(|(_, (_, after))| *after >= instance) {
+            return refused(format!("seat {replica} is changing hands; one at a time"));
         }
         if change.old_disk == change.new_disk {
             return refused("a disk cannot take over from itself");
         }
         self.position += 1;
+        let last_of_old_disk = instance + window - 1;
         self.replica_holders
-            .insert(change.replica_id, (change.new_disk, instance + window - 1));
-        Outcome::Accepted {
-            position: self.position,
-            version: self.desired.version,
-        }
+            .insert(change.replica_id, (change.new_disk, last_of_old_disk));
+        self.accepted()
     }
 
+    /// Applies an entry that does not depend on its place in the log. Replica replacements,
+    /// operations on the cluster state and barriers change nothing here.
     pub fn apply(&mut self, entry: Entry) -> Outcome {
         match entry.operation {
             Operation::ReplaceReplica(_) | Operation::ClusterState(_) | Operation::Barrier => {
-                Outcome::Unchanged {
-                    position: self.position,
-                }
+                self.unchanged()
             }
             Operation::Change(change) => self.apply_change(change),
             Operation::EndpointReport(report) => {
-                if !self.is_from_registered_incarnation(&entry.origin, entry.incarnation, &report) {
-                    return Outcome::Superseded {
-                        position: self.position,
-                    };
-                }
-                let known = self.origins.get(&entry.origin).cloned();
-                match known {
-                    Some((life, sequence, _, outcome))
-                        if life == entry.incarnation && sequence >= entry.sequence =>
-                    {
-                        return if sequence == entry.sequence {
-                            outcome
-                        } else {
-                            Outcome::Unchanged {
-                                position: self.position,
-                            }
-                        };
-                    }
-                    _ => {}
-                }
-                let outcome = self.apply_report(report);
-                self.origins.insert(
-                    entry.origin,
-                    (
-                        entry.incarnation,
-                        entry.sequence,
-                        self.position,
-                        outcome.clone(),
-                    ),
-                );
-                evict_oldest(
-                    &mut self.origins,
-                    MAX_REMEMBERED_ORIGINS,
-                    |(_, _, position, _)| *position,
-                );
-                outcome
+                self.apply_report_once(entry.origin, entry.incarnation, entry.sequence, report)
             }
         }
     }
 
-    /// As in the bill: a report counts only from the registered incarnation of its origin, or with its registration.
+    /// Reports of one origin are taken once, in the order of their sequence.
+    fn apply_report_once(
+        &mut self,
+        origin: String,
+        incarnation: Incarnation,
+        sequence: u64,
+        report: EndpointReport,
+    ) -> Outcome {
+        if !self.is_from_registered_incarnation(&origin, incarnation, &report) {
+            return Outcome::Superseded {
+                position: self.position,
+            };
+        }
+        if let Some((known, last, _, outcome)) = self.origins.get(&origin)
+            && *known == incarnation
+            && *last >= sequence
+        {
+            return if *last == sequence {
+                outcome.clone()
+            } else {
+                self.unchanged()
+            };
+        }
+        let outcome = self.apply_report(report);
+        let remembered = (incarnation, sequence, self.position, outcome.clone());
+        self.origins.insert(origin, remembered);
+        evict_oldest(
+            &mut self.origins,
+            MAX_REMEMBERED_ORIGINS,
+            |(_, _, position, _)| *position,
+        );
+        outcome
+    }
+
     fn is_from_registered_incarnation(
         &self,
         origin: &str,
-        life: crate::Incarnation,
+        sender: Incarnation,
         report: &EndpointReport,
     ) -> bool {
         let registered = self
@@ -148,20 +160,23 @@
             .nodes
             .get(origin)
             .map(|node| node.incarnation);
-        match report {
+        let last_seen = self
+            .origins
+            .get(origin)
+            .map(|(incarnation, ..)| *incarnation);
+        let registration = match report {
             EndpointReport::NodeRegistered { node, replaces, .. } if node == origin => {
-                registered.is_none_or(|held| held == life || held == *replaces)
+                Some(*replaces)
             }
-            _ => registered
-                .or_else(|| self.origins.get(origin).map(|(held, ..)| *held))
-                .is_none_or(|held| held == life),
-        }
+            _ => None,
+        };
+        registration::may_report(registered, last_seen, sender, registration)
     }
 
     fn apply_change(&mut self, change: Change) -> Outcome {
         let digest = change_digest(&change);
         match self.decided_changes.get(&change.id) {
-            Some((_, held, outcome)) if *held == digest => return outcome.clone(),
+            Some((_, known, outcome)) if *known == digest => return outcome.clone(),
             Some(_) => {
                 return Outcome::Reused {
                     version: self.desired.version,
@@ -169,156 +184,163 @@
             }
             None => {}
         }
-        // Neither verdict is remembered: the same id may come again, mended.
+        // Neither of these answers is remembered: the same id may come again, corrected.
         if change.base_version != self.desired.version {
             return Outcome::Stale {
                 version: self.desired.version,
             };
         }
-        let faults = crate::validation::faults_against(&self.desired, &change.edits);
+        let faults = validation::faults_against(&self.desired, &change.edits);
         if !faults.is_empty() {
             return Outcome::Invalid { faults };
         }
         self.position += 1;
+        let version = self.desired.version + 1;
         self.desired = DesiredState {
-            version: self.desired.version + 1,
+            version,
             ..self.desired.with_edits(&change.edits)
         };
         self.reassign_leases();
-        let outcome = Outcome::Accepted {
-            position: self.position,
-            version: self.desired.version,
-        };
-        self.decided_changes
-            .insert(change.id, (self.position, digest, outcome.clone()));
+        let outcome = self.accepted();
+        let remembered = (self.position, digest, outcome.clone());
+        self.decided_changes.insert(change.id, remembered);
+        let decided_at = |(position, ..): &(Position, Vec<u8>, Outcome)| *position;
         evict_oldest(
             &mut self.decided_changes,
             MAX_REMEMBERED_CHANGES,
-            |(position, _, _)| *position,
+            decided_at,
         );
         outcome
     }
 
     fn apply_report(&mut self, report: EndpointReport) -> Outcome {
-        let before = self.endpoint_status.clone();
-        let terms_before = self.leases.clone();
+        let status_before = self.endpoint_status.clone();
+        let leases_before = self.leases.clone();
         let next = self.position + 1;
-        match crate::endpoint_status_rules::apply(self, report, next) {
-            Err(Rejection::Refused(reason)) => return refused(reason),
+        match endpoint_status_rules::apply(self, report, next) {
+            Ok(()) => {}
             Err(Rejection::Superseded) => {
                 return Outcome::Superseded {
                     position: self.position,
                 };
             }
-            Ok(()) => {}
+            Err(rejection) => return refused(rejection.to_string()),
         }
         self.position = next;
         self.reassign_leases();
-        if self.endpoint_status == before && self.leases == terms_before {
+        if self.endpoint_status == status_before && self.leases == leases_before {
             self.position = next - 1;
-            return Outcome::Unchanged {
-                position: self.position,
-            };
-        }
-        Outcome::Accepted {
-            position: self.position,
-            version: self.desired.version,
+            return self.unchanged();
         }
+        self.accepted()
     }
 
-    /// Key terms follow from desired state and standing; nothing else decides them.
+    /// Leases follow from the desired state and the endpoint status; nothing else decides them.
     fn reassign_leases(&mut self) {
-        let keyed: BTreeMap<String, u64> = self
-            .desired
-            .orders
-            .values()
-            .filter(|order| order.keyed)
-            .fold(BTreeMap::new(), |mut longest, order| {
-                let held = longest.entry(order.selector.service.clone()).or_insert(0);
-                *held = order.wait_us.max(*held);
-                longest
-            });
-        let position = self.position;
-        let services: Vec<String> = keyed
+        let longest_allowed = self.longest_keyed_requests();
+        let services: BTreeSet<ServiceName> = longest_allowed
             .keys()
             .chain(self.leases.keys())
             .cloned()
-            .collect::<BTreeSet<_>>()
-            .into_iter()
             .collect();
-        services.into_iter().for_each(|service| {
-            let cast = leases::candidates(self.backends_of(&service));
+        for service in services {
+            let candidates = leases::candidates(self.backends_of(&service));
             let before = self.leases.get(&service).cloned().unwrap_or_default();
-            self.leases
-                .insert(service.clone(), leases::assign(&before, &cast, position));
-            let longest = keyed.get(&service).copied().unwrap_or(0);
-            let held = self.longest_requests.entry(service).or_insert(0);
-            *held = longest.max(*held);
-        });
+            let after = leases::assign(&before, &candidates, self.position);
+            self.leases.insert(service.clone(), after);
+            let allowed = longest_allowed.get(&service).copied().unwrap_or(0);
+            let longest = self.longest_requests.entry(service).or_insert(0);
+            *longest = allowed.max(*longest);
+        }
+    }
+
+    /// The longest run that the keyed orders of each service permit now.
+    fn longest_keyed_requests(&self) -> BTreeMap<ServiceName, Microseconds> {
+        let mut longest = BTreeMap::new();
+        for order in self.desired.orders.values().filter(|order| order.keyed) {
+            let allowed = longest.entry(order.selector.service.clone()).or_insert(0);
+            *allowed = order.wait_us.max(*allowed);
+        }
+        longest
     }
 
     /// Nothing runs beside the node: what its back ends held is free as soon as it moves.
+    ///
+    /// The leases move at the position of the report that is being applied, one above the present.
     pub(crate) fn release_leases_of_node(&mut self, node: &str) {
-        let lives: Vec<(String, leases::LeaseHolder)> = self
-            .endpoint_status
-            .backends
-            .iter()
-            .filter(|(_, held)| held.node == node)
-            .map(|(name, held)| (held.service.clone(), (name.clone(), held.incarnation)))
+        let backends = self.endpoint_status.backends.iter();
+        let holders: Vec<(ServiceName, LeaseHolder)> = backends
+            .filter(|(_, backend)| backend.node == node)
+            .map(|(name, backend)| (backend.service.clone(), (name.clone(), backend.incarnation)))
             .collect();
         self.position += 1;
         self.reassign_leases();
-        lives.into_iter().for_each(|(service, holder)| {
+        for (service, holder) in holders {
             if let Some(held) = self.leases.get_mut(&service) {
                 *held = leases::release(held, &holder, self.position);
             }
-        });
+        }
         self.position -= 1;
     }
 
-    /// Back ends of a service that still fit one of its groupings.
+    /// Back ends of a service that still match one of its groupings.
     pub fn backends_of<'a>(
         &'a self,
         service: &'a str,
-    ) -> impl Iterator<Item = (&'a String, &'a Backend)> + 'a {
-        self.endpoint_status
-            .backends
-            .iter()
-            .filter(move |(_, back_end)| {
-                back_end.service == service && self.matches_grouping(back_end)
-            })
+    ) -> impl Iterator<Item = (&'a BackendName, &'a Backend)> + 'a {
+        let backends = self.endpoint_status.backends.iter();
+        backends.filter(move |(_, backend)| {
+            backend.service == service && self.matches_grouping(backend)
+        })
     }
 
-    pub fn matches_grouping(&self, back_end: &Backend) -> bool {
+    /// Whether some grouping takes the back end in.
+    pub fn matches_grouping(&self, backend: &Backend) -> bool {
         self.desired.groupings.values().any(|grouping| {
-            grouping.service == back_end.service
-                && grouping.zone == back_end.zone
+            grouping.service == backend.service
+                && grouping.zone == backend.zone
                 && grouping
                     .labels
                     .iter()
-                    .all(|(name, value)| back_end.labels.get(name) == Some(value))
+                    .all(|(name, value)| backend.labels.get(name) == Some(value))
         })
     }
 
+    /// The archive for a snapshot.
     pub fn to_bytes(&self) -> Vec<u8> {
-        rkyv::to_bytes::<rkyv::rancor::Error>(self)
-            .map(|bytes| bytes.to_vec())
-            .unwrap_or_default()
+        archive::to_bytes(self)
     }
 
-    pub fn from_bytes(bytes: &[u8]) -> Option<StateMachine> {
-        let mut aligned = rkyv::util::AlignedVec::<16>::with_capacity(bytes.len());
-        aligned.extend_from_slice(bytes);
-        rkyv::from_bytes::<StateMachine, rkyv::rancor::Error>(&aligned).ok()
+    /// Reads what [`StateMachine::to_bytes`] wrote.
+    ///
+    /// # Errors
+    ///
+    /// [`DecodeError`] if the bytes are no archive of a state machine.
+    pub fn from_bytes(bytes: &[u8]) -> Result<StateMachine, DecodeError> {
+        archive::from_bytes(bytes)
     }
 
+    /// How many back ends are in a phase.
     pub fn count_in_phase(&self, phase: BackendPhase) -> usize {
         self.endpoint_status
             .backends
             .values()
-            .filter(|back_end| back_end.phase == phase)
+            .filter(|backend| backend.phase == phase)
             .count()
     }
+
+    fn accepted(&self) -> Outcome {
+        Outcome::Accepted {
+            position: self.position,
+            version: self.desired.version,
+        }
+    }
+
+    fn unchanged(&self) -> Outcome {
+        Outcome::Unchanged {
+            position: self.position,
+        }
+    }
 }
 
 fn refused(reason: impl Into<String>) -> Outcome {
@@ -327,23 +349,26 @@
     }
 }
 
+/// SHA-256 of the change as JSON. It is stored, so the JSON must not change.
 fn change_digest(change: &Change) -> Vec<u8> {
     let bytes = serde_json::to_vec(change).unwrap_or_default();
-    <sha2::Sha256 as sha2::Digest>::digest(&bytes).to_vec()
+    Sha256::digest(&bytes).to_vec()
 }
 
+/// Removes the entry of the lowest position once there are more than `limit`.
 fn evict_oldest<V>(
     table: &mut BTreeMap<String, V>,
-    keep: usize,
+    limit: usize,
     position: impl Fn(&V) -> Position,
 ) {
-    let oldest = (table.len() > keep).then(|| {
-        table
-            .iter()
-            .min_by_key(|(_, held)| position(held))
-            .map(|(name, _)| name.clone())
-    });
-    if let Some(oldest) = oldest.flatten() {
+    if table.len() <= limit {
+        return;
+    }
+    let oldest = table
+        .iter()
+        .min_by_key(|(_, entry)| position(entry))
+        .map(|(name, _)| name);
+    if let Some(oldest) = oldest.cloned() {
         table.remove(&oldest);
     }
 }
--- a/crates/model/src/state_patch.rs
+++ b/crates/model/src/state_patch.rs
@@ -1,52 +1,64 @@
-//! What changed between two slices, so that news costs what changed and not what there is (design 5.12).
+//! What changed between two slices, so that an update costs what changed and not what there is
+//! (design 5.12).
 
-use crate::{
-    Backend, Grouping, Microseconds, Position, StandingOrder, StateSlice, endpoint_status::Node,
-    leases, state_slice::ServiceSet,
-};
-use std::collections::BTreeMap;
-use std::collections::BTreeSet;
+use std::collections::{BTreeMap, BTreeSet};
+
+use crate::endpoint_status::Node;
+use crate::leases::Lease;
+use crate::state_slice::ServiceSet;
+use crate::{Backend, Grouping, Microseconds, Position, StandingOrder, StateSlice};
 
 type Table<V> = BTreeMap<String, V>;
-/// What to put and what to drop.
+/// What to put into a table, and the names to remove from it.
 pub type TablePatch<V> = (Table<V>, BTreeSet<String>);
 
+/// What makes a later [`StateSlice`] of an earlier one. Its fields are those of the slice.
 #[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct StatePatch {
+    /// The local services of the later slice.
     pub services: ServiceSet,
+    /// The position of the later slice.
     pub position: Position,
+    /// The version of the desired state of the later slice.
     pub version: Position,
+    /// Changes of [`StateSlice::groupings`].
     pub groupings: TablePatch<Grouping>,
+    /// Changes of [`StateSlice::orders`].
     pub orders: TablePatch<StandingOrder>,
+    /// Changes of [`StateSlice::backends`].
     pub backends: TablePatch<Backend>,
+    /// Changes of [`StateSlice::nodes`].
     pub nodes: TablePatch<Node>,
-    pub leases: TablePatch<Vec<leases::Lease>>,
+    /// Changes of [`StateSlice::leases`]; a service is replaced whole.
+    pub leases: TablePatch<Vec<Lease>>,
+    /// Changes of [`StateSlice::longest_requests`].
     pub longest_requests: TablePatch<Microseconds>,
 }
 
 fn table_patch<V: Clone + PartialEq>(old: &Table<V>, new: &Table<V>) -> TablePatch<V> {
-    let put = new
+    let changed = new
         .iter()
-        .filter(|(name, held)| old.get(*name) != Some(*held))
-        .map(|(name, held)| (name.clone(), held.clone()))
+        .filter(|(name, value)| old.get(*name) != Some(*value));
+    let put = changed
+        .map(|(name, value)| (name.clone(), value.clone()))
         .collect();
-    let gone = old
+    let removed = old
         .keys()
         .filter(|name| !new.contains_key(*name))
         .cloned()
         .collect();
-    (put, gone)
+    (put, removed)
 }
 
-fn patched_table<V: Clone>(old: &Table<V>, (put, gone): TablePatch<V>) -> Table<V> {
-    let kept = old
-        .iter()
-        .filter(|(name, _)| !gone.contains(*name))
-        .map(|(name, held)| (name.clone(), held.clone()));
-    kept.chain(put).collect()
+fn patched_table<V: Clone>(old: &Table<V>, (put, removed): TablePatch<V>) -> Table<V> {
+    let kept = old.iter().filter(|(name, _)| !removed.contains(*name));
+    kept.map(|(name, value)| (name.clone(), value.clone()))
+        .chain(put)
+        .collect()
 }
 
 impl StateSlice {
+    /// What makes `next` of this slice.
     pub fn diff_to(&self, next: &StateSlice) -> StatePatch {
         StatePatch {
             services: next.services.clone(),
@@ -61,6 +73,7 @@
         }
     }
 
+    /// The slice that a patch on top of this one makes.
     pub fn with_patch(&self, patch: StatePatch) -> StateSlice {
         StateSlice {
             services: patch.services,
--- a/crates/model/src/state_slice.rs
+++ b/crates/model/src/state_slice.rs
@@ -1,12 +1,14 @@
-//! The part of the book a node's selectors touch (design 5.1).
+//! The part of the state machine that a node needs: what the orders of its services select
+//! (design 5.1).
 
-use crate::{
-    Backend, Grouping, Microseconds, Position, ServiceName, StandingOrder, StateMachine,
-    endpoint_status::Node, leases,
-};
-use std::collections::BTreeMap;
-use std::collections::BTreeSet;
+use std::collections::{BTreeMap, BTreeSet};
 
+use crate::endpoint_status::Node;
+use crate::leases::{self, Lease, LeaseTable, LongestRequests};
+use crate::{Backend, BackendName, Grouping, NodeName, Position};
+use crate::{ServiceName, StandingOrder, StateMachine};
+
+/// What a node with back ends of some services needs to forward and take their requests.
 #[derive(
     Clone,
     Debug,
@@ -19,38 +21,46 @@
     rkyv::Deserialize,
 )]
 pub struct StateSlice {
-    /// The local services it was cut for.
+    /// The local services it was made for.
     pub services: ServiceSet,
+    /// The position of the state it was made of.
     pub position: Position,
+    /// The version of the desired state it was made of.
     pub version: Position,
+    /// Groupings of the services that are called, by name.
     pub groupings: BTreeMap<String, Grouping>,
+    /// Orders that the services send or serve by, by name.
     pub orders: BTreeMap<String, StandingOrder>,
+    /// Back ends of the services that are called, by name.
     #[serde(rename = "back_ends")]
-    pub backends: BTreeMap<String, Backend>,
-    pub nodes: BTreeMap<String, Node>,
+    pub backends: BTreeMap<BackendName, Backend>,
+    /// All nodes, by name.
+    pub nodes: BTreeMap<NodeName, Node>,
+    /// Who holds which keys of the services that are called.
     #[serde(rename = "terms")]
-    pub leases: leases::LeaseTable,
+    pub leases: LeaseTable,
+    /// The longest run that was ever permitted on the keys of each of these services.
     #[serde(rename = "longest")]
-    pub longest_requests: BTreeMap<ServiceName, Microseconds>,
+    pub longest_requests: LongestRequests,
 }
 
+/// A set of services.
 pub type ServiceSet = BTreeSet<ServiceName>;
 
 impl StateSlice {
-    /// What ushers need that have back ends of `services` beside them.
-    pub fn for_services(book: &StateMachine, services: &ServiceSet) -> StateSlice {
+    /// What a node needs that has back ends of `services` beside it.
+    pub fn for_services(state: &StateMachine, services: &ServiceSet) -> StateSlice {
+        let backends = &state.endpoint_status.backends;
         let whole = StateSlice {
             services: services.clone(),
-            position: book.position,
-            version: book.desired.version,
-            groupings: book.desired.groupings.clone(),
-            orders: book.desired.orders.clone(),
-            backends: filtered(&book.endpoint_status.backends, |back_end| {
-                book.matches_grouping(back_end)
-            }),
-            nodes: book.endpoint_status.nodes.clone(),
-            leases: book.leases.clone(),
-            longest_requests: book.longest_requests.clone(),
+            position: state.position,
+            version: state.desired.version,
+            groupings: state.desired.groupings.clone(),
+            orders: state.desired.orders.clone(),
+            backends: filtered(backends, |backend| state.matches_grouping(backend)),
+            nodes: state.endpoint_status.nodes.clone(),
+            leases: state.leases.clone(),
+            longest_requests: state.longest_requests.clone(),
         };
         whole.narrowed_to(services)
     }
@@ -66,9 +76,7 @@
             groupings: filtered(&self.groupings, |grouping| {
                 touched.contains(&grouping.service)
             }),
-            backends: filtered(&self.backends, |back_end| {
-                touched.contains(&back_end.service)
-            }),
+            backends: filtered(&self.backends, |backend| touched.contains(&backend.service)),
             nodes: self.nodes.clone(),
             leases: of_services(&self.leases, &touched),
             longest_requests: of_services(&self.longest_requests, &touched),
@@ -76,17 +84,19 @@
         }
     }
 
-    /// Alike but for the position it was cut at: then no news needs sending.
+    /// Whether two slices differ in nothing but what they were made of: then no update needs to be
+    /// sent.
     pub fn same_content(&self, other: &StateSlice) -> bool {
-        let level = |slice: &StateSlice| StateSlice {
+        let content = |slice: &StateSlice| StateSlice {
             position: 0,
             version: 0,
             ..slice.clone()
         };
-        level(self) == level(other)
+        content(self) == content(other)
     }
 
-    /// The most particular order that lets `from` send this: longest path, then named methods.
+    /// The most particular order that lets `from` send this request: the one of the longest path,
+    /// then one that names methods.
     pub fn route(
         &self,
         from: &str,
@@ -94,16 +104,17 @@
         method: &str,
         path: &str,
     ) -> Option<(&String, &StandingOrder)> {
+        let covers = |order: &StandingOrder| {
+            let selector = &order.selector;
+            selector.service == service
+                && selector.from.iter().any(|name| name == from)
+                && (selector.methods.is_empty()
+                    || selector.methods.iter().any(|name| name == method))
+                && path_has_prefix(path, &selector.path_prefix)
+        };
         self.orders
             .iter()
-            .filter(|(_, order)| {
-                let selector = &order.selector;
-                selector.service == service
-                    && selector.from.iter().any(|name| name == from)
-                    && (selector.methods.is_empty()
-                        || selector.methods.iter().any(|name| name == method))
-                    && path_has_prefix(path, &selector.path_prefix)
-            })
+            .filter(|(_, order)| covers(order))
             .max_by_key(|(_, order)| {
                 (
                     order.selector.path_prefix.len(),
@@ -112,7 +123,8 @@
             })
     }
 
-    pub fn lease(&self, service: &str, key: &str) -> Option<&leases::Lease> {
+    /// The lease on the slot of a key; `None` if the service has no keys.
+    pub fn lease(&self, service: &str, key: &str) -> Option<&Lease> {
         self.leases
             .get(service)?
             .get(leases::key_slot(key) as usize)
@@ -136,21 +148,19 @@
 }
 
 fn touched_services(orders: &BTreeMap<String, StandingOrder>, services: &ServiceSet) -> ServiceSet {
-    orders
-        .values()
-        .map(|order| order.selector.service.clone())
-        .chain(services.iter().cloned())
-        .collect()
+    let called = orders.values().map(|order| order.selector.service.clone());
+    called.chain(services.iter().cloned()).collect()
 }
 
 fn of_services<V: Clone>(
     table: &BTreeMap<ServiceName, V>,
     services: &ServiceSet,
 ) -> BTreeMap<ServiceName, V> {
-    table
+    let wanted = table
         .iter()
-        .filter(|(service, _)| services.contains(*service))
-        .map(|(service, held)| (service.clone(), held.clone()))
+        .filter(|(service, _)| services.contains(*service));
+    wanted
+        .map(|(service, value)| (service.clone(), value.clone()))
         .collect()
 }
 
@@ -158,9 +168,8 @@
     table: &BTreeMap<String, V>,
     wanted: impl Fn(&V) -> bool,
 ) -> BTreeMap<String, V> {
-    table
-        .iter()
-        .filter(|(_, held)| wanted(held))
-        .map(|(name, held)| (name.clone(), held.clone()))
+    let wanted = table.iter().filter(|(_, value)| wanted(value));
+    wanted
+        .map(|(name, value)| (name.clone(), value.clone()))
         .collect()
 }
--- a/crates/model/src/validation.rs
+++ b/crates/model/src/validation.rs
@@ -1,8 +1,30 @@
-//! Every fault of a change, each with its path (design 2.2).
+//! Validation of a change: every fault of it, each with its path (design 2.2).
+//!
+//! Paths and texts reach operators: they are part of the public interface.
 
-use crate::desired_state::{DesiredState, Edit, Selector, StandingOrder};
 use std::collections::BTreeSet;
 
+use validator::{Validate, ValidationError, ValidationErrors, ValidationErrorsKind};
+
+use crate::Labels;
+use crate::desired_state::{DesiredState, Edit, Selector, StandingOrder};
+
+/// The most edits of one change.
+const MAX_EDITS: usize = 256;
+/// The longest name, in bytes.
+const MAX_NAME_BYTES: usize = 63;
+/// The most labels of a selector or grouping.
+const MAX_LABELS: usize = 16;
+/// The longest value of a label, in bytes.
+const MAX_LABEL_BYTES: usize = 63;
+/// The longest prefix of a route, in bytes.
+const MAX_PREFIX_BYTES: usize = 1_024;
+/// The longest path prefix of a standing order, in bytes.
+const MAX_PATH_BYTES: usize = 256;
+const METHODS: [&str; 7] = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"];
+const NAME_RULE: &str = "is 1 to 63 of a-z, 0-9 and '-', not starting with '-'";
+
+/// One fault of what was sent.
 #[derive(
     Clone,
     Debug,
@@ -17,15 +39,17 @@
     rkyv::Deserialize,
 )]
 pub struct Fault {
+    /// Where it is, as in `edits[1].order.wait_us`.
     pub path: String,
+    /// What the value there has to be, or what is wrong with it.
     #[serde(rename = "fault")]
     pub message: String,
 }
 
-fn new_fault(path: impl Into<String>, fault: impl Into<String>) -> Fault {
+fn new_fault(path: impl Into<String>, message: impl Into<String>) -> Fault {
     Fault {
         path: path.into(),
-        message: fault.into(),
+        message: message.into(),
     }
 }
 
@@ -41,265 +65,289 @@
     true
 }
 
-fn validation_error(message: &'static str) -> validator::ValidationError {
-    validator::ValidationError::new("bad").with_message(message.into())
+fn require(holds: bool, rule: &'static str) -> Result<(), ValidationError> {
+    if holds {
+        Ok(())
+    } else {
+        Err(ValidationError::new("bad").with_message(rule.into()))
+    }
 }
 
+/// Whether a text is a name: 1 to 63 of `a-z`, `0-9` and `-`, not starting with `-`.
 pub fn is_valid_name(text: &str) -> bool {
-    let letters =
+    let allowed =
         |letter: char| letter.is_ascii_lowercase() || letter.is_ascii_digit() || letter == '-';
-    !text.is_empty() && text.len() <= 63 && text.chars().all(letters) && !text.starts_with('-')
+    !text.is_empty()
+        && text.len() <= MAX_NAME_BYTES
+        && text.chars().all(allowed)
+        && !text.starts_with('-')
 }
 
-pub(crate) fn name(text: &str) -> Result<(), validator::ValidationError> {
-    is_valid_name(text)
-        .then_some(())
-        .ok_or_else(|| validation_error("is 1 to 63 of a-z, 0-9 and '-', not starting with '-'"))
+pub(crate) fn name(text: &str) -> Result<(), ValidationError> {
+    require(is_valid_name(text), NAME_RULE)
 }
 
-pub(crate) fn labels(labels: &crate::Labels) -> Result<(), validator::ValidationError> {
-    let fine = labels.len() <= 16
-        && labels
-            .iter()
-            .all(|(name, value)| is_valid_name(name) && value.len() <= 63);
-    fine.then_some(()).ok_or_else(|| {
-        validation_error("holds at most 16 labels with plain names and values up to 63 bytes")
-    })
+pub(crate) fn labels(labels: &Labels) -> Result<(), ValidationError> {
+    let mut pairs = labels.iter();
+    let valid = labels.len() <= MAX_LABELS
+        && pairs.all(|(name, value)| is_valid_name(name) && value.len() <= MAX_LABEL_BYTES);
+    require(
+        valid,
+        "holds at most 16 labels with plain names and values up to 63 bytes",
+    )
 }
 
-const METHODS: [&str; 7] = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"];
-
-pub(crate) fn methods(methods: &[String]) -> Result<(), validator::ValidationError> {
-    let fine = methods
+pub(crate) fn methods(methods: &[String]) -> Result<(), ValidationError> {
+    let valid = methods
         .iter()
         .all(|method| METHODS.contains(&method.as_str()));
-    fine.then_some(())
-        .ok_or_else(|| validation_error("holds HTTP methods in capitals"))
+    require(valid, "holds HTTP methods in capitals")
 }
 
-pub(crate) fn prefix(prefix: &str) -> Result<(), validator::ValidationError> {
-    let fine = prefix.starts_with('/')
+pub(crate) fn prefix(prefix: &str) -> Result<(), ValidationError> {
+    let valid = prefix.starts_with('/')
         && prefix.ends_with('/')
-        && prefix.len() <= 1_024
+        && prefix.len() <= MAX_PREFIX_BYTES
         && !prefix.contains(['?', '#', ' ']);
-    fine.then_some(())
-        .ok_or_else(|| validation_error("begins and ends with '/' and has no '?', '#' or space"))
+    require(
+        valid,
+        "begins and ends with '/' and has no '?', '#' or space",
+    )
 }
 
-pub(crate) fn shares(shares: &[(String, u32)]) -> Result<(), validator::ValidationError> {
-    let fine = shares.iter().all(|(service, _)| !service.is_empty())
+pub(crate) fn shares(shares: &[(String, u32)]) -> Result<(), ValidationError> {
+    let valid = shares.iter().all(|(service, _)| !service.is_empty())
         && shares.iter().any(|(_, weight)| *weight > 0);
-    fine.then_some(())
-        .ok_or_else(|| validation_error("names services, and not all with weight 0"))
+    require(valid, "names services, and not all with weight 0")
 }
 
-pub(crate) fn path(path: &str) -> Result<(), validator::ValidationError> {
-    let fine = path.starts_with('/') && path.len() <= 256 && !path.contains(['?', '#', ' ']);
-    fine.then_some(())
-        .ok_or_else(|| validation_error("starts with '/' and has no '?', '#' or space"))
+pub(crate) fn path(path: &str) -> Result<(), ValidationError> {
+    let valid =
+        path.starts_with('/') && path.len() <= MAX_PATH_BYTES && !path.contains(['?', '#', ' ']);
+    require(valid, "starts with '/' and has no '?', '#' or space")
 }
 
-pub(crate) fn faults_from_errors(path: &str, errors: &validator::ValidationErrors) -> Vec<Fault> {
-    errors
-        .errors()
-        .iter()
-        .flat_map(|(field, kind)| {
-            let path = format!("{path}.{field}");
-            match kind {
-                validator::ValidationErrorsKind::Field(errors) => errors
-                    .iter()
-                    .map(|error| {
-                        new_fault(&path, error.message.as_deref().unwrap_or("is not allowed"))
-                    })
-                    .collect(),
-                validator::ValidationErrorsKind::Struct(inner) => faults_from_errors(&path, inner),
-                validator::ValidationErrorsKind::List(inner) => inner
-                    .iter()
-                    .flat_map(|(at, inner)| faults_from_errors(&format!("{path}[{at}]"), inner))
-                    .collect(),
+/// The faults that `validator` found in a value, with their paths below `path`.
+pub fn faults_from_errors(path: &str, errors: &ValidationErrors) -> Vec<Fault> {
+    let mut faults = Vec::new();
+    for (field, kind) in errors.errors() {
+        let path = format!("{path}.{field}");
+        match kind {
+            ValidationErrorsKind::Field(errors) => {
+                faults.extend(errors.iter().map(|error| {
+                    new_fault(&path, error.message.as_deref().unwrap_or("is not allowed"))
+                }));
             }
-        })
-        .collect()
+            ValidationErrorsKind::Struct(inner) => {
+                faults.extend(faults_from_errors(&path, inner));
+            }
+            ValidationErrorsKind::List(inner) => {
+                for (index, inner) in inner {
+                    faults.extend(faults_from_errors(&format!("{path}[{index}]"), inner));
+                }
+            }
+        }
+    }
+    faults
 }
 
-/// Faults that can be seen without the current state.
+/// The faults of a change that can be seen without the current state.
 pub fn faults_of_edits(edits: &[Edit]) -> Vec<Fault> {
-    let count = match edits.len() {
+    let mut faults = faults_of_count(edits.len());
+    faults.extend(faults_of_names(edits));
+    faults.extend(faults_of_fields(edits));
+    faults.extend(faults_of_keyed_orders(edits));
+    faults
+}
+
+fn faults_of_count(count: usize) -> Vec<Fault> {
+    match count {
         0 => vec![new_fault("edits", "holds at least one edit")],
-        1..=256 => Vec::new(),
+        1..=MAX_EDITS => Vec::new(),
         _ => vec![new_fault("edits", "holds at most 256 edits")],
-    };
-    let names = edits.iter().enumerate().map(|(at, edit)| match edit {
-        Edit::PutGrouping { name, .. } | Edit::DropGrouping { name } => (at, ("grouping", name)),
-        Edit::PutOrder { name, .. } | Edit::DropOrder { name } => (at, ("order", name)),
-    });
-    let bad_names = names
-        .clone()
-        .filter(|(_, (_, name))| !is_valid_name(name))
-        .map(|(at, _)| {
-            new_fault(
-                format!("edits[{at}].name"),
-                "is 1 to 63 of a-z, 0-9 and '-', not starting with '-'",
-            )
-        });
-    let twice = names
-        .clone()
-        .filter(|(at, what)| {
-            names
-                .clone()
-                .any(|(other, that)| other < *at && that == *what)
+    }
+}
+
+/// Names that are none, then names that are edited twice.
+fn faults_of_names(edits: &[Edit]) -> Vec<Fault> {
+    let edited: Vec<(&str, &String)> = edits
+        .iter()
+        .map(|edit| match edit {
+            Edit::PutGrouping { name, .. } | Edit::DropGrouping { name } => ("grouping", name),
+            Edit::PutOrder { name, .. } | Edit::DropOrder { name } => ("order", name),
         })
-        .map(|(at, (kind, name))| {
-            new_fault(
-                format!("edits[{at}].name"),
-                format!("the {kind} {name:?} is edited twice in one change"),
-            )
-        });
-    let fields = edits.iter().enumerate().flat_map(|(at, edit)| {
-        let path = format!("edits[{at}]");
-        match edit {
-            Edit::PutGrouping { grouping, .. } => validator::Validate::validate(grouping)
-                .err()
-                .map(|errors| faults_from_errors(&format!("{path}.grouping"), &errors)),
-            Edit::PutOrder { order, .. } => validator::Validate::validate(order)
-                .err()
-                .map(|errors| faults_from_errors(&format!("{path}.order"), &errors)),
-            _ => None,
+        .collect();
+    let path = |index: usize| format!("edits[{index}].name");
+    let mut faults = Vec::new();
+    for (index, (_, name)) in edited.iter().enumerate() {
+        if !is_valid_name(name) {
+            faults.push(new_fault(path(index), NAME_RULE));
+        }
+    }
+    for (index, (kind, name)) in edited.iter().enumerate() {
+        if edited[..index].contains(&(*kind, *name)) {
+            let message = format!("the {kind} {name:?} is edited twice in one change");
+            faults.push(new_fault(path(index), message));
         }
-        .unwrap_or_default()
-    });
-    let keyed = edits.iter().enumerate().flat_map(|(at, edit)| match edit {
-        Edit::PutOrder { order, .. } if order.keyed => {
-            keyed_order_faults(&format!("edits[{at}].order"), order)
+    }
+    faults
+}
+
+fn faults_of_fields(edits: &[Edit]) -> Vec<Fault> {
+    let mut faults = Vec::new();
+    for (index, edit) in edits.iter().enumerate() {
+        let (validated, field) = match edit {
+            Edit::PutGrouping { grouping, .. } => (grouping.validate(), "grouping"),
+            Edit::PutOrder { order, .. } => (order.validate(), "order"),
+            Edit::DropGrouping { .. } | Edit::DropOrder { .. } => continue,
+        };
+        if let Err(errors) = validated {
+            faults.extend(faults_from_errors(
+                &format!("edits[{index}].{field}"),
+                &errors,
+            ));
         }
-        _ => Vec::new(),
-    });
-    count
-        .into_iter()
-        .chain(bad_names)
-        .chain(twice)
-        .chain(fields)
-        .chain(keyed)
-        .collect()
+    }
+    faults
 }
 
-/// Keys are placed over the whole service: an order for a part of it would have keys that nobody it names holds.
-fn keyed_order_faults(path: &str, order: &StandingOrder) -> Vec<Fault> {
-    let labels = (!order.selector.labels.is_empty())
-        .then(|| new_fault(format!("{path}.selector.labels"), "a keyed order takes every back end of its service: make a service of those with these labels"));
-    let zone = (!order.allow_other_zones).then(|| {
-        new_fault(
-            format!("{path}.leave_zone"),
-            "a keyed order follows its key into any zone",
-        )
-    });
-    labels.into_iter().chain(zone).collect()
+/// Keys are placed over the whole service: an order for a part of it would have keys that nobody
+/// it names holds.
+fn faults_of_keyed_orders(edits: &[Edit]) -> Vec<Fault> {
+    let mut faults = Vec::new();
+    for (index, edit) in edits.iter().enumerate() {
+        let Edit::PutOrder { order, .. } = edit else {
+            continue;
+        };
+        if !order.keyed {
+            continue;
+        }
+        if !order.selector.labels.is_empty() {
+            faults.push(new_fault(
+                format!("edits[{index}].order.selector.labels"),
+                "a keyed order takes every back end of its service: \
+                 make a service of those with these labels",
+            ));
+        }
+        if !order.allow_other_zones {
+            faults.push(new_fault(
+                format!("edits[{index}].order.leave_zone"),
+                "a keyed order follows its key into any zone",
+            ));
+        }
+    }
+    faults
 }
 
-/// Faults of the edits against a state: decided alike wherever the entry is applied.
+/// The faults of a change against a state, in order: decided alike wherever the entry is applied.
 pub fn faults_against(state: &DesiredState, edits: &[Edit]) -> Vec<Fault> {
-    let own = faults_of_edits(edits);
-    let missing = edits
-        .iter()
-        .enumerate()
-        .filter_map(|(at, edit)| match edit {
-            Edit::DropGrouping { name } if !state.groupings.contains_key(name) => Some(new_fault(
-                format!("edits[{at}].name"),
-                format!("there is no grouping {name:?}"),
-            )),
-            Edit::DropOrder { name } if !state.orders.contains_key(name) => Some(new_fault(
-                format!("edits[{at}].name"),
-                format!("there is no order {name:?}"),
-            )),
-            _ => None,
-        });
-    let after = state.with_edits(edits);
-    own.into_iter()
-        .chain(missing)
-        .chain(faults_of_state(&after))
-        .collect::<BTreeSet<_>>()
-        .into_iter()
-        .collect()
+    let mut faults = BTreeSet::from_iter(faults_of_edits(edits));
+    faults.extend(faults_of_absent_names(state, edits));
+    faults.extend(faults_of_state(&state.with_edits(edits)));
+    faults.into_iter().collect()
+}
+
+fn faults_of_absent_names(state: &DesiredState, edits: &[Edit]) -> Vec<Fault> {
+    let mut faults = Vec::new();
+    for (index, edit) in edits.iter().enumerate() {
+        let message = match edit {
+            Edit::DropGrouping { name } if !state.groupings.contains_key(name) => {
+                format!("there is no grouping {name:?}")
+            }
+            Edit::DropOrder { name } if !state.orders.contains_key(name) => {
+                format!("there is no order {name:?}")
+            }
+            _ => continue,
+        };
+        faults.push(new_fault(format!("edits[{index}].name"), message));
+    }
+    faults
 }
 
 fn faults_of_state(state: &DesiredState) -> Vec<Fault> {
+    let mut faults = faults_of_unknown_services(state);
+    faults.extend(faults_of_order_pairs(state));
+    faults.extend(faults_of_equal_groupings(state));
+    faults
+}
+
+fn faults_of_unknown_services(state: &DesiredState) -> Vec<Fault> {
     let services = state.services();
-    let known = |service: &str| services.contains(service);
-    let unknown = state.orders.iter().flat_map(|(name, order)| {
-        let target = (!known(&order.selector.service)).then(|| {
-            new_fault(
+    let mut faults = Vec::new();
+    for (name, order) in &state.orders {
+        let target = &order.selector.service;
+        if !services.contains(target.as_str()) {
+            let message = format!("no grouping has the service {target:?}");
+            faults.push(new_fault(
                 format!("orders.{name}.selector.service"),
-                format!("no grouping has the service {:?}", order.selector.service),
-            )
-        });
-        let senders = order
-            .selector
-            .from
-            .iter()
-            .enumerate()
-            .filter(|(_, from)| !known(from))
-            .map(move |(at, from)| {
-                new_fault(
-                    format!("orders.{name}.selector.from[{at}]"),
-                    format!("no grouping has the service {from:?}"),
-                )
-            });
-        target.into_iter().chain(senders).collect::<Vec<_>>()
-    });
-    let pairs = state
-        .orders
-        .iter()
-        .enumerate()
-        .flat_map(|(at, one)| state.orders.iter().skip(at + 1).map(move |two| (one, two)));
-    let clashes = pairs.filter_map(|((one_name, one), (two_name, two))| {
-        let path = format!("orders.{two_name}.selector");
-        if same_route(&one.selector, &two.selector) {
-            Some(new_fault(
-                path,
-                format!("overlaps the order {one_name:?}: both fit the same requests equally well"),
-            ))
-        } else if keyed_disagree(one, two) {
-            Some(new_fault(
-                format!("orders.{two_name}.keyed"),
-                format!("contradicts the order {one_name:?}: one service's key lanes must agree"),
-            ))
-        } else {
-            None
+                message,
+            ));
         }
-    });
-    let groupings = state.groupings.iter().enumerate().flat_map(|(at, one)| {
-        state
-            .groupings
-            .iter()
-            .skip(at + 1)
-            .map(move |two| (one, two))
-    });
-    let doubles =
-        groupings
-            .filter(|((_, one), (_, two))| one == two)
-            .map(|((one, _), (two, _))| {
-                new_fault(
-                    format!("groupings.{two}"),
-                    format!("says the same as the grouping {one:?}"),
-                )
-            });
-    unknown.chain(clashes).chain(doubles).collect()
+        for (index, client) in order.selector.from.iter().enumerate() {
+            if !services.contains(client.as_str()) {
+                let message = format!("no grouping has the service {client:?}");
+                faults.push(new_fault(
+                    format!("orders.{name}.selector.from[{index}]"),
+                    message,
+                ));
+            }
+        }
+    }
+    faults
+}
+
+fn faults_of_order_pairs(state: &DesiredState) -> Vec<Fault> {
+    let mut faults = Vec::new();
+    for (index, (first_name, first)) in state.orders.iter().enumerate() {
+        for (second_name, second) in state.orders.iter().skip(index + 1) {
+            if same_route(&first.selector, &second.selector) {
+                faults.push(new_fault(
+                    format!("orders.{second_name}.selector"),
+                    format!(
+                        "overlaps the order {first_name:?}: both fit the same requests equally well"
+                    ),
+                ));
+            } else if keyed_disagree(first, second) {
+                faults.push(new_fault(
+                    format!("orders.{second_name}.keyed"),
+                    format!(
+                        "contradicts the order {first_name:?}: one service's key lanes must agree"
+                    ),
+                ));
+            }
+        }
+    }
+    faults
+}
+
+fn faults_of_equal_groupings(state: &DesiredState) -> Vec<Fault> {
+    let mut faults = Vec::new();
+    for (index, (first_name, first)) in state.groupings.iter().enumerate() {
+        for (second_name, second) in state.groupings.iter().skip(index + 1) {
+            if first == second {
+                let message = format!("says the same as the grouping {first_name:?}");
+                faults.push(new_fault(format!("groupings.{second_name}"), message));
+            }
+        }
+    }
+    faults
 }
 
 /// Two orders clash when one request can fit both and neither is the more particular.
-fn same_route(one: &Selector, two: &Selector) -> bool {
-    let meets = |a: &[String], b: &[String]| {
-        a.is_empty() || b.is_empty() || a.iter().any(|item| b.contains(item))
+fn same_route(one: &Selector, other: &Selector) -> bool {
+    let overlap = |own: &[String], theirs: &[String]| {
+        own.is_empty() || theirs.is_empty() || own.iter().any(|item| theirs.contains(item))
     };
-    one.service == two.service
-        && one.path_prefix == two.path_prefix
-        && one.methods.is_empty() == two.methods.is_empty()
-        && meets(&one.from, &two.from)
-        && meets(&one.methods, &two.methods)
+    one.service == other.service
+        && one.path_prefix == other.path_prefix
+        && one.methods.is_empty() == other.methods.is_empty()
+        && overlap(&one.from, &other.from)
+        && overlap(&one.methods, &other.methods)
 }
 
-fn keyed_disagree(one: &StandingOrder, two: &StandingOrder) -> bool {
-    let same = one.selector.service == two.selector.service
-        && one.selector.path_prefix == two.selector.path_prefix;
-    same && one.keyed != two.keyed
+/// Two orders of one service and path disagree when only one of them is keyed.
+fn keyed_disagree(one: &StandingOrder, other: &StandingOrder) -> bool {
+    one.selector.service == other.selector.service
+        && one.selector.path_prefix == other.selector.path_prefix
+        && one.keyed != other.keyed
 }
--- a/crates/model/tests/bill/orders.rs
+++ b/crates/model/tests/cluster_state/call_order.rs
@@ -1,6 +1,6 @@
 //! The same calls in any order end in the same items (design 11.1).
 
-use crate::making::*;
+use crate::fixtures::*;
 use model::ClusterState;
 use model::cluster_state::{ItemBody, ItemCall, ItemKind};
 
@@ -14,7 +14,11 @@
     let target = format!("service-{}", number % 2);
     match (kind % 4, number) {
         (0 | 1, 1 | 4) => drop_of(ItemKind::Route, &name, version),
-        (0 | 1, _) => put(&name, version, lane(&name, &format!("/{number}/"), &target)),
+        (0 | 1, _) => put(
+            &name,
+            version,
+            route_body(&name, &format!("/{number}/"), &target),
+        ),
         (2, _) => put(&target, version, service(number.is_multiple_of(3))),
         _ if number == 3 => drop_of(ItemKind::Limits, "", version),
         _ => put("", version, limits(1_000 + number as u64)),
@@ -22,9 +26,9 @@
 }
 
 fn played(calls: &[ItemCall]) -> ClusterState {
-    let mut bill = ClusterState::default();
-    amend(
-        &mut bill,
+    let mut state = ClusterState::default();
+    apply_call(
+        &mut state,
         both(
             put("service-0", 1, service(false)),
             put("service-1", 1, service(true)),
@@ -32,12 +36,12 @@
     );
     calls.iter().for_each(|call| {
         assert_eq!(
-            faults(&mut bill, call.clone()),
+            faults(&mut state, call.clone()),
             Vec::<String>::new(),
             "{call:?}"
         )
     });
-    bill
+    state
 }
 
 #[test]
@@ -59,19 +63,19 @@
         };
         let (forth, other) = (ordered(|(x, _)| *x), ordered(|(_, y)| *y));
         assert_eq!(forth.items, other.items);
-        let programme = |bill: &ClusterState| {
-            model::cluster_state::StateSnapshot::default().updated(true, 1, bill.full_deltas())
+        let snapshot = |state: &ClusterState| {
+            model::cluster_state::StateSnapshot::default().updated(true, 1, state.full_deltas())
         };
         assert_eq!(
-            programme(&forth),
-            programme(&other),
+            snapshot(&forth),
+            snapshot(&other),
             "and followers hold the same"
         );
         // Told once more, whole or in part, nothing moves.
         let mut again = forth.clone();
         drawn
             .iter()
-            .for_each(|(parts, ..)| drop(amend(&mut again, call(parts))));
+            .for_each(|(parts, ..)| drop(apply_call(&mut again, call(parts))));
         assert_eq!(again, forth);
         let highest = forth.items.iter().all(|((kind, name), item)| {
             let said = drawn.iter().flat_map(|(parts, ..)| {
--- /dev/null
+++ b/crates/model/tests/cluster_state/endpoints.rs
@@ -0,0 +1,391 @@
+//! Back ends and nodes: what is over stays over, whoever speaks late (design 11.2).
+
+use crate::fixtures::*;
+use model::cluster_state::{ClusterOperation, ClusterReport, shard_map};
+use model::{BackendPhase, ClusterState, Outcome};
+
+#[test]
+fn late_words_do_not_bring_an_ended_back_end_back() {
+    [true, false].into_iter().for_each(|process_gone| {
+        let mut state = site();
+        apply_reports(&mut state, vec![joined("a"), joined("b")]);
+        apply_reports(&mut state, vec![ended("a", process_gone)]);
+        let late = [
+            joined("a"),
+            ClusterReport::BackendSilent {
+                name: "a".into(),
+                silent: false,
+            },
+            ClusterReport::BackendDraining { name: "a".into() },
+            joined("a"),
+        ];
+        late.into_iter()
+            .for_each(|word| assert_eq!(apply_reports(&mut state, vec![word]), Vec::new()));
+        assert!(!state.backends.contains_key("a") && state.backends.contains_key("b"));
+    });
+    let mut state = site();
+    apply_reports(&mut state, vec![ended("early", false)]);
+    assert_eq!(
+        apply_reports(&mut state, vec![joined("early")]),
+        Vec::new(),
+        "the end came before the word that it is there"
+    );
+    // Kept in a snapshot too, and over many other changes.
+    (0..2_000).for_each(|turn| {
+        drop(apply_reports(
+            &mut state,
+            vec![
+                ClusterReport::BackendSilent {
+                    name: "x".into(),
+                    silent: turn % 2 == 0,
+                },
+                joined(&format!("x-{turn}")),
+            ],
+        ))
+    });
+    let mut restored = ClusterState::from_bytes(&state.to_bytes()).expect("a snapshot");
+    assert_eq!(restored, state);
+    assert_eq!(
+        apply_reports(&mut restored, vec![joined("early")]),
+        Vec::new()
+    );
+}
+
+#[test]
+fn a_back_end_phase_only_moves_on() {
+    let mut state = site();
+    let phase = |state: &ClusterState| state.backends["a"].phase;
+    let silent = |silent: bool| ClusterReport::BackendSilent {
+        name: "a".into(),
+        silent,
+    };
+    apply_reports(&mut state, vec![joined("a"), silent(true)]);
+    assert_eq!(phase(&state), BackendPhase::PresumedGone);
+    assert_eq!(
+        apply_reports(&mut state, vec![joined("a")]),
+        Vec::new(),
+        "an earlier word does not make it heard again"
+    );
+    apply_reports(&mut state, vec![silent(false)]);
+    assert_eq!(phase(&state), BackendPhase::Registered);
+    apply_reports(
+        &mut state,
+        vec![ClusterReport::BackendDraining { name: "a".into() }],
+    );
+    [joined("a"), silent(false), silent(true), joined("a")]
+        .into_iter()
+        .for_each(|word| drop(apply_reports(&mut state, vec![word])));
+    assert_eq!(
+        phase(&state),
+        BackendPhase::Draining,
+        "who drains takes no new work any more"
+    );
+}
+
+#[test]
+fn reports_of_an_origin_are_taken_once_and_in_order() {
+    let mut state = site();
+    let mut report = |incarnation: u64, sequence: u64, name: &str| {
+        let operation = ClusterOperation::Reports(vec![joined(name)]);
+        matches!(
+            state.apply("n0", incarnation, sequence, operation).0,
+            Outcome::Accepted { .. }
+        )
+    };
+    assert!(report(2, 5, "a"));
+    assert!(!report(2, 5, "b"), "a repeat");
+    assert!(!report(2, 4, "c"), "earlier words of this life");
+    assert!(
+        !report(1, 9, "d") && !report(3, 1, "e"),
+        "of another life, before it is registered"
+    );
+    assert!(matches!(
+        state
+            .apply(
+                "n0",
+                1,
+                1,
+                ClusterOperation::Reports(vec![node("n0", 1), joined("f")])
+            )
+            .0,
+        Outcome::Accepted { .. }
+    ));
+    let mut report = |incarnation: u64, sequence: u64, name: &str| {
+        state
+            .apply(
+                "n0",
+                incarnation,
+                sequence,
+                ClusterOperation::Reports(vec![joined(name)]),
+            )
+            .0
+    };
+    assert!(
+        matches!(report(1, 2, "g"), Outcome::Accepted { .. }),
+        "a new life counts anew"
+    );
+    assert!(
+        matches!(report(2, 6, "h"), Outcome::Superseded { .. }),
+        "the one before it is over"
+    );
+}
+
+#[test]
+fn a_node_is_gone_when_two_observers_miss_it() {
+    let mut state = site();
+    let node = |name: &str, incarnation: u64| ClusterReport::NodeRegistered {
+        node: name.into(),
+        zone: "z0".into(),
+        address: format!("{name}:1"),
+        incarnation,
+        replaces: incarnation - 1,
+    };
+    let missed = |by: &str, incarnation: u64, missed: bool| ClusterReport::NodeObserved {
+        observer: by.into(),
+        node: "n0".into(),
+        incarnation,
+        missed,
+    };
+    apply_reports(
+        &mut state,
+        (0..4)
+            .map(|number| node(&format!("n{number}"), 1))
+            .collect(),
+    );
+    let is_present = |state: &ClusterState| state.nodes["n0"].present;
+    apply_reports(
+        &mut state,
+        vec![missed("n1", 1, true), missed("n1", 1, true)],
+    );
+    assert!(
+        is_present(&state),
+        "one watcher is one watcher, however often it says so"
+    );
+    apply_reports(&mut state, vec![missed("n2", 1, true)]);
+    assert!(!is_present(&state));
+    apply_reports(
+        &mut state,
+        vec![node("n0", 2), missed("n3", 1, true), missed("n1", 1, true)],
+    );
+    assert!(is_present(&state), "who was missed is an earlier life");
+    assert_eq!(apply_reports(&mut state, vec![node("n0", 1)]), Vec::new());
+}
+
+#[test]
+fn keys_go_only_to_known_back_ends_and_only_on_top_of_the_latest_placement() {
+    let mut state = site();
+    apply_reports(&mut state, vec![joined("a"), joined("b")]);
+    let all = |name: &'static str| [(0, u16::MAX, name)];
+    apply_reports(&mut state, vec![reassigned(0, &all("a"))]);
+    let base = state.placements["seat"].0;
+    assert_eq!(
+        apply_reports(&mut state, vec![reassigned(0, &all("b"))]),
+        Vec::new(),
+        "on top of what stands no more"
+    );
+    assert_eq!(
+        apply_reports(&mut state, vec![reassigned(base, &all("nobody"))]),
+        Vec::new()
+    );
+    assert_eq!(
+        apply_reports(
+            &mut state,
+            vec![reassigned(base, &[(0, 9, "b"), (10, 20, "nobody")])]
+        ),
+        Vec::new(),
+        "whole or not at all"
+    );
+    assert_eq!(
+        apply_reports(&mut state, vec![reassigned(base, &[(9, 8, "b")])]),
+        Vec::new(),
+        "a row ends where it begins, or later"
+    );
+    apply_reports(&mut state, vec![reassigned(base, &all("b"))]);
+    let range = |state: &ClusterState| {
+        shard_map::range_of(&state.placements["seat"].1, 77)
+            .cloned()
+            .expect("a row")
+    };
+    let fencing_token = range(&state).fencing_token;
+    assert_eq!(
+        range(&state).pending_releases,
+        [("a".to_string(), fencing_token)]
+    );
+    apply_reports(&mut state, vec![ended("a", false)]);
+    assert_eq!(
+        range(&state).pending_releases.len(),
+        1,
+        "its process may live"
+    );
+    apply_reports(&mut state, vec![ended("a", true)]);
+    assert_eq!(
+        (range(&state).pending_releases.len(), range(&state).holder),
+        (0, Some("b".to_string())),
+        "its process is gone"
+    );
+    apply_reports(&mut state, vec![ended("b", false)]);
+    assert_eq!(
+        range(&state).holder,
+        Some("b".to_string()),
+        "whoever comes next has to wait for it"
+    );
+    let base = state.placements["seat"].0;
+    apply_reports(&mut state, vec![joined("c"), reassigned(base, &all("c"))]);
+    assert_eq!(range(&state).pending_releases.len(), 1);
+}
+
+fn node(name: &str, incarnation: u64) -> ClusterReport {
+    ClusterReport::NodeRegistered {
+        node: name.into(),
+        zone: "z0".into(),
+        address: format!("{name}:1"),
+        incarnation,
+        replaces: incarnation - 1,
+    }
+}
+
+fn missed(node: &str) -> [ClusterReport; 2] {
+    ["keeper-0", "keeper-1"].map(|observer| ClusterReport::NodeObserved {
+        observer: observer.into(),
+        node: node.into(),
+        incarnation: 1,
+        missed: true,
+    })
+}
+
+/// So many entries that speak of nobody here.
+fn pass(state: &mut ClusterState, count: u64) {
+    (0..count).for_each(|turn| {
+        drop(apply_reports(
+            state,
+            vec![ClusterReport::BackendSilent {
+                name: "keeper".into(),
+                silent: turn % 2 == 0,
+            }],
+        ))
+    });
+}
+
+fn kept() -> ClusterState {
+    let mut state = site();
+    let keeper = ClusterReport::BackendJoined {
+        name: "keeper".into(),
+        backend: backend_record("seat", "keeper-0"),
+    };
+    apply_reports(
+        &mut state,
+        vec![
+            node("keeper-0", 1),
+            node("keeper-1", 1),
+            node("keeper-2", 1),
+            keeper,
+        ],
+    );
+    state
+}
+
+#[test]
+fn machines_replaced_under_new_names_do_not_grow_the_state() {
+    let mut state = kept();
+    let mut follower = model::cluster_state::StateSnapshot::default().updated(
+        true,
+        state.position,
+        state.full_deltas(),
+    );
+    let most = (0..3_000).map(|turn| {
+        let (name, before) = (format!("{turn}"), turn - 1);
+        let joined = ClusterReport::BackendJoined {
+            name: name.clone(),
+            backend: backend_record("seat", &name),
+        };
+        let deltas = [
+            vec![node(&name, 1), joined],
+            missed(&format!("{before}")).to_vec(),
+        ]
+        .map(|reports| apply_reports(&mut state, reports));
+        follower = follower.updated(false, state.position, deltas.concat());
+        state.nodes.len().max(state.backends.len())
+    });
+    // Each took two entries, and one is away for at most some 4,096 of them.
+    let most = most.max();
+    assert!(most.is_some_and(|most| most < 2_200), "{most:?} names");
+    assert_eq!(
+        follower,
+        model::cluster_state::StateSnapshot::default().updated(
+            true,
+            state.position,
+            state.full_deltas()
+        ),
+        "followers forget the same names"
+    );
+    assert!(state.to_bytes().len() < 1_000_000);
+}
+
+#[test]
+fn back_ends_that_hold_or_may_hold_keys_are_kept_until_their_releases_expire() {
+    let mut state = kept();
+    apply_reports(
+        &mut state,
+        vec![
+            node("node-a", 1),
+            node("node-b", 1),
+            joined("a"),
+            joined("b"),
+            reassigned(0, &[(0, u16::MAX, "a")]),
+        ],
+    );
+    apply_reports(&mut state, missed("node-a").to_vec());
+    pass(&mut state, 10_000);
+    assert!(
+        state.backends.contains_key("a") && state.nodes.contains_key("node-a"),
+        "it holds keys"
+    );
+    let base = state.placements["seat"].0;
+    apply_reports(&mut state, vec![reassigned(base, &[(0, u16::MAX, "b")])]);
+    pass(&mut state, 10_000);
+    let range = state.placements["seat"].1[0].clone();
+    assert_eq!(
+        range
+            .pending_releases
+            .iter()
+            .map(|(name, _)| name.as_str())
+            .collect::<Vec<_>>(),
+        ["a"]
+    );
+    assert!(
+        state.backends.contains_key("a") && state.nodes.contains_key("node-a"),
+        "it may still hold what it owes"
+    );
+    apply_reports(
+        &mut state,
+        vec![ClusterReport::ReleasesExpired {
+            service: "seat".into(),
+            ranges: vec![(0, u16::MAX, range.fencing_token)],
+        }],
+    );
+    pass(&mut state, 600);
+    assert!(
+        !state.backends.contains_key("a") && !state.nodes.contains_key("node-a"),
+        "nothing is left to wait for"
+    );
+}
+
+#[test]
+fn a_node_that_was_only_cut_off_registers_again() {
+    let mut state = kept();
+    apply_reports(&mut state, vec![node("node-a", 1), joined("a")]);
+    apply_reports(&mut state, missed("node-a").to_vec());
+    pass(&mut state, 4_000);
+    assert!(
+        state.nodes.contains_key("node-a"),
+        "not for so short a time"
+    );
+    pass(&mut state, 1_000);
+    assert!(!state.nodes.contains_key("node-a") && !state.backends.contains_key("a"));
+    apply_reports(&mut state, vec![node("node-a", 1), joined("a")]);
+    assert!(state.nodes["node-a"].present && state.backends["a"].phase == BackendPhase::Registered);
+    assert!(state.nodes["node-a"].missed_by.is_empty());
+    // Nodes that are there stay, however long nothing is said of them.
+    pass(&mut state, 10_000);
+    assert!(state.nodes.contains_key("node-a") && state.backends.contains_key("a"));
+}
--- a/crates/model/tests/bill/making.rs
+++ b/crates/model/tests/cluster_state/fixtures.rs
@@ -1,12 +1,14 @@
 //! Short ways to items, calls and reports.
 
+use std::sync::atomic::AtomicU64;
+use std::sync::atomic::Ordering;
+
 use model::cluster_state::items::ItemPut;
 use model::cluster_state::{
     BackendRecord, ClusterOperation, ClusterReport, Delta, ItemBody, ItemCall, ItemKind, Limits,
     Route, Service,
 };
 use model::{BackendPhase, ClusterState, Outcome};
-use std::sync::atomic::AtomicU64;
 
 pub fn service(keyed: bool) -> ItemBody {
     ItemBody::Service(Service {
@@ -17,11 +19,11 @@
     })
 }
 
-pub fn lane(host: &str, prefix: &str, service: &str) -> ItemBody {
-    ItemBody::Route(lane_to(host, prefix, vec![(service.to_string(), 1)]))
+pub fn route_body(host: &str, prefix: &str, service: &str) -> ItemBody {
+    ItemBody::Route(route_to(host, prefix, vec![(service.to_string(), 1)]))
 }
 
-pub fn lane_to(host: &str, prefix: &str, shares: Vec<(String, u32)>) -> Route {
+pub fn route_to(host: &str, prefix: &str, shares: Vec<(String, u32)>) -> Route {
     Route {
         host: host.into(),
         prefix: prefix.into(),
@@ -69,17 +71,18 @@
     }
 }
 
-pub fn amend(bill: &mut ClusterState, call: ItemCall) -> Outcome {
-    bill.apply("operator", 1, 0, ClusterOperation::Items(call))
+pub fn apply_call(state: &mut ClusterState, call: ItemCall) -> Outcome {
+    state
+        .apply("operator", 1, 0, ClusterOperation::Items(call))
         .0
 }
 
 /// Where the call is at fault; empty when it was taken, or changed nothing.
-pub fn faults(bill: &mut ClusterState, call: ItemCall) -> Vec<String> {
-    let before = bill.clone();
-    match amend(bill, call) {
+pub fn faults(state: &mut ClusterState, call: ItemCall) -> Vec<String> {
+    let before = state.clone();
+    match apply_call(state, call) {
         Outcome::Invalid { faults } => {
-            assert_eq!(*bill, before, "what is invalid changes nothing");
+            assert_eq!(*state, before, "what is invalid changes nothing");
             faults.into_iter().map(|fault| fault.path).collect()
         }
         _ => Vec::new(),
@@ -89,13 +92,14 @@
 static SEQUENCE: AtomicU64 = AtomicU64::new(1);
 
 /// Reports that no earlier one of their origin stands in the way of.
-pub fn tell(bill: &mut ClusterState, reports: Vec<ClusterReport>) -> Vec<Delta> {
-    let sequence = SEQUENCE.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-    bill.apply("node", 1, sequence, ClusterOperation::Reports(reports))
+pub fn apply_reports(state: &mut ClusterState, reports: Vec<ClusterReport>) -> Vec<Delta> {
+    let sequence = SEQUENCE.fetch_add(1, Ordering::Relaxed);
+    state
+        .apply("node", 1, sequence, ClusterOperation::Reports(reports))
         .1
 }
 
-pub fn player(service: &str, node: &str) -> BackendRecord {
+pub fn backend_record(service: &str, node: &str) -> BackendRecord {
     BackendRecord {
         service: service.into(),
         zone: "z0".into(),
@@ -109,22 +113,22 @@
 pub fn joined(name: &str) -> ClusterReport {
     ClusterReport::BackendJoined {
         name: name.into(),
-        backend: player("seat", &format!("node-{name}")),
+        backend: backend_record("seat", &format!("node-{name}")),
     }
 }
 
-pub fn ended(name: &str, surely: bool) -> ClusterReport {
+pub fn ended(name: &str, process_gone: bool) -> ClusterReport {
     ClusterReport::BackendEnded {
         name: name.into(),
-        process_gone: surely,
+        process_gone,
     }
 }
 
-pub fn recast(base: u64, rows: &[(u16, u16, &str)]) -> ClusterReport {
+pub fn reassigned(base: u64, ranges: &[(u16, u16, &str)]) -> ClusterReport {
     ClusterReport::ShardsReassigned {
         service: "seat".into(),
         base_placement: base,
-        ranges: rows
+        ranges: ranges
             .iter()
             .map(|(from, to, name)| (*from, *to, name.to_string()))
             .collect(),
@@ -133,11 +137,14 @@
 
 /// One keyed service, one lane to it.
 pub fn site() -> ClusterState {
-    let mut bill = ClusterState::default();
+    let mut state = ClusterState::default();
     let call = both(
         put("seat", 1, service(true)),
-        put("book", 1, lane("shop", "/book/", "seat")),
+        put("book", 1, route_body("shop", "/book/", "seat")),
     );
-    assert!(matches!(amend(&mut bill, call), Outcome::Accepted { .. }));
-    bill
+    assert!(matches!(
+        apply_call(&mut state, call),
+        Outcome::Accepted { .. }
+    ));
+    state
 }
--- a/crates/model/tests/bill/rows.rs
+++ b/crates/model/tests/cluster_state/shard_map.rs
@@ -1,13 +1,14 @@
 //! Rows of keys against what each key is to go through, one by one (design 11.4).
 
-use model::cluster_state::shard_map::{self, ShardMap, ShardRange};
 use std::collections::BTreeMap;
 
+use model::cluster_state::shard_map::{self, ShardMap, ShardRange};
+
 const NAMES: [&str; 4] = ["a", "b", "c", "d"];
 
-type Owed = Vec<(String, u64)>;
+type Pending = Vec<(String, u64)>;
 /// What one key is to know: holder, fence, who may still hold it, what was handed over.
-type Known = (Option<String>, u64, Owed, String);
+type Known = (Option<String>, u64, Pending, String);
 
 fn edges(one: u8, other: u8) -> (u16, u16) {
     // Few edges, so that they meet; the first and the last key among them.
@@ -33,33 +34,35 @@
         .collect()
 }
 
-fn known(row: &ShardRange) -> Known {
+fn known(range: &ShardRange) -> Known {
     (
-        row.holder.clone(),
-        row.fencing_token,
-        row.pending_releases.clone(),
-        row.handover_token.clone(),
+        range.holder.clone(),
+        range.fencing_token,
+        range.pending_releases.clone(),
+        range.handover_token.clone(),
     )
 }
 
-fn whole(rows: &ShardMap) {
+fn assert_well_formed(ranges: &ShardMap) {
     assert_eq!(
         (
-            rows.first().map(|row| row.first_key),
-            rows.last().map(|row| row.last_key)
+            ranges.first().map(|range| range.first_key),
+            ranges.last().map(|range| range.last_key)
         ),
         (Some(0), Some(65_535))
     );
-    assert!(rows.iter().all(|row| row.first_key <= row.last_key));
+    assert!(ranges.iter().all(|range| range.first_key <= range.last_key));
     assert!(
-        rows.windows(2)
+        ranges
+            .windows(2)
             .all(|pair| pair[0].last_key as u32 + 1 == pair[1].first_key as u32),
-        "without gaps, and none twice: {rows:?}"
+        "without gaps, and none twice: {ranges:?}"
     );
     assert!(
-        rows.windows(2)
+        ranges
+            .windows(2)
             .all(|pair| known(&pair[0]) != known(&pair[1])),
-        "neighbours alike are one: {rows:?}"
+        "neighbours alike are one: {ranges:?}"
     );
 }
 
@@ -71,51 +74,55 @@
     (kind, who, one, other): (u8, u8, u8, u8),
 ) -> ShardMap {
     let (name, (from, to)) = (NAMES[who as usize % 4], edges(one, other));
-    let (through, token) = (
+    let (known_through, token) = (
         position.saturating_sub((who / 4 % 6) as u64),
         format!("token-{position}"),
     );
-    let fence = shard_map::range_of(&held, from)
-        .map(|row| row.fencing_token - (who > 200) as u64 * row.fencing_token.min(1))
+    let fencing_token = shard_map::range_of(&held, from)
+        .map(|range| range.fencing_token - (who > 200) as u64 * range.fencing_token.min(1))
         .unwrap_or(0);
-    keys.iter_mut().for_each(|(key, (holder, at, owed, told))| {
-        let inside = (from..=to).contains(key);
-        match kind % 6 {
-            0..=2 if inside && holder.as_deref() != Some(name) => {
-                owed.extend(holder.replace(name.into()).map(|old| (old, position)));
-                owed.retain(|(owing, _)| owing != name);
-                *at = position;
-            }
-            3 if inside => {
-                if owed
-                    .iter()
-                    .any(|(owing, lost)| owing == name && *lost <= through)
-                {
-                    *told = token.clone();
+    keys.iter_mut()
+        .for_each(|(key, (holder, at, pending, handed_over))| {
+            let inside = (from..=to).contains(key);
+            match kind % 6 {
+                0..=2 if inside && holder.as_deref() != Some(name) => {
+                    pending.extend(holder.replace(name.into()).map(|old| (old, position)));
+                    pending.retain(|(earlier, _)| earlier != name);
+                    *at = position;
                 }
-                owed.retain(|(owing, lost)| owing != name || *lost > through);
-            }
-            4 if inside && *at == fence => owed.clear(),
-            5 => {
-                if holder.as_deref() == Some(name) || owed.iter().any(|(owing, _)| owing == name) {
-                    told.clear();
+                3 if inside => {
+                    if pending
+                        .iter()
+                        .any(|(earlier, lost_at)| earlier == name && *lost_at <= known_through)
+                    {
+                        *handed_over = token.clone();
+                    }
+                    pending
+                        .retain(|(earlier, lost_at)| earlier != name || *lost_at > known_through);
+                }
+                4 if inside && *at == fencing_token => pending.clear(),
+                5 => {
+                    if holder.as_deref() == Some(name)
+                        || pending.iter().any(|(earlier, _)| earlier == name)
+                    {
+                        handed_over.clear();
+                    }
+                    holder.take_if(|held| held == name);
+                    pending.retain(|(earlier, _)| earlier != name);
                 }
-                holder.take_if(|held| held == name);
-                owed.retain(|(owing, _)| owing != name);
+                _ => {}
             }
-            _ => {}
-        }
-    });
+        });
     match kind % 6 {
         0..=2 => shard_map::reassign(held, &[(from, to, name.into())], position),
-        3 => shard_map::release(held, name, through, &[(from, to, token)]),
-        4 => shard_map::expire_releases(held, &[(from, to, fence)]),
+        3 => shard_map::release(held, name, known_through, &[(from, to, token)]),
+        4 => shard_map::expire_releases(held, &[(from, to, fencing_token)]),
         _ => shard_map::remove_backend(held, name),
     }
 }
 
 #[test]
-fn rows_say_of_each_key_what_it_went_through_and_fences_only_grow() {
+fn ranges_say_of_each_key_what_it_went_through_and_fencing_tokens_only_grow() {
     test_support::drawn::<[(u8, u8, u8, u8); 48]>(400, |steps| {
         let mut held = shard_map::unassigned();
         let mut each: BTreeMap<u16, Known> = keys()
@@ -124,35 +131,35 @@
             .collect();
         steps.iter().zip(1u64..).for_each(|(drawn, position)| {
             let next = step(position, held.clone(), &mut each, *drawn);
-            whole(&next);
+            assert_well_formed(&next);
             each.iter().for_each(|(key, wanted)| {
-                let row = |rows| {
-                    shard_map::range_of(rows, *key)
+                let range = |ranges| {
+                    shard_map::range_of(ranges, *key)
                         .expect("every key has a row")
                         .clone()
                 };
                 assert_eq!(
-                    &known(&row(&next)),
+                    &known(&range(&next)),
                     wanted,
                     "key {key} after {drawn:?} at {position}"
                 );
                 assert!(
-                    row(&next).fencing_token >= row(&held).fencing_token,
+                    range(&next).fencing_token >= range(&held).fencing_token,
                     "a fence went back"
                 );
-                let moved = row(&next)
+                let moved = range(&next)
                     .holder
-                    .is_some_and(|holder| row(&held).holder != Some(holder));
+                    .is_some_and(|holder| range(&held).holder != Some(holder));
                 assert!(
                     !moved
-                        || row(&next).fencing_token == position
-                            && row(&next).fencing_token > row(&held).fencing_token,
+                        || range(&next).fencing_token == position
+                            && range(&next).fencing_token > range(&held).fencing_token,
                     "a new holder has a new fence"
                 );
             });
-            let told = shard_map::diff(&held, &next);
+            let handed_over = shard_map::diff(&held, &next);
             assert_eq!(
-                shard_map::apply_diff(held.clone(), told),
+                shard_map::apply_diff(held.clone(), handed_over),
                 next,
                 "whoever held the old rows and hears the changes holds the new ones"
             );
@@ -164,7 +171,7 @@
 #[test]
 fn a_release_is_taken_as_far_as_it_knew_the_log() {
     let all = |name: &str| [(0, u16::MAX, name.to_string())];
-    let moved = |rows: ShardMap, name: &str, at: u64| shard_map::reassign(rows, &all(name), at);
+    let moved = |ranges: ShardMap, name: &str, at: u64| shard_map::reassign(ranges, &all(name), at);
     // It lost them at 5, had them again, and lost them once more at 9.
     let back = moved(
         moved(moved(shard_map::unassigned(), "a", 3), "b", 5),
--- a/crates/model/tests/bill/programme.rs
+++ b/crates/model/tests/cluster_state/snapshot.rs
@@ -1,13 +1,15 @@
 //! What a follower holds: told by changes or told the whole, it is the same (design 11.3).
 
-use crate::making::*;
+use std::mem;
+use std::sync::Arc;
+
+use crate::fixtures::*;
 use model::ClusterState;
 use model::cluster_state::{ClusterOperation, ClusterReport, Delta, ItemKind, StateSnapshot};
-use std::sync::Arc;
 
 type Drawn = (u8, u8, u8, u8);
 
-fn calls(kind: u8, name: u8, version: u64, other: u8) -> model::cluster_state::ItemCall {
+fn drawn_call(kind: u8, name: u8, version: u64, other: u8) -> model::cluster_state::ItemCall {
     let (name, target) = (
         format!("lane-{}", name % 4),
         format!("service-{}", other % 3),
@@ -21,7 +23,7 @@
         _ => put(
             &name,
             version,
-            lane(
+            route_body(
                 &format!("host-{}", other % 2),
                 &format!("/{}", "long/".repeat(version as usize % 3)),
                 &target,
@@ -30,8 +32,8 @@
     }
 }
 
-fn report(bill: &ClusterState, kind: u8, who: u8, one: u8, other: u8) -> ClusterReport {
-    let (name, node, life) = (
+fn drawn_report(state: &ClusterState, kind: u8, who: u8, one: u8, other: u8) -> ClusterReport {
+    let (name, node, incarnation) = (
         format!("player-{}", who % 5),
         format!("node-{}", who % 3),
         1 + (one / 128) as u64,
@@ -40,10 +42,10 @@
         one.min(other) as u16 * 256,
         one.max(other) as u16 * 256 + 255,
     );
-    let (base, at) = bill
+    let (base, at) = state
         .placements
         .get("service-0")
-        .map(|held| (held.0, held.1[0].fencing_token))
+        .map(|current| (current.0, current.1[0].fencing_token))
         .unwrap_or_default();
     let service = || "service-0".to_string();
     match kind % 12 {
@@ -51,24 +53,21 @@
             node,
             zone: "z0".into(),
             address: format!("address-{}", other % 2),
-            incarnation: life,
-            replaces: 3 - life,
-        },
-        1 => ClusterReport::NodeLeft {
-            node,
-            incarnation: life,
+            incarnation,
+            replaces: 3 - incarnation,
         },
+        1 => ClusterReport::NodeLeft { node, incarnation },
         2 => ClusterReport::NodeObserved {
             observer: format!("node-{}", other % 3),
             node,
-            incarnation: life,
+            incarnation,
             missed: other < 200,
         },
         3 | 4 => ClusterReport::BackendJoined {
             name,
             backend: model::cluster_state::BackendRecord {
                 slots: 1 + (other % 2) as u32,
-                ..player("service-0", &node)
+                ..backend_record("service-0", &node)
             },
         },
         5 => ClusterReport::BackendDraining { name },
@@ -83,7 +82,7 @@
         8 => ClusterReport::ShardsReleased {
             service: service(),
             name,
-            known_through: bill.position,
+            known_through: state.position,
             ranges: vec![(from, to, format!("token-{other}"))],
         },
         9 => ClusterReport::ReleasesExpired {
@@ -98,14 +97,14 @@
     }
 }
 
-fn whole(bill: &ClusterState) -> StateSnapshot {
-    StateSnapshot::default().updated(true, bill.position, bill.full_deltas())
+fn full_snapshot(state: &ClusterState) -> StateSnapshot {
+    StateSnapshot::default().updated(true, state.position, state.full_deltas())
 }
 
 #[test]
-fn a_follower_told_by_changes_holds_what_one_told_the_whole_holds() {
+fn a_follower_of_deltas_holds_what_one_of_the_full_state_holds() {
     test_support::drawn::<[Drawn; 60]>(300, |steps| {
-        let mut bill = ClusterState::default();
+        let mut state = ClusterState::default();
         // From the start, from somewhere on, and in pieces of several entries.
         let (mut first, mut later, mut seldom) = (
             StateSnapshot::default(),
@@ -116,95 +115,100 @@
             .iter()
             .zip(1u64..)
             .for_each(|((kind, who, one, other), turn)| {
-                let act = match kind % 3 {
-                    0 => ClusterOperation::Items(calls(kind / 3, *who, turn, *other)),
+                let operation = match kind % 3 {
+                    0 => ClusterOperation::Items(drawn_call(kind / 3, *who, turn, *other)),
                     _ => ClusterOperation::Reports(vec![
-                        report(&bill, kind / 3, *who, *one, *other),
-                        report(&bill, *other, *one, *who, *kind),
+                        drawn_report(&state, kind / 3, *who, *one, *other),
+                        drawn_report(&state, *other, *one, *who, *kind),
                     ]),
                 };
-                let before = bill.position;
-                let (_, deltas) = bill.apply(&format!("origin-{}", who % 2), 1, turn, act);
+                let before = state.position;
+                let (_, deltas) = state.apply(&format!("origin-{}", who % 2), 1, turn, operation);
                 assert_eq!(
-                    bill.position > before,
+                    state.position > before,
                     !deltas.is_empty(),
                     "who follows hears of every position"
                 );
-                first = first.updated(false, bill.position, deltas.clone());
+                first = first.updated(false, state.position, deltas.clone());
                 seldom.1.extend(deltas.clone());
                 later = if turn % 17 == 5 {
-                    later.updated(true, bill.position, bill.full_deltas())
+                    later.updated(true, state.position, state.full_deltas())
                 } else {
-                    later.updated(false, bill.position, deltas)
+                    later.updated(false, state.position, deltas)
                 };
                 if turn.is_multiple_of(7) {
-                    seldom.0 =
-                        seldom
-                            .0
-                            .updated(false, bill.position, std::mem::take(&mut seldom.1));
-                    assert_eq!(seldom.0, whole(&bill));
+                    seldom.0 = seldom
+                        .0
+                        .updated(false, state.position, mem::take(&mut seldom.1));
+                    assert_eq!(seldom.0, full_snapshot(&state));
                 }
-                assert_eq!(first, whole(&bill), "after {kind} {who} {one} {other}");
+                assert_eq!(
+                    first,
+                    full_snapshot(&state),
+                    "after {kind} {who} {one} {other}"
+                );
                 assert!(turn < 5 || later == first);
-                let woken = ClusterState::from_bytes(&bill.to_bytes()).expect("a snapshot");
-                assert_eq!(woken, bill);
+                let restored = ClusterState::from_bytes(&state.to_bytes()).expect("a snapshot");
+                assert_eq!(restored, state);
             });
     });
 }
 
 #[test]
-fn the_longest_prefix_goes_first_and_a_dropped_lane_leaves_the_next() {
-    let mut bill = site();
-    amend(
-        &mut bill,
+fn the_longest_prefix_goes_first_and_a_dropped_route_leaves_the_next() {
+    let mut state = site();
+    apply_call(
+        &mut state,
         both(
-            put("wide", 1, lane("shop", "/", "seat")),
-            put("narrow", 1, lane("shop", "/book/now/", "seat")),
+            put("wide", 1, route_body("shop", "/", "seat")),
+            put("narrow", 1, route_body("shop", "/book/now/", "seat")),
         ),
     );
-    let finds = |bill: &ClusterState, path: &str| {
-        whole(bill).route("shop", path).map(|item| item.0.clone())
+    let finds = |state: &ClusterState, path: &str| {
+        full_snapshot(state)
+            .route("shop", path)
+            .map(|item| item.name.clone())
     };
-    assert_eq!(finds(&bill, "/book/now/1").as_deref(), Some("narrow"));
-    assert_eq!(finds(&bill, "/book/never").as_deref(), Some("book"));
-    assert_eq!(finds(&bill, "/else").as_deref(), Some("wide"));
-    amend(&mut bill, drop_of(ItemKind::Route, "narrow", 2));
-    assert_eq!(finds(&bill, "/book/now/1").as_deref(), Some("book"));
+    assert_eq!(finds(&state, "/book/now/1").as_deref(), Some("narrow"));
+    assert_eq!(finds(&state, "/book/never").as_deref(), Some("book"));
+    assert_eq!(finds(&state, "/else").as_deref(), Some("wide"));
+    apply_call(&mut state, drop_of(ItemKind::Route, "narrow", 2));
+    assert_eq!(finds(&state, "/book/now/1").as_deref(), Some("book"));
     assert_eq!(
-        whole(&bill)
+        full_snapshot(&state)
             .route("fair", "/book/")
-            .map(|item| item.0.clone()),
+            .map(|item| item.name.clone()),
         None
     );
 }
 
 #[test]
-fn the_cast_of_a_service_is_made_anew_only_when_one_of_its_back_ends_is_told_of() {
+fn available_back_ends_are_listed_anew_only_for_services_that_changed() {
     let services = 20;
     let name = |at: usize| format!("player-{at}");
-    let node = |at: usize, life: u64| ClusterReport::NodeRegistered {
+    let node = |at: usize, incarnation: u64| ClusterReport::NodeRegistered {
         node: format!("node-{at}"),
         zone: "z0".into(),
         address: format!("address-{at}"),
-        incarnation: life,
-        replaces: life - 1,
+        incarnation,
+        replaces: incarnation - 1,
     };
     let joined = |at: usize| ClusterReport::BackendJoined {
         name: name(at),
-        backend: player(&format!("service-{}", at % services), &format!("node-{at}")),
+        backend: backend_record(&format!("service-{}", at % services), &format!("node-{at}")),
     };
-    let mut bill = ClusterState::default();
-    (0..100).for_each(|at| drop(tell(&mut bill, vec![node(at, 1), joined(at)])));
-    let mut held = whole(&bill);
+    let mut state = ClusterState::default();
+    (0..100).for_each(|at| drop(apply_reports(&mut state, vec![node(at, 1), joined(at)])));
+    let mut current = full_snapshot(&state);
     let mut made_by = |report: ClusterReport| {
-        let deltas = tell(&mut bill, vec![report]);
-        let next = held.updated(false, bill.position, deltas);
-        let before = std::mem::replace(&mut held, next);
-        assert_eq!(held, whole(&bill));
+        let deltas = apply_reports(&mut state, vec![report]);
+        let next = current.updated(false, state.position, deltas);
+        let before = mem::replace(&mut current, next);
+        assert_eq!(current, full_snapshot(&state));
         let made = |at: &usize| {
             !Arc::ptr_eq(
                 &before.available_backends(&format!("service-{at}")),
-                &held.available_backends(&format!("service-{at}")),
+                &current.available_backends(&format!("service-{at}")),
             )
         };
         (0..services).filter(made).collect::<Vec<_>>()
@@ -223,7 +227,7 @@
     );
     let moved = ClusterReport::BackendJoined {
         name: name(11),
-        backend: player("service-2", "node-11"),
+        backend: backend_record("service-2", "node-11"),
     };
     assert_eq!(
         made_by(moved),
@@ -243,8 +247,8 @@
 }
 
 #[test]
-fn only_back_ends_that_take_work_beside_nodes_that_are_there_are_offered() {
-    let mut bill = site();
+fn only_back_ends_that_take_work_beside_present_nodes_are_offered() {
+    let mut state = site();
     let node = |name: &str| ClusterReport::NodeRegistered {
         node: name.into(),
         zone: "z0".into(),
@@ -252,15 +256,15 @@
         incarnation: 1,
         replaces: 0,
     };
-    let offered = |bill: &ClusterState| {
-        whole(bill)
+    let offered = |state: &ClusterState| {
+        full_snapshot(state)
             .available_backends("seat")
             .iter()
             .map(|one| one.name.clone())
             .collect::<Vec<_>>()
     };
-    tell(
-        &mut bill,
+    apply_reports(
+        &mut state,
         vec![
             joined("a"),
             joined("b"),
@@ -270,12 +274,12 @@
         ],
     );
     assert_eq!(
-        offered(&bill),
+        offered(&state),
         ["a", "b"],
         "nobody knows yet where the third one is"
     );
-    tell(
-        &mut bill,
+    apply_reports(
+        &mut state,
         vec![
             node("node-c"),
             ClusterReport::BackendDraining { name: "a".into() },
@@ -285,19 +289,19 @@
             },
         ],
     );
-    assert_eq!(offered(&bill), ["c"]);
+    assert_eq!(offered(&state), ["c"]);
     assert!(
-        whole(&bill).find_backend("a").is_some(),
+        full_snapshot(&state).find_backend("a").is_some(),
         "what is on its way to one that drains still gets there"
     );
-    let missed = |watcher: &str| ClusterReport::NodeObserved {
-        observer: watcher.into(),
+    let missed = |observer: &str| ClusterReport::NodeObserved {
+        observer: observer.into(),
         node: "node-c".into(),
         incarnation: 1,
         missed: true,
     };
-    tell(
-        &mut bill,
+    apply_reports(
+        &mut state,
         vec![
             missed("node-a"),
             missed("node-b"),
@@ -307,5 +311,5 @@
             },
         ],
     );
-    assert_eq!(offered(&bill), ["b"]);
+    assert_eq!(offered(&state), ["b"]);
 }
