--- a/crates/model/tests/keys.rs
+++ b/crates/model/tests/leases.rs
@@ -5,27 +5,32 @@
 use model::{
     Edit, Grouping, Outcome, StandingOrder, StateMachine, endpoint_status::EndpointReport,
 };
-use site::{change, order, registered, site, tell};
+use site::{apply_report, change, order, registered, site};
 
 #[test]
-fn a_node_that_left_clean_owes_nothing_and_one_that_vanished_does() {
-    let owed = |report: EndpointReport| {
-        let mut book = keyed_site();
-        tell(&mut book, "n0", 1, 3, report);
-        let terms = &book.leases["seat"];
-        assert!(terms.iter().all(|term| {
-            term.holder
+fn a_clean_leave_leaves_no_release_pending_and_a_vanished_node_does() {
+    let pending_after = |report: EndpointReport| {
+        let mut state = keyed_site();
+        apply_report(&mut state, "n0", 1, 3, report);
+        let leases = &state.leases["seat"];
+        assert!(leases.iter().all(|lease| {
+            lease
+                .holder
                 .as_ref()
                 .is_some_and(|(name, _)| name == "seat-1")
         }));
-        assert!(terms.iter().all(|term| term.fencing_token <= book.position));
-        terms
+        assert!(
+            leases
+                .iter()
+                .all(|lease| lease.fencing_token <= state.position)
+        );
+        leases
             .iter()
-            .filter(|term| !term.pending_releases.is_empty())
+            .filter(|lease| !lease.pending_releases.is_empty())
             .count()
     };
     assert_eq!(
-        owed(EndpointReport::NodeLeft {
+        pending_after(EndpointReport::NodeLeft {
             node: "n0".into(),
             incarnation: 1,
             clean: true
@@ -33,7 +38,7 @@
         0
     );
     assert!(
-        owed(EndpointReport::NodeLeft {
+        pending_after(EndpointReport::NodeLeft {
             node: "n0".into(),
             incarnation: 1,
             clean: false
@@ -44,13 +49,13 @@
 #[test]
 fn a_keyed_order_takes_the_whole_service_or_is_refused() {
     let refused = |spoil: fn(&mut StandingOrder)| {
-        let mut book = site();
+        let mut state = site();
         let mut edit = order("take", "seat", "seat", "/take");
         if let Edit::PutOrder { order, .. } = &mut edit {
             order.keyed = true;
             spoil(order);
         }
-        match change(&mut book, "keyed", 1, vec![edit]) {
+        match change(&mut state, "keyed", 1, vec![edit]) {
             Outcome::Invalid { faults } => faults.into_iter().map(|fault| fault.path).collect(),
             _ => Vec::new(),
         }
@@ -67,22 +72,23 @@
 }
 
 fn keyed_site() -> StateMachine {
-    let mut book = site();
+    let mut state = site();
     let mut keyed = order("take", "seat", "seat", "/take");
     if let Edit::PutOrder { order, .. } = &mut keyed {
         order.keyed = true;
     }
-    change(&mut book, "keyed", 1, vec![keyed]);
-    tell(&mut book, "n0", 1, 2, registered("seat-0", "n0", 10));
-    tell(&mut book, "n1", 1, 2, registered("seat-1", "n1", 10));
-    book
+    change(&mut state, "keyed", 1, vec![keyed]);
+    apply_report(&mut state, "n0", 1, 2, registered("seat-0", "n0", 10));
+    apply_report(&mut state, "n1", 1, 2, registered("seat-1", "n1", 10));
+    state
 }
 
-fn held(book: &StateMachine, name: &str) -> usize {
-    book.leases["seat"]
+fn slots_held(state: &StateMachine, name: &str) -> usize {
+    state.leases["seat"]
         .iter()
-        .filter(|term| {
-            term.holder
+        .filter(|lease| {
+            lease
+                .holder
                 .as_ref()
                 .is_some_and(|(holder, _)| holder == name)
         })
@@ -90,9 +96,12 @@
 }
 
 #[test]
-fn slots_said_in_a_beat_move_keys_in_proportion() {
-    let mut book = keyed_site();
-    assert_eq!((held(&book, "seat-0"), held(&book, "seat-1")), (32, 32));
+fn slots_of_a_heartbeat_move_keys_in_proportion() {
+    let mut state = keyed_site();
+    assert_eq!(
+        (slots_held(&state, "seat-0"), slots_held(&state, "seat-1")),
+        (32, 32)
+    );
     let slots = |incarnation, slots| EndpointReport::SlotsChanged {
         name: "seat-0".into(),
         incarnation,
@@ -100,20 +109,26 @@
     };
     assert!(
         matches!(
-            tell(&mut book, "n0", 1, 3, slots(9, 12)),
+            apply_report(&mut state, "n0", 1, 3, slots(9, 12)),
             Outcome::Unchanged { .. }
         ),
         "an earlier life says nothing"
     );
-    tell(&mut book, "n0", 1, 4, slots(10, 12));
-    assert_eq!((held(&book, "seat-0"), held(&book, "seat-1")), (48, 16));
-    tell(&mut book, "n0", 1, 5, slots(10, 0));
-    assert_eq!((held(&book, "seat-0"), held(&book, "seat-1")), (0, 64));
+    apply_report(&mut state, "n0", 1, 4, slots(10, 12));
+    assert_eq!(
+        (slots_held(&state, "seat-0"), slots_held(&state, "seat-1")),
+        (48, 16)
+    );
+    apply_report(&mut state, "n0", 1, 5, slots(10, 0));
+    assert_eq!(
+        (slots_held(&state, "seat-0"), slots_held(&state, "seat-1")),
+        (0, 64)
+    );
 }
 
 #[test]
 fn a_grouping_taken_away_takes_its_back_ends_out_and_their_keys_move() {
-    let mut book = keyed_site();
+    let mut state = keyed_site();
     let labelled = |value: &str| {
         let labels = [("rack".to_string(), value.to_string())]
             .into_iter()
@@ -127,22 +142,22 @@
             },
         }
     };
-    let accepted = change(&mut book, "relabel", 2, vec![labelled("b")]);
+    let accepted = change(&mut state, "relabel", 2, vec![labelled("b")]);
     assert!(matches!(accepted, Outcome::Accepted { .. }), "{accepted:?}");
     let services: model::state_slice::ServiceSet = ["seat".to_string()].into_iter().collect();
-    let slice = model::StateSlice::for_services(&book, &services);
+    let slice = model::StateSlice::for_services(&state, &services);
     assert!(
         slice.backends.is_empty(),
         "nobody is offered that no grouping holds"
     );
     assert!(
-        book.leases["seat"]
+        state.leases["seat"]
             .iter()
-            .all(|term| term.holder.is_none() && !term.pending_releases.is_empty()),
+            .all(|lease| lease.holder.is_none() && !lease.pending_releases.is_empty()),
         "and what they held is owed"
     );
     assert!(matches!(
-        tell(&mut book, "n2", 1, 2, registered("seat-2", "n2", 10)),
+        apply_report(&mut state, "n2", 1, 2, registered("seat-2", "n2", 10)),
         Outcome::Refused { .. }
     ));
     let back = Edit::PutGrouping {
@@ -153,6 +168,9 @@
             labels: Default::default(),
         },
     };
-    change(&mut book, "back", 3, vec![back]);
-    assert_eq!(held(&book, "seat-0") + held(&book, "seat-1"), 64);
+    change(&mut state, "back", 3, vec![back]);
+    assert_eq!(
+        slots_held(&state, "seat-0") + slots_held(&state, "seat-1"),
+        64
+    );
 }
--- a/crates/model/tests/recorded_bytes/main.rs
+++ b/crates/model/tests/recorded_bytes/main.rs
@@ -14,8 +14,8 @@
 use entries::{deltas, entries, outcomes, verdicts};
 use model::cluster_state::{BackendRecord, Delta, Item, NodeRecord, ShardRange};
 use model::{
-    Backend, ClusterState, Error, ErrorKind, ExecutionStatus, Grouping, Node, Outcome,
-    StandingOrder, StateMachine, StatePatch, StateSlice, compression, entry, leases,
+    Backend, ClusterState, Entry, Error, ErrorKind, ExecutionStatus, Grouping, Node, Outcome,
+    StandingOrder, StateMachine, StatePatch, StateSlice, compression, leases,
 };
 use recorded::RecordedBytes;
 use recorded_archive::check_archive;
@@ -26,8 +26,8 @@
 fn every_log_entry_has_the_recorded_bytes() {
     let mut recorded = RecordedBytes::of("entries");
     for (name, entry) in entries() {
-        let bytes = recorded.check(&name, &entry::to_bytes(&entry));
-        assert_eq!(entry::from_bytes(&bytes), Some(entry), "{name}");
+        let bytes = recorded.check(&name, &entry.to_bytes());
+        assert_eq!(Entry::from_bytes(&bytes).ok(), Some(entry), "{name}");
     }
     recorded.finish();
 }
@@ -119,7 +119,7 @@
         .all(|held| *held > 0)
     );
     let bytes = recorded.check("book", &book.to_bytes());
-    assert_eq!(StateMachine::from_bytes(&bytes), Some(book));
+    assert_eq!(StateMachine::from_bytes(&bytes).ok(), Some(book));
     let bill = bill();
     assert!(
         bill.placements
@@ -127,7 +127,7 @@
             .any(|(_, rows)| rows.iter().any(|row| !row.pending_releases.is_empty()))
     );
     let bytes = recorded.check("bill", &bill.to_bytes());
-    assert_eq!(ClusterState::from_bytes(&bytes), Some(bill));
+    assert_eq!(ClusterState::from_bytes(&bytes).ok(), Some(bill));
     recorded.check("empty-book", &StateMachine::default().to_bytes());
     recorded.check("empty-bill", &ClusterState::default().to_bytes());
     recorded.finish();
@@ -177,7 +177,7 @@
     ] {
         let bytes = recorded.check(name, &compression::compress(plain.to_vec()));
         assert_eq!(
-            compression::decompress(&bytes).as_deref(),
+            compression::decompress(&bytes).ok().as_deref(),
             Some(plain),
             "{name}"
         );
--- a/crates/model/tests/recorded_bytes/samples.rs
+++ b/crates/model/tests/recorded_bytes/samples.rs
@@ -1,11 +1,11 @@
 //! Samples of what entries, news and snapshots are made of, one of each variant.
 
 use crate::recorded_variants::every_variant;
+use model::Selector;
 use model::cluster_state::{
     BackendRecord, ClusterReport, ItemBody, ItemKind, Limits, NodeRecord, Route, Service,
     ShardRange,
 };
-use model::desired_state::Selector;
 use model::endpoint_status::EndpointReport;
 use model::{Backend, BackendPhase, Edit, Grouping, Node, StandingOrder};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/model/tests/recorded_bytes/states.rs
+++ b/crates/model/tests/recorded_bytes/states.rs
@@ -4,8 +4,8 @@
 use crate::samples::{
     LIFE, back_end, bodies, edits, grouping, names, node, order, phases, player, reports, text,
 };
+use model::Selector;
 use model::cluster_state::{ClusterOperation, ClusterReport, ItemBody, Service};
-use model::desired_state::Selector;
 use model::endpoint_status::EndpointReport;
 use model::leases::Lease;
 use model::{
--- a/crates/model/tests/site/mod.rs
+++ b/crates/model/tests/site/mod.rs
@@ -39,30 +39,30 @@
     }
 }
 
-pub fn change(book: &mut StateMachine, id: &str, base: u64, edits: Vec<Edit>) -> Outcome {
-    let act = Operation::Change(Change {
+pub fn change(state: &mut StateMachine, id: &str, base: u64, edits: Vec<Edit>) -> Outcome {
+    let operation = Operation::Change(Change {
         id: id.into(),
         base_version: base,
         edits,
     });
-    book.apply(Entry {
+    state.apply(Entry {
         origin: "core-0".into(),
         incarnation: 1,
         sequence: 0,
-        operation: act,
+        operation,
     })
 }
 
-pub fn tell(
-    book: &mut StateMachine,
+pub fn apply_report(
+    state: &mut StateMachine,
     origin: &str,
-    life: u64,
+    incarnation: u64,
     sequence: u64,
     report: EndpointReport,
 ) -> Outcome {
-    book.apply(Entry {
+    state.apply(Entry {
         origin: origin.into(),
-        incarnation: life,
+        incarnation,
         sequence,
         operation: Operation::EndpointReport(report),
     })
@@ -79,7 +79,7 @@
 }
 
 pub fn registered(name: &str, node: &str, incarnation: u64) -> EndpointReport {
-    let back_end = Backend {
+    let backend = Backend {
         service: "seat".into(),
         zone: "z0".into(),
         labels: Default::default(),
@@ -91,14 +91,14 @@
     };
     EndpointReport::BackendRegistered {
         name: name.into(),
-        backend: back_end,
+        backend,
     }
 }
 
 pub fn site() -> StateMachine {
-    let mut book = StateMachine::default();
+    let mut state = StateMachine::default();
     let accepted = change(
-        &mut book,
+        &mut state,
         "site",
         0,
         vec![grouping("seat"), order("check", "seat", "seat", "/check")],
@@ -109,8 +109,8 @@
     );
     (0..4u64).for_each(|at| {
         assert!(matches!(
-            tell(
-                &mut book,
+            apply_report(
+                &mut state,
                 &format!("n{at}"),
                 1,
                 1,
@@ -119,5 +119,5 @@
             Outcome::Accepted { .. }
         ))
     });
-    book
+    state
 }
--- a/crates/model/tests/book.rs
+++ b/crates/model/tests/state_machine.rs
@@ -3,21 +3,21 @@
 mod site;
 
 use model::{BackendPhase, Edit, Outcome, StateMachine, endpoint_status::EndpointReport};
-use site::{change, grouping, order, registered, site, tell};
+use site::{apply_report, change, grouping, order, registered, site};
 
 #[test]
 fn a_change_sent_again_has_its_first_answer_and_no_second_effect() {
-    let mut book = site();
+    let mut state = site();
     let first = change(
-        &mut book,
+        &mut state,
         "more",
         1,
         vec![order("take", "seat", "seat", "/take")],
     );
-    let before = book.clone();
+    let before = state.clone();
     assert_eq!(
         change(
-            &mut book,
+            &mut state,
             "more",
             1,
             vec![order("take", "seat", "seat", "/take")]
@@ -26,7 +26,7 @@
     );
     assert_eq!(
         change(
-            &mut book,
+            &mut state,
             "more",
             1,
             vec![order("take", "seat", "seat", "/other")]
@@ -34,16 +34,21 @@
         Outcome::Reused { version: 2 }
     );
     assert_eq!(
-        change(&mut book, "late", 1, vec![order("x", "seat", "seat", "/x")]),
+        change(
+            &mut state,
+            "late",
+            1,
+            vec![order("x", "seat", "seat", "/x")]
+        ),
         Outcome::Stale { version: 2 }
     );
-    assert_eq!(book, before);
+    assert_eq!(state, before);
 }
 
 #[test]
 fn an_invalid_change_has_all_its_faults_named_and_no_part_in_effect() {
-    let mut book = site();
-    let before = book.clone();
+    let mut state = site();
+    let before = state.clone();
     let mut long = order("long", "seat", "seat", "/long");
     if let Edit::PutOrder { order, .. } = &mut long {
         order.wait_us = 90_000_000;
@@ -58,7 +63,7 @@
             name: "absent".into(),
         },
     ];
-    let Outcome::Invalid { faults } = change(&mut book, "bad", 1, edits) else {
+    let Outcome::Invalid { faults } = change(&mut state, "bad", 1, edits) else {
         panic!("it was accepted")
     };
     let paths: Vec<&str> = faults.iter().map(|fault| fault.path.as_str()).collect();
@@ -71,14 +76,14 @@
     ]
     .iter()
     .for_each(|path| assert!(paths.contains(path), "{path} is not among {paths:?}"));
-    assert_eq!(book, before);
+    assert_eq!(state, before);
 }
 
 #[test]
 fn taking_away_what_an_order_needs_is_refused() {
-    let mut book = site();
+    let mut state = site();
     let outcome = change(
-        &mut book,
+        &mut state,
         "drop",
         1,
         vec![Edit::DropGrouping {
@@ -86,40 +91,37 @@
         }],
     );
     assert!(matches!(outcome, Outcome::Invalid { .. }), "{outcome:?}");
-    assert_eq!(book.desired.version, 1);
+    assert_eq!(state.desired.version, 1);
 }
 
 #[test]
-fn repeats_and_earlier_lives_change_nothing() {
-    let mut book = site();
-    let first = tell(&mut book, "n0", 1, 2, registered("seat-0", "n0", 10));
-    let before = book.clone();
+fn repeats_and_earlier_incarnations_change_nothing() {
+    let mut state = site();
+    let first = apply_report(&mut state, "n0", 1, 2, registered("seat-0", "n0", 10));
+    let before = state.clone();
     assert_eq!(
-        tell(&mut book, "n0", 1, 2, registered("seat-0", "n0", 10)),
+        apply_report(&mut state, "n0", 1, 2, registered("seat-0", "n0", 10)),
         first
     );
     assert!(matches!(
-        tell(&mut book, "n0", 0, 9, registered("seat-0", "n0", 99)),
+        apply_report(&mut state, "n0", 0, 9, registered("seat-0", "n0", 99)),
         Outcome::Superseded { .. }
     ));
-    assert_eq!(book, before);
+    assert_eq!(state, before);
     let mut stranger = registered("else-0", "n0", 10);
-    if let EndpointReport::BackendRegistered {
-        backend: back_end, ..
-    } = &mut stranger
-    {
-        back_end.service = "else".into();
+    if let EndpointReport::BackendRegistered { backend, .. } = &mut stranger {
+        backend.service = "else".into();
     }
     assert!(
         matches!(
-            tell(&mut book, "n0", 1, 3, stranger),
+            apply_report(&mut state, "n0", 1, 3, stranger),
             Outcome::Refused { .. }
         ),
         "it fits no grouping"
     );
     // A live name is not taken by another node, and a life that ended does not come back.
     assert!(matches!(
-        tell(&mut book, "n1", 1, 2, registered("seat-0", "n1", 20)),
+        apply_report(&mut state, "n1", 1, 2, registered("seat-0", "n1", 20)),
         Outcome::Refused { .. }
     ));
     let phase = |phase| EndpointReport::PhaseChanged {
@@ -127,85 +129,86 @@
         incarnation: 10,
         phase,
     };
-    tell(&mut book, "n0", 1, 4, phase(BackendPhase::Deregistered));
-    tell(&mut book, "n0", 1, 5, phase(BackendPhase::Draining));
+    apply_report(&mut state, "n0", 1, 4, phase(BackendPhase::Deregistered));
+    apply_report(&mut state, "n0", 1, 5, phase(BackendPhase::Draining));
     assert_eq!(
-        book.endpoint_status.backends["seat-0"].phase,
+        state.endpoint_status.backends["seat-0"].phase,
         BackendPhase::Deregistered
     );
 }
 
 #[test]
-fn one_watcher_is_not_believed_two_are() {
-    let mut book = site();
-    tell(&mut book, "n0", 1, 2, registered("seat-0", "n0", 10));
-    let missed = |watcher: &str, missed| EndpointReport::NodeObserved {
-        observer: watcher.into(),
+fn one_observer_does_not_make_a_node_absent_two_do() {
+    let mut state = site();
+    apply_report(&mut state, "n0", 1, 2, registered("seat-0", "n0", 10));
+    let missed = |observer: &str, missed| EndpointReport::NodeObserved {
+        observer: observer.into(),
         node: "n0".into(),
         incarnation: 1,
         missed,
     };
-    tell(&mut book, "n1", 1, 2, missed("n1", true));
-    assert!(book.endpoint_status.nodes["n0"].present);
-    tell(&mut book, "n1", 1, 3, missed("n1", false));
-    tell(&mut book, "n2", 1, 2, missed("n2", true));
+    apply_report(&mut state, "n1", 1, 2, missed("n1", true));
+    assert!(state.endpoint_status.nodes["n0"].present);
+    apply_report(&mut state, "n1", 1, 3, missed("n1", false));
+    apply_report(&mut state, "n2", 1, 2, missed("n2", true));
     assert!(
-        book.endpoint_status.nodes["n0"].present,
+        state.endpoint_status.nodes["n0"].present,
         "a word taken back does not count"
     );
-    tell(&mut book, "n3", 1, 2, missed("n3", true));
-    assert!(!book.endpoint_status.nodes["n0"].present);
+    apply_report(&mut state, "n3", 1, 2, missed("n3", true));
+    assert!(!state.endpoint_status.nodes["n0"].present);
     assert_eq!(
-        book.endpoint_status.backends["seat-0"].phase,
+        state.endpoint_status.backends["seat-0"].phase,
         BackendPhase::PresumedGone
     );
 }
 
 #[test]
 fn tables_of_repeats_stay_bounded_and_old_repeats_are_stale() {
-    let mut book = site();
+    let mut state = site();
     (1..1_500u64).for_each(|version| {
         let path = if version % 2 == 0 { "/take" } else { "/give" };
         let outcome = change(
-            &mut book,
+            &mut state,
             &format!("c{version}"),
             version,
             vec![order("take", "seat", "seat", path)],
         );
         assert!(matches!(outcome, Outcome::Accepted { .. }));
     });
-    let size = book.to_bytes().len();
+    let size = state.to_bytes().len();
     assert!(size < 400_000, "the book grew to {size} bytes");
     assert_eq!(
         change(
-            &mut book,
+            &mut state,
             "c1",
             1,
             vec![order("take", "seat", "seat", "/give")]
         ),
         Outcome::Stale { version: 1_500 }
     );
-    assert_eq!(StateMachine::from_bytes(&book.to_bytes()), Some(book));
+    let restored = StateMachine::from_bytes(&state.to_bytes()).expect("a snapshot");
+    assert_eq!(restored, state);
 }
 
 #[test]
 fn a_patch_makes_the_later_slice_of_the_earlier_one() {
     test_support::drawn::<[(u8, u8); 24]>(200, |steps| {
-        let mut book = site();
+        let mut state = site();
         let services: model::state_slice::ServiceSet = ["seat".to_string()].into_iter().collect();
-        let mut held = model::StateSlice::for_services(&book, &services);
+        let mut held = model::StateSlice::for_services(&state, &services);
         steps.iter().zip(10u64..).for_each(|((what, which), turn)| {
             let name = format!("seat-{}", which % 4);
             match what % 5 {
-                0 => drop(tell(
-                    &mut book,
+                0 => drop(apply_report(
+                    &mut state,
                     "n0",
                     1,
                     turn,
                     registered(&name, "n0", turn),
                 )),
-                1 => drop(tell(
-                    &mut book,
+                1 => drop(apply_report(
+                    &mut state,
                     "n0",
                     1,
                     turn,
@@ -215,8 +218,8 @@
                         phase: BackendPhase::Draining,
                     },
                 )),
-                2 => drop(tell(
-                    &mut book,
+                2 => drop(apply_report(
+                    &mut state,
                     "n0",
                     1,
                     turn,
@@ -227,9 +230,9 @@
                     },
                 )),
                 3 => {
-                    let version = book.desired.version;
+                    let version = state.desired.version;
                     drop(change(
-                        &mut book,
+                        &mut state,
                         &format!("c{turn}"),
                         version,
                         vec![order(
@@ -241,9 +244,9 @@
                     ))
                 }
                 _ => {
-                    let version = book.desired.version;
+                    let version = state.desired.version;
                     drop(change(
-                        &mut book,
+                        &mut state,
                         &format!("c{turn}"),
                         version,
                         vec![Edit::DropOrder {
@@ -252,7 +255,7 @@
                     ))
                 }
             }
-            let next = model::StateSlice::for_services(&book, &services);
+            let next = model::StateSlice::for_services(&state, &services);
             let patched = held.with_patch(held.diff_to(&next));
             assert_eq!(patched, next);
             held = patched;
--- a/crates/outbound/src/proxy.rs
+++ b/crates/outbound/src/proxy.rs
@@ -58,7 +58,7 @@
         let item = item.ok_or_else(|| {
             Error::new(ErrorKind::NoRoute, "no lane begins this path on this host")
         })?;
-        let lane = &item.2;
+        let lane = &item.route;
         let service = select_service(lane, &request.attempt_id);
         let latency_target = if lane.latency_target_us == 0 {
             DEFAULT_LATENCY_TARGET
--- a/crates/simulator/src/billsim/seat.rs
+++ b/crates/simulator/src/billsim/seat.rs
@@ -19,7 +19,7 @@
 fn act(
     (instance, value): &(mencius::Instance, mencius::Value),
 ) -> Option<(u64, Asked, ClusterOperation)> {
-    let entry = model::entry::from_bytes(value)?;
+    let entry = model::Entry::from_bytes(value).ok()?;
     let asked = (entry.origin, entry.incarnation, entry.sequence);
     if let model::Operation::ClusterState(act) = entry.operation {
         Some((*instance, asked, act))
--- a/crates/simulator/src/billsim/stage.rs
+++ b/crates/simulator/src/billsim/stage.rs
@@ -197,7 +197,7 @@
             operation: act,
         };
         let seat = self.world.draw((0, self.plan.seats as u64 - 1)) as u16;
-        self.world.submit(seat, model::entry::to_bytes(&entry));
+        self.world.submit(seat, entry.to_bytes());
     }
 
     fn follow(&mut self, at: usize, now: Microseconds) {
--- a/crates/simulator/src/sim/site_core.rs
+++ b/crates/simulator/src/sim/site_core.rs
@@ -16,7 +16,9 @@
     history: &[(mencius::Instance, mencius::Value)],
 ) -> impl Iterator<Item = (mencius::Instance, Entry)> + '_ {
     history.iter().filter_map(|(instance, value)| {
-        model::entry::from_bytes(value).map(|entry| (*instance, entry))
+        model::Entry::from_bytes(value)
+            .ok()
+            .map(|entry| (*instance, entry))
     })
 }
 
@@ -52,7 +54,7 @@
     }
 
     pub fn submit(&mut self, seat: u16, entry: &Entry) {
-        self.world.submit(seat, model::entry::to_bytes(entry));
+        self.world.submit(seat, entry.to_bytes());
     }
 
     /// Lets the core come as far as `now`; what its seats applied meanwhile, and which reads were proved.
--- a/crates/simulator/src/sim/tenure.rs
+++ b/crates/simulator/src/sim/tenure.rs
@@ -55,11 +55,12 @@
             sequence: now,
             operation: act,
         };
-        self.submit(helper, model::entry::to_bytes(&entry));
+        self.submit(helper, entry.to_bytes());
     }
 
     pub(super) fn mind_replacement(&mut self, at_seat: Seat, instance: u64, value: &[u8]) {
-        let Some(entry) = model::entry::from_bytes(value)
+        let Some(entry) = model::Entry::from_bytes(value)
+            .ok()
             .filter(|entry| matches!(entry.operation, model::Operation::ReplaceReplica(_)))
         else {
             return;
