--- /dev/null
+++ b/crates/endpoints/src/lease_table/heartbeats.rs
@@ -0,0 +1,205 @@
+//! A heartbeat and its answer: what the back end says of itself, and what it is told to hold (design sections 11.2
+//! and 11.5).
+
+use std::time::Duration;
+
+use model::Microseconds;
+use model::cluster_state::ClusterReport;
+
+use super::command::{AnswerSender, Command};
+use super::granter::LeaseGrant;
+use super::state::{LeaseTableTask, LocalBackend, is_keyed, shard_map_of};
+use crate::heartbeat::{Heartbeat, HeldRange, LeasedRange};
+
+/// An answer is kept back for so long at most: a back end waits one second for it.
+const MAX_ANSWER_DELAY: Duration = Duration::from_millis(650);
+
+impl LeaseTableTask {
+    pub(super) fn receive_heartbeat(&mut self, heartbeat: Heartbeat, answer: AnswerSender) {
+        let now = model::now();
+        if self.is_stale(&heartbeat, now) {
+            // The back end may have stopped waiting.
+            drop(answer.send(None));
+            return;
+        }
+        self.end_replaced_backend(&heartbeat.name);
+        self.queue_release(&heartbeat);
+        let is_first = self.backend.is_none();
+        let is_urgent = is_first || self.is_release_or_drain(&heartbeat);
+        let (name, sequence) = (heartbeat.name.clone(), heartbeat.sequence);
+        self.backend = Some(self.updated_backend(heartbeat, answer, now));
+        self.answer_heartbeat(is_urgent);
+        if self
+            .backend
+            .as_ref()
+            .is_some_and(|backend| backend.pending_answer.is_some())
+        {
+            let commands = self.commands.clone();
+            tokio::spawn(async move {
+                tokio::time::sleep(MAX_ANSWER_DELAY).await;
+                // If the lease table is gone, so is the answer.
+                drop(commands.send(Command::AnswerDue(name, sequence)).await);
+            });
+        }
+    }
+
+    /// Whether a heartbeat is of an earlier incarnation of the back end, of one that has ended, or no news.
+    fn is_stale(&self, heartbeat: &Heartbeat, now: Microseconds) -> bool {
+        let is_repeated = self.backend.as_ref().is_some_and(|backend| {
+            backend.heartbeat.name == heartbeat.name
+                && backend.heartbeat.sequence >= heartbeat.sequence
+        });
+        is_repeated
+            || self.is_of_earlier_incarnation(heartbeat, now)
+            || self.has_ended(&heartbeat.name)
+    }
+
+    /// While another back end is heard, one that the log had here before is the earlier incarnation, and its
+    /// heartbeat comes late. Of two heard almost at once, as after a pause of this node, the first one stays until
+    /// the one that lives sends its next heartbeat.
+    fn is_of_earlier_incarnation(&self, heartbeat: &Heartbeat, now: Microseconds) -> bool {
+        let heard_another_within = |span: Microseconds| {
+            self.backend.as_ref().is_some_and(|backend| {
+                backend.heartbeat.name != heartbeat.name && now < backend.last_heard + span
+            })
+        };
+        let interval = self.config.heartbeat_interval;
+        let is_known = || self.snapshot().backends.contains_key(&heartbeat.name);
+        heard_another_within(interval / 4) || is_known() && heard_another_within(interval * 2)
+    }
+
+    /// A machine has one back end: if one of another name is heard, the earlier one's process is gone.
+    fn end_replaced_backend(&mut self, name: &str) {
+        if let Some(earlier) = self
+            .backend
+            .take_if(|backend| backend.heartbeat.name != name)
+        {
+            self.pending_ends.insert(earlier.heartbeat.name, true);
+        }
+    }
+
+    fn queue_release(&mut self, heartbeat: &Heartbeat) {
+        if heartbeat.released_ranges.is_empty() {
+            return;
+        }
+        self.pending_reports.push(ClusterReport::ShardsReleased {
+            service: heartbeat.service.clone(),
+            name: heartbeat.name.clone(),
+            known_through: self.snapshot().position,
+            ranges: heartbeat.released_ranges.clone(),
+        });
+    }
+
+    /// Whether the heartbeat says that the back end begins to drain or has released ranges.
+    fn is_release_or_drain(&self, heartbeat: &Heartbeat) -> bool {
+        let drains = self
+            .backend
+            .as_ref()
+            .is_some_and(|backend| backend.draining_since.is_some());
+        heartbeat.draining && !drains || !heartbeat.released_ranges.is_empty()
+    }
+
+    fn updated_backend(
+        &self,
+        heartbeat: Heartbeat,
+        answer: AnswerSender,
+        now: Microseconds,
+    ) -> LocalBackend {
+        let before = self.backend.as_ref();
+        // What the back end holds at the first heartbeat that is heard here it was told before, and nobody here knows
+        // for how long.
+        let unknown_lease = || match heartbeat.held_ranges.is_empty() {
+            true => 0,
+            false => now + self.config.leases.max_duration,
+        };
+        LocalBackend {
+            last_heard: now,
+            draining_since: before
+                .and_then(|backend| backend.draining_since)
+                .or(heartbeat.draining.then_some(now)),
+            lease_expires: before.map_or(0, |backend| backend.lease_expires),
+            earlier_lease_expires: before
+                .map_or_else(unknown_lease, |backend| backend.earlier_lease_expires),
+            silent: false,
+            probing: false,
+            pending_answer: Some(answer),
+            heard_repeatedly: before.is_some(),
+            rejected: before.is_some_and(|backend| backend.rejected),
+            heartbeat,
+        }
+    }
+
+    /// Answers the latest heartbeat if its ranges change by it, or if it is due. So a back end that has to release a
+    /// range, and one that gets it, hear it as soon as it is in the log and not at their next heartbeat (design
+    /// section 11.5).
+    pub(super) fn answer_heartbeat(&mut self, due: bool) {
+        let Some(mut backend) = self.backend.take() else {
+            return;
+        };
+        if let Some(answer) = backend.pending_answer.take() {
+            backend.pending_answer = self.answer_or_keep(&mut backend, answer, due);
+        }
+        self.backend = Some(backend);
+    }
+
+    /// Gives the answer back if it is to be kept.
+    fn answer_or_keep(
+        &mut self,
+        backend: &mut LocalBackend,
+        answer: AnswerSender,
+        due: bool,
+    ) -> Option<AnswerSender> {
+        let now = model::now();
+        let verified = self.verified_state.load_full();
+        let heartbeat = &backend.heartbeat;
+        let keyed = is_keyed(&verified.snapshot, &heartbeat.service);
+        let shard_map = shard_map_of(&verified.snapshot, &heartbeat.service);
+        let grant = self
+            .lease_granter
+            .grant(
+                now,
+                verified.verified_at,
+                &shard_map,
+                &heartbeat.name,
+                &heartbeat.held_ranges,
+            )
+            .filter(|_| keyed && !*self.superseded.borrow());
+        let changes = grant
+            .as_ref()
+            .is_some_and(|grant| held_ranges(grant) != heartbeat.held_ranges);
+        // A service that is not divided by key has nothing to wait for.
+        if !due && !changes && keyed {
+            return Some(answer);
+        }
+        let renewal = grant.map(|grant| self.record_grant(now, backend, grant));
+        // The back end may have stopped waiting.
+        drop(answer.send(renewal));
+        None
+    }
+
+    /// Remembers what the back end is told to hold.
+    fn record_grant(
+        &mut self,
+        now: Microseconds,
+        backend: &mut LocalBackend,
+        grant: LeaseGrant,
+    ) -> (Vec<LeasedRange>, Microseconds) {
+        backend.lease_expires = now + grant.duration;
+        backend.heartbeat.held_ranges = held_ranges(&grant);
+        if !grant.waited_out.is_empty() {
+            self.pending_reports.push(ClusterReport::ReleasesExpired {
+                service: backend.heartbeat.service.clone(),
+                ranges: grant.waited_out,
+            });
+        }
+        (grant.ranges, grant.duration)
+    }
+}
+
+fn held_ranges(grant: &LeaseGrant) -> Vec<HeldRange> {
+    grant
+        .ranges
+        .iter()
+        .map(|(from, to, token, _)| (*from, *to, *token))
+        .collect()
+}
--- /dev/null
+++ b/crates/endpoints/src/lease_table/mod.rs
@@ -0,0 +1,114 @@
+//! The back end beside this node: its registration, heartbeats, leases, drain and end (design sections 11.2 and
+//! 11.5). One task owns the state; [`LeaseTableHandle`] is the way to it.
+
+mod command;
+mod config;
+mod event_loop;
+mod granter;
+mod heartbeats;
+mod reports;
+mod silence;
+mod state;
+
+pub use config::LeaseTableConfig;
+pub use granter::{LeaseConfig, LeaseGrant, LeaseGranter};
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use control::{FollowerHandle, StatusReporter};
+use inbound::ConcurrencyLimiter;
+use model::BackendName;
+use slog::Logger;
+use tokio::sync::{mpsc, oneshot, watch};
+
+use crate::heartbeat::{Heartbeat, HeartbeatAnswer};
+use crate::registration::Registration;
+use command::Command;
+use state::LeaseTableTask;
+
+/// Commands that wait for the task; a sender beyond that waits for room.
+const COMMAND_CAPACITY: usize = 1_024;
+
+/// Why the lease table did not answer.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum Error {
+    /// The task that owns the lease table has ended, as it does when its runtime shuts down.
+    #[error("the lease table's task has ended")]
+    Stopped,
+}
+
+/// Gives commands to the task that owns the state of the back end beside this node.
+#[derive(Clone)]
+pub struct LeaseTableHandle {
+    commands: mpsc::Sender<Command>,
+    superseded: watch::Receiver<bool>,
+}
+
+impl LeaseTableHandle {
+    /// Starts the task. It reads the state that `follower` verifies, reports through `reporter`, and keeps `limiter`
+    /// told of the back end.
+    pub fn start(
+        config: LeaseTableConfig,
+        follower: FollowerHandle,
+        limiter: ConcurrencyLimiter,
+        reporter: StatusReporter,
+        logger: Logger,
+    ) -> LeaseTableHandle {
+        let (commands, received) = mpsc::channel(COMMAND_CAPACITY);
+        let (superseded_sender, superseded) = watch::channel(false);
+        let task = LeaseTableTask {
+            lease_granter: LeaseGranter::new(config.leases),
+            registration: Registration::new(config.incarnation),
+            config,
+            verified_state: follower.verified_state.clone(),
+            limiter,
+            reporter,
+            commands: commands.clone(),
+            backend: None,
+            pending_ends: BTreeMap::new(),
+            ended_names: BTreeSet::new(),
+            pending_reports: Vec::new(),
+            started_at: model::now(),
+            earlier_probed_at: 0,
+            report_in_flight: false,
+            superseded: superseded_sender,
+            logger,
+        };
+        tokio::spawn(event_loop::run(task, received));
+        tokio::spawn(event_loop::forward_wakeups(
+            commands.clone(),
+            follower.changes,
+        ));
+        LeaseTableHandle {
+            commands,
+            superseded,
+        }
+    }
+
+    /// Takes in a heartbeat and waits until there is something to answer, up to 650 ms.
+    pub async fn heartbeat(&self, heartbeat: Heartbeat) -> Result<HeartbeatAnswer, Error> {
+        let (answer, answered) = oneshot::channel();
+        self.send(Command::Heartbeat(Box::new(heartbeat), answer))
+            .await?;
+        answered.await.map_err(|_| Error::Stopped)
+    }
+
+    /// Takes in that the back end `name` ends: it drains, and its end is reported.
+    pub async fn deregister(&self, name: BackendName) -> Result<(), Error> {
+        let (done, is_done) = oneshot::channel();
+        self.send(Command::Deregister(name, done)).await?;
+        is_done.await.map_err(|_| Error::Stopped)
+    }
+
+    /// Whether another process was registered under this node's name after this one, which then has to stop.
+    pub fn is_superseded(&self) -> bool {
+        *self.superseded.borrow()
+    }
+
+    async fn send(&self, command: Command) -> Result<(), Error> {
+        self.commands
+            .send(command)
+            .await
+            .map_err(|_| Error::Stopped)
+    }
+}
--- a/crates/endpoints/src/node.rs
+++ b/crates/endpoints/src/node.rs
@@ -1,151 +1,117 @@
-//! Puts the parts of a node together, and takes them down in order (design 13.7).
+//! Puts the parts of a node together, and takes them down in order (design section 13.7).
 
 use std::sync::Arc;
-use std::sync::atomic::AtomicBool;
+use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
+use control::{
+    FollowerConfig, FollowerHandle, KnownReplicas, StatusReporter, StatusReporterConfig, discovery,
+    follower,
+};
+use http_util::headers::HeaderNames;
+use inbound::{ConcurrencyLimiter, ConcurrencyLimiterConfig};
+use model::{Microseconds, ServiceName};
+use outbound::{
+    HandshakeInfo, InFlightRequests, Listener, ListenerConfig, OutboundProxy, PeerConnections,
+    SelectorConfig, SelectorHandle,
+};
+use slog::Logger;
+use tokio::net::TcpListener;
+use tokio::sync::{mpsc, watch};
+use transport::{Handshake, LoadReport, Purpose};
+
+use crate::lease_table::{LeaseTableConfig, LeaseTableHandle};
+use crate::monitor::{self, MonitorConfig};
+use crate::placement::PlacementCoordinator;
+
+/// Load reports of other nodes that wait for the placement coordinator.
+const LOAD_REPORT_CAPACITY: usize = 1_024;
+/// How many replicas a node wants to know.
+const WANTED_REPLICAS: usize = 3;
+/// Between two looks at whether requests still run.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// For responses that were given and are still on their way out of this process.
+const RESPONSE_FLUSH_TIME: Duration = Duration::from_millis(60);
+
+/// Settings of a node.
 #[derive(Clone)]
 pub struct NodeConfig {
-    pub lease_table: crate::LeaseTableConfig,
-    /// The service of this machine.
-    pub service: String,
+    /// Who the node is, and the back end beside it.
+    pub lease_table: LeaseTableConfig,
+    /// The service of the back end beside the node.
+    pub service: ServiceName,
+    /// Addresses, as `host:port`, that the node asks for the replicas of the log.
     pub seeds: Vec<String>,
-    pub header_names: http_util::headers::HeaderNames,
-    pub selection: outbound::SelectorConfig,
+    /// The names of the headers by which requests are known.
+    pub header_names: HeaderNames,
+    /// How a back end is selected for a request.
+    pub selection: SelectorConfig,
+    /// Requests given to the back end beyond its slots, so that no slot stands empty between two.
     pub queued_ahead: u32,
-    pub proof_interval: model::Microseconds,
-    pub monitor_interval: model::Microseconds,
-    pub monitor_timeout: model::Microseconds,
+    /// Between two requests for a proof of the cluster state, in microseconds.
+    pub proof_interval: Microseconds,
+    /// Between two heartbeats to the nodes that monitor this one, in microseconds.
+    pub monitor_interval: Microseconds,
+    /// A monitored node that was not heard for so long is reported as missed, in microseconds.
+    pub monitor_timeout: Microseconds,
 }
 
+/// A running node.
 pub struct Node {
-    pub lease_table: crate::LeaseTableHandle,
-    pub listener: outbound::Listener,
-    pub follower: control::FollowerHandle,
-    pub known_replicas: control::KnownReplicas,
-    limiter: inbound::ConcurrencyLimiter,
-    in_flight: outbound::InFlightRequests,
-    /// Told from outside that it is to go: no longer ready, though it serves on for a while.
+    /// The back end beside the node.
+    pub lease_table: LeaseTableHandle,
+    /// Takes requests of clients on this machine.
+    pub listener: Listener,
+    /// The cluster state that the node follows and verifies.
+    pub follower: FollowerHandle,
+    /// The replicas of the log that the node knows.
+    pub known_replicas: KnownReplicas,
+    limiter: ConcurrencyLimiter,
+    in_flight: InFlightRequests,
+    /// The node was told to stop: it is no longer ready, though it serves on for a while.
     draining: AtomicBool,
-    shutdown: tokio::sync::watch::Sender<bool>,
+    shutdown: watch::Sender<bool>,
+}
+
+/// The parts that more than one task of the node uses.
+struct Shared {
+    known_replicas: KnownReplicas,
+    handshake: HandshakeInfo,
+    follower: FollowerHandle,
+    reporter: StatusReporter,
+    limiter: ConcurrencyLimiter,
+    peers: PeerConnections,
+    logger: Logger,
 }
 
 impl Node {
-    /// `mates` is bound already; its address stands in the settings.
-    pub fn start(env: NodeConfig, mates: tokio::net::TcpListener, logger: slog::Logger) -> Node {
-        let own = &env.lease_table;
-        let known = control::discovery::empty();
-        let greet = handshake_factory(&env, known.clone());
-        let greeting = |purpose| {
-            let greet = greet.clone();
-            move || (greet)(purpose)
-        };
-        let line = control::FollowerConfig {
-            node: own.node.clone(),
-            zone: own.zone.clone(),
-            proof_interval: env.proof_interval,
-            proof_timeout: env.proof_interval,
-        };
-        let following = control::follower::start(
-            line,
-            known.clone(),
-            greeting(transport::Purpose::Subscribe),
-            logger.clone(),
-        );
-        let reporting = control::StatusReporterConfig {
-            node: own.node.clone(),
-            incarnation: own.incarnation,
-            logger: logger.clone(),
-        };
-        let reports = control::StatusReporter::start(
-            reporting,
-            known.clone(),
-            greeting(transport::Purpose::Subscribe),
+    /// Starts the node's tasks. `peer_listener` is bound already; its address stands in the settings.
+    pub fn start(config: NodeConfig, peer_listener: TcpListener, logger: Logger) -> Node {
+        let shared = Shared::start(&config, logger);
+        let lease_table = LeaseTableHandle::start(
+            config.lease_table.clone(),
+            shared.follower.clone(),
+            shared.limiter.clone(),
+            shared.reporter.clone(),
+            shared.logger.clone(),
         );
-        let pit = inbound::ConcurrencyLimiter::start(inbound::ConcurrencyLimiterConfig {
-            header_names: env.header_names.clone(),
-            extra_runs: env.queued_ahead,
-        });
-        let troupe = crate::LeaseTableHandle::start(
-            own.clone(),
-            following.clone(),
-            pit.clone(),
-            reports.clone(),
-            logger.clone(),
-        );
-        let watching = crate::monitor::MonitorConfig {
-            node: own.node.clone(),
-            incarnation: own.incarnation,
-            heartbeat_interval: env.monitor_interval,
-            detection_timeout: env.monitor_timeout,
-        };
-        let heard = crate::monitor::start(
-            watching,
-            following.verified_state.clone(),
-            reports.clone(),
-            greet.clone(),
-        );
-        let (tell_loads, loads) = tokio::sync::mpsc::channel(1_024);
-        tokio::spawn(outbound::serve_peers(
-            mates,
-            greet.clone(),
-            known.clone(),
-            pit.clone(),
-            (heard, tell_loads),
-        ));
-        tokio::spawn(control::discovery::run(
-            known.clone(),
-            env.seeds.clone(),
-            greeting(transport::Purpose::Discover),
-            || 3,
-        ));
-        // The duty of placing keys goes with the back end beside this node.
-        let mates = outbound::PeerConnections::start(greet);
-        let duty = crate::placement::PlacementCoordinator {
-            node: own.node.clone(),
-            service: env.service.clone(),
-            follower: following.clone(),
-            reports,
-            limiter: pit.clone(),
-            peers: mates.clone(),
-            load_receiver: loads,
-            logger: logger.clone(),
-        };
-        tokio::spawn(duty.run());
-        let calls = outbound::InFlightRequests::default();
-        let apron = outbound::OutboundProxy {
-            node: own.node.clone(),
-            zone: own.zone.clone(),
-            service: env.service.clone(),
-            verified_state: following.verified_state.clone(),
-            limiter: pit.clone(),
-            peers: mates,
-            selector: outbound::SelectorHandle::start(
-                env.selection,
-                following.verified_state.clone(),
-            ),
-            in_flight: calls.clone(),
-            logger,
-        };
-        let front = outbound::Listener {
-            config: outbound::ListenerConfig {
-                header_names: env.header_names,
-            },
-            proxy: apron,
-        };
+        shared.start_peer_tasks(&config, peer_listener);
+        let in_flight = InFlightRequests::default();
+        let listener = shared.listener(config, in_flight.clone());
         Node {
-            lease_table: troupe,
-            listener: front,
-            follower: following,
-            known_replicas: known,
-            limiter: pit,
-            in_flight: calls,
-            draining: Default::default(),
-            shutdown: tokio::sync::watch::Sender::new(false),
+            lease_table,
+            listener,
+            follower: shared.follower,
+            known_replicas: shared.known_replicas,
+            limiter: shared.limiter,
+            in_flight,
+            draining: AtomicBool::new(false),
+            shutdown: watch::Sender::new(false),
         }
     }
 
-    pub fn serve(&self, listener: tokio::net::TcpListener) {
+    /// Takes requests of clients from this listener until the node shuts down.
+    pub fn serve(&self, listener: TcpListener) {
         tokio::spawn(
             self.listener
                 .clone()
@@ -153,42 +119,152 @@
         );
     }
 
-    /// Knows what is to be served, and is not on its way out.
+    /// Whether clients may send requests here: the node knows routes, and is neither superseded nor about to stop.
     pub fn is_ready(&self) -> bool {
-        let outlook = self.follower.verified_state.load();
-        let serves = outlook.verified_at > 0 && outlook.snapshot.has_routes();
-        serves
-            && !self.lease_table.is_superseded()
-            && !self.draining.load(std::sync::atomic::Ordering::Relaxed)
+        let verified = self.follower.verified_state.load();
+        let knows_routes = verified.verified_at > 0 && verified.snapshot.has_routes();
+        knows_routes && !self.lease_table.is_superseded() && !self.draining.load(Ordering::Relaxed)
     }
 
-    /// Not ready from now on, but serves as before for the notice: until whoever sends requests here has asked and heard it.
-    /// Then takes nothing new, and returns once all that was taken has its answer, or patience is over (design 13.7).
-    pub async fn shut_down(&self, notice: Duration, patience: Duration) {
-        self.draining
-            .store(true, std::sync::atomic::Ordering::Relaxed);
+    /// Stops the node. It is not ready from now on, but serves as before for `notice`, until whoever sends requests
+    /// here has asked and knows. Then it takes no new requests, and this function returns once all that were taken
+    /// are answered or `timeout` is over (design section 13.7).
+    pub async fn shut_down(&self, notice: Duration, timeout: Duration) {
+        self.draining.store(true, Ordering::Relaxed);
         tokio::time::sleep(notice).await;
         self.shutdown.send_replace(true);
         self.in_flight.drain();
         self.limiter.drain().await;
-        let ended = async {
-            self.in_flight.drained().await;
-            while self.limiter.load().await.0 > 0 {
-                tokio::time::sleep(Duration::from_millis(10)).await;
-            }
-            // Answers that were given are still on their way out of this process.
-            tokio::time::sleep(Duration::from_millis(60)).await;
+        // What is not answered by then is lost with the process.
+        drop(tokio::time::timeout(timeout, self.drained()).await);
+    }
+
+    async fn drained(&self) {
+        self.in_flight.drained().await;
+        while self.limiter.load().await.0 > 0 {
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
+        }
+        tokio::time::sleep(RESPONSE_FLUSH_TIME).await;
+    }
+}
+
+impl Shared {
+    fn start(config: &NodeConfig, logger: Logger) -> Shared {
+        let own = &config.lease_table;
+        let known_replicas = discovery::empty();
+        let handshake = handshake_factory(config, known_replicas.clone());
+        let follower = follower::start(
+            FollowerConfig {
+                node: own.node.clone(),
+                zone: own.zone.clone(),
+                proof_interval: config.proof_interval,
+                proof_timeout: config.proof_interval,
+            },
+            known_replicas.clone(),
+            handshake_for(&handshake, Purpose::Subscribe),
+            logger.clone(),
+        );
+        let reporter = StatusReporter::start(
+            StatusReporterConfig {
+                node: own.node.clone(),
+                incarnation: own.incarnation,
+                logger: logger.clone(),
+            },
+            known_replicas.clone(),
+            handshake_for(&handshake, Purpose::Subscribe),
+        );
+        let limiter = ConcurrencyLimiter::start(ConcurrencyLimiterConfig {
+            header_names: config.header_names.clone(),
+            extra_runs: config.queued_ahead,
+        });
+        let peers = PeerConnections::start(handshake.clone());
+        Shared {
+            known_replicas,
+            handshake,
+            follower,
+            reporter,
+            limiter,
+            peers,
+            logger,
+        }
+    }
+
+    /// Starts what has to do with other nodes: the monitor, the server for peers, the search for replicas and the
+    /// placement coordinator, which goes with the back end beside this node.
+    fn start_peer_tasks(&self, config: &NodeConfig, peer_listener: TcpListener) {
+        let own = &config.lease_table;
+        let heartbeats = monitor::start(
+            MonitorConfig {
+                node: own.node.clone(),
+                incarnation: own.incarnation,
+                heartbeat_interval: config.monitor_interval,
+                detection_timeout: config.monitor_timeout,
+            },
+            self.follower.verified_state.clone(),
+            self.reporter.clone(),
+            self.handshake.clone(),
+        );
+        let (load_reports, load_receiver) = mpsc::channel(LOAD_REPORT_CAPACITY);
+        tokio::spawn(outbound::serve_peers(
+            peer_listener,
+            self.handshake.clone(),
+            self.known_replicas.clone(),
+            self.limiter.clone(),
+            (heartbeats, load_reports),
+        ));
+        tokio::spawn(discovery::run(
+            self.known_replicas.clone(),
+            config.seeds.clone(),
+            handshake_for(&self.handshake, Purpose::Discover),
+            || WANTED_REPLICAS,
+        ));
+        tokio::spawn(self.coordinator(config, load_receiver).run());
+    }
+
+    fn coordinator(
+        &self,
+        config: &NodeConfig,
+        load_receiver: mpsc::Receiver<LoadReport>,
+    ) -> PlacementCoordinator {
+        PlacementCoordinator {
+            node: config.lease_table.node.clone(),
+            service: config.service.clone(),
+            follower: self.follower.clone(),
+            reporter: self.reporter.clone(),
+            limiter: self.limiter.clone(),
+            peers: self.peers.clone(),
+            load_receiver,
+            logger: self.logger.clone(),
+        }
+    }
+
+    fn listener(&self, config: NodeConfig, in_flight: InFlightRequests) -> Listener {
+        let own = config.lease_table;
+        let verified_state = self.follower.verified_state.clone();
+        let proxy = OutboundProxy {
+            node: own.node,
+            zone: own.zone,
+            service: config.service,
+            verified_state: verified_state.clone(),
+            limiter: self.limiter.clone(),
+            peers: self.peers.clone(),
+            selector: SelectorHandle::start(config.selection, verified_state),
+            in_flight,
+            logger: self.logger.clone(),
         };
-        drop(tokio::time::timeout(patience, ended).await);
+        Listener {
+            config: ListenerConfig {
+                header_names: config.header_names,
+            },
+            proxy,
+        }
     }
 }
 
-fn handshake_factory(
-    env: &NodeConfig,
-    known: control::KnownReplicas,
-) -> Arc<dyn Fn(transport::Purpose) -> transport::Handshake + Send + Sync> {
-    let own = env.lease_table.clone();
-    Arc::new(move |purpose| transport::Handshake {
+/// What this node says of itself when it opens or accepts a connection.
+fn handshake_factory(config: &NodeConfig, known_replicas: KnownReplicas) -> HandshakeInfo {
+    let own = config.lease_table.clone();
+    Arc::new(move |purpose| Handshake {
         purpose,
         node_name: own.node.clone(),
         zone: own.zone.clone(),
@@ -197,14 +273,18 @@
         replica: None,
         has_empty_disk: false,
         expected_disk: None,
-        // Who only asks for a run, or beats, tells nothing of the core.
-        known_replicas: if matches!(
-            purpose,
-            transport::Purpose::Forward | transport::Purpose::Monitor
-        ) {
-            Vec::new()
-        } else {
-            control::discovery::list(&known)
+        // A connection for requests or heartbeats is not used to look for replicas.
+        known_replicas: match purpose {
+            Purpose::Forward | Purpose::Monitor => Vec::new(),
+            _ => discovery::list(&known_replicas),
         },
     })
 }
+
+fn handshake_for(
+    handshake: &HandshakeInfo,
+    purpose: Purpose,
+) -> impl Fn() -> Handshake + Send + Sync + 'static + use<> {
+    let handshake = handshake.clone();
+    move || handshake(purpose)
+}
--- /dev/null
+++ b/crates/endpoints/src/placement/tests.rs
@@ -0,0 +1,514 @@
+//! A service divided by key, in virtual time: back ends become unhealthy, and the placement of keys follows the
+//! outcomes of their runs (design section 13.8). While nobody reports a back end as unhealthy, the requests for its
+//! keys fail for as long as it is unhealthy.
+
+use std::collections::BTreeMap;
+use std::mem;
+
+use inbound::{AdmissionQueue, KeyDemand, OutlierDetector, RunResult};
+use model::cluster_state::items::{ItemCall, ItemPut};
+use model::cluster_state::{
+    BackendRecord, ClusterOperation, ClusterReport, ClusterState, ItemBody, Service, StateSnapshot,
+    shard_map,
+};
+use model::{BackendPhase, Microseconds};
+use rand::rngs::StdRng;
+use rand::{Rng as _, SeedableRng as _};
+use transport::LoadReport;
+
+use super::load::LoadReports;
+use super::outliers::EjectionPolicy;
+use super::plan::plan_placement;
+
+const BACKENDS: usize = 24;
+const SLOTS: u32 = 9;
+const SERVICE: &str = "seat";
+const REQUESTS_PER_SECOND: f64 = 600.0;
+const MEAN_RUN_TIME: f64 = 160_000.0;
+const REQUEST_TIMEOUT: Microseconds = 1_200_000;
+/// From a placement until the earlier holder has released its range.
+const HANDOVER_DELAY: Microseconds = 500_000;
+const FAST_FAILURE_TIME: Microseconds = 2_000;
+/// The part of the runs at a healthy back end that fail.
+const HEALTHY_FAILURE_SHARE: f64 = 0.03;
+const STEP: Microseconds = 1_000;
+const CHECK_INTERVAL: Microseconds = 100_000;
+const LOAD_REPORT_INTERVAL: Microseconds = 1_000_000;
+const UNHEALTHY_LOAD_REPORT_INTERVAL: Microseconds = 200_000;
+const MAX_REPORTED_RANGES: usize = 24;
+const SECOND: Microseconds = 1_000_000;
+
+/// The first `backends` of all are unhealthy for a while.
+#[derive(Clone, Copy)]
+struct Outage {
+    backends: usize,
+    from: Microseconds,
+    until: Microseconds,
+    /// The part of their runs that fail.
+    failure_share: f64,
+}
+
+#[derive(Clone, Copy)]
+struct Scenario {
+    outage: Outage,
+    /// Runs that fail get no response until the request times out; otherwise they fail at once.
+    hang: bool,
+    /// Back ends are reported as unhealthy.
+    outlier_detection: bool,
+    duration: Microseconds,
+}
+
+#[derive(Default, Debug)]
+struct Observed {
+    requests: u32,
+    failed: u32,
+    /// Found no back end while a key was moved.
+    rejected_in_transit: u32,
+    moved_keys: u32,
+    /// When the unhealthy back ends held less than a third of the keys that they had held, after the outage began.
+    recovery_time: Option<Microseconds>,
+    /// Judged unhealthy while they were healthy.
+    false_positives: u32,
+}
+
+impl Observed {
+    /// Failed requests; those that found no back end come again, in time as often as not.
+    fn cost(&self) -> u32 {
+        self.failed + self.rejected_in_transit / 2
+    }
+}
+
+/// The end of a run.
+struct Completion {
+    backend: usize,
+    run_id: u64,
+    result: RunResult,
+    /// How long the run took, if it got a response.
+    run_time: Option<Microseconds>,
+}
+
+#[derive(Default)]
+struct SimulatedBackend {
+    outliers: OutlierDetector,
+    queue: AdmissionQueue<()>,
+    demand: KeyDemand,
+    reported_at: Microseconds,
+    was_unhealthy: bool,
+}
+
+fn name(at: usize) -> String {
+    format!("b{at:02}")
+}
+
+/// The cluster state that all nodes see at once.
+struct Cluster {
+    state: ClusterState,
+    sequence: u64,
+    snapshot: StateSnapshot,
+}
+
+impl Cluster {
+    fn new() -> Cluster {
+        let mut state = ClusterState::default();
+        let service = Service {
+            health_path: String::new(),
+            max_connections: 0,
+            keyed: true,
+            slow_start_us: 0,
+        };
+        let body = ItemBody::Service(service);
+        let put = ItemPut {
+            name: SERVICE.into(),
+            version: 1,
+            body,
+            text: String::new(),
+        };
+        let call = ItemCall {
+            puts: vec![put],
+            drops: Vec::new(),
+        };
+        state.apply("operator", 1, 0, ClusterOperation::Items(call));
+        let reports = (0..BACKENDS).flat_map(|at| [node_registered(at), backend_joined(at)]);
+        state.apply("nodes", 1, 1, ClusterOperation::Reports(reports.collect()));
+        let snapshot = snapshot_of(&state);
+        Cluster {
+            state,
+            sequence: 1,
+            snapshot,
+        }
+    }
+
+    fn apply(&mut self, report: ClusterReport) {
+        self.sequence += 1;
+        let operation = ClusterOperation::Reports(vec![report]);
+        self.state.apply("nodes", 1, self.sequence, operation);
+        self.snapshot = snapshot_of(&self.state);
+    }
+
+    fn shard_map(&self) -> shard_map::ShardMap {
+        let placement = self.snapshot.placements.get(SERVICE);
+        placement
+            .map(|placement| placement.1.clone())
+            .unwrap_or_default()
+    }
+
+    /// How many keys the first `count` back ends hold.
+    fn keys_held_by_first(&self, count: usize) -> u32 {
+        let shard_map = self.shard_map();
+        let is_one = |holder: &str| holder < name(count).as_str();
+        let held = shard_map
+            .iter()
+            .filter(|range| range.holder.as_deref().is_some_and(is_one));
+        held.map(|range| (range.last_key - range.first_key) as u32 + 1)
+            .sum()
+    }
+}
+
+fn snapshot_of(state: &ClusterState) -> StateSnapshot {
+    StateSnapshot::default().updated(true, state.position, state.full_deltas())
+}
+
+fn node_registered(at: usize) -> ClusterReport {
+    ClusterReport::NodeRegistered {
+        node: format!("n{at}"),
+        zone: "z".into(),
+        address: format!("n{at}"),
+        incarnation: 1,
+        replaces: 0,
+    }
+}
+
+fn backend_joined(at: usize) -> ClusterReport {
+    let backend = BackendRecord {
+        service: SERVICE.into(),
+        zone: "z".into(),
+        node: format!("n{at}"),
+        slots: SLOTS,
+        phase: BackendPhase::Registered,
+        changed_at: 0,
+    };
+    ClusterReport::BackendJoined {
+        name: name(at),
+        backend,
+    }
+}
+
+struct Simulation {
+    scenario: Scenario,
+    random: StdRng,
+    cluster: Cluster,
+    backends: Vec<SimulatedBackend>,
+    /// By time and the number of the request.
+    completions: BTreeMap<(Microseconds, u64), Completion>,
+    started: u64,
+    /// Requests that are due to start, with the part of one that is not due yet.
+    due_requests: f64,
+    load_reports: LoadReports,
+    ejections: EjectionPolicy,
+    /// Reports of released ranges, and when each is sent.
+    releases: Vec<(Microseconds, ClusterReport)>,
+    placed_at: Microseconds,
+    observed: Observed,
+}
+
+fn simulate(scenario: Scenario) -> Observed {
+    let mut simulation = Simulation {
+        scenario,
+        random: StdRng::seed_from_u64(41),
+        cluster: Cluster::new(),
+        backends: (0..BACKENDS).map(|_| SimulatedBackend::default()).collect(),
+        completions: BTreeMap::new(),
+        started: 0,
+        due_requests: 0.0,
+        load_reports: LoadReports::default(),
+        ejections: EjectionPolicy::default(),
+        releases: Vec::new(),
+        placed_at: 0,
+        observed: Observed::default(),
+    };
+    for now in (1..scenario.duration / STEP).map(|step| step * STEP) {
+        simulation.step(now);
+    }
+    eprintln!("{:?}", simulation.observed);
+    simulation.observed
+}
+
+impl Simulation {
+    fn step(&mut self, now: Microseconds) {
+        self.complete_runs(now);
+        self.start_requests(now);
+        if now.is_multiple_of(CHECK_INTERVAL) {
+            for at in 0..BACKENDS {
+                self.report_load(now, at);
+            }
+            self.release_ranges(now);
+            self.place_keys(now);
+            self.note_recovery(now);
+        }
+    }
+
+    fn complete_runs(&mut self, now: Microseconds) {
+        while let Some(first) = self
+            .completions
+            .first_entry()
+            .filter(|end| end.key().0 <= now)
+        {
+            let (at, _) = *first.key();
+            let completion = first.remove();
+            let backend = &mut self.backends[completion.backend];
+            backend
+                .outliers
+                .run_ended(at, completion.run_id, completion.result);
+            if let Some(run_time) = completion.run_time {
+                backend.queue.record_run(run_time);
+            }
+            backend.outliers.check_overdue(at, backend.queue.mean_run());
+        }
+    }
+
+    fn start_requests(&mut self, now: Microseconds) {
+        self.due_requests += REQUESTS_PER_SECOND / (SECOND / STEP) as f64;
+        while self.due_requests >= 1.0 && self.cluster.snapshot.placements.contains_key(SERVICE) {
+            self.due_requests -= 1.0;
+            self.start_request(now);
+        }
+    }
+
+    fn start_request(&mut self, now: Microseconds) {
+        self.observed.requests += 1;
+        let key: u16 = self.random.random();
+        let shard_map = &self.cluster.snapshot.placements[SERVICE].1;
+        let Some(range) = shard_map::range_of(shard_map, key) else {
+            return;
+        };
+        let holder = (0..BACKENDS)
+            .find(|at| range.holder.as_ref() == Some(&name(*at)))
+            .filter(|_| range.pending_releases.is_empty());
+        let free = holder.filter(|at| self.backends[*at].outliers.running() < 2 * SLOTS as usize);
+        let Some(at) = free else {
+            self.observed.rejected_in_transit += 1;
+            return;
+        };
+        let (result, run_time) = self.draw_run(now, at);
+        self.started += 1;
+        let backend = &mut self.backends[at];
+        backend.demand.record(now, key);
+        let run_id = backend.outliers.run_started(now);
+        backend
+            .outliers
+            .check_overdue(now, backend.queue.mean_run());
+        let answered = result != RunResult::Inconclusive;
+        let completion = Completion {
+            backend: at,
+            run_id,
+            result,
+            run_time: answered.then_some(run_time),
+        };
+        self.completions
+            .insert((now + run_time, self.started), completion);
+    }
+
+    /// The result of a run that starts now, and how long it takes.
+    fn draw_run(&mut self, now: Microseconds, at: usize) -> (RunResult, Microseconds) {
+        let Outage {
+            backends,
+            from,
+            until,
+            failure_share,
+        } = self.scenario.outage;
+        let fails =
+            at < backends && (from..until).contains(&now) && self.random.random_bool(failure_share);
+        let run_time = (-MEAN_RUN_TIME * (1.0 - self.random.random::<f64>()).ln()) as Microseconds;
+        self.observed.failed += fails as u32;
+        match (fails, self.scenario.hang) {
+            (true, true) => (RunResult::Inconclusive, REQUEST_TIMEOUT),
+            (true, false) => (RunResult::Failure, FAST_FAILURE_TIME),
+            _ if self.random.random_bool(HEALTHY_FAILURE_SHARE) => (RunResult::Failure, run_time),
+            _ => (RunResult::Success, run_time.min(REQUEST_TIMEOUT)),
+        }
+    }
+
+    fn report_load(&mut self, now: Microseconds, at: usize) {
+        let Outage {
+            backends,
+            from,
+            until,
+            ..
+        } = self.scenario.outage;
+        let in_outage = at < backends && now > from && now < until + 2 * SECOND;
+        let backend = &mut self.backends[at];
+        let unhealthy = backend.outliers.is_ejected();
+        self.observed.false_positives += (unhealthy && !backend.was_unhealthy && !in_outage) as u32;
+        backend.was_unhealthy = unhealthy;
+        let interval = if unhealthy {
+            UNHEALTHY_LOAD_REPORT_INTERVAL
+        } else {
+            LOAD_REPORT_INTERVAL
+        };
+        if now < backend.reported_at + interval {
+            return;
+        }
+        let own: Vec<(u16, u16)> = self
+            .cluster
+            .shard_map()
+            .iter()
+            .filter(|range| range.holder == Some(name(at)))
+            .map(|range| (range.first_key, range.last_key))
+            .collect();
+        let (demand, demand_samples) = backend.demand.report(now, &own, MAX_REPORTED_RANGES);
+        let (mean_run_time, run_count) = backend.queue.mean_run();
+        let report = LoadReport {
+            service: SERVICE.into(),
+            backend: name(at),
+            slots: SLOTS,
+            mean_run_time,
+            run_count,
+            demand,
+            demand_samples,
+            unhealthy: unhealthy && self.scenario.outlier_detection,
+        };
+        backend.reported_at = now;
+        self.load_reports.record(now, report);
+    }
+
+    fn release_ranges(&mut self, now: Microseconds) {
+        let all = mem::take(&mut self.releases);
+        let (due, waiting) = all.into_iter().partition(|(at, _)| now >= *at);
+        self.releases = waiting;
+        for (_, report) in due {
+            self.cluster.apply(report);
+        }
+    }
+
+    fn place_keys(&mut self, now: Microseconds) {
+        let ejected = self.ejections.ejected(now, &self.load_reports, BACKENDS);
+        let since_last = Some(now.saturating_sub(self.placed_at));
+        let snapshot = &self.cluster.snapshot;
+        let planned = plan_placement(snapshot, SERVICE, &self.load_reports, &ejected, since_last);
+        let Some(planned) = planned else { return };
+        self.cluster.apply(ClusterReport::ShardsReassigned {
+            service: SERVICE.into(),
+            base_placement: planned.base_placement,
+            ranges: planned.placement,
+        });
+        self.placed_at = now;
+        self.schedule_releases(now);
+    }
+
+    /// The earlier holders of ranges that have just moved release them after a while.
+    fn schedule_releases(&mut self, now: Microseconds) {
+        let position = self.cluster.snapshot.position;
+        let shard_map = self.cluster.shard_map();
+        for range in shard_map
+            .iter()
+            .filter(|range| range.fencing_token == position)
+        {
+            for (earlier, _) in &range.pending_releases {
+                self.observed.moved_keys += (range.last_key - range.first_key) as u32 + 1;
+                let report = ClusterReport::ShardsReleased {
+                    service: SERVICE.into(),
+                    name: earlier.clone(),
+                    known_through: position,
+                    ranges: vec![(range.first_key, range.last_key, "t".to_string())],
+                };
+                self.releases.push((now + HANDOVER_DELAY, report));
+            }
+        }
+    }
+
+    fn note_recovery(&mut self, now: Microseconds) {
+        let Outage { backends, from, .. } = self.scenario.outage;
+        if now <= from || self.observed.recovery_time.is_some() || backends == 0 {
+            return;
+        }
+        let third = 65_536 / BACKENDS as u32 * backends as u32 / 3;
+        if self.cluster.keys_held_by_first(backends) < third {
+            self.observed.recovery_time = Some(now - from);
+        }
+    }
+}
+
+const HANGING: Scenario = Scenario {
+    outage: Outage {
+        backends: 3,
+        from: 8 * SECOND,
+        until: 16 * SECOND,
+        failure_share: 0.45,
+    },
+    hang: true,
+    outlier_detection: true,
+    duration: 24 * SECOND,
+};
+
+fn without_detection(scenario: Scenario) -> Observed {
+    simulate(Scenario {
+        outlier_detection: false,
+        ..scenario
+    })
+}
+
+#[test]
+fn keys_leave_a_back_end_that_lets_runs_hang_and_most_failures_are_avoided() {
+    let (with, without) = (simulate(HANGING), without_detection(HANGING));
+    assert!(
+        with.recovery_time.is_some_and(|time| time <= 3 * SECOND),
+        "{with:?}"
+    );
+    assert!(without.recovery_time.is_none(), "{without:?}");
+    assert!(with.cost() * 2 < without.cost(), "{with:?} {without:?}");
+    assert_eq!(with.false_positives, 0);
+}
+
+#[test]
+fn keys_leave_a_back_end_that_fails_at_once_though_it_looks_fast() {
+    let scenario = Scenario {
+        hang: false,
+        ..HANGING
+    };
+    let (with, without) = (simulate(scenario), without_detection(scenario));
+    assert!(
+        with.recovery_time.is_some_and(|time| time <= 3 * SECOND),
+        "{with:?}"
+    );
+    assert!(with.cost() * 2 < without.cost(), "{with:?} {without:?}");
+}
+
+#[test]
+fn while_all_are_healthy_none_is_ejected_and_keys_stay() {
+    let outage = Outage {
+        backends: 0,
+        from: 0,
+        until: 0,
+        failure_share: 0.0,
+    };
+    let calm = Scenario {
+        outage,
+        duration: 40 * SECOND,
+        ..HANGING
+    };
+    let (with, without) = (simulate(calm), without_detection(calm));
+    assert_eq!(
+        (with.false_positives, with.moved_keys),
+        (0, without.moved_keys)
+    );
+}
+
+#[test]
+fn while_all_are_unhealthy_the_cause_is_elsewhere_and_no_key_moves_for_it() {
+    let outage = Outage {
+        backends: BACKENDS,
+        from: 8 * SECOND,
+        until: 16 * SECOND,
+        failure_share: 0.5,
+    };
+    let all = Scenario {
+        outage,
+        hang: false,
+        ..HANGING
+    };
+    let (with, without) = (simulate(all), without_detection(all));
+    assert!(
+        with.moved_keys <= without.moved_keys + 6_554,
+        "{with:?} {without:?}"
+    );
+}
--- a/crates/endpoints/tests/scene/mod.rs
+++ b/crates/endpoints/tests/harness/mod.rs
@@ -13,7 +13,7 @@
 
 /// A log that orders what it is told and shows its node all of it at once.
 pub struct Scene {
-    pub troupe: endpoints::LeaseTableHandle,
+    pub lease_table: endpoints::LeaseTableHandle,
     pub heard: tokio::sync::watch::Receiver<Vec<Heard>>,
     /// Whether the log answers.
     pub answers: tokio::sync::watch::Sender<bool>,
@@ -210,7 +210,7 @@
         header_names: http_util::headers::DEFAULT_HEADER_NAMES,
         extra_runs: 0,
     });
-    let troupe = endpoints::LeaseTableHandle::start(
+    let lease_table = endpoints::LeaseTableHandle::start(
         env,
         following,
         pit.clone(),
@@ -218,7 +218,7 @@
         model::logging::discard_logger(),
     );
     Scene {
-        troupe,
+        lease_table,
         heard,
         answers,
         process,
@@ -242,8 +242,8 @@
             released_ranges: Vec::new(),
         };
         assert_eq!(
-            self.troupe.heartbeat(beat).await,
-            Some(None),
+            self.lease_table.heartbeat(beat).await,
+            Ok(None),
             "nothing can be granted"
         );
     }
--- a/crates/endpoints/tests/desk.rs
+++ b/crates/endpoints/tests/lease_table.rs
@@ -1,9 +1,9 @@
 //! The owner of the back end beside a node, over a log of one seat in this process (design 11.2, 11.5).
 
-mod scene;
+mod harness;
 
+use harness::{BEAT, BOUND, MOST, all, joined, scene, scene_with};
 use model::cluster_state::ClusterReport;
-use scene::{BEAT, BOUND, MOST, all, joined, scene, scene_with};
 
 fn ends(report: &ClusterReport, who: &str) -> bool {
     matches!(report, ClusterReport::BackendEnded { name, .. } if name == who)
@@ -106,7 +106,7 @@
         })
         .await;
     scene
-        .troupe
+        .lease_table
         .deregister("a".into())
         .await
         .expect("the owner is there");
--- a/crates/endpoints/tests/unproved.rs
+++ b/crates/endpoints/tests/unverified_state.rs
@@ -276,7 +276,7 @@
     };
     assert_eq!(
         soon("an answer", scene.node.lease_table.heartbeat(beat)).await,
-        Some(None),
+        Ok(None),
         "nothing can be granted"
     );
     let cue = transport::ForwardedRequest {
--- a/crates/simulator/src/hollow/node.rs
+++ b/crates/simulator/src/hollow/node.rs
@@ -278,7 +278,7 @@
                 .map(|(from, to)| (from, to, format!("t{sequence}")))
                 .collect(),
         };
-        if let Some(Some((rows, _))) = troupe.heartbeat(beat).await {
+        if let Ok(Some((rows, _))) = troupe.heartbeat(beat).await {
             let kept: Rows = rows
                 .into_iter()
                 .map(|(from, to, fence, _)| (from, to, fence))
--- a/crates/simulator/tests/rolled/back_end.rs
+++ b/crates/simulator/tests/rolled/back_end.rs
@@ -35,7 +35,7 @@
             released_ranges: Vec::new(),
         };
         if let Some(troupe) = beside
-            && let Some((rows, _)) = troupe.heartbeat(beat).await.flatten()
+            && let Some((rows, _)) = troupe.heartbeat(beat).await.ok().flatten()
         {
             held = rows
                 .into_iter()
