--- a/crates/endpoints/tests/harness/mod.rs
+++ b/crates/endpoints/tests/harness/mod.rs
@@ -1,28 +1,42 @@
-//! A log of one seat in this process, and the owner of the back end beside a node over it.
+//! A log of one replica in this process, and the lease table of a node over it.
 
-use model::cluster_state::{BackendRecord, ClusterOperation, ClusterReport, Service};
-use model::{BackendPhase, Microseconds};
+use control::{
+    FollowerHandle, SharedVerifiedState, StatusReporter, StatusReporterConfig, VerifiedState,
+    discovery,
+};
+use endpoints::{Heartbeat, LeaseConfig, LeaseTableConfig, LeaseTableHandle};
+use http_util::headers::DEFAULT_HEADER_NAMES;
+use inbound::{ConcurrencyLimiter, ConcurrencyLimiterConfig};
+use model::cluster_state::items::ItemPut;
+use model::cluster_state::{
+    BackendRecord, ClusterOperation, ClusterReport, ItemBody, ItemCall, Service, StateSnapshot,
+};
+use model::logging::discard_logger;
+use model::{BackendPhase, ClusterState, Microseconds, Operation};
 use std::sync::Arc;
 use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::sync::watch;
+use transport::{Frame, Handshake, KnownReplica, Purpose};
 
-pub const BEAT: Microseconds = 40_000;
-pub const MOST: Microseconds = 1_200_000;
-pub const BOUND: Duration = Duration::from_secs(30);
+pub const HEARTBEAT_INTERVAL: Microseconds = 40_000;
+pub const MAX_LEASE: Microseconds = 1_200_000;
+pub const TIMEOUT: Duration = Duration::from_secs(30);
 
-pub type Heard = (Microseconds, ClusterReport);
+pub type ReceivedReport = (Microseconds, ClusterReport);
 
-/// A log that orders what it is told and shows its node all of it at once.
-pub struct Scene {
-    pub lease_table: endpoints::LeaseTableHandle,
-    pub heard: tokio::sync::watch::Receiver<Vec<Heard>>,
+/// A log that applies each report that it gets and shows its node all of its state at once.
+pub struct Harness {
+    pub lease_table: LeaseTableHandle,
+    pub heard: watch::Receiver<Vec<ReceivedReport>>,
     /// Whether the log answers.
-    pub answers: tokio::sync::watch::Sender<bool>,
-    /// Takes conns and says nothing: a process that lives.
-    pub process: tokio::net::TcpListener,
-    pub pit: inbound::ConcurrencyLimiter,
+    pub answers: watch::Sender<bool>,
+    /// Accepts connections and sends nothing: a process that lives.
+    pub process: TcpListener,
+    pub limiter: ConcurrencyLimiter,
 }
 
-pub fn player(node: &str) -> BackendRecord {
+pub fn backend_record(node: &str) -> BackendRecord {
     BackendRecord {
         service: "seat".into(),
         zone: "z0".into(),
@@ -36,7 +50,7 @@
 pub fn joined(name: &str, node: &str) -> ClusterReport {
     ClusterReport::BackendJoined {
         name: name.into(),
-        backend: player(node),
+        backend: backend_record(node),
     }
 }
 
@@ -48,9 +62,9 @@
     }
 }
 
-fn greets(address: &str) -> transport::Handshake {
-    transport::Handshake {
-        purpose: transport::Purpose::Subscribe,
+fn handshake(address: &str) -> Handshake {
+    Handshake {
+        purpose: Purpose::Subscribe,
         node_name: "n0".into(),
         zone: "z0".into(),
         address: address.into(),
@@ -62,71 +76,65 @@
     }
 }
 
-pub async fn scene(keyed: bool, before: Vec<ClusterReport>) -> Scene {
-    scene_with(BEAT, keyed, before).await
+pub async fn start_harness(keyed: bool, before: Vec<ClusterReport>) -> Harness {
+    start_harness_with(HEARTBEAT_INTERVAL, keyed, before).await
 }
 
-pub async fn scene_with(
-    beat_every: Microseconds,
+pub async fn start_harness_with(
+    heartbeat_interval: Microseconds,
     keyed: bool,
     before: Vec<ClusterReport>,
-) -> Scene {
-    let mut bill = model::ClusterState::default();
-    let body = model::cluster_state::ItemBody::Service(Service {
+) -> Harness {
+    let mut state = ClusterState::default();
+    let body = ItemBody::Service(Service {
         health_path: String::new(),
         max_connections: 0,
         keyed,
         slow_start_us: 0,
     });
-    let put = model::cluster_state::items::ItemPut {
+    let put = ItemPut {
         name: "seat".into(),
         version: 1,
         body,
         text: String::new(),
     };
-    bill.apply(
+    state.apply(
         "operator",
         1,
         0,
-        ClusterOperation::Items(model::cluster_state::ItemCall {
+        ClusterOperation::Items(ItemCall {
             puts: vec![put],
             drops: Vec::new(),
         }),
     );
     before.into_iter().zip(1..).for_each(|(report, sequence)| {
-        drop(bill.apply(
+        drop(state.apply(
             "earlier",
             1,
             sequence,
             ClusterOperation::Reports(vec![report]),
         ))
     });
-    let (moved, watch) = tokio::sync::watch::channel(0);
-    let following = control::FollowerHandle {
+    let (moved, watch) = watch::channel(0);
+    let follower = FollowerHandle {
         verified_state: Default::default(),
         changes: watch,
     };
-    // A proof there was, so that reports are told, and long ago, so that nothing is granted.
-    let show = |bill: &model::ClusterState, outlook: &control::SharedVerifiedState| {
-        let programme = model::cluster_state::StateSnapshot::default().updated(
-            true,
-            bill.position,
-            bill.full_deltas(),
-        );
-        outlook.store(Arc::new(control::VerifiedState {
-            snapshot: Arc::new(programme),
+    // There was a proof, so reports are sent, and it was long ago, so nothing is granted.
+    let show = |state: &ClusterState, verified_state: &SharedVerifiedState| {
+        let snapshot = StateSnapshot::default().updated(true, state.position, state.full_deltas());
+        verified_state.store(Arc::new(VerifiedState {
+            snapshot: Arc::new(snapshot),
             verified_at: 1,
         }));
     };
-    show(&bill, &following.verified_state);
-    let log = tokio::net::TcpListener::bind("127.0.0.1:0")
-        .await
-        .expect("a port");
+    show(&state, &follower.verified_state);
+    let log = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = log.local_addr().expect("an address").to_string();
-    let known = control::discovery::empty();
-    control::discovery::merge(
+    let known = discovery::empty();
+    discovery::merge(
         &known,
-        vec![transport::KnownReplica {
+        vec![KnownReplica {
             replica_id: 0,
             disk_id: 1,
             address: address.clone(),
@@ -134,21 +142,20 @@
             start_count: 1,
         }],
     );
-    let (told, heard) = tokio::sync::watch::channel(Vec::new());
-    let outlook = following.verified_state.clone();
-    let (answers, mut answering) = tokio::sync::watch::channel(true);
+    let (told, heard) = watch::channel(Vec::new());
+    let verified_state = follower.verified_state.clone();
+    let (answers, mut answering) = watch::channel(true);
     tokio::spawn(async move {
         while let Ok((stream, _)) = log.accept().await {
-            let own = greets(&address);
-            let Ok(mut conn) = transport::accept(stream, |_| async { Ok(own) }).await else {
+            let own = handshake(&address);
+            let Ok(mut connection) = transport::accept(stream, |_| async { Ok(own) }).await else {
                 continue;
             };
-            while let Some(frame) = conn.receiver.recv().await {
-                let transport::Frame::ForwardEntry { number, entry } = frame else {
+            while let Some(frame) = connection.receiver.recv().await {
+                let Frame::ForwardEntry { number, entry } = frame else {
                     continue;
                 };
-                let model::Operation::ClusterState(ClusterOperation::Reports(reports)) =
-                    entry.operation
+                let Operation::ClusterState(ClusterOperation::Reports(reports)) = entry.operation
                 else {
                     continue;
                 };
@@ -156,7 +163,7 @@
                     told.extend(reports.iter().map(|report| (model::now(), report.clone())))
                 });
                 drop(answering.wait_for(|answers| *answers).await);
-                let outcome = bill
+                let outcome = state
                     .apply(
                         &entry.origin,
                         entry.incarnation,
@@ -164,11 +171,12 @@
                         ClusterOperation::Reports(reports),
                     )
                     .0;
-                show(&bill, &outlook);
+                show(&state, &verified_state);
                 moved.send_modify(|moved| *moved += 1);
                 drop(
-                    conn.sender
-                        .send(transport::Frame::EntryOutcome {
+                    connection
+                        .sender
+                        .send(Frame::EntryOutcome {
                             number,
                             outcome: Some(outcome),
                         })
@@ -177,60 +185,53 @@
             }
         }
     });
-    let process = tokio::net::TcpListener::bind("127.0.0.1:0")
-        .await
-        .expect("a port");
-    let keys = endpoints::LeaseConfig {
+    let process = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let keys = LeaseConfig {
         proof_validity: 1_000_000,
         clock_guard: 0,
-        max_duration: MOST,
+        max_duration: MAX_LEASE,
     };
     let back_end = process
         .local_addr()
         .ok()
         .map(|address| address.to_string())
-        .filter(|_| beat_every != BEAT);
-    let env = endpoints::LeaseTableConfig {
+        .filter(|_| heartbeat_interval != HEARTBEAT_INTERVAL);
+    let config = LeaseTableConfig {
         node: "n0".into(),
         zone: "z0".into(),
         address: "n0".into(),
         incarnation: 1,
         leases: keys,
-        heartbeat_interval: beat_every,
+        heartbeat_interval,
         backend_address: back_end,
         drain_timeout: 1_000_000,
     };
-    let reporting = control::StatusReporterConfig {
+    let reporting = StatusReporterConfig {
         node: "n0".into(),
         incarnation: 1,
-        logger: model::logging::discard_logger(),
+        logger: discard_logger(),
     };
-    let reports = control::StatusReporter::start(reporting, known, || greets("127.0.0.1:0"));
-    let pit = inbound::ConcurrencyLimiter::start(inbound::ConcurrencyLimiterConfig {
-        header_names: http_util::headers::DEFAULT_HEADER_NAMES,
+    let reports = StatusReporter::start(reporting, known, || handshake("127.0.0.1:0"));
+    let limiter = ConcurrencyLimiter::start(ConcurrencyLimiterConfig {
+        header_names: DEFAULT_HEADER_NAMES,
         extra_runs: 0,
     });
-    let lease_table = endpoints::LeaseTableHandle::start(
-        env,
-        following,
-        pit.clone(),
-        reports,
-        model::logging::discard_logger(),
-    );
-    Scene {
+    let lease_table =
+        LeaseTableHandle::start(config, follower, limiter.clone(), reports, discard_logger());
+    Harness {
         lease_table,
         heard,
         answers,
         process,
-        pit,
+        limiter,
     }
 }
 
-impl Scene {
-    pub async fn beat(&self, name: &str, sequence: u64, holds: Vec<(u16, u16, u64)>) {
+impl Harness {
+    pub async fn heartbeat(&self, name: &str, sequence: u64, holds: Vec<(u16, u16, u64)>) {
         let address = self.process.local_addr().expect("an address").to_string();
         let (name, service, zone) = (name.to_string(), "seat".to_string(), "z0".to_string());
-        let beat = endpoints::Heartbeat {
+        let heartbeat = Heartbeat {
             name,
             service,
             address,
@@ -242,17 +243,23 @@
             released_ranges: Vec::new(),
         };
         assert_eq!(
-            self.lease_table.heartbeat(beat).await,
+            self.lease_table.heartbeat(heartbeat).await,
             Ok(None),
             "nothing can be granted"
         );
     }
 
     /// The first report that fits, and when it was heard.
-    pub async fn hears(&mut self, what: &str, fits: impl Fn(&ClusterReport) -> bool) -> Heard {
-        let found = |heard: &Vec<Heard>| heard.iter().find(|(_, report)| fits(report)).cloned();
+    pub async fn wait_for_report(
+        &mut self,
+        what: &str,
+        fits: impl Fn(&ClusterReport) -> bool,
+    ) -> ReceivedReport {
+        let found =
+            |heard: &Vec<ReceivedReport>| heard.iter().find(|(_, report)| fits(report)).cloned();
         let waited =
-            tokio::time::timeout(BOUND, self.heard.wait_for(|heard| found(heard).is_some())).await;
+            tokio::time::timeout(TIMEOUT, self.heard.wait_for(|heard| found(heard).is_some()))
+                .await;
         let heard = waited
             .unwrap_or_else(|_| panic!("it was never told: {what}"))
             .expect("the log is there");
--- a/crates/endpoints/tests/lease_granter.rs
+++ b/crates/endpoints/tests/lease_granter.rs
@@ -1,8 +1,7 @@
 //! Leases that a back end is granted, against earlier holders and slow clocks (design section 11.5).
 
 use endpoints::{LeaseConfig, LeaseGranter};
-use model::cluster_state::shard_map;
-use model::cluster_state::{ShardKey, ShardMap};
+use model::cluster_state::{ShardKey, ShardMap, shard_map};
 
 const CONFIG: LeaseConfig = LeaseConfig {
     proof_validity: 9_000_000,
--- a/crates/endpoints/tests/shutdown.rs
+++ b/crates/endpoints/tests/shutdown.rs
@@ -1,15 +1,22 @@
-//! A node that is told to go (design 13.7).
+//! A node that is told to stop (design section 13.7).
 
+use control::VerifiedState;
+use endpoints::{LeaseConfig, LeaseTableConfig, Node, NodeConfig};
+use http_util::headers::DEFAULT_HEADER_NAMES;
 use model::cluster_state::{Delta, ItemBody, ItemKind, Route, StateSnapshot};
+use model::logging::discard_logger;
+use outbound::SelectorConfig;
+use std::io;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
+use tokio::net::{TcpListener, TcpStream};
 
-const BOUND: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 const DAY: Duration = Duration::from_secs(86_400);
 
-async fn node() -> (endpoints::Node, String) {
-    let keys = endpoints::LeaseConfig {
+async fn node() -> (Node, String) {
+    let keys = LeaseConfig {
         proof_validity: 9_000_000,
         clock_guard: 200_000,
         max_duration: 10_000_000,
@@ -19,8 +26,8 @@
         "z0".to_string(),
         "127.0.0.1:1".to_string(),
     );
-    let env = endpoints::NodeConfig {
-        lease_table: endpoints::LeaseTableConfig {
+    let config = NodeConfig {
+        lease_table: LeaseTableConfig {
             node: own.0,
             zone: own.1,
             address: own.2,
@@ -32,8 +39,8 @@
         },
         service: "seat".into(),
         seeds: Vec::new(),
-        header_names: http_util::headers::DEFAULT_HEADER_NAMES,
-        selection: outbound::SelectorConfig {
+        header_names: DEFAULT_HEADER_NAMES,
+        selection: SelectorConfig {
             zone_crossing_cost: 15_000,
             retry_deposit: 8,
         },
@@ -42,14 +49,10 @@
         monitor_interval: 500_000,
         monitor_timeout: 3_000_000,
     };
-    let bind = async || {
-        tokio::net::TcpListener::bind("127.0.0.1:0")
-            .await
-            .expect("a port")
-    };
-    let node = endpoints::Node::start(env, bind().await, model::logging::discard_logger());
+    let bind = async || TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let node = Node::start(config, bind().await, discard_logger());
     let shares = vec![("seat".to_string(), 1)];
-    let lane = Route {
+    let route = Route {
         host: "h".into(),
         prefix: "/a/".into(),
         idempotent: true,
@@ -59,46 +62,44 @@
         dispatches: 1,
         shares,
     };
-    let programme = StateSnapshot::default().updated(
+    let snapshot = StateSnapshot::default().updated(
         true,
         1,
         vec![Delta::Item(
             ItemKind::Route,
             "a".into(),
             1,
-            Some(ItemBody::Route(lane)),
+            Some(ItemBody::Route(route)),
         )],
     );
-    node.follower
-        .verified_state
-        .store(Arc::new(control::VerifiedState {
-            snapshot: Arc::new(programme),
-            verified_at: 1,
-        }));
-    let senders = bind().await;
-    let address = senders.local_addr().expect("an address").to_string();
-    node.serve(senders);
+    node.follower.verified_state.store(Arc::new(VerifiedState {
+        snapshot: Arc::new(snapshot),
+        verified_at: 1,
+    }));
+    let clients = bind().await;
+    let address = clients.local_addr().expect("an address").to_string();
+    node.serve(clients);
     (node, address)
 }
 
-/// The status of a new conn's first answer.
-async fn ask(address: &str) -> std::io::Result<String> {
-    let mut conn = tokio::net::TcpStream::connect(address).await?;
+/// The status of a new connectionection's first answer.
+async fn ask(address: &str) -> io::Result<String> {
+    let mut connection = TcpStream::connect(address).await?;
     let request = format!(
         "GET /b/ HTTP/1.1\r\nhost: h\r\n{}: t1\r\nconnection: close\r\n\r\n",
-        http_util::headers::DEFAULT_HEADER_NAMES.attempt_id
+        DEFAULT_HEADER_NAMES.attempt_id
     );
-    conn.write_all(request.as_bytes()).await?;
+    connection.write_all(request.as_bytes()).await?;
     let mut answer = String::new();
-    conn.read_to_string(&mut answer).await?;
+    connection.read_to_string(&mut answer).await?;
     Ok(answer.lines().next().unwrap_or_default().to_string())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_told_to_go_is_not_ready_and_serves_until_its_senders_know() {
+async fn a_node_told_to_stop_is_not_ready_and_serves_until_its_clients_know() {
     let (node, address) = node().await;
     assert!(node.is_ready());
-    // No lane begins there: an answer of its own, which it gives as long as it serves.
+    // No route begins there: the node itself answers, as it does as long as it serves.
     let answered = async {
         let first = ask(&address).await;
         let ready = node.is_ready();
@@ -109,18 +110,18 @@
         )
     };
     let served = async {
-        tokio::select! { biased; () = node.shut_down(DAY, BOUND) => None, answered = answered => Some(answered) }
+        tokio::select! { biased; () = node.shut_down(DAY, TIMEOUT) => None, answered = answered => Some(answered) }
     };
-    let (first, ready, second) = tokio::time::timeout(BOUND, served)
+    let (first, ready, second) = tokio::time::timeout(TIMEOUT, served)
         .await
         .expect("an answer")
         .expect("it has not gone yet");
-    assert!(!ready, "whoever asks is told to send no more");
+    assert!(!ready, "clients are told to send no more requests");
     assert!(
         first.contains("404") && second.contains("404"),
         "{first:?} {second:?}"
     );
-    tokio::time::timeout(BOUND, node.shut_down(Duration::ZERO, BOUND))
+    tokio::time::timeout(TIMEOUT, node.shut_down(Duration::ZERO, TIMEOUT))
         .await
         .expect("nothing is under way");
     assert!(ask(&address).await.is_err(), "nobody is left to answer");
--- a/crates/endpoints/tests/unverified_state.rs
+++ b/crates/endpoints/tests/unverified_state.rs
@@ -1,16 +1,26 @@
-//! A node that has just begun, before its first proof: it says so at once and runs nothing on what it was told
-//! (design 11.6).
+//! A node that has just started, before its first proof: it refuses requests at once and acts on nothing unverified
+//! (design section 11.6).
 
-use model::Cause;
+use control::discovery;
+use control::publisher::UpdatePublisher;
+use endpoints::{Heartbeat, LeaseConfig, LeaseTableConfig, Node, NodeConfig};
+use http_util::headers::DEFAULT_HEADER_NAMES;
+use model::cluster_state::items::ItemPut;
 use model::cluster_state::{ClusterOperation, ItemBody, ItemCall, Limits, Route, Service};
+use model::logging::discard_logger;
+use model::{Cause, Outcome};
+use outbound::SelectorConfig;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::watch;
+use transport::{ForwardedRequest, Frame, Handshake, KnownReplica, Purpose};
 
-const BOUND: Duration = Duration::from_secs(60);
+const TIMEOUT: Duration = Duration::from_secs(60);
 
-fn greets(purpose: transport::Purpose) -> transport::Handshake {
+fn handshake(purpose: Purpose) -> Handshake {
     let (name, zone, address) = ("core-0".to_string(), "z0".to_string(), String::new());
-    transport::Handshake {
+    Handshake {
         purpose,
         node_name: name,
         zone,
@@ -23,15 +33,15 @@
     }
 }
 
-fn env(address: &str) -> endpoints::NodeConfig {
-    let keys = endpoints::LeaseConfig {
+fn config(address: &str) -> NodeConfig {
+    let keys = LeaseConfig {
         proof_validity: 9_000_000,
         clock_guard: 200_000,
         max_duration: 10_000_000,
     };
     let (node, zone) = ("n0".to_string(), "z0".to_string());
-    endpoints::NodeConfig {
-        lease_table: endpoints::LeaseTableConfig {
+    NodeConfig {
+        lease_table: LeaseTableConfig {
             node,
             zone,
             address: address.into(),
@@ -43,8 +53,8 @@
         },
         service: "seat".into(),
         seeds: Vec::new(),
-        header_names: http_util::headers::DEFAULT_HEADER_NAMES,
-        selection: outbound::SelectorConfig {
+        header_names: DEFAULT_HEADER_NAMES,
+        selection: SelectorConfig {
             zone_crossing_cost: 0,
             retry_deposit: 8,
         },
@@ -55,16 +65,16 @@
     }
 }
 
-/// A lane, a service divided by key, and limits that take hardly any body.
-fn desk() -> control::publisher::UpdatePublisher {
-    let put = |name: &str, body| model::cluster_state::items::ItemPut {
+/// A route, a service divided by key, and limits that take hardly any body.
+fn publisher() -> UpdatePublisher {
+    let put = |name: &str, body| ItemPut {
         name: name.into(),
         version: 1,
         body,
         text: String::new(),
     };
     let (host, prefix) = ("a.example".to_string(), "/x/".to_string());
-    let lane = Route {
+    let route = Route {
         host,
         prefix,
         idempotent: false,
@@ -88,11 +98,11 @@
     };
     let puts = vec![
         put("seat", ItemBody::Service(service)),
-        put("x", ItemBody::Route(lane)),
+        put("x", ItemBody::Route(route)),
         put("", ItemBody::Limits(limits)),
     ];
-    let mut desk = control::publisher::UpdatePublisher::default();
-    let (outcome, _) = desk.cluster_state.apply(
+    let mut publisher = UpdatePublisher::default();
+    let (outcome, _) = publisher.cluster_state.apply(
         "operator",
         1,
         1,
@@ -101,40 +111,31 @@
             drops: Vec::new(),
         }),
     );
-    assert!(
-        matches!(outcome, model::Outcome::Accepted { .. }),
-        "{outcome:?}"
-    );
-    desk
+    assert!(matches!(outcome, Outcome::Accepted { .. }), "{outcome:?}");
+    publisher
 }
 
-/// A seat that tells what it holds, and proves it only once it may. `held`: what followers last said they hold.
-async fn seat(
-    listener: tokio::net::TcpListener,
-    held: tokio::sync::watch::Sender<u64>,
-    proves: tokio::sync::watch::Receiver<bool>,
-) {
+/// A replica that publishes its state, and proves it only once it may. `held`: what followers last said they hold.
+async fn replica(listener: TcpListener, held: watch::Sender<u64>, proves: watch::Receiver<bool>) {
     while let Ok((stream, _)) = listener.accept().await {
         let (held, proves) = (held.clone(), proves.clone());
         tokio::spawn(async move {
-            let Ok(mut conn) = transport::accept(stream, |_| async {
-                Ok(greets(transport::Purpose::Subscribe))
-            })
-            .await
+            let Ok(mut connection) =
+                transport::accept(stream, |_| async { Ok(handshake(Purpose::Subscribe)) }).await
             else {
                 return;
             };
-            let mut desk = desk();
-            while let Some(frame) = conn.receiver.recv().await {
+            let mut publisher = publisher();
+            while let Some(frame) = connection.receiver.recv().await {
                 match frame {
-                    transport::Frame::FollowClusterState { held: told } => {
+                    Frame::FollowClusterState { held: told } => {
                         held.send_modify(|held| *held = told.max(*held));
-                        desk.add_follower(told, conn.sender.clone());
+                        publisher.add_follower(told, connection.sender.clone());
                     }
-                    transport::Frame::RequestProof { number } if *proves.borrow() => {
-                        desk.request_proof(number, conn.sender.clone());
-                        desk.begin_proof_round(number * 1_000_000, number);
-                        desk.send_proofs(number);
+                    Frame::RequestProof { number } if *proves.borrow() => {
+                        publisher.request_proof(number, connection.sender.clone());
+                        publisher.begin_proof_round(number * 1_000_000, number);
+                        publisher.send_proofs(number);
                     }
                     _ => {}
                 }
@@ -143,10 +144,8 @@
     }
 }
 
-async fn says(address: &str, path: &str, body: usize) -> String {
-    let mut stream = tokio::net::TcpStream::connect(address)
-        .await
-        .expect("a conn");
+async fn post(address: &str, path: &str, body: usize) -> String {
+    let mut stream = TcpStream::connect(address).await.expect("a connection");
     let head = format!(
         "POST {path} HTTP/1.1\r\nhost: a.example\r\nx-gradeford-try: t-1\r\nconnection: close\r\ncontent-length: {body}\r\n\r\n"
     );
@@ -162,39 +161,34 @@
     String::from_utf8_lossy(&heard).to_ascii_lowercase()
 }
 
-async fn soon<T>(what: &str, work: impl Future<Output = T>) -> T {
-    tokio::time::timeout(BOUND, work)
+async fn in_time<T>(what: &str, work: impl Future<Output = T>) -> T {
+    tokio::time::timeout(TIMEOUT, work)
         .await
         .unwrap_or_else(|_| panic!("it never came: {what}"))
 }
 
-struct Scene {
-    node: endpoints::Node,
-    front: String,
-    held: tokio::sync::watch::Receiver<u64>,
-    proves: tokio::sync::watch::Sender<bool>,
+struct Harness {
+    node: Node,
+    client_address: String,
+    held: watch::Receiver<u64>,
+    proves: watch::Sender<bool>,
 }
 
-async fn scene() -> Scene {
+async fn start_harness() -> Harness {
     let bind = async || {
-        let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
-            .await
-            .expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address").to_string();
         (listener, address)
     };
-    let ((core, core_address), (mates, address), (outbound, front)) =
+    let ((core, core_address), (peers, address), (outbound, client_address)) =
         (bind().await, bind().await, bind().await);
-    let ((tell_held, held), (proves, may_prove)) = (
-        tokio::sync::watch::channel(0),
-        tokio::sync::watch::channel(false),
-    );
-    tokio::spawn(seat(core, tell_held, may_prove));
-    let node = endpoints::Node::start(env(&address), mates, model::logging::discard_logger());
+    let ((tell_held, held), (proves, may_prove)) = (watch::channel(0), watch::channel(false));
+    tokio::spawn(replica(core, tell_held, may_prove));
+    let node = Node::start(config(&address), peers, discard_logger());
     node.serve(outbound);
-    control::discovery::merge(
+    discovery::merge(
         &node.known_replicas,
-        vec![transport::KnownReplica {
+        vec![KnownReplica {
             replica_id: 0,
             disk_id: 1,
             address: core_address,
@@ -202,25 +196,25 @@
             start_count: 1,
         }],
     );
-    Scene {
+    Harness {
         node,
-        front,
+        client_address,
         held,
         proves,
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_is_told_and_not_proved_is_not_served_and_whoever_asks_hears_so_at_once() {
-    let mut scene = scene().await;
-    // A second conn that begins with what the first one told: the bill is here, and unproved.
+async fn unverified_state_is_not_served_and_clients_are_refused_at_once() {
+    let mut harness = start_harness().await;
+    // A second connection that begins with what the first one told: the state is here, and unproved.
     drop(
-        soon("what is held", scene.held.wait_for(|held| *held > 0))
+        in_time("what is held", harness.held.wait_for(|held| *held > 0))
             .await
             .expect("a seat"),
     );
     for (path, body) in [("/x/1", 2), ("/nowhere/", 2), ("/x/1", 5_000)] {
-        let heard = soon("an answer", says(&scene.front, path, body)).await;
+        let heard = in_time("an answer", post(&harness.client_address, path, body)).await;
         assert!(
             heard.starts_with("http/1.1 503"),
             "neither 404 nor 413: {heard}"
@@ -230,40 +224,44 @@
             "{heard}"
         );
     }
-    assert!(!scene.node.is_ready());
+    assert!(!harness.node.is_ready());
     assert_eq!(
-        scene.node.follower.verified_state.load().snapshot.position,
+        harness
+            .node
+            .follower
+            .verified_state
+            .load()
+            .snapshot
+            .position,
         0,
-        "nobody in this process sees what is not proved"
+        "nothing in this process sees unverified state"
     );
-    scene.proves.send_replace(true);
-    let mut moved = scene.node.follower.changes.clone();
-    while !scene.node.is_ready() {
-        drop(soon("a proof", moved.changed()).await);
+    harness.proves.send_replace(true);
+    let mut moved = harness.node.follower.changes.clone();
+    while !harness.node.is_ready() {
+        drop(in_time("a proof", moved.changed()).await);
     }
     assert!(
-        soon("an answer", says(&scene.front, "/nowhere/", 2))
+        in_time("an answer", post(&harness.client_address, "/nowhere/", 2))
             .await
             .starts_with("http/1.1 404")
     );
     assert!(
-        soon("an answer", says(&scene.front, "/x/1", 5_000))
+        in_time("an answer", post(&harness.client_address, "/x/1", 5_000))
             .await
             .starts_with("http/1.1 413")
     );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_is_not_served_for_mates_before_it_is_known_who_holds_it() {
-    let scene = scene().await;
-    let process = tokio::net::TcpListener::bind("127.0.0.1:0")
-        .await
-        .expect("a port");
+async fn a_key_is_not_served_for_peers_before_its_holder_is_known() {
+    let harness = start_harness().await;
+    let process = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = process.local_addr().expect("an address").to_string();
     // It was granted all keys before the node began anew; who holds them now nobody here can say.
     let holds = vec![(0, u16::MAX, 1)];
     let (name, service, zone) = ("a".to_string(), "seat".to_string(), "z0".to_string());
-    let beat = endpoints::Heartbeat {
+    let heartbeat = Heartbeat {
         name,
         service,
         address,
@@ -275,11 +273,11 @@
         released_ranges: Vec::new(),
     };
     assert_eq!(
-        soon("an answer", scene.node.lease_table.heartbeat(beat)).await,
+        in_time("an answer", harness.node.lease_table.heartbeat(heartbeat)).await,
         Ok(None),
         "nothing can be granted"
     );
-    let cue = transport::ForwardedRequest {
+    let request = ForwardedRequest {
         backend: "a".into(),
         caller: "seat".into(),
         method: "POST".into(),
@@ -296,12 +294,12 @@
     // Until the owner of the slots has heard of the back end it knows nobody of that name.
     let cause = async {
         loop {
-            let trouble = scene
+            let trouble = harness
                 .node
                 .listener
                 .proxy
                 .limiter
-                .perform(Box::new(cue.clone()))
+                .perform(Box::new(request.clone()))
                 .await
                 .0
                 .expect_err("nobody answers there");
@@ -311,5 +309,5 @@
             tokio::task::yield_now().await;
         }
     };
-    assert_eq!(soon("a refusal", cause).await, Cause::KeyWithoutHolder);
+    assert_eq!(in_time("a refusal", cause).await, Cause::KeyWithoutHolder);
 }
