--- a/crates/endpoints/tests/harness/mod.rs
+++ b/crates/endpoints/tests/harness/mod.rs
@@ -152,7 +152,7 @@
                 continue;
             };
             while let Some(frame) = connection.receiver.recv().await {
-                let Frame::ForwardEntry { number, entry } = frame else {
+                let Frame::ForwardEntry { request_id, entry } = frame else {
                     continue;
                 };
                 let Operation::ClusterState(ClusterOperation::Reports(reports)) = entry.operation
@@ -177,7 +177,7 @@
                     connection
                         .sender
                         .send(Frame::EntryOutcome {
-                            number,
+                            request_id,
                             outcome: Some(outcome),
                         })
                         .await,
--- a/crates/endpoints/tests/unverified_state.rs
+++ b/crates/endpoints/tests/unverified_state.rs
@@ -8,7 +8,7 @@
 use model::cluster_state::items::ItemPut;
 use model::cluster_state::{ClusterOperation, ItemBody, ItemCall, Limits, Route, Service};
 use model::logging::discard_logger;
-use model::{Cause, Outcome};
+use model::{ErrorKind, Outcome};
 use outbound::SelectorConfig;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
@@ -128,11 +128,13 @@
             let mut publisher = publisher();
             while let Some(frame) = connection.receiver.recv().await {
                 match frame {
-                    Frame::FollowClusterState { held: told } => {
+                    Frame::FollowClusterState {
+                        held_position: told,
+                    } => {
                         held.send_modify(|held| *held = told.max(*held));
                         publisher.add_follower(told, connection.sender.clone());
                     }
-                    Frame::RequestProof { number } if *proves.borrow() => {
+                    Frame::RequestProof { request_id: number } if *proves.borrow() => {
                         publisher.request_proof(number, connection.sender.clone());
                         publisher.begin_proof_round(number * 1_000_000, number);
                         publisher.send_proofs(number);
@@ -303,11 +305,14 @@
                 .await
                 .0
                 .expect_err("nobody answers there");
-            if trouble.kind != Cause::WrongIncarnation {
+            if trouble.kind != ErrorKind::WrongIncarnation {
                 return trouble.kind;
             }
             tokio::task::yield_now().await;
         }
     };
-    assert_eq!(in_time("a refusal", cause).await, Cause::KeyWithoutHolder);
+    assert_eq!(
+        in_time("a refusal", cause).await,
+        ErrorKind::KeyWithoutHolder
+    );
 }
