--- a/crates/control/src/peer_link.rs
+++ b/crates/control/src/peer_link.rs
@@ -138,20 +138,9 @@
             core.config.replica_id, core.config.replica_count
         ));
     }
-    let (done, pinned) = tokio::sync::oneshot::channel();
-    let job = storage::StoreCommand::Pin {
-        replica_id: seat,
-        disk_id: identity,
-        done: Box::new(move |held| done.send(held).unwrap_or_default()),
-    };
-    core.store_commands
-        .send(job)
-        .map_err(|_| "the disk's owner is gone".to_string())?;
-    let held = pinned
-        .await
-        .ok()
-        .flatten()
-        .ok_or("the disk cannot keep who holds the seat")?;
+    let pinned = core.store_writer.pin_disk(seat, identity).await;
+    let held =
+        pinned.map_err(|error| format!("the disk cannot keep who holds the seat: {error}"))?;
     if held != identity {
         return Err(format!(
             "seat {seat} belongs to another disk; an emptied disk may not vote as its old self"
@@ -186,7 +175,10 @@
         .chain([own])
         .collect();
     let word = begins
-        .map(|upto| transport::Frame::VotingRange { upto, pins })
+        .map(|upto| transport::Frame::VotingRange {
+            votes_after: upto,
+            pinned_disks: pins,
+        })
         .unwrap_or(transport::Frame::FoundingReplica);
     if conn.sender.send(word).await.is_err() {
         return;
@@ -205,7 +197,10 @@
     while let Ok(Some(frame)) = tokio::time::timeout(patience, conn.receiver.recv()).await {
         let command = match frame {
             transport::Frame::Consensus(frame) => Command::PeerFrame(seat, token, frame),
-            transport::Frame::VotingRange { upto, pins } => Command::Admitted(upto, pins),
+            transport::Frame::VotingRange {
+                votes_after: upto,
+                pinned_disks: pins,
+            } => Command::Admitted(upto, pins),
             transport::Frame::FoundingReplica => Command::FirstHolderConfirmed(seat),
             _ => continue,
         };
