--- /dev/null
+++ b/crates/daemon/src/lib.rs
@@ -0,0 +1,14 @@
+//! What every long-running program does around its own work: settings, logger, runtime, signals,
+//! shutdown and exit code (docs/operators/running.md).
+
+#![deny(missing_docs)]
+
+mod error;
+mod run;
+mod settings;
+mod signals;
+
+pub use error::Error;
+pub use run::{Daemon, run, run_to_end};
+pub use settings::{DaemonSettings, default_log_level, parsed_log_level};
+pub use signals::{Signal, Signals};
--- a/crates/gradeford-core/src/settings.rs
+++ b/crates/gradeford-core/src/settings.rs
@@ -1,136 +1,171 @@
-//! The settings of a core seat (docs/operators/settings.md).
+//! The settings of a core seat (docs/operators/settings.md). Fields are named as operators name
+//! them in the file and by flags; faults name them too.
 
 use std::path::PathBuf;
 
-pub const SETTING_NAMES: &[&str] = &[
-    "name",
-    "zone",
-    "seat",
-    "seats",
-    "mates_address",
-    "operators_address",
-    "advertised_address",
-    "seeds",
-    "folder",
-    "alpha",
-    "tau_us",
-    "beta",
-    "snapshot_every",
-    "replace_after_us",
-    "log_level",
-];
+use control::ReplicaConfig;
+use daemon::DaemonSettings;
+use mencius::Config;
+use serde::Deserialize;
+use validator::{Validate, ValidationError};
 
-#[derive(Clone, Debug, PartialEq, serde::Deserialize, validator::Validate)]
+/// The settings of a core seat.
+#[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
+    /// Name of the process, 1 to 63 bytes.
     #[validate(length(min = 1, max = 63, message = "is 1 to 63 bytes"))]
     pub name: String,
+    /// Zone of the machine, 1 to 63 bytes.
     #[validate(length(min = 1, max = 63, message = "is 1 to 63 bytes"))]
     pub zone: String,
+    /// Which replica this is, from 0 to `seats` - 1.
     #[validate(range(max = 8, message = "is from 0 to seats - 1"))]
     pub seat: u16,
-    #[validate(custom(function = "odd"))]
+    /// How many replicas there are: 1, 3, 5, 7 or 9.
+    #[validate(custom(function = "is_replica_count"))]
     pub seats: u16,
+    /// IP address and port on which peers are accepted.
     #[validate(custom(function = "model::settings::is_address"))]
     pub mates_address: String,
+    /// IP address and port of the operators' HTTP interface.
     #[validate(custom(function = "model::settings::is_address"))]
     pub operators_address: String,
-    /// Where mates find this process, if not where it listens.
+    /// Where peers find this process, if not where it listens.
     #[serde(default)]
     pub advertised_address: Option<String>,
+    /// Peer addresses of replicas, 1 to 9.
     #[validate(
         length(min = 1, max = 9, message = "holds 1 to 9 addresses"),
         custom(function = "model::settings::are_addresses")
     )]
     pub seeds: Vec<String>,
+    /// Folder for the log and its snapshots.
     pub folder: PathBuf,
-    #[serde(default = "alpha")]
+    /// Mencius' alpha, from 1 to 100000: skips that may be outstanding before they are sent on their
+    /// own (the paper's accelerator 1).
+    #[serde(default = "default_alpha")]
     #[validate(range(min = 1, max = 100_000, message = "is from 1 to 100000"))]
     pub alpha: u64,
-    #[serde(default = "tau")]
+    /// Mencius' tau, in microseconds, from 1000 to 1000000: how long a skip may wait to travel with
+    /// another message (the paper's accelerator 1).
+    #[serde(default = "default_tau_us")]
     #[validate(range(
         min = 1_000,
         max = 1_000_000,
         message = "is from 1000 to 1000000 microseconds"
     ))]
     pub tau_us: u64,
-    #[serde(default = "beta")]
+    /// Mencius' beta, in instances, from 100 to 125000: how far ahead the instances of a suspected
+    /// coordinator are revoked (the paper's optimization 3).
+    #[serde(default = "default_beta")]
     #[validate(range(min = 100, max = 125_000, message = "is from 100 to 125000"))]
     pub beta: u64,
-    #[serde(default = "snapshot_every")]
+    /// Entries between two snapshots, from 10 to 1000000; 500 by default.
+    #[serde(default = "default_snapshot_every")]
     #[validate(range(min = 10, max = 1_000_000, message = "is from 10 to 1000000 entries"))]
     pub snapshot_every: u64,
-    /// An empty disk takes a seat over whose holder has been away so long; 0 leaves it to operators.
-    #[serde(default = "replace_after")]
-    #[validate(custom(function = "replaces"))]
+    /// How long a member has to be away before an empty disk replaces it, in microseconds: 0, which
+    /// leaves it to operators, or from 500000 to 3600000000; 3000000 by default.
+    #[serde(default = "default_replace_after_us")]
+    #[validate(custom(function = "is_replacement_delay"))]
     pub replace_after_us: u64,
-    #[serde(default = "log_level")]
+    /// Least level that is logged: critical, error, warning, info (the default), debug or trace.
+    #[serde(default = "daemon::default_log_level")]
     #[validate(custom(function = "model::settings::is_level"))]
     pub log_level: String,
 }
 
-fn alpha() -> u64 {
-    mencius::Config::default().alpha
+impl Settings {
+    /// What the replica is started with. `address` is the one it is bound to.
+    pub fn replica_config(&self, address: String) -> ReplicaConfig {
+        ReplicaConfig {
+            name: self.name.clone(),
+            zone: self.zone.clone(),
+            replica_id: self.seat,
+            replica_count: self.seats,
+            address: self.advertised_address.clone().unwrap_or(address),
+            seeds: self.seeds.clone(),
+            folder: self.folder.clone(),
+            timing: Config {
+                alpha: self.alpha,
+                tau: self.tau_us,
+                beta: self.beta,
+                ..Config::default()
+            },
+            snapshot_every_entries: self.snapshot_every,
+            replace_after: self.replace_after_us,
+            membership: None,
+        }
+    }
 }
 
-fn tau() -> u64 {
-    mencius::Config::default().tau
-}
+impl DaemonSettings for Settings {
+    const SETTING_NAMES: &'static [&'static str] = &[
+        "name",
+        "zone",
+        "seat",
+        "seats",
+        "mates_address",
+        "operators_address",
+        "advertised_address",
+        "seeds",
+        "folder",
+        "alpha",
+        "tau_us",
+        "beta",
+        "snapshot_every",
+        "replace_after_us",
+        "log_level",
+    ];
 
-fn beta() -> u64 {
-    mencius::Config::default().beta
+    fn name(&self) -> &str {
+        &self.name
+    }
+
+    fn log_level(&self) -> &str {
+        &self.log_level
+    }
+
+    fn with_log_level(self, log_level: &str) -> Settings {
+        Settings {
+            log_level: log_level.to_string(),
+            ..self
+        }
+    }
 }
 
-fn snapshot_every() -> u64 {
-    500
+fn default_alpha() -> u64 {
+    Config::default().alpha
 }
 
-fn replace_after() -> u64 {
-    3_000_000
+fn default_tau_us() -> u64 {
+    Config::default().tau
 }
 
-fn replaces(after: u64) -> Result<(), validator::ValidationError> {
-    let fine = after == 0 || (500_000..=3_600_000_000).contains(&after);
-    fine.then_some(()).ok_or_else(|| {
-        validator::ValidationError::new("after")
-            .with_message("is 0, or from 500000 to 3600000000 microseconds".into())
-    })
+fn default_beta() -> u64 {
+    Config::default().beta
 }
 
-fn log_level() -> String {
-    "info".into()
+fn default_snapshot_every() -> u64 {
+    500
 }
 
-fn odd(seats: u16) -> Result<(), validator::ValidationError> {
-    let fine = [1, 3, 5, 7, 9].contains(&seats);
-    fine.then_some(()).ok_or_else(|| {
-        validator::ValidationError::new("seats").with_message("is 1, 3, 5, 7 or 9".into())
-    })
+fn default_replace_after_us() -> u64 {
+    3_000_000
 }
 
-impl Settings {
-    pub fn parsed_log_level(&self) -> slog::Level {
-        self.log_level.parse().unwrap_or(slog::Level::Info)
+fn is_replica_count(count: u16) -> Result<(), ValidationError> {
+    if [1, 3, 5, 7, 9].contains(&count) {
+        return Ok(());
     }
+    Err(ValidationError::new("seats").with_message("is 1, 3, 5, 7 or 9".into()))
+}
 
-    pub fn replica_config(&self, address: String) -> control::ReplicaConfig {
-        control::ReplicaConfig {
-            name: self.name.clone(),
-            zone: self.zone.clone(),
-            replica_id: self.seat,
-            replica_count: self.seats,
-            address: self.advertised_address.clone().unwrap_or(address),
-            seeds: self.seeds.clone(),
-            folder: self.folder.clone(),
-            timing: mencius::Config {
-                alpha: self.alpha,
-                tau: self.tau_us,
-                beta: self.beta,
-                ..Default::default()
-            },
-            snapshot_every_entries: self.snapshot_every,
-            replace_after: self.replace_after_us,
-            membership: None,
-        }
+fn is_replacement_delay(delay_us: u64) -> Result<(), ValidationError> {
+    if delay_us == 0 || (500_000..=3_600_000_000).contains(&delay_us) {
+        return Ok(());
     }
+    let message = "is 0, or from 500000 to 3600000000 microseconds";
+    Err(ValidationError::new("after").with_message(message.into()))
 }
--- a/crates/gradeford-node/src/health.rs
+++ b/crates/gradeford-node/src/health.rs
@@ -1,85 +1,121 @@
-//! `/live`, `/ready`, `/status` of a node (docs/operators/running.md).
+//! `/live`, `/ready` and `/status` of a node (docs/operators/running.md).
 
 use std::sync::Arc;
-use std::sync::atomic::AtomicBool;
-use std::sync::atomic::AtomicU64;
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
 
+use control::view::SharedView;
+use control::{KnownReplicas, discovery};
+use http_util::write_json;
+use legacy_proxy::SlotOwnerHandle;
+use legacy_proxy::retry_budget::RetryBudgetHandle;
+use model::Incarnation;
+use salvo::{Response, Router};
+use serde_json::json;
+use transport::traffic;
+
+/// What the health pages tell of.
 #[derive(Clone)]
 pub struct HealthApi {
+    /// Name of the node.
     pub name: String,
-    pub view: control::view::SharedView,
-    pub known_replicas: control::KnownReplicas,
-    pub slot_owner: legacy_proxy::SlotOwnerHandle,
-    pub retry_budget: legacy_proxy::retry_budget::RetryBudgetHandle,
+    /// The node's state.
+    pub view: SharedView,
+    /// Replicas that it knows of.
+    pub known_replicas: KnownReplicas,
+    /// Requests running and queued.
+    pub slot_owner: SlotOwnerHandle,
+    /// Counts requests and retries.
+    pub retry_budget: RetryBudgetHandle,
+    /// Counts key slices that backends claimed without a lease.
     pub unheld_claims: Arc<AtomicU64>,
-    pub incarnation: u64,
+    /// Which of the node's lives this process is.
+    pub incarnation: Incarnation,
+    /// False once the node stops, or another process has its name.
     pub accepting_work: Arc<AtomicBool>,
 }
 
 struct Liveness;
-struct Readiness(HealthApi);
-struct NodeStatus(HealthApi);
 
-pub fn router(health: HealthApi) -> salvo::Router {
-    salvo::Router::new()
-        .push(salvo::Router::with_path("live").get(Liveness))
-        .push(salvo::Router::with_path("ready").get(Readiness(health.clone())))
-        .push(salvo::Router::with_path("status").get(NodeStatus(health)))
+struct Readiness {
+    api: HealthApi,
+}
+
+struct NodeStatus {
+    api: HealthApi,
+}
+
+/// The routes of the three pages.
+pub fn router(api: HealthApi) -> Router {
+    Router::new()
+        .push(Router::with_path("live").get(Liveness))
+        .push(Router::with_path("ready").get(Readiness { api: api.clone() }))
+        .push(Router::with_path("status").get(NodeStatus { api }))
 }
 
 #[salvo::handler]
 impl Liveness {
-    async fn handle(&self, response: &mut salvo::Response) {
-        http_util::write_json(response, 200, &serde_json::json!({ "live": true }));
+    async fn handle(&self, response: &mut Response) {
+        write_json(response, 200, &json!({ "live": true }));
     }
 }
 
 #[salvo::handler]
 impl Readiness {
-    async fn handle(&self, response: &mut salvo::Response) {
-        let view = self.0.view.load();
-        let reasons: Vec<&str> = [
-            (!self
-                .0
-                .accepting_work
-                .load(std::sync::atomic::Ordering::Relaxed))
-            .then_some("stopping"),
-            self.0
-                .known_replicas
-                .borrow()
-                .is_empty()
-                .then_some("knows no core seat yet"),
-            (!view.is_fresh(model::now())).then_some("no proof that its state is current"),
-            (!view
-                .slice
-                .nodes
-                .get(&self.0.name)
-                .is_some_and(|node| node.present))
-            .then_some("the log does not know this node as present"),
-        ]
-        .into_iter()
-        .flatten()
-        .collect();
-        http_util::write_json(
+    async fn handle(&self, response: &mut Response) {
+        let reasons = reasons_not_ready(&self.api);
+        let status = if reasons.is_empty() { 200 } else { 503 };
+        write_json(
             response,
-            if reasons.is_empty() { 200 } else { 503 },
-            &serde_json::json!({ "ready": reasons.is_empty(), "reasons": reasons }),
+            status,
+            &json!({ "ready": reasons.is_empty(), "reasons": reasons }),
         );
     }
 }
 
 #[salvo::handler]
 impl NodeStatus {
-    async fn handle(&self, response: &mut salvo::Response) {
-        let view = self.0.view.load();
-        let (running, waiting) = self.0.slot_owner.load().await;
-        let answer = serde_json::json!({
-            "name": self.0.name, "life": self.0.incarnation, "position": view.slice.position, "version": view.slice.version, "services": view.slice.services,
-            "keys_claimed_unheld": self.0.unheld_claims.load(std::sync::atomic::Ordering::Relaxed),
-            "fresh_for_us": view.fresh_until.saturating_sub(model::now()), "running": running, "waiting": waiting, "traffic": transport::traffic::by_zone(),
-            "requests_and_extras": *self.0.retry_budget.counts(),
-            "known": control::discovery::list(&self.0.known_replicas),
+    async fn handle(&self, response: &mut Response) {
+        let api = &self.api;
+        let view = api.view.load();
+        let (running, queued) = api.slot_owner.load().await;
+        let body = json!({
+            "name": api.name,
+            "life": api.incarnation,
+            "position": view.slice.position,
+            "version": view.slice.version,
+            "services": view.slice.services,
+            "keys_claimed_unheld": api.unheld_claims.load(Relaxed),
+            "fresh_for_us": view.fresh_until.saturating_sub(model::now()),
+            "running": running,
+            "waiting": queued,
+            "traffic": traffic::by_zone(),
+            "requests_and_extras": *api.retry_budget.counts(),
+            "known": discovery::list(&api.known_replicas),
         });
-        http_util::write_json(response, 200, &answer);
+        write_json(response, 200, &body);
+    }
+}
+
+/// Why the node is not ready, in words for operators.
+fn reasons_not_ready(api: &HealthApi) -> Vec<&'static str> {
+    let view = api.view.load();
+    let mut reasons = Vec::new();
+    if !api.accepting_work.load(Relaxed) {
+        reasons.push("stopping");
+    }
+    if api.known_replicas.borrow().is_empty() {
+        reasons.push("knows no core seat yet");
+    }
+    if !view.is_fresh(model::now()) {
+        reasons.push("no proof that its state is current");
+    }
+    if !view
+        .slice
+        .nodes
+        .get(&api.name)
+        .is_some_and(|node| node.present)
+    {
+        reasons.push("the log does not know this node as present");
     }
+    reasons
 }
--- a/crates/gradeford-node/src/node.rs
+++ b/crates/gradeford-node/src/node.rs
@@ -1,268 +1,126 @@
-//! Puts the parts of a node together, and takes them down in order.
+//! The parts of a node's process, put together and taken down in order.
 
-use std::fmt::Display;
 use std::sync::Arc;
-use std::sync::atomic::AtomicU64;
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
 use std::time::Duration;
 
+use control::{StatusReporter, discovery};
+use daemon::{Daemon, Error};
+use http_util::HttpServer;
+use legacy_proxy::{OutboundProxy, SlotOwnerHandle};
+use model::endpoint_status::EndpointReport;
+use model::state_slice::ServiceSet;
+use slog::Logger;
+use tokio::sync::watch;
+use tokio::task::JoinSet;
+use tokio::time::timeout;
+
+use crate::presence::NodeIdentity;
+use crate::settings::Settings;
+use crate::start::{Starter, bind_to_peers};
+
+const HELP: &str = "\
+gradeford-node: a gradeford node beside back ends
+
+usage: gradeford-node [--config FILE] [--SETTING VALUE ...] [--check]
+
+  --config FILE   settings as TOML; a flag of the same name goes first
+  --check         read and check the settings, then stop
+  --help          this page
+  --version       name and version
+
+settings: name, zone, mates_address, advertised_address, local_address, seeds, beat_every_us,
+  beat_patience_us, freshness_us, ask_every_us, guard_us, extra_allowance, stop_patience_us, watch_every_us,
+  watch_patience_us, homes, log_level
+SIGTERM stops it once all that was passed on has ended, SIGHUP reads the settings again.
+exit codes: 0 stopped as asked, 1 failed, 2 settings or flags at fault
+";
+
+/// How long the log may take for the report that this node has left.
+const FAREWELL_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long answers that were given may take to leave the process.
+const HTTP_SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// A running node.
 pub struct Node {
-    proxy: legacy_proxy::OutboundProxy,
-    slot_owner: legacy_proxy::SlotOwnerHandle,
-    status_reports: control::StatusReporter,
-    http_server: http_util::HttpServer,
-    accepting_work: Arc<std::sync::atomic::AtomicBool>,
-    name: String,
-    incarnation: u64,
+    identity: NodeIdentity,
+    proxy: OutboundProxy,
+    slot_owner: SlotOwnerHandle,
+    status_reports: StatusReporter,
+    http_server: HttpServer,
+    accepting_work: Arc<AtomicBool>,
+    /// Cancelled when the process stops.
+    tasks: JoinSet<()>,
 }
 
-impl Node {
-    pub async fn start(
-        env: &crate::settings::Settings,
-        logger: &slog::Logger,
-    ) -> Result<Node, String> {
-        let told = |what: &str, error: &dyn Display| format!("{what}: {error}");
-        let life = model::incarnation::draw();
-        let listener = tokio::net::TcpListener::bind(&env.mates_address)
-            .await
-            .map_err(|error| told("mates_address", &error))?;
-        let listening = listener
-            .local_addr()
-            .map_err(|error| told("mates_address", &error))?
-            .to_string();
-        let address = env.advertised_address.clone().unwrap_or(listening);
-        let known = control::discovery::empty();
-        let (services, wanted) = tokio::sync::watch::channel(Default::default());
-        let (name, zone) = (env.name.clone(), env.zone.clone());
-        let (greeter, place) = (known.clone(), address.clone());
-        let greeting = move |purpose| transport::Handshake {
-            purpose,
-            node_name: name.clone(),
-            zone: zone.clone(),
-            address: place.clone(),
-            incarnation: life,
-            replica: None,
-            has_empty_disk: false,
-            expected_disk: None,
-            known_replicas: control::discovery::list(&greeter),
-        };
-        let greet = |purpose| {
-            let greeting = greeting.clone();
-            move || greeting(purpose)
-        };
-        let line = control::SubscriptionConfig {
-            node: env.name.clone(),
-            zone: env.zone.clone(),
-            freshness_bound: env.freshness_us,
-            proof_interval: env.ask_every_us,
-            proof_timeout: env.freshness_us / 2,
-            use_zone_relays: env.homes,
-        };
-        let subscription = control::subscriber::start(
-            line,
-            known.clone(),
-            wanted,
-            greet(transport::Purpose::Subscribe),
-            logger.clone(),
-        );
-        let reporting = control::StatusReporterConfig {
-            node: env.name.clone(),
-            incarnation: life,
-            logger: logger.clone(),
-        };
-        let reports = control::StatusReporter::start(
-            reporting,
-            known.clone(),
-            greet(transport::Purpose::Subscribe),
-        );
-        let watching = control::monitor::MonitorConfig {
-            node: env.name.clone(),
-            heartbeat_interval: env.watch_every_us,
-            failure_timeout: env.watch_patience_us,
-        };
-        let heard = control::monitor::start(
-            watching,
-            subscription.view.clone(),
-            reports.clone(),
-            greet(transport::Purpose::Monitor),
-        );
-        let house_env = legacy_proxy::SlotOwnerConfig {
-            node: env.name.clone(),
-            zone: env.zone.clone(),
-            heartbeat_timeout: env.beat_patience_us,
-            proof_lifetime: env.freshness_us,
-            clock_margin: env.guard_us,
-        };
-        let (view, moved) = (subscription.view, subscription.position.clone());
-        let claims: Arc<AtomicU64> = Default::default();
-        let house = legacy_proxy::SlotOwnerHandle::start(
-            house_env,
-            view.clone(),
-            subscription.position,
-            reports.clone(),
-            services,
-            logger.clone(),
-        );
-        let door = backend_api::BackendClient::new().map_err(|error| told("http", &error))?;
-        let far = legacy_proxy::InboundProxy {
-            slot_owner: house.clone(),
-            connector: Arc::new(door),
-            logger: logger.clone(),
-        };
-        tokio::spawn(legacy_proxy::server::serve_peers(
-            listener,
-            greet(transport::Purpose::Forward),
-            known.clone(),
-            far.clone(),
-            subscription.relay,
-            heard,
-        ));
-        // A node does not know how many seats there are; the first that greets it says so.
-        tokio::spawn(control::discovery::run(
-            known.clone(),
-            env.seeds.clone(),
-            greet(transport::Purpose::Discover),
-            || 3,
-        ));
-        let near = legacy_proxy::OutboundProxy {
-            node: env.name.clone(),
-            zone: env.zone.clone(),
-            view: view.clone(),
-            inbound: far,
-            peers: legacy_proxy::peer_connections::PeerConnections::start(greet(
-                transport::Purpose::Forward,
-            )),
-            selector: legacy_proxy::selector::SelectorHandle::start(),
-            retry_budget: legacy_proxy::retry_budget::RetryBudgetHandle::start(env.extra_allowance),
-            accepted_attempts: legacy_proxy::accepted_attempts::AcceptedAttemptsHandle::start(),
-            in_flight: Default::default(),
-        };
-        let staying = Arc::new(std::sync::atomic::AtomicBool::new(true));
-        let health = crate::health::HealthApi {
-            name: env.name.clone(),
-            view: view.clone(),
-            known_replicas: known,
-            slot_owner: house.clone(),
-            retry_budget: near.retry_budget.clone(),
-            unheld_claims: claims.clone(),
-            incarnation: life,
-            accepting_work: staying.clone(),
-        };
-        let rooms = backend_api::BackendApiConfig {
-            node: env.name.clone(),
-            zone: env.zone.clone(),
-            heartbeat_interval: env.beat_every_us,
-            freshness_bound: env.freshness_us,
-            slot_owner: house.clone(),
-            status_reports: reports.clone(),
-            view: view.clone(),
-            view_changes: moved,
-            unheld_claims: claims,
-            logger: logger.clone(),
+impl Daemon for Node {
+    type Settings = Settings;
+
+    const PROGRAM: &'static str = "gradeford-node";
+    const HELP: &'static str = HELP;
+
+    async fn start(settings: &Settings, logger: &Logger) -> Result<Node, Error> {
+        let (peer_listener, identity) = bind_to_peers(settings).await?;
+        let known_replicas = discovery::empty();
+        let tasks = JoinSet::new();
+        let mut starter = Starter {
+            settings,
+            logger,
+            identity,
+            known_replicas,
+            tasks,
         };
-        let router = salvo::Router::new()
-            .push(crate::health::router(health))
-            .push(client_api::router(near.clone(), house.clone()))
-            .push(backend_api::router(rooms));
-        let serving = http_util::HttpServer::start(&env.local_address, router)
+        let (services, wanted_services) = watch::channel(ServiceSet::default());
+        let state = starter.start_state(wanted_services);
+        let slot_owner = starter.start_slot_owner(&state, services);
+        let proxy = starter.start_proxies(&state, slot_owner.clone(), peer_listener)?;
+        let accepting_work = Arc::new(AtomicBool::new(true));
+        let router = starter.router(&state, &proxy, accepting_work.clone());
+        let http_server = HttpServer::start(&settings.local_address, router)
             .await
-            .map_err(|error| told("local_address", &error))?;
-        slog::info!(logger, "listening"; "mates" => &address, "local" => serving.address.to_string(), "life" => life);
-        let own = NodeIdentity {
-            name: env.name.clone(),
-            zone: env.zone.clone(),
-            address,
-            incarnation: life,
-        };
-        tokio::spawn(announce_presence(
-            own,
-            view,
-            reports.clone(),
-            staying.clone(),
-            logger.clone(),
-        ));
+            .map_err(Error::of_setting("local_address"))?;
+        slog::info!(
+            logger, "listening";
+            "peers" => &starter.identity.address,
+            "local" => http_server.address.to_string(),
+            "incarnation" => starter.identity.incarnation,
+        );
+        starter.announce(&state, accepting_work.clone());
         Ok(Node {
-            proxy: near,
-            slot_owner: house,
-            status_reports: reports,
-            http_server: serving,
-            accepting_work: staying,
-            name: env.name.clone(),
-            incarnation: life,
+            identity: starter.identity,
+            proxy,
+            slot_owner,
+            status_reports: state.status_reports,
+            http_server,
+            accepting_work,
+            tasks: starter.tasks,
         })
     }
 
-    /// Takes nothing new, lets what was passed on end, says goodbye.
-    pub async fn stop(self, env: &crate::settings::Settings) {
-        self.accepting_work
-            .store(false, std::sync::atomic::Ordering::Relaxed);
+    /// Takes nothing new, lets what was forwarded end, and signs off from the log.
+    async fn shut_down(mut self, settings: &Settings) {
+        self.accepting_work.store(false, Relaxed);
         self.proxy.drain();
         self.slot_owner.drain().await;
-        let patience = Duration::from_micros(env.stop_patience_us);
-        let ended = async {
+        let drained = async {
             self.proxy.drained().await;
-            // What mates passed on here ends after its own near side has left.
+            // What peers forwarded to here ends after this node's own clients have left.
             self.slot_owner.load().await;
             self.slot_owner.drained().await;
         };
-        let clean = tokio::time::timeout(patience, ended).await.is_ok();
-        let farewell = self.status_reports.report_endpoint_status(
-            model::endpoint_status::EndpointReport::NodeLeft {
-                node: self.name.clone(),
-                incarnation: self.incarnation,
+        let drain_timeout = Duration::from_micros(settings.stop_patience_us);
+        let clean = timeout(drain_timeout, drained).await.is_ok();
+        let farewell = self
+            .status_reports
+            .report_endpoint_status(EndpointReport::NodeLeft {
+                node: self.identity.name.clone(),
+                incarnation: self.identity.incarnation,
                 clean,
-            },
-        );
-        tokio::time::timeout(Duration::from_secs(2), farewell)
+            });
+        timeout(FAREWELL_TIMEOUT, farewell)
             .await
             .unwrap_or_default();
-        self.http_server.stop(Duration::from_secs(1)).await;
-    }
-}
-
-/// What the log is told of this process.
-#[derive(Clone)]
-struct NodeIdentity {
-    name: String,
-    zone: String,
-    address: String,
-    incarnation: model::Incarnation,
-}
-
-/// Tells the log that this node is here, and again whenever the log takes it for gone.
-async fn announce_presence(
-    own: NodeIdentity,
-    view: control::view::SharedView,
-    reports: control::StatusReporter,
-    staying: Arc<AtomicBool>,
-    logger: slog::Logger,
-) {
-    let mut stood = false;
-    loop {
-        let view_now = view.load();
-        let held = view_now.slice.nodes.get(&own.name);
-        let registered = held.map_or(0, |node| node.incarnation);
-        if stood && registered != 0 && registered != own.incarnation {
-            slog::error!(logger, "another process was registered under this node's name; this one serves no more"; "node" => &own.name);
-            return staying.store(false, Relaxed);
-        }
-        stood |= registered == own.incarnation;
-        if registered != own.incarnation || held.is_some_and(|node| !node.present) {
-            let NodeIdentity {
-                name: node,
-                zone,
-                address,
-                incarnation,
-            } = own.clone();
-            let report = model::endpoint_status::EndpointReport::NodeRegistered {
-                node,
-                zone,
-                address,
-                incarnation,
-                replaces: registered,
-            };
-            reports.report_endpoint_status(report).await;
-        }
-        tokio::time::sleep(Duration::from_millis(300)).await;
+        self.http_server.stop(HTTP_SHUTDOWN_TIMEOUT).await;
+        self.tasks.shutdown().await;
     }
 }
--- a/crates/gradeford-node/src/settings.rs
+++ b/crates/gradeford-node/src/settings.rs
@@ -1,159 +1,194 @@
-//! The settings of a node beside back ends (docs/operators/settings.md).
-
-pub const SETTING_NAMES: &[&str] = &[
-    "name",
-    "zone",
-    "mates_address",
-    "advertised_address",
-    "local_address",
-    "seeds",
-    "beat_every_us",
-    "beat_patience_us",
-    "freshness_us",
-    "ask_every_us",
-    "guard_us",
-    "extra_allowance",
-    "stop_patience_us",
-    "watch_every_us",
-    "watch_patience_us",
-    "homes",
-    "log_level",
-];
-
-#[derive(Clone, Debug, PartialEq, serde::Deserialize, validator::Validate)]
+//! The settings of a node beside backends (docs/operators/settings.md). Fields are named as
+//! operators name them in the file and by flags; faults name them too.
+
+use daemon::DaemonSettings;
+use model::Microseconds;
+use serde::Deserialize;
+use validator::Validate;
+
+/// The settings of a node beside backends. Times are in microseconds.
+#[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
+    /// Name of the node, 1 to 63 bytes.
     #[validate(length(min = 1, max = 63, message = "is 1 to 63 bytes"))]
     pub name: String,
+    /// Zone of the machine, 1 to 63 bytes.
     #[validate(length(min = 1, max = 63, message = "is 1 to 63 bytes"))]
     pub zone: String,
+    /// IP address and port on which peers are accepted.
     #[validate(custom(function = "model::settings::is_address"))]
     pub mates_address: String,
+    /// Where peers find this process, if not where it listens.
     #[serde(default)]
     pub advertised_address: Option<String>,
-    /// Back ends and senders on this machine.
+    /// IP address and port for the backends and clients on this machine.
     #[validate(custom(function = "model::settings::is_address"))]
     pub local_address: String,
+    /// Peer addresses of replicas, 1 to 9.
     #[validate(
         length(min = 1, max = 9, message = "holds 1 to 9 addresses"),
         custom(function = "model::settings::are_addresses")
     )]
     pub seeds: Vec<String>,
-    #[serde(default = "beat_every")]
+    /// How often a backend sends a heartbeat, from 50000 to 1000000; 300000 by default.
+    #[serde(default = "default_beat_every_us")]
     #[validate(range(
         min = 50_000,
         max = 1_000_000,
         message = "is from 50000 to 1000000 microseconds"
     ))]
-    pub beat_every_us: u64,
-    #[serde(default = "beat_patience")]
+    pub beat_every_us: Microseconds,
+    /// How long a backend may be silent before it counts as gone, from 200000 to 2000000; 1200000 by
+    /// default.
+    #[serde(default = "default_beat_patience_us")]
     #[validate(range(
         min = 200_000,
         max = 2_000_000,
         message = "is from 200000 to 2000000 microseconds"
     ))]
-    pub beat_patience_us: u64,
-    /// How long a proof lasts. With two seconds promised to operators, no more than 1.5 s.
-    #[serde(default = "freshness")]
+    pub beat_patience_us: Microseconds,
+    /// How long a proof lasts, from 300000 to 1500000; 1500000 by default. It is no more because
+    /// operators are promised that a change is everywhere within two seconds.
+    #[serde(default = "default_freshness_us")]
     #[validate(range(
         min = 300_000,
         max = 1_500_000,
         message = "is from 300000 to 1500000 microseconds"
     ))]
-    pub freshness_us: u64,
-    #[serde(default = "ask_every")]
+    pub freshness_us: Microseconds,
+    /// How often a proof is asked for, from 50000 to 500000; 250000 by default.
+    #[serde(default = "default_ask_every_us")]
     #[validate(range(
         min = 50_000,
         max = 500_000,
         message = "is from 50000 to 500000 microseconds"
     ))]
-    pub ask_every_us: u64,
-    #[serde(default = "guard")]
+    pub ask_every_us: Microseconds,
+    /// Added to the time for which an earlier holder of a lease may still count on it, as clocks run
+    /// apart, from 50000 to 5000000; 250000 by default.
+    #[serde(default = "default_guard_us")]
     #[validate(range(
         min = 50_000,
         max = 5_000_000,
         message = "is from 50000 to 5000000 microseconds"
     ))]
-    pub guard_us: u64,
-    #[serde(default = "allowance")]
+    pub guard_us: Microseconds,
+    /// Retries in any ten seconds beyond one for each five requests, from 0, which allows no retries
+    /// at all, to 10; 1 by default.
+    #[serde(default = "default_extra_allowance")]
     #[validate(range(max = 10, message = "is from 0 to 10"))]
     pub extra_allowance: usize,
-    #[serde(default = "stop_patience")]
+    /// How long forwarded requests may take to end when the node stops, from 100000 to 120000000;
+    /// 61000000 by default.
+    #[serde(default = "default_stop_patience_us")]
     #[validate(range(
         min = 100_000,
         max = 120_000_000,
         message = "is from 100000 to 120000000 microseconds"
     ))]
-    pub stop_patience_us: u64,
-    #[serde(default = "watch_every")]
+    pub stop_patience_us: Microseconds,
+    /// How often the node sends a heartbeat to those that monitor it, from 50000 to 1000000; 200000
+    /// by default.
+    #[serde(default = "default_watch_every_us")]
     #[validate(range(
         min = 50_000,
         max = 1_000_000,
         message = "is from 50000 to 1000000 microseconds"
     ))]
-    pub watch_every_us: u64,
-    /// A node silent for so long is reported by its watchers.
-    #[serde(default = "watch_patience")]
+    pub watch_every_us: Microseconds,
+    /// How long a node may be silent before those that monitor it report it, from 200000 to 5000000;
+    /// 1000000 by default.
+    #[serde(default = "default_watch_patience_us")]
     #[validate(range(
         min = 200_000,
         max = 5_000_000,
         message = "is from 200000 to 5000000 microseconds"
     ))]
-    pub watch_patience_us: u64,
-    /// Hear the core through the zone's home for one's services.
-    #[serde(default = "yes")]
+    pub watch_patience_us: Microseconds,
+    /// Whether state updates come through the zone's relays rather than from the core; they do by
+    /// default.
+    #[serde(default = "default_homes")]
     pub homes: bool,
-    #[serde(default = "log_level")]
+    /// Least level that is logged: critical, error, warning, info (the default), debug or trace.
+    #[serde(default = "daemon::default_log_level")]
     #[validate(custom(function = "model::settings::is_level"))]
     pub log_level: String,
 }
 
-fn beat_every() -> u64 {
+impl DaemonSettings for Settings {
+    const SETTING_NAMES: &'static [&'static str] = &[
+        "name",
+        "zone",
+        "mates_address",
+        "advertised_address",
+        "local_address",
+        "seeds",
+        "beat_every_us",
+        "beat_patience_us",
+        "freshness_us",
+        "ask_every_us",
+        "guard_us",
+        "extra_allowance",
+        "stop_patience_us",
+        "watch_every_us",
+        "watch_patience_us",
+        "homes",
+        "log_level",
+    ];
+
+    fn name(&self) -> &str {
+        &self.name
+    }
+
+    fn log_level(&self) -> &str {
+        &self.log_level
+    }
+
+    fn with_log_level(self, log_level: &str) -> Settings {
+        Settings {
+            log_level: log_level.to_string(),
+            ..self
+        }
+    }
+}
+
+fn default_beat_every_us() -> Microseconds {
     300_000
 }
 
-fn beat_patience() -> u64 {
+fn default_beat_patience_us() -> Microseconds {
     1_200_000
 }
 
-fn freshness() -> u64 {
+fn default_freshness_us() -> Microseconds {
     1_500_000
 }
 
-fn ask_every() -> u64 {
+fn default_ask_every_us() -> Microseconds {
     250_000
 }
 
-fn guard() -> u64 {
+fn default_guard_us() -> Microseconds {
     250_000
 }
 
-fn allowance() -> usize {
+fn default_extra_allowance() -> usize {
     1
 }
 
-fn stop_patience() -> u64 {
+fn default_stop_patience_us() -> Microseconds {
     61_000_000
 }
 
-fn watch_every() -> u64 {
+fn default_watch_every_us() -> Microseconds {
     200_000
 }
 
-fn watch_patience() -> u64 {
+fn default_watch_patience_us() -> Microseconds {
     1_000_000
 }
 
-fn yes() -> bool {
+fn default_homes() -> bool {
     true
 }
-
-fn log_level() -> String {
-    "info".into()
-}
-
-impl Settings {
-    pub fn parsed_log_level(&self) -> slog::Level {
-        self.log_level.parse().unwrap_or(slog::Level::Info)
-    }
-}
