--- a/crates/simulator/src/understudy.rs
+++ b/crates/simulator/src/backend_stand_in.rs
@@ -12,59 +12,59 @@
 use std::time::Duration;
 
 #[derive(Clone, Debug)]
-pub struct Part {
+pub struct StandInConfig {
     pub name: String,
     pub service: String,
     pub zone: String,
     pub slots: u32,
-    pub usher: String,
+    pub node_address: String,
     pub listen: String,
     pub history: PathBuf,
     pub work_us: u64,
     /// Out of a thousand replies, how many are spoilt in some way.
-    pub spoil: u32,
+    pub spoil_per_mille: u32,
     pub seed: u64,
     /// Requests per second, and what they are.
-    pub rate: f64,
+    pub requests_per_second: f64,
     /// At first; SIGUSR1 makes it nine in ten.
-    pub hot: u32,
-    pub sends: Vec<crate::deployment::Sending>,
+    pub hot_key_per_mille: u32,
+    pub requests: Vec<crate::deployment::RequestSpec>,
 }
 
-pub struct Backstage {
-    pub part: Part,
-    pub life: AtomicU64,
-    pub runs: AtomicU64,
-    pub book: Mutex<File>,
+pub struct StandIn {
+    pub config: StandInConfig,
+    pub incarnation: AtomicU64,
+    pub run_count: AtomicU64,
+    pub history: Mutex<File>,
     /// Out of a thousand keyed requests, how many name the one hot key.
-    pub hot: AtomicU32,
+    pub hot_key_per_mille: AtomicU32,
 }
 
-impl Backstage {
+impl StandIn {
     /// One unbuffered write: what is written stays though the process is killed.
-    pub fn note(&self, record: &crate::history::Record) {
+    pub fn record(&self, record: &crate::history::Record) {
         let line = serde_json::to_string(record).unwrap_or_default() + "\n";
-        if let Ok(mut book) = self.book.lock() {
+        if let Ok(mut book) = self.history.lock() {
             Write::write_all(&mut *book, line.as_bytes()).unwrap_or_default();
         }
     }
 }
 
-struct Stage(Arc<Backstage>);
+struct RequestHandler(Arc<StandIn>);
 
 #[salvo::handler]
-impl Stage {
+impl RequestHandler {
     async fn handle(&self, request: &mut salvo::Request, response: &mut salvo::Response) {
         let backstage = &self.0;
         let header = |name: &str| http_util::header_text(request, name).unwrap_or_default();
-        let (meant_for, own) = (
+        let (intended_service, own) = (
             header(backend_api::SERVICE_HEADER),
-            backstage.part.service.clone(),
+            backstage.config.service.clone(),
         );
-        if meant_for != own {
-            backstage.note(&crate::history::Record::Misrouted {
-                by: backstage.part.name.clone(),
-                meant_for,
+        if intended_service != own {
+            backstage.record(&crate::history::Record::Misrouted {
+                backend: backstage.config.name.clone(),
+                intended_service,
                 at: model::now(),
             });
             response.status_code(salvo::http::StatusCode::MISDIRECTED_REQUEST);
@@ -72,31 +72,33 @@
         }
         let began = model::now();
         let number = backstage
-            .runs
+            .run_count
             .fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-        let life = backstage.life.load(std::sync::atomic::Ordering::Relaxed);
-        let run = format!("{}-{life}-{number}", backstage.part.name);
-        let try_id = header(backend_api::ATTEMPT_ID_HEADER);
-        backstage.note(&crate::history::Record::Began {
+        let incarnation = backstage
+            .incarnation
+            .load(std::sync::atomic::Ordering::Relaxed);
+        let run = format!("{}-{incarnation}-{number}", backstage.config.name);
+        let attempt_id = header(backend_api::ATTEMPT_ID_HEADER);
+        backstage.record(&crate::history::Record::RunBegan {
             process: std::process::id(),
             run: run.clone(),
-            try_id: try_id.clone(),
+            attempt_id: attempt_id.clone(),
             at: began,
-            by: backstage.part.name.clone(),
-            life,
-            service: backstage.part.service.clone(),
-            meant_for,
-            sender: header(backend_api::CLIENT_HEADER),
+            backend: backstage.config.name.clone(),
+            incarnation,
+            service: backstage.config.service.clone(),
+            intended_service,
+            client: header(backend_api::CLIENT_HEADER),
             path: request.uri().path().to_string(),
             key: http_util::header_text(request, backend_api::SHARD_KEY_HEADER),
         });
-        tokio::time::sleep(Duration::from_micros(backstage.part.work_us)).await;
+        tokio::time::sleep(Duration::from_micros(backstage.config.work_us)).await;
         // Whoever slept beyond the wait does no work any more, as its contract says.
         let until = began
             + header(backend_api::TIME_LEFT_HEADER)
                 .parse::<u64>()
                 .unwrap_or(0);
-        backstage.note(&crate::history::Record::Ended {
+        backstage.record(&crate::history::Record::RunEnded {
             run: run.clone(),
             at: model::now().min(until),
         });
@@ -105,12 +107,12 @@
             return;
         }
         let body =
-            serde_json::json!({ "try": try_id, "run": run, "service": backstage.part.service })
+            serde_json::json!({ "try": attempt_id, "run": run, "service": backstage.config.service })
                 .to_string()
                 .into_bytes();
-        let seal = backend_api::seal::seal(&try_id, 200, &body);
+        let seal = backend_api::seal::seal(&attempt_id, 200, &body);
         // A spoilt reply ran all the same: half a body, no seal, or another's seal.
-        let spoilt = rand::random::<u32>() % 1_000 < backstage.part.spoil;
+        let spoilt = rand::random::<u32>() % 1_000 < backstage.config.spoil_per_mille;
         let (body, seal) = match (spoilt, number % 3) {
             (true, 0) => (body[..body.len() / 2].to_vec(), seal),
             (true, 1) => (body, String::new()),
@@ -126,23 +128,23 @@
     }
 }
 
-pub async fn run(part: Part) -> Result<(), String> {
+pub async fn run(part: StandInConfig) -> Result<(), String> {
     let told = |error: &dyn Display| error.to_string();
     let book = OpenOptions::new()
         .create(true)
         .append(true)
         .open(&part.history)
         .map_err(|error| told(&error))?;
-    let hot = part.hot.into();
-    let backstage = Arc::new(Backstage {
-        hot,
-        part,
-        life: Default::default(),
-        runs: Default::default(),
-        book: Mutex::new(book),
+    let hot_key_per_mille = part.hot_key_per_mille.into();
+    let backstage = Arc::new(StandIn {
+        hot_key_per_mille,
+        config: part,
+        incarnation: Default::default(),
+        run_count: Default::default(),
+        history: Mutex::new(book),
     });
-    let router = salvo::Router::with_path("{**rest}").goal(Stage(backstage.clone()));
-    let serving = http_util::HttpServer::start(&backstage.part.listen, router)
+    let router = salvo::Router::with_path("{**rest}").goal(RequestHandler(backstage.clone()));
+    let serving = http_util::HttpServer::start(&backstage.config.listen, router)
         .await
         .map_err(|error| told(&error))?;
     let address = serving.address.to_string();
@@ -151,9 +153,15 @@
         .timeout(Duration::from_secs(10))
         .build()
         .map_err(|error| told(&error))?;
-    let (given, passes) = tokio::sync::watch::channel(crate::audience::Pass::default());
-    let beating = tokio::spawn(beat(backstage.clone(), http.clone(), address, given));
-    let sending = tokio::spawn(crate::audience::send(
+    let (given, passes) =
+        tokio::sync::watch::channel(crate::load_generator::Registration::default());
+    let beating = tokio::spawn(register_and_heartbeat(
+        backstage.clone(),
+        http.clone(),
+        address,
+        given,
+    ));
+    let sending = tokio::spawn(crate::load_generator::generate_load(
         backstage.clone(),
         http.clone(),
         passes.clone(),
@@ -164,19 +172,19 @@
         .map_err(|error| told(&error))?;
     while tokio::select! { _ = stop.recv() => false, _ = heat.recv() => true } {
         backstage
-            .hot
+            .hot_key_per_mille
             .store(900, std::sync::atomic::Ordering::Relaxed);
     }
     // A planned end: no more sending, drain, let runs end, sign off.
     sending.abort();
-    let usher = &backstage.part.usher;
+    let usher = &backstage.config.node_address;
     let say = |path: &str| {
         http.post(format!("http://{usher}/back-end/{path}"))
             .bearer_auth(passes.borrow().secret.clone())
             .send()
     };
-    backstage.note(&crate::history::Record::Leaving {
-        by: backstage.part.name.clone(),
+    backstage.record(&crate::history::Record::BackendLeaving {
+        backend: backstage.config.name.clone(),
         at: model::now(),
     });
     drop(say("drain").await);
@@ -188,14 +196,14 @@
 }
 
 /// Registers until it is taken, beats until it is told to register again.
-async fn beat(
-    backstage: Arc<Backstage>,
+async fn register_and_heartbeat(
+    backstage: Arc<StandIn>,
     http: reqwest::Client,
     address: String,
-    given: tokio::sync::watch::Sender<crate::audience::Pass>,
+    given: tokio::sync::watch::Sender<crate::load_generator::Registration>,
 ) {
-    let part = &backstage.part;
-    let usher = format!("http://{}/back-end", part.usher);
+    let part = &backstage.config;
+    let usher = format!("http://{}/back-end", part.node_address);
     loop {
         let ask = serde_json::json!({ "name": part.name, "service": part.service, "zone": part.zone, "slots": part.slots, "address": address });
         let answer: Option<serde_json::Value> = match http
@@ -209,7 +217,7 @@
         };
         if let Some(answer) = answer {
             let secret = answer["secret"].as_str().unwrap_or_default().to_string();
-            backstage.life.store(
+            backstage.incarnation.store(
                 answer["incarnation"].as_u64().unwrap_or(0),
                 std::sync::atomic::Ordering::Relaxed,
             );
@@ -217,9 +225,9 @@
                 .as_str()
                 .map(str::to_string)
                 .unwrap_or_else(|| format!("{}.{}.", part.name, answer["incarnation"]));
-            given.send_replace(crate::audience::Pass {
+            given.send_replace(crate::load_generator::Registration {
                 secret: secret.clone(),
-                try_prefix,
+                attempt_prefix: try_prefix,
             });
             let pause = Duration::from_micros(answer["beat_every_us"].as_u64().unwrap_or(300_000));
             let mut keys: Vec<serde_json::Value> = Vec::new();
--- a/crates/simulator/src/checker.rs
+++ b/crates/simulator/src/checker.rs
@@ -10,23 +10,26 @@
     /// Sender and service.
     pub allowed: &'a [(&'a str, &'a str)],
     /// Only planned ends: nothing that was passed on may be cut off.
-    pub planned: bool,
+    pub planned_ends_only: bool,
     /// Extra dispatches of one service, over the fleet, beside one in five.
-    pub allowance: usize,
+    pub retry_allowance: usize,
     /// What has to be seen, or the scenario proves nothing.
-    pub provokes: &'a [&'a str],
+    pub must_observe: &'a [&'a str],
 }
 
 pub fn check(records: &[Record], rules: &Rules) -> Report {
     let mut report = Report::default();
     let began: Vec<&Record> = records
         .iter()
-        .filter(|record| matches!(record, Record::Began { .. }))
+        .filter(|record| matches!(record, Record::RunBegan { .. }))
         .collect();
     let runs = began
         .iter()
         .fold(HashMap::<&str, usize>::new(), |mut runs, record| {
-            if let Record::Began { try_id, .. } = record {
+            if let Record::RunBegan {
+                attempt_id: try_id, ..
+            } = record
+            {
                 *runs.entry(try_id).or_default() += 1;
             }
             runs
@@ -38,9 +41,12 @@
         began
             .iter()
             .filter_map(|record| match record {
-                Record::Began { try_id, path, .. }
-                    if !rules.repeatable.iter().any(|start| path.starts_with(start))
-                        && runs[try_id.as_str()] > 1 =>
+                Record::RunBegan {
+                    attempt_id: try_id,
+                    path,
+                    ..
+                } if !rules.repeatable.iter().any(|start| path.starts_with(start))
+                    && runs[try_id.as_str()] > 1 =>
                 {
                     Some(format!("{try_id} {path}"))
                 }
@@ -50,7 +56,7 @@
     );
     broken(
         "not_run_did_not_run",
-        told(records)
+        answers(records)
             // What could not even be asked was refused by nobody.
             .filter(|(_, _, _, cause)| *cause != Some("own_usher_down"))
             .filter(|(try_id, verdict, _, _)| {
@@ -61,7 +67,7 @@
     );
     broken(
         "success_is_whole",
-        told(records)
+        answers(records)
             .filter(|(try_id, verdict, whole, _)| {
                 verdict.is_none() && (!whole || !runs.contains_key(try_id))
             })
@@ -73,11 +79,11 @@
         began
             .iter()
             .filter_map(|record| match record {
-                Record::Began {
-                    try_id,
+                Record::RunBegan {
+                    attempt_id: try_id,
                     service,
-                    meant_for,
-                    sender,
+                    intended_service: meant_for,
+                    client: sender,
                     ..
                 } if service != meant_for
                     || !rules.allowed.contains(&(sender.as_str(), service.as_str())) =>
@@ -93,9 +99,11 @@
         began
             .iter()
             .filter_map(|record| match record {
-                Record::Began { try_id, sender, .. }
-                    if service_of(try_id) != Some(sender.as_str()) =>
-                {
+                Record::RunBegan {
+                    attempt_id: try_id,
+                    client: sender,
+                    ..
+                } if client_service(try_id) != Some(sender.as_str()) => {
                     Some(format!("{try_id} told as {sender}"))
                 }
                 _ => None,
@@ -104,81 +112,84 @@
     );
     broken(
         "addresses_change_hands_safely",
-        crate::promises::misrouted(records),
+        crate::promises::misrouted_requests(records),
+    );
+    broken(
+        "one_holder_a_key",
+        crate::promises::overlapping_runs(records),
     );
-    broken("one_holder_a_key", crate::promises::overlaps(records));
     broken(
         "drained_gets_nothing_new",
-        crate::promises::after_leaving(records),
+        crate::promises::runs_after_leaving(records),
     );
     broken(
         "changes_are_in_force",
-        crate::promises::after_forbidding(records),
+        crate::promises::runs_on_removed_routes(records),
     );
     broken(
         "every_change_is_in_force_everywhere",
-        crate::desired_checks::late(records),
+        crate::desired_checks::late_changes(records),
     );
     broken(
         "no_version_slides_back",
-        crate::desired_checks::slid_back(records),
+        crate::desired_checks::regressed_positions(records),
     );
     broken(
         "what_is_read_back_was_accepted",
-        crate::desired_checks::read_backs(records),
+        crate::desired_checks::inconsistent_reads(records),
     );
     broken(
         "accepted_changes_stay",
-        crate::desired_checks::vanished(records),
+        crate::desired_checks::lost_changes(records),
     );
     broken(
         "extras_keep_to_their_budget",
-        crate::serving_checks::over_budget(records, rules.allowance),
+        crate::serving_checks::retry_budget_overruns(records, rules.retry_allowance),
     );
     broken(
         "refusals_say_when_to_come_back",
-        crate::serving_checks::silent_refusals(records),
+        crate::serving_checks::rejections_without_retry_after(records),
     );
     broken(
         "given_up_means_answered_at_once",
-        crate::serving_checks::held_back(records),
+        crate::serving_checks::late_rejections(records),
     );
     broken(
         "others_are_served_beside_a_hot_key",
-        crate::serving_checks::crowded_out(records),
+        crate::serving_checks::starved_keys(records),
     );
-    let (back, late) = crate::serving_checks::back(records);
+    let (back, late) = crate::serving_checks::recovery_times(records);
     broken(
         "service_is_back",
-        crate::promises::silent_at_the_end(records)
+        crate::promises::services_not_served_at_the_end(records)
             .into_iter()
             .chain(late)
             .collect(),
     );
-    if rules.planned {
+    if rules.planned_ends_only {
         broken(
             "planned_ends_cut_nothing",
-            crate::promises::cut_off(records),
+            crate::promises::interrupted_runs(records),
         );
     }
-    report.back_us = back;
-    report.not_provoked = rules
-        .provokes
+    report.recovery_us = back;
+    report.not_observed = rules
+        .must_observe
         .iter()
-        .filter(|what| !crate::serving_checks::provoked(records, what))
+        .filter(|what| !crate::serving_checks::observed(records, what))
         .map(|what| what.to_string())
         .collect();
     let firsts = || {
-        told(
+        answers(
             records
                 .iter()
-                .filter(|record| !matches!(record, Record::Told { again: true, .. })),
+                .filter(|record| !matches!(record, Record::ClientAnswered { repeated: true, .. })),
         )
     };
     let times: Vec<u64> = records
         .iter()
         .filter_map(|record| {
-            if let Record::Told { at, .. } = record {
+            if let Record::ClientAnswered { at, .. } = record {
                 Some(*at)
             } else {
                 None
@@ -192,9 +203,9 @@
         .map(|(last, first)| last - first)
         .unwrap_or(0)
         .max(1);
-    report.figures.requests_per_second = times.len() as f64 * 1e6 / span as f64;
+    report.measurements.requests_per_second = times.len() as f64 * 1e6 / span as f64;
     report.asked = firsts().count();
-    report.again = told(records).count() - report.asked;
+    report.repeated = answers(records).count() - report.asked;
     report.served = firsts()
         .filter(|(_, verdict, ..)| verdict.is_none())
         .count();
@@ -202,29 +213,31 @@
         .filter(|(_, verdict, ..)| *verdict == Some("not-run"))
         .count();
     report.may_have_run = report.asked - report.served - report.not_run;
-    told(records)
+    answers(records)
         .filter_map(|(.., cause)| cause)
         .for_each(|cause| *report.causes.entry(cause.to_string()).or_default() += 1);
     report
 }
 
 /// A stand-in writes its own service into its tries, behind the registration's prefix.
-fn service_of(try_id: &str) -> Option<&str> {
+fn client_service(try_id: &str) -> Option<&str> {
     try_id
         .rsplit('.')
         .next()
         .and_then(|rest| rest.split('/').next())
 }
 
-type Telling<'a> = (&'a str, Option<&'a str>, bool, Option<&'a str>);
+type AnswerSummary<'a> = (&'a str, Option<&'a str>, bool, Option<&'a str>);
 
-fn told<'a>(records: impl IntoIterator<Item = &'a Record>) -> impl Iterator<Item = Telling<'a>> {
+fn answers<'a>(
+    records: impl IntoIterator<Item = &'a Record>,
+) -> impl Iterator<Item = AnswerSummary<'a>> {
     records.into_iter().filter_map(|record| match record {
-        Record::Told {
-            try_id,
-            verdict,
-            whole,
-            cause,
+        Record::ClientAnswered {
+            attempt_id: try_id,
+            execution_status: verdict,
+            complete: whole,
+            error_kind: cause,
             ..
         } => Some((
             try_id.as_str(),
--- a/crates/simulator/src/deployment.rs
+++ b/crates/simulator/src/deployment.rs
@@ -1,7 +1,7 @@
 //! The two sites of the brief, and a small one for a quick look (design 9.5).
 
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
-pub struct Sending {
+pub struct RequestSpec {
     pub service: String,
     pub path: String,
     pub wait_us: u64,
@@ -13,8 +13,8 @@
 #[derive(Clone, Debug)]
 pub struct Deployment {
     pub name: &'static str,
-    pub zones: usize,
-    pub cores: usize,
+    pub zone_count: usize,
+    pub replica_count: usize,
     pub rate: f64,
     pub slots: u32,
     pub work_us: u64,
@@ -23,14 +23,14 @@
     /// How long a sync of a core machine takes.
     pub sync_us: u64,
     /// One way between zones.
-    pub hop_us: u64,
+    pub zone_delay_us: u64,
     /// Service and how many back ends it has.
     pub services: Vec<(&'static str, usize)>,
     /// Sender, target, path, repeatable, keyed, importance, share of the sender's traffic.
-    pub lanes: Vec<Lane>,
+    pub routes: Vec<RouteSpec>,
 }
 
-pub type Lane = (
+pub type RouteSpec = (
     &'static str,
     &'static str,
     &'static str,
@@ -40,22 +40,22 @@
     u32,
 );
 
-pub const WAIT: u64 = 3_000_000;
+pub const DEFAULT_WAIT_US: u64 = 3_000_000;
 
 pub fn named(name: &str) -> Option<Deployment> {
     match name {
         "swanreach" => Some(Deployment {
             name: "swanreach",
-            zones: 4,
-            cores: 5,
+            zone_count: 4,
+            replica_count: 5,
             rate: 650.0,
             slots: 12,
             work_us: 5_000,
             slow_work_us: 100_000,
             sync_us: 1_000,
-            hop_us: 1_000,
+            zone_delay_us: 1_000,
             services: vec![("seat", 7), ("entitlement", 4)],
-            lanes: vec![
+            routes: vec![
                 ("seat", "seat", "/check", true, false, 3, 45),
                 ("seat", "seat", "/checkout", false, true, 7, 35),
                 ("seat", "entitlement", "/lookup", true, false, 5, 20),
@@ -65,16 +65,16 @@
         }),
         "kurasa" => Some(Deployment {
             name: "kurasa",
-            zones: 3,
-            cores: 5,
+            zone_count: 3,
+            replica_count: 5,
             rate: 250.0,
             slots: 9,
             work_us: 8_000,
             slow_work_us: 200_000,
             sync_us: 5_000,
-            hop_us: 500,
+            zone_delay_us: 500,
             services: vec![("catalogue", 8), ("orders", 3)],
-            lanes: vec![
+            routes: vec![
                 ("catalogue", "catalogue", "/browse", true, false, 2, 60),
                 ("catalogue", "catalogue", "/reserve", false, true, 6, 25),
                 ("catalogue", "orders", "/stock", true, false, 4, 15),
@@ -84,16 +84,16 @@
         }),
         "small" => Some(Deployment {
             name: "small",
-            zones: 2,
-            cores: 3,
+            zone_count: 2,
+            replica_count: 3,
             rate: 40.0,
             slots: 4,
             work_us: 1_000,
             slow_work_us: 100_000,
             sync_us: 5_000,
-            hop_us: 500,
+            zone_delay_us: 500,
             services: vec![("seat", 2)],
-            lanes: vec![
+            routes: vec![
                 ("seat", "seat", "/check", true, false, 3, 50),
                 ("seat", "seat", "/checkout", false, true, 7, 50),
             ],
@@ -104,44 +104,46 @@
 
 impl Deployment {
     /// Machines with back ends: name, service, zone.
-    pub fn back_ends(&self) -> Vec<(String, &'static str, usize)> {
+    pub fn backends(&self) -> Vec<(String, &'static str, usize)> {
         self.services
             .iter()
             .flat_map(|(service, count)| {
                 (0..*count).map(move |at| (format!("{service}-{at}"), *service))
             })
             .enumerate()
-            .map(|(at, (name, service))| (name, service, at % self.zones))
+            .map(|(at, (name, service))| (name, service, at % self.zone_count))
             .collect()
     }
 
-    pub fn sends(&self, service: &str) -> Vec<Sending> {
-        self.lanes
+    pub fn client_requests(&self, service: &str) -> Vec<RequestSpec> {
+        self.routes
             .iter()
             .filter(|lane| lane.0 == service)
-            .map(|(_, target, path, repeatable, keyed, _, weight)| Sending {
-                service: target.to_string(),
-                path: path.to_string(),
-                wait_us: WAIT,
-                repeatable: *repeatable,
-                keyed: *keyed,
-                weight: *weight,
-            })
+            .map(
+                |(_, target, path, repeatable, keyed, _, weight)| RequestSpec {
+                    service: target.to_string(),
+                    path: path.to_string(),
+                    wait_us: DEFAULT_WAIT_US,
+                    repeatable: *repeatable,
+                    keyed: *keyed,
+                    weight: *weight,
+                },
+            )
             .collect()
     }
 
     /// The groupings and standing orders of the site, as an operator would write them.
     pub fn edits(&self) -> Vec<serde_json::Value> {
-        let zones = 0..self.zones;
+        let zones = 0..self.zone_count;
         let groupings = self.services.iter().flat_map(|(service, _)| {
             zones.clone().map(move |zone| {
                 serde_json::json!({ "put_grouping": { "name": format!("{service}-z{zone}"), "grouping": { "service": service, "zone": format!("z{zone}") } } })
             })
         });
-        let orders = self.lanes.iter().map(|(from, service, path, repeatable, keyed, importance, _)| {
+        let orders = self.routes.iter().map(|(from, service, path, repeatable, keyed, importance, _)| {
             serde_json::json!({ "put_order": { "name": format!("{from}-{service}-{}", &path[1..]), "order": {
                 "selector": { "from": [from], "service": service, "path_prefix": path },
-                "wait_us": WAIT, "importance": importance, "repeatable": repeatable, "keyed": keyed } } })
+                "wait_us": DEFAULT_WAIT_US, "importance": importance, "repeatable": repeatable, "keyed": keyed } } })
         });
         groupings.chain(orders).collect()
     }
--- a/crates/simulator/src/desired_checks.rs
+++ b/crates/simulator/src/desired_checks.rs
@@ -3,9 +3,9 @@
 use crate::history::Record;
 use std::collections::BTreeMap;
 
-const IN_FORCE: u64 = 2_500_000;
+const IN_FORCE_WITHIN_US: u64 = 2_500_000;
 
-struct Sent<'a> {
+struct SentChange<'a> {
     id: &'a str,
     edits: &'a [serde_json::Value],
     at: u64,
@@ -14,9 +14,9 @@
     refused: bool,
 }
 
-fn sent(records: &[Record]) -> Vec<Sent<'_>> {
+fn sent_changes(records: &[Record]) -> Vec<SentChange<'_>> {
     let of = |record| match record {
-        &Record::Change {
+        &Record::DesiredChange {
             ref id,
             ref edits,
             at,
@@ -24,7 +24,7 @@
             position,
             refused,
             ..
-        } => Some(Sent {
+        } => Some(SentChange {
             id,
             edits,
             at,
@@ -37,15 +37,15 @@
     records.iter().filter_map(of).collect()
 }
 
-type Versions<'a> = BTreeMap<u64, &'a Sent<'a>>;
+type ChangesByVersion<'a> = BTreeMap<u64, &'a SentChange<'a>>;
 
 /// Each version is one accepted change's; a change whose answer was lost may hold the one that is missing.
-fn versions<'a>(sent: &'a [Sent<'a>]) -> (Versions<'a>, Vec<String>) {
+fn changes_by_version<'a>(sent: &'a [SentChange<'a>]) -> (ChangesByVersion<'a>, Vec<String>) {
     let mut broken = Vec::new();
     let table = sent
         .iter()
         .filter_map(|change| change.version.map(|version| (version, change)))
-        .fold(Versions::new(), |mut table, (version, change)| {
+        .fold(ChangesByVersion::new(), |mut table, (version, change)| {
             if table.get(&version).is_some_and(|held| held.id != change.id) {
                 broken.push(format!(
                     "version {version} was told to {} and to {}",
@@ -58,7 +58,7 @@
     (table, broken)
 }
 
-fn edits(change: &Sent) -> Vec<model::Edit> {
+fn parsed_edits(change: &SentChange) -> Vec<model::Edit> {
     change
         .edits
         .iter()
@@ -67,16 +67,16 @@
 }
 
 /// Every state read back is the fold of the accepted changes up to its version: nothing of a refused one, nothing lost.
-pub(crate) fn read_backs(records: &[Record]) -> Vec<String> {
-    let sent = sent(records);
-    let (table, mut broken) = versions(&sent);
-    let lost: Vec<&Sent> = sent
+pub(crate) fn inconsistent_reads(records: &[Record]) -> Vec<String> {
+    let sent = sent_changes(records);
+    let (table, mut broken) = changes_by_version(&sent);
+    let lost: Vec<&SentChange> = sent
         .iter()
         .filter(|change| change.version.is_none() && !change.refused)
         .collect();
     let top = table.keys().max().copied().unwrap_or(0);
     let reads = records.iter().filter_map(|record| match record {
-        Record::ReadBack { asked, desired, .. } => {
+        Record::StateRead { asked, desired, .. } => {
             serde_json::from_value::<model::DesiredState>(desired.clone())
                 .ok()
                 .map(|state| (*asked, state))
@@ -93,18 +93,18 @@
     let mut folded = vec![vec![model::DesiredState::default()]];
     (1..=top).for_each(|version| {
         // What stands at this version: one state, or one for each change that may hold it.
-        let candidates: Vec<&&Sent> = lost
+        let candidates: Vec<&&SentChange> = lost
             .iter()
             .filter(|_| !table.contains_key(&version))
             .collect();
         let known = table.get(&version).into_iter().copied();
-        let changes: Vec<&Sent> = known.chain(candidates.into_iter().copied()).collect();
+        let changes: Vec<&SentChange> = known.chain(candidates.into_iter().copied()).collect();
         let states: Vec<model::DesiredState> = folded[version as usize - 1]
             .iter()
             .flat_map(|before| {
                 changes.iter().map(move |change| model::DesiredState {
                     version,
-                    ..before.with_edits(&edits(change))
+                    ..before.with_edits(&parsed_edits(change))
                 })
             })
             .filter(|after| {
@@ -130,14 +130,14 @@
 }
 
 /// A read-back never lacks what had been accepted before it was asked for.
-pub(crate) fn vanished(records: &[Record]) -> Vec<String> {
-    let sent = sent(records);
+pub(crate) fn lost_changes(records: &[Record]) -> Vec<String> {
+    let sent = sent_changes(records);
     let accepted: Vec<(u64, u64)> = sent
         .iter()
         .filter_map(|change| change.version.map(|version| (change.at, version)))
         .collect();
     let reads = records.iter().filter_map(|record| match record {
-        Record::ReadBack { asked, desired, .. } => {
+        Record::StateRead { asked, desired, .. } => {
             Some((*asked, desired["version"].as_u64().unwrap_or(0)))
         }
         _ => None,
@@ -157,28 +157,28 @@
         .collect()
 }
 
-type Seen<'a> = (&'a str, u64, u64, u64, bool);
+type NodeObservation<'a> = (&'a str, u64, u64, u64, bool);
 
-fn seen(records: &[Record]) -> Vec<Seen<'_>> {
+fn node_observations(records: &[Record]) -> Vec<NodeObservation<'_>> {
     let of = |record| match record {
-        &Record::Seen {
+        &Record::NodeObserved {
             ref node,
-            life,
+            incarnation: life,
             asked,
             position,
             fresh,
         } => Some((node.as_str(), life, asked, position, fresh)),
         _ => None,
     };
-    let mut seen: Vec<Seen> = records.iter().filter_map(of).collect();
+    let mut seen: Vec<NodeObservation> = records.iter().filter_map(of).collect();
     seen.sort_by_key(|(node, _, asked, ..)| (*node, *asked));
     seen
 }
 
 /// Within a life never, and over a restart not below what it had proved.
-pub(crate) fn slid_back(records: &[Record]) -> Vec<String> {
+pub(crate) fn regressed_positions(records: &[Record]) -> Vec<String> {
     let mut held: BTreeMap<&str, (u64, u64, u64)> = Default::default();
-    seen(records)
+    node_observations(records)
         .into_iter()
         .filter_map(|(node, life, asked, position, fresh)| {
             let (last_life, last, proved) = held.get(node).copied().unwrap_or_default();
@@ -199,20 +199,20 @@
 }
 
 /// Whoever serves two and a half seconds after a change was accepted, serves by it.
-pub(crate) fn late(records: &[Record]) -> Vec<String> {
-    let sent = sent(records);
+pub(crate) fn late_changes(records: &[Record]) -> Vec<String> {
+    let sent = sent_changes(records);
     let mut accepted: Vec<(u64, u64)> = sent
         .iter()
         .filter_map(|change| change.position.map(|position| (change.at, position)))
         .collect();
     accepted.sort();
-    seen(records)
+    node_observations(records)
         .into_iter()
         .filter(|(.., fresh)| *fresh)
         .filter_map(|(node, _, asked, position, _)| {
             let due = accepted
                 .iter()
-                .take_while(|(at, _)| at + IN_FORCE <= asked)
+                .take_while(|(at, _)| at + IN_FORCE_WITHIN_US <= asked)
                 .map(|(_, position)| *position)
                 .max()
                 .unwrap_or(0);
--- a/crates/simulator/src/disk.rs
+++ b/crates/simulator/src/disk.rs
@@ -13,8 +13,8 @@
 
 /// What the file `fault` in the seat's folder may say; nothing, or no file, is a sound disk.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Ill {
-    Sound,
+pub enum DiskFault {
+    Healthy,
     /// Each sync takes so much longer.
     Slow,
     /// Nothing gets through until it is over.
@@ -24,35 +24,40 @@
     Torn,
 }
 
-impl Ill {
-    pub fn word(self) -> &'static str {
+impl DiskFault {
+    pub fn file_text(self) -> &'static str {
         match self {
-            Ill::Sound => "sound",
-            Ill::Slow => "slow",
-            Ill::Stalled => "stalled",
-            Ill::Full => "full",
-            Ill::Torn => "torn",
+            DiskFault::Healthy => "sound",
+            DiskFault::Slow => "slow",
+            DiskFault::Stalled => "stalled",
+            DiskFault::Full => "full",
+            DiskFault::Torn => "torn",
         }
     }
 
-    fn read(folder: &Path) -> Ill {
+    fn read(folder: &Path) -> DiskFault {
         let told = std::fs::read_to_string(folder.join("fault")).unwrap_or_default();
-        [Ill::Slow, Ill::Stalled, Ill::Full, Ill::Torn]
-            .into_iter()
-            .find(|ill| ill.word() == told.trim())
-            .unwrap_or(Ill::Sound)
+        [
+            DiskFault::Slow,
+            DiskFault::Stalled,
+            DiskFault::Full,
+            DiskFault::Torn,
+        ]
+        .into_iter()
+        .find(|ill| ill.file_text() == told.trim())
+        .unwrap_or(DiskFault::Healthy)
     }
 }
 
 #[derive(Debug)]
-pub struct Disk {
+pub struct FaultyDisk {
     file: File,
     folder: PathBuf,
-    sync: Duration,
+    sync_delay: Duration,
 }
 
-impl Disk {
-    pub fn open(folder: &Path, sync_us: u64) -> std::io::Result<Disk> {
+impl FaultyDisk {
+    pub fn open(folder: &Path, sync_us: u64) -> std::io::Result<FaultyDisk> {
         std::fs::create_dir_all(folder)?;
         let file = OpenOptions::new()
             .read(true)
@@ -60,26 +65,26 @@
             .create(true)
             .truncate(false)
             .open(folder.join("core.redb"))?;
-        Ok(Disk {
+        Ok(FaultyDisk {
             file,
             folder: folder.into(),
-            sync: Duration::from_micros(sync_us),
+            sync_delay: Duration::from_micros(sync_us),
         })
     }
 
     /// Before each operation that changes the file.
-    fn suffer(&self) -> std::io::Result<Ill> {
+    fn apply_fault(&self) -> std::io::Result<DiskFault> {
         loop {
-            match Ill::read(&self.folder) {
-                Ill::Stalled => std::thread::sleep(Duration::from_millis(20)),
-                Ill::Full => return Err(ErrorKind::StorageFull.into()),
+            match DiskFault::read(&self.folder) {
+                DiskFault::Stalled => std::thread::sleep(Duration::from_millis(20)),
+                DiskFault::Full => return Err(ErrorKind::StorageFull.into()),
                 ill => return Ok(ill),
             }
         }
     }
 }
 
-impl redb::StorageBackend for Disk {
+impl redb::StorageBackend for FaultyDisk {
     fn len(&self) -> std::io::Result<u64> {
         Ok(self.file.metadata()?.len())
     }
@@ -89,18 +94,22 @@
     }
 
     fn set_len(&self, length: u64) -> std::io::Result<()> {
-        self.suffer()?;
+        self.apply_fault()?;
         self.file.set_len(length)
     }
 
     fn sync_data(&self) -> std::io::Result<()> {
-        let longer = if self.suffer()? == Ill::Slow { 100 } else { 1 };
-        std::thread::sleep(self.sync * longer);
+        let longer = if self.apply_fault()? == DiskFault::Slow {
+            100
+        } else {
+            1
+        };
+        std::thread::sleep(self.sync_delay * longer);
         self.file.sync_data()
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> std::io::Result<()> {
-        if self.suffer()? == Ill::Torn {
+        if self.apply_fault()? == DiskFault::Torn {
             FileExt::write_all_at(&self.file, &data[..data.len() / 2], offset)?;
             std::process::abort();
         }
@@ -109,7 +118,7 @@
 }
 
 /// A core seat as `gradeford-core` puts it together, over such a disk.
-pub async fn seat(
+pub async fn run_replica(
     env: control::ReplicaConfig,
     mates: String,
     operators: String,
@@ -120,10 +129,10 @@
         .await
         .map_err(|error| told(&error))?;
     let folder = env.folder.clone();
-    drop(Disk::open(&folder, sync_us).map_err(|error| told(&error))?);
+    drop(FaultyDisk::open(&folder, sync_us).map_err(|error| told(&error))?);
     // Opened again after a failure, as the vault does.
     let opened = move || {
-        Disk::open(&folder, sync_us).unwrap_or_else(|error| {
+        FaultyDisk::open(&folder, sync_us).unwrap_or_else(|error| {
             eprintln!("the folder is gone: {error}");
             std::process::exit(1)
         })
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -1,50 +1,50 @@
 //! All of a site's processes on one machine, on loopback (design 9.5).
 
 use crate::deployment::Deployment;
-use crate::operators::Answer;
+use crate::operators::ChangeAnswer;
 use crate::process::Process;
 use std::path::PathBuf;
 use std::time::Duration;
 
-pub struct Core {
+pub struct ReplicaMachine {
     pub process: Option<Process>,
     pub arguments: Vec<String>,
-    pub operators: String,
-    pub mates: String,
-    pub host: crate::links::Host,
+    pub operators_address: String,
+    pub peer_address: String,
+    pub host: crate::network::Host,
 }
 
 pub struct Machine {
-    pub usher: Option<Process>,
-    pub usher_arguments: Vec<String>,
-    pub understudy: Option<Process>,
-    pub understudy_arguments: Vec<String>,
+    pub node: Option<Process>,
+    pub node_arguments: Vec<String>,
+    pub stand_in: Option<Process>,
+    pub stand_in_arguments: Vec<String>,
     pub name: String,
-    pub local: String,
-    pub mates: String,
-    pub host: crate::links::Host,
+    pub local_address: String,
+    pub peer_address: String,
+    pub host: crate::network::Host,
 }
 
 pub struct Fleet {
     pub folder: PathBuf,
     pub deployment: Deployment,
-    pub cores: Vec<Core>,
+    pub replicas: Vec<ReplicaMachine>,
     pub machines: Vec<Machine>,
     pub http: reqwest::Client,
-    pub links: crate::links::Links,
+    pub network: crate::network::Network,
     /// Where operators find each core seat.
-    pub places: tokio::sync::watch::Sender<Vec<String>>,
+    pub operator_addresses: tokio::sync::watch::Sender<Vec<String>>,
     /// Back ends that came later than the site: heirs of addresses, added ones.
-    pub added: Vec<Process>,
+    pub added_backends: Vec<Process>,
     /// Core seats run over disks that this rehearsal spoils.
-    pub made_up_disks: bool,
+    pub simulated_disks: bool,
 }
 
 impl Fleet {
-    pub fn start_core(&mut self, seat: usize) -> Result<(), String> {
-        let core = &mut self.cores[seat];
+    pub fn start_replica(&mut self, seat: usize) -> Result<(), String> {
+        let core = &mut self.replicas[seat];
         // Over a made-up disk the seat is a stand-in, put together from the same library.
-        let stand_in = self.made_up_disks.then(|| {
+        let stand_in = self.simulated_disks.then(|| {
             [
                 &["seat".to_string()][..],
                 &core.arguments,
@@ -64,47 +64,47 @@
         Ok(())
     }
 
-    pub fn start_usher(&mut self, at: usize) -> Result<(), String> {
+    pub fn start_node(&mut self, at: usize) -> Result<(), String> {
         let machine = &mut self.machines[at];
-        machine.usher = Some(Process::start(
+        machine.node = Some(Process::start(
             &self.folder,
             &format!("node-{}", machine.name),
             "gradeford-node",
-            &machine.usher_arguments,
+            &machine.node_arguments,
         )?);
         Ok(())
     }
 
-    pub fn start_understudy(&mut self, at: usize) -> Result<(), String> {
+    pub fn start_stand_in(&mut self, at: usize) -> Result<(), String> {
         let machine = &mut self.machines[at];
-        machine.understudy = Some(Process::start(
+        machine.stand_in = Some(Process::start(
             &self.folder,
             &machine.name,
             "simulator",
-            &machine.understudy_arguments,
+            &machine.stand_in_arguments,
         )?);
         Ok(())
     }
 
     /// Everything up, the site's orders accepted, every back end registered.
     pub async fn start(&mut self) -> Result<(), String> {
-        (0..self.cores.len()).try_for_each(|seat| self.start_core(seat))?;
+        (0..self.replicas.len()).try_for_each(|seat| self.start_replica(seat))?;
         let cores: Vec<String> = self
-            .cores
+            .replicas
             .iter()
-            .map(|core| core.operators.clone())
+            .map(|core| core.operators_address.clone())
             .collect();
         self.until_ready(&cores).await?;
         self.apply("site", 0, self.deployment.edits()).await?;
-        (0..self.machines.len()).try_for_each(|at| self.start_usher(at))?;
+        (0..self.machines.len()).try_for_each(|at| self.start_node(at))?;
         let ushers: Vec<String> = self
             .machines
             .iter()
-            .map(|machine| machine.local.clone())
+            .map(|machine| machine.local_address.clone())
             .collect();
         self.until_ready(&ushers).await?;
-        (0..self.machines.len()).try_for_each(|at| self.start_understudy(at))?;
-        self.until_standing(self.machines.len()).await
+        (0..self.machines.len()).try_for_each(|at| self.start_stand_in(at))?;
+        self.until_registered(self.machines.len()).await
     }
 
     pub async fn get(&self, address: &str, path: &str) -> Option<(u16, serde_json::Value)> {
@@ -117,33 +117,33 @@
         Some((response.status().as_u16(), response.json().await.ok()?))
     }
 
-    pub fn service(&self, at: usize) -> String {
-        crate::process::flag(&self.machines[at].understudy_arguments, "--service")
+    pub fn service_of(&self, at: usize) -> String {
+        crate::process::flag_value(&self.machines[at].stand_in_arguments, "--service")
             .cloned()
             .unwrap_or_default()
     }
 
     /// Where a machine's back end takes requests.
-    pub fn listen(&self, at: usize) -> Option<String> {
-        crate::process::flag(&self.machines[at].understudy_arguments, "--listen").cloned()
+    pub fn backend_address(&self, at: usize) -> Option<String> {
+        crate::process::flag_value(&self.machines[at].stand_in_arguments, "--listen").cloned()
     }
 
     pub fn operator(&self) -> crate::operators::Operator {
         crate::operators::Operator {
-            places: self.places.subscribe(),
-            notebook: self.notebook(),
+            addresses: self.operator_addresses.subscribe(),
+            history: self.history_writer(),
             http: self.http.clone(),
         }
     }
 
     /// One more back end beside a machine's usher; with the address of another, or one of its own.
-    pub fn add_back_end(
+    pub fn add_backend(
         &mut self,
         beside: usize,
         service: &str,
         address: Option<String>,
     ) -> Result<(), String> {
-        let name = format!("heir-{}", self.added.len());
+        let name = format!("heir-{}", self.added_backends.len());
         let own = format!("{}:0", self.machines[beside].host);
         let history = self
             .folder
@@ -158,8 +158,8 @@
             ("--rate", "0".into()),
         ];
         let arguments =
-            crate::process::changed(&self.machines[beside].understudy_arguments, &changed);
-        self.added.push(Process::start(
+            crate::process::with_flags(&self.machines[beside].stand_in_arguments, &changed);
+        self.added_backends.push(Process::start(
             &self.folder,
             &name,
             "simulator",
@@ -169,8 +169,8 @@
     }
 
     pub async fn version(&self) -> Result<u64, String> {
-        for core in &self.cores {
-            if let Some((200, state)) = self.get(&core.operators, "/v1/desired").await {
+        for core in &self.replicas {
+            if let Some((200, state)) = self.get(&core.operators_address, "/v1/desired").await {
                 return state["version"]
                     .as_u64()
                     .ok_or_else(|| "no version".to_string());
@@ -186,11 +186,11 @@
         base: u64,
         edits: Vec<serde_json::Value>,
     ) -> Result<(u64, u64), String> {
-        for seat in 0..self.cores.len() {
+        for seat in 0..self.replicas.len() {
             match self.operator().send(seat, id, base, &edits).await? {
-                Answer::Accepted(version, position) => return Ok((version, position)),
-                Answer::Refused(status, told) if status < 500 => return Err(told),
-                Answer::Refused(..) | Answer::Unknown => {}
+                ChangeAnswer::Accepted(version, position) => return Ok((version, position)),
+                ChangeAnswer::Rejected(status, told) if status < 500 => return Err(told),
+                ChangeAnswer::Rejected(..) | ChangeAnswer::Unknown => {}
             }
         }
         Err("no core seat took the change".into())
@@ -222,11 +222,13 @@
         Ok(())
     }
 
-    pub async fn until_standing(&self, count: usize) -> Result<(), String> {
+    pub async fn until_registered(&self, count: usize) -> Result<(), String> {
         self.until("back ends registered", || async {
             let mut registered = 0;
-            for core in &self.cores {
-                if let Some((200, standing)) = self.get(&core.operators, "/v1/standing").await {
+            for core in &self.replicas {
+                if let Some((200, standing)) =
+                    self.get(&core.operators_address, "/v1/standing").await
+                {
                     let back_ends = standing["standing"]["back_ends"]
                         .as_object()
                         .cloned()
@@ -248,14 +250,14 @@
         let all = [
             self.machines
                 .iter_mut()
-                .filter_map(|machine| machine.understudy.take())
-                .chain(self.added.drain(..))
+                .filter_map(|machine| machine.stand_in.take())
+                .chain(self.added_backends.drain(..))
                 .collect::<Vec<_>>(),
             self.machines
                 .iter_mut()
-                .filter_map(|machine| machine.usher.take())
+                .filter_map(|machine| machine.node.take())
                 .collect(),
-            self.cores
+            self.replicas
                 .iter_mut()
                 .filter_map(|core| core.process.take())
                 .collect(),
--- a/crates/simulator/src/fleet_plan.rs
+++ b/crates/simulator/src/fleet_plan.rs
@@ -1,13 +1,13 @@
 //! Who runs where: addresses, zones, settings of a rehearsal's processes (design 9.5).
 
 use crate::deployment::Deployment;
-use crate::fleet::{Core, Fleet, Machine};
+use crate::fleet::{Fleet, Machine, ReplicaMachine};
 use std::net::TcpListener;
 use std::path::PathBuf;
 use std::time::Duration;
 
 /// A port that was free a moment ago, on a loopback address of this run's own.
-fn free(host: &str) -> Result<String, String> {
+fn free_address(host: &str) -> Result<String, String> {
     let listener = TcpListener::bind(format!("{host}:0")).map_err(|error| error.to_string())?;
     listener
         .local_addr()
@@ -15,13 +15,16 @@
         .map_err(|error| error.to_string())
 }
 
-fn parsed(host: &str) -> Result<crate::links::Host, String> {
+fn parse_host(host: &str) -> Result<crate::network::Host, String> {
     host.parse().map_err(|_| format!("{host} is no address"))
 }
 
 /// Where the process listens, and where others find it: the link stands between.
-fn relayed(links: &crate::links::Links, host: &str) -> Result<(String, String), String> {
-    let real = free(host)?;
+fn relayed_address(
+    links: &crate::network::Network,
+    host: &str,
+) -> Result<(String, String), String> {
+    let real = free_address(host)?;
     let listener = TcpListener::bind(format!("{host}:0")).map_err(|error| error.to_string())?;
     let known = listener
         .local_addr()
@@ -36,11 +39,11 @@
         links.clone(),
         real.parse().map_err(|_| "no address".to_string())?,
     );
-    tokio::spawn(async move { links.stand_before(listener, target).await });
+    tokio::spawn(async move { links.relay(listener, target).await });
     Ok((real, known))
 }
 
-fn words(pairs: &[(&str, String)]) -> Vec<String> {
+fn flag_words(pairs: &[(&str, String)]) -> Vec<String> {
     pairs
         .iter()
         .flat_map(|(flag, value)| [format!("--{flag}"), value.clone()])
@@ -49,9 +52,10 @@
 
 impl Fleet {
     /// An empty machine for a seat: the same place in the order, another address, another folder.
-    pub fn plan_core_again(&mut self, seat: usize) -> Result<(), String> {
-        let host = self.cores[seat].host.to_string();
-        let ((mates, known), operators) = (relayed(&self.links, &host)?, free(&host)?);
+    pub fn plan_replacement(&mut self, seat: usize) -> Result<(), String> {
+        let host = self.replicas[seat].host.to_string();
+        let ((mates, known), operators) =
+            (relayed_address(&self.network, &host)?, free_address(&host)?);
         let folder = self.folder.join(format!("core-{seat}-{}", model::now()));
         let moved = [
             ("--mates-address", mates),
@@ -59,13 +63,13 @@
             ("--operators-address", operators.clone()),
             ("--folder", folder.display().to_string()),
         ];
-        let core = &mut self.cores[seat];
-        core.arguments = crate::process::changed(&core.arguments, &moved);
-        (core.operators, core.mates) = (operators, known);
-        self.places.send_replace(
-            self.cores
+        let core = &mut self.replicas[seat];
+        core.arguments = crate::process::with_flags(&core.arguments, &moved);
+        (core.operators_address, core.peer_address) = (operators, known);
+        self.operator_addresses.send_replace(
+            self.replicas
                 .iter()
-                .map(|core| core.operators.clone())
+                .map(|core| core.operators_address.clone())
                 .collect(),
         );
         Ok(())
@@ -83,17 +87,22 @@
         let id = std::process::id();
         let host =
             |machine: usize| format!("127.{}.{}.{}", 16 + id / 250 % 200, id % 250, machine + 1);
-        let back_ends = deployment.back_ends();
-        let core_zones = (0..deployment.cores).map(|seat| seat % deployment.zones);
+        let back_ends = deployment.backends();
+        let core_zones = (0..deployment.replica_count).map(|seat| seat % deployment.zone_count);
         let zones = core_zones
             .chain(back_ends.iter().map(|(_, _, zone)| *zone))
             .enumerate();
         let zones = zones
-            .map(|(machine, zone)| Ok((parsed(&host(machine))?, zone)))
+            .map(|(machine, zone)| Ok((parse_host(&host(machine))?, zone)))
             .collect::<Result<_, String>>()?;
-        let links = crate::links::Links::new(zones, deployment.hop_us);
-        let places = (0..deployment.cores)
-            .map(|seat| Ok((relayed(&links, &host(seat))?, free(&host(seat))?)))
+        let links = crate::network::Network::new(zones, deployment.zone_delay_us);
+        let places = (0..deployment.replica_count)
+            .map(|seat| {
+                Ok((
+                    relayed_address(&links, &host(seat))?,
+                    free_address(&host(seat))?,
+                ))
+            })
             .collect::<Result<Vec<_>, String>>()?;
         let seeds = places
             .iter()
@@ -106,11 +115,11 @@
             .iter()
             .enumerate()
             .map(|(seat, ((mates, known), operators))| {
-                let arguments = words(&[
+                let arguments = flag_words(&[
                     ("name", format!("core-{seat}")),
-                    ("zone", format!("z{}", seat % deployment.zones)),
+                    ("zone", format!("z{}", seat % deployment.zone_count)),
                     ("seat", seat.to_string()),
-                    ("seats", deployment.cores.to_string()),
+                    ("seats", deployment.replica_count.to_string()),
                     ("mates-address", mates.clone()),
                     ("advertised-address", known.clone()),
                     ("operators-address", operators.clone()),
@@ -120,12 +129,12 @@
                         folder.join(format!("core-{seat}")).display().to_string(),
                     ),
                 ]);
-                Ok(Core {
+                Ok(ReplicaMachine {
                     process: None,
                     arguments,
-                    operators: operators.clone(),
-                    mates: known.clone(),
-                    host: parsed(&host(seat))?,
+                    operators_address: operators.clone(),
+                    peer_address: known.clone(),
+                    host: parse_host(&host(seat))?,
                 })
             });
         let cores = cores.collect::<Result<Vec<_>, String>>()?;
@@ -134,10 +143,13 @@
             .iter()
             .enumerate()
             .map(|(at, (name, service, zone))| {
-                let host = host(deployment.cores + at);
-                let ((mates, known), local, listen) =
-                    (relayed(&links, &host)?, free(&host)?, free(&host)?);
-                let usher_arguments = words(&[
+                let host = host(deployment.replica_count + at);
+                let ((mates, known), local, listen) = (
+                    relayed_address(&links, &host)?,
+                    free_address(&host)?,
+                    free_address(&host)?,
+                );
+                let usher_arguments = flag_words(&[
                     ("name", format!("node-{name}")),
                     ("zone", format!("z{zone}")),
                     ("mates-address", mates.clone()),
@@ -149,7 +161,7 @@
                     .into_iter()
                     .chain(usher_flags.iter().cloned())
                     .collect();
-                let understudy_arguments = words(&[
+                let understudy_arguments = flag_words(&[
                     ("name", name.clone()),
                     ("service", service.to_string()),
                     ("zone", format!("z{zone}")),
@@ -167,21 +179,22 @@
                     ("hot", "333".to_string()),
                     (
                         "sends",
-                        serde_json::to_string(&deployment.sends(service)).unwrap_or_default(),
+                        serde_json::to_string(&deployment.client_requests(service))
+                            .unwrap_or_default(),
                     ),
                 ]);
                 let understudy_arguments = std::iter::once("understudy".to_string())
                     .chain(understudy_arguments)
                     .collect();
-                let host = parsed(&host)?;
+                let host = parse_host(&host)?;
                 Ok(Machine {
-                    usher: None,
-                    usher_arguments,
-                    understudy: None,
-                    understudy_arguments,
+                    node: None,
+                    node_arguments: usher_arguments,
+                    stand_in: None,
+                    stand_in_arguments: understudy_arguments,
                     name: name.clone(),
-                    local,
-                    mates: known,
+                    local_address: local,
+                    peer_address: known,
                     host,
                 })
             });
@@ -194,19 +207,19 @@
         let places = tokio::sync::watch::Sender::new(
             cores
                 .iter()
-                .map(|core: &Core| core.operators.clone())
+                .map(|core: &ReplicaMachine| core.operators_address.clone())
                 .collect(),
         );
         Ok(Fleet {
             folder,
             deployment,
-            cores,
+            replicas: cores,
             machines,
             http,
-            links,
-            places,
-            added: Vec::new(),
-            made_up_disks: false,
+            network: links,
+            operator_addresses: places,
+            added_backends: Vec::new(),
+            simulated_disks: false,
         })
     }
 }
--- a/crates/simulator/src/forgers.rs
+++ b/crates/simulator/src/forging_clients.rs
@@ -4,45 +4,45 @@
 use std::time::Duration;
 
 #[derive(Clone)]
-pub struct Forger {
-    usher: String,
+pub struct ForgingClient {
+    node_address: String,
     zone: String,
     /// What it is, and where it may not send.
     service: String,
     target: (String, String),
-    notebook: crate::notes::Notebook,
+    history: crate::history_writer::HistoryWriter,
     http: reqwest::Client,
 }
 
-impl Forger {
+impl ForgingClient {
     /// Beside the last machine, as a back end of the last service; at a site of one service it lies all the same.
-    pub fn beside(fleet: &crate::fleet::Fleet) -> Forger {
+    pub fn beside(fleet: &crate::fleet::Fleet) -> ForgingClient {
         let deployment = &fleet.deployment;
         let last = fleet.machines.len() - 1;
-        let (_, service, zone) = deployment.back_ends().pop().unwrap_or_default();
-        let forbidden = |lane: &&crate::deployment::Lane| {
+        let (_, service, zone) = deployment.backends().pop().unwrap_or_default();
+        let forbidden = |lane: &&crate::deployment::RouteSpec| {
             !deployment
-                .lanes
+                .routes
                 .iter()
                 .any(|other| other.0 == service && other.1 == lane.1)
         };
         let lane = deployment
-            .lanes
+            .routes
             .iter()
             .find(forbidden)
-            .unwrap_or(&deployment.lanes[0]);
+            .unwrap_or(&deployment.routes[0]);
         let target = (lane.1.to_string(), lane.2.to_string());
         let (usher, notebook, http) = (
-            fleet.machines[last].local.clone(),
-            fleet.notebook(),
+            fleet.machines[last].local_address.clone(),
+            fleet.history_writer(),
             fleet.http.clone(),
         );
-        Forger {
-            usher,
+        ForgingClient {
+            node_address: usher,
             zone: format!("z{zone}"),
             service: service.to_string(),
             target,
-            notebook,
+            history: notebook,
             http,
         }
     }
@@ -52,7 +52,7 @@
         let ask = serde_json::json!({ "name": name, "service": self.service, "zone": self.zone, "slots": 0, "address": "127.0.0.1:9" });
         let answer = self
             .http
-            .post(format!("http://{}/back-end/register", self.usher))
+            .post(format!("http://{}/back-end/register", self.node_address))
             .json(&ask)
             .send()
             .await
@@ -64,12 +64,12 @@
         ))
     }
 
-    async fn lie(&self, secret: &str, prefix: &str, number: u64) -> Result<(), String> {
+    async fn send_forged(&self, secret: &str, prefix: &str, number: u64) -> Result<(), String> {
         let (service, path) = &self.target;
         let (try_id, asked) = (format!("{prefix}{}/{number}", self.service), model::now());
         let request = self
             .http
-            .post(format!("http://{}/call/{service}{path}", self.usher))
+            .post(format!("http://{}/call/{service}{path}", self.node_address))
             .bearer_auth(secret);
         let lies = [
             (backend_api::CLIENT_HEADER, service.as_str()),
@@ -93,45 +93,45 @@
             .and_then(|value| value.to_str().ok())
             .map(str::to_string);
         let told: serde_json::Value = response.json().await.unwrap_or_default();
-        self.notebook.note(&Record::Told {
-            try_id,
+        self.history.write(&Record::ClientAnswered {
+            attempt_id: try_id,
             asked,
             at: model::now(),
-            wait: crate::deployment::WAIT,
-            again: true,
-            by: format!("forger-{}", self.service),
+            wait_us: crate::deployment::DEFAULT_WAIT_US,
+            repeated: true,
+            client: format!("forger-{}", self.service),
             service: self.service.clone(),
             target: service.clone(),
             path: path.clone(),
             key: None,
             status,
-            whole: told["try"].is_string() && verdict.is_none(),
-            verdict,
-            cause: told["cause"].as_str().map(str::to_string),
-            come_back: true,
+            complete: told["try"].is_string() && verdict.is_none(),
+            execution_status: verdict,
+            error_kind: told["cause"].as_str().map(str::to_string),
+            has_retry_after: true,
         })
     }
 }
 
 /// In its own name with our headers set, with no secret at all, under another's names, and with an ended life's secret.
-pub async fn work(
-    forger: Forger,
+pub async fn run(
+    forger: ForgingClient,
     mut stop: tokio::sync::watch::Receiver<bool>,
 ) -> Result<(), String> {
     for turn in 0u64.. {
         let name = format!("forger-{turn}");
         if let Some((secret, prefix)) = forger.register(&name).await {
-            forger.lie(&secret, &prefix, 0).await?;
-            forger.lie("0123456789abcdef", &prefix, 1).await?;
-            forger.lie(&secret, "seat-0.1.", 2).await?;
+            forger.send_forged(&secret, &prefix, 0).await?;
+            forger.send_forged("0123456789abcdef", &prefix, 1).await?;
+            forger.send_forged(&secret, "seat-0.1.", 2).await?;
             let off = forger
                 .http
-                .post(format!("http://{}/back-end/sign-off", forger.usher))
+                .post(format!("http://{}/back-end/sign-off", forger.node_address))
                 .bearer_auth(&secret)
                 .send()
                 .await;
             drop(off);
-            forger.lie(&secret, &prefix, 3).await?;
+            forger.send_forged(&secret, &prefix, 3).await?;
         }
         if tokio::time::timeout(Duration::from_millis(200), stop.wait_for(|stop| *stop))
             .await
--- a/crates/simulator/src/history.rs
+++ b/crates/simulator/src/history.rs
@@ -7,50 +7,67 @@
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum Record {
     /// A back end began to run a request; written before anything else happens.
-    Began {
+    #[serde(rename = "began")]
+    RunBegan {
         run: String,
-        try_id: String,
+        #[serde(rename = "try_id")]
+        attempt_id: String,
         at: u64,
-        by: String,
-        life: u64,
+        #[serde(rename = "by")]
+        backend: String,
+        #[serde(rename = "life")]
+        incarnation: u64,
         /// Two live back ends may bear one name: an old one that slept, and its successor.
         process: u32,
         service: String,
-        meant_for: String,
-        sender: String,
+        #[serde(rename = "meant_for")]
+        intended_service: String,
+        #[serde(rename = "sender")]
+        client: String,
         path: String,
         key: Option<String>,
     },
-    Ended {
-        run: String,
-        at: u64,
-    },
+    #[serde(rename = "ended")]
+    RunEnded { run: String, at: u64 },
     /// A sender was told how its try ended; `again`: this was not its first arrival.
-    Told {
-        try_id: String,
+    #[serde(rename = "told")]
+    ClientAnswered {
+        #[serde(rename = "try_id")]
+        attempt_id: String,
         asked: u64,
         at: u64,
-        wait: u64,
-        again: bool,
-        by: String,
+        #[serde(rename = "wait")]
+        wait_us: u64,
+        #[serde(rename = "again")]
+        repeated: bool,
+        #[serde(rename = "by")]
+        client: String,
         service: String,
         target: String,
         path: String,
         key: Option<String>,
         status: u16,
-        verdict: Option<String>,
-        cause: Option<String>,
-        come_back: bool,
-        whole: bool,
+        #[serde(rename = "verdict")]
+        execution_status: Option<String>,
+        #[serde(rename = "cause")]
+        error_kind: Option<String>,
+        #[serde(rename = "come_back")]
+        has_retry_after: bool,
+        #[serde(rename = "whole")]
+        complete: bool,
     },
     /// A back end asked to be drained, or was killed, at this time.
-    Leaving {
-        by: String,
+    #[serde(rename = "leaving")]
+    BackendLeaving {
+        #[serde(rename = "by")]
+        backend: String,
         at: u64,
     },
     /// An operator's change of a lane: sent, and (`accepted`) answered.
-    Lane {
-        sender: String,
+    #[serde(rename = "lane")]
+    RouteChange {
+        #[serde(rename = "sender")]
+        client: String,
         service: String,
         path: String,
         allowed: bool,
@@ -58,7 +75,8 @@
         at: u64,
     },
     /// An operator's change: what was sent, and what came back. Without a version and not refused: nobody knows.
-    Change {
+    #[serde(rename = "change")]
+    DesiredChange {
         id: String,
         edits: Vec<serde_json::Value>,
         asked: u64,
@@ -68,66 +86,76 @@
         position: Option<u64>,
         refused: bool,
     },
-    ReadBack {
+    #[serde(rename = "read_back")]
+    StateRead {
         asked: u64,
         at: u64,
         desired: serde_json::Value,
     },
     /// What a node said of itself.
-    Seen {
+    #[serde(rename = "seen")]
+    NodeObserved {
         node: String,
-        life: u64,
+        #[serde(rename = "life")]
+        incarnation: u64,
         asked: u64,
         position: u64,
         fresh: bool,
     },
     /// A fault was taken away; the last of these is when recovery began.
-    Healed {
-        at: u64,
-    },
+    #[serde(rename = "healed")]
+    FaultHealed { at: u64 },
     /// An usher dispatched a try again; from its log.
-    Extra {
+    #[serde(rename = "extra")]
+    AttemptRepeated {
         node: String,
         service: String,
         at: u64,
     },
     /// A request meant for another service reached this back end, which refused it.
     Misrouted {
-        by: String,
-        meant_for: String,
+        #[serde(rename = "by")]
+        backend: String,
+        #[serde(rename = "meant_for")]
+        intended_service: String,
         at: u64,
     },
     /// A machine's usher stood still: what it held it could not answer.
-    Stood {
-        by: String,
+    #[serde(rename = "stood")]
+    NodeStalled {
+        #[serde(rename = "by")]
+        node: String,
         from: u64,
         to: u64,
     },
     /// From here on one key swamps the rest.
-    Heated {
-        at: u64,
-    },
+    #[serde(rename = "heated")]
+    HotKeyStarted { at: u64 },
 }
 
 #[derive(Debug, Default, serde::Serialize)]
 pub struct Report {
     pub asked: usize,
     /// Second arrivals of the same tries.
-    pub again: usize,
+    #[serde(rename = "again")]
+    pub repeated: usize,
     pub served: usize,
     pub not_run: usize,
     pub may_have_run: usize,
     pub causes: BTreeMap<String, usize>,
-    pub figures: crate::figures::Figures,
+    #[serde(rename = "figures")]
+    pub measurements: crate::measurements::Measurements,
     /// Service to how long after the last fault it was served again.
-    pub back_us: BTreeMap<String, u64>,
+    #[serde(rename = "back_us")]
+    pub recovery_us: BTreeMap<String, u64>,
     /// What the scenario was to bring about and did not: nothing was proved about it.
-    pub not_provoked: Vec<String>,
+    #[serde(rename = "not_provoked")]
+    pub not_observed: Vec<String>,
     pub invariants: BTreeMap<String, Vec<String>>,
 }
 
 impl Report {
-    pub fn held(&self) -> bool {
+    pub fn holds(&self) -> bool {
         self.invariants.values().all(Vec::is_empty)
     }
 }
@@ -150,14 +178,14 @@
 }
 
 /// What ushers wrote down of extra dispatches, as their logs have it.
-pub fn extras(folder: &Path) -> std::io::Result<Vec<Record>> {
+pub fn repeated_attempts(folder: &Path) -> std::io::Result<Vec<Record>> {
     let logs = std::fs::read_dir(folder)?
         .filter_map(Result::ok)
         .filter(|file| file.file_name().to_string_lossy().starts_with("node-"));
     let of = |line: &str| {
         let told: serde_json::Value = serde_json::from_str(line).ok()?;
         let text = |name: &str| told[name].as_str().map(str::to_string);
-        Some(Record::Extra {
+        Some(Record::AttemptRepeated {
             node: text("name")?,
             service: text("service")?,
             at: told["at"].as_u64()?,
--- a/crates/simulator/src/hollow/mod.rs
+++ b/crates/simulator/src/hollow/mod.rs
@@ -22,7 +22,7 @@
 pub use report::{Report, Stage};
 
 /// Links between regions, and the threads that carry them.
-pub(crate) type Linked = (crate::links::Links, Arc<tokio::runtime::Runtime>);
+pub(crate) type Linked = (crate::network::Network, Arc<tokio::runtime::Runtime>);
 
 /// Only a broken run meets this.
 const PATIENCE: Duration = Duration::from_secs(300);
@@ -50,7 +50,7 @@
     let hosts = (0..plan.seats).map(|seat| (plan.host(seat), plan.region(seat)));
     let hosts =
         hosts.chain((0..plan.nodes).map(|at| (plan.host(plan.seats + at), plan.region(at))));
-    let links = crate::links::Links::new(hosts.collect(), plan.hop);
+    let links = crate::network::Network::new(hosts.collect(), plan.hop);
     let threads = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
         .thread_name("links")
--- a/crates/simulator/src/hollow/plan.rs
+++ b/crates/simulator/src/hollow/plan.rs
@@ -213,7 +213,7 @@
     }
 
     /// An address of the loopback for each process; other sites on this machine have others.
-    pub fn host(&self, at: usize) -> crate::links::Host {
+    pub fn host(&self, at: usize) -> crate::network::Host {
         let site = 64 + std::process::id() % 128;
         IpAddr::V4(Ipv4Addr::new(
             127,
--- a/crates/simulator/src/hollow/seats.rs
+++ b/crates/simulator/src/hollow/seats.rs
@@ -13,7 +13,7 @@
 
 /// A listener and where it is found: with links, a relay stands before it.
 pub fn bind(
-    host: crate::links::Host,
+    host: crate::network::Host,
     links: Option<&super::Linked>,
 ) -> Result<(TcpListener, String), String> {
     let bound = || {
@@ -32,7 +32,7 @@
     let links = links.clone();
     relays.spawn(async move {
         if let Ok(before) = tokio::net::TcpListener::from_std(before) {
-            links.stand_before(before, target).await;
+            links.relay(before, target).await;
         }
     });
     Ok((own, known.to_string()))
--- a/crates/simulator/src/hollow/stages.rs
+++ b/crates/simulator/src/hollow/stages.rs
@@ -236,7 +236,7 @@
     }
 
     /// The last region hears nobody outside, nor is it heard, and then is joined again.
-    async fn cut(&mut self, links: &crate::links::Links) -> Result<(), String> {
+    async fn cut(&mut self, links: &crate::network::Network) -> Result<(), String> {
         let (plan, begun) = (self.site.plan.clone(), self.begin("cut"));
         let region = plan.regions - 1;
         let all = (0..plan.seats).map(|seat| (plan.host(seat), plan.region(seat)));
@@ -271,7 +271,7 @@
             ]),
         );
         let begun = self.begin("joined");
-        links.mend();
+        links.heal();
         let waited = self.site.settled("both sides are one again").await?;
         tokio::time::sleep(AFTER * 4).await;
         self.site.settled("both sides stay one").await?;
--- a/crates/simulator/src/keysim/judge.rs
+++ b/crates/simulator/src/lease_sim/checks.rs
@@ -4,26 +4,26 @@
 use model::cluster_state::ShardKey;
 
 #[derive(Default)]
-pub struct Judge {
-    pub broken: Vec<String>,
+pub struct LeaseChecks {
+    pub violations: Vec<String>,
     /// Rows taken up or renewed.
-    pub taken: usize,
+    pub ranges_taken: usize,
     /// Of these the ones that came with what their last holder had handed over.
-    pub handed_over: usize,
+    pub ranges_handed_over: usize,
 }
 
-impl Judge {
-    pub(super) fn breaks(&mut self, now: Microseconds, promise: &str, told: String) {
-        if self.broken.len() < 40 {
-            self.broken.push(format!("{promise}: at {now} {told}"));
+impl LeaseChecks {
+    pub(super) fn violation(&mut self, now: Microseconds, promise: &str, told: String) {
+        if self.violations.len() < 40 {
+            self.violations.push(format!("{promise}: at {now} {told}"));
         }
     }
 
     /// `taker` has just taken up or renewed what it holds.
-    pub(super) fn taken(
+    pub(super) fn check_holders(
         &mut self,
         now: Microseconds,
-        players: &[super::player::Player],
+        players: &[super::backend::SimulatedBackend],
         taker: usize,
     ) {
         let own = players[taker].held(now);
@@ -45,11 +45,15 @@
             });
         clash
             .into_iter()
-            .for_each(|told| self.breaks(now, "owner", told));
+            .for_each(|told| self.violation(now, "owner", told));
     }
 
     /// At the end, well after the last fault: every key has a holder, and everyone who is there holds some.
-    pub(super) fn close(&mut self, now: Microseconds, players: &[super::player::Player]) {
+    pub(super) fn check_final_state(
+        &mut self,
+        now: Microseconds,
+        players: &[super::backend::SimulatedBackend],
+    ) {
         let mut held: Vec<(ShardKey, ShardKey)> = players
             .iter()
             .filter(|player| player.alive)
@@ -65,15 +69,15 @@
             }
         });
         if reach <= ShardKey::MAX as u32 {
-            self.breaks(now, "unheld", format!("nobody holds key {reach}: {held:?}"));
+            self.violation(now, "unheld", format!("nobody holds key {reach}: {held:?}"));
         }
         let idle = players
             .iter()
             .filter(|player| player.alive && player.held(now).is_empty())
-            .map(super::player::Player::name);
+            .map(super::backend::SimulatedBackend::name);
         let idle: Vec<String> = idle.collect();
         if !idle.is_empty() {
-            self.breaks(now, "idle", format!("{idle:?} live and hold nothing"));
+            self.violation(now, "idle", format!("{idle:?} live and hold nothing"));
         }
     }
 }
--- a/crates/simulator/src/keysim/log.rs
+++ b/crates/simulator/src/lease_sim/log.rs
@@ -5,9 +5,9 @@
 
 /// What a seat says on a conn: news from one position to another, or a proof by number.
 #[derive(Clone, Debug)]
-pub(super) enum Told {
-    News {
-        afresh: bool,
+pub(super) enum ReplicaUpdate {
+    StateChanged {
+        complete: bool,
         from: Position,
         to: Position,
         deltas: Vec<Delta>,
@@ -18,57 +18,57 @@
     },
 }
 
-pub(super) type Entry = (String, u64, u64, Vec<ClusterReport>);
+pub(super) type LogEntry = (String, u64, u64, Vec<ClusterReport>);
 /// Node and the number of its conn.
-pub(super) type Conn = (usize, u64);
+pub(super) type ConnectionId = (usize, u64);
 
 #[derive(Default)]
-pub(super) struct Seat {
-    pub bill: ClusterState,
+pub(super) struct LogReplica {
+    pub cluster_state: ClusterState,
     pub applied: usize,
-    pub lags_until: Microseconds,
+    pub lagging_until: Microseconds,
     history: Vec<(Position, Position, Vec<Delta>)>,
-    followers: Vec<(Conn, Position)>,
-    asks: Vec<(Conn, u64, usize)>,
+    followers: Vec<(ConnectionId, Position)>,
+    pending_asks: Vec<(ConnectionId, u64, usize)>,
 }
 
 pub(super) struct Log {
-    pub entries: Vec<Entry>,
-    pub bill: ClusterState,
-    pub seats: Vec<Seat>,
+    pub entries: Vec<LogEntry>,
+    pub cluster_state: ClusterState,
+    pub replicas: Vec<LogReplica>,
     /// When each entry was ordered.
-    pub times: Vec<Microseconds>,
+    pub ordered_at: Vec<Microseconds>,
     /// Nothing is ordered nor proved until then.
-    pub out_until: Microseconds,
+    pub unavailable_until: Microseconds,
 }
 
 impl Log {
     pub fn new(seats: usize) -> Log {
         Log {
             entries: Vec::new(),
-            bill: ClusterState::default(),
-            seats: (0..seats).map(|_| Seat::default()).collect(),
-            times: Vec::new(),
-            out_until: 0,
+            cluster_state: ClusterState::default(),
+            replicas: (0..seats).map(|_| LogReplica::default()).collect(),
+            ordered_at: Vec::new(),
+            unavailable_until: 0,
         }
     }
 
-    pub fn items(&mut self, call: model::cluster_state::ItemCall) {
+    pub fn define_items(&mut self, call: model::cluster_state::ItemCall) {
         // Before anything else: all seats hold the items.
         drop(
-            self.bill
+            self.cluster_state
                 .apply("operator", 1, 0, ClusterOperation::Items(call)),
         );
-        let bill = &self.bill;
-        self.seats
+        let bill = &self.cluster_state;
+        self.replicas
             .iter_mut()
-            .for_each(|seat| seat.bill = bill.clone());
+            .for_each(|seat| seat.cluster_state = bill.clone());
     }
 
-    pub fn order(&mut self, now: Microseconds, entry: Entry) -> Outcome {
-        self.times.push(now);
+    pub fn order(&mut self, now: Microseconds, entry: LogEntry) -> Outcome {
+        self.ordered_at.push(now);
         self.entries.push(entry.clone());
-        self.bill
+        self.cluster_state
             .apply(
                 &entry.0,
                 entry.1,
@@ -79,10 +79,10 @@
     }
 }
 
-impl Seat {
+impl LogReplica {
     /// A seat that lags behind a follower tells it nothing until it has caught up.
-    fn tell(&mut self) -> Vec<(Conn, Told)> {
-        let (bill, history) = (&self.bill, &self.history);
+    fn pending_updates(&mut self) -> Vec<(ConnectionId, ReplicaUpdate)> {
+        let (bill, history) = (&self.cluster_state, &self.history);
         self.followers
             .iter_mut()
             .filter(|(_, held)| *held < bill.position)
@@ -101,8 +101,8 @@
                     .map(move |(afresh, from, to, deltas)| {
                         (
                             conn,
-                            Told::News {
-                                afresh,
+                            ReplicaUpdate::StateChanged {
+                                complete: afresh,
                                 from,
                                 to,
                                 deltas,
@@ -114,19 +114,19 @@
             .collect()
     }
 
-    fn prove(&mut self) -> Vec<(Conn, Told)> {
-        let (applied, position) = (self.applied, self.bill.position);
+    fn pending_proofs(&mut self) -> Vec<(ConnectionId, ReplicaUpdate)> {
+        let (applied, position) = (self.applied, self.cluster_state.position);
         let done = self
-            .asks
+            .pending_asks
             .extract_if(.., |(_, _, needed)| *needed <= applied);
-        done.map(|(conn, number, _)| (conn, Told::Proof { number, position }))
+        done.map(|(conn, number, _)| (conn, ReplicaUpdate::Proof { number, position }))
             .collect()
     }
 
     /// News goes before the proof that leans on it.
-    pub fn apply(&mut self, entry: Entry) -> Vec<(Conn, Told)> {
-        let before = self.bill.position;
-        let (_, deltas) = self.bill.apply(
+    pub fn apply(&mut self, entry: LogEntry) -> Vec<(ConnectionId, ReplicaUpdate)> {
+        let before = self.cluster_state.position;
+        let (_, deltas) = self.cluster_state.apply(
             &entry.0,
             entry.1,
             entry.2,
@@ -134,22 +134,32 @@
         );
         self.applied += 1;
         if !deltas.is_empty() {
-            self.history.push((before, self.bill.position, deltas));
+            self.history
+                .push((before, self.cluster_state.position, deltas));
             self.history.drain(..self.history.len().saturating_sub(12));
         }
-        let news = self.tell();
-        news.into_iter().chain(self.prove()).collect()
+        let news = self.pending_updates();
+        news.into_iter().chain(self.pending_proofs()).collect()
     }
 
-    pub fn follow(&mut self, conn: Conn, held: Position) -> Vec<(Conn, Told)> {
+    pub fn follow(
+        &mut self,
+        conn: ConnectionId,
+        held: Position,
+    ) -> Vec<(ConnectionId, ReplicaUpdate)> {
         self.followers.retain(|((node, _), _)| *node != conn.0);
         self.followers.push((conn, held));
-        self.tell()
+        self.pending_updates()
     }
 
     /// Proved once all that was ordered before the asking is applied here.
-    pub fn ask(&mut self, conn: Conn, number: u64, ordered: usize) -> Vec<(Conn, Told)> {
-        self.asks.push((conn, number, ordered));
-        self.prove()
+    pub fn ask(
+        &mut self,
+        conn: ConnectionId,
+        number: u64,
+        ordered: usize,
+    ) -> Vec<(ConnectionId, ReplicaUpdate)> {
+        self.pending_asks.push((conn, number, ordered));
+        self.pending_proofs()
     }
 }
--- a/crates/simulator/src/keysim/placing.rs
+++ b/crates/simulator/src/lease_sim/placement.rs
@@ -1,22 +1,22 @@
 //! Who places the service's keys and when, as `endpoints::duty` does it, over the real placements (design 11.4).
 
-use super::stage::{SERVICE, Stage};
-use super::telling::Whose;
+use super::harness::{LeaseHarness, SERVICE};
+use super::notification::ReportSource;
 use model::cluster_state::{ClusterReport, StateSnapshot};
 use model::{BackendName, Microseconds, Position};
 
 #[derive(Default)]
-pub(super) struct Duty {
-    cast: Vec<BackendName>,
-    since: Microseconds,
-    placing: bool,
-    until: Option<(Position, Microseconds)>,
+pub(super) struct PlacementDuty {
+    backends: Vec<BackendName>,
+    backends_since: Microseconds,
+    in_flight: bool,
+    resend_not_before: Option<(Position, Microseconds)>,
 }
 
-impl Duty {
-    pub fn placed(&mut self, here: Option<Position>, now: Microseconds) {
-        self.placing = false;
-        self.until = here.map(|position| (position, now + 1_000_000));
+impl PlacementDuty {
+    pub fn answered(&mut self, here: Option<Position>, now: Microseconds) {
+        self.in_flight = false;
+        self.resend_not_before = here.map(|position| (position, now + 1_000_000));
     }
 }
 
@@ -29,7 +29,7 @@
         .count() as u64
 }
 
-fn base(programme: &StateSnapshot) -> (Position, model::cluster_state::ShardMap) {
+fn current_placement(programme: &StateSnapshot) -> (Position, model::cluster_state::ShardMap) {
     programme
         .placements
         .get(SERVICE)
@@ -38,9 +38,9 @@
 }
 
 /// What is needed: someone who is gone holds keys, or someone who came holds none.
-fn plan(programme: &StateSnapshot) -> Option<(ClusterReport, bool)> {
+fn needed_placement(programme: &StateSnapshot) -> Option<(ClusterReport, bool)> {
     let cast = programme.available_backends(SERVICE);
-    let (base, rows) = base(programme);
+    let (base, rows) = current_placement(programme);
     let held = |name: &str| rows.iter().any(|row| row.holder.as_deref() == Some(name));
     let orphaned = rows.iter().any(|row| {
         row.holder
@@ -64,56 +64,59 @@
     ))
 }
 
-impl Stage {
-    pub(super) fn mind_placement(&mut self, at: usize) {
+impl LeaseHarness {
+    pub(super) fn consider_placement(&mut self, at: usize) {
         let now = self.now;
         let node = &mut self.nodes[at];
-        node.duty
-            .until
-            .take_if(|(position, until)| node.programme.position >= *position || now >= *until);
-        if node.proved == 0 || node.duty.placing || node.duty.until.is_some() {
+        node.placement
+            .resend_not_before
+            .take_if(|(position, until)| node.state.position >= *position || now >= *until);
+        if node.proved_at == 0
+            || node.placement.in_flight
+            || node.placement.resend_not_before.is_some()
+        {
             return;
         }
         let cast: Vec<BackendName> = node
-            .programme
+            .state
             .available_backends(SERVICE)
             .iter()
             .map(|one| one.name.clone())
             .collect();
-        if node.duty.cast != cast {
-            (node.duty.cast, node.duty.since) = (cast, now);
+        if node.placement.backends != cast {
+            (node.placement.backends, node.placement.backends_since) = (cast, now);
         }
-        let Some((recast, urgent)) = plan(&node.programme) else {
+        let Some((recast, urgent)) = needed_placement(&node.state) else {
             return;
         };
-        let first = base(&node.programme).0 == 0;
+        let first = current_placement(&node.state).0 == 0;
         let quiet = if first {
             1_300_000
         } else {
             300_000 * !urgent as u64
         };
-        if now >= node.duty.since + quiet + 700_000 * rank(&node.programme, &node.name) {
-            node.duty.placing = true;
-            self.post(at, Whose::Duty, vec![recast]);
+        if now >= node.placement.backends_since + quiet + 700_000 * rank(&node.state, &node.name) {
+            node.placement.in_flight = true;
+            self.enqueue(at, ReportSource::Placement, vec![recast]);
         }
     }
 
     /// Someone finds other shares better, as placements by load will.
-    pub(super) fn replace(&mut self, at: usize) {
-        if !self.nodes[at].up || self.nodes[at].frozen || self.nodes[at].duty.placing {
+    pub(super) fn change_shares(&mut self, at: usize) {
+        if !self.nodes[at].up || self.nodes[at].frozen || self.nodes[at].placement.in_flight {
             return;
         }
-        let cast = self.nodes[at].programme.available_backends(SERVICE);
+        let cast = self.nodes[at].state.available_backends(SERVICE);
         let parts: Vec<endpoints::BackendCapacity> = cast
             .iter()
             .map(|one| (one.name.clone(), self.draw((1, 9)) as f64))
             .collect();
-        let (base, rows) = base(&self.nodes[at].programme);
+        let (base, rows) = current_placement(&self.nodes[at].state);
         if base > 0 && !parts.is_empty() {
-            self.nodes[at].duty.placing = true;
-            self.post(
+            self.nodes[at].placement.in_flight = true;
+            self.enqueue(
                 at,
-                Whose::Duty,
+                ReportSource::Placement,
                 vec![ClusterReport::ShardsReassigned {
                     service: SERVICE.into(),
                     base_placement: base,
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,20 +1,20 @@
 //! The test-only side: a simulator in virtual time, stand-ins, and a one-machine fleet (design 9).
 
-pub mod audience;
-pub mod billsim;
+pub mod backend_stand_in;
 pub mod checker;
 pub mod deployment;
 mod desired_checks;
 pub mod disk;
-pub mod figures;
 pub mod fleet;
 mod fleet_plan;
-pub mod forgers;
+pub mod forging_clients;
 pub mod history;
+pub mod history_writer;
 pub mod hollow;
-pub mod keysim;
-pub mod links;
-pub mod notes;
+pub mod lease_sim;
+pub mod load_generator;
+pub mod measurements;
+pub mod network;
 pub mod operators;
 pub mod process;
 mod promises;
@@ -23,5 +23,5 @@
 mod scenario_more;
 mod serving_checks;
 pub mod sim;
-pub mod stagehand;
-pub mod understudy;
+pub mod state_sim;
+pub mod supervisor;
--- a/crates/simulator/src/audience.rs
+++ b/crates/simulator/src/load_generator.rs
@@ -3,33 +3,33 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-type Backstage = Arc<crate::understudy::Backstage>;
+type SharedStandIn = Arc<crate::backend_stand_in::StandIn>;
 
 /// What the latest registration gave: nothing is sent before the first.
 #[derive(Clone, Debug, Default)]
-pub struct Pass {
+pub struct Registration {
     pub secret: String,
-    pub try_prefix: String,
+    pub attempt_prefix: String,
 }
 
-pub type Passes = tokio::sync::watch::Receiver<Pass>;
+pub type Registrations = tokio::sync::watch::Receiver<Registration>;
 
 /// One try, however often it is sent.
 #[derive(Clone)]
-struct Try {
+struct PlannedAttempt {
     id: String,
-    sending: crate::deployment::Sending,
+    request: crate::deployment::RequestSpec,
     key: String,
 }
 
 /// Sends at a steady rate whatever comes back, as many callers would.
-pub async fn send(backstage: Backstage, http: reqwest::Client, passes: Passes) {
-    let part = &backstage.part;
-    if part.sends.is_empty() || part.rate <= 0.0 {
+pub async fn generate_load(backstage: SharedStandIn, http: reqwest::Client, passes: Registrations) {
+    let part = &backstage.config;
+    if part.requests.is_empty() || part.requests_per_second <= 0.0 {
         return;
     }
     let mut random: rand::rngs::StdRng = rand::SeedableRng::seed_from_u64(part.seed);
-    let mut every = tokio::time::interval(Duration::from_secs_f64(1.0 / part.rate));
+    let mut every = tokio::time::interval(Duration::from_secs_f64(1.0 / part.requests_per_second));
     every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     for number in 0u64.. {
         every.tick().await;
@@ -37,9 +37,9 @@
         if pass.secret.is_empty() {
             continue;
         }
-        let whole: u32 = part.sends.iter().map(|sending| sending.weight).sum();
+        let whole: u32 = part.requests.iter().map(|sending| sending.weight).sum();
         let drawn = rand::Rng::random_range(&mut random, 0..whole.max(1));
-        let sending = part.sends.iter().scan(0, |passed, sending| {
+        let sending = part.requests.iter().scan(0, |passed, sending| {
             *passed += sending.weight;
             Some((*passed, sending))
         });
@@ -52,18 +52,20 @@
         };
         // So many keyed requests of a thousand name one key: one that swamps the rest.
         let hot = rand::Rng::random_range(&mut random, 0..1_000)
-            < backstage.hot.load(std::sync::atomic::Ordering::Relaxed);
+            < backstage
+                .hot_key_per_mille
+                .load(std::sync::atomic::Ordering::Relaxed);
         let key = if hot {
             "hot".to_string()
         } else {
             format!("key-{}", rand::Rng::random_range(&mut random, 0..500))
         };
-        let one = Try {
-            id: format!("{}{}/{number}", pass.try_prefix, part.service),
-            sending,
+        let one = PlannedAttempt {
+            id: format!("{}{}/{number}", pass.attempt_prefix, part.service),
+            request: sending,
             key,
         };
-        tokio::spawn(see_through(
+        tokio::spawn(drive_attempt(
             backstage.clone(),
             http.clone(),
             passes.clone(),
@@ -75,11 +77,11 @@
 
 /// Most tries are sent once. Some are sent twice at once, some again later, and each whose conn broke
 /// again with whatever registration there is then: none may run twice for it.
-async fn see_through(
-    backstage: Backstage,
+async fn drive_attempt(
+    backstage: SharedStandIn,
     http: reqwest::Client,
-    passes: Passes,
-    one: Try,
+    passes: Registrations,
+    one: PlannedAttempt,
     habit: u32,
 ) {
     let again = |pause: u64| {
@@ -87,13 +89,13 @@
             (backstage.clone(), http.clone(), passes.clone(), one.clone());
         async move {
             tokio::time::sleep(Duration::from_micros(pause)).await;
-            arrive(&backstage, &http, &passes, &one, true).await
+            send_attempt(&backstage, &http, &passes, &one, true).await
         }
     };
-    let first = arrive(&backstage, &http, &passes, &one, false);
+    let first = send_attempt(&backstage, &http, &passes, &one, false);
     match habit {
         0 => drop(tokio::join!(first, again(0))),
-        1 => drop(tokio::join!(first, again(one.sending.wait_us / 2))),
+        1 => drop(tokio::join!(first, again(one.request.wait_us / 2))),
         _ => {
             // Until the own usher is back and says something, or a quarter of a minute is over.
             let mut unheard = first.await;
@@ -107,18 +109,18 @@
 }
 
 /// Whether nobody told this sender anything of a try that may have run.
-async fn arrive(
-    backstage: &Backstage,
+async fn send_attempt(
+    backstage: &SharedStandIn,
     http: &reqwest::Client,
-    passes: &Passes,
-    one: &Try,
+    passes: &Registrations,
+    one: &PlannedAttempt,
     again: bool,
 ) -> bool {
-    let part = &backstage.part;
-    let (secret, sending, asked) = (passes.borrow().secret.clone(), &one.sending, model::now());
+    let part = &backstage.config;
+    let (secret, sending, asked) = (passes.borrow().secret.clone(), &one.request, model::now());
     let url = format!(
         "http://{}/call/{}{}",
-        part.usher, sending.service, sending.path
+        part.node_address, sending.service, sending.path
     );
     let method = if sending.repeatable {
         reqwest::Method::GET
@@ -136,55 +138,55 @@
         request
     };
     let answer = match request.send().await {
-        Ok(response) => told(&one.id, response).await,
+        Ok(response) => read_answer(&one.id, response).await,
         // This arrival certainly did not run; of an earlier one it says nothing.
-        Err(error) if error.is_connect() => Answer {
-            verdict: Some(if again { "may-have-run" } else { "not-run" }.into()),
-            cause: Some("own_usher_down".into()),
-            ..Answer::default()
+        Err(error) if error.is_connect() => ClientAnswer {
+            execution_status: Some(if again { "may-have-run" } else { "not-run" }.into()),
+            error_kind: Some("own_usher_down".into()),
+            ..ClientAnswer::default()
         },
-        Err(_) => lost(),
+        Err(_) => connection_lost(),
     };
-    let unheard = answer.cause.as_deref() == Some("own_usher_lost")
-        || again && answer.cause.as_deref() == Some("own_usher_down");
-    backstage.note(&crate::history::Record::Told {
-        try_id: one.id.clone(),
+    let unheard = answer.error_kind.as_deref() == Some("own_usher_lost")
+        || again && answer.error_kind.as_deref() == Some("own_usher_down");
+    backstage.record(&crate::history::Record::ClientAnswered {
+        attempt_id: one.id.clone(),
         asked,
         at: model::now(),
-        wait: sending.wait_us,
-        again,
-        by: part.name.clone(),
+        wait_us: sending.wait_us,
+        repeated: again,
+        client: part.name.clone(),
         service: part.service.clone(),
         target: sending.service.clone(),
         path: sending.path.clone(),
         key: sending.keyed.then(|| one.key.clone()),
         status: answer.status,
-        verdict: answer.verdict,
-        cause: answer.cause,
-        come_back: answer.come_back,
-        whole: answer.whole,
+        execution_status: answer.execution_status,
+        error_kind: answer.error_kind,
+        has_retry_after: answer.has_retry_after,
+        complete: answer.complete,
     });
     unheard
 }
 
 #[derive(Default)]
-struct Answer {
+struct ClientAnswer {
     status: u16,
-    verdict: Option<String>,
-    cause: Option<String>,
-    come_back: bool,
-    whole: bool,
+    execution_status: Option<String>,
+    error_kind: Option<String>,
+    has_retry_after: bool,
+    complete: bool,
 }
 
-fn lost() -> Answer {
-    Answer {
-        verdict: Some("may-have-run".into()),
-        cause: Some("own_usher_lost".into()),
-        ..Answer::default()
+fn connection_lost() -> ClientAnswer {
+    ClientAnswer {
+        execution_status: Some("may-have-run".into()),
+        error_kind: Some("own_usher_lost".into()),
+        ..ClientAnswer::default()
     }
 }
 
-async fn told(try_id: &str, response: reqwest::Response) -> Answer {
+async fn read_answer(try_id: &str, response: reqwest::Response) -> ClientAnswer {
     let status = response.status().as_u16();
     let header = |name: &str| {
         response
@@ -199,17 +201,20 @@
         header("retry-after").is_some(),
     );
     let Ok(body) = response.bytes().await else {
-        return Answer { status, ..lost() };
+        return ClientAnswer {
+            status,
+            ..connection_lost()
+        };
     };
     let parsed: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
     let cause = parsed["cause"].as_str().map(str::to_string);
     let whole = seal.as_deref() == Some(backend_api::seal::seal(try_id, status, &body).as_str())
         && parsed["try"] == try_id;
-    Answer {
+    ClientAnswer {
         status,
-        verdict,
-        cause,
-        come_back,
-        whole,
+        execution_status: verdict,
+        error_kind: cause,
+        has_retry_after: come_back,
+        complete: whole,
     }
 }
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -64,26 +64,26 @@
         wrong("--count is at least 1, --length from 1 to 1000");
     }
     let bytes = blows.map(|text| {
-        simulator::sim::trial::parsed(&text)
+        simulator::sim::trial::parse_hexadecimal(&text)
             .unwrap_or_else(|| wrong("--blows is hexadecimal, six digits a blow"))
     });
     let sum = match bytes {
-        Some(bytes) => simulator::sim::trial::one(from, &bytes),
-        None => simulator::sim::trial::many(from, count, length),
+        Some(bytes) => simulator::sim::trial::run_one(from, &bytes),
+        None => simulator::sim::trial::run_many(from, count, length),
     };
     println!(
         "{} sites, {} runs, {} served, {} dispatched again, {} moves of keys",
-        sum.sites, sum.runs, sum.served, sum.extras, sum.moves
+        sum.sites, sum.runs, sum.served, sum.retries, sum.moves
     );
-    sum.broken
+    sum.violations
         .iter()
         .for_each(|(seed, blows, told)| println!("broken: --from {seed} --blows {blows}: {told}"));
-    if sum.broken.is_empty() {
+    if sum.violations.is_empty() {
         Ok(())
     } else {
         Err(format!(
             "{} of {} sites broke a promise",
-            sum.broken.len(),
+            sum.violations.len(),
             sum.sites
         ))
     }
@@ -130,7 +130,7 @@
 
 /// Costs of an entry under some settings of α and τ, with one or all seats suggesting, sparsely or in a burst.
 fn count() {
-    println!("{}", simulator::sim::count::HEAD);
+    println!("{}", simulator::sim::entry_cost::TABLE_HEAD);
     let settings = [
         (20, 50_000),
         (20, 10_000),
@@ -144,7 +144,7 @@
             .for_each(|(gap, one_seat)| {
                 println!(
                     "{}",
-                    simulator::sim::count::line(5, *alpha, *tau, *gap, 400, *one_seat)
+                    simulator::sim::entry_cost::table_line(5, *alpha, *tau, *gap, 400, *one_seat)
                 );
             });
     });
@@ -160,11 +160,11 @@
             .unwrap_or_else(|| "midway".into()),
         seconds: usage(arguments.opt_value_from_str("--seconds")).unwrap_or(30),
         seed: usage(arguments.opt_value_from_str("--seed")).unwrap_or(1),
-        spoil: usage(arguments.opt_value_from_str("--spoil")).unwrap_or(5),
+        spoil_per_mille: usage(arguments.opt_value_from_str("--spoil")).unwrap_or(5),
         folder: folder.unwrap_or_else(|| {
             std::env::temp_dir().join(format!("gradeford-rehearsal-{}", std::process::id()))
         }),
-        usher_flags: usher_flags
+        node_flags: usher_flags
             .unwrap_or_default()
             .split_whitespace()
             .map(str::to_string)
@@ -184,7 +184,7 @@
         "{}",
         serde_json::to_string_pretty(&report).unwrap_or_default()
     );
-    if report.held() {
+    if report.holds() {
         Ok(())
     } else {
         Err("an invariant was broken".into())
@@ -243,21 +243,21 @@
                 scenario: name.to_string(),
                 folder,
                 changes: 0,
-                usher_flags: plan.usher_flags.clone(),
+                node_flags: plan.node_flags.clone(),
                 ..plan
             };
             let (report, verdict) = match simulator::run::run(one).await {
-                Ok(report) if report.held() && report.not_provoked.is_empty() => {
+                Ok(report) if report.holds() && report.not_observed.is_empty() => {
                     let back = report
-                        .back_us
+                        .recovery_us
                         .values()
                         .max()
                         .map(|back| format!(", back after {} ms", back / 1_000))
                         .unwrap_or_default();
                     (report, format!("held{back}"))
                 }
-                Ok(report) if report.held() => {
-                    let told = format!("NOT PROVOKED: {}", report.not_provoked.join(", "));
+                Ok(report) if report.holds() => {
+                    let told = format!("NOT PROVOKED: {}", report.not_observed.join(", "));
                     (report, told)
                 }
                 Ok(report) => {
@@ -338,25 +338,25 @@
     };
     let sync_us: u64 = usage(arguments.value_from_str("--sync"));
     nothing_left(arguments);
-    simulator::disk::seat(env, mates, operators, sync_us).await
+    simulator::disk::run_replica(env, mates, operators, sync_us).await
 }
 
 async fn understudy(mut arguments: pico_args::Arguments) -> Result<(), String> {
     let sends: String = usage(arguments.value_from_str("--sends"));
-    let part = simulator::understudy::Part {
+    let part = simulator::backend_stand_in::StandInConfig {
         name: usage(arguments.value_from_str("--name")),
         service: usage(arguments.value_from_str("--service")),
         zone: usage(arguments.value_from_str("--zone")),
         slots: usage(arguments.value_from_str("--slots")),
-        usher: usage(arguments.value_from_str("--node")),
+        node_address: usage(arguments.value_from_str("--node")),
         listen: usage(arguments.value_from_str("--listen")),
         history: usage(arguments.value_from_str("--history")),
         work_us: usage(arguments.value_from_str("--work")),
-        spoil: usage(arguments.value_from_str("--spoil")),
+        spoil_per_mille: usage(arguments.value_from_str("--spoil")),
         seed: usage(arguments.value_from_str("--seed")),
-        rate: usage(arguments.value_from_str("--rate")),
-        hot: usage(arguments.value_from_str("--hot")),
-        sends: serde_json::from_str(&sends).map_err(|error| error.to_string())?,
+        requests_per_second: usage(arguments.value_from_str("--rate")),
+        hot_key_per_mille: usage(arguments.value_from_str("--hot")),
+        requests: serde_json::from_str(&sends).map_err(|error| error.to_string())?,
     };
-    simulator::understudy::run(part).await
+    simulator::backend_stand_in::run(part).await
 }
--- a/crates/simulator/src/figures.rs
+++ b/crates/simulator/src/measurements.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 #[derive(Debug, Default, serde::Serialize)]
-pub struct Figures {
+pub struct Measurements {
     pub requests_per_second: f64,
     /// From the operator's answer until the last node holds the version.
     pub in_force_us: Vec<u64>,
@@ -18,24 +18,25 @@
     pub bytes_across_zones: u64,
     pub seconds: f64,
     /// Service to requests and extra dispatches, summed over the nodes at the end.
-    pub requests_and_extras: BTreeMap<String, (u64, u64)>,
+    #[serde(rename = "requests_and_extras")]
+    pub requests_and_retries: BTreeMap<String, (u64, u64)>,
 }
 
-type Sums = BTreeMap<&'static str, u64>;
+type CounterSums = BTreeMap<&'static str, u64>;
 
 /// Sums over all processes that answer.
-pub async fn sums(fleet: &Fleet) -> Sums {
-    let mut sums = Sums::new();
+pub async fn counter_sums(fleet: &Fleet) -> CounterSums {
+    let mut sums = CounterSums::new();
     let mut add = |name: &'static str, value: u64| *sums.entry(name).or_default() += value;
-    for core in &fleet.cores {
-        if let Some((200, status)) = fleet.get(&core.operators, "/v1/status").await {
+    for core in &fleet.replicas {
+        if let Some((200, status)) = fleet.get(&core.operators_address, "/v1/status").await {
             add("syncs", status["syncs"].as_u64().unwrap_or(0));
             add("frames", status["frames"].as_u64().unwrap_or(0));
             add_traffic(&mut add, &status);
         }
     }
     for machine in &fleet.machines {
-        if let Some((200, status)) = fleet.get(&machine.local, "/status").await {
+        if let Some((200, status)) = fleet.get(&machine.local_address, "/status").await {
             add_traffic(&mut add, &status);
         }
     }
@@ -43,10 +44,10 @@
 }
 
 /// What each usher spent of its budget of extra dispatches, and the sum.
-pub async fn extras(fleet: &Fleet) -> BTreeMap<String, (u64, u64)> {
+pub async fn requests_and_retries(fleet: &Fleet) -> BTreeMap<String, (u64, u64)> {
     let mut sum = BTreeMap::<String, (u64, u64)>::new();
     for machine in &fleet.machines {
-        if let Some((200, status)) = fleet.get(&machine.local, "/status").await {
+        if let Some((200, status)) = fleet.get(&machine.local_address, "/status").await {
             status["requests_and_extras"]
                 .as_object()
                 .into_iter()
@@ -74,7 +75,7 @@
 }
 
 /// Makes `count` changes one after the other and times each until every node holds it.
-pub async fn changes(fleet: &Fleet, count: u64) -> Result<Vec<u64>, String> {
+pub async fn measure_changes(fleet: &Fleet, count: u64) -> Result<Vec<u64>, String> {
     let mut times = Vec::new();
     let mut base = fleet.version().await?;
     for number in 0..count {
@@ -95,7 +96,7 @@
         base = version;
         let everywhere = async {
             for machine in &fleet.machines {
-                held(fleet, &machine.local, position).await;
+                until_held(fleet, &machine.local_address, position).await;
             }
         };
         tokio::time::timeout(Duration::from_secs(60), everywhere)
@@ -107,7 +108,7 @@
 }
 
 /// A proof moves the position on even where the change touches nothing the node subscribes to.
-async fn held(fleet: &Fleet, address: &str, position: u64) {
+async fn until_held(fleet: &Fleet, address: &str, position: u64) {
     loop {
         match fleet.get(address, "/status").await {
             Some((200, status)) if status["position"].as_u64() >= Some(position) => return,
--- a/crates/simulator/src/links.rs
+++ b/crates/simulator/src/network.rs
@@ -9,23 +9,23 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 pub type Host = IpAddr;
-type Cuts = HashSet<(Host, Host)>;
+type CutLinks = HashSet<(Host, Host)>;
 
 /// Shared by all relays; a cut stalls bytes as a lost network would, it resets nothing.
 #[derive(Clone)]
-pub struct Links {
-    cuts: Arc<tokio::sync::watch::Sender<Cuts>>,
+pub struct Network {
+    cuts: Arc<tokio::sync::watch::Sender<CutLinks>>,
     zones: Arc<HashMap<Host, usize>>,
-    hop: Duration,
+    zone_delay: Duration,
 }
 
-impl Links {
-    pub fn new(zones: HashMap<Host, usize>, hop_us: u64) -> Links {
-        let cuts = Arc::new(tokio::sync::watch::Sender::new(Cuts::new()));
-        Links {
+impl Network {
+    pub fn new(zones: HashMap<Host, usize>, hop_us: u64) -> Network {
+        let cuts = Arc::new(tokio::sync::watch::Sender::new(CutLinks::new()));
+        Network {
             cuts,
             zones: Arc::new(zones),
-            hop: Duration::from_micros(hop_us),
+            zone_delay: Duration::from_micros(hop_us),
         }
     }
 
@@ -36,33 +36,37 @@
         });
     }
 
-    pub fn mend(&self) {
-        self.cuts.send_modify(Cuts::clear);
+    pub fn heal(&self) {
+        self.cuts.send_modify(CutLinks::clear);
     }
 
     fn delay(&self, one: Host, two: Host) -> Duration {
         let same = self.zones.get(&one) == self.zones.get(&two);
-        if same { Duration::ZERO } else { self.hop }
+        if same {
+            Duration::ZERO
+        } else {
+            self.zone_delay
+        }
     }
 
     /// Stands before one process: what is dialed here reaches it over the link.
-    pub async fn stand_before(&self, listener: tokio::net::TcpListener, target: SocketAddr) {
+    pub async fn relay(&self, listener: tokio::net::TcpListener, target: SocketAddr) {
         loop {
             if let Ok((stream, from)) = listener.accept().await {
-                tokio::spawn(self.clone().carry(stream, from.ip(), target));
+                tokio::spawn(self.clone().relay_connection(stream, from.ip(), target));
             }
         }
     }
 
-    async fn whole(&self, from: Host, to: Host) {
+    async fn until_open(&self, from: Host, to: Host) {
         let mut cuts = self.cuts.subscribe();
         drop(cuts.wait_for(|cuts| !cuts.contains(&(from, to))).await);
     }
 
-    async fn carry(self, near: tokio::net::TcpStream, from: Host, target: SocketAddr) {
+    async fn relay_connection(self, near: tokio::net::TcpStream, from: Host, target: SocketAddr) {
         // A first packet needs both ways.
-        self.whole(from, target.ip()).await;
-        self.whole(target.ip(), from).await;
+        self.until_open(from, target.ip()).await;
+        self.until_open(target.ip(), from).await;
         let Ok(far) = tokio::net::TcpStream::connect(target).await else {
             return;
         };
@@ -71,11 +75,12 @@
             .for_each(|stream| stream.set_nodelay(true).unwrap_or_default());
         let (near_reader, near_writer) = near.into_split();
         let (far_reader, far_writer) = far.into_split();
-        let there = tokio::spawn(
-            self.clone()
-                .one_way(near_reader, far_writer, from, target.ip()),
-        );
-        let back = tokio::spawn(self.one_way(far_reader, near_writer, target.ip(), from));
+        let there =
+            tokio::spawn(
+                self.clone()
+                    .relay_one_way(near_reader, far_writer, from, target.ip()),
+            );
+        let back = tokio::spawn(self.relay_one_way(far_reader, near_writer, target.ip(), from));
         // Either end closing closes the conn.
         let (there_ends, back_ends) = (there.abort_handle(), back.abort_handle());
         tokio::select! {
@@ -84,7 +89,7 @@
         }
     }
 
-    async fn one_way(
+    async fn relay_one_way(
         self,
         mut reader: tokio::net::tcp::OwnedReadHalf,
         mut writer: tokio::net::tcp::OwnedWriteHalf,
@@ -112,7 +117,7 @@
         let writing = async move {
             while let Some((due, piece)) = pieces.recv().await {
                 tokio::time::sleep_until(due).await;
-                self.whole(from, to).await;
+                self.until_open(from, to).await;
                 if writer.write_all(&piece).await.is_err() {
                     return;
                 }
--- a/crates/simulator/src/operators.rs
+++ b/crates/simulator/src/operators.rs
@@ -3,28 +3,28 @@
 use crate::history::Record;
 use std::time::Duration;
 
-pub type Places = tokio::sync::watch::Receiver<Vec<String>>;
+pub type ReplicaAddresses = tokio::sync::watch::Receiver<Vec<String>>;
 
 #[derive(Clone)]
 pub struct Operator {
     /// Where each core seat takes changes; replaced seats move.
-    pub places: Places,
-    pub notebook: crate::notes::Notebook,
+    pub addresses: ReplicaAddresses,
+    pub history: crate::history_writer::HistoryWriter,
     pub http: reqwest::Client,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Answer {
+pub enum ChangeAnswer {
     /// Version and position.
     Accepted(u64, u64),
-    Refused(u16, String),
+    Rejected(u16, String),
     /// Nobody said whether it took effect.
     Unknown,
 }
 
 impl Operator {
-    fn place(&self, seat: usize) -> String {
-        let places = self.places.borrow();
+    fn address_of(&self, seat: usize) -> String {
+        let places = self.addresses.borrow();
         places[seat % places.len()].clone()
     }
 
@@ -35,12 +35,12 @@
         id: &str,
         base: u64,
         edits: &[serde_json::Value],
-    ) -> Result<Answer, String> {
+    ) -> Result<ChangeAnswer, String> {
         let asked = model::now();
         let body = serde_json::json!({ "id": id, "base": base, "edits": edits });
         let sent = self
             .http
-            .post(format!("http://{}/v1/changes", self.place(seat)))
+            .post(format!("http://{}/v1/changes", self.address_of(seat)))
             .json(&body)
             .send()
             .await;
@@ -59,15 +59,15 @@
             told["accepted"]["position"].as_u64(),
         );
         let answer = match (version.zip(position), status) {
-            (Some((version, position)), _) => Answer::Accepted(version, position),
-            (None, 400..=499) => Answer::Refused(status, told.to_string()),
+            (Some((version, position)), _) => ChangeAnswer::Accepted(version, position),
+            (None, 400..=499) => ChangeAnswer::Rejected(status, told.to_string()),
             (None, 503) if told["verdict"] == "not-run" => {
-                Answer::Refused(status, told.to_string())
+                ChangeAnswer::Rejected(status, told.to_string())
             }
-            _ => Answer::Unknown,
+            _ => ChangeAnswer::Unknown,
         };
-        let refused = matches!(answer, Answer::Refused(..));
-        self.notebook.note(&Record::Change {
+        let refused = matches!(answer, ChangeAnswer::Rejected(..));
+        self.history.write(&Record::DesiredChange {
             id: id.into(),
             edits: edits.to_vec(),
             asked,
@@ -85,7 +85,7 @@
         let asked = model::now();
         let answer = self
             .http
-            .get(format!("http://{}/v1/desired", self.place(seat)))
+            .get(format!("http://{}/v1/desired", self.address_of(seat)))
             .send()
             .await;
         let Some(response) = answer
@@ -98,7 +98,7 @@
             return Ok(None);
         };
         let version = desired["version"].as_u64();
-        self.notebook.note(&Record::ReadBack {
+        self.history.write(&Record::StateRead {
             asked,
             at: model::now(),
             desired,
@@ -107,21 +107,21 @@
     }
 
     /// To every seat in turn until one says for certain; the same id, so that it takes effect once at most.
-    pub async fn settle(
+    pub async fn submit_until_answered(
         &self,
         id: &str,
         base: u64,
         edits: &[serde_json::Value],
-    ) -> Result<Answer, String> {
+    ) -> Result<ChangeAnswer, String> {
         for turn in 0..200 {
             match self.send(turn, id, base, edits).await? {
-                Answer::Unknown | Answer::Refused(503, _) => {
+                ChangeAnswer::Unknown | ChangeAnswer::Rejected(503, _) => {
                     tokio::time::sleep(Duration::from_millis(50)).await
                 }
                 answer => return Ok(answer),
             }
         }
-        Ok(Answer::Unknown)
+        Ok(ChangeAnswer::Unknown)
     }
 
     async fn version(&self, seat: usize) -> Result<u64, String> {
@@ -135,13 +135,20 @@
     }
 
     /// Until a change made from the newest version is accepted: of two that race, one goes again.
-    pub async fn insist(&self, id: &str, edits: &[serde_json::Value]) -> Result<u64, String> {
+    pub async fn submit_until_accepted(
+        &self,
+        id: &str,
+        edits: &[serde_json::Value],
+    ) -> Result<u64, String> {
         for turn in 0..100 {
             let base = self.version(turn).await?;
             // Another base makes another change, so it needs another id.
-            match self.settle(&format!("{id}-{turn}"), base, edits).await? {
-                Answer::Accepted(version, _) => return Ok(version),
-                Answer::Refused(412, _) => {}
+            match self
+                .submit_until_answered(&format!("{id}-{turn}"), base, edits)
+                .await?
+            {
+                ChangeAnswer::Accepted(version, _) => return Ok(version),
+                ChangeAnswer::Rejected(412, _) => {}
                 other => return Err(format!("the change {id} got {other:?}")),
             }
         }
@@ -150,13 +157,13 @@
 }
 
 /// A grouping that no back end fits: it changes what stands and disturbs nobody.
-fn harmless(service: &str, name: &str, turn: u64) -> serde_json::Value {
+fn harmless_edit(service: &str, name: &str, turn: u64) -> serde_json::Value {
     let labels = serde_json::json!({ "turn": turn.to_string() });
     serde_json::json!({ "put_grouping": { "name": name, "grouping": { "service": service, "zone": "z0", "labels": labels } } })
 }
 
 /// Several operators through the whole run, until told to stop; then what was left open is settled.
-pub async fn work(
+pub async fn run_operators(
     operator: Operator,
     service: &'static str,
     seed: u64,
@@ -171,11 +178,11 @@
             _ = stop.wait_for(|stop| *stop) => break,
         };
         let (one, two) = (
-            vec![harmless(service, "one", turn)],
-            vec![harmless(service, "two", turn)],
+            vec![harmless_edit(service, "one", turn)],
+            vec![harmless_edit(service, "two", turn)],
         );
         let broken = vec![
-            harmless(service, "broken", turn),
+            harmless_edit(service, "broken", turn),
             serde_json::json!({ "put_order": { "name": "broken", "order": {
             "selector": { "from": ["nobody"], "service": "nowhere" }, "wait_us": 1 } } }),
         ];
@@ -196,13 +203,13 @@
             .map(|((id, base, edits), seat)| operator.send(seat, id, *base, edits))
             .collect();
         let mut answers = Vec::new();
-        for pending in join(racing).await {
+        for pending in await_all(racing).await {
             answers.push(pending?);
         }
         open.extend(
             sent.into_iter()
                 .zip(answers)
-                .filter(|(_, answer)| *answer == Answer::Unknown)
+                .filter(|(_, answer)| *answer == ChangeAnswer::Unknown)
                 .map(|(change, _)| change),
         );
         let pause = Duration::from_millis(rand::Rng::random_range(&mut random, 100..400));
@@ -215,14 +222,14 @@
     }
     // An operator who was told nothing asks again, with the same name.
     for (id, base, edits) in open {
-        operator.settle(&id, base, &edits).await?;
+        operator.submit_until_answered(&id, base, &edits).await?;
     }
     operator.version(0).await.map(drop)
 }
 
-async fn join<F: Future<Output = Result<Answer, String>>>(
+async fn await_all<F: Future<Output = Result<ChangeAnswer, String>>>(
     racing: Vec<F>,
-) -> Vec<Result<Answer, String>> {
+) -> Vec<Result<ChangeAnswer, String>> {
     let mut racing = racing.into_iter();
     match (racing.next(), racing.next()) {
         (Some(one), Some(two)) => {
@@ -235,11 +242,11 @@
 }
 
 /// What one node says of itself, five times a second.
-pub async fn watch(
+pub async fn observe_node(
     node: String,
     address: String,
     http: reqwest::Client,
-    notebook: crate::notes::Notebook,
+    notebook: crate::history_writer::HistoryWriter,
 ) -> Result<(), String> {
     let mut every = tokio::time::interval(Duration::from_millis(200));
     every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -258,9 +265,9 @@
             number("position"),
             number("fresh_for_us") > 0,
         );
-        notebook.note(&Record::Seen {
+        notebook.write(&Record::NodeObserved {
             node: node.clone(),
-            life,
+            incarnation: life,
             asked,
             position,
             fresh,
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -8,7 +8,7 @@
 use std::process::Stdio;
 
 /// The word behind a flag.
-pub fn flag<'a>(arguments: &'a [String], flag: &str) -> Option<&'a String> {
+pub fn flag_value<'a>(arguments: &'a [String], flag: &str) -> Option<&'a String> {
     arguments
         .iter()
         .position(|held| held == flag)
@@ -16,7 +16,7 @@
 }
 
 /// The same words, but for these flags.
-pub fn changed(arguments: &[String], flags: &[(&str, String)]) -> Vec<String> {
+pub fn with_flags(arguments: &[String], flags: &[(&str, String)]) -> Vec<String> {
     flags
         .iter()
         .fold(arguments.to_vec(), |mut arguments, (flag, value)| {
--- a/crates/simulator/src/promises.rs
+++ b/crates/simulator/src/promises.rs
@@ -7,23 +7,23 @@
 use std::collections::HashSet;
 
 /// What operators and back ends are promised, with the half second the brief leaves.
-const IN_FORCE: u64 = 2_500_000;
+const IN_FORCE_WITHIN_US: u64 = 2_500_000;
 
 /// From, to, by which process: two of one name are two live back ends.
-type Span = (u64, u64, u32);
+type RunSpan = (u64, u64, u32);
 
 /// Two back ends at work on one key of one service at the same time.
-pub(crate) fn overlaps(records: &[Record]) -> Vec<String> {
+pub(crate) fn overlapping_runs(records: &[Record]) -> Vec<String> {
     let ends: HashMap<&str, u64> = records
         .iter()
         .filter_map(|record| match record {
-            Record::Ended { run, at } => Some((run.as_str(), *at)),
+            Record::RunEnded { run, at } => Some((run.as_str(), *at)),
             _ => None,
         })
         .collect();
-    let mut spans: BTreeMap<(&str, &str), Vec<Span>> = Default::default();
+    let mut spans: BTreeMap<(&str, &str), Vec<RunSpan>> = Default::default();
     records.iter().for_each(|record| {
-        if let Record::Began {
+        if let Record::RunBegan {
             run,
             at,
             process,
@@ -62,17 +62,17 @@
 }
 
 /// Two and a half seconds after a back end said it was leaving, that process begins nothing new.
-pub(crate) fn after_leaving(records: &[Record]) -> Vec<String> {
+pub(crate) fn runs_after_leaving(records: &[Record]) -> Vec<String> {
     let leavings = records.iter().filter_map(|record| match record {
-        Record::Leaving { by, at } => Some((by, *at)),
+        Record::BackendLeaving { backend: by, at } => Some((by, *at)),
         _ => None,
     });
     leavings
         .flat_map(|(leaver, left)| {
             let began = records.iter().filter_map(move |record| match record {
-                Record::Began {
-                    try_id,
-                    by,
+                Record::RunBegan {
+                    attempt_id: try_id,
+                    backend: by,
                     process,
                     at,
                     ..
@@ -86,7 +86,7 @@
                 .max_by_key(|(_, _, at)| *at)
                 .map(|(_, process, _)| process);
             let late = began.filter(move |(_, process, at)| {
-                *at > left + IN_FORCE && Some(*process) == left_process
+                *at > left + IN_FORCE_WITHIN_US && Some(*process) == left_process
             });
             late.map(move |(try_id, ..)| format!("{try_id} at {leaver}"))
                 .collect::<Vec<_>>()
@@ -95,12 +95,12 @@
 }
 
 /// Between a lane's end being accepted, and its return being asked for, nothing goes through it.
-pub(crate) fn after_forbidding(records: &[Record]) -> Vec<String> {
+pub(crate) fn runs_on_removed_routes(records: &[Record]) -> Vec<String> {
     let lanes: Vec<(&str, &str, &str, bool, bool, u64)> = records
         .iter()
         .filter_map(|record| match record {
-            Record::Lane {
-                sender,
+            Record::RouteChange {
+                client: sender,
                 service,
                 path,
                 allowed,
@@ -123,15 +123,15 @@
             .filter(|other| other.3 && !other.4 && other.5 > lane.5)
             .map(|other| other.5)
             .min();
-        (lane, lane.5 + IN_FORCE, back.unwrap_or(u64::MAX))
+        (lane, lane.5 + IN_FORCE_WITHIN_US, back.unwrap_or(u64::MAX))
     });
     forbidden
         .flat_map(|(lane, from, to)| {
             records.iter().filter_map(move |record| match record {
-                Record::Began {
-                    try_id,
+                Record::RunBegan {
+                    attempt_id: try_id,
                     at,
-                    sender,
+                    client: sender,
                     service,
                     path,
                     ..
@@ -141,7 +141,7 @@
                 {
                     Some(format!(
                         "{try_id} {} after the change",
-                        at - from + IN_FORCE
+                        at - from + IN_FORCE_WITHIN_US
                     ))
                 }
                 _ => None,
@@ -151,12 +151,12 @@
 }
 
 /// Every service that sends is served again in the last two and a half seconds.
-pub(crate) fn silent_at_the_end(records: &[Record]) -> Vec<String> {
+pub(crate) fn services_not_served_at_the_end(records: &[Record]) -> Vec<String> {
     let told = records.iter().filter_map(|record| match record {
-        Record::Told {
+        Record::ClientAnswered {
             service,
             at,
-            verdict,
+            execution_status: verdict,
             ..
         } => Some((service.as_str(), *at, verdict.is_none())),
         _ => None,
@@ -164,7 +164,7 @@
     let end = told.clone().map(|(_, at, _)| at).max().unwrap_or(0);
     let senders: BTreeSet<&str> = told.clone().map(|(service, ..)| service).collect();
     let served: BTreeSet<&str> = told
-        .filter(|(_, at, fine)| *fine && *at + IN_FORCE >= end)
+        .filter(|(_, at, fine)| *fine && *at + IN_FORCE_WITHIN_US >= end)
         .map(|(service, ..)| service)
         .collect();
     senders
@@ -174,11 +174,11 @@
 }
 
 /// A request that reached another service than it was meant for, longer after the address' owner died than it may take.
-pub(crate) fn misrouted(records: &[Record]) -> Vec<String> {
+pub(crate) fn misrouted_requests(records: &[Record]) -> Vec<String> {
     let left: Vec<u64> = records
         .iter()
         .filter_map(|record| {
-            if let Record::Leaving { at, .. } = record {
+            if let Record::BackendLeaving { at, .. } = record {
                 Some(*at)
             } else {
                 None
@@ -188,10 +188,13 @@
     records
         .iter()
         .filter_map(|record| match record {
-            Record::Misrouted { by, meant_for, at }
-                if !left
-                    .iter()
-                    .any(|left| (*left..*left + IN_FORCE).contains(at)) =>
+            Record::Misrouted {
+                backend: by,
+                intended_service: meant_for,
+                at,
+            } if !left
+                .iter()
+                .any(|left| (*left..*left + IN_FORCE_WITHIN_US).contains(at)) =>
             {
                 Some(format!("a request for {meant_for} reached {by} at {at}"))
             }
@@ -201,15 +204,17 @@
 }
 
 /// Requests that ran, or were running, and whose senders never got the answer because of a planned end.
-pub(crate) fn cut_off(records: &[Record]) -> Vec<String> {
+pub(crate) fn interrupted_runs(records: &[Record]) -> Vec<String> {
     let began: HashSet<&str> = records
         .iter()
         .filter_map(|record| match record {
-            Record::Began { try_id, .. } => Some(try_id.as_str()),
+            Record::RunBegan {
+                attempt_id: try_id, ..
+            } => Some(try_id.as_str()),
             _ => None,
         })
         .collect();
-    const CUTS: [&str; 4] = [
+    const INTERRUPTIONS: [&str; 4] = [
         "own_usher_lost",
         "mate_lost",
         "back_end_lost",
@@ -218,11 +223,11 @@
     records
         .iter()
         .filter_map(|record| match record {
-            Record::Told {
-                try_id,
-                cause: Some(cause),
+            Record::ClientAnswered {
+                attempt_id: try_id,
+                error_kind: Some(cause),
                 ..
-            } if CUTS.contains(&cause.as_str()) && began.contains(try_id.as_str()) => {
+            } if INTERRUPTIONS.contains(&cause.as_str()) && began.contains(try_id.as_str()) => {
                 Some(format!("{try_id}: {cause}"))
             }
             _ => None,
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -8,10 +8,10 @@
     pub scenario: String,
     pub seconds: u64,
     pub seed: u64,
-    pub spoil: u32,
+    pub spoil_per_mille: u32,
     pub folder: PathBuf,
     /// Given to every node, for paired runs.
-    pub usher_flags: Vec<String>,
+    pub node_flags: Vec<String>,
     /// Operators' changes to make and time before anything is broken.
     pub changes: u64,
 }
@@ -20,12 +20,12 @@
     let mut deployment = crate::deployment::named(&plan.site)
         .ok_or_else(|| format!("there is no site {:?}", plan.site))?;
     let size = (
-        deployment.back_ends().len(),
-        deployment.cores,
-        deployment.zones,
+        deployment.backends().len(),
+        deployment.replica_count,
+        deployment.zone_count,
     );
     let scenario = match plan.scenario.as_str() {
-        "midway" => midway(&deployment, &plan),
+        "midway" => midway_scenario(&deployment, &plan),
         "day" => crate::scenario_more::day(size.0, size.1, plan.seed, plan.seconds),
         name => crate::scenario::named(name, size, plan.seed)
             .ok_or_else(|| format!("there is no scenario {name:?}"))?,
@@ -40,14 +40,14 @@
         deployment.clone(),
         plan.folder.clone(),
         plan.seed,
-        plan.spoil,
-        &plan.usher_flags,
+        plan.spoil_per_mille,
+        &plan.node_flags,
     )?;
     let fleet = crate::fleet::Fleet {
-        made_up_disks: scenario.name.starts_with("disk-"),
+        simulated_disks: scenario.name.starts_with("disk-"),
         ..fleet
     };
-    let mut stage = crate::stagehand::Stagehand::new(fleet);
+    let mut stage = crate::supervisor::Supervisor::new(fleet);
     stage.fleet.start().await?;
     let began = tokio::time::Instant::now();
     let quiet = scenario
@@ -55,58 +55,58 @@
         .first()
         .map(|(at, _)| *at)
         .unwrap_or(scenario.length);
-    let company = Company::gather(&stage.fleet, &plan, &deployment);
+    let company = Participants::start(&stage.fleet, &plan, &deployment);
     let figures = measure(&stage.fleet, &plan, Duration::from_millis(quiet)).await?;
     for (at, step) in scenario.steps {
         tokio::time::sleep_until(began + Duration::from_millis(at)).await;
         let told = format!("{step:?}");
         stage
-            .take(step)
+            .perform(step)
             .await
             .map_err(|error| format!("{told}: {error}"))?;
     }
     tokio::time::sleep_until(began + Duration::from_millis(scenario.length)).await;
-    stage.settle()?;
-    company.leave().await?;
-    let requests_and_extras = crate::figures::extras(&stage.fleet).await;
+    stage.heal_all()?;
+    company.stop().await?;
+    let requests_and_extras = crate::measurements::requests_and_retries(&stage.fleet).await;
     let nodes = stage.fleet.machines.len();
     stage.fleet.stop().await;
     let told = |error: std::io::Error| error.to_string();
     let records: Vec<_> = crate::history::read(&plan.folder)
         .map_err(told)?
         .into_iter()
-        .chain(crate::history::extras(&plan.folder).map_err(told)?)
+        .chain(crate::history::repeated_attempts(&plan.folder).map_err(told)?)
         .collect();
     let repeatable: Vec<&str> = deployment
-        .lanes
+        .routes
         .iter()
         .filter(|lane| lane.3)
         .map(|lane| lane.2)
         .collect();
     let allowed: Vec<(&str, &str)> = deployment
-        .lanes
+        .routes
         .iter()
         .map(|lane| (lane.0, lane.1))
         .collect();
     // Measured changes are made by one operator alone, so nothing is refused there.
     let provokes = if plan.changes == 0 {
-        scenario.provokes
+        scenario.must_observe
     } else {
         &[]
     };
     let rules = crate::checker::Rules {
         repeatable: &repeatable,
         allowed: &allowed,
-        planned: scenario.planned,
-        allowance: nodes,
-        provokes,
+        planned_ends_only: scenario.planned_ends_only,
+        retry_allowance: nodes,
+        must_observe: provokes,
     };
     let report = crate::checker::check(&records, &rules);
-    let requests_per_second = report.figures.requests_per_second;
+    let requests_per_second = report.measurements.requests_per_second;
     Ok(crate::history::Report {
-        figures: crate::figures::Figures {
+        measurements: crate::measurements::Measurements {
             requests_per_second,
-            requests_and_extras,
+            requests_and_retries: requests_and_extras,
             ..figures
         },
         ..report
@@ -114,18 +114,18 @@
 }
 
 /// Operators, watchers and forgers who are there through the whole run.
-struct Company {
+struct Participants {
     stop: tokio::sync::watch::Sender<bool>,
     workers: Vec<tokio::task::JoinHandle<Result<(), String>>>,
     watchers: Vec<tokio::task::JoinHandle<Result<(), String>>>,
 }
 
-impl Company {
-    fn gather(
+impl Participants {
+    fn start(
         fleet: &crate::fleet::Fleet,
         plan: &Plan,
         deployment: &crate::deployment::Deployment,
-    ) -> Company {
+    ) -> Participants {
         let stop = tokio::sync::watch::Sender::new(false);
         let service = deployment.services[0].0;
         let teams = match plan.scenario.as_str() {
@@ -134,7 +134,7 @@
             _ => 1,
         };
         let operators = (0..teams).map(|team| {
-            tokio::spawn(crate::operators::work(
+            tokio::spawn(crate::operators::run_operators(
                 fleet.operator(),
                 service,
                 plan.seed * 10 + team,
@@ -142,21 +142,21 @@
             ))
         });
         let forgers = (plan.scenario == "forged").then(|| {
-            tokio::spawn(crate::forgers::work(
-                crate::forgers::Forger::beside(fleet),
+            tokio::spawn(crate::forging_clients::run(
+                crate::forging_clients::ForgingClient::beside(fleet),
                 stop.subscribe(),
             ))
         });
         let watchers = fleet.machines.iter().map(|machine| {
-            let watched = crate::operators::watch(
+            let watched = crate::operators::observe_node(
                 machine.name.clone(),
-                machine.local.clone(),
+                machine.local_address.clone(),
                 fleet.http.clone(),
-                fleet.notebook(),
+                fleet.history_writer(),
             );
             tokio::spawn(watched)
         });
-        Company {
+        Participants {
             workers: operators.chain(forgers).collect(),
             watchers: watchers.collect(),
             stop,
@@ -164,7 +164,7 @@
     }
 
     /// What was left open is settled first.
-    async fn leave(self) -> Result<(), String> {
+    async fn stop(self) -> Result<(), String> {
         self.stop.send_replace(true);
         for worker in self.workers {
             let ended = tokio::time::timeout(Duration::from_secs(60), worker).await;
@@ -180,23 +180,26 @@
 }
 
 /// A core seat dies without a word after a third, a back end after two.
-fn midway(deployment: &crate::deployment::Deployment, plan: &Plan) -> crate::scenario::Scenario {
-    use crate::scenario::{Step, Who};
+fn midway_scenario(
+    deployment: &crate::deployment::Deployment,
+    plan: &Plan,
+) -> crate::scenario::Scenario {
+    use crate::scenario::{Step, Target};
     let length = plan.seconds * 1_000;
     let (seat, at) = (
-        plan.seed as usize % deployment.cores,
-        plan.seed as usize % deployment.back_ends().len(),
+        plan.seed as usize % deployment.replica_count,
+        plan.seed as usize % deployment.backends().len(),
     );
     let steps = vec![
-        (length / 3, Step::Kill(Who::Core(seat))),
-        (length * 2 / 3, Step::Kill(Who::BackEnd(at))),
+        (length / 3, Step::Kill(Target::Replica(seat))),
+        (length * 2 / 3, Step::Kill(Target::Backend(at))),
     ];
     crate::scenario::Scenario {
         name: "midway",
         steps,
         length,
-        planned: false,
-        provokes: &[],
+        planned_ends_only: false,
+        must_observe: &[],
     }
 }
 
@@ -205,18 +208,18 @@
     fleet: &crate::fleet::Fleet,
     plan: &Plan,
     third: Duration,
-) -> Result<crate::figures::Figures, String> {
+) -> Result<crate::measurements::Measurements, String> {
     let (began, before, version) = (
         model::now(),
-        crate::figures::sums(fleet).await,
+        crate::measurements::counter_sums(fleet).await,
         fleet.version().await?,
     );
-    let in_force_us = crate::figures::changes(fleet, plan.changes).await?;
+    let in_force_us = crate::measurements::measure_changes(fleet, plan.changes).await?;
     tokio::time::sleep(third.saturating_sub(Duration::from_micros(model::now() - began))).await;
-    let after = crate::figures::sums(fleet).await;
+    let after = crate::measurements::counter_sums(fleet).await;
     let grown =
         |name: &str| after.get(name).copied().unwrap_or(0) - before.get(name).copied().unwrap_or(0);
-    Ok(crate::figures::Figures {
+    Ok(crate::measurements::Measurements {
         requests_per_second: 0.0,
         in_force_us,
         core_syncs: grown("syncs"),
@@ -227,6 +230,6 @@
         frames_across_zones: grown("across_frames"),
         bytes_across_zones: grown("across_bytes"),
         seconds: (model::now() - began) as f64 / 1e6,
-        requests_and_extras: Default::default(),
+        requests_and_retries: Default::default(),
     })
 }
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -2,54 +2,54 @@
 
 /// A process by its place: core seats, then nodes beside back ends, then back ends.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Who {
-    Core(usize),
-    Usher(usize),
-    BackEnd(usize),
+pub enum Target {
+    Replica(usize),
+    Node(usize),
+    Backend(usize),
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    Kill(Who),
+    Kill(Target),
     /// SIGTERM: a planned end.
-    Stop(Who),
-    Start(Who),
+    Stop(Target),
+    Start(Target),
     /// Kill, empty its folder, start again.
     Wipe(usize),
     /// An empty machine at a new address takes the seat over, by an operator's change.
     Replace(usize),
-    Freeze(Who),
-    Wake(Who),
+    Freeze(Target),
+    Wake(Target),
     /// Both ways, against every other machine.
-    Isolate(Who),
+    Isolate(Target),
     /// Only what it sends is lost.
-    Mute(Who),
+    Mute(Target),
     /// These core seats against the rest of the core.
-    Split(Vec<usize>),
-    Mend,
+    Partition(Vec<usize>),
+    HealNetwork,
     KillEverything,
     StartEverything,
-    KillCore,
-    StartCore,
+    KillAllReplicas,
+    StartAllReplicas,
     /// Take a lane away by an operator's change; a stale and a broken change go with it.
-    Forbid,
-    Allow,
+    RemoveRoute,
+    RestoreRoute,
     /// SIGHUP.
-    Reload(Who),
+    Reload(Target),
     /// A back end of the other service takes the address of one, beside some usher.
-    Inherit {
+    ReuseAddress {
         from: usize,
         beside: usize,
     },
     /// One more back end of the machine's service.
-    Add(usize),
-    DrainAdded,
+    AddBackend(usize),
+    DrainAddedBackends,
     /// One key swamps the rest from here on.
-    Heat,
+    StartHotKey,
     /// A change is accepted at this seat, which loses power and disk at once; an empty machine follows.
-    AckThenLose(usize),
+    LoseAfterAccept(usize),
     /// What a core seat's disk is like from here on.
-    Disk(usize, crate::disk::Ill),
+    SetDisk(usize, crate::disk::DiskFault),
 }
 
 impl Step {
@@ -59,10 +59,10 @@
             self,
             Step::Start(_)
                 | Step::Wake(_)
-                | Step::Mend
+                | Step::HealNetwork
                 | Step::StartEverything
-                | Step::StartCore
-                | Step::Allow
+                | Step::StartAllReplicas
+                | Step::RestoreRoute
         )
     }
 }
@@ -74,9 +74,9 @@
     pub steps: Vec<(u64, Step)>,
     pub length: u64,
     /// A planned restart: nothing that was passed on may be cut off.
-    pub planned: bool,
+    pub planned_ends_only: bool,
     /// What has to be seen, or the run proves nothing.
-    pub provokes: &'static [&'static str],
+    pub must_observe: &'static [&'static str],
 }
 
 pub(crate) fn scenario(name: &'static str, length: u64, steps: Vec<(u64, Step)>) -> Scenario {
@@ -84,8 +84,8 @@
         name,
         steps,
         length,
-        planned: false,
-        provokes: &["an accepted change", "a refused change", "a second arrival"],
+        planned_ends_only: false,
+        must_observe: &["an accepted change", "a refused change", "a second arrival"],
     }
 }
 
@@ -129,10 +129,10 @@
 ];
 
 /// Nodes beside back ends, core seats, zones.
-pub type Size = (usize, usize, usize);
+pub type SiteSize = (usize, usize, usize);
 
 /// The seed picks who is struck.
-pub fn named(name: &str, (machines, cores, zones): Size, seed: u64) -> Option<Scenario> {
+pub fn named(name: &str, (machines, cores, zones): SiteSize, seed: u64) -> Option<Scenario> {
     let (at, seat) = (seed as usize % machines, seed as usize % cores);
     let found = match name {
         "quiet" => scenario("quiet", 5_000, vec![]),
@@ -140,29 +140,29 @@
             "core-killed",
             9_000,
             vec![
-                (2_000, Step::Kill(Who::Core(seat))),
-                (2_500, Step::Forbid),
-                (6_000, Step::Start(Who::Core(seat))),
+                (2_000, Step::Kill(Target::Replica(seat))),
+                (2_500, Step::RemoveRoute),
+                (6_000, Step::Start(Target::Replica(seat))),
             ],
         ),
         // Nobody does anything; then others die until the wiped seat's vote is needed.
         "core-wiped" => {
             let others = (1..=(cores - 1) / 2)
-                .map(|step| (10_000, Step::Kill(Who::Core((seat + step) % cores))));
-            let steps = [(1_000, Step::Forbid), (2_000, Step::Wipe(seat))]
+                .map(|step| (10_000, Step::Kill(Target::Replica((seat + step) % cores))));
+            let steps = [(1_000, Step::RemoveRoute), (2_000, Step::Wipe(seat))]
                 .into_iter()
                 .chain(others)
-                .chain([(12_000, Step::Allow)]);
+                .chain([(12_000, Step::RestoreRoute)]);
             scenario("core-wiped", 15_000, steps.collect())
         }
         // After the replacement another seat dies: with a short core the new disk's vote is needed.
         "core-replaced" => {
             let others = (1..=(cores - 1) / 2)
-                .map(|step| (9_000, Step::Kill(Who::Core((seat + step) % cores))));
-            let steps = [(1_000, Step::Forbid), (2_000, Step::Replace(seat))]
+                .map(|step| (9_000, Step::Kill(Target::Replica((seat + step) % cores))));
+            let steps = [(1_000, Step::RemoveRoute), (2_000, Step::Replace(seat))]
                 .into_iter()
                 .chain(others)
-                .chain([(11_000, Step::Allow)]);
+                .chain([(11_000, Step::RestoreRoute)]);
             scenario("core-replaced", 15_000, steps.collect())
         }
         "core-split" => {
@@ -171,10 +171,10 @@
                 "core-split",
                 12_000,
                 vec![
-                    (2_000, Step::Split(few)),
-                    (3_000, Step::Forbid),
-                    (7_000, Step::Mend),
-                    (8_500, Step::Allow),
+                    (2_000, Step::Partition(few)),
+                    (3_000, Step::RemoveRoute),
+                    (7_000, Step::HealNetwork),
+                    (8_500, Step::RestoreRoute),
                 ],
             )
         }
@@ -182,80 +182,80 @@
             let many = (0..=cores / 2).map(|step| (seat + step) % cores);
             let kills = many
                 .clone()
-                .map(|seat| (2_000, Step::Kill(Who::Core(seat))));
-            let starts = many.map(|seat| (6_000, Step::Start(Who::Core(seat))));
+                .map(|seat| (2_000, Step::Kill(Target::Replica(seat))));
+            let starts = many.map(|seat| (6_000, Step::Start(Target::Replica(seat))));
             scenario("core-majority-lost", 14_000, kills.chain(starts).collect())
         }
         "core-frozen" => scenario(
             "core-frozen",
             9_000,
             vec![
-                (2_000, Step::Freeze(Who::Core(seat))),
-                (3_000, Step::Forbid),
-                (6_000, Step::Wake(Who::Core(seat))),
+                (2_000, Step::Freeze(Target::Replica(seat))),
+                (3_000, Step::RemoveRoute),
+                (6_000, Step::Wake(Target::Replica(seat))),
             ],
         ),
         "core-muted" => scenario(
             "core-muted",
             9_000,
             vec![
-                (2_000, Step::Mute(Who::Core(seat))),
-                (3_000, Step::Forbid),
-                (6_000, Step::Mend),
+                (2_000, Step::Mute(Target::Replica(seat))),
+                (3_000, Step::RemoveRoute),
+                (6_000, Step::HealNetwork),
             ],
         ),
         "node-killed" => scenario(
             "node-killed",
             11_000,
             vec![
-                (2_000, Step::Kill(Who::Usher(at))),
-                (6_000, Step::Start(Who::Usher(at))),
+                (2_000, Step::Kill(Target::Node(at))),
+                (6_000, Step::Start(Target::Node(at))),
             ],
         ),
         "node-isolated" => scenario(
             "node-isolated",
             12_000,
             vec![
-                (2_000, Step::Isolate(Who::Usher(at))),
-                (2_500, Step::Forbid),
-                (7_000, Step::Mend),
+                (2_000, Step::Isolate(Target::Node(at))),
+                (2_500, Step::RemoveRoute),
+                (7_000, Step::HealNetwork),
             ],
         ),
         "node-frozen" => scenario(
             "node-frozen",
             12_000,
             vec![
-                (2_000, Step::Freeze(Who::Usher(at))),
-                (2_500, Step::Forbid),
-                (7_000, Step::Wake(Who::Usher(at))),
+                (2_000, Step::Freeze(Target::Node(at))),
+                (2_500, Step::RemoveRoute),
+                (7_000, Step::Wake(Target::Node(at))),
             ],
         ),
         "back-end-killed" => scenario(
             "back-end-killed",
             10_000,
             vec![
-                (2_000, Step::Kill(Who::BackEnd(at))),
-                (5_000, Step::Start(Who::BackEnd(at))),
+                (2_000, Step::Kill(Target::Backend(at))),
+                (5_000, Step::Start(Target::Backend(at))),
             ],
         ),
         "back-end-frozen" => scenario(
             "back-end-frozen",
             14_000,
             vec![
-                (2_000, Step::Freeze(Who::BackEnd(at))),
-                (8_000, Step::Wake(Who::BackEnd(at))),
+                (2_000, Step::Freeze(Target::Backend(at))),
+                (8_000, Step::Wake(Target::Backend(at))),
             ],
         ),
         "back-ends-replaced" => {
             let steps = (0..3).flat_map(|turn| {
-                let who = Who::BackEnd((at + turn) % machines);
+                let who = Target::Backend((at + turn) % machines);
                 [
                     (1_000 + turn as u64 * 3_000, Step::Stop(who)),
                     (3_000 + turn as u64 * 3_000, Step::Start(who)),
                 ]
             });
             Scenario {
-                planned: true,
+                planned_ends_only: true,
                 ..scenario("back-ends-replaced", 13_000, steps.collect())
             }
         }
@@ -264,41 +264,41 @@
             let struck = machines * 2 / 3..machines;
             let kills = struck
                 .clone()
-                .map(|at| (2_000, Step::Kill(Who::BackEnd(at))));
-            let starts = struck.map(|at| (5_000, Step::Start(Who::BackEnd(at))));
+                .map(|at| (2_000, Step::Kill(Target::Backend(at))));
+            let starts = struck.map(|at| (5_000, Step::Start(Target::Backend(at))));
             scenario("service-down", 11_000, kills.chain(starts).collect())
         }
         "service-slow" => {
             let struck = machines * 2 / 3..machines;
             let stops = struck
                 .clone()
-                .map(|at| (2_000, Step::Freeze(Who::BackEnd(at))));
-            let wakes = struck.map(|at| (2_900, Step::Wake(Who::BackEnd(at))));
+                .map(|at| (2_000, Step::Freeze(Target::Backend(at))));
+            let wakes = struck.map(|at| (2_900, Step::Wake(Target::Backend(at))));
             scenario("service-slow", 9_000, stops.chain(wakes).collect())
         }
         "nodes-rolled" => {
             let steps = (0..3).flat_map(|turn| {
-                let who = Who::Usher((at + turn) % machines);
+                let who = Target::Node((at + turn) % machines);
                 [
                     (1_000 + turn as u64 * 3_500, Step::Stop(who)),
                     (2_500 + turn as u64 * 3_500, Step::Start(who)),
                 ]
             });
             Scenario {
-                planned: true,
+                planned_ends_only: true,
                 ..scenario("nodes-rolled", 14_000, steps.collect())
             }
         }
         "core-rolled" => {
             let steps = (0..cores).flat_map(|turn| {
-                let who = Who::Core((seat + turn) % cores);
+                let who = Target::Replica((seat + turn) % cores);
                 [
                     (1_000 + turn as u64 * 2_000, Step::Stop(who)),
                     (2_000 + turn as u64 * 2_000, Step::Start(who)),
                 ]
             });
             Scenario {
-                planned: true,
+                planned_ends_only: true,
                 ..scenario("core-rolled", 3_000 + cores as u64 * 2_000, steps.collect())
             }
         }
@@ -306,16 +306,16 @@
             "core-herd",
             14_000,
             vec![
-                (1_000, Step::Forbid),
-                (2_000, Step::KillCore),
-                (6_000, Step::StartCore),
+                (1_000, Step::RemoveRoute),
+                (2_000, Step::KillAllReplicas),
+                (6_000, Step::StartAllReplicas),
             ],
         ),
         "power-loss" => scenario(
             "power-loss",
             14_000,
             vec![
-                (1_000, Step::Forbid),
+                (1_000, Step::RemoveRoute),
                 (2_000, Step::KillEverything),
                 (4_000, Step::StartEverything),
             ],
@@ -324,9 +324,9 @@
             "orders-changed",
             12_000,
             vec![
-                (1_500, Step::Forbid),
-                (5_000, Step::Allow),
-                (7_500, Step::Forbid),
+                (1_500, Step::RemoveRoute),
+                (5_000, Step::RestoreRoute),
+                (7_500, Step::RemoveRoute),
             ],
         ),
         _ => return crate::scenario_more::named(name, (machines, cores, zones), seed),
--- a/crates/simulator/src/serving_checks.rs
+++ b/crates/simulator/src/serving_checks.rs
@@ -4,47 +4,47 @@
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
-const WINDOW: u64 = 10_000_000;
+const BUDGET_WINDOW_US: u64 = 10_000_000;
 /// Between a request's asking and its counting at the node.
-const ON_THE_WAY: u64 = 50_000;
-const BACK_WITHIN: u64 = 15_000_000;
+const COUNTING_DELAY_US: u64 = 50_000;
+const RECOVERY_LIMIT_US: u64 = 15_000_000;
 
-struct Told<'a> {
+struct FirstAnswer<'a> {
     service: &'a str,
     asked: u64,
     at: u64,
-    wait: u64,
+    wait_us: u64,
     status: u16,
-    verdict: Option<&'a str>,
-    cause: Option<&'a str>,
-    come_back: bool,
+    execution_status: Option<&'a str>,
+    error_kind: Option<&'a str>,
+    has_retry_after: bool,
     key: Option<&'a str>,
 }
 
 /// First arrivals at the service they were meant for.
-fn told(records: &[Record]) -> impl Iterator<Item = Told<'_>> {
+fn first_answers(records: &[Record]) -> impl Iterator<Item = FirstAnswer<'_>> {
     records.iter().filter_map(|record| match record {
-        Record::Told {
+        Record::ClientAnswered {
             target,
             asked,
             at,
-            wait,
+            wait_us: wait,
             status,
-            verdict,
-            cause,
-            come_back,
+            execution_status: verdict,
+            error_kind: cause,
+            has_retry_after: come_back,
             key,
-            again: false,
+            repeated: false,
             ..
-        } => Some(Told {
+        } => Some(FirstAnswer {
             service: target,
             asked: *asked,
             at: *at,
-            wait: *wait,
+            wait_us: *wait,
             status: *status,
-            verdict: verdict.as_deref(),
-            cause: cause.as_deref(),
-            come_back: *come_back,
+            execution_status: verdict.as_deref(),
+            error_kind: cause.as_deref(),
+            has_retry_after: *come_back,
             key: key.as_deref(),
         }),
         _ => None,
@@ -52,9 +52,9 @@
 }
 
 /// In any ten seconds, over the fleet: the worst windows begin with an extra dispatch.
-pub(crate) fn over_budget(records: &[Record], allowance: usize) -> Vec<String> {
+pub(crate) fn retry_budget_overruns(records: &[Record], allowance: usize) -> Vec<String> {
     let extras = records.iter().filter_map(|record| match record {
-        Record::Extra { service, at, .. } => Some((service.as_str(), *at)),
+        Record::AttemptRepeated { service, at, .. } => Some((service.as_str(), *at)),
         _ => None,
     });
     let gathered = |mut table: BTreeMap<String, Vec<u64>>, (service, at): (&str, u64)| {
@@ -62,7 +62,7 @@
         table
     };
     let mut extras = extras.fold(Default::default(), gathered);
-    let mut asked = told(records)
+    let mut asked = first_answers(records)
         .map(|told| (told.service, told.asked))
         .fold(Default::default(), gathered);
     extras
@@ -77,7 +77,7 @@
         .flat_map(|(service, times)| {
             let requests = asked.get(service).map(Vec::as_slice).unwrap_or_default();
             times.iter().filter_map(move |from| {
-                let (spent, earned) = (inside(times, *from, from + WINDOW), inside(requests, from.saturating_sub(ON_THE_WAY), from + WINDOW));
+                let (spent, earned) = (inside(times, *from, from + BUDGET_WINDOW_US), inside(requests, from.saturating_sub(COUNTING_DELAY_US), from + BUDGET_WINDOW_US));
                 (spent > earned / 5 + allowance).then(|| format!("{service}: {spent} extra dispatches and {earned} requests in ten seconds from {from}"))
             })
         })
@@ -85,9 +85,11 @@
 }
 
 /// Refused for the moment, and not told when to come back.
-pub(crate) fn silent_refusals(records: &[Record]) -> Vec<String> {
-    let silent = told(records).filter(|told| {
-        told.verdict == Some("not-run") && matches!(told.status, 429 | 503) && !told.come_back
+pub(crate) fn rejections_without_retry_after(records: &[Record]) -> Vec<String> {
+    let silent = first_answers(records).filter(|told| {
+        told.execution_status == Some("not-run")
+            && matches!(told.status, 429 | 503)
+            && !told.has_retry_after
     });
     silent
         .map(|told| {
@@ -95,7 +97,7 @@
                 "{} at {}: {} does not say when",
                 told.service,
                 told.at,
-                told.cause.unwrap_or("?")
+                told.error_kind.unwrap_or("?")
             )
         })
         .collect()
@@ -103,14 +105,14 @@
 
 /// Kept until near the deadline though there was nothing more to wait for. Whoever waited in a buffer until
 /// a more important one came, or until its time was over, had something to wait for.
-pub(crate) fn held_back(records: &[Record]) -> Vec<String> {
-    const WAITED: [&str; 2] = ["too_late", "overloaded"];
-    let late = told(records).filter(|told| {
-        told.verdict == Some("not-run") && told.at - told.asked > told.wait * 9 / 10
+pub(crate) fn late_rejections(records: &[Record]) -> Vec<String> {
+    const QUEUED_ERROR_KINDS: [&str; 2] = ["too_late", "overloaded"];
+    let late = first_answers(records).filter(|told| {
+        told.execution_status == Some("not-run") && told.at - told.asked > told.wait_us * 9 / 10
     });
     // An usher that stands still answers nothing, at either end; nobody has given the try up meanwhile.
     let stood = |record: &Record| {
-        if let Record::Stood { from, to, .. } = record {
+        if let Record::NodeStalled { from, to, .. } = record {
             Some((*from, *to))
         } else {
             None
@@ -122,22 +124,26 @@
             .iter()
             .any(|(from, to)| told.asked < *to && told.at > *from)
     });
-    let late = late.filter(|told| !told.cause.is_some_and(|cause| WAITED.contains(&cause)));
+    let late = late.filter(|told| {
+        !told
+            .error_kind
+            .is_some_and(|cause| QUEUED_ERROR_KINDS.contains(&cause))
+    });
     late.map(|told| {
         format!(
             "{}: {} after {} of {}",
             told.service,
-            told.cause.unwrap_or("?"),
+            told.error_kind.unwrap_or("?"),
             told.at - told.asked,
-            told.wait
+            told.wait_us
         )
     })
     .collect()
 }
 
-fn heated(records: &[Record]) -> Option<u64> {
+fn hot_key_start(records: &[Record]) -> Option<u64> {
     records.iter().find_map(|record| {
-        if let Record::Heated { at } = record {
+        if let Record::HotKeyStarted { at } = record {
             Some(*at)
         } else {
             None
@@ -146,14 +152,14 @@
 }
 
 /// Served share of the other keys, before one key swamps the rest and after.
-pub(crate) fn crowded_out(records: &[Record]) -> Vec<String> {
-    let Some(heated) = heated(records) else {
+pub(crate) fn starved_keys(records: &[Record]) -> Vec<String> {
+    let Some(heated) = hot_key_start(records) else {
         return Vec::new();
     };
     let share = |hot: bool| {
-        let others: Vec<bool> = told(records)
+        let others: Vec<bool> = first_answers(records)
             .filter(|told| told.key.is_some_and(|key| key != "hot") && (told.asked > heated) == hot)
-            .map(|told| told.verdict.is_none())
+            .map(|told| told.execution_status.is_none())
             .collect();
         others.iter().filter(|served| **served).count() * 1_000 / others.len().max(1)
     };
@@ -163,11 +169,11 @@
 }
 
 /// Service to how long after the last fault it was served, and whoever was not in time.
-pub(crate) fn back(records: &[Record]) -> (BTreeMap<String, u64>, Vec<String>) {
+pub(crate) fn recovery_times(records: &[Record]) -> (BTreeMap<String, u64>, Vec<String>) {
     let healed = records
         .iter()
         .filter_map(|record| {
-            if let Record::Healed { at } = record {
+            if let Record::FaultHealed { at } = record {
                 Some(*at)
             } else {
                 None
@@ -177,10 +183,15 @@
     let Some(healed) = healed else {
         return Default::default();
     };
-    let end = told(records).map(|told| told.at).max().unwrap_or(0);
-    let after = || told(records).filter(move |told| told.asked >= healed);
-    let services: BTreeSet<String> = told(records).map(|told| told.service.to_string()).collect();
-    let served = after().filter(|told| told.verdict.is_none()).fold(
+    let end = first_answers(records)
+        .map(|told| told.at)
+        .max()
+        .unwrap_or(0);
+    let after = || first_answers(records).filter(move |told| told.asked >= healed);
+    let services: BTreeSet<String> = first_answers(records)
+        .map(|told| told.service.to_string())
+        .collect();
+    let served = after().filter(|told| told.execution_status.is_none()).fold(
         BTreeMap::<String, u64>::new(),
         |mut served, told| {
             let since = told.at - healed;
@@ -194,7 +205,9 @@
     let late = services.iter().filter(|service| {
         served
             .get(*service)
-            .map_or(end > healed + BACK_WITHIN, |since| *since > BACK_WITHIN)
+            .map_or(end > healed + RECOVERY_LIMIT_US, |since| {
+                *since > RECOVERY_LIMIT_US
+            })
     });
     let late = late
         .map(|service| format!("{service} was not served within 15 s of the end of the last fault"))
@@ -203,20 +216,20 @@
 }
 
 /// Whether the run brought about what its scenario is for.
-pub(crate) fn provoked(records: &[Record], what: &str) -> bool {
+pub(crate) fn observed(records: &[Record], what: &str) -> bool {
     match what {
-        "not-run" => told(records).any(|told| told.verdict == Some("not-run") && told.cause != Some("own_usher_down")),
-        "a second arrival" => records.iter().any(|record| matches!(record, Record::Told { again: true, status: 409, .. })),
-        "an accepted change" => records.iter().filter(|record| matches!(record, Record::Change { version: Some(_), .. })).count() > 1,
-        "a refused change" => records.iter().any(|record| matches!(record, Record::Change { refused: true, .. })),
-        "an address reused" => records.iter().any(|record| matches!(record, Record::Began { by, .. } if by.starts_with("heir-"))),
+        "not-run" => first_answers(records).any(|told| told.execution_status == Some("not-run") && told.error_kind != Some("own_usher_down")),
+        "a second arrival" => records.iter().any(|record| matches!(record, Record::ClientAnswered { repeated: true, status: 409, .. })),
+        "an accepted change" => records.iter().filter(|record| matches!(record, Record::DesiredChange { version: Some(_), .. })).count() > 1,
+        "a refused change" => records.iter().any(|record| matches!(record, Record::DesiredChange { refused: true, .. })),
+        "an address reused" => records.iter().any(|record| matches!(record, Record::RunBegan { backend, .. } if backend.starts_with("heir-"))),
         "a hot key" => {
-            heated(records).is_some_and(|heated| told(records).any(|told| told.key == Some("hot") && told.asked > heated && told.verdict == Some("not-run")))
+            hot_key_start(records).is_some_and(|heated| first_answers(records).any(|told| told.key == Some("hot") && told.asked > heated && told.execution_status == Some("not-run")))
         }
-        "a forger refused" => records.iter().any(|record| matches!(record, Record::Told { by, status: 401 | 409 | 403, .. } if by.starts_with("forger"))),
+        "a forger refused" => records.iter().any(|record| matches!(record, Record::ClientAnswered { client, status: 401 | 409 | 403, .. } if client.starts_with("forger"))),
         "a moved key" => {
             let began = records.iter().filter_map(|record| match record {
-                Record::Began { service, key: Some(key), process, .. } => Some(((service, key), *process)),
+                Record::RunBegan { service, key: Some(key), process, .. } => Some(((service, key), *process)),
                 _ => None,
             });
             let holders = began.fold(BTreeMap::<_, BTreeSet<u32>>::new(), |mut holders, (key, process)| {
--- a/crates/simulator/src/sim/check.rs
+++ b/crates/simulator/src/sim/checks.rs
@@ -17,14 +17,14 @@
 pub struct Findings {
     pub submitted: BTreeMap<Vec<u8>, Submission>,
     /// The longest an entry took until its own seat had applied it.
-    pub slowest: u64,
+    pub slowest_entry_us: u64,
     /// The one value of each instance, by whoever applied it first.
     chosen: BTreeMap<u64, Vec<u8>>,
     /// What its own seat applied: an operator may have been told "accepted".
     answered: BTreeMap<u64, Vec<u8>>,
-    asked: BTreeMap<u64, Option<u64>>,
+    reads_asked: BTreeMap<u64, Option<u64>>,
     pub reads_done: u64,
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 impl Findings {
@@ -33,12 +33,12 @@
         if let Some(submission) = self.submitted.get_mut(value) {
             submission.applied.get_or_insert(now);
         } else {
-            self.broken
+            self.violations
                 .push(format!("seat {seat} applied at {at} what nobody proposed"));
         }
         let held = self.chosen.entry(at).or_insert_with(|| value.to_vec());
         if held != value {
-            self.broken.push(format!(
+            self.violations.push(format!(
                 "instance {at} has two values, the second at seat {seat}"
             ));
         }
@@ -46,12 +46,12 @@
             let waited = since
                 .filter(|since| !since.caller_gone)
                 .map_or(0, |since| now.saturating_sub(since.at));
-            self.slowest = self.slowest.max(waited);
+            self.slowest_entry_us = self.slowest_entry_us.max(waited);
             self.answered.insert(at, value.to_vec());
         }
     }
 
-    pub fn note_submitted(&mut self, value: Vec<u8>, seat: u16, at: u64) {
+    pub fn record_submitted(&mut self, value: Vec<u8>, seat: u16, at: u64) {
         self.submitted.insert(
             value,
             Submission {
@@ -64,7 +64,7 @@
     }
 
     /// Whoever waited at a seat that died waits no longer.
-    pub fn crashed(&mut self, seat: u16) {
+    pub fn caller_lost(&mut self, seat: u16) {
         self.submitted
             .values_mut()
             .filter(|held| held.seat == seat)
@@ -72,7 +72,7 @@
     }
 
     /// Whether the caller of an entry still waits for its answer.
-    pub fn waits_for(&self, value: &[u8], now: u64, patience: u64) -> bool {
+    pub fn caller_waits(&self, value: &[u8], now: u64, patience: u64) -> bool {
         let waits = |held: &Submission| {
             patience == u64::MAX || !held.caller_gone && now <= held.at.saturating_add(patience)
         };
@@ -80,7 +80,7 @@
     }
 
     /// Entries that first took effect so long after they were submitted.
-    pub fn late(&self, after: u64) -> Vec<&[u8]> {
+    pub fn late_entries(&self, after: u64) -> Vec<&[u8]> {
         let late = |held: &Submission| {
             held.applied
                 .is_some_and(|applied| applied > held.at + after)
@@ -94,16 +94,16 @@
 
     /// A read must see at least what any seat had applied when it was asked: that may have been told (design 11.6).
     pub fn read_asked(&mut self, token: u64) {
-        self.asked
+        self.reads_asked
             .insert(token, self.chosen.last_key_value().map(|(at, _)| *at));
     }
 
     pub fn read_done(&mut self, token: u64, applied: u64) {
         self.reads_done += 1;
-        if let Some(Some(told)) = self.asked.remove(&token)
+        if let Some(Some(told)) = self.reads_asked.remove(&token)
             && applied <= told
         {
-            self.broken.push(format!(
+            self.violations.push(format!(
                 "read {token} was proved at {applied} though {told} had been applied before it"
             ));
         }
@@ -114,19 +114,19 @@
     }
 
     /// At the end, with all faults mended: all copies are equal and lack nothing that was answered.
-    pub fn close(&mut self, nodes: &[super::world::Node]) {
+    pub fn check_final_state(&mut self, nodes: &[super::world::SimulatedReplica]) {
         let longest = nodes
             .iter()
-            .map(|node| &node.history)
+            .map(|node| &node.applied)
             .max_by_key(|history| history.len())
             .cloned()
             .unwrap_or_default();
-        nodes.iter().zip(0..).for_each(|(node, seat): (&super::world::Node, usize)| {
-            if node.history != longest {
-                let differs = node.history.iter().zip(&longest).position(|(a, b)| a != b);
-                self.broken.push(format!(
+        nodes.iter().zip(0..).for_each(|(node, seat): (&super::world::SimulatedReplica, usize)| {
+            if node.applied != longest {
+                let differs = node.applied.iter().zip(&longest).position(|(a, b)| a != b);
+                self.violations.push(format!(
                     "seat {seat} ends with {} entries, the longest copy has {}, first difference {differs:?}",
-                    node.history.len(),
+                    node.applied.len(),
                     longest.len()
                 ));
             }
@@ -139,14 +139,14 @@
             .map(|(at, _)| *at)
             .collect();
         if !lost.is_empty() {
-            self.broken
+            self.violations
                 .push(format!("answered entries vanished: {lost:?}"));
         }
         (0..nodes.len())
             .map(|seat| format!("last {seat}").into_bytes())
             .for_each(|last| {
                 if !held.values().any(|value| *value == last) {
-                    self.broken.push(format!(
+                    self.violations.push(format!(
                         "{:?} was never applied though all faults were mended",
                         String::from_utf8_lossy(&last)
                     ));
--- a/crates/simulator/src/sim/count.rs
+++ b/crates/simulator/src/sim/entry_cost.rs
@@ -1,6 +1,6 @@
 //! Frames and syncs an entry costs, by kind, under different settings (docs/measurements.md).
 
-pub(super) fn kind(message: &mencius::Message) -> &'static str {
+pub(super) fn frame_kind(message: &mencius::Message) -> &'static str {
     match message {
         mencius::Message::Suggest { .. } => "suggest",
         mencius::Message::Accept { .. } => "accept",
@@ -24,16 +24,23 @@
 }
 
 /// One seat or all suggest `entries`, `gap` microseconds apart; one line of counts per entry.
-pub fn line(seats: u16, alpha: u64, tau: u64, gap: u64, entries: u64, one_seat: bool) -> String {
+pub fn table_line(
+    seats: u16,
+    alpha: u64,
+    tau: u64,
+    gap: u64,
+    entries: u64,
+    one_seat: bool,
+) -> String {
     let tuning = mencius::Config {
         alpha,
         tau,
         ..Default::default()
     };
-    let mut world = super::World::new(super::Plan {
+    let mut world = super::World::new(super::WorldPlan {
         tuning,
         snapshot_every: 0,
-        ..super::Plan::new(seats, 1)
+        ..super::WorldPlan::new(seats, 1)
     });
     world.run_until(1_000_000);
     let before = world.counts.clone();
@@ -43,7 +50,7 @@
         } else {
             (number % seats as u64) as u16
         };
-        world.at_fault(
+        world.schedule_fault(
             1_000_000 + number * gap,
             super::Fault::Submit(seat, number.to_be_bytes().to_vec()),
         );
@@ -51,8 +58,8 @@
     let end = 1_000_000 + entries * gap;
     world.run_until(end);
     let each = |kind: &str| {
-        let grown = world.counts.kinds.get(kind).copied().unwrap_or(0)
-            - before.kinds.get(kind).copied().unwrap_or(0);
+        let grown = world.counts.frames_by_kind.get(kind).copied().unwrap_or(0)
+            - before.frames_by_kind.get(kind).copied().unwrap_or(0);
         grown as f64 / entries as f64
     };
     let syncs = (world.counts.syncs - before.syncs) as f64 / entries as f64;
@@ -64,8 +71,8 @@
         "{seats:>5} {alpha:>6} {tau:>7} {gap:>7} {:>6} {} {syncs:>8.2} {:>9}",
         if one_seat { "one" } else { "all" },
         shown.join(" "),
-        world.findings.slowest
+        world.findings.slowest_entry_us
     )
 }
 
-pub const HEAD: &str = "seats  alpha     tau     gap  whose  suggest   accept    learn     skip     beat   revoke    syncs   slowest";
+pub const TABLE_HEAD: &str = "seats  alpha     tau     gap  whose  suggest   accept    learn     skip     beat   revoke    syncs   slowest";
--- a/crates/simulator/src/sim/mod.rs
+++ b/crates/simulator/src/sim/mod.rs
@@ -1,25 +1,25 @@
 //! Core seats under virtual time: the real ordering machine, a made-up network and disks (design 9.1).
 
-mod check;
-pub mod count;
+mod checks;
 mod effects;
+pub mod entry_cost;
 mod faults;
 mod plan;
+mod replacement;
 mod site;
-mod site_blows;
-mod site_calls;
-mod site_core;
+mod site_attempts;
+mod site_checks;
 mod site_events;
-mod site_judge;
+mod site_faults;
 mod site_plan;
+mod site_replicas;
 mod site_runs;
-mod tenure;
 pub mod trial;
 mod world;
 
-pub use check::Findings;
-pub use faults::{Fault, schedule};
-pub use plan::{Counts, Plan};
+pub use checks::Findings;
+pub use faults::{Fault, schedule_faults};
+pub use plan::{Counts, WorldPlan};
 pub use site::Site;
-pub use site_plan::{Blow, SitePlan, Without, blows};
-pub use world::{Node, World};
+pub use site_plan::{DisabledGuards, SiteFault, SitePlan, schedule_site_faults};
+pub use world::{SimulatedReplica, World};
--- a/crates/simulator/src/sim/plan.rs
+++ b/crates/simulator/src/sim/plan.rs
@@ -6,11 +6,11 @@
 type Seat = mencius::ReplicaId;
 
 #[derive(Clone, Debug)]
-pub struct Plan {
-    pub seats: u16,
+pub struct WorldPlan {
+    pub replica_count: u16,
     pub seed: u64,
-    pub hop: (Micros, Micros),
-    pub sync: (Micros, Micros),
+    pub network_delay: (Micros, Micros),
+    pub sync_delay: (Micros, Micros),
     pub tuning: mencius::Config,
     /// Applied entries between two snapshots; 0 takes none.
     pub snapshot_every: usize,
@@ -24,15 +24,15 @@
     pub crash_at: Option<(Seat, u64)>,
 }
 
-impl Plan {
+impl WorldPlan {
     pub fn new(seats: u16, seed: u64) -> Self {
         let tuning = mencius::Config::default();
         let (snapshot_every, snapshot_past_change) = (40, true);
-        Plan {
-            seats,
+        WorldPlan {
+            replica_count: seats,
             seed,
-            hop: (300, 1_500),
-            sync: (500, 5_000),
+            network_delay: (300, 1_500),
+            sync_delay: (500, 5_000),
             tuning,
             snapshot_every,
             snapshot_past_change,
@@ -45,9 +45,9 @@
 
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Counts {
-    pub kinds: BTreeMap<&'static str, u64>,
+    pub frames_by_kind: BTreeMap<&'static str, u64>,
     pub frames: u64,
     pub syncs: u64,
     pub revocations: u64,
-    pub points: u64,
+    pub effects: u64,
 }
--- a/crates/simulator/src/sim/tenure.rs
+++ b/crates/simulator/src/sim/replacement.rs
@@ -5,43 +5,43 @@
 type Seat = mencius::ReplicaId;
 
 /// Between two askings of an empty disk for its seat.
-const KNOCK_EVERY: u64 = 500_000;
+const ADMISSION_RETRY_US: u64 = 500_000;
 
 impl super::World {
     pub(super) fn replace(&mut self, seat: Seat) {
         self.crash(seat);
         let identity = 1_000 + self.now;
-        let node = &mut self.nodes[seat as usize];
-        (node.identity, node.outside) = (identity, true);
+        let node = &mut self.replicas[seat as usize];
+        (node.disk_id, node.awaiting_admission) = (identity, true);
         node.disk.clear();
-        node.history.clear();
-        node.pins = (1..=self.plan.seats as u64).collect();
-        node.book = Default::default();
-        self.knock(seat, identity, (seat + 1) % self.plan.seats);
+        node.applied.clear();
+        node.pinned_disks = (1..=self.plan.replica_count as u64).collect();
+        node.state_machine = Default::default();
+        self.request_admission(seat, identity, (seat + 1) % self.plan.replica_count);
     }
 
     /// The empty disk asks one mate after the other for its seat, until it is let in; the log decides.
-    pub(super) fn knock(&mut self, seat: Seat, identity: u64, helper: Seat) {
-        let node = &self.nodes[seat as usize];
-        if !node.outside || node.identity != identity {
+    pub(super) fn request_admission(&mut self, seat: Seat, identity: u64, helper: Seat) {
+        let node = &self.replicas[seat as usize];
+        if !node.awaiting_admission || node.disk_id != identity {
             return;
         }
-        let (now, next) = (self.now, (helper + 1) % self.plan.seats);
-        self.at(
-            now + KNOCK_EVERY,
-            Event::Knock {
+        let (now, next) = (self.now, (helper + 1) % self.plan.replica_count);
+        self.schedule(
+            now + ADMISSION_RETRY_US,
+            Event::RequestAdmission {
                 seat,
                 identity,
                 helper: next,
             },
         );
-        let from = self.nodes[helper as usize].pins[seat as usize];
-        let known = self.nodes[helper as usize]
-            .book
+        let from = self.replicas[helper as usize].pinned_disks[seat as usize];
+        let known = self.replicas[helper as usize]
+            .state_machine
             .replica_holders
             .get(&seat)
             .is_some_and(|(holder, _)| *holder == identity);
-        if helper == seat || known || from == identity || !self.runs(helper as usize) {
+        if helper == seat || known || from == identity || !self.is_running(helper as usize) {
             return;
         }
         let act = model::Operation::ReplaceReplica(model::ReplicaReplacement {
@@ -58,80 +58,83 @@
         self.submit(helper, model::entry::to_bytes(&entry));
     }
 
-    pub(super) fn mind_replacement(&mut self, at_seat: Seat, instance: u64, value: &[u8]) {
+    pub(super) fn observe_replacement(&mut self, at_seat: Seat, instance: u64, value: &[u8]) {
         let Some(entry) = model::entry::from_bytes(value)
             .filter(|entry| matches!(entry.operation, model::Operation::ReplaceReplica(_)))
         else {
             return;
         };
-        let node = &mut self.nodes[at_seat as usize];
-        node.book.apply_at(entry, instance, mencius::VOTING_WINDOW);
+        let node = &mut self.replicas[at_seat as usize];
+        node.state_machine
+            .apply_at(entry, instance, mencius::VOTING_WINDOW);
         let lost = node
-            .book
+            .state_machine
             .replica_holders
             .get(&at_seat)
-            .filter(|(holder, _)| *holder != node.identity)
+            .filter(|(holder, _)| *holder != node.disk_id)
             .map(|(_, after)| *after);
-        if let (Some(after), Some(machine)) = (lost, node.machine.as_mut()) {
+        if let (Some(after), Some(machine)) = (lost, node.replica.as_mut()) {
             machine.step(self.now, mencius::Input::StopVotingAfter(after));
         }
     }
 
     /// Pushes the log over a pending change, and takes the new disk for the holder once past it.
-    pub(super) fn hand_over(&mut self, seat: Seat) {
-        let node = &mut self.nodes[seat as usize];
-        let Some(applied) = node.machine.as_ref().map(mencius::Replica::applied) else {
+    pub(super) fn complete_replacement(&mut self, seat: Seat) {
+        let node = &mut self.replicas[seat as usize];
+        let Some(applied) = node.replica.as_ref().map(mencius::Replica::applied) else {
             return;
         };
-        if node.book.replica_holders.is_empty() || self.now < node.leapt + 100_000 {
+        if node.state_machine.replica_holders.is_empty() || self.now < node.last_advance + 100_000 {
             return;
         }
-        node.leapt = self.now;
+        node.last_advance = self.now;
         let moved: Vec<(Seat, u64)> = node
-            .book
+            .state_machine
             .replica_holders
             .iter()
             .filter(|(other, (holder, after))| {
-                **other != seat && *after < applied && node.pins[**other as usize] != *holder
+                **other != seat
+                    && *after < applied
+                    && node.pinned_disks[**other as usize] != *holder
             })
             .map(|(other, (holder, _))| (*other, *holder))
             .collect();
         let pending = node
-            .book
+            .state_machine
             .replica_holders
             .values()
             .map(|(_, after)| *after)
             .filter(|after| *after >= applied)
             .min();
         moved.into_iter().for_each(|(other, holder)| {
-            self.nodes[seat as usize].pins[other as usize] = holder;
+            self.replicas[seat as usize].pinned_disks[other as usize] = holder;
             self.close(seat, other);
         });
         if let Some(after) = pending {
             let leap = after.min(applied + mencius::VOTING_WINDOW / 2);
-            self.feed(seat, mencius::Input::SkipThrough(leap));
+            self.step_replica(seat, mencius::Input::SkipThrough(leap));
             self.submit(seat, format!("barrier {seat} {}", self.now).into_bytes());
         }
     }
 
     /// An empty disk starts when a mate knows it for the holder and says after which instance.
-    pub(super) fn let_in(&mut self, mate: Seat, seat: Seat) {
-        let (helper, node) = (&self.nodes[mate as usize], &self.nodes[seat as usize]);
-        let known = helper.machine.is_some() && helper.pins[seat as usize] == node.identity;
+    pub(super) fn admit(&mut self, mate: Seat, seat: Seat) {
+        let (helper, node) = (&self.replicas[mate as usize], &self.replicas[seat as usize]);
+        let known = helper.replica.is_some() && helper.pinned_disks[seat as usize] == node.disk_id;
         let Some((_, after)) = helper
-            .book
+            .state_machine
             .replica_holders
             .get(&seat)
             .copied()
-            .filter(|_| node.outside && known)
+            .filter(|_| node.awaiting_admission && known)
         else {
             return;
         };
-        let mut pins = helper.pins.clone();
-        pins[mate as usize] = helper.identity;
-        let first = mencius::first_instance_of(after + 1, seat, self.plan.seats);
-        let node = &mut self.nodes[seat as usize];
-        (node.outside, node.pins) = (false, pins);
+        let mut pins = helper.pinned_disks.clone();
+        pins[mate as usize] = helper.disk_id;
+        let first = mencius::first_instance_of(after + 1, seat, self.plan.replica_count);
+        let node = &mut self.replicas[seat as usize];
+        (node.awaiting_admission, node.pinned_disks) = (false, pins);
         // Kept together with the holders, before it says anything.
         node.disk.extend([
             mencius::Write::VotingRangeStart(after + 1),
@@ -141,7 +144,7 @@
     }
 
     pub(super) fn know_each_other(&self, a: Seat, b: Seat) -> bool {
-        let (one, two) = (&self.nodes[a as usize], &self.nodes[b as usize]);
-        one.pins[b as usize] == two.identity && two.pins[a as usize] == one.identity
+        let (one, two) = (&self.replicas[a as usize], &self.replicas[b as usize]);
+        one.pinned_disks[b as usize] == two.disk_id && two.pinned_disks[a as usize] == one.disk_id
     }
 }
--- a/crates/simulator/src/sim/site.rs
+++ b/crates/simulator/src/sim/site.rs
@@ -1,52 +1,52 @@
 //! A whole site in virtual time: the real log, books, views, houses and courses of tries; only the network,
 //! disks, back ends, senders and operators are made up (design 9.8).
 
-use super::site_plan::{Blow, NODES, SitePlan, service, zone};
+use super::site_plan::{NODES, SiteFault, SitePlan, service, zone};
 use model::{Microseconds, endpoint_status::EndpointReport};
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
 use std::ops::Range;
 
 pub(super) enum Event {
-    Blow(Blow),
-    Pump(usize),
-    Ask(usize),
+    Fault(SiteFault),
+    PumpSlots(usize),
+    AskForProof(usize),
     /// A node's question reaches a core seat, or its home.
-    AtCore(usize, u16, Microseconds),
-    AtHome(usize, usize, Microseconds),
+    ReplicaAsked(usize, u16, Microseconds),
+    RelayAsked(usize, usize, Microseconds),
     Proved(usize, Microseconds, Box<model::StateSlice>),
-    Beat(usize),
+    Heartbeat(usize),
     /// An entry reaches a core seat; and the answer its node.
     Report(usize, u64, u16, Box<model::Entry>),
-    Reported(usize, u64, u64, model::Outcome),
-    Operate,
+    ReportAnswered(usize, u64, u64, model::Outcome),
+    OperatorTurn,
     Send(usize, u64),
     Arrive(u64, usize, Box<transport::AttemptRequest>, Microseconds),
     Reply(u64, Result<(), model::Error>),
-    Late(u64),
+    DeadlinePassed(u64),
     RunEnds(u64),
-    Come(usize),
+    BackendStarts(usize),
 }
 
 pub(super) struct Node {
-    pub house: legacy_proxy::SlotOwner,
+    pub slot_owner: legacy_proxy::SlotOwner,
     pub view: control::View,
-    pub taken: legacy_proxy::accepted_attempts::AcceptedAttempts,
-    pub picker: legacy_proxy::selector::Selector,
-    pub budget: legacy_proxy::retry_budget::RetryBudget,
-    pub life: u64,
+    pub accepted_attempts: legacy_proxy::accepted_attempts::AcceptedAttempts,
+    pub selector: legacy_proxy::selector::Selector,
+    pub retry_budget: legacy_proxy::retry_budget::RetryBudget,
+    pub incarnation: u64,
     pub frozen: bool,
     pub cut: bool,
     pub leaving: bool,
-    pub late: Vec<Event>,
+    pub deferred: Vec<Event>,
     /// Reports that wait, the one on its way, and its turn over the seats.
     pub outbox: VecDeque<EndpointReport>,
     pub sequence: u64,
     pub entry: Option<(model::Entry, Microseconds)>,
-    pub seat: u16,
+    pub replica_id: u16,
     /// When it was last proved to, whom it passes over, who asked it and when.
     pub proved: Microseconds,
-    pub direct: bool,
+    pub asks_replicas: bool,
     pub passed_over: Option<(usize, Microseconds)>,
     pub askers: Vec<(usize, Microseconds, Microseconds)>,
 }
@@ -57,7 +57,7 @@
     pub service: &'static str,
     pub node: usize,
     pub alive: bool,
-    pub beats: bool,
+    pub heartbeats: bool,
     pub drained: Option<Microseconds>,
     pub died: Option<Microseconds>,
     pub secret: String,
@@ -67,89 +67,99 @@
 pub struct Site {
     pub plan: SitePlan,
     pub now: Microseconds,
-    pub core: super::site_core::SiteCore,
-    pub judge: super::site_judge::Judge,
+    pub replicas: super::site_replicas::SiteReplicas,
+    pub checks: super::site_checks::SiteChecks,
     pub(super) nodes: Vec<Node>,
     pub(super) processes: Vec<Process>,
     /// Address to the process that has it now.
     pub(super) addresses: BTreeMap<u64, usize>,
-    pub(super) courses: BTreeMap<u64, super::site_calls::Trying>,
-    pub(super) tries: Vec<super::site_calls::Try>,
+    pub(super) attempt_loops: BTreeMap<u64, super::site_attempts::PendingAttempt>,
+    pub(super) attempts: Vec<super::site_attempts::ClientAttempt>,
     /// Dispatches that wait for a slot.
-    pub(super) runs_waiting: BTreeMap<u64, transport::AttemptRequest>,
+    pub(super) queued_attempts: BTreeMap<u64, transport::AttemptRequest>,
     pub(super) runs: BTreeMap<u64, super::site_runs::Run>,
-    pub(super) numbers: u64,
+    pub(super) last_number: u64,
     /// Read tokens: the node that asked, and when.
     pub(super) reads: BTreeMap<u64, (usize, Microseconds)>,
     pub(super) reports: BTreeMap<(String, u64, u64), usize>,
     pub(super) changes: BTreeMap<(String, u64, u64), String>,
-    pub(super) operated: u64,
+    pub(super) operator_turns: u64,
     pub(super) random: rand::rngs::StdRng,
     events: BTreeMap<(Microseconds, u64), Event>,
-    order: u64,
+    last_event_number: u64,
 }
 
 impl Site {
     pub fn new(plan: SitePlan) -> Site {
-        let core = super::site_core::SiteCore::new(plan.seats, plan.seed, plan.without.syncs);
+        let core = super::site_replicas::SiteReplicas::new(
+            plan.replica_count,
+            plan.seed,
+            plan.disabled.syncs,
+        );
         let mut site = Site {
             now: 0,
-            core,
-            judge: Default::default(),
+            replicas: core,
+            checks: Default::default(),
             nodes: Vec::new(),
             processes: Vec::new(),
             addresses: Default::default(),
-            courses: Default::default(),
-            tries: Vec::new(),
-            runs_waiting: Default::default(),
+            attempt_loops: Default::default(),
+            attempts: Vec::new(),
+            queued_attempts: Default::default(),
             runs: Default::default(),
-            numbers: 0,
+            last_number: 0,
             reads: Default::default(),
             reports: Default::default(),
             changes: Default::default(),
-            operated: 0,
+            operator_turns: 0,
             random: rand::SeedableRng::seed_from_u64(plan.seed),
             events: Default::default(),
-            order: 0,
+            last_event_number: 0,
             plan,
         };
-        site.at(300_000, Event::Operate);
+        site.schedule(300_000, Event::OperatorTurn);
         (0..NODES).for_each(|at| {
             let node = site.fresh_node(at);
             site.nodes.push(node);
             let offset = 400_000 + at as Microseconds * 7_000;
-            site.present(at);
-            [Event::Pump(at), Event::Ask(at), Event::Come(at)]
-                .into_iter()
-                .for_each(|event| site.at(offset, event));
-            site.at(1_000_000 + offset, Event::Send(at, u64::MAX));
+            site.announce(at);
+            [
+                Event::PumpSlots(at),
+                Event::AskForProof(at),
+                Event::BackendStarts(at),
+            ]
+            .into_iter()
+            .for_each(|event| site.schedule(offset, event));
+            site.schedule(1_000_000 + offset, Event::Send(at, u64::MAX));
         });
         site
     }
 
     fn fresh_node(&self, at: usize) -> Node {
         Node {
-            house: legacy_proxy::SlotOwner::new(self.plan.house(at)),
+            slot_owner: legacy_proxy::SlotOwner::new(self.plan.slot_owner_config(at)),
             view: Default::default(),
-            taken: Default::default(),
-            picker: Default::default(),
-            budget: legacy_proxy::retry_budget::RetryBudget::new(if self.plan.without.budget {
-                1_000_000
-            } else {
-                1
-            }),
+            accepted_attempts: Default::default(),
+            selector: Default::default(),
+            retry_budget: legacy_proxy::retry_budget::RetryBudget::new(
+                if self.plan.disabled.budget {
+                    1_000_000
+                } else {
+                    1
+                },
+            ),
             // Drawn as a process does it: in no order.
-            life: model::leases::stable_hash(&format!("{at} {}", self.now)),
+            incarnation: model::leases::stable_hash(&format!("{at} {}", self.now)),
             frozen: false,
             cut: false,
             leaving: false,
-            late: Vec::new(),
+            deferred: Vec::new(),
             outbox: Default::default(),
             sequence: 0,
             entry: None,
-            seat: at as u16 % self.plan.seats,
+            replica_id: at as u16 % self.plan.replica_count,
             proved: self.now,
-            direct: true,
+            asks_replicas: true,
             passed_over: None,
             askers: Vec::new(),
         }
@@ -157,7 +167,7 @@
 
     /// On top of the incarnation that the node's own news has.
     pub(super) fn registration(&self, at: usize) -> EndpointReport {
-        let (node, incarnation) = (format!("n{at}"), self.nodes[at].life);
+        let (node, incarnation) = (format!("n{at}"), self.nodes[at].incarnation);
         let replaces = self.nodes[at]
             .view
             .slice
@@ -174,7 +184,7 @@
     }
 
     /// The node says that it is there.
-    fn present(&mut self, at: usize) {
+    fn announce(&mut self, at: usize) {
         let report = self.registration(at);
         self.nodes[at].outbox.push_back(report);
     }
@@ -186,25 +196,28 @@
             cut,
             ..self.fresh_node(at)
         };
-        self.courses.retain(|_, trying| trying.node != at);
+        self.attempt_loops.retain(|_, trying| trying.node != at);
         self.runs
             .values_mut()
             .filter(|run| run.node == at)
             .for_each(|run| run.orphan = true);
-        self.present(at);
+        self.announce(at);
     }
 
-    pub(super) fn at(&mut self, time: Microseconds, event: Event) {
-        self.order += 1;
-        self.events.insert((time, self.order), event);
+    pub(super) fn schedule(&mut self, time: Microseconds, event: Event) {
+        self.last_event_number += 1;
+        self.events.insert((time, self.last_event_number), event);
     }
 
-    pub fn strike_at(&mut self, time: Microseconds, blow: Blow) {
-        self.at(time, Event::Blow(blow));
+    pub fn schedule_fault(&mut self, time: Microseconds, blow: SiteFault) {
+        self.schedule(time, Event::Fault(blow));
     }
 
-    pub(super) fn hop(&mut self) -> Microseconds {
-        rand::Rng::random_range(&mut self.random, self.plan.hop.0..=self.plan.hop.1)
+    pub(super) fn draw_delay(&mut self) -> Microseconds {
+        rand::Rng::random_range(
+            &mut self.random,
+            self.plan.network_delay.0..=self.plan.network_delay.1,
+        )
     }
 
     pub(super) fn draw(&mut self, range: Range<u64>) -> u64 {
@@ -228,23 +241,23 @@
             service,
             node: at,
             alive: true,
-            beats: true,
+            heartbeats: true,
             drained: None,
             died: None,
             secret: blank.0,
             prefix: blank.1,
         });
-        self.at(self.now, Event::Beat(process));
+        self.schedule(self.now, Event::Heartbeat(process));
     }
 
     pub(super) fn main_process(&self, at: usize) -> Option<usize> {
         let name = format!("b{at}");
         self.processes
             .iter()
-            .rposition(|process| process.name == name && process.alive && process.beats)
+            .rposition(|process| process.name == name && process.alive && process.heartbeats)
     }
 
-    pub(super) fn come(&mut self, at: usize) {
+    pub(super) fn start_backend(&mut self, at: usize) {
         if self.main_process(at).is_none() {
             self.new_process(at, format!("b{at}"), service(at), None);
         }
@@ -257,22 +270,23 @@
                 break;
             }
             self.now = self.now.max(time);
-            self.hear_core();
-            self.happen(event);
+            self.collect_replica_events();
+            self.handle(event);
         }
         self.now = end;
     }
 
     /// Faults over, time to recover, and the checks of the whole.
-    pub fn close(&mut self, end: Microseconds) -> Vec<String> {
+    pub fn finish(&mut self, end: Microseconds) -> Vec<String> {
         (0..NODES).for_each(|at| {
-            self.strike_at(end, Blow::Wake(at));
-            self.strike_at(end, Blow::Mend(at));
+            self.schedule_fault(end, SiteFault::Unfreeze(at));
+            self.schedule_fault(end, SiteFault::Heal(at));
         });
-        self.core.heal(end);
+        self.replicas.heal(end);
         self.run_until(end + 12_000_000);
-        let (core, story) = (self.core.close(), self.core.story());
-        self.judge.close(core, &story, end + 6_000_000, NODES);
-        self.judge.broken.clone()
+        let (core, story) = (self.replicas.close(), self.replicas.accepted_changes());
+        self.checks
+            .check_final_state(core, &story, end + 6_000_000, NODES);
+        self.checks.violations.clone()
     }
 }
