--- a/crates/simulator/src/sim/site_calls.rs
+++ b/crates/simulator/src/sim/site_attempts.rs
@@ -1,23 +1,23 @@
 //! Senders, the courses of their tries, and back ends at work (design 9.8).
 
 use super::site::{Event, Site};
-use super::site_plan::{LANES, Lane, WAIT};
+use super::site_plan::{ROUTES, SiteRoute, WAIT_US};
 use model::{Cause, Error, ExecutionStatus};
 
 /// A try as its sender knows it: it may send it more than once.
-pub(super) struct Try {
+pub(super) struct ClientAttempt {
     pub id: String,
-    pub lane: Lane,
+    pub route: SiteRoute,
     pub key: String,
     pub process: usize,
 }
 
 /// A dispatch that its own usher waits for.
-pub(super) struct Trying {
+pub(super) struct PendingAttempt {
     pub node: usize,
-    course: legacy_proxy::attempt_loop::AttemptLoop,
-    picked: String,
-    try_id: String,
+    attempt_loop: legacy_proxy::attempt_loop::AttemptLoop,
+    selected: String,
+    attempt_id: String,
 }
 
 impl Site {
@@ -25,7 +25,7 @@
     pub(super) fn send(&mut self, at: usize, number: u64) {
         let number = if number == u64::MAX {
             let pause = self.draw(20_000..60_000);
-            self.at(self.now + pause, Event::Send(at, u64::MAX));
+            self.schedule(self.now + pause, Event::Send(at, u64::MAX));
             let Some(process) = self
                 .main_process(at)
                 .filter(|process| !self.processes[*process].prefix.is_empty())
@@ -33,7 +33,11 @@
                 return;
             };
             let own = self.processes[process].service;
-            let lanes: Vec<Lane> = LANES.iter().filter(|lane| lane.0 == own).copied().collect();
+            let lanes: Vec<SiteRoute> = ROUTES
+                .iter()
+                .filter(|lane| lane.0 == own)
+                .copied()
+                .collect();
             let (lane, key) = (
                 lanes[self.draw(0..lanes.len() as u64) as usize],
                 format!("k{}", self.draw(0..5)),
@@ -42,32 +46,32 @@
                 "{}{}/{}",
                 self.processes[process].prefix,
                 own,
-                self.tries.len()
+                self.attempts.len()
             );
-            self.tries.push(Try {
+            self.attempts.push(ClientAttempt {
                 id,
-                lane,
+                route: lane,
                 key,
                 process,
             });
-            let number = self.tries.len() as u64 - 1;
+            let number = self.attempts.len() as u64 - 1;
             if self.draw(0..8) == 0 {
                 let later = self.draw(0..4_000_000);
-                self.at(self.now + later, Event::Send(at, number));
+                self.schedule(self.now + later, Event::Send(at, number));
             }
             number
         } else {
             number
         };
-        let (now, again) = (self.now, &self.tries[number as usize]);
+        let (now, again) = (self.now, &self.attempts[number as usize]);
         // Whoever sends it has the registration of this moment, though the name is of an earlier one.
         let secret = self
             .main_process(at)
             .filter(|process| *process == again.process)
             .map(|process| self.processes[process].secret.clone());
         let Some(secret) = secret else { return };
-        let (try_id, lane, key) = (again.id.clone(), again.lane, again.key.clone());
-        let taken = self.take(at, &secret, &try_id);
+        let (try_id, lane, key) = (again.id.clone(), again.route, again.key.clone());
+        let taken = self.accept_attempt(at, &secret, &try_id);
         let begun = taken.and_then(|sender| {
             if self.nodes[at].leaving {
                 return Err(Error::new(Cause::ShuttingDown, "stopping"));
@@ -81,35 +85,35 @@
                 headers: vec![],
                 body: vec![],
                 shard_key: lane.3.then_some(key),
-                timeout: Some(WAIT),
+                timeout: Some(WAIT_US),
             };
             legacy_proxy::attempt_loop::AttemptLoop::begin(&self.nodes[at].view, now, sender, ask)
         });
         match begun {
             Ok(course) => {
-                self.nodes[at].budget.deposit(lane.1);
-                self.judge.first(now, lane.1);
-                self.step(Trying {
+                self.nodes[at].retry_budget.deposit(lane.1);
+                self.checks.first_attempt(now, lane.1);
+                self.dispatch(PendingAttempt {
                     node: at,
-                    course,
-                    picked: String::new(),
-                    try_id,
+                    attempt_loop: course,
+                    selected: String::new(),
+                    attempt_id: try_id,
                 });
             }
             Err(trouble) => self.answer(at, lane.1, &try_id, Err(trouble)),
         }
     }
 
-    fn take(
+    fn accept_attempt(
         &mut self,
         at: usize,
         secret: &str,
         try_id: &str,
     ) -> Result<legacy_proxy::ClientId, Error> {
-        let without = self.plan.without.identity;
+        let without = self.plan.disabled.attempt_identity;
         let node = &mut self.nodes[at];
         let sender = node
-            .house
+            .slot_owner
             .clients()
             .get(secret)
             .cloned()
@@ -123,43 +127,46 @@
                 "of another registration",
             ));
         }
-        node.taken.accept(try_id).map(|()| sender)
+        node.accepted_attempts.accept(try_id).map(|()| sender)
     }
 
     fn answer(&mut self, at: usize, service: &str, try_id: &str, answer: Result<(), Error>) {
         if let Err(trouble) = answer.as_ref().map_err(Clone::clone)
             && trouble.execution_status == ExecutionStatus::NotRun
         {
-            self.nodes[at].taken.did_not_run(try_id, trouble);
+            self.nodes[at]
+                .accepted_attempts
+                .did_not_run(try_id, trouble);
         }
-        self.judge
-            .told(self.now, service, try_id, answer.as_ref().err());
+        self.checks
+            .answered(self.now, service, try_id, answer.as_ref().err());
     }
 
     /// Pick and dispatch, or the final answer.
-    fn step(&mut self, mut trying: Trying) {
+    fn dispatch(&mut self, mut trying: PendingAttempt) {
         let (at, now) = (trying.node, self.now);
         let zone = super::site_plan::zone(at);
-        let turn = self.numbers;
+        let turn = self.last_number;
         let node = &mut self.nodes[at];
-        let candidates = match trying.course.candidates(&node.view, now, &zone) {
+        let candidates = match trying.attempt_loop.candidates(&node.view, now, &zone) {
             Ok(candidates) => candidates,
-            Err(trouble) => return self.finish(trying, Err(trouble)),
+            Err(trouble) => return self.answer_pending(trying, Err(trouble)),
         };
-        let Some(picked) = node.picker.select(now, &candidates, turn) else {
-            let trouble = trying.course.no_backend();
-            return self.finish(trying, Err(trouble));
+        let Some(picked) = node.selector.select(now, &candidates, turn) else {
+            let trouble = trying.attempt_loop.no_backend();
+            return self.answer_pending(trying, Err(trouble));
         };
-        let dispatched = trying
-            .course
-            .next_attempt(&node.view, now, &picked, &format!("n{at}"));
-        trying.picked = picked;
-        self.numbers += 1;
-        let (number, until) = (self.numbers, trying.course.deadline());
-        self.courses.insert(number, trying);
+        let dispatched =
+            trying
+                .attempt_loop
+                .next_attempt(&node.view, now, &picked, &format!("n{at}"));
+        trying.selected = picked;
+        self.last_number += 1;
+        let (number, until) = (self.last_number, trying.attempt_loop.deadline());
+        self.attempt_loops.insert(number, trying);
         match dispatched {
             Ok((dispatch, None)) => {
-                self.at(now, Event::Arrive(number, at, Box::new(dispatch), now))
+                self.schedule(now, Event::Arrive(number, at, Box::new(dispatch), now))
             }
             Ok((dispatch, Some((address, life)))) => {
                 let to: usize = address
@@ -167,52 +174,52 @@
                     .next()
                     .and_then(|port| port.parse().ok())
                     .unwrap_or(0);
-                let time = now + self.hop();
-                if self.nodes[to].life == life {
-                    self.at(time, Event::Arrive(number, to, Box::new(dispatch), now));
+                let time = now + self.draw_delay();
+                if self.nodes[to].incarnation == life {
+                    self.schedule(time, Event::Arrive(number, to, Box::new(dispatch), now));
                 } else {
-                    self.at(
+                    self.schedule(
                         time,
                         Event::Reply(number, Err(Error::new(Cause::Unreachable, "another life"))),
                     );
                 }
             }
-            Err(trouble) => self.at(now, Event::Reply(number, Err(trouble))),
+            Err(trouble) => self.schedule(now, Event::Reply(number, Err(trouble))),
         }
-        self.at(until.max(now + 1), Event::Late(number));
+        self.schedule(until.max(now + 1), Event::DeadlinePassed(number));
     }
 
-    fn finish(&mut self, trying: Trying, answer: Result<(), Error>) {
-        let service = trying.course.service().to_string();
-        self.answer(trying.node, &service, &trying.try_id, answer);
+    fn answer_pending(&mut self, trying: PendingAttempt, answer: Result<(), Error>) {
+        let service = trying.attempt_loop.service().to_string();
+        self.answer(trying.node, &service, &trying.attempt_id, answer);
     }
 
     /// The far side's answer, or the end of the wait, reaches the own usher.
     pub(super) fn reply(&mut self, number: u64, answer: Result<(), Error>) {
         let now = self.now;
-        let Some(mut trying) = self.courses.remove(&number) else {
+        let Some(mut trying) = self.attempt_loops.remove(&number) else {
             return;
         };
         let node = &mut self.nodes[trying.node];
         let bench = matches!(&answer, Err(trouble) if trouble.kind != Cause::DuplicateAttempt);
-        node.picker.attempt_finished(now, &trying.picked, bench);
+        node.selector.attempt_finished(now, &trying.selected, bench);
         let Err(mut trouble) = answer else {
-            return self.finish(trying, Ok(()));
+            return self.answer_pending(trying, Ok(()));
         };
-        if self.plan.without.honest_verdicts
+        if self.plan.disabled.honest_verdicts
             && matches!(trouble.kind, Cause::PeerLost | Cause::BackendLost)
         {
             trouble.execution_status = ExecutionStatus::NotRun;
         }
-        let picked = trying.picked.clone();
-        let service = trying.course.service().to_string();
-        if trying.course.may_retry(&picked, &trouble)
-            && self.nodes[trying.node].budget.withdraw(&service)
+        let picked = trying.selected.clone();
+        let service = trying.attempt_loop.service().to_string();
+        if trying.attempt_loop.may_retry(&picked, &trouble)
+            && self.nodes[trying.node].retry_budget.withdraw(&service)
         {
-            self.judge.extra(now, &service);
-            return self.step(trying);
+            self.checks.retry(now, &service);
+            return self.dispatch(trying);
         }
-        let given_up = trying.course.final_error(trouble);
-        self.finish(trying, Err(given_up));
+        let given_up = trying.attempt_loop.final_error(trouble);
+        self.answer_pending(trying, Err(given_up));
     }
 }
--- a/crates/simulator/src/sim/site_judge.rs
+++ b/crates/simulator/src/sim/site_checks.rs
@@ -5,36 +5,36 @@
 use std::collections::BTreeSet;
 
 /// The promise to operators and back ends.
-const IN_FORCE: Microseconds = 2_000_000;
-const WINDOW: Microseconds = 10_000_000;
+const IN_FORCE_WITHIN_US: Microseconds = 2_000_000;
+const BUDGET_WINDOW_US: Microseconds = 10_000_000;
 
 /// From, to, process.
-type Span = (Microseconds, Microseconds, usize);
+type RunSpan = (Microseconds, Microseconds, usize);
 
 #[derive(Default)]
-pub struct Judge {
-    pub broken: Vec<String>,
+pub struct SiteChecks {
+    pub violations: Vec<String>,
     pub runs: usize,
     pub served: usize,
     pub refused: usize,
-    pub extras: usize,
+    pub retries: usize,
     pub moves: usize,
     /// Try to how often it ran.
     ran: BTreeMap<String, usize>,
     not_run: BTreeSet<String>,
     /// Service and key to who worked on it, from, to.
-    spans: BTreeMap<(String, String), Vec<Span>>,
+    spans: BTreeMap<(String, String), Vec<RunSpan>>,
     accepted: Vec<(Microseconds, Position, u64, String)>,
     positions: BTreeMap<(usize, u64), Position>,
     proved: BTreeMap<usize, Position>,
-    firsts: BTreeMap<String, Vec<Microseconds>>,
-    spent: BTreeMap<String, Vec<Microseconds>>,
+    first_attempts: BTreeMap<String, Vec<Microseconds>>,
+    retry_times: BTreeMap<String, Vec<Microseconds>>,
     served_at: BTreeMap<String, Microseconds>,
 }
 
-impl Judge {
-    fn breaks(&mut self, name: &str, told: String) {
-        self.broken.push(format!("{name}: {told}"));
+impl SiteChecks {
+    fn violation(&mut self, name: &str, told: String) {
+        self.violations.push(format!("{name}: {told}"));
     }
 
     /// A run begins: which one, at a node that holds `position`, in a process that drained or died at a time.
@@ -51,13 +51,13 @@
         *count += 1;
         let repeatable = dispatch.path == "/check" || dispatch.path == "/note";
         if *count > 1 && !repeatable {
-            self.breaks(
+            self.violation(
                 "twice",
                 format!("{} {} at {now}", dispatch.attempt_id, dispatch.path),
             );
         }
         if self.not_run.contains(&dispatch.attempt_id) {
-            self.breaks(
+            self.violation(
                 "not-run",
                 format!(
                     "{} ran at {now} after it was said not to",
@@ -68,18 +68,21 @@
         let due = self
             .accepted
             .iter()
-            .filter(|(at, ..)| at + IN_FORCE < now)
+            .filter(|(at, ..)| at + IN_FORCE_WITHIN_US < now)
             .map(|(_, position, ..)| *position)
             .max()
             .unwrap_or(0);
         if position < due {
-            self.breaks(
+            self.violation(
                 "in-force",
                 format!("a run at {now} by position {position}, {due} was accepted"),
             );
         }
-        if process.1.is_some_and(|drained| now > drained + IN_FORCE) {
-            self.breaks(
+        if process
+            .1
+            .is_some_and(|drained| now > drained + IN_FORCE_WITHIN_US)
+        {
+            self.violation(
                 "drained",
                 format!("process {} got {} at {now}", process.0, dispatch.attempt_id),
             );
@@ -113,7 +116,7 @@
         }
     }
 
-    pub(super) fn told(
+    pub(super) fn answered(
         &mut self,
         now: Microseconds,
         service: &str,
@@ -125,14 +128,14 @@
                 self.served += 1;
                 self.served_at.insert(service.to_string(), now);
                 if !self.ran.contains_key(try_id) {
-                    self.breaks("whole", format!("{try_id} was answered and never ran"));
+                    self.violation("whole", format!("{try_id} was answered and never ran"));
                 }
             }
             Some(trouble) => {
                 self.refused += 1;
                 if trouble.execution_status == ExecutionStatus::NotRun {
                     if self.ran.contains_key(try_id) {
-                        self.breaks(
+                        self.violation(
                             "not-run",
                             format!(
                                 "{try_id} was said not to have run at {now} ({}), and had",
@@ -143,22 +146,25 @@
                     self.not_run.insert(try_id.to_string());
                 }
                 if trouble.kind.may_retry_later() && trouble.retry_after.is_none() {
-                    self.breaks("come-back", format!("{} says no time", trouble.kind.code()));
+                    self.violation("come-back", format!("{} says no time", trouble.kind.code()));
                 }
             }
         }
     }
 
-    pub(super) fn first(&mut self, now: Microseconds, service: &str) {
-        self.firsts
+    pub(super) fn first_attempt(&mut self, now: Microseconds, service: &str) {
+        self.first_attempts
             .entry(service.to_string())
             .or_default()
             .push(now);
     }
 
-    pub(super) fn extra(&mut self, now: Microseconds, service: &str) {
-        self.extras += 1;
-        self.spent.entry(service.to_string()).or_default().push(now);
+    pub(super) fn retry(&mut self, now: Microseconds, service: &str) {
+        self.retries += 1;
+        self.retry_times
+            .entry(service.to_string())
+            .or_default()
+            .push(now);
     }
 
     pub(super) fn accepted(
@@ -172,7 +178,7 @@
     }
 
     /// What a node now holds; `fresh` if it may act on it.
-    pub(super) fn holds(
+    pub(super) fn state_held(
         &mut self,
         now: Microseconds,
         node: usize,
@@ -183,7 +189,7 @@
         let held = self.positions.insert((node, life), position).unwrap_or(0);
         let proved = self.proved.get(&node).copied().unwrap_or(0);
         if position < held || fresh && position < proved {
-            self.breaks(
+            self.violation(
                 "slid-back",
                 format!("n{node} at {now}: {position} after {held}, {proved} proved"),
             );
@@ -199,23 +205,24 @@
         died: Option<Microseconds>,
         told: String,
     ) {
-        if died.is_none_or(|died| now > died + IN_FORCE) {
-            self.breaks("route", format!("{told} at {now}"));
+        if died.is_none_or(|died| now > died + IN_FORCE_WITHIN_US) {
+            self.violation("route", format!("{told} at {now}"));
         }
     }
 
-    pub(super) fn cut_off(&mut self, told: String) {
-        self.breaks("cut-off", told);
+    pub(super) fn interrupted(&mut self, told: String) {
+        self.violation("cut-off", told);
     }
 
-    pub(super) fn close(
+    pub(super) fn check_final_state(
         &mut self,
         core: Vec<String>,
         story: &BTreeMap<u64, (String, Position)>,
         back_by: Microseconds,
         nodes: usize,
     ) {
-        core.into_iter().for_each(|told| self.breaks("log", told));
+        core.into_iter()
+            .for_each(|told| self.violation("log", told));
         let lost: Vec<String> = self
             .accepted
             .iter()
@@ -227,14 +234,15 @@
             })
             .collect();
         lost.into_iter()
-            .for_each(|told| self.breaks("vanished", told));
+            .for_each(|told| self.violation("vanished", told));
         let late: Vec<String> = ["seat", "desk"]
             .iter()
             .filter(|service| self.served_at.get(**service).is_none_or(|at| *at < back_by))
             .map(|service| service.to_string())
             .collect();
-        late.into_iter()
-            .for_each(|told| self.breaks("back", format!("{told} is not served after all faults")));
+        late.into_iter().for_each(|told| {
+            self.violation("back", format!("{told} is not served after all faults"))
+        });
         let mut clashes = Vec::new();
         self.spans.iter_mut().for_each(|((service, key), spans)| {
             spans.sort();
@@ -256,19 +264,19 @@
         });
         clashes
             .into_iter()
-            .for_each(|told| self.breaks("two-holders", told));
+            .for_each(|told| self.violation("two-holders", told));
         let inside = |times: &[Microseconds], from: Microseconds| {
             times
                 .iter()
-                .filter(|time| (from..from + WINDOW).contains(time))
+                .filter(|time| (from..from + BUDGET_WINDOW_US).contains(time))
                 .count()
         };
         let over: Vec<String> = self
-            .spent
+            .retry_times
             .iter()
             .flat_map(|(service, spent)| {
                 let firsts = self
-                    .firsts
+                    .first_attempts
                     .get(service)
                     .map(Vec::as_slice)
                     .unwrap_or_default();
@@ -279,6 +287,6 @@
             })
             .collect();
         over.into_iter()
-            .for_each(|told| self.breaks("extras", told));
+            .for_each(|told| self.violation("extras", told));
     }
 }
--- a/crates/simulator/src/sim/site_events.rs
+++ b/crates/simulator/src/sim/site_events.rs
@@ -4,106 +4,110 @@
 use model::{Entry, Microseconds, Operation, Outcome, endpoint_status::EndpointReport};
 use std::sync::Arc;
 
-const ASK_EVERY: Microseconds = 250_000;
-const PATIENCE: Microseconds = 750_000;
+const ASK_INTERVAL_US: Microseconds = 250_000;
+const PROOF_TIMEOUT_US: Microseconds = 750_000;
 
 impl Site {
-    fn place_of(event: &Event) -> Option<usize> {
+    fn node_of(event: &Event) -> Option<usize> {
         match event {
-            Event::Pump(at)
-            | Event::Ask(at)
+            Event::PumpSlots(at)
+            | Event::AskForProof(at)
             | Event::Proved(at, ..)
             | Event::Send(at, _)
             | Event::Arrive(_, at, ..) => Some(*at),
-            Event::AtHome(at, ..) | Event::Reported(at, ..) => Some(*at),
+            Event::RelayAsked(at, ..) | Event::ReportAnswered(at, ..) => Some(*at),
             _ => None,
         }
     }
 
-    pub(super) fn happen(&mut self, event: Event) {
+    pub(super) fn handle(&mut self, event: Event) {
         let waits = match &event {
-            Event::Reply(number, _) | Event::Late(number) => {
-                self.courses.get(number).map(|trying| trying.node)
+            Event::Reply(number, _) | Event::DeadlinePassed(number) => {
+                self.attempt_loops.get(number).map(|trying| trying.node)
             }
             Event::RunEnds(number) => self.runs.get(number).map(|run| run.node),
-            Event::Beat(process) => Some(self.processes[*process].node),
-            other => Site::place_of(other),
+            Event::Heartbeat(process) => Some(self.processes[*process].node),
+            other => Site::node_of(other),
         };
         if let Some(at) = waits.filter(|at| self.nodes[*at].frozen) {
-            return self.nodes[at].late.push(event);
+            return self.nodes[at].deferred.push(event);
         }
         let now = self.now;
         match event {
-            Event::Blow(blow) => self.blow(blow),
-            Event::Pump(at) => {
-                self.pump(at);
-                self.at(now + 20_000, Event::Pump(at));
+            Event::Fault(blow) => self.apply_fault(blow),
+            Event::PumpSlots(at) => {
+                self.pump_slots(at);
+                self.schedule(now + 20_000, Event::PumpSlots(at));
             }
-            Event::Ask(at) => {
-                self.ask(at);
-                self.at(now + ASK_EVERY, Event::Ask(at));
+            Event::AskForProof(at) => {
+                self.ask_for_proof(at);
+                self.schedule(now + ASK_INTERVAL_US, Event::AskForProof(at));
             }
-            Event::AtCore(at, seat, asked) => {
-                if self.core.up(seat) {
-                    self.numbers += 1;
-                    self.reads.insert(self.numbers, (at, asked));
-                    let token = self.numbers;
-                    self.core.world.read(seat, token);
+            Event::ReplicaAsked(at, seat, asked) => {
+                if self.replicas.is_running(seat) {
+                    self.last_number += 1;
+                    self.reads.insert(self.last_number, (at, asked));
+                    let token = self.last_number;
+                    self.replicas.world.read(seat, token);
                 }
             }
-            Event::AtHome(home, from, asked) => {
-                let direct = self.nodes[home].direct;
+            Event::RelayAsked(home, from, asked) => {
+                let direct = self.nodes[home].asks_replicas;
                 if direct && !self.nodes[home].cut {
                     self.nodes[home].askers.push((from, asked, now));
-                    self.ask(home);
+                    self.ask_for_proof(home);
                 }
             }
             Event::Proved(at, asked, slice) => self.proved(at, asked, *slice),
-            Event::Beat(process) => self.beat(process),
+            Event::Heartbeat(process) => self.heartbeat(process),
             Event::Report(at, life, seat, entry) => {
-                let reaches =
-                    self.nodes[at].life == life && !self.nodes[at].cut && self.core.up(seat);
+                let reaches = self.nodes[at].incarnation == life
+                    && !self.nodes[at].cut
+                    && self.replicas.is_running(seat);
                 if reaches {
                     self.reports.insert(
                         (entry.origin.clone(), entry.incarnation, entry.sequence),
                         at,
                     );
-                    self.core.submit(seat, &entry);
+                    self.replicas.submit(seat, &entry);
                 }
             }
-            Event::Reported(at, life, sequence, outcome) => {
-                self.reported(at, life, sequence, outcome)
+            Event::ReportAnswered(at, life, sequence, outcome) => {
+                self.report_answered(at, life, sequence, outcome)
             }
-            Event::Operate => self.operate(),
+            Event::OperatorTurn => self.operator_turn(),
             Event::Send(at, number) => self.send(at, number),
             Event::Arrive(number, at, dispatch, sent) => self.arrive(number, at, *dispatch, sent),
             Event::Reply(number, answer) => self.reply(number, answer),
-            Event::Late(number) => self.reply(
+            Event::DeadlinePassed(number) => self.reply(
                 number,
                 Err(model::Error::new(
                     model::Cause::TimedOut,
                     "no answer in time",
                 )),
             ),
-            Event::RunEnds(number) => self.run_ends(number),
-            Event::Come(at) => self.come(at),
+            Event::RunEnds(number) => self.end_run(number),
+            Event::BackendStarts(at) => self.start_backend(at),
         }
     }
 
     /// What the core's seats applied and proved since the last event.
-    pub(super) fn hear_core(&mut self) {
-        let (answered, proofs) = self.core.advance(self.now);
+    pub(super) fn collect_replica_events(&mut self) {
+        let (answered, proofs) = self.replicas.advance(self.now);
         answered.into_iter().for_each(|(seat, key, outcome)| {
             if let Some(at) = self.reports.get(&key).copied() {
-                let time = self.now + self.hop();
-                self.at(time, Event::Reported(at, key.1, key.2, outcome.clone()));
+                let time = self.now + self.draw_delay();
+                self.schedule(
+                    time,
+                    Event::ReportAnswered(at, key.1, key.2, outcome.clone()),
+                );
             }
             let own = key.0 == format!("core-{seat}");
             if let Some(id) = self.changes.get(&key).cloned().filter(|_| own)
                 && let Outcome::Accepted { position, version } = outcome
             {
                 self.changes.remove(&key);
-                self.judge.accepted(self.now, position, version, &id);
+                self.checks.accepted(self.now, position, version, &id);
             }
         });
         proofs.into_iter().for_each(|(token, seat)| {
@@ -111,53 +115,53 @@
                 return;
             };
             let slice = model::StateSlice::for_services(
-                self.core.book(seat),
-                &self.nodes[at].house.services(),
+                self.replicas.state_machine(seat),
+                &self.nodes[at].slot_owner.services(),
             );
-            let time = self.now + self.hop();
-            self.at(time, Event::Proved(at, asked, Box::new(slice)));
+            let time = self.now + self.draw_delay();
+            self.schedule(time, Event::Proved(at, asked, Box::new(slice)));
         });
     }
 
     /// To the zone's home, or to a core seat; whoever proves nothing is left for another.
-    fn ask(&mut self, at: usize) {
-        let (now, wait) = (self.now, self.hop());
-        let seats = self.plan.seats;
+    fn ask_for_proof(&mut self, at: usize) {
+        let (now, wait) = (self.now, self.draw_delay());
+        let seats = self.plan.replica_count;
         let node = &mut self.nodes[at];
         let home = control::zone_relay::select_zone_relay(
             &node.view.slice,
             &super::site_plan::zone(at),
-            &node.house.services(),
+            &node.slot_owner.services(),
         );
         let home = home
             .and_then(|(name, _)| name[1..].parse::<usize>().ok())
             .filter(|home| *home != at);
-        if now > node.proved + PATIENCE {
+        if now > node.proved + PROOF_TIMEOUT_US {
             node.proved = now;
-            node.seat = (node.seat + 1) % seats;
+            node.replica_id = (node.replica_id + 1) % seats;
             node.passed_over = home.map(|home| (home, now + 3_000_000));
         }
         let home = home.filter(|home| {
             node.passed_over
                 .is_none_or(|(passed, until)| passed != *home || now >= until)
         });
-        node.direct = home.is_none();
+        node.asks_replicas = home.is_none();
         if node.cut {
             return;
         }
-        let seat = node.seat;
+        let seat = node.replica_id;
         match home {
-            Some(home) => self.at(now + wait, Event::AtHome(home, at, now)),
-            None => self.at(now + wait, Event::AtCore(at, seat, now)),
+            Some(home) => self.schedule(now + wait, Event::RelayAsked(home, at, now)),
+            None => self.schedule(now + wait, Event::ReplicaAsked(at, seat, now)),
         }
     }
 
     fn proved(&mut self, at: usize, asked: Microseconds, mut slice: model::StateSlice) {
-        if self.plan.without.key_waits {
+        if self.plan.disabled.key_waits {
             slice.longest_requests.clear();
         }
-        let (now, bound, position) = (self.now, self.plan.bound(), slice.position);
-        let any_order = self.plan.without.news_order;
+        let (now, bound, position) = (self.now, self.plan.proof_validity(), slice.position);
+        let any_order = self.plan.disabled.news_order;
         let node = &mut self.nodes[at];
         if node.cut {
             return;
@@ -177,19 +181,23 @@
             .with_proof(asked, position, bound)
             .into_iter()
             .for_each(|view| node.view = view);
-        let (life, held, fresh) = (node.life, node.view.slice.clone(), node.view.is_fresh(now));
+        let (life, held, fresh) = (
+            node.incarnation,
+            node.view.slice.clone(),
+            node.view.is_fresh(now),
+        );
         let (ready, later): (Vec<_>, Vec<_>) = std::mem::take(&mut node.askers)
             .into_iter()
             .partition(|(.., arrived)| *arrived <= asked);
         node.askers = later;
-        self.judge.holds(now, at, life, held.position, fresh);
+        self.checks.state_held(now, at, life, held.position, fresh);
         ready.into_iter().for_each(|(from, asked, _)| {
-            let wanted = self.nodes[from].house.services();
+            let wanted = self.nodes[from].slot_owner.services();
             if wanted.is_subset(&held.services)
                 && held.position >= self.nodes[from].view.slice.position
             {
-                let time = now + self.hop();
-                self.at(
+                let time = now + self.draw_delay();
+                self.schedule(
                     time,
                     Event::Proved(from, asked, Box::new(held.narrowed_to(&wanted))),
                 );
@@ -197,13 +205,13 @@
         });
     }
 
-    fn pump(&mut self, at: usize) {
+    fn pump_slots(&mut self, at: usize) {
         let now = self.now;
         let node = &mut self.nodes[at];
         let view = node.view.clone();
-        let granted = node.house.admit_queued(now, &view);
-        let mut reports = node.house.take_reports();
-        if self.plan.without.drains {
+        let granted = node.slot_owner.admit_queued(now, &view);
+        let mut reports = node.slot_owner.take_reports();
+        if self.plan.disabled.drains {
             reports.retain(|report| {
                 !matches!(
                     report,
@@ -216,16 +224,16 @@
         }
         node.outbox.extend(reports);
         self.grant(at, granted);
-        if self.nodes[at].leaving && (self.idle(at) || self.plan.without.patience) {
-            self.lose(at, true);
+        if self.nodes[at].leaving && (self.idle(at) || self.plan.disabled.patience) {
+            self.lose_node(at, true);
             self.restart(at);
         }
-        self.post(at);
+        self.send_report(at);
     }
 
     /// One report at a time, through another seat when one does not answer.
-    fn post(&mut self, at: usize) {
-        let (now, wait, seats) = (self.now, self.hop(), self.plan.seats);
+    fn send_report(&mut self, at: usize) {
+        let (now, wait, seats) = (self.now, self.draw_delay(), self.plan.replica_count);
         let node = &mut self.nodes[at];
         if node.entry.is_none()
             && let Some(report) = node.outbox.pop_front()
@@ -233,13 +241,13 @@
             node.sequence += 1;
             let entry = Entry {
                 origin: format!("n{at}"),
-                incarnation: node.life,
+                incarnation: node.incarnation,
                 sequence: node.sequence,
                 operation: Operation::EndpointReport(report),
             };
             node.entry = Some((entry, 0));
         }
-        let (life, seat) = (node.life, node.seat);
+        let (life, seat) = (node.incarnation, node.replica_id);
         let Some((entry, sent)) = node
             .entry
             .as_mut()
@@ -248,12 +256,12 @@
             return;
         };
         if *sent > 0 {
-            node.seat = (seat + 1) % seats;
+            node.replica_id = (seat + 1) % seats;
         }
         *sent = now;
         let entry = Box::new(entry.clone());
-        let seat = node.seat;
-        self.at(now + wait, Event::Report(at, life, seat, entry));
+        let seat = node.replica_id;
+        self.schedule(now + wait, Event::Report(at, life, seat, entry));
     }
 
     /// The log has another incarnation: it registers on top of that, as its news has it, and says the rest after it.
@@ -267,16 +275,16 @@
                 name,
                 backend: back_end,
             } => node
-                .house
+                .slot_owner
                 .confirm(self.now, &name, back_end.incarnation, false),
             other => node.outbox.push_front(other),
         }
         node.outbox.push_front(registration);
     }
 
-    fn reported(&mut self, at: usize, life: u64, sequence: u64, outcome: Outcome) {
+    fn report_answered(&mut self, at: usize, life: u64, sequence: u64, outcome: Outcome) {
         let node = &mut self.nodes[at];
-        let own = node.life == life
+        let own = node.incarnation == life
             && node
                 .entry
                 .as_ref()
@@ -299,9 +307,9 @@
                 outcome,
                 Outcome::Accepted { .. } | Outcome::Unchanged { .. }
             );
-            node.house
+            node.slot_owner
                 .confirm(self.now, &name, back_end.incarnation, accepted);
         }
-        self.post(at);
+        self.send_report(at);
     }
 }
--- a/crates/simulator/src/sim/site_blows.rs
+++ b/crates/simulator/src/sim/site_faults.rs
@@ -1,15 +1,15 @@
 //! Back ends' beats, operators' changes, and what strikes (design 9.8).
 
 use super::site::{Event, Site};
-use super::site_plan::{Blow, LANES, NODES, founding, grouping, order};
+use super::site_plan::{NODES, ROUTES, SiteFault, initial_edits, put_grouping, put_order};
 use model::{Entry, Operation, endpoint_status::EndpointReport};
 
 impl Site {
-    pub(super) fn beat(&mut self, process: usize) {
+    pub(super) fn heartbeat(&mut self, process: usize) {
         let now = self.now;
         let (alive, beats, at) = (
             self.processes[process].alive,
-            self.processes[process].beats,
+            self.processes[process].heartbeats,
             self.processes[process].node,
         );
         if !alive || !beats {
@@ -17,17 +17,17 @@
         }
         let (secret, draining) = (
             self.processes[process].secret.clone(),
-            self.processes[process].drained.is_some() && !self.plan.without.drains,
+            self.processes[process].drained.is_some() && !self.plan.disabled.drains,
         );
         let known = !secret.is_empty()
             && self.nodes[at]
-                .house
+                .slot_owner
                 .heartbeat(now, &secret, draining, Some(4))
                 .is_some();
         if !known && self.processes[process].drained.is_none() {
             self.register(process);
         }
-        self.at(now + 300_000, Event::Beat(process));
+        self.schedule(now + 300_000, Event::Heartbeat(process));
     }
 
     fn register(&mut self, process: usize) {
@@ -59,12 +59,12 @@
             .get(&name)
             .map_or(0, |held| held.incarnation);
         let Ok(incarnation) = node
-            .house
+            .slot_owner
             .reserve(now, logged, registration, secret.clone())
         else {
             return;
         };
-        let back_end = node.house.backend(&name);
+        let back_end = node.slot_owner.backend(&name);
         node.outbox
             .extend(back_end.map(|back_end| EndpointReport::BackendRegistered {
                 name: name.clone(),
@@ -80,26 +80,29 @@
     }
 
     /// Right, stale, broken, two at once, the same twice; at whatever seat.
-    pub(super) fn operate(&mut self) {
-        let (now, seat) = (self.now, self.draw(0..self.plan.seats as u64) as u16);
-        self.at(now + 350_000, Event::Operate);
-        let base = (0..self.plan.seats)
-            .map(|seat| self.core.book(seat).desired.version)
+    pub(super) fn operator_turn(&mut self) {
+        let (now, seat) = (
+            self.now,
+            self.draw(0..self.plan.replica_count as u64) as u16,
+        );
+        self.schedule(now + 350_000, Event::OperatorTurn);
+        let base = (0..self.plan.replica_count)
+            .map(|seat| self.replicas.state_machine(seat).desired.version)
             .max()
             .unwrap_or(0);
-        self.operated += 1;
-        let turn = self.operated;
-        let harmless = |name: &str| grouping(name, "z0", Some(turn));
+        self.operator_turns += 1;
+        let turn = self.operator_turns;
+        let harmless = |name: &str| put_grouping(name, "z0", Some(turn));
         let kind = self.draw(0..6);
         match kind {
-            _ if base == 0 => self.change(seat, "site".into(), 0, founding()),
-            0 => self.change(
+            _ if base == 0 => self.submit_change(seat, "site".into(), 0, initial_edits()),
+            0 => self.submit_change(
                 seat,
                 format!("stale-{turn}"),
                 base - 1,
                 vec![harmless("seat")],
             ),
-            1 => self.change(
+            1 => self.submit_change(
                 seat,
                 format!("broken-{turn}"),
                 base,
@@ -111,16 +114,16 @@
                 ],
             ),
             2 => (0..2).for_each(|step| {
-                self.change(
-                    (seat + step) % self.plan.seats,
+                self.submit_change(
+                    (seat + step) % self.plan.replica_count,
                     format!("twice-{turn}"),
                     base,
                     vec![harmless("desk")],
                 )
             }),
             _ => (0..2).for_each(|step| {
-                self.change(
-                    (seat + step) % self.plan.seats,
+                self.submit_change(
+                    (seat + step) % self.plan.replica_count,
                     format!("race-{turn}-{step}"),
                     base,
                     vec![harmless(["seat", "desk"][step as usize])],
@@ -129,18 +132,18 @@
         }
     }
 
-    fn change(&mut self, seat: u16, id: String, base: u64, edits: Vec<model::Edit>) {
-        if !self.core.up(seat) {
+    fn submit_change(&mut self, seat: u16, id: String, base: u64, edits: Vec<model::Edit>) {
+        if !self.replicas.is_running(seat) {
             return;
         }
-        self.numbers += 1;
-        let (origin, sequence) = (format!("core-{seat}"), self.numbers);
+        self.last_number += 1;
+        let (origin, sequence) = (format!("core-{seat}"), self.last_number);
         let act = Operation::Change(model::Change {
             id: id.clone(),
             base_version: base,
             edits,
         });
-        self.core.submit(
+        self.replicas.submit(
             seat,
             &Entry {
                 origin: origin.clone(),
@@ -150,76 +153,80 @@
             },
         );
         self.changes.insert((origin, 1, sequence), id.clone());
-        if self.plan.without.commit {
-            self.judge
-                .accepted(self.now, self.core.book(seat).position + 1, base + 1, &id);
+        if self.plan.disabled.commit {
+            self.checks.accepted(
+                self.now,
+                self.replicas.state_machine(seat).position + 1,
+                base + 1,
+                &id,
+            );
         }
     }
 
-    pub(super) fn blow(&mut self, blow: Blow) {
+    pub(super) fn apply_fault(&mut self, blow: SiteFault) {
         let now = self.now;
         match blow {
-            Blow::Core(fault) => self.core.world.at_fault(now, fault),
-            Blow::Freeze(at) => self.nodes[at].frozen = true,
-            Blow::Wake(at) => {
+            SiteFault::Replica(fault) => self.replicas.world.schedule_fault(now, fault),
+            SiteFault::Freeze(at) => self.nodes[at].frozen = true,
+            SiteFault::Unfreeze(at) => {
                 self.nodes[at].frozen = false;
-                std::mem::take(&mut self.nodes[at].late)
+                std::mem::take(&mut self.nodes[at].deferred)
                     .into_iter()
-                    .for_each(|event| self.happen(event));
+                    .for_each(|event| self.handle(event));
             }
-            Blow::Cut(at) => self.nodes[at].cut = true,
-            Blow::Mend(at) => self.nodes[at].cut = false,
-            Blow::Restart(at) => {
-                self.lose(at, false);
-                let late = std::mem::take(&mut self.nodes[at].late);
+            SiteFault::Cut(at) => self.nodes[at].cut = true,
+            SiteFault::Heal(at) => self.nodes[at].cut = false,
+            SiteFault::Restart(at) => {
+                self.lose_node(at, false);
+                let late = std::mem::take(&mut self.nodes[at].deferred);
                 self.restart(at);
                 // Timers of the machine go on; what lay in the dead process is gone with it.
                 late.into_iter()
                     .filter(|event| {
                         matches!(
                             event,
-                            Event::Pump(_)
-                                | Event::Ask(_)
-                                | Event::Beat(_)
+                            Event::PumpSlots(_)
+                                | Event::AskForProof(_)
+                                | Event::Heartbeat(_)
                                 | Event::Send(_, u64::MAX)
                                 | Event::RunEnds(_)
                         )
                     })
-                    .for_each(|event| self.at(now, event));
+                    .for_each(|event| self.schedule(now, event));
             }
-            Blow::Stop(at) => {
-                self.nodes[at].house.drain();
+            SiteFault::PlannedStop(at) => {
+                self.nodes[at].slot_owner.drain();
                 self.nodes[at].leaving = true;
             }
-            Blow::Kill(at) => {
+            SiteFault::KillBackend(at) => {
                 self.main_process(at)
                     .into_iter()
-                    .for_each(|process| self.die(process));
-                self.at(now + 2_000_000, Event::Come(at));
+                    .for_each(|process| self.end_process(process));
+                self.schedule(now + 2_000_000, Event::BackendStarts(at));
             }
-            Blow::Silence(at) => {
+            SiteFault::SilenceBackend(at) => {
                 self.main_process(at)
                     .into_iter()
-                    .for_each(|process| self.processes[process].beats = false);
-                self.at(now + 2_000_000, Event::Come(at));
+                    .for_each(|process| self.processes[process].heartbeats = false);
+                self.schedule(now + 2_000_000, Event::BackendStarts(at));
             }
-            Blow::Drain(at) => {
+            SiteFault::DrainBackend(at) => {
                 if let Some(process) = self.main_process(at).filter(|process| {
                     self.processes[*process].drained.is_none() && !self.nodes[at].frozen
                 }) {
                     let secret = self.processes[process].secret.clone();
-                    if self.plan.without.drains
+                    if self.plan.disabled.drains
                         || self.nodes[at]
-                            .house
+                            .slot_owner
                             .heartbeat(now, &secret, true, None)
                             .is_some()
                     {
                         self.processes[process].drained = Some(now);
                     }
-                    self.at(now + 5_000_000, Event::Blow(Blow::Kill(at)));
+                    self.schedule(now + 5_000_000, Event::Fault(SiteFault::KillBackend(at)));
                 }
             }
-            Blow::Usurp(at) => {
+            SiteFault::ReuseAddress(at) => {
                 let Some(process) = self.main_process(at) else {
                     return;
                 };
@@ -228,7 +235,7 @@
                     .iter()
                     .find(|(_, held)| **held == process)
                     .map(|(address, _)| *address);
-                self.die(process);
+                self.end_process(process);
                 let (other, name) = ((at + 2) % NODES, format!("u{}", self.processes.len()));
                 let service = if self.processes[process].service == "seat" {
                     "desk"
@@ -236,24 +243,24 @@
                     "seat"
                 };
                 self.new_process(other, name, service, address);
-                self.at(now + 2_000_000, Event::Come(at));
+                self.schedule(now + 2_000_000, Event::BackendStarts(at));
             }
-            Blow::Lane(lane, allowed) => {
-                let base = (0..self.plan.seats)
-                    .map(|seat| self.core.book(seat).desired.version)
+            SiteFault::SetRoute(lane, allowed) => {
+                let base = (0..self.plan.replica_count)
+                    .map(|seat| self.replicas.state_machine(seat).desired.version)
                     .max()
                     .unwrap_or(0);
                 let edit = if allowed {
-                    order(&LANES[lane])
+                    put_order(&ROUTES[lane])
                 } else {
                     model::Edit::DropOrder {
-                        name: format!("{}-{}", LANES[lane].0, &LANES[lane].2[1..]),
+                        name: format!("{}-{}", ROUTES[lane].0, &ROUTES[lane].2[1..]),
                     }
                 };
-                let seat = (0..self.plan.seats)
-                    .find(|seat| self.core.up(*seat))
+                let seat = (0..self.plan.replica_count)
+                    .find(|seat| self.replicas.is_running(*seat))
                     .unwrap_or(0);
-                self.change(seat, format!("lane-{now}"), base, vec![edit]);
+                self.submit_change(seat, format!("lane-{now}"), base, vec![edit]);
             }
         }
     }
--- a/crates/simulator/src/sim/site_plan.rs
+++ b/crates/simulator/src/sim/site_plan.rs
@@ -4,9 +4,9 @@
 
 /// Guards that a variant goes without, to show that the checks see what they are for.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Without {
+pub struct DisabledGuards {
     /// Tries are not taken once at their own usher.
-    pub identity: bool,
+    pub attempt_identity: bool,
     /// A lost mate counts as 'not run'.
     pub honest_verdicts: bool,
     /// Extra dispatches are free.
@@ -22,7 +22,7 @@
     /// A planned stop does not wait for what was passed on.
     pub patience: bool,
     /// Back ends that fell silent count as there.
-    pub beats: bool,
+    pub heartbeats: bool,
     /// What a back end says of draining is not heard.
     pub drains: bool,
     /// Disks report a sync before anything is kept.
@@ -32,36 +32,36 @@
 #[derive(Clone, Debug)]
 pub struct SitePlan {
     pub seed: u64,
-    pub seats: u16,
-    pub hop: (Microseconds, Microseconds),
-    pub without: Without,
+    pub replica_count: u16,
+    pub network_delay: (Microseconds, Microseconds),
+    pub disabled: DisabledGuards,
 }
 
 impl SitePlan {
     pub fn new(seed: u64) -> Self {
         SitePlan {
             seed,
-            seats: if seed.is_multiple_of(2) { 5 } else { 3 },
-            hop: (200, 20_000),
-            without: Without::default(),
+            replica_count: if seed.is_multiple_of(2) { 5 } else { 3 },
+            network_delay: (200, 20_000),
+            disabled: DisabledGuards::default(),
         }
     }
 
-    pub(super) fn bound(&self) -> Microseconds {
-        if self.without.freshness {
+    pub(super) fn proof_validity(&self) -> Microseconds {
+        if self.disabled.freshness {
             60_000_000
         } else {
             1_500_000
         }
     }
 
-    pub(super) fn house(&self, node: usize) -> legacy_proxy::SlotOwnerConfig {
-        let (bound, guard) = if self.without.key_waits {
+    pub(super) fn slot_owner_config(&self, node: usize) -> legacy_proxy::SlotOwnerConfig {
+        let (bound, guard) = if self.disabled.key_waits {
             (0, 0)
         } else {
             (1_500_000, 250_000)
         };
-        let beat_patience = if self.without.beats {
+        let beat_patience = if self.disabled.heartbeats {
             60_000_000
         } else {
             1_200_000
@@ -88,9 +88,9 @@
 }
 
 /// Sender, service, path, keyed, repeatable.
-pub(super) type Lane = (&'static str, &'static str, &'static str, bool, bool);
+pub(super) type SiteRoute = (&'static str, &'static str, &'static str, bool, bool);
 
-pub(super) const LANES: [Lane; 5] = [
+pub(super) const ROUTES: [SiteRoute; 5] = [
     ("desk", "seat", "/take", true, false),
     ("seat", "seat", "/take", true, false),
     ("desk", "seat", "/check", false, true),
@@ -98,9 +98,9 @@
     ("seat", "desk", "/note", false, true),
 ];
 
-pub(super) const WAIT: Microseconds = 800_000;
+pub(super) const WAIT_US: Microseconds = 800_000;
 
-pub(super) fn order(lane: &Lane) -> model::Edit {
+pub(super) fn put_order(lane: &SiteRoute) -> model::Edit {
     let (from, service, path, keyed, repeatable) = *lane;
     let selector = model::Selector {
         from: vec![from.into()],
@@ -111,7 +111,7 @@
     };
     let order = model::StandingOrder {
         selector,
-        wait_us: WAIT,
+        wait_us: WAIT_US,
         importance: 5,
         idempotent: repeatable,
         keyed,
@@ -123,7 +123,7 @@
     }
 }
 
-pub(super) fn grouping(service: &str, zone: &str, label: Option<u64>) -> model::Edit {
+pub(super) fn put_grouping(service: &str, zone: &str, label: Option<u64>) -> model::Edit {
     let labels = label
         .map(|turn| ("turn".to_string(), turn.to_string()))
         .into_iter()
@@ -142,38 +142,38 @@
     }
 }
 
-pub(super) fn founding() -> Vec<model::Edit> {
+pub(super) fn initial_edits() -> Vec<model::Edit> {
     let groupings = ["seat", "desk"]
         .into_iter()
-        .flat_map(|service| ["z0", "z1"].map(|zone| grouping(service, zone, None)));
-    groupings.chain(LANES.iter().map(order)).collect()
+        .flat_map(|service| ["z0", "z1"].map(|zone| put_grouping(service, zone, None)));
+    groupings.chain(ROUTES.iter().map(put_order)).collect()
 }
 
 #[derive(Clone, Debug)]
-pub enum Blow {
-    Core(super::Fault),
+pub enum SiteFault {
+    Replica(super::Fault),
     Freeze(usize),
-    Wake(usize),
+    Unfreeze(usize),
     Cut(usize),
-    Mend(usize),
+    Heal(usize),
     /// Killed, and started again at once.
     Restart(usize),
     /// SIGTERM, and started again once it has ended.
-    Stop(usize),
+    PlannedStop(usize),
     /// The back end dies; another process of its name comes two seconds later.
-    Kill(usize),
+    KillBackend(usize),
     /// It goes on with its work, but beats no more; another process of its name comes.
-    Silence(usize),
-    Drain(usize),
+    SilenceBackend(usize),
+    DrainBackend(usize),
     /// It dies, and a back end of the other service takes its address beside another node.
-    Usurp(usize),
+    ReuseAddress(usize),
     /// A lane goes, or comes back.
-    Lane(usize, bool),
+    SetRoute(usize, bool),
 }
 
 /// Three bytes a blow; the last seconds mend everything.
-pub fn blows(site: &mut super::Site, bytes: &[u8]) {
-    let seats = site.plan.seats;
+pub fn schedule_site_faults(site: &mut super::Site, bytes: &[u8]) {
+    let seats = site.plan.replica_count;
     // One change of holder at a time: the book refuses a second, which the made-up core does not.
     let only = bytes
         .chunks_exact(3)
@@ -183,33 +183,36 @@
         let (at, seat) = (chunk[1] as usize % NODES, chunk[1] as u16 % seats);
         let time = 1_500_000 + turn * 1_500_000 + chunk[2] as u64 * 2_000;
         let back = time + 200_000 + chunk[2] as u64 * 9_000;
-        let core = |fault| Blow::Core(fault);
-        let found: Vec<(u64, Blow)> = match chunk[0] % 20 {
-            0 => vec![(time, Blow::Freeze(at)), (back, Blow::Wake(at))],
-            1 | 2 => vec![(time, Blow::Cut(at)), (back, Blow::Mend(at))],
-            3 => vec![(time, Blow::Restart(at))],
-            4 => vec![(time, Blow::Stop(at))],
-            5 => vec![(time, Blow::Kill(at))],
-            6 => vec![(time, Blow::Silence(at))],
-            7 => vec![(time, Blow::Drain(at))],
-            8 => vec![(time, Blow::Usurp(at))],
+        let core = |fault| SiteFault::Replica(fault);
+        let found: Vec<(u64, SiteFault)> = match chunk[0] % 20 {
+            0 => vec![
+                (time, SiteFault::Freeze(at)),
+                (back, SiteFault::Unfreeze(at)),
+            ],
+            1 | 2 => vec![(time, SiteFault::Cut(at)), (back, SiteFault::Heal(at))],
+            3 => vec![(time, SiteFault::Restart(at))],
+            4 => vec![(time, SiteFault::PlannedStop(at))],
+            5 => vec![(time, SiteFault::KillBackend(at))],
+            6 => vec![(time, SiteFault::SilenceBackend(at))],
+            7 => vec![(time, SiteFault::DrainBackend(at))],
+            8 => vec![(time, SiteFault::ReuseAddress(at))],
             9 => vec![
                 (time, core(super::Fault::Crash(seat))),
                 (back, core(super::Fault::Start(seat))),
             ],
             10 => vec![
                 (time, core(super::Fault::Freeze(seat))),
-                (back, core(super::Fault::Wake(seat))),
+                (back, core(super::Fault::Unfreeze(seat))),
             ],
             11 => (0..seats)
                 .filter(|mate| *mate != seat)
                 .flat_map(|mate| {
                     [
-                        (time, core(super::Fault::Cut(seat, mate))),
-                        (time, core(super::Fault::Cut(mate, seat))),
+                        (time, core(super::Fault::CutLink(seat, mate))),
+                        (time, core(super::Fault::CutLink(mate, seat))),
                     ]
                 })
-                .chain([(back, core(super::Fault::Mend))])
+                .chain([(back, core(super::Fault::HealLinks))])
                 .collect(),
             12 => vec![
                 (time, core(super::Fault::SlowDisk(seat, 400_000))),
@@ -225,19 +228,22 @@
                 })
                 .collect(),
             15 | 16 => vec![
-                (time, Blow::Lane(chunk[1] as usize % LANES.len(), false)),
+                (
+                    time,
+                    SiteFault::SetRoute(chunk[1] as usize % ROUTES.len(), false),
+                ),
                 (
                     back + 2_500_000,
-                    Blow::Lane(chunk[1] as usize % LANES.len(), true),
+                    SiteFault::SetRoute(chunk[1] as usize % ROUTES.len(), true),
                 ),
             ],
             _ => vec![
-                (time, Blow::Restart(at)),
-                (time + 50_000, Blow::Restart((at + 1) % NODES)),
+                (time, SiteFault::Restart(at)),
+                (time + 50_000, SiteFault::Restart((at + 1) % NODES)),
             ],
         };
         found
             .into_iter()
-            .for_each(|(time, blow)| site.strike_at(time, blow));
+            .for_each(|(time, blow)| site.schedule_fault(time, blow));
     });
 }
--- a/crates/simulator/src/sim/site_core.rs
+++ b/crates/simulator/src/sim/site_replicas.rs
@@ -5,11 +5,11 @@
 
 /// What a seat has made of its log.
 #[derive(Default)]
-struct Fold {
-    book: StateMachine,
+struct FoldedLog {
+    state_machine: StateMachine,
     folded: usize,
     last: u64,
-    life: u64,
+    incarnation: u64,
 }
 
 fn entries(
@@ -21,34 +21,34 @@
 }
 
 /// An entry that its own seat has applied, with the answer.
-pub type Answered = (u16, (String, u64, u64), Outcome);
+pub type AppliedEntry = (u16, (String, u64, u64), Outcome);
 
-pub struct SiteCore {
+pub struct SiteReplicas {
     pub world: super::World,
-    folds: Vec<Fold>,
+    folded_logs: Vec<FoldedLog>,
 }
 
-impl SiteCore {
+impl SiteReplicas {
     pub fn new(seats: u16, seed: u64, lying_disk: bool) -> Self {
         let snapshot_every = if lying_disk { 0 } else { 60 };
-        let world = super::World::new(super::Plan {
+        let world = super::World::new(super::WorldPlan {
             lying_disk,
             snapshot_every,
-            ..super::Plan::new(seats, seed)
+            ..super::WorldPlan::new(seats, seed)
         });
-        SiteCore {
+        SiteReplicas {
             world,
-            folds: (0..seats).map(|_| Fold::default()).collect(),
+            folded_logs: (0..seats).map(|_| FoldedLog::default()).collect(),
         }
     }
 
-    pub fn up(&self, seat: u16) -> bool {
-        let node = &self.world.nodes[seat as usize];
-        node.machine.is_some() && !node.frozen
+    pub fn is_running(&self, seat: u16) -> bool {
+        let node = &self.world.replicas[seat as usize];
+        node.replica.is_some() && !node.frozen
     }
 
-    pub fn book(&self, seat: u16) -> &StateMachine {
-        &self.folds[seat as usize].book
+    pub fn state_machine(&self, seat: u16) -> &StateMachine {
+        &self.folded_logs[seat as usize].state_machine
     }
 
     pub fn submit(&mut self, seat: u16, entry: &Entry) {
@@ -56,51 +56,52 @@
     }
 
     /// Lets the core come as far as `now`; what its seats applied meanwhile, and which reads were proved.
-    pub fn advance(&mut self, now: model::Microseconds) -> (Vec<Answered>, Vec<(u64, u16)>) {
+    pub fn advance(&mut self, now: model::Microseconds) -> (Vec<AppliedEntry>, Vec<(u64, u16)>) {
         self.world.run_until(now);
-        let answered = (0..self.folds.len())
+        let answered = (0..self.folded_logs.len())
             .flat_map(|seat| self.fold(seat))
             .collect();
-        (answered, std::mem::take(&mut self.world.done))
+        (answered, std::mem::take(&mut self.world.proved_reads))
     }
 
-    fn fold(&mut self, seat: usize) -> Vec<Answered> {
-        let (node, fold) = (&self.world.nodes[seat], &mut self.folds[seat]);
-        let follows = node.life == fold.life
+    fn fold(&mut self, seat: usize) -> Vec<AppliedEntry> {
+        let (node, fold) = (&self.world.replicas[seat], &mut self.folded_logs[seat]);
+        let follows = node.incarnation == fold.incarnation
             && (fold.folded == 0
                 || node
-                    .history
+                    .applied
                     .get(fold.folded - 1)
                     .is_some_and(|(at, _)| *at == fold.last));
         if !follows {
-            *fold = Fold {
-                life: node.life,
-                ..Fold::default()
+            *fold = FoldedLog {
+                incarnation: node.incarnation,
+                ..FoldedLog::default()
             };
         }
-        let new = entries(&node.history[fold.folded..]);
-        let answered: Vec<Answered> = new
+        let new = entries(&node.applied[fold.folded..]);
+        let answered: Vec<AppliedEntry> = new
             .map(|(instance, entry)| {
                 let key = (entry.origin.clone(), entry.incarnation, entry.sequence);
                 (
                     seat as u16,
                     key,
-                    fold.book.apply_at(entry, instance, mencius::VOTING_WINDOW),
+                    fold.state_machine
+                        .apply_at(entry, instance, mencius::VOTING_WINDOW),
                 )
             })
             .collect();
-        fold.folded = node.history.len();
-        fold.last = node.history.last().map(|(at, _)| *at).unwrap_or(0);
+        fold.folded = node.applied.len();
+        fold.last = node.applied.last().map(|(at, _)| *at).unwrap_or(0);
         answered
     }
 
     /// At the end: every accepted change of the longest copy, by version.
-    pub fn story(&self) -> BTreeMap<Position, (String, Position)> {
+    pub fn accepted_changes(&self) -> BTreeMap<Position, (String, Position)> {
         let longest = self
             .world
-            .nodes
+            .replicas
             .iter()
-            .map(|node| &node.history)
+            .map(|node| &node.applied)
             .max_by_key(|history| history.len());
         let mut book = StateMachine::default();
         entries(longest.map(Vec::as_slice).unwrap_or_default())
@@ -124,12 +125,14 @@
 
     /// Everything mended, as the core's own checks want it.
     pub fn heal(&mut self, time: model::Microseconds) {
-        self.world.at_fault(time, super::Fault::Mend);
-        (0..self.folds.len() as u16).for_each(|seat| {
-            self.world.at_fault(time, super::Fault::Wake(seat));
-            self.world.at_fault(time, super::Fault::SlowDisk(seat, 0));
-            self.world.at_fault(time, super::Fault::Start(seat));
-            self.world.at_fault(
+        self.world.schedule_fault(time, super::Fault::HealLinks);
+        (0..self.folded_logs.len() as u16).for_each(|seat| {
+            self.world
+                .schedule_fault(time, super::Fault::Unfreeze(seat));
+            self.world
+                .schedule_fault(time, super::Fault::SlowDisk(seat, 0));
+            self.world.schedule_fault(time, super::Fault::Start(seat));
+            self.world.schedule_fault(
                 time + 2_500_000,
                 super::Fault::Submit(seat, format!("last {seat}").into_bytes()),
             );
@@ -137,9 +140,9 @@
     }
 
     pub fn close(&mut self) -> Vec<String> {
-        let nodes = std::mem::take(&mut self.world.nodes);
-        self.world.findings.close(&nodes);
-        self.world.nodes = nodes;
-        self.world.findings.broken.clone()
+        let nodes = std::mem::take(&mut self.world.replicas);
+        self.world.findings.check_final_state(&nodes);
+        self.world.replicas = nodes;
+        self.world.findings.violations.clone()
     }
 }
--- a/crates/simulator/src/sim/site_runs.rs
+++ b/crates/simulator/src/sim/site_runs.rs
@@ -1,15 +1,15 @@
 //! At the far node, and in back ends (design 9.8).
 
 use super::site::{Event, Site};
-use super::site_plan::WAIT;
+use super::site_plan::WAIT_US;
 use model::{Cause, Error, Microseconds};
 
 pub(super) struct Run {
     pub node: usize,
     number: u64,
-    life: u64,
+    incarnation: u64,
     permit: legacy_proxy::slot_owner::Permit,
-    dispatch: transport::AttemptRequest,
+    request: transport::AttemptRequest,
     process: usize,
     /// Its usher died: the back end works on, and nobody hears it.
     pub orphan: bool,
@@ -25,7 +25,7 @@
         sent: Microseconds,
     ) {
         let now = self.now;
-        let from = self.courses.get(&number).map(|trying| trying.node);
+        let from = self.attempt_loops.get(&number).map(|trying| trying.node);
         let lost = self.nodes[at].cut || from.is_some_and(|from| self.nodes[from].cut);
         if lost && from != Some(at) {
             return;
@@ -33,14 +33,16 @@
         let age = (now - sent).saturating_sub(300_000);
         dispatch.time_left = dispatch.time_left.saturating_sub(age);
         let view = self.nodes[at].view.clone();
-        self.runs_waiting.insert(number, dispatch.clone());
-        let granted = self.nodes[at].house.admit(now, &view, number, dispatch);
+        self.queued_attempts.insert(number, dispatch.clone());
+        let granted = self.nodes[at]
+            .slot_owner
+            .admit(now, &view, number, dispatch);
         self.grant(at, granted);
     }
 
     pub(super) fn grant(&mut self, at: usize, granted: legacy_proxy::slot_owner::Admissions) {
         granted.into_iter().for_each(|(number, entered)| {
-            let Some(dispatch) = self.runs_waiting.remove(&number) else {
+            let Some(dispatch) = self.queued_attempts.remove(&number) else {
                 return;
             };
             match entered {
@@ -51,12 +53,12 @@
     }
 
     fn reply_later(&mut self, at: usize, number: u64, answer: Result<(), Error>) {
-        let Some(from) = self.courses.get(&number).map(|trying| trying.node) else {
+        let Some(from) = self.attempt_loops.get(&number).map(|trying| trying.node) else {
             return;
         };
-        let wait = if from == at { 0 } else { self.hop() };
+        let wait = if from == at { 0 } else { self.draw_delay() };
         if from == at || !(self.nodes[at].cut || self.nodes[from].cut) {
-            self.at(self.now + wait, Event::Reply(number, answer));
+            self.schedule(self.now + wait, Event::Reply(number, answer));
         }
     }
 
@@ -81,7 +83,7 @@
             .copied()
             .filter(|process| self.processes[*process].alive);
         let Some(process) = process else {
-            self.nodes[at].house.finish(&permit, true);
+            self.nodes[at].slot_owner.finish(&permit, true);
             return self.reply_later(at, number, Err(Error::new(Cause::Unreachable, "no conn")));
         };
         if self.processes[process].service != dispatch.service {
@@ -91,7 +93,7 @@
                 .filter(|held| held.name == dispatch.backend)
                 .filter_map(|held| held.died)
                 .max();
-            self.judge.misrouted(
+            self.checks.misrouted(
                 now,
                 former,
                 format!(
@@ -99,49 +101,49 @@
                     dispatch.attempt_id, dispatch.service, self.processes[process].name
                 ),
             );
-            self.nodes[at].house.finish(&permit, false);
+            self.nodes[at].slot_owner.finish(&permit, false);
             return self.reply_later(
                 at,
                 number,
                 Err(Error::new(Cause::BadSeal, "refused by another service")),
             );
         }
-        let length = self.draw(1_000..WAIT / 3);
+        let length = self.draw(1_000..WAIT_US / 3);
         let end = (now + length).min(permit.deadline);
         let drained = self.processes[process].drained;
-        self.judge.began(
+        self.checks.began(
             now,
             &dispatch,
             (process, drained),
             self.nodes[at].view.slice.position,
             end,
         );
-        let life = self.nodes[at].life;
+        let life = self.nodes[at].incarnation;
         self.runs.insert(
             number,
             Run {
                 node: at,
                 number,
-                life,
+                incarnation: life,
                 permit,
-                dispatch,
+                request: dispatch,
                 process,
                 orphan: false,
             },
         );
-        self.at(end, Event::RunEnds(number));
+        self.schedule(end, Event::RunEnds(number));
     }
 
-    pub(super) fn run_ends(&mut self, number: u64) {
+    pub(super) fn end_run(&mut self, number: u64) {
         let Some(run) = self.runs.remove(&number) else {
             return;
         };
         let lost = !self.processes[run.process].alive;
-        if run.orphan || self.nodes[run.node].life != run.life {
+        if run.orphan || self.nodes[run.node].incarnation != run.incarnation {
             return;
         }
         let gone = self.draw(0..50) == 0;
-        self.nodes[run.node].house.finish(&run.permit, false);
+        self.nodes[run.node].slot_owner.finish(&run.permit, false);
         let answer = if lost || gone {
             Err(Error::new(Cause::BackendLost, "no answer"))
         } else {
@@ -151,28 +153,28 @@
     }
 
     /// What a process had begun ends with it.
-    pub(super) fn die(&mut self, process: usize) {
+    pub(super) fn end_process(&mut self, process: usize) {
         let now = self.now;
         (self.processes[process].alive, self.processes[process].died) = (false, Some(now));
         let ended: Vec<transport::AttemptRequest> = self
             .runs
             .values()
             .filter(|run| run.process == process)
-            .map(|run| run.dispatch.clone())
+            .map(|run| run.request.clone())
             .collect();
         ended
             .iter()
-            .for_each(|dispatch| self.judge.ended(now, dispatch, process));
+            .for_each(|dispatch| self.checks.ended(now, dispatch, process));
     }
 
     /// Nothing that was passed on from here or to here is under way.
     pub(super) fn idle(&self, at: usize) -> bool {
-        self.nodes[at].house.running() == 0
-            && !self.courses.values().any(|trying| trying.node == at)
+        self.nodes[at].slot_owner.running() == 0
+            && !self.attempt_loops.values().any(|trying| trying.node == at)
     }
 
     /// A node ends: whoever waited for it learns that it is lost.
-    pub(super) fn lose(&mut self, at: usize, planned: bool) {
+    pub(super) fn lose_node(&mut self, at: usize, planned: bool) {
         let waiting: Vec<u64> = self
             .runs
             .values()
@@ -181,10 +183,10 @@
             .collect();
         waiting.into_iter().for_each(|number| {
             if planned {
-                self.judge.cut_off(format!("run {number} at n{at}"));
+                self.checks.interrupted(format!("run {number} at n{at}"));
             }
             if self
-                .courses
+                .attempt_loops
                 .get(&number)
                 .is_some_and(|trying| trying.node != at)
             {
--- a/crates/simulator/src/billsim/seat.rs
+++ b/crates/simulator/src/state_sim/replica.rs
@@ -5,20 +5,20 @@
 use std::collections::BTreeMap;
 
 #[derive(Default)]
-pub(super) struct Seat {
-    pub desk: control::publisher::UpdatePublisher,
-    pub life: u64,
+pub(super) struct PublishingReplica {
+    pub publisher: control::publisher::UpdatePublisher,
+    pub incarnation: u64,
     folded: usize,
     last: u64,
 }
 
-type Asked = (String, u64, u64);
+type RequestKey = (String, u64, u64);
 /// What followers may hold at each position.
-pub(super) type Truth = BTreeMap<Position, StateSnapshot>;
+pub(super) type StateHistory = BTreeMap<Position, StateSnapshot>;
 
-fn act(
+fn operation(
     (instance, value): &(mencius::Instance, mencius::Value),
-) -> Option<(u64, Asked, ClusterOperation)> {
+) -> Option<(u64, RequestKey, ClusterOperation)> {
     let entry = model::entry::from_bytes(value)?;
     let asked = (entry.origin, entry.incarnation, entry.sequence);
     if let model::Operation::ClusterState(act) = entry.operation {
@@ -28,16 +28,20 @@
     }
 }
 
-impl Seat {
-    pub fn begin(life: u64) -> Seat {
-        Seat {
-            life,
+impl PublishingReplica {
+    pub fn begin(life: u64) -> PublishingReplica {
+        PublishingReplica {
+            incarnation: life,
             ..Default::default()
         }
     }
 
     /// All that was applied since the last time leaves as one piece; what was installed, as a whole.
-    pub fn fold(&mut self, history: &[(mencius::Instance, mencius::Value)], truth: &mut Truth) {
+    pub fn fold(
+        &mut self,
+        history: &[(mencius::Instance, mencius::Value)],
+        truth: &mut StateHistory,
+    ) {
         let follows = self.folded == 0
             || history
                 .get(self.folded - 1)
@@ -50,23 +54,23 @@
         if follows {
             history[self.folded..]
                 .iter()
-                .filter_map(act)
+                .filter_map(operation)
                 .for_each(|(_, asked, act)| {
-                    drop(self.desk.apply(&asked, act));
-                    learn(&self.desk.cluster_state);
+                    drop(self.publisher.apply(&asked, act));
+                    learn(&self.publisher.cluster_state);
                 });
         } else {
             let mut bill = model::ClusterState::default();
             history
                 .iter()
-                .filter_map(act)
+                .filter_map(operation)
                 .for_each(|(_, (origin, life, sequence), act)| {
                     drop(bill.apply(&origin, life, sequence, act));
                     learn(&bill);
                 });
-            self.desk.install(bill);
+            self.publisher.install(bill);
         }
-        self.desk.publish();
+        self.publisher.publish();
         (self.folded, self.last) = (
             history.len(),
             history.last().map(|(at, _)| *at).unwrap_or(0),
--- a/crates/simulator/src/stagehand.rs
+++ b/crates/simulator/src/supervisor.rs
@@ -2,65 +2,65 @@
 
 use crate::fleet::Fleet;
 use crate::process::Process;
-use crate::scenario::{Step, Who};
+use crate::scenario::{Step, Target};
 use rustix::process::Signal;
 use std::path::Path;
 use std::time::Duration;
 
-pub struct Stagehand {
+pub struct Supervisor {
     pub fleet: Fleet,
     changes: u64,
     /// Frozen processes, so that none stays so at the end.
-    frozen: Vec<(Who, u64)>,
+    frozen: Vec<(Target, u64)>,
 }
 
-impl Stagehand {
+impl Supervisor {
     pub fn new(fleet: Fleet) -> Self {
-        Stagehand {
+        Supervisor {
             fleet,
             changes: 0,
             frozen: Vec::new(),
         }
     }
 
-    fn place(&mut self, who: Who) -> &mut Option<Process> {
+    fn process_slot(&mut self, who: Target) -> &mut Option<Process> {
         match who {
-            Who::Core(seat) => &mut self.fleet.cores[seat].process,
-            Who::Usher(at) => &mut self.fleet.machines[at].usher,
-            Who::BackEnd(at) => &mut self.fleet.machines[at].understudy,
+            Target::Replica(seat) => &mut self.fleet.replicas[seat].process,
+            Target::Node(at) => &mut self.fleet.machines[at].node,
+            Target::Backend(at) => &mut self.fleet.machines[at].stand_in,
         }
     }
 
-    fn host(&self, who: Who) -> crate::links::Host {
+    fn host(&self, who: Target) -> crate::network::Host {
         match who {
-            Who::Core(seat) => self.fleet.cores[seat].host,
-            Who::Usher(at) | Who::BackEnd(at) => self.fleet.machines[at].host,
+            Target::Replica(seat) => self.fleet.replicas[seat].host,
+            Target::Node(at) | Target::Backend(at) => self.fleet.machines[at].host,
         }
     }
 
-    fn start(&mut self, who: Who) -> Result<(), String> {
+    fn start(&mut self, who: Target) -> Result<(), String> {
         match who {
-            Who::Core(seat) => self.fleet.start_core(seat),
-            Who::Usher(at) => self.fleet.start_usher(at),
-            Who::BackEnd(at) => self.fleet.start_understudy(at),
+            Target::Replica(seat) => self.fleet.start_replica(seat),
+            Target::Node(at) => self.fleet.start_node(at),
+            Target::Backend(at) => self.fleet.start_stand_in(at),
         }
     }
 
-    fn kill(&mut self, who: Who) -> Result<(), String> {
+    fn kill(&mut self, who: Target) -> Result<(), String> {
         let killed = self
-            .place(who)
+            .process_slot(who)
             .take()
             .map(|mut process| process.kill())
             .is_some();
         match who {
-            Who::BackEnd(at) if killed => self.fleet.note_leaving(at),
+            Target::Backend(at) if killed => self.fleet.record_leaving(at),
             _ => Ok(()),
         }
     }
 
     /// A planned end: waits until the process has gone, as whoever restarts it would.
-    async fn stop(&mut self, who: Who) {
-        if let Some(mut process) = self.place(who).take() {
+    async fn stop(&mut self, who: Target) {
+        if let Some(mut process) = self.process_slot(who).take() {
             process.signal(Signal::TERM);
             let gone = async {
                 while process.ended().is_none() {
@@ -73,36 +73,36 @@
         }
     }
 
-    fn everyone(&self) -> Vec<Who> {
-        let cores = (0..self.fleet.cores.len()).map(Who::Core);
+    fn all_targets(&self) -> Vec<Target> {
+        let cores = (0..self.fleet.replicas.len()).map(Target::Replica);
         let machines =
-            (0..self.fleet.machines.len()).flat_map(|at| [Who::Usher(at), Who::BackEnd(at)]);
+            (0..self.fleet.machines.len()).flat_map(|at| [Target::Node(at), Target::Backend(at)]);
         cores.chain(machines).collect()
     }
 
-    fn hosts(&self) -> Vec<crate::links::Host> {
+    fn hosts(&self) -> Vec<crate::network::Host> {
         self.fleet
-            .cores
+            .replicas
             .iter()
             .map(|core| core.host)
             .chain(self.fleet.machines.iter().map(|machine| machine.host))
             .collect()
     }
 
-    pub async fn take(&mut self, step: Step) -> Result<(), String> {
+    pub async fn perform(&mut self, step: Step) -> Result<(), String> {
         let heals = step.heals();
         match step {
             Step::Kill(who) => self.kill(who)?,
             Step::Stop(who) => self.stop(who).await,
             Step::Start(who) => self.start(who)?,
             Step::Wipe(seat) => {
-                self.burn(seat)?;
-                self.start(Who::Core(seat))?;
+                self.destroy(seat)?;
+                self.start(Target::Replica(seat))?;
             }
             Step::Replace(seat) => self.replace(seat).await?,
             Step::Freeze(who) => {
                 self.frozen.push((who, model::now()));
-                self.place(who)
+                self.process_slot(who)
                     .iter()
                     .for_each(|process| process.signal(Signal::STOP));
             }
@@ -113,8 +113,8 @@
                     .into_iter()
                     .filter(|host| *host != own)
                     .for_each(|host| {
-                        self.fleet.links.cut(own, host);
-                        self.fleet.links.cut(host, own);
+                        self.fleet.network.cut(own, host);
+                        self.fleet.network.cut(host, own);
                     });
             }
             Step::Mute(who) => {
@@ -122,12 +122,12 @@
                 self.hosts()
                     .into_iter()
                     .filter(|host| *host != own)
-                    .for_each(|host| self.fleet.links.cut(own, host));
+                    .for_each(|host| self.fleet.network.cut(own, host));
             }
-            Step::Split(few) => {
+            Step::Partition(few) => {
                 let (inside, outside): (Vec<_>, Vec<_>) = self
                     .fleet
-                    .cores
+                    .replicas
                     .iter()
                     .enumerate()
                     .partition(|(seat, _)| few.contains(seat));
@@ -135,74 +135,72 @@
                     .iter()
                     .flat_map(|(_, one)| outside.iter().map(move |(_, two)| (one.host, two.host)))
                     .for_each(|(one, two)| {
-                        self.fleet.links.cut(one, two);
-                        self.fleet.links.cut(two, one);
+                        self.fleet.network.cut(one, two);
+                        self.fleet.network.cut(two, one);
                     });
             }
-            Step::Mend => self.fleet.links.mend(),
+            Step::HealNetwork => self.fleet.network.heal(),
             Step::KillEverything => self
-                .everyone()
+                .all_targets()
                 .into_iter()
                 .try_for_each(|who| self.kill(who))?,
             Step::StartEverything => self
-                .everyone()
+                .all_targets()
                 .into_iter()
                 .try_for_each(|who| self.start(who))?,
-            Step::KillCore => {
-                (0..self.fleet.cores.len()).try_for_each(|seat| self.kill(Who::Core(seat)))?
-            }
-            Step::StartCore => {
-                (0..self.fleet.cores.len()).try_for_each(|seat| self.start(Who::Core(seat)))?
-            }
-            Step::Forbid => self.change(false).await?,
-            Step::Allow => self.change(true).await?,
+            Step::KillAllReplicas => (0..self.fleet.replicas.len())
+                .try_for_each(|seat| self.kill(Target::Replica(seat)))?,
+            Step::StartAllReplicas => (0..self.fleet.replicas.len())
+                .try_for_each(|seat| self.start(Target::Replica(seat)))?,
+            Step::RemoveRoute => self.toggle_route(false).await?,
+            Step::RestoreRoute => self.toggle_route(true).await?,
             Step::Reload(who) => self
-                .place(who)
+                .process_slot(who)
                 .iter()
                 .for_each(|process| process.signal(Signal::HUP)),
-            Step::Inherit { from, beside } => {
+            Step::ReuseAddress { from, beside } => {
                 let other = self.other_service(from);
-                let address = self.fleet.listen(from);
-                self.fleet.add_back_end(beside, &other, address)?;
+                let address = self.fleet.backend_address(from);
+                self.fleet.add_backend(beside, &other, address)?;
             }
-            Step::Add(beside) => {
-                let service = self.fleet.service(beside);
-                self.fleet.add_back_end(beside, &service, None)?;
+            Step::AddBackend(beside) => {
+                let service = self.fleet.service_of(beside);
+                self.fleet.add_backend(beside, &service, None)?;
             }
-            Step::DrainAdded => self
+            Step::DrainAddedBackends => self
                 .fleet
-                .added
+                .added_backends
                 .iter()
                 .for_each(|process| process.signal(Signal::TERM)),
-            Step::Heat => {
+            Step::StartHotKey => {
                 self.fleet
-                    .notebook()
-                    .note(&crate::history::Record::Heated { at: model::now() })?;
+                    .history_writer()
+                    .write(&crate::history::Record::HotKeyStarted { at: model::now() })?;
                 self.fleet
                     .machines
                     .iter()
-                    .flat_map(|machine| &machine.understudy)
+                    .flat_map(|machine| &machine.stand_in)
                     .for_each(|process| process.signal(Signal::USR1));
             }
-            Step::Disk(seat, ill) => self.spoil(seat, ill)?,
-            Step::AckThenLose(seat) => self.ack_then_lose(seat).await?,
+            Step::SetDisk(seat, ill) => self.set_disk_fault(seat, ill)?,
+            Step::LoseAfterAccept(seat) => self.lose_after_accept(seat).await?,
         }
         if heals {
-            self.fleet.note_healed()?;
+            self.fleet.record_healed()?;
         }
         Ok(())
     }
 
     /// As an operator would: start it, read its disk's name, hand it the seat, wait until it is ready.
     async fn replace(&mut self, seat: usize) -> Result<(), String> {
-        self.kill(Who::Core(seat))?;
-        self.fleet.plan_core_again(seat)?;
-        self.start(Who::Core(seat))?;
+        self.kill(Target::Replica(seat))?;
+        self.fleet.plan_replacement(seat)?;
+        self.start(Target::Replica(seat))?;
         let fleet = &self.fleet;
         let (new, other) = (
-            fleet.cores[seat].operators.clone(),
-            fleet.cores[(seat + 1) % fleet.cores.len()]
-                .operators
+            fleet.replicas[seat].operators_address.clone(),
+            fleet.replicas[(seat + 1) % fleet.replicas.len()]
+                .operators_address
                 .clone(),
         );
         fleet
@@ -237,40 +235,39 @@
     }
 
     /// An operator is told "accepted"; that very moment the machine burns. An empty one comes at a new address.
-    async fn ack_then_lose(&mut self, seat: usize) -> Result<(), String> {
+    async fn lose_after_accept(&mut self, seat: usize) -> Result<(), String> {
         let operator = self.fleet.operator();
-        let put = self.first_order()?;
+        let put = self.first_route()?;
         let base = operator
             .read(seat)
             .await?
             .ok_or("the seat told no version")?;
         let answer = operator.send(seat, "acked-then-lost", base, &[put]).await?;
-        self.burn(seat)?;
-        self.fleet.plan_core_again(seat)?;
-        self.start(Who::Core(seat))?;
+        self.destroy(seat)?;
+        self.fleet.plan_replacement(seat)?;
+        self.start(Target::Replica(seat))?;
         match answer {
-            crate::operators::Answer::Refused(412, _) | crate::operators::Answer::Accepted(..) => {
-                Ok(())
-            }
+            crate::operators::ChangeAnswer::Rejected(412, _)
+            | crate::operators::ChangeAnswer::Accepted(..) => Ok(()),
             other => Err(format!("the change got {other:?}")),
         }
     }
 
     /// Power and disk go together.
-    fn burn(&mut self, seat: usize) -> Result<(), String> {
-        self.kill(Who::Core(seat))?;
+    fn destroy(&mut self, seat: usize) -> Result<(), String> {
+        self.kill(Target::Replica(seat))?;
         std::fs::remove_dir_all(self.fleet.folder.join(format!("core-{seat}")))
             .map_err(|error| error.to_string())
     }
 
-    fn spoil(&mut self, seat: usize, ill: crate::disk::Ill) -> Result<(), String> {
-        let folder = crate::process::flag(&self.fleet.cores[seat].arguments, "--folder")
+    fn set_disk_fault(&mut self, seat: usize, ill: crate::disk::DiskFault) -> Result<(), String> {
+        let folder = crate::process::flag_value(&self.fleet.replicas[seat].arguments, "--folder")
             .ok_or("the seat has no folder")?;
-        std::fs::write(Path::new(folder).join("fault"), ill.word())
+        std::fs::write(Path::new(folder).join("fault"), ill.file_text())
             .map_err(|error| error.to_string())
     }
 
-    fn first_order(&self) -> Result<serde_json::Value, String> {
+    fn first_route(&self) -> Result<serde_json::Value, String> {
         self.fleet
             .deployment
             .edits()
@@ -280,7 +277,7 @@
     }
 
     fn other_service(&self, at: usize) -> String {
-        let own = self.fleet.service(at);
+        let own = self.fleet.service_of(at);
         let mut others = self
             .fleet
             .deployment
@@ -292,30 +289,32 @@
             .unwrap_or(own.clone())
     }
 
-    fn wake(&mut self, who: Who) -> Result<(), String> {
+    fn wake(&mut self, who: Target) -> Result<(), String> {
         let since = self
             .frozen
             .iter()
             .find(|(held, _)| *held == who)
             .map(|(_, since)| *since);
         self.frozen.retain(|(held, _)| *held != who);
-        if let (Who::Usher(at), Some(from)) = (who, since) {
+        if let (Target::Node(at), Some(from)) = (who, since) {
             let by = self.fleet.machines[at].name.clone();
-            self.fleet.notebook().note(&crate::history::Record::Stood {
-                by,
-                from,
-                to: model::now(),
-            })?;
+            self.fleet
+                .history_writer()
+                .write(&crate::history::Record::NodeStalled {
+                    node: by,
+                    from,
+                    to: model::now(),
+                })?;
         }
-        self.place(who)
+        self.process_slot(who)
             .iter()
             .for_each(|process| process.signal(Signal::CONT));
         Ok(())
     }
 
     /// Nothing stays frozen or cut.
-    pub fn settle(&mut self) -> Result<(), String> {
-        self.fleet.links.mend();
+    pub fn heal_all(&mut self) -> Result<(), String> {
+        self.fleet.network.heal();
         self.frozen
             .clone()
             .into_iter()
@@ -323,9 +322,9 @@
     }
 
     /// The first lane goes or comes back, whoever else changes things meanwhile.
-    async fn change(&mut self, allow: bool) -> Result<(), String> {
+    async fn toggle_route(&mut self, allow: bool) -> Result<(), String> {
         self.changes += 1;
-        let put = self.first_order()?;
+        let put = self.first_route()?;
         let name = put["put_order"]["name"].clone();
         let edit = if allow {
             put
@@ -333,12 +332,12 @@
             serde_json::json!({ "drop_order": { "name": name } })
         };
         self.fleet
-            .note_lane(self.fleet.deployment.lanes[0], allow, false)?;
+            .record_route_change(self.fleet.deployment.routes[0], allow, false)?;
         self.fleet
             .operator()
-            .insist(&format!("step-{}", self.changes), &[edit])
+            .submit_until_accepted(&format!("step-{}", self.changes), &[edit])
             .await?;
         self.fleet
-            .note_lane(self.fleet.deployment.lanes[0], allow, true)
+            .record_route_change(self.fleet.deployment.routes[0], allow, true)
     }
 }
--- a/crates/simulator/tests/again.rs
+++ b/crates/simulator/tests/again.rs
@@ -7,7 +7,10 @@
 
 async fn register(fleet: &simulator::fleet::Fleet) -> serde_json::Value {
     let ask = serde_json::json!({ "name": "probe", "service": "seat", "zone": "z0", "slots": 0, "address": "127.0.0.1:1" });
-    let url = format!("http://{}/back-end/register", fleet.machines[0].local);
+    let url = format!(
+        "http://{}/back-end/register",
+        fleet.machines[0].local_address
+    );
     loop {
         let sent = fleet.http.post(&url).json(&ask).send().await;
         if let Ok(response) = sent
@@ -20,7 +23,10 @@
 }
 
 async fn send(fleet: &simulator::fleet::Fleet, secret: &serde_json::Value, try_id: &str) -> Answer {
-    let url = format!("http://{}/call/seat/checkout", fleet.machines[0].local);
+    let url = format!(
+        "http://{}/call/seat/checkout",
+        fleet.machines[0].local_address
+    );
     let request = fleet
         .http
         .post(url)
@@ -44,7 +50,9 @@
     let records = simulator::history::read(folder).expect("histories");
     records
         .iter()
-        .filter(|record| matches!(record, Record::Began { try_id, .. } if try_id == wanted))
+        .filter(
+            |record| matches!(record, Record::RunBegan { attempt_id, .. } if attempt_id == wanted),
+        )
         .count()
 }
 
@@ -81,11 +89,11 @@
         assert_eq!((again.0, again.1.as_deref()), (409, Some("may-have-run")));
         // The usher dies and comes back; what it knew of tries is gone with it.
         fleet.machines[0]
-            .usher
+            .node
             .take()
             .into_iter()
             .for_each(|mut usher| usher.kill());
-        fleet.start_usher(0).expect("a node");
+        fleet.start_node(0).expect("a node");
         let second = register(&fleet).await;
         assert_ne!(first["secret"], second["secret"]);
         for secret in [&first["secret"], &second["secret"]] {
--- a/crates/simulator/tests/bills.rs
+++ b/crates/simulator/tests/bills.rs
@@ -1,7 +1,9 @@
 //! Followers of the bill in virtual time: restarts in turn and together, late and older bulletins, lagging seats, a core
 //! that is cut, killed and replaced; and variants that each lack one guard (design 11.6).
 
-use simulator::billsim::{BLOWS, BillPlan, Blow, Stage, Struck, Without, draw, play};
+use simulator::state_sim::{
+    DisabledGuards, FAULTS, Fault, ScheduledFault, StateHarness, StatePlan, draw_faults, play,
+};
 use std::ops::Range;
 
 fn over<T: Send>(seeds: Range<u64>, work: impl Fn(u64) -> T + Sync) -> Vec<T> {
@@ -25,9 +27,9 @@
 #[test]
 fn a_node_that_restarts_never_serves_an_older_bill_than_it_had() {
     let played = over(0..160, |seed| {
-        let stage = play(BillPlan::new(seed), &draw(&BLOWS, seed, 10));
-        assert_eq!(stage.broken, Vec::<String>::new(), "seed {seed}");
-        (stage.judged, stage.restarts, stage.older_told())
+        let stage = play(StatePlan::new(seed), &draw_faults(&FAULTS, seed, 10));
+        assert_eq!(stage.violations, Vec::<String>::new(), "seed {seed}");
+        (stage.checked, stage.restarts, stage.older_received())
     });
     let (judged, restarts, older) = played.into_iter().fold((0, 0, 0), |sum, one| {
         (sum.0 + one.0, sum.1 + one.1, sum.2 + one.2)
@@ -40,23 +42,23 @@
 }
 
 /// Seeds and blows alike: held with every guard, and without one the promise is seen broken.
-fn caught(without: Without, kinds: &[Blow]) {
-    let blows = |seed| -> Vec<Struck> { draw(kinds, seed, 8) };
+fn caught(without: DisabledGuards, kinds: &[Fault]) {
+    let blows = |seed| -> Vec<ScheduledFault> { draw_faults(kinds, seed, 8) };
     let breaks = |seed: u64| {
-        let whole: Stage = play(BillPlan::new(seed), &blows(seed));
+        let whole: StateHarness = play(StatePlan::new(seed), &blows(seed));
         assert_eq!(
-            whole.broken,
+            whole.violations,
             Vec::<String>::new(),
             "seed {seed}: it holds with its guards"
         );
         play(
-            BillPlan {
-                without,
-                ..BillPlan::new(seed)
+            StatePlan {
+                disabled: without,
+                ..StatePlan::new(seed)
             },
             &blows(seed),
         )
-        .broken
+        .violations
         .iter()
         .any(|told| told.starts_with("back"))
     };
@@ -66,18 +68,18 @@
     );
 }
 
-const LAGS: [Blow; 5] = [
-    Blow::CutSeat,
-    Blow::Restart,
-    Blow::CutSeat,
-    Blow::Together,
-    Blow::InTurn,
+const LAGS: [Fault; 5] = [
+    Fault::CutReplica,
+    Fault::RestartNode,
+    Fault::CutReplica,
+    Fault::RestartAllNodes,
+    Fault::RestartNodesInTurn,
 ];
 
 #[test]
 fn bills_served_before_a_proof_are_caught() {
     caught(
-        Without {
+        DisabledGuards {
             proof: true,
             ..Default::default()
         },
@@ -88,7 +90,7 @@
 #[test]
 fn proofs_that_ask_no_majority_are_caught() {
     caught(
-        Without {
+        DisabledGuards {
             quorum: true,
             ..Default::default()
         },
@@ -99,10 +101,15 @@
 #[test]
 fn nodes_that_forget_what_they_hold_at_a_new_conn_are_caught() {
     caught(
-        Without {
+        DisabledGuards {
             forward: true,
             ..Default::default()
         },
-        &[Blow::CutSeat, Blow::CutNode, Blow::CrashSeat, Blow::Stall],
+        &[
+            Fault::CutReplica,
+            Fault::CutNode,
+            Fault::CrashReplica,
+            Fault::DelayUpdates,
+        ],
     );
 }
--- a/crates/simulator/tests/checker.rs
+++ b/crates/simulator/tests/checker.rs
@@ -6,45 +6,45 @@
 const SECOND: u64 = 1_000_000;
 
 fn began(run: &str, try_id: &str, at: u64, by: &str) -> Record {
-    Record::Began {
+    Record::RunBegan {
         process: by.bytes().map(u32::from).sum(),
         run: run.into(),
-        try_id: try_id.into(),
+        attempt_id: try_id.into(),
         at,
-        by: by.into(),
-        life: 1,
+        backend: by.into(),
+        incarnation: 1,
         service: "seat".into(),
-        meant_for: "seat".into(),
-        sender: "desk".into(),
+        intended_service: "seat".into(),
+        client: "desk".into(),
         path: "/take".into(),
         key: Some("k".into()),
     }
 }
 
 fn ended(run: &str, at: u64) -> Record {
-    Record::Ended {
+    Record::RunEnded {
         run: run.into(),
         at,
     }
 }
 
 fn told(try_id: &str, at: u64, verdict: Option<&str>, cause: Option<&str>, whole: bool) -> Record {
-    Record::Told {
-        try_id: try_id.into(),
+    Record::ClientAnswered {
+        attempt_id: try_id.into(),
         asked: at - 100,
-        wait: 3 * SECOND,
-        again: false,
+        wait_us: 3 * SECOND,
+        repeated: false,
         key: None,
-        come_back: true,
+        has_retry_after: true,
         at,
-        by: "desk-0".into(),
+        client: "desk-0".into(),
         service: "desk".into(),
         target: "seat".into(),
         path: "/take".into(),
         status: 200,
-        verdict: verdict.map(str::to_string),
-        cause: cause.map(str::to_string),
-        whole,
+        execution_status: verdict.map(str::to_string),
+        error_kind: cause.map(str::to_string),
+        complete: whole,
     }
 }
 
@@ -72,9 +72,9 @@
         &Rules {
             repeatable: &["/check"],
             allowed: &[("desk", "seat")],
-            planned: true,
-            allowance: 2,
-            provokes: &[],
+            planned_ends_only: true,
+            retry_allowance: 2,
+            must_observe: &[],
         },
     );
     report
@@ -126,13 +126,17 @@
         vec![record]
     };
     let misled = stray(|record| {
-        if let Record::Began { meant_for, .. } = record {
+        if let Record::RunBegan {
+            intended_service: meant_for,
+            ..
+        } = record
+        {
             *meant_for = "other".into();
         }
     });
     seen(misled, "routes_are_kept");
     let false_name = stray(|record| {
-        if let Record::Began { sender, .. } = record {
+        if let Record::RunBegan { client: sender, .. } = record {
             *sender = "vault".into();
         }
     });
@@ -146,23 +150,23 @@
         "one_holder_a_key",
     );
     let mut namesake = began("r4", "desk/4", SECOND + 50, "a");
-    if let Record::Began { process, .. } = &mut namesake {
+    if let Record::RunBegan { process, .. } = &mut namesake {
         *process = 77;
     }
     seen(
         vec![namesake, ended("r4", SECOND + 150)],
         "one_holder_a_key",
     );
-    let leaving = Record::Leaving {
-        by: "a".into(),
+    let leaving = Record::BackendLeaving {
+        backend: "a".into(),
         at: 2 * SECOND,
     };
     seen(
         vec![leaving, began("r4", "desk/4", 5 * SECOND, "a")],
         "drained_gets_nothing_new",
     );
-    let lane = |allowed, accepted, at| Record::Lane {
-        sender: "desk".into(),
+    let lane = |allowed, accepted, at| Record::RouteChange {
+        client: "desk".into(),
         service: "seat".into(),
         path: "/take".into(),
         allowed,
--- a/crates/simulator/tests/checker_operators.rs
+++ b/crates/simulator/tests/checker_operators.rs
@@ -22,7 +22,7 @@
     } else {
         version.map(|_| 200).unwrap_or(0)
     };
-    Record::Change {
+    Record::DesiredChange {
         id: id.into(),
         edits,
         asked: at - 100,
@@ -44,7 +44,7 @@
             )
         })
         .collect();
-    Record::ReadBack {
+    Record::StateRead {
         asked,
         at: asked + 100,
         desired: serde_json::json!({ "version": version, "groupings": groupings, "orders": {} }),
@@ -52,9 +52,9 @@
 }
 
 fn seen(node: &str, life: u64, asked: u64, position: u64, fresh: bool) -> Record {
-    Record::Seen {
+    Record::NodeObserved {
         node: node.into(),
-        life,
+        incarnation: life,
         asked,
         position,
         fresh,
@@ -69,22 +69,22 @@
     come_back: bool,
     took: u64,
 ) -> Record {
-    Record::Told {
-        try_id: format!("desk-0.1.desk/{asked}"),
+    Record::ClientAnswered {
+        attempt_id: format!("desk-0.1.desk/{asked}"),
         asked,
         at: asked + took,
-        wait: 3 * SECOND,
-        again: false,
-        by: "desk-0".into(),
+        wait_us: 3 * SECOND,
+        repeated: false,
+        client: "desk-0".into(),
         service: "desk".into(),
         target: target.into(),
         path: "/take".into(),
         key: None,
         status,
-        verdict: cause.map(|_| "not-run".to_string()),
-        cause: cause.map(str::to_string),
-        come_back,
-        whole: cause.is_none(),
+        execution_status: cause.map(|_| "not-run".to_string()),
+        error_kind: cause.map(str::to_string),
+        has_retry_after: come_back,
+        complete: cause.is_none(),
     }
 }
 
@@ -109,12 +109,12 @@
     let rules = Rules {
         repeatable: &[],
         allowed: &[("desk", "seat")],
-        planned: false,
-        allowance,
-        provokes: &["a moved key"],
+        planned_ends_only: false,
+        retry_allowance: allowance,
+        must_observe: &["a moved key"],
     };
     let report = check(&records, &rules);
-    assert_eq!(report.not_provoked, ["a moved key"], "no key moved here");
+    assert_eq!(report.not_observed, ["a moved key"], "no key moved here");
     report
         .invariants
         .into_iter()
@@ -199,8 +199,8 @@
     );
     seen_in(
         vec![Record::Misrouted {
-            by: "b".into(),
-            meant_for: "seat".into(),
+            backend: "b".into(),
+            intended_service: "seat".into(),
             at: SECOND,
         }],
         "addresses_change_hands_safely",
@@ -212,7 +212,7 @@
     let asked = |from: u64| {
         (0..10u64).map(move |step| told("seat", from + step * 1_000, None, 200, false, 100))
     };
-    let extra = |node: &str, at: u64| Record::Extra {
+    let extra = |node: &str, at: u64| Record::AttemptRepeated {
         node: node.into(),
         service: "seat".into(),
         at,
@@ -238,58 +238,58 @@
         true,
         100,
     ) {
-        Record::Told {
-            try_id,
+        Record::ClientAnswered {
+            attempt_id: try_id,
             asked,
             at,
-            wait,
-            again,
-            by,
+            wait_us: wait,
+            repeated: again,
+            client: by,
             service,
             target,
             path,
             status,
-            verdict,
-            cause,
-            come_back,
-            whole,
+            execution_status: verdict,
+            error_kind: cause,
+            has_retry_after: come_back,
+            complete: whole,
             ..
-        } => Record::Told {
+        } => Record::ClientAnswered {
             key: Some("cool".into()),
-            try_id,
+            attempt_id: try_id,
             asked,
             at,
-            wait,
-            again,
-            by,
+            wait_us: wait,
+            repeated: again,
+            client: by,
             service,
             target,
             path,
             status,
-            verdict,
-            cause,
-            come_back,
-            whole,
+            execution_status: verdict,
+            error_kind: cause,
+            has_retry_after: come_back,
+            complete: whole,
         },
         other => other,
     };
     let heated = vec![
         keyed(10 * SECOND, true),
-        Record::Heated { at: 11 * SECOND },
+        Record::HotKeyStarted { at: 11 * SECOND },
         keyed(12 * SECOND, false),
     ];
     assert!(broken(heated, 0).contains(&"others_are_served_beside_a_hot_key".to_string()));
     let records = [
-        Record::Healed { at: 10 * SECOND },
+        Record::FaultHealed { at: 10 * SECOND },
         keyed(11 * SECOND, false),
         keyed(26 * SECOND, false),
     ];
     let rules = Rules {
         repeatable: &[],
         allowed: &[],
-        planned: false,
-        allowance: 0,
-        provokes: &[],
+        planned_ends_only: false,
+        retry_allowance: 0,
+        must_observe: &[],
     };
     let report = check(&records, &rules);
     assert!(!report.invariants["service_is_back"].is_empty());
--- a/crates/simulator/tests/cut.rs
+++ b/crates/simulator/tests/cut.rs
@@ -1,7 +1,7 @@
 //! A control machine that is cut off, frozen or restarted inside a cut for twenty seconds, with callers that still
 //! reach it (design 3.2, docs/control-plane.md, point 1).
 
-use simulator::sim::{Fault, Plan, World};
+use simulator::sim::{Fault, World, WorldPlan};
 use std::collections::BTreeSet;
 
 const SECOND: u64 = 1_000_000;
@@ -33,44 +33,44 @@
 ];
 
 fn strike(world: &mut World, trouble: Trouble) {
-    let others = 1..world.plan.seats;
+    let others = 1..world.plan.replica_count;
     match trouble {
         Trouble::Frozen => {
-            world.at_fault(BEGINS, Fault::Freeze(CUT_OFF));
-            world.at_fault(HEALS, Fault::Wake(CUT_OFF));
+            world.schedule_fault(BEGINS, Fault::Freeze(CUT_OFF));
+            world.schedule_fault(HEALS, Fault::Unfreeze(CUT_OFF));
         }
         Trouble::HearsNobody => {
-            others.for_each(|mate| world.at_fault(BEGINS, Fault::Cut(mate, CUT_OFF)))
+            others.for_each(|mate| world.schedule_fault(BEGINS, Fault::CutLink(mate, CUT_OFF)))
         }
         Trouble::IsHeardByNobody => {
-            others.for_each(|mate| world.at_fault(BEGINS, Fault::Cut(CUT_OFF, mate)))
+            others.for_each(|mate| world.schedule_fault(BEGINS, Fault::CutLink(CUT_OFF, mate)))
         }
         Trouble::Cut | Trouble::RestartedInside => others.for_each(|mate| {
-            world.at_fault(BEGINS, Fault::Cut(CUT_OFF, mate));
-            world.at_fault(BEGINS, Fault::Cut(mate, CUT_OFF));
+            world.schedule_fault(BEGINS, Fault::CutLink(CUT_OFF, mate));
+            world.schedule_fault(BEGINS, Fault::CutLink(mate, CUT_OFF));
         }),
     }
     if trouble == Trouble::RestartedInside {
-        world.at_fault(9 * SECOND, Fault::Crash(CUT_OFF));
-        world.at_fault(10 * SECOND, Fault::Start(CUT_OFF));
+        world.schedule_fault(9 * SECOND, Fault::Crash(CUT_OFF));
+        world.schedule_fault(10 * SECOND, Fault::Start(CUT_OFF));
     }
-    world.at_fault(HEALS, Fault::Mend);
+    world.schedule_fault(HEALS, Fault::HealLinks);
 }
 
 /// Orders and reads at every seat in turn, the one that is cut off too, from the first second to the end.
 fn call(world: &mut World) {
-    let seats = u64::from(world.plan.seats);
+    let seats = u64::from(world.plan.replica_count);
     for number in 0..120 {
         let (time, seat) = (SECOND + number * 250_000, (number % seats) as u16);
-        world.at_fault(time, Fault::Submit(seat, number.to_be_bytes().to_vec()));
-        world.at_fault(time + 40_000, Fault::Read(seat, number));
+        world.schedule_fault(time, Fault::Submit(seat, number.to_be_bytes().to_vec()));
+        world.schedule_fault(time + 40_000, Fault::Read(seat, number));
     }
 }
 
 fn played(seats: u16, seed: u64, trouble: Trouble, caller_patience: u64) -> World {
-    let mut world = World::new(Plan {
+    let mut world = World::new(WorldPlan {
         caller_patience,
-        ..Plan::new(seats, seed)
+        ..WorldPlan::new(seats, seed)
     });
     strike(&mut world, trouble);
     call(&mut world);
@@ -83,11 +83,11 @@
     for (seats, seed, trouble) in drawn() {
         let world = played(seats, seed, trouble, PATIENCE);
         assert_eq!(
-            world.findings.broken,
+            world.findings.violations,
             Vec::<String>::new(),
             "{seats} seats, seed {seed}, {trouble:?}"
         );
-        let late = world.findings.late(PATIENCE + DECIDED);
+        let late = world.findings.late_entries(PATIENCE + DECIDED);
         assert!(
             late.is_empty(),
             "{seats} seats, seed {seed}, {trouble:?}: {late:?} took effect late"
@@ -100,7 +100,7 @@
     let late = drawn().any(|(seats, seed, trouble)| {
         !played(seats, seed, trouble, u64::MAX)
             .findings
-            .late(PATIENCE + DECIDED)
+            .late_entries(PATIENCE + DECIDED)
             .is_empty()
     });
     assert!(
@@ -112,17 +112,17 @@
 #[test]
 fn no_read_is_proved_at_a_seat_that_reaches_no_majority() {
     for (seats, seed, trouble) in drawn() {
-        let mut world = World::new(Plan {
+        let mut world = World::new(WorldPlan {
             caller_patience: PATIENCE,
-            ..Plan::new(seats, seed)
+            ..WorldPlan::new(seats, seed)
         });
         strike(&mut world, trouble);
         call(&mut world);
         world.run_until(BEGINS + SECOND);
-        world.done.clear();
+        world.proved_reads.clear();
         world.run_until(HEALS - 1);
         let proved: Vec<u64> = world
-            .done
+            .proved_reads
             .iter()
             .filter(|(_, seat)| *seat == CUT_OFF)
             .map(|(token, _)| *token)
@@ -131,7 +131,7 @@
             proved.is_empty(),
             "{seats} seats, seed {seed}, {trouble:?}: reads {proved:?} were proved"
         );
-        assert!(world.done.len() > 20, "the others prove");
+        assert!(world.proved_reads.len() > 20, "the others prove");
     }
 }
 
@@ -143,13 +143,18 @@
         let last = b"after the cut".to_vec();
         world.submit(CUT_OFF, last.clone());
         world.run_until(HEALS + CATCH_UP + SECOND);
-        let holds =
-            |node: &simulator::sim::Node| node.history.iter().any(|(_, value)| *value == last);
+        let holds = |node: &simulator::sim::SimulatedReplica| {
+            node.applied.iter().any(|(_, value)| *value == last)
+        };
         assert!(
-            world.nodes.iter().all(holds),
+            world.replicas.iter().all(holds),
             "{seats} seats, seed {seed}, {trouble:?}"
         );
-        let lengths: BTreeSet<usize> = world.nodes.iter().map(|node| node.history.len()).collect();
+        let lengths: BTreeSet<usize> = world
+            .replicas
+            .iter()
+            .map(|node| node.applied.len())
+            .collect();
         assert_eq!(
             lengths.len(),
             1,
--- a/crates/simulator/tests/keys.rs
+++ b/crates/simulator/tests/keys.rs
@@ -1,6 +1,8 @@
 //! Keys in virtual time under drawn blows, and variants that each lack one guard (design 11.4, 11.5).
 
-use simulator::keysim::{BLOWS, Blow, KeyPlan, Stage, Struck, Without, draw, play};
+use simulator::lease_sim::{
+    DisabledGuards, FAULTS, Fault, LeaseHarness, LeasePlan, ScheduledFault, draw_faults, play,
+};
 use std::ops::Range;
 
 /// Seeds over the machine's cores, in the order of the seeds.
@@ -27,9 +29,10 @@
 #[test]
 fn drawn_blows_leave_one_holder_to_each_key_and_all_are_held_again() {
     let played = over(0..300, |seed| {
-        let (broken, Stage { judge, .. }) = play(KeyPlan::new(seed), &draw(&BLOWS, seed, 14));
+        let (broken, LeaseHarness { checks: judge, .. }) =
+            play(LeasePlan::new(seed), &draw_faults(&FAULTS, seed, 14));
         assert_eq!(broken, Vec::<String>::new(), "seed {seed}");
-        (judge.taken, judge.handed_over)
+        (judge.ranges_taken, judge.ranges_handed_over)
     });
     let (taken, handed_over) = played
         .into_iter()
@@ -42,9 +45,9 @@
 
 /// Seeds and blows alike: held with every guard, and without one the promise is seen broken.
 fn caught(
-    without: Without,
-    plan: impl Fn(u64) -> KeyPlan + Sync,
-    blows: impl Fn(u64) -> Vec<Struck> + Sync,
+    without: DisabledGuards,
+    plan: impl Fn(u64) -> LeasePlan + Sync,
+    blows: impl Fn(u64) -> Vec<ScheduledFault> + Sync,
     promise: &str,
 ) {
     let breaks = |seed: u64| {
@@ -55,8 +58,8 @@
             "seed {seed}: it holds with its guards"
         );
         let broken = play(
-            KeyPlan {
-                without,
+            LeasePlan {
+                disabled: without,
                 ..plan(seed)
             },
             &blows(seed),
@@ -70,12 +73,12 @@
     );
 }
 
-fn drawn(kinds: &'static [Blow]) -> impl Fn(u64) -> Vec<Struck> + Sync {
-    move |seed| draw(kinds, seed, 12)
+fn drawn(kinds: &'static [Fault]) -> impl Fn(u64) -> Vec<ScheduledFault> + Sync {
+    move |seed| draw_faults(kinds, seed, 12)
 }
 
 /// Blows that come one after the other on purpose, three times; the first at node 0.
-fn rounds(every: u64, one: impl Fn(u64) -> Vec<Struck>) -> Vec<Struck> {
+fn rounds(every: u64, one: impl Fn(u64) -> Vec<ScheduledFault>) -> Vec<ScheduledFault> {
     (0..3)
         .flat_map(|turn| one(5_000_000 + turn * every))
         .collect()
@@ -84,12 +87,17 @@
 #[test]
 fn holders_that_do_not_wait_are_caught() {
     caught(
-        Without {
-            wait: true,
+        DisabledGuards {
+            owed_ranges: true,
             ..Default::default()
         },
-        KeyPlan::new,
-        drawn(&[Blow::Shares, Blow::Cut, Blow::Shares, Blow::Outage]),
+        LeasePlan::new,
+        drawn(&[
+            Fault::ChangeShares,
+            Fault::CutFromLog,
+            Fault::ChangeShares,
+            Fault::LogOutage,
+        ]),
         "owner",
     );
 }
@@ -97,12 +105,12 @@
 #[test]
 fn grants_without_a_proof_are_caught() {
     caught(
-        Without {
+        DisabledGuards {
             proof: true,
             ..Default::default()
         },
-        KeyPlan::new,
-        drawn(&[Blow::Shares, Blow::Cut, Blow::Cut]),
+        LeasePlan::new,
+        drawn(&[Fault::ChangeShares, Fault::CutFromLog, Fault::CutFromLog]),
         "owner",
     );
 }
@@ -110,12 +118,12 @@
 #[test]
 fn ends_said_surely_of_back_ends_that_live_are_caught() {
     caught(
-        Without {
-            honest_ends: true,
+        DisabledGuards {
+            confirmed_ends: true,
             ..Default::default()
         },
-        KeyPlan::new,
-        drawn(&[Blow::Mute, Blow::Crash]),
+        LeasePlan::new,
+        drawn(&[Fault::LoseHeartbeats, Fault::CrashBackend]),
         "owner",
     );
 }
@@ -123,12 +131,12 @@
 #[test]
 fn earlier_lives_that_nobody_ends_are_caught() {
     caught(
-        Without {
-            strangers: true,
+        DisabledGuards {
+            unknown_backends: true,
             ..Default::default()
         },
-        KeyPlan::new,
-        drawn(&[Blow::Power]),
+        LeasePlan::new,
+        drawn(&[Fault::PowerLoss]),
         "unheld",
     );
 }
@@ -136,12 +144,16 @@
 #[test]
 fn silent_back_ends_taken_for_ended_are_caught() {
     caught(
-        Without {
+        DisabledGuards {
             return_of_silent: true,
             ..Default::default()
         },
-        KeyPlan::new,
-        drawn(&[Blow::Mute, Blow::FreezePlayer, Blow::Freeze]),
+        LeasePlan::new,
+        drawn(&[
+            Fault::LoseHeartbeats,
+            Fault::FreezeBackend,
+            Fault::FreezeNode,
+        ]),
         "idle",
     );
 }
@@ -149,12 +161,12 @@
 #[test]
 fn ends_told_over_and_over_are_caught() {
     caught(
-        Without {
-            rest: true,
+        DisabledGuards {
+            end_reported_once: true,
             ..Default::default()
         },
-        KeyPlan::new,
-        drawn(&[Blow::Drain, Blow::Kill, Blow::Drain]),
+        LeasePlan::new,
+        drawn(&[Fault::DrainBackend, Fault::KillNode, Fault::DrainBackend]),
         "restless",
     );
 }
@@ -162,12 +174,12 @@
 #[test]
 fn registrations_that_do_not_ask_the_log_are_caught() {
     caught(
-        Without {
+        DisabledGuards {
             registration: true,
             ..Default::default()
         },
-        KeyPlan::new,
-        drawn(&[Blow::Power, Blow::Kill]),
+        LeasePlan::new,
+        drawn(&[Fault::PowerLoss, Fault::KillNode]),
         "idle",
     );
 }
@@ -177,20 +189,20 @@
     // Two lives come and go while the node stands still; what they sent is read in any order.
     let blows = |seed: u64| {
         rounds(16_000_000, |at| {
-            let crash = |after: u64, length: u64| (at + after, Blow::Crash, 0, length);
+            let crash = |after: u64, length: u64| (at + after, Fault::CrashBackend, 0, length);
             vec![
-                (at, Blow::Freeze, 0, 10_000_000),
+                (at, Fault::FreezeNode, 0, 10_000_000),
                 crash(1_000_000 + seed * 10_000, 700_000),
                 crash(5_000_000, 600_000),
             ]
         })
     };
     caught(
-        Without {
-            late: true,
+        DisabledGuards {
+            late_heartbeats: true,
             ..Default::default()
         },
-        KeyPlan::new,
+        LeasePlan::new,
         blows,
         "idle",
     );
@@ -199,22 +211,22 @@
 #[test]
 fn holds_that_trust_a_slow_clock_are_caught() {
     // Often asked and often told, so that the last hold of one that hears no more reaches as far as it may.
-    let plan = |seed| KeyPlan {
-        beat_every: 100_000,
-        ask_every: 50_000,
-        ..KeyPlan::new(seed)
+    let plan = |seed| LeasePlan {
+        heartbeat_interval: 100_000,
+        proof_interval: 50_000,
+        ..LeasePlan::new(seed)
     };
     let blows = |seed: u64| {
         rounds(14_000_000, |at| {
             vec![
-                (at, Blow::Cut, 0, 11_000_000),
-                (at, Blow::Mute, 0, 11_000_000),
-                (at + 5_000 + seed, Blow::Shares, 1, 0),
+                (at, Fault::CutFromLog, 0, 11_000_000),
+                (at, Fault::LoseHeartbeats, 0, 11_000_000),
+                (at + 5_000 + seed, Fault::ChangeShares, 1, 0),
             ]
         })
     };
     caught(
-        Without {
+        DisabledGuards {
             slow_clock: true,
             ..Default::default()
         },
@@ -230,19 +242,24 @@
     let blows = |seed: u64| {
         let once = |at| {
             vec![
-                (at + seed * 30_000, Blow::Kill, 0, 100_000),
-                (at + seed * 30_000 + 50_000, Blow::Outage, 0, 2_000_000),
-                (at + seed * 30_000 + 1_900_000, Blow::Mute, 0, 9_000_000),
+                (at + seed * 30_000, Fault::KillNode, 0, 100_000),
+                (at + seed * 30_000 + 50_000, Fault::LogOutage, 0, 2_000_000),
+                (
+                    at + seed * 30_000 + 1_900_000,
+                    Fault::LoseHeartbeats,
+                    0,
+                    9_000_000,
+                ),
             ]
         };
         rounds(25_000_000, once)
     };
     caught(
-        Without {
-            memory: true,
+        DisabledGuards {
+            earlier_grants: true,
             ..Default::default()
         },
-        KeyPlan::new,
+        LeasePlan::new,
         blows,
         "owner",
     );
@@ -254,22 +271,22 @@
     let blows = |seed: u64| {
         rounds(14_000_000, |at| {
             let told = at + 8_600_000 + seed * 20_000;
-            let crashes = (1..3).map(|node| (at + 3_000_000, Blow::Crash, node, 2_000_000));
+            let crashes = (1..3).map(|node| (at + 3_000_000, Fault::CrashBackend, node, 2_000_000));
             let rest = [
-                (at, Blow::Dumb, 0, told - at),
-                (at + 100_000, Blow::Shares, 1, 0),
-                (at + 8_500_000, Blow::Shares, 1, 0),
+                (at, Fault::LoseReports, 0, told - at),
+                (at + 100_000, Fault::ChangeShares, 1, 0),
+                (at + 8_500_000, Fault::ChangeShares, 1, 0),
             ];
             rest.into_iter().chain(crashes).collect()
         })
     };
-    let plan = |seed| KeyPlan {
-        nodes: 3,
-        ..KeyPlan::new(seed)
+    let plan = |seed| LeasePlan {
+        node_count: 3,
+        ..LeasePlan::new(seed)
     };
     caught(
-        Without {
-            through: true,
+        DisabledGuards {
+            release_position: true,
             ..Default::default()
         },
         plan,
--- a/crates/simulator/tests/path.rs
+++ b/crates/simulator/tests/path.rs
@@ -18,9 +18,9 @@
         scenario: "midway".into(),
         seconds: 6,
         seed: 1,
-        spoil: 50,
+        spoil_per_mille: 50,
         folder: folder.clone(),
-        usher_flags: vec![],
+        node_flags: vec![],
         changes: 2,
     };
     let report = runtime()
--- a/crates/simulator/tests/programs.rs
+++ b/crates/simulator/tests/programs.rs
@@ -128,12 +128,12 @@
         let mut fleet =
             simulator::fleet::Fleet::plan(deployment, folder.clone(), 1, 0, &[]).expect("a plan");
         (0..3)
-            .try_for_each(|seat| fleet.start_core(seat))
+            .try_for_each(|seat| fleet.start_replica(seat))
             .expect("core seats");
         let operators: Vec<String> = fleet
-            .cores
+            .replicas
             .iter()
-            .map(|core| core.operators.clone())
+            .map(|core| core.operators_address.clone())
             .collect();
         fleet.until_ready(&operators).await.expect("a core");
         let all = operators.join(",");
@@ -203,7 +203,10 @@
         assert_eq!(call(&["replace-seat", "1", "nonsense"]).0, Some(1));
         // Every seat comes to believe the same.
         let alike = || async {
-            let places = (fleet.cores[0].mates.as_str(), fleet.cores[2].mates.as_str());
+            let places = (
+                fleet.replicas[0].peer_address.as_str(),
+                fleet.replicas[2].peer_address.as_str(),
+            );
             outcome("gradefordctl", &["compare", places.0, places.1]).0 == Some(0)
         };
         fleet
--- a/crates/simulator/tests/repairs.rs
+++ b/crates/simulator/tests/repairs.rs
@@ -1,7 +1,7 @@
 //! Losses that come one after the other, as soon as the machine lost before counts again: whatever was answered is
 //! kept, and the core goes on (design 4.4, docs/control-plane.md, point 3).
 
-use simulator::sim::{Fault, Plan, World};
+use simulator::sim::{Fault, World, WorldPlan};
 
 const SECOND: u64 = 1_000_000;
 /// A machine counts as lost for so long after it is back.
@@ -31,58 +31,58 @@
 }
 
 fn orders(world: &mut World, end: u64) {
-    let seats = u64::from(world.plan.seats);
+    let seats = u64::from(world.plan.replica_count);
     for number in 0..(end - SECOND) / 100_000 {
         let (time, seat) = (SECOND / 2 + number * 100_000, (number % seats) as u16);
-        world.at_fault(time, Fault::Submit(seat, number.to_be_bytes().to_vec()));
-        world.at_fault(
+        world.schedule_fault(time, Fault::Submit(seat, number.to_be_bytes().to_vec()));
+        world.schedule_fault(
             time + 30_000,
-            Fault::Read((seat + 1) % world.plan.seats, number),
+            Fault::Read((seat + 1) % world.plan.replica_count, number),
         );
     }
 }
 
-fn played(plan: Plan, losses: u16, victims: Victims, power: bool) -> World {
-    let (seats, seed) = (plan.seats, plan.seed);
+fn played(plan: WorldPlan, losses: u16, victims: Victims, power: bool) -> World {
+    let (seats, seed) = (plan.replica_count, plan.seed);
     let mut world = World::new(plan);
     let mut time = 2 * SECOND;
     for round in 0..ROUNDS {
         let first = victims(round, seats, seed);
         let lost: Vec<u16> = (0..losses).map(|more| (first + more) % seats).collect();
         lost.iter()
-            .for_each(|seat| world.at_fault(time, Fault::Replace(*seat)));
+            .for_each(|seat| world.schedule_fault(time, Fault::Replace(*seat)));
         // The others lose power in the same moment, in every second round.
         if power && round % 2 == 1 {
             for seat in (0..seats).filter(|seat| !lost.contains(seat)) {
-                world.at_fault(time + 1, Fault::Crash(seat));
-                world.at_fault(time + AWAY, Fault::Start(seat));
+                world.schedule_fault(time + 1, Fault::Crash(seat));
+                world.schedule_fault(time + AWAY, Fault::Start(seat));
             }
         }
         time += AWAY + CATCH_UP;
     }
     orders(&mut world, time);
     (0..seats).for_each(|seat| {
-        world.at_fault(
+        world.schedule_fault(
             time,
             Fault::Submit(seat, format!("last {seat}").into_bytes()),
         )
     });
     world.run_until(time + CATCH_UP);
-    let nodes = std::mem::take(&mut world.nodes);
-    world.findings.close(&nodes);
-    world.nodes = nodes;
+    let nodes = std::mem::take(&mut world.replicas);
+    world.findings.check_final_state(&nodes);
+    world.replicas = nodes;
     world
 }
 
 fn holds(victims: Victims, power: bool) {
     for (seats, losses) in CORES {
         for seed in 0..8 {
-            let plan = Plan {
+            let plan = WorldPlan {
                 snapshot_every: 25,
-                ..Plan::new(seats, seed)
+                ..WorldPlan::new(seats, seed)
             };
             let world = played(plan, losses, victims, power);
-            let broken = &world.findings.broken;
+            let broken = &world.findings.violations;
             assert!(
                 broken.is_empty(),
                 "{seats} seats, {losses} lost at once, seed {seed}: {:#?}",
@@ -117,14 +117,14 @@
 #[test]
 fn without_a_snapshot_past_each_change_a_second_loss_is_caught() {
     let broken = (0..40u64).any(|seed| {
-        let plan = Plan {
+        let plan = WorldPlan {
             snapshot_every: 0,
             snapshot_past_change: false,
-            ..Plan::new(3, seed)
+            ..WorldPlan::new(3, seed)
         };
         !played(plan, 1, the_one_that_repaired_it, true)
             .findings
-            .broken
+            .violations
             .is_empty()
     });
     assert!(
@@ -135,45 +135,45 @@
 
 /// A round of troubles within what may be lost at once, drawn.
 fn drawn_round(world: &mut World, time: u64, losses: u16, (kind, first, length): (u8, u8, u8)) {
-    let seats = world.plan.seats;
+    let seats = world.plan.replica_count;
     let back = time + 300_000 + u64::from(length) * 14_000;
     for more in 0..losses {
         let seat = (u16::from(first) + more * (1 + u16::from(kind / 16) % 3)) % seats;
         match kind % 6 {
-            0 | 1 => world.at_fault(
+            0 | 1 => world.schedule_fault(
                 time + u64::from(more) * u64::from(length) * 2_000,
                 Fault::Replace(seat),
             ),
             2 => {
-                world.at_fault(time, Fault::Crash(seat));
-                world.at_fault(back, Fault::Start(seat));
+                world.schedule_fault(time, Fault::Crash(seat));
+                world.schedule_fault(back, Fault::Start(seat));
             }
             3 => {
-                world.at_fault(time, Fault::Freeze(seat));
-                world.at_fault(back, Fault::Wake(seat));
+                world.schedule_fault(time, Fault::Freeze(seat));
+                world.schedule_fault(back, Fault::Unfreeze(seat));
             }
             4 => {
                 for mate in (0..seats).filter(|mate| *mate != seat) {
-                    world.at_fault(time, Fault::Cut(seat, mate));
+                    world.schedule_fault(time, Fault::CutLink(seat, mate));
                     // One way only for half of them.
                     if length % 2 == 0 {
-                        world.at_fault(time, Fault::Cut(mate, seat));
+                        world.schedule_fault(time, Fault::CutLink(mate, seat));
                     }
                 }
             }
             _ => {
-                world.at_fault(time, Fault::SlowDisk(seat, 700_000));
-                world.at_fault(back, Fault::SlowDisk(seat, 0));
+                world.schedule_fault(time, Fault::SlowDisk(seat, 700_000));
+                world.schedule_fault(back, Fault::SlowDisk(seat, 0));
             }
         }
     }
-    world.at_fault(back, Fault::Mend);
+    world.schedule_fault(back, Fault::HealLinks);
     // All lose power at once, at some moment of the trouble or soon after it.
     if kind >= 192 {
         let moment = time + u64::from(length) * 9_000;
         for seat in 0..seats {
-            world.at_fault(moment, Fault::Crash(seat));
-            world.at_fault(moment + AWAY, Fault::Start(seat));
+            world.schedule_fault(moment, Fault::Crash(seat));
+            world.schedule_fault(moment + AWAY, Fault::Start(seat));
         }
     }
 }
@@ -182,10 +182,10 @@
 fn drawn_losses_within_the_budget_lose_nothing_and_never_stop_the_core() {
     test_support::drawn::<(u8, u64, [(u8, u8, u8); 6])>(120, |(core, seed, rounds)| {
         let (seats, losses) = CORES[usize::from(*core) % CORES.len()];
-        let plan = Plan {
+        let plan = WorldPlan {
             snapshot_every: 10 + (*seed % 60) as usize,
             caller_patience: 900_000,
-            ..Plan::new(seats, *seed)
+            ..WorldPlan::new(seats, *seed)
         };
         let mut world = World::new(plan);
         let mut time = 2 * SECOND;
@@ -195,19 +195,19 @@
         }
         orders(&mut world, time);
         for seat in 0..seats {
-            world.at_fault(time, Fault::Wake(seat));
-            world.at_fault(time, Fault::Start(seat));
+            world.schedule_fault(time, Fault::Unfreeze(seat));
+            world.schedule_fault(time, Fault::Start(seat));
         }
         (0..seats).for_each(|seat| {
-            world.at_fault(
+            world.schedule_fault(
                 time + CATCH_UP,
                 Fault::Submit(seat, format!("last {seat}").into_bytes()),
             )
         });
         world.run_until(time + CATCH_UP + 2 * SECOND);
-        let nodes = std::mem::take(&mut world.nodes);
-        world.findings.close(&nodes);
-        let broken = &world.findings.broken;
+        let nodes = std::mem::take(&mut world.replicas);
+        world.findings.check_final_state(&nodes);
+        let broken = &world.findings.violations;
         assert!(
             broken.is_empty(),
             "{seats} seats, {losses} lost at once, seed {seed}, {rounds:?}: {:#?}",
--- a/crates/simulator/tests/site.rs
+++ b/crates/simulator/tests/site.rs
@@ -1,13 +1,13 @@
 //! A whole site in virtual time under drawn faults, and variants that each lack one guard (design 9.8).
 
 use simulator::sim::trial::play;
-use simulator::sim::{SitePlan, Without};
+use simulator::sim::{DisabledGuards, SitePlan};
 
 #[test]
 fn a_quiet_site_serves_and_breaks_nothing() {
     let (broken, site) = play(SitePlan::new(1), &[]);
     assert_eq!(broken, Vec::<String>::new());
-    assert!(site.judge.served > 500, "{} served", site.judge.served);
+    assert!(site.checks.served > 500, "{} served", site.checks.served);
 }
 
 #[test]
@@ -19,12 +19,12 @@
             "seed {seed} {bytes:?}: {:#?}",
             broken.iter().take(8).collect::<Vec<_>>()
         );
-        assert!(site.judge.served > 0 && site.judge.runs > 0);
+        assert!(site.checks.served > 0 && site.checks.runs > 0);
     });
 }
 
 /// Seeds and blows alike: held with every guard, and without one the promise is seen broken.
-fn caught(without: Without, blows: [u8; 6], promises: &[&str]) {
+fn caught(without: DisabledGuards, blows: [u8; 6], promises: &[&str]) {
     let breaks = |seed: u64| {
         let bytes: Vec<u8> = (0..6u8)
             .flat_map(|turn| [blows[turn as usize], turn.wrapping_mul(seed as u8 + 1), 200])
@@ -37,7 +37,7 @@
         );
         let found = play(
             SitePlan {
-                without,
+                disabled: without,
                 ..SitePlan::new(seed)
             },
             &bytes,
@@ -68,8 +68,8 @@
 #[test]
 fn tries_not_taken_once_run_twice() {
     caught(
-        Without {
-            identity: true,
+        DisabledGuards {
+            attempt_identity: true,
             ..Default::default()
         },
         [RESTART, KILL, RESTART, CUT, RESTART, KILL],
@@ -80,7 +80,7 @@
 #[test]
 fn a_lost_mate_taken_for_not_run_is_caught() {
     caught(
-        Without {
+        DisabledGuards {
             honest_verdicts: true,
             ..Default::default()
         },
@@ -92,7 +92,7 @@
 #[test]
 fn free_extra_dispatches_are_caught() {
     caught(
-        Without {
+        DisabledGuards {
             budget: true,
             ..Default::default()
         },
@@ -104,7 +104,7 @@
 #[test]
 fn holders_that_do_not_wait_are_caught() {
     caught(
-        Without {
+        DisabledGuards {
             key_waits: true,
             ..Default::default()
         },
@@ -116,7 +116,7 @@
 #[test]
 fn proofs_trusted_too_long_are_caught() {
     caught(
-        Without {
+        DisabledGuards {
             freshness: true,
             ..Default::default()
         },
@@ -128,7 +128,7 @@
 #[test]
 fn older_news_taken_up_is_caught() {
     caught(
-        Without {
+        DisabledGuards {
             news_order: true,
             ..Default::default()
         },
@@ -140,7 +140,7 @@
 #[test]
 fn answers_before_the_log_has_the_change_are_caught() {
     caught(
-        Without {
+        DisabledGuards {
             commit: true,
             ..Default::default()
         },
@@ -152,7 +152,7 @@
 #[test]
 fn stops_without_patience_are_caught() {
     caught(
-        Without {
+        DisabledGuards {
             patience: true,
             ..Default::default()
         },
@@ -164,8 +164,8 @@
 #[test]
 fn silent_back_ends_taken_for_live_are_caught_when_their_address_is_reused() {
     caught(
-        Without {
-            beats: true,
+        DisabledGuards {
+            heartbeats: true,
             ..Default::default()
         },
         [USURP, KILL, USURP, USURP, KILL, USURP],
@@ -176,7 +176,7 @@
 #[test]
 fn drains_not_heard_are_caught() {
     caught(
-        Without {
+        DisabledGuards {
             drains: true,
             ..Default::default()
         },
@@ -188,7 +188,7 @@
 #[test]
 fn disks_that_lie_about_syncs_are_caught() {
     caught(
-        Without {
+        DisabledGuards {
             syncs: true,
             ..Default::default()
         },
