--- a/crates/backend-api/src/registration.rs
+++ b/crates/backend-api/src/registration.rs
@@ -14,7 +14,7 @@
     pub freshness_bound: model::Microseconds,
     pub slot_owner: legacy_proxy::SlotOwnerHandle,
     pub status_reports: control::StatusReporter,
-    pub view: control::view::SharedView,
+    pub view: control::updates::view::SharedView,
     /// Moves with all news and proofs.
     pub view_changes: tokio::sync::watch::Receiver<model::Position>,
     /// Slices that back ends claimed in beats and do not hold.
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,30 +1,18 @@
-//! The control plane: the core's owner of log and book, news and proofs, and a node's subscription
-//! to them (design 4, 5, 6).
+//! The control plane: the replicas that share the log, how disks become their members, and how
+//! updates of the state reach the nodes, which verify them and report back (design 4, 5, 6, 11, 12).
+#![deny(missing_docs)]
 
-pub mod bootstrap;
-pub mod discovery;
-mod effects;
-mod event_loop;
-pub mod follower;
-pub mod monitor;
-mod peer_link;
-pub mod publisher;
-pub mod relay;
-mod replacement;
+pub mod failure_detection;
+pub mod membership;
 pub mod replica;
-pub mod retirement;
-pub mod ring;
 pub mod status_reports;
-pub mod stream;
-pub mod subscriber;
-pub mod verification;
-pub mod view;
-pub mod zone_relay;
+pub mod updates;
 
-pub use bootstrap::BootstrapConfig;
-pub use discovery::KnownReplicas;
-pub use follower::{FollowerConfig, FollowerHandle, SharedVerifiedState, VerifiedState};
+pub use membership::bootstrap::BootstrapConfig;
+pub use membership::discovery::KnownReplicas;
 pub use replica::{ReplicaConfig, ReplicaHandle, ReplicaStatus};
 pub use status_reports::{StatusReporter, StatusReporterConfig};
-pub use subscriber::{Subscription, SubscriptionConfig};
-pub use view::View;
+pub use updates::follower::{FollowerConfig, FollowerHandle};
+pub use updates::subscriber::{Subscription, SubscriptionConfig};
+pub use updates::verification::{SharedVerifiedState, VerifiedState};
+pub use updates::view::View;
--- /dev/null
+++ b/crates/control/src/membership/replacement.rs
@@ -0,0 +1,170 @@
+//! Replicas that another disk takes over: the old disk stops to vote, the log moves past the
+//! instance from which the new one votes, and the new one is admitted (design 4.4).
+
+use mencius::{Input, Instance, Replica, ReplicaId, VOTING_WINDOW, Write};
+use model::{Microseconds, Operation, ReplicaReplacement};
+use storage::DiskId;
+
+use crate::replica::command::Members;
+use crate::replica::event_loop::ReplicaEventLoop;
+
+#[cfg(test)]
+mod tests;
+
+/// Between two pushes of the log towards the instance from which a new disk votes.
+const HANDOVER_PUSH_INTERVAL: Microseconds = 100_000;
+
+/// Between two replacements that this replica submits for empty disks.
+const REPLACEMENT_REQUEST_INTERVAL: Microseconds = 500_000;
+
+impl ReplicaEventLoop {
+    /// Ends the voting of this disk after the instance that the log names, if another disk holds
+    /// its replica from there on.
+    pub(crate) fn enforce_voting_range(&mut self) {
+        let replica_id = self.handle.replica_id();
+        let holder = self.state_machine.replica_holders.get(&replica_id);
+        if let Some((disk_id, last_instance)) = holder.copied()
+            && disk_id != self.handle.disk_id()
+        {
+            self.step(model::now(), Input::StopVotingAfter(last_instance));
+        }
+        if let Some(after) = self.replica.as_ref().and_then(Replica::replaced_after) {
+            // Operators read this text: it is part of the interface.
+            self.status.refusal = Some(format!(
+                "seat {replica_id} is held by another disk after instance {after}"
+            ));
+        }
+    }
+
+    /// Takes in what a peer says to this disk, which is empty and replaces another: it knows
+    /// nothing of the votes of that one, and votes only after `votes_after`.
+    pub(crate) fn admit(&mut self, votes_after: Instance, members: Members) {
+        if self.replica.is_some() || !self.restored_writes.is_empty() {
+            return;
+        }
+        let own_id = self.handle.replica_id();
+        let peers = members
+            .into_iter()
+            .filter(|(peer_id, _)| *peer_id != own_id);
+        slog::info!(self.handle.logger, "admitted as a member"; "votes_after" => votes_after);
+        let begin = votes_after + 1;
+        let first_own = mencius::first_instance_of(begin, own_id, self.handle.replica_count());
+        // In one write: a disk that died knowing its peers, and not where it begins, would vote
+        // from the start.
+        let writes = vec![Write::VotingRangeStart(begin), Write::Index(first_own)];
+        self.handle.replace_members(peers.collect(), writes);
+    }
+
+    /// Submits that an empty disk becomes a replica whose member this replica has not heard for
+    /// long. The log decides, as it would for an operator. A disk that ever kept something is not
+    /// empty, so no disk that was replaced comes back by itself.
+    pub(crate) fn replacement_requested(
+        &mut self,
+        now: Microseconds,
+        replica_id: ReplicaId,
+        new_disk: DiskId,
+        same_address: bool,
+    ) {
+        let pinned_disk = self.pinned_disks.get(&replica_id).copied();
+        let Some(old_disk) = pinned_disk.filter(|pinned| *pinned != new_disk) else {
+            return;
+        };
+        if !self.may_request_replacement(now, replica_id, new_disk, same_address) {
+            return;
+        }
+        self.replacement_requested_at = now;
+        slog::warn!(self.handle.logger, "an empty disk replaces an unreachable member";
+            "replica_id" => replica_id,
+            "old_disk" => old_disk,
+            "new_disk" => new_disk);
+        self.submit_own(
+            now,
+            Operation::ReplaceReplica(ReplicaReplacement {
+                replica_id,
+                old_disk,
+                new_disk,
+            }),
+        );
+    }
+
+    fn may_request_replacement(
+        &self,
+        now: Microseconds,
+        replica_id: ReplicaId,
+        new_disk: DiskId,
+        same_address: bool,
+    ) -> bool {
+        let replace_after = self.handle.config.replace_after;
+        let pause = replace_after.min(REPLACEMENT_REQUEST_INTERVAL);
+        let unreachable_since = self.unreachable_since.get(&replica_id);
+        let unreachable = unreachable_since.is_some_and(|since| now >= since + replace_after);
+        let holder = self.state_machine.replica_holders.get(&replica_id);
+        let already_replaced = holder.is_some_and(|(disk_id, _)| *disk_id == new_disk);
+        replace_after > 0
+            && (same_address || unreachable)
+            && !already_replaced
+            && self.replica.is_some()
+            && now >= self.replacement_requested_at + pause
+    }
+
+    /// Moves the log towards the next pending replacement, and takes the new disks of those that
+    /// the log has passed for the members of their replicas.
+    pub(crate) fn advance_replacements(&mut self) {
+        let now = model::now();
+        let Some(applied_below) = self.replica.as_ref().map(Replica::applied) else {
+            return;
+        };
+        if self.state_machine.replica_holders.is_empty()
+            || now < self.handover_pushed_at + HANDOVER_PUSH_INTERVAL
+        {
+            return;
+        }
+        self.handover_pushed_at = now;
+        self.push_log_towards_replacement(now, applied_below);
+        self.adopt_new_members(now, applied_below);
+    }
+
+    /// Skips own instances at most half a voting window ahead, and submits a barrier there, which
+    /// makes the other replicas skip theirs.
+    fn push_log_towards_replacement(&mut self, now: Microseconds, applied_below: Instance) {
+        let holders = self.state_machine.replica_holders.values();
+        let last_instances = holders.map(|(_, last_instance)| *last_instance);
+        let pending = last_instances.filter(|last_instance| *last_instance >= applied_below);
+        if let Some(last_instance) = pending.min() {
+            let reachable = applied_below + VOTING_WINDOW / 2;
+            self.step(now, Input::SkipThrough(last_instance.min(reachable)));
+            self.submit_own(now, Operation::Barrier);
+        }
+    }
+
+    fn adopt_new_members(&mut self, now: Microseconds, applied_below: Instance) {
+        let own_id = self.handle.replica_id();
+        let mut new_members: Members = Vec::new();
+        for (replica_id, (disk_id, last_instance)) in &self.state_machine.replica_holders {
+            if *replica_id != own_id
+                && *last_instance < applied_below
+                && self.pinned_disks.get(replica_id) != Some(disk_id)
+            {
+                new_members.push((*replica_id, *disk_id));
+            }
+        }
+        if new_members.is_empty() {
+            return;
+        }
+        for (replica_id, _) in &new_members {
+            // The new disk has no connection yet: it has the time that any member has before it is
+            // replaced itself.
+            self.unreachable_since.insert(*replica_id, now);
+            if self.connections.remove(replica_id).is_some() {
+                self.step(now, Input::ConnectionClosed(*replica_id));
+            }
+        }
+        slog::info!(self.handle.logger, "members replaced"; "members" => ?new_members);
+        self.handle.replace_members(new_members, Vec::new());
+    }
+
+    fn submit_own(&mut self, now: Microseconds, operation: Operation) {
+        let entry = model::entry::to_bytes(&self.handle.new_entry(operation));
+        self.step(now, Input::Submit(entry));
+    }
+}
--- /dev/null
+++ b/crates/control/src/replica/effects.rs
@@ -0,0 +1,211 @@
+//! Carries out what the replicated log asks of its driver, and shows the status that results
+//! (design 3.2, 3.8).
+
+use std::sync::Arc;
+
+use mencius::{Effect, Input, Instance, ReadToken, Replica, ReplicaId, VOTING_WINDOW, Value};
+use model::{Microseconds, Operation, Outcome};
+use storage::StoreCommand;
+
+use super::event_loop::{Progress, ReplicaEventLoop};
+use crate::updates::publisher::{self, EntryId};
+
+/// A caller has waited so long while no entry was applied: that is logged, and again after as long.
+const STALL_WARNING_AFTER: Microseconds = 2_000_000;
+
+impl ReplicaEventLoop {
+    pub(super) fn run_effect(&mut self, effect: Effect) {
+        match effect {
+            Effect::Send(peer_id, frame) => self.send_to_peer(peer_id, frame),
+            Effect::Persist {
+                ticket,
+                writes,
+                replace_journal,
+            } => {
+                let command = StoreCommand::Append {
+                    ticket,
+                    writes,
+                    replace_journal,
+                };
+                // Without the writer no ticket comes back, and nothing that rests on it is sent.
+                drop(self.handle.store_commands.send(command));
+            }
+            Effect::Apply(instance, value) => self.apply(instance, &value),
+            Effect::NotChosen(value) => self.resubmit(value),
+            Effect::InstallSnapshot {
+                state,
+                next_instance,
+            } => self.install_snapshot(&state, next_instance),
+            Effect::ReadReady(token) => self.answer_read(token),
+        }
+    }
+
+    fn send_to_peer(&mut self, peer_id: ReplicaId, frame: mencius::Frame) {
+        self.status.frames_sent += 1;
+        let Some(connection) = self.connections.get(&peer_id) else {
+            return;
+        };
+        let frame = transport::Frame::Consensus(frame);
+        if connection.sender.try_send(frame).is_err() {
+            // A peer that does not keep up loses the connection; the next one begins with a
+            // catch-up.
+            self.close_connection(model::now(), peer_id);
+        }
+    }
+
+    /// Proposes a value again that lost its instance to a no-op, while its caller waits. A caller
+    /// that was already answered "not known to be taken" sends it again itself.
+    fn resubmit(&mut self, value: Value) {
+        let Some(entry) = model::entry::from_bytes(&value) else {
+            return;
+        };
+        let callers = self.pending_submissions.get(&EntryId::from(entry));
+        if callers.is_some_and(|callers| callers.iter().any(|caller| !caller.is_closed())) {
+            self.step(model::now(), Input::Submit(value));
+        }
+    }
+
+    fn apply(&mut self, instance: Instance, value: &[u8]) {
+        let Some(entry) = model::entry::from_bytes(value) else {
+            slog::error!(self.handle.logger, "an entry is malformed"; "instance" => instance);
+            return;
+        };
+        let entry_id = EntryId::of(&entry);
+        let outcome = match entry.operation {
+            Operation::ClusterState(operation) => self.publisher.apply(&entry_id, operation),
+            _ => {
+                let outcome = self.state_machine.apply_at(entry, instance, VOTING_WINDOW);
+                self.enforce_voting_range();
+                outcome
+            }
+        };
+        slog::debug!(self.handle.logger, "applied";
+            "instance" => instance,
+            "position" => self.state_machine.position,
+            "origin" => &entry_id.origin,
+            "outcome" => ?outcome);
+        self.answer_callers(&entry_id, &outcome);
+        self.snapshot_when_due(instance);
+    }
+
+    fn answer_callers(&mut self, entry_id: &EntryId, outcome: &Outcome) {
+        let callers = self.pending_submissions.remove(entry_id);
+        for caller in callers.into_iter().flatten() {
+            // It may have stopped waiting.
+            drop(caller.send(outcome.clone()));
+        }
+    }
+
+    /// Takes a snapshot every so many entries, and at once past the instance from which another
+    /// disk holds a replica: the instances below it can be finished only by disks that may vote
+    /// there, and one of those is gone (design 4.4).
+    fn snapshot_when_due(&mut self, instance: Instance) {
+        self.entries_since_snapshot += 1;
+        let since_snapshot = self.snapshot_end..=instance;
+        let mut replacements = self.state_machine.replica_holders.values();
+        let replaced = replacements.any(|(_, votes_after)| since_snapshot.contains(votes_after));
+        if self.entries_since_snapshot < self.handle.config.snapshot_every_entries && !replaced {
+            return;
+        }
+        let next_instance = instance + 1;
+        self.entries_since_snapshot = 0;
+        self.snapshot_end = next_instance;
+        let state = publisher::encode_state(&self.state_machine, &self.publisher.cluster_state);
+        let input = Input::Snapshot {
+            next_instance,
+            state,
+        };
+        self.step(model::now(), input);
+    }
+
+    fn install_snapshot(&mut self, state: &[u8], next_instance: Instance) {
+        match publisher::decode_state(state) {
+            Some((state_machine, cluster_state)) => {
+                self.state_machine = state_machine;
+                self.publisher.install(cluster_state);
+                self.enforce_voting_range();
+            }
+            None => slog::error!(self.handle.logger, "a snapshot is malformed";
+                "next_instance" => next_instance),
+        }
+        self.publish_state_machine();
+    }
+
+    fn answer_read(&mut self, token: ReadToken) {
+        // Followers receive what was applied before the proof that rests on it.
+        self.publisher.publish();
+        self.publisher.send_proofs(token);
+        // The reader finds the state machine at least as new as the position it is answered.
+        self.publish_state_machine();
+        if let Some(answer) = self.pending_reads.remove(&token) {
+            // It may have stopped waiting.
+            let _ = answer.send(self.state_machine.position);
+        }
+    }
+
+    pub(super) fn publish_status(&mut self) {
+        self.refresh_status();
+        self.warn_when_stalled();
+        self.forget_abandoned_calls();
+        if **self.handle.status.load() != self.status {
+            self.handle.status.store(Arc::new(self.status.clone()));
+        }
+    }
+
+    fn refresh_status(&mut self) {
+        let Some(replica) = self.replica.as_ref() else {
+            return;
+        };
+        let majority_above = usize::from(self.handle.replica_count()) / 2;
+        let status = &mut self.status;
+        status.voting = true;
+        status.connected_replicas = replica.reachable_replicas();
+        status.had_majority |= status.connected_replicas > majority_above;
+        status.applied_below = replica.applied();
+        status.compacted_below = replica.compaction_point();
+        status.next_own_instance = replica.index();
+        status.highest_seen = replica.highest_instance();
+        status.pending_reads = replica.pending_reads();
+        status.suspected_replicas = replica.suspected_peers();
+        self.status.vacant_replicas = self.vacant_replicas();
+    }
+
+    fn vacant_replicas(&self) -> Vec<ReplicaId> {
+        let config = &self.handle.config;
+        let now = model::now();
+        let vacant = |peer_id: ReplicaId, since: Microseconds| {
+            peer_id != config.replica_id && now >= since + config.replace_after
+        };
+        let unreachable = self.unreachable_since.iter();
+        unreachable
+            .filter(|(peer_id, since)| vacant(**peer_id, **since))
+            .map(|(peer_id, _)| *peer_id)
+            .collect()
+    }
+
+    /// Logs that a caller waits while no entry is applied, with all that shows why.
+    fn warn_when_stalled(&mut self) {
+        let now = model::now();
+        let applied_below = self.status.applied_below;
+        let waiting = !self.pending_submissions.is_empty() || self.publisher.has_open_rounds();
+        if self.last_progress.applied_below != applied_below || !waiting {
+            self.last_progress = Progress {
+                applied_below,
+                at: now,
+            };
+        }
+        if now > self.last_progress.at + STALL_WARNING_AFTER {
+            self.last_progress.at = now;
+            let peers = self.replica.as_ref().map(Replica::diagnostics);
+            slog::warn!(self.handle.logger, "no entry is applied though callers wait";
+                "status" => ?self.status,
+                "peers" => peers.unwrap_or_default());
+        }
+    }
+
+    fn forget_abandoned_calls(&mut self) {
+        self.pending_reads.retain(|_, answer| !answer.is_closed());
+        self.pending_submissions
+            .retain(|_, callers| callers.iter().any(|caller| !caller.is_closed()));
+    }
+}
--- /dev/null
+++ b/crates/control/src/replica/event_loop.rs
@@ -0,0 +1,381 @@
+//! The one owner of log and state: commands in, effects of the replicated log out (design 3.2,
+//! 8.1).
+//!
+//! A command that only concerns who the members are is handled at once. All others wait until
+//! this replica votes.
+
+use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::iter;
+use std::mem;
+use std::sync::Arc;
+
+use mencius::{Input, Instance, PersistTicket, ReadToken, Replica, ReplicaId, Write};
+use model::{Entry, Microseconds, Position, StateMachine};
+use storage::{DiskId, PinnedDisks};
+use tokio::sync::{mpsc, oneshot, watch};
+use transport::FrameSender;
+
+use super::command::{Command, ConnectionToken, Members, OutcomeSender};
+use super::handle::{ReplicaHandle, ReplicaStatus};
+use crate::updates::publisher::{EntryId, UpdatePublisher};
+
+/// Commands that are handled before their effects are carried out, so that they share one sync.
+const MAX_COMMANDS_PER_BATCH: usize = 512;
+
+/// An open connection to a peer.
+pub(crate) struct PeerConnection {
+    pub(super) token: ConnectionToken,
+    pub(super) sender: FrameSender,
+}
+
+/// How far the log had come when it last moved, and when that was.
+#[derive(Default)]
+pub(super) struct Progress {
+    pub(super) applied_below: Instance,
+    pub(super) at: Microseconds,
+}
+
+/// All that the task of a replica owns.
+pub(crate) struct ReplicaEventLoop {
+    pub(crate) handle: ReplicaHandle,
+    /// `None` until this replica votes.
+    pub(crate) replica: Option<Replica>,
+    /// What the disk held at the start, until it goes to `replica`.
+    pub(crate) restored_writes: Vec<Write>,
+    pub(crate) pinned_disks: PinnedDisks,
+    /// What came before this replica voted (design 4.1).
+    deferred_commands: Vec<Command>,
+    pub(crate) connections: BTreeMap<ReplicaId, PeerConnection>,
+    pub(crate) state_machine: StateMachine,
+    pub(super) publisher: UpdatePublisher,
+    position: watch::Sender<Position>,
+    pub(super) pending_submissions: HashMap<EntryId, Vec<OutcomeSender>>,
+    pub(super) pending_reads: BTreeMap<ReadToken, oneshot::Sender<Position>>,
+    last_read_token: ReadToken,
+    pub(super) entries_since_snapshot: u64,
+    /// The first instance that the latest own snapshot does not cover.
+    pub(super) snapshot_end: Instance,
+    pub(crate) status: ReplicaStatus,
+    /// When the log was last moved towards a pending replacement.
+    pub(crate) handover_pushed_at: Microseconds,
+    pub(super) last_progress: Progress,
+    /// Peers that know this disk as the first that holds its replica.
+    first_holder_confirmed_by: BTreeSet<ReplicaId>,
+    /// Replicas without a connection, and since when.
+    pub(crate) unreachable_since: BTreeMap<ReplicaId, Microseconds>,
+    /// When a replacement was last submitted for an empty disk.
+    pub(crate) replacement_requested_at: Microseconds,
+}
+
+impl ReplicaEventLoop {
+    pub(super) fn new(
+        handle: &ReplicaHandle,
+        restored_writes: Vec<Write>,
+        pinned_disks: PinnedDisks,
+        position: watch::Sender<Position>,
+    ) -> Self {
+        let status = ReplicaStatus {
+            disk_id: handle.disk_id(),
+            pinned_peers: pinned_disks.len(),
+            ..Default::default()
+        };
+        handle.status.store(Arc::new(status.clone()));
+        let config = &handle.config;
+        // Staggered, so that not all replicas take their snapshots at the same entry.
+        let entries_since_snapshot = config.snapshot_every_entries * u64::from(config.replica_id)
+            / u64::from(config.replica_count.max(1));
+        let now = model::now();
+        ReplicaEventLoop {
+            handle: handle.clone(),
+            replica: None,
+            restored_writes,
+            pinned_disks,
+            deferred_commands: Vec::new(),
+            connections: BTreeMap::new(),
+            state_machine: StateMachine::default(),
+            publisher: UpdatePublisher::default(),
+            position,
+            pending_submissions: HashMap::new(),
+            pending_reads: BTreeMap::new(),
+            last_read_token: 0,
+            entries_since_snapshot,
+            snapshot_end: 0,
+            status,
+            handover_pushed_at: 0,
+            last_progress: Progress::default(),
+            first_holder_confirmed_by: BTreeSet::new(),
+            unreachable_since: (0..config.replica_count).map(|id| (id, now)).collect(),
+            replacement_requested_at: 0,
+        }
+    }
+
+    /// Runs until all senders of commands are gone.
+    pub(super) async fn run(mut self, mut queue: mpsc::Receiver<Command>) {
+        self.start_voting_when_peers_are_known();
+        while let Some(first) = queue.recv().await {
+            self.handle_command(first);
+            let gathered = iter::from_fn(|| queue.try_recv().ok());
+            for command in gathered.take(MAX_COMMANDS_PER_BATCH) {
+                self.handle_command(command);
+            }
+            self.advance_replacements();
+            self.run_effects();
+            self.publish_status();
+        }
+    }
+
+    /// Voting begins only once every other replica's disk is on record here and this one's with
+    /// them: a disk that was emptied then finds itself refused. A disk that has kept nothing also
+    /// waits for the first frame of each peer, as it may replace another disk of whose votes it
+    /// knows nothing (design 4.1, 4.4).
+    pub(crate) fn start_voting_when_peers_are_known(&mut self) {
+        let peer_count = usize::from(self.handle.config.replica_count) - 1;
+        if self.replica.is_some()
+            || self.pinned_disks.len() < peer_count
+            || !self.knows_where_to_begin(peer_count)
+        {
+            return;
+        }
+        let config = self.handle.config.clone();
+        self.replica = Some(Replica::restore(
+            config.replica_id,
+            config.replica_count,
+            self.handle.disk_id(),
+            config.timing,
+            model::now(),
+            mem::take(&mut self.restored_writes),
+        ));
+        slog::info!(self.handle.logger, "all peers are known, voting begins");
+        self.handle_deferred_commands();
+        self.run_effects();
+    }
+
+    fn knows_where_to_begin(&self, peer_count: usize) -> bool {
+        if !self.restored_writes.is_empty() {
+            return true;
+        }
+        match self.handle.config.membership {
+            // Founded together with all others: no disk held this replica before.
+            Some(membership) if membership.founded => true,
+            // Took the replica over: only the log says where this disk begins, and a peer that has
+            // just started may not have read that far.
+            Some(_) => false,
+            None => self.first_holder_confirmed_by.len() >= peer_count,
+        }
+    }
+
+    fn handle_deferred_commands(&mut self) {
+        for command in mem::take(&mut self.deferred_commands) {
+            // Whoever gave up meanwhile was answered that its entry is not known to be in the log.
+            let abandoned =
+                matches!(&command, Command::Submit { answer, .. } if answer.is_closed());
+            if !abandoned {
+                self.handle_command(command);
+            }
+        }
+    }
+
+    fn handle_command(&mut self, command: Command) {
+        let now = model::now();
+        match command {
+            Command::PeerPinned { peer_id, disk_id } => self.on_peer_pinned(peer_id, disk_id),
+            Command::Admitted {
+                votes_after,
+                members,
+            } => self.admit(votes_after, members),
+            Command::MembersReplaced { members, writes } => {
+                self.on_members_replaced(members, writes)
+            }
+            Command::RefusedByPeer { reason } => self.on_refused_by_peer(reason),
+            Command::DiskStatus { error } => self.on_disk_status(error),
+            Command::FirstHolderConfirmed { peer_id } => self.on_first_holder_confirmed(peer_id),
+            Command::ReplacementRequested {
+                replica_id,
+                disk_id,
+                same_address,
+            } => self.replacement_requested(now, replica_id, disk_id, same_address),
+            Command::Tick if self.replica.is_none() => {}
+            command if self.replica.is_none() => self.deferred_commands.push(command),
+            Command::PeerConnected {
+                peer_id,
+                token,
+                sender,
+            } => self.on_peer_connected(now, peer_id, PeerConnection { token, sender }),
+            Command::PeerFrame {
+                peer_id,
+                token,
+                frame,
+            } => self.on_peer_frame(now, peer_id, token, frame),
+            Command::PeerDisconnected { peer_id, token } => {
+                self.on_peer_disconnected(now, peer_id, token)
+            }
+            Command::Synced { ticket } => self.on_synced(now, ticket),
+            Command::Submit { entry, answer } => self.on_submit(now, entry, answer),
+            Command::ReadBarrier { answer } => self.on_read_barrier(now, answer),
+            Command::Follow { held, sender } => self.publisher.add_follower(held, sender),
+            Command::RequestProof { request_id, sender } => {
+                self.on_request_proof(now, request_id, sender)
+            }
+            // Whoever asked may have stopped waiting.
+            Command::ReadItems { answer } => drop(answer.send(self.publisher.items())),
+            Command::Tick => self.on_tick(now),
+        }
+    }
+
+    fn on_peer_pinned(&mut self, peer_id: ReplicaId, disk_id: DiskId) {
+        self.pinned_disks.insert(peer_id, disk_id);
+        self.pinned_disks_changed();
+    }
+
+    fn on_members_replaced(&mut self, members: Members, writes: Vec<Write>) {
+        self.pinned_disks.extend(members);
+        self.restored_writes.extend(writes);
+        self.pinned_disks_changed();
+    }
+
+    fn pinned_disks_changed(&mut self) {
+        self.status.pinned_peers = self.pinned_disks.len();
+        let pinned_disks = Arc::new(self.pinned_disks.clone());
+        self.handle.pinned_disks.store(pinned_disks);
+        self.start_voting_when_peers_are_known();
+    }
+
+    fn on_refused_by_peer(&mut self, reason: String) {
+        if self.status.refusal.as_ref() != Some(&reason) {
+            slog::error!(self.handle.logger, "a peer refuses this disk"; "reason" => &reason);
+        }
+        self.status.refusal = Some(reason);
+    }
+
+    fn on_disk_status(&mut self, error: Option<String>) {
+        match &error {
+            Some(error) => slog::warn!(self.handle.logger, "disk write fails"; "error" => error),
+            None => slog::warn!(self.handle.logger, "disk write succeeds again"),
+        }
+        self.status.disk_error = error;
+    }
+
+    fn on_first_holder_confirmed(&mut self, peer_id: ReplicaId) {
+        self.first_holder_confirmed_by.insert(peer_id);
+        self.start_voting_when_peers_are_known();
+    }
+
+    fn on_peer_connected(
+        &mut self,
+        now: Microseconds,
+        peer_id: ReplicaId,
+        connection: PeerConnection,
+    ) {
+        self.status.refusal = None;
+        self.unreachable_since.remove(&peer_id);
+        if self.connections.insert(peer_id, connection).is_some() {
+            self.step(now, Input::ConnectionClosed(peer_id));
+        }
+        self.step(now, Input::ConnectionOpened(peer_id));
+    }
+
+    fn on_peer_frame(
+        &mut self,
+        now: Microseconds,
+        peer_id: ReplicaId,
+        token: ConnectionToken,
+        frame: mencius::Frame,
+    ) {
+        if self.is_current(peer_id, token) {
+            self.step(now, Input::Frame(peer_id, frame));
+        }
+    }
+
+    fn on_peer_disconnected(
+        &mut self,
+        now: Microseconds,
+        peer_id: ReplicaId,
+        token: ConnectionToken,
+    ) {
+        if self.is_current(peer_id, token) {
+            self.close_connection(now, peer_id);
+        }
+    }
+
+    fn is_current(&self, peer_id: ReplicaId, token: ConnectionToken) -> bool {
+        let connection = self.connections.get(&peer_id);
+        connection.is_some_and(|current| current.token == token)
+    }
+
+    /// Forgets the connection to a peer, which is unreachable from now on.
+    pub(super) fn close_connection(&mut self, now: Microseconds, peer_id: ReplicaId) {
+        self.connections.remove(&peer_id);
+        self.unreachable_since.insert(peer_id, now);
+        self.step(now, Input::ConnectionClosed(peer_id));
+    }
+
+    fn on_synced(&mut self, now: Microseconds, ticket: PersistTicket) {
+        self.status.disk_syncs += 1;
+        self.step(now, Input::Persisted(ticket));
+    }
+
+    fn on_submit(&mut self, now: Microseconds, entry: Entry, answer: OutcomeSender) {
+        let value = model::entry::to_bytes(&entry);
+        self.pending_submissions
+            .entry(EntryId::from(entry))
+            .or_default()
+            .push(answer);
+        self.step(now, Input::Submit(value));
+    }
+
+    fn on_read_barrier(&mut self, now: Microseconds, answer: oneshot::Sender<Position>) {
+        self.last_read_token += 1;
+        self.pending_reads.insert(self.last_read_token, answer);
+        self.step(now, Input::ReadIndex(self.last_read_token));
+    }
+
+    fn on_request_proof(&mut self, now: Microseconds, request_id: u64, sender: FrameSender) {
+        self.publisher.request_proof(request_id, sender);
+        self.start_proof_round(now);
+    }
+
+    fn on_tick(&mut self, now: Microseconds) {
+        self.start_proof_round(now);
+        self.step(now, Input::Tick);
+    }
+
+    fn start_proof_round(&mut self, now: Microseconds) {
+        let token = self.last_read_token + 1;
+        if self.publisher.begin_proof_round(now, token) {
+            self.last_read_token = token;
+            self.step(now, Input::ReadIndex(token));
+        }
+    }
+
+    /// Hands an input to the replicated log; nothing happens before this replica votes.
+    pub(crate) fn step(&mut self, now: Microseconds, input: Input) {
+        if let Some(replica) = self.replica.as_mut() {
+            replica.step(now, input);
+        }
+    }
+
+    fn run_effects(&mut self) {
+        let position_before = self.state_machine.position;
+        loop {
+            let effects = self.replica.as_mut().map(Replica::take_effects);
+            let effects = effects.unwrap_or_default();
+            if effects.is_empty() {
+                break;
+            }
+            for effect in effects {
+                self.run_effect(effect);
+            }
+        }
+        self.publisher.publish();
+        if self.state_machine.position != position_before {
+            self.publish_state_machine();
+            self.position.send_replace(self.state_machine.position);
+        }
+    }
+
+    /// Shows readers the state machine as it is now.
+    pub(super) fn publish_state_machine(&self) {
+        let state_machine = Arc::new(self.state_machine.clone());
+        self.handle.state_machine.store(state_machine);
+    }
+}
--- /dev/null
+++ b/crates/control/src/replica/mod.rs
@@ -0,0 +1,111 @@
+//! One replica of the replicated log: its event loop, its connections to peers, and the handle
+//! that the rest of the process holds of it.
+//!
+//! The event loop is the one owner of log and state; `command` is what it takes, `handle` sends
+//! commands to it, and neither knows the loop (design 8.1).
+
+pub(crate) mod command;
+mod effects;
+pub(crate) mod event_loop;
+mod handle;
+pub(crate) mod peer_link;
+
+use std::sync::Arc;
+use std::sync::mpsc;
+use std::time::Duration;
+
+use arc_swap::ArcSwap;
+use mencius::Write;
+use slog::Logger;
+use storage::{ReplicaStore, StoreCommand};
+use tokio::sync::{mpsc as async_mpsc, watch};
+use tokio::time::{MissedTickBehavior, interval};
+
+use crate::membership::discovery;
+use command::Command;
+use event_loop::ReplicaEventLoop;
+
+pub use handle::{MAJORITY_TIMEOUT, ReplicaConfig, ReplicaHandle, ReplicaStatus};
+
+/// Commands that may wait for the event loop; further senders wait for room.
+const COMMAND_QUEUE_CAPACITY: usize = 4_096;
+
+/// Between two ticks of the event loop.
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
+
+impl ReplicaHandle {
+    /// Opens the database in the configured folder and starts the replica.
+    pub fn start(config: ReplicaConfig, logger: Logger) -> Result<ReplicaHandle, storage::Error> {
+        let (store, writes) = ReplicaStore::open(&config.folder)?;
+        ReplicaHandle::start_on(config, store, writes, logger)
+    }
+
+    /// Starts the replica on a database that is open already, with the writes it holds. Tests
+    /// bring disks that fail (design 9.4).
+    pub fn start_on(
+        config: ReplicaConfig,
+        store: ReplicaStore,
+        writes: Vec<Write>,
+        logger: Logger,
+    ) -> Result<ReplicaHandle, storage::Error> {
+        let (commands, command_queue) = async_mpsc::channel(COMMAND_QUEUE_CAPACITY);
+        let (store_commands, store_queue) = mpsc::channel();
+        let (position_sender, position) = watch::channel(0);
+        let pinned_disks = store.pinned_disks.clone();
+        let handle = ReplicaHandle {
+            commands: commands.clone(),
+            store_commands,
+            state_machine: Arc::default(),
+            position,
+            status: Arc::default(),
+            known_replicas: discovery::empty(),
+            disk_id: store.disk_id,
+            started_blank: writes.is_empty(),
+            pinned_disks: Arc::new(ArcSwap::from_pointee(pinned_disks.clone())),
+            incarnation: model::incarnation::draw(),
+            start_count: store.start_count,
+            next_sequence: Arc::default(),
+            logger,
+            config: Arc::new(config),
+        };
+        start_writer(store, store_queue, &commands)?;
+        discovery::merge(&handle.known_replicas, vec![handle.own_location()]);
+        slog::info!(handle.logger, "replica starts";
+            "replica_id" => handle.replica_id(),
+            "disk_id" => handle.disk_id,
+            "writes" => writes.len(),
+            "pinned_peers" => pinned_disks.len());
+        let event_loop = ReplicaEventLoop::new(&handle, writes, pinned_disks, position_sender);
+        tokio::spawn(event_loop.run(command_queue));
+        tokio::spawn(send_ticks(commands));
+        peer_link::start(&handle);
+        Ok(handle)
+    }
+}
+
+/// Starts the thread that owns the disk; what it has to say comes as commands.
+fn start_writer(
+    store: ReplicaStore,
+    store_queue: mpsc::Receiver<StoreCommand>,
+    commands: &async_mpsc::Sender<Command>,
+) -> Result<(), storage::Error> {
+    let (synced, disk_status) = (commands.clone(), commands.clone());
+    storage::spawn_writer(
+        store,
+        store_queue,
+        move |ticket| drop(synced.blocking_send(Command::Synced { ticket })),
+        move |error| drop(disk_status.blocking_send(Command::DiskStatus { error })),
+    )?;
+    Ok(())
+}
+
+async fn send_ticks(commands: async_mpsc::Sender<Command>) {
+    let mut ticks = interval(TICK_INTERVAL);
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    loop {
+        ticks.tick().await;
+        if commands.send(Command::Tick).await.is_err() {
+            return;
+        }
+    }
+}
--- a/crates/control/src/status_reports.rs
+++ b/crates/control/src/status_reports.rs
@@ -1,132 +1,166 @@
-//! Reports on their way to the log, one at a time, through whichever core seat answers (design 5.8).
+//! Reports of a node on their way to the log, one at a time, through whichever replica answers
+//! (design 5.8).
 
 use std::time::Duration;
 
+use model::cluster_state::{ClusterOperation, ClusterReport};
+use model::endpoint_status::EndpointReport;
+use model::{Entry, Incarnation, Operation, Outcome};
+use slog::Logger;
+use tokio::sync::{mpsc, oneshot};
+use tokio::time::{sleep, timeout};
+use transport::{Connection, Frame, Handshake};
+
+use crate::membership::discovery::{self, KnownReplicas};
+
+/// A replica that has not answered within so long may be cut off; the same entry then goes to
+/// another.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
+
+/// A connection that carried nothing for so long is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
+
+/// Before the next attempt when no replica could be reached.
+const RECONNECT_PAUSE: Duration = Duration::from_millis(50);
+
+/// Reports that may wait; further reporters wait for room.
+const REPORT_QUEUE_CAPACITY: usize = 256;
+
+/// The settings of a status reporter.
 pub struct StatusReporterConfig {
+    /// The name of this node, which is the origin of its entries.
     pub node: String,
-    pub incarnation: model::Incarnation,
-    pub logger: slog::Logger,
+    /// Tells this process from other ones of the same node.
+    pub incarnation: Incarnation,
+    /// Where outcomes are logged.
+    pub logger: Logger,
 }
 
-type PendingReport = (
-    model::Operation,
-    tokio::sync::oneshot::Sender<model::Outcome>,
-);
+/// A report, and where its outcome is awaited.
+struct PendingReport {
+    operation: Operation,
+    answer: oneshot::Sender<Outcome>,
+}
 
-/// Hands a report to the log and waits until it is answered.
+/// Hands reports to the log. Clones share one queue.
 #[derive(Clone)]
-pub struct StatusReporter(tokio::sync::mpsc::Sender<PendingReport>);
-
-/// A seat that has not answered by then may be cut off; the same entry then goes to another.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
-/// A conn nothing was said on for so long is let go.
-const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
+pub struct StatusReporter(mpsc::Sender<PendingReport>);
 
 impl StatusReporter {
+    /// Starts the task that sends the reports.
     pub fn start(
-        env: StatusReporterConfig,
-        known: crate::KnownReplicas,
-        greeting: impl Fn() -> transport::Handshake + Send + 'static,
+        config: StatusReporterConfig,
+        known_replicas: KnownReplicas,
+        handshake: impl Fn() -> Handshake + Send + 'static,
     ) -> StatusReporter {
-        let (sender, asked) = tokio::sync::mpsc::channel(256);
-        tokio::spawn(run(env, known, greeting, asked));
-        StatusReporter(sender)
+        let (queue, reports) = mpsc::channel(REPORT_QUEUE_CAPACITY);
+        let node_slot = usize::from(model::leases::key_slot(&config.node));
+        let task = ReporterTask {
+            config,
+            known_replicas,
+            handshake,
+            connection: None,
+            turn: node_slot,
+        };
+        tokio::spawn(task.run(reports));
+        StatusReporter(queue)
     }
 
-    pub async fn report_endpoint_status(
-        &self,
-        report: model::endpoint_status::EndpointReport,
-    ) -> Option<model::Outcome> {
-        self.submit(model::Operation::EndpointReport(report)).await
+    /// Reports on a node or backend to the state machine and waits for the outcome; `None` when
+    /// the process stops.
+    pub async fn report_endpoint_status(&self, report: EndpointReport) -> Option<Outcome> {
+        self.submit(Operation::EndpointReport(report)).await
     }
 
-    /// Of back ends, nodes and keys in the bill (design 11.2).
-    pub async fn report(
-        &self,
-        reports: Vec<model::cluster_state::ClusterReport>,
-    ) -> Option<model::Outcome> {
-        self.submit(model::Operation::ClusterState(
-            model::cluster_state::ClusterOperation::Reports(reports),
-        ))
-        .await
+    /// Reports on backends, nodes and shard keys to the cluster state, all in one entry, and waits
+    /// for the outcome; `None` when the process stops (design 11.2).
+    pub async fn report(&self, reports: Vec<ClusterReport>) -> Option<Outcome> {
+        let operation = ClusterOperation::Reports(reports);
+        self.submit(Operation::ClusterState(operation)).await
     }
 
-    async fn submit(&self, act: model::Operation) -> Option<model::Outcome> {
-        let (answer, outcome) = tokio::sync::oneshot::channel();
-        self.0.send((act, answer)).await.ok()?;
+    async fn submit(&self, operation: Operation) -> Option<Outcome> {
+        let (answer, outcome) = oneshot::channel();
+        let report = PendingReport { operation, answer };
+        self.0.send(report).await.ok()?;
         outcome.await.ok()
     }
 }
 
-async fn run(
-    env: StatusReporterConfig,
-    known: crate::KnownReplicas,
-    greeting: impl Fn() -> transport::Handshake + Send + 'static,
-    mut asked: tokio::sync::mpsc::Receiver<PendingReport>,
-) {
-    let mut conn: Option<transport::Connection> = None;
-    let mut turn = model::leases::key_slot(&env.node) as usize;
-    let mut sequence = 0;
-    loop {
-        let next = match tokio::time::timeout(IDLE_TIMEOUT, asked.recv()).await {
-            Ok(Some(next)) => next,
-            Ok(None) => return,
-            Err(_) => {
-                conn = None;
-                continue;
-            }
-        };
-        sequence += 1;
-        // The same entry, sequence and all, until it is answered: repeats are dropped by the book.
-        let entry = model::Entry {
-            origin: env.node.clone(),
-            incarnation: env.incarnation,
-            sequence,
-            operation: next.0,
-        };
-        let outcome = loop {
-            if let Some(line) = conn.as_mut() {
-                let answered = tokio::time::timeout(ANSWER_TIMEOUT, forward(line, &entry))
-                    .await
-                    .ok()
-                    .flatten();
-                if let Some(outcome) = answered {
-                    break outcome;
+struct ReporterTask<H> {
+    config: StatusReporterConfig,
+    known_replicas: KnownReplicas,
+    handshake: H,
+    connection: Option<Connection>,
+    /// Which replica is next; nodes spread over the replicas by name.
+    turn: usize,
+}
+
+impl<H: Fn() -> Handshake + Send + 'static> ReporterTask<H> {
+    async fn run(mut self, mut reports: mpsc::Receiver<PendingReport>) {
+        let mut sequence = 0;
+        loop {
+            let report = match timeout(IDLE_TIMEOUT, reports.recv()).await {
+                Ok(Some(report)) => report,
+                Ok(None) => return,
+                Err(_) => {
+                    self.connection = None;
+                    continue;
+                }
+            };
+            sequence += 1;
+            let entry = Entry {
+                origin: self.config.node.clone(),
+                incarnation: self.config.incarnation,
+                sequence,
+                operation: report.operation,
+            };
+            let outcome = self.submit(&entry).await;
+            slog::info!(self.config.logger, "reported";
+                "sequence" => sequence,
+                "outcome" => ?outcome);
+            // Whoever asked may have stopped waiting.
+            drop(report.answer.send(outcome));
+        }
+    }
+
+    /// Sends the same entry, sequence and all, to one replica after the other until it is answered:
+    /// the log takes it once.
+    async fn submit(&mut self, entry: &Entry) -> Outcome {
+        loop {
+            if let Some(connection) = self.connection.as_mut() {
+                let answered = timeout(ANSWER_TIMEOUT, forward(connection, entry)).await;
+                if let Some(outcome) = answered.ok().flatten() {
+                    return outcome;
                 }
             }
-            conn = connect_next(&known, &mut turn, greeting()).await;
-            if conn.is_none() {
-                tokio::time::sleep(Duration::from_millis(50)).await;
+            self.connection = self.connect_next().await;
+            if self.connection.is_none() {
+                sleep(RECONNECT_PAUSE).await;
             }
-        };
-        slog::info!(env.logger, "reported"; "sequence" => sequence, "outcome" => ?outcome);
-        // Whoever asked may have stopped waiting.
-        drop(next.1.send(outcome));
+        }
     }
-}
 
-async fn connect_next(
-    known: &crate::KnownReplicas,
-    turn: &mut usize,
-    greeting: transport::Handshake,
-) -> Option<transport::Connection> {
-    let seats = crate::discovery::list(known);
-    let seat = seats.get(*turn % seats.len().max(1))?;
-    *turn += 1;
-    transport::dial(&seat.address, greeting).await.ok()
+    async fn connect_next(&mut self) -> Option<Connection> {
+        let own_handshake = (self.handshake)();
+        let replicas = discovery::list(&self.known_replicas);
+        let replica = replicas.get(self.turn % replicas.len().max(1))?;
+        self.turn += 1;
+        transport::dial(&replica.address, own_handshake).await.ok()
+    }
 }
 
-async fn forward(conn: &mut transport::Connection, entry: &model::Entry) -> Option<model::Outcome> {
-    let frame = transport::Frame::ForwardEntry {
+/// Sends an entry to a replica and waits for its outcome; `None` if the connection ends or the
+/// replica does not know the outcome.
+async fn forward(connection: &mut Connection, entry: &Entry) -> Option<Outcome> {
+    let frame = Frame::ForwardEntry {
         number: entry.sequence,
         entry: Box::new(entry.clone()),
     };
-    conn.sender.send(frame).await.ok()?;
+    connection.sender.send(frame).await.ok()?;
     loop {
-        match conn.receiver.recv().await? {
-            transport::Frame::EntryOutcome { number, outcome } if number == entry.sequence => {
-                return outcome;
-            }
+        match connection.receiver.recv().await? {
+            Frame::EntryOutcome { number, outcome } if number == entry.sequence => return outcome,
             _ => {}
         }
     }
--- /dev/null
+++ b/crates/control/src/updates/subscriber.rs
@@ -0,0 +1,314 @@
+//! The task of a node that subscribes to a slice of the state machine: one connection at a time, to
+//! the relay of its zone or to a replica (design 5.9, 6.1).
+
+use std::collections::VecDeque;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::time::Duration;
+
+use model::state_slice::ServiceSet;
+use model::{Microseconds, Position, StateSlice};
+use slog::Logger;
+use tokio::sync::{Notify, mpsc, watch};
+use tokio::time::{MissedTickBehavior, interval, sleep};
+use transport::{Frame, FrameSender, Handshake};
+
+use super::relay::Relay;
+use super::view::SharedView;
+use super::zone_relay::select_zone_relay;
+use crate::membership::discovery::{self, KnownReplicas};
+
+/// Requests for a proof that are made out of turn are gathered for so long.
+const PROOF_BATCH_WINDOW: Microseconds = 20_000;
+
+/// A relay that failed is avoided for so long.
+const RELAY_RETRY_AFTER: Microseconds = 3_000_000;
+
+/// Between two connections, with up to so much more at random.
+const RECONNECT_PAUSE_MS: u64 = 20;
+const RECONNECT_JITTER_MS: u64 = 30;
+
+/// The settings of a subscription. All times are in microseconds.
+pub struct SubscriptionConfig {
+    /// The name of this node.
+    pub node: String,
+    /// The zone of this node.
+    pub zone: String,
+    /// How long a proof lasts from when it was requested.
+    pub freshness_bound: Microseconds,
+    /// Between two requests for a proof.
+    pub proof_interval: Microseconds,
+    /// An upstream that proves nothing for so long is left for another.
+    pub proof_timeout: Microseconds,
+    /// Nodes subscribe through a relay in their zone; else each subscribes at a replica.
+    pub use_zone_relays: bool,
+}
+
+/// What a subscription shows of the state machine.
+pub struct Subscription {
+    /// The slice that was received, and until when it is proved.
+    pub view: SharedView,
+    /// The position of the view; also signals proofs, which may leave the position as it is.
+    pub position: watch::Receiver<Position>,
+    /// Serves the other nodes of the zone from this subscription.
+    pub relay: Relay,
+}
+
+/// A proof that was requested on the present connection.
+struct PendingProof {
+    request_id: u64,
+    requested_at: Microseconds,
+}
+
+/// A relay that failed, by its address.
+struct AvoidedRelay {
+    address: String,
+    until: Microseconds,
+}
+
+struct SubscriberTask<H> {
+    config: SubscriptionConfig,
+    known_replicas: KnownReplicas,
+    handshake: H,
+    view: SharedView,
+    position: watch::Sender<Position>,
+    verified_at: watch::Sender<Microseconds>,
+    services: watch::Receiver<ServiceSet>,
+    proof_wanted: Arc<Notify>,
+    follows_core_directly: Arc<AtomicBool>,
+    pending_requests: VecDeque<PendingProof>,
+    last_request: u64,
+    /// The view rests on what the present connection sent.
+    has_base: bool,
+    avoided_relay: Option<AvoidedRelay>,
+    logger: Logger,
+}
+
+/// Starts to subscribe to the slice for `services`, which may change; the task runs as long as the
+/// process.
+pub fn start<H: Fn() -> Handshake + Send + Sync + 'static>(
+    config: SubscriptionConfig,
+    known_replicas: KnownReplicas,
+    services: watch::Receiver<ServiceSet>,
+    handshake: H,
+    logger: Logger,
+) -> Subscription {
+    let (position, watched_position) = watch::channel(0);
+    let (verified_at, watched_verified_at) = watch::channel(0);
+    let view = SharedView::default();
+    let relay = Relay {
+        view: view.clone(),
+        verified_at: watched_verified_at,
+        proof_wanted: Arc::default(),
+        follows_core_directly: Arc::default(),
+    };
+    let task = SubscriberTask {
+        config,
+        known_replicas,
+        handshake,
+        view: view.clone(),
+        position,
+        verified_at,
+        services,
+        proof_wanted: relay.proof_wanted.clone(),
+        follows_core_directly: relay.follows_core_directly.clone(),
+        pending_requests: VecDeque::new(),
+        last_request: 0,
+        has_base: false,
+        avoided_relay: None,
+        logger,
+    };
+    tokio::spawn(task.run());
+    Subscription {
+        view,
+        position: watched_position,
+        relay,
+    }
+}
+
+impl<H: Fn() -> Handshake + Send + Sync + 'static> SubscriberTask<H> {
+    async fn run(mut self) {
+        // Nodes spread over the replicas by name, then go round when one does not answer.
+        let mut turn = usize::from(model::leases::key_slot(&self.config.node));
+        loop {
+            let relay = self.zone_relay();
+            let address = relay.clone().or_else(|| {
+                let replicas = discovery::list(&self.known_replicas);
+                turn += 1;
+                let replica = replicas.get(turn % replicas.len().max(1));
+                replica.map(|replica| replica.address.clone())
+            });
+            if let Some(address) = address {
+                self.connect(&address, relay.as_ref()).await;
+            }
+            self.avoid_if_still_selected(relay);
+            let pause = RECONNECT_PAUSE_MS + rand::random::<u64>() % RECONNECT_JITTER_MS;
+            sleep(Duration::from_millis(pause)).await;
+        }
+    }
+
+    /// The address of the zone's relay; `None` when this node is the relay, or there is none that
+    /// works.
+    fn zone_relay(&self) -> Option<String> {
+        let view = self.view.load();
+        let services = self.services.borrow();
+        let (node, address) = select_zone_relay(&view.slice, &self.config.zone, &services)?;
+        let avoided = self.avoided_relay.as_ref();
+        let is_avoided = avoided
+            .is_some_and(|avoided| avoided.address == address && model::now() < avoided.until);
+        let is_usable = self.config.use_zone_relays && node != self.config.node && !is_avoided;
+        is_usable.then_some(address)
+    }
+
+    /// The connection to a relay ended though it is still the one: it failed.
+    fn avoid_if_still_selected(&mut self, relay: Option<String>) {
+        if relay.is_some() && relay == self.zone_relay() {
+            let until = model::now() + RELAY_RETRY_AFTER;
+            self.avoided_relay = relay.map(|address| AvoidedRelay { address, until });
+        }
+    }
+
+    async fn connect(&mut self, address: &str, relay: Option<&String>) {
+        let connection = match transport::dial(address, (self.handshake)()).await {
+            Ok(connection) => connection,
+            Err(error) => {
+                slog::debug!(self.logger, "cannot connect to an upstream";
+                    "address" => address,
+                    "error" => %error);
+                return;
+            }
+        };
+        let upstream = connection.peer_handshake.node_name;
+        discovery::merge(
+            &self.known_replicas,
+            connection.peer_handshake.known_replicas,
+        );
+        slog::info!(self.logger, "subscribed";
+            "upstream" => &upstream,
+            "is_relay" => relay.is_some());
+        let is_direct = relay.is_none();
+        self.follows_core_directly
+            .store(is_direct, Ordering::Relaxed);
+        self.follow(connection.sender, connection.receiver, relay)
+            .await;
+        slog::info!(self.logger, "upstream left"; "upstream" => &upstream);
+    }
+
+    /// Subscribes and follows until the connection is of no use any more.
+    async fn follow(
+        &mut self,
+        sender: FrameSender,
+        mut receiver: mpsc::Receiver<Frame>,
+        relay: Option<&String>,
+    ) {
+        self.pending_requests.clear();
+        self.has_base = false;
+        let began_at = model::now();
+        let mut proved_at = began_at;
+        let mut usable = self.subscribe(&sender).await;
+        let proof_wanted = self.proof_wanted.clone();
+        let mut proof_ticks = interval(Duration::from_micros(self.config.proof_interval));
+        proof_ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        while usable {
+            usable = tokio::select! {
+                frame = receiver.recv() => match frame {
+                    Some(frame) => {
+                        if self.handle_frame(frame) {
+                            proved_at = model::now();
+                        }
+                        true
+                    }
+                    None => false,
+                },
+                _ = proof_ticks.tick() => {
+                    let proves = model::now() < proved_at + self.config.proof_timeout;
+                    let settled = self.is_settled(began_at, relay);
+                    self.request_proof(&sender) && proves && settled
+                }
+                _ = proof_wanted.notified() => {
+                    sleep(Duration::from_micros(PROOF_BATCH_WINDOW)).await;
+                    self.request_proof(&sender)
+                }
+                changed = self.services.changed() => {
+                    changed.is_ok() && relay.is_none() && self.subscribe(&sender).await
+                }
+            };
+        }
+    }
+
+    /// The relay of a zone moves, also to this node or away from it: the connection then ends.
+    fn is_settled(&self, began_at: Microseconds, relay: Option<&String>) -> bool {
+        model::now() < began_at + PROOF_BATCH_WINDOW || relay == self.zone_relay().as_ref()
+    }
+
+    fn request_proof(&mut self, sender: &FrameSender) -> bool {
+        self.last_request += 1;
+        self.pending_requests.push_back(PendingProof {
+            request_id: self.last_request,
+            requested_at: model::now(),
+        });
+        let request = Frame::RequestProof {
+            number: self.last_request,
+        };
+        sender.try_send(request).is_ok()
+    }
+
+    async fn subscribe(&mut self, sender: &FrameSender) -> bool {
+        let services = self.services.borrow_and_update().clone();
+        let held = self.view.load().slice.position;
+        let request = Frame::Subscribe { services, held };
+        sender.send(request).await.is_ok()
+    }
+
+    /// Whether the frame proved the view.
+    fn handle_frame(&mut self, frame: Frame) -> bool {
+        match frame {
+            Frame::StateUpdate(slice) => {
+                self.has_base = true;
+                self.store(*slice);
+            }
+            // A patch fits only on what this connection sent before.
+            Frame::StatePatch(patch) if self.has_base => {
+                let slice = self.view.load().slice.with_patch(*patch);
+                self.store(slice);
+            }
+            Frame::Proof { number, position } => return self.on_proof(number, position),
+            _ => {}
+        }
+        false
+    }
+
+    fn store(&mut self, slice: StateSlice) {
+        match self.view.load().with_update(slice) {
+            Some(view) => {
+                let position = view.slice.position;
+                self.view.store(Arc::new(view));
+                self.position.send_replace(position);
+            }
+            // What this connection sends is older than what is held: nothing more of it fits.
+            None => self.has_base = false,
+        }
+    }
+
+    fn on_proof(&mut self, request_id: u64, position: Position) -> bool {
+        let mut pending = self.pending_requests.iter();
+        let request = pending.find(|request| request.request_id == request_id);
+        let requested_at = request.map(|request| request.requested_at);
+        self.pending_requests
+            .retain(|request| request.request_id > request_id);
+        // Without a base a proof would vouch for what another connection sent.
+        let Some(requested_at) = requested_at.filter(|_| self.has_base) else {
+            return false;
+        };
+        let bound = self.config.freshness_bound;
+        let proved = self.view.load().with_proof(requested_at, position, bound);
+        let Some(view) = proved else {
+            return false;
+        };
+        self.view.store(Arc::new(view));
+        // Watchers of the position learn of the proof, too.
+        self.position.send_modify(|_| {});
+        self.verified_at.send_replace(requested_at);
+        true
+    }
+}
--- /dev/null
+++ b/crates/control/src/updates/zone_relay/tests.rs
@@ -0,0 +1,36 @@
+use super::select_zone_relay;
+
+#[test]
+fn a_zone_has_one_relay_for_a_service_and_it_is_a_present_node() {
+    let mut slice = model::StateSlice::default();
+    (0..4u64).for_each(|at| {
+        let node = model::Node {
+            zone: "z0".into(),
+            address: format!("127.0.0.1:{at}"),
+            incarnation: at,
+            present: true,
+            missed_by: Default::default(),
+            changed_at: 0,
+        };
+        slice.nodes.insert(format!("n{at}"), node);
+        let backend = model::Backend {
+            service: "seat".into(),
+            zone: "z0".into(),
+            labels: Default::default(),
+            slots: 1,
+            node: format!("n{at}"),
+            incarnation: 1,
+            phase: model::BackendPhase::Registered,
+            changed_at: 0,
+        };
+        slice.backends.insert(format!("b{at}"), backend);
+    });
+    let services = ["seat".to_string()].into_iter().collect();
+    let (first, _) = select_zone_relay(&slice, "z0", &services).expect("a relay");
+    assert_eq!(select_zone_relay(&slice, "z1", &services), None);
+    if let Some(node) = slice.nodes.get_mut(&first) {
+        node.present = false;
+    }
+    let (second, _) = select_zone_relay(&slice, "z0", &services).expect("another relay");
+    assert_ne!(first, second);
+}
--- a/crates/control/tests/disks/main.rs
+++ b/crates/control/tests/disks/main.rs
@@ -12,7 +12,7 @@
     dead_code,
     reason = "the tests of founding and replacement use more of it"
 )]
-#[path = "../seats/machines.rs"]
+#[path = "../membership/machines.rs"]
 mod machines;
 mod writing;
 
@@ -158,7 +158,10 @@
             model::logging::discard_logger(),
         );
         let core = core.expect("a replica");
-        tokio::spawn(control::stream::listen(core.clone(), machine.listener));
+        tokio::spawn(control::updates::stream::listen(
+            core.clone(),
+            machine.listener,
+        ));
         cores.push(core);
     }
     for core in &cores {
--- a/crates/control/tests/disks/writing.rs
+++ b/crates/control/tests/disks/writing.rs
@@ -46,7 +46,10 @@
     settings.snapshot_every_entries = SNAPSHOT_EVERY;
     let core = ReplicaHandle::start_on(settings, shelf, writes, model::logging::discard_logger())
         .expect("a replica");
-    tokio::spawn(control::stream::listen(core.clone(), machine.listener));
+    tokio::spawn(control::updates::stream::listen(
+        core.clone(),
+        machine.listener,
+    ));
     (charter, core)
 }
 
--- a/crates/control/tests/seats/founding.rs
+++ b/crates/control/tests/membership/bootstrap.rs
@@ -1,4 +1,5 @@
-//! Core machines come to their seats: by the founding, once, or in place of one that is gone (design 12.1).
+//! Core machines come to their replicas: when the cluster is founded, which happens once, or in place
+//! of one that is gone (design 12.1).
 
 use crate::machines::{Machine, enlists, greets, soon, told, until};
 use std::collections::BTreeSet;
@@ -56,7 +57,7 @@
     let identity = machine.shelf().0.disk_id;
     drop(
         soon(
-            "a conn",
+            "a connection",
             transport::dial(founder, enlists(&machine.address, identity)),
         )
         .await
@@ -66,7 +67,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn all_that_come_get_one_seat_each_in_one_core() {
+async fn all_machines_that_come_get_one_replica_each_in_one_cluster() {
     let machines = Machine::all("founding", 4).await;
     let (seeds, folders): (Vec<String>, Vec<_>) = machines
         .iter()
@@ -78,7 +79,7 @@
     });
     let mut seated = Vec::new();
     for start in starts.collect::<Vec<_>>() {
-        seated.push(start.await.expect("a seat"));
+        seated.push(start.await.expect("a replica"));
     }
     let seats: BTreeSet<u16> = seated
         .iter()
@@ -97,8 +98,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_founder_that_died_before_its_word_founds_nothing_new_and_members_get_their_seats_again()
-{
+async fn a_founder_that_died_before_it_answered_founds_nothing_new_and_members_get_their_replicas_again()
+ {
     let machines = Machine::all("missed", 3).await;
     let seeds = addresses(&machines);
     let folders: Vec<_> = machines
@@ -176,7 +177,7 @@
     let mut cores = vec![founder.start(&seeds, true, replace_after).await.1];
     fourth.await.expect("enlisted");
     for start in starts {
-        cores.push(start.await.expect("a seat"));
+        cores.push(start.await.expect("a replica"));
     }
     for core in &cores {
         until("a vote", || {
@@ -195,7 +196,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_blank_disk_at_a_known_address_is_told_that_seat_and_one_elsewhere_none_that_is_held() {
+async fn an_empty_disk_at_a_known_address_is_offered_that_replica_and_one_elsewhere_none_that_is_held()
+ {
     let (_cores, seeds, (seat, lost), folders) = three_of_four("home", NEVER).await;
     // The lost machine had run once, and all know where.
     let place = transport::KnownReplica {
@@ -208,7 +210,7 @@
     for at in &seeds[..3] {
         drop(
             soon(
-                "a conn",
+                "a connection",
                 transport::dial(
                     at,
                     greets(
@@ -249,7 +251,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_blank_disk_elsewhere_is_told_only_the_vacant_seat_and_takes_it() {
+async fn an_empty_disk_elsewhere_is_offered_only_the_vacant_replica_and_takes_it() {
     let (cores, seeds, (seat, lost), folders) = three_of_four("vacant", 2_000_000).await;
     until("a vacancy", || {
         cores
@@ -334,7 +336,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_holder_that_returns_after_it_was_replaced_lets_its_disk_go_and_asks_as_an_empty_machine()
+async fn a_member_that_returns_after_it_was_replaced_empties_its_disk_and_asks_as_an_empty_machine()
 {
     let (cores, seeds, (seat, lost), folders) = three_of_four("returns", 2_000_000).await;
     until("a vacancy", || {
@@ -361,13 +363,7 @@
         folder: folders[3].clone(),
         ..Machine::new("returns", 5).await
     };
-    let pins: Vec<(u16, u64)> = cores[0]
-        .pinned_disks
-        .load()
-        .iter()
-        .map(|(seat, held)| (*seat, *held))
-        .chain([cores[0].identity()])
-        .collect();
+    let pins: Vec<(u16, u64)> = cores[0].members();
     let (mut shelf, _) = old.shelf();
     let others: Vec<(u16, u64)> = pins.into_iter().filter(|(held, _)| *held != seat).collect();
     shelf
@@ -388,8 +384,8 @@
     let (charter, core) = old.start(&seeds[..3], false, 2_000_000).await;
     assert_eq!(charter.replica_id, seat, "it does not know yet");
     soon(
-        "that it lets its disk go",
-        control::retirement::wait_until_retired(&core),
+        "that it empties its disk",
+        control::membership::retirement::wait_until_retired(&core),
     )
     .await;
     // No seat is vacant now: it is told none, and votes nowhere.
--- a/crates/control/tests/seats/first_words.rs
+++ b/crates/control/tests/membership/first_frame.rs
@@ -1,4 +1,5 @@
-//! What a mate's first word means to an empty disk, by how it came to its seat (design 4.4, 12.1).
+//! What the first frame of a peer means to an empty disk, by how it came to its replica (design 4.4,
+//! 12.1).
 
 use crate::machines::{Machine, greets, until};
 
@@ -50,14 +51,14 @@
         writes,
         model::logging::discard_logger(),
     )
-    .expect("a core seat");
+    .expect("a replica");
     until("a vote", || core.status.load().voting).await;
     std::fs::remove_dir_all(&own.folder).expect("clean");
     core.status.load().next_own_instance
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_disk_that_took_its_seat_over_never_begins_at_the_word_that_it_is_the_first() {
+async fn a_disk_that_took_its_replica_over_never_begins_when_it_is_called_the_first() {
     // The mate has itself just woken and does not know better; what it says next is true.
     let taken_over = storage::MembershipRecord {
         replica_id: 0,
@@ -68,7 +69,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_disk_whose_seat_stands_in_its_settings_begins_at_that_word() {
+async fn a_disk_whose_replica_stands_in_its_settings_begins_when_it_is_called_the_first() {
     assert!(
         begins("settings", None).await < 1_000_000,
         "this is what the charter guards against"
--- a/crates/control/tests/seats/machines.rs
+++ b/crates/control/tests/membership/machines.rs
@@ -55,7 +55,7 @@
     }
 
     pub fn shelf(&self) -> (storage::ReplicaStore, Vec<mencius::Write>) {
-        storage::ReplicaStore::open(&self.folder).expect("a shelf")
+        storage::ReplicaStore::open(&self.folder).expect("a store")
     }
 
     pub fn founding(&self, seeds: &[String], first: bool) -> control::BootstrapConfig {
@@ -82,9 +82,13 @@
         let (mut shelf, writes) = self.shelf();
         let env = self.founding(seeds, first);
         let logger = model::logging::discard_logger();
-        let settled =
-            control::bootstrap::obtain_membership(&env, &mut shelf, &self.listener, &logger);
-        let charter = soon("a seat", settled).await.expect("the disk keeps it");
+        let settled = control::membership::bootstrap::obtain_membership(
+            &env,
+            &mut shelf,
+            &self.listener,
+            &logger,
+        );
+        let charter = soon("a replica", settled).await.expect("the disk keeps it");
         (charter, shelf, writes)
     }
 
@@ -99,8 +103,11 @@
         let env = self.core(seeds, Some(charter), replace_after);
         let core =
             control::ReplicaHandle::start_on(env, shelf, writes, model::logging::discard_logger())
-                .expect("a core seat");
-        tokio::spawn(control::stream::listen(core.clone(), self.listener));
+                .expect("a replica");
+        tokio::spawn(control::updates::stream::listen(
+            core.clone(),
+            self.listener,
+        ));
         (charter, core)
     }
 
@@ -126,7 +133,7 @@
     }
 }
 
-/// A machine without a seat that asks for one.
+/// A machine without a replica that asks for one.
 pub fn enlists(address: &str, identity: u64) -> transport::Handshake {
     greets(
         transport::Purpose::RequestAssignment,
@@ -156,10 +163,12 @@
     }
 }
 
-/// One asking, and what the seated machine answered.
+/// One asking, and what the machine that has a replica answered.
 pub async fn told(machine: &str, own: transport::Handshake) -> transport::Frame {
-    let mut conn = soon("a conn", transport::dial(machine, own))
+    let mut conn = soon("a connection", transport::dial(machine, own))
         .await
         .expect("the machine is there");
-    soon("a word", conn.receiver.recv()).await.expect("a word")
+    soon("an answer", conn.receiver.recv())
+        .await
+        .expect("an answer")
 }
--- a/crates/control/tests/recorded_bulletins.rs
+++ b/crates/control/tests/recorded_bulletins.rs
@@ -1,10 +1,10 @@
 //! The bytes of changes told to followers, made by a replica's desk and taken by a follower's book,
 //! as an earlier build wrote them.
 
-use control::publisher::UpdatePublisher;
-use control::verification::StateFollower;
+use control::updates::publisher::{EntryId, UpdatePublisher};
+use control::updates::verification::StateFollower;
 use model::cluster_state::items::ItemPut;
-use model::cluster_state::{ItemBody, ItemCall, Limits, Service, StateSnapshot};
+use model::cluster_state::{ClusterOperation, ItemBody, ItemCall, Limits, Service, StateSnapshot};
 use recorded::RecordedBytes;
 use tokio::sync::mpsc;
 use transport::Frame;
@@ -23,10 +23,12 @@
         puts: vec![put],
         drops: Vec::new(),
     };
-    desk.apply(
-        &("operator".to_string(), 1, version),
-        model::cluster_state::ClusterOperation::Items(call),
-    );
+    let entry_id = EntryId {
+        origin: "operator".to_string(),
+        incarnation: 1,
+        sequence: version,
+    };
+    desk.apply(&entry_id, ClusterOperation::Items(call));
     desk.publish();
 }
 
--- a/crates/endpoints/src/monitor.rs
+++ b/crates/endpoints/src/monitor.rs
@@ -21,8 +21,8 @@
     let (heard, mut hears) = tokio::sync::mpsc::channel::<(String, u64)>(1_024);
     tokio::spawn(async move {
         let (mut watch, mut stand) = (
-            control::ring::FailureDetector::default(),
-            control::ring::RingPosition::default(),
+            control::failure_detection::ring::FailureDetector::default(),
+            control::failure_detection::ring::RingPosition::default(),
         );
         let mut lines: BTreeMap<String, tokio::sync::mpsc::Sender<transport::Frame>> =
             Default::default();
--- a/crates/endpoints/src/node.rs
+++ b/crates/endpoints/src/node.rs
@@ -34,7 +34,7 @@
     /// `mates` is bound already; its address stands in the settings.
     pub fn start(env: NodeConfig, mates: tokio::net::TcpListener, logger: slog::Logger) -> Node {
         let own = &env.lease_table;
-        let known = control::discovery::empty();
+        let known = control::membership::discovery::empty();
         let greet = handshake_factory(&env, known.clone());
         let greeting = |purpose| {
             let greet = greet.clone();
@@ -46,7 +46,7 @@
             proof_interval: env.proof_interval,
             proof_timeout: env.proof_interval,
         };
-        let following = control::follower::start(
+        let following = control::updates::follower::start(
             line,
             known.clone(),
             greeting(transport::Purpose::Subscribe),
@@ -93,7 +93,7 @@
             pit.clone(),
             (heard, tell_loads),
         ));
-        tokio::spawn(control::discovery::run(
+        tokio::spawn(control::membership::discovery::run(
             known.clone(),
             env.seeds.clone(),
             greeting(transport::Purpose::Discover),
@@ -204,7 +204,7 @@
         ) {
             Vec::new()
         } else {
-            control::discovery::list(&known)
+            control::membership::discovery::list(&known)
         },
     })
 }
--- a/crates/endpoints/tests/scene/mod.rs
+++ b/crates/endpoints/tests/scene/mod.rs
@@ -123,8 +123,8 @@
         .await
         .expect("a port");
     let address = log.local_addr().expect("an address").to_string();
-    let known = control::discovery::empty();
-    control::discovery::merge(
+    let known = control::membership::discovery::empty();
+    control::membership::discovery::merge(
         &known,
         vec![transport::KnownReplica {
             replica_id: 0,
--- a/crates/endpoints/tests/unproved.rs
+++ b/crates/endpoints/tests/unproved.rs
@@ -56,7 +56,7 @@
 }
 
 /// A lane, a service divided by key, and limits that take hardly any body.
-fn desk() -> control::publisher::UpdatePublisher {
+fn desk() -> control::updates::publisher::UpdatePublisher {
     let put = |name: &str, body| model::cluster_state::items::ItemPut {
         name: name.into(),
         version: 1,
@@ -91,7 +91,7 @@
         put("x", ItemBody::Route(lane)),
         put("", ItemBody::Limits(limits)),
     ];
-    let mut desk = control::publisher::UpdatePublisher::default();
+    let mut desk = control::updates::publisher::UpdatePublisher::default();
     let (outcome, _) = desk.cluster_state.apply(
         "operator",
         1,
@@ -192,7 +192,7 @@
     tokio::spawn(seat(core, tell_held, may_prove));
     let node = endpoints::Node::start(env(&address), mates, model::logging::discard_logger());
     node.serve(outbound);
-    control::discovery::merge(
+    control::membership::discovery::merge(
         &node.known_replicas,
         vec![transport::KnownReplica {
             replica_id: 0,
--- a/crates/gradeford-core/src/main.rs
+++ b/crates/gradeford-core/src/main.rs
@@ -67,7 +67,7 @@
             .await
             .map_err(|error| told("operators_address", &error))?;
     slog::info!(logger, "listening"; "mates" => address, "operators" => serving.address.to_string());
-    tokio::spawn(control::stream::listen(core, mates));
+    tokio::spawn(control::updates::stream::listen(core, mates));
     loop {
         tokio::select! {
             _ = stop.recv() => break,
--- a/crates/gradeford-node/src/health.rs
+++ b/crates/gradeford-node/src/health.rs
@@ -7,7 +7,7 @@
 #[derive(Clone)]
 pub struct HealthApi {
     pub name: String,
-    pub view: control::view::SharedView,
+    pub view: control::updates::view::SharedView,
     pub known_replicas: control::KnownReplicas,
     pub slot_owner: legacy_proxy::SlotOwnerHandle,
     pub retry_budget: legacy_proxy::retry_budget::RetryBudgetHandle,
@@ -78,7 +78,7 @@
             "keys_claimed_unheld": self.0.unheld_claims.load(std::sync::atomic::Ordering::Relaxed),
             "fresh_for_us": view.fresh_until.saturating_sub(model::now()), "running": running, "waiting": waiting, "traffic": transport::traffic::by_zone(),
             "requests_and_extras": *self.0.retry_budget.counts(),
-            "known": control::discovery::list(&self.0.known_replicas),
+            "known": control::membership::discovery::list(&self.0.known_replicas),
         });
         http_util::write_json(response, 200, &answer);
     }
--- a/crates/gradeford-node/src/node.rs
+++ b/crates/gradeford-node/src/node.rs
@@ -31,7 +31,7 @@
             .map_err(|error| told("mates_address", &error))?
             .to_string();
         let address = env.advertised_address.clone().unwrap_or(listening);
-        let known = control::discovery::empty();
+        let known = control::membership::discovery::empty();
         let (services, wanted) = tokio::sync::watch::channel(Default::default());
         let (name, zone) = (env.name.clone(), env.zone.clone());
         let (greeter, place) = (known.clone(), address.clone());
@@ -44,7 +44,7 @@
             replica: None,
             has_empty_disk: false,
             expected_disk: None,
-            known_replicas: control::discovery::list(&greeter),
+            known_replicas: control::membership::discovery::list(&greeter),
         };
         let greet = |purpose| {
             let greeting = greeting.clone();
@@ -58,7 +58,7 @@
             proof_timeout: env.freshness_us / 2,
             use_zone_relays: env.homes,
         };
-        let subscription = control::subscriber::start(
+        let subscription = control::updates::subscriber::start(
             line,
             known.clone(),
             wanted,
@@ -75,12 +75,12 @@
             known.clone(),
             greet(transport::Purpose::Subscribe),
         );
-        let watching = control::monitor::MonitorConfig {
+        let watching = control::failure_detection::monitor::MonitorConfig {
             node: env.name.clone(),
             heartbeat_interval: env.watch_every_us,
             failure_timeout: env.watch_patience_us,
         };
-        let heard = control::monitor::start(
+        let heard = control::failure_detection::monitor::start(
             watching,
             subscription.view.clone(),
             reports.clone(),
@@ -118,7 +118,7 @@
             heard,
         ));
         // A node does not know how many seats there are; the first that greets it says so.
-        tokio::spawn(control::discovery::run(
+        tokio::spawn(control::membership::discovery::run(
             known.clone(),
             env.seeds.clone(),
             greet(transport::Purpose::Discover),
@@ -232,7 +232,7 @@
 /// Tells the log that this node is here, and again whenever the log takes it for gone.
 async fn announce_presence(
     own: NodeIdentity,
-    view: control::view::SharedView,
+    view: control::updates::view::SharedView,
     reports: control::StatusReporter,
     staying: Arc<AtomicBool>,
     logger: slog::Logger,
--- a/crates/gradeford-node/tests/witness_backends.rs
+++ b/crates/gradeford-node/tests/witness_backends.rs
@@ -5,7 +5,7 @@
 #[path = "../../test-support/tests/golden_files/mod.rs"]
 mod golden_files;
 
-use control::{ReplicaConfig, ReplicaHandle, stream};
+use control::{ReplicaConfig, ReplicaHandle, updates::stream};
 use golden_files::{Volatile, compare, with_placeholders};
 use model::{Change, Outcome};
 use serde_json::{Value, json};
--- a/crates/legacy-proxy/src/outbound_proxy.rs
+++ b/crates/legacy-proxy/src/outbound_proxy.rs
@@ -22,7 +22,7 @@
 pub struct OutboundProxy {
     pub node: String,
     pub zone: String,
-    pub view: control::view::SharedView,
+    pub view: control::updates::view::SharedView,
     pub inbound: crate::InboundProxy,
     pub peers: crate::peer_connections::PeerConnections,
     pub selector: crate::selector::SelectorHandle,
--- a/crates/legacy-proxy/src/server.rs
+++ b/crates/legacy-proxy/src/server.rs
@@ -8,8 +8,8 @@
     greeting: impl Fn() -> transport::Handshake + Send + Sync + 'static,
     known: control::KnownReplicas,
     far: crate::InboundProxy,
-    relay: control::relay::Relay,
-    heard: control::monitor::HeartbeatSender,
+    relay: control::updates::relay::Relay,
+    heard: control::failure_detection::monitor::HeartbeatSender,
 ) {
     let greeting = Arc::new(greeting);
     loop {
@@ -18,7 +18,7 @@
             let (relay, heard) = (relay.clone(), heard.clone());
             tokio::spawn(async move {
                 let accepted = transport::accept(stream, |caller| async move {
-                    control::discovery::merge(&known, caller.known_replicas);
+                    control::membership::discovery::merge(&known, caller.known_replicas);
                     match caller.purpose {
                         transport::Purpose::Consensus => Err("no core seat is here".to_string()),
                         _ => Ok((greeting)()),
@@ -36,8 +36,8 @@
 async fn serve_connection(
     mut conn: transport::Connection,
     far: crate::InboundProxy,
-    relay: control::relay::Relay,
-    heard: control::monitor::HeartbeatSender,
+    relay: control::updates::relay::Relay,
+    heard: control::failure_detection::monitor::HeartbeatSender,
 ) {
     let mut marks = crate::age_marks::AgeMarks::new(model::now());
     let mut every = tokio::time::interval(Duration::from_micros(crate::age_marks::MARK_INTERVAL));
--- a/crates/legacy-proxy/src/slot_owner_task.rs
+++ b/crates/legacy-proxy/src/slot_owner_task.rs
@@ -47,7 +47,7 @@
 impl SlotOwnerHandle {
     pub fn start(
         env: SlotOwnerConfig,
-        view: control::view::SharedView,
+        view: control::updates::view::SharedView,
         moved: tokio::sync::watch::Receiver<model::Position>,
         reports: control::StatusReporter,
         services: tokio::sync::watch::Sender<model::state_slice::ServiceSet>,
@@ -160,7 +160,7 @@
 
 struct SlotOwnerTask {
     slots: SlotOwner,
-    view: control::view::SharedView,
+    view: control::updates::view::SharedView,
     pending: HashMap<u64, ReplySender<Admission>>,
     last_ticket: u64,
     clients: Arc<arc_swap::ArcSwap<Clients>>,
--- a/crates/operator-api/src/changes.rs
+++ b/crates/operator-api/src/changes.rs
@@ -112,9 +112,8 @@
         return invalid(422, found);
     };
     // The disk that is to go must be the one that holds the seat here; the log decides between two operators.
-    let (own, identity) = office.replica.identity();
-    let holder = if own == ask.replica_id {
-        Some(identity)
+    let holder = if office.replica.replica_id() == ask.replica_id {
+        Some(office.replica.disk_id())
     } else {
         office
             .replica
--- a/crates/operator-api/src/queries.rs
+++ b/crates/operator-api/src/queries.rs
@@ -29,11 +29,9 @@
 
 /// Seat to the disk that holds it, as this seat has it on its own disk.
 fn member_disks(core: &control::ReplicaHandle) -> BTreeMap<u16, String> {
-    let pins = core.pinned_disks.load();
-    let others = pins.iter().map(|(seat, identity)| (*seat, *identity));
-    others
-        .chain([core.identity()])
-        .map(|(seat, identity)| (seat, format!("{identity:016x}")))
+    core.members()
+        .into_iter()
+        .map(|(replica_id, disk_id)| (replica_id, format!("{disk_id:016x}")))
         .collect()
 }
 
@@ -118,7 +116,7 @@
             "applied": state.applied_below, "floor": state.compacted_below, "index": state.next_own_instance, "highest": state.highest_seen,
             "open_reads": state.pending_reads, "suspects": state.suspected_replicas, "syncs": state.disk_syncs, "frames": state.frames_sent,
             "disk": state.disk_error, "refused": state.refusal, "position": book.position, "version": book.desired.version,
-            "known": control::discovery::list(&self.0.replica.known_replicas), "holders": member_disks(&self.0.replica), "traffic": transport::traffic::by_zone(),
+            "known": control::membership::discovery::list(&self.0.replica.known_replicas), "holders": member_disks(&self.0.replica), "traffic": transport::traffic::by_zone(),
         });
         http_util::write_json(response, 200, &answer);
     }
--- a/crates/operator-api/tests/operators.rs
+++ b/crates/operator-api/tests/operators.rs
@@ -35,7 +35,7 @@
     };
     let core =
         control::ReplicaHandle::start(env, model::logging::discard_logger()).expect("a core seat");
-    tokio::spawn(control::stream::listen(core.clone(), mates));
+    tokio::spawn(control::updates::stream::listen(core.clone(), mates));
     let staying = Arc::new(AtomicBool::new(true));
     let router = operator_api::router(operator_api::OperatorApi {
         replica: core.clone(),
@@ -293,7 +293,7 @@
     let state: serde_json::Value = state.json().await.expect("JSON");
     assert_eq!(state["version"].as_u64(), Some(1), "{state}");
     // The other seats bind theirs to the new disk as they come past the change; the old one counts no more.
-    while second.handle.pinned_disks.load().get(&2) != Some(&empty.handle.identity().1) {
+    while second.handle.pinned_disks.load().get(&2) != Some(&empty.handle.disk_id()) {
         tokio::task::yield_now().await;
     }
     std::fs::remove_dir_all(folder).expect("clean");
--- a/crates/operator-api/tests/witness.rs
+++ b/crates/operator-api/tests/witness.rs
@@ -5,7 +5,7 @@
 #[path = "../../test-support/tests/golden_files/mod.rs"]
 mod golden_files;
 
-use control::{ReplicaConfig, ReplicaHandle, stream};
+use control::{ReplicaConfig, ReplicaHandle, updates::stream};
 use golden_files::{Volatile, compare};
 use http_util::HttpServer;
 use operator_api::OperatorApi;
@@ -277,7 +277,7 @@
     let folder = folder("status");
     let mut office = Office::start(&folder, 1).await;
     until_started(&office.core).await;
-    let identity = format!("{:016x}", office.core.identity().1);
+    let identity = format!("{:016x}", office.core.disk_id());
     office.call("GET", "/v1/status", &[], "").await;
     let seat = KnownReplica {
         replica_id: 1,
@@ -318,7 +318,7 @@
     let folder = folder("ready");
     let mut office = Office::start(&folder, 1).await;
     until_started(&office.core).await;
-    let identity = format!("{:016x}", office.core.identity().1);
+    let identity = format!("{:016x}", office.core.disk_id());
     office.call("GET", "/live", &[], "").await;
     office.call("GET", "/ready", &[], "").await;
     office.call("GET", "/v1/none", &[], "").await;
@@ -347,7 +347,7 @@
 async fn a_seat_without_a_majority_keeps_its_answers() {
     let folder = folder("lonely");
     let mut office = Office::start(&folder, 3).await;
-    let identity = format!("{:016x}", office.core.identity().1);
+    let identity = format!("{:016x}", office.core.disk_id());
     office.change("early", 0, site()).await;
     let body = json!({ "seat": 0, "from": identity, "to": "1" }).to_string();
     office.call("POST", "/v1/seats", &[], &body).await;
--- a/crates/outbound/src/peer_server.rs
+++ b/crates/outbound/src/peer_server.rs
@@ -24,7 +24,7 @@
             );
             tokio::spawn(async move {
                 let accepted = transport::accept(stream, |caller| async move {
-                    control::discovery::merge(&known, caller.known_replicas);
+                    control::membership::discovery::merge(&known, caller.known_replicas);
                     match caller.purpose {
                         transport::Purpose::Consensus | transport::Purpose::RequestAssignment => {
                             Err("no core seat is here".to_string())
--- a/crates/outbound/tests/callers.rs
+++ b/crates/outbound/tests/callers.rs
@@ -63,7 +63,7 @@
     tokio::spawn(outbound::serve_peers(
         listener,
         greet.clone(),
-        control::discovery::empty(),
+        control::membership::discovery::empty(),
         pit.clone(),
         (heard, loads),
     ));
--- a/crates/simulator/src/billsim/node.rs
+++ b/crates/simulator/src/billsim/node.rs
@@ -1,6 +1,6 @@
 //! A follower: a node's promptbook, and the conn it is told on (design 11.3).
 
-use control::verification::{StateFollower, UpdateOutcome};
+use control::updates::verification::{StateFollower, UpdateOutcome};
 use model::cluster_state::StateSnapshot;
 use model::{Microseconds, Position};
 use std::collections::VecDeque;
--- a/crates/simulator/src/billsim/seat.rs
+++ b/crates/simulator/src/billsim/seat.rs
@@ -1,26 +1,26 @@
 //! A core seat's desk over what its ordering machine has applied, as the daemon's owner keeps it (design 8.1, 11.3).
 
+use control::updates::publisher::{EntryId, UpdatePublisher};
 use model::Position;
 use model::cluster_state::{ClusterOperation, StateSnapshot};
 use std::collections::BTreeMap;
 
 #[derive(Default)]
 pub(super) struct Seat {
-    pub desk: control::publisher::UpdatePublisher,
+    pub desk: UpdatePublisher,
     pub life: u64,
     folded: usize,
     last: u64,
 }
 
-type Asked = (String, u64, u64);
 /// What followers may hold at each position.
 pub(super) type Truth = BTreeMap<Position, StateSnapshot>;
 
 fn act(
     (instance, value): &(mencius::Instance, mencius::Value),
-) -> Option<(u64, Asked, ClusterOperation)> {
+) -> Option<(u64, EntryId, ClusterOperation)> {
     let entry = model::entry::from_bytes(value)?;
-    let asked = (entry.origin, entry.incarnation, entry.sequence);
+    let asked = EntryId::of(&entry);
     if let model::Operation::ClusterState(act) = entry.operation {
         Some((*instance, asked, act))
     } else {
@@ -57,13 +57,10 @@
                 });
         } else {
             let mut bill = model::ClusterState::default();
-            history
-                .iter()
-                .filter_map(act)
-                .for_each(|(_, (origin, life, sequence), act)| {
-                    drop(bill.apply(&origin, life, sequence, act));
-                    learn(&bill);
-                });
+            history.iter().filter_map(act).for_each(|(_, asked, act)| {
+                drop(bill.apply(&asked.origin, asked.incarnation, asked.sequence, act));
+                learn(&bill);
+            });
             self.desk.install(bill);
         }
         self.desk.publish();
--- a/crates/simulator/src/hollow/events.rs
+++ b/crates/simulator/src/hollow/events.rs
@@ -19,7 +19,8 @@
         .map(|place| place.incarnation)
         .unwrap_or(0);
     // Who they are does not matter to the count.
-    let watchers = (1..=control::ring::MONITORS_PER_NODE.min(log.plan.nodes - 1))
+    let watchers = (1..=control::failure_detection::ring::MONITORS_PER_NODE
+        .min(log.plan.nodes - 1))
         .map(|step| (at + step) % log.plan.nodes);
     watchers
         .map(|watcher| {
@@ -147,7 +148,7 @@
     let mut nodes = ring(&log.bill.nodes);
     let inside: BTreeSet<String> = region.iter().map(|at| format!("n{at}")).collect();
     let by = |nodes: &Nodes, name: &String, of: bool| {
-        control::ring::monitors_of(nodes, name)
+        control::failure_detection::ring::monitors_of(nodes, name)
             .iter()
             .filter(|watcher| inside.contains(*watcher) == of)
             .count()
@@ -220,7 +221,7 @@
     let twice = Arc::new(bill.nodes.clone().into_iter().chain(away).collect());
     let (places, mut stand) = (
         Arc::new(bill.nodes.clone()),
-        control::ring::RingPosition::default(),
+        control::failure_detection::ring::RingPosition::default(),
     );
     let times = (20_000 / plan.nodes as u32).max(5);
     BTreeMap::from([
@@ -229,13 +230,13 @@
         (
             "ring made",
             timed(times, || {
-                control::ring::RingPosition::default().update(&places, "n0")
+                control::failure_detection::ring::RingPosition::default().update(&places, "n0")
             }),
         ),
         (
             "ring made, twice the names",
             timed(times, || {
-                control::ring::RingPosition::default().update(&twice, "n0")
+                control::failure_detection::ring::RingPosition::default().update(&twice, "n0")
             }),
         ),
         (
--- a/crates/simulator/src/hollow/node.rs
+++ b/crates/simulator/src/hollow/node.rs
@@ -158,8 +158,8 @@
         }
         let own = env.lease_table.clone();
         // Each node's own, as it would be: nobody shares a table with another process.
-        let mine = control::discovery::empty();
-        control::discovery::merge(&mine, control::discovery::list(&known));
+        let mine = control::membership::discovery::empty();
+        control::membership::discovery::merge(&mine, control::membership::discovery::list(&known));
         let (place, table) = (own.clone(), mine.clone());
         let greeting = |purpose| {
             let (own, mine) = (place.clone(), table.clone());
@@ -172,7 +172,7 @@
                 replica: None,
                 has_empty_disk: false,
                 expected_disk: None,
-                known_replicas: control::discovery::list(&mine),
+                known_replicas: control::membership::discovery::list(&mine),
             }
         };
         let line = control::FollowerConfig {
@@ -181,13 +181,13 @@
             proof_interval: env.proof_interval,
             proof_timeout: env.proof_interval * 2,
         };
-        let following = control::follower::start(
+        let following = control::updates::follower::start(
             line,
             mine.clone(),
             greeting(transport::Purpose::Subscribe),
             logger.clone(),
         );
-        tokio::spawn(control::discovery::run(
+        tokio::spawn(control::membership::discovery::run(
             mine.clone(),
             env.seeds.clone(),
             greeting(transport::Purpose::Discover),
--- a/crates/simulator/src/hollow/seats.rs
+++ b/crates/simulator/src/hollow/seats.rs
@@ -81,7 +81,7 @@
                     drop(told.send(core.clone()));
                     if let (Ok(core), Ok(listener)) = (core, listener) {
                         tokio::select! {
-                            _ = control::stream::listen(core, listener) => {}
+                            _ = control::updates::stream::listen(core, listener) => {}
                             _ = ends => {}
                         }
                     }
@@ -107,9 +107,9 @@
 impl Seats {
     /// For processes that need not ask around.
     pub fn known(&self, plan: &Plan) -> control::KnownReplicas {
-        let known = control::discovery::empty();
+        let known = control::membership::discovery::empty();
         let told = self.cores.iter().zip(&self.places).map(|(core, address)| {
-            let (seat, identity) = core.identity();
+            let (seat, identity) = (core.replica_id(), core.disk_id());
             transport::KnownReplica {
                 replica_id: seat,
                 disk_id: identity,
@@ -118,7 +118,7 @@
                 start_count: 1,
             }
         });
-        control::discovery::merge(&known, told.collect());
+        control::membership::discovery::merge(&known, told.collect());
         known
     }
 }
--- a/crates/simulator/src/hollow/witness.rs
+++ b/crates/simulator/src/hollow/witness.rs
@@ -45,7 +45,7 @@
             proof_interval: 1_000_000,
             proof_timeout: 2_000_000,
         };
-        let following = control::follower::start(
+        let following = control::updates::follower::start(
             env,
             known,
             move || own.clone(),
--- a/crates/simulator/src/sim/site_events.rs
+++ b/crates/simulator/src/sim/site_events.rs
@@ -124,7 +124,7 @@
         let (now, wait) = (self.now, self.hop());
         let seats = self.plan.seats;
         let node = &mut self.nodes[at];
-        let home = control::zone_relay::select_zone_relay(
+        let home = control::updates::zone_relay::select_zone_relay(
             &node.view.slice,
             &super::site_plan::zone(at),
             &node.house.services(),
