--- a/crates/control/src/membership/bootstrap.rs
+++ b/crates/control/src/membership/bootstrap.rs
@@ -154,7 +154,7 @@
         founded: true,
     };
     // On disk before anyone is told: a founder that starts again founds nothing else.
-    store.record_membership(membership, &members.0)?;
+    store.record_membership(membership, &members.0.iter().copied().collect())?;
     slog::info!(logger, "the cluster is founded";
         "replica_count" => membership.replica_count,
         "replica_id" => membership.replica_id);
@@ -201,7 +201,7 @@
             Ok(own_handshake)
         } else {
             // Part of the protocol: the caller shows it.
-            Err("the core is not founded yet".to_string())
+            Err("the core is not founded yet".into())
         }
     };
     if let Ok(connection) = transport::accept(stream, authorize).await {
@@ -214,10 +214,10 @@
 async fn announce(members: &FoundingMembers, candidates: Candidates) {
     for candidate in candidates.by_address.into_values() {
         let assignment = Frame::ReplicaAssignment {
-            seat: members.replica_of(candidate.disk_id),
-            seats: members.replica_count(),
-            founded: true,
-            pins: members.0.clone(),
+            replica_id: members.replica_of(candidate.disk_id),
+            replica_count: members.replica_count(),
+            founding: true,
+            pinned_disks: members.0.clone(),
         };
         // A candidate that is gone asks again.
         drop(candidate.sender.send(assignment).await);
@@ -251,7 +251,7 @@
                 pinned_disks,
             } = answer.assignment
             {
-                store.record_membership(membership, &pinned_disks)?;
+                store.record_membership(membership, &pinned_disks.into_iter().collect())?;
                 slog::info!(logger, "a replica is assigned to this disk";
                     "replica_id" => membership.replica_id,
                     "replica_count" => membership.replica_count,
@@ -336,15 +336,15 @@
         let frame = timeout(ANSWER_TIMEOUT, connection.receiver.recv()).await;
         let assignment = match frame.ok()?? {
             Frame::ReplicaAssignment {
-                seat: replica_id,
-                seats: replica_count,
-                founded,
-                pins: pinned_disks,
+                replica_id,
+                replica_count,
+                founding,
+                pinned_disks,
             } => Assignment::Replica {
                 membership: MembershipRecord {
                     replica_id,
                     replica_count,
-                    founded,
+                    founded: founding,
                 },
                 pinned_disks,
             },
@@ -368,19 +368,19 @@
     // It was named in the founding and missed the answer, or it starts again.
     if let Some((replica_id, _)) = named {
         return Frame::ReplicaAssignment {
-            seat: *replica_id,
-            seats: handle.replica_count(),
-            founded: has_only_founder(handle, *replica_id),
-            pins: members,
+            replica_id: *replica_id,
+            replica_count: handle.replica_count(),
+            founding: has_only_founder(handle, *replica_id),
+            pinned_disks: members,
         };
     }
     let vacant = handle.status.load().vacant_replicas.first().copied();
     match replica_at(handle, &members, &handshake.address).or(vacant) {
         Some(replica_id) => Frame::ReplicaAssignment {
-            seat: replica_id,
-            seats: handle.replica_count(),
-            founded: false,
-            pins: Vec::new(),
+            replica_id,
+            replica_count: handle.replica_count(),
+            founding: false,
+            pinned_disks: Vec::new(),
         },
         None => Frame::NoReplicaAvailable,
     }
--- a/crates/control/src/replica/effects.rs
+++ b/crates/control/src/replica/effects.rs
@@ -5,7 +5,6 @@
 
 use mencius::{Effect, Input, Instance, ReadToken, Replica, ReplicaId, VOTING_WINDOW, Value};
 use model::{Microseconds, Operation, Outcome};
-use storage::StoreCommand;
 
 use super::event_loop::{Progress, ReplicaEventLoop};
 use crate::updates::publisher::{self, EntryId};
@@ -22,13 +21,8 @@
                 writes,
                 replace_journal,
             } => {
-                let command = StoreCommand::Append {
-                    ticket,
-                    writes,
-                    replace_journal,
-                };
-                // Without the writer no ticket comes back, and nothing that rests on it is sent.
-                drop(self.handle.store_commands.send(command));
+                let writer = &self.handle.store_writer;
+                writer.append(ticket, writes, replace_journal);
             }
             Effect::Apply(instance, value) => self.apply(instance, &value),
             Effect::NotChosen(value) => self.resubmit(value),
@@ -165,7 +159,8 @@
         status.compacted_below = replica.compaction_point();
         status.next_own_instance = replica.index();
         status.highest_seen = replica.highest_instance();
-        status.pending_reads = replica.pending_reads();
+        let reads = replica.pending_reads();
+        status.pending_reads = (reads.waiting, reads.in_round, reads.awaited_instances);
         status.suspected_replicas = replica.suspected_peers();
         self.status.vacant_replicas = self.vacant_replicas();
     }
--- a/crates/control/src/replica/handle.rs
+++ b/crates/control/src/replica/handle.rs
@@ -4,7 +4,6 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::mpsc;
 use std::time::Duration;
 
 use arc_swap::ArcSwap;
@@ -16,8 +15,8 @@
     StateMachine,
 };
 use slog::Logger;
-use storage::{DiskId, MembershipRecord, PinnedDisks, StoreCommand};
-use tokio::sync::{mpsc as async_mpsc, oneshot, watch};
+use storage::{DiskId, MembershipRecord, PinnedDisks, StoreWriter};
+use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::timeout;
 use transport::{FrameSender, Handshake, KnownReplica, Purpose};
 
@@ -97,8 +96,8 @@
 /// A running replica. Clones reach the same event loop.
 #[derive(Clone)]
 pub struct ReplicaHandle {
-    pub(crate) commands: async_mpsc::Sender<Command>,
-    pub(super) store_commands: mpsc::Sender<StoreCommand>,
+    pub(crate) commands: mpsc::Sender<Command>,
+    pub(super) store_writer: StoreWriter,
     /// The state machine as last applied here. It may lag; [`Self::read_barrier`] first makes it
     /// as new as every change accepted before the call.
     pub state_machine: Arc<ArcSwap<StateMachine>>,
@@ -354,32 +353,23 @@
         replica_id: ReplicaId,
         disk_id: DiskId,
     ) -> Result<DiskId, PinError> {
-        let (done, pinned) = oneshot::channel();
-        let command = StoreCommand::Pin {
-            replica_id,
-            disk_id,
-            // Whoever asked may have stopped waiting.
-            done: Box::new(move |held| {
-                let _ = done.send(held);
-            }),
-        };
-        self.store_commands
-            .send(command)
-            .map_err(|_| PinError::WriterStopped)?;
-        pinned.await.ok().flatten().ok_or(PinError::NotStored)
+        let pinned = self.store_writer.pin_disk(replica_id, disk_id).await;
+        // The cause stays here: the texts of a refusal are part of the protocol.
+        pinned.map_err(|error| {
+            slog::error!(self.logger, "the disk of a peer could not be recorded";
+                "peer_id" => replica_id,
+                "error" => %error);
+            match error {
+                storage::Error::WriterStopped => PinError::WriterStopped,
+                _ => PinError::NotStored,
+            }
+        })
     }
 
     /// Empties this disk, as another holds its replica. Whether that is done and the database
     /// closed.
     pub(crate) async fn retire_disk(&self) -> bool {
-        let (done, retired) = oneshot::channel();
-        let command = StoreCommand::Retire {
-            // Whoever asked may have stopped waiting.
-            done: Box::new(move |retired| {
-                let _ = done.send(retired);
-            }),
-        };
-        self.store_commands.send(command).is_ok() && retired.await.unwrap_or(false)
+        self.store_writer.retire().await.is_ok()
     }
 
     /// Writes down new members, and with them `writes`; both come back to the event loop once they
@@ -391,17 +381,14 @@
             members: members.clone(),
             writes: writes.clone(),
         };
-        let done = Box::new(move |written| {
-            if written {
+        let replaced = move |written: Result<(), storage::Error>| {
+            if written.is_ok() {
                 drop(commands.blocking_send(stored));
             }
-        });
-        let command = StoreCommand::ReplacePins {
-            pins: members,
-            writes,
-            done,
         };
-        drop(self.store_commands.send(command));
+        let pinned_disks = members.into_iter().collect();
+        self.store_writer
+            .replace_pins(pinned_disks, writes, replaced);
     }
 
     async fn tell(&self, command: Command) -> Result<(), Stopped> {
--- a/crates/control/src/replica/mod.rs
+++ b/crates/control/src/replica/mod.rs
@@ -11,14 +11,13 @@
 pub(crate) mod peer_link;
 
 use std::sync::Arc;
-use std::sync::mpsc;
 use std::time::Duration;
 
 use arc_swap::ArcSwap;
 use mencius::Write;
 use slog::Logger;
-use storage::{ReplicaStore, StoreCommand};
-use tokio::sync::{mpsc as async_mpsc, watch};
+use storage::{ReplicaStore, StoreWriter, WriterEvent};
+use tokio::sync::{mpsc, watch};
 use tokio::time::{MissedTickBehavior, interval};
 
 use crate::membership::discovery;
@@ -36,8 +35,8 @@
 impl ReplicaHandle {
     /// Opens the database in the configured folder and starts the replica.
     pub fn start(config: ReplicaConfig, logger: Logger) -> Result<ReplicaHandle, storage::Error> {
-        let (store, writes) = ReplicaStore::open(&config.folder)?;
-        ReplicaHandle::start_on(config, store, writes, logger)
+        let recovered = ReplicaStore::open(&config.folder)?;
+        ReplicaHandle::start_on(config, recovered.store, recovered.writes, logger)
     }
 
     /// Starts the replica on a database that is open already, with the writes it holds. Tests
@@ -48,27 +47,27 @@
         writes: Vec<Write>,
         logger: Logger,
     ) -> Result<ReplicaHandle, storage::Error> {
-        let (commands, command_queue) = async_mpsc::channel(COMMAND_QUEUE_CAPACITY);
-        let (store_commands, store_queue) = mpsc::channel();
+        let (commands, command_queue) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
         let (position_sender, position) = watch::channel(0);
         let pinned_disks = store.pinned_disks.clone();
+        let (disk_id, start_count) = (store.disk_id, store.start_count);
+        let store_writer = start_writer(store, commands.clone())?;
         let handle = ReplicaHandle {
             commands: commands.clone(),
-            store_commands,
+            store_writer,
             state_machine: Arc::default(),
             position,
             status: Arc::default(),
             known_replicas: discovery::empty(),
-            disk_id: store.disk_id,
+            disk_id,
             started_blank: writes.is_empty(),
             pinned_disks: Arc::new(ArcSwap::from_pointee(pinned_disks.clone())),
             incarnation: model::incarnation::draw(),
-            start_count: store.start_count,
+            start_count,
             next_sequence: Arc::default(),
             logger,
             config: Arc::new(config),
         };
-        start_writer(store, store_queue, &commands)?;
         discovery::merge(&handle.known_replicas, vec![handle.own_location()]);
         slog::info!(handle.logger, "replica starts";
             "replica_id" => handle.replica_id(),
@@ -86,20 +85,22 @@
 /// Starts the thread that owns the disk; what it has to say comes as commands.
 fn start_writer(
     store: ReplicaStore,
-    store_queue: mpsc::Receiver<StoreCommand>,
-    commands: &async_mpsc::Sender<Command>,
-) -> Result<(), storage::Error> {
-    let (synced, disk_status) = (commands.clone(), commands.clone());
-    storage::spawn_writer(
-        store,
-        store_queue,
-        move |ticket| drop(synced.blocking_send(Command::Synced { ticket })),
-        move |error| drop(disk_status.blocking_send(Command::DiskStatus { error })),
-    )?;
-    Ok(())
+    commands: mpsc::Sender<Command>,
+) -> Result<StoreWriter, storage::Error> {
+    StoreWriter::spawn(store, move |event| {
+        let command = match event {
+            WriterEvent::Persisted(ticket) => Command::Synced { ticket },
+            WriterEvent::AppendFailed(error) => Command::DiskStatus {
+                error: Some(error.to_string()),
+            },
+            WriterEvent::Recovered => Command::DiskStatus { error: None },
+        };
+        // When the loop has ended nothing waits for the disk.
+        drop(commands.blocking_send(command));
+    })
 }
 
-async fn send_ticks(commands: async_mpsc::Sender<Command>) {
+async fn send_ticks(commands: mpsc::Sender<Command>) {
     let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
--- a/crates/control/src/replica/peer_link.rs
+++ b/crates/control/src/replica/peer_link.rs
@@ -224,7 +224,10 @@
     while let Ok(Some(frame)) = timeout(SILENCE_TIMEOUT, receiver.recv()).await {
         match frame {
             Frame::Consensus(frame) => handle.peer_frame(peer_id, token, frame).await?,
-            Frame::VotingRange { upto, pins } => handle.admitted(upto, pins).await?,
+            Frame::VotingRange {
+                votes_after,
+                pinned_disks,
+            } => handle.admitted(votes_after, pinned_disks).await?,
             Frame::FoundingReplica => handle.first_holder_confirmed(peer_id).await?,
             _ => {}
         }
@@ -238,8 +241,8 @@
     let state_machine = handle.state_machine.load();
     match state_machine.replica_holders.get(&peer_id) {
         Some((holder, votes_after)) if *holder == disk_id => Frame::VotingRange {
-            upto: *votes_after,
-            pins: handle.members(),
+            votes_after: *votes_after,
+            pinned_disks: handle.members(),
         },
         _ => Frame::FoundingReplica,
     }
--- a/crates/control/src/status_reports.rs
+++ b/crates/control/src/status_reports.rs
@@ -116,9 +116,7 @@
                 operation: report.operation,
             };
             let outcome = self.submit(&entry).await;
-            slog::info!(self.config.logger, "reported";
-                "sequence" => sequence,
-                "outcome" => ?outcome);
+            slog::info!(self.config.logger, "reported"; "sequence" => sequence, "outcome" => ?outcome);
             // Whoever asked may have stopped waiting.
             drop(report.answer.send(outcome));
         }
@@ -154,13 +152,16 @@
 /// replica does not know the outcome.
 async fn forward(connection: &mut Connection, entry: &Entry) -> Option<Outcome> {
     let frame = Frame::ForwardEntry {
-        number: entry.sequence,
+        request_id: entry.sequence,
         entry: Box::new(entry.clone()),
     };
     connection.sender.send(frame).await.ok()?;
     loop {
         match connection.receiver.recv().await? {
-            Frame::EntryOutcome { number, outcome } if number == entry.sequence => return outcome,
+            Frame::EntryOutcome {
+                request_id,
+                outcome,
+            } if request_id == entry.sequence => return outcome,
             _ => {}
         }
     }
--- a/crates/control/src/updates/follower.rs
+++ b/crates/control/src/updates/follower.rs
@@ -190,7 +190,9 @@
         let is_elsewhere = connection.peer_handshake.zone != self.config.zone;
         let held = self.follower.begin_connection();
         let mut attempt = Attempt::Unproved;
-        let request = Frame::FollowClusterState { held };
+        let request = Frame::FollowClusterState {
+            held_position: held,
+        };
         let mut usable = connection.sender.send(request).await.is_ok();
         let began_at = model::now();
         let mut proof_ticks = interval(Duration::from_micros(self.config.proof_interval));
--- a/crates/control/src/updates/publisher.rs
+++ b/crates/control/src/updates/publisher.rs
@@ -193,7 +193,7 @@
         let requests = self.proof_rounds.remove(&token);
         for request in requests.into_iter().flatten() {
             let proof = Frame::Proof {
-                number: request.request_id,
+                request_id: request.request_id,
                 position: self.cluster_state.position,
             };
             // A channel that is full has lost its follower anyway.
@@ -277,7 +277,7 @@
     fn incremental_frames(&self, first: usize) -> Vec<Frame> {
         let updates = self.history.iter().skip(first);
         let frame = |update: &EncodedUpdate| Frame::ClusterStateUpdate {
-            afresh: false,
+            is_snapshot: false,
             from: update.from,
             to: update.to,
             deltas: update.deltas.clone(),
@@ -291,7 +291,7 @@
             .map(|held| (held.position, held.deltas.clone()))
             .unwrap_or_default();
         let mut frames = vec![Frame::ClusterStateUpdate {
-            afresh: true,
+            is_snapshot: true,
             from: 0,
             to,
             deltas,
--- a/crates/control/src/updates/publisher/tests.rs
+++ b/crates/control/src/updates/publisher/tests.rs
@@ -43,7 +43,7 @@
     publisher.add_follower(held.position, sender);
     iter::from_fn(|| frames.try_recv().ok()).fold((0, 0, held), |(count, length, held), frame| {
         let Frame::ClusterStateUpdate {
-            afresh,
+            is_snapshot,
             from,
             to,
             deltas: news,
@@ -51,11 +51,11 @@
         else {
             unreachable!()
         };
-        assert!(afresh || from == held.position);
+        assert!(is_snapshot || from == held.position);
         (
             count + 1,
             length + news.len(),
-            held.updated(afresh, to, decode_deltas(&news).expect("news")),
+            held.updated(is_snapshot, to, decode_deltas(&news).expect("news")),
         )
     })
 }
@@ -126,8 +126,8 @@
             publisher.send_proofs(token);
             iter::from_fn(|| proofs.try_recv().ok())
                 .map(|frame| {
-                    if let Frame::Proof { number, .. } = frame {
-                        number
+                    if let Frame::Proof { request_id, .. } = frame {
+                        request_id
                     } else {
                         0
                     }
--- a/crates/control/src/updates/relay.rs
+++ b/crates/control/src/updates/relay.rs
@@ -65,9 +65,9 @@
             }
             tokio::select! {
                 frame = receiver.recv() => match frame {
-                    Some(Frame::RequestProof { number }) => {
+                    Some(Frame::RequestProof { request_id }) => {
                         session.pending_proofs.push_back(PendingProof {
-                            request_id: number,
+                            request_id,
                             received_at: model::now(),
                         });
                         self.proof_wanted.notify_one();
@@ -104,7 +104,7 @@
             return true;
         };
         let proof = Frame::Proof {
-            number: request_id,
+            request_id,
             position: view.slice.position,
         };
         self.sender.send(proof).await.is_ok()
--- a/crates/control/src/updates/stream.rs
+++ b/crates/control/src/updates/stream.rs
@@ -8,7 +8,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 use tokio::time::timeout;
-use transport::{Connection, Frame, FrameSender, Handshake, Purpose};
+use transport::{Connection, Frame, FrameSender, Handshake, Purpose, Rejection};
 
 use crate::membership::{bootstrap, discovery};
 use crate::replica::{ReplicaHandle, peer_link};
@@ -52,12 +52,12 @@
 
 /// The handshake that answers a caller, or why it is refused; callers read that text, which is
 /// part of the protocol.
-async fn authorize(handle: &ReplicaHandle, caller: &Handshake) -> Result<Handshake, String> {
+async fn authorize(handle: &ReplicaHandle, caller: &Handshake) -> Result<Handshake, Rejection> {
     discovery::merge(&handle.known_replicas, caller.known_replicas.clone());
     match caller.purpose {
         Purpose::Consensus => {
             let pinned = peer_link::pin_peer(handle, caller).await;
-            pinned.map_err(|refused| refused.to_string())?;
+            pinned.map_err(|refused| Rejection::from(refused.to_string()))?;
         }
         Purpose::Forward | Purpose::Monitor => {
             return Err("a core seat takes neither requests nor beats".into());
@@ -136,8 +136,11 @@
         loop {
             let proved = tokio::select! {
                 frame = receiver.recv() => match frame {
-                    Some(Frame::Subscribe { services, held }) => {
-                        self.subscribed = Some(SubscribedSlice { services, held });
+                    Some(Frame::Subscribe { services, held_position }) => {
+                        self.subscribed = Some(SubscribedSlice {
+                            services,
+                            held: held_position,
+                        });
                         None
                     }
                     Some(frame) => {
@@ -158,16 +161,16 @@
     /// Answers to frames that are late because the process stops are dropped.
     async fn handle_frame(&mut self, frame: Frame) {
         match frame {
-            Frame::FollowClusterState { held } => {
+            Frame::FollowClusterState { held_position } => {
                 self.follows = true;
-                drop(self.handle.follow(held, self.sender.clone()).await);
+                drop(self.handle.follow(held_position, self.sender.clone()).await);
             }
-            Frame::RequestProof { number } if self.follows => {
+            Frame::RequestProof { request_id } if self.follows => {
                 let sender = self.sender.clone();
-                drop(self.handle.request_proof(number, sender).await);
+                drop(self.handle.request_proof(request_id, sender).await);
             }
-            Frame::RequestProof { number } => self.prove(number),
-            Frame::ForwardEntry { number, entry } => self.submit(number, *entry),
+            Frame::RequestProof { request_id } => self.prove(request_id),
+            Frame::ForwardEntry { request_id, entry } => self.submit(request_id, *entry),
             Frame::Inspect => self.send_inspection().await,
             _ => {}
         }
@@ -187,7 +190,7 @@
         tokio::spawn(async move {
             let outcome = handle.submit(entry).await;
             let answer = Frame::EntryOutcome {
-                number: request_id,
+                request_id,
                 outcome,
             };
             drop(sender.send(answer).await);
@@ -216,8 +219,11 @@
         if let Some(update) = update_frame(&mut self.last_sent, slice) {
             self.sender.send(update).await.map_err(|_| Ended)?;
         }
-        if let Some(number) = proved {
-            let proof = Frame::Proof { number, position };
+        if let Some(request_id) = proved {
+            let proof = Frame::Proof {
+                request_id,
+                position,
+            };
             self.sender.send(proof).await.map_err(|_| Ended)?;
         }
         Ok(())
--- a/crates/control/src/updates/subscriber.rs
+++ b/crates/control/src/updates/subscriber.rs
@@ -248,15 +248,18 @@
             requested_at: model::now(),
         });
         let request = Frame::RequestProof {
-            number: self.last_request,
+            request_id: self.last_request,
         };
         sender.try_send(request).is_ok()
     }
 
     async fn subscribe(&mut self, sender: &FrameSender) -> bool {
         let services = self.services.borrow_and_update().clone();
-        let held = self.view.load().slice.position;
-        let request = Frame::Subscribe { services, held };
+        let held_position = self.view.load().slice.position;
+        let request = Frame::Subscribe {
+            services,
+            held_position,
+        };
         sender.send(request).await.is_ok()
     }
 
@@ -272,7 +275,10 @@
                 let slice = self.view.load().slice.with_patch(*patch);
                 self.store(slice);
             }
-            Frame::Proof { number, position } => return self.on_proof(number, position),
+            Frame::Proof {
+                request_id,
+                position,
+            } => return self.on_proof(request_id, position),
             _ => {}
         }
         false
--- a/crates/control/src/updates/verification.rs
+++ b/crates/control/src/updates/verification.rs
@@ -72,7 +72,7 @@
             requested_at: now,
         });
         Frame::RequestProof {
-            number: self.last_request,
+            request_id: self.last_request,
         }
     }
 
@@ -86,12 +86,15 @@
     pub fn handle_frame(&mut self, frame: Frame) -> UpdateOutcome {
         match frame {
             Frame::ClusterStateUpdate {
-                afresh,
+                is_snapshot,
                 from,
                 to,
                 deltas,
-            } => self.on_update(afresh, from, to, &deltas),
-            Frame::Proof { number, position } => self.on_proof(number, position),
+            } => self.on_update(is_snapshot, from, to, &deltas),
+            Frame::Proof {
+                request_id,
+                position,
+            } => self.on_proof(request_id, position),
             _ => UpdateOutcome::Ignored,
         }
     }
--- a/crates/control/src/updates/verification/tests.rs
+++ b/crates/control/src/updates/verification/tests.rs
@@ -44,7 +44,7 @@
     follower.request_proof(100);
     assert_eq!(
         follower.handle_frame(Frame::Proof {
-            number: 1,
+            request_id: 1,
             position: 6
         }),
         UpdateOutcome::Ignored,
@@ -54,7 +54,7 @@
     assert_eq!(follower.begin_connection(), 5);
     assert_eq!(
         follower.handle_frame(Frame::Proof {
-            number: 2,
+            request_id: 2,
             position: 5
         }),
         UpdateOutcome::Ignored,
@@ -63,7 +63,7 @@
     follower.request_proof(300);
     assert_eq!(
         follower.handle_frame(Frame::Proof {
-            number: 3,
+            request_id: 3,
             position: 5
         }),
         UpdateOutcome::Verified
