--- a/crates/control/src/membership/replacement.rs
+++ b/crates/control/src/membership/replacement.rs
@@ -164,7 +164,7 @@
     }
 
     fn submit_own(&mut self, now: Microseconds, operation: Operation) {
-        let entry = model::entry::to_bytes(&self.handle.new_entry(operation));
+        let entry = self.handle.new_entry(operation).to_bytes();
         self.step(now, Input::Submit(entry));
     }
 }
--- a/crates/control/src/replica/effects.rs
+++ b/crates/control/src/replica/effects.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use mencius::{Effect, Input, Instance, ReadToken, Replica, ReplicaId, VOTING_WINDOW, Value};
-use model::{Microseconds, Operation, Outcome};
+use model::{Entry, Microseconds, Operation, Outcome};
 
 use super::event_loop::{Progress, ReplicaEventLoop};
 use crate::updates::publisher::{self, EntryId};
@@ -50,7 +50,7 @@
     /// Proposes a value again that lost its instance to a no-op, while its caller waits. A caller
     /// that was already answered "not known to be taken" sends it again itself.
     fn resubmit(&mut self, value: Value) {
-        let Some(entry) = model::entry::from_bytes(&value) else {
+        let Ok(entry) = Entry::from_bytes(&value) else {
             return;
         };
         let callers = self.pending_submissions.get(&EntryId::from(entry));
@@ -60,9 +60,14 @@
     }
 
     fn apply(&mut self, instance: Instance, value: &[u8]) {
-        let Some(entry) = model::entry::from_bytes(value) else {
-            slog::error!(self.handle.logger, "an entry is malformed"; "instance" => instance);
-            return;
+        let entry = match Entry::from_bytes(value) {
+            Ok(entry) => entry,
+            Err(error) => {
+                slog::error!(self.handle.logger, "an entry is malformed";
+                    "instance" => instance,
+                    "error" => %error);
+                return;
+            }
         };
         let entry_id = EntryId::of(&entry);
         let outcome = match entry.operation {
--- a/crates/control/src/replica/event_loop.rs
+++ b/crates/control/src/replica/event_loop.rs
@@ -315,7 +315,7 @@
     }
 
     fn on_submit(&mut self, now: Microseconds, entry: Entry, answer: OutcomeSender) {
-        let value = model::entry::to_bytes(&entry);
+        let value = entry.to_bytes();
         self.pending_submissions
             .entry(EntryId::from(entry))
             .or_default()
--- a/crates/control/src/updates/publisher.rs
+++ b/crates/control/src/updates/publisher.rs
@@ -325,7 +325,7 @@
 
 /// The changes in an update or snapshot; `None` if the bytes are malformed.
 pub(crate) fn decode_deltas(bytes: &[u8]) -> Option<Vec<Delta>> {
-    let bytes = model::compression::decompress(bytes)?;
+    let bytes = model::compression::decompress(bytes).ok()?;
     let mut aligned = AlignedVec::<16>::with_capacity(bytes.len());
     aligned.extend_from_slice(&bytes);
     rkyv::from_bytes::<Vec<Delta>, rancor::Error>(&aligned).ok()
@@ -341,12 +341,12 @@
 
 /// The parts of a snapshot of the log; `None` if the bytes are malformed.
 pub(crate) fn decode_state(state: &[u8]) -> Option<(StateMachine, ClusterState)> {
-    let state = model::compression::decompress(state)?;
+    let state = model::compression::decompress(state).ok()?;
     let (length, parts) = state.split_at_checked(LENGTH_BYTES)?;
     let length = u64::from_be_bytes(length.try_into().ok()?) as usize;
     let (state_machine, cluster_state) = parts.split_at_checked(length)?;
     Some((
-        StateMachine::from_bytes(state_machine)?,
-        ClusterState::from_bytes(cluster_state)?,
+        StateMachine::from_bytes(state_machine).ok()?,
+        ClusterState::from_bytes(cluster_state).ok()?,
     ))
 }
