--- a/crates/legacy-proxy/src/lib.rs
+++ b/crates/legacy-proxy/src/lib.rs
@@ -4,7 +4,6 @@
 pub mod age_marks;
 pub mod attempt_loop;
 pub mod forwarded_attempts;
-pub mod in_flight;
 pub mod inbound_proxy;
 pub mod outbound_proxy;
 pub mod peer_connections;
--- a/crates/legacy-proxy/src/outbound_proxy.rs
+++ b/crates/legacy-proxy/src/outbound_proxy.rs
@@ -28,7 +28,7 @@
     pub selector: crate::selector::SelectorHandle,
     pub retry_budget: crate::retry_budget::RetryBudgetHandle,
     pub accepted_attempts: crate::accepted_attempts::AcceptedAttemptsHandle,
-    pub in_flight: crate::in_flight::InFlightRequests,
+    pub in_flight: proxy_core::InFlightRequests,
 }
 
 impl OutboundProxy {
--- a/crates/legacy-proxy/src/selector.rs
+++ b/crates/legacy-proxy/src/selector.rs
@@ -1,157 +1,127 @@
-//! Which back end gets the next request: in the zone first, then by load (design 5.2).
+//! Load balancing: which backend gets the next request (design 5.2).
+//!
+//! Unlike the selector of `outbound`, which weighs waiting times against the cost of leaving the
+//! zone, backends of the own zone always come first here, then those with the lower share of their
+//! slots in flight from this node.
+
+#[cfg(test)]
+mod tests;
 
-use model::Microseconds;
 use std::collections::HashMap;
 
-/// After a refusal or a lost mate a back end is passed over so long, unless nobody else is left.
-const FAILURE_COOLDOWN: Microseconds = 300_000;
+use model::Microseconds;
+use proxy_core::{FAILURE_COOLDOWN, least_cost};
+use tokio::sync::{mpsc, oneshot};
+
+pub use proxy_core::Candidate;
+
+/// Commands that may wait for the selector's task.
+const QUEUE_CAPACITY: usize = 1_024;
+/// Shares of slots are compared in thousandths.
+const WHOLE_SHARE: u64 = 1_000;
 
-#[derive(Clone, Debug, PartialEq)]
-pub struct Candidate {
-    pub name: String,
-    pub slots: u32,
-    pub same_zone: bool,
+/// What is known here of a backend.
+#[derive(Default)]
+struct BackendLoad {
+    /// Attempts from this node that began and did not finish.
+    in_flight: u32,
+    /// Until then it is selected only if all others are avoided too.
+    avoid_until: Microseconds,
 }
 
+/// The state of selection. Pure, with the time passed in.
 #[derive(Default)]
 pub struct Selector {
-    /// Dispatches under way from here, and until when it sits on the bench.
-    backends: HashMap<String, (u32, Microseconds)>,
+    backends: HashMap<String, BackendLoad>,
 }
 
 impl Selector {
+    /// Selects the candidate of least load and counts the attempt as in flight. Among equals they
+    /// take turns: `rotation` is to be one more each time.
     pub fn select(
         &mut self,
         now: Microseconds,
         candidates: &[Candidate],
-        turn: u64,
+        rotation: u64,
     ) -> Option<String> {
-        let benched = |candidate: &Candidate| {
-            self.backends
-                .get(&candidate.name)
-                .is_some_and(|(_, until)| now < *until)
-        };
-        let load = |candidate: &Candidate| {
-            self.backends
-                .get(&candidate.name)
-                .map(|(busy, _)| *busy)
-                .unwrap_or(0) as u64
-                * 1_000
-                / candidate.slots.max(1) as u64
-        };
-        let picked = candidates
-            .iter()
-            .enumerate()
-            .min_by_key(|(at, candidate)| {
-                // Equal loads take turns.
-                let order = (*at as u64 + turn) % candidates.len() as u64;
-                (
-                    benched(candidate),
-                    !candidate.same_zone,
-                    load(candidate),
-                    order,
-                )
-            })
-            .map(|(_, candidate)| candidate.name.clone())?;
-        self.backends.entry(picked.clone()).or_default().0 += 1;
-        Some(picked)
+        let selected = least_cost(candidates, rotation, |candidate| {
+            let load = self.backends.get(&candidate.name);
+            let avoided = load.is_some_and(|load| now < load.avoid_until);
+            let in_flight = u64::from(load.map(|load| load.in_flight).unwrap_or(0));
+            let share = in_flight * WHOLE_SHARE / u64::from(candidate.slots.max(1));
+            (avoided, !candidate.same_zone, share)
+        })?;
+        let name = selected.name.clone();
+        self.backends.entry(name.clone()).or_default().in_flight += 1;
+        Some(name)
     }
 
-    pub fn attempt_finished(&mut self, now: Microseconds, name: &str, bench: bool) {
-        if let Some((busy, until)) = self.backends.get_mut(name) {
-            *busy = busy.saturating_sub(1);
-            if bench {
-                *until = now + FAILURE_COOLDOWN;
-            }
-            if *busy == 0 && now >= *until {
-                self.backends.remove(name);
-            }
+    /// An attempt ended; with `avoid` the backend is avoided for a while.
+    pub fn attempt_finished(&mut self, now: Microseconds, name: &str, avoid: bool) {
+        let Some(load) = self.backends.get_mut(name) else {
+            return;
+        };
+        load.in_flight = load.in_flight.saturating_sub(1);
+        if avoid {
+            load.avoid_until = now + FAILURE_COOLDOWN;
+        }
+        if load.in_flight == 0 && now >= load.avoid_until {
+            self.backends.remove(name);
         }
     }
 }
 
 enum Command {
-    Select(Vec<Candidate>, tokio::sync::oneshot::Sender<Option<String>>),
+    Select(Vec<Candidate>, oneshot::Sender<Option<String>>),
     AttemptFinished(String, bool),
 }
 
+/// A handle on the task that owns selection. The task ends with its last handle.
 #[derive(Clone)]
-pub struct SelectorHandle(tokio::sync::mpsc::Sender<Command>);
+pub struct SelectorHandle {
+    commands: mpsc::Sender<Command>,
+}
 
 impl SelectorHandle {
+    /// Starts the task.
     pub fn start() -> Self {
-        let (sender, mut commands) = tokio::sync::mpsc::channel(1_024);
-        tokio::spawn(async move {
-            let mut picker = Selector::default();
-            let mut turn = 0;
-            while let Some(command) = commands.recv().await {
-                match command {
-                    Command::Select(candidates, answer) => {
-                        turn += 1;
-                        drop(answer.send(picker.select(model::now(), &candidates, turn)));
-                    }
-                    Command::AttemptFinished(name, bench) => {
-                        picker.attempt_finished(model::now(), &name, bench)
-                    }
-                }
-            }
-        });
-        SelectorHandle(sender)
+        let (commands, receiver) = mpsc::channel(QUEUE_CAPACITY);
+        tokio::spawn(run(receiver));
+        SelectorHandle { commands }
     }
 
+    /// Selects the candidate of least load and counts an attempt on it as in flight; `None` without
+    /// candidates or once the task is gone.
     pub async fn select(&self, candidates: Vec<Candidate>) -> Option<String> {
-        let (answer, picked) = tokio::sync::oneshot::channel();
-        self.0
-            .send(Command::Select(candidates, answer))
+        let (reply, selected) = oneshot::channel();
+        self.commands
+            .send(Command::Select(candidates, reply))
             .await
             .ok()?;
-        picked.await.ok().flatten()
+        selected.await.ok().flatten()
     }
 
-    pub async fn attempt_finished(&self, name: &str, bench: bool) {
-        self.0
-            .send(Command::AttemptFinished(name.to_string(), bench))
+    /// An attempt on the backend ended; with `avoid` the backend is avoided for a while.
+    pub async fn attempt_finished(&self, name: &str, avoid: bool) {
+        self.commands
+            .send(Command::AttemptFinished(name.to_string(), avoid))
             .await
             .unwrap_or_default();
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn candidate(name: &str, slots: u32, near: bool) -> Candidate {
-        Candidate {
-            name: name.into(),
-            slots,
-            same_zone: near,
+async fn run(mut commands: mpsc::Receiver<Command>) {
+    let mut selector = Selector::default();
+    let mut rotation = 0;
+    while let Some(command) = commands.recv().await {
+        match command {
+            Command::Select(candidates, reply) => {
+                rotation += 1;
+                drop(reply.send(selector.select(model::now(), &candidates, rotation)));
+            }
+            Command::AttemptFinished(name, avoid) => {
+                selector.attempt_finished(model::now(), &name, avoid)
+            }
         }
     }
-
-    #[test]
-    fn the_own_zone_goes_first_then_load_by_slots_and_who_refused_waits() {
-        let mut picker = Selector::default();
-        let all = [
-            candidate("far", 100, false),
-            candidate("small", 2, true),
-            candidate("large", 4, true),
-        ];
-        let picked: Vec<String> = (0..6)
-            .filter_map(|turn| picker.select(0, &all, turn))
-            .collect();
-        let count = |name: &str| picked.iter().filter(|held| *held == name).count();
-        assert_eq!((count("far"), count("small"), count("large")), (0, 2, 4));
-        picker.attempt_finished(0, "large", true);
-        picker.attempt_finished(0, "small", true);
-        assert_eq!(
-            picker.select(1, &all, 0).as_deref(),
-            Some("far"),
-            "both near ones sit on the bench"
-        );
-        assert!(
-            picker
-                .select(FAILURE_COOLDOWN + 1, &all, 0)
-                .is_some_and(|name| name != "far")
-        );
-    }
 }
