--- a/crates/outbound/src/listener.rs
+++ b/crates/outbound/src/listener.rs
@@ -1,128 +1,150 @@
-//! Senders' conns: requests taken whole, answers given whole (design 13.1).
+//! Clients' HTTP connections: a request is taken whole before anything is decided, and an answer is
+//! given whole, so that one cut short cannot look complete (design 13.1).
 
-use http_body_util::BodyExt as _;
-use model::{Cause, Error, ExecutionStatus};
 use std::convert::Infallible;
+use std::pin::pin;
 use std::time::Duration;
 
+use bytes::Bytes;
+use http_body_util::{BodyExt as _, Full, LengthLimitError, Limited};
+use http_util::headers::{HeaderNames, is_hop_by_hop};
+use hyper::body::Incoming;
+use hyper::http::request::Parts;
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use hyper_util::rt::{TokioIo, TokioTimer};
+use model::{Cause, Error, ExecutionStatus, Microseconds};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::watch;
+use transport::{ForwardedResponse, Headers};
+
+use crate::{OutboundProxy, Request};
+
+/// What a [`Listener`] is set to.
 #[derive(Clone)]
 pub struct ListenerConfig {
-    pub header_names: http_util::headers::HeaderNames,
+    /// The header names of this site.
+    pub header_names: HeaderNames,
 }
 
+/// Serves clients over HTTP/1.1 and has their requests performed by an [`OutboundProxy`].
 #[derive(Clone)]
 pub struct Listener {
+    /// What it is set to.
     pub config: ListenerConfig,
-    pub proxy: crate::OutboundProxy,
+    /// Performs the requests.
+    pub proxy: OutboundProxy,
 }
 
-type HttpResponse = hyper::Response<http_body_util::Full<bytes::Bytes>>;
+type HttpResponse = hyper::Response<Full<Bytes>>;
 
-/// Where no limits are set yet.
+/// How long a connection may idle while no limits are known.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// How large a head may be while no limits are known.
 const DEFAULT_MAX_HEADER_BYTES: usize = 65_536;
+/// The HTTP library accepts no smaller limit for a head.
+const LEAST_MAX_HEADER_BYTES: usize = 8_192;
+/// How large a body may be while no limits are known.
 const DEFAULT_MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
+/// When a client is to come back where the error does not say: 0.5 s.
+const DEFAULT_RETRY_AFTER: Microseconds = 500_000;
+const MICROSECONDS_PER_MILLISECOND: Microseconds = 1_000;
+const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
 impl Listener {
-    /// Serves until told to leave: then no conn begins a further request, and what was taken is answered.
-    pub async fn serve(
-        self,
-        listener: tokio::net::TcpListener,
-        shutdown: tokio::sync::watch::Receiver<bool>,
-    ) {
+    /// Serves until `shutdown` turns true. Then no connection begins a further request, and each
+    /// request that was taken is answered.
+    pub async fn serve(self, listener: TcpListener, shutdown: watch::Receiver<bool>) {
         let mut shutdown_requested = shutdown.clone();
         loop {
             tokio::select! {
                 accepted = listener.accept() => if let Ok((stream, _)) = accepted {
                     tokio::spawn(self.clone().serve_connection(stream, shutdown.clone()));
                 },
-                _ = shutdown_requested.wait_for(|leaving| *leaving) => return,
+                _ = shutdown_requested.wait_for(|requested| *requested) => return,
             }
         }
     }
 
-    async fn serve_connection(
-        self,
-        stream: tokio::net::TcpStream,
-        mut shutdown: tokio::sync::watch::Receiver<bool>,
-    ) {
+    async fn serve_connection(self, stream: TcpStream, mut shutdown: watch::Receiver<bool>) {
         drop(stream.set_nodelay(true));
         let limits = self.proxy.verified_state.load().snapshot.limits.clone();
         let idle_timeout = limits
             .as_ref()
-            .map(|limits| Duration::from_micros(limits.idle_us))
-            .unwrap_or(DEFAULT_IDLE_TIMEOUT);
-        let max_header_bytes = limits
-            .as_ref()
-            .map(|limits| limits.header_bytes as usize)
-            .unwrap_or(DEFAULT_MAX_HEADER_BYTES)
-            .max(8_192);
-        let service = hyper::service::service_fn(move |request| {
-            let front = self.clone();
-            async move { Ok::<_, Infallible>(front.handle(request).await) }
+            .map(|limits| Duration::from_micros(limits.idle_us));
+        let max_header_bytes = limits.as_ref().map(|limits| limits.header_bytes as usize);
+        let service = service_fn(move |request| {
+            let listener = self.clone();
+            async move { Ok::<_, Infallible>(listener.handle(request).await) }
         });
-        let mut builder = hyper::server::conn::http1::Builder::new();
+        let mut builder = http1::Builder::new();
         builder
-            .timer(hyper_util::rt::TokioTimer::new())
-            .header_read_timeout(idle_timeout)
-            .max_buf_size(max_header_bytes);
-        let conn = builder.serve_connection(hyper_util::rt::TokioIo::new(stream), service);
-        let mut conn = std::pin::pin!(conn);
+            .timer(TokioTimer::new())
+            .header_read_timeout(idle_timeout.unwrap_or(DEFAULT_IDLE_TIMEOUT))
+            .max_buf_size(
+                max_header_bytes
+                    .unwrap_or(DEFAULT_MAX_HEADER_BYTES)
+                    .max(LEAST_MAX_HEADER_BYTES),
+            );
+        let mut connection = pin!(builder.serve_connection(TokioIo::new(stream), service));
         tokio::select! {
-            _ = conn.as_mut() => return,
-            _ = shutdown.wait_for(|leaving| *leaving) => conn.as_mut().graceful_shutdown(),
+            _ = connection.as_mut() => return,
+            _ = shutdown.wait_for(|requested| *requested) => connection.as_mut().graceful_shutdown(),
         }
-        drop(conn.await);
+        drop(connection.await);
     }
 
-    async fn handle(&self, request: hyper::Request<hyper::body::Incoming>) -> HttpResponse {
+    async fn handle(&self, request: hyper::Request<Incoming>) -> HttpResponse {
         let received_at = model::now();
         let (head, body) = request.into_parts();
-        let header = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
-        let (words, host) = (
-            &self.config.header_names,
-            header("host").unwrap_or_default(),
-        );
-        let attempt_id = header(words.attempt_id).unwrap_or_default().to_string();
-        let max_body_bytes = self
-            .proxy
-            .verified_state
-            .load()
-            .snapshot
-            .limits
-            .as_ref()
-            .map(|limits| limits.body_bytes as usize)
-            .unwrap_or(DEFAULT_MAX_BODY_BYTES);
-        let body = match http_body_util::Limited::new(body, max_body_bytes)
-            .collect()
-            .await
-        {
-            Ok(body) => body.to_bytes().to_vec(),
-            Err(error) if error.is::<http_body_util::LengthLimitError>() => {
-                return self.error_response(
-                    &attempt_id,
-                    Error::new(Cause::TooLarge, "the body is over the limit"),
-                );
-            }
-            Err(_) => {
-                return self.error_response(
-                    &attempt_id,
-                    Error::new(Cause::BadRequest, "the body broke off"),
-                );
-            }
+        let attempt_id = header_text(&head, self.config.header_names.attempt_id)
+            .unwrap_or_default()
+            .to_string();
+        let body = match self.read_body(body).await {
+            Ok(body) => body,
+            Err(error) => return self.error_response(&attempt_id, error),
         };
         if attempt_id.is_empty() {
-            return self.error_response(
-                &attempt_id,
-                Error::new(Cause::BadRequest, "the try has no identity"),
-            );
+            let error = Error::new(Cause::BadRequest, "the attempt has no identity");
+            return self.error_response(&attempt_id, error);
         }
-        let own_headers = [words.time_left_ms, words.target_backend, words.caller];
-        let headers = head.headers.iter().filter(|(name, _)| {
-            !http_util::headers::is_hop_by_hop(name.as_str())
-                && !own_headers.contains(&name.as_str())
-        });
-        let request = crate::Request {
+        let request = self.build_request(&head, body, attempt_id.clone(), received_at);
+        match self.proxy.perform(request).await {
+            Ok(response) => self.success_response(&attempt_id, response),
+            Err(error) => self.error_response(&attempt_id, error),
+        }
+    }
+
+    /// Reads the whole body, up to the limit of the site.
+    async fn read_body(&self, body: Incoming) -> Result<Vec<u8>, Error> {
+        let max_body_bytes = {
+            let state = self.proxy.verified_state.load();
+            let limits = state.snapshot.limits.as_ref();
+            limits
+                .map(|limits| limits.body_bytes as usize)
+                .unwrap_or(DEFAULT_MAX_BODY_BYTES)
+        };
+        match Limited::new(body, max_body_bytes).collect().await {
+            Ok(body) => Ok(body.to_bytes().to_vec()),
+            Err(error) if error.is::<LengthLimitError>() => {
+                Err(Error::new(Cause::TooLarge, "the body is over the limit"))
+            }
+            Err(_) => Err(Error::new(Cause::BadRequest, "the body broke off")),
+        }
+    }
+
+    fn build_request(
+        &self,
+        head: &Parts,
+        body: Vec<u8>,
+        attempt_id: String,
+        received_at: Microseconds,
+    ) -> Request {
+        let names = &self.config.header_names;
+        let host = header_text(head, "host").unwrap_or_default();
+        let time_left_ms =
+            header_text(head, names.time_left_ms).and_then(|text| text.parse::<u64>().ok());
+        Request {
             host: host
                 .split(':')
                 .next()
@@ -134,29 +156,30 @@
                 .path_and_query()
                 .map(|target| target.as_str().to_string())
                 .unwrap_or_default(),
-            shard_key: header(words.shard_key).and_then(|text| text.parse().ok()),
-            timeout: header(words.time_left_ms)
-                .and_then(|text| text.parse::<u64>().ok())
-                .map(|left| left * 1_000),
-            headers: headers
-                .map(|(name, value)| (name.as_str().to_string(), value.as_bytes().to_vec()))
-                .collect(),
-            attempt_id: attempt_id.clone(),
+            shard_key: header_text(head, names.shard_key).and_then(|text| text.parse().ok()),
+            timeout: time_left_ms.map(|left| left * MICROSECONDS_PER_MILLISECOND),
+            headers: self.end_to_end_headers(head),
+            attempt_id,
             body,
             received_at,
-        };
-        match self.proxy.perform(request).await {
-            Ok(take) => self.success_response(&attempt_id, take),
-            Err(trouble) => self.error_response(&attempt_id, trouble),
         }
     }
 
-    fn success_response(
-        &self,
-        attempt_id: &str,
-        response: transport::ForwardedResponse,
-    ) -> HttpResponse {
-        // The near side knows the try: its name need not come back over the conn between nodes.
+    /// The client's headers without those of one connection, and without those that the node beside
+    /// the backend sets anew.
+    fn end_to_end_headers(&self, head: &Parts) -> Headers {
+        let names = &self.config.header_names;
+        let own_headers = [names.time_left_ms, names.target_backend, names.caller];
+        let headers = head.headers.iter().filter(|(name, _)| {
+            !is_hop_by_hop(name.as_str()) && !own_headers.contains(&name.as_str())
+        });
+        headers
+            .map(|(name, value)| (name.as_str().to_string(), value.as_bytes().to_vec()))
+            .collect()
+    }
+
+    fn success_response(&self, attempt_id: &str, response: ForwardedResponse) -> HttpResponse {
+        // This side knows the attempt: its id need not come back over the connection between nodes.
         let builder = hyper::Response::builder()
             .status(response.status)
             .header(self.config.header_names.attempt_id, attempt_id);
@@ -167,16 +190,17 @@
                 builder.header(name.as_str(), value.as_slice())
             });
         builder
-            .body(http_body_util::Full::new(response.body.into()))
+            .body(Full::new(response.body.into()))
             .unwrap_or_else(|_| {
                 self.error_response(
                     "",
-                    Error::new(Cause::BadSeal, "an answer that cannot be said"),
+                    Error::new(Cause::BadSeal, "a response that HTTP cannot carry"),
                 )
             })
     }
 
-    /// 503 promises that it did not run and never will, and says when to come back; 502 and 504 promise nothing.
+    /// 503 promises that the request did not run and never will, and says when to come back; 502 and
+    /// 504 promise nothing.
     fn error_response(&self, attempt_id: &str, error: Error) -> HttpResponse {
         let status = match (error.execution_status, error.kind) {
             (_, Cause::NoRoute) => 404,
@@ -186,21 +210,25 @@
             (ExecutionStatus::MayHaveRun, Cause::TimedOut) => 504,
             (ExecutionStatus::MayHaveRun, _) => 502,
         };
-        slog::debug!(self.proxy.logger, "refused"; "try" => attempt_id, "cause" => error.kind.code(), "detail" => &error.detail);
-        let retry_after = error.retry_after.unwrap_or(500_000);
-        let builder = hyper::Response::builder()
+        slog::debug!(
+            self.proxy.logger, "request refused";
+            "attempt" => attempt_id, "error" => error.kind.code(), "detail" => &error.detail
+        );
+        let mut builder = hyper::Response::builder()
             .status(status)
             .header("x-gradeford-cause", error.kind.code());
-        let builder = if attempt_id.is_empty() {
-            builder
-        } else {
-            builder.header(self.config.header_names.attempt_id, attempt_id)
-        };
-        let builder = if status == 503 {
-            builder.header("retry-after", format!("{:.3}", retry_after as f64 / 1e6))
-        } else {
-            builder
-        };
-        builder.body(Default::default()).unwrap_or_default()
+        if !attempt_id.is_empty() {
+            builder = builder.header(self.config.header_names.attempt_id, attempt_id);
+        }
+        if status == 503 {
+            let seconds =
+                error.retry_after.unwrap_or(DEFAULT_RETRY_AFTER) as f64 / MICROSECONDS_PER_SECOND;
+            builder = builder.header("retry-after", format!("{seconds:.3}"));
+        }
+        builder.body(Full::default()).unwrap_or_default()
     }
 }
+
+fn header_text<'head>(head: &'head Parts, name: &str) -> Option<&'head str> {
+    head.headers.get(name).and_then(|value| value.to_str().ok())
+}
--- a/crates/outbound/src/peer_server.rs
+++ b/crates/outbound/src/peer_server.rs
@@ -1,115 +1,171 @@
-//! What a node answers its mates: requests for the back end beside it, and beats (design 13.2, 5.10).
+//! What a node serves to its peers: requests for the backend beside it, heartbeats, and reports of
+//! the load on shard keys (design 13.2, 5.10).
 
 use std::collections::HashMap;
 
-/// Tells the watch that a ward was heard.
-pub type HeartbeatSender = tokio::sync::mpsc::Sender<(String, model::Incarnation)>;
-/// What back ends are asked for, told to whoever places keys here.
-pub type LoadReportSender = tokio::sync::mpsc::Sender<transport::LoadReport>;
+use control::KnownReplicas;
+use inbound::{ConcurrencyLimiter, Outcome};
+use model::{Incarnation, Microseconds};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::mpsc;
+use tokio::task::AbortHandle;
+use transport::{
+    Connection, EncodedRequest, Frame, HeaderDecoder, HeaderEncoder, LoadReport, Purpose,
+};
 
+use crate::HandshakeInfo;
+
+/// Tells the failure detector which peer, in which incarnation, sent a heartbeat.
+pub type HeartbeatSender = mpsc::Sender<(String, Incarnation)>;
+/// Tells the placement coordinator how much its shard keys are asked for beside a peer.
+pub type LoadReportSender = mpsc::Sender<LoadReport>;
+
+/// Outcomes that may wait to be written to one connection.
+const OUTCOME_CAPACITY: usize = 1_024;
+
+/// Accepts peers' connections for ever and serves each in a task of its own.
 pub async fn serve_peers(
-    listener: tokio::net::TcpListener,
-    greet: crate::peer_connections::HandshakeInfo,
-    known: control::KnownReplicas,
-    pit: inbound::ConcurrencyLimiter,
-    (heard, loads): (HeartbeatSender, LoadReportSender),
+    listener: TcpListener,
+    handshake_info: HandshakeInfo,
+    known_replicas: KnownReplicas,
+    limiter: ConcurrencyLimiter,
+    (heartbeats, load_reports): (HeartbeatSender, LoadReportSender),
 ) {
     loop {
         if let Ok((stream, _)) = listener.accept().await {
-            let (greet, known, pit, heard) = (
-                greet.clone(),
-                known.clone(),
-                pit.clone(),
-                (heard.clone(), loads.clone()),
-            );
+            let (handshake_info, known_replicas) = (handshake_info.clone(), known_replicas.clone());
+            let server = PeerServer {
+                limiter: limiter.clone(),
+                heartbeats: heartbeats.clone(),
+                load_reports: load_reports.clone(),
+            };
             tokio::spawn(async move {
-                let accepted = transport::accept(stream, |caller| async move {
-                    control::discovery::merge(&known, caller.known_replicas);
-                    match caller.purpose {
-                        transport::Purpose::Consensus | transport::Purpose::RequestAssignment => {
-                            Err("no core seat is here".to_string())
-                        }
-                        purpose => Ok((greet)(purpose)),
-                    }
-                })
-                .await;
-                if let Ok(conn) = accepted {
-                    serve_connection(conn, pit, heard).await;
+                if let Some(connection) = accept(stream, handshake_info, known_replicas).await {
+                    server.serve(connection).await;
                 }
             });
         }
     }
 }
 
-/// Requests of one conn, by number.
+/// The handshake: takes over the replicas that the peer knows, and refuses what only a replica serves.
+async fn accept(
+    stream: TcpStream,
+    handshake_info: HandshakeInfo,
+    known_replicas: KnownReplicas,
+) -> Option<Connection> {
+    let accepted = transport::accept(stream, |peer| async move {
+        control::discovery::merge(&known_replicas, peer.known_replicas);
+        match peer.purpose {
+            Purpose::Consensus | Purpose::RequestAssignment => {
+                Err("no replica is here".to_string())
+            }
+            purpose => Ok((handshake_info)(purpose)),
+        }
+    });
+    accepted.await.ok()
+}
+
+/// Requests of one connection, by the peer's request id. Dropping it aborts them: with the
+/// connection goes whoever waited on it.
 #[derive(Default)]
-struct RunningRequests(HashMap<u32, tokio::task::AbortHandle>);
+struct RunningRequests {
+    tasks: HashMap<u32, AbortHandle>,
+}
 
 impl Drop for RunningRequests {
     fn drop(&mut self) {
-        self.0.values().for_each(tokio::task::AbortHandle::abort);
+        for task in self.tasks.values() {
+            task.abort();
+        }
     }
 }
 
-async fn serve_connection(
-    mut conn: transport::Connection,
-    pit: inbound::ConcurrencyLimiter,
-    (heard, loads): (HeartbeatSender, LoadReportSender),
-) {
-    let (mut encoder, mut decoder) = (
-        transport::HeaderEncoder::default(),
-        transport::HeaderDecoder::default(),
-    );
-    let (ended, mut outcomes) = tokio::sync::mpsc::channel::<(u32, inbound::Outcome)>(1_024);
-    // With the conn goes whoever waited on it.
-    let mut running = RunningRequests::default();
-    loop {
-        let frame = tokio::select! {
-            frame = conn.receiver.recv() => match frame {
-                Some(frame) => frame,
-                None => return,
-            },
-            Some((number, (outcome, wait))) = outcomes.recv() => {
-                running.0.remove(&number);
-                let wait = wait.min(u32::MAX as u64) as u32;
-                let response = match outcome {
-                    Ok(take) => transport::Frame::ForwardedResponse(number, wait, Box::new(take.encode(&mut encoder))),
-                    Err(trouble) => transport::Frame::ForwardFailed(number, wait, Box::new(trouble)),
-                };
-                if conn.sender.send(response).await.is_err() {
-                    return;
+struct PeerServer {
+    limiter: ConcurrencyLimiter,
+    heartbeats: HeartbeatSender,
+    load_reports: LoadReportSender,
+}
+
+impl PeerServer {
+    /// Serves one connection to its end.
+    async fn serve(self, mut connection: Connection) {
+        let (mut encoder, mut decoder) = (HeaderEncoder::default(), HeaderDecoder::default());
+        let (outcome_sender, mut outcomes) = mpsc::channel::<(u32, Outcome)>(OUTCOME_CAPACITY);
+        let mut running = RunningRequests::default();
+        loop {
+            let frame = tokio::select! {
+                frame = connection.receiver.recv() => match frame {
+                    Some(frame) => frame,
+                    None => return,
+                },
+                Some((request_id, outcome)) = outcomes.recv() => {
+                    running.tasks.remove(&request_id);
+                    let response = response_frame(request_id, outcome, &mut encoder);
+                    if connection.sender.send(response).await.is_err() {
+                        return;
+                    }
+                    continue;
                 }
-                continue;
-            }
-        };
-        match frame {
-            transport::Frame::ForwardedRequest(number, said) => {
-                let Some(cue) = said.decode(&mut decoder) else {
-                    return;
-                };
-                let (pit, ended) = (pit.clone(), ended.clone());
-                let run = tokio::spawn(async move {
-                    let outcome = pit.perform(Box::new(cue)).await;
-                    ended.send((number, outcome)).await.unwrap_or_default();
-                });
-                running.0.insert(number, run.abort_handle());
+            };
+            match frame {
+                Frame::ForwardedRequest(request_id, encoded) => {
+                    let task =
+                        self.run_request(request_id, *encoded, &mut decoder, &outcome_sender);
+                    let Some(task) = task else { return };
+                    running.tasks.insert(request_id, task);
+                }
+                // What is queued never begins; what runs is broken off if it is idempotent (design 13.2).
+                Frame::CancelRequest(request_id) => {
+                    if let Some(task) = running.tasks.remove(&request_id) {
+                        task.abort();
+                    }
+                }
+                Frame::Heartbeat => {
+                    let peer = &connection.peer_handshake;
+                    let heartbeat = (peer.node_name.clone(), peer.incarnation);
+                    self.heartbeats.send(heartbeat).await.unwrap_or_default();
+                }
+                // A report that finds no room is followed by the next.
+                Frame::LoadReport(load_report) => drop(self.load_reports.try_send(*load_report)),
+                _ => {}
             }
-            // What waits for a slot never begins; what runs is broken off where it may be repeated (design 13.2).
-            transport::Frame::CancelRequest(number) => running
-                .0
-                .remove(&number)
-                .into_iter()
-                .for_each(|run| run.abort()),
-            transport::Frame::Heartbeat => heard
-                .send((
-                    conn.peer_handshake.node_name.clone(),
-                    conn.peer_handshake.incarnation,
-                ))
-                .await
-                .unwrap_or_default(),
-            // A telling that finds no room is followed by the next.
-            transport::Frame::LoadReport(load) => drop(loads.try_send(*load)),
-            _ => {}
         }
     }
+
+    /// Starts a request; `None` if it cannot be decoded, after which the connection has to end.
+    fn run_request(
+        &self,
+        request_id: u32,
+        encoded: EncodedRequest,
+        decoder: &mut HeaderDecoder,
+        outcomes: &mpsc::Sender<(u32, Outcome)>,
+    ) -> Option<AbortHandle> {
+        let request = encoded.decode(decoder)?;
+        let (limiter, outcomes) = (self.limiter.clone(), outcomes.clone());
+        let task = tokio::spawn(async move {
+            let outcome = limiter.perform(Box::new(request)).await;
+            outcomes
+                .send((request_id, outcome))
+                .await
+                .unwrap_or_default();
+        });
+        Some(task.abort_handle())
+    }
+}
+
+fn response_frame(
+    request_id: u32,
+    (result, expected_wait): Outcome,
+    encoder: &mut HeaderEncoder,
+) -> Frame {
+    let expected_wait = expected_wait.min(Microseconds::from(u32::MAX)) as u32;
+    match result {
+        Ok(response) => Frame::ForwardedResponse(
+            request_id,
+            expected_wait,
+            Box::new(response.encode(encoder)),
+        ),
+        Err(error) => Frame::ForwardFailed(request_id, expected_wait, Box::new(error)),
+    }
 }
--- a/crates/outbound/src/proxy.rs
+++ b/crates/outbound/src/proxy.rs
@@ -1,212 +1,259 @@
-//! One request from end to end: its lane, whom it goes to, whether it may go again (design 13.5).
+//! The way of one request, from its route to its answer (design 13.5).
+//!
+//! [`OutboundProxy::perform`] calls the phases in this order:
+//!
+//! 1. **Admit**: refuse while the node shuts down, else count the request as in flight.
+//! 2. **Resolve the route** ([`RoutedRequest`]): which service, until when, how often.
+//! 3. **Prepare** an attempt: check the deadline, and say what time is left.
+//! 4. **Select an endpoint**: the holder of the shard key, or the cheapest backend.
+//! 5. **Attempt**: forward to the node beside that backend and wait for its answer.
+//! 6. **Classify** ([`AttemptHistory::classify_failure`]): is a retry allowed, and is it paid for?
+//! 7. **Retry or answer**.
+//!
+//! Two guarantees hold on every way out. A request that must not run twice is attempted again only
+//! after a certain [`ExecutionStatus::NotRun`]; and once an attempt may have run, no later error
+//! claims that the request did not.
+//!
+//! [`ExecutionStatus::NotRun`]: model::ExecutionStatus::NotRun
+
+mod attempts;
+mod routing;
+#[cfg(test)]
+mod tests;
 
-use model::{Cause, Error, ExecutionStatus, Microseconds};
 use std::time::Duration;
 
+use control::SharedVerifiedState;
+use inbound::{ConcurrencyLimiter, Outcome};
+use model::cluster_state::{AvailableBackend, ShardKey, StateSnapshot, shard_map};
+use model::{Cause, Error, Microseconds};
+use proxy_core::{Candidate, InFlightGuard, InFlightRequests};
+use slog::Logger;
+use tokio::time;
+use transport::{ForwardedResponse, Headers};
+
+use crate::{PeerConnections, SelectorHandle};
+use attempts::{AttemptHistory, NextStep, preserve_execution_status};
+use routing::RoutedRequest;
+
+/// Between two selections while nobody can take the request: a shard key may be on its way from one
+/// backend to another.
+const RESELECT_INTERVAL: Duration = Duration::from_millis(15);
+/// How much later than the deadline a peer's answer may come: 50 ms. A peer answers by the deadline;
+/// one that is suspended never does.
+const PEER_RESPONSE_GRACE: Microseconds = 50_000;
+/// When a client is to come back to a node that shuts down: 1 s.
+const RETRY_AFTER_SHUTDOWN: Microseconds = 1_000_000;
+/// When a client is to come back where no state is known or no backend can take the request: 0.3 s.
+const RETRY_AFTER_UNAVAILABLE: Microseconds = 300_000;
+
+/// Performs clients' requests. Clones share all state.
 #[derive(Clone)]
 pub struct OutboundProxy {
+    /// The name of this node.
     pub node: String,
+    /// The zone of this node; leaving it costs (see [`SelectorConfig`](crate::SelectorConfig)).
     pub zone: String,
-    /// The service of this machine: whoever begins a request here speaks for it.
+    /// The service of this machine: a request that begins here is made in its name.
     pub service: String,
-    pub verified_state: control::SharedVerifiedState,
-    pub limiter: inbound::ConcurrencyLimiter,
-    pub peers: crate::PeerConnections,
-    pub selector: crate::SelectorHandle,
-    pub in_flight: crate::InFlightRequests,
-    pub logger: slog::Logger,
+    /// Routes, services, backends and shard maps, as last verified with the core.
+    pub verified_state: SharedVerifiedState,
+    /// The way into the backend beside this node.
+    pub limiter: ConcurrencyLimiter,
+    /// The way to the nodes beside all other backends.
+    pub peers: PeerConnections,
+    /// Load balancing and retry budgets.
+    pub selector: SelectorHandle,
+    /// Counts requests for a graceful shutdown.
+    pub in_flight: InFlightRequests,
+    /// Where refused requests are logged, at debug level.
+    pub logger: Logger,
 }
 
+/// One request as its client sent it.
 pub struct Request {
+    /// The host, in lower case and without a port.
     pub host: String,
+    /// The HTTP method.
     pub method: String,
     /// Path and query as they were sent.
     pub target: String,
-    pub headers: transport::Headers,
+    /// The client's headers, without those that hold for one connection only and without ours.
+    pub headers: Headers,
+    /// The whole body.
     pub body: Vec<u8>,
+    /// The identity that the client gave this attempt; it decides among a route's services.
     pub attempt_id: String,
-    pub shard_key: Option<u16>,
-    /// How long the sender waits, from `at`.
+    /// The key, for services that are divided by key.
+    pub shard_key: Option<ShardKey>,
+    /// How long the client waits, from `received_at`; `None` leaves it to the route.
     pub timeout: Option<Microseconds>,
+    /// When its head was read.
     pub received_at: Microseconds,
 }
 
-/// Between two looks at who holds a key that is on its way from one to another.
-const RESELECT_INTERVAL: Duration = Duration::from_millis(15);
-/// Back ends that pass a request over before one has to take it.
-const MAX_PASSED_OVER: u8 = 2;
-/// How much later than the wait a mate's last word may come.
-const PEER_RESPONSE_GRACE: Microseconds = 50_000;
-/// Where an operator names no aim.
-const DEFAULT_LATENCY_TARGET: Microseconds = 1_000_000;
-
 impl OutboundProxy {
-    pub async fn perform(&self, request: Request) -> Result<transport::ForwardedResponse, Error> {
-        let _under_way = self.in_flight.begin().ok_or_else(|| {
-            Error::new(Cause::ShuttingDown, "this node is stopping").with_retry_after(1_000_000)
-        })?;
-        let outlook = self.verified_state.load_full();
-        if outlook.verified_at == 0 || !outlook.snapshot.has_routes() {
-            return Err(Error::new(
-                Cause::StaleState,
-                "nothing is known yet of what is to be served",
-            )
-            .with_retry_after(300_000));
-        }
-        let path = request.target.split('?').next().unwrap_or_default();
-        let item = outlook.snapshot.route(&request.host, path).cloned();
-        let item = item
-            .ok_or_else(|| Error::new(Cause::NoRoute, "no lane begins this path on this host"))?;
-        let lane = &item.2;
-        let service = select_service(lane, &request.attempt_id);
-        let latency_target = if lane.latency_target_us == 0 {
-            DEFAULT_LATENCY_TARGET
-        } else {
-            lane.latency_target_us
-        };
-        let deadline =
-            request.received_at + request.timeout.unwrap_or(lane.wait_us).min(lane.wait_us);
-        // Whoever is refused hears it within a quarter of the aim, and may come again in time.
-        let admission_deadline = request.received_at + latency_target / 4;
-        self.selector.deposit(&service).await;
-        let mut forwarded = Box::new(transport::ForwardedRequest {
-            backend: String::new(),
-            caller: self.service.clone(),
-            method: request.method,
-            target: request.target,
-            headers: request.headers,
-            body: request.body,
-            shard_key: None,
-            time_left: 0,
-            latency_target: 0,
-            priority: lane.rank,
-            idempotent: lane.idempotent,
-            force: false,
-        });
-        let mut passed_over: Vec<String> = Vec::new();
-        let (mut attempts, mut ejection_refusals) = (0, 0);
-        let mut may_have_run = false;
+    /// Performs one request to its one answer.
+    ///
+    /// # Errors
+    ///
+    /// The error of the last phase that failed. Its execution status says whether the request may
+    /// have run, over all attempts; its `retry_after` says when the client may come back.
+    pub async fn perform(&self, request: Request) -> Result<ForwardedResponse, Error> {
+        let _in_flight = self.admit()?;
+        let mut routed = self.resolve_route(request)?;
+        self.selector.deposit(&routed.service).await;
+        let mut history = AttemptHistory::default();
         loop {
-            let outlook = self.verified_state.load_full();
-            let programme = &outlook.snapshot;
-            let keyed = programme
-                .services
-                .get(&service)
-                .is_some_and(|held| held.keyed);
-            forwarded.shard_key = request.shard_key.filter(|_| keyed);
+            let state = self.verified_state.load_full();
             let now = model::now();
-            if now >= deadline {
-                return Err(preserve_execution_status(
-                    Error::new(
-                        Cause::ExpiredBeforeRun,
-                        "the wait was over before it could be dispatched",
-                    ),
-                    may_have_run,
-                ));
-            }
-            (forwarded.time_left, forwarded.latency_target) = (
-                deadline - now,
-                (request.received_at + latency_target).saturating_sub(now),
-            );
-            let selected = match forwarded.shard_key {
-                Some(key) => select_key_holder(programme, &service, key, &passed_over),
-                None => self.select_backend(programme, &service, &passed_over).await,
-            };
-            let Some(selected) = selected else {
-                if now >= admission_deadline {
-                    let kind = if forwarded.shard_key.is_some() {
-                        Cause::KeyWithoutHolder
-                    } else {
-                        Cause::NoBackend
-                    };
-                    return Err(preserve_execution_status(
-                        Error::new(kind, "nobody can take it now").with_retry_after(300_000),
-                        may_have_run,
-                    ));
-                }
-                passed_over.clear();
-                tokio::time::sleep(RESELECT_INTERVAL).await;
-                continue;
-            };
-            forwarded.backend = selected.name.clone();
-            let (outcome, wait) = if selected.node == self.node {
-                self.limiter.perform(forwarded.clone()).await
-            } else {
-                within_deadline(
-                    deadline - now,
-                    self.peers.call(&selected.address, forwarded.clone()),
-                )
+            routed.prepare_attempt(&state.snapshot, &history, now)?;
+            let Some(endpoint) = self
+                .select_endpoint(&state.snapshot, &routed, &history)
                 .await
+            else {
+                routed.may_wait_for_endpoint(&history, now)?;
+                history.forget_passed_over();
+                time::sleep(RESELECT_INTERVAL).await;
+                continue;
             };
-            let trouble = match outcome {
-                Ok(take) => {
+            let (result, expected_wait) = self.attempt(&endpoint, &mut routed).await;
+            let error = match result {
+                Ok(response) => {
                     self.selector
-                        .attempt_finished(&selected.name, Some(wait), false)
+                        .attempt_finished(&endpoint.name, Some(expected_wait), false)
                         .await;
-                    return Ok(take);
+                    return Ok(response);
                 }
-                Err(trouble) => trouble,
+                Err(error) => error,
             };
-            let connection_lost = matches!(
-                trouble.kind,
-                Cause::Unreachable | Cause::PeerLost | Cause::BackendLost | Cause::ShuttingDown
-            );
-            self.selector
-                .attempt_finished(
-                    &selected.name,
-                    (!connection_lost).then_some(wait),
-                    connection_lost,
-                )
-                .await;
-            passed_over.push(selected.name);
-            // However many are ill, a request goes past few of them.
-            ejection_refusals += (trouble.kind == Cause::PassedOver) as u8;
-            forwarded.force = ejection_refusals >= MAX_PASSED_OVER;
-            let certainly_not_run = trouble.execution_status == ExecutionStatus::NotRun;
-            may_have_run |= !certainly_not_run;
-            if !certainly_not_run && !lane.idempotent
-                || !is_retryable(&trouble, forwarded.shard_key.is_some())
-            {
-                return Err(preserve_execution_status(trouble, may_have_run));
+            self.report_failure(&endpoint, &error, expected_wait).await;
+            match history.classify_failure(endpoint.name, error, &routed.retry_policy()) {
+                NextStep::Answer(error) => return Err(error),
+                NextStep::Retry => {}
+                NextStep::RetryFromBudget(error) => {
+                    if !self.selector.withdraw(&routed.service).await {
+                        return Err(preserve_execution_status(error, history.may_have_run()));
+                    }
+                }
             }
-            // What a back end was given counts, though it ran nothing.
-            let reached_backend = !certainly_not_run || trouble.kind == Cause::Refused;
-            attempts += reached_backend as u8;
-            if reached_backend
-                && (attempts >= lane.dispatches || !self.selector.withdraw(&service).await)
-            {
-                return Err(preserve_execution_status(trouble, may_have_run));
+        }
+    }
+
+    /// Counts the request as in flight until the guard is dropped.
+    ///
+    /// # Errors
+    ///
+    /// [`Cause::ShuttingDown`] once the node drains.
+    fn admit(&self) -> Result<InFlightGuard, Error> {
+        self.in_flight.begin().ok_or_else(|| {
+            Error::new(Cause::ShuttingDown, "this node is stopping")
+                .with_retry_after(RETRY_AFTER_SHUTDOWN)
+        })
+    }
+
+    /// Finds the route of the request's host and path, and the service that is to answer.
+    ///
+    /// # Errors
+    ///
+    /// [`Cause::StaleState`] before any state was verified or while it holds no route at all;
+    /// [`Cause::NoRoute`] where no route fits.
+    fn resolve_route(&self, request: Request) -> Result<RoutedRequest, Error> {
+        let state = self.verified_state.load_full();
+        if state.verified_at == 0 || !state.snapshot.has_routes() {
+            let error = Error::new(
+                Cause::StaleState,
+                "nothing is known yet of what is to be served",
+            );
+            return Err(error.with_retry_after(RETRY_AFTER_UNAVAILABLE));
+        }
+        let path = request.target.split('?').next().unwrap_or_default();
+        let route_item = state.snapshot.route(&request.host, path);
+        let route_item = route_item
+            .ok_or_else(|| Error::new(Cause::NoRoute, "no route matches this path on this host"))?;
+        Ok(RoutedRequest::new(
+            request,
+            &route_item.2,
+            self.service.clone(),
+        ))
+    }
+
+    /// The backend that the next attempt goes to; `None` while nobody can take it.
+    async fn select_endpoint(
+        &self,
+        snapshot: &StateSnapshot,
+        routed: &RoutedRequest,
+        history: &AttemptHistory,
+    ) -> Option<AvailableBackend> {
+        let passed_over = history.passed_over();
+        match routed.forwarded.shard_key {
+            Some(shard_key) => select_key_holder(snapshot, &routed.service, shard_key, passed_over),
+            None => {
+                self.select_any(snapshot, &routed.service, passed_over)
+                    .await
             }
         }
     }
 
-    async fn select_backend(
+    /// The cheapest backend of the service that was not passed over.
+    async fn select_any(
         &self,
-        programme: &model::cluster_state::StateSnapshot,
+        snapshot: &StateSnapshot,
         service: &str,
         passed_over: &[String],
-    ) -> Option<model::cluster_state::AvailableBackend> {
-        let cast = programme.available_backends(service);
-        let open = cast.iter().filter(|one| !passed_over.contains(&one.name));
+    ) -> Option<AvailableBackend> {
+        let backends = snapshot.available_backends(service);
+        let open = backends
+            .iter()
+            .filter(|backend| !passed_over.contains(&backend.name));
         let candidates = open
-            .map(|one| crate::selector::Candidate {
-                name: one.name.clone(),
-                slots: one.slots,
-                same_zone: one.zone == self.zone,
+            .map(|backend| Candidate {
+                name: backend.name.clone(),
+                slots: backend.slots,
+                same_zone: backend.zone == self.zone,
             })
             .collect();
-        let picked = self.selector.select(candidates).await?;
-        cast.iter().find(|one| one.name == picked).cloned()
+        let selected = self.selector.select(candidates).await?;
+        backends
+            .iter()
+            .find(|backend| backend.name == selected)
+            .cloned()
+    }
+
+    /// Forwards the request to one backend and waits for what came of it.
+    async fn attempt(&self, endpoint: &AvailableBackend, routed: &mut RoutedRequest) -> Outcome {
+        routed.forwarded.backend = endpoint.name.clone();
+        if endpoint.node == self.node {
+            return self.limiter.perform(routed.forwarded.clone()).await;
+        }
+        let call = self.peers.call(&endpoint.address, routed.forwarded.clone());
+        within_deadline(routed.forwarded.time_left, call).await
+    }
+
+    /// Tells the selector how the attempt ended. A backend whose connection was lost, or whose node
+    /// shuts down, said nothing of its load and is avoided for a while.
+    async fn report_failure(
+        &self,
+        endpoint: &AvailableBackend,
+        error: &Error,
+        expected_wait: Microseconds,
+    ) {
+        let connection_lost = matches!(
+            error.kind,
+            Cause::Unreachable | Cause::PeerLost | Cause::BackendLost | Cause::ShuttingDown
+        );
+        let expected_wait = (!connection_lost).then_some(expected_wait);
+        self.selector
+            .attempt_finished(&endpoint.name, expected_wait, connection_lost)
+            .await;
     }
 }
 
-/// A mate answers when the wait is over; one that stands still answers nobody.
-async fn within_deadline(
-    time_left: Microseconds,
-    call: impl Future<Output = inbound::Outcome>,
-) -> inbound::Outcome {
-    let outcome =
-        tokio::time::timeout(Duration::from_micros(time_left + PEER_RESPONSE_GRACE), call).await;
+/// Waits for a peer's answer until [`PEER_RESPONSE_GRACE`] after the deadline. Without an answer the
+/// request may have run.
+async fn within_deadline(time_left: Microseconds, call: impl Future<Output = Outcome>) -> Outcome {
+    let patience = Duration::from_micros(time_left + PEER_RESPONSE_GRACE);
+    let outcome = time::timeout(patience, call).await;
     outcome.unwrap_or_else(|_| {
         (
             Err(Error::new(
@@ -218,106 +265,17 @@
     })
 }
 
-/// Once a dispatch may have run, no later refusal takes that back.
-fn preserve_execution_status(trouble: Error, may_have_run: bool) -> Error {
-    if !may_have_run || trouble.execution_status == ExecutionStatus::MayHaveRun {
-        return trouble;
-    }
-    Error::new(
-        Cause::BackendLost,
-        format!(
-            "an earlier dispatch may have run; then: {}",
-            trouble.kind.code()
-        ),
-    )
-}
-
-/// Whoever holds the key, or while it moves whoever may hold it still.
+/// The holder of the shard key; while the key moves, whoever may still hold it.
 fn select_key_holder(
-    programme: &model::cluster_state::StateSnapshot,
+    snapshot: &StateSnapshot,
     service: &str,
-    key: u16,
+    shard_key: ShardKey,
     passed_over: &[String],
-) -> Option<model::cluster_state::AvailableBackend> {
-    let placement = programme.placements.get(service)?;
-    let range = model::cluster_state::shard_map::range_of(&placement.1, key)?;
-    let earlier = range.pending_releases.iter().rev().map(|(name, _)| name);
-    let mut named = range
-        .holder
-        .iter()
-        .chain(earlier)
-        .filter(|name| !passed_over.contains(name));
-    named.find_map(|name| programme.find_backend(name))
-}
-
-/// Troubles that another back end, or a moment later, may not have.
-fn is_retryable(trouble: &Error, keyed: bool) -> bool {
-    match trouble.kind {
-        Cause::PassedOver
-        | Cause::Unreachable
-        | Cause::PeerLost
-        | Cause::BackendLost
-        | Cause::ConnectionForgotten
-        | Cause::BadSeal
-        | Cause::ShuttingDown
-        | Cause::WrongIncarnation
-        | Cause::Draining
-        | Cause::KeyWithoutHolder => true,
-        Cause::Overloaded | Cause::Refused => !keyed,
-        _ => false,
-    }
-}
-
-/// A lane's weights over services, the same for every sight of one try.
-fn select_service(lane: &model::cluster_state::Route, try_id: &str) -> String {
-    let total_weight: u64 = lane.shares.iter().map(|(_, weight)| *weight as u64).sum();
-    if lane.shares.len() == 1 || total_weight == 0 {
-        return lane
-            .shares
-            .first()
-            .map(|(service, _)| service.clone())
-            .unwrap_or_default();
-    }
-    let point = model::leases::stable_hash(try_id) % total_weight;
-    let cumulative_weights = lane.shares.iter().scan(0, |sum, (service, weight)| {
-        *sum += *weight as u64;
-        Some((*sum, service))
-    });
-    cumulative_weights
-        .into_iter()
-        .find(|(sum, _)| point < *sum)
-        .map(|(_, service)| service.clone())
-        .unwrap_or_default()
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn what_may_have_run_is_never_said_not_to_have_run() {
-        let refusal = || Error::new(Cause::Overloaded, "full").with_retry_after(1);
-        assert_eq!(
-            preserve_execution_status(refusal(), false).execution_status,
-            ExecutionStatus::NotRun
-        );
-        assert_eq!(
-            preserve_execution_status(refusal(), true).execution_status,
-            ExecutionStatus::MayHaveRun
-        );
-        assert_eq!(
-            preserve_execution_status(Error::new(Cause::TimedOut, ""), true).kind,
-            Cause::TimedOut
-        );
-    }
-
-    #[tokio::test]
-    async fn a_mate_that_stands_still_is_waited_for_no_longer_than_the_sender_waits() {
-        let (outcome, _) = within_deadline(0, std::future::pending()).await;
-        let trouble = outcome.expect_err("nobody answers");
-        assert_eq!(
-            (trouble.kind, trouble.execution_status),
-            (Cause::TimedOut, ExecutionStatus::MayHaveRun)
-        );
-    }
+) -> Option<AvailableBackend> {
+    let (_, shard_map) = &**snapshot.placements.get(service)?;
+    let range = shard_map::range_of(shard_map, shard_key)?;
+    let earlier_holders = range.pending_releases.iter().rev().map(|(name, _)| name);
+    let holders = range.holder.iter().chain(earlier_holders);
+    let mut open = holders.filter(|name| !passed_over.contains(name));
+    open.find_map(|name| snapshot.find_backend(name))
 }
--- a/crates/outbound/src/selector.rs
+++ b/crates/outbound/src/selector.rs
@@ -1,203 +1,136 @@
-//! Whom a request goes to, and how many more dispatches the service may have (design 13.5, 13.6). One owner.
+//! Load balancing: which backend a request goes to (design 13.5), and whether its service may have a
+//! retry (design 13.6). One task owns the state and is reached through a [`SelectorHandle`].
+//!
+//! Unlike the selector of `legacy-proxy`, which prefers its own zone absolutely and then the lower
+//! share of slots in flight, a candidate's cost here is time: the wait that its node reported last,
+//! less the time since; the cost of leaving the zone; and a guess for the requests that are not yet
+//! in that report.
+
+mod handle;
+#[cfg(test)]
+mod tests;
+
+use std::collections::HashMap;
 
 use model::Microseconds;
 use model::cluster_state::StateSnapshot;
-use std::collections::HashMap;
+use proxy_core::{Candidate, FAILURE_COOLDOWN, least_cost};
 
-/// How long a back end that was lost or refused is passed over, while there are others.
-const FAILURE_COOLDOWN: Microseconds = 300_000;
-#[cfg(test)]
-mod tests;
+use crate::RetryBudget;
+
+pub use handle::SelectorHandle;
 
-/// A guess at one run's share of a slot, for what was sent and is not yet told of.
+/// How long a slot is taken to be busy with a request that is in flight and not yet in a report: 60 ms.
 const ASSUMED_RUN_TIME: Microseconds = 60_000;
 
+/// What a selector is set to.
 #[derive(Clone, Copy, Debug)]
 pub struct SelectorConfig {
-    /// What leaving the zone is taken to cost, in waiting time.
+    /// What leaving the zone is taken to cost, in microseconds of waiting time.
     pub zone_crossing_cost: Microseconds,
-    /// Of a hundred requests so many extra dispatches are earned.
+    /// What each request earns its service, in hundredths of a retry
+    /// (see [`RetryBudget::deposit_for_ratio`]).
     pub retry_deposit: u64,
 }
 
-#[derive(Clone, Debug)]
-pub struct Candidate {
-    pub name: String,
-    pub slots: u32,
-    pub same_zone: bool,
-}
-
+/// What is known here of a backend's load.
 #[derive(Default)]
 struct BackendLoad {
+    /// Attempts that began and did not finish.
     in_flight: u32,
+    /// How long a request would have waited there, and when its node said so.
     reported_wait: Microseconds,
     reported_at: Microseconds,
+    /// Until then it is selected only if all others are avoided too.
     avoid_until: Microseconds,
 }
 
-/// Pure, with the time told to it.
-pub struct Selector {
+/// The state of selection and retry budgets. Pure, with the time passed in.
+pub(crate) struct Selector {
     config: SelectorConfig,
     backends: HashMap<String, BackendLoad>,
-    retry_budgets: HashMap<String, crate::RetryBudget>,
+    retry_budgets: HashMap<String, RetryBudget>,
     rotation: u64,
 }
 
 impl Selector {
-    pub fn new(env: SelectorConfig) -> Selector {
+    pub(crate) fn new(config: SelectorConfig) -> Selector {
         Selector {
-            config: env,
-            backends: Default::default(),
-            retry_budgets: Default::default(),
+            config,
+            backends: HashMap::new(),
+            retry_budgets: HashMap::new(),
             rotation: 0,
         }
     }
 
-    pub fn deposit(&mut self, now: Microseconds, service: &str) {
-        self.retry_budgets
-            .entry(service.to_string())
-            .or_default()
-            .deposit(now, self.config.retry_deposit);
+    pub(crate) fn deposit(&mut self, now: Microseconds, service: &str) {
+        let retry_budget = self.retry_budgets.entry(service.to_string()).or_default();
+        retry_budget.deposit(now, self.config.retry_deposit);
     }
 
-    pub fn withdraw(&mut self, now: Microseconds, service: &str) -> bool {
+    pub(crate) fn withdraw(&mut self, now: Microseconds, service: &str) -> bool {
         self.retry_budgets
             .entry(service.to_string())
             .or_default()
             .withdraw(now)
     }
 
+    /// Whether the candidate is avoided for now, then its cost in microseconds.
     fn cost(&self, now: Microseconds, candidate: &Candidate) -> (bool, Microseconds) {
-        let zone_crossing_cost = if candidate.same_zone {
+        let zone_cost = if candidate.same_zone {
             0
         } else {
             self.config.zone_crossing_cost
         };
-        let Some(known) = self.backends.get(&candidate.name) else {
-            return (false, zone_crossing_cost);
+        let Some(load) = self.backends.get(&candidate.name) else {
+            return (false, zone_cost);
         };
-        let remaining_wait = known
+        let remaining_wait = load
             .reported_wait
-            .saturating_sub(now.saturating_sub(known.reported_at));
+            .saturating_sub(now.saturating_sub(load.reported_at));
+        let slots = Microseconds::from(candidate.slots.max(1));
+        let unreported_wait = Microseconds::from(load.in_flight) * ASSUMED_RUN_TIME / slots;
         (
-            now < known.avoid_until,
-            remaining_wait
-                + zone_crossing_cost
-                + known.in_flight as Microseconds * ASSUMED_RUN_TIME
-                    / candidate.slots.max(1) as Microseconds,
+            now < load.avoid_until,
+            remaining_wait + zone_cost + unreported_wait,
         )
     }
 
-    pub fn select(&mut self, now: Microseconds, candidates: &[Candidate]) -> Option<String> {
+    /// Selects the candidate of least cost and counts the attempt as in flight.
+    pub(crate) fn select(&mut self, now: Microseconds, candidates: &[Candidate]) -> Option<String> {
         self.rotation += 1;
-        let count = candidates.len().max(1) as u64;
-        // Equal costs take turns.
-        let order = |at: usize| (at as u64 + self.rotation) % count;
-        let picked = candidates
-            .iter()
-            .enumerate()
-            .min_by_key(|(at, candidate)| (self.cost(now, candidate), order(*at)));
-        let picked = picked.map(|(_, candidate)| candidate.name.clone())?;
-        self.attempt_started(&picked);
-        Some(picked)
-    }
-
-    pub fn attempt_started(&mut self, name: &str) {
-        self.backends.entry(name.to_string()).or_default().in_flight += 1;
+        let selected = least_cost(candidates, self.rotation, |candidate| {
+            self.cost(now, candidate)
+        })?;
+        let name = selected.name.clone();
+        self.backends.entry(name.clone()).or_default().in_flight += 1;
+        Some(name)
     }
 
-    pub fn attempt_finished(
+    /// An attempt ended. `reported_wait` is what its node said of the wait there, if it said
+    /// anything; with `avoid` the backend is avoided for a while.
+    pub(crate) fn attempt_finished(
         &mut self,
         now: Microseconds,
         name: &str,
-        wait: Option<Microseconds>,
-        bench: bool,
+        reported_wait: Option<Microseconds>,
+        avoid: bool,
     ) {
-        let Some(known) = self.backends.get_mut(name) else {
+        let Some(load) = self.backends.get_mut(name) else {
             return;
         };
-        known.in_flight = known.in_flight.saturating_sub(1);
-        if let Some(wait) = wait {
-            (known.reported_wait, known.reported_at) = (wait, now);
+        load.in_flight = load.in_flight.saturating_sub(1);
+        if let Some(reported_wait) = reported_wait {
+            (load.reported_wait, load.reported_at) = (reported_wait, now);
         }
-        if bench {
-            known.avoid_until = now + FAILURE_COOLDOWN;
+        if avoid {
+            load.avoid_until = now + FAILURE_COOLDOWN;
         }
     }
 
-    pub fn remove_departed(&mut self, programme: &StateSnapshot) {
+    /// Forgets backends that the cluster state no longer holds and that have nothing in flight.
+    pub(crate) fn remove_departed(&mut self, snapshot: &StateSnapshot) {
         self.backends
-            .retain(|name, known| known.in_flight > 0 || programme.backends.contains_key(name));
-    }
-}
-
-enum Command {
-    Deposit(String),
-    Select(Vec<Candidate>, tokio::sync::oneshot::Sender<Option<String>>),
-    AttemptStarted(String),
-    AttemptFinished(String, Option<Microseconds>, bool),
-    Withdraw(String, tokio::sync::oneshot::Sender<bool>),
-}
-
-#[derive(Clone)]
-pub struct SelectorHandle(tokio::sync::mpsc::Sender<Command>);
-
-impl SelectorHandle {
-    pub fn start(env: SelectorConfig, outlook: control::SharedVerifiedState) -> SelectorHandle {
-        let (sender, mut commands) = tokio::sync::mpsc::channel(4_096);
-        tokio::spawn(async move {
-            let mut picker = Selector::new(env);
-            let mut count = 0u64;
-            while let Some(command) = commands.recv().await {
-                let now = model::now();
-                match command {
-                    Command::Deposit(service) => picker.deposit(now, &service),
-                    Command::Select(candidates, answer) => {
-                        drop(answer.send(picker.select(now, &candidates)))
-                    }
-                    Command::AttemptStarted(name) => picker.attempt_started(&name),
-                    Command::AttemptFinished(name, wait, bench) => {
-                        picker.attempt_finished(now, &name, wait, bench)
-                    }
-                    Command::Withdraw(service, answer) => {
-                        let _ = answer.send(picker.withdraw(now, &service));
-                    }
-                }
-                count += 1;
-                if count.is_multiple_of(4_096) {
-                    picker.remove_departed(&outlook.load().snapshot);
-                }
-            }
-        });
-        SelectorHandle(sender)
-    }
-
-    async fn send(&self, command: Command) {
-        self.0.send(command).await.unwrap_or_default();
-    }
-
-    pub async fn deposit(&self, service: &str) {
-        self.send(Command::Deposit(service.into())).await;
-    }
-
-    pub async fn select(&self, candidates: Vec<Candidate>) -> Option<String> {
-        let (answer, picked) = tokio::sync::oneshot::channel();
-        self.send(Command::Select(candidates, answer)).await;
-        picked.await.ok().flatten()
-    }
-
-    pub async fn attempt_started(&self, name: &str) {
-        self.send(Command::AttemptStarted(name.into())).await;
-    }
-
-    pub async fn attempt_finished(&self, name: &str, wait: Option<Microseconds>, bench: bool) {
-        self.send(Command::AttemptFinished(name.into(), wait, bench))
-            .await;
-    }
-
-    pub async fn withdraw(&self, service: &str) -> bool {
-        let (answer, granted) = tokio::sync::oneshot::channel();
-        self.send(Command::Withdraw(service.into(), answer)).await;
-        granted.await.unwrap_or(false)
+            .retain(|name, load| load.in_flight > 0 || snapshot.backends.contains_key(name));
     }
 }
--- a/crates/outbound/tests/budget.rs
+++ b/crates/outbound/tests/budget.rs
@@ -1,10 +1,15 @@
-//! Fleets of any size, drawn: requests by node and moment, nodes that start again, and dispatches wished for as often as
-//! they are granted. In no window are there more of them than the promise allows (design 13.10).
+//! Drawn fleets of any size: requests by node and moment, nodes that start again, and retries wished
+//! for as often as they are granted. In no window are there more of them than the promise allows
+//! (design 13.10).
 
-type Micros = u64;
+use std::iter;
 
-const WINDOW: Micros = 10_000_000;
-const STEP: Micros = 100_000;
+use outbound::RetryBudget;
+
+type Microseconds = u64;
+
+const WINDOW: Microseconds = 10_000_000;
+const STEP: Microseconds = 100_000;
 const STEPS: usize = 400;
 const RATIO: f64 = 0.2;
 
@@ -12,29 +17,30 @@
 
 struct Fleet {
     nodes: u8,
-    /// Requests a step in each tenth of the time, over the whole fleet; and how they lean to the first nodes.
+    /// Requests a step in each tenth of the time, over the whole fleet.
     rates: [u8; 10],
+    /// Above 128 the first three nodes take all requests.
     lean: u8,
-    /// Greedy in each tenth of the time: whether more dispatches are wished for.
+    /// Whether retries are wished for, in each tenth of the time.
     wishes: [bool; 10],
+    /// Nodes that start again, and in which step.
     restarts: Vec<(u8, u16)>,
 }
 
-trait Saved: Default {
-    fn earn(&mut self, now: Micros);
-    fn spend(&mut self, now: Micros) -> bool;
+trait Budget: Default {
+    fn deposit(&mut self, now: Microseconds);
+    fn withdraw(&mut self, now: Microseconds) -> bool;
 }
 
 #[derive(Default)]
-struct Guarded(outbound::RetryBudget);
+struct Expiring(RetryBudget);
 
-impl Saved for Guarded {
-    fn earn(&mut self, now: Micros) {
-        self.0
-            .deposit(now, outbound::RetryBudget::deposit_for_ratio(RATIO));
+impl Budget for Expiring {
+    fn deposit(&mut self, now: Microseconds) {
+        self.0.deposit(now, RetryBudget::deposit_for_ratio(RATIO));
     }
 
-    fn spend(&mut self, now: Micros) -> bool {
+    fn withdraw(&mut self, now: Microseconds) -> bool {
         self.0.withdraw(now)
     }
 }
@@ -43,81 +49,81 @@
 #[derive(Default)]
 struct Lasting(u64);
 
-impl Saved for Lasting {
-    fn earn(&mut self, _: Micros) {
+impl Budget for Lasting {
+    fn deposit(&mut self, _: Microseconds) {
         self.0 = (self.0 + 8).min(900);
     }
 
-    fn spend(&mut self, _: Micros) -> bool {
-        let fits = self.0 >= 100;
-        self.0 -= if fits { 100 } else { 0 };
-        fits
+    fn withdraw(&mut self, _: Microseconds) -> bool {
+        let suffices = self.0 >= 100;
+        self.0 -= if suffices { 100 } else { 0 };
+        suffices
     }
 }
 
-/// Requests and further dispatches in each step.
-fn play<S: Saved>(fleet: &Fleet) -> Vec<(u64, u64)> {
+struct Step {
+    requests: u64,
+    retries: u64,
+}
+
+fn simulate<B: Budget>(fleet: &Fleet) -> Vec<Step> {
     let count = fleet.nodes as usize + 1;
-    let mut nodes: Vec<S> = (0..count).map(|_| S::default()).collect();
+    let mut nodes: Vec<B> = (0..count).map(|_| B::default()).collect();
     let mut turn = 0usize;
-    let step = |at: usize| {
-        let (now, part) = (at as Micros * STEP, at * 10 / STEPS);
-        fleet
-            .restarts
-            .iter()
-            .filter(|(_, when)| *when as usize % STEPS == at)
-            .for_each(|(node, _)| nodes[*node as usize % count] = S::default());
-        let asked = fleet.rates[part] as u64 * 2;
-        (0..asked).for_each(|_| {
+    let mut steps = Vec::with_capacity(STEPS);
+    for step in 0..STEPS {
+        let (now, tenth) = (step as Microseconds * STEP, step * 10 / STEPS);
+        for (node, when) in &fleet.restarts {
+            if *when as usize % STEPS == step {
+                nodes[*node as usize % count] = B::default();
+            }
+        }
+        let requests = fleet.rates[tenth] as u64 * 2;
+        for _ in 0..requests {
             turn += 1;
-            let own = if fleet.lean > 128 {
+            let node = if fleet.lean > 128 {
                 turn % count.min(3)
             } else {
                 turn % count
             };
-            nodes[own].earn(now);
-        });
-        let mut more = 0;
-        if fleet.wishes[part] {
-            nodes.iter_mut().for_each(|node| {
-                more += std::iter::from_fn(|| node.spend(now).then_some(())).count() as u64
-            });
+            nodes[node].deposit(now);
         }
-        (asked, more)
-    };
-    (0..STEPS).map(step).collect()
+        let mut retries = 0;
+        if fleet.wishes[tenth] {
+            for node in &mut nodes {
+                retries += iter::from_fn(|| node.withdraw(now).then_some(())).count() as u64;
+            }
+        }
+        steps.push(Step { requests, retries });
+    }
+    steps
 }
 
 /// The most by which a window goes beyond its share; the slack is what a site allows on top.
-fn beyond(seen: &[(u64, u64)]) -> f64 {
-    let wide = (WINDOW / STEP) as usize;
-    let asked = |from: i64| -> u64 {
-        (from.max(0)..(from + wide as i64).max(0))
-            .filter_map(|at| seen.get(at as usize))
-            .map(|(asked, _)| asked)
+fn most_beyond_share(steps: &[Step]) -> f64 {
+    let steps_in_window = (WINDOW / STEP) as usize;
+    let requests = |from: i64| -> u64 {
+        let window = from.max(0)..(from + steps_in_window as i64).max(0);
+        window
+            .filter_map(|step| steps.get(step as usize))
+            .map(|step| step.requests)
             .sum()
     };
-    let window = |from: usize| {
-        let more: u64 = seen[from..(from + wide).min(seen.len())]
-            .iter()
-            .map(|(_, more)| more)
-            .sum();
-        let base = [
-            from as i64,
-            from as i64 - wide as i64,
-            from as i64 - wide as i64 / 2,
-        ]
-        .map(asked)
-        .into_iter()
-        .max()
-        .unwrap_or(0);
-        more as f64 - RATIO * base as f64
+    let beyond = |from: usize| {
+        let window = &steps[from..(from + steps_in_window).min(steps.len())];
+        let retries: u64 = window.iter().map(|step| step.retries).sum();
+        let (from, width) = (from as i64, steps_in_window as i64);
+        let base = [from, from - width, from - width / 2]
+            .map(requests)
+            .into_iter()
+            .max();
+        retries as f64 - RATIO * base.unwrap_or(0) as f64
     };
-    (0..seen.len()).map(window).fold(f64::MIN, f64::max)
+    (0..steps.len()).map(beyond).fold(f64::MIN, f64::max)
 }
 
 #[test]
-fn in_every_window_of_any_fleet_further_dispatches_keep_within_the_share_without_any_slack() {
+fn in_every_window_of_any_fleet_retries_keep_within_the_share_without_any_slack() {
     test_support::drawn::<Drawn>(400, |(nodes, rates, lean, wishes, restarts)| {
         let fleet = Fleet {
             nodes: *nodes,
@@ -126,13 +132,14 @@
             wishes: *wishes,
             restarts: restarts.clone(),
         };
-        let most = beyond(&play::<Guarded>(&fleet));
+        let most = most_beyond_share(&simulate::<Expiring>(&fleet));
         assert!(most <= 0.0, "{most}");
     });
 }
 
 #[test]
-fn what_lasts_for_ever_breaks_the_promise_of_seventy_eight_nodes_though_each_saves_little() {
+fn a_budget_that_lasts_for_ever_breaks_the_promise_of_seventy_eight_nodes_though_each_saves_little()
+{
     let mut fleet = Fleet {
         nodes: 77,
         rates: [250; 10],
@@ -142,6 +149,6 @@
     };
     fleet.rates[4..].fill(4);
     fleet.wishes[8..].fill(true);
-    assert!(beyond(&play::<Lasting>(&fleet)) > 188.0);
-    assert!(beyond(&play::<Guarded>(&fleet)) <= 0.0);
+    assert!(most_beyond_share(&simulate::<Lasting>(&fleet)) > 188.0);
+    assert!(most_beyond_share(&simulate::<Expiring>(&fleet)) <= 0.0);
 }
--- a/crates/outbound/tests/back_end/mod.rs
+++ b/crates/outbound/tests/scripted_backend/mod.rs
@@ -1,39 +1,42 @@
-//! A back end that does what the path of a request says, and a relay that breaks conns.
+//! A backend that does what the path of a request says, and a relay that breaks connections.
 
-use http_util::headers::DEFAULT_HEADER_NAMES;
 use std::sync::Arc;
 use std::time::Duration;
-use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
+
+use http_util::headers::DEFAULT_HEADER_NAMES;
+use socket2::SockRef;
+use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _, copy_bidirectional};
 use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::watch;
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The request of this number has been read.
     Began(usize),
-    /// Its conn was closed from the other side while it was under way.
+    /// Its connection was closed from the other side while it was under way.
     Abandoned(usize),
 }
 
-pub struct BackEnd {
+pub struct ScriptedBackend {
     pub address: String,
-    events: tokio::sync::watch::Receiver<Vec<Event>>,
+    events: watch::Receiver<Vec<Event>>,
     /// Those that are silent answer once it moves.
-    released: tokio::sync::watch::Sender<u64>,
+    released: watch::Sender<u64>,
 }
 
-impl BackEnd {
-    pub async fn start() -> BackEnd {
+impl ScriptedBackend {
+    pub async fn start() -> ScriptedBackend {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address").to_string();
-        let (tell, events) = tokio::sync::watch::channel(Vec::new());
-        let (released, releases) = tokio::sync::watch::channel(0);
+        let (tell, events) = watch::channel(Vec::new());
+        let (released, releases) = watch::channel(0);
         let tell = Arc::new(tell);
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 tokio::spawn(attend(stream, tell.clone(), releases.clone()));
             }
         });
-        BackEnd {
+        ScriptedBackend {
             address,
             events,
             released,
@@ -61,7 +64,7 @@
         events
             .wait_for(|events| events.iter().any(&fits))
             .await
-            .expect("the back end is there");
+            .expect("the backend is there");
     }
 
     pub fn release(&self) {
@@ -77,9 +80,9 @@
     Some(String::from_utf8_lossy(&head).to_string())
 }
 
-type Tell = Arc<tokio::sync::watch::Sender<Vec<Event>>>;
+type Tell = Arc<watch::Sender<Vec<Event>>>;
 
-async fn attend(mut stream: TcpStream, tell: Tell, releases: tokio::sync::watch::Receiver<u64>) {
+async fn attend(mut stream: TcpStream, tell: Tell, releases: watch::Receiver<u64>) {
     while let Some(head) = head(&mut stream).await {
         let script = head
             .split(' ')
@@ -104,8 +107,8 @@
     }
 }
 
-/// False once the other side has closed the conn.
-async fn released(stream: &mut TcpStream, mut releases: tokio::sync::watch::Receiver<u64>) -> bool {
+/// False once the other side has closed the connection.
+async fn released(stream: &mut TcpStream, mut releases: watch::Receiver<u64>) -> bool {
     releases.mark_unchanged();
     let mut byte = [0];
     tokio::select! {
@@ -124,7 +127,7 @@
     )
 }
 
-/// Whether the conn stays open.
+/// Whether the connection stays open.
 async fn perform(script: &str, id: &str, stream: &mut TcpStream) -> bool {
     let (said, open) = match script {
         "ok" | "silent" => (whole(id, ""), true),
@@ -162,21 +165,21 @@
         return false;
     }
     if script.ends_with("reset") {
-        drop(socket2::SockRef::from(&*stream).set_linger(Some(Duration::ZERO)));
+        drop(SockRef::from(&*stream).set_linger(Some(Duration::ZERO)));
     }
     open
 }
 
 pub struct Relay {
     pub address: String,
-    broken: tokio::sync::watch::Sender<u64>,
+    broken: watch::Sender<u64>,
 }
 
 impl Relay {
     pub async fn start(to: String) -> Relay {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address").to_string();
-        let (broken, breaks) = tokio::sync::watch::channel(0);
+        let (broken, breaks) = watch::channel(0);
         tokio::spawn(async move {
             while let Ok((mut from, _)) = listener.accept().await {
                 let (to, mut breaks) = (to.clone(), breaks.clone());
@@ -186,7 +189,7 @@
                         return;
                     };
                     tokio::select! {
-                        _ = tokio::io::copy_bidirectional(&mut from, &mut to) => {}
+                        _ = copy_bidirectional(&mut from, &mut to) => {}
                         _ = breaks.changed() => {}
                     }
                 });
