--- a/crates/endpoints/tests/unproved.rs
+++ b/crates/endpoints/tests/unproved.rs
@@ -1,7 +1,7 @@
 //! A node that has just begun, before its first proof: it says so at once and runs nothing on what it was told
 //! (design 11.6).
 
-use model::Cause;
+use model::ErrorKind;
 use model::cluster_state::{ClusterOperation, ItemBody, ItemCall, Limits, Route, Service};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
@@ -127,11 +127,13 @@
             let mut desk = desk();
             while let Some(frame) = conn.receiver.recv().await {
                 match frame {
-                    transport::Frame::FollowClusterState { held: told } => {
+                    transport::Frame::FollowClusterState {
+                        held_position: told,
+                    } => {
                         held.send_modify(|held| *held = told.max(*held));
                         desk.add_follower(told, conn.sender.clone());
                     }
-                    transport::Frame::RequestProof { number } if *proves.borrow() => {
+                    transport::Frame::RequestProof { request_id: number } if *proves.borrow() => {
                         desk.request_proof(number, conn.sender.clone());
                         desk.begin_proof_round(number * 1_000_000, number);
                         desk.send_proofs(number);
@@ -305,11 +307,11 @@
                 .await
                 .0
                 .expect_err("nobody answers there");
-            if trouble.kind != Cause::WrongIncarnation {
+            if trouble.kind != ErrorKind::WrongIncarnation {
                 return trouble.kind;
             }
             tokio::task::yield_now().await;
         }
     };
-    assert_eq!(soon("a refusal", cause).await, Cause::KeyWithoutHolder);
+    assert_eq!(soon("a refusal", cause).await, ErrorKind::KeyWithoutHolder);
 }
--- a/crates/outbound/src/listener.rs
+++ b/crates/outbound/src/listener.rs
@@ -13,7 +13,7 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::{TokioIo, TokioTimer};
-use model::{Cause, Error, ExecutionStatus, Microseconds};
+use model::{Error, ErrorKind, ExecutionStatus, Microseconds};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 use transport::{ForwardedResponse, Headers};
@@ -105,7 +105,7 @@
             Err(error) => return self.error_response(&attempt_id, error),
         };
         if attempt_id.is_empty() {
-            let error = Error::new(Cause::BadRequest, "the attempt has no identity");
+            let error = Error::new(ErrorKind::BadRequest, "the attempt has no identity");
             return self.error_response(&attempt_id, error);
         }
         let request = self.build_request(&head, body, attempt_id.clone(), received_at);
@@ -126,10 +126,11 @@
         };
         match Limited::new(body, max_body_bytes).collect().await {
             Ok(body) => Ok(body.to_bytes().to_vec()),
-            Err(error) if error.is::<LengthLimitError>() => {
-                Err(Error::new(Cause::TooLarge, "the body is over the limit"))
-            }
-            Err(_) => Err(Error::new(Cause::BadRequest, "the body broke off")),
+            Err(error) if error.is::<LengthLimitError>() => Err(Error::new(
+                ErrorKind::TooLarge,
+                "the body is over the limit",
+            )),
+            Err(_) => Err(Error::new(ErrorKind::BadRequest, "the body broke off")),
         }
     }
 
@@ -194,7 +195,7 @@
             .unwrap_or_else(|_| {
                 self.error_response(
                     "",
-                    Error::new(Cause::BadSeal, "a response that HTTP cannot carry"),
+                    Error::new(ErrorKind::BadSeal, "a response that HTTP cannot carry"),
                 )
             })
     }
@@ -203,11 +204,11 @@
     /// 504 promise nothing.
     fn error_response(&self, attempt_id: &str, error: Error) -> HttpResponse {
         let status = match (error.execution_status, error.kind) {
-            (_, Cause::NoRoute) => 404,
-            (_, Cause::BadRequest) => 400,
-            (_, Cause::TooLarge) => 413,
+            (_, ErrorKind::NoRoute) => 404,
+            (_, ErrorKind::BadRequest) => 400,
+            (_, ErrorKind::TooLarge) => 413,
             (ExecutionStatus::NotRun, _) => 503,
-            (ExecutionStatus::MayHaveRun, Cause::TimedOut) => 504,
+            (ExecutionStatus::MayHaveRun, ErrorKind::TimedOut) => 504,
             (ExecutionStatus::MayHaveRun, _) => 502,
         };
         slog::debug!(
--- a/crates/outbound/src/peer_connections.rs
+++ b/crates/outbound/src/peer_connections.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use inbound::Outcome;
-use model::{Cause, Error, Microseconds};
+use model::{Error, ErrorKind, Microseconds};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time;
 use transport::{
@@ -74,8 +74,8 @@
     /// Forwards a request to the node at `address` and waits for the outcome. Dropping the future
     /// cancels the request there.
     ///
-    /// An error is [`Cause::Unreachable`], certainly not run, if the request was never written, and
-    /// [`Cause::PeerLost`], may have run, if the connection broke with the request on it.
+    /// An error is [`ErrorKind::Unreachable`], certainly not run, if the request was never written, and
+    /// [`ErrorKind::PeerLost`], may have run, if the connection broke with the request on it.
     pub async fn call(&self, address: &str, request: Box<ForwardedRequest>) -> Outcome {
         let (outcome_sender, outcome) = oneshot::channel();
         let queue = self.queue_to(address);
@@ -120,7 +120,7 @@
 
 /// The outcome of a request that was never written.
 fn unreachable(detail: impl Into<String>) -> Outcome {
-    (Err(Error::new(Cause::Unreachable, detail)), 0)
+    (Err(Error::new(ErrorKind::Unreachable, detail)), 0)
 }
 
 async fn connect_and_run(
@@ -202,7 +202,7 @@
         }
         // What was written and not answered may have run; what is still queued was not written.
         for outcome_sender in self.pending.into_values() {
-            let error = Error::new(Cause::PeerLost, "the connection to that node broke");
+            let error = Error::new(ErrorKind::PeerLost, "the connection to that node broke");
             drop(outcome_sender.send((Err(error), 0)));
         }
         commands.close();
@@ -245,7 +245,7 @@
     fn receive(&mut self, frame: Frame) -> Continue {
         match frame {
             Frame::ForwardedResponse(request_id, expected_wait, encoded) => {
-                let Some(response) = encoded.decode(&mut self.decoder) else {
+                let Ok(response) = encoded.decode(&mut self.decoder) else {
                     return Continue::No;
                 };
                 self.answer(request_id, Ok(response), expected_wait);
--- a/crates/outbound/src/peer_server.rs
+++ b/crates/outbound/src/peer_server.rs
@@ -57,9 +57,7 @@
     let accepted = transport::accept(stream, |peer| async move {
         control::discovery::merge(&known_replicas, peer.known_replicas);
         match peer.purpose {
-            Purpose::Consensus | Purpose::RequestAssignment => {
-                Err("no replica is here".to_string())
-            }
+            Purpose::Consensus | Purpose::RequestAssignment => Err("no core seat is here".into()),
             purpose => Ok((handshake_info)(purpose)),
         }
     });
@@ -112,7 +110,7 @@
                 Frame::ForwardedRequest(request_id, encoded) => {
                     let task =
                         self.run_request(request_id, *encoded, &mut decoder, &outcome_sender);
-                    let Some(task) = task else { return };
+                    let Ok(task) = task else { return };
                     running.tasks.insert(request_id, task);
                 }
                 // What is queued never begins; what runs is broken off if it is idempotent (design 13.2).
@@ -133,14 +131,18 @@
         }
     }
 
-    /// Starts a request; `None` if it cannot be decoded, after which the connection has to end.
+    /// Starts a request.
+    ///
+    /// # Errors
+    ///
+    /// If it cannot be decoded; the connection has to end then.
     fn run_request(
         &self,
         request_id: u32,
         encoded: EncodedRequest,
         decoder: &mut HeaderDecoder,
         outcomes: &mpsc::Sender<(u32, Outcome)>,
-    ) -> Option<AbortHandle> {
+    ) -> Result<AbortHandle, transport::Error> {
         let request = encoded.decode(decoder)?;
         let (limiter, outcomes) = (self.limiter.clone(), outcomes.clone());
         let task = tokio::spawn(async move {
@@ -150,7 +152,7 @@
                 .await
                 .unwrap_or_default();
         });
-        Some(task.abort_handle())
+        Ok(task.abort_handle())
     }
 }
 
--- a/crates/outbound/src/proxy.rs
+++ b/crates/outbound/src/proxy.rs
@@ -26,7 +26,7 @@
 use control::SharedVerifiedState;
 use inbound::{ConcurrencyLimiter, Outcome};
 use model::cluster_state::{AvailableBackend, ShardKey, StateSnapshot, shard_map};
-use model::{Cause, Error, Microseconds};
+use model::{Error, ErrorKind, Microseconds};
 use proxy_core::{Candidate, InFlightGuard, InFlightRequests};
 use slog::Logger;
 use tokio::time;
@@ -144,10 +144,10 @@
     ///
     /// # Errors
     ///
-    /// [`Cause::ShuttingDown`] once the node drains.
+    /// [`ErrorKind::ShuttingDown`] once the node drains.
     fn admit(&self) -> Result<InFlightGuard, Error> {
         self.in_flight.begin().ok_or_else(|| {
-            Error::new(Cause::ShuttingDown, "this node is stopping")
+            Error::new(ErrorKind::ShuttingDown, "this node is stopping")
                 .with_retry_after(RETRY_AFTER_SHUTDOWN)
         })
     }
@@ -156,21 +156,25 @@
     ///
     /// # Errors
     ///
-    /// [`Cause::StaleState`] before any state was verified or while it holds no route at all;
-    /// [`Cause::NoRoute`] where no route fits.
+    /// [`ErrorKind::StaleState`] before any state was verified or while it holds no route at all;
+    /// [`ErrorKind::NoRoute`] where no route fits.
     fn resolve_route(&self, request: Request) -> Result<RoutedRequest, Error> {
         let state = self.verified_state.load_full();
         if state.verified_at == 0 || !state.snapshot.has_routes() {
             let error = Error::new(
-                Cause::StaleState,
+                ErrorKind::StaleState,
                 "nothing is known yet of what is to be served",
             );
             return Err(error.with_retry_after(RETRY_AFTER_UNAVAILABLE));
         }
         let path = request.target.split('?').next().unwrap_or_default();
         let route_item = state.snapshot.route(&request.host, path);
-        let route_item = route_item
-            .ok_or_else(|| Error::new(Cause::NoRoute, "no route matches this path on this host"))?;
+        let route_item = route_item.ok_or_else(|| {
+            Error::new(
+                ErrorKind::NoRoute,
+                "no route matches this path on this host",
+            )
+        })?;
         Ok(RoutedRequest::new(
             request,
             &route_item.2,
@@ -240,7 +244,10 @@
     ) {
         let connection_lost = matches!(
             error.kind,
-            Cause::Unreachable | Cause::PeerLost | Cause::BackendLost | Cause::ShuttingDown
+            ErrorKind::Unreachable
+                | ErrorKind::PeerLost
+                | ErrorKind::BackendLost
+                | ErrorKind::ShuttingDown
         );
         let expected_wait = (!connection_lost).then_some(expected_wait);
         self.selector
@@ -257,7 +264,7 @@
     outcome.unwrap_or_else(|_| {
         (
             Err(Error::new(
-                Cause::TimedOut,
+                ErrorKind::TimedOut,
                 "that node answered nothing in time",
             )),
             0,
--- a/crates/outbound/src/proxy/attempts.rs
+++ b/crates/outbound/src/proxy/attempts.rs
@@ -1,6 +1,6 @@
 //! What became of a request's attempts, and whether there may be another. Pure.
 
-use model::{Cause, Error, ExecutionStatus};
+use model::{Error, ErrorKind, ExecutionStatus};
 
 /// So many ejected backends may pass a request over; the next has to take it. However many are
 /// ejected, a request goes past few of them (design 13.8).
@@ -69,14 +69,14 @@
         policy: &RetryPolicy,
     ) -> NextStep {
         self.passed_over.push(backend);
-        self.ejection_refusals += (error.kind == Cause::PassedOver) as u8;
+        self.ejection_refusals += (error.kind == ErrorKind::PassedOver) as u8;
         let certainly_not_run = error.execution_status == ExecutionStatus::NotRun;
         self.may_have_run |= !certainly_not_run;
         let may_run_again = certainly_not_run || policy.idempotent;
         if !may_run_again || !is_retryable(&error, policy.keyed) {
             return NextStep::Answer(preserve_execution_status(error, self.may_have_run));
         }
-        let reached_backend = !certainly_not_run || error.kind == Cause::Refused;
+        let reached_backend = !certainly_not_run || error.kind == ErrorKind::Refused;
         if !reached_backend {
             return NextStep::Retry;
         }
@@ -97,24 +97,24 @@
         "an earlier attempt may have run; then: {}",
         error.kind.code()
     );
-    Error::new(Cause::BackendLost, detail)
+    Error::new(ErrorKind::BackendLost, detail)
 }
 
 /// Whether another backend, or the same a moment later, may do without this error. With a shard key
 /// there is no other backend to leave a full or refusing one for.
 pub(super) fn is_retryable(error: &Error, keyed: bool) -> bool {
     match error.kind {
-        Cause::PassedOver
-        | Cause::Unreachable
-        | Cause::PeerLost
-        | Cause::BackendLost
-        | Cause::ConnectionForgotten
-        | Cause::BadSeal
-        | Cause::ShuttingDown
-        | Cause::WrongIncarnation
-        | Cause::Draining
-        | Cause::KeyWithoutHolder => true,
-        Cause::Overloaded | Cause::Refused => !keyed,
+        ErrorKind::PassedOver
+        | ErrorKind::Unreachable
+        | ErrorKind::PeerLost
+        | ErrorKind::BackendLost
+        | ErrorKind::ConnectionForgotten
+        | ErrorKind::BadSeal
+        | ErrorKind::ShuttingDown
+        | ErrorKind::WrongIncarnation
+        | ErrorKind::Draining
+        | ErrorKind::KeyWithoutHolder => true,
+        ErrorKind::Overloaded | ErrorKind::Refused => !keyed,
         _ => false,
     }
 }
--- a/crates/outbound/src/proxy/routing.rs
+++ b/crates/outbound/src/proxy/routing.rs
@@ -1,7 +1,7 @@
 //! What a request's route decides: its service, its times, and how often it may be attempted.
 
 use model::cluster_state::{Route, ShardKey, StateSnapshot};
-use model::{Cause, Error, Microseconds, leases};
+use model::{Error, ErrorKind, Microseconds, leases};
 use transport::ForwardedRequest;
 
 use super::attempts::{AttemptHistory, RetryPolicy, preserve_execution_status};
@@ -69,7 +69,7 @@
     ///
     /// # Errors
     ///
-    /// [`Cause::ExpiredBeforeRun`] from the deadline on.
+    /// [`ErrorKind::ExpiredBeforeRun`] from the deadline on.
     pub(super) fn prepare_attempt(
         &mut self,
         snapshot: &StateSnapshot,
@@ -83,7 +83,7 @@
         self.forwarded.shard_key = self.shard_key.filter(|_| keyed);
         if now >= self.deadline {
             let error = Error::new(
-                Cause::ExpiredBeforeRun,
+                ErrorKind::ExpiredBeforeRun,
                 "the wait was over before it could be attempted",
             );
             return Err(preserve_execution_status(error, history.may_have_run()));
@@ -98,8 +98,8 @@
     ///
     /// # Errors
     ///
-    /// From the admission deadline on, [`Cause::KeyWithoutHolder`] with a shard key and
-    /// [`Cause::NoBackend`] without.
+    /// From the admission deadline on, [`ErrorKind::KeyWithoutHolder`] with a shard key and
+    /// [`ErrorKind::NoBackend`] without.
     pub(super) fn may_wait_for_endpoint(
         &self,
         history: &AttemptHistory,
@@ -110,9 +110,9 @@
         }
         let keyed = self.forwarded.shard_key.is_some();
         let kind = if keyed {
-            Cause::KeyWithoutHolder
+            ErrorKind::KeyWithoutHolder
         } else {
-            Cause::NoBackend
+            ErrorKind::NoBackend
         };
         let error =
             Error::new(kind, "nobody can take it now").with_retry_after(RETRY_AFTER_UNAVAILABLE);
--- a/crates/outbound/src/proxy/tests.rs
+++ b/crates/outbound/src/proxy/tests.rs
@@ -2,7 +2,7 @@
 
 use std::future;
 
-use model::{Cause, Error, ExecutionStatus};
+use model::{Error, ErrorKind, ExecutionStatus};
 
 use super::attempts::{AttemptHistory, NextStep, RetryPolicy, preserve_execution_status};
 use super::within_deadline;
@@ -17,13 +17,13 @@
     ..IDEMPOTENT
 };
 
-fn classify(history: &mut AttemptHistory, kind: Cause, policy: &RetryPolicy) -> NextStep {
+fn classify(history: &mut AttemptHistory, kind: ErrorKind, policy: &RetryPolicy) -> NextStep {
     history.classify_failure("backend".into(), Error::new(kind, ""), policy)
 }
 
 #[test]
 fn what_may_have_run_is_never_said_not_to_have_run() {
-    let refusal = || Error::new(Cause::Overloaded, "full").with_retry_after(1);
+    let refusal = || Error::new(ErrorKind::Overloaded, "full").with_retry_after(1);
     assert_eq!(
         preserve_execution_status(refusal(), false).execution_status,
         ExecutionStatus::NotRun
@@ -33,8 +33,8 @@
         ExecutionStatus::MayHaveRun
     );
     assert_eq!(
-        preserve_execution_status(Error::new(Cause::TimedOut, ""), true).kind,
-        Cause::TimedOut
+        preserve_execution_status(Error::new(ErrorKind::TimedOut, ""), true).kind,
+        ErrorKind::TimedOut
     );
 }
 
@@ -44,7 +44,7 @@
     let error = outcome.expect_err("nobody answers");
     assert_eq!(
         (error.kind, error.execution_status),
-        (Cause::TimedOut, ExecutionStatus::MayHaveRun)
+        (ErrorKind::TimedOut, ExecutionStatus::MayHaveRun)
     );
 }
 
@@ -52,15 +52,15 @@
 fn a_request_that_must_not_run_twice_is_retried_only_after_a_certain_refusal() {
     let mut history = AttemptHistory::default();
     assert!(matches!(
-        classify(&mut history, Cause::Unreachable, &ONCE_ONLY),
+        classify(&mut history, ErrorKind::Unreachable, &ONCE_ONLY),
         NextStep::Retry
     ));
     assert!(matches!(
-        classify(&mut history, Cause::Refused, &ONCE_ONLY),
+        classify(&mut history, ErrorKind::Refused, &ONCE_ONLY),
         NextStep::RetryFromBudget(_)
     ));
     assert!(matches!(
-        classify(&mut history, Cause::BackendLost, &ONCE_ONLY),
+        classify(&mut history, ErrorKind::BackendLost, &ONCE_ONLY),
         NextStep::Answer(_)
     ));
 }
@@ -69,18 +69,18 @@
 fn retries_end_with_the_most_attempts_that_may_reach_a_backend() {
     let mut history = AttemptHistory::default();
     assert!(matches!(
-        classify(&mut history, Cause::BackendLost, &IDEMPOTENT),
+        classify(&mut history, ErrorKind::BackendLost, &IDEMPOTENT),
         NextStep::RetryFromBudget(_)
     ));
     assert!(matches!(
-        classify(&mut history, Cause::Unreachable, &IDEMPOTENT),
+        classify(&mut history, ErrorKind::Unreachable, &IDEMPOTENT),
         NextStep::Retry
     ));
     assert!(matches!(
-        classify(&mut history, Cause::BackendLost, &IDEMPOTENT),
+        classify(&mut history, ErrorKind::BackendLost, &IDEMPOTENT),
         NextStep::RetryFromBudget(_)
     ));
-    let NextStep::Answer(error) = classify(&mut history, Cause::Refused, &IDEMPOTENT) else {
+    let NextStep::Answer(error) = classify(&mut history, ErrorKind::Refused, &IDEMPOTENT) else {
         panic!("the third attempt that reached a backend is the last");
     };
     assert_eq!(
@@ -97,13 +97,17 @@
         ..IDEMPOTENT
     };
     assert!(matches!(
-        classify(&mut AttemptHistory::default(), Cause::Overloaded, &keyed),
+        classify(
+            &mut AttemptHistory::default(),
+            ErrorKind::Overloaded,
+            &keyed
+        ),
         NextStep::Answer(_)
     ));
     assert!(matches!(
         classify(
             &mut AttemptHistory::default(),
-            Cause::Overloaded,
+            ErrorKind::Overloaded,
             &IDEMPOTENT
         ),
         NextStep::Retry
@@ -115,7 +119,7 @@
     let mut history = AttemptHistory::default();
     for must_be_taken in [false, true] {
         assert!(matches!(
-            classify(&mut history, Cause::PassedOver, &ONCE_ONLY),
+            classify(&mut history, ErrorKind::PassedOver, &ONCE_ONLY),
             NextStep::Retry
         ));
         assert_eq!(history.must_be_taken(), must_be_taken);
--- a/crates/outbound/tests/forwarding.rs
+++ b/crates/outbound/tests/forwarding.rs
@@ -11,7 +11,7 @@
 
 use http_util::headers::DEFAULT_HEADER_NAMES;
 use inbound::{ConcurrencyLimiter, ConcurrencyLimiterConfig, LocalBackend};
-use model::{Cause, Error, ExecutionStatus};
+use model::{Error, ErrorKind, ExecutionStatus};
 use outbound::{HandshakeInfo, PeerConnections};
 use scripted_backend::{Event, Relay, ScriptedBackend};
 use tokio::net::TcpListener;
@@ -303,7 +303,7 @@
     let (outcome, _) = site.peers.call(&site.far_address, other).await;
     assert_eq!(
         outcome.expect_err("it is not there").kind,
-        Cause::WrongIncarnation
+        ErrorKind::WrongIncarnation
     );
 }
 
