--- /dev/null
+++ b/crates/endpoints/tests/harness/mod.rs
@@ -0,0 +1,276 @@
+//! A log of one replica in this process, and the lease table of a node over it.
+
+use control::{
+    FollowerHandle, SharedVerifiedState, StatusReporter, StatusReporterConfig, VerifiedState,
+    discovery,
+};
+use endpoints::{Heartbeat, LeaseConfig, LeaseTableConfig, LeaseTableHandle};
+use http_util::headers::DEFAULT_HEADER_NAMES;
+use inbound::{ConcurrencyLimiter, ConcurrencyLimiterConfig};
+use model::cluster_state::items::ItemPut;
+use model::cluster_state::{
+    BackendRecord, ClusterOperation, ClusterReport, ItemBody, ItemCall, Service, StateSnapshot,
+};
+use model::logging::discard_logger;
+use model::{BackendPhase, ClusterState, Microseconds, Operation};
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::sync::watch;
+use transport::{Frame, Handshake, KnownReplica, Purpose};
+
+pub const HEARTBEAT_INTERVAL: Microseconds = 40_000;
+pub const MAX_LEASE: Microseconds = 1_200_000;
+pub const TIMEOUT: Duration = Duration::from_secs(30);
+
+pub type ReceivedReport = (Microseconds, ClusterReport);
+
+/// A log that applies each report that it gets and shows its node all of its state at once.
+pub struct Harness {
+    pub lease_table: LeaseTableHandle,
+    pub heard: watch::Receiver<Vec<ReceivedReport>>,
+    /// Whether the log answers.
+    pub answers: watch::Sender<bool>,
+    /// Accepts connections and sends nothing: a process that lives.
+    pub process: TcpListener,
+    pub limiter: ConcurrencyLimiter,
+}
+
+pub fn backend_record(node: &str) -> BackendRecord {
+    BackendRecord {
+        service: "seat".into(),
+        zone: "z0".into(),
+        node: node.into(),
+        slots: 4,
+        phase: BackendPhase::Registered,
+        changed_at: 0,
+    }
+}
+
+pub fn joined(name: &str, node: &str) -> ClusterReport {
+    ClusterReport::BackendJoined {
+        name: name.into(),
+        backend: backend_record(node),
+    }
+}
+
+pub fn all(base: u64, name: &str) -> ClusterReport {
+    ClusterReport::ShardsReassigned {
+        service: "seat".into(),
+        base_placement: base,
+        ranges: vec![(0, u16::MAX, name.into())],
+    }
+}
+
+fn handshake(address: &str) -> Handshake {
+    Handshake {
+        purpose: Purpose::Subscribe,
+        node_name: "n0".into(),
+        zone: "z0".into(),
+        address: address.into(),
+        incarnation: 1,
+        replica: None,
+        has_empty_disk: false,
+        expected_disk: None,
+        known_replicas: Vec::new(),
+    }
+}
+
+pub async fn start_harness(keyed: bool, before: Vec<ClusterReport>) -> Harness {
+    start_harness_with(HEARTBEAT_INTERVAL, keyed, before).await
+}
+
+pub async fn start_harness_with(
+    heartbeat_interval: Microseconds,
+    keyed: bool,
+    before: Vec<ClusterReport>,
+) -> Harness {
+    let mut state = ClusterState::default();
+    let body = ItemBody::Service(Service {
+        health_path: String::new(),
+        max_connections: 0,
+        keyed,
+        slow_start_us: 0,
+    });
+    let put = ItemPut {
+        name: "seat".into(),
+        version: 1,
+        body,
+        text: String::new(),
+    };
+    state.apply(
+        "operator",
+        1,
+        0,
+        ClusterOperation::Items(ItemCall {
+            puts: vec![put],
+            drops: Vec::new(),
+        }),
+    );
+    before.into_iter().zip(1..).for_each(|(report, sequence)| {
+        drop(state.apply(
+            "earlier",
+            1,
+            sequence,
+            ClusterOperation::Reports(vec![report]),
+        ))
+    });
+    let (moved, watch) = watch::channel(0);
+    let follower = FollowerHandle {
+        verified_state: Default::default(),
+        changes: watch,
+    };
+    // There was a proof, so reports are sent, and it was long ago, so nothing is granted.
+    let show = |state: &ClusterState, verified_state: &SharedVerifiedState| {
+        let snapshot = StateSnapshot::default().updated(true, state.position, state.full_deltas());
+        verified_state.store(Arc::new(VerifiedState {
+            snapshot: Arc::new(snapshot),
+            verified_at: 1,
+        }));
+    };
+    show(&state, &follower.verified_state);
+    let log = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let address = log.local_addr().expect("an address").to_string();
+    let known = discovery::empty();
+    discovery::merge(
+        &known,
+        vec![KnownReplica {
+            replica_id: 0,
+            disk_id: 1,
+            address: address.clone(),
+            zone: "z0".into(),
+            start_count: 1,
+        }],
+    );
+    let (told, heard) = watch::channel(Vec::new());
+    let verified_state = follower.verified_state.clone();
+    let (answers, mut answering) = watch::channel(true);
+    tokio::spawn(async move {
+        while let Ok((stream, _)) = log.accept().await {
+            let own = handshake(&address);
+            let Ok(mut connection) = transport::accept(stream, |_| async { Ok(own) }).await else {
+                continue;
+            };
+            while let Some(frame) = connection.receiver.recv().await {
+                let Frame::ForwardEntry { request_id, entry } = frame else {
+                    continue;
+                };
+                let Operation::ClusterState(ClusterOperation::Reports(reports)) = entry.operation
+                else {
+                    continue;
+                };
+                told.send_modify(|told| {
+                    told.extend(reports.iter().map(|report| (model::now(), report.clone())))
+                });
+                drop(answering.wait_for(|answers| *answers).await);
+                let outcome = state
+                    .apply(
+                        &entry.origin,
+                        entry.incarnation,
+                        entry.sequence,
+                        ClusterOperation::Reports(reports),
+                    )
+                    .0;
+                show(&state, &verified_state);
+                moved.send_modify(|moved| *moved += 1);
+                drop(
+                    connection
+                        .sender
+                        .send(Frame::EntryOutcome {
+                            request_id,
+                            outcome: Some(outcome),
+                        })
+                        .await,
+                );
+            }
+        }
+    });
+    let process = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let keys = LeaseConfig {
+        proof_validity: 1_000_000,
+        clock_guard: 0,
+        max_duration: MAX_LEASE,
+    };
+    let back_end = process
+        .local_addr()
+        .ok()
+        .map(|address| address.to_string())
+        .filter(|_| heartbeat_interval != HEARTBEAT_INTERVAL);
+    let config = LeaseTableConfig {
+        node: "n0".into(),
+        zone: "z0".into(),
+        address: "n0".into(),
+        incarnation: 1,
+        leases: keys,
+        heartbeat_interval,
+        backend_address: back_end,
+        drain_timeout: 1_000_000,
+    };
+    let reporting = StatusReporterConfig {
+        node: "n0".into(),
+        incarnation: 1,
+        logger: discard_logger(),
+    };
+    let reports = StatusReporter::start(reporting, known, || handshake("127.0.0.1:0"));
+    let limiter = ConcurrencyLimiter::start(ConcurrencyLimiterConfig {
+        header_names: DEFAULT_HEADER_NAMES,
+        extra_runs: 0,
+    });
+    let lease_table =
+        LeaseTableHandle::start(config, follower, limiter.clone(), reports, discard_logger());
+    Harness {
+        lease_table,
+        heard,
+        answers,
+        process,
+        limiter,
+    }
+}
+
+impl Harness {
+    pub async fn heartbeat(&self, name: &str, sequence: u64, holds: Vec<(u16, u16, u64)>) {
+        let address = self.process.local_addr().expect("an address").to_string();
+        let (name, service, zone) = (name.to_string(), "seat".to_string(), "z0".to_string());
+        let heartbeat = Heartbeat {
+            name,
+            service,
+            address,
+            zone,
+            slots: 4,
+            draining: false,
+            sequence,
+            held_ranges: holds,
+            released_ranges: Vec::new(),
+        };
+        assert_eq!(
+            self.lease_table.heartbeat(heartbeat).await,
+            Ok(None),
+            "nothing can be granted"
+        );
+    }
+
+    /// The first report that fits, and when it was heard.
+    pub async fn wait_for_report(
+        &mut self,
+        what: &str,
+        fits: impl Fn(&ClusterReport) -> bool,
+    ) -> ReceivedReport {
+        let found =
+            |heard: &Vec<ReceivedReport>| heard.iter().find(|(_, report)| fits(report)).cloned();
+        let waited =
+            tokio::time::timeout(TIMEOUT, self.heard.wait_for(|heard| found(heard).is_some()))
+                .await;
+        let heard = waited
+            .unwrap_or_else(|_| panic!("it was never told: {what}"))
+            .expect("the log is there");
+        found(&heard).expect("it fits")
+    }
+
+    pub fn count(&self, fits: impl Fn(&ClusterReport) -> bool) -> usize {
+        self.heard
+            .borrow()
+            .iter()
+            .filter(|(_, report)| fits(report))
+            .count()
+    }
+}
