--- a/crates/outbound/src/proxy.rs
+++ b/crates/outbound/src/proxy.rs
@@ -177,7 +177,7 @@
         })?;
         Ok(RoutedRequest::new(
             request,
-            &route_item.2,
+            &route_item.route,
             self.service.clone(),
         ))
     }
