--- a/crates/control/tests/disks/main.rs
+++ b/crates/control/tests/disks/main.rs
@@ -12,7 +12,7 @@
     dead_code,
     reason = "the tests of founding and replacement use more of it"
 )]
-#[path = "../seats/machines.rs"]
+#[path = "../membership/machines.rs"]
 mod machines;
 mod writing;
 
@@ -67,8 +67,8 @@
 }
 
 fn held_by(folder: &Path) -> Held {
-    let (shelf, writes) = storage::ReplicaStore::open(folder).expect("a disk that opens");
-    Held::read(&shelf, writes)
+    let opened = storage::ReplicaStore::open(folder).expect("a disk that opens");
+    Held::read(&opened.store, opened.writes)
 }
 
 #[test]
@@ -149,7 +149,10 @@
     let (mut cores, mut copies) = (Vec::new(), Vec::new());
     for (machine, name) in machines.into_iter().zip(DISKS) {
         copies.push(CopiedDisk::into(machine.folder.clone(), name));
-        let (shelf, writes) = machine.shelf();
+        let storage::RecoveredStore {
+            store: shelf,
+            writes,
+        } = machine.shelf();
         let settings = machine.core(&addresses, shelf.membership, NEVER);
         let core = control::ReplicaHandle::start_on(
             settings,
@@ -158,7 +161,10 @@
             model::logging::discard_logger(),
         );
         let core = core.expect("a replica");
-        tokio::spawn(control::stream::listen(core.clone(), machine.listener));
+        tokio::spawn(control::updates::stream::listen(
+            core.clone(),
+            machine.listener,
+        ));
         cores.push(core);
     }
     for core in &cores {
--- a/crates/legacy-proxy/src/slot_owner_task.rs
+++ b/crates/legacy-proxy/src/slot_owner_task.rs
@@ -47,7 +47,7 @@
 impl SlotOwnerHandle {
     pub fn start(
         env: SlotOwnerConfig,
-        view: control::view::SharedView,
+        view: control::updates::view::SharedView,
         moved: tokio::sync::watch::Receiver<model::Position>,
         reports: control::StatusReporter,
         services: tokio::sync::watch::Sender<model::state_slice::ServiceSet>,
@@ -155,12 +155,12 @@
 }
 
 fn stopping_error() -> Error {
-    Error::new(model::Cause::ShuttingDown, "this node is stopping")
+    Error::new(model::ErrorKind::ShuttingDown, "this node is stopping")
 }
 
 struct SlotOwnerTask {
     slots: SlotOwner,
-    view: control::view::SharedView,
+    view: control::updates::view::SharedView,
     pending: HashMap<u64, ReplySender<Admission>>,
     last_ticket: u64,
     clients: Arc<arc_swap::ArcSwap<Clients>>,
--- a/crates/simulator/src/disk.rs
+++ b/crates/simulator/src/disk.rs
@@ -137,8 +137,10 @@
             std::process::exit(1)
         })
     };
-    let (shelf, writes) =
-        storage::ReplicaStore::open_with_backend(opened).map_err(|error| told(&error))?;
+    let storage::RecoveredStore {
+        store: shelf,
+        writes,
+    } = storage::ReplicaStore::open_with_backend(opened).map_err(|error| told(&error))?;
     let (logger, _guard) = model::logging::start_logger(
         "seat",
         &env.name,
@@ -154,7 +156,7 @@
     let serving = http_util::HttpServer::start(&operators, operator_api::router(office))
         .await
         .map_err(|error| told(&error))?;
-    tokio::spawn(control::stream::listen(core, listener));
+    tokio::spawn(control::updates::stream::listen(core, listener));
     let mut stop = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
         .map_err(|error| told(&error))?;
     stop.recv().await;
--- a/crates/simulator/src/sim/site_attempts.rs
+++ b/crates/simulator/src/sim/site_attempts.rs
@@ -2,7 +2,7 @@
 
 use super::site::{Event, Site};
 use super::site_plan::{ROUTES, SiteRoute, WAIT_US};
-use model::{Cause, Error, ExecutionStatus};
+use model::{Error, ErrorKind, ExecutionStatus};
 
 /// A try as its sender knows it: it may send it more than once.
 pub(super) struct ClientAttempt {
@@ -74,7 +74,7 @@
         let taken = self.accept_attempt(at, &secret, &try_id);
         let begun = taken.and_then(|sender| {
             if self.nodes[at].leaving {
-                return Err(Error::new(Cause::ShuttingDown, "stopping"));
+                return Err(Error::new(ErrorKind::ShuttingDown, "stopping"));
             }
             let ask = legacy_proxy::Request {
                 attempt_id: try_id.clone(),
@@ -117,13 +117,13 @@
             .clients()
             .get(secret)
             .cloned()
-            .ok_or_else(|| Error::new(Cause::UnknownClient, "no such secret"))?;
+            .ok_or_else(|| Error::new(ErrorKind::UnknownClient, "no such secret"))?;
         if without {
             return Ok(sender);
         }
         if !try_id.starts_with(&sender.attempt_prefix) {
             return Err(Error::new(
-                Cause::EarlierIncarnation,
+                ErrorKind::EarlierIncarnation,
                 "of another registration",
             ));
         }
@@ -180,7 +180,10 @@
                 } else {
                     self.schedule(
                         time,
-                        Event::Reply(number, Err(Error::new(Cause::Unreachable, "another life"))),
+                        Event::Reply(
+                            number,
+                            Err(Error::new(ErrorKind::Unreachable, "another life")),
+                        ),
                     );
                 }
             }
@@ -201,13 +204,13 @@
             return;
         };
         let node = &mut self.nodes[trying.node];
-        let bench = matches!(&answer, Err(trouble) if trouble.kind != Cause::DuplicateAttempt);
+        let bench = matches!(&answer, Err(trouble) if trouble.kind != ErrorKind::DuplicateAttempt);
         node.selector.attempt_finished(now, &trying.selected, bench);
         let Err(mut trouble) = answer else {
             return self.answer_pending(trying, Ok(()));
         };
         if self.plan.disabled.honest_verdicts
-            && matches!(trouble.kind, Cause::PeerLost | Cause::BackendLost)
+            && matches!(trouble.kind, ErrorKind::PeerLost | ErrorKind::BackendLost)
         {
             trouble.execution_status = ExecutionStatus::NotRun;
         }
--- a/crates/simulator/src/sim/site_events.rs
+++ b/crates/simulator/src/sim/site_events.rs
@@ -82,7 +82,7 @@
             Event::DeadlinePassed(number) => self.reply(
                 number,
                 Err(model::Error::new(
-                    model::Cause::TimedOut,
+                    model::ErrorKind::TimedOut,
                     "no answer in time",
                 )),
             ),
@@ -128,7 +128,7 @@
         let (now, wait) = (self.now, self.draw_delay());
         let seats = self.plan.replica_count;
         let node = &mut self.nodes[at];
-        let home = control::zone_relay::select_zone_relay(
+        let home = control::updates::zone_relay::select_zone_relay(
             &node.view.slice,
             &super::site_plan::zone(at),
             &node.slot_owner.services(),
--- a/crates/simulator/src/sim/site_runs.rs
+++ b/crates/simulator/src/sim/site_runs.rs
@@ -2,7 +2,7 @@
 
 use super::site::{Event, Site};
 use super::site_plan::WAIT_US;
-use model::{Cause, Error, Microseconds};
+use model::{Error, ErrorKind, Microseconds};
 
 pub(super) struct Run {
     pub node: usize,
@@ -84,7 +84,11 @@
             .filter(|process| self.processes[*process].alive);
         let Some(process) = process else {
             self.nodes[at].slot_owner.finish(&permit, true);
-            return self.reply_later(at, number, Err(Error::new(Cause::Unreachable, "no conn")));
+            return self.reply_later(
+                at,
+                number,
+                Err(Error::new(ErrorKind::Unreachable, "no conn")),
+            );
         };
         if self.processes[process].service != dispatch.service {
             let former = self
@@ -105,7 +109,7 @@
             return self.reply_later(
                 at,
                 number,
-                Err(Error::new(Cause::BadSeal, "refused by another service")),
+                Err(Error::new(ErrorKind::BadSeal, "refused by another service")),
             );
         }
         let length = self.draw(1_000..WAIT_US / 3);
@@ -145,7 +149,7 @@
         let gone = self.draw(0..50) == 0;
         self.nodes[run.node].slot_owner.finish(&run.permit, false);
         let answer = if lost || gone {
-            Err(Error::new(Cause::BackendLost, "no answer"))
+            Err(Error::new(ErrorKind::BackendLost, "no answer"))
         } else {
             Ok(())
         };
@@ -193,7 +197,7 @@
                 self.reply_later(
                     at,
                     number,
-                    Err(Error::new(Cause::PeerLost, "the far node was lost")),
+                    Err(Error::new(ErrorKind::PeerLost, "the far node was lost")),
                 );
             }
         });
--- a/crates/simulator/src/state_sim/harness.rs
+++ b/crates/simulator/src/state_sim/harness.rs
@@ -213,7 +213,7 @@
             operation: act,
         };
         let seat = self.world.draw((0, self.plan.replica_count as u64 - 1)) as u16;
-        self.world.submit(seat, model::entry::to_bytes(&entry));
+        self.world.submit(seat, entry.to_bytes());
     }
 
     fn follow(&mut self, at: usize, now: Microseconds) {
@@ -278,10 +278,10 @@
         {
             let desk = &mut self.replicas[line.replica].publisher;
             match frame {
-                transport::Frame::FollowClusterState { held } => {
-                    desk.add_follower(held, line.sender.clone())
-                }
-                transport::Frame::RequestProof { number } => {
+                transport::Frame::FollowClusterState {
+                    held_position: held,
+                } => desk.add_follower(held, line.sender.clone()),
+                transport::Frame::RequestProof { request_id: number } => {
                     desk.request_proof(number, line.sender.clone())
                 }
                 _ => {}
--- a/crates/simulator/src/state_sim/replica.rs
+++ b/crates/simulator/src/state_sim/replica.rs
@@ -1,26 +1,26 @@
 //! A core seat's desk over what its ordering machine has applied, as the daemon's owner keeps it (design 8.1, 11.3).
 
+use control::updates::publisher::{EntryId, UpdatePublisher};
 use model::Position;
 use model::cluster_state::{ClusterOperation, StateSnapshot};
 use std::collections::BTreeMap;
 
 #[derive(Default)]
 pub(super) struct PublishingReplica {
-    pub publisher: control::publisher::UpdatePublisher,
+    pub publisher: UpdatePublisher,
     pub incarnation: u64,
     folded: usize,
     last: u64,
 }
 
-type RequestKey = (String, u64, u64);
 /// What followers may hold at each position.
 pub(super) type StateHistory = BTreeMap<Position, StateSnapshot>;
 
 fn operation(
     (instance, value): &(mencius::Instance, mencius::Value),
-) -> Option<(u64, RequestKey, ClusterOperation)> {
-    let entry = model::entry::from_bytes(value)?;
-    let asked = (entry.origin, entry.incarnation, entry.sequence);
+) -> Option<(u64, EntryId, ClusterOperation)> {
+    let entry = model::Entry::from_bytes(value).ok()?;
+    let asked = EntryId::of(&entry);
     if let model::Operation::ClusterState(act) = entry.operation {
         Some((*instance, asked, act))
     } else {
@@ -64,8 +64,8 @@
             history
                 .iter()
                 .filter_map(operation)
-                .for_each(|(_, (origin, life, sequence), act)| {
-                    drop(bill.apply(&origin, life, sequence, act));
+                .for_each(|(_, asked, act)| {
+                    drop(bill.apply(&asked.origin, asked.incarnation, asked.sequence, act));
                     learn(&bill);
                 });
             self.publisher.install(bill);
