--- a/crates/mencius/src/acceptor.rs
+++ b/crates/mencius/src/acceptor.rs
@@ -2,7 +2,7 @@
 
 use crate::messages::{Block, Commands, Message, ProposalNumber, ReplicaId, Write};
 use crate::replica::Replica;
-use crate::state::Ballot;
+use crate::state::Proposal;
 
 impl Replica {
     /// Takes the messages of a revoker.
@@ -14,7 +14,7 @@
                 block,
             } => self.on_prepare(
                 from,
-                Ballot {
+                Proposal {
                     coordinator,
                     proposal_number,
                     block,
@@ -27,7 +27,7 @@
                 commands,
             } => self.on_propose(
                 from,
-                Ballot {
+                Proposal {
                     coordinator,
                     proposal_number,
                     block,
@@ -38,13 +38,13 @@
         }
     }
 
-    /// Phase 1: promises to accept nothing below the ballot's number, and reports what it accepted.
-    pub(crate) fn on_prepare(&mut self, from: ReplicaId, ballot: Ballot) {
-        let Ballot {
+    /// Phase 1: promises to accept nothing below the proposal's number, and reports what it accepted.
+    pub(crate) fn on_prepare(&mut self, from: ReplicaId, proposal: Proposal) {
+        let Proposal {
             coordinator,
             proposal_number,
             block,
-        } = ballot;
+        } = proposal;
         if from != self.replica_id {
             self.back_off_revocation(coordinator);
         }
@@ -53,10 +53,10 @@
         }
         let promised = self.log_of(coordinator).highest_promised(block);
         if promised >= proposal_number {
-            self.reject(from, ballot, promised);
+            self.reject(from, proposal, promised);
             return;
         }
-        self.promise(ballot);
+        self.promise(proposal);
         if coordinator == self.replica_id {
             self.skip_own_below(block.1);
         }
@@ -74,22 +74,22 @@
     }
 
     /// Phase 2: accepts no-op in the whole block, but for the commands listed.
-    pub(crate) fn on_propose(&mut self, from: ReplicaId, ballot: Ballot, commands: Commands) {
-        let Ballot {
+    pub(crate) fn on_propose(&mut self, from: ReplicaId, proposal: Proposal, commands: Commands) {
+        let Proposal {
             coordinator,
             proposal_number,
             block,
-        } = ballot;
+        } = proposal;
         if !self.may_answer(from, block) {
             return;
         }
         let promised = self.log_of(coordinator).highest_promised(block);
         if promised > proposal_number {
-            self.reject(from, ballot, promised);
+            self.reject(from, proposal, promised);
             return;
         }
-        self.promise(ballot);
-        self.accept_proposal(ballot, commands);
+        self.promise(proposal);
+        self.accept_proposal(proposal, commands);
         if coordinator == self.replica_id {
             self.skip_own_below(block.1);
         }
@@ -113,10 +113,10 @@
         self.may_vote(start) && self.may_vote(end - 1)
     }
 
-    fn reject(&mut self, to: ReplicaId, ballot: Ballot, promised: ProposalNumber) {
-        let Ballot {
+    fn reject(&mut self, to: ReplicaId, proposal: Proposal, promised: ProposalNumber) {
+        let Proposal {
             coordinator, block, ..
-        } = ballot;
+        } = proposal;
         self.send(
             to,
             Message::Reject {
@@ -127,12 +127,12 @@
         );
     }
 
-    fn promise(&mut self, ballot: Ballot) {
-        let Ballot {
+    fn promise(&mut self, proposal: Proposal) {
+        let Proposal {
             coordinator,
             proposal_number,
             block,
-        } = ballot;
+        } = proposal;
         self.log_of_mut(coordinator).promise(block, proposal_number);
         self.batch.writes.push(Write::Promise {
             coordinator,
@@ -141,12 +141,12 @@
         });
     }
 
-    fn accept_proposal(&mut self, ballot: Ballot, commands: Commands) {
-        let Ballot {
+    fn accept_proposal(&mut self, proposal: Proposal, commands: Commands) {
+        let Proposal {
             coordinator,
             proposal_number,
             block,
-        } = ballot;
+        } = proposal;
         self.log_of_mut(coordinator)
             .accept_noops(block, proposal_number);
         self.batch.writes.push(Write::AcceptNoOps {
--- a/crates/mencius/src/propose.rs
+++ b/crates/mencius/src/propose.rs
@@ -135,7 +135,7 @@
     }
 
     /// Rule 4 as far as the driver wants it: a command that lost to no-op is suggested again only
-    /// for a caller that still waits. One whose caller was told that it was not taken would
+    /// for a caller that still waits. One whose caller was answered that it was not taken would
     /// otherwise take effect long after (design 3.2).
     pub(crate) fn hand_back(&mut self, instance: Instance) {
         self.rejected.remove(&instance);
--- a/crates/mencius/src/revocation.rs
+++ b/crates/mencius/src/revocation.rs
@@ -15,7 +15,7 @@
     Block, Commands, Instance, Message, ProposalNumber, ReplicaId, Value, Write,
 };
 use crate::replica::Replica;
-use crate::state::{Ballot, Revocation};
+use crate::state::{Proposal, Revocation};
 
 /// A back-off doubles with each attempt, this many times.
 const MAX_BACK_OFF_DOUBLINGS: u32 = 3;
@@ -31,14 +31,14 @@
                 commands,
                 accepted_noops,
             } => {
-                let ballot = Ballot {
+                let proposal = Proposal {
                     coordinator,
                     proposal_number,
                     block,
                 };
                 self.on_promise(
                     from,
-                    ballot,
+                    proposal,
                     PromiseReport {
                         commands,
                         accepted_noops,
@@ -51,7 +51,7 @@
                 block,
             } => self.on_accept_proposal(
                 from,
-                Ballot {
+                Proposal {
                     coordinator,
                     proposal_number,
                     block,
@@ -61,7 +61,7 @@
                 coordinator,
                 proposal_number,
                 block,
-            } => self.on_reject(Ballot {
+            } => self.on_reject(Proposal {
                 coordinator,
                 proposal_number,
                 block,
@@ -95,7 +95,7 @@
             proposal_number,
             block,
             promises: BTreeMap::new(),
-            proposal: None,
+            proposed_commands: None,
             accepted_by: BTreeSet::new(),
             started_at: self.now,
         };
@@ -107,7 +107,7 @@
         });
         self.on_prepare(
             self.replica_id,
-            Ballot {
+            Proposal {
                 coordinator,
                 proposal_number,
                 block,
@@ -129,17 +129,17 @@
     }
 
     /// With promises of a majority, phase 2 begins.
-    fn on_promise(&mut self, from: ReplicaId, ballot: Ballot, report: PromiseReport) {
-        let Ballot {
+    fn on_promise(&mut self, from: ReplicaId, proposal: Proposal, report: PromiseReport) {
+        let Proposal {
             coordinator,
             proposal_number,
             block,
-        } = ballot;
+        } = proposal;
         let majority = self.majority();
         let Some(revocation) = self.revocations.get_mut(&coordinator) else {
             return;
         };
-        if !revocation.is_of(ballot) || revocation.proposal.is_some() {
+        if !revocation.is_of(proposal) || revocation.proposed_commands.is_some() {
             return;
         }
         revocation.promises.insert(from, report);
@@ -147,26 +147,26 @@
             return;
         }
         let commands = commands_to_propose(&revocation.promises);
-        revocation.proposal = Some(commands.clone());
+        revocation.proposed_commands = Some(commands.clone());
         self.send_to_peers(&Message::Propose {
             coordinator,
             proposal_number,
             block,
             commands: commands.clone(),
         });
-        self.on_propose(self.replica_id, ballot, commands);
+        self.on_propose(self.replica_id, proposal, commands);
     }
 
     /// With acceptances of a majority, the block is chosen.
-    fn on_accept_proposal(&mut self, from: ReplicaId, ballot: Ballot) {
-        let Ballot {
+    fn on_accept_proposal(&mut self, from: ReplicaId, proposal: Proposal) {
+        let Proposal {
             coordinator, block, ..
-        } = ballot;
+        } = proposal;
         let majority = self.majority();
         let Some(revocation) = self.revocations.get_mut(&coordinator) else {
             return;
         };
-        if !revocation.is_of(ballot) {
+        if !revocation.is_of(proposal) {
             return;
         }
         revocation.accepted_by.insert(from);
@@ -175,7 +175,7 @@
         }
         let revocation = self.revocations.remove(&coordinator);
         let commands = revocation
-            .and_then(|revocation| revocation.proposal)
+            .and_then(|revocation| revocation.proposed_commands)
             .unwrap_or_default();
         self.send_to_peers(&Message::Chosen {
             coordinator,
@@ -185,14 +185,14 @@
         self.on_chosen(coordinator, block, commands);
     }
 
-    /// A peer has promised the number in `ballot`, which is higher than that of this replica's
+    /// A peer has promised the number in `proposal`, which is higher than that of this replica's
     /// revocation or suggestion.
-    fn on_reject(&mut self, ballot: Ballot) {
-        let Ballot {
+    fn on_reject(&mut self, proposal: Proposal) {
+        let Proposal {
             coordinator,
             proposal_number,
             block: (start, end),
-        } = ballot;
+        } = proposal;
         self.proposal_counter = self.proposal_counter.max(proposal_number.counter);
         let outbid = self
             .revocations
--- a/crates/mencius/src/state.rs
+++ b/crates/mencius/src/state.rs
@@ -107,7 +107,7 @@
 
 /// What the messages of one revocation speak of.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Ballot {
+pub(crate) struct Proposal {
     /// The coordinator whose instances are revoked.
     pub coordinator: ReplicaId,
     pub proposal_number: ProposalNumber,
@@ -122,14 +122,14 @@
     /// By the acceptor.
     pub promises: BTreeMap<ReplicaId, PromiseReport>,
     /// The commands proposed in phase 2; `None` in phase 1.
-    pub proposal: Option<Commands>,
+    pub proposed_commands: Option<Commands>,
     pub accepted_by: BTreeSet<ReplicaId>,
     pub started_at: Micros,
 }
 
 impl Revocation {
-    pub(crate) fn is_of(&self, ballot: Ballot) -> bool {
-        self.proposal_number == ballot.proposal_number && self.block == ballot.block
+    pub(crate) fn is_of(&self, proposal: Proposal) -> bool {
+        self.proposal_number == proposal.proposal_number && self.block == proposal.block
     }
 }
 
--- a/crates/mencius/src/timers.rs
+++ b/crates/mencius/src/timers.rs
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Accelerator 1 (paper 4.4): skips that a peer was not told of are sent once there are more
+    /// Accelerator 1 (paper 4.4): skips that were not announced to a peer are sent once there are more
     /// than α, or after τ.
     fn flush_skips(&mut self, to: ReplicaId) {
         let peer = self.peer(to);
