--- a/crates/endpoints/tests/placement_algorithm.rs
+++ b/crates/endpoints/tests/placement_algorithm.rs
@@ -3,8 +3,9 @@
 use endpoints::{BackendCapacity, RangeDemand, imbalance, initial_placement, rebalance};
 use model::cluster_state::shard_map::{self, ShardMap, ShardRange};
 
-fn count(rows: &ShardMap, name: &str, keep: impl Fn(&ShardRange) -> bool) -> u32 {
-    rows.iter()
+fn count(ranges: &ShardMap, name: &str, keep: impl Fn(&ShardRange) -> bool) -> u32 {
+    ranges
+        .iter()
         .filter(|range| range.holder.as_deref() == Some(name) && keep(range))
         .map(|range| (range.last_key - range.first_key) as u32 + 1)
         .sum()
@@ -16,19 +17,19 @@
         400,
         |(shares, weights, before)| {
             let name = |number: u8| format!("backend-{}", number % 8);
-            // Whatever stood before: rows of any cut, some of them nobody's or of someone who is gone.
+            // Any earlier placement: ranges of any size, some without a holder or of a back end that is gone.
             let held = before.iter().zip(1u64..).fold(
                 shard_map::unassigned(),
-                |rows, ((one, other, who), position)| {
+                |ranges, ((one, other, who), position)| {
                     let range = (*one.min(other), *one.max(other), name(*who));
                     if who % 5 == 0 {
-                        shard_map::remove_backend(rows, &range.2)
+                        shard_map::remove_backend(ranges, &range.2)
                     } else {
-                        shard_map::reassign(rows, &[range], position)
+                        shard_map::reassign(ranges, &[range], position)
                     }
                 },
             );
-            let on_their_way = held.clone();
+            let in_transit = held.clone();
             let held: ShardMap = held
                 .into_iter()
                 .map(|range| ShardRange {
@@ -36,8 +37,8 @@
                     ..range
                 })
                 .collect();
-            let there = (0..8u8).filter(|number| shares[*number as usize] > 100);
-            let capacities: Vec<BackendCapacity> = there
+            let available = (0..8u8).filter(|number| shares[*number as usize] > 100);
+            let capacities: Vec<BackendCapacity> = available
                 .map(|number| (name(number), 0.5 + weights[number as usize] as f64 / 9.0))
                 .collect();
             let placement = rebalance(&held, &[], &capacities, 0.0);
@@ -58,11 +59,11 @@
                 "every key once: {placement:?}"
             );
             let moved = shard_map::reassign(held.clone(), &placement, 100);
-            let whole: f64 = capacities.iter().map(|(_, share)| share).sum();
+            let total: f64 = capacities.iter().map(|(_, share)| share).sum();
             capacities.iter().for_each(|(name, share)| {
                 let (has, wanted, had) = (
                     count(&moved, name, |_| true),
-                    share / whole * 65_536.0,
+                    share / total * 65_536.0,
                     count(&held, name, |_| true),
                 );
                 assert!(
@@ -72,7 +73,7 @@
                 let kept = count(&moved, name, |range| range.fencing_token < 100);
                 assert_eq!(kept, had.min(has), "{name} keeps what fits its share");
             });
-            // Nothing owed any more, and neighbours alike joined.
+            // Nothing to be released any more, and equal neighbours merged.
             let rest = shard_map::reassign(
                 moved
                     .iter()
@@ -90,10 +91,10 @@
                 rest,
                 "nothing moves without a reason"
             );
-            // A range that has not reached its holder is not sent elsewhere, as long as that one is there.
+            // A range that has not reached its holder is not moved again, as long as that back end is there.
             let next = shard_map::reassign(
-                on_their_way.clone(),
-                &rebalance(&on_their_way, &[], &capacities, 0.0),
+                in_transit.clone(),
+                &rebalance(&in_transit, &[], &capacities, 0.0),
                 102,
             );
             let stays = |range: &&ShardRange| {
@@ -102,7 +103,7 @@
                         .iter()
                         .any(|(name, _)| range.holder.as_ref() == Some(name))
             };
-            on_their_way.iter().filter(stays).for_each(|range| {
+            in_transit.iter().filter(stays).for_each(|range| {
                 let held = shard_map::range_of(&next, range.first_key).expect("a range");
                 assert_eq!(
                     (&held.holder, held.fencing_token),
@@ -123,12 +124,12 @@
         3,
     );
     let demand = [(0, 99, 50.0), (100, 32_767, 10.0), (32_768, 65_535, 40.0)];
-    let moving = |rows: &ShardMap| imbalance(rows, &demand, &capacities).in_transit;
+    let moving = |ranges: &ShardMap| imbalance(ranges, &demand, &capacities).in_transit;
     assert_eq!(moving(&held), 0.0);
     let moved = shard_map::reassign(held, &[(0, 99, "b".into())], 5);
     assert!(
         (0.45..0.55).contains(&moving(&moved)),
-        "few keys, and half of all that is asked for: {}",
+        "few keys, and half of all demand: {}",
         moving(&moved)
     );
     assert_eq!(
@@ -147,8 +148,9 @@
     (name.to_string(), amount)
 }
 
-fn keys_of(rows: &ShardMap, name: &str) -> u32 {
-    rows.iter()
+fn keys_of(ranges: &ShardMap, name: &str) -> u32 {
+    ranges
+        .iter()
         .filter(|range| range.holder.as_deref() == Some(name))
         .map(|held| (held.last_key - held.first_key) as u32 + 1)
         .sum()
@@ -195,7 +197,7 @@
 
 #[test]
 fn an_initial_placement_covers_all_keys_by_shares() {
-    let rows = shard_map::reassign(
+    let ranges = shard_map::reassign(
         shard_map::unassigned(),
         &initial_placement(
             &[capacity("a", 2.0), capacity("b", 1.0), capacity("c", 1.0)],
@@ -203,11 +205,13 @@
         ),
         5,
     );
-    assert_eq!(rows.len(), 21);
-    assert_eq!(
-        (keys_of(&rows, "a") as i64 - 32_768).abs() < 8,
-        keys_of(&rows, "a") + keys_of(&rows, "b") + keys_of(&rows, "c") == 65_536
+    assert_eq!(ranges.len(), 21);
+    let [first, second, third] = ["a", "b", "c"].map(|name| keys_of(&ranges, name));
+    assert!(
+        (first as i64 - 32_768).abs() < 8,
+        "a has half of the capacity: {first}"
     );
+    assert_eq!(first + second + third, 65_536);
 }
 
 #[test]
@@ -218,7 +222,7 @@
         &rebalance(&shard_map::unassigned(), &[], &capacities, 0.0),
         5,
     );
-    // Half of all that is asked for lies within 200 keys, in ranges of ten.
+    // Half of all demand lies within 200 keys, in ranges of ten.
     let busy = (0..20u16).map(|at| (100 + at * 10, 109 + at * 10, 5.0));
     let demand: Vec<RangeDemand> = [(0, 99, 0.2)]
         .into_iter()
