--- a/crates/endpoints/src/lease_table/command.rs
+++ b/crates/endpoints/src/lease_table/command.rs
@@ -11,17 +11,26 @@
 
 pub(super) enum Command {
     /// The back end beside this node sent a heartbeat.
-    Heartbeat(Box<Heartbeat>, AnswerSender),
-    /// The answer to the heartbeat of this back end and number was kept back for long enough.
-    AnswerDue(BackendName, u64),
+    Heartbeat {
+        heartbeat: Box<Heartbeat>,
+        answer: AnswerSender,
+    },
+    /// The answer to the back end's heartbeat of this number was kept back for long enough.
+    AnswerDue { name: BackendName, sequence: u64 },
     /// The back end of this name says that it ends.
-    Deregister(BackendName, oneshot::Sender<()>),
+    Deregister {
+        name: BackendName,
+        done: oneshot::Sender<()>,
+    },
     /// The verified state has changed.
     StateChanged,
     /// A short time has passed.
     Tick,
     /// The log has answered these reports; `None` if the reporter's task is gone.
-    Reported(Vec<ClusterReport>, Option<Outcome>),
-    /// The process of the back end of this name was probed, and whether it refused connections.
-    Probed(BackendName, bool),
+    Reported {
+        reports: Vec<ClusterReport>,
+        outcome: Option<Outcome>,
+    },
+    /// The process of the back end of this name was probed; `refused` if it refused each connection.
+    Probed { name: BackendName, refused: bool },
 }
--- a/crates/endpoints/src/lease_table/config.rs
+++ b/crates/endpoints/src/lease_table/config.rs
@@ -1,4 +1,4 @@
-//! What the lease table is told at its start.
+//! Settings of the lease table.
 
 use model::{Incarnation, Microseconds, NodeName, ZoneName};
 
--- a/crates/endpoints/src/lease_table/event_loop.rs
+++ b/crates/endpoints/src/lease_table/event_loop.rs
@@ -45,13 +45,13 @@
 impl LeaseTableTask {
     async fn handle(&mut self, command: Command) {
         match command {
-            Command::Heartbeat(heartbeat, answer) => self.receive_heartbeat(*heartbeat, answer),
-            Command::AnswerDue(name, sequence) => self.answer_due(&name, sequence),
-            Command::Deregister(name, done) => self.deregister(name, done),
+            Command::Heartbeat { heartbeat, answer } => self.receive_heartbeat(*heartbeat, answer),
+            Command::AnswerDue { name, sequence } => self.answer_due(&name, sequence),
+            Command::Deregister { name, done } => self.deregister(name, done),
             Command::StateChanged => self.state_changed(),
             Command::Tick => self.check_silence(),
-            Command::Reported(reports, outcome) => self.handle_report_outcome(&reports, outcome),
-            Command::Probed(name, refused) => self.handle_probe_outcome(&name, refused),
+            Command::Reported { reports, outcome } => self.handle_report_outcome(&reports, outcome),
+            Command::Probed { name, refused } => self.handle_probe_outcome(&name, refused),
         }
         self.send_reports();
         self.limiter.set_backend(self.backend_for_limiter()).await;
--- a/crates/endpoints/src/lease_table/granter.rs
+++ b/crates/endpoints/src/lease_table/granter.rs
@@ -1,6 +1,6 @@
-//! Which keys a back end may be told to hold, and for how long: only what the log says is its own, never longer than
+//! Which key leases a back end may be granted, and for how long: only what the log says is its own, never longer than
 //! the node's proof of the state allows, and not before an earlier holder surely holds them no more (design
-//! section 11.5). Without input or output, with the time told to it.
+//! section 11.5). Without input or output; the caller passes the time in.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
 pub struct LeaseConfig {
     /// How long after it was requested a proof of the state allows leases, in microseconds.
     pub proof_validity: Microseconds,
-    /// Added to `proof_validity` by whoever waits until leases that another node granted have expired, in
+    /// Added to `proof_validity` where a node waits until leases that another node granted have expired, in
     /// microseconds.
     pub clock_guard: Microseconds,
     /// The longest lease that a back end takes, in microseconds.
@@ -37,12 +37,13 @@
 /// Grants the leases of one back end.
 pub struct LeaseGranter {
     config: LeaseConfig,
-    /// By fencing token, when this node first saw the back end's ranges of it: whoever lost them may have been
-    /// granted a lease up to `proof_validity` later.
+    /// By fencing token, when this node first saw the back end's ranges of it: their earlier holder may
+    /// have been granted a lease up to `proof_validity` later.
     first_seen: BTreeMap<Position, Microseconds>,
 }
 
-/// A lease as it is told to a back end whose clock may run two in a hundred slow, with one more for this node's own.
+/// A lease duration that is safe on a back end's clock that runs two in a hundred slow, with one in a hundred more
+/// for this node's own clock.
 fn shortened_for_slow_clocks(duration: Microseconds) -> Microseconds {
     duration * 100 / 103
 }
--- a/crates/endpoints/src/lease_table/heartbeats.rs
+++ b/crates/endpoints/src/lease_table/heartbeats.rs
@@ -1,5 +1,5 @@
-//! A heartbeat and its answer: what the back end says of itself, and what it is told to hold (design sections 11.2
-//! and 11.5).
+//! A heartbeat and its answer: what the back end says of itself, and the leases that it is granted (design sections
+//! 11.2 and 11.5).
 
 use std::time::Duration;
 
@@ -38,7 +38,7 @@
             tokio::spawn(async move {
                 tokio::time::sleep(MAX_ANSWER_DELAY).await;
                 // If the lease table is gone, so is the answer.
-                drop(commands.send(Command::AnswerDue(name, sequence)).await);
+                drop(commands.send(Command::AnswerDue { name, sequence }).await);
             });
         }
     }
@@ -106,8 +106,8 @@
         now: Microseconds,
     ) -> LocalBackend {
         let before = self.backend.as_ref();
-        // What the back end holds at the first heartbeat that is heard here it was told before, and nobody here knows
-        // for how long.
+        // What the back end holds at the first heartbeat that is received here was granted by an earlier process of
+        // this node, and nobody here knows for how long.
         let unknown_lease = || match heartbeat.held_ranges.is_empty() {
             true => 0,
             false => now + self.config.leases.max_duration,
@@ -177,7 +177,7 @@
         None
     }
 
-    /// Remembers what the back end is told to hold.
+    /// Records the ranges that the back end is granted, and until when.
     fn record_grant(
         &mut self,
         now: Microseconds,
--- a/crates/endpoints/src/lease_table/mod.rs
+++ b/crates/endpoints/src/lease_table/mod.rs
@@ -46,7 +46,7 @@
 
 impl LeaseTableHandle {
     /// Starts the task. It reads the state that `follower` verifies, reports through `reporter`, and keeps `limiter`
-    /// told of the back end.
+    /// up to date about the back end.
     pub fn start(
         config: LeaseTableConfig,
         follower: FollowerHandle,
@@ -88,15 +88,18 @@
     /// Takes in a heartbeat and waits until there is something to answer, up to 650 ms.
     pub async fn heartbeat(&self, heartbeat: Heartbeat) -> Result<HeartbeatAnswer, Error> {
         let (answer, answered) = oneshot::channel();
-        self.send(Command::Heartbeat(Box::new(heartbeat), answer))
-            .await?;
+        self.send(Command::Heartbeat {
+            heartbeat: Box::new(heartbeat),
+            answer,
+        })
+        .await?;
         answered.await.map_err(|_| Error::Stopped)
     }
 
     /// Takes in that the back end `name` ends: it drains, and its end is reported.
     pub async fn deregister(&self, name: BackendName) -> Result<(), Error> {
         let (done, is_done) = oneshot::channel();
-        self.send(Command::Deregister(name, done)).await?;
+        self.send(Command::Deregister { name, done }).await?;
         is_done.await.map_err(|_| Error::Stopped)
     }
 
--- a/crates/endpoints/src/lease_table/reports.rs
+++ b/crates/endpoints/src/lease_table/reports.rs
@@ -106,7 +106,7 @@
         let phase = registered.map(|registered| registered.phase);
         let is_missing = match registered {
             None => !backend.silent && !backend.rejected,
-            Some(held) => held.slots != record.slots || held.node != record.node,
+            Some(registered) => registered.slots != record.slots || registered.node != record.node,
         };
         let joined = is_missing.then(|| ClusterReport::BackendJoined {
             name: name.clone(),
@@ -248,7 +248,7 @@
         tokio::time::sleep(REPORT_RETRY_DELAY).await;
     }
     // If the lease table is gone, nobody needs the answer.
-    drop(commands.send(Command::Reported(reports, outcome)).await);
+    drop(commands.send(Command::Reported { reports, outcome }).await);
 }
 
 /// How far the log had come when it gave this answer.
--- a/crates/endpoints/src/lease_table/silence.rs
+++ b/crates/endpoints/src/lease_table/silence.rs
@@ -71,8 +71,8 @@
         tokio::spawn(probe(address, name, self.commands.clone()));
     }
 
-    /// The leases of a silent back end have expired. It may be heard again under the same name, but whoever waits for
-    /// it to release ranges need not wait longer.
+    /// The leases of a silent back end have expired. It may be heard again under the same name, but a back end that
+    /// waits for it to release ranges need not wait longer.
     fn queue_expired_release(&mut self) {
         let Some(backend) = &self.backend else { return };
         let (service, name) = (
@@ -136,7 +136,10 @@
     // If the lease table is gone, nobody needs the outcome.
     drop(
         commands
-            .send(Command::Probed(name, refused == PROBES))
+            .send(Command::Probed {
+                name,
+                refused: refused == PROBES,
+            })
             .await,
     );
 }
--- a/crates/endpoints/src/lease_table/state.rs
+++ b/crates/endpoints/src/lease_table/state.rs
@@ -21,15 +21,15 @@
 
 /// A back end as its heartbeats describe it. Times are in microseconds of the node's clock.
 pub(super) struct LocalBackend {
-    /// The latest heartbeat. Its held ranges are those that the back end was last told to hold.
+    /// The latest heartbeat. Its held ranges are those that the back end was granted last.
     pub(super) heartbeat: Heartbeat,
     /// When the latest heartbeat came.
     pub(super) last_heard: Microseconds,
     /// Since when the back end drains.
     pub(super) draining_since: Option<Microseconds>,
-    /// Until then the back end may hold what it was last told to hold.
+    /// When the leases that the back end was granted last expire.
     pub(super) lease_expires: Microseconds,
-    /// Until then the back end may hold what an earlier process of this node told it to hold.
+    /// When leases that an earlier process of this node granted have surely expired.
     pub(super) earlier_lease_expires: Microseconds,
     /// More than [`MAX_MISSED_HEARTBEATS`] were missed, or the back end has said that it ends.
     pub(super) silent: bool,
@@ -54,9 +54,9 @@
     pub(super) lease_granter: LeaseGranter,
     /// The back end that is heard here; at most one, as a machine has one.
     pub(super) backend: Option<LocalBackend>,
-    /// Back ends whose end the log has to be told of, and whether the process is known to be gone.
+    /// Back ends whose end has to be reported, and whether the process is known to be gone.
     pub(super) pending_ends: BTreeMap<BackendName, bool>,
-    /// Back ends whose end this process has told the log of: a late heartbeat brings none of them back.
+    /// Back ends whose end this process has reported: a late heartbeat brings none of them back.
     pub(super) ended_names: BTreeSet<BackendName>,
     /// Reports of events, sent until the log has answered them.
     pub(super) pending_reports: Vec<ClusterReport>,
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -2,8 +2,8 @@
 //! placement of a service's keys on its back ends, and the node's part in failure detection (design section 11).
 //!
 //! [`Node`] puts the parts together. [`LeaseTableHandle`] is the only way to the state of the local back end. The
-//! rules that need no input or output, [`LeaseGranter`], [`Registration`] and the placement functions, are told the
-//! time and the cluster state, so that simulators can run them too.
+//! rules that need no input or output, [`LeaseGranter`], [`Registration`] and the placement functions, get the time
+//! and the cluster state from their callers, so that simulators can run them too.
 #![deny(missing_docs)]
 
 mod heartbeat;
--- a/crates/endpoints/src/placement/algorithm.rs
+++ b/crates/endpoints/src/placement/algorithm.rs
@@ -262,7 +262,7 @@
 }
 
 impl Balancer {
-    /// The ranges that stay where they are, and those that are free to be given to somebody.
+    /// The ranges that stay where they are, and those that are free for another back end.
     fn free_excess(
         &mut self,
         ranges: Vec<WeightedRange>,
