--- a/crates/endpoints/src/node.rs
+++ b/crates/endpoints/src/node.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use control::{
-    FollowerConfig, FollowerHandle, KnownReplicas, StatusReporter, StatusReporterConfig, discovery,
-    follower,
+    FollowerConfig, FollowerHandle, KnownReplicas, StatusReporter, StatusReporterConfig,
+    membership::discovery, updates::follower,
 };
 use http_util::headers::HeaderNames;
 use inbound::{ConcurrencyLimiter, ConcurrencyLimiterConfig};
--- a/crates/endpoints/tests/harness/mod.rs
+++ b/crates/endpoints/tests/harness/mod.rs
@@ -2,7 +2,7 @@
 
 use control::{
     FollowerHandle, SharedVerifiedState, StatusReporter, StatusReporterConfig, VerifiedState,
-    discovery,
+    membership::discovery,
 };
 use endpoints::{Heartbeat, LeaseConfig, LeaseTableConfig, LeaseTableHandle};
 use http_util::headers::DEFAULT_HEADER_NAMES;
