--- a/crates/simulator/src/billsim/node.rs
+++ b/crates/simulator/src/billsim/node.rs
@@ -1,6 +1,6 @@
 //! A follower: a node's promptbook, and the conn it is told on (design 11.3).
 
-use control::verification::{StateFollower, UpdateOutcome};
+use control::updates::verification::{StateFollower, UpdateOutcome};
 use model::cluster_state::StateSnapshot;
 use model::{Microseconds, Position};
 use std::collections::VecDeque;
@@ -60,7 +60,7 @@
             self.book = StateFollower::default();
         }
         transport::Frame::FollowClusterState {
-            held: self.book.begin_connection(),
+            held_position: self.book.begin_connection(),
         }
     }
 
--- a/crates/simulator/src/billsim/stage.rs
+++ b/crates/simulator/src/billsim/stage.rs
@@ -197,7 +197,7 @@
             operation: act,
         };
         let seat = self.world.draw((0, self.plan.seats as u64 - 1)) as u16;
-        self.world.submit(seat, model::entry::to_bytes(&entry));
+        self.world.submit(seat, entry.to_bytes());
     }
 
     fn follow(&mut self, at: usize, now: Microseconds) {
@@ -260,10 +260,10 @@
         {
             let desk = &mut self.seats[line.seat].desk;
             match frame {
-                transport::Frame::FollowClusterState { held } => {
-                    desk.add_follower(held, line.sender.clone())
-                }
-                transport::Frame::RequestProof { number } => {
+                transport::Frame::FollowClusterState {
+                    held_position: held,
+                } => desk.add_follower(held, line.sender.clone()),
+                transport::Frame::RequestProof { request_id: number } => {
                     desk.request_proof(number, line.sender.clone())
                 }
                 _ => {}
