--- a/crates/gradeford-node/src/health.rs
+++ b/crates/gradeford-node/src/health.rs
@@ -3,8 +3,9 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
 
-use control::view::SharedView;
-use control::{KnownReplicas, discovery};
+use control::KnownReplicas;
+use control::membership::discovery;
+use control::updates::view::SharedView;
 use http_util::write_json;
 use legacy_proxy::SlotOwnerHandle;
 use legacy_proxy::retry_budget::RetryBudgetHandle;
--- a/crates/gradeford-node/src/node.rs
+++ b/crates/gradeford-node/src/node.rs
@@ -4,7 +4,8 @@
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
 use std::time::Duration;
 
-use control::{StatusReporter, discovery};
+use control::StatusReporter;
+use control::membership::discovery;
 use daemon::{Daemon, Error};
 use http_util::HttpServer;
 use legacy_proxy::{OutboundProxy, SlotOwnerHandle};
--- a/crates/gradeford-node/src/presence.rs
+++ b/crates/gradeford-node/src/presence.rs
@@ -4,8 +4,9 @@
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
 use std::time::Duration;
 
-use control::view::SharedView;
-use control::{KnownReplicas, StatusReporter, discovery};
+use control::membership::discovery;
+use control::updates::view::SharedView;
+use control::{KnownReplicas, StatusReporter};
 use model::Incarnation;
 use model::endpoint_status::EndpointReport;
 use slog::Logger;
--- a/crates/gradeford-node/src/start.rs
+++ b/crates/gradeford-node/src/start.rs
@@ -4,9 +4,10 @@
 use std::sync::atomic::{AtomicBool, AtomicU64};
 
 use backend_api::{BackendApiConfig, BackendClient};
-use control::monitor::{self, HeartbeatSender, MonitorConfig};
-use control::subscriber::{self, Subscription, SubscriptionConfig};
-use control::{KnownReplicas, StatusReporter, StatusReporterConfig, discovery};
+use control::failure_detection::monitor::{self, HeartbeatSender, MonitorConfig};
+use control::membership::discovery;
+use control::updates::subscriber::{self, Subscription, SubscriptionConfig};
+use control::{KnownReplicas, StatusReporter, StatusReporterConfig};
 use daemon::Error;
 use legacy_proxy::accepted_attempts::AcceptedAttemptsHandle;
 use legacy_proxy::peer_connections::PeerConnections;
--- a/crates/legacy-proxy/src/outbound_proxy.rs
+++ b/crates/legacy-proxy/src/outbound_proxy.rs
@@ -22,13 +22,13 @@
 pub struct OutboundProxy {
     pub node: String,
     pub zone: String,
-    pub view: control::view::SharedView,
+    pub view: control::updates::view::SharedView,
     pub inbound: crate::InboundProxy,
     pub peers: crate::peer_connections::PeerConnections,
     pub selector: crate::selector::SelectorHandle,
     pub retry_budget: crate::retry_budget::RetryBudgetHandle,
     pub accepted_attempts: crate::accepted_attempts::AcceptedAttemptsHandle,
-    pub in_flight: crate::in_flight::InFlightRequests,
+    pub in_flight: proxy_core::InFlightRequests,
 }
 
 impl OutboundProxy {
