--- /dev/null
+++ b/crates/gradefordctl/src/cli.rs
@@ -0,0 +1,176 @@
+//! From the command line to a command.
+
+use std::fs;
+use std::io;
+
+use model::validation::is_valid_name;
+use pico_args::Arguments;
+use serde_json::{Value, json};
+use thiserror::Error;
+
+use crate::core_client::CoreClient;
+
+/// What is wrong with the command line, in words for its user.
+#[derive(Debug, Error)]
+#[error("{0}")]
+pub struct UsageError(String);
+
+impl From<pico_args::Error> for UsageError {
+    fn from(error: pico_args::Error) -> UsageError {
+        UsageError(error.to_string())
+    }
+}
+
+/// What is to be done.
+pub enum Command {
+    /// Print what a replica answers to this path.
+    Get {
+        /// Path with its leading slash.
+        path: String,
+    },
+    /// Send a change.
+    Change {
+        /// The change's name, if given as a flag.
+        id: Option<String>,
+        /// The version that it was made from, if given as a flag.
+        base_version: Option<u64>,
+        /// The change as JSON, which may hold `id` and `base` too.
+        change: Value,
+    },
+    /// Let another disk replace a member.
+    ReplaceDisk {
+        /// The member's replica number.
+        replica_id: u16,
+        /// The new disk, in hexadecimal.
+        new_disk: String,
+    },
+    /// Compare the states of two processes.
+    Compare {
+        /// Peer address of the first.
+        first: String,
+        /// Peer address of the second.
+        second: String,
+    },
+}
+
+/// Reads the command line and the files it names.
+pub fn parse(mut arguments: Arguments) -> Result<(CoreClient, Command), UsageError> {
+    let cores: Option<String> = arguments.opt_value_from_str("--core")?;
+    let id: Option<String> = arguments.opt_value_from_str("--id")?;
+    let base_version: Option<u64> = arguments.opt_value_from_str("--base")?;
+    let name = arguments.subcommand()?;
+    let name = name.ok_or_else(|| UsageError("a command is missing".into()))?;
+    let words: Vec<String> = arguments
+        .finish()
+        .into_iter()
+        .map(|word| word.to_string_lossy().into_owned())
+        .collect();
+    if let Some(flag) = words.iter().find(|word| word.starts_with("--")) {
+        return Err(UsageError(format!("{flag} is not a flag of gradefordctl")));
+    }
+    let words: Vec<&str> = words.iter().map(String::as_str).collect();
+    let command = parse_command(&name, &words, id, base_version)?;
+    let cores: Vec<String> = cores
+        .unwrap_or_default()
+        .split(',')
+        .filter(|core| !core.is_empty())
+        .map(str::to_string)
+        .collect();
+    if cores.is_empty() && !matches!(command, Command::Compare { .. }) {
+        return Err(UsageError(
+            "--core names at least one operators' address".into(),
+        ));
+    }
+    let client = CoreClient::new(cores).map_err(|error| UsageError(error.to_string()))?;
+    Ok((client, command))
+}
+
+fn parse_command(
+    name: &str,
+    words: &[&str],
+    id: Option<String>,
+    base_version: Option<u64>,
+) -> Result<Command, UsageError> {
+    let change = |change| Command::Change {
+        id,
+        base_version,
+        change,
+    };
+    Ok(match (name, words) {
+        ("get", []) => Command::Get {
+            path: "/v1/desired".into(),
+        },
+        ("get", [kind, item]) => Command::Get {
+            path: format!("/v1/{}s/{}", item_kind(kind)?, checked_name(item)?),
+        },
+        ("standing", []) => Command::Get {
+            path: "/v1/standing".into(),
+        },
+        ("status", []) => Command::Get {
+            path: "/v1/status".into(),
+        },
+        ("replace-seat", [seat, disk]) => Command::ReplaceDisk {
+            replica_id: seat
+                .parse()
+                .map_err(|_| UsageError(format!("{seat:?} is no seat")))?,
+            new_disk: disk.to_string(),
+        },
+        ("compare", [first, second]) => Command::Compare {
+            first: first.to_string(),
+            second: second.to_string(),
+        },
+        ("apply", [file]) => change(read_json_file(file)?),
+        ("edit", [kind, item, file]) => {
+            let kind = item_kind(kind)?;
+            let item = checked_name(item)?;
+            let edit = json!({
+                format!("put_{kind}"): { "name": item, kind: read_json_file(file)? }
+            });
+            change(json!({ "edits": [edit] }))
+        }
+        ("delete", [kind, item]) => {
+            let kind = item_kind(kind)?;
+            let edit = json!({ format!("drop_{kind}"): { "name": checked_name(item)? } });
+            change(json!({ "edits": [edit] }))
+        }
+        (
+            "get" | "standing" | "status" | "compare" | "apply" | "edit" | "delete"
+            | "replace-seat",
+            _,
+        ) => {
+            return Err(UsageError(format!(
+                "{name} is given other words than it takes"
+            )));
+        }
+        _ => return Err(UsageError(format!("there is no command {name:?}"))),
+    })
+}
+
+/// The kind of item that a word names; both have a path and edits of their own.
+fn item_kind(word: &str) -> Result<&str, UsageError> {
+    match word {
+        "grouping" | "order" => Ok(word),
+        _ => Err(UsageError(format!(
+            "{word:?} is neither grouping nor order"
+        ))),
+    }
+}
+
+fn checked_name(name: &str) -> Result<&str, UsageError> {
+    if is_valid_name(name) {
+        return Ok(name);
+    }
+    Err(UsageError(format!(
+        "{name:?} is not 1 to 63 of a-z, 0-9 and '-'"
+    )))
+}
+
+/// Reads a JSON file, or standard input for `-`.
+fn read_json_file(file: &str) -> Result<Value, UsageError> {
+    let text = match file {
+        "-" => io::read_to_string(io::stdin()),
+        file => fs::read_to_string(file),
+    };
+    let text = text.map_err(|error| UsageError(format!("{file}: {error}")))?;
+    serde_json::from_str(&text).map_err(|error| UsageError(format!("{file}: {error}")))
+}
--- a/crates/gradefordctl/src/compare.rs
+++ b/crates/gradefordctl/src/compare.rs
@@ -1,39 +1,108 @@
-//! What two nodes believe, where they differ, and since which version (docs/operators/gradefordctl.md).
+//! The states of two processes: where they differ, and since which position
+//! (docs/operators/gradefordctl.md).
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-pub async fn run(one: &str, two: &str) -> i32 {
-    let (left, right) = (fetch_state(one).await, fetch_state(two).await);
-    let (Some(left), Some(right)) = (left, right) else {
-        return crate::commands::EXIT_UNREACHABLE;
+use serde_json::{Value, json};
+use thiserror::Error;
+use tokio::time::timeout;
+use transport::{Frame, Handshake, Purpose};
+
+use crate::exit;
+
+/// How long a process may take to show its state.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
+/// The tables that are compared.
+const TABLES: [&str; 5] = ["groupings", "orders", "back_ends", "nodes", "terms"];
+
+/// Why a process did not show its state.
+#[derive(Debug, Error)]
+enum Error {
+    #[error(transparent)]
+    Connection(#[from] transport::Error),
+    #[error("closed")]
+    Closed,
+    #[error("closed before it answered")]
+    ClosedBeforeAnswer,
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    #[error("no answer in time")]
+    TimedOut,
+}
+
+/// What a process has.
+struct NodeState {
+    /// Services that it subscribes to; a replica has none of its own.
+    services: BTreeSet<String>,
+    /// Position and [`TABLES`].
+    state: Value,
+}
+
+/// Compares the processes with these peer addresses, prints the differences and returns the exit
+/// code.
+pub async fn run(first: &str, second: &str) -> i32 {
+    let (first, second) = (fetch_or_report(first).await, fetch_or_report(second).await);
+    let (Some(first), Some(second)) = (first, second) else {
+        return exit::UNREACHABLE;
     };
-    let shared: Vec<&str> = left.0.intersection(&right.0).map(String::as_str).collect();
-    let parts = ["groupings", "orders", "back_ends", "nodes", "terms"];
-    let differences: Vec<serde_json::Value> = parts
-        .iter()
-        .flat_map(|part| differences(part, &left.1[part], &right.1[part]))
-        .collect();
-    let positions = [&left.1["position"], &right.1["position"]];
-    let answer = serde_json::json!({
-        "alike": differences.is_empty(), "positions": positions, "both_subscribe_to": shared, "differences": differences,
+    let shared: Vec<&String> = first.services.intersection(&second.services).collect();
+    let mut differing = Vec::new();
+    for table in TABLES {
+        differing.extend(differences(
+            table,
+            &first.state[table],
+            &second.state[table],
+        ));
+    }
+    let answer = json!({
+        "alike": differing.is_empty(),
+        "positions": [first.state["position"], second.state["position"]],
+        "both_subscribe_to": shared,
+        "differences": differing,
     });
     println!(
         "{}",
         serde_json::to_string_pretty(&answer).unwrap_or_default()
     );
-    if differences.is_empty() {
-        crate::commands::EXIT_DONE
+    if differing.is_empty() {
+        exit::DONE
     } else {
-        crate::commands::EXIT_REFUSED
+        exit::REFUSED
     }
 }
 
-type NodeState = (BTreeSet<String>, serde_json::Value);
+async fn fetch_or_report(address: &str) -> Option<NodeState> {
+    let fetched = timeout(ANSWER_TIMEOUT, fetch_state(address)).await;
+    match fetched.unwrap_or(Err(Error::TimedOut)) {
+        Ok(state) => Some(state),
+        Err(error) => {
+            eprintln!("gradefordctl: {address}: {error}");
+            None
+        }
+    }
+}
 
-async fn fetch_state(address: &str) -> Option<NodeState> {
-    let greeting = transport::Handshake {
-        purpose: transport::Purpose::Inspect,
+async fn fetch_state(address: &str) -> Result<NodeState, Error> {
+    let mut connection = transport::dial(address, handshake()).await?;
+    connection
+        .sender
+        .send(Frame::Inspect)
+        .await
+        .map_err(|_| Error::Closed)?;
+    let Some(Frame::Inspection(bytes)) = connection.receiver.recv().await else {
+        return Err(Error::ClosedBeforeAnswer);
+    };
+    let state: Value = serde_json::from_slice(&bytes)?;
+    Ok(NodeState {
+        services: subscribed_services(&state),
+        state: in_node_form(state),
+    })
+}
+
+fn handshake() -> Handshake {
+    Handshake {
+        purpose: Purpose::Inspect,
         node_name: "gradefordctl".into(),
         zone: String::new(),
         address: String::new(),
@@ -42,70 +111,46 @@
         has_empty_disk: false,
         expected_disk: None,
         known_replicas: Vec::new(),
-    };
-    let seen = async {
-        let mut conn = transport::dial(address, greeting)
-            .await
-            .map_err(|trouble| trouble.to_string())?;
-        conn.sender
-            .send(transport::Frame::Inspect)
-            .await
-            .map_err(|_| "closed".to_string())?;
-        match conn.receiver.recv().await {
-            Some(transport::Frame::Inspection(bytes)) => {
-                serde_json::from_slice::<serde_json::Value>(&bytes)
-                    .map_err(|error| error.to_string())
-            }
-            _ => Err("closed before it answered".into()),
-        }
-    };
-    match tokio::time::timeout(Duration::from_secs(3), seen).await {
-        Ok(Ok(seen)) => Some((subscribed_services(&seen), in_node_form(seen))),
-        Ok(Err(trouble)) => {
-            eprintln!("gradefordctl: {address}: {trouble}");
-            None
-        }
-        Err(_) => {
-            eprintln!("gradefordctl: {address}: no answer in time");
-            None
-        }
     }
 }
 
-fn subscribed_services(seen: &serde_json::Value) -> BTreeSet<String> {
-    seen["services"]
-        .as_array()
-        .into_iter()
-        .flatten()
+fn subscribed_services(state: &Value) -> BTreeSet<String> {
+    let services = state["services"].as_array().into_iter().flatten();
+    services
         .filter_map(|service| service.as_str().map(str::to_string))
         .collect()
 }
 
-/// A core seat shows its book, a node its slice: brought to one shape.
-fn in_node_form(seen: serde_json::Value) -> serde_json::Value {
-    if !seen["desired"].is_object() {
-        return seen;
+/// A replica shows its state machine and a node its slice of it; this brings both to one form.
+fn in_node_form(state: Value) -> Value {
+    if !state["desired"].is_object() {
+        return state;
     }
-    serde_json::json!({
-        "position": seen["position"], "groupings": seen["desired"]["groupings"], "orders": seen["desired"]["orders"],
-        "back_ends": seen["standing"]["back_ends"], "nodes": seen["standing"]["nodes"], "terms": seen["terms"],
+    json!({
+        "position": state["position"],
+        "groupings": state["desired"]["groupings"],
+        "orders": state["desired"]["orders"],
+        "back_ends": state["standing"]["back_ends"],
+        "nodes": state["standing"]["nodes"],
+        "terms": state["terms"],
     })
 }
 
-/// Only what both hold can differ: a node that does not subscribe to a thing does not lack it.
-fn differences(
-    part: &str,
-    left: &serde_json::Value,
-    right: &serde_json::Value,
-) -> Vec<serde_json::Value> {
-    let (Some(left), Some(right)) = (left.as_object(), right.as_object()) else {
+/// Entries of one table that differ. Only what both have can: a node that does not subscribe to a
+/// service does not lack it.
+fn differences(table: &str, first: &Value, second: &Value) -> Vec<Value> {
+    let (Some(first), Some(second)) = (first.as_object(), second.as_object()) else {
         return Vec::new();
     };
-    left.iter()
-        .filter_map(|(name, held)| right.get(name).filter(|other| *other != held).map(|other| (name, held, other)))
-        .map(|(name, held, other)| {
-            let since = held["since"].as_u64().max(other["since"].as_u64());
-            serde_json::json!({ "part": part, "name": name, "first": held, "second": other, "since": since })
-        })
-        .collect()
+    let mut differing = Vec::new();
+    for (name, entry) in first {
+        let Some(other) = second.get(name).filter(|other| *other != entry) else {
+            continue;
+        };
+        let since = entry["since"].as_u64().max(other["since"].as_u64());
+        differing.push(json!({
+            "part": table, "name": name, "first": entry, "second": other, "since": since,
+        }));
+    }
+    differing
 }
--- a/crates/gradefordctl/src/main.rs
+++ b/crates/gradefordctl/src/main.rs
@@ -1,8 +1,17 @@
 //! The operators' command line (docs/operators/gradefordctl.md).
 
+#![deny(missing_docs)]
+
+mod cli;
 mod commands;
 mod compare;
 mod core_client;
+mod exit;
+
+use std::process;
+
+use pico_args::Arguments;
+use tokio::runtime::Builder;
 
 const HELP: &str = "\
 gradefordctl: read and change what gradeford is told to do
@@ -29,23 +38,22 @@
 ";
 
 fn main() {
-    let mut arguments = pico_args::Arguments::from_env();
+    let mut arguments = Arguments::from_env();
     if arguments.contains("--help") {
         return print!("{HELP}");
     }
     if arguments.contains("--version") {
         return println!("gradefordctl {}", env!("CARGO_PKG_VERSION"));
     }
-    let code = match commands::parse(arguments) {
-        Ok((office, command)) => tokio::runtime::Builder::new_current_thread()
-            .enable_all()
-            .build()
-            .map(|runtime| runtime.block_on(commands::run(office, command)))
-            .unwrap_or(commands::EXIT_UNREACHABLE),
-        Err(fault) => {
-            eprintln!("gradefordctl: {fault}\ngradefordctl: see gradefordctl --help");
-            commands::EXIT_USAGE
+    let exit_code = match cli::parse(arguments) {
+        Ok((client, command)) => match Builder::new_current_thread().enable_all().build() {
+            Ok(runtime) => runtime.block_on(commands::run(&client, command)),
+            Err(_) => exit::UNREACHABLE,
+        },
+        Err(error) => {
+            eprintln!("gradefordctl: {error}\ngradefordctl: see gradefordctl --help");
+            exit::USAGE
         }
     };
-    std::process::exit(code);
+    process::exit(exit_code);
 }
