--- a/crates/backend-api/src/backend_client.rs
+++ b/crates/backend-api/src/backend_client.rs
@@ -1,108 +1,150 @@
-//! Into the back end over HTTP: a new conn for each request, so that nothing is ever sent twice or
-//! to whoever took over an address (design 5.3).
+//! Forwarding an attempt to the backend over HTTP.
+//!
+//! Each request has a connection of its own, so that nothing is ever sent twice or to whoever took
+//! over an address (design 5.3).
 
-use model::{Error, ErrorKind};
 use std::time::Duration;
 
+use http_util::MAX_BODY_BYTES;
+use legacy_proxy::{BackendConnector, ForwardFuture};
+use model::{Error, ErrorKind, Microseconds};
+use reqwest::{Client, Method, Request, Response, redirect, retry};
+use transport::{AttemptRequest, AttemptResponse, Headers};
+
+use crate::seal::seal;
+use crate::{
+    ATTEMPT_ID_HEADER, ATTEMPT_ORDINAL_HEADER, CLIENT_HEADER, FENCING_TOKEN_HEADER,
+    INCARNATION_HEADER, SEAL_HEADER, SERVICE_HEADER, SHARD_KEY_HEADER, TIME_LEFT_HEADER,
+};
+
+/// How long a backend on this machine may take to accept a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// Forwards attempts to backends.
 pub struct BackendClient {
-    http: reqwest::Client,
+    http: Client,
 }
 
 impl BackendClient {
+    /// Makes a client that keeps no connections, follows no redirects and repeats nothing.
+    ///
+    /// # Errors
+    ///
+    /// If the HTTP client cannot be set up.
     pub fn new() -> Result<BackendClient, reqwest::Error> {
-        let http = reqwest::Client::builder()
+        let http = Client::builder()
             .pool_max_idle_per_host(0)
-            .retry(reqwest::retry::never())
-            .redirect(reqwest::redirect::Policy::none())
-            .connect_timeout(Duration::from_millis(500))
+            .retry(retry::never())
+            .redirect(redirect::Policy::none())
+            .connect_timeout(CONNECT_TIMEOUT)
             .no_proxy()
             .build()?;
         Ok(BackendClient { http })
     }
 
-    async fn forward(
+    /// Sends one attempt and checks the seal of the response. Only a failed connect is certain not to
+    /// have run.
+    async fn send_attempt(
         &self,
         address: &str,
-        dispatch: &transport::AttemptRequest,
-        left: model::Microseconds,
-    ) -> Result<transport::AttemptResponse, Error> {
-        let method = reqwest::Method::from_bytes(dispatch.method.as_bytes())
-            .map_err(|_| Error::new(ErrorKind::BadRequest, "not a method"))?;
-        let request = dispatch.headers.iter().fold(
-            self.http.request(
-                method,
-                format!("http://{address}{}{}", dispatch.path, dispatch.query),
-            ),
-            |request, (name, value)| request.header(name.as_str(), value.as_slice()),
-        );
-        let request = request
-            .header(crate::ATTEMPT_ID_HEADER, &dispatch.attempt_id)
-            .header(crate::ATTEMPT_ORDINAL_HEADER, dispatch.ordinal)
-            .header(crate::TIME_LEFT_HEADER, left)
-            .header(crate::CLIENT_HEADER, &dispatch.client_service)
-            .header(crate::SERVICE_HEADER, &dispatch.service)
-            .header(crate::INCARNATION_HEADER, dispatch.incarnation);
-        let request = dispatch.shard_key.iter().fold(request, |request, key| {
-            request.header(crate::SHARD_KEY_HEADER, key)
-        });
-        let request = dispatch
-            .fencing_token
-            .iter()
-            .fold(request, |request, fence| {
-                request.header(crate::FENCING_TOKEN_HEADER, *fence)
-            });
-        let request = request
-            .body(dispatch.body.clone())
-            .build()
-            .map_err(|error| Error::new(ErrorKind::BadRequest, error.to_string()))?;
-        let response =
-            self.http
-                .execute(request)
-                .await
-                .map_err(|error| match error.is_connect() {
-                    true => Error::new(ErrorKind::Unreachable, "the back end takes no conn"),
-                    false => Error::new(ErrorKind::BackendLost, error.to_string()),
-                })?;
+        attempt: &AttemptRequest,
+        time_left: Microseconds,
+    ) -> Result<AttemptResponse, Error> {
+        let request = self.http_request(address, attempt, time_left)?;
+        let response = self.http.execute(request).await.map_err(|error| {
+            if error.is_connect() {
+                Error::new(ErrorKind::Unreachable, "the back end takes no conn")
+            } else {
+                Error::new(ErrorKind::BackendLost, error.to_string())
+            }
+        })?;
         let status = response.status().as_u16();
-        let seal = response
-            .headers()
-            .get(crate::SEAL_HEADER)
-            .and_then(|seal| seal.to_str().ok())
-            .unwrap_or_default()
-            .to_string();
-        let headers = response
-            .headers()
-            .iter()
-            .filter(|(name, _)| {
-                name.as_str() == "content-type" || name.as_str().starts_with("x-app-")
-            })
-            .map(|(name, value)| (name.to_string(), value.as_bytes().to_vec()))
-            .collect();
+        let seal = received_seal(&response);
+        let headers = client_headers(&response);
         let body = read_whole_body(response).await?;
-        if seal != crate::seal::seal(&dispatch.attempt_id, status, &body) {
+        if seal != self::seal(&attempt.attempt_id, status, &body) {
             return Err(Error::new(
                 ErrorKind::BadSeal,
                 "the reply is not sealed for this try",
             ));
         }
-        Ok(transport::AttemptResponse {
+        Ok(AttemptResponse {
             status,
             headers,
             body,
             seal,
         })
     }
+
+    fn http_request(
+        &self,
+        address: &str,
+        attempt: &AttemptRequest,
+        time_left: Microseconds,
+    ) -> Result<Request, Error> {
+        let method = Method::from_bytes(attempt.method.as_bytes())
+            .map_err(|_| Error::new(ErrorKind::BadRequest, "not a method"))?;
+        let url = format!("http://{address}{}{}", attempt.path, attempt.query);
+        let mut request = self.http.request(method, url);
+        for (name, value) in &attempt.headers {
+            request = request.header(name.as_str(), value.as_slice());
+        }
+        request = request
+            .header(ATTEMPT_ID_HEADER, &attempt.attempt_id)
+            .header(ATTEMPT_ORDINAL_HEADER, attempt.ordinal)
+            .header(TIME_LEFT_HEADER, time_left)
+            .header(CLIENT_HEADER, &attempt.client_service)
+            .header(SERVICE_HEADER, &attempt.service)
+            .header(INCARNATION_HEADER, attempt.incarnation);
+        if let Some(shard_key) = &attempt.shard_key {
+            request = request.header(SHARD_KEY_HEADER, shard_key);
+        }
+        if let Some(fencing_token) = attempt.fencing_token {
+            request = request.header(FENCING_TOKEN_HEADER, fencing_token);
+        }
+        request
+            .body(attempt.body.clone())
+            .build()
+            .map_err(|error| Error::new(ErrorKind::BadRequest, error.to_string()))
+    }
 }
 
-async fn read_whole_body(mut response: reqwest::Response) -> Result<Vec<u8>, Error> {
+impl BackendConnector for BackendClient {
+    fn forward<'a>(
+        &'a self,
+        address: &'a str,
+        attempt: &'a AttemptRequest,
+        time_left: Microseconds,
+    ) -> ForwardFuture<'a> {
+        Box::pin(self.send_attempt(address, attempt, time_left))
+    }
+}
+
+fn received_seal(response: &Response) -> String {
+    let seal = response
+        .headers()
+        .get(SEAL_HEADER)
+        .and_then(|seal| seal.to_str().ok());
+    seal.unwrap_or_default().to_string()
+}
+
+/// The headers that reach the client.
+fn client_headers(response: &Response) -> Headers {
+    response
+        .headers()
+        .iter()
+        .filter(|(name, _)| *name == "content-type" || name.as_str().starts_with("x-app-"))
+        .map(|(name, value)| (name.to_string(), value.as_bytes().to_vec()))
+        .collect()
+}
+
+async fn read_whole_body(mut response: Response) -> Result<Vec<u8>, Error> {
     let mut body = Vec::new();
     loop {
         match response.chunk().await {
-            Ok(Some(chunk)) if body.len() + chunk.len() > http_util::BODY_LIMIT => {
-                return Err(Error::new(
-                    ErrorKind::ResponseTooLarge,
-                    format!("the reply is over {} bytes", http_util::BODY_LIMIT),
-                ));
+            Ok(Some(chunk)) if body.len() + chunk.len() > MAX_BODY_BYTES => {
+                let detail = format!("the reply is over {MAX_BODY_BYTES} bytes");
+                return Err(Error::new(ErrorKind::ResponseTooLarge, detail));
             }
             Ok(Some(chunk)) => body.extend_from_slice(&chunk),
             Ok(None) => return Ok(body),
@@ -110,14 +152,3 @@
         }
     }
 }
-
-impl legacy_proxy::BackendConnector for BackendClient {
-    fn forward<'a>(
-        &'a self,
-        address: &'a str,
-        dispatch: &'a transport::AttemptRequest,
-        left: model::Microseconds,
-    ) -> legacy_proxy::ForwardFuture<'a> {
-        Box::pin(self.forward(address, dispatch, left))
-    }
-}
--- a/crates/backend-api/tests/backend_client.rs
+++ b/crates/backend-api/tests/backend_client.rs
@@ -25,8 +25,8 @@
             "/status" => (201, body, whole),
             "/large" => (
                 200,
-                vec![7; http_util::BODY_LIMIT + 1],
-                backend_api::seal::seal(&try_id, 200, &vec![7; http_util::BODY_LIMIT + 1]),
+                vec![7; http_util::MAX_BODY_BYTES + 1],
+                backend_api::seal::seal(&try_id, 200, &vec![7; http_util::MAX_BODY_BYTES + 1]),
             ),
             _ => (
                 404,
@@ -68,7 +68,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn every_spoilt_reply_is_a_trouble_that_may_have_run() {
+async fn every_spoilt_response_is_an_error_that_may_have_run() {
     let actor = http_util::HttpServer::start(
         "127.0.0.1:0",
         salvo::Router::with_path("{**rest}").goal(BackendStandIn),
--- /dev/null
+++ b/crates/client-api/src/call/tests.rs
@@ -0,0 +1,30 @@
+use super::{is_reserved_header, unambiguous_path};
+
+#[test]
+fn a_path_that_could_mean_two_things_is_refused() {
+    let path = |text: &str| unambiguous_path(text, "seat").ok();
+    assert_eq!(
+        path("/call/seat/checkout/4").as_deref(),
+        Some("/checkout/4")
+    );
+    let ambiguous = [
+        "/call/seat",
+        "/call/seat/a/../b",
+        "/call/seat/a//b",
+        "/call/seat/%2E%2e/b",
+        "/call/seat/a%2Fb",
+        "/call/seatx/a",
+    ];
+    for text in ambiguous {
+        assert_eq!(path(text), None, "{text}");
+    }
+}
+
+#[test]
+fn a_client_cannot_set_headers_in_our_name() {
+    assert!(is_reserved_header("x-gradeford-sender"));
+    assert!(is_reserved_header("authorization"));
+    assert!(is_reserved_header("host"));
+    assert!(!is_reserved_header("content-type"));
+    assert!(!is_reserved_header("x-app-note"));
+}
--- a/crates/http-util/src/headers.rs
+++ b/crates/http-util/src/headers.rs
@@ -1,23 +1,25 @@
 //! The headers by which requests are known, under whatever names a site gives them (design 13.1).
 
-/// Lower-case header names.
+/// Names of the headers that gradeford adds to requests and responses, in lower case.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HeaderNames {
-    /// A try's own identity, echoed in every answer.
+    /// A request's own name, the same in each attempt and echoed in every response.
     pub attempt_id: &'static str,
-    /// What is left of the wait, in milliseconds.
+    /// What is left of the client's wait, in milliseconds.
     pub time_left_ms: &'static str,
-    /// Only answers that a back end has sealed are its own.
+    /// Set on responses that come from the backend itself; others are not passed on as its own.
     pub seal: &'static str,
-    /// The one back end that may run it.
+    /// The one backend that may run the request.
     pub target_backend: &'static str,
-    /// Set where a back end has not run the request.
+    /// Set where a backend has not run the request.
     pub not_run: &'static str,
     /// The service of the machine where the request began.
     pub caller: &'static str,
+    /// Key by which a sharded service's backend is selected.
     pub shard_key: &'static str,
 }
 
+/// The names that gradeford uses where the site gives no others.
 pub const DEFAULT_HEADER_NAMES: HeaderNames = HeaderNames {
     attempt_id: "x-gradeford-try",
     time_left_ms: "x-gradeford-wait-ms",
@@ -28,7 +30,8 @@
     shard_key: "x-gradeford-key",
 };
 
-/// Headers that speak of one conn only, and the length, which is said anew.
+/// Whether a header (its name in lower case) is for one connection only and must not be forwarded.
+/// The length counts as such, because it is set anew.
 pub fn is_hop_by_hop(name: &str) -> bool {
     matches!(
         name,
--- a/crates/http-util/tests/witness.rs
+++ b/crates/http-util/tests/witness.rs
@@ -117,7 +117,7 @@
         )
         .expect("text");
     }
-    let large = " ".repeat(http_util::BODY_LIMIT + 1);
+    let large = " ".repeat(http_util::MAX_BODY_BYTES + 1);
     writeln!(
         told,
         "POST one byte over the limit\n{}",
