--- a/crates/inbound/src/concurrency_limiter.rs
+++ b/crates/inbound/src/concurrency_limiter.rs
@@ -1,184 +1,194 @@
-//! The one owner of the back end's slots: a command queue in, runs out (design 13.2, 13.3).
+//! Admission to the backend's slots (design 13.2, 13.3). One task owns the queue, the runs and what is
+//! known of the backend; a [`ConcurrencyLimiter`] is the handle on it.
+//!
+//! A request passes these phases, each a method of the task: admit, start (as soon as a slot is free),
+//! run, and end. Until a run starts every refusal is certain not to have run.
 
-use crate::{AdmissionQueue, LocalBackend, QueuedRequest};
-use model::{Error, ErrorKind, Microseconds};
 use std::sync::Arc;
 use std::time::Duration;
 
+use http_util::headers::HeaderNames;
+use model::{Error, ErrorKind, Microseconds};
+use tokio::sync::{mpsc, oneshot};
+use tokio::time;
+use transport::{ForwardedRequest, ForwardedResponse};
+
+use crate::outlier_detection::classify_run;
+use crate::{
+    AdmissionQueue, BackendClient, KeyDemand, LocalBackend, OutlierDetector, QueuedRequest,
+    RunResult,
+};
+
+/// What a limiter is set to.
 pub struct ConcurrencyLimiterConfig {
-    pub header_names: http_util::headers::HeaderNames,
-    /// Runs given to the back end beyond its slots, so that none stands empty between two.
+    /// The header names of this site.
+    pub header_names: HeaderNames,
+    /// Runs given to the backend beyond its slots, so that no slot stands empty between two.
     pub extra_runs: u32,
 }
 
-type OutcomeSender = tokio::sync::oneshot::Sender<Outcome>;
-/// What came of it, and how long a request of the least rank would wait here now.
-pub type Outcome = (Result<transport::ForwardedResponse, Error>, Microseconds);
+type OutcomeSender = oneshot::Sender<Outcome>;
+
+/// What came of a request, and how long, in microseconds, a request of the least priority would wait
+/// here now.
+pub type Outcome = (Result<ForwardedResponse, Error>, Microseconds);
+
+/// What the backend's keys are asked for: its slots; the mean run in microseconds and of how many
+/// runs it is; the requests a second on ranges of keys, from first to last; how many requests that is
+/// gathered from; and whether the backend is ejected.
+pub type DemandReport = (u32, (Microseconds, u32), Vec<(u16, u16, f32)>, f32, bool);
 
 enum Command {
-    Admit(
-        Box<transport::ForwardedRequest>,
-        Microseconds,
-        OutcomeSender,
-    ),
+    /// A request, its deadline, and who waits for the outcome.
+    Admit(Box<ForwardedRequest>, Microseconds, OutcomeSender),
     RunEnded {
         run_id: u64,
         duration: Option<Microseconds>,
-        result: crate::RunResult,
+        result: RunResult,
     },
     SetBackend(Option<LocalBackend>),
     Drain,
-    Load(tokio::sync::oneshot::Sender<(usize, usize, bool)>),
-    Demand(usize, tokio::sync::oneshot::Sender<Option<DemandReport>>),
+    Load(oneshot::Sender<(usize, usize, bool)>),
+    Demand(usize, oneshot::Sender<Option<DemandReport>>),
 }
 
-/// Slots, the mean run and of how many, the requests a second on ranges of keys, how many requests say so, and whether
-/// the back end is ill.
-pub type DemandReport = (u32, (Microseconds, u32), Vec<(u16, u16, f32)>, f32, bool);
-
+/// A handle on the task that owns the backend's slots.
 #[derive(Clone)]
-pub struct ConcurrencyLimiter(tokio::sync::mpsc::Sender<Command>);
-
-struct LimiterTask {
-    config: ConcurrencyLimiterConfig,
-    commands: tokio::sync::mpsc::Sender<Command>,
-    client: Arc<crate::BackendClient>,
-    backend: Option<LocalBackend>,
-    queue: AdmissionQueue<(Box<transport::ForwardedRequest>, OutcomeSender)>,
-    demand: crate::KeyDemand,
-    outliers: crate::OutlierDetector,
-    draining: bool,
+pub struct ConcurrencyLimiter {
+    commands: mpsc::Sender<Command>,
 }
 
-/// When a refused request may come again, at least.
+/// Commands that may wait for the task.
+const QUEUE_CAPACITY: usize = 4_096;
+/// A refused request is not to come back sooner than after 100 ms.
 const MIN_RETRY_AFTER: Microseconds = 100_000;
-/// Between two looks at who was held too long, while nothing else happens.
+/// Between two looks at requests that waited too long, while nothing else happens.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(20);
 
 impl ConcurrencyLimiter {
-    pub fn start(env: ConcurrencyLimiterConfig) -> ConcurrencyLimiter {
-        let (commands, mut buffer) = tokio::sync::mpsc::channel(4_096);
-        let door = Arc::new(crate::BackendClient::new(env.header_names.clone()));
-        let mut owner = LimiterTask {
-            config: env,
+    /// Starts the task, without a backend yet.
+    pub fn start(config: ConcurrencyLimiterConfig) -> ConcurrencyLimiter {
+        let (commands, receiver) = mpsc::channel(QUEUE_CAPACITY);
+        let task = LimiterTask {
+            client: Arc::new(BackendClient::new(config.header_names.clone())),
+            config,
             commands: commands.clone(),
-            client: door,
             backend: None,
-            queue: Default::default(),
-            demand: Default::default(),
-            outliers: Default::default(),
+            queue: AdmissionQueue::default(),
+            demand: KeyDemand::default(),
+            outliers: OutlierDetector::default(),
             draining: false,
         };
-        tokio::spawn(async move {
-            loop {
-                let waits = !owner.queue.is_empty();
-                tokio::select! {
-                    command = buffer.recv() => match command {
-                        Some(command) => owner.handle(command),
-                        None => return,
-                    },
-                    _ = tokio::time::sleep(EXPIRY_INTERVAL), if waits => owner.expire(),
-                }
-            }
-        });
-        ConcurrencyLimiter(commands)
+        tokio::spawn(task.run(receiver));
+        ConcurrencyLimiter { commands }
     }
 
-    /// Returns with the answer, or with why there is none and whether it may have run.
-    pub async fn perform(&self, cue: Box<transport::ForwardedRequest>) -> Outcome {
-        let (answer, outcome) = tokio::sync::oneshot::channel();
-        let until = model::now() + cue.time_left;
-        let gone = || {
-            (
+    /// Has a request run and waits for its outcome: the response, or why there is none and whether
+    /// the request may have run. Dropping the future takes the request out of the queue; a run is
+    /// broken off if the request is idempotent.
+    pub async fn perform(&self, request: Box<ForwardedRequest>) -> Outcome {
+        let (outcome_sender, outcome) = oneshot::channel();
+        let deadline = model::now() + request.time_left;
+        let command = Command::Admit(request, deadline, outcome_sender);
+        if self.commands.send(command).await.is_err() {
+            return (
                 Err(Error::new(ErrorKind::ShuttingDown, "this node is stopping")),
                 0,
-            )
-        };
-        if self
-            .0
-            .send(Command::Admit(cue, until, answer))
-            .await
-            .is_err()
-        {
-            return gone();
+            );
         }
         outcome.await.unwrap_or_else(|_| {
             (
                 Err(Error::new(
                     ErrorKind::PeerLost,
-                    "the owner of the back end's slots is gone",
+                    "the owner of the backend's slots is gone",
                 )),
                 0,
             )
         })
     }
 
-    pub async fn set_backend(&self, local: Option<LocalBackend>) {
-        self.0
-            .send(Command::SetBackend(local))
-            .await
-            .unwrap_or_default();
+    /// Says which backend is beside this node, with what it holds; `None` if there is none.
+    pub async fn set_backend(&self, backend: Option<LocalBackend>) {
+        self.send(Command::SetBackend(backend)).await;
     }
 
-    /// Takes nothing new from mates or from here.
+    /// Refuses all requests from now on, from peers as from this node. Queued ones still run.
     pub async fn drain(&self) {
-        self.0.send(Command::Drain).await.unwrap_or_default();
+        self.send(Command::Drain).await;
     }
 
-    /// What the back end's keys are asked for, in at most about so many ranges; none without keys.
-    pub async fn demand(&self, most: usize) -> Option<DemandReport> {
-        let (answer, asked) = tokio::sync::oneshot::channel();
-        self.0.send(Command::Demand(most, answer)).await.ok()?;
-        asked.await.ok().flatten()
+    /// What the backend's keys are asked for, in at most about so many ranges; `None` without a
+    /// backend or if its service is not divided by key.
+    pub async fn demand(&self, max_ranges: usize) -> Option<DemandReport> {
+        let (reply, report) = oneshot::channel();
+        self.commands
+            .send(Command::Demand(max_ranges, reply))
+            .await
+            .ok()?;
+        report.await.ok().flatten()
     }
 
-    /// Running and waiting, and whether the back end is ill.
+    /// How many requests run, how many are queued, and whether the backend is ejected.
     pub async fn load(&self) -> (usize, usize, bool) {
-        let (answer, load) = tokio::sync::oneshot::channel();
-        self.0.send(Command::Load(answer)).await.unwrap_or_default();
+        let (reply, load) = oneshot::channel();
+        self.send(Command::Load(reply)).await;
         load.await.unwrap_or_default()
     }
+
+    async fn send(&self, command: Command) {
+        self.commands.send(command).await.unwrap_or_default();
+    }
+}
+
+struct LimiterTask {
+    config: ConcurrencyLimiterConfig,
+    commands: mpsc::Sender<Command>,
+    client: Arc<BackendClient>,
+    backend: Option<LocalBackend>,
+    queue: AdmissionQueue<(Box<ForwardedRequest>, OutcomeSender)>,
+    demand: KeyDemand,
+    outliers: OutlierDetector,
+    draining: bool,
 }
 
 impl LimiterTask {
+    async fn run(mut self, mut commands: mpsc::Receiver<Command>) {
+        loop {
+            let some_wait = !self.queue.is_empty();
+            tokio::select! {
+                command = commands.recv() => match command {
+                    Some(command) => self.handle(command),
+                    None => return,
+                },
+                _ = time::sleep(EXPIRY_INTERVAL), if some_wait => self.expire(),
+            }
+        }
+    }
+
     fn handle(&mut self, command: Command) {
         match command {
-            Command::Admit(cue, until, answer) => self.admit(cue, until, answer),
+            Command::Admit(request, deadline, outcome_sender) => {
+                self.admit(request, deadline, outcome_sender);
+            }
             Command::RunEnded {
-                run_id: number,
-                duration: took,
-                result: ended,
+                run_id,
+                duration,
+                result,
             } => {
-                self.outliers.run_ended(model::now(), number, ended);
-                took.into_iter()
-                    .for_each(|took| self.queue.record_run(took));
+                self.outliers.run_ended(model::now(), run_id, result);
+                if let Some(duration) = duration {
+                    self.queue.record_run(duration);
+                }
             }
-            Command::SetBackend(local) => self.set_backend(local),
+            Command::SetBackend(backend) => self.set_backend(backend),
             Command::Drain => self.draining = true,
-            Command::Demand(most, answer) => {
-                let local = self.backend.as_ref().and_then(|local| {
-                    local
-                        .held_keys
-                        .as_ref()
-                        .map(|holding| (local.slots, holding.ranges.clone()))
-                });
-                let asked = local.map(|(slots, rows)| {
-                    let (ranges, seen) = self.demand.report(model::now(), &rows, most);
-                    (
-                        slots,
-                        self.queue.mean_run(),
-                        ranges,
-                        seen,
-                        self.outliers.is_ejected(),
-                    )
-                });
-                drop(answer.send(asked));
+            Command::Demand(max_ranges, reply) => drop(reply.send(self.report_demand(max_ranges))),
+            Command::Load(reply) => {
+                let ejected = self.outliers.is_ejected();
+                let load = (self.outliers.running(), self.queue.len(), ejected);
+                // Whoever asked may be gone.
+                reply.send(load).unwrap_or_default();
             }
-            Command::Load(answer) => drop(answer.send((
-                self.outliers.running(),
-                self.queue.len(),
-                self.outliers.is_ejected(),
-            ))),
         }
         self.outliers
             .check_overdue(model::now(), self.queue.mean_run());
@@ -186,209 +196,211 @@
         self.start_next();
     }
 
-    fn set_backend(&mut self, local: Option<LocalBackend>) {
-        if self
-            .backend
-            .as_ref()
-            .map(|held| (&held.name, &held.address))
-            != local.as_ref().map(|held| (&held.name, &held.address))
-        {
+    fn report_demand(&mut self, max_ranges: usize) -> Option<DemandReport> {
+        let backend = self.backend.as_ref()?;
+        let held_keys = backend.held_keys.as_ref()?;
+        let (ranges, requests) = self
+            .demand
+            .report(model::now(), &held_keys.ranges, max_ranges);
+        let ejected = self.outliers.is_ejected();
+        Some((
+            backend.slots,
+            self.queue.mean_run(),
+            ranges,
+            requests,
+            ejected,
+        ))
+    }
+
+    /// Takes over what is known of the backend, and refuses what it is no longer to be given.
+    fn set_backend(&mut self, backend: Option<LocalBackend>) {
+        if identity(self.backend.as_ref()) != identity(backend.as_ref()) {
             self.client.clear_connections();
             self.outliers.reset();
         }
-        self.backend = local;
+        self.backend = backend;
         let now = model::now();
-        let gone = self.queue.remove_where(|waiting| {
-            refusal_reason(self.backend.as_ref(), now, &waiting.payload.0).is_some()
+        let refused = self.queue.remove_where(|queued| {
+            refusal_reason(self.backend.as_ref(), now, &queued.payload.0).is_some()
         });
-        gone.into_iter().for_each(|waiting| {
-            let why = refusal_reason(self.backend.as_ref(), now, &waiting.payload.0)
+        for queued in refused {
+            let (request, outcome_sender) = queued.payload;
+            let reason = refusal_reason(self.backend.as_ref(), now, &request)
                 .unwrap_or_else(|| Error::new(ErrorKind::NoBackend, "gone"));
-            self.respond(waiting.payload.1, Err(why));
-        });
+            self.respond(outcome_sender, Err(reason));
+        }
     }
 
     fn slots(&self) -> usize {
-        self.backend
-            .as_ref()
-            .map(|local| local.slots + self.config.extra_runs)
+        let backend = self.backend.as_ref();
+        backend
+            .map(|backend| backend.slots + self.config.extra_runs)
             .unwrap_or(0) as usize
     }
 
-    fn expected_wait(&self, rank: u8) -> Microseconds {
+    fn expected_wait(&self, priority: u8) -> Microseconds {
+        let running = self.outliers.running();
         self.queue
-            .expected_wait(model::now(), rank, self.outliers.running(), self.slots())
+            .expected_wait(model::now(), priority, running, self.slots())
     }
 
-    /// What a request would spend here, for those who pick: the wait, and half of a run, as a slow back end is worth
-    /// leaving for a faster one only where that is near.
+    /// What a request would spend here, for those who select: the wait and half of a run. A slow
+    /// backend is worth leaving for a faster one only where that is near.
     fn reported_wait(&self) -> Microseconds {
-        self.expected_wait(u8::MAX) + self.queue.mean_run().0 / 2
+        let (mean_run, _) = self.queue.mean_run();
+        self.expected_wait(u8::MAX) + mean_run / 2
     }
 
-    fn respond(&self, answer: OutcomeSender, outcome: Result<transport::ForwardedResponse, Error>) {
-        drop(answer.send((outcome, self.reported_wait())));
+    fn respond(&self, outcome_sender: OutcomeSender, result: Result<ForwardedResponse, Error>) {
+        drop(outcome_sender.send((result, self.reported_wait())));
     }
 
+    /// Queues a request, or refuses it at once.
     fn admit(
         &mut self,
-        cue: Box<transport::ForwardedRequest>,
-        until: Microseconds,
-        answer: OutcomeSender,
+        request: Box<ForwardedRequest>,
+        deadline: Microseconds,
+        outcome_sender: OutcomeSender,
     ) {
         let now = model::now();
         if self.draining {
-            return self.respond(
-                answer,
-                Err(Error::new(ErrorKind::ShuttingDown, "this node is stopping")),
-            );
+            let error = Error::new(ErrorKind::ShuttingDown, "this node is stopping");
+            return self.respond(outcome_sender, Err(error));
         }
-        if let Some(trouble) = refusal_reason(self.backend.as_ref(), now, &cue) {
-            return self.respond(answer, Err(trouble));
+        if let Some(reason) = refusal_reason(self.backend.as_ref(), now, &request) {
+            return self.respond(outcome_sender, Err(reason));
         }
-        // Whoever holds a key cannot be passed over here: the placing of keys does that (design 13.8).
-        if let Some(elsewhere) = self
-            .outliers
-            .declines(now, cue.idempotent)
-            .filter(|_| cue.shard_key.is_none() && !cue.force)
-        {
-            return drop(
-                answer.send((
-                    Err(
-                        Error::new(ErrorKind::PassedOver, "its runs come to nothing")
-                            .with_retry_after(elsewhere),
-                    ),
-                    elsewhere,
-                )),
-            );
+        if let Some(retry_after) = self.passed_over_for(now, &request) {
+            let error = Error::new(ErrorKind::PassedOver, "its runs come to nothing");
+            let error = error.with_retry_after(retry_after);
+            return drop(outcome_sender.send((Err(error), retry_after)));
+        }
+        if let Some(shard_key) = request.shard_key {
+            self.demand.record(now, shard_key);
         }
-        cue.shard_key
-            .into_iter()
-            .for_each(|key| self.demand.record(now, key));
-        let wait = self.expected_wait(cue.priority);
-        // What cannot be answered in time is told at once, with when to come back.
-        if wait
-            > self
-                .queue
-                .longest_acceptable_wait(now, now + cue.latency_target)
-        {
-            return self.respond(answer, Err(overloaded(until - now, wait)));
+        let wait = self.expected_wait(request.priority);
+        let respond_by = now + request.latency_target;
+        // What cannot be answered in time is refused at once, with when to come back.
+        if wait > self.queue.longest_acceptable_wait(now, respond_by) {
+            return self.respond(outcome_sender, Err(overloaded(deadline - now, wait)));
         }
-        let waiting = QueuedRequest {
-            priority: cue.priority,
+        let queued = QueuedRequest {
+            priority: request.priority,
             queued_at: now,
-            deadline: until,
-            respond_by: now + cue.latency_target,
-            payload: (cue, answer),
+            deadline,
+            respond_by,
+            payload: (request, outcome_sender),
         };
-        self.queue.push(now, waiting);
+        self.queue.push(now, queued);
+    }
+
+    /// For how long the request is to go elsewhere, as the backend is ejected. The holder of a shard
+    /// key is never passed over: placement moves the key instead (design 13.8).
+    fn passed_over_for(
+        &self,
+        now: Microseconds,
+        request: &ForwardedRequest,
+    ) -> Option<Microseconds> {
+        let declined_for = self.outliers.declines(now, request.idempotent)?;
+        (request.shard_key.is_none() && !request.force).then_some(declined_for)
     }
 
     fn expire(&mut self) {
         let now = model::now();
-        self.queue.expire(now).into_iter().for_each(|late| {
-            self.respond(
-                late.payload.1,
-                Err(overloaded(late.deadline.saturating_sub(now), 0)),
-            )
-        });
+        for expired in self.queue.expire(now) {
+            let (_, outcome_sender) = expired.payload;
+            let error = overloaded(expired.deadline.saturating_sub(now), 0);
+            self.respond(outcome_sender, Err(error));
+        }
     }
 
+    /// Starts queued requests while there are free slots.
     fn start_next(&mut self) {
         while self.outliers.running() < self.slots() {
             let now = model::now();
             let Some(next) = self.queue.pop(now) else {
                 return;
             };
-            let (cue, answer) = next.payload;
-            if answer.is_closed() {
+            let (request, outcome_sender) = next.payload;
+            if outcome_sender.is_closed() {
                 // Its caller is gone: it never begins.
                 continue;
             }
-            match refusal_reason(self.backend.as_ref(), now, &cue) {
-                Some(trouble) => self.respond(answer, Err(trouble)),
-                None => self.start_run(cue, next.deadline, answer),
+            match refusal_reason(self.backend.as_ref(), now, &request) {
+                Some(reason) => self.respond(outcome_sender, Err(reason)),
+                None => self.start_run(request, next.deadline, outcome_sender),
             }
         }
     }
 
+    /// Runs a request in a task of its own, which reports the end of the run here.
     fn start_run(
         &mut self,
-        cue: Box<transport::ForwardedRequest>,
-        until: Microseconds,
-        mut answer: OutcomeSender,
+        request: Box<ForwardedRequest>,
+        deadline: Microseconds,
+        mut outcome_sender: OutcomeSender,
     ) {
-        let Some(address) = self.backend.as_ref().map(|local| local.address.clone()) else {
+        let Some(address) = self.backend.as_ref().map(|backend| backend.address.clone()) else {
             return;
         };
-        let number = self.outliers.run_started(model::now());
-        let (door, commands, wait, began) = (
-            self.client.clone(),
-            self.commands.clone(),
-            self.reported_wait(),
-            model::now(),
-        );
+        let run_id = self.outliers.run_started(model::now());
+        let (client, commands) = (self.client.clone(), self.commands.clone());
+        let (reported_wait, began) = (self.reported_wait(), model::now());
         tokio::spawn(async move {
-            let left = until.saturating_sub(began);
-            let ran = tokio::time::timeout(
-                Duration::from_micros(left),
-                door.forward(&address, &cue, left),
-            );
-            let outcome = tokio::select! {
-                ran = ran => ran.unwrap_or_else(|_| Err(Error::new(ErrorKind::TimedOut, "no answer within the wait"))),
-                // What may run again may as well be broken off; anything else the back end ends in its own way.
-                () = answer.closed(), if cue.idempotent => Err(Error::new(ErrorKind::TimedOut, "nobody waits for it any more")),
+            let time_left = deadline.saturating_sub(began);
+            let run = client.forward(&address, &request, time_left);
+            let run = time::timeout(Duration::from_micros(time_left), run);
+            let timed_out = |detail: &str| Err(Error::new(ErrorKind::TimedOut, detail));
+            let result = tokio::select! {
+                ended = run => ended.unwrap_or_else(|_| timed_out("no answer within the wait")),
+                // An idempotent run may as well be broken off; any other the backend ends itself.
+                () = outcome_sender.closed(), if request.idempotent => {
+                    timed_out("nobody waits for it any more")
+                }
             };
-            let took = outcome.is_ok().then(|| model::now() - began);
-            drop(
-                commands
-                    .send(Command::RunEnded {
-                        run_id: number,
-                        duration: took,
-                        result: crate::outlier_detection::classify_run(&outcome),
-                    })
-                    .await,
-            );
-            drop(answer.send((outcome, wait)));
+            let duration = result.is_ok().then(|| model::now() - began);
+            let ended = Command::RunEnded {
+                run_id,
+                duration,
+                result: classify_run(&result),
+            };
+            drop(commands.send(ended).await);
+            drop(outcome_sender.send((result, reported_wait)));
         });
     }
 }
 
-/// Come back once the wait is shorter, but while there is time left for it; not all at the same moment.
-fn overloaded(left: Microseconds, wait: Microseconds) -> Error {
-    let back = wait
-        .max(left / 8)
-        .clamp(MIN_RETRY_AFTER, (left / 3).max(MIN_RETRY_AFTER));
-    let spread = back * (80 + rand::random::<u64>() % 21) / 100;
+/// What tells one backend from another in the same place.
+fn identity(backend: Option<&LocalBackend>) -> Option<(&str, &str)> {
+    backend.map(|backend| (backend.name.as_str(), backend.address.as_str()))
+}
+
+/// Come back once the wait is shorter, but while there is time left for it; not all at the same
+/// moment.
+fn overloaded(time_left: Microseconds, wait: Microseconds) -> Error {
+    let latest = (time_left / 3).max(MIN_RETRY_AFTER);
+    let retry_after = wait.max(time_left / 8).clamp(MIN_RETRY_AFTER, latest);
+    let spread = retry_after * (80 + rand::random::<u64>() % 21) / 100;
     Error::new(ErrorKind::Overloaded, "it would wait too long").with_retry_after(spread)
 }
 
-/// Why this back end is not to be given the request now; certain not to have run.
+/// Why this backend is not to be given the request now; certain not to have run.
 fn refusal_reason(
-    local: Option<&LocalBackend>,
+    backend: Option<&LocalBackend>,
     now: Microseconds,
-    cue: &transport::ForwardedRequest,
+    request: &ForwardedRequest,
 ) -> Option<Error> {
-    let Some(local) = local.filter(|local| local.name == cue.backend) else {
-        return Some(Error::new(
-            ErrorKind::WrongIncarnation,
-            "that back end is not beside this node",
-        ));
+    let Some(backend) = backend.filter(|backend| backend.name == request.backend) else {
+        let detail = "that backend is not beside this node";
+        return Some(Error::new(ErrorKind::WrongIncarnation, detail));
     };
-    if !local.accepts_requests(now) {
+    if !backend.accepts_requests(now) {
         return Some(Error::new(
             ErrorKind::Draining,
-            "the back end takes nothing new",
+            "the backend takes nothing new",
         ));
     }
-    let unheld = cue
-        .shard_key
-        .zip(local.held_keys.as_ref())
-        .is_some_and(|(key, holding)| !holding.holds(now, key));
-    unheld.then(|| {
-        Error::new(
-            ErrorKind::KeyWithoutHolder,
-            "the back end does not hold the key now",
-        )
-    })
+    let (shard_key, held_keys) = request.shard_key.zip(backend.held_keys.as_ref())?;
+    let detail = "the backend does not hold the key now";
+    (!held_keys.holds(now, shard_key)).then(|| Error::new(ErrorKind::KeyWithoutHolder, detail))
 }
--- a/crates/inbound/src/connection_pool.rs
+++ b/crates/inbound/src/connection_pool.rs
@@ -1,41 +1,59 @@
-//! Conns into the back end that wait for their next request, and how long they may (design 13.4, 13.9).
+//! Connections into the backend that wait for their next request, and how long they may (design 13.4,
+//! 13.9).
+
+#[cfg(test)]
+mod tests;
 
-use model::Microseconds;
 use std::collections::VecDeque;
-use std::sync::Mutex;
-use std::sync::MutexGuard;
-use std::sync::PoisonError;
+use std::sync::{Mutex, MutexGuard, PoisonError};
+
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::client::conn::http1::SendRequest;
+use model::Microseconds;
 
-pub type HttpSender = hyper::client::conn::http1::SendRequest<http_body_util::Full<bytes::Bytes>>;
+/// A connection on which a request can be sent.
+pub(crate) type HttpSender = SendRequest<Full<Bytes>>;
 
-/// Idle conns, the latest used last.
+/// Idle connections. The lock is a leaf: nothing is awaited or locked while it is held.
 #[derive(Default)]
-pub struct ConnectionPool(Mutex<PooledConnections>);
+pub(crate) struct ConnectionPool {
+    pooled: Mutex<PooledConnections>,
+}
 
 #[derive(Default)]
 struct PooledConnections {
-    /// Since when it rests, and until when it may by the back end's own word.
-    idle: VecDeque<(Microseconds, Microseconds, HttpSender)>,
+    /// The latest used last.
+    idle: VecDeque<IdleConnection>,
     idle_limit: IdleLimit,
 }
 
-/// Where the back end does not say how long it keeps an idle conn.
+struct IdleConnection {
+    since: Microseconds,
+    /// Until then the backend keeps it open, by its own word.
+    until: Microseconds,
+    sender: HttpSender,
+}
+
+/// How long a connection may idle where the backend does not say: 4 s.
 const DEFAULT_IDLE_TIMEOUT: Microseconds = 4_000_000;
-/// Taken off what it says, as it counts from its own last byte.
+/// Taken off what the backend says, as it counts from its own last byte: 1 s.
 const KEEP_ALIVE_MARGIN: Microseconds = 1_000_000;
-/// More than any back end has slots for lie about for nothing.
+/// More than any backend has slots for would never be used.
 const MAX_IDLE_CONNECTIONS: usize = 24;
+/// The idle limit falls no further than 50 ms.
+const MIN_IDLE_LIMIT: Microseconds = 50_000;
+/// The idle limit doubles after 4 s without a stale connection.
+const IDLE_LIMIT_DOUBLING_INTERVAL: Microseconds = 4_000_000;
 
-/// How long a conn may rest, learned from those that were forgotten: half as long as the shortest of them, and twice as
-/// long again whenever none was forgotten for a while. Pure, with the time told to it.
-pub struct IdleLimit {
+/// How long a connection may idle, learned from those that were stale: half as long as the shortest
+/// of them, and twice as long again whenever none was stale for a while. Pure, with the time passed
+/// in.
+struct IdleLimit {
     limit: Microseconds,
     changed_at: Microseconds,
 }
 
-const MIN_IDLE_LIMIT: Microseconds = 50_000;
-const IDLE_LIMIT_DOUBLING_INTERVAL: Microseconds = 4_000_000;
-
 impl Default for IdleLimit {
     fn default() -> Self {
         IdleLimit {
@@ -46,14 +64,16 @@
 }
 
 impl IdleLimit {
-    pub fn record_stale(&mut self, now: Microseconds, rested: Microseconds) {
-        (self.limit, self.changed_at) = (self.limit.min(rested / 2).max(MIN_IDLE_LIMIT), now);
+    fn record_stale(&mut self, now: Microseconds, idled: Microseconds) {
+        self.limit = self.limit.min(idled / 2).max(MIN_IDLE_LIMIT);
+        self.changed_at = now;
     }
 
-    pub fn current(&mut self, now: Microseconds) -> Microseconds {
-        if self.limit < DEFAULT_IDLE_TIMEOUT && now > self.changed_at + IDLE_LIMIT_DOUBLING_INTERVAL
-        {
-            (self.limit, self.changed_at) = ((self.limit * 2).min(DEFAULT_IDLE_TIMEOUT), now);
+    fn current(&mut self, now: Microseconds) -> Microseconds {
+        let unchanged_for_long = now > self.changed_at + IDLE_LIMIT_DOUBLING_INTERVAL;
+        if self.limit < DEFAULT_IDLE_TIMEOUT && unchanged_for_long {
+            self.limit = (self.limit * 2).min(DEFAULT_IDLE_TIMEOUT);
+            self.changed_at = now;
         }
         self.limit
     }
@@ -61,72 +81,54 @@
 
 impl ConnectionPool {
     fn lock(&self) -> MutexGuard<'_, PooledConnections> {
-        self.0.lock().unwrap_or_else(PoisonError::into_inner)
+        self.pooled.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The one used last that is still open, and for how long it rested.
-    pub fn take(&self, now: Microseconds) -> Option<(Microseconds, HttpSender)> {
-        let mut kept = self.lock();
-        let most = kept.idle_limit.current(now);
-        kept.idle.retain(|(since, until, sender)| {
-            now < *until && now.saturating_sub(*since) < most && !sender.is_closed()
+    /// Takes the connection used last that is still open; says for how long it idled.
+    pub(crate) fn take(&self, now: Microseconds) -> Option<(Microseconds, HttpSender)> {
+        let mut pooled = self.lock();
+        let limit = pooled.idle_limit.current(now);
+        pooled.idle.retain(|connection| {
+            let idled = now.saturating_sub(connection.since);
+            now < connection.until && idled < limit && !connection.sender.is_closed()
         });
-        kept.idle
-            .pop_back()
-            .map(|(since, _, sender)| (now.saturating_sub(since), sender))
+        let connection = pooled.idle.pop_back()?;
+        Some((now.saturating_sub(connection.since), connection.sender))
     }
 
-    pub fn put_back(&self, now: Microseconds, sender: HttpSender, told: Option<Microseconds>) {
-        let until = now
-            + told
-                .map(|told| {
-                    told.saturating_sub(KEEP_ALIVE_MARGIN)
-                        .min(DEFAULT_IDLE_TIMEOUT)
-                })
-                .unwrap_or(DEFAULT_IDLE_TIMEOUT);
-        let mut kept = self.lock();
-        kept.idle.push_back((now, until, sender));
-        if kept.idle.len() > MAX_IDLE_CONNECTIONS {
-            kept.idle.pop_front();
+    /// Keeps a connection for the next request. `keep_alive` is how long the backend says that it
+    /// keeps it open, in microseconds.
+    pub(crate) fn put_back(
+        &self,
+        now: Microseconds,
+        sender: HttpSender,
+        keep_alive: Option<Microseconds>,
+    ) {
+        let usable_for = keep_alive
+            .map(|timeout| {
+                timeout
+                    .saturating_sub(KEEP_ALIVE_MARGIN)
+                    .min(DEFAULT_IDLE_TIMEOUT)
+            })
+            .unwrap_or(DEFAULT_IDLE_TIMEOUT);
+        let mut pooled = self.lock();
+        pooled.idle.push_back(IdleConnection {
+            since: now,
+            until: now + usable_for,
+            sender,
+        });
+        if pooled.idle.len() > MAX_IDLE_CONNECTIONS {
+            pooled.idle.pop_front();
         }
     }
 
-    /// The back end did not know it any more.
-    pub fn record_stale(&self, now: Microseconds, rested: Microseconds) {
-        self.lock().idle_limit.record_stale(now, rested);
+    /// The backend had closed a connection that idled for so long.
+    pub(crate) fn record_stale(&self, now: Microseconds, idled: Microseconds) {
+        self.lock().idle_limit.record_stale(now, idled);
     }
 
-    /// Another back end, or one that cannot be trusted with kept conns just now.
-    pub fn clear(&self) {
+    /// Forgets everything: there is another backend now.
+    pub(crate) fn clear(&self) {
         *self.lock() = PooledConnections::default();
     }
 }
-
-#[cfg(test)]
-mod tests {
-    #[test]
-    fn conns_rest_half_as_long_as_those_that_were_forgotten_and_longer_again_bit_by_bit() {
-        let mut rest = super::IdleLimit::default();
-        assert_eq!(
-            rest.current(0),
-            crate::connection_pool::DEFAULT_IDLE_TIMEOUT
-        );
-        rest.record_stale(1_000_000, 300_000);
-        assert_eq!(rest.current(1_000_001), 150_000);
-        rest.record_stale(1_100_000, 900_000);
-        assert_eq!(
-            rest.current(1_100_001),
-            150_000,
-            "one that rested longer says nothing new"
-        );
-        let steps: Vec<u64> = (1..8)
-            .map(|at| rest.current(1_100_001 + at * (super::IDLE_LIMIT_DOUBLING_INTERVAL + 1)))
-            .collect();
-        assert_eq!(
-            steps,
-            [
-                300_000, 600_000, 1_200_000, 2_400_000, 4_000_000, 4_000_000, 4_000_000
-            ]
-        );
-    }
-}
--- /dev/null
+++ b/crates/inbound/src/connection_pool/tests.rs
@@ -0,0 +1,26 @@
+//! How the idle limit is learned.
+
+use super::*;
+
+#[test]
+fn connections_idle_half_as_long_as_stale_ones_did_and_longer_again_bit_by_bit() {
+    let mut limit = IdleLimit::default();
+    assert_eq!(limit.current(0), DEFAULT_IDLE_TIMEOUT);
+    limit.record_stale(1_000_000, 300_000);
+    assert_eq!(limit.current(1_000_001), 150_000);
+    limit.record_stale(1_100_000, 900_000);
+    assert_eq!(
+        limit.current(1_100_001),
+        150_000,
+        "one that idled longer says nothing new"
+    );
+    let steps: Vec<u64> = (1..8)
+        .map(|step| limit.current(1_100_001 + step * (IDLE_LIMIT_DOUBLING_INTERVAL + 1)))
+        .collect();
+    assert_eq!(
+        steps,
+        [
+            300_000, 600_000, 1_200_000, 2_400_000, 4_000_000, 4_000_000, 4_000_000
+        ]
+    );
+}
--- a/crates/inbound/src/key_demand.rs
+++ b/crates/inbound/src/key_demand.rs
@@ -1,135 +1,93 @@
-//! Which keys are asked for, and how often: decaying counts, told as ranges of about equal weight (design 11.4).
-//! Pure.
+//! Which shard keys are asked for, and how often: decaying counts, reported as ranges of about equal
+//! weight (design 11.4). Pure, with the time passed in.
+
+#[cfg(test)]
+mod tests;
+
+use std::collections::BTreeMap;
 
 use model::Microseconds;
 use model::cluster_state::ShardKey;
-use std::collections::BTreeMap;
 
+/// Counts requests by shard key.
 #[derive(Default)]
 pub struct KeyDemand {
     counts: BTreeMap<ShardKey, f32>,
-    /// Over how many seconds the counts were gathered, older ones counting as little as what they hold.
+    /// Over how many seconds the counts were gathered, older ones counting as little as what they
+    /// hold.
     window_seconds: f32,
     updated_at: Option<Microseconds>,
 }
 
-/// Counts fall to a third in so long.
+/// Counts fall to a third (1/e) in 2 s.
 const DECAY_US: f32 = 2_000_000.0;
 /// A key that weighs less is forgotten.
 const MIN_COUNT: f32 = 0.05;
+/// A window counts as no shorter than 50 ms.
+const MIN_WINDOW_SECONDS: f32 = 0.05;
+/// A range is cut before a key that would make it heavier than so many shares.
+const MAX_SHARES_OF_RANGE: f32 = 1.5;
+const MICROSECONDS_PER_SECOND: f32 = 1e6;
 
 impl KeyDemand {
+    /// Counts a request for this key.
     pub fn record(&mut self, now: Microseconds, key: ShardKey) {
         self.updated_at.get_or_insert(now);
         *self.counts.entry(key).or_default() += 1.0;
     }
 
-    /// Ranges over these rows, at most about so many, with the requests a second on each; and how many requests say so.
+    /// Divides the held `ranges` (first and last key) into at most about `max_ranges`, each with the
+    /// requests a second on it; and says how many requests that is gathered from.
     pub fn report(
         &mut self,
         now: Microseconds,
-        rows: &[(ShardKey, ShardKey)],
-        most: usize,
+        ranges: &[(ShardKey, ShardKey)],
+        max_ranges: usize,
     ) -> (Vec<(ShardKey, ShardKey, f32)>, f32) {
         let passed = now.saturating_sub(self.updated_at.replace(now).unwrap_or(now)) as f32;
         let kept = (-passed / DECAY_US).exp();
-        self.window_seconds += passed / 1e6;
-        let whole: f32 = self.counts.values().sum();
-        let share = (whole / most.max(1) as f32).max(f32::EPSILON);
-        let told = rows
+        self.window_seconds += passed / MICROSECONDS_PER_SECOND;
+        let total: f32 = self.counts.values().sum();
+        let share = (total / max_ranges.max(1) as f32).max(f32::EPSILON);
+        let report = ranges
             .iter()
-            .flat_map(|(from, to)| self.split_range(*from, *to, share))
+            .flat_map(|(first, last)| self.split_range(*first, *last, share))
             .collect();
         self.window_seconds *= kept;
-        self.counts.values_mut().for_each(|count| *count *= kept);
+        for count in self.counts.values_mut() {
+            *count *= kept;
+        }
         self.counts.retain(|_, count| *count > MIN_COUNT);
-        (told, whole)
+        (report, total)
     }
 
-    /// One row, cut wherever about a share has gathered, and around a key that weighs as much by itself.
+    /// One range, cut wherever about a share has gathered, and around a key that weighs as much by
+    /// itself.
     fn split_range(
         &self,
-        from: ShardKey,
-        to: ShardKey,
+        first: ShardKey,
+        last: ShardKey,
         share: f32,
     ) -> Vec<(ShardKey, ShardKey, f32)> {
-        let (mut out, mut start, mut sum) = (Vec::new(), from as u32, 0.0);
-        let scaled = |weight: f32| weight / self.window_seconds.max(0.05);
-        self.counts.range(from..=to).for_each(|(key, count)| {
-            let key = *key as u32;
-            if sum + count > share * 1.5 && key > start {
-                out.push((start as ShardKey, (key - 1) as ShardKey, scaled(sum)));
-                (start, sum) = (key, 0.0);
+        let rate = |count: f32| count / self.window_seconds.max(MIN_WINDOW_SECONDS);
+        // One wider than a key, as the start after the last key is beyond it.
+        let (mut start, mut gathered) = (u32::from(first), 0.0);
+        let mut parts = Vec::new();
+        for (key, count) in self.counts.range(first..=last) {
+            let key = u32::from(*key);
+            if gathered + count > share * MAX_SHARES_OF_RANGE && key > start {
+                parts.push((start as ShardKey, (key - 1) as ShardKey, rate(gathered)));
+                (start, gathered) = (key, 0.0);
             }
-            sum += count;
-            if sum >= share && key < to as u32 {
-                out.push((start as ShardKey, key as ShardKey, scaled(sum)));
-                (start, sum) = (key + 1, 0.0);
+            gathered += count;
+            if gathered >= share && key < u32::from(last) {
+                parts.push((start as ShardKey, key as ShardKey, rate(gathered)));
+                (start, gathered) = (key + 1, 0.0);
             }
-        });
-        if start <= to as u32 {
-            out.push((start as ShardKey, to, scaled(sum)));
         }
-        out
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    #[test]
-    fn busy_keys_are_cut_finely_and_ranges_cover_the_rows() {
-        let mut demand = super::KeyDemand::default();
-        (0..1_000u32).for_each(|at| {
-            demand.record(
-                0,
-                if at % 2 == 0 {
-                    500 + (at % 100) as u16
-                } else {
-                    (at * 61 % 8_000) as u16
-                },
-            )
-        });
-        let (told, seen) = demand.report(1_000_000, &[(0, 4_095), (6_000, 7_999)], 16);
-        assert_eq!(seen, 1_000.0);
-        let keys: u32 = told
-            .iter()
-            .map(|(from, to, _)| (to - from) as u32 + 1)
-            .sum();
-        assert_eq!(keys, 4_096 + 2_000);
-        assert!(
-            told.windows(2).all(|pair| pair[0].1 < pair[1].0),
-            "{told:?}"
-        );
-        let fine = told
-            .iter()
-            .filter(|(from, to, _)| *from >= 499 && *to <= 600)
-            .count();
-        assert!(
-            fine >= 5 && told.len() <= 40,
-            "{} ranges, {fine} among the busy keys",
-            told.len()
-        );
-        let heaviest = told.iter().map(|(.., weight)| *weight).fold(0.0, f32::max);
-        assert!(heaviest <= 2.0 * 1_000.0 / 16.0, "{heaviest}");
-    }
-
-    #[test]
-    fn what_is_told_is_a_rate_however_often_it_is_told() {
-        let mut demand = super::KeyDemand::default();
-        let rates: Vec<f32> = (1..60u64)
-            .map(|at| {
-                (0..10).for_each(|key| demand.record((at - 1) * 100_000, key * 100));
-                demand
-                    .report(at * 100_000, &[(0, 65_535)], 4)
-                    .0
-                    .iter()
-                    .map(|(.., rate)| rate)
-                    .sum()
-            })
-            .collect();
-        assert!(
-            rates.iter().all(|rate| (95.0..105.0).contains(rate)),
-            "{rates:?}"
-        );
+        if start <= u32::from(last) {
+            parts.push((start as ShardKey, last, rate(gathered)));
+        }
+        parts
     }
 }
--- a/crates/inbound/src/local_backend.rs
+++ b/crates/inbound/src/local_backend.rs
@@ -1,44 +1,55 @@
-//! The back end beside this node, as the node's owner of beats tells it (design 13.2).
+//! The backend beside this node, as the lease table tells it (design 13.2).
 
 use model::Microseconds;
 use model::cluster_state::ShardKey;
 
-/// Rows the back end was told to hold, and until when it surely still does.
+/// The shard keys that the backend was told to hold.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HeldKeys {
+    /// First and last key of each range.
     pub ranges: Vec<(ShardKey, ShardKey)>,
+    /// Until then the backend surely holds them.
     pub until: Microseconds,
-    /// Rows it is about to get: whoever asks for them may wait a moment.
+    /// Ranges that it is about to get: a request for them may wait a moment.
     pub pending: Vec<(ShardKey, ShardKey)>,
 }
 
 impl HeldKeys {
+    /// Whether the backend surely holds the key now.
     pub fn holds(&self, now: Microseconds, key: ShardKey) -> bool {
         now < self.until && contains(&self.ranges, key)
     }
 
+    /// Whether the backend is about to get the key.
     pub fn expects(&self, key: ShardKey) -> bool {
         contains(&self.pending, key)
     }
 }
 
-fn contains(rows: &[(ShardKey, ShardKey)], key: ShardKey) -> bool {
-    rows.iter().any(|(from, to)| (*from..=*to).contains(&key))
+fn contains(ranges: &[(ShardKey, ShardKey)], key: ShardKey) -> bool {
+    ranges
+        .iter()
+        .any(|(first, last)| (*first..=*last).contains(&key))
 }
 
+/// The backend beside this node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LocalBackend {
+    /// Its name; a request for another is refused.
     pub name: String,
+    /// Where it listens.
     pub address: String,
+    /// How many requests it runs at the same time.
     pub slots: u32,
-    /// Takes nothing new from then on: it drains, or has ended.
+    /// It takes no new request from then on: it drains, or has ended.
     pub drains_at: Option<Microseconds>,
-    /// `None`: its service is not divided by key.
+    /// `None` if its service is not divided by key.
     pub held_keys: Option<HeldKeys>,
 }
 
 impl LocalBackend {
+    /// Whether it takes new requests now.
     pub fn accepts_requests(&self, now: Microseconds) -> bool {
-        self.drains_at.is_none_or(|closes| now < closes)
+        self.drains_at.is_none_or(|drains_at| now < drains_at)
     }
 }
--- a/crates/inbound/tests/promises.rs
+++ b/crates/inbound/tests/refusals.rs
@@ -1,14 +1,13 @@
-//! What a back end answers with a status that promises it did not run, with and without the word that it did not
+//! What a backend answers with a status that promises it did not run, with and without the word that it did not
 //! (design 13.4).
 
 use model::{ErrorKind, ExecutionStatus};
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
+use tokio::net::TcpListener;
 
 /// Answers each request with the head that its path names.
-async fn back_end() -> String {
-    let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
-        .await
-        .expect("a port");
+async fn start_backend() -> String {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
     tokio::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
@@ -45,7 +44,7 @@
 }
 
 async fn answered(address: &str, target: &str) -> Result<u16, (ErrorKind, ExecutionStatus)> {
-    let cue = transport::ForwardedRequest {
+    let request = transport::ForwardedRequest {
         backend: "b".into(),
         caller: "seat".into(),
         method: "PUT".into(),
@@ -60,16 +59,16 @@
         force: false,
     };
     let outcome = inbound::BackendClient::new(http_util::headers::DEFAULT_HEADER_NAMES)
-        .forward(address, &cue, 30_000_000)
+        .forward(address, &request, 30_000_000)
         .await;
     outcome
         .map(|take| take.status)
-        .map_err(|trouble| (trouble.kind, trouble.execution_status))
+        .map_err(|error| (error.kind, error.execution_status))
 }
 
 #[tokio::test]
-async fn a_status_that_promises_is_passed_on_only_with_the_back_ends_word() {
-    let address = back_end().await;
+async fn a_status_that_promises_is_passed_on_only_with_the_backends_word() {
+    let address = start_backend().await;
     for status in [408, 421, 429, 503] {
         let marked = answered(&address, &format!("/{status}/marked")).await;
         assert_eq!(
@@ -86,7 +85,7 @@
             "{status}: nobody said that it did not run"
         );
     }
-    // A back end that is not the one asked for says so by the status alone; all else is its own answer.
+    // A backend that is not the one asked for says so by the status alone; all else is its own answer.
     assert_eq!(
         answered(&address, "/421/bare").await,
         Err((ErrorKind::Refused, ExecutionStatus::NotRun))
