--- a/crates/backend-api/src/backend_client.rs
+++ b/crates/backend-api/src/backend_client.rs
@@ -54,14 +54,14 @@
         let request = request
             .body(dispatch.body.clone())
             .build()
-            .map_err(|error| Error::new(ErrorKind::BadRequest, error.to_string()))?;
+            .map_err(|error| Error::caused_by(ErrorKind::BadRequest, &error))?;
         let response =
             self.http
                 .execute(request)
                 .await
                 .map_err(|error| match error.is_connect() {
                     true => Error::new(ErrorKind::Unreachable, "the back end takes no conn"),
-                    false => Error::new(ErrorKind::BackendLost, error.to_string()),
+                    false => Error::caused_by(ErrorKind::BackendLost, &error),
                 })?;
         let status = response.status().as_u16();
         let seal = response
@@ -106,7 +106,7 @@
             }
             Ok(Some(chunk)) => body.extend_from_slice(&chunk),
             Ok(None) => return Ok(body),
-            Err(error) => return Err(Error::new(ErrorKind::BackendLost, error.to_string())),
+            Err(error) => return Err(Error::caused_by(ErrorKind::BackendLost, &error)),
         }
     }
 }
--- a/crates/inbound/src/backend_client.rs
+++ b/crates/inbound/src/backend_client.rs
@@ -107,7 +107,7 @@
                     ));
                 }
                 Err(error) if fresh || rested < MIN_STALE_REST => {
-                    return Err(Error::new(ErrorKind::BackendLost, error.to_string()));
+                    return Err(Error::caused_by(ErrorKind::BackendLost, &error));
                 }
                 // Whether it came again is for the budget, so for the near side.
                 Err(error) => {
@@ -137,7 +137,7 @@
         let body = body
             .collect()
             .await
-            .map_err(|error| Error::new(ErrorKind::BackendLost, error.to_string()))?
+            .map_err(|error| Error::caused_by(ErrorKind::BackendLost, &error))?
             .to_bytes();
         // An answer that was due to another request, or to none.
         if head
--- a/crates/legacy-proxy/src/attempt_loop.rs
+++ b/crates/legacy-proxy/src/attempt_loop.rs
@@ -210,8 +210,7 @@
             self.may_have_run = Some(trouble.clone());
             self.ordinal += 1;
         }
-        is_retryable(trouble)
-            && (trouble.execution_status == ExecutionStatus::NotRun || self.order.idempotent)
+        is_retryable(trouble) && trouble.allows_retry(self.order.idempotent)
     }
 
     /// Once one dispatch may have run, no later refusal makes the try not run.
--- a/crates/model/tests/cluster_state/call_order.rs
+++ b/crates/model/tests/cluster_state/call_order.rs
@@ -71,7 +71,7 @@
             snapshot(&other),
             "and followers hold the same"
         );
-        // Told once more, whole or in part, nothing moves.
+        // Sent once more, whole or in part, they change nothing.
         let mut again = forth.clone();
         drawn
             .iter()
--- a/crates/model/tests/cluster_state/endpoints.rs
+++ b/crates/model/tests/cluster_state/endpoints.rs
@@ -20,7 +20,7 @@
             joined("a"),
         ];
         late.into_iter()
-            .for_each(|word| assert_eq!(apply_reports(&mut state, vec![word]), Vec::new()));
+            .for_each(|report| assert_eq!(apply_reports(&mut state, vec![report]), Vec::new()));
         assert!(!state.backends.contains_key("a") && state.backends.contains_key("b"));
     });
     let mut state = site();
@@ -28,7 +28,7 @@
     assert_eq!(
         apply_reports(&mut state, vec![joined("early")]),
         Vec::new(),
-        "the end came before the word that it is there"
+        "the end came before the report that it joined"
     );
     // Kept in a snapshot too, and over many other changes.
     (0..2_000).for_each(|turn| {
@@ -64,7 +64,7 @@
     assert_eq!(
         apply_reports(&mut state, vec![joined("a")]),
         Vec::new(),
-        "an earlier word does not make it heard again"
+        "an earlier report does not make it heard again"
     );
     apply_reports(&mut state, vec![silent(false)]);
     assert_eq!(phase(&state), BackendPhase::Registered);
@@ -74,7 +74,7 @@
     );
     [joined("a"), silent(false), silent(true), joined("a")]
         .into_iter()
-        .for_each(|word| drop(apply_reports(&mut state, vec![word])));
+        .for_each(|report| drop(apply_reports(&mut state, vec![report])));
     assert_eq!(
         phase(&state),
         BackendPhase::Draining,
@@ -94,10 +94,10 @@
     };
     assert!(report(2, 5, "a"));
     assert!(!report(2, 5, "b"), "a repeat");
-    assert!(!report(2, 4, "c"), "earlier words of this life");
+    assert!(!report(2, 4, "c"), "earlier reports of this incarnation");
     assert!(
         !report(1, 9, "d") && !report(3, 1, "e"),
-        "of another life, before it is registered"
+        "of another incarnation, before it is registered"
     );
     assert!(matches!(
         state
@@ -122,7 +122,7 @@
     };
     assert!(
         matches!(report(1, 2, "g"), Outcome::Accepted { .. }),
-        "a new life counts anew"
+        "a new incarnation counts anew"
     );
     assert!(
         matches!(report(2, 6, "h"), Outcome::Superseded { .. }),
@@ -159,7 +159,7 @@
     );
     assert!(
         is_present(&state),
-        "one watcher is one watcher, however often it says so"
+        "one observer is one observer, however often it says so"
     );
     apply_reports(&mut state, vec![missed("n2", 1, true)]);
     assert!(!is_present(&state));
@@ -167,7 +167,10 @@
         &mut state,
         vec![node("n0", 2), missed("n3", 1, true), missed("n1", 1, true)],
     );
-    assert!(is_present(&state), "who was missed is an earlier life");
+    assert!(
+        is_present(&state),
+        "the one that was missed is an earlier incarnation"
+    );
     assert_eq!(apply_reports(&mut state, vec![node("n0", 1)]), Vec::new());
 }
 
@@ -198,13 +201,13 @@
     assert_eq!(
         apply_reports(&mut state, vec![reassigned(base, &[(9, 8, "b")])]),
         Vec::new(),
-        "a row ends where it begins, or later"
+        "a range ends where it begins, or later"
     );
     apply_reports(&mut state, vec![reassigned(base, &all("b"))]);
     let range = |state: &ClusterState| {
         shard_map::range_of(&state.placements["seat"].1, 77)
             .cloned()
-            .expect("a row")
+            .expect("a range")
     };
     let fencing_token = range(&state).fencing_token;
     assert_eq!(
@@ -245,7 +248,7 @@
 }
 
 fn missed(node: &str) -> [ClusterReport; 2] {
-    ["keeper-0", "keeper-1"].map(|observer| ClusterReport::NodeObserved {
+    ["holder-0", "holder-1"].map(|observer| ClusterReport::NodeObserved {
         observer: observer.into(),
         node: node.into(),
         incarnation: 1,
@@ -259,7 +262,7 @@
         drop(apply_reports(
             state,
             vec![ClusterReport::BackendSilent {
-                name: "keeper".into(),
+                name: "holder".into(),
                 silent: turn % 2 == 0,
             }],
         ))
@@ -268,17 +271,17 @@
 
 fn kept() -> ClusterState {
     let mut state = site();
-    let keeper = ClusterReport::BackendJoined {
-        name: "keeper".into(),
-        backend: backend_record("seat", "keeper-0"),
+    let holder = ClusterReport::BackendJoined {
+        name: "holder".into(),
+        backend: backend_record("seat", "holder-0"),
     };
     apply_reports(
         &mut state,
         vec![
-            node("keeper-0", 1),
-            node("keeper-1", 1),
-            node("keeper-2", 1),
-            keeper,
+            node("holder-0", 1),
+            node("holder-1", 1),
+            node("holder-2", 1),
+            holder,
         ],
     );
     state
@@ -354,7 +357,7 @@
     );
     assert!(
         state.backends.contains_key("a") && state.nodes.contains_key("node-a"),
-        "it may still hold what it owes"
+        "it may still hold what it has not released"
     );
     apply_reports(
         &mut state,
--- a/crates/model/tests/cluster_state/fixtures.rs
+++ b/crates/model/tests/cluster_state/fixtures.rs
@@ -135,7 +135,7 @@
     }
 }
 
-/// One keyed service, one lane to it.
+/// One keyed service, one route to it.
 pub fn site() -> ClusterState {
     let mut state = ClusterState::default();
     let call = both(
--- a/crates/model/tests/cluster_state/items.rs
+++ b/crates/model/tests/cluster_state/items.rs
@@ -184,7 +184,7 @@
     assert_eq!(
         faults(&mut state, away),
         ["lane.book.shares"],
-        "an older version of the lane takes nothing away from it"
+        "an older version of the route takes nothing away from it"
     );
     let moved = both(
         put("book", 2, route_body("shop", "/book/", "desk")),
@@ -204,7 +204,7 @@
     assert_eq!(
         faults(&mut state, last),
         Vec::<String>::new(),
-        "gone with the lane that named it"
+        "gone with the route that named it"
     );
     // A drop that is too old takes nothing away, so nothing is at fault.
     apply_call(
--- a/crates/model/tests/cluster_state/shard_map.rs
+++ b/crates/model/tests/cluster_state/shard_map.rs
@@ -1,4 +1,4 @@
-//! Rows of keys against what each key is to go through, one by one (design 11.4).
+//! Shard ranges against what each of their keys is to go through, one by one (design 11.4).
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 const NAMES: [&str; 4] = ["a", "b", "c", "d"];
 
 type Pending = Vec<(String, u64)>;
-/// What one key is to know: holder, fence, who may still hold it, what was handed over.
+/// What one key is to know: holder, fencing token, who may still hold it, what was handed over.
 type Known = (Option<String>, u64, Pending, String);
 
 fn edges(one: u8, other: u8) -> (u16, u16) {
@@ -66,7 +66,7 @@
     );
 }
 
-/// One change of rows, and the same of one key.
+/// One change of a shard map, and the same of each key.
 fn step(
     position: u64,
     held: ShardMap,
@@ -135,7 +135,7 @@
             each.iter().for_each(|(key, wanted)| {
                 let range = |ranges| {
                     shard_map::range_of(ranges, *key)
-                        .expect("every key has a row")
+                        .expect("every key has a range")
                         .clone()
                 };
                 assert_eq!(
@@ -145,7 +145,7 @@
                 );
                 assert!(
                     range(&next).fencing_token >= range(&held).fencing_token,
-                    "a fence went back"
+                    "a fencing token went back"
                 );
                 let moved = range(&next)
                     .holder
@@ -154,14 +154,14 @@
                     !moved
                         || range(&next).fencing_token == position
                             && range(&next).fencing_token > range(&held).fencing_token,
-                    "a new holder has a new fence"
+                    "a new holder has a new fencing token"
                 );
             });
             let handed_over = shard_map::diff(&held, &next);
             assert_eq!(
                 shard_map::apply_diff(held.clone(), handed_over),
                 next,
-                "whoever held the old rows and hears the changes holds the new ones"
+                "who has the old ranges and applies the changes has the new ones"
             );
             held = next;
         });
@@ -188,7 +188,7 @@
     assert_eq!(
         late[0].pending_releases,
         [("b".to_string(), 7), ("a".to_string(), 9)],
-        "a word from before 9 says nothing of 9"
+        "a release from before 9 says nothing of 9"
     );
     let now = shard_map::release(late, "a", 9, &[(0, u16::MAX, "new".into())]);
     assert_eq!(
@@ -201,6 +201,6 @@
     assert_eq!(
         shard_map::expire_releases(now.clone(), &[(0, u16::MAX, 7)]),
         now,
-        "waited out for another fence"
+        "waited out for another fencing token"
     );
 }
--- a/crates/model/tests/cluster_state/snapshot.rs
+++ b/crates/model/tests/cluster_state/snapshot.rs
@@ -1,4 +1,4 @@
-//! What a follower holds: told by changes or told the whole, it is the same (design 11.3).
+//! What a follower holds: of deltas or of the full state, it is the same (design 11.3).
 
 use std::mem;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 
 fn drawn_call(kind: u8, name: u8, version: u64, other: u8) -> model::cluster_state::ItemCall {
     let (name, target) = (
-        format!("lane-{}", name % 4),
+        format!("route-{}", name % 4),
         format!("service-{}", other % 3),
     );
     match kind % 6 {
@@ -34,7 +34,7 @@
 
 fn drawn_report(state: &ClusterState, kind: u8, who: u8, one: u8, other: u8) -> ClusterReport {
     let (name, node, incarnation) = (
-        format!("player-{}", who % 5),
+        format!("backend-{}", who % 5),
         format!("node-{}", who % 3),
         1 + (one / 128) as u64,
     );
@@ -127,7 +127,7 @@
                 assert_eq!(
                     state.position > before,
                     !deltas.is_empty(),
-                    "who follows hears of every position"
+                    "followers are sent every position"
                 );
                 first = first.updated(false, state.position, deltas.clone());
                 seldom.1.extend(deltas.clone());
@@ -185,7 +185,7 @@
 #[test]
 fn available_back_ends_are_listed_anew_only_for_services_that_changed() {
     let services = 20;
-    let name = |at: usize| format!("player-{at}");
+    let name = |at: usize| format!("backend-{at}");
     let node = |at: usize, incarnation: u64| ClusterReport::NodeRegistered {
         node: format!("node-{at}"),
         zone: "z0".into(),
--- a/crates/model/tests/leases.rs
+++ b/crates/model/tests/leases.rs
@@ -112,7 +112,7 @@
             apply_report(&mut state, "n0", 1, 3, slots(9, 12)),
             Outcome::Unchanged { .. }
         ),
-        "an earlier life says nothing"
+        "an earlier incarnation says nothing"
     );
     apply_report(&mut state, "n0", 1, 4, slots(10, 12));
     assert_eq!(
@@ -154,7 +154,7 @@
         state.leases["seat"]
             .iter()
             .all(|lease| lease.holder.is_none() && !lease.pending_releases.is_empty()),
-        "and what they held is owed"
+        "and the release of what they held is pending"
     );
     assert!(matches!(
         apply_report(&mut state, "n2", 1, 2, registered("seat-2", "n2", 10)),
--- a/crates/model/tests/site/mod.rs
+++ b/crates/model/tests/site/mod.rs
@@ -1,4 +1,4 @@
-//! A small book: one service, one order, four nodes.
+//! A small state machine: one service, one order, four nodes.
 
 use model::{
     Backend, BackendPhase, Change, Edit, Entry, Grouping, Operation, Outcome, Selector,
--- a/crates/model/tests/state_machine.rs
+++ b/crates/model/tests/state_machine.rs
@@ -119,7 +119,7 @@
         ),
         "it fits no grouping"
     );
-    // A live name is not taken by another node, and a life that ended does not come back.
+    // A live name is not taken by another node, and an incarnation that ended does not come back.
     assert!(matches!(
         apply_report(&mut state, "n1", 1, 2, registered("seat-0", "n1", 20)),
         Outcome::Refused { .. }
@@ -153,7 +153,7 @@
     apply_report(&mut state, "n2", 1, 2, missed("n2", true));
     assert!(
         state.endpoint_status.nodes["n0"].present,
-        "a word taken back does not count"
+        "a report that is taken back does not count"
     );
     apply_report(&mut state, "n3", 1, 2, missed("n3", true));
     assert!(!state.endpoint_status.nodes["n0"].present);
@@ -177,7 +177,7 @@
         assert!(matches!(outcome, Outcome::Accepted { .. }));
     });
     let size = state.to_bytes().len();
-    assert!(size < 400_000, "the book grew to {size} bytes");
+    assert!(size < 400_000, "the state grew to {size} bytes");
     assert_eq!(
         change(
             &mut state,
