--- a/crates/endpoints/src/monitor.rs
+++ b/crates/endpoints/src/monitor.rs
@@ -1,7 +1,7 @@
 //! Heartbeats to the nodes that monitor this one, and failure detection for the nodes that this one monitors
 //! (design section 5.10).
 //!
-//! `control::monitor` does the same for the older interface. The two differ and both stay: that one checks ten times
+//! `control::failure_detection::monitor` does the same for the older interface. The two differ and both stay: that one checks ten times
 //! within its time-out, opens a connection again at its next heartbeat and repeats a report until the log takes it;
 //! this one checks at each heartbeat, reports only while it is registered and its own state is verified, and leaves
 //! a lost report to the next change.
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use control::ring::{FailureDetector, RingPosition};
+use control::failure_detection::ring::{FailureDetector, RingPosition};
 use control::{SharedVerifiedState, StatusReporter};
 use model::cluster_state::ClusterReport;
 use model::endpoint_status::EndpointReport;
