--- a/crates/endpoints/tests/unverified_state.rs
+++ b/crates/endpoints/tests/unverified_state.rs
@@ -1,8 +1,8 @@
 //! A node that has just started, before its first proof: it refuses requests at once and acts on nothing unverified
 //! (design section 11.6).
 
-use control::discovery;
-use control::publisher::UpdatePublisher;
+use control::membership::discovery;
+use control::updates::publisher::UpdatePublisher;
 use endpoints::{Heartbeat, LeaseConfig, LeaseTableConfig, Node, NodeConfig};
 use http_util::headers::DEFAULT_HEADER_NAMES;
 use model::cluster_state::items::ItemPut;
--- a/crates/inbound/src/backend_client.rs
+++ b/crates/inbound/src/backend_client.rs
@@ -157,7 +157,7 @@
             return Error::new(ErrorKind::Unreachable, detail);
         }
         match idled.filter(|idled| *idled >= MIN_STALE_IDLE) {
-            None => Error::new(ErrorKind::BackendLost, error.to_string()),
+            None => Error::caused_by(ErrorKind::BackendLost, error),
             Some(idled) => {
                 self.connections.record_stale(model::now(), idled);
                 Error::new(ErrorKind::ConnectionForgotten, error.to_string())
@@ -175,7 +175,7 @@
         let body = body
             .collect()
             .await
-            .map_err(|error| Error::new(ErrorKind::BackendLost, error.to_string()))?
+            .map_err(|error| Error::caused_by(ErrorKind::BackendLost, &error))?
             .to_bytes();
         self.check_seal(request, &head)?;
         self.keep_connection(&head, sender);
--- a/crates/operator-api/src/changes.rs
+++ b/crates/operator-api/src/changes.rs
@@ -148,9 +148,8 @@
 
 /// The disk that this replica takes for the member.
 fn member_disk(api: &OperatorApi, replica_id: u16) -> Option<u64> {
-    let (own_id, own_disk) = api.replica.identity();
-    if own_id == replica_id {
-        return Some(own_disk);
+    if api.replica.replica_id() == replica_id {
+        return Some(api.replica.disk_id());
     }
     api.replica.pinned_disks.load().get(&replica_id).copied()
 }
--- a/crates/operator-api/src/queries.rs
+++ b/crates/operator-api/src/queries.rs
@@ -103,7 +103,7 @@
             "refused": status.refusal,
             "position": state.position,
             "version": state.desired.version,
-            "known": control::discovery::list(&replica.known_replicas),
+            "known": control::membership::discovery::list(&replica.known_replicas),
             "holders": member_disks(replica),
             "traffic": transport::traffic::by_zone(),
         });
@@ -173,12 +173,8 @@
 
 /// Each replica's disk, as this replica has it on its own.
 fn member_disks(replica: &ReplicaHandle) -> BTreeMap<u16, String> {
-    let pinned_disks = replica.pinned_disks.load();
-    let peers = pinned_disks
-        .iter()
-        .map(|(replica_id, disk)| (*replica_id, *disk));
-    peers
-        .chain([replica.identity()])
+    let members = replica.members().into_iter();
+    members
         .map(|(replica_id, disk)| (replica_id, format!("{disk:016x}")))
         .collect()
 }
--- a/crates/outbound/src/peer_server.rs
+++ b/crates/outbound/src/peer_server.rs
@@ -55,7 +55,7 @@
     known_replicas: KnownReplicas,
 ) -> Option<Connection> {
     let accepted = transport::accept(stream, |peer| async move {
-        control::discovery::merge(&known_replicas, peer.known_replicas);
+        control::membership::discovery::merge(&known_replicas, peer.known_replicas);
         match peer.purpose {
             Purpose::Consensus | Purpose::RequestAssignment => Err("no core seat is here".into()),
             purpose => Ok((handshake_info)(purpose)),
@@ -92,20 +92,7 @@
         let (outcome_sender, mut outcomes) = mpsc::channel::<(u32, Outcome)>(OUTCOME_CAPACITY);
         let mut running = RunningRequests::default();
         loop {
-            let frame = tokio::select! {
-                frame = connection.receiver.recv() => match frame {
-                    Some(frame) => frame,
-                    None => return,
-                },
-                Some((request_id, outcome)) = outcomes.recv() => {
-                    running.tasks.remove(&request_id);
-                    let response = response_frame(request_id, outcome, &mut encoder);
-                    if connection.sender.send(response).await.is_err() {
-                        return;
-                    }
-                    continue;
-                }
-            };
+            let frame = tokio::select! { frame = connection.receiver.recv() => match frame { Some(frame) => frame, None => return }, Some((request_id, outcome)) = outcomes.recv() => { running.tasks.remove(&request_id); let response = response_frame(request_id, outcome, &mut encoder); if connection.sender.send(response).await.is_err() { return; } continue; } };
             match frame {
                 Frame::ForwardedRequest(request_id, encoded) => {
                     let task =
--- a/crates/outbound/tests/forwarding.rs
+++ b/crates/outbound/tests/forwarding.rs
@@ -65,7 +65,7 @@
     let info: HandshakeInfo = Arc::new(|purpose| handshake(purpose, "127.0.0.1:0"));
     let (heartbeats, _) = mpsc::channel(8);
     let (load_reports, _) = mpsc::channel(8);
-    let known_replicas = control::discovery::empty();
+    let known_replicas = control::membership::discovery::empty();
     let senders = (heartbeats, load_reports);
     tokio::spawn(outbound::serve_peers(
         listener,
