--- a/crates/backend-api/src/backend_client.rs
+++ b/crates/backend-api/src/backend_client.rs
@@ -55,7 +55,7 @@
             if error.is_connect() {
                 Error::new(ErrorKind::Unreachable, "the back end takes no conn")
             } else {
-                Error::new(ErrorKind::BackendLost, error.to_string())
+                Error::caused_by(ErrorKind::BackendLost, &error)
             }
         })?;
         let status = response.status().as_u16();
@@ -105,7 +105,7 @@
         request
             .body(attempt.body.clone())
             .build()
-            .map_err(|error| Error::new(ErrorKind::BadRequest, error.to_string()))
+            .map_err(|error| Error::caused_by(ErrorKind::BadRequest, &error))
     }
 }
 
@@ -148,7 +148,7 @@
             }
             Ok(Some(chunk)) => body.extend_from_slice(&chunk),
             Ok(None) => return Ok(body),
-            Err(error) => return Err(Error::new(ErrorKind::BackendLost, error.to_string())),
+            Err(error) => return Err(Error::caused_by(ErrorKind::BackendLost, &error)),
         }
     }
 }
