--- a/crates/model/src/cluster_state/endpoints.rs
+++ b/crates/model/src/cluster_state/endpoints.rs
@@ -60,6 +60,25 @@
     pub changed_at: Position,
 }
 
+impl NodeRecord {
+    /// A node that registers at position `next`, and that nobody misses.
+    pub(crate) fn present(
+        zone: ZoneName,
+        address: String,
+        incarnation: Incarnation,
+        next: Position,
+    ) -> NodeRecord {
+        NodeRecord {
+            zone,
+            address,
+            incarnation,
+            present: true,
+            missed_by: BTreeSet::new(),
+            changed_at: next,
+        }
+    }
+}
+
 /// Back ends by name.
 pub type BackendRecords = BTreeMap<BackendName, BackendRecord>;
 /// Nodes by name.
--- a/crates/model/src/cluster_state/mod.rs
+++ b/crates/model/src/cluster_state/mod.rs
@@ -187,66 +187,35 @@
     }
 
     fn apply_report(&mut self, report: ClusterReport, next: Position) -> Vec<Delta> {
-        match report {
-            ClusterReport::NodeRegistered {
+        use ClusterReport::*;
+        let delta = match report {
+            NodeRegistered {
                 node,
                 zone,
                 address,
                 incarnation,
                 replaces,
             } => {
-                let registration = NodeRecord {
-                    zone,
-                    address,
-                    incarnation,
-                    present: true,
-                    missed_by: Default::default(),
-                    changed_at: next,
-                };
+                let registration = NodeRecord::present(zone, address, incarnation, next);
                 self.register_node(node, registration, replaces)
-                    .into_iter()
-                    .collect()
-            }
-            ClusterReport::NodeLeft { node, incarnation } => {
-                self.node_left(&node, incarnation).into_iter().collect()
             }
-            ClusterReport::NodeObserved {
+            NodeLeft { node, incarnation } => self.node_left(&node, incarnation),
+            NodeObserved {
                 observer,
                 node,
                 incarnation,
                 missed,
-            } => {
-                let delta = self.observe_node(observer, &node, incarnation, missed, next);
-                delta.into_iter().collect()
-            }
-            ClusterReport::BackendJoined { name, backend } => {
-                let backend = BackendRecord {
-                    changed_at: next,
-                    ..backend
-                };
-                self.backend_joined(name, backend).into_iter().collect()
-            }
-            ClusterReport::BackendDraining { name } => {
+            } => self.observe_node(observer, &node, incarnation, missed, next),
+            BackendJoined { name, backend } => self.backend_joined(name, backend, next),
+            BackendDraining { name } => {
                 let (from, to) = (BackendPhase::Registered, BackendPhase::Draining);
                 self.change_phase(&name, from, to, next)
-                    .into_iter()
-                    .collect()
-            }
-            ClusterReport::BackendSilent { name, silent } => {
-                let (heard, not_heard) = (BackendPhase::Registered, BackendPhase::PresumedGone);
-                let (from, to) = if silent {
-                    (heard, not_heard)
-                } else {
-                    (not_heard, heard)
-                };
-                self.change_phase(&name, from, to, next)
-                    .into_iter()
-                    .collect()
             }
-            ClusterReport::BackendEnded { name, process_gone } => {
-                self.backend_ended(name, process_gone, next)
+            BackendSilent { name, silent } => self.backend_silent(&name, silent, next),
+            BackendEnded { name, process_gone } => {
+                return self.backend_ended(name, process_gone, next);
             }
-            ClusterReport::ShardsReassigned {
+            ShardsReassigned {
                 service,
                 base_placement,
                 ranges,
@@ -256,25 +225,23 @@
                     base_placement,
                     ranges,
                 };
-                let delta = reassignment.apply(&mut self.placements, &self.backends, next);
-                delta.into_iter().collect()
+                reassignment.apply(&mut self.placements, &self.backends, next)
             }
-            ClusterReport::ShardsReleased {
+            ShardsReleased {
                 service,
                 name,
                 known_through,
                 ranges,
             } => {
                 let release = |map| shard_map::release(map, &name, known_through, &ranges);
-                let delta = placement::change_shard_map(&mut self.placements, &service, release);
-                delta.into_iter().collect()
+                placement::change_shard_map(&mut self.placements, &service, release)
             }
-            ClusterReport::ReleasesExpired { service, ranges } => {
+            ReleasesExpired { service, ranges } => {
                 let expire = |map| shard_map::expire_releases(map, &ranges);
-                let delta = placement::change_shard_map(&mut self.placements, &service, expire);
-                delta.into_iter().collect()
+                placement::change_shard_map(&mut self.placements, &service, expire)
             }
-        }
+        };
+        delta.into_iter().collect()
     }
 
     fn register_node(
@@ -325,7 +292,12 @@
     }
 
     /// A late word neither brings an ended back end back nor turns back a phase.
-    fn backend_joined(&mut self, name: BackendName, backend: BackendRecord) -> Option<Delta> {
+    fn backend_joined(
+        &mut self,
+        name: BackendName,
+        backend: BackendRecord,
+        next: Position,
+    ) -> Option<Delta> {
         let is_known = self.backends.get(&name).is_some_and(|current| {
             let changed_at = current.changed_at;
             current.phase != backend.phase
@@ -338,10 +310,25 @@
         if is_known || self.ended_backends.contains_key(&name) {
             return None;
         }
-        self.backends.insert(name.clone(), backend);
+        let joined = BackendRecord {
+            changed_at: next,
+            ..backend
+        };
+        self.backends.insert(name.clone(), joined);
         Some(self.backend_delta(&name))
     }
 
+    /// Only a registered back end becomes silent, and only a silent one is heard again: one that
+    /// drains goes on draining.
+    fn backend_silent(&mut self, name: &str, silent: bool, next: Position) -> Option<Delta> {
+        let (heard, not_heard) = (BackendPhase::Registered, BackendPhase::PresumedGone);
+        if silent {
+            self.change_phase(name, heard, not_heard, next)
+        } else {
+            self.change_phase(name, not_heard, heard, next)
+        }
+    }
+
     fn change_phase(
         &mut self,
         name: &str,
--- a/crates/model/src/endpoint_status.rs
+++ b/crates/model/src/endpoint_status.rs
@@ -103,6 +103,25 @@
     pub changed_at: Position,
 }
 
+impl Node {
+    /// A node that registers at position `next`, and that nobody misses.
+    pub(crate) fn present(
+        zone: ZoneName,
+        address: String,
+        incarnation: Incarnation,
+        next: Position,
+    ) -> Node {
+        Node {
+            zone,
+            address,
+            incarnation,
+            present: true,
+            missed_by: BTreeSet::new(),
+            changed_at: next,
+        }
+    }
+}
+
 /// All back ends and nodes that are known.
 #[derive(
     Clone,
--- a/crates/model/src/endpoint_status_rules.rs
+++ b/crates/model/src/endpoint_status_rules.rs
@@ -33,32 +33,24 @@
     report: EndpointReport,
     next: Position,
 ) -> Result<(), Rejection> {
+    use EndpointReport::*;
     match report {
-        EndpointReport::NodeRegistered {
+        NodeRegistered {
             node,
             zone,
             address,
             incarnation,
             replaces,
         } => {
-            let registration = Node {
-                zone,
-                address,
-                incarnation,
-                present: true,
-                missed_by: Default::default(),
-                changed_at: next,
-            };
+            let registration = Node::present(zone, address, incarnation, next);
             return register_node(state, node, registration, replaces);
         }
-        EndpointReport::NodeLeft {
+        NodeLeft {
             node,
             incarnation,
             clean,
-        } => {
-            node_left(state, &node, incarnation, clean, next);
-        }
-        EndpointReport::NodeObserved {
+        } => node_left(state, &node, incarnation, clean, next),
+        NodeObserved {
             observer,
             node,
             incarnation,
@@ -66,10 +58,8 @@
         } => {
             record_observation(state, observer, &node, incarnation, missed, next);
         }
-        EndpointReport::BackendRegistered { name, backend } => {
-            return register_backend(state, name, backend, next);
-        }
-        EndpointReport::PhaseChanged {
+        BackendRegistered { name, backend } => return register_backend(state, name, backend, next),
+        PhaseChanged {
             name,
             incarnation,
             phase,
@@ -78,7 +68,7 @@
                 advance_phase(backend, phase, next);
             }
         }
-        EndpointReport::SlotsChanged {
+        SlotsChanged {
             name,
             incarnation,
             slots,
@@ -87,7 +77,7 @@
                 backend.slots = slots;
             }
         }
-        EndpointReport::LeasesReleased {
+        LeasesReleased {
             service,
             name,
             incarnation,
