--- a/crates/control/tests/disks/held.rs
+++ b/crates/control/tests/disks/held.rs
@@ -82,7 +82,7 @@
 }
 
 impl Held {
-    pub fn read(shelf: &ReplicaStore, writes: Vec<Write>) -> Held {
+    pub fn read(store: &ReplicaStore, writes: Vec<Write>) -> Held {
         let archive = rkyv::to_bytes::<rkyv::rancor::Error>(&writes).expect("an archive");
         let votes_from = writes.iter().filter_map(|write| match write {
             Write::VotingRangeStart(from) => Some(*from),
@@ -93,11 +93,11 @@
         for write in &writes {
             *counted.entry(kind(write)).or_default() += 1;
         }
-        let charter = shelf.membership.expect("the disk of a replica");
+        let charter = store.membership.expect("the disk of a replica");
         let mut machine = Replica::restore(
             charter.replica_id,
             charter.replica_count,
-            shelf.disk_id,
+            store.disk_id,
             Default::default(),
             1,
             writes,
@@ -123,11 +123,11 @@
         }
         let (book_bytes, bill_bytes) = (book.to_bytes(), bill.to_bytes());
         Held {
-            identity: shelf.disk_id,
-            starts: shelf.start_count,
+            identity: store.disk_id,
+            starts: store.start_count,
             charter: Some((charter.replica_id, charter.replica_count, charter.founded)),
-            retired: shelf.retired,
-            others: shelf
+            retired: store.retired,
+            others: store
                 .pinned_disks
                 .iter()
                 .map(|(replica, disk)| (*replica, *disk))
--- a/crates/control/tests/disks/main.rs
+++ b/crates/control/tests/disks/main.rs
@@ -149,14 +149,11 @@
     let (mut cores, mut copies) = (Vec::new(), Vec::new());
     for (machine, name) in machines.into_iter().zip(DISKS) {
         copies.push(CopiedDisk::into(machine.folder.clone(), name));
-        let storage::RecoveredStore {
-            store: shelf,
-            writes,
-        } = machine.shelf();
-        let settings = machine.core(&addresses, shelf.membership, NEVER);
+        let storage::RecoveredStore { store, writes } = machine.store();
+        let settings = machine.core(&addresses, store.membership, NEVER);
         let core = control::ReplicaHandle::start_on(
             settings,
-            shelf,
+            store,
             writes,
             model::logging::discard_logger(),
         );
--- a/crates/control/tests/disks/writing.rs
+++ b/crates/control/tests/disks/writing.rs
@@ -41,10 +41,10 @@
     seeds: Vec<String>,
     first: bool,
 ) -> (MembershipRecord, ReplicaHandle) {
-    let (charter, shelf, writes) = machine.settle(&seeds, first).await;
+    let (charter, store, writes) = machine.settle(&seeds, first).await;
     let mut settings = machine.core(&seeds, Some(charter), REPLACE_AFTER);
     settings.snapshot_every_entries = SNAPSHOT_EVERY;
-    let core = ReplicaHandle::start_on(settings, shelf, writes, model::logging::discard_logger())
+    let core = ReplicaHandle::start_on(settings, store, writes, model::logging::discard_logger())
         .expect("a replica");
     tokio::spawn(control::updates::stream::listen(
         core.clone(),
--- a/crates/control/tests/membership/bootstrap.rs
+++ b/crates/control/tests/membership/bootstrap.rs
@@ -1,7 +1,7 @@
 //! Core machines come to their replicas: when the cluster is founded, which happens once, or in place
 //! of one that is gone (design 12.1).
 
-use crate::machines::{Machine, enlists, greets, soon, told, until};
+use crate::machines::{Machine, answer_of, assignment_handshake, handshake, soon, until};
 use std::collections::BTreeSet;
 use std::path::PathBuf;
 
@@ -53,17 +53,17 @@
 }
 
 /// Takes part in the founding, and is gone before it hears whom the core begins with.
-async fn enlists_and_dies(founder: &str, machine: &Machine) -> u64 {
-    let identity = machine.shelf().store.disk_id;
+async fn requests_assignment_and_dies(founder: &str, machine: &Machine) -> u64 {
+    let disk_id = machine.store().store.disk_id;
     drop(
         soon(
             "a connection",
-            transport::dial(founder, enlists(&machine.address, identity)),
+            transport::dial(founder, assignment_handshake(&machine.address, disk_id)),
         )
         .await
         .expect("the founder listens"),
     );
-    identity
+    disk_id
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -77,21 +77,27 @@
         let seeds = seeds.clone();
         tokio::spawn(async move { machine.start(&seeds, true, NEVER).await })
     });
-    let mut seated = Vec::new();
+    let mut started = Vec::new();
     for start in starts.collect::<Vec<_>>() {
-        seated.push(start.await.expect("a replica"));
+        started.push(start.await.expect("a replica"));
     }
-    let seats: BTreeSet<u16> = seated
+    let replicas: BTreeSet<u16> = started
         .iter()
-        .map(|(charter, _)| charter.replica_id)
+        .map(|(membership, _)| membership.replica_id)
         .collect();
-    assert_eq!(seats, (0..4).collect());
+    assert_eq!(replicas, (0..4).collect());
     assert!(
-        seated
+        started
             .iter()
-            .all(|(charter, _)| charter.replica_count == 4 && charter.founded)
+            .all(|(membership, _)| membership.replica_count == 4 && membership.founded)
     );
-    one_core(&seated.into_iter().map(|(_, core)| core).collect::<Vec<_>>()).await;
+    one_core(
+        &started
+            .into_iter()
+            .map(|(_, core)| core)
+            .collect::<Vec<_>>(),
+    )
+    .await;
     folders
         .into_iter()
         .for_each(|folder| drop(std::fs::remove_dir_all(folder)));
@@ -107,38 +113,38 @@
         .map(|machine| machine.folder.clone())
         .collect();
     let (first, _) = tokio::join!(machines[0].settle(&seeds, true), async {
-        enlists_and_dies(&seeds[0], &machines[1]).await;
-        enlists_and_dies(&seeds[0], &machines[2]).await;
+        requests_assignment_and_dies(&seeds[0], &machines[1]).await;
+        requests_assignment_and_dies(&seeds[0], &machines[2]).await;
     });
-    let (charter, pins) = (first.0, first.1.pinned_disks.clone());
+    let (membership, members) = (first.0, first.1.pinned_disks.clone());
     drop(first);
     // Nobody else comes and it would wait for ever, if it founded once more.
     let again = machines[0].settle(&seeds, true).await;
     assert_eq!(
         (again.0, &again.1.pinned_disks),
-        (charter, &pins),
+        (membership, &members),
         "what was founded stands"
     );
     drop(again);
-    let mut seated = Vec::new();
+    let mut started = Vec::new();
     for machine in machines {
-        let identity = machine.shelf().store.disk_id;
+        let disk_id = machine.store().store.disk_id;
         let (given, core) = machine.start(&seeds, true, NEVER).await;
         assert!(given.founded && given.replica_count == 3, "{given:?}");
         assert!(
-            given.replica_id == charter.replica_id
-                || pins.get(&given.replica_id) == Some(&identity),
-            "the very seat it was given at the founding"
+            given.replica_id == membership.replica_id
+                || members.get(&given.replica_id) == Some(&disk_id),
+            "the very replica it was given at the founding"
         );
-        seated.push(core);
+        started.push(core);
     }
-    one_core(&seated).await;
+    one_core(&started).await;
     folders
         .into_iter()
         .for_each(|folder| drop(std::fs::remove_dir_all(folder)));
 }
 
-/// A core of four, of which one machine took part in the founding and never ran as a seat; who and where it is.
+/// A core of four, of which one machine took part in the founding and never ran as a replica; who and where it is.
 async fn three_of_four(
     test: &str,
     replace_after: u64,
@@ -156,7 +162,7 @@
             .map(|machine| machine.folder.clone())
             .collect(),
     );
-    let lost = machines[3].shelf().store.disk_id;
+    let lost = machines[3].store().store.disk_id;
     let mut machines = machines.into_iter();
     let (founder, others) = (machines.next().expect("a founder"), machines);
     let starts: Vec<_> = others
@@ -169,7 +175,7 @@
     let (at, own) = (seeds[0].clone(), seeds.clone());
     let fourth = tokio::spawn(async move {
         drop(
-            transport::dial(&at, enlists(&own[3], lost))
+            transport::dial(&at, assignment_handshake(&own[3], lost))
                 .await
                 .expect("the founder listens"),
         )
@@ -185,23 +191,23 @@
         })
         .await;
     }
-    let seat = cores[0]
+    let replica_id = cores[0]
         .pinned_disks
         .load()
         .iter()
         .find(|(_, held)| **held == lost)
-        .map(|(seat, _)| *seat)
+        .map(|(replica_id, _)| *replica_id)
         .expect("it was named");
-    (cores, seeds, (seat, lost), folders)
+    (cores, seeds, (replica_id, lost), folders)
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_empty_disk_at_a_known_address_is_offered_that_replica_and_one_elsewhere_none_that_is_held()
  {
-    let (_cores, seeds, (seat, lost), folders) = three_of_four("home", NEVER).await;
+    let (_cores, seeds, (replica_id, lost), folders) = three_of_four("home", NEVER).await;
     // The lost machine had run once, and all know where.
     let place = transport::KnownReplica {
-        replica_id: seat,
+        replica_id,
         disk_id: lost,
         address: seeds[3].clone(),
         zone: "z0".into(),
@@ -213,7 +219,7 @@
                 "a connection",
                 transport::dial(
                     at,
-                    greets(
+                    handshake(
                         transport::Purpose::Discover,
                         &seeds[3],
                         None,
@@ -224,25 +230,25 @@
             .await
             .expect("acquainted"),
         );
-        let here = told(at, enlists(&seeds[3], 4_711)).await;
+        let here = answer_of(at, assignment_handshake(&seeds[3], 4_711)).await;
         assert_eq!(
             here,
             transport::Frame::ReplicaAssignment {
-                replica_id: seat,
+                replica_id,
                 replica_count: 4,
                 founding: false,
                 pinned_disks: Vec::new()
             }
         );
         assert_eq!(
-            told(at, enlists("127.0.0.1:9", 4_712)).await,
+            answer_of(at, assignment_handshake("127.0.0.1:9", 4_712)).await,
             transport::Frame::NoReplicaAvailable,
             "nobody is away for long"
         );
-        let again = told(at, enlists("127.0.0.1:9", lost)).await;
+        let again = answer_of(at, assignment_handshake("127.0.0.1:9", lost)).await;
         assert!(
-            matches!(again, transport::Frame::ReplicaAssignment { replica_id: told, founding: true, .. } if told == seat),
-            "the disk that was named keeps its seat: {again:?}"
+            matches!(again, transport::Frame::ReplicaAssignment { replica_id: answer_of, founding: true, .. } if answer_of == replica_id),
+            "the disk that was named keeps its replica: {again:?}"
         );
     }
     folders
@@ -252,19 +258,23 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_empty_disk_elsewhere_is_offered_only_the_vacant_replica_and_takes_it() {
-    let (cores, seeds, (seat, lost), folders) = three_of_four("vacant", 2_000_000).await;
+    let (cores, seeds, (replica_id, lost), folders) = three_of_four("vacant", 2_000_000).await;
     until("a vacancy", || {
         cores
             .iter()
-            .all(|core| core.status.load().vacant_replicas == [seat])
+            .all(|core| core.status.load().vacant_replicas == [replica_id])
     })
     .await;
     let spare = Machine::new("vacant", 4).await;
     let folder = spare.folder.clone();
-    let (charter, core) = spare.start(&seeds[..3], false, 2_000_000).await;
+    let (membership, core) = spare.start(&seeds[..3], false, 2_000_000).await;
     assert_eq!(
-        (charter.replica_id, charter.replica_count, charter.founded),
-        (seat, 4, false)
+        (
+            membership.replica_id,
+            membership.replica_count,
+            membership.founded
+        ),
+        (replica_id, 4, false)
     );
     until("a vote of the new disk", || core.status.load().voting).await;
     assert!(
@@ -275,13 +285,13 @@
         cores.iter().all(|core| {
             core.pinned_disks
                 .load()
-                .get(&seat)
+                .get(&replica_id)
                 .is_some_and(|held| *held != lost)
         })
     })
     .await;
     // Without it the log could not be finished again below the change once one more disk is lost (design 4.4).
-    until("a snapshot past the change at every seat", || {
+    until("a snapshot past the change at every replica", || {
         cores
             .iter()
             .all(|core| core.status.load().compacted_below > mencius::VOTING_WINDOW)
@@ -294,9 +304,9 @@
     })
     .await;
     assert_eq!(
-        told(&seeds[0], enlists("127.0.0.1:9", 4_712)).await,
+        answer_of(&seeds[0], assignment_handshake("127.0.0.1:9", 4_712)).await,
         transport::Frame::NoReplicaAvailable,
-        "all seats are held again"
+        "all replicas are held again"
     );
     one_core(&[cores, vec![core]].concat()).await;
     folders
@@ -307,18 +317,18 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_machine_that_comes_late_to_the_first_start_asks_others_when_the_founder_is_gone() {
-    let (cores, seeds, (seat, _), folders) = three_of_four("late", 2_000_000).await;
+    let (cores, seeds, (replica_id, _), folders) = three_of_four("late", 2_000_000).await;
     until("a vacancy", || {
         cores
             .iter()
-            .all(|core| core.status.load().vacant_replicas == [seat])
+            .all(|core| core.status.load().vacant_replicas == [replica_id])
     })
     .await;
     // Nobody listens where the founder was; it is one of those that the late machine was told of.
     let gone = "127.0.0.1:9".to_string();
     let spare = Machine::new("late", 4).await;
     let folder = spare.folder.clone();
-    let (charter, _core) = spare
+    let (membership, _core) = spare
         .start(
             &[vec![gone], seeds[1..3].to_vec()].concat(),
             true,
@@ -326,8 +336,12 @@
         )
         .await;
     assert_eq!(
-        (charter.replica_id, charter.replica_count, charter.founded),
-        (seat, 4, false)
+        (
+            membership.replica_id,
+            membership.replica_count,
+            membership.founded
+        ),
+        (replica_id, 4, false)
     );
     folders
         .into_iter()
@@ -338,11 +352,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_member_that_returns_after_it_was_replaced_empties_its_disk_and_asks_as_an_empty_machine()
 {
-    let (cores, seeds, (seat, lost), folders) = three_of_four("returns", 2_000_000).await;
+    let (cores, seeds, (replica_id, lost), folders) = three_of_four("returns", 2_000_000).await;
     until("a vacancy", || {
         cores
             .iter()
-            .all(|core| core.status.load().vacant_replicas == [seat])
+            .all(|core| core.status.load().vacant_replicas == [replica_id])
     })
     .await;
     let spare = Machine::new("returns", 4).await;
@@ -352,7 +366,7 @@
         cores.iter().all(|core| {
             core.pinned_disks
                 .load()
-                .get(&seat)
+                .get(&replica_id)
                 .is_some_and(|held| *held != lost)
         })
     })
@@ -363,33 +377,36 @@
         folder: folders[3].clone(),
         ..Machine::new("returns", 5).await
     };
-    let pins: Vec<(u16, u64)> = cores[0].members();
-    let mut shelf = old.shelf().store;
-    let others: storage::PinnedDisks = pins.into_iter().filter(|(held, _)| *held != seat).collect();
-    shelf
+    let members: Vec<(u16, u64)> = cores[0].members();
+    let mut store = old.store().store;
+    let others: storage::PinnedDisks = members
+        .into_iter()
+        .filter(|(held, _)| *held != replica_id)
+        .collect();
+    store
         .record_membership(
             storage::MembershipRecord {
-                replica_id: seat,
+                replica_id,
                 replica_count: 4,
                 founded: true,
             },
             &others,
         )
-        .expect("a charter");
-    shelf
+        .expect("a record");
+    store
         .append(&[mencius::Write::ProposalCounter(1)], false)
         .expect("it had voted");
-    drop(shelf);
+    drop(store);
     let folder = old.folder.clone();
-    let (charter, core) = old.start(&seeds[..3], false, 2_000_000).await;
-    assert_eq!(charter.replica_id, seat, "it does not know yet");
+    let (membership, core) = old.start(&seeds[..3], false, 2_000_000).await;
+    assert_eq!(membership.replica_id, replica_id, "it does not know yet");
     soon(
         "that it empties its disk",
         control::membership::retirement::wait_until_retired(&core),
     )
     .await;
-    // No seat is vacant now: it is told none, and votes nowhere.
-    let asked = told(&seeds[0], enlists("127.0.0.1:9", lost)).await;
+    // No replica is vacant now: it is offered none, and votes nowhere.
+    let asked = answer_of(&seeds[0], assignment_handshake("127.0.0.1:9", lost)).await;
     assert_eq!(asked, transport::Frame::NoReplicaAvailable);
     let storage::RecoveredStore {
         store: left,
--- a/crates/control/tests/membership/machines.rs
+++ b/crates/control/tests/membership/machines.rs
@@ -9,7 +9,7 @@
     pub listener: tokio::net::TcpListener,
 }
 
-pub type Seated = (storage::MembershipRecord, control::ReplicaHandle);
+pub type Started = (storage::MembershipRecord, control::ReplicaHandle);
 
 /// Only a broken run meets it.
 const BOUND: Duration = Duration::from_secs(60);
@@ -54,7 +54,7 @@
         machines
     }
 
-    pub fn shelf(&self) -> storage::RecoveredStore {
+    pub fn store(&self) -> storage::RecoveredStore {
         storage::ReplicaStore::open(&self.folder).expect("a store")
     }
 
@@ -79,74 +79,75 @@
         storage::ReplicaStore,
         Vec<mencius::Write>,
     ) {
-        let storage::RecoveredStore {
-            store: mut shelf,
-            writes,
-        } = self.shelf();
+        let storage::RecoveredStore { mut store, writes } = self.store();
         let env = self.founding(seeds, first);
         let logger = model::logging::discard_logger();
         let settled = control::membership::bootstrap::obtain_membership(
             &env,
-            &mut shelf,
+            &mut store,
             &self.listener,
             &logger,
         );
-        let charter = soon("a replica", settled).await.expect("the disk keeps it");
-        (charter, shelf, writes)
+        let membership = soon("a replica", settled).await.expect("the disk keeps it");
+        (membership, store, writes)
     }
 
-    /// As a core machine's process does it: to its seat, and on as that seat.
+    /// As a core machine's process does it: to its replica, and on as that replica.
     pub async fn start(
         self,
         seeds: &[String],
         first: bool,
         replace_after: model::Microseconds,
-    ) -> Seated {
-        let (charter, shelf, writes) = self.settle(seeds, first).await;
-        let env = self.core(seeds, Some(charter), replace_after);
+    ) -> Started {
+        let (membership, store, writes) = self.settle(seeds, first).await;
+        let env = self.core(seeds, Some(membership), replace_after);
         let core =
-            control::ReplicaHandle::start_on(env, shelf, writes, model::logging::discard_logger())
+            control::ReplicaHandle::start_on(env, store, writes, model::logging::discard_logger())
                 .expect("a replica");
         tokio::spawn(control::updates::stream::listen(
             core.clone(),
             self.listener,
         ));
-        (charter, core)
+        (membership, core)
     }
 
     pub fn core(
         &self,
         seeds: &[String],
-        charter: Option<storage::MembershipRecord>,
+        membership: Option<storage::MembershipRecord>,
         replace_after: model::Microseconds,
     ) -> control::ReplicaConfig {
         control::ReplicaConfig {
             name: self.address.clone(),
             zone: "z0".into(),
-            replica_id: charter.map(|charter| charter.replica_id).unwrap_or(0),
-            replica_count: charter.map(|charter| charter.replica_count).unwrap_or(2),
+            replica_id: membership
+                .map(|membership| membership.replica_id)
+                .unwrap_or(0),
+            replica_count: membership
+                .map(|membership| membership.replica_count)
+                .unwrap_or(2),
             address: self.address.clone(),
             seeds: seeds.to_vec(),
             folder: self.folder.clone(),
             timing: Default::default(),
             snapshot_every_entries: 100_000,
             replace_after,
-            membership: charter,
+            membership,
         }
     }
 }
 
 /// A machine without a replica that asks for one.
-pub fn enlists(address: &str, identity: u64) -> transport::Handshake {
-    greets(
+pub fn assignment_handshake(address: &str, disk_id: u64) -> transport::Handshake {
+    handshake(
         transport::Purpose::RequestAssignment,
         address,
-        Some((u16::MAX, 0, identity)),
+        Some((u16::MAX, 0, disk_id)),
         Vec::new(),
     )
 }
 
-pub fn greets(
+pub fn handshake(
     purpose: transport::Purpose,
     address: &str,
     core: Option<(u16, u16, u64)>,
@@ -167,11 +168,11 @@
 }
 
 /// One asking, and what the machine that has a replica answered.
-pub async fn told(machine: &str, own: transport::Handshake) -> transport::Frame {
-    let mut conn = soon("a connection", transport::dial(machine, own))
+pub async fn answer_of(machine: &str, own: transport::Handshake) -> transport::Frame {
+    let mut connection = soon("a connection", transport::dial(machine, own))
         .await
         .expect("the machine is there");
-    soon("an answer", conn.receiver.recv())
+    soon("an answer", connection.receiver.recv())
         .await
         .expect("an answer")
 }
