--- a/crates/simulator/src/checker.rs
+++ b/crates/simulator/src/checker/mod.rs
@@ -1,5 +1,9 @@
 //! What must hold over all that stand-ins saw (design 9.5).
 
+mod desired_state;
+mod promises;
+mod serving;
+
 use crate::history::{Record, Report};
 use std::collections::HashMap;
 
@@ -112,56 +116,53 @@
     );
     broken(
         "addresses_change_hands_safely",
-        crate::promises::misrouted_requests(records),
-    );
-    broken(
-        "one_holder_a_key",
-        crate::promises::overlapping_runs(records),
+        promises::misrouted_requests(records),
     );
+    broken("one_holder_a_key", promises::overlapping_runs(records));
     broken(
         "drained_gets_nothing_new",
-        crate::promises::runs_after_leaving(records),
+        promises::runs_after_leaving(records),
     );
     broken(
         "changes_are_in_force",
-        crate::promises::runs_on_removed_routes(records),
+        promises::runs_on_removed_routes(records),
     );
     broken(
         "every_change_is_in_force_everywhere",
-        crate::desired_checks::late_changes(records),
+        desired_state::late_changes(records),
     );
     broken(
         "no_version_slides_back",
-        crate::desired_checks::regressed_positions(records),
+        desired_state::regressed_positions(records),
     );
     broken(
         "what_is_read_back_was_accepted",
-        crate::desired_checks::inconsistent_reads(records),
+        desired_state::inconsistent_reads(records),
     );
     broken(
         "accepted_changes_stay",
-        crate::desired_checks::lost_changes(records),
+        desired_state::lost_changes(records),
     );
     broken(
         "extras_keep_to_their_budget",
-        crate::serving_checks::retry_budget_overruns(records, rules.retry_allowance),
+        serving::retry_budget_overruns(records, rules.retry_allowance),
     );
     broken(
         "refusals_say_when_to_come_back",
-        crate::serving_checks::rejections_without_retry_after(records),
+        serving::rejections_without_retry_after(records),
     );
     broken(
         "given_up_means_answered_at_once",
-        crate::serving_checks::late_rejections(records),
+        serving::late_rejections(records),
     );
     broken(
         "others_are_served_beside_a_hot_key",
-        crate::serving_checks::starved_keys(records),
+        serving::starved_keys(records),
     );
-    let (back, late) = crate::serving_checks::recovery_times(records);
+    let (back, late) = serving::recovery_times(records);
     broken(
         "service_is_back",
-        crate::promises::services_not_served_at_the_end(records)
+        promises::services_not_served_at_the_end(records)
             .into_iter()
             .chain(late)
             .collect(),
@@ -169,14 +170,14 @@
     if rules.planned_ends_only {
         broken(
             "planned_ends_cut_nothing",
-            crate::promises::interrupted_runs(records),
+            promises::interrupted_runs(records),
         );
     }
     report.recovery_us = back;
     report.not_observed = rules
         .must_observe
         .iter()
-        .filter(|what| !crate::serving_checks::observed(records, what))
+        .filter(|what| !serving::observed(records, what))
         .map(|what| what.to_string())
         .collect();
     let firsts = || {
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet/mod.rs
@@ -1,5 +1,7 @@
 //! All of a site's processes on one machine, on loopback (design 9.5).
 
+mod plan;
+
 use crate::deployment::Deployment;
 use crate::operators::ChangeAnswer;
 use crate::process::Process;
--- a/crates/simulator/src/sim/site_attempts.rs
+++ b/crates/simulator/src/sim/site/attempts.rs
@@ -1,7 +1,7 @@
 //! Senders, the courses of their tries, and back ends at work (design 9.8).
 
-use super::site::{Event, Site};
-use super::site_plan::{ROUTES, SiteRoute, WAIT_US};
+use super::plan::{ROUTES, SiteRoute, WAIT_US};
+use super::{Event, Site};
 use model::{Error, ErrorKind, ExecutionStatus};
 
 /// A try as its sender knows it: it may send it more than once.
@@ -145,7 +145,7 @@
     /// Pick and dispatch, or the final answer.
     fn dispatch(&mut self, mut trying: PendingAttempt) {
         let (at, now) = (trying.node, self.now);
-        let zone = super::site_plan::zone(at);
+        let zone = super::plan::zone(at);
         let turn = self.last_number;
         let node = &mut self.nodes[at];
         let candidates = match trying.attempt_loop.candidates(&node.view, now, &zone) {
--- a/crates/simulator/src/sim/site_runs.rs
+++ b/crates/simulator/src/sim/site/backends.rs
@@ -1,7 +1,7 @@
 //! At the far node, and in back ends (design 9.8).
 
-use super::site::{Event, Site};
-use super::site_plan::WAIT_US;
+use super::plan::WAIT_US;
+use super::{Event, Site};
 use model::{Error, ErrorKind, Microseconds};
 
 pub(super) struct Run {
--- a/crates/simulator/src/sim/site_events.rs
+++ b/crates/simulator/src/sim/site/events.rs
@@ -1,6 +1,6 @@
 //! What happens at a simulated site: news, proofs, reports, beats, operators and blows (design 9.8).
 
-use super::site::{Event, Site};
+use super::{Event, Site};
 use model::{Entry, Microseconds, Operation, Outcome, endpoint_status::EndpointReport};
 use std::sync::Arc;
 
@@ -130,7 +130,7 @@
         let node = &mut self.nodes[at];
         let home = control::updates::zone_relay::select_zone_relay(
             &node.view.slice,
-            &super::site_plan::zone(at),
+            &super::plan::zone(at),
             &node.slot_owner.services(),
         );
         let home = home
--- a/crates/simulator/src/sim/site_faults.rs
+++ b/crates/simulator/src/sim/site/faults.rs
@@ -1,7 +1,7 @@
 //! Back ends' beats, operators' changes, and what strikes (design 9.8).
 
-use super::site::{Event, Site};
-use super::site_plan::{NODES, ROUTES, SiteFault, initial_edits, put_grouping, put_order};
+use super::plan::{NODES, ROUTES, SiteFault, initial_edits, put_grouping, put_order};
+use super::{Event, Site};
 use model::{Entry, Operation, endpoint_status::EndpointReport};
 
 impl Site {
@@ -45,7 +45,7 @@
         let registration = legacy_proxy::slot_owner::Registration {
             name: name.clone(),
             service: service.into(),
-            zone: super::site_plan::zone(at),
+            zone: super::plan::zone(at),
             labels: Default::default(),
             slots: 4,
             address: format!("127.0.0.1:{address}"),
--- a/crates/simulator/src/sim/site.rs
+++ b/crates/simulator/src/sim/site/mod.rs
@@ -1,13 +1,23 @@
 //! A whole site in virtual time: the real log, books, views, houses and courses of tries; only the network,
 //! disks, back ends, senders and operators are made up (design 9.8).
 
-use super::site_plan::{NODES, SiteFault, SitePlan, service, zone};
+mod attempts;
+mod backends;
+mod checks;
+mod events;
+mod faults;
+mod plan;
+mod replicas;
+
+pub use plan::{DisabledGuards, SiteFault, SitePlan, schedule_site_faults};
+
 use model::{Microseconds, endpoint_status::EndpointReport};
+use plan::{NODES, service, zone};
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
 use std::ops::Range;
 
-pub(super) enum Event {
+enum Event {
     Fault(SiteFault),
     PumpSlots(usize),
     AskForProof(usize),
@@ -28,7 +38,7 @@
     BackendStarts(usize),
 }
 
-pub(super) struct Node {
+struct Node {
     pub slot_owner: legacy_proxy::SlotOwner,
     pub view: control::View,
     pub accepted_attempts: legacy_proxy::accepted_attempts::AcceptedAttempts,
@@ -52,7 +62,7 @@
 }
 
 /// A back end's process; its number is its address.
-pub(super) struct Process {
+struct Process {
     pub name: String,
     pub service: &'static str,
     pub node: usize,
@@ -67,35 +77,31 @@
 pub struct Site {
     pub plan: SitePlan,
     pub now: Microseconds,
-    pub replicas: super::site_replicas::SiteReplicas,
-    pub checks: super::site_checks::SiteChecks,
-    pub(super) nodes: Vec<Node>,
-    pub(super) processes: Vec<Process>,
+    pub replicas: replicas::SiteReplicas,
+    pub checks: checks::SiteChecks,
+    nodes: Vec<Node>,
+    processes: Vec<Process>,
     /// Address to the process that has it now.
-    pub(super) addresses: BTreeMap<u64, usize>,
-    pub(super) attempt_loops: BTreeMap<u64, super::site_attempts::PendingAttempt>,
-    pub(super) attempts: Vec<super::site_attempts::ClientAttempt>,
+    addresses: BTreeMap<u64, usize>,
+    attempt_loops: BTreeMap<u64, attempts::PendingAttempt>,
+    attempts: Vec<attempts::ClientAttempt>,
     /// Dispatches that wait for a slot.
-    pub(super) queued_attempts: BTreeMap<u64, transport::AttemptRequest>,
-    pub(super) runs: BTreeMap<u64, super::site_runs::Run>,
-    pub(super) last_number: u64,
+    queued_attempts: BTreeMap<u64, transport::AttemptRequest>,
+    runs: BTreeMap<u64, backends::Run>,
+    last_number: u64,
     /// Read tokens: the node that asked, and when.
-    pub(super) reads: BTreeMap<u64, (usize, Microseconds)>,
-    pub(super) reports: BTreeMap<(String, u64, u64), usize>,
-    pub(super) changes: BTreeMap<(String, u64, u64), String>,
-    pub(super) operator_turns: u64,
-    pub(super) random: rand::rngs::StdRng,
+    reads: BTreeMap<u64, (usize, Microseconds)>,
+    reports: BTreeMap<(String, u64, u64), usize>,
+    changes: BTreeMap<(String, u64, u64), String>,
+    operator_turns: u64,
+    random: rand::rngs::StdRng,
     events: BTreeMap<(Microseconds, u64), Event>,
     last_event_number: u64,
 }
 
 impl Site {
     pub fn new(plan: SitePlan) -> Site {
-        let core = super::site_replicas::SiteReplicas::new(
-            plan.replica_count,
-            plan.seed,
-            plan.disabled.syncs,
-        );
+        let core = replicas::SiteReplicas::new(plan.replica_count, plan.seed, plan.disabled.syncs);
         let mut site = Site {
             now: 0,
             replicas: core,
@@ -166,7 +172,7 @@
     }
 
     /// On top of the incarnation that the node's own news has.
-    pub(super) fn registration(&self, at: usize) -> EndpointReport {
+    fn registration(&self, at: usize) -> EndpointReport {
         let (node, incarnation) = (format!("n{at}"), self.nodes[at].incarnation);
         let replaces = self.nodes[at]
             .view
@@ -190,7 +196,7 @@
     }
 
     /// The process ends with all it knew; another begins at the same place.
-    pub(super) fn restart(&mut self, at: usize) {
+    fn restart(&mut self, at: usize) {
         let cut = self.nodes[at].cut;
         self.nodes[at] = Node {
             cut,
@@ -204,7 +210,7 @@
         self.announce(at);
     }
 
-    pub(super) fn schedule(&mut self, time: Microseconds, event: Event) {
+    fn schedule(&mut self, time: Microseconds, event: Event) {
         self.last_event_number += 1;
         self.events.insert((time, self.last_event_number), event);
     }
@@ -213,19 +219,19 @@
         self.schedule(time, Event::Fault(blow));
     }
 
-    pub(super) fn draw_delay(&mut self) -> Microseconds {
+    fn draw_delay(&mut self) -> Microseconds {
         rand::Rng::random_range(
             &mut self.random,
             self.plan.network_delay.0..=self.plan.network_delay.1,
         )
     }
 
-    pub(super) fn draw(&mut self, range: Range<u64>) -> u64 {
+    fn draw(&mut self, range: Range<u64>) -> u64 {
         rand::Rng::random_range(&mut self.random, range)
     }
 
     /// Another process comes under the name of `at`'s back end, at an address of its own.
-    pub(super) fn new_process(
+    fn new_process(
         &mut self,
         at: usize,
         name: String,
@@ -250,14 +256,14 @@
         self.schedule(self.now, Event::Heartbeat(process));
     }
 
-    pub(super) fn main_process(&self, at: usize) -> Option<usize> {
+    fn main_process(&self, at: usize) -> Option<usize> {
         let name = format!("b{at}");
         self.processes
             .iter()
             .rposition(|process| process.name == name && process.alive && process.heartbeats)
     }
 
-    pub(super) fn start_backend(&mut self, at: usize) {
+    fn start_backend(&mut self, at: usize) {
         if self.main_process(at).is_none() {
             self.new_process(at, format!("b{at}"), service(at), None);
         }
--- a/crates/simulator/src/sim/site_plan.rs
+++ b/crates/simulator/src/sim/site/plan.rs
@@ -151,7 +151,7 @@
 
 #[derive(Clone, Debug)]
 pub enum SiteFault {
-    Replica(super::Fault),
+    Replica(crate::sim::Fault),
     Freeze(usize),
     Unfreeze(usize),
     Cut(usize),
@@ -197,33 +197,33 @@
             7 => vec![(time, SiteFault::DrainBackend(at))],
             8 => vec![(time, SiteFault::ReuseAddress(at))],
             9 => vec![
-                (time, core(super::Fault::Crash(seat))),
-                (back, core(super::Fault::Start(seat))),
+                (time, core(crate::sim::Fault::Crash(seat))),
+                (back, core(crate::sim::Fault::Start(seat))),
             ],
             10 => vec![
-                (time, core(super::Fault::Freeze(seat))),
-                (back, core(super::Fault::Unfreeze(seat))),
+                (time, core(crate::sim::Fault::Freeze(seat))),
+                (back, core(crate::sim::Fault::Unfreeze(seat))),
             ],
             11 => (0..seats)
                 .filter(|mate| *mate != seat)
                 .flat_map(|mate| {
                     [
-                        (time, core(super::Fault::CutLink(seat, mate))),
-                        (time, core(super::Fault::CutLink(mate, seat))),
+                        (time, core(crate::sim::Fault::CutLink(seat, mate))),
+                        (time, core(crate::sim::Fault::CutLink(mate, seat))),
                     ]
                 })
-                .chain([(back, core(super::Fault::HealLinks))])
+                .chain([(back, core(crate::sim::Fault::HealLinks))])
                 .collect(),
             12 => vec![
-                (time, core(super::Fault::SlowDisk(seat, 400_000))),
-                (back, core(super::Fault::SlowDisk(seat, 0))),
+                (time, core(crate::sim::Fault::SlowDisk(seat, 400_000))),
+                (back, core(crate::sim::Fault::SlowDisk(seat, 0))),
             ],
-            13 if only == Some(turn) => vec![(time, core(super::Fault::Replace(seat)))],
+            13 if only == Some(turn) => vec![(time, core(crate::sim::Fault::Replace(seat)))],
             14 => (0..seats)
                 .flat_map(|seat| {
                     [
-                        (time, core(super::Fault::Crash(seat))),
-                        (time + 400_000, core(super::Fault::Start(seat))),
+                        (time, core(crate::sim::Fault::Crash(seat))),
+                        (time + 400_000, core(crate::sim::Fault::Start(seat))),
                     ]
                 })
                 .collect(),
--- a/crates/simulator/src/sim/site_replicas.rs
+++ b/crates/simulator/src/sim/site/replicas.rs
@@ -26,17 +26,17 @@
 pub type AppliedEntry = (u16, (String, u64, u64), Outcome);
 
 pub struct SiteReplicas {
-    pub world: super::World,
+    pub world: crate::sim::World,
     folded_logs: Vec<FoldedLog>,
 }
 
 impl SiteReplicas {
     pub fn new(seats: u16, seed: u64, lying_disk: bool) -> Self {
         let snapshot_every = if lying_disk { 0 } else { 60 };
-        let world = super::World::new(super::WorldPlan {
+        let world = crate::sim::World::new(crate::sim::WorldPlan {
             lying_disk,
             snapshot_every,
-            ..super::WorldPlan::new(seats, seed)
+            ..crate::sim::WorldPlan::new(seats, seed)
         });
         SiteReplicas {
             world,
@@ -127,16 +127,18 @@
 
     /// Everything mended, as the core's own checks want it.
     pub fn heal(&mut self, time: model::Microseconds) {
-        self.world.schedule_fault(time, super::Fault::HealLinks);
+        self.world
+            .schedule_fault(time, crate::sim::Fault::HealLinks);
         (0..self.folded_logs.len() as u16).for_each(|seat| {
             self.world
-                .schedule_fault(time, super::Fault::Unfreeze(seat));
+                .schedule_fault(time, crate::sim::Fault::Unfreeze(seat));
             self.world
-                .schedule_fault(time, super::Fault::SlowDisk(seat, 0));
-            self.world.schedule_fault(time, super::Fault::Start(seat));
+                .schedule_fault(time, crate::sim::Fault::SlowDisk(seat, 0));
+            self.world
+                .schedule_fault(time, crate::sim::Fault::Start(seat));
             self.world.schedule_fault(
                 time + 2_500_000,
-                super::Fault::Submit(seat, format!("last {seat}").into_bytes()),
+                crate::sim::Fault::Submit(seat, format!("last {seat}").into_bytes()),
             );
         });
     }
