--- a/crates/gradefordctl/src/cli.rs
+++ b/crates/gradefordctl/src/cli.rs
@@ -120,19 +120,8 @@
             second: second.to_string(),
         },
         ("apply", [file]) => change(read_json_file(file)?),
-        ("edit", [kind, item, file]) => {
-            let kind = item_kind(kind)?;
-            let item = checked_name(item)?;
-            let edit = json!({
-                format!("put_{kind}"): { "name": item, kind: read_json_file(file)? }
-            });
-            change(json!({ "edits": [edit] }))
-        }
-        ("delete", [kind, item]) => {
-            let kind = item_kind(kind)?;
-            let edit = json!({ format!("drop_{kind}"): { "name": checked_name(item)? } });
-            change(json!({ "edits": [edit] }))
-        }
+        ("edit", [kind, item, file]) => change(put_change(kind, item, file)?),
+        ("delete", [kind, item]) => change(drop_change(kind, item)?),
         (
             "get" | "standing" | "status" | "compare" | "apply" | "edit" | "delete"
             | "replace-seat",
@@ -146,6 +135,21 @@
     })
 }
 
+/// A change that puts one item from a JSON file.
+fn put_change(kind: &str, item: &str, file: &str) -> Result<Value, UsageError> {
+    let kind = item_kind(kind)?;
+    let item = checked_name(item)?;
+    let edit = json!({ format!("put_{kind}"): { "name": item, kind: read_json_file(file)? } });
+    Ok(json!({ "edits": [edit] }))
+}
+
+/// A change that drops one item.
+fn drop_change(kind: &str, item: &str) -> Result<Value, UsageError> {
+    let kind = item_kind(kind)?;
+    let edit = json!({ format!("drop_{kind}"): { "name": checked_name(item)? } });
+    Ok(json!({ "edits": [edit] }))
+}
+
 /// The kind of item that a word names; both have a path and edits of their own.
 fn item_kind(word: &str) -> Result<&str, UsageError> {
     match word {
--- a/crates/operator-api/tests/operators.rs
+++ b/crates/operator-api/tests/operators.rs
@@ -12,50 +12,51 @@
 
 async fn start_replica(
     folder: &Path,
-    number: u16,
-    seats: u16,
+    replica_id: u16,
+    replica_count: u16,
     seeds: Vec<String>,
 ) -> (TestReplica, String) {
-    let mates = tokio::net::TcpListener::bind("127.0.0.1:0")
+    let peers = tokio::net::TcpListener::bind("127.0.0.1:0")
         .await
         .expect("a port");
-    let address = mates.local_addr().expect("an address").to_string();
-    let env = control::ReplicaConfig {
-        name: format!("core-{number}"),
+    let address = peers.local_addr().expect("an address").to_string();
+    let config = control::ReplicaConfig {
+        name: format!("core-{replica_id}"),
         zone: "z0".into(),
-        replica_id: number,
-        replica_count: seats,
+        replica_id,
+        replica_count,
         address: address.clone(),
         seeds: seeds.into_iter().chain([address.clone()]).collect(),
-        folder: folder.join(number.to_string()),
+        folder: folder.join(replica_id.to_string()),
         timing: Default::default(),
         snapshot_every_entries: 100,
         replace_after: 500_000,
         membership: None,
     };
-    let core =
-        control::ReplicaHandle::start(env, model::logging::discard_logger()).expect("a core seat");
-    tokio::spawn(control::updates::stream::listen(core.clone(), mates));
-    let staying = Arc::new(AtomicBool::new(true));
+    let replica = control::ReplicaHandle::start(config, model::logging::discard_logger())
+        .expect("a core seat");
+    tokio::spawn(control::updates::stream::listen(replica.clone(), peers));
+    let accepting_work = Arc::new(AtomicBool::new(true));
     let router = operator_api::router(operator_api::OperatorApi {
-        replica: core.clone(),
-        accepting_work: staying,
+        replica: replica.clone(),
+        accepting_work,
     });
-    let serving = http_util::HttpServer::start("127.0.0.1:0", router)
+    let http_server = http_util::HttpServer::start("127.0.0.1:0", router)
         .await
         .expect("http");
     (
         TestReplica {
-            handle: core,
-            http_server: serving,
+            handle: replica,
+            http_server,
         },
         address,
     )
 }
 
-async fn until_started(seat: &TestReplica) {
-    while !seat.handle.status.load().voting
-        || seat.handle.status.load().connected_replicas <= seat.handle.replica_count() as usize / 2
+async fn until_started(replica: &TestReplica) {
+    while !replica.handle.status.load().voting
+        || replica.handle.status.load().connected_replicas
+            <= replica.handle.replica_count() as usize / 2
     {
         tokio::task::yield_now().await;
     }
@@ -68,8 +69,8 @@
         .expect("a client")
 }
 
-async fn post(seat: &TestReplica, body: impl Into<reqwest::Body>) -> (u16, serde_json::Value) {
-    let url = format!("http://{}/v1/changes", seat.http_server.address);
+async fn post(replica: &TestReplica, body: impl Into<reqwest::Body>) -> (u16, serde_json::Value) {
+    let url = format!("http://{}/v1/changes", replica.http_server.address);
     let response = client()
         .post(url)
         .body(body)
@@ -100,9 +101,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn bad_input_is_named_and_changes_nothing() {
     let folder = temp_dir("faults");
-    let (seat, _) = start_replica(&folder, 0, 1, vec![]).await;
-    until_started(&seat).await;
-    assert_eq!(post(&seat, change("site", 0, site())).await.0, 200);
+    let (replica, _) = start_replica(&folder, 0, 1, vec![]).await;
+    until_started(&replica).await;
+    assert_eq!(post(&replica, change("site", 0, site())).await.0, 200);
     let put = |wait: serde_json::Value, extra: &str| {
         format!(
             r#"{{"id":"x","base":1,"edits":[{{"put_order":{{"name":"a","order":{{"selector":{{"from":["seat"],"service":"seat"}},"wait_us":{wait}{extra}}}}}}}]}}"#
@@ -125,7 +126,7 @@
         ),
     ];
     for (body, status, path) in cases {
-        let (found, answer) = post(&seat, body.clone()).await;
+        let (found, answer) = post(&replica, body.clone()).await;
         assert_eq!(
             (found, answer["faults"][0]["path"].as_str()),
             (status, Some(path)),
@@ -133,7 +134,7 @@
         );
     }
     // Single edits name their version and their own id, or are refused without effect.
-    let url = format!("http://{}/v1/groupings/more", seat.http_server.address);
+    let url = format!("http://{}/v1/groupings/more", replica.http_server.address);
     let grouping = serde_json::json!({ "service": "seat", "zone": "z1" });
     let unnamed = client()
         .put(&url)
@@ -161,14 +162,14 @@
     assert_eq!(absent.status().as_u16(), 422);
     let no_disk = serde_json::json!({ "seat": 4, "from": "x", "to": "1" });
     let no_disk = client()
-        .post(format!("http://{}/v1/seats", seat.http_server.address))
+        .post(format!("http://{}/v1/seats", replica.http_server.address))
         .json(&no_disk)
         .send()
         .await
         .expect("an answer");
     assert_eq!(no_disk.status().as_u16(), 422);
     let state = client()
-        .get(format!("http://{}/v1/desired", seat.http_server.address))
+        .get(format!("http://{}/v1/desired", replica.http_server.address))
         .send()
         .await
         .expect("an answer");
@@ -191,16 +192,16 @@
 async fn of_two_operators_racing_one_wins_and_a_repeat_is_harmless() {
     let folder = temp_dir("race");
     let (first, address) = start_replica(&folder, 0, 3, vec![]).await;
-    let (second, next) = start_replica(&folder, 1, 3, vec![address.clone()]).await;
+    let (second, second_address) = start_replica(&folder, 1, 3, vec![address.clone()]).await;
     let lonely = post(&first, change("early", 0, site())).await;
     assert_eq!(
         (lonely.0, lonely.1["verdict"].as_str()),
         (503, Some("not-run")),
         "no majority has met yet"
     );
-    let (third, _) = start_replica(&folder, 2, 3, vec![address, next]).await;
-    for seat in [&first, &second, &third] {
-        until_started(seat).await;
+    let (third, _) = start_replica(&folder, 2, 3, vec![address, second_address]).await;
+    for replica in [&first, &second, &third] {
+        until_started(replica).await;
     }
     assert_eq!(post(&first, change("site", 0, site())).await.0, 200);
     let edit = |path: &str| serde_json::json!([{ "put_order": { "name": "a", "order": { "selector": { "from": ["seat"], "service": "seat", "path_prefix": path }, "wait_us": 1000000 } } }]);
@@ -222,7 +223,7 @@
         (200, Some(2)),
         "{again:?}"
     );
-    // Any seat reads back what another accepted.
+    // Any replica reads back what another accepted.
     let state = client()
         .get(format!("http://{}/v1/orders/a", third.http_server.address))
         .send()
@@ -234,17 +235,18 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_emptied_disk_may_not_vote_under_its_old_seat() {
+async fn an_emptied_disk_may_not_vote_as_its_former_replica() {
     let folder = temp_dir("emptied");
     let (first, address) = start_replica(&folder, 0, 3, vec![]).await;
-    let (second, next) = start_replica(&folder, 1, 3, vec![address.clone()]).await;
-    let (third, _) = start_replica(&folder, 2, 3, vec![address.clone(), next.clone()]).await;
-    for seat in [&first, &second, &third] {
-        until_started(seat).await;
+    let (second, second_address) = start_replica(&folder, 1, 3, vec![address.clone()]).await;
+    let (third, _) =
+        start_replica(&folder, 2, 3, vec![address.clone(), second_address.clone()]).await;
+    for replica in [&first, &second, &third] {
+        until_started(replica).await;
     }
     assert_eq!(post(&first, change("site", 0, site())).await.0, 200);
-    // The same seat on an empty disk, at another address.
-    let (emptied, _) = start_replica_on_empty_disk(&folder, vec![address, next]).await;
+    // The same replica on an empty disk, at another address.
+    let (emptied, _) = start_replica_on_empty_disk(&folder, vec![address, second_address]).await;
     while emptied.handle.status.load().refusal.is_none() {
         tokio::task::yield_now().await;
     }
@@ -255,8 +257,8 @@
         .await
         .expect("an answer");
     assert_eq!(ready.status().as_u16(), 503);
-    let told = ready.text().await.expect("text");
-    assert!(told.contains("another disk"), "{told}");
+    let text = ready.text().await.expect("text");
+    assert!(text.contains("another disk"), "{text}");
     std::fs::remove_dir_all(folder).expect("clean");
 }
 
@@ -265,24 +267,28 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_empty_disk_takes_its_seat_over_by_itself_once_the_holder_is_gone() {
+async fn an_empty_disk_replaces_its_member_by_itself_once_that_is_gone() {
     let folder = temp_dir("knock");
     let (first, address) = start_replica(&folder, 0, 3, vec![]).await;
-    let (second, next) = start_replica(&folder, 1, 3, vec![address.clone()]).await;
-    // The third seat lives in a runtime of its own, which ends as its machine does.
+    let (second, second_address) = start_replica(&folder, 1, 3, vec![address.clone()]).await;
+    // The third replica lives in a runtime of its own, which ends as its machine does.
     let machine = tokio::runtime::Runtime::new().expect("a runtime");
-    let (place, seeds) = (folder.clone(), vec![address.clone(), next.clone()]);
+    let (dir, seeds) = (
+        folder.clone(),
+        vec![address.clone(), second_address.clone()],
+    );
     let (third, _) = machine
-        .spawn(async move { start_replica(&place, 2, 3, seeds).await })
+        .spawn(async move { start_replica(&dir, 2, 3, seeds).await })
         .await
         .expect("a seat");
-    for seat in [&first, &second, &third] {
-        until_started(seat).await;
+    for replica in [&first, &second, &third] {
+        until_started(replica).await;
     }
     assert_eq!(post(&first, change("site", 0, site())).await.0, 200);
     machine.shutdown_background();
     drop(third);
-    let (empty, _) = start_replica(&folder.join("emptied"), 2, 3, vec![address, next]).await;
+    let (empty, _) =
+        start_replica(&folder.join("emptied"), 2, 3, vec![address, second_address]).await;
     until_started(&empty).await;
     // With one of the two others gone, nothing is accepted without the new disk's vote: it has one, and what was accepted before.
     let state = client()
@@ -292,7 +298,7 @@
         .expect("an answer");
     let state: serde_json::Value = state.json().await.expect("JSON");
     assert_eq!(state["version"].as_u64(), Some(1), "{state}");
-    // The other seats bind theirs to the new disk as they come past the change; the old one counts no more.
+    // The other replicas pin theirs to the new disk as they come past the change; the old one counts no more.
     while second.handle.pinned_disks.load().get(&2) != Some(&empty.handle.disk_id()) {
         tokio::task::yield_now().await;
     }
