--- a/crates/legacy-proxy/src/accepted_attempts.rs
+++ b/crates/legacy-proxy/src/accepted_attempts.rs
@@ -1,24 +1,37 @@
-//! Tries this node has taken, and the answers of those that certainly did not run (design 5.5).
+//! Attempts that this node accepted, and the errors of those that certainly did not run (design 5.5).
+
+#[cfg(test)]
+mod tests;
+
+use std::collections::{HashMap, VecDeque};
 
 use model::{Error, ErrorKind};
-use std::collections::HashMap;
-use std::collections::VecDeque;
+use tokio::sync::{mpsc, oneshot};
 
-/// Counted, not timed: a sender that slept for an hour finds its try still known when it wakes.
+/// Commands that may wait for the task.
+const QUEUE_CAPACITY: usize = 1_024;
+/// So many attempts are remembered. They are counted and not timed: a client that was suspended for
+/// an hour finds its attempt still known.
 pub const MAX_ATTEMPTS: usize = 65_536;
 
-/// Pure: one table per usher. A try is named under a registration, so its identity is its text.
+/// The attempts that one node accepted. An attempt id is unique under its registration, so its text is
+/// its identity. Pure.
 #[derive(Default)]
 pub struct AcceptedAttempts {
-    /// `None` while it is under way, and for ever once it may have run.
+    /// `None` while it is in flight, and for ever once it may have run.
     table: HashMap<String, Option<Error>>,
     order: VecDeque<String>,
 }
 
 impl AcceptedAttempts {
-    /// A second arrival gets the first one's certain answer, or hears that there was a first.
-    pub fn accept(&mut self, try_id: &str) -> Result<(), Error> {
-        match self.table.get(try_id) {
+    /// Accepts an attempt that was not seen before.
+    ///
+    /// # Errors
+    ///
+    /// For a second arrival: the error of the first if it certainly did not run, else
+    /// [`ErrorKind::DuplicateAttempt`].
+    pub fn accept(&mut self, attempt_id: &str) -> Result<(), Error> {
+        match self.table.get(attempt_id) {
             Some(Some(first)) => return Err(first.clone()),
             Some(None) => {
                 return Err(Error::new(
@@ -28,55 +41,63 @@
             }
             None => {}
         }
-        self.table.insert(try_id.to_string(), None);
-        self.order.push_back(try_id.to_string());
-        if self.order.len() > MAX_ATTEMPTS {
-            self.order
-                .pop_front()
-                .into_iter()
-                .for_each(|oldest| drop(self.table.remove(&oldest)));
+        self.table.insert(attempt_id.to_string(), None);
+        self.order.push_back(attempt_id.to_string());
+        if self.order.len() > MAX_ATTEMPTS
+            && let Some(oldest) = self.order.pop_front()
+        {
+            self.table.remove(&oldest);
         }
         Ok(())
     }
 
-    /// It certainly did not run, and never will: whoever sends it again is told the same.
-    pub fn did_not_run(&mut self, try_id: &str, trouble: Error) {
-        if let Some(held) = self.table.get_mut(try_id) {
-            *held = Some(trouble);
+    /// The attempt certainly did not run, and never will: whoever sends it again gets the same error.
+    pub fn did_not_run(&mut self, attempt_id: &str, error: Error) {
+        if let Some(held) = self.table.get_mut(attempt_id) {
+            *held = Some(error);
         }
     }
 }
 
 enum Command {
-    Accept(String, tokio::sync::oneshot::Sender<Result<(), Error>>),
+    Accept(String, oneshot::Sender<Result<(), Error>>),
     DidNotRun(String, Error),
 }
 
+/// A handle on the task that owns the table. The task ends with its last handle.
 #[derive(Clone)]
-pub struct AcceptedAttemptsHandle(tokio::sync::mpsc::Sender<Command>);
+pub struct AcceptedAttemptsHandle {
+    commands: mpsc::Sender<Command>,
+}
 
 impl AcceptedAttemptsHandle {
+    /// Starts the task.
     pub fn start() -> Self {
-        let (sender, mut commands) = tokio::sync::mpsc::channel(1_024);
+        let (commands, mut receiver) = mpsc::channel(QUEUE_CAPACITY);
         tokio::spawn(async move {
-            let mut taken = AcceptedAttempts::default();
-            while let Some(command) = commands.recv().await {
+            let mut accepted = AcceptedAttempts::default();
+            while let Some(command) = receiver.recv().await {
                 match command {
-                    Command::Accept(try_id, answer) => drop(answer.send(taken.accept(&try_id))),
-                    Command::DidNotRun(try_id, trouble) => taken.did_not_run(&try_id, trouble),
+                    Command::Accept(attempt_id, reply) => {
+                        drop(reply.send(accepted.accept(&attempt_id)))
+                    }
+                    Command::DidNotRun(attempt_id, error) => {
+                        accepted.did_not_run(&attempt_id, error)
+                    }
                 }
             }
         });
-        AcceptedAttemptsHandle(sender)
+        AcceptedAttemptsHandle { commands }
     }
 
-    pub async fn accept(&self, try_id: &str) -> Result<(), Error> {
-        let (answer, taken) = tokio::sync::oneshot::channel();
-        self.0
-            .send(Command::Accept(try_id.to_string(), answer))
+    /// Accepts an attempt; see [`AcceptedAttempts::accept`] for the errors.
+    pub async fn accept(&self, attempt_id: &str) -> Result<(), Error> {
+        let (reply, accepted) = oneshot::channel();
+        self.commands
+            .send(Command::Accept(attempt_id.to_string(), reply))
             .await
             .unwrap_or_default();
-        taken.await.unwrap_or_else(|_| {
+        accepted.await.unwrap_or_else(|_| {
             Err(Error::new(
                 ErrorKind::DuplicateAttempt,
                 "the table of tries is gone; whether it ran is not known here",
@@ -84,49 +105,11 @@
         })
     }
 
-    pub async fn did_not_run(&self, try_id: &str, trouble: Error) {
-        self.0
-            .send(Command::DidNotRun(try_id.to_string(), trouble))
+    /// The attempt certainly did not run.
+    pub async fn did_not_run(&self, attempt_id: &str, error: Error) {
+        self.commands
+            .send(Command::DidNotRun(attempt_id.to_string(), error))
             .await
             .unwrap_or_default();
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_second_arrival_never_runs_and_hears_what_is_true_of_the_try() {
-        let mut taken = AcceptedAttempts::default();
-        assert_eq!(taken.accept("seat-0.7.a"), Ok(()));
-        let again = taken.accept("seat-0.7.a").expect_err("under way");
-        assert_eq!(
-            (again.kind, again.execution_status),
-            (
-                ErrorKind::DuplicateAttempt,
-                model::ExecutionStatus::MayHaveRun
-            )
-        );
-        let first = Error::new(ErrorKind::StaleState, "no proof");
-        assert_eq!(taken.accept("seat-0.7.b"), Ok(()));
-        taken.did_not_run("seat-0.7.b", first.clone());
-        assert_eq!(
-            taken.accept("seat-0.7.b"),
-            Err(first),
-            "what was told not to run does not run later"
-        );
-    }
-
-    #[test]
-    fn the_table_is_bounded_by_count() {
-        let mut taken = AcceptedAttempts::default();
-        (0..MAX_ATTEMPTS + 10)
-            .for_each(|number| assert_eq!(taken.accept(&format!("a.1.{number}")), Ok(())));
-        assert_eq!(
-            (taken.table.len(), taken.order.len()),
-            (MAX_ATTEMPTS, MAX_ATTEMPTS)
-        );
-        assert!(taken.accept(&format!("a.1.{}", MAX_ATTEMPTS + 9)).is_err());
-    }
-}
--- /dev/null
+++ b/crates/legacy-proxy/src/accepted_attempts/tests.rs
@@ -0,0 +1,40 @@
+//! What a second arrival of an attempt is told.
+
+use model::ExecutionStatus;
+
+use super::*;
+
+#[test]
+fn a_second_arrival_never_runs_and_gets_what_is_true_of_the_first() {
+    let mut accepted = AcceptedAttempts::default();
+    assert_eq!(accepted.accept("seat-0.7.a"), Ok(()));
+    let again = accepted.accept("seat-0.7.a").expect_err("in flight");
+    assert_eq!(
+        (again.kind, again.execution_status),
+        (ErrorKind::DuplicateAttempt, ExecutionStatus::MayHaveRun)
+    );
+    let first = Error::new(ErrorKind::StaleState, "no proof");
+    assert_eq!(accepted.accept("seat-0.7.b"), Ok(()));
+    accepted.did_not_run("seat-0.7.b", first.clone());
+    assert_eq!(
+        accepted.accept("seat-0.7.b"),
+        Err(first),
+        "what was told not to run does not run later"
+    );
+}
+
+#[test]
+fn the_table_is_bounded_by_count() {
+    let mut accepted = AcceptedAttempts::default();
+    (0..MAX_ATTEMPTS + 10)
+        .for_each(|number| assert_eq!(accepted.accept(&format!("a.1.{number}")), Ok(())));
+    assert_eq!(
+        (accepted.table.len(), accepted.order.len()),
+        (MAX_ATTEMPTS, MAX_ATTEMPTS)
+    );
+    assert!(
+        accepted
+            .accept(&format!("a.1.{}", MAX_ATTEMPTS + 9))
+            .is_err()
+    );
+}
--- a/crates/legacy-proxy/src/age_marks.rs
+++ b/crates/legacy-proxy/src/age_marks.rs
@@ -1,26 +1,35 @@
-//! How old a dispatch can be at most, without comparing two machines' clocks (design 5.11).
+//! How old a request can be at most, without comparing two machines' clocks (design 5.11). Pure, with
+//! the time passed in.
+
+#[cfg(test)]
+mod tests;
 
-use model::Microseconds;
 use std::collections::VecDeque;
 
+use model::Microseconds;
+
+/// Between two marks on one connection: 100 ms.
 pub const MARK_INTERVAL: Microseconds = 100_000;
-/// An honest dispatch names a mark this young: one turn, and the way there and back.
+/// A request that was not held up names a mark this young: one interval, and the way there and back.
 const MAX_HONEST_AGE: Microseconds = 3 * MARK_INTERVAL;
+/// A request that names an older mark has no time left.
 const MARKS_KEPT: usize = 64;
 
-/// The far side tells numbered marks; a dispatch names the last one its sender had seen, so it
-/// cannot have been sent before that mark was.
+/// The marks sent on one connection. The inbound side sends numbered marks; a request names the last
+/// one that its sender had received, so it cannot have been sent before that mark was.
 pub struct AgeMarks {
     sent: VecDeque<(u64, Microseconds)>,
 }
 
 impl AgeMarks {
+    /// Marks of a connection that was opened now; the first is number 0.
     pub fn new(now: Microseconds) -> Self {
         AgeMarks {
             sent: [(0, now)].into_iter().collect(),
         }
     }
 
+    /// The number of the next mark, which is to be sent now.
     pub fn issue(&mut self, now: Microseconds) -> u64 {
         let number = self.sent.back().map(|(number, _)| number + 1).unwrap_or(1);
         self.sent.push_back((number, now));
@@ -30,7 +39,8 @@
         number
     }
 
-    /// What is left of the wait, whatever time the dispatch spent in buffers on the way.
+    /// What is left, in microseconds, of the time that a request said it had, whatever part of it was
+    /// spent on the way.
     pub fn time_left(&self, now: Microseconds, mark: u64, left: Microseconds) -> Microseconds {
         let sent = self
             .sent
@@ -43,25 +53,3 @@
         if known { left.saturating_sub(age) } else { 0 }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    #[test]
-    fn a_dispatch_that_lay_in_a_frozen_process_has_no_time_left() {
-        let mut marks = super::AgeMarks::new(0);
-        let mark = marks.issue(100_000);
-        assert_eq!(
-            marks.time_left(200_000, mark, 3_000_000),
-            3_000_000,
-            "an honest one loses nothing"
-        );
-        assert_eq!(marks.time_left(2_400_000, mark, 3_000_000), 1_000_000);
-        assert_eq!(marks.time_left(60_000_000, mark, 3_000_000), 0);
-        (0..100u64).for_each(|turn| assert!(marks.issue(200_000 + turn) > mark));
-        assert_eq!(
-            marks.time_left(300_000, mark, 3_000_000),
-            0,
-            "a mark long forgotten"
-        );
-    }
-}
--- a/crates/legacy-proxy/src/retry_budget.rs
+++ b/crates/legacy-proxy/src/retry_budget.rs
@@ -1,18 +1,28 @@
-//! Extra dispatches: one in five requests and a small allowance, in any ten seconds (design 5.6).
+//! How many retries a node may give a service: one for five requests, and a small allowance that is
+//! saved up (design 5.6).
+//!
+//! Unlike the budget of `outbound`, whose deposits expire, what is earned here lasts, up to the
+//! allowance of this node.
 
-use std::collections::BTreeMap;
-use std::collections::HashMap;
+#[cfg(test)]
+mod tests;
+
+use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-#[cfg(test)]
-const WINDOW: model::Microseconds = 10_000_000;
+use arc_swap::ArcSwap;
+use tokio::sync::{mpsc, oneshot};
 
-/// A fifth of a token, the smallest amount there is.
+/// Commands that may wait for the task.
+const QUEUE_CAPACITY: usize = 1_024;
+/// A fifth of a retry, the smallest amount there is.
 type Fifths = u64;
-const TOKEN: Fifths = 5;
+/// One retry.
+const RETRY_COST: Fifths = 5;
 
-/// Pure: one bucket per service. Each request earns a fifth of a token, each extra dispatch costs one; time
-/// earns nothing, and a new bucket is empty. So extras in any span <= requests in it / 5 + `allowance`.
+/// One bucket for each service. Each request earns a fifth of a retry and each retry costs a whole one;
+/// time earns nothing, and a new bucket is empty. So the retries in any span are at most a fifth of the
+/// requests in it and the allowance. Pure.
 #[derive(Default)]
 pub struct RetryBudget {
     allowance: Fifths,
@@ -20,74 +30,80 @@
 }
 
 impl RetryBudget {
+    /// Empty buckets that hold at most `allowance` retries each.
     pub fn new(allowance: usize) -> Self {
         RetryBudget {
-            allowance: allowance as Fifths * TOKEN,
+            allowance: allowance as Fifths * RETRY_COST,
             buckets: Default::default(),
         }
     }
 
+    /// Counts a request of the service.
     pub fn deposit(&mut self, service: &str) {
         let bucket = self.buckets.entry(service.to_string()).or_default();
         *bucket = (*bucket + 1).min(self.allowance);
     }
 
-    /// Takes one extra dispatch if it has been earned.
+    /// Pays for one retry; false, and nothing is paid, if it has not been earned.
     pub fn withdraw(&mut self, service: &str) -> bool {
         let bucket = self.buckets.entry(service.to_string()).or_default();
-        let fits = *bucket >= TOKEN;
-        *bucket -= if fits { TOKEN } else { 0 };
-        fits
+        let suffices = *bucket >= RETRY_COST;
+        *bucket -= if suffices { RETRY_COST } else { 0 };
+        suffices
     }
 }
 
-pub enum Command {
+enum Command {
     Deposit(String),
-    Withdraw(String, tokio::sync::oneshot::Sender<bool>),
+    Withdraw(String, oneshot::Sender<bool>),
 }
 
+/// A handle on the task that owns the buckets. The task ends with its last handle.
 #[derive(Clone)]
 pub struct RetryBudgetHandle {
-    commands: tokio::sync::mpsc::Sender<Command>,
+    commands: mpsc::Sender<Command>,
     counts: RetryCounts,
 }
 
-/// Requests and extra dispatches by service since the start, for status pages.
-pub type RetryCounts = Arc<arc_swap::ArcSwap<BTreeMap<String, (u64, u64)>>>;
+/// Requests and retries by service since the start, for status pages.
+pub type RetryCounts = Arc<ArcSwap<BTreeMap<String, (u64, u64)>>>;
 
 impl RetryBudgetHandle {
+    /// Starts the task, with at most `allowance` retries saved up for each service.
     pub fn start(allowance: usize) -> Self {
-        let (sender, mut commands) = tokio::sync::mpsc::channel(1_024);
-        let spent: RetryCounts = Default::default();
-        let published = spent.clone();
+        let (commands, mut receiver) = mpsc::channel(QUEUE_CAPACITY);
+        let published: RetryCounts = Default::default();
+        let counts_of_task = published.clone();
         tokio::spawn(async move {
             let mut budget = RetryBudget::new(allowance);
             let mut counts = BTreeMap::<String, (u64, u64)>::new();
-            while let Some(command) = commands.recv().await {
+            while let Some(command) = receiver.recv().await {
                 match command {
                     Command::Deposit(service) => {
                         budget.deposit(&service);
                         counts.entry(service).or_default().0 += 1;
                     }
-                    Command::Withdraw(service, answer) => {
+                    Command::Withdraw(service, reply) => {
                         let granted = budget.withdraw(&service);
                         counts.entry(service).or_default().1 += granted as u64;
-                        answer.send(granted).unwrap_or_default();
+                        reply.send(granted).unwrap_or_default();
                     }
                 }
-                published.store(Arc::new(counts.clone()));
+                counts_of_task.store(Arc::new(counts.clone()));
             }
         });
         RetryBudgetHandle {
-            commands: sender,
-            counts: spent,
+            commands,
+            counts: published,
         }
     }
 
+    /// Requests and retries by service since the start.
     pub fn counts(&self) -> Arc<BTreeMap<String, (u64, u64)>> {
         self.counts.load_full()
     }
 
+    /// Counts a request of the service, which earns it a fifth of a retry.
     pub async fn deposit(&self, service: &str) {
         self.commands
             .send(Command::Deposit(service.to_string()))
@@ -95,68 +111,13 @@
             .unwrap_or_default();
     }
 
+    /// Pays for a retry; false if it has not been earned, or once the task is gone.
     pub async fn withdraw(&self, service: &str) -> bool {
-        let (answer, granted) = tokio::sync::oneshot::channel();
+        let (reply, granted) = oneshot::channel();
         self.commands
-            .send(Command::Withdraw(service.to_string(), answer))
+            .send(Command::Withdraw(service.to_string(), reply))
             .await
             .unwrap_or_default();
         granted.await.unwrap_or(false)
     }
 }
-
-#[cfg(test)]
-mod tests {
-    /// Every window, also one that begins just before a burst and holds no requests at all.
-    fn worst(firsts: &[u64], extras: &[u64], allowance: usize) -> Option<(u64, usize, usize)> {
-        let inside = |times: &[u64], from: u64| {
-            times
-                .iter()
-                .filter(|time| (from..from + super::WINDOW).contains(time))
-                .count()
-        };
-        let windows = extras
-            .iter()
-            .map(|from| (*from, inside(extras, *from), inside(firsts, *from)));
-        windows
-            .filter(|(_, extras, firsts)| *extras > firsts / 5 + allowance)
-            .max_by_key(|(_, extras, _)| *extras)
-    }
-
-    #[test]
-    fn no_ten_seconds_hold_more_extras_than_their_requests_allow() {
-        test_support::drawn::<(u8, Vec<(u16, bool)>)>(300, |(restart, steps)| {
-            let mut budget = super::RetryBudget::new(2);
-            let (mut now, mut firsts, mut extras) = (0u64, Vec::new(), Vec::new());
-            steps.iter().enumerate().for_each(|(at, (gap, first))| {
-                now += *gap as u64 * 100;
-                if at == *restart as usize {
-                    // The process begins anew: that is no new allowance.
-                    budget = super::RetryBudget::new(2);
-                }
-                if *first {
-                    budget.deposit("seat");
-                    firsts.push(now);
-                } else if budget.withdraw("seat") {
-                    extras.push(now);
-                }
-            });
-            assert_eq!(worst(&firsts, &extras, 2), None);
-        });
-    }
-
-    #[test]
-    fn what_old_requests_earned_is_not_saved_up_for_a_window_without_any() {
-        let mut budget = super::RetryBudget::new(1);
-        (0..100).for_each(|_| budget.deposit("seat"));
-        assert_eq!(
-            (0..100).filter(|_| budget.withdraw("seat")).count(),
-            1,
-            "a hundred requests ago is not now"
-        );
-        assert!(
-            !budget.withdraw("other"),
-            "services do not share, and nothing is given before it is earned"
-        );
-    }
-}
--- a/crates/legacy-proxy/src/server.rs
+++ b/crates/legacy-proxy/src/server.rs
@@ -1,32 +1,46 @@
-//! What a node answers its mates (design 5.2).
+//! What a node serves to its peers: attempts on the backends beside it, heartbeats, inspection, and
+//! updates of the state it follows (design 5.2).
 
 use std::sync::Arc;
 use std::time::Duration;
 
+use control::KnownReplicas;
+use control::failure_detection::monitor::HeartbeatSender;
+use control::membership::discovery;
+use control::updates::relay::Relay;
+use tokio::net::TcpListener;
+use tokio::time::{self, MissedTickBehavior};
+use transport::{Connection, Frame, Handshake, Purpose};
+
+use crate::InboundProxy;
+use crate::age_marks::{AgeMarks, MARK_INTERVAL};
+
+/// Accepts peers' connections for ever and serves each in a task of its own.
 pub async fn serve_peers(
-    listener: tokio::net::TcpListener,
-    greeting: impl Fn() -> transport::Handshake + Send + Sync + 'static,
-    known: control::KnownReplicas,
-    far: crate::InboundProxy,
-    relay: control::updates::relay::Relay,
-    heard: control::failure_detection::monitor::HeartbeatSender,
+    listener: TcpListener,
+    handshake: impl Fn() -> Handshake + Send + Sync + 'static,
+    known_replicas: KnownReplicas,
+    inbound: InboundProxy,
+    relay: Relay,
+    heartbeats: HeartbeatSender,
 ) {
-    let greeting = Arc::new(greeting);
+    let handshake = Arc::new(handshake);
     loop {
         if let Ok((stream, _)) = listener.accept().await {
-            let (greeting, known, far) = (greeting.clone(), known.clone(), far.clone());
-            let (relay, heard) = (relay.clone(), heard.clone());
+            let (handshake, known_replicas, inbound) =
+                (handshake.clone(), known_replicas.clone(), inbound.clone());
+            let (relay, heartbeats) = (relay.clone(), heartbeats.clone());
             tokio::spawn(async move {
-                let accepted = transport::accept(stream, |caller| async move {
-                    control::membership::discovery::merge(&known, caller.known_replicas);
-                    match caller.purpose {
-                        transport::Purpose::Consensus => Err("no core seat is here".into()),
-                        _ => Ok((greeting)()),
+                let accepted = transport::accept(stream, |peer| async move {
+                    discovery::merge(&known_replicas, peer.known_replicas);
+                    match peer.purpose {
+                        Purpose::Consensus => Err("no core seat is here".into()),
+                        _ => Ok((handshake)()),
                     }
                 })
                 .await;
-                if let Ok(conn) = accepted {
-                    serve_connection(conn, far, relay, heard).await;
+                if let Ok(connection) = accepted {
+                    serve_connection(connection, inbound, relay, heartbeats).await;
                 }
             });
         }
@@ -34,63 +48,61 @@
 }
 
 async fn serve_connection(
-    mut conn: transport::Connection,
-    far: crate::InboundProxy,
-    relay: control::updates::relay::Relay,
-    heard: control::failure_detection::monitor::HeartbeatSender,
+    mut connection: Connection,
+    inbound: InboundProxy,
+    relay: Relay,
+    heartbeats: HeartbeatSender,
 ) {
-    let mut marks = crate::age_marks::AgeMarks::new(model::now());
-    let mut every = tokio::time::interval(Duration::from_micros(crate::age_marks::MARK_INTERVAL));
-    every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let mut marks = AgeMarks::new(model::now());
+    let mut mark_interval = time::interval(Duration::from_micros(MARK_INTERVAL));
+    mark_interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         let frame = tokio::select! {
-            frame = conn.receiver.recv() => match frame {
+            frame = connection.receiver.recv() => match frame {
                 Some(frame) => frame,
                 None => return,
             },
-            _ = every.tick(), if conn.peer_handshake.purpose == transport::Purpose::Forward => {
+            _ = mark_interval.tick(), if connection.peer_handshake.purpose == Purpose::Forward => {
                 let mark = marks.issue(model::now());
-                // A mate that takes nothing just now goes without; its dispatches then look older, not younger.
-                drop(conn.sender.try_send(transport::Frame::Watermark(mark)));
+                // A peer that takes nothing just now goes without; its requests then look older, not younger.
+                drop(connection.sender.try_send(Frame::Watermark(mark)));
                 continue;
             }
         };
         match frame {
-            transport::Frame::Attempt(mut dispatch) => {
-                dispatch.time_left =
-                    marks.time_left(model::now(), dispatch.last_watermark, dispatch.time_left);
-                let (far, replies) = (far.clone(), conn.sender.clone());
+            Frame::Attempt(mut request) => {
+                request.time_left =
+                    marks.time_left(model::now(), request.last_watermark, request.time_left);
+                let (inbound, replies) = (inbound.clone(), connection.sender.clone());
                 tokio::spawn(async move {
-                    let number = dispatch.request_id;
-                    let reply = Box::new(far.perform(*dispatch).await);
+                    let request_id = request.request_id;
+                    let reply = Box::new(inbound.perform(*request).await);
                     replies
-                        .send(transport::Frame::AttemptResult {
-                            request_id: number,
-                            reply,
-                        })
+                        .send(Frame::AttemptResult { request_id, reply })
                         .await
                         .unwrap_or_default();
                 });
             }
-            transport::Frame::Inspect => {
-                let seen = serde_json::to_vec(&*relay.view.load().slice).unwrap_or_default();
-                conn.sender
-                    .send(transport::Frame::Inspection(seen))
+            Frame::Inspect => {
+                let inspection = serde_json::to_vec(&*relay.view.load().slice).unwrap_or_default();
+                connection
+                    .sender
+                    .send(Frame::Inspection(inspection))
                     .await
                     .unwrap_or_default();
             }
-            transport::Frame::Heartbeat => {
-                let ward = (
-                    conn.peer_handshake.node_name.clone(),
-                    conn.peer_handshake.incarnation,
+            Frame::Heartbeat => {
+                let peer = (
+                    connection.peer_handshake.node_name.clone(),
+                    connection.peer_handshake.incarnation,
                 );
-                heard.send(ward).await.unwrap_or_default();
+                heartbeats.send(peer).await.unwrap_or_default();
             }
-            transport::Frame::Subscribe {
+            Frame::Subscribe {
                 services,
-                held_position: held,
+                held_position,
             } => {
-                return relay.serve(conn, services, held).await;
+                return relay.serve(connection, services, held_position).await;
             }
             _ => {}
         }
--- a/crates/legacy-proxy/tests/scene/mod.rs
+++ b/crates/legacy-proxy/tests/scene/mod.rs
@@ -1,16 +1,19 @@
-//! One back end beside one usher, with orders of three kinds, and the time told to it.
+//! One backend beside one node, with orders of three kinds, and the time passed in.
 
+use control::View;
 use legacy_proxy::slot_owner::{Permit, Registration};
 use legacy_proxy::{SlotOwner, SlotOwnerConfig};
+use model::leases::KEY_SLOTS;
 use model::{ErrorKind, Selector, StandingOrder, leases::Lease};
 use std::sync::Arc;
+use transport::AttemptRequest;
 
 pub const SECOND: u64 = 1_000_000;
 
 pub struct Scene {
-    pub house: SlotOwner,
-    pub view: control::View,
-    pub life: u64,
+    pub slots: SlotOwner,
+    pub view: View,
+    pub incarnation: u64,
     tickets: u64,
 }
 
@@ -42,9 +45,9 @@
             clock_margin: 250_000,
         };
         let mut scene = Scene {
-            house: SlotOwner::new(env),
+            slots: SlotOwner::new(env),
             view: Default::default(),
-            life: 0,
+            incarnation: 0,
             tickets: 0,
         };
         let registration = Registration {
@@ -55,11 +58,11 @@
             slots,
             address: "127.0.0.1:9".into(),
         };
-        scene.life = scene
-            .house
+        scene.incarnation = scene
+            .slots
             .reserve(0, 100, registration, "secret".into())
             .expect("the name is free");
-        scene.house.confirm(0, "seat-0", scene.life, true);
+        scene.slots.confirm(0, "seat-0", scene.incarnation, true);
         let orders = [
             ("plain", order("/plain", 5, false)),
             ("dear", order("/dear", 9, false)),
@@ -69,23 +72,23 @@
             .into_iter()
             .map(|(name, order)| (name.to_string(), order))
             .collect();
-        let back_end = scene.house.backend("seat-0").expect("registered");
+        let backend = scene.slots.backend("seat-0").expect("registered");
         let mut slice = model::StateSlice {
             position: 5,
             orders,
             ..Default::default()
         };
-        slice.backends.insert("seat-0".into(), back_end);
-        let term = Lease {
-            holder: Some(("seat-0".into(), scene.life)),
+        slice.backends.insert("seat-0".into(), backend);
+        let lease = Lease {
+            holder: Some(("seat-0".into(), scene.incarnation)),
             fencing_token: 5,
             pending_releases: vec![],
         };
         slice
             .leases
-            .insert("seat".into(), vec![term; model::leases::KEY_SLOTS as usize]);
+            .insert("seat".into(), vec![lease; KEY_SLOTS as usize]);
         slice.longest_requests.insert("seat".into(), 3 * SECOND);
-        scene.view = control::View {
+        scene.view = View {
             slice: Arc::new(slice),
             fresh_until: 1_000 * SECOND,
         };
@@ -96,16 +99,16 @@
         edit(Arc::make_mut(&mut self.view.slice));
     }
 
-    pub fn dispatch(&self, try_id: &str, path: &str) -> transport::AttemptRequest {
-        transport::AttemptRequest {
+    pub fn request(&self, attempt_id: &str, path: &str) -> AttemptRequest {
+        AttemptRequest {
             request_id: 0,
-            attempt_id: try_id.into(),
+            attempt_id: attempt_id.into(),
             ordinal: 0,
             client_service: "desk".into(),
             route: String::new(),
             service: "seat".into(),
             backend: "seat-0".into(),
-            incarnation: self.life,
+            incarnation: self.incarnation,
             method: "POST".into(),
             path: path.into(),
             query: String::new(),
@@ -119,21 +122,21 @@
         }
     }
 
-    pub fn enter(
+    pub fn admit(
         &mut self,
         now: u64,
-        dispatch: transport::AttemptRequest,
+        request: AttemptRequest,
     ) -> Vec<(u64, Result<Permit, model::Error>)> {
         self.tickets += 1;
-        self.house.admit(now, &self.view, self.tickets, dispatch)
+        self.slots.admit(now, &self.view, self.tickets, request)
     }
 
-    pub fn cause(&mut self, now: u64, dispatch: transport::AttemptRequest) -> Option<ErrorKind> {
-        let entered = self.enter(now, dispatch);
-        entered
+    pub fn cause(&mut self, now: u64, request: AttemptRequest) -> Option<ErrorKind> {
+        let admission = self.admit(now, request);
+        admission
             .into_iter()
             .next()
-            .and_then(|(_, entered)| entered.err())
-            .map(|trouble| trouble.kind)
+            .and_then(|(_, admission)| admission.err())
+            .map(|error| error.kind)
     }
 }
