--- a/crates/endpoints/src/node.rs
+++ b/crates/endpoints/src/node.rs
@@ -80,7 +80,6 @@
     follower: FollowerHandle,
     reporter: StatusReporter,
     limiter: ConcurrencyLimiter,
-    peers: PeerConnections,
     logger: Logger,
 }
 
@@ -95,9 +94,15 @@
             shared.reporter.clone(),
             shared.logger.clone(),
         );
-        shared.start_peer_tasks(&config, peer_listener);
+        let load_receiver = shared.start_peer_tasks(&config, peer_listener);
+        let peers = PeerConnections::start(shared.handshake.clone());
+        tokio::spawn(
+            shared
+                .coordinator(&config, peers.clone(), load_receiver)
+                .run(),
+        );
         let in_flight = InFlightRequests::default();
-        let listener = shared.listener(config, in_flight.clone());
+        let listener = shared.listener(config, peers, in_flight.clone());
         Node {
             lease_table,
             listener,
@@ -177,21 +182,23 @@
             header_names: config.header_names.clone(),
             extra_runs: config.queued_ahead,
         });
-        let peers = PeerConnections::start(handshake.clone());
         Shared {
             known_replicas,
             handshake,
             follower,
             reporter,
             limiter,
-            peers,
             logger,
         }
     }
 
-    /// Starts what has to do with other nodes: the monitor, the server for peers, the search for replicas and the
-    /// placement coordinator, which goes with the back end beside this node.
-    fn start_peer_tasks(&self, config: &NodeConfig, peer_listener: TcpListener) {
+    /// Starts what has to do with other nodes: the monitor, the server for peers and the search for replicas. Returns where
+    /// the load reports of other nodes arrive.
+    fn start_peer_tasks(
+        &self,
+        config: &NodeConfig,
+        peer_listener: TcpListener,
+    ) -> mpsc::Receiver<LoadReport> {
         let own = &config.lease_table;
         let heartbeats = monitor::start(
             MonitorConfig {
@@ -218,12 +225,13 @@
             handshake_for(&self.handshake, Purpose::Discover),
             || WANTED_REPLICAS,
         ));
-        tokio::spawn(self.coordinator(config, load_receiver).run());
+        load_receiver
     }
 
     fn coordinator(
         &self,
         config: &NodeConfig,
+        peers: PeerConnections,
         load_receiver: mpsc::Receiver<LoadReport>,
     ) -> PlacementCoordinator {
         PlacementCoordinator {
@@ -232,13 +240,18 @@
             follower: self.follower.clone(),
             reporter: self.reporter.clone(),
             limiter: self.limiter.clone(),
-            peers: self.peers.clone(),
+            peers,
             load_receiver,
             logger: self.logger.clone(),
         }
     }
 
-    fn listener(&self, config: NodeConfig, in_flight: InFlightRequests) -> Listener {
+    fn listener(
+        &self,
+        config: NodeConfig,
+        peers: PeerConnections,
+        in_flight: InFlightRequests,
+    ) -> Listener {
         let own = config.lease_table;
         let verified_state = self.follower.verified_state.clone();
         let proxy = OutboundProxy {
@@ -247,7 +260,7 @@
             service: config.service,
             verified_state: verified_state.clone(),
             limiter: self.limiter.clone(),
-            peers: self.peers.clone(),
+            peers,
             selector: SelectorHandle::start(config.selection, verified_state),
             in_flight,
             logger: self.logger.clone(),
