--- a/crates/control/tests/disks/entries.rs
+++ b/crates/control/tests/disks/entries.rs
@@ -47,7 +47,7 @@
 }
 
 /// One that is still to come for the recorded state.
-pub fn next_change(base: u64) -> Change {
+pub(crate) fn next_change(base: u64) -> Change {
     let grouping = Grouping {
         service: text("web"),
         zone: text("z1"),
@@ -169,7 +169,7 @@
     }
 }
 
-pub fn before_the_replacement() -> Vec<Entry> {
+pub(crate) fn before_the_replacement() -> Vec<Entry> {
     let grouping = Grouping {
         service: text("seat"),
         zone: text("z0"),
@@ -243,7 +243,7 @@
     ]
 }
 
-pub fn while_one_is_away() -> Vec<Entry> {
+pub(crate) fn while_one_is_away() -> Vec<Entry> {
     let rows = vec![(0, 9_999, text("b1")), (10_000, u16::MAX, text("b2"))];
     vec![
         told(
@@ -266,7 +266,7 @@
     ]
 }
 
-pub fn after_the_replacement() -> Vec<Entry> {
+pub(crate) fn after_the_replacement() -> Vec<Entry> {
     let draining = EndpointReport::PhaseChanged {
         name: text("b2"),
         incarnation: (1 << 32) | 7,
--- a/crates/control/tests/disks/held.rs
+++ b/crates/control/tests/disks/held.rs
@@ -13,12 +13,12 @@
 use std::path::{Path, PathBuf};
 use storage::ReplicaStore;
 
-pub fn fixtures() -> PathBuf {
+pub(crate) fn fixtures() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/disks")
 }
 
 /// The bytes of a recorded disk.
-pub fn disk_of(name: &str) -> Vec<u8> {
+pub(crate) fn disk_of(name: &str) -> Vec<u8> {
     let path = fixtures().join(format!("{name}.redb.packed"));
     let packed = fs::read(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
     compression::decompress(&packed)
@@ -27,13 +27,13 @@
 }
 
 /// The first 64 bits of a SHA-256, over the digits of the bytes.
-pub fn digest(bytes: &[u8]) -> String {
+pub(crate) fn digest(bytes: &[u8]) -> String {
     let digits: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
     format!("{:016x}", leases::stable_hash(&digits))
 }
 
 /// What a core holds once all that it confirmed is applied, as its replicas answer it.
-pub async fn answered_by(core: &ReplicaHandle) -> String {
+pub(crate) async fn answered_by(core: &ReplicaHandle) -> String {
     soon("a read", core.read_barrier())
         .await
         .expect("a majority that answers");
@@ -54,7 +54,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Held {
+pub(crate) struct Held {
     pub identity: u64,
     pub starts: u64,
     /// Number of its replica, number of replicas, and whether it was there from the beginning.
@@ -82,7 +82,7 @@
 }
 
 impl Held {
-    pub fn read(store: &ReplicaStore, writes: Vec<Write>) -> Held {
+    pub(crate) fn read(store: &ReplicaStore, writes: Vec<Write>) -> Held {
         let archive = rkyv::to_bytes::<rkyv::rancor::Error>(&writes).expect("an archive");
         let votes_from = writes.iter().filter_map(|write| match write {
             Write::VotingRangeStart(from) => Some(*from),
@@ -149,7 +149,7 @@
 }
 
 /// As many as `kind` tells apart.
-pub const KINDS_OF_WRITES: usize = 9;
+pub(crate) const KINDS_OF_WRITES: usize = 9;
 
 fn kind(write: &Write) -> &'static str {
     match write {
--- a/crates/control/tests/disks/writing.rs
+++ b/crates/control/tests/disks/writing.rs
@@ -131,7 +131,7 @@
     }
 }
 
-pub fn write_fixtures(folder: &Path) {
+pub(crate) fn write_fixtures(folder: &Path) {
     let mut running = founded();
     all_in_touch(&running);
     submitted(&running, before_the_replacement());
--- a/crates/control/tests/membership/machines.rs
+++ b/crates/control/tests/membership/machines.rs
@@ -3,25 +3,25 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-pub struct Machine {
+pub(crate) struct Machine {
     pub folder: PathBuf,
     pub address: String,
     pub listener: tokio::net::TcpListener,
 }
 
-pub type Started = (storage::MembershipRecord, control::ReplicaHandle);
+pub(crate) type Started = (storage::MembershipRecord, control::ReplicaHandle);
 
 /// Only a broken run meets it.
 const BOUND: Duration = Duration::from_secs(60);
 
 /// Awaits what comes soon unless something is broken, and says what did not come.
-pub async fn soon<T>(what: &str, work: impl Future<Output = T>) -> T {
+pub(crate) async fn soon<T>(what: &str, work: impl Future<Output = T>) -> T {
     tokio::time::timeout(BOUND, work)
         .await
         .unwrap_or_else(|_| panic!("it never came: {what}"))
 }
 
-pub async fn until(what: &str, holds: impl Fn() -> bool) {
+pub(crate) async fn until(what: &str, holds: impl Fn() -> bool) {
     let turns = async {
         while !holds() {
             tokio::task::yield_now().await;
@@ -31,7 +31,7 @@
 }
 
 impl Machine {
-    pub async fn new(test: &str, number: usize) -> Machine {
+    pub(crate) async fn new(test: &str, number: usize) -> Machine {
         let folder =
             std::env::temp_dir().join(format!("gradeford-{test}-{number}-{}", std::process::id()));
         drop(std::fs::remove_dir_all(&folder));
@@ -46,7 +46,7 @@
         }
     }
 
-    pub async fn all(test: &str, count: usize) -> Vec<Machine> {
+    pub(crate) async fn all(test: &str, count: usize) -> Vec<Machine> {
         let mut machines = Vec::new();
         for number in 0..count {
             machines.push(Machine::new(test, number).await);
@@ -54,11 +54,11 @@
         machines
     }
 
-    pub fn store(&self) -> storage::RecoveredStore {
+    pub(crate) fn store(&self) -> storage::RecoveredStore {
         storage::ReplicaStore::open(&self.folder).expect("a store")
     }
 
-    pub fn founding(&self, seeds: &[String], first: bool) -> control::BootstrapConfig {
+    pub(crate) fn founding(&self, seeds: &[String], first: bool) -> control::BootstrapConfig {
         control::BootstrapConfig {
             address: self.address.clone(),
             zone: "z0".into(),
@@ -70,7 +70,7 @@
         }
     }
 
-    pub async fn settle(
+    pub(crate) async fn settle(
         &self,
         seeds: &[String],
         first: bool,
@@ -93,7 +93,7 @@
     }
 
     /// As a core machine's process does it: to its replica, and on as that replica.
-    pub async fn start(
+    pub(crate) async fn start(
         self,
         seeds: &[String],
         first: bool,
@@ -111,7 +111,7 @@
         (membership, core)
     }
 
-    pub fn core(
+    pub(crate) fn core(
         &self,
         seeds: &[String],
         membership: Option<storage::MembershipRecord>,
@@ -138,7 +138,7 @@
 }
 
 /// A machine without a replica that asks for one.
-pub fn assignment_handshake(address: &str, disk_id: u64) -> transport::Handshake {
+pub(crate) fn assignment_handshake(address: &str, disk_id: u64) -> transport::Handshake {
     handshake(
         transport::Purpose::RequestAssignment,
         address,
@@ -147,7 +147,7 @@
     )
 }
 
-pub fn handshake(
+pub(crate) fn handshake(
     purpose: transport::Purpose,
     address: &str,
     core: Option<(u16, u16, u64)>,
@@ -168,7 +168,7 @@
 }
 
 /// One asking, and what the machine that has a replica answered.
-pub async fn answer_of(machine: &str, own: transport::Handshake) -> transport::Frame {
+pub(crate) async fn answer_of(machine: &str, own: transport::Handshake) -> transport::Frame {
     let mut connection = soon("a connection", transport::dial(machine, own))
         .await
         .expect("the machine is there");
--- a/crates/endpoints/tests/harness/mod.rs
+++ b/crates/endpoints/tests/harness/mod.rs
@@ -19,14 +19,14 @@
 use tokio::sync::watch;
 use transport::{Frame, Handshake, KnownReplica, Purpose};
 
-pub const HEARTBEAT_INTERVAL: Microseconds = 40_000;
-pub const MAX_LEASE: Microseconds = 1_200_000;
-pub const TIMEOUT: Duration = Duration::from_secs(30);
+pub(crate) const HEARTBEAT_INTERVAL: Microseconds = 40_000;
+pub(crate) const MAX_LEASE: Microseconds = 1_200_000;
+pub(crate) const TIMEOUT: Duration = Duration::from_secs(30);
 
-pub type ReceivedReport = (Microseconds, ClusterReport);
+pub(crate) type ReceivedReport = (Microseconds, ClusterReport);
 
 /// A log that applies each report that it gets and shows its node all of its state at once.
-pub struct Harness {
+pub(crate) struct Harness {
     pub lease_table: LeaseTableHandle,
     pub heard: watch::Receiver<Vec<ReceivedReport>>,
     /// Whether the log answers.
@@ -36,7 +36,7 @@
     pub limiter: ConcurrencyLimiter,
 }
 
-pub fn backend_record(node: &str) -> BackendRecord {
+pub(crate) fn backend_record(node: &str) -> BackendRecord {
     BackendRecord {
         service: "seat".into(),
         zone: "z0".into(),
@@ -47,14 +47,14 @@
     }
 }
 
-pub fn joined(name: &str, node: &str) -> ClusterReport {
+pub(crate) fn joined(name: &str, node: &str) -> ClusterReport {
     ClusterReport::BackendJoined {
         name: name.into(),
         backend: backend_record(node),
     }
 }
 
-pub fn all(base: u64, name: &str) -> ClusterReport {
+pub(crate) fn all(base: u64, name: &str) -> ClusterReport {
     ClusterReport::ShardsReassigned {
         service: "seat".into(),
         base_placement: base,
@@ -76,11 +76,11 @@
     }
 }
 
-pub async fn start_harness(keyed: bool, before: Vec<ClusterReport>) -> Harness {
+pub(crate) async fn start_harness(keyed: bool, before: Vec<ClusterReport>) -> Harness {
     start_harness_with(HEARTBEAT_INTERVAL, keyed, before).await
 }
 
-pub async fn start_harness_with(
+pub(crate) async fn start_harness_with(
     heartbeat_interval: Microseconds,
     keyed: bool,
     before: Vec<ClusterReport>,
@@ -228,7 +228,7 @@
 }
 
 impl Harness {
-    pub async fn heartbeat(&self, name: &str, sequence: u64, holds: Vec<(u16, u16, u64)>) {
+    pub(crate) async fn heartbeat(&self, name: &str, sequence: u64, holds: Vec<(u16, u16, u64)>) {
         let address = self.process.local_addr().expect("an address").to_string();
         let (name, service, zone) = (name.to_string(), "seat".to_string(), "z0".to_string());
         let heartbeat = Heartbeat {
@@ -250,7 +250,7 @@
     }
 
     /// The first report that fits, and when it was heard.
-    pub async fn wait_for_report(
+    pub(crate) async fn wait_for_report(
         &mut self,
         what: &str,
         fits: impl Fn(&ClusterReport) -> bool,
@@ -266,7 +266,7 @@
         found(&heard).expect("it fits")
     }
 
-    pub fn count(&self, fits: impl Fn(&ClusterReport) -> bool) -> usize {
+    pub(crate) fn count(&self, fits: impl Fn(&ClusterReport) -> bool) -> usize {
         self.heard
             .borrow()
             .iter()
--- a/crates/gradeford-core/src/core.rs
+++ b/crates/gradeford-core/src/core.rs
@@ -34,7 +34,7 @@
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A running replica with its operators' interface.
-pub struct Core {
+pub(crate) struct Core {
     accepting_work: Arc<AtomicBool>,
     http_server: HttpServer,
     /// Cancelled when the process stops.
--- a/crates/gradeford-core/src/settings.rs
+++ b/crates/gradeford-core/src/settings.rs
@@ -12,7 +12,7 @@
 /// The settings of a core seat.
 #[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
-pub struct Settings {
+pub(crate) struct Settings {
     /// Name of the process, 1 to 63 bytes.
     #[validate(length(min = 1, max = 63, message = "is 1 to 63 bytes"))]
     pub name: String,
@@ -78,7 +78,7 @@
 
 impl Settings {
     /// What the replica is started with. `address` is the one it is bound to.
-    pub fn replica_config(&self, address: String) -> ReplicaConfig {
+    pub(crate) fn replica_config(&self, address: String) -> ReplicaConfig {
         ReplicaConfig {
             name: self.name.clone(),
             zone: self.zone.clone(),
--- a/crates/gradeford-node/src/health.rs
+++ b/crates/gradeford-node/src/health.rs
@@ -16,7 +16,7 @@
 
 /// What the health pages tell of.
 #[derive(Clone)]
-pub struct HealthApi {
+pub(crate) struct HealthApi {
     /// Name of the node.
     pub name: String,
     /// The node's state.
@@ -46,7 +46,7 @@
 }
 
 /// The routes of the three pages.
-pub fn router(api: HealthApi) -> Router {
+pub(crate) fn router(api: HealthApi) -> Router {
     Router::new()
         .push(Router::with_path("live").get(Liveness))
         .push(Router::with_path("ready").get(Readiness { api: api.clone() }))
--- a/crates/gradeford-node/src/node.rs
+++ b/crates/gradeford-node/src/node.rs
@@ -43,7 +43,7 @@
 const HTTP_SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A running node.
-pub struct Node {
+pub(crate) struct Node {
     identity: NodeIdentity,
     proxy: OutboundProxy,
     slot_owner: SlotOwnerHandle,
--- a/crates/gradeford-node/src/presence.rs
+++ b/crates/gradeford-node/src/presence.rs
@@ -18,7 +18,7 @@
 
 /// Who this process is, for peers and for the log.
 #[derive(Clone)]
-pub struct NodeIdentity {
+pub(crate) struct NodeIdentity {
     /// Name of the node.
     pub name: String,
     /// Its zone.
@@ -31,7 +31,7 @@
 
 impl NodeIdentity {
     /// Makes handshakes for connections with this purpose, each with the replicas known then.
-    pub fn handshakes(
+    pub(crate) fn handshakes(
         &self,
         purpose: Purpose,
         known_replicas: &KnownReplicas,
@@ -54,7 +54,7 @@
 /// Tells the log that this node is here, and again whenever the log takes it for gone.
 ///
 /// Ends, and makes the node not ready, once another process was registered under its name.
-pub async fn announce_presence(
+pub(crate) async fn announce_presence(
     own: NodeIdentity,
     view: SharedView,
     status_reports: StatusReporter,
--- a/crates/gradeford-node/src/settings.rs
+++ b/crates/gradeford-node/src/settings.rs
@@ -9,7 +9,7 @@
 /// The settings of a node beside backends. Times are in microseconds.
 #[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
-pub struct Settings {
+pub(crate) struct Settings {
     /// Name of the node, 1 to 63 bytes.
     #[validate(length(min = 1, max = 63, message = "is 1 to 63 bytes"))]
     pub name: String,
--- a/crates/gradeford-node/src/start.rs
+++ b/crates/gradeford-node/src/start.rs
@@ -31,7 +31,7 @@
 const EXPECTED_REPLICAS: usize = 3;
 
 /// What the steps of the start share.
-pub struct Starter<'a> {
+pub(crate) struct Starter<'a> {
     /// The node's settings.
     pub settings: &'a Settings,
     /// For what operators should know.
@@ -45,7 +45,7 @@
 }
 
 /// The node's state and its links to the log.
-pub struct State {
+pub(crate) struct State {
     /// The state, kept current.
     pub subscription: Subscription,
     /// The way of reports to the log.
@@ -55,7 +55,9 @@
 }
 
 /// Binds the address for peers, by which the node is known if the settings name no other.
-pub async fn bind_to_peers(settings: &Settings) -> Result<(TcpListener, NodeIdentity), Error> {
+pub(crate) async fn bind_to_peers(
+    settings: &Settings,
+) -> Result<(TcpListener, NodeIdentity), Error> {
     let listener = TcpListener::bind(&settings.mates_address)
         .await
         .map_err(Error::of_setting("mates_address"))?;
@@ -74,7 +76,7 @@
 
 impl Starter<'_> {
     /// The subscription to the log's state, the reports to the log and the monitoring of peers.
-    pub fn start_state(&self, wanted_services: watch::Receiver<ServiceSet>) -> State {
+    pub(crate) fn start_state(&self, wanted_services: watch::Receiver<ServiceSet>) -> State {
         let (settings, known_replicas) = (self.settings, &self.known_replicas);
         let handshakes = |purpose| self.identity.handshakes(purpose, known_replicas);
         let config = SubscriptionConfig {
@@ -121,7 +123,7 @@
     }
 
     /// Who runs what on the backends here. `services` tells the subscription which ones they are.
-    pub fn start_slot_owner(
+    pub(crate) fn start_slot_owner(
         &self,
         state: &State,
         services: watch::Sender<ServiceSet>,
@@ -145,7 +147,7 @@
 
     /// The ways of requests: from peers to the backends here, and from the clients here to whichever
     /// backend is selected. Discovery of replicas begins too.
-    pub fn start_proxies(
+    pub(crate) fn start_proxies(
         &mut self,
         state: &State,
         slot_owner: SlotOwnerHandle,
@@ -189,7 +191,7 @@
     }
 
     /// The HTTP interface: health pages, clients, backends.
-    pub fn router(
+    pub(crate) fn router(
         &self,
         state: &State,
         proxy: &OutboundProxy,
@@ -226,7 +228,7 @@
     }
 
     /// Keeps the log told that this node is here.
-    pub fn announce(&mut self, state: &State, accepting_work: Arc<AtomicBool>) {
+    pub(crate) fn announce(&mut self, state: &State, accepting_work: Arc<AtomicBool>) {
         self.tasks.spawn(announce_presence(
             self.identity.clone(),
             state.subscription.view.clone(),
--- a/crates/gradefordctl/src/cli.rs
+++ b/crates/gradefordctl/src/cli.rs
@@ -13,7 +13,7 @@
 /// What is wrong with the command line, in words for its user.
 #[derive(Debug, Error)]
 #[error("{0}")]
-pub struct UsageError(String);
+pub(crate) struct UsageError(String);
 
 impl From<pico_args::Error> for UsageError {
     fn from(error: pico_args::Error) -> UsageError {
@@ -22,7 +22,7 @@
 }
 
 /// What is to be done.
-pub enum Command {
+pub(crate) enum Command {
     /// Print what a replica answers to this path.
     Get {
         /// Path with its leading slash.
@@ -54,7 +54,7 @@
 }
 
 /// Reads the command line and the files it names.
-pub fn parse(mut arguments: Arguments) -> Result<(CoreClient, Command), UsageError> {
+pub(crate) fn parse(mut arguments: Arguments) -> Result<(CoreClient, Command), UsageError> {
     let cores: Option<String> = arguments.opt_value_from_str("--core")?;
     let id: Option<String> = arguments.opt_value_from_str("--id")?;
     let base_version: Option<u64> = arguments.opt_value_from_str("--base")?;
--- a/crates/gradefordctl/src/commands.rs
+++ b/crates/gradefordctl/src/commands.rs
@@ -7,7 +7,7 @@
 use crate::{compare, exit};
 
 /// Carries the command out, prints the answer and returns the exit code.
-pub async fn run(client: &CoreClient, command: Command) -> i32 {
+pub(crate) async fn run(client: &CoreClient, command: Command) -> i32 {
     match command {
         Command::Get { path } => print_answer(client.get(&path).await),
         Command::Change {
--- a/crates/gradefordctl/src/compare.rs
+++ b/crates/gradefordctl/src/compare.rs
@@ -41,7 +41,7 @@
 
 /// Compares the processes with these peer addresses, prints the differences and returns the exit
 /// code.
-pub async fn run(first: &str, second: &str) -> i32 {
+pub(crate) async fn run(first: &str, second: &str) -> i32 {
     let (first, second) = (fetch_or_report(first).await, fetch_or_report(second).await);
     let (Some(first), Some(second)) = (first, second) else {
         return exit::UNREACHABLE;
--- a/crates/gradefordctl/src/core_client.rs
+++ b/crates/gradefordctl/src/core_client.rs
@@ -11,13 +11,13 @@
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Speaks to the operators' interface of the replicas.
-pub struct CoreClient {
+pub(crate) struct CoreClient {
     http: Client,
     cores: Vec<String>,
 }
 
 /// Status and JSON body of an answer; the body is null if it was no JSON.
-pub struct Answer {
+pub(crate) struct Answer {
     /// HTTP status.
     pub status: u16,
     /// The body.
@@ -30,7 +30,7 @@
     /// # Errors
     ///
     /// If the HTTP client cannot be set up.
-    pub fn new(cores: Vec<String>) -> Result<CoreClient, reqwest::Error> {
+    pub(crate) fn new(cores: Vec<String>) -> Result<CoreClient, reqwest::Error> {
         let http = Client::builder()
             .no_proxy()
             .connect_timeout(CONNECT_TIMEOUT)
@@ -40,14 +40,14 @@
     }
 
     /// Answer to a `GET`, as of [`CoreClient::first_answer`].
-    pub async fn get(&self, path: &str) -> Option<Answer> {
+    pub(crate) async fn get(&self, path: &str) -> Option<Answer> {
         self.first_answer(|core| self.http.get(format!("http://{core}{path}")))
             .await
     }
 
     /// Answer to a `POST`, as of [`CoreClient::first_answer`]. What is posted names itself, so asking
     /// the next replica after one that fell silent is safe.
-    pub async fn post(&self, path: &str, body: &Value) -> Option<Answer> {
+    pub(crate) async fn post(&self, path: &str, body: &Value) -> Option<Answer> {
         self.first_answer(|core| self.http.post(format!("http://{core}{path}")).json(body))
             .await
     }
--- a/crates/legacy-proxy/tests/scene/mod.rs
+++ b/crates/legacy-proxy/tests/scene/mod.rs
@@ -8,16 +8,16 @@
 use std::sync::Arc;
 use transport::AttemptRequest;
 
-pub const SECOND: u64 = 1_000_000;
+pub(crate) const SECOND: u64 = 1_000_000;
 
-pub struct Scene {
+pub(crate) struct Scene {
     pub slots: SlotOwner,
     pub view: View,
     pub incarnation: u64,
     tickets: u64,
 }
 
-pub fn order(path: &str, importance: u8, keyed: bool) -> StandingOrder {
+pub(crate) fn order(path: &str, importance: u8, keyed: bool) -> StandingOrder {
     let selector = Selector {
         from: vec!["desk".into()],
         service: "seat".into(),
@@ -36,7 +36,7 @@
 }
 
 impl Scene {
-    pub fn new(slots: u32) -> Scene {
+    pub(crate) fn new(slots: u32) -> Scene {
         let env = SlotOwnerConfig {
             node: "n0".into(),
             zone: "z0".into(),
@@ -95,11 +95,11 @@
         scene
     }
 
-    pub fn edit(&mut self, edit: impl FnOnce(&mut model::StateSlice)) {
+    pub(crate) fn edit(&mut self, edit: impl FnOnce(&mut model::StateSlice)) {
         edit(Arc::make_mut(&mut self.view.slice));
     }
 
-    pub fn request(&self, attempt_id: &str, path: &str) -> AttemptRequest {
+    pub(crate) fn request(&self, attempt_id: &str, path: &str) -> AttemptRequest {
         AttemptRequest {
             request_id: 0,
             attempt_id: attempt_id.into(),
@@ -122,7 +122,7 @@
         }
     }
 
-    pub fn admit(
+    pub(crate) fn admit(
         &mut self,
         now: u64,
         request: AttemptRequest,
@@ -131,7 +131,7 @@
         self.slots.admit(now, &self.view, self.tickets, request)
     }
 
-    pub fn cause(&mut self, now: u64, request: AttemptRequest) -> Option<ErrorKind> {
+    pub(crate) fn cause(&mut self, now: u64, request: AttemptRequest) -> Option<ErrorKind> {
         let admission = self.admit(now, request);
         admission
             .into_iter()
--- a/crates/mencius/tests/replica/harness.rs
+++ b/crates/mencius/tests/replica/harness.rs
@@ -3,15 +3,15 @@
 use mencius::{Config, Effect, Frame, Input, Replica, ReplicaId, Write};
 
 /// A group small enough for the test to play the others.
-pub const REPLICA_COUNT: u16 = 3;
+pub(crate) const REPLICA_COUNT: u16 = 3;
 
 /// A replica on a new disk, with no connection.
-pub fn new_replica(replica_id: ReplicaId) -> Replica {
+pub(crate) fn new_replica(replica_id: ReplicaId) -> Replica {
     restore(replica_id, Vec::new())
 }
 
 /// A replica on a disk that kept `writes`.
-pub fn restore(replica_id: ReplicaId, writes: Vec<Write>) -> Replica {
+pub(crate) fn restore(replica_id: ReplicaId, writes: Vec<Write>) -> Replica {
     let disk_id = u64::from(replica_id) + 1;
     Replica::restore(
         replica_id,
@@ -24,7 +24,7 @@
 }
 
 /// Carries out all effects, with syncs that finish at once, until there are none.
-pub fn run(replica: &mut Replica) -> Vec<Effect> {
+pub(crate) fn run(replica: &mut Replica) -> Vec<Effect> {
     let mut carried_out = Vec::new();
     loop {
         let effects = replica.take_effects();
@@ -41,7 +41,7 @@
 }
 
 /// Carries out all effects and returns the frames sent to `peer`.
-pub fn frames_to(replica: &mut Replica, peer: ReplicaId) -> Vec<Frame> {
+pub(crate) fn frames_to(replica: &mut Replica, peer: ReplicaId) -> Vec<Frame> {
     let to_peer = |effect| match effect {
         Effect::Send(to, frame) if to == peer => Some(frame),
         _ => None,
@@ -50,7 +50,7 @@
 }
 
 /// Carries out all effects and returns what was written to the disk.
-pub fn persisted(replica: &mut Replica) -> Vec<Write> {
+pub(crate) fn persisted(replica: &mut Replica) -> Vec<Write> {
     let written = |effect| match effect {
         Effect::Persist { writes, .. } => writes,
         _ => Vec::new(),
@@ -59,7 +59,7 @@
 }
 
 /// Hands frames from a peer to the replica, in order.
-pub fn deliver(replica: &mut Replica, from: ReplicaId, frames: Vec<Frame>) {
+pub(crate) fn deliver(replica: &mut Replica, from: ReplicaId, frames: Vec<Frame>) {
     for frame in frames {
         replica.step(0, Input::Frame(from, frame));
     }
--- a/crates/model/tests/cluster_state/fixtures.rs
+++ b/crates/model/tests/cluster_state/fixtures.rs
@@ -10,7 +10,7 @@
 };
 use model::{BackendPhase, ClusterState, Outcome};
 
-pub fn service(keyed: bool) -> ItemBody {
+pub(crate) fn service(keyed: bool) -> ItemBody {
     ItemBody::Service(Service {
         health_path: "/healthz".into(),
         max_connections: 0,
@@ -19,11 +19,11 @@
     })
 }
 
-pub fn route_body(host: &str, prefix: &str, service: &str) -> ItemBody {
+pub(crate) fn route_body(host: &str, prefix: &str, service: &str) -> ItemBody {
     ItemBody::Route(route_to(host, prefix, vec![(service.to_string(), 1)]))
 }
 
-pub fn route_to(host: &str, prefix: &str, shares: Vec<(String, u32)>) -> Route {
+pub(crate) fn route_to(host: &str, prefix: &str, shares: Vec<(String, u32)>) -> Route {
     Route {
         host: host.into(),
         prefix: prefix.into(),
@@ -36,7 +36,7 @@
     }
 }
 
-pub fn limits(header_bytes: u64) -> ItemBody {
+pub(crate) fn limits(header_bytes: u64) -> ItemBody {
     ItemBody::Limits(Limits {
         header_bytes,
         body_bytes: 1_000,
@@ -45,7 +45,7 @@
     })
 }
 
-pub fn put(name: &str, version: u64, body: ItemBody) -> ItemCall {
+pub(crate) fn put(name: &str, version: u64, body: ItemBody) -> ItemCall {
     ItemCall {
         puts: vec![ItemPut {
             name: name.into(),
@@ -57,28 +57,28 @@
     }
 }
 
-pub fn drop_of(kind: ItemKind, name: &str, version: u64) -> ItemCall {
+pub(crate) fn drop_of(kind: ItemKind, name: &str, version: u64) -> ItemCall {
     ItemCall {
         puts: Vec::new(),
         drops: vec![(kind, name.into(), version)],
     }
 }
 
-pub fn both(one: ItemCall, other: ItemCall) -> ItemCall {
+pub(crate) fn both(one: ItemCall, other: ItemCall) -> ItemCall {
     ItemCall {
         puts: [one.puts, other.puts].concat(),
         drops: [one.drops, other.drops].concat(),
     }
 }
 
-pub fn apply_call(state: &mut ClusterState, call: ItemCall) -> Outcome {
+pub(crate) fn apply_call(state: &mut ClusterState, call: ItemCall) -> Outcome {
     state
         .apply("operator", 1, 0, ClusterOperation::Items(call))
         .0
 }
 
 /// Where the call is at fault; empty when it was taken, or changed nothing.
-pub fn faults(state: &mut ClusterState, call: ItemCall) -> Vec<String> {
+pub(crate) fn faults(state: &mut ClusterState, call: ItemCall) -> Vec<String> {
     let before = state.clone();
     match apply_call(state, call) {
         Outcome::Invalid { faults } => {
@@ -92,14 +92,14 @@
 static SEQUENCE: AtomicU64 = AtomicU64::new(1);
 
 /// Reports that no earlier one of their origin stands in the way of.
-pub fn apply_reports(state: &mut ClusterState, reports: Vec<ClusterReport>) -> Vec<Delta> {
+pub(crate) fn apply_reports(state: &mut ClusterState, reports: Vec<ClusterReport>) -> Vec<Delta> {
     let sequence = SEQUENCE.fetch_add(1, Ordering::Relaxed);
     state
         .apply("node", 1, sequence, ClusterOperation::Reports(reports))
         .1
 }
 
-pub fn backend_record(service: &str, node: &str) -> BackendRecord {
+pub(crate) fn backend_record(service: &str, node: &str) -> BackendRecord {
     BackendRecord {
         service: service.into(),
         zone: "z0".into(),
@@ -110,21 +110,21 @@
     }
 }
 
-pub fn joined(name: &str) -> ClusterReport {
+pub(crate) fn joined(name: &str) -> ClusterReport {
     ClusterReport::BackendJoined {
         name: name.into(),
         backend: backend_record("seat", &format!("node-{name}")),
     }
 }
 
-pub fn ended(name: &str, process_gone: bool) -> ClusterReport {
+pub(crate) fn ended(name: &str, process_gone: bool) -> ClusterReport {
     ClusterReport::BackendEnded {
         name: name.into(),
         process_gone,
     }
 }
 
-pub fn reassigned(base: u64, ranges: &[(u16, u16, &str)]) -> ClusterReport {
+pub(crate) fn reassigned(base: u64, ranges: &[(u16, u16, &str)]) -> ClusterReport {
     ClusterReport::ShardsReassigned {
         service: "seat".into(),
         base_placement: base,
@@ -136,7 +136,7 @@
 }
 
 /// One keyed service, one route to it.
-pub fn site() -> ClusterState {
+pub(crate) fn site() -> ClusterState {
     let mut state = ClusterState::default();
     let call = both(
         put("seat", 1, service(true)),
--- a/crates/model/tests/recorded_bytes/entries.rs
+++ b/crates/model/tests/recorded_bytes/entries.rs
@@ -13,7 +13,7 @@
     VersionConflict,
 };
 
-pub fn change(edits: Vec<Edit>) -> Operation {
+pub(crate) fn change(edits: Vec<Edit>) -> Operation {
     Operation::Change(Change {
         id: text("change-17"),
         base_version: 3,
@@ -21,11 +21,11 @@
     })
 }
 
-pub fn items(puts: Vec<ItemPut>, drops: Vec<(ItemKind, String, u64)>) -> ClusterOperation {
+pub(crate) fn items(puts: Vec<ItemPut>, drops: Vec<(ItemKind, String, u64)>) -> ClusterOperation {
     ClusterOperation::Items(ItemCall { puts, drops })
 }
 
-pub fn put(name: &str, body: ItemBody) -> ItemPut {
+pub(crate) fn put(name: &str, body: ItemBody) -> ItemPut {
     ItemPut {
         name: text(name),
         version: 21,
@@ -34,7 +34,7 @@
     }
 }
 
-pub fn bill_acts() -> Vec<(&'static str, ClusterOperation)> {
+pub(crate) fn bill_acts() -> Vec<(&'static str, ClusterOperation)> {
     every_variant!(ClusterOperation {
         "items": ClusterOperation::Items(_) => items(
             bodies().into_iter().map(|(name, body)| put(name, body)).collect(),
@@ -46,7 +46,7 @@
     })
 }
 
-pub fn acts() -> Vec<(&'static str, Operation)> {
+pub(crate) fn acts() -> Vec<(&'static str, Operation)> {
     every_variant!(Operation {
         "change": Operation::Change(_) => change(edits().into_iter().map(|(_, edit)| edit).collect()),
         "standing": Operation::EndpointReport(_) => Operation::EndpointReport(reports()[0].1.clone()),
@@ -56,7 +56,7 @@
     })
 }
 
-pub fn entry_of(act: Operation) -> Entry {
+pub(crate) fn entry_of(act: Operation) -> Entry {
     Entry {
         origin: text("n1"),
         incarnation: LIFE,
@@ -66,7 +66,7 @@
 }
 
 /// Every act, and for acts that carry one of several things one entry for each of these.
-pub fn entries() -> Vec<(String, Entry)> {
+pub(crate) fn entries() -> Vec<(String, Entry)> {
     let acts = acts().into_iter().map(|(name, act)| (text(name), act));
     let edits = edits()
         .into_iter()
@@ -121,7 +121,7 @@
         .collect()
 }
 
-pub fn outcomes() -> Vec<(&'static str, Outcome)> {
+pub(crate) fn outcomes() -> Vec<(&'static str, Outcome)> {
     every_variant!(Outcome {
         "accepted": Outcome::Accepted { .. } => Outcome::Accepted { position: 31, version: 32 },
         "unchanged": Outcome::Unchanged { .. } => Outcome::Unchanged { position: 33 },
@@ -141,7 +141,7 @@
     })
 }
 
-pub fn deltas() -> Vec<(&'static str, Delta)> {
+pub(crate) fn deltas() -> Vec<(&'static str, Delta)> {
     every_variant!(Delta {
         "item": Delta::Item(..) => {
             Delta::Item(ItemKind::Route, text("book"), 21, Some(bodies()[0].1.clone()))
@@ -154,7 +154,7 @@
     })
 }
 
-pub fn verdicts() -> Vec<(&'static str, ExecutionStatus)> {
+pub(crate) fn verdicts() -> Vec<(&'static str, ExecutionStatus)> {
     every_variant!(ExecutionStatus {
         "not-run": ExecutionStatus::NotRun => ExecutionStatus::NotRun,
         "may-have-run": ExecutionStatus::MayHaveRun => ExecutionStatus::MayHaveRun,
--- a/crates/model/tests/recorded_bytes/samples.rs
+++ b/crates/model/tests/recorded_bytes/samples.rs
@@ -10,21 +10,21 @@
 use model::{Backend, BackendPhase, Edit, Grouping, Node, StandingOrder};
 use std::collections::{BTreeMap, BTreeSet};
 
-pub const LIFE: u64 = 0x1122_3344_5566_7788;
+pub(crate) const LIFE: u64 = 0x1122_3344_5566_7788;
 
-pub fn text(text: &str) -> String {
+pub(crate) fn text(text: &str) -> String {
     text.to_string()
 }
 
-pub fn names<const N: usize>(names: [&str; N]) -> BTreeSet<String> {
+pub(crate) fn names<const N: usize>(names: [&str; N]) -> BTreeSet<String> {
     names.map(text).into()
 }
 
-pub fn labels() -> BTreeMap<String, String> {
+pub(crate) fn labels() -> BTreeMap<String, String> {
     [(text("tier"), text("fast"))].into()
 }
 
-pub fn grouping() -> Grouping {
+pub(crate) fn grouping() -> Grouping {
     Grouping {
         service: text("seat"),
         zone: text("z0"),
@@ -32,7 +32,7 @@
     }
 }
 
-pub fn order(keyed: bool) -> StandingOrder {
+pub(crate) fn order(keyed: bool) -> StandingOrder {
     StandingOrder {
         selector: Selector {
             from: vec![text("web"), text("desk")],
@@ -49,7 +49,7 @@
     }
 }
 
-pub fn back_end(phase: BackendPhase) -> Backend {
+pub(crate) fn back_end(phase: BackendPhase) -> Backend {
     Backend {
         service: text("seat"),
         zone: text("z0"),
@@ -62,7 +62,7 @@
     }
 }
 
-pub fn node() -> Node {
+pub(crate) fn node() -> Node {
     Node {
         zone: text("z0"),
         address: text("10.0.0.1:7000"),
@@ -73,7 +73,7 @@
     }
 }
 
-pub fn player(phase: BackendPhase) -> BackendRecord {
+pub(crate) fn player(phase: BackendPhase) -> BackendRecord {
     BackendRecord {
         service: text("seat"),
         zone: text("z0"),
@@ -84,7 +84,7 @@
     }
 }
 
-pub fn place() -> NodeRecord {
+pub(crate) fn place() -> NodeRecord {
     NodeRecord {
         zone: text("z0"),
         address: text("10.0.0.1:7000"),
@@ -95,7 +95,7 @@
     }
 }
 
-pub fn row() -> ShardRange {
+pub(crate) fn row() -> ShardRange {
     ShardRange {
         first_key: 100,
         last_key: 4_000,
@@ -106,7 +106,7 @@
     }
 }
 
-pub fn edits() -> Vec<(&'static str, Edit)> {
+pub(crate) fn edits() -> Vec<(&'static str, Edit)> {
     every_variant!(Edit {
         "put-grouping": Edit::PutGrouping { .. } => {
             Edit::PutGrouping { name: text("seats"), grouping: grouping() }
@@ -119,7 +119,7 @@
     })
 }
 
-pub fn reports() -> Vec<(&'static str, EndpointReport)> {
+pub(crate) fn reports() -> Vec<(&'static str, EndpointReport)> {
     every_variant!(EndpointReport {
         "node": EndpointReport::NodeRegistered { .. } => EndpointReport::NodeRegistered {
             node: text("n1"),
@@ -159,7 +159,7 @@
     })
 }
 
-pub fn bodies() -> Vec<(&'static str, ItemBody)> {
+pub(crate) fn bodies() -> Vec<(&'static str, ItemBody)> {
     every_variant!(ItemBody {
         "lane": ItemBody::Route(_) => ItemBody::Route(Route {
             host: text("seats.example"),
@@ -186,7 +186,7 @@
     })
 }
 
-pub fn bill_reports() -> Vec<(&'static str, ClusterReport)> {
+pub(crate) fn bill_reports() -> Vec<(&'static str, ClusterReport)> {
     every_variant!(ClusterReport {
         "node": ClusterReport::NodeRegistered { .. } => ClusterReport::NodeRegistered {
             node: text("n1"),
@@ -229,7 +229,7 @@
     })
 }
 
-pub fn phases() -> Vec<(&'static str, BackendPhase)> {
+pub(crate) fn phases() -> Vec<(&'static str, BackendPhase)> {
     every_variant!(BackendPhase {
         "registered": BackendPhase::Registered => BackendPhase::Registered,
         "draining": BackendPhase::Draining => BackendPhase::Draining,
@@ -238,7 +238,7 @@
     })
 }
 
-pub fn kinds() -> Vec<(&'static str, ItemKind)> {
+pub(crate) fn kinds() -> Vec<(&'static str, ItemKind)> {
     every_variant!(ItemKind {
         "lane": ItemKind::Route => ItemKind::Route,
         "service": ItemKind::Service => ItemKind::Service,
--- a/crates/model/tests/recorded_bytes/states.rs
+++ b/crates/model/tests/recorded_bytes/states.rs
@@ -14,7 +14,7 @@
 };
 use std::collections::BTreeMap;
 
-pub fn slice() -> StateSlice {
+pub(crate) fn slice() -> StateSlice {
     let term = Lease {
         holder: Some((text("b1"), 3)),
         fencing_token: 9,
@@ -36,7 +36,7 @@
     }
 }
 
-pub fn patch() -> StatePatch {
+pub(crate) fn patch() -> StatePatch {
     let next = StateSlice {
         position: 53,
         longest_requests: BTreeMap::new(),
@@ -51,7 +51,7 @@
 }
 
 /// Items, back ends, nodes and rows, after entries that leave something in each part.
-pub fn bill() -> ClusterState {
+pub(crate) fn bill() -> ClusterState {
     let mut bill = ClusterState::default();
     let mut sequence = 0;
     let mut apply = |origin: &str, act: ClusterOperation| {
@@ -121,7 +121,7 @@
 }
 
 /// Changes, back ends, nodes, keys and a change of a seat's holder.
-pub fn book() -> StateMachine {
+pub(crate) fn book() -> StateMachine {
     let mut book = StateMachine::default();
     let mut apply = |instance: u64, origin: &str, act: Operation| {
         let entry = Entry {
--- a/crates/model/tests/site/mod.rs
+++ b/crates/model/tests/site/mod.rs
@@ -5,7 +5,7 @@
     StandingOrder, StateMachine, endpoint_status::EndpointReport,
 };
 
-pub fn grouping(service: &str) -> Edit {
+pub(crate) fn grouping(service: &str) -> Edit {
     let grouping = Grouping {
         service: service.into(),
         zone: "z0".into(),
@@ -17,7 +17,7 @@
     }
 }
 
-pub fn order(name: &str, from: &str, service: &str, path: &str) -> Edit {
+pub(crate) fn order(name: &str, from: &str, service: &str, path: &str) -> Edit {
     let selector = Selector {
         from: vec![from.into()],
         service: service.into(),
@@ -39,7 +39,7 @@
     }
 }
 
-pub fn change(state: &mut StateMachine, id: &str, base: u64, edits: Vec<Edit>) -> Outcome {
+pub(crate) fn change(state: &mut StateMachine, id: &str, base: u64, edits: Vec<Edit>) -> Outcome {
     let operation = Operation::Change(Change {
         id: id.into(),
         base_version: base,
@@ -53,7 +53,7 @@
     })
 }
 
-pub fn apply_report(
+pub(crate) fn apply_report(
     state: &mut StateMachine,
     origin: &str,
     incarnation: u64,
@@ -68,7 +68,7 @@
     })
 }
 
-pub fn node(name: &str, incarnation: u64) -> EndpointReport {
+pub(crate) fn node(name: &str, incarnation: u64) -> EndpointReport {
     EndpointReport::NodeRegistered {
         node: name.into(),
         zone: "z0".into(),
@@ -78,7 +78,7 @@
     }
 }
 
-pub fn registered(name: &str, node: &str, incarnation: u64) -> EndpointReport {
+pub(crate) fn registered(name: &str, node: &str, incarnation: u64) -> EndpointReport {
     let backend = Backend {
         service: "seat".into(),
         zone: "z0".into(),
@@ -95,7 +95,7 @@
     }
 }
 
-pub fn site() -> StateMachine {
+pub(crate) fn site() -> StateMachine {
     let mut state = StateMachine::default();
     let accepted = change(
         &mut state,
--- a/crates/outbound/tests/scripted_backend/mod.rs
+++ b/crates/outbound/tests/scripted_backend/mod.rs
@@ -10,14 +10,14 @@
 use tokio::sync::watch;
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Event {
+pub(crate) enum Event {
     /// The request of this number has been read.
     Began(usize),
     /// Its connection was closed from the other side while it was under way.
     Abandoned(usize),
 }
 
-pub struct ScriptedBackend {
+pub(crate) struct ScriptedBackend {
     pub address: String,
     events: watch::Receiver<Vec<Event>>,
     /// Those that are silent answer once it moves.
@@ -25,7 +25,7 @@
 }
 
 impl ScriptedBackend {
-    pub async fn start() -> ScriptedBackend {
+    pub(crate) async fn start() -> ScriptedBackend {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address").to_string();
         let (tell, events) = watch::channel(Vec::new());
@@ -43,7 +43,7 @@
         }
     }
 
-    pub fn count(&self, number: usize) -> usize {
+    pub(crate) fn count(&self, number: usize) -> usize {
         self.events
             .borrow()
             .iter()
@@ -51,15 +51,15 @@
             .count()
     }
 
-    pub fn ran(&self, number: usize) -> bool {
+    pub(crate) fn ran(&self, number: usize) -> bool {
         self.count(number) > 0
     }
 
-    pub fn saw(&self, fits: impl Fn(&Event) -> bool) -> bool {
+    pub(crate) fn saw(&self, fits: impl Fn(&Event) -> bool) -> bool {
         self.events.borrow().iter().any(fits)
     }
 
-    pub async fn until(&self, fits: impl Fn(&Event) -> bool) {
+    pub(crate) async fn until(&self, fits: impl Fn(&Event) -> bool) {
         let mut events = self.events.clone();
         events
             .wait_for(|events| events.iter().any(&fits))
@@ -67,7 +67,7 @@
             .expect("the backend is there");
     }
 
-    pub fn release(&self) {
+    pub(crate) fn release(&self) {
         self.released.send_modify(|released| *released += 1);
     }
 }
@@ -170,13 +170,13 @@
     open
 }
 
-pub struct Relay {
+pub(crate) struct Relay {
     pub address: String,
     broken: watch::Sender<u64>,
 }
 
 impl Relay {
-    pub async fn start(to: String) -> Relay {
+    pub(crate) async fn start(to: String) -> Relay {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address").to_string();
         let (broken, breaks) = watch::channel(0);
@@ -198,7 +198,7 @@
         Relay { address, broken }
     }
 
-    pub fn break_all(&self) {
+    pub(crate) fn break_all(&self) {
         self.broken.send_modify(|broken| *broken += 1);
     }
 }
--- a/crates/simulator/src/hollow/counted.rs
+++ b/crates/simulator/src/hollow/counted.rs
@@ -58,7 +58,7 @@
 }
 
 impl Log<'_> {
-    pub fn put(&mut self, origin: &str, act: ClusterOperation) {
+    pub(super) fn put(&mut self, origin: &str, act: ClusterOperation) {
         self.sequence += 1;
         let entry = model::Entry {
             origin: origin.into(),
@@ -87,16 +87,16 @@
         self.cost.told_bytes += length(&bulletin(false, deltas));
     }
 
-    pub fn report(&mut self, at: usize, reports: Vec<ClusterReport>) {
+    pub(super) fn report(&mut self, at: usize, reports: Vec<ClusterReport>) {
         self.put(&format!("n{at}"), ClusterOperation::Reports(reports));
     }
 
     /// One place for the costs of what was done since.
-    pub fn taken(&mut self) -> Cost {
+    pub(super) fn taken(&mut self) -> Cost {
         std::mem::take(&mut self.cost)
     }
 
-    pub fn node(&self, at: usize, life: u64) -> ClusterReport {
+    pub(super) fn node(&self, at: usize, life: u64) -> ClusterReport {
         let replaces = self
             .bill
             .nodes
@@ -111,7 +111,7 @@
         }
     }
 
-    pub fn joined(&self, at: usize, life: u64) -> ClusterReport {
+    pub(super) fn joined(&self, at: usize, life: u64) -> ClusterReport {
         let phase = model::BackendPhase::Registered;
         let player = model::cluster_state::BackendRecord {
             service: self.plan.service(at),
@@ -128,7 +128,7 @@
     }
 
     /// As the duty does it: among back ends that take new work.
-    pub fn place(&mut self, service: usize) {
+    pub(super) fn place(&mut self, service: usize) {
         if !self.plan.keyed(service) {
             return;
         }
@@ -170,7 +170,7 @@
     }
 
     /// Whoever lost rows lets them go; those that nobody can let go are waited out and settled by the new holders.
-    pub fn let_go(&mut self, service: usize, gone: &[String]) {
+    pub(super) fn let_go(&mut self, service: usize, gone: &[String]) {
         let (name, through) = (format!("s{service}"), self.bill.position);
         let Some((_, rows)) = self.bill.placements.get(&name).cloned() else {
             return;
--- a/crates/simulator/src/hollow/meter.rs
+++ b/crates/simulator/src/hollow/meter.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug, Default)]
-pub struct Reading {
+pub(super) struct Reading {
     pub at: model::Microseconds,
     /// Thread to nanoseconds on a processor.
     pub ran: BTreeMap<(&'static str, u32), u64>,
@@ -17,7 +17,7 @@
     pub applied: u64,
 }
 
-pub const ROLES: [&str; 5] = ["node", "core", "vault", "links", "acting"];
+pub(super) const ROLES: [&str; 5] = ["node", "core", "vault", "links", "acting"];
 
 fn role(thread: &str) -> &'static str {
     ROLES
@@ -26,7 +26,7 @@
         .unwrap_or("acting")
 }
 
-pub fn reading(cores: &[control::ReplicaHandle]) -> Reading {
+pub(super) fn reading(cores: &[control::ReplicaHandle]) -> Reading {
     let threads = std::fs::read_dir("/proc/self/task")
         .into_iter()
         .flatten()
@@ -73,7 +73,7 @@
 }
 
 /// Threads that ended in between are not seen: what they used is lost.
-pub fn used(before: &Reading, after: &Reading) -> BTreeMap<&'static str, Used> {
+pub(super) fn used(before: &Reading, after: &Reading) -> BTreeMap<&'static str, Used> {
     let span = (after.at - before.at).max(1) as f64;
     let of = |role: &'static str| {
         let held = after.ran.iter().filter(|((held, _), _)| *held == role);
@@ -102,7 +102,7 @@
         .collect()
 }
 
-pub fn said(before: &Reading, after: &Reading) -> BTreeMap<&'static str, (u64, u64)> {
+pub(super) fn said(before: &Reading, after: &Reading) -> BTreeMap<&'static str, (u64, u64)> {
     let pairs = before.said.iter().zip(after.said);
     let grown = pairs.map(|(before, after)| (after.0 - before.0, after.1 - before.1));
     transport::traffic::KINDS
--- a/crates/simulator/src/hollow/node.rs
+++ b/crates/simulator/src/hollow/node.rs
@@ -7,14 +7,14 @@
 use std::thread::Builder;
 use std::time::Duration;
 
-pub enum Order {
+pub(super) enum Order {
     /// In good order: the back end drains and signs off, the node stops.
     Leave,
     /// Without a word, as a machine without power.
     Vanish,
 }
 
-pub struct Hollow {
+pub(super) struct Hollow {
     pub at: usize,
     pub back_end: String,
     pub life: u64,
@@ -26,7 +26,7 @@
 
 /// What a node is made of; its place in the site says the rest.
 #[derive(Clone)]
-pub struct Making {
+pub(super) struct Making {
     pub plan: Arc<Plan>,
     pub places: Vec<String>,
     pub links: Option<super::Linked>,
@@ -37,7 +37,7 @@
 const SLOTS: u32 = 8;
 type Rows = Vec<(u16, u16, model::Position)>;
 
-pub fn back_end(at: usize, life: u64) -> String {
+pub(super) fn back_end(at: usize, life: u64) -> String {
     format!("b{at}.{life}")
 }
 
@@ -79,7 +79,7 @@
     }
 }
 
-pub fn start(making: &Making, at: usize, life: u64) -> Result<Hollow, String> {
+pub(super) fn start(making: &Making, at: usize, life: u64) -> Result<Hollow, String> {
     let plan = making.plan.clone();
     let (listener, address) =
         super::seats::bind(plan.host(plan.seats + at), making.links.as_ref())?;
@@ -129,11 +129,11 @@
 }
 
 impl Hollow {
-    pub fn order(&self, order: Order) {
+    pub(super) fn order(&self, order: Order) {
         drop(self.orders.send(order));
     }
 
-    pub async fn gone(&self) {
+    pub(super) async fn gone(&self) {
         let mut ended = self.ended.clone();
         while ended.changed().await.is_ok() {}
     }
--- a/crates/simulator/src/hollow/report.rs
+++ b/crates/simulator/src/hollow/report.rs
@@ -26,14 +26,14 @@
     pub stages: Vec<Stage>,
 }
 
-pub struct Begun {
+pub(super) struct Begun {
     name: &'static str,
     reading: Reading,
     tally: Tally,
 }
 
 impl Begun {
-    pub fn new(name: &'static str, reading: Reading, tally: Tally) -> Begun {
+    pub(super) fn new(name: &'static str, reading: Reading, tally: Tally) -> Begun {
         Begun {
             name,
             reading,
@@ -41,7 +41,12 @@
         }
     }
 
-    pub fn ended(self, after: Reading, tally: Tally, extra: BTreeMap<&'static str, f64>) -> Stage {
+    pub(super) fn ended(
+        self,
+        after: Reading,
+        tally: Tally,
+        extra: BTreeMap<&'static str, f64>,
+    ) -> Stage {
         let before = &self.reading;
         Stage {
             name: self.name,
--- a/crates/simulator/src/hollow/seats.rs
+++ b/crates/simulator/src/hollow/seats.rs
@@ -4,7 +4,7 @@
 use std::net::TcpListener;
 use std::thread::Builder;
 
-pub struct Seats {
+pub(super) struct Seats {
     pub cores: Vec<control::ReplicaHandle>,
     pub places: Vec<String>,
     /// Dropped, the seat's thread ends.
@@ -12,7 +12,7 @@
 }
 
 /// A listener and where it is found: with links, a relay stands before it.
-pub fn bind(
+pub(super) fn bind(
     host: crate::network::Host,
     links: Option<&super::Linked>,
 ) -> Result<(TcpListener, String), String> {
@@ -38,7 +38,7 @@
     Ok((own, known.to_string()))
 }
 
-pub fn runtime() -> Result<tokio::runtime::Runtime, String> {
+pub(super) fn runtime() -> Result<tokio::runtime::Runtime, String> {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -46,7 +46,7 @@
 }
 
 /// Seats come first of the site's hosts. Returns once every seat votes.
-pub async fn start(plan: &Plan, links: Option<&super::Linked>) -> Result<Seats, String> {
+pub(super) async fn start(plan: &Plan, links: Option<&super::Linked>) -> Result<Seats, String> {
     let bound = (0..plan.seats)
         .map(|seat| bind(plan.host(seat), links))
         .collect::<Result<Vec<_>, String>>()?;
@@ -106,7 +106,7 @@
 
 impl Seats {
     /// For processes that need not ask around.
-    pub fn known(&self, plan: &Plan) -> control::KnownReplicas {
+    pub(super) fn known(&self, plan: &Plan) -> control::KnownReplicas {
         let known = control::membership::discovery::empty();
         let told = self.cores.iter().zip(&self.places).map(|(core, address)| {
             let (seat, identity) = (core.replica_id(), core.disk_id());
--- a/crates/simulator/src/hollow/site.rs
+++ b/crates/simulator/src/hollow/site.rs
@@ -6,7 +6,7 @@
 use std::collections::HashSet;
 use std::sync::Arc;
 
-pub struct Site {
+pub(super) struct Site {
     pub plan: Arc<Plan>,
     pub seats: super::seats::Seats,
     pub nodes: Vec<Option<Hollow>>,
@@ -16,7 +16,7 @@
 }
 
 impl Site {
-    pub async fn start(plan: Plan, links: Option<super::Linked>) -> Result<Site, String> {
+    pub(super) async fn start(plan: Plan, links: Option<super::Linked>) -> Result<Site, String> {
         let seats = super::seats::start(&plan, links.as_ref()).await?;
         let plan = Arc::new(plan);
         let known = seats.known(&plan);
@@ -41,18 +41,18 @@
         })
     }
 
-    pub fn start_node(&mut self, at: usize) -> Result<(), String> {
+    pub(super) fn start_node(&mut self, at: usize) -> Result<(), String> {
         self.lives += 1;
         self.nodes[at] = Some(super::node::start(&self.making, at, self.lives)?);
         Ok(())
     }
 
-    pub fn live(&self) -> impl Iterator<Item = &Hollow> {
+    pub(super) fn live(&self) -> impl Iterator<Item = &Hollow> {
         self.nodes.iter().flatten()
     }
 
     /// Nodes, back ends and keys that no node tells of: made up, so that the log says what it otherwise would.
-    pub async fn make_up(&self) -> Result<(), String> {
+    pub(super) async fn make_up(&self) -> Result<(), String> {
         let (plan, put) = (
             &self.plan,
             async |sequence: u64, reports: Vec<ClusterReport>| {
@@ -157,7 +157,7 @@
     }
 
     /// Why not all is in order yet: somebody missing, keys without a holder or still owed, news under way.
-    pub fn unsettled(&self) -> Option<String> {
+    pub(super) fn unsettled(&self) -> Option<String> {
         let programme = self.witness.programme();
         let open = || {
             let keyed = (0..self.plan.services)
@@ -190,13 +190,13 @@
         })
     }
 
-    pub async fn settled(&self, what: &str) -> Result<model::Microseconds, String> {
+    pub(super) async fn settled(&self, what: &str) -> Result<model::Microseconds, String> {
         let waited = super::until(what, || self.unsettled().is_none()).await;
         waited.map_err(|told| format!("{told}: {}", self.unsettled().unwrap_or_default()))
     }
 
     /// Back ends in the log that beat nowhere any more, beside nodes that are there.
-    pub fn ghosts(&self) -> usize {
+    pub(super) fn ghosts(&self) -> usize {
         let programme = self.witness.programme();
         let lives: HashSet<&String> = self.live().map(|held| &held.back_end).collect();
         let working = programme
--- a/crates/simulator/src/hollow/stages.rs
+++ b/crates/simulator/src/hollow/stages.rs
@@ -21,7 +21,11 @@
     told: Told,
 }
 
-pub async fn all(plan: Plan, links: Option<super::Linked>, told: Told) -> Result<Report, String> {
+pub(super) async fn all(
+    plan: Plan,
+    links: Option<super::Linked>,
+    told: Told,
+) -> Result<Report, String> {
     tell(&told, "the core starts".into());
     let cut = links.as_ref().map(|(links, _)| links.clone());
     let site = Site::start(plan, links).await?;
--- a/crates/simulator/src/hollow/witness.rs
+++ b/crates/simulator/src/hollow/witness.rs
@@ -20,13 +20,13 @@
     pub absent_most: Vec<usize>,
 }
 
-pub struct Witness {
+pub(super) struct Witness {
     pub following: control::FollowerHandle,
     tally: Arc<Mutex<Tally>>,
 }
 
 impl Witness {
-    pub fn start(plan: Arc<super::Plan>, known: control::KnownReplicas) -> Witness {
+    pub(super) fn start(plan: Arc<super::Plan>, known: control::KnownReplicas) -> Witness {
         let (name, zone) = ("witness".to_string(), plan.zone(0));
         let own = transport::Handshake {
             purpose: transport::Purpose::Subscribe,
@@ -68,11 +68,11 @@
         Witness { following, tally }
     }
 
-    pub fn programme(&self) -> Arc<StateSnapshot> {
+    pub(super) fn programme(&self) -> Arc<StateSnapshot> {
         self.following.verified_state.load().snapshot.clone()
     }
 
-    pub fn tally(&self) -> Tally {
+    pub(super) fn tally(&self) -> Tally {
         self.tally
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -80,7 +80,7 @@
     }
 
     /// The most that were absent since the last time.
-    pub fn absent_most(&self) -> Vec<usize> {
+    pub(super) fn absent_most(&self) -> Vec<usize> {
         let mut tally = self.tally.lock().unwrap_or_else(PoisonError::into_inner);
         let now = tally.absent.clone();
         std::mem::replace(&mut tally.absent_most, now)
@@ -120,7 +120,7 @@
 }
 
 /// Rows and keys of `new` that another holder has than in `old`.
-pub fn moved(old: &ShardMap, new: &ShardMap) -> (u64, u64) {
+pub(super) fn moved(old: &ShardMap, new: &ShardMap) -> (u64, u64) {
     let pieces = new
         .iter()
         .filter(|row| row.holder.is_some())
--- a/crates/simulator/src/lease_sim/backend.rs
+++ b/crates/simulator/src/lease_sim/backend.rs
@@ -14,7 +14,7 @@
     pub releasing: Option<u64>,
 }
 
-pub struct SimulatedBackend {
+pub(super) struct SimulatedBackend {
     pub(super) node: usize,
     pub(super) incarnation: u64,
     pub(super) alive: bool,
@@ -74,7 +74,7 @@
     }
 
     /// One life, one name.
-    pub fn name(&self) -> String {
+    pub(super) fn name(&self) -> String {
         format!("player-{}-{}", self.node, self.incarnation)
     }
 
--- a/crates/simulator/src/lease_sim/log.rs
+++ b/crates/simulator/src/lease_sim/log.rs
@@ -43,7 +43,7 @@
 }
 
 impl Log {
-    pub fn new(seats: usize) -> Log {
+    pub(super) fn new(seats: usize) -> Log {
         Log {
             entries: Vec::new(),
             cluster_state: ClusterState::default(),
@@ -53,7 +53,7 @@
         }
     }
 
-    pub fn define_items(&mut self, call: model::cluster_state::ItemCall) {
+    pub(super) fn define_items(&mut self, call: model::cluster_state::ItemCall) {
         // Before anything else: all seats hold the items.
         drop(
             self.cluster_state
@@ -65,7 +65,7 @@
             .for_each(|seat| seat.cluster_state = bill.clone());
     }
 
-    pub fn order(&mut self, now: Microseconds, entry: LogEntry) -> Outcome {
+    pub(super) fn order(&mut self, now: Microseconds, entry: LogEntry) -> Outcome {
         self.ordered_at.push(now);
         self.entries.push(entry.clone());
         self.cluster_state
@@ -124,7 +124,7 @@
     }
 
     /// News goes before the proof that leans on it.
-    pub fn apply(&mut self, entry: LogEntry) -> Vec<(ConnectionId, ReplicaUpdate)> {
+    pub(super) fn apply(&mut self, entry: LogEntry) -> Vec<(ConnectionId, ReplicaUpdate)> {
         let before = self.cluster_state.position;
         let (_, deltas) = self.cluster_state.apply(
             &entry.0,
@@ -142,7 +142,7 @@
         news.into_iter().chain(self.pending_proofs()).collect()
     }
 
-    pub fn follow(
+    pub(super) fn follow(
         &mut self,
         conn: ConnectionId,
         held: Position,
@@ -153,7 +153,7 @@
     }
 
     /// Proved once all that was ordered before the asking is applied here.
-    pub fn ask(
+    pub(super) fn ask(
         &mut self,
         conn: ConnectionId,
         number: u64,
--- a/crates/simulator/src/lease_sim/node.rs
+++ b/crates/simulator/src/lease_sim/node.rs
@@ -50,7 +50,7 @@
 }
 
 impl Node {
-    pub fn new(at: usize, rate: i64, env: endpoints::LeaseConfig) -> Node {
+    pub(super) fn new(at: usize, rate: i64, env: endpoints::LeaseConfig) -> Node {
         Node {
             name: format!("node-{at}"),
             start_number: 0,
@@ -75,16 +75,16 @@
     }
 
     /// What this process drew when it began: its order says nothing.
-    pub fn incarnation(&self) -> model::Incarnation {
+    pub(super) fn incarnation(&self) -> model::Incarnation {
         incarnation(&self.name, self.start_number)
     }
 
-    pub fn is_running(&self, life: u64) -> bool {
+    pub(super) fn is_running(&self, life: u64) -> bool {
         self.up && self.start_number == life
     }
 
     /// A new process: all that was in memory is gone.
-    pub fn restart(&mut self, at: usize, env: endpoints::LeaseConfig, began: Microseconds) {
+    pub(super) fn restart(&mut self, at: usize, env: endpoints::LeaseConfig, began: Microseconds) {
         let (life, rate, cut, dumb, conns) = (
             self.start_number + 1,
             self.clock_rate_ppm,
@@ -104,7 +104,7 @@
         self.connection.number = conns;
     }
 
-    pub fn shard_map(&self) -> model::cluster_state::ShardMap {
+    pub(super) fn shard_map(&self) -> model::cluster_state::ShardMap {
         self.state
             .placements
             .get(super::harness::SERVICE)
@@ -112,14 +112,14 @@
             .unwrap_or_default()
     }
 
-    pub fn observe(&mut self, now: Microseconds) {
+    pub(super) fn observe(&mut self, now: Microseconds) {
         let rows = self.shard_map();
         if let Some(own) = &self.backend {
             self.lease_granter.observe(now, &rows, &own.heartbeat.name);
         }
     }
 
-    pub fn receive_heartbeat(
+    pub(super) fn receive_heartbeat(
         &mut self,
         plan: &super::LeasePlan,
         now: Microseconds,
@@ -231,7 +231,11 @@
     }
 
     /// A back end that stopped beating; whether its process is to be probed.
-    pub fn check_silence(&mut self, plan: &super::LeasePlan, now: Microseconds) -> Option<String> {
+    pub(super) fn check_silence(
+        &mut self,
+        plan: &super::LeasePlan,
+        now: Microseconds,
+    ) -> Option<String> {
         let position = self.state.position;
         let rows = self.shard_map();
         let own = self.backend.as_mut()?;
@@ -271,7 +275,7 @@
         Some(name)
     }
 
-    pub fn probe_answered(&mut self, name: &str, refused: bool) {
+    pub(super) fn probe_answered(&mut self, name: &str, refused: bool) {
         if let Some(own) = self
             .backend
             .as_mut()
@@ -285,7 +289,7 @@
         }
     }
 
-    pub fn signed_off(&mut self, name: &str) {
+    pub(super) fn signed_off(&mut self, name: &str) {
         self.ended.entry(name.to_string()).or_insert(false);
         if let Some(own) = self
             .backend
--- a/crates/simulator/src/lease_sim/placement.rs
+++ b/crates/simulator/src/lease_sim/placement.rs
@@ -14,7 +14,7 @@
 }
 
 impl PlacementDuty {
-    pub fn answered(&mut self, here: Option<Position>, now: Microseconds) {
+    pub(super) fn answered(&mut self, here: Option<Position>, now: Microseconds) {
         self.in_flight = false;
         self.resend_not_before = here.map(|position| (position, now + 1_000_000));
     }
--- a/crates/simulator/src/sim/site/plan.rs
+++ b/crates/simulator/src/sim/site/plan.rs
@@ -76,7 +76,7 @@
     }
 }
 
-pub const NODES: usize = 5;
+pub(super) const NODES: usize = 5;
 
 pub(super) fn zone(node: usize) -> String {
     format!("z{}", node % 2)
--- a/crates/simulator/src/sim/site/replicas.rs
+++ b/crates/simulator/src/sim/site/replicas.rs
@@ -23,7 +23,7 @@
 }
 
 /// An entry that its own seat has applied, with the answer.
-pub type AppliedEntry = (u16, (String, u64, u64), Outcome);
+pub(super) type AppliedEntry = (u16, (String, u64, u64), Outcome);
 
 pub struct SiteReplicas {
     pub world: crate::sim::World,
--- a/crates/simulator/src/state_sim/node.rs
+++ b/crates/simulator/src/state_sim/node.rs
@@ -41,22 +41,22 @@
 }
 
 impl FollowerNode {
-    pub fn crash(&mut self, until: Microseconds) {
+    pub(super) fn crash(&mut self, until: Microseconds) {
         (self.follower, self.connection, self.has_verified) =
             (StateFollower::default(), None, false);
         self.down_until = self.down_until.max(until);
     }
 
-    pub fn restart_at(&mut self, at: Microseconds) {
+    pub(super) fn restart_at(&mut self, at: Microseconds) {
         self.restarts_at = Some(at);
     }
 
-    pub fn restart_is_due(&mut self, now: Microseconds) -> bool {
+    pub(super) fn restart_is_due(&mut self, now: Microseconds) -> bool {
         self.restarts_at.take_if(|at| now >= *at).is_some()
     }
 
     /// A new conn, and what is said first on it.
-    pub fn begin_connection(&mut self, without: &super::DisabledGuards) -> transport::Frame {
+    pub(super) fn begin_connection(&mut self, without: &super::DisabledGuards) -> transport::Frame {
         if without.forward {
             self.follower = StateFollower::default();
         }
@@ -66,7 +66,7 @@
     }
 
     /// False when the conn is of no use any more.
-    pub fn receive(&mut self, frame: transport::Frame) -> bool {
+    pub(super) fn receive(&mut self, frame: transport::Frame) -> bool {
         if let transport::Frame::ClusterStateUpdate { to, .. } = &frame
             && !self.has_verified
             && *to < self.highest_received
@@ -85,7 +85,10 @@
     }
 
     /// What its lanes are served from.
-    pub fn served_state(&self, without: &super::DisabledGuards) -> Option<Arc<StateSnapshot>> {
+    pub(super) fn served_state(
+        &self,
+        without: &super::DisabledGuards,
+    ) -> Option<Arc<StateSnapshot>> {
         let told = || Some(self.follower.received().clone()).filter(|told| told.position > 0);
         if without.proof || without.forward && self.has_verified {
             told()
--- a/crates/simulator/src/state_sim/replica.rs
+++ b/crates/simulator/src/state_sim/replica.rs
@@ -29,7 +29,7 @@
 }
 
 impl PublishingReplica {
-    pub fn begin(life: u64) -> PublishingReplica {
+    pub(super) fn begin(life: u64) -> PublishingReplica {
         PublishingReplica {
             incarnation: life,
             ..Default::default()
@@ -37,7 +37,7 @@
     }
 
     /// All that was applied since the last time leaves as one piece; what was installed, as a whole.
-    pub fn fold(
+    pub(super) fn fold(
         &mut self,
         history: &[(mencius::Instance, mencius::Value)],
         truth: &mut StateHistory,
--- a/crates/simulator/tests/rolled/back_end.rs
+++ b/crates/simulator/tests/rolled/back_end.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 
-pub fn start(at: usize, places: Arc<Vec<Place>>, runs: Runs) {
+pub(crate) fn start(at: usize, places: Arc<Vec<Place>>, runs: Runs) {
     tokio::spawn(async move {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
             .await
@@ -76,7 +76,7 @@
     stream.shutdown().await.ok()
 }
 
-pub fn said(head: &str, name: &str) -> Option<String> {
+pub(crate) fn said(head: &str, name: &str) -> Option<String> {
     head.lines()
         .find_map(|line| line.strip_prefix(name)?.strip_prefix(':'))
         .map(|text| text.trim().to_string())
--- a/crates/simulator/tests/rolled/node.rs
+++ b/crates/simulator/tests/rolled/node.rs
@@ -4,7 +4,7 @@
 use std::thread::Builder;
 use std::time::Duration;
 
-pub struct Running {
+pub(crate) struct Running {
     /// True: in good order.
     orders: tokio::sync::watch::Sender<Option<bool>>,
     ended: tokio::sync::watch::Receiver<()>,
@@ -54,7 +54,7 @@
 }
 
 impl Running {
-    pub fn start(at: usize, life: u64, place: &Place, seeds: Vec<String>) -> Running {
+    pub(crate) fn start(at: usize, life: u64, place: &Place, seeds: Vec<String>) -> Running {
         let (orders, mut ordered) = tokio::sync::watch::channel(None);
         let (ends, ended) = tokio::sync::watch::channel(());
         let (told, hears) = std::sync::mpsc::channel();
@@ -100,21 +100,21 @@
         }
     }
 
-    pub fn leave(&self) {
+    pub(crate) fn leave(&self) {
         self.orders.send_replace(Some(true));
     }
 
-    pub fn kill(&self) {
+    pub(crate) fn kill(&self) {
         self.orders.send_replace(Some(false));
     }
 
-    pub async fn gone(&self) {
+    pub(crate) async fn gone(&self) {
         let mut ended = self.ended.clone();
         while ended.changed().await.is_ok() {}
     }
 
     /// Up to where it believes the bill.
-    pub fn position(&self) -> u64 {
+    pub(crate) fn position(&self) -> u64 {
         self.outlook.load().snapshot.position
     }
 }
--- a/crates/simulator/tests/rolled/senders.rs
+++ b/crates/simulator/tests/rolled/senders.rs
@@ -7,7 +7,7 @@
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Outcome {
+pub(crate) enum Outcome {
     /// Its own answer, all of it.
     Whole,
     Other,
@@ -17,7 +17,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Try {
+pub(crate) struct Try {
     pub id: String,
     pub effectful: bool,
     /// The number of its route, and of the newest one its node had served from when it was sent.
@@ -28,7 +28,7 @@
     pub outcome: Outcome,
 }
 
-pub struct Shared {
+pub(crate) struct Shared {
     fronts: Vec<String>,
     pub tries: Mutex<Vec<Try>>,
     pub served: Vec<AtomicU64>,
@@ -40,7 +40,7 @@
     over: AtomicBool,
 }
 
-pub struct Senders {
+pub(crate) struct Senders {
     pub shared: Arc<Shared>,
     tasks: Mutex<Vec<tokio::task::JoinHandle<()>>>,
 }
@@ -48,7 +48,7 @@
 const SENDERS: usize = 8;
 
 impl Senders {
-    pub fn start(fronts: Vec<String>) -> Senders {
+    pub(crate) fn start(fronts: Vec<String>) -> Senders {
         let counts = || (0..fronts.len()).map(|_| AtomicU64::new(0)).collect();
         let (served, shown) = (counts(), counts());
         let shared = Shared {
@@ -71,7 +71,7 @@
         }
     }
 
-    pub async fn end(&self) {
+    pub(crate) async fn end(&self) {
         self.shared.over.store(true, Ordering::SeqCst);
         let tasks = std::mem::take(&mut *self.tasks.lock().expect("tasks"));
         for task in tasks {
@@ -165,7 +165,7 @@
 }
 
 /// A pair of routes after the other, for as long as senders send.
-pub async fn operate(cores: Vec<control::ReplicaHandle>, shared: Arc<Shared>) {
+pub(crate) async fn operate(cores: Vec<control::ReplicaHandle>, shared: Arc<Shared>) {
     use model::cluster_state::{ItemBody, ItemCall, Route, Service};
     let put = |name: String, body| model::cluster_state::items::ItemPut {
         name,
--- a/crates/simulator/tests/rolled/site.rs
+++ b/crates/simulator/tests/rolled/site.rs
@@ -11,22 +11,22 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-pub const NODES: usize = 4;
+pub(crate) const NODES: usize = 4;
 const SEATS: u16 = 3;
 const BOUND: Duration = Duration::from_secs(240);
 
 /// Try to how often it ran.
-pub type Runs = Arc<Mutex<HashMap<String, usize>>>;
+pub(crate) type Runs = Arc<Mutex<HashMap<String, usize>>>;
 /// A node as those beside it find it: a later life takes the place.
-pub type Beside = tokio::sync::watch::Sender<Option<endpoints::LeaseTableHandle>>;
+pub(crate) type Beside = tokio::sync::watch::Sender<Option<endpoints::LeaseTableHandle>>;
 
-pub struct Place {
+pub(crate) struct Place {
     pub front: String,
     pub mates: String,
     pub beside: Beside,
 }
 
-pub struct Site {
+pub(crate) struct Site {
     pub runs: Runs,
     places: Arc<Vec<Place>>,
     seeds: Vec<String>,
@@ -39,11 +39,11 @@
 }
 
 /// Even nodes stand beside a service that is divided by key.
-pub fn service(at: usize) -> String {
+pub(crate) fn service(at: usize) -> String {
     ["seat", "ledger"][at % 2].into()
 }
 
-pub async fn until(what: &str, holds: impl Fn() -> bool) {
+pub(crate) async fn until(what: &str, holds: impl Fn() -> bool) {
     let turns = async {
         while !holds() {
             tokio::time::sleep(Duration::from_millis(5)).await;
@@ -100,7 +100,7 @@
 }
 
 impl Site {
-    pub async fn start() -> Site {
+    pub(crate) async fn start() -> Site {
         let folder = std::env::temp_dir().join(format!("gradeford-rolled-{}", std::process::id()));
         drop(std::fs::remove_dir_all(&folder));
         let (cores, seeds) = seats(&folder).await;
@@ -140,40 +140,40 @@
         site
     }
 
-    pub fn tries(&self) -> Vec<Try> {
+    pub(crate) fn tries(&self) -> Vec<Try> {
         self.senders.shared.tries.lock().expect("tries").clone()
     }
 
-    pub fn killing(&self, killing: bool) {
+    pub(crate) fn killing(&self, killing: bool) {
         self.senders.shared.killing.store(killing, Ordering::SeqCst);
         self.senders.shared.phase.fetch_add(1, Ordering::SeqCst);
     }
 
-    pub fn begin(&mut self, at: usize) {
+    pub(crate) fn begin(&mut self, at: usize) {
         self.lives += 1;
         self.nodes[at] = Running::start(at, self.lives, &self.places[at], self.seeds.clone());
     }
 
-    pub fn leave(&self, at: usize) {
+    pub(crate) fn leave(&self, at: usize) {
         self.nodes[at].leave();
     }
 
-    pub fn kill(&self, at: usize) {
+    pub(crate) fn kill(&self, at: usize) {
         self.nodes[at].kill();
     }
 
-    pub async fn gone(&mut self, at: usize) {
+    pub(crate) async fn gone(&mut self, at: usize) {
         self.nodes[at].gone().await;
         self.had[at] = self.had[at].max(self.nodes[at].position());
     }
 
-    pub async fn stop(&mut self, at: usize) {
+    pub(crate) async fn stop(&mut self, at: usize) {
         self.leave(at);
         self.gone(at).await;
     }
 
     /// This life of the node has served a sender; what it believes is no older than what it had.
-    pub async fn serves(&self, at: usize) {
+    pub(crate) async fn serves(&self, at: usize) {
         let (node, shared) = (&self.nodes[at], &self.senders.shared);
         until("a node believes something", || node.position() > 0).await;
         assert!(
@@ -189,13 +189,13 @@
         .await;
     }
 
-    pub async fn all_serve(&self) {
+    pub(crate) async fn all_serve(&self) {
         for at in 0..NODES {
             self.serves(at).await;
         }
     }
 
-    pub async fn end(&self) {
+    pub(crate) async fn end(&self) {
         self.senders.end().await;
         std::fs::remove_dir_all(&self.folder).unwrap_or_default();
     }
--- a/crates/storage/tests/store/faulty_disk.rs
+++ b/crates/storage/tests/store/faulty_disk.rs
@@ -8,7 +8,7 @@
 
 /// What goes wrong, from which operation on.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Fault {
+pub(crate) enum Fault {
     None,
     /// Writes from this operation on are refused until there is room again.
     Full(u64),
@@ -23,7 +23,7 @@
 }
 
 #[derive(Debug)]
-pub struct DiskState {
+pub(crate) struct DiskState {
     synced: Vec<u8>,
     /// As a program sees it, with what is not synced.
     pub contents: Vec<u8>,
@@ -35,10 +35,10 @@
 
 /// A disk; clones are the same one.
 #[derive(Clone, Debug)]
-pub struct FaultyDisk(Arc<Mutex<DiskState>>);
+pub(crate) struct FaultyDisk(Arc<Mutex<DiskState>>);
 
 impl FaultyDisk {
-    pub fn new() -> Self {
+    pub(crate) fn new() -> Self {
         FaultyDisk(Arc::new(Mutex::new(DiskState {
             synced: Vec::new(),
             contents: Vec::new(),
@@ -49,19 +49,19 @@
         })))
     }
 
-    pub fn state(&self) -> MutexGuard<'_, DiskState> {
+    pub(crate) fn state(&self) -> MutexGuard<'_, DiskState> {
         self.0
             .lock()
             .expect("no test panics while it holds the disk")
     }
 
-    pub fn open_store(&self) -> Result<RecoveredStore, Error> {
+    pub(crate) fn open_store(&self) -> Result<RecoveredStore, Error> {
         let disk = self.clone();
         ReplicaStore::open_with_backend(move || disk.clone())
     }
 
     /// What a machine finds when it starts again. `chance` draws which unsynced writes survived.
-    pub fn restart(&self, chance: u64) {
+    pub(crate) fn restart(&self, chance: u64) {
         let mut state = self.state();
         let mut bytes = state.synced.clone();
         for (write, number) in state.unsynced.drain(..).zip(0u32..) {
--- a/crates/test-support/tests/golden_files/mod.rs
+++ b/crates/test-support/tests/golden_files/mod.rs
@@ -8,7 +8,7 @@
 
 /// A part of a text that differs from run to run.
 #[allow(dead_code, reason = "a test file may need one of them only")]
-pub enum Volatile<'a> {
+pub(crate) enum Volatile<'a> {
     /// This very text, wherever it stands, becomes `<NAME>`: the value, then the name.
     Value(&'a str, &'a str),
     /// The JSON value of each field of this name becomes `<NAME>`, as in `"position":<position>`.
@@ -16,7 +16,7 @@
 }
 
 /// Compares `text` with the golden file `name`, after its volatile parts were replaced by placeholders.
-pub fn compare(name: &str, text: &str, volatile: &[Volatile]) {
+pub(crate) fn compare(name: &str, text: &str, volatile: &[Volatile]) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/golden")
         .join(name);
@@ -37,7 +37,7 @@
 }
 
 /// Replaces each volatile part, in the order given.
-pub fn with_placeholders(text: &str, volatile: &[Volatile]) -> String {
+pub(crate) fn with_placeholders(text: &str, volatile: &[Volatile]) -> String {
     volatile
         .iter()
         .fold(text.to_string(), |text, part| match part {
--- a/crates/test-support/tests/golden_files/program.rs
+++ b/crates/test-support/tests/golden_files/program.rs
@@ -11,13 +11,13 @@
 /// A daemon that says nothing for so long has failed the test.
 const PATIENCE: Duration = Duration::from_secs(60);
 
-pub struct Program {
+pub(crate) struct Program {
     pub name: &'static str,
     pub path: &'static str,
 }
 
 /// An empty folder of this test alone.
-pub fn folder(name: &str) -> PathBuf {
+pub(crate) fn folder(name: &str) -> PathBuf {
     static NEXT: AtomicU64 = AtomicU64::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
     let folder = env::temp_dir().join(format!(
@@ -29,7 +29,7 @@
 }
 
 /// Flags, exit code and both outputs; the lines of the log, which are JSON, are left out.
-pub fn told(program: &Program, words: &[&str]) -> String {
+pub(crate) fn told(program: &Program, words: &[&str]) -> String {
     let output = Command::new(program.path)
         .args(words)
         .output()
@@ -51,13 +51,13 @@
 
 /// A settings file of one line a setting.
 #[derive(Clone)]
-pub struct Settings {
+pub(crate) struct Settings {
     lines: Vec<(String, String)>,
     changed: String,
 }
 
 impl Settings {
-    pub fn new(lines: &[(&str, &str)]) -> Settings {
+    pub(crate) fn new(lines: &[(&str, &str)]) -> Settings {
         let lines = lines
             .iter()
             .map(|(name, value)| (name.to_string(), value.to_string()))
@@ -68,14 +68,14 @@
         }
     }
 
-    pub fn with(mut self, name: &str, value: &str) -> Settings {
+    pub(crate) fn with(mut self, name: &str, value: &str) -> Settings {
         self.lines.retain(|(held, _)| held != name);
         self.lines.push((name.to_string(), value.to_string()));
         self.changed.push_str(&format!("{name} = {value}\n"));
         self
     }
 
-    pub fn without(mut self, name: &str) -> Settings {
+    pub(crate) fn without(mut self, name: &str) -> Settings {
         self.lines.retain(|(held, _)| held != name);
         self.changed.push_str(&format!("no {name}\n"));
         self
@@ -89,11 +89,11 @@
     }
 
     /// What `--check` says of these settings.
-    pub fn checked(&self, program: &Program) -> String {
+    pub(crate) fn checked(&self, program: &Program) -> String {
         self.checked_with(program, &[])
     }
 
-    pub fn checked_with(&self, program: &Program, words: &[&str]) -> String {
+    pub(crate) fn checked_with(&self, program: &Program, words: &[&str]) -> String {
         format!(
             "{}{}",
             self.changed,
@@ -102,13 +102,13 @@
     }
 
     /// What the program says that cannot start with these settings.
-    pub fn run(&self, program: &Program) -> String {
+    pub(crate) fn run(&self, program: &Program) -> String {
         format!("{}{}", self.changed, with_file(program, &self.text(), &[]))
     }
 }
 
 /// What `--check` says of a settings file of this text.
-pub fn checked_text(program: &Program, text: &str, words: &[&str]) -> String {
+pub(crate) fn checked_text(program: &Program, text: &str, words: &[&str]) -> String {
     with_file(program, text, &[&["--check"], words].concat())
 }
 
@@ -123,7 +123,7 @@
 
 /// Runs the program with each setting left out and says whether it takes a reload with the supposed default, and one
 /// with the value beside it, for a change.
-pub fn defaults(
+pub(crate) fn defaults(
     program: &Program,
     folder: &Path,
     settings: &Settings,
--- a/crates/test-support/tests/recorded/mod.rs
+++ b/crates/test-support/tests/recorded/mod.rs
@@ -15,14 +15,14 @@
 const DIGITS_A_LINE: usize = 64;
 
 /// The files of one family of values, such as all frames.
-pub struct RecordedBytes {
+pub(crate) struct RecordedBytes {
     folder: PathBuf,
     checked: BTreeSet<String>,
     writes: bool,
 }
 
 impl RecordedBytes {
-    pub fn of(family: &str) -> RecordedBytes {
+    pub(crate) fn of(family: &str) -> RecordedBytes {
         RecordedBytes {
             folder: Path::new(env!("CARGO_MANIFEST_DIR"))
                 .join("tests/fixtures")
@@ -34,7 +34,7 @@
 
     /// Asserts that `encoded` is what was recorded under this name, and returns the recorded bytes
     /// for decoding.
-    pub fn check(&mut self, name: &str, encoded: &[u8]) -> Vec<u8> {
+    pub(crate) fn check(&mut self, name: &str, encoded: &[u8]) -> Vec<u8> {
         let file = format!("{name}.hex");
         let path = self.folder.join(&file);
         assert!(
@@ -56,7 +56,7 @@
     }
 
     /// Asserts that no recorded value was left out.
-    pub fn finish(self) {
+    pub(crate) fn finish(self) {
         let entries = fs::read_dir(&self.folder).expect("the folder of fixtures");
         for entry in entries {
             let file = entry
@@ -76,7 +76,7 @@
     }
 }
 
-pub fn to_hex(bytes: &[u8]) -> String {
+pub(crate) fn to_hex(bytes: &[u8]) -> String {
     let digits: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
     let lines = digits.as_bytes().chunks(DIGITS_A_LINE);
     lines
--- a/crates/transport/tests/recorded_frames/samples.rs
+++ b/crates/transport/tests/recorded_frames/samples.rs
@@ -11,11 +11,11 @@
 
 const IDENTITY: u64 = 0x1122_3344_5566_7788;
 
-pub fn text(text: &str) -> String {
+pub(crate) fn text(text: &str) -> String {
     text.to_string()
 }
 
-pub fn purposes() -> Vec<(&'static str, Purpose)> {
+pub(crate) fn purposes() -> Vec<(&'static str, Purpose)> {
     every_variant!(Purpose {
         "acquaint": Purpose::Discover => Purpose::Discover,
         "core": Purpose::Consensus => Purpose::Consensus,
@@ -27,7 +27,7 @@
     })
 }
 
-pub fn core_seat() -> KnownReplica {
+pub(crate) fn core_seat() -> KnownReplica {
     KnownReplica {
         replica_id: 2,
         disk_id: IDENTITY,
@@ -37,7 +37,7 @@
     }
 }
 
-pub fn greeting(purpose: Purpose) -> Handshake {
+pub(crate) fn greeting(purpose: Purpose) -> Handshake {
     Handshake {
         purpose,
         node_name: text("c2"),
@@ -51,7 +51,7 @@
     }
 }
 
-pub fn headers(number: u32) -> Headers {
+pub(crate) fn headers(number: u32) -> Headers {
     let held = [
         ("host", text("seats.example")),
         ("try", format!("{number:08x}")),
@@ -60,7 +60,7 @@
         .into()
 }
 
-pub fn cue(number: u32) -> ForwardedRequest {
+pub(crate) fn cue(number: u32) -> ForwardedRequest {
     ForwardedRequest {
         backend: text("b1"),
         caller: text("web"),
@@ -77,7 +77,7 @@
     }
 }
 
-pub fn take() -> ForwardedResponse {
+pub(crate) fn take() -> ForwardedResponse {
     ForwardedResponse {
         status: 201,
         headers: headers(7),
@@ -85,7 +85,7 @@
     }
 }
 
-pub fn dispatch() -> AttemptRequest {
+pub(crate) fn dispatch() -> AttemptRequest {
     AttemptRequest {
         request_id: 81,
         attempt_id: text("try-1"),
@@ -108,7 +108,7 @@
     }
 }
 
-pub fn reply() -> AttemptResponse {
+pub(crate) fn reply() -> AttemptResponse {
     AttemptResponse {
         status: 200,
         headers: headers(2),
@@ -117,7 +117,7 @@
     }
 }
 
-pub fn load() -> LoadReport {
+pub(crate) fn load() -> LoadReport {
     LoadReport {
         service: text("seat"),
         backend: text("b1"),
@@ -130,7 +130,7 @@
     }
 }
 
-pub fn entry() -> Entry {
+pub(crate) fn entry() -> Entry {
     let act = Operation::EndpointReport(EndpointReport::NodeLeft {
         node: text("n1"),
         incarnation: 5,
@@ -144,7 +144,7 @@
     }
 }
 
-pub fn slice(position: u64) -> StateSlice {
+pub(crate) fn slice(position: u64) -> StateSlice {
     StateSlice {
         position,
         longest_requests: [(text("seat"), position)].into(),
@@ -152,7 +152,7 @@
     }
 }
 
-pub fn frames() -> Vec<(&'static str, Frame)> {
+pub(crate) fn frames() -> Vec<(&'static str, Frame)> {
     every_variant!(Frame {
         "greeting": Frame::Handshake(_) => Frame::Handshake(Box::new(greeting(Purpose::Consensus))),
         "refusal": Frame::HandshakeRefused(_) => Frame::HandshakeRefused(text("why not")),
@@ -217,7 +217,7 @@
 }
 
 /// Frames that look otherwise within the same variant.
-pub fn further_frames() -> Vec<(String, Frame)> {
+pub(crate) fn further_frames() -> Vec<(String, Frame)> {
     let greetings = purposes().into_iter().map(|(name, purpose)| {
         (
             format!("greeting-{name}"),
