--- a/crates/control/src/replica/effects.rs
+++ b/crates/control/src/replica/effects.rs
@@ -158,12 +158,12 @@
         let majority_above = usize::from(self.handle.replica_count()) / 2;
         let status = &mut self.status;
         status.voting = true;
-        status.connected_replicas = replica.reachable_replicas();
+        status.connected_replicas = replica.reachable_replica_count();
         status.had_majority |= status.connected_replicas > majority_above;
         status.applied_below = replica.applied();
         status.compacted_below = replica.compaction_point();
         status.next_own_instance = replica.index();
-        status.highest_seen = replica.highest_instance();
+        status.highest_seen = replica.highest_command_instance();
         let reads = replica.pending_reads();
         status.pending_reads = (reads.waiting, reads.in_round, reads.awaited_instances);
         status.suspected_replicas = replica.suspected_peers();
--- a/crates/control/src/replica/handle.rs
+++ b/crates/control/src/replica/handle.rs
@@ -388,7 +388,7 @@
         };
         let pinned_disks = members.into_iter().collect();
         self.store_writer
-            .replace_pins(pinned_disks, writes, replaced);
+            .replace_pinned_disks(pinned_disks, writes, replaced);
     }
 
     async fn tell(&self, command: Command) -> Result<(), Stopped> {
--- a/crates/mencius/src/read_index.rs
+++ b/crates/mencius/src/read_index.rs
@@ -44,7 +44,7 @@
             sent_at: self.now,
         });
         self.send_to_peers(&Message::ReadIndexRequest { token });
-        self.on_read_index_response(self.replica_id, token, self.highest_instance());
+        self.on_read_index_response(self.replica_id, token, self.highest_command_instance());
     }
 
     /// Repeats the requests of a round whose responses do not come: they may have been lost with a
@@ -75,7 +75,7 @@
 
     pub(crate) fn on_read_index_request(&mut self, from: ReplicaId, token: ReadToken) {
         if self.has_caught_up() {
-            let highest_accepted = self.highest_instance();
+            let highest_accepted = self.highest_command_instance();
             self.send(
                 from,
                 Message::ReadIndexResponse {
@@ -135,7 +135,9 @@
     /// The highest instance that a read waits for or that is known to hold a command. Nothing waits
     /// where it is below `applied`.
     pub(crate) fn awaited_instance(&self) -> Option<Instance> {
-        self.read_indexes().max().max(self.highest_instance())
+        self.read_indexes()
+            .max()
+            .max(self.highest_command_instance())
     }
 
     fn read_indexes(&self) -> impl Iterator<Item = Instance> + '_ {
--- a/crates/mencius/src/replica.rs
+++ b/crates/mencius/src/replica.rs
@@ -347,7 +347,7 @@
     }
 
     /// The highest instance known to hold a command. Revoked blocks far ahead do not count.
-    pub fn highest_instance(&self) -> Option<Instance> {
+    pub fn highest_command_instance(&self) -> Option<Instance> {
         let commands = self
             .coordinator_logs
             .iter()
@@ -356,7 +356,7 @@
     }
 
     /// How many replicas are connected and not suspected, this one included.
-    pub fn reachable_replicas(&self) -> usize {
+    pub fn reachable_replica_count(&self) -> usize {
         let reachable = |peer: &Peer| peer.connected && !peer.suspected;
         1 + self
             .peer_ids()
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -170,7 +170,7 @@
         if let Some(pinned) = self.pinned_disks.get(&replica_id) {
             return Ok(*pinned);
         }
-        self.replace_pins(&PinnedDisks::from([(replica_id, disk_id)]), &[])?;
+        self.replace_pinned_disks(&PinnedDisks::from([(replica_id, disk_id)]), &[])?;
         Ok(disk_id)
     }
 
@@ -179,7 +179,11 @@
     ///
     /// # Errors
     /// [`Error::Store`]; nothing is changed then.
-    pub fn replace_pins(&mut self, pins: &PinnedDisks, writes: &[Write]) -> Result<(), Error> {
+    pub fn replace_pinned_disks(
+        &mut self,
+        pins: &PinnedDisks,
+        writes: &[Write],
+    ) -> Result<(), Error> {
         let position = self.next_position;
         let record = encode(writes)?;
         self.transact(|transaction| {
--- a/crates/storage/src/writer.rs
+++ b/crates/storage/src/writer.rs
@@ -86,9 +86,9 @@
     }
 
     /// Binds replicas to the disks that took them over, and keeps `writes` with it: both or neither
-    /// ([`ReplicaStore::replace_pins`]). `on_done` is called on the writer's thread, before any
+    /// ([`ReplicaStore::replace_pinned_disks`]). `on_done` is called on the writer's thread, before any
     /// later change, and not at all if the writer has stopped.
-    pub fn replace_pins(
+    pub fn replace_pinned_disks(
         &self,
         pins: PinnedDisks,
         writes: Vec<Write>,
@@ -150,7 +150,7 @@
                 writes,
                 on_done,
             } => {
-                on_done(store.replace_pins(&pins, &writes));
+                on_done(store.replace_pinned_disks(&pins, &writes));
             }
             StoreCommand::PinDisk {
                 replica_id,
--- a/crates/storage/tests/recorded_records.rs
+++ b/crates/storage/tests/recorded_records.rs
@@ -150,7 +150,7 @@
         .expect("a membership");
     store.append(&[Write::Index(4)], false).expect("kept");
     store
-        .replace_pins(
+        .replace_pinned_disks(
             &PinnedDisks::from([(2, 73)]),
             &[Write::VotingRangeStart(9), Write::Index(10)],
         )
--- a/crates/storage/tests/store/disk_faults.rs
+++ b/crates/storage/tests/store/disk_faults.rs
@@ -131,7 +131,7 @@
         let mut store = disk.open_store().expect("a store").store;
         let before = disk.state().operations;
         disk.state().fault = Fault::Power(before + operation);
-        let reported = store.replace_pins(&pins, &begins).is_ok();
+        let reported = store.replace_pinned_disks(&pins, &begins).is_ok();
         drop(store);
         disk.restart(chance(operation));
         let RecoveredStore { store, writes } = disk.open_store().expect("the store");
--- a/crates/storage/tests/store/writer.rs
+++ b/crates/storage/tests/store/writer.rs
@@ -58,7 +58,7 @@
     let writer = StoreWriter::spawn(store, |_| {}).expect("writer");
     let (kept, answer) = channel();
     let pins = PinnedDisks::from([(1, 11)]);
-    writer.replace_pins(pins, vec![Write::Index(3)], move |result| {
+    writer.replace_pinned_disks(pins, vec![Write::Index(3)], move |result| {
         drop(kept.send(result))
     });
     assert_eq!(
