--- a/crates/client-api/src/call.rs
+++ b/crates/client-api/src/call.rs
@@ -111,7 +111,7 @@
     let method = request.method().as_str().to_string();
     let body = read_body(request).await.ok_or_else(|| {
         let detail = format!("the body is over {MAX_BODY_BYTES} bytes or broke off");
-        Error::new(ErrorKind::TooLarge, detail)
+        Error::new(ErrorKind::RequestTooLarge, detail)
     })?;
     Ok(legacy_proxy::Request {
         attempt_id,
--- a/crates/control/src/failure_detection/ring.rs
+++ b/crates/control/src/failure_detection/ring.rs
@@ -166,14 +166,14 @@
         }
         let mut reports = Vec::new();
         for (peer, contact) in &mut self.peers {
-            let missed = now > contact.last_heard_at + timeout;
-            if missed != contact.reported_missing {
-                contact.reported_missing = missed;
+            let suspected = now > contact.last_heard_at + timeout;
+            if suspected != contact.reported_missing {
+                contact.reported_missing = suspected;
                 reports.push(EndpointReport::NodeObserved {
                     observer: name.to_string(),
                     node: peer.node.clone(),
                     incarnation: peer.incarnation,
-                    missed,
+                    suspected,
                 });
             }
         }
--- a/crates/control/src/failure_detection/ring/tests.rs
+++ b/crates/control/src/failure_detection/ring/tests.rs
@@ -6,7 +6,7 @@
         address: String::new(),
         incarnation: at,
         present: true,
-        missed_by: Default::default(),
+        suspected_by: Default::default(),
         changed_at: 0,
     };
     (0..count).map(|at| (format!("n{at}"), node(at))).collect()
@@ -35,7 +35,7 @@
         address: format!("a{at}"),
         incarnation: at,
         present: at % 7 != 3,
-        missed_by: Default::default(),
+        suspected_by: Default::default(),
         changed_at: 0,
     };
     [1, 2, 3, 5, 64].into_iter().for_each(|count| {
@@ -95,7 +95,10 @@
     assert!(
         matches!(
             back.as_slice(),
-            [EndpointReport::NodeObserved { missed: false, .. }]
+            [EndpointReport::NodeObserved {
+                suspected: false,
+                ..
+            }]
         ),
         "{back:?}"
     );
--- a/crates/control/src/updates/zone_relay/tests.rs
+++ b/crates/control/src/updates/zone_relay/tests.rs
@@ -9,7 +9,7 @@
             address: format!("127.0.0.1:{at}"),
             incarnation: at,
             present: true,
-            missed_by: Default::default(),
+            suspected_by: Default::default(),
             changed_at: 0,
         };
         slice.nodes.insert(format!("n{at}"), node);
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -47,7 +47,7 @@
         Signals::install()?
     };
     let names = D::Settings::SETTING_NAMES;
-    let start_up = settings::start_up::<D::Settings>(D::PROGRAM, D::HELP, names);
+    let start_up = settings::load_settings_or_exit::<D::Settings>(D::PROGRAM, D::HELP, names);
     let Some((command_line, settings)) = start_up else {
         return Ok(());
     };
--- a/crates/endpoints/src/monitor.rs
+++ b/crates/endpoints/src/monitor.rs
@@ -153,12 +153,12 @@
             observer,
             node,
             incarnation,
-            missed,
+            suspected,
         } => Some(ClusterReport::NodeObserved {
             observer,
             node,
             incarnation,
-            missed,
+            suspected,
         }),
         _ => None,
     }
--- a/crates/endpoints/tests/registration.rs
+++ b/crates/endpoints/tests/registration.rs
@@ -11,7 +11,7 @@
         address: "n0:1".into(),
         incarnation,
         present: true,
-        missed_by: Default::default(),
+        suspected_by: Default::default(),
         changed_at: 1,
     }
 }
--- a/crates/gradeford-core/src/settings.rs
+++ b/crates/gradeford-core/src/settings.rs
@@ -26,10 +26,10 @@
     #[validate(custom(function = "is_replica_count"))]
     pub seats: u16,
     /// IP address and port on which peers are accepted.
-    #[validate(custom(function = "model::settings::is_address"))]
+    #[validate(custom(function = "model::settings::validate_address"))]
     pub mates_address: String,
     /// IP address and port of the operators' HTTP interface.
-    #[validate(custom(function = "model::settings::is_address"))]
+    #[validate(custom(function = "model::settings::validate_address"))]
     pub operators_address: String,
     /// Where peers find this process, if not where it listens.
     #[serde(default)]
@@ -37,7 +37,7 @@
     /// Peer addresses of replicas, 1 to 9.
     #[validate(
         length(min = 1, max = 9, message = "holds 1 to 9 addresses"),
-        custom(function = "model::settings::are_addresses")
+        custom(function = "model::settings::validate_addresses")
     )]
     pub seeds: Vec<String>,
     /// Folder for the log and its snapshots.
@@ -72,7 +72,7 @@
     pub replace_after_us: u64,
     /// Least level that is logged: critical, error, warning, info (the default), debug or trace.
     #[serde(default = "daemon::default_log_level")]
-    #[validate(custom(function = "model::settings::is_level"))]
+    #[validate(custom(function = "model::settings::validate_log_level"))]
     pub log_level: String,
 }
 
--- a/crates/gradeford-node/src/settings.rs
+++ b/crates/gradeford-node/src/settings.rs
@@ -17,18 +17,18 @@
     #[validate(length(min = 1, max = 63, message = "is 1 to 63 bytes"))]
     pub zone: String,
     /// IP address and port on which peers are accepted.
-    #[validate(custom(function = "model::settings::is_address"))]
+    #[validate(custom(function = "model::settings::validate_address"))]
     pub mates_address: String,
     /// Where peers find this process, if not where it listens.
     #[serde(default)]
     pub advertised_address: Option<String>,
     /// IP address and port for the backends and clients on this machine.
-    #[validate(custom(function = "model::settings::is_address"))]
+    #[validate(custom(function = "model::settings::validate_address"))]
     pub local_address: String,
     /// Peer addresses of replicas, 1 to 9.
     #[validate(
         length(min = 1, max = 9, message = "holds 1 to 9 addresses"),
-        custom(function = "model::settings::are_addresses")
+        custom(function = "model::settings::validate_addresses")
     )]
     pub seeds: Vec<String>,
     /// How often a backend sends a heartbeat, from 50000 to 1000000; 300000 by default.
@@ -112,7 +112,7 @@
     pub homes: bool,
     /// Least level that is logged: critical, error, warning, info (the default), debug or trace.
     #[serde(default = "daemon::default_log_level")]
-    #[validate(custom(function = "model::settings::is_level"))]
+    #[validate(custom(function = "model::settings::validate_log_level"))]
     pub log_level: String,
 }
 
--- a/crates/inbound/src/backend_client.rs
+++ b/crates/inbound/src/backend_client.rs
@@ -122,7 +122,7 @@
     /// # Errors
     ///
     /// [`ErrorKind::Unreachable`] and [`ErrorKind::Refused`] are certain not to have run; with
-    /// [`ErrorKind::BackendLost`], [`ErrorKind::BadSeal`] and [`ErrorKind::ConnectionForgotten`] the
+    /// [`ErrorKind::BackendLost`], [`ErrorKind::BadSeal`] and [`ErrorKind::ReusedConnectionLost`] the
     /// request may have run.
     pub async fn forward(
         &self,
@@ -160,7 +160,7 @@
             None => Error::caused_by(ErrorKind::BackendLost, error),
             Some(idled) => {
                 self.connections.record_stale(model::now(), idled);
-                Error::new(ErrorKind::ConnectionForgotten, error.to_string())
+                Error::new(ErrorKind::ReusedConnectionLost, error.to_string())
             }
         }
     }
--- a/crates/inbound/src/concurrency_limiter.rs
+++ b/crates/inbound/src/concurrency_limiter.rs
@@ -271,7 +271,7 @@
             return self.respond(outcome_sender, Err(reason));
         }
         if let Some(retry_after) = self.passed_over_for(now, &request) {
-            let error = Error::new(ErrorKind::PassedOver, "its runs come to nothing");
+            let error = Error::new(ErrorKind::BackendEjected, "its runs come to nothing");
             let error = error.with_retry_after(retry_after);
             return drop(outcome_sender.send((Err(error), retry_after)));
         }
--- a/crates/legacy-proxy/src/attempt_loop.rs
+++ b/crates/legacy-proxy/src/attempt_loop.rs
@@ -253,7 +253,7 @@
         error.kind,
         ErrorKind::NoRoute
             | ErrorKind::BadRequest
-            | ErrorKind::TooLarge
+            | ErrorKind::RequestTooLarge
             | ErrorKind::ExpiredBeforeRun
             | ErrorKind::DuplicateAttempt
             | ErrorKind::EarlierIncarnation
--- a/crates/model/src/cluster_state/endpoints.rs
+++ b/crates/model/src/cluster_state/endpoints.rs
@@ -54,7 +54,8 @@
     /// Fewer observers miss it than it takes to presume it gone.
     pub present: bool,
     /// The observers that miss this incarnation.
-    pub missed_by: BTreeSet<NodeName>,
+    #[serde(rename = "missed_by")]
+    pub suspected_by: BTreeSet<NodeName>,
     /// The position that made it present or absent.
     #[serde(rename = "since")]
     pub changed_at: Position,
@@ -73,7 +74,7 @@
             address,
             incarnation,
             present: true,
-            missed_by: BTreeSet::new(),
+            suspected_by: BTreeSet::new(),
             changed_at: next,
         }
     }
@@ -91,7 +92,7 @@
     observer: NodeName,
     node: &str,
     incarnation: Incarnation,
-    missed: bool,
+    suspected: bool,
     next: Position,
 ) {
     let others = nodes
@@ -102,12 +103,12 @@
         .get_mut(node)
         .filter(|current| current.incarnation == incarnation);
     let Some(current) = current else { return };
-    if missed {
-        current.missed_by.insert(observer);
+    if suspected {
+        current.suspected_by.insert(observer);
     } else {
-        current.missed_by.remove(&observer);
+        current.suspected_by.remove(&observer);
     }
-    let present = current.missed_by.len() < observers_needed(others);
+    let present = current.suspected_by.len() < observers_needed(others);
     if present != current.present {
         current.present = present;
         current.changed_at = next;
--- a/crates/model/src/cluster_state/mod.rs
+++ b/crates/model/src/cluster_state/mod.rs
@@ -204,8 +204,8 @@
                 observer,
                 node,
                 incarnation,
-                missed,
-            } => self.observe_node(observer, &node, incarnation, missed, next),
+                suspected,
+            } => self.observe_node(observer, &node, incarnation, suspected, next),
             BackendJoined { name, backend } => self.backend_joined(name, backend, next),
             BackendDraining { name } => {
                 let (from, to) = (BackendPhase::Registered, BackendPhase::Draining);
@@ -282,12 +282,19 @@
         observer: NodeName,
         name: &str,
         incarnation: Incarnation,
-        missed: bool,
+        suspected: bool,
         next: Position,
     ) -> Option<Delta> {
         let is_present = |state: &Self| state.nodes.get(name).map(|node| node.present);
         let before = is_present(self);
-        endpoints::record_observation(&mut self.nodes, observer, name, incarnation, missed, next);
+        endpoints::record_observation(
+            &mut self.nodes,
+            observer,
+            name,
+            incarnation,
+            suspected,
+            next,
+        );
         (is_present(self) != before).then(|| self.node_delta(name))
     }
 
@@ -373,7 +380,7 @@
     fn node_delta(&self, name: &str) -> Delta {
         let node = self.nodes.get(name);
         let without_observers = node.map(|node| NodeRecord {
-            missed_by: Default::default(),
+            suspected_by: Default::default(),
             ..node.clone()
         });
         Delta::Node(name.to_string(), without_observers)
@@ -410,7 +417,7 @@
             .retain(|name, _| !absent.backends.contains(name));
         self.nodes.retain(|name, _| !absent.nodes.contains(name));
         for node in self.nodes.values_mut().filter(|node| node.present) {
-            node.missed_by
+            node.suspected_by
                 .retain(|observer| !absent.nodes.contains(observer));
         }
         let backends = absent.backends.iter().map(|name| self.backend_delta(name));
--- a/crates/model/src/cluster_state/report.rs
+++ b/crates/model/src/cluster_state/report.rs
@@ -39,7 +39,7 @@
         /// Which process of that name.
         incarnation: Incarnation,
         /// It is missed; else it is heard again.
-        missed: bool,
+        suspected: bool,
     },
     /// A back end started, or changed what it announces.
     BackendJoined {
--- a/crates/model/src/endpoint_status.rs
+++ b/crates/model/src/endpoint_status.rs
@@ -97,7 +97,7 @@
     pub present: bool,
     /// The observers that miss this incarnation.
     #[serde(rename = "reporters")]
-    pub missed_by: BTreeSet<NodeName>,
+    pub suspected_by: BTreeSet<NodeName>,
     /// The position that made it present or absent.
     #[serde(rename = "since")]
     pub changed_at: Position,
@@ -116,7 +116,7 @@
             address,
             incarnation,
             present: true,
-            missed_by: BTreeSet::new(),
+            suspected_by: BTreeSet::new(),
             changed_at: next,
         }
     }
--- a/crates/model/src/endpoint_status/report.rs
+++ b/crates/model/src/endpoint_status/report.rs
@@ -38,7 +38,7 @@
         /// Which process of that name.
         incarnation: Incarnation,
         /// It is missed; else it is heard again.
-        missed: bool,
+        suspected: bool,
     },
     /// A back end registers.
     BackendRegistered {
--- a/crates/model/src/endpoint_status_rules.rs
+++ b/crates/model/src/endpoint_status_rules.rs
@@ -54,9 +54,9 @@
             observer,
             node,
             incarnation,
-            missed,
+            suspected,
         } => {
-            record_observation(state, observer, &node, incarnation, missed, next);
+            record_observation(state, observer, &node, incarnation, suspected, next);
         }
         BackendRegistered { name, backend } => return register_backend(state, name, backend, next),
         PhaseChanged {
@@ -141,7 +141,7 @@
     observer: NodeName,
     name: &str,
     incarnation: Incarnation,
-    missed: bool,
+    suspected: bool,
     next: Position,
 ) {
     let nodes = state.endpoint_status.nodes.iter();
@@ -151,14 +151,14 @@
     let Some(node) = present_node(state, name, incarnation) else {
         return;
     };
-    if missed {
-        node.missed_by.insert(observer);
+    if suspected {
+        node.suspected_by.insert(observer);
     } else {
-        node.missed_by.remove(&observer);
+        node.suspected_by.remove(&observer);
     }
-    if node.missed_by.len() >= observers_needed(others) {
+    if node.suspected_by.len() >= observers_needed(others) {
         node.present = false;
-        node.missed_by.clear();
+        node.suspected_by.clear();
         node.changed_at = next;
         presume_backends_gone(state, name, next);
     }
--- a/crates/model/src/error.rs
+++ b/crates/model/src/error.rs
@@ -85,7 +85,7 @@
     /// The queue of the far node is full, or a more important request took the place.
     Overloaded = "overloaded", NotRun, 429;
     /// The back end's own node has ejected it for its failures.
-    PassedOver = "passed_over", NotRun, 503;
+    BackendEjected = "passed_over", NotRun, 503;
     /// The key has filled its share of the queue.
     KeyOverloaded = "key_crowded", NotRun, 429;
     /// Nobody holds the key, or an earlier holder may still serve it.
@@ -103,7 +103,7 @@
     /// The key moved between selection and the last check.
     StaleFencingToken = "stale_fence", NotRun, 503;
     /// The body of the request is over the limit or broke off.
-    TooLarge = "too_large", NotRun, 413;
+    RequestTooLarge = "too_large", NotRun, 413;
     /// An attempt of this identity was taken before.
     DuplicateAttempt = "duplicate_try", MayHaveRun, 409;
     /// The attempt was named under an earlier registration of the client.
@@ -113,7 +113,7 @@
     /// The connection to the back end broke after the request may have left.
     BackendLost = "back_end_lost", MayHaveRun, 502;
     /// A kept connection of the back end broke before an answer began.
-    ConnectionForgotten = "conn_forgotten", MayHaveRun, 502;
+    ReusedConnectionLost = "conn_forgotten", MayHaveRun, 502;
     /// The answer is not the back end's whole, sealed answer to this attempt.
     BadSeal = "bad_seal", MayHaveRun, 502;
     /// The answer is over the limit.
--- a/crates/model/src/settings.rs
+++ b/crates/model/src/settings.rs
@@ -141,7 +141,7 @@
 /// # Errors
 ///
 /// What an address looks like.
-pub fn is_address(text: &str) -> Result<(), ValidationError> {
+pub fn validate_address(text: &str) -> Result<(), ValidationError> {
     let parsed = text.parse::<SocketAddr>();
     parsed.map(|_| ()).map_err(|_| {
         ValidationError::new("address")
@@ -154,8 +154,8 @@
 /// # Errors
 ///
 /// What an address looks like, if one of the list does not.
-pub fn are_addresses(list: &[String]) -> Result<(), ValidationError> {
-    list.iter().try_for_each(|text| is_address(text))
+pub fn validate_addresses(list: &[String]) -> Result<(), ValidationError> {
+    list.iter().try_for_each(|text| validate_address(text))
 }
 
 /// Validates the name of a log level.
@@ -163,7 +163,7 @@
 /// # Errors
 ///
 /// The names there are.
-pub fn is_level(text: &str) -> Result<(), ValidationError> {
+pub fn validate_log_level(text: &str) -> Result<(), ValidationError> {
     let parsed = text.parse::<slog::Level>();
     parsed.map(|_| ()).map_err(|()| {
         ValidationError::new("level")
@@ -175,7 +175,7 @@
 ///
 /// `None` means that this was all there was to do. If the flags or settings are at fault, it prints
 /// the faults and ends the process with [`USAGE_EXIT_CODE`].
-pub fn start_up<T: DeserializeOwned + Validate>(
+pub fn load_settings_or_exit<T: DeserializeOwned + Validate>(
     program: &str,
     help: &str,
     names: &[&'static str],
--- a/crates/model/tests/cluster_state/endpoints.rs
+++ b/crates/model/tests/cluster_state/endpoints.rs
@@ -140,11 +140,11 @@
         incarnation,
         replaces: incarnation - 1,
     };
-    let missed = |by: &str, incarnation: u64, missed: bool| ClusterReport::NodeObserved {
+    let suspected = |by: &str, incarnation: u64, suspected: bool| ClusterReport::NodeObserved {
         observer: by.into(),
         node: "n0".into(),
         incarnation,
-        missed,
+        suspected,
     };
     apply_reports(
         &mut state,
@@ -155,17 +155,21 @@
     let is_present = |state: &ClusterState| state.nodes["n0"].present;
     apply_reports(
         &mut state,
-        vec![missed("n1", 1, true), missed("n1", 1, true)],
+        vec![suspected("n1", 1, true), suspected("n1", 1, true)],
     );
     assert!(
         is_present(&state),
         "one observer is one observer, however often it says so"
     );
-    apply_reports(&mut state, vec![missed("n2", 1, true)]);
+    apply_reports(&mut state, vec![suspected("n2", 1, true)]);
     assert!(!is_present(&state));
     apply_reports(
         &mut state,
-        vec![node("n0", 2), missed("n3", 1, true), missed("n1", 1, true)],
+        vec![
+            node("n0", 2),
+            suspected("n3", 1, true),
+            suspected("n1", 1, true),
+        ],
     );
     assert!(
         is_present(&state),
@@ -247,12 +251,12 @@
     }
 }
 
-fn missed(node: &str) -> [ClusterReport; 2] {
+fn suspected(node: &str) -> [ClusterReport; 2] {
     ["holder-0", "holder-1"].map(|observer| ClusterReport::NodeObserved {
         observer: observer.into(),
         node: node.into(),
         incarnation: 1,
-        missed: true,
+        suspected: true,
     })
 }
 
@@ -303,7 +307,7 @@
         };
         let deltas = [
             vec![node(&name, 1), joined],
-            missed(&format!("{before}")).to_vec(),
+            suspected(&format!("{before}")).to_vec(),
         ]
         .map(|reports| apply_reports(&mut state, reports));
         follower = follower.updated(false, state.position, deltas.concat());
@@ -337,7 +341,7 @@
             reassigned(0, &[(0, u16::MAX, "a")]),
         ],
     );
-    apply_reports(&mut state, missed("node-a").to_vec());
+    apply_reports(&mut state, suspected("node-a").to_vec());
     pass(&mut state, 10_000);
     assert!(
         state.backends.contains_key("a") && state.nodes.contains_key("node-a"),
@@ -377,7 +381,7 @@
 fn a_node_that_was_only_cut_off_registers_again() {
     let mut state = kept();
     apply_reports(&mut state, vec![node("node-a", 1), joined("a")]);
-    apply_reports(&mut state, missed("node-a").to_vec());
+    apply_reports(&mut state, suspected("node-a").to_vec());
     pass(&mut state, 4_000);
     assert!(
         state.nodes.contains_key("node-a"),
@@ -387,7 +391,7 @@
     assert!(!state.nodes.contains_key("node-a") && !state.backends.contains_key("a"));
     apply_reports(&mut state, vec![node("node-a", 1), joined("a")]);
     assert!(state.nodes["node-a"].present && state.backends["a"].phase == BackendPhase::Registered);
-    assert!(state.nodes["node-a"].missed_by.is_empty());
+    assert!(state.nodes["node-a"].suspected_by.is_empty());
     // Nodes that are there stay, however long nothing is said of them.
     pass(&mut state, 10_000);
     assert!(state.nodes.contains_key("node-a") && state.backends.contains_key("a"));
--- a/crates/model/tests/cluster_state/snapshot.rs
+++ b/crates/model/tests/cluster_state/snapshot.rs
@@ -61,7 +61,7 @@
             observer: format!("node-{}", other % 3),
             node,
             incarnation,
-            missed: other < 200,
+            suspected: other < 200,
         },
         3 | 4 => ClusterReport::BackendJoined {
             name,
@@ -294,17 +294,17 @@
         full_snapshot(&state).find_backend("a").is_some(),
         "what is on its way to one that drains still gets there"
     );
-    let missed = |observer: &str| ClusterReport::NodeObserved {
+    let suspected = |observer: &str| ClusterReport::NodeObserved {
         observer: observer.into(),
         node: "node-c".into(),
         incarnation: 1,
-        missed: true,
+        suspected: true,
     };
     apply_reports(
         &mut state,
         vec![
-            missed("node-a"),
-            missed("node-b"),
+            suspected("node-a"),
+            suspected("node-b"),
             ClusterReport::BackendSilent {
                 name: "b".into(),
                 silent: false,
--- a/crates/model/tests/recorded_bytes/samples.rs
+++ b/crates/model/tests/recorded_bytes/samples.rs
@@ -68,7 +68,7 @@
         address: text("10.0.0.1:7000"),
         incarnation: LIFE,
         present: true,
-        missed_by: names(["n2", "n3"]),
+        suspected_by: names(["n2", "n3"]),
         changed_at: 4,
     }
 }
@@ -90,7 +90,7 @@
         address: text("10.0.0.1:7000"),
         incarnation: LIFE,
         present: true,
-        missed_by: names(["n2"]),
+        suspected_by: names(["n2"]),
         changed_at: 4,
     }
 }
@@ -135,7 +135,7 @@
             observer: text("n2"),
             node: text("n1"),
             incarnation: LIFE,
-            missed: true,
+            suspected: true,
         },
         "registered": EndpointReport::BackendRegistered { .. } => {
             EndpointReport::BackendRegistered { name: text("b1"), backend: back_end(BackendPhase::Registered) }
@@ -202,7 +202,7 @@
             observer: text("n2"),
             node: text("n1"),
             incarnation: LIFE,
-            missed: true,
+            suspected: true,
         },
         "joined": ClusterReport::BackendJoined { .. } => {
             ClusterReport::BackendJoined { name: text("b1"), backend: player(BackendPhase::Registered) }
--- a/crates/model/tests/state_machine.rs
+++ b/crates/model/tests/state_machine.rs
@@ -141,21 +141,21 @@
 fn one_observer_does_not_make_a_node_absent_two_do() {
     let mut state = site();
     apply_report(&mut state, "n0", 1, 2, registered("seat-0", "n0", 10));
-    let missed = |observer: &str, missed| EndpointReport::NodeObserved {
+    let suspected = |observer: &str, suspected| EndpointReport::NodeObserved {
         observer: observer.into(),
         node: "n0".into(),
         incarnation: 1,
-        missed,
+        suspected,
     };
-    apply_report(&mut state, "n1", 1, 2, missed("n1", true));
+    apply_report(&mut state, "n1", 1, 2, suspected("n1", true));
     assert!(state.endpoint_status.nodes["n0"].present);
-    apply_report(&mut state, "n1", 1, 3, missed("n1", false));
-    apply_report(&mut state, "n2", 1, 2, missed("n2", true));
+    apply_report(&mut state, "n1", 1, 3, suspected("n1", false));
+    apply_report(&mut state, "n2", 1, 2, suspected("n2", true));
     assert!(
         state.endpoint_status.nodes["n0"].present,
         "a report that is taken back does not count"
     );
-    apply_report(&mut state, "n3", 1, 2, missed("n3", true));
+    apply_report(&mut state, "n3", 1, 2, suspected("n3", true));
     assert!(!state.endpoint_status.nodes["n0"].present);
     assert_eq!(
         state.endpoint_status.backends["seat-0"].phase,
--- a/crates/model/tests/witness.rs
+++ b/crates/model/tests/witness.rs
@@ -143,7 +143,7 @@
         address: "127.0.0.1:1".into(),
         incarnation: 1,
         present: true,
-        missed_by: ["r".to_string()].into(),
+        suspected_by: ["r".to_string()].into(),
         changed_at: 2,
     }
 }
@@ -204,7 +204,7 @@
         address: "a".into(),
         incarnation: 1,
         present: true,
-        missed_by: ["m".to_string()].into(),
+        suspected_by: ["m".to_string()].into(),
         changed_at: 2,
     };
     let row = ShardRange {
--- a/crates/outbound/src/listener.rs
+++ b/crates/outbound/src/listener.rs
@@ -127,7 +127,7 @@
         match Limited::new(body, max_body_bytes).collect().await {
             Ok(body) => Ok(body.to_bytes().to_vec()),
             Err(error) if error.is::<LengthLimitError>() => Err(Error::new(
-                ErrorKind::TooLarge,
+                ErrorKind::RequestTooLarge,
                 "the body is over the limit",
             )),
             Err(_) => Err(Error::new(ErrorKind::BadRequest, "the body broke off")),
@@ -206,7 +206,7 @@
         let status = match (error.execution_status, error.kind) {
             (_, ErrorKind::NoRoute) => 404,
             (_, ErrorKind::BadRequest) => 400,
-            (_, ErrorKind::TooLarge) => 413,
+            (_, ErrorKind::RequestTooLarge) => 413,
             (ExecutionStatus::NotRun, _) => 503,
             (ExecutionStatus::MayHaveRun, ErrorKind::TimedOut) => 504,
             (ExecutionStatus::MayHaveRun, _) => 502,
--- a/crates/outbound/src/proxy/attempts.rs
+++ b/crates/outbound/src/proxy/attempts.rs
@@ -69,7 +69,7 @@
         policy: &RetryPolicy,
     ) -> NextStep {
         self.passed_over.push(backend);
-        self.ejection_refusals += (error.kind == ErrorKind::PassedOver) as u8;
+        self.ejection_refusals += (error.kind == ErrorKind::BackendEjected) as u8;
         let certainly_not_run = error.execution_status == ExecutionStatus::NotRun;
         self.may_have_run |= !certainly_not_run;
         let may_run_again = certainly_not_run || policy.idempotent;
@@ -104,11 +104,11 @@
 /// there is no other backend to leave a full or refusing one for.
 pub(super) fn is_retryable(error: &Error, keyed: bool) -> bool {
     match error.kind {
-        ErrorKind::PassedOver
+        ErrorKind::BackendEjected
         | ErrorKind::Unreachable
         | ErrorKind::PeerLost
         | ErrorKind::BackendLost
-        | ErrorKind::ConnectionForgotten
+        | ErrorKind::ReusedConnectionLost
         | ErrorKind::BadSeal
         | ErrorKind::ShuttingDown
         | ErrorKind::WrongIncarnation
--- a/crates/outbound/src/proxy/tests.rs
+++ b/crates/outbound/src/proxy/tests.rs
@@ -119,7 +119,7 @@
     let mut history = AttemptHistory::default();
     for must_be_taken in [false, true] {
         assert!(matches!(
-            classify(&mut history, ErrorKind::PassedOver, &ONCE_ONLY),
+            classify(&mut history, ErrorKind::BackendEjected, &ONCE_ONLY),
             NextStep::Retry
         ));
         assert_eq!(history.must_be_taken(), must_be_taken);
--- a/crates/simulator/src/hollow/events.rs
+++ b/crates/simulator/src/hollow/events.rs
@@ -30,7 +30,7 @@
                     observer: format!("n{watcher}"),
                     node: node.clone(),
                     incarnation: life,
-                    missed: true,
+                    suspected: true,
                 },
             )
         })
@@ -133,7 +133,7 @@
         address: place.address.clone(),
         incarnation: place.incarnation,
         present: place.present,
-        missed_by: Default::default(),
+        suspected_by: Default::default(),
         changed_at: place.changed_at,
     };
     places
@@ -158,18 +158,18 @@
         .filter(|name| !inside.contains(*name) && by(&nodes, name, true) >= 2)
         .count();
     let rounds = (1..=20).find(|_| {
-        let missed: Vec<String> = inside
+        let suspected: Vec<String> = inside
             .iter()
             .filter(|name| nodes[*name].present && by(&nodes, name, false) >= 2)
             .cloned()
             .collect();
-        missed.iter().for_each(|name| {
+        suspected.iter().for_each(|name| {
             nodes
                 .entry(name.clone())
                 .or_insert_with(|| unreachable!())
                 .present = false
         });
-        inside.iter().all(|name| !nodes[name].present) || missed.is_empty()
+        inside.iter().all(|name| !nodes[name].present) || suspected.is_empty()
     });
     (rounds.unwrap_or(20), wrongly)
 }
--- a/crates/simulator/src/lease_sim/faults.rs
+++ b/crates/simulator/src/lease_sim/faults.rs
@@ -161,11 +161,11 @@
         let life = node.incarnation();
         // Two watchers miss it in time, as the ring of nodes has them do.
         if length > 3_000_000 && self.log.unavailable_until <= self.now {
-            let missed = |by: usize| ClusterReport::NodeObserved {
+            let suspected = |by: usize| ClusterReport::NodeObserved {
                 observer: format!("node-{by}"),
                 node: format!("node-{at}"),
                 incarnation: life,
-                missed: true,
+                suspected: true,
             };
             let watchers = [
                 (at + 1) % self.plan.node_count,
@@ -175,7 +175,7 @@
             watchers.into_iter().zip(0u64..).for_each(|(by, turn)| {
                 self.schedule(
                     now + 2_600_000 + turn * 100_000,
-                    Event::NodeMissed(by, now + turn, vec![missed(by)]),
+                    Event::NodeMissed(by, now + turn, vec![suspected(by)]),
                 );
             });
         }
