--- a/crates/control/src/status_reports.rs
+++ b/crates/control/src/status_reports.rs
@@ -53,7 +53,7 @@
     pub fn start(
         config: StatusReporterConfig,
         known_replicas: KnownReplicas,
-        followed: watch::Receiver<Option<String>>,
+        followed_address: watch::Receiver<Option<String>>,
         handshake: impl Fn() -> Handshake + Send + 'static,
     ) -> StatusReporter {
         let (queue, reports) = mpsc::channel(REPORT_QUEUE_CAPACITY);
@@ -61,7 +61,7 @@
         let task = ReporterTask {
             config,
             known_replicas,
-            followed,
+            followed_address,
             handshake,
             connection: None,
             failed_address: None,
@@ -95,7 +95,7 @@
 struct ReporterTask<H> {
     config: StatusReporterConfig,
     known_replicas: KnownReplicas,
-    followed: watch::Receiver<Option<String>>,
+    followed_address: watch::Receiver<Option<String>>,
     handshake: H,
     connection: Option<Connection>,
     /// The replica that was asked last, unless it answered.
@@ -156,9 +156,9 @@
 
     /// The replica that the node relies on, unless that one has just failed; else the next in turn.
     fn next_address(&mut self) -> Option<String> {
-        let followed = self.followed.borrow().clone();
-        if followed.is_some() && followed != self.failed_address {
-            return followed;
+        let followed_address = self.followed_address.borrow().clone();
+        if followed_address.is_some() && followed_address != self.failed_address {
+            return followed_address;
         }
         let replicas = discovery::list(&self.known_replicas);
         let replica = replicas.get(self.turn % replicas.len().max(1))?;
--- a/crates/control/src/updates/follower.rs
+++ b/crates/control/src/updates/follower.rs
@@ -14,7 +14,7 @@
 use transport::{Frame, FrameSender, Handshake, KnownReplica};
 
 use super::upstreams::{
-    self, Action, Candidate, LeaveReason, ReplicaKey, UpstreamId, UpstreamTiming, Upstreams,
+    self, Action, Candidate, CloseReason, ReplicaKey, UpstreamId, UpstreamTiming, Upstreams,
 };
 use super::verification::{SharedVerifiedState, StateFollower, UpdateOutcome};
 use crate::membership::discovery::{self, KnownReplicas};
@@ -45,7 +45,7 @@
     /// Counts the changes of `verified_state`.
     pub changes: watch::Receiver<u64>,
     /// The address of the replica that is relied on, if there is one.
-    pub followed: watch::Receiver<Option<String>>,
+    pub followed_address: watch::Receiver<Option<String>>,
 }
 
 /// What happens on a connection.
@@ -55,7 +55,7 @@
         sender: FrameSender,
     },
     Received(Frame),
-    Ended(LeaveReason),
+    Ended(CloseReason),
 }
 
 /// A connection, or an attempt to open one, as the task holds it.
@@ -80,7 +80,7 @@
     handshake: H,
     verified_state: SharedVerifiedState,
     changes: watch::Sender<u64>,
-    followed: watch::Sender<Option<String>>,
+    followed_address: watch::Sender<Option<String>>,
     follower: StateFollower,
     upstreams: Upstreams,
     links: BTreeMap<UpstreamId, Link>,
@@ -97,7 +97,7 @@
     logger: Logger,
 ) -> FollowerHandle {
     let (changes, watched_changes) = watch::channel(0);
-    let (followed, watched_followed) = watch::channel(None);
+    let (followed_address, watched_followed) = watch::channel(None);
     let verified_state = SharedVerifiedState::default();
     let (events, incoming) = mpsc::channel(EVENT_QUEUE_CAPACITY);
     let timing = UpstreamTiming {
@@ -110,7 +110,7 @@
         handshake,
         verified_state: verified_state.clone(),
         changes,
-        followed,
+        followed_address,
         follower: StateFollower::default(),
         upstreams: Upstreams::new(timing, rand::random()),
         links: BTreeMap::new(),
@@ -122,7 +122,7 @@
     FollowerHandle {
         verified_state,
         changes: watched_changes,
-        followed: watched_followed,
+        followed_address: watched_followed,
     }
 }
 
@@ -209,15 +209,18 @@
     }
 
     /// Forgets a connection, which ends it.
-    fn close(&mut self, upstream: UpstreamId, reason: LeaveReason) {
+    fn close(&mut self, upstream: UpstreamId, reason: CloseReason) {
         let Some(link) = self.links.remove(&upstream) else {
             return;
         };
         if let Some(name) = &link.name {
             slog::info!(self.logger, "replica left"; "upstream" => name, "reason" => ?reason);
         }
-        self.followed
-            .send_if_modified(|followed| followed.take_if(|held| *held == link.address).is_some());
+        self.followed_address.send_if_modified(|followed_address| {
+            followed_address
+                .take_if(|held| *held == link.address)
+                .is_some()
+        });
     }
 
     fn on_event(&mut self, upstream: UpstreamId, event: Event) {
@@ -234,7 +237,7 @@
         }
     }
 
-    fn leave(&mut self, upstream: UpstreamId, reason: LeaveReason) {
+    fn leave(&mut self, upstream: UpstreamId, reason: CloseReason) {
         self.upstreams.on_ended(model::now(), upstream, reason);
         self.close(upstream, reason);
     }
@@ -257,14 +260,14 @@
     }
 
     fn on_frame(&mut self, upstream: UpstreamId, frame: Frame) {
-        let Some(requests) = self.upstreams.requests_of(upstream) else {
+        let Some(requests) = self.upstreams.proof_requests_mut(upstream) else {
             return;
         };
         let outcome = self.follower.handle_frame(frame, requests);
         match outcome {
             UpdateOutcome::Ignored => return,
             UpdateOutcome::Inconsistent => {
-                return self.leave(upstream, LeaveReason::Inconsistent);
+                return self.leave(upstream, CloseReason::Inconsistent);
             }
             UpdateOutcome::Verified => self.on_verified(upstream),
             UpdateOutcome::Updated => {}
@@ -286,7 +289,8 @@
             && let Some(link) = self.links.get(&upstream)
         {
             slog::info!(self.logger, "following a replica"; "upstream" => link.name.as_ref());
-            self.followed.send_replace(Some(link.address.clone()));
+            self.followed_address
+                .send_replace(Some(link.address.clone()));
         }
         let gap = self.last_proof_at.map_or(0, |last| now - last);
         if gap > LONG_GAP {
@@ -310,7 +314,7 @@
             slog::debug!(logger, "cannot connect to a replica";
                 "address" => address,
                 "error" => %error);
-            let ended = Event::Ended(LeaveReason::Unreachable);
+            let ended = Event::Ended(CloseReason::Unreachable);
             // Nobody is left to tell once the process stops.
             drop(events.send((upstream, ended)).await);
             return;
@@ -324,7 +328,7 @@
     while events.send((upstream, event)).await.is_ok() {
         event = match connection.receiver.recv().await {
             Some(frame) => Event::Received(frame),
-            None => Event::Ended(LeaveReason::Closed),
+            None => Event::Ended(CloseReason::Closed),
         };
         if let Event::Ended(_) = event {
             drop(events.send((upstream, event)).await);
--- a/crates/control/src/updates/mod.rs
+++ b/crates/control/src/updates/mod.rs
@@ -4,12 +4,12 @@
 //! Two forms stand side by side. Of the *cluster state* every node follows the whole
 //! ([`publisher`], [`follower`], [`verification`]). Of the earlier *state machine* a node
 //! subscribes to the slice that its services need, directly or through a relay in its zone
-//! ([`stream`], [`subscriber`], [`relay`], [`zone_relay`], [`view`]).
+//! ([`server`], [`subscriber`], [`relay`], [`zone_relay`], [`view`]).
 
 pub mod follower;
 pub mod publisher;
 pub mod relay;
-pub mod stream;
+pub mod server;
 pub mod subscriber;
 pub mod upstreams;
 pub mod verification;
--- a/crates/control/src/updates/relay.rs
+++ b/crates/control/src/updates/relay.rs
@@ -10,7 +10,7 @@
 use tokio::sync::{Notify, watch};
 use transport::{Connection, Frame, FrameSender};
 
-use super::stream;
+use super::server;
 use super::view::{SharedView, View};
 
 /// The relay of one node, which shares the view of the node's own subscription.
@@ -95,7 +95,7 @@
             return true;
         }
         let slice = view.slice.narrowed_to(self.wanted);
-        if let Some(update) = stream::update_frame(&mut self.last_sent, slice)
+        if let Some(update) = server::update_frame(&mut self.last_sent, slice)
             && self.sender.send(update).await.is_err()
         {
             return false;
--- a/crates/control/src/updates/upstreams.rs
+++ b/crates/control/src/updates/upstreams.rs
@@ -73,7 +73,7 @@
 
 /// Why a replica was left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LeaveReason {
+pub enum CloseReason {
     /// It could not be reached.
     Unreachable,
     /// The connection ended.
@@ -108,7 +108,7 @@
         /// Which one.
         upstream: UpstreamId,
         /// Why.
-        reason: LeaveReason,
+        reason: CloseReason,
     },
 }
 
@@ -238,7 +238,7 @@
     }
 
     /// The proofs that were requested on a connection; `None` if it was closed meanwhile.
-    pub fn requests_of(&mut self, id: UpstreamId) -> Option<&mut ProofRequests> {
+    pub fn proof_requests_mut(&mut self, id: UpstreamId) -> Option<&mut ProofRequests> {
         let upstream = self.upstreams.get_mut(&id);
         upstream.map(|upstream| &mut upstream.requests)
     }
@@ -251,7 +251,7 @@
         // The preferred one that a node relies on is not left for an attempt that was begun while
         // it was late.
         if self.current != Some(id) && self.keeps_current_over(now, upstream) {
-            return self.close(id, LeaveReason::Replaced).into_iter().collect();
+            return self.close(id, CloseReason::Replaced).into_iter().collect();
         }
         self.avoided.remove(&upstream.key);
         self.failures_in_a_row = 0;
@@ -267,12 +267,12 @@
         });
         let others: Vec<UpstreamId> = others.map(|(other, _)| *other).collect();
         let closed = others.into_iter();
-        let closed = closed.filter_map(|other| self.close(other, LeaveReason::Replaced));
+        let closed = closed.filter_map(|other| self.close(other, CloseReason::Replaced));
         closed.collect()
     }
 
     /// A connection ended, could not be opened, or is of no use any more.
-    pub fn on_ended(&mut self, now: Microseconds, id: UpstreamId, reason: LeaveReason) {
+    pub fn on_ended(&mut self, now: Microseconds, id: UpstreamId, reason: CloseReason) {
         let Some(upstream) = self.upstreams.remove(&id) else {
             return;
         };
@@ -284,10 +284,10 @@
         } else {
             self.failures_in_a_row += 1;
         }
-        if reason == LeaveReason::Unreachable {
+        if reason == CloseReason::Unreachable {
             self.unreachable_in_a_row += 1;
         }
-        if reason == LeaveReason::Unreachable || reason == LeaveReason::NoProof {
+        if reason == CloseReason::Unreachable || reason == CloseReason::NoProof {
             self.avoid(now, upstream.key);
         }
     }
@@ -313,11 +313,11 @@
         let silent = silent.filter(|(id, upstream)| now >= self.give_up_at(**id, upstream));
         let silent: Vec<UpstreamId> = silent.map(|(id, _)| *id).collect();
         for id in &silent {
-            self.on_ended(now, *id, LeaveReason::NoProof);
+            self.on_ended(now, *id, CloseReason::NoProof);
         }
         let closed = silent.into_iter().map(|upstream| Action::Close {
             upstream,
-            reason: LeaveReason::NoProof,
+            reason: CloseReason::NoProof,
         });
         closed.collect()
     }
@@ -462,7 +462,7 @@
         requests.collect()
     }
 
-    fn close(&mut self, id: UpstreamId, reason: LeaveReason) -> Option<Action> {
+    fn close(&mut self, id: UpstreamId, reason: CloseReason) -> Option<Action> {
         self.upstreams.remove(&id)?;
         if self.current == Some(id) {
             self.current = None;
--- a/crates/control/tests/disks/main.rs
+++ b/crates/control/tests/disks/main.rs
@@ -158,7 +158,7 @@
             model::logging::discard_logger(),
         );
         let core = core.expect("a replica");
-        tokio::spawn(control::updates::stream::listen(
+        tokio::spawn(control::updates::server::listen(
             core.clone(),
             machine.listener,
         ));
--- a/crates/control/tests/disks/writing.rs
+++ b/crates/control/tests/disks/writing.rs
@@ -46,7 +46,7 @@
     settings.snapshot_every_entries = SNAPSHOT_EVERY;
     let core = ReplicaHandle::start_on(settings, store, writes, model::logging::discard_logger())
         .expect("a replica");
-    tokio::spawn(control::updates::stream::listen(
+    tokio::spawn(control::updates::server::listen(
         core.clone(),
         machine.listener,
     ));
--- a/crates/control/tests/following/upstreams.rs
+++ b/crates/control/tests/following/upstreams.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use control::updates::upstreams::{
-    Action, Candidate, LeaveReason, ReplicaKey, UpstreamId, UpstreamTiming, Upstreams,
+    Action, Candidate, CloseReason, ReplicaKey, UpstreamId, UpstreamTiming, Upstreams,
 };
 use control::updates::verification::{StateFollower, UpdateOutcome};
 use rand::rngs::StdRng;
@@ -151,7 +151,7 @@
             Behaviour::Silent | Behaviour::Refuses => {
                 self.connections.remove(&id);
                 self.upstreams
-                    .on_ended(self.now, id, LeaveReason::Unreachable);
+                    .on_ended(self.now, id, CloseReason::Unreachable);
             }
         }
     }
@@ -169,7 +169,7 @@
             request_id,
             position: 0,
         };
-        let Some(requests) = self.upstreams.requests_of(id) else {
+        let Some(requests) = self.upstreams.proof_requests_mut(id) else {
             return;
         };
         self.had_event = true;
--- a/crates/control/tests/membership/machines.rs
+++ b/crates/control/tests/membership/machines.rs
@@ -104,7 +104,7 @@
         let core =
             control::ReplicaHandle::start_on(env, store, writes, model::logging::discard_logger())
                 .expect("a replica");
-        tokio::spawn(control::updates::stream::listen(
+        tokio::spawn(control::updates::server::listen(
             core.clone(),
             self.listener,
         ));
--- a/crates/endpoints/src/node.rs
+++ b/crates/endpoints/src/node.rs
@@ -176,7 +176,7 @@
                 logger: logger.clone(),
             },
             known_replicas.clone(),
-            follower.followed.clone(),
+            follower.followed_address.clone(),
             handshake_for(&handshake, Purpose::Subscribe),
         );
         let limiter = ConcurrencyLimiter::start(ConcurrencyLimiterConfig {
--- a/crates/endpoints/tests/harness/mod.rs
+++ b/crates/endpoints/tests/harness/mod.rs
@@ -119,7 +119,7 @@
     let follower = FollowerHandle {
         verified_state: Default::default(),
         changes: watch,
-        followed: watch::channel(None).1,
+        followed_address: watch::channel(None).1,
     };
     // There was a proof, so reports are sent, and it was long ago, so nothing is granted.
     let show = |state: &ClusterState, verified_state: &SharedVerifiedState| {
--- a/crates/gradeford-core/src/core.rs
+++ b/crates/gradeford-core/src/core.rs
@@ -71,7 +71,7 @@
             "peers" => address, "operators" => http_server.address.to_string(),
         );
         let mut tasks = JoinSet::new();
-        tasks.spawn(control::updates::stream::listen(replica, peers));
+        tasks.spawn(control::updates::server::listen(replica, peers));
         Ok(Core {
             accepting_work,
             http_server,
--- a/crates/gradeford-node/tests/witness_backends.rs
+++ b/crates/gradeford-node/tests/witness_backends.rs
@@ -5,7 +5,7 @@
 #[path = "../../test-support/tests/golden_files/mod.rs"]
 mod golden_files;
 
-use control::{ReplicaConfig, ReplicaHandle, updates::stream};
+use control::{ReplicaConfig, ReplicaHandle, updates::server};
 use golden_files::{Volatile, compare, with_placeholders};
 use model::{Change, Outcome};
 use serde_json::{Value, json};
@@ -44,7 +44,7 @@
         membership: None,
     };
     let core = ReplicaHandle::start(env, model::logging::discard_logger()).expect("a core");
-    tokio::spawn(stream::listen(core.clone(), mates));
+    tokio::spawn(server::listen(core.clone(), mates));
     while !core.status.load().voting {
         yield_now().await;
     }
--- a/crates/operator-api/tests/operators.rs
+++ b/crates/operator-api/tests/operators.rs
@@ -35,7 +35,7 @@
     };
     let replica = control::ReplicaHandle::start(config, model::logging::discard_logger())
         .expect("a core seat");
-    tokio::spawn(control::updates::stream::listen(replica.clone(), peers));
+    tokio::spawn(control::updates::server::listen(replica.clone(), peers));
     let accepting_work = Arc::new(AtomicBool::new(true));
     let router = operator_api::router(operator_api::OperatorApi {
         replica: replica.clone(),
--- a/crates/operator-api/tests/witness.rs
+++ b/crates/operator-api/tests/witness.rs
@@ -5,7 +5,7 @@
 #[path = "../../test-support/tests/golden_files/mod.rs"]
 mod golden_files;
 
-use control::{ReplicaConfig, ReplicaHandle, updates::stream};
+use control::{ReplicaConfig, ReplicaHandle, updates::server};
 use golden_files::{Volatile, compare};
 use http_util::HttpServer;
 use operator_api::OperatorApi;
@@ -43,7 +43,7 @@
             membership: None,
         };
         let core = ReplicaHandle::start(env, model::logging::discard_logger()).expect("a core");
-        tokio::spawn(stream::listen(core.clone(), mates));
+        tokio::spawn(server::listen(core.clone(), mates));
         let staying = Arc::new(AtomicBool::new(true));
         let router = operator_api::router(OperatorApi {
             replica: core.clone(),
--- a/crates/simulator/src/disk.rs
+++ b/crates/simulator/src/disk.rs
@@ -156,7 +156,7 @@
     let serving = http_util::HttpServer::start(&operators, operator_api::router(office))
         .await
         .map_err(|error| told(&error))?;
-    tokio::spawn(control::updates::stream::listen(core, listener));
+    tokio::spawn(control::updates::server::listen(core, listener));
     let mut stop = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
         .map_err(|error| told(&error))?;
     stop.recv().await;
--- a/crates/simulator/src/hollow/node.rs
+++ b/crates/simulator/src/hollow/node.rs
@@ -204,7 +204,7 @@
         let reports = control::StatusReporter::start(
             reporting,
             mine,
-            following.followed.clone(),
+            following.followed_address.clone(),
             greeting(transport::Purpose::Subscribe),
         );
         let pit = inbound::ConcurrencyLimiter::start(inbound::ConcurrencyLimiterConfig {
--- a/crates/simulator/src/hollow/seats.rs
+++ b/crates/simulator/src/hollow/seats.rs
@@ -81,7 +81,7 @@
                     drop(told.send(core.clone()));
                     if let (Ok(core), Ok(listener)) = (core, listener) {
                         tokio::select! {
-                            _ = control::updates::stream::listen(core, listener) => {}
+                            _ = control::updates::server::listen(core, listener) => {}
                             _ = ends => {}
                         }
                     }
--- a/crates/simulator/src/state_sim/node.rs
+++ b/crates/simulator/src/state_sim/node.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use control::updates::upstreams::{
-    Action, Candidate, LeaveReason, ReplicaKey, UpstreamId, UpstreamTiming, Upstreams,
+    Action, Candidate, CloseReason, ReplicaKey, UpstreamId, UpstreamTiming, Upstreams,
 };
 use control::updates::verification::{StateFollower, UpdateOutcome};
 use model::cluster_state::StateSnapshot;
@@ -168,7 +168,7 @@
     fn leave_all_but(&mut self, kept: UpstreamId, now: Microseconds) {
         for id in self.connection_ids() {
             if id != kept {
-                self.upstreams.on_ended(now, id, LeaveReason::Closed);
+                self.upstreams.on_ended(now, id, CloseReason::Closed);
                 self.connections.remove(&id);
             }
         }
@@ -181,7 +181,7 @@
         }
     }
 
-    fn end(&mut self, id: UpstreamId, now: Microseconds, reason: LeaveReason) {
+    fn end(&mut self, id: UpstreamId, now: Microseconds, reason: CloseReason) {
         self.connections.remove(&id);
         self.upstreams.on_ended(now, id, reason);
         self.next_poll_at = now;
@@ -195,7 +195,7 @@
         let silent = connections.filter(|(_, connection)| overdue(connection));
         let silent: Vec<UpstreamId> = silent.map(|(id, _)| *id).collect();
         for id in silent {
-            self.end(id, now, LeaveReason::Unreachable);
+            self.end(id, now, CloseReason::Unreachable);
         }
     }
 
@@ -217,7 +217,7 @@
         match connection.incarnation {
             None if now < connection.arrives_at => return,
             None if running_incarnation.is_none() => {
-                return self.end(id, now, LeaveReason::Unreachable);
+                return self.end(id, now, CloseReason::Unreachable);
             }
             // A process that stands still accepts nothing and refuses nothing.
             None if !world.is_running(replica) => return,
@@ -226,7 +226,7 @@
                 self.open(id, plan, world);
             }
             incarnation if incarnation != running_incarnation => {
-                return self.end(id, now, LeaveReason::Closed);
+                return self.end(id, now, CloseReason::Closed);
             }
             Some(_) => {}
         }
@@ -298,7 +298,7 @@
         {
             self.older_received += 1;
         }
-        let Some(requests) = self.upstreams.requests_of(id) else {
+        let Some(requests) = self.upstreams.proof_requests_mut(id) else {
             return;
         };
         let outcome = self.follower.handle_frame(frame, requests);
@@ -311,7 +311,7 @@
                 }
                 self.next_poll_at = now;
             }
-            UpdateOutcome::Inconsistent => self.end(id, now, LeaveReason::Inconsistent),
+            UpdateOutcome::Inconsistent => self.end(id, now, CloseReason::Inconsistent),
             UpdateOutcome::Updated | UpdateOutcome::Ignored => {}
         }
     }
--- a/crates/simulator/tests/rolled/site.rs
+++ b/crates/simulator/tests/rolled/site.rs
@@ -88,7 +88,7 @@
         };
         let core = control::ReplicaHandle::start(env, model::logging::discard_logger())
             .expect("a core seat");
-        tokio::spawn(control::updates::stream::listen(core.clone(), listener));
+        tokio::spawn(control::updates::server::listen(core.clone(), listener));
         core
     });
     let cores: Vec<control::ReplicaHandle> = started.collect();
