--- a/crates/endpoints/src/lease_table/granter.rs
+++ b/crates/endpoints/src/lease_table/granter.rs
@@ -29,7 +29,7 @@
     /// For how long, counted from when the heartbeat was sent, in microseconds.
     pub duration: Microseconds,
     /// Ranges whose earlier holders were waited out here: their leases have expired, so they hold these no more.
-    pub waited_out: Vec<HeldRange>,
+    pub expired_releases: Vec<HeldRange>,
     /// First and last key of each range that is the back end's own but may still be held by an earlier holder.
     pub pending: Vec<(ShardKey, ShardKey)>,
 }
@@ -122,7 +122,7 @@
             return;
         }
         if is_owed {
-            grant.waited_out.push((first_key, last_key, token));
+            grant.expired_releases.push((first_key, last_key, token));
         }
         let handover_token = if is_held || waited && is_owed {
             String::new()
--- a/crates/endpoints/src/lease_table/heartbeats.rs
+++ b/crates/endpoints/src/lease_table/heartbeats.rs
@@ -186,10 +186,10 @@
     ) -> (Vec<LeasedRange>, Microseconds) {
         backend.lease_expires = now + grant.duration;
         backend.heartbeat.held_ranges = held_ranges(&grant);
-        if !grant.waited_out.is_empty() {
+        if !grant.expired_releases.is_empty() {
             self.pending_reports.push(ClusterReport::ReleasesExpired {
                 service: backend.heartbeat.service.clone(),
-                ranges: grant.waited_out,
+                ranges: grant.expired_releases,
             });
         }
         (grant.ranges, grant.duration)
--- a/crates/endpoints/tests/lease_granter.rs
+++ b/crates/endpoints/tests/lease_granter.rs
@@ -44,7 +44,7 @@
     let third = granter
         .grant(10_300_000, 9_900_000, &moved(), "b", &[])
         .expect("a proof");
-    assert_eq!((third.ranges.len(), third.waited_out.len()), (1, 1));
+    assert_eq!((third.ranges.len(), third.expired_releases.len()), (1, 1));
 }
 
 #[test]
--- a/crates/simulator/src/lease_sim/node.rs
+++ b/crates/simulator/src/lease_sim/node.rs
@@ -215,10 +215,10 @@
         } else {
             grant.duration
         };
-        if !grant.waited_out.is_empty() {
+        if !grant.expired_releases.is_empty() {
             self.pending_reports.push(ClusterReport::ReleasesExpired {
                 service: own.heartbeat.service.clone(),
-                ranges: grant.waited_out,
+                ranges: grant.expired_releases,
             });
         }
         own.held_until = now + hold;
