--- a/crates/endpoints/src/lease_table/event_loop.rs
+++ b/crates/endpoints/src/lease_table/event_loop.rs
@@ -110,7 +110,7 @@
                 .iter()
                 .map(|(from, to, _)| (*from, *to))
                 .collect(),
-            until: backend.lease_expires.saturating_sub(margin),
+            held_until: backend.lease_expires.saturating_sub(margin),
             pending: Vec::new(),
         });
         // Requests that are under way to it have to be over before the drain time-out is.
--- a/crates/endpoints/src/placement/tests.rs
+++ b/crates/endpoints/src/placement/tests.rs
@@ -260,9 +260,11 @@
                 .outliers
                 .run_ended(at, completion.run_id, completion.result);
             if let Some(run_time) = completion.run_time {
-                backend.queue.record_run(run_time);
+                backend.queue.record_run_duration(run_time);
             }
-            backend.outliers.check_overdue(at, backend.queue.mean_run());
+            backend
+                .outliers
+                .check_overdue(at, backend.queue.mean_run_duration());
         }
     }
 
@@ -296,7 +298,7 @@
         let run_id = backend.outliers.run_started(now);
         backend
             .outliers
-            .check_overdue(now, backend.queue.mean_run());
+            .check_overdue(now, backend.queue.mean_run_duration());
         let answered = result != RunResult::Inconclusive;
         let completion = Completion {
             backend: at,
@@ -356,7 +358,7 @@
             .map(|range| (range.first_key, range.last_key))
             .collect();
         let (demand, demand_samples) = backend.demand.report(now, &own, MAX_REPORTED_RANGES);
-        let (mean_run_time, run_count) = backend.queue.mean_run();
+        let (mean_run_time, run_count) = backend.queue.mean_run_duration();
         let report = LoadReport {
             service: SERVICE.into(),
             backend: name(at),
--- a/crates/endpoints/src/restored_backend.rs
+++ b/crates/endpoints/src/restored_backend.rs
@@ -44,7 +44,7 @@
         .collect();
     let held_keys = keyed.then(|| HeldKeys {
         ranges,
-        until,
+        held_until: until,
         pending: Vec::new(),
     });
     Some(LocalBackend {
--- a/crates/inbound/src/admission_queue.rs
+++ b/crates/inbound/src/admission_queue.rs
@@ -101,7 +101,7 @@
     }
 
     /// Counts a run that took so long, in microseconds, into the mean.
-    pub fn record_run(&mut self, duration: Microseconds) {
+    pub fn record_run_duration(&mut self, duration: Microseconds) {
         self.runs_seen += 1;
         // The first ones count as much as each other, later ones less and less.
         let samples = self.runs_seen.clamp(1, MEAN_SAMPLES) as f64;
@@ -109,7 +109,7 @@
     }
 
     /// The mean time of a run in microseconds, and of how many runs it is.
-    pub fn mean_run(&self) -> (Microseconds, u32) {
+    pub fn mean_run_duration(&self) -> (Microseconds, u32) {
         let samples = self.runs_seen.min(MEAN_SAMPLES) as u32;
         (self.mean_run_us as Microseconds, samples)
     }
--- a/crates/inbound/src/admission_queue/tests.rs
+++ b/crates/inbound/src/admission_queue/tests.rs
@@ -42,7 +42,7 @@
 fn a_wait_counts_those_ahead_by_priority_and_those_still_to_come_above() {
     let mut queue = AdmissionQueue::default();
     for _ in 0..400 {
-        queue.record_run(80_000);
+        queue.record_run_duration(80_000);
     }
     assert_eq!(queue.expected_wait(0, 0, 3, 4), 0, "a slot is free");
     for payload in 0..8 {
--- a/crates/inbound/src/concurrency_limiter.rs
+++ b/crates/inbound/src/concurrency_limiter.rs
@@ -177,7 +177,7 @@
             } => {
                 self.outliers.run_ended(model::now(), run_id, result);
                 if let Some(duration) = duration {
-                    self.queue.record_run(duration);
+                    self.queue.record_run_duration(duration);
                 }
             }
             Command::SetBackend(backend) => self.set_backend(backend),
@@ -191,7 +191,7 @@
             }
         }
         self.outliers
-            .check_overdue(model::now(), self.queue.mean_run());
+            .check_overdue(model::now(), self.queue.mean_run_duration());
         self.expire();
         self.start_next();
     }
@@ -205,7 +205,7 @@
         let ejected = self.outliers.is_ejected();
         Some((
             backend.slots,
-            self.queue.mean_run(),
+            self.queue.mean_run_duration(),
             ranges,
             requests,
             ejected,
@@ -247,8 +247,8 @@
     /// What a request would spend here, for those who select: the wait and half of a run. A slow
     /// backend is worth leaving for a faster one only where that is near.
     fn reported_wait(&self) -> Microseconds {
-        let (mean_run, _) = self.queue.mean_run();
-        self.expected_wait(u8::MAX) + mean_run / 2
+        let (mean_run_duration, _) = self.queue.mean_run_duration();
+        self.expected_wait(u8::MAX) + mean_run_duration / 2
     }
 
     fn respond(&self, outcome_sender: OutcomeSender, result: Result<ForwardedResponse, Error>) {
@@ -301,7 +301,9 @@
         now: Microseconds,
         request: &ForwardedRequest,
     ) -> Option<Microseconds> {
-        let declined_for = self.outliers.declines(now, request.idempotent)?;
+        let declined_for = self
+            .outliers
+            .ejection_retry_after(now, request.idempotent)?;
         (request.shard_key.is_none() && !request.force).then_some(declined_for)
     }
 
--- a/crates/inbound/src/local_backend.rs
+++ b/crates/inbound/src/local_backend.rs
@@ -9,7 +9,7 @@
     /// First and last key of each range.
     pub ranges: Vec<(ShardKey, ShardKey)>,
     /// Until then the backend surely holds them.
-    pub until: Microseconds,
+    pub held_until: Microseconds,
     /// Ranges that it is about to get: a request for them may wait a moment.
     pub pending: Vec<(ShardKey, ShardKey)>,
 }
@@ -17,11 +17,11 @@
 impl HeldKeys {
     /// Whether the backend surely holds the key now.
     pub fn holds(&self, now: Microseconds, key: ShardKey) -> bool {
-        now < self.until && contains(&self.ranges, key)
+        now < self.held_until && contains(&self.ranges, key)
     }
 
     /// Whether the backend is about to get the key.
-    pub fn expects(&self, key: ShardKey) -> bool {
+    pub fn is_pending(&self, key: ShardKey) -> bool {
         contains(&self.pending, key)
     }
 }
--- a/crates/inbound/src/outlier_detection.rs
+++ b/crates/inbound/src/outlier_detection.rs
@@ -207,7 +207,11 @@
 
     /// For how long, in microseconds, a request that may go elsewhere should; `None` if the backend
     /// is to take it, as a trial or because it is healthy.
-    pub fn declines(&self, now: Microseconds, idempotent: bool) -> Option<Microseconds> {
+    pub fn ejection_retry_after(
+        &self,
+        now: Microseconds,
+        idempotent: bool,
+    ) -> Option<Microseconds> {
         let ejection = self.ejection.as_ref()?;
         if now < ejection.until {
             return Some(ejection.until - now);
--- a/crates/inbound/tests/outlier_detection.rs
+++ b/crates/inbound/tests/outlier_detection.rs
@@ -21,7 +21,7 @@
 /// Tried with good runs until it is healthy; says when.
 fn until_recovered(detector: &mut OutlierDetector, from: u64) -> Option<u64> {
     (from..from + 20_000_000).step_by(RUN as usize).find(|now| {
-        if detector.declines(*now, true).is_none() {
+        if detector.ejection_retry_after(*now, true).is_none() {
             let number = detector.run_started(*now);
             detector.run_ended(now + RUN, number, RunResult::Success);
         }
@@ -103,12 +103,15 @@
     assert!(!detector.is_ejected());
     detector.check_overdue(410_000, (100_000, 64));
     assert!(detector.is_ejected());
-    assert_eq!(detector.declines(410_000, true), Some(1_000_000));
+    assert_eq!(
+        detector.ejection_retry_after(410_000, true),
+        Some(1_000_000)
+    );
     numbers
         .into_iter()
         .for_each(|number| detector.run_ended(1_400_000, number, RunResult::Failure));
     assert!(
-        detector.declines(1_410_001, true).is_none(),
+        detector.ejection_retry_after(1_410_001, true).is_none(),
         "what was counted is not counted again"
     );
 }
--- a/crates/outbound/src/selector/tests.rs
+++ b/crates/outbound/src/selector/tests.rs
@@ -70,7 +70,8 @@
 
 impl InboundSide {
     fn check_overdue(&mut self, now: Microseconds) {
-        self.outliers.check_overdue(now, self.queue.mean_run());
+        self.outliers
+            .check_overdue(now, self.queue.mean_run_duration());
     }
 }
 
@@ -147,20 +148,20 @@
         let inbound_side = &mut self.inbound_sides[end.backend];
         let was_ejected = inbound_side.outliers.is_ejected();
         inbound_side.outliers.run_ended(now, end.run_id, end.result);
-        let mean_run = inbound_side.queue.mean_run();
+        let mean_run_duration = inbound_side.queue.mean_run_duration();
         inbound_side.check_overdue(now);
         let has_cause = end.backend < faulty_backends && now >= from && now < to + 2 * SECOND;
         let newly_ejected = !was_ejected && inbound_side.outliers.is_ejected();
         self.tally.ejected_without_fault += (newly_ejected && !has_cause) as u32;
         let inconclusive = end.result == RunResult::Inconclusive;
         if !inconclusive {
-            inbound_side.queue.record_run(end.duration);
+            inbound_side.queue.record_run_duration(end.duration);
         }
         let running = inbound_side.outliers.running();
         let wait = inbound_side
             .queue
             .expected_wait(now, u8::MAX, running, SLOTS as usize);
-        let reported_wait = wait + mean_run.0 / 2;
+        let reported_wait = wait + mean_run_duration.0 / 2;
         let name = &self.names[end.backend];
         self.selectors[end.selecting_node].attempt_finished(
             now,
@@ -218,7 +219,7 @@
                 .expect("it is one of them");
             let declined_for = self.inbound_sides[backend]
                 .outliers
-                .declines(now, idempotent);
+                .ejection_retry_after(now, idempotent);
             let may_decline = self.scenario.ejects && passed_over.len() < 2;
             let Some(declined_for) = declined_for.filter(|_| may_decline) else {
                 return backend;
