--- a/crates/endpoints/src/monitor.rs
+++ b/crates/endpoints/src/monitor.rs
@@ -14,7 +14,7 @@
 use model::cluster_state::ClusterReport;
 use model::endpoint_status::EndpointReport;
 use model::{Incarnation, Microseconds, NodeName};
-use outbound::{HandshakeInfo, HeartbeatSender};
+use outbound::{HandshakeFactory, HeartbeatSender};
 use tokio::sync::mpsc;
 use tokio::time::MissedTickBehavior;
 use transport::{Frame, Handshake, Purpose};
@@ -43,7 +43,7 @@
     config: MonitorConfig,
     verified_state: SharedVerifiedState,
     reporter: StatusReporter,
-    handshake: HandshakeInfo,
+    handshake: HandshakeFactory,
 ) -> HeartbeatSender {
     let (heartbeats, received) = mpsc::channel(RECEIVED_CAPACITY);
     let monitor = Monitor {
@@ -63,7 +63,7 @@
     config: MonitorConfig,
     verified_state: SharedVerifiedState,
     reporter: StatusReporter,
-    handshake: HandshakeInfo,
+    handshake: HandshakeFactory,
     detector: FailureDetector,
     ring: RingPosition,
     /// By the address of the monitor that each goes to.
--- a/crates/endpoints/src/node.rs
+++ b/crates/endpoints/src/node.rs
@@ -12,7 +12,7 @@
 use inbound::{ConcurrencyLimiter, ConcurrencyLimiterConfig};
 use model::{Microseconds, ServiceName};
 use outbound::{
-    HandshakeInfo, InFlightRequests, Listener, ListenerConfig, OutboundProxy, PeerConnections,
+    HandshakeFactory, InFlightRequests, Listener, ListenerConfig, OutboundProxy, PeerConnections,
     SelectorConfig, SelectorHandle,
 };
 use slog::Logger;
@@ -76,7 +76,7 @@
 /// The parts that more than one task of the node uses.
 struct Shared {
     known_replicas: KnownReplicas,
-    handshake: HandshakeInfo,
+    handshake: HandshakeFactory,
     follower: FollowerHandle,
     reporter: StatusReporter,
     limiter: ConcurrencyLimiter,
@@ -276,7 +276,7 @@
 }
 
 /// What this node says of itself when it opens or accepts a connection.
-fn handshake_factory(config: &NodeConfig, known_replicas: KnownReplicas) -> HandshakeInfo {
+fn handshake_factory(config: &NodeConfig, known_replicas: KnownReplicas) -> HandshakeFactory {
     let own = config.lease_table.clone();
     Arc::new(move |purpose| Handshake {
         purpose,
@@ -296,7 +296,7 @@
 }
 
 fn handshake_for(
-    handshake: &HandshakeInfo,
+    handshake: &HandshakeFactory,
     purpose: Purpose,
 ) -> impl Fn() -> Handshake + Send + Sync + 'static + use<> {
     let handshake = handshake.clone();
--- a/crates/inbound/src/concurrency_limiter.rs
+++ b/crates/inbound/src/concurrency_limiter.rs
@@ -27,11 +27,11 @@
     pub extra_runs: u32,
 }
 
-type OutcomeSender = oneshot::Sender<Outcome>;
+type OutcomeSender = oneshot::Sender<ForwardOutcome>;
 
 /// What came of a request, and how long, in microseconds, a request of the least priority would wait
 /// here now.
-pub type Outcome = (Result<ForwardedResponse, Error>, Microseconds);
+pub type ForwardOutcome = (Result<ForwardedResponse, Error>, Microseconds);
 
 /// What the backend's keys are asked for: its slots; the mean run in microseconds and of how many
 /// runs it is; the requests a second on ranges of keys, from first to last; how many requests that is
@@ -86,7 +86,7 @@
     /// Has a request run and waits for its outcome: the response, or why there is none and whether
     /// the request may have run. Dropping the future takes the request out of the queue; a run is
     /// broken off if the request is idempotent.
-    pub async fn perform(&self, request: Box<ForwardedRequest>) -> Outcome {
+    pub async fn perform(&self, request: Box<ForwardedRequest>) -> ForwardOutcome {
         let (outcome_sender, outcome) = oneshot::channel();
         let deadline = model::now() + request.time_left;
         let command = Command::Admit(request, deadline, outcome_sender);
--- a/crates/inbound/src/lib.rs
+++ b/crates/inbound/src/lib.rs
@@ -23,7 +23,7 @@
 pub use admission_queue::{AdmissionQueue, QueuedRequest};
 pub use backend_client::BackendClient;
 pub use concurrency_limiter::{
-    ConcurrencyLimiter, ConcurrencyLimiterConfig, DemandReport, Outcome,
+    ConcurrencyLimiter, ConcurrencyLimiterConfig, DemandReport, ForwardOutcome,
 };
 pub use key_demand::KeyDemand;
 pub use local_backend::{HeldKeys, LocalBackend};
--- a/crates/outbound/src/lib.rs
+++ b/crates/outbound/src/lib.rs
@@ -20,7 +20,7 @@
 mod selector;
 
 pub use listener::{Listener, ListenerConfig};
-pub use peer_connections::{HandshakeInfo, PeerConnections};
+pub use peer_connections::{HandshakeFactory, PeerConnections};
 pub use peer_server::{HeartbeatSender, LoadReportSender, serve_peers};
 pub use proxy::{OutboundProxy, Request};
 pub use proxy_core::{InFlightGuard, InFlightRequests};
--- a/crates/outbound/src/peer_connections.rs
+++ b/crates/outbound/src/peer_connections.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use inbound::Outcome;
+use inbound::ForwardOutcome;
 use model::{Error, ErrorKind, Microseconds};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time;
@@ -15,7 +15,7 @@
     HeaderEncoder, Purpose,
 };
 
-type OutcomeSender = oneshot::Sender<Outcome>;
+type OutcomeSender = oneshot::Sender<ForwardOutcome>;
 
 enum Command {
     /// Forward a request under this id and answer with its outcome.
@@ -27,7 +27,7 @@
 }
 
 /// What this node says of itself in a handshake, by the purpose of the connection.
-pub type HandshakeInfo = Arc<dyn Fn(Purpose) -> Handshake + Send + Sync>;
+pub type HandshakeFactory = Arc<dyn Fn(Purpose) -> Handshake + Send + Sync>;
 
 /// A handle on all connections to peers. Each connection is owned by a task of its own, which is
 /// started by the first request to its address and reached over a queue. Clones share everything.
@@ -37,7 +37,7 @@
     queues: Arc<Mutex<HashMap<String, mpsc::Sender<Command>>>>,
     /// Request ids count over all connections, so that a late answer meets no later request.
     next_request_id: Arc<AtomicU32>,
-    handshake_info: HandshakeInfo,
+    handshake_factory: HandshakeFactory,
 }
 
 /// Tells the peer that the caller is gone, unless the outcome came first.
@@ -63,11 +63,11 @@
 
 impl PeerConnections {
     /// A handle without any connection yet.
-    pub fn start(handshake_info: HandshakeInfo) -> PeerConnections {
+    pub fn start(handshake_factory: HandshakeFactory) -> PeerConnections {
         PeerConnections {
             queues: Default::default(),
             next_request_id: Default::default(),
-            handshake_info,
+            handshake_factory,
         }
     }
 
@@ -76,7 +76,7 @@
     ///
     /// An error is [`ErrorKind::Unreachable`], certainly not run, if the request was never written, and
     /// [`ErrorKind::PeerLost`], may have run, if the connection broke with the request on it.
-    pub async fn call(&self, address: &str, request: Box<ForwardedRequest>) -> Outcome {
+    pub async fn call(&self, address: &str, request: Box<ForwardedRequest>) -> ForwardOutcome {
         let (outcome_sender, outcome) = oneshot::channel();
         let queue = self.queue_to(address);
         let request_id = self.next_request_id.fetch_add(1, Ordering::Relaxed);
@@ -111,7 +111,7 @@
         queues.insert(address.to_string(), queue.clone());
         tokio::spawn(connect_and_run(
             address.to_string(),
-            self.handshake_info.clone(),
+            self.handshake_factory.clone(),
             commands,
         ));
         queue
@@ -119,16 +119,16 @@
 }
 
 /// The outcome of a request that was never written.
-fn unreachable(detail: impl Into<String>) -> Outcome {
+fn unreachable(detail: impl Into<String>) -> ForwardOutcome {
     (Err(Error::new(ErrorKind::Unreachable, detail)), 0)
 }
 
 async fn connect_and_run(
     address: String,
-    handshake_info: HandshakeInfo,
+    handshake_factory: HandshakeFactory,
     mut commands: mpsc::Receiver<Command>,
 ) {
-    match transport::dial(&address, (handshake_info)(Purpose::Forward)).await {
+    match transport::dial(&address, (handshake_factory)(Purpose::Forward)).await {
         Ok(connection) => ConnectionTask::new(connection).run(commands).await,
         Err(error) => {
             commands.close();
--- a/crates/outbound/src/peer_server.rs
+++ b/crates/outbound/src/peer_server.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 
 use control::KnownReplicas;
-use inbound::{ConcurrencyLimiter, Outcome};
+use inbound::{ConcurrencyLimiter, ForwardOutcome};
 use model::{Incarnation, Microseconds};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
@@ -13,7 +13,7 @@
     Connection, EncodedRequest, Frame, HeaderDecoder, HeaderEncoder, LoadReport, Purpose,
 };
 
-use crate::HandshakeInfo;
+use crate::HandshakeFactory;
 
 /// Tells the failure detector which peer, in which incarnation, sent a heartbeat.
 pub type HeartbeatSender = mpsc::Sender<(String, Incarnation)>;
@@ -26,21 +26,22 @@
 /// Accepts peers' connections for ever and serves each in a task of its own.
 pub async fn serve_peers(
     listener: TcpListener,
-    handshake_info: HandshakeInfo,
+    handshake_factory: HandshakeFactory,
     known_replicas: KnownReplicas,
     limiter: ConcurrencyLimiter,
     (heartbeats, load_reports): (HeartbeatSender, LoadReportSender),
 ) {
     loop {
         if let Ok((stream, _)) = listener.accept().await {
-            let (handshake_info, known_replicas) = (handshake_info.clone(), known_replicas.clone());
+            let (handshake_factory, known_replicas) =
+                (handshake_factory.clone(), known_replicas.clone());
             let server = PeerServer {
                 limiter: limiter.clone(),
                 heartbeats: heartbeats.clone(),
                 load_reports: load_reports.clone(),
             };
             tokio::spawn(async move {
-                if let Some(connection) = accept(stream, handshake_info, known_replicas).await {
+                if let Some(connection) = accept(stream, handshake_factory, known_replicas).await {
                     server.serve(connection).await;
                 }
             });
@@ -51,14 +52,14 @@
 /// The handshake: takes over the replicas that the peer knows, and refuses what only a replica serves.
 async fn accept(
     stream: TcpStream,
-    handshake_info: HandshakeInfo,
+    handshake_factory: HandshakeFactory,
     known_replicas: KnownReplicas,
 ) -> Option<Connection> {
     let accepted = transport::accept(stream, |peer| async move {
         control::membership::discovery::merge(&known_replicas, peer.known_replicas);
         match peer.purpose {
             Purpose::Consensus | Purpose::RequestAssignment => Err("no core seat is here".into()),
-            purpose => Ok((handshake_info)(purpose)),
+            purpose => Ok((handshake_factory)(purpose)),
         }
     });
     accepted.await.ok()
@@ -89,7 +90,8 @@
     /// Serves one connection to its end.
     async fn serve(self, mut connection: Connection) {
         let (mut encoder, mut decoder) = (HeaderEncoder::default(), HeaderDecoder::default());
-        let (outcome_sender, mut outcomes) = mpsc::channel::<(u32, Outcome)>(OUTCOME_CAPACITY);
+        let (outcome_sender, mut outcomes) =
+            mpsc::channel::<(u32, ForwardOutcome)>(OUTCOME_CAPACITY);
         let mut running = RunningRequests::default();
         loop {
             let frame = tokio::select! { frame = connection.receiver.recv() => match frame { Some(frame) => frame, None => return }, Some((request_id, outcome)) = outcomes.recv() => { running.tasks.remove(&request_id); let response = response_frame(request_id, outcome, &mut encoder); if connection.sender.send(response).await.is_err() { return; } continue; } };
@@ -128,7 +130,7 @@
         request_id: u32,
         encoded: EncodedRequest,
         decoder: &mut HeaderDecoder,
-        outcomes: &mpsc::Sender<(u32, Outcome)>,
+        outcomes: &mpsc::Sender<(u32, ForwardOutcome)>,
     ) -> Result<AbortHandle, transport::Error> {
         let request = encoded.decode(decoder)?;
         let (limiter, outcomes) = (self.limiter.clone(), outcomes.clone());
@@ -145,7 +147,7 @@
 
 fn response_frame(
     request_id: u32,
-    (result, expected_wait): Outcome,
+    (result, expected_wait): ForwardOutcome,
     encoder: &mut HeaderEncoder,
 ) -> Frame {
     let expected_wait = expected_wait.min(Microseconds::from(u32::MAX)) as u32;
--- a/crates/outbound/src/proxy.rs
+++ b/crates/outbound/src/proxy.rs
@@ -24,7 +24,7 @@
 use std::time::Duration;
 
 use control::SharedVerifiedState;
-use inbound::{ConcurrencyLimiter, Outcome};
+use inbound::{ConcurrencyLimiter, ForwardOutcome};
 use model::cluster_state::{AvailableBackend, ShardKey, StateSnapshot, shard_map};
 use model::{Error, ErrorKind, Microseconds};
 use proxy_core::{Candidate, InFlightGuard, InFlightRequests};
@@ -225,7 +225,11 @@
     }
 
     /// Forwards the request to one backend and waits for what came of it.
-    async fn attempt(&self, endpoint: &AvailableBackend, routed: &mut RoutedRequest) -> Outcome {
+    async fn attempt(
+        &self,
+        endpoint: &AvailableBackend,
+        routed: &mut RoutedRequest,
+    ) -> ForwardOutcome {
         routed.forwarded.backend = endpoint.name.clone();
         if endpoint.node == self.node {
             return self.limiter.perform(routed.forwarded.clone()).await;
@@ -258,7 +262,10 @@
 
 /// Waits for a peer's answer until [`PEER_RESPONSE_GRACE`] after the deadline. Without an answer the
 /// request may have run.
-async fn within_deadline(time_left: Microseconds, call: impl Future<Output = Outcome>) -> Outcome {
+async fn within_deadline(
+    time_left: Microseconds,
+    call: impl Future<Output = ForwardOutcome>,
+) -> ForwardOutcome {
     let patience = Duration::from_micros(time_left + PEER_RESPONSE_GRACE);
     let outcome = time::timeout(patience, call).await;
     outcome.unwrap_or_else(|_| {
--- a/crates/outbound/tests/forwarding.rs
+++ b/crates/outbound/tests/forwarding.rs
@@ -12,7 +12,7 @@
 use http_util::headers::DEFAULT_HEADER_NAMES;
 use inbound::{ConcurrencyLimiter, ConcurrencyLimiterConfig, LocalBackend};
 use model::{Error, ErrorKind, ExecutionStatus};
-use outbound::{HandshakeInfo, PeerConnections};
+use outbound::{HandshakeFactory, PeerConnections};
 use scripted_backend::{Event, Relay, ScriptedBackend};
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
@@ -62,7 +62,7 @@
     limiter.set_backend(Some(local)).await;
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let relay = Relay::start(listener.local_addr().expect("an address").to_string()).await;
-    let info: HandshakeInfo = Arc::new(|purpose| handshake(purpose, "127.0.0.1:0"));
+    let info: HandshakeFactory = Arc::new(|purpose| handshake(purpose, "127.0.0.1:0"));
     let (heartbeats, _) = mpsc::channel(8);
     let (load_reports, _) = mpsc::channel(8);
     let known_replicas = control::membership::discovery::empty();
