--- a/crates/inbound/src/admission_queue.rs
+++ b/crates/inbound/src/admission_queue.rs
@@ -1,6 +1,6 @@
-//! Requests that wait for a slot (design 13.3): by priority, and within one priority by arrival. A
-//! request that can no longer be answered within its latency target goes behind all that can. Pure,
-//! with the time passed in.
+//! Queue of requests that wait for a slot (design 13.3), ordered by priority and, within a priority,
+//! by arrival. A request that can no longer meet its latency target is moved behind all requests that
+//! can. This module does no I/O; callers pass in the current time.
 
 #[cfg(test)]
 mod tests;
@@ -12,13 +12,13 @@
 
 /// A request that waits for a slot. All times are points of [`model::now`], in microseconds.
 pub struct QueuedRequest<T> {
-    /// 0 matters most.
+    /// The request's priority; 0 is the highest.
     pub priority: u8,
-    /// When it was queued.
+    /// The time at which the request was queued.
     pub queued_at: Microseconds,
-    /// An answer after it is worth less.
+    /// The time by which the answer meets the request's latency target.
     pub respond_by: Microseconds,
-    /// The client waits no longer.
+    /// The time at which the client stops waiting.
     pub deadline: Microseconds,
     /// The request itself.
     pub payload: T,
@@ -26,18 +26,19 @@
 
 type QueuesByPriority<T> = BTreeMap<u8, VecDeque<QueuedRequest<T>>>;
 
-/// The queue, with what it has to know of runs and arrivals to foretell a wait.
+/// The admission queue, with the run durations and arrival counts from which it estimates waits.
 pub struct AdmissionQueue<T> {
     /// Requests that can still be answered within their latency target.
     on_time: QueuesByPriority<T>,
+    /// Requests that will miss their latency target.
     late: QueuesByPriority<T>,
     count: usize,
     mean_run_us: f64,
-    runs_seen: u64,
+    run_count: u64,
     arrivals: BTreeMap<u8, ArrivalCount>,
 }
 
-/// Requests of one priority that arrived: a decaying count, and when it was last brought up to date.
+/// Decaying count of the arrivals of one priority, as of `updated_at`.
 #[derive(Default)]
 struct ArrivalCount {
     count: f64,
@@ -45,33 +46,34 @@
 }
 
 impl ArrivalCount {
-    fn at(&self, now: Microseconds) -> f64 {
+    fn decayed(&self, now: Microseconds) -> f64 {
         let age = now.saturating_sub(self.updated_at) as f64;
         self.count * (-age / ARRIVAL_DECAY_US).exp()
     }
 }
 
-/// The mean time of a run before any was seen: 50 ms.
+/// Assumed mean run duration before the first run has ended, in microseconds.
 const INITIAL_MEAN_RUN_US: f64 = 50_000.0;
-/// So many runs make the mean.
+/// Number of runs over which the moving average of run durations is taken.
 const MEAN_SAMPLES: u64 = 64;
-/// Counts of arrivals fall to a third (1/e) in 0.7 s.
+/// Time constant of the exponential decay of arrival counts, in microseconds.
 const ARRIVAL_DECAY_US: f64 = 700_000.0;
-/// Higher priorities are taken to use no more of the slots than this, however many arrived.
-const MAX_SHARE_OF_HIGHER_PRIORITIES: f64 = 0.9;
-/// A request is late once less than this part of a mean run is left of its latency target.
-const LATE_PART_OF_RUN: f64 = 0.7;
-/// A request is admitted if this part of a mean run fits into its latency target after the wait.
-const ADMITTED_PART_OF_RUN: f64 = 0.8;
-
-/// The latest start with which a request is probably answered within its latency target.
+/// Upper bound of the share of slots that wait estimates attribute to higher priorities.
+const MAX_HIGHER_PRIORITY_SHARE: f64 = 0.9;
+/// A request is late once less than this fraction of a mean run remains of its latency target.
+const LATE_RUN_FRACTION: f64 = 0.7;
+/// A request is admitted if, after the expected wait, this fraction of a mean run remains of its
+/// latency target.
+const ADMISSION_RUN_FRACTION: f64 = 0.8;
+
+/// Returns the latest start time at which the request will probably meet its latency target.
 fn latest_start<T>(request: &QueuedRequest<T>, mean_run_us: f64) -> Microseconds {
-    let run = (mean_run_us * LATE_PART_OF_RUN) as Microseconds;
+    let run = (mean_run_us * LATE_RUN_FRACTION) as Microseconds;
     request.respond_by.saturating_sub(run)
 }
 
-/// A request that has no slot by then is refused: after nine twentieths of its time there is enough
-/// left to come back.
+/// Returns the time at which the request is refused if it still waits for a slot: after nine twentieths
+/// of the time between queueing and deadline, so that the client has enough time for a retry.
 fn expires_at<T>(request: &QueuedRequest<T>) -> Microseconds {
     request.queued_at + request.deadline.saturating_sub(request.queued_at) * 9 / 20
 }
@@ -83,48 +85,48 @@
             late: BTreeMap::new(),
             count: 0,
             mean_run_us: INITIAL_MEAN_RUN_US,
-            runs_seen: 0,
+            run_count: 0,
             arrivals: BTreeMap::new(),
         }
     }
 }
 
 impl<T> AdmissionQueue<T> {
-    /// How many requests wait.
+    /// Returns the number of queued requests.
     pub fn len(&self) -> usize {
         self.count
     }
 
-    /// Whether none waits.
+    /// Returns whether no request is queued.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
 
-    /// Counts a run that took so long, in microseconds, into the mean.
+    /// Adds the duration of a run, in microseconds, to the moving average.
     pub fn record_run_duration(&mut self, duration: Microseconds) {
-        self.runs_seen += 1;
-        // The first ones count as much as each other, later ones less and less.
-        let samples = self.runs_seen.clamp(1, MEAN_SAMPLES) as f64;
+        self.run_count += 1;
+        // A plain average of the first runs, then an exponential moving average.
+        let samples = self.run_count.clamp(1, MEAN_SAMPLES) as f64;
         self.mean_run_us += (duration as f64 - self.mean_run_us) / samples;
     }
 
-    /// The mean time of a run in microseconds, and of how many runs it is.
+    /// Returns the mean run duration in microseconds and its number of samples.
     pub fn mean_run_duration(&self) -> (Microseconds, u32) {
-        let samples = self.runs_seen.min(MEAN_SAMPLES) as u32;
+        let samples = self.run_count.min(MEAN_SAMPLES) as u32;
         (self.mean_run_us as Microseconds, samples)
     }
 
-    /// Arrivals a microsecond of all priorities that matter more.
+    /// Returns the arrivals per microsecond of all higher priorities.
     fn arrival_rate_above(&self, now: Microseconds, priority: u8) -> f64 {
-        let rate = |arrivals: &ArrivalCount| arrivals.at(now) / ARRIVAL_DECAY_US;
+        let rate = |arrivals: &ArrivalCount| arrivals.decayed(now) / ARRIVAL_DECAY_US;
         self.arrivals
             .range(..priority)
             .map(|(_, arrivals)| rate(arrivals))
             .sum()
     }
 
-    /// How long a request of this priority would wait for a slot, in microseconds, while `running`
-    /// of the `slots` are taken and requests of higher priority go on arriving.
+    /// Returns the expected time that a request of this priority waits for a slot, in microseconds,
+    /// while `running` of the `slots` are occupied and requests of higher priority keep arriving.
     pub fn expected_wait(
         &self,
         now: Microseconds,
@@ -132,33 +134,34 @@
         running: usize,
         slots: usize,
     ) -> Microseconds {
-        let queued_before = self.on_time.range(..=priority);
-        let ahead: usize = queued_before.map(|(_, requests)| requests.len()).sum();
-        let runs_before = (ahead + running + 1).saturating_sub(slots) as f64;
+        let queues_ahead = self.on_time.range(..=priority);
+        let queued_ahead: usize = queues_ahead.map(|(_, requests)| requests.len()).sum();
+        let runs_ahead = (queued_ahead + running + 1).saturating_sub(slots) as f64;
         let slots = slots.max(1) as f64;
-        let used_above = (self.arrival_rate_above(now, priority) * self.mean_run_us / slots)
-            .min(MAX_SHARE_OF_HIGHER_PRIORITIES);
-        (runs_before * self.mean_run_us / slots / (1.0 - used_above)) as Microseconds
+        let higher_priority_share = (self.arrival_rate_above(now, priority) * self.mean_run_us
+            / slots)
+            .min(MAX_HIGHER_PRIORITY_SHARE);
+        (runs_ahead * self.mean_run_us / slots / (1.0 - higher_priority_share)) as Microseconds
     }
 
-    /// The longest wait, in microseconds, with which a request is still admitted: it then probably
-    /// meets its latency target.
+    /// Returns the longest expected wait, in microseconds, at which a request is still admitted. With
+    /// this wait it will probably meet its latency target.
     pub fn longest_acceptable_wait(
         &self,
         now: Microseconds,
         respond_by: Microseconds,
     ) -> Microseconds {
         let left = respond_by.saturating_sub(now);
-        let run = (self.mean_run_us * ADMITTED_PART_OF_RUN) as Microseconds;
+        let run = (self.mean_run_us * ADMISSION_RUN_FRACTION) as Microseconds;
         left.saturating_sub(run).max(left / 8)
     }
 
-    /// Queues a request.
+    /// Queues a request and counts its arrival.
     pub fn push(&mut self, now: Microseconds, request: QueuedRequest<T>) {
         self.count += 1;
         let arrivals = self.arrivals.entry(request.priority).or_default();
         *arrivals = ArrivalCount {
-            count: arrivals.at(now) + 1.0,
+            count: arrivals.decayed(now) + 1.0,
             updated_at: now,
         };
         self.on_time
@@ -167,9 +170,9 @@
             .push_back(request);
     }
 
-    /// Takes out the next request to start, if any.
+    /// Removes and returns the next request to start, if there is one.
     pub fn pop(&mut self, now: Microseconds) -> Option<QueuedRequest<T>> {
-        self.move_late(now);
+        self.move_late_requests(now);
         let first = |queues: &mut QueuesByPriority<T>| {
             queues
                 .values_mut()
@@ -180,12 +183,13 @@
         next
     }
 
-    /// Takes out all requests that waited too long, to be refused.
+    /// Removes and returns all requests that have waited too long and are to be refused.
     pub fn expire(&mut self, now: Microseconds) -> Vec<QueuedRequest<T>> {
         self.remove_where(|request| expires_at(request) <= now)
     }
 
-    fn move_late(&mut self, now: Microseconds) {
+    /// Moves requests that will miss their latency target behind all other requests.
+    fn move_late_requests(&mut self, now: Microseconds) {
         let mean_run_us = self.mean_run_us;
         let is_late = |first: &mut QueuedRequest<T>| latest_start(first, mean_run_us) < now;
         for (priority, requests) in &mut self.on_time {
@@ -196,18 +200,18 @@
         }
     }
 
-    /// Takes out all requests that are `gone` by a rule of the caller's.
+    /// Removes and returns all requests for which `should_remove` returns true.
     pub fn remove_where(
         &mut self,
-        mut gone: impl FnMut(&QueuedRequest<T>) -> bool,
+        mut should_remove: impl FnMut(&QueuedRequest<T>) -> bool,
     ) -> Vec<QueuedRequest<T>> {
         let mut removed = Vec::new();
         for requests in self.on_time.values_mut().chain(self.late.values_mut()) {
-            let (leave, stay): (Vec<_>, Vec<_>) = mem::take(requests)
+            let (matching, kept): (Vec<_>, Vec<_>) = mem::take(requests)
                 .into_iter()
-                .partition(|request| gone(request));
-            *requests = stay.into();
-            removed.extend(leave);
+                .partition(|request| should_remove(request));
+            *requests = kept.into();
+            removed.extend(matching);
         }
         self.count -= removed.len();
         removed
--- a/crates/inbound/src/admission_queue/tests.rs
+++ b/crates/inbound/src/admission_queue/tests.rs
@@ -1,4 +1,4 @@
-//! The order in the queue, and the waits that it foretells.
+//! Order of the admission queue and its wait estimates.
 
 use super::*;
 
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn the_highest_priority_goes_first_and_who_missed_its_latency_target_after_all_others() {
+fn requests_are_ordered_by_priority_and_late_requests_come_last() {
     let mut queue = AdmissionQueue::default();
     let all = [
         (2, 300_000, 1),
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_wait_counts_those_ahead_by_priority_and_those_still_to_come_above() {
+fn the_expected_wait_counts_requests_ahead_and_arrivals_of_higher_priority() {
     let mut queue = AdmissionQueue::default();
     for _ in 0..400 {
         queue.record_run_duration(80_000);
@@ -48,19 +48,19 @@
     for payload in 0..8 {
         queue.push(0, queued(1, 300_000, payload));
     }
-    let important = queue.expected_wait(0, 0, 4, 4);
-    let equal = queue.expected_wait(0, 1, 4, 4);
-    let least = queue.expected_wait(0, 2, 4, 4);
-    assert!((19_000..=20_500).contains(&important), "{important}");
-    assert!((175_000..=181_000).contains(&equal), "{equal}");
+    let highest = queue.expected_wait(0, 0, 4, 4);
+    let same = queue.expected_wait(0, 1, 4, 4);
+    let lowest = queue.expected_wait(0, 2, 4, 4);
+    assert!((19_000..=20_500).contains(&highest), "{highest}");
+    assert!((175_000..=181_000).contains(&same), "{same}");
     assert!(
-        least > equal * 5 / 4,
-        "{least}: eight more important ones came just now"
+        lowest > same * 5 / 4,
+        "{lowest}: eight requests of higher priority have just arrived"
     );
 }
 
 #[test]
-fn nobody_is_queued_for_half_of_the_time_it_has() {
+fn a_queued_request_expires_before_half_of_its_time_has_passed() {
     let mut queue = AdmissionQueue::default();
     for payload in 0..3 {
         queue.push(0, queued(0, 100_000, payload));
--- a/crates/inbound/src/backend_client.rs
+++ b/crates/inbound/src/backend_client.rs
@@ -1,4 +1,5 @@
-//! HTTP into the backend, and what may be said of a request that brought no response (design 13.4).
+//! HTTP client of the backend. For a request without a valid response it determines whether the
+//! request may have run (design 13.4).
 
 use std::io;
 use std::time::Duration;
@@ -17,40 +18,42 @@
 
 use crate::connection_pool::{ConnectionPool, HttpSender};
 
-/// The client of the backend beside this node, with its pooled connections.
+/// HTTP client of the backend beside this node, with a pool of connections.
 pub struct BackendClient {
-    /// The header names of this site.
+    /// The header names that this site uses.
     pub header_names: HeaderNames,
     connections: ConnectionPool,
 }
 
-/// A connection stays on this machine: one that takes longer has nobody at its other end.
+/// Timeout for connecting to the backend. The connection stays on this machine, so if it takes longer,
+/// no process is accepting connections.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// The detail of a refusal with 421: it is another backend, or does not hold the key. That says
-/// nothing of its health.
-pub(crate) const MISDIRECTED: &str = "the backend refused it with 421";
+/// Error detail of a refusal with status 421: the request reached another backend, or one that does not
+/// hold the shard key. This says nothing about the backend's health.
+pub(crate) const MISDIRECTED_DETAIL: &str = "the backend refused the request with status 421";
 const MISDIRECTED_STATUS: u16 = 421;
-/// To clients these statuses say that the request never ran; without the backend's word nobody knows.
-const STATUSES_THAT_PROMISE: [u16; 3] = [408, 429, 503];
+/// Clients take these statuses as a promise that the request did not run. That is certain only if the
+/// backend's response also carries the `not_run` header.
+const NOT_RUN_STATUSES: [u16; 3] = [408, 429, 503];
 
-/// A connection that idled for less than 100 ms is not stale: if it breaks, that is the backend's
-/// doing.
-const MIN_STALE_IDLE: Microseconds = 100_000;
+/// Shortest idle time after which a closed connection counts as stale, in microseconds. If a connection
+/// fails after a shorter idle time, the backend is at fault.
+const MIN_STALE_IDLE_TIME: Microseconds = 100_000;
 const MICROSECONDS_PER_MILLISECOND: Microseconds = 1_000;
 const MICROSECONDS_PER_SECOND: Microseconds = 1_000_000;
 
 type HttpRequest = hyper::Request<Full<Bytes>>;
 
-/// A connection that is about to be used.
-struct Checked {
+/// A connection that is about to be used for a request.
+struct CheckedOutConnection {
     sender: HttpSender,
-    /// How long it idled; `None` for a new one.
-    idled: Option<Microseconds>,
+    /// The idle time of a pooled connection in microseconds; `None` for a new connection.
+    idle_time: Option<Microseconds>,
 }
 
 impl BackendClient {
-    /// A client without connections yet.
+    /// Creates a client without connections.
     pub fn new(header_names: HeaderNames) -> BackendClient {
         BackendClient {
             header_names,
@@ -58,7 +61,7 @@
         }
     }
 
-    /// Closes all pooled connections: there is another backend now.
+    /// Closes all pooled connections because the backend was replaced.
     pub fn clear_connections(&self) {
         self.connections.clear();
     }
@@ -82,14 +85,24 @@
             .header(self.header_names.target_backend, &request.backend)
             .header(self.header_names.caller, &request.caller)
             .body(Full::new(Bytes::copy_from_slice(&request.body)))
-            .map_err(|_| Error::new(ErrorKind::BadRequest, "HTTP cannot carry it to a backend"))
+            .map_err(|_| {
+                Error::new(
+                    ErrorKind::BadRequest,
+                    "the request cannot be encoded as an HTTP request",
+                )
+            })
     }
 
     async fn connect(&self, address: &str) -> Result<HttpSender, Error> {
         let unreachable = |error: io::Error| Error::new(ErrorKind::Unreachable, error.to_string());
         let stream = time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         let stream = stream
-            .map_err(|_| Error::new(ErrorKind::Unreachable, "no connection in time"))?
+            .map_err(|_| {
+                Error::new(
+                    ErrorKind::Unreachable,
+                    "connecting to the backend timed out",
+                )
+            })?
             .map_err(unreachable)?;
         stream.set_nodelay(true).map_err(unreachable)?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream))
@@ -99,67 +112,74 @@
         Ok(sender)
     }
 
-    /// A pooled connection, or a new one. A pooled one may be stale without a word, so a request that
-    /// must not run twice always gets a new one (design 13.9).
-    async fn checked(&self, address: &str, request: &ForwardedRequest) -> Result<Checked, Error> {
+    /// Returns a pooled or new connection. A pooled connection may be stale without notice, so a
+    /// request that is not idempotent always gets a new connection (design 13.9).
+    async fn check_out_connection(
+        &self,
+        address: &str,
+        request: &ForwardedRequest,
+    ) -> Result<CheckedOutConnection, Error> {
         if request.idempotent
-            && let Some((idled, sender)) = self.connections.take(model::now())
+            && let Some((idle_time, sender)) = self.connections.take(model::now())
         {
-            return Ok(Checked {
+            return Ok(CheckedOutConnection {
                 sender,
-                idled: Some(idled),
+                idle_time: Some(idle_time),
             });
         }
-        Ok(Checked {
+        Ok(CheckedOutConnection {
             sender: self.connect(address).await?,
-            idled: None,
+            idle_time: None,
         })
     }
 
-    /// Sends one request and reads its one response; `time_left` is in microseconds. A pooled
-    /// connection that closed before a byte was written is no run: the next one is tried.
+    /// Sends a request and reads its response; `time_left` is in microseconds. If a pooled connection
+    /// was closed before a byte was written, the request did not run and the next connection is used.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Unreachable`] and [`ErrorKind::Refused`] are certain not to have run; with
-    /// [`ErrorKind::BackendLost`], [`ErrorKind::BadSeal`] and [`ErrorKind::ConnectionForgotten`] the
-    /// request may have run.
+    /// After [`ErrorKind::Unreachable`] and [`ErrorKind::Refused`] the request is certain not to have
+    /// run. After [`ErrorKind::BackendLost`], [`ErrorKind::BadSeal`] and
+    /// [`ErrorKind::ConnectionForgotten`] it may have run.
     pub async fn forward(
         &self,
         address: &str,
         request: &ForwardedRequest,
         time_left: Microseconds,
     ) -> Result<ForwardedResponse, Error> {
-        let began = model::now();
+        let started_at = model::now();
         loop {
-            let Checked { mut sender, idled } = self.checked(address, request).await?;
-            let pooled = idled.is_some();
+            let CheckedOutConnection {
+                mut sender,
+                idle_time,
+            } = self.check_out_connection(address, request).await?;
+            let pooled = idle_time.is_some();
             if sender.ready().await.is_err() && pooled {
                 continue;
             }
-            let time_left = time_left.saturating_sub(model::now() - began);
+            let time_left = time_left.saturating_sub(model::now() - started_at);
             match sender
                 .send_request(self.build_request(request, time_left)?)
                 .await
             {
                 Ok(response) => return self.read_response(request, response, sender).await,
                 Err(error) if error.is_canceled() && pooled => continue,
-                Err(error) => return Err(self.send_error(&error, idled)),
+                Err(error) => return Err(self.send_error(&error, idle_time)),
             }
         }
     }
 
-    /// Why a request that was sent brought no response. Whether it is sent again is for the retry
-    /// budget of the outbound side to say, also after a stale connection.
-    fn send_error(&self, error: &hyper::Error, idled: Option<Microseconds>) -> Error {
+    /// Classifies the failure of a request that got no response. The request is not sent again here,
+    /// even after a stale connection: retries are subject to the retry budget of the outbound side.
+    fn send_error(&self, error: &hyper::Error, idle_time: Option<Microseconds>) -> Error {
         if error.is_canceled() {
-            let detail = "the connection closed before the request";
+            let detail = "the connection was closed before the request was sent";
             return Error::new(ErrorKind::Unreachable, detail);
         }
-        match idled.filter(|idled| *idled >= MIN_STALE_IDLE) {
+        match idle_time.filter(|idle_time| *idle_time >= MIN_STALE_IDLE_TIME) {
             None => Error::caused_by(ErrorKind::BackendLost, error),
-            Some(idled) => {
-                self.connections.record_stale(model::now(), idled);
+            Some(idle_time) => {
+                self.connections.record_stale(model::now(), idle_time);
                 Error::new(ErrorKind::ConnectionForgotten, error.to_string())
             }
         }
@@ -178,8 +198,8 @@
             .map_err(|error| Error::caused_by(ErrorKind::BackendLost, &error))?
             .to_bytes();
         self.check_seal(request, &head)?;
-        self.keep_connection(&head, sender);
-        self.check_promise(&head)?;
+        self.return_to_pool(&head, sender);
+        self.check_not_run_status(&head)?;
         let headers = head.headers.iter().filter(|(name, _)| {
             !is_hop_by_hop(name.as_str()) && name.as_str() != self.header_names.attempt_id
         });
@@ -193,35 +213,40 @@
         })
     }
 
-    /// Whether the response is this request's, and sealed if it is a success.
+    /// Checks that the response belongs to this request, and that a successful response carries the seal
+    /// header.
     fn check_seal(&self, request: &ForwardedRequest, head: &Parts) -> Result<(), Error> {
         let names = &self.header_names;
-        let sent = request
+        let sent_attempt_id = request
             .headers
             .iter()
             .find(|(name, _)| name == names.attempt_id);
-        let sent = sent.map(|(_, value)| value.as_slice());
+        let sent_attempt_id = sent_attempt_id.map(|(_, value)| value.as_slice());
         if head
             .headers
             .get(names.attempt_id)
             .map(|value| value.as_bytes())
-            != sent
+            != sent_attempt_id
         {
             let detail = "the response belongs to another request";
             return Err(Error::new(ErrorKind::BadSeal, detail));
         }
-        let sealed = header_text(head, names.seal).is_some();
-        if head.status.is_success() && (!sealed || head.headers.contains_key("content-encoding")) {
-            return Err(Error::new(ErrorKind::BadSeal, "a success without a seal"));
+        let has_seal = header_text(head, names.seal).is_some();
+        if head.status.is_success() && (!has_seal || head.headers.contains_key("content-encoding"))
+        {
+            return Err(Error::new(
+                ErrorKind::BadSeal,
+                "a successful response without the seal header, or with a content encoding",
+            ));
         }
         Ok(())
     }
 
-    /// Pools the connection, unless either side closes it.
-    fn keep_connection(&self, head: &Parts, sender: HttpSender) {
-        let closes =
+    /// Returns the connection to the pool, unless either side closes it.
+    fn return_to_pool(&self, head: &Parts, sender: HttpSender) {
+        let will_close =
             header_text(head, "connection").is_some_and(|text| text.eq_ignore_ascii_case("close"));
-        if closes || sender.is_closed() {
+        if will_close || sender.is_closed() {
             return;
         }
         let keep_alive_seconds = header_text(head, "keep-alive").and_then(|text| {
@@ -232,18 +257,20 @@
         self.connections.put_back(model::now(), sender, keep_alive);
     }
 
-    /// Whether the backend's status promises that the request did not run, and its word stands for it.
-    fn check_promise(&self, head: &Parts) -> Result<(), Error> {
+    /// Checks for a refusal by the backend. The request is certain not to have run if the response says
+    /// so by the `not_run` header or by status 421.
+    fn check_not_run_status(&self, head: &Parts) -> Result<(), Error> {
         let status = head.status.as_u16();
         if status == MISDIRECTED_STATUS {
-            return Err(Error::new(ErrorKind::Refused, MISDIRECTED));
+            return Err(Error::new(ErrorKind::Refused, MISDIRECTED_DETAIL));
         }
         if head.headers.contains_key(self.header_names.not_run) {
-            let detail = format!("the backend refused it with {status}");
+            let detail = format!("the backend refused the request with status {status}");
             return Err(Error::new(ErrorKind::Refused, detail));
         }
-        if STATUSES_THAT_PROMISE.contains(&status) {
-            let detail = format!("a bare {status}, which says nothing of whether it ran");
+        if NOT_RUN_STATUSES.contains(&status) {
+            let detail =
+                format!("status {status} without the not-run header: the request may have run");
             return Err(Error::new(ErrorKind::BackendLost, detail));
         }
         Ok(())
--- a/crates/inbound/src/concurrency_limiter.rs
+++ b/crates/inbound/src/concurrency_limiter.rs
@@ -1,8 +1,9 @@
-//! Admission to the backend's slots (design 13.2, 13.3). One task owns the queue, the runs and what is
-//! known of the backend; a [`ConcurrencyLimiter`] is the handle on it.
+//! Admission of requests to the backend's slots (design 13.2, 13.3). One task owns the queue, the
+//! running requests and the description of the backend; [`ConcurrencyLimiter`] is the handle of that
+//! task.
 //!
-//! A request passes these phases, each a method of the task: admit, start (as soon as a slot is free),
-//! run, and end. Until a run starts every refusal is certain not to have run.
+//! A request passes through these phases: admission, start (as soon as a slot is free), run, and end.
+//! A request that is refused before its run starts is certain not to have run.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,27 +20,28 @@
     RunResult,
 };
 
-/// What a limiter is set to.
+/// Configuration of a [`ConcurrencyLimiter`].
 pub struct ConcurrencyLimiterConfig {
-    /// The header names of this site.
+    /// The header names that this site uses.
     pub header_names: HeaderNames,
-    /// Runs given to the backend beyond its slots, so that no slot stands empty between two.
+    /// The number of concurrent runs beyond the backend's slots, so that no slot is idle between two
+    /// runs.
     pub extra_runs: u32,
 }
 
 type OutcomeSender = oneshot::Sender<ForwardOutcome>;
 
-/// What came of a request, and how long, in microseconds, a request of the least priority would wait
-/// here now.
+/// The result of a forwarded request, and the time in microseconds that a request of the lowest
+/// priority would currently spend here.
 pub type ForwardOutcome = (Result<ForwardedResponse, Error>, Microseconds);
 
-/// What the backend's keys are asked for: its slots; the mean run in microseconds and of how many
-/// runs it is; the requests a second on ranges of keys, from first to last; how many requests that is
-/// gathered from; and whether the backend is ejected.
+/// The load on the backend's shard keys: the backend's slots; the mean run duration in microseconds
+/// and its number of samples; the requests per second for each key range, given by first and last
+/// key; the number of requests on which these rates are based; and whether the backend is ejected.
 pub type DemandReport = (u32, (Microseconds, u32), Vec<(u16, u16, f32)>, f32, bool);
 
 enum Command {
-    /// A request, its deadline, and who waits for the outcome.
+    /// Admit a request with this deadline, and send its outcome to the caller.
     Admit(Box<ForwardedRequest>, Microseconds, OutcomeSender),
     RunEnded {
         run_id: u64,
@@ -52,23 +54,23 @@
     Demand(usize, oneshot::Sender<Option<DemandReport>>),
 }
 
-/// A handle on the task that owns the backend's slots.
+/// Handle of the task that owns the backend's slots.
 #[derive(Clone)]
 pub struct ConcurrencyLimiter {
     commands: mpsc::Sender<Command>,
 }
 
-/// Commands that may wait for the task.
-const QUEUE_CAPACITY: usize = 4_096;
-/// A refused request is not to come back sooner than after 100 ms.
+/// Capacity of the task's command queue.
+const COMMAND_QUEUE_CAPACITY: usize = 4_096;
+/// Shortest retry delay that is returned with a refused request, in microseconds.
 const MIN_RETRY_AFTER: Microseconds = 100_000;
-/// Between two looks at requests that waited too long, while nothing else happens.
+/// Interval between two checks for expired queued requests while no commands arrive.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(20);
 
 impl ConcurrencyLimiter {
-    /// Starts the task, without a backend yet.
+    /// Starts the task. There is no backend until [`set_backend`](Self::set_backend) is called.
     pub fn start(config: ConcurrencyLimiterConfig) -> ConcurrencyLimiter {
-        let (commands, receiver) = mpsc::channel(QUEUE_CAPACITY);
+        let (commands, receiver) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
         let task = LimiterTask {
             client: Arc::new(BackendClient::new(config.header_names.clone())),
             config,
@@ -83,9 +85,9 @@
         ConcurrencyLimiter { commands }
     }
 
-    /// Has a request run and waits for its outcome: the response, or why there is none and whether
-    /// the request may have run. Dropping the future takes the request out of the queue; a run is
-    /// broken off if the request is idempotent.
+    /// Runs a request and waits for its outcome: the response, or an error that says whether the
+    /// request may have run. Dropping the future removes a queued request from the queue. It cancels a
+    /// run that has started only if the request is idempotent.
     pub async fn perform(&self, request: Box<ForwardedRequest>) -> ForwardOutcome {
         let (outcome_sender, outcome) = oneshot::channel();
         let deadline = model::now() + request.time_left;
@@ -100,25 +102,26 @@
             (
                 Err(Error::new(
                     ErrorKind::PeerLost,
-                    "the owner of the backend's slots is gone",
+                    "the concurrency limiter task ended before it answered",
                 )),
                 0,
             )
         })
     }
 
-    /// Says which backend is beside this node, with what it holds; `None` if there is none.
+    /// Sets the backend beside this node and the shard keys that it holds; `None` if there is no
+    /// backend.
     pub async fn set_backend(&self, backend: Option<LocalBackend>) {
         self.send(Command::SetBackend(backend)).await;
     }
 
-    /// Refuses all requests from now on, from peers as from this node. Queued ones still run.
+    /// Refuses all further requests, both from peers and from this node. Queued requests still run.
     pub async fn drain(&self) {
         self.send(Command::Drain).await;
     }
 
-    /// What the backend's keys are asked for, in at most about so many ranges; `None` without a
-    /// backend or if its service is not divided by key.
+    /// Returns the load on the backend's shard keys, in approximately `max_ranges` ranges at most;
+    /// `None` if there is no backend or its service is not sharded.
     pub async fn demand(&self, max_ranges: usize) -> Option<DemandReport> {
         let (reply, report) = oneshot::channel();
         self.commands
@@ -128,7 +131,8 @@
         report.await.ok().flatten()
     }
 
-    /// How many requests run, how many are queued, and whether the backend is ejected.
+    /// Returns the number of running requests, the number of queued requests, and whether the backend
+    /// is ejected.
     pub async fn load(&self) -> (usize, usize, bool) {
         let (reply, load) = oneshot::channel();
         self.send(Command::Load(reply)).await;
@@ -154,13 +158,13 @@
 impl LimiterTask {
     async fn run(mut self, mut commands: mpsc::Receiver<Command>) {
         loop {
-            let some_wait = !self.queue.is_empty();
+            let has_queued_requests = !self.queue.is_empty();
             tokio::select! {
                 command = commands.recv() => match command {
                     Some(command) => self.handle(command),
                     None => return,
                 },
-                _ = time::sleep(EXPIRY_INTERVAL), if some_wait => self.expire(),
+                _ = time::sleep(EXPIRY_INTERVAL), if has_queued_requests => self.expire(),
             }
         }
     }
@@ -182,11 +186,11 @@
             }
             Command::SetBackend(backend) => self.set_backend(backend),
             Command::Drain => self.draining = true,
-            Command::Demand(max_ranges, reply) => drop(reply.send(self.report_demand(max_ranges))),
+            Command::Demand(max_ranges, reply) => drop(reply.send(self.demand_report(max_ranges))),
             Command::Load(reply) => {
                 let ejected = self.outliers.is_ejected();
                 let load = (self.outliers.running(), self.queue.len(), ejected);
-                // Whoever asked may be gone.
+                // The requester may have stopped waiting.
                 reply.send(load).unwrap_or_default();
             }
         }
@@ -196,7 +200,7 @@
         self.start_next();
     }
 
-    fn report_demand(&mut self, max_ranges: usize) -> Option<DemandReport> {
+    fn demand_report(&mut self, max_ranges: usize) -> Option<DemandReport> {
         let backend = self.backend.as_ref()?;
         let held_keys = backend.held_keys.as_ref()?;
         let (ranges, requests) = self
@@ -212,9 +216,10 @@
         ))
     }
 
-    /// Takes over what is known of the backend, and refuses what it is no longer to be given.
+    /// Replaces the description of the backend, and refuses queued requests that this backend can no
+    /// longer run.
     fn set_backend(&mut self, backend: Option<LocalBackend>) {
-        if identity(self.backend.as_ref()) != identity(backend.as_ref()) {
+        if backend_identity(self.backend.as_ref()) != backend_identity(backend.as_ref()) {
             self.client.clear_connections();
             self.outliers.reset();
         }
@@ -226,12 +231,13 @@
         for queued in refused {
             let (request, outcome_sender) = queued.payload;
             let reason = refusal_reason(self.backend.as_ref(), now, &request)
-                .unwrap_or_else(|| Error::new(ErrorKind::NoBackend, "gone"));
+                .unwrap_or_else(|| Error::new(ErrorKind::NoBackend, "the backend was replaced"));
             self.respond(outcome_sender, Err(reason));
         }
     }
 
-    fn slots(&self) -> usize {
+    /// The number of requests that may run concurrently.
+    fn max_concurrent_runs(&self) -> usize {
         let backend = self.backend.as_ref();
         backend
             .map(|backend| backend.slots + self.config.extra_runs)
@@ -241,11 +247,11 @@
     fn expected_wait(&self, priority: u8) -> Microseconds {
         let running = self.outliers.running();
         self.queue
-            .expected_wait(model::now(), priority, running, self.slots())
+            .expected_wait(model::now(), priority, running, self.max_concurrent_runs())
     }
 
-    /// What a request would spend here, for those who select: the wait and half of a run. A slow
-    /// backend is worth leaving for a faster one only where that is near.
+    /// The time that is reported to selecting nodes: the expected wait and half of a mean run. Only
+    /// half of a run is counted, so that a slow backend is avoided only if a faster one is nearby.
     fn reported_wait(&self) -> Microseconds {
         let (mean_run_duration, _) = self.queue.mean_run_duration();
         self.expected_wait(u8::MAX) + mean_run_duration / 2
@@ -255,7 +261,7 @@
         drop(outcome_sender.send((result, self.reported_wait())));
     }
 
-    /// Queues a request, or refuses it at once.
+    /// Queues a request or refuses it immediately.
     fn admit(
         &mut self,
         request: Box<ForwardedRequest>,
@@ -270,8 +276,11 @@
         if let Some(reason) = refusal_reason(self.backend.as_ref(), now, &request) {
             return self.respond(outcome_sender, Err(reason));
         }
-        if let Some(retry_after) = self.passed_over_for(now, &request) {
-            let error = Error::new(ErrorKind::PassedOver, "its runs come to nothing");
+        if let Some(retry_after) = self.ejection_retry_after(now, &request) {
+            let error = Error::new(
+                ErrorKind::PassedOver,
+                "outlier detection ejected the backend",
+            );
             let error = error.with_retry_after(retry_after);
             return drop(outcome_sender.send((Err(error), retry_after)));
         }
@@ -280,9 +289,9 @@
         }
         let wait = self.expected_wait(request.priority);
         let respond_by = now + request.latency_target;
-        // What cannot be answered in time is refused at once, with when to come back.
+        // A request that cannot meet its latency target is refused immediately, with a retry delay.
         if wait > self.queue.longest_acceptable_wait(now, respond_by) {
-            return self.respond(outcome_sender, Err(overloaded(deadline - now, wait)));
+            return self.respond(outcome_sender, Err(overloaded_error(deadline - now, wait)));
         }
         let queued = QueuedRequest {
             priority: request.priority,
@@ -294,38 +303,40 @@
         self.queue.push(now, queued);
     }
 
-    /// For how long the request is to go elsewhere, as the backend is ejected. The holder of a shard
-    /// key is never passed over: placement moves the key instead (design 13.8).
-    fn passed_over_for(
+    /// Returns the retry delay for a request that is refused because the backend is ejected. Requests
+    /// with a shard key are never refused for this reason: shard placement moves the key instead
+    /// (design 13.8).
+    fn ejection_retry_after(
         &self,
         now: Microseconds,
         request: &ForwardedRequest,
     ) -> Option<Microseconds> {
-        let declined_for = self
+        let retry_after = self
             .outliers
             .ejection_retry_after(now, request.idempotent)?;
-        (request.shard_key.is_none() && !request.force).then_some(declined_for)
+        (request.shard_key.is_none() && !request.force).then_some(retry_after)
     }
 
+    /// Refuses queued requests that have waited too long for a slot.
     fn expire(&mut self) {
         let now = model::now();
         for expired in self.queue.expire(now) {
             let (_, outcome_sender) = expired.payload;
-            let error = overloaded(expired.deadline.saturating_sub(now), 0);
+            let error = overloaded_error(expired.deadline.saturating_sub(now), 0);
             self.respond(outcome_sender, Err(error));
         }
     }
 
-    /// Starts queued requests while there are free slots.
+    /// Starts queued requests while the limit on concurrent runs allows.
     fn start_next(&mut self) {
-        while self.outliers.running() < self.slots() {
+        while self.outliers.running() < self.max_concurrent_runs() {
             let now = model::now();
             let Some(next) = self.queue.pop(now) else {
                 return;
             };
             let (request, outcome_sender) = next.payload;
             if outcome_sender.is_closed() {
-                // Its caller is gone: it never begins.
+                // The caller has stopped waiting, so the request is never started.
                 continue;
             }
             match refusal_reason(self.backend.as_ref(), now, &request) {
@@ -335,7 +346,7 @@
         }
     }
 
-    /// Runs a request in a task of its own, which reports the end of the run here.
+    /// Runs a request in a separate task, which reports the end of the run to this one.
     fn start_run(
         &mut self,
         request: Box<ForwardedRequest>,
@@ -347,62 +358,65 @@
         };
         let run_id = self.outliers.run_started(model::now());
         let (client, commands) = (self.client.clone(), self.commands.clone());
-        let (reported_wait, began) = (self.reported_wait(), model::now());
+        let (reported_wait, started_at) = (self.reported_wait(), model::now());
         tokio::spawn(async move {
-            let time_left = deadline.saturating_sub(began);
+            let time_left = deadline.saturating_sub(started_at);
             let run = client.forward(&address, &request, time_left);
             let run = time::timeout(Duration::from_micros(time_left), run);
-            let timed_out = |detail: &str| Err(Error::new(ErrorKind::TimedOut, detail));
+            let timed_out_error = |detail: &str| Err(Error::new(ErrorKind::TimedOut, detail));
             let result = tokio::select! {
-                ended = run => ended.unwrap_or_else(|_| timed_out("no answer within the wait")),
-                // An idempotent run may as well be broken off; any other the backend ends itself.
+                completed = run => completed.unwrap_or_else(|_| {
+                    timed_out_error("the backend did not answer before the deadline")
+                }),
+                // Only an idempotent run is cancelled; the backend completes any other.
                 () = outcome_sender.closed(), if request.idempotent => {
-                    timed_out("nobody waits for it any more")
+                    timed_out_error("the caller stopped waiting")
                 }
             };
-            let duration = result.is_ok().then(|| model::now() - began);
-            let ended = Command::RunEnded {
+            let duration = result.is_ok().then(|| model::now() - started_at);
+            let run_ended = Command::RunEnded {
                 run_id,
                 duration,
                 result: classify_run(&result),
             };
-            drop(commands.send(ended).await);
+            drop(commands.send(run_ended).await);
             drop(outcome_sender.send((result, reported_wait)));
         });
     }
 }
 
-/// What tells one backend from another in the same place.
-fn identity(backend: Option<&LocalBackend>) -> Option<(&str, &str)> {
+/// Name and address, which distinguish a backend from a successor beside the same node.
+fn backend_identity(backend: Option<&LocalBackend>) -> Option<(&str, &str)> {
     backend.map(|backend| (backend.name.as_str(), backend.address.as_str()))
 }
 
-/// Come back once the wait is shorter, but while there is time left for it; not all at the same
-/// moment.
-fn overloaded(time_left: Microseconds, wait: Microseconds) -> Error {
+/// Builds an overload error whose retry delay leaves time for another attempt before the deadline. The
+/// delay is randomized so that refused clients do not all retry at the same time.
+fn overloaded_error(time_left: Microseconds, wait: Microseconds) -> Error {
     let latest = (time_left / 3).max(MIN_RETRY_AFTER);
     let retry_after = wait.max(time_left / 8).clamp(MIN_RETRY_AFTER, latest);
     let spread = retry_after * (80 + rand::random::<u64>() % 21) / 100;
-    Error::new(ErrorKind::Overloaded, "it would wait too long").with_retry_after(spread)
+    Error::new(ErrorKind::Overloaded, "the wait for a slot is too long").with_retry_after(spread)
 }
 
-/// Why this backend is not to be given the request now; certain not to have run.
+/// Returns why the backend cannot run the request at `now`; `None` if it can. A refused request is
+/// certain not to have run.
 fn refusal_reason(
     backend: Option<&LocalBackend>,
     now: Microseconds,
     request: &ForwardedRequest,
 ) -> Option<Error> {
     let Some(backend) = backend.filter(|backend| backend.name == request.backend) else {
-        let detail = "that backend is not beside this node";
+        let detail = "the requested backend is not beside this node";
         return Some(Error::new(ErrorKind::WrongIncarnation, detail));
     };
     if !backend.accepts_requests(now) {
         return Some(Error::new(
             ErrorKind::Draining,
-            "the backend takes nothing new",
+            "the backend accepts no new requests",
         ));
     }
     let (shard_key, held_keys) = request.shard_key.zip(backend.held_keys.as_ref())?;
-    let detail = "the backend does not hold the key now";
+    let detail = "the backend does not hold the shard key";
     (!held_keys.holds(now, shard_key)).then(|| Error::new(ErrorKind::KeyWithoutHolder, detail))
 }
--- a/crates/inbound/src/connection_pool.rs
+++ b/crates/inbound/src/connection_pool.rs
@@ -1,5 +1,5 @@
-//! Connections into the backend that wait for their next request, and how long they may (design 13.4,
-//! 13.9).
+//! Pool of idle connections to the backend, with a limit on their idle time that adapts to stale
+//! connections (design 13.4, 13.9).
 
 #[cfg(test)]
 mod tests;
@@ -12,10 +12,10 @@
 use hyper::client::conn::http1::SendRequest;
 use model::Microseconds;
 
-/// A connection on which a request can be sent.
+/// The sending half of an HTTP/1.1 connection to the backend.
 pub(crate) type HttpSender = SendRequest<Full<Bytes>>;
 
-/// Idle connections. The lock is a leaf: nothing is awaited or locked while it is held.
+/// Idle connections. While the lock is held, no other lock is taken and nothing is awaited.
 #[derive(Default)]
 pub(crate) struct ConnectionPool {
     pooled: Mutex<PooledConnections>,
@@ -23,32 +23,34 @@
 
 #[derive(Default)]
 struct PooledConnections {
-    /// The latest used last.
+    /// Ordered by last use; the most recently used connection is at the back.
     idle: VecDeque<IdleConnection>,
     idle_limit: IdleLimit,
 }
 
 struct IdleConnection {
-    since: Microseconds,
-    /// Until then the backend keeps it open, by its own word.
-    until: Microseconds,
+    idle_since: Microseconds,
+    /// The time until which the backend keeps the connection open, according to its `keep-alive`
+    /// header or the default timeout.
+    usable_until: Microseconds,
     sender: HttpSender,
 }
 
-/// How long a connection may idle where the backend does not say: 4 s.
+/// Idle timeout of a connection if the backend announces none, in microseconds.
 const DEFAULT_IDLE_TIMEOUT: Microseconds = 4_000_000;
-/// Taken off what the backend says, as it counts from its own last byte: 1 s.
+/// Margin subtracted from the backend's keep-alive timeout, in microseconds. The backend's timeout
+/// starts when it writes its last byte, before this side receives that byte.
 const KEEP_ALIVE_MARGIN: Microseconds = 1_000_000;
-/// More than any backend has slots for would never be used.
+/// Maximum number of idle connections. More connections than a backend has slots are never used.
 const MAX_IDLE_CONNECTIONS: usize = 24;
-/// The idle limit falls no further than 50 ms.
+/// Lower bound of the idle limit, in microseconds.
 const MIN_IDLE_LIMIT: Microseconds = 50_000;
-/// The idle limit doubles after 4 s without a stale connection.
+/// Time without a stale connection after which the idle limit doubles, in microseconds.
 const IDLE_LIMIT_DOUBLING_INTERVAL: Microseconds = 4_000_000;
 
-/// How long a connection may idle, learned from those that were stale: half as long as the shortest
-/// of them, and twice as long again whenever none was stale for a while. Pure, with the time passed
-/// in.
+/// Adaptive limit on the idle time of a connection. A stale connection lowers the limit to half of
+/// that connection's idle time; after [`IDLE_LIMIT_DOUBLING_INTERVAL`] without a stale connection the
+/// limit doubles. Callers pass in the current time.
 struct IdleLimit {
     limit: Microseconds,
     changed_at: Microseconds,
@@ -64,8 +66,8 @@
 }
 
 impl IdleLimit {
-    fn record_stale(&mut self, now: Microseconds, idled: Microseconds) {
-        self.limit = self.limit.min(idled / 2).max(MIN_IDLE_LIMIT);
+    fn record_stale(&mut self, now: Microseconds, idle_time: Microseconds) {
+        self.limit = self.limit.min(idle_time / 2).max(MIN_IDLE_LIMIT);
         self.changed_at = now;
     }
 
@@ -84,20 +86,21 @@
         self.pooled.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes the connection used last that is still open; says for how long it idled.
+    /// Takes the most recently used connection that is still usable, and returns it with its idle
+    /// time.
     pub(crate) fn take(&self, now: Microseconds) -> Option<(Microseconds, HttpSender)> {
         let mut pooled = self.lock();
         let limit = pooled.idle_limit.current(now);
         pooled.idle.retain(|connection| {
-            let idled = now.saturating_sub(connection.since);
-            now < connection.until && idled < limit && !connection.sender.is_closed()
+            let idle_time = now.saturating_sub(connection.idle_since);
+            now < connection.usable_until && idle_time < limit && !connection.sender.is_closed()
         });
         let connection = pooled.idle.pop_back()?;
-        Some((now.saturating_sub(connection.since), connection.sender))
+        Some((now.saturating_sub(connection.idle_since), connection.sender))
     }
 
-    /// Keeps a connection for the next request. `keep_alive` is how long the backend says that it
-    /// keeps it open, in microseconds.
+    /// Returns a connection to the pool. `keep_alive` is the idle timeout that the backend announced,
+    /// in microseconds.
     pub(crate) fn put_back(
         &self,
         now: Microseconds,
@@ -113,8 +116,8 @@
             .unwrap_or(DEFAULT_IDLE_TIMEOUT);
         let mut pooled = self.lock();
         pooled.idle.push_back(IdleConnection {
-            since: now,
-            until: now + usable_for,
+            idle_since: now,
+            usable_until: now + usable_for,
             sender,
         });
         if pooled.idle.len() > MAX_IDLE_CONNECTIONS {
@@ -122,12 +125,12 @@
         }
     }
 
-    /// The backend had closed a connection that idled for so long.
-    pub(crate) fn record_stale(&self, now: Microseconds, idled: Microseconds) {
-        self.lock().idle_limit.record_stale(now, idled);
+    /// Records that the backend had already closed a connection that was idle for `idle_time`.
+    pub(crate) fn record_stale(&self, now: Microseconds, idle_time: Microseconds) {
+        self.lock().idle_limit.record_stale(now, idle_time);
     }
 
-    /// Forgets everything: there is another backend now.
+    /// Closes all idle connections and resets the idle limit, because the backend was replaced.
     pub(crate) fn clear(&self) {
         *self.lock() = PooledConnections::default();
     }
--- a/crates/inbound/src/connection_pool/tests.rs
+++ b/crates/inbound/src/connection_pool/tests.rs
@@ -1,9 +1,9 @@
-//! How the idle limit is learned.
+//! Adaptation of the idle limit to stale connections.
 
 use super::*;
 
 #[test]
-fn connections_idle_half_as_long_as_stale_ones_did_and_longer_again_bit_by_bit() {
+fn the_idle_limit_is_half_the_idle_time_of_a_stale_connection_and_doubles_back() {
     let mut limit = IdleLimit::default();
     assert_eq!(limit.current(0), DEFAULT_IDLE_TIMEOUT);
     limit.record_stale(1_000_000, 300_000);
@@ -12,7 +12,7 @@
     assert_eq!(
         limit.current(1_100_001),
         150_000,
-        "one that idled longer says nothing new"
+        "a stale connection with a longer idle time does not change the limit"
     );
     let steps: Vec<u64> = (1..8)
         .map(|step| limit.current(1_100_001 + step * (IDLE_LIMIT_DOUBLING_INTERVAL + 1)))
--- a/crates/inbound/src/key_demand/tests.rs
+++ b/crates/inbound/src/key_demand/tests.rs
@@ -1,9 +1,9 @@
-//! What a report of the demand on shard keys says.
+//! Contents of the reports on shard key demand.
 
 use super::*;
 
 #[test]
-fn busy_keys_are_cut_finely_and_parts_cover_the_ranges() {
+fn busy_keys_get_small_ranges_and_the_parts_cover_all_ranges() {
     let mut demand = KeyDemand::default();
     for request in 0..1_000u32 {
         let busy = request % 2 == 0;
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn what_is_reported_is_a_rate_however_often_it_is_reported() {
+fn reported_rates_do_not_depend_on_the_report_interval() {
     let mut demand = KeyDemand::default();
     let mut rates: Vec<f32> = Vec::new();
     for step in 1..60u64 {
--- a/crates/inbound/src/lib.rs
+++ b/crates/inbound/src/lib.rs
@@ -1,15 +1,16 @@
-//! The inbound side of a node: everything that reaches the backend beside it goes through here. One
-//! task owns its slots, order and keys, so what it was never given is known never to have run
-//! (design 13).
+//! The inbound side of a node. All traffic to the backend beside the node passes through this crate.
+//! One task owns the backend's slots, queue and shard keys, so a request that this task never started
+//! is known not to have run (design 13).
 //!
-//! A request passes these layers, each named for what it adds:
+//! A request passes these layers:
 //!
-//! 1. [`ConcurrencyLimiter`]: admission by slots, keys and drain; the handle on the owning task.
-//! 2. [`AdmissionQueue`]: order by priority, load shedding by expected wait.
+//! 1. [`ConcurrencyLimiter`]: admission by slots, shard keys and drain state. It is the handle of the
+//!    owning task.
+//! 2. [`AdmissionQueue`]: ordering by priority and load shedding by expected wait.
 //! 3. [`OutlierDetector`]: ejection of a backend whose runs fail.
-//! 4. [`BackendClient`]: HTTP into the backend over pooled connections.
+//! 4. [`BackendClient`]: HTTP requests to the backend over pooled connections.
 //!
-//! [`KeyDemand`] counts what shard keys are asked for, for those who place them.
+//! [`KeyDemand`] counts the requests for each shard key; shard placement uses these counts.
 #![deny(missing_docs)]
 
 mod admission_queue;
--- a/crates/inbound/src/local_backend.rs
+++ b/crates/inbound/src/local_backend.rs
@@ -1,26 +1,27 @@
-//! The backend beside this node, as the lease table tells it (design 13.2).
+//! The backend beside this node, as described by the lease table (design 13.2).
 
 use model::Microseconds;
 use model::cluster_state::ShardKey;
 
-/// The shard keys that the backend was told to hold.
+/// The shard ranges that are assigned to the backend.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HeldKeys {
-    /// First and last key of each range.
+    /// The first and last key of each held range.
     pub ranges: Vec<(ShardKey, ShardKey)>,
-    /// Until then the backend surely holds them.
+    /// The time until which the backend is certain to hold `ranges`, a point of [`model::now`].
     pub held_until: Microseconds,
-    /// Ranges that it is about to get: a request for them may wait a moment.
+    /// The first and last key of each range that is about to be assigned to the backend. A request
+    /// for such a range may wait briefly.
     pub pending: Vec<(ShardKey, ShardKey)>,
 }
 
 impl HeldKeys {
-    /// Whether the backend surely holds the key now.
+    /// Returns whether the backend is certain to hold the key at `now`.
     pub fn holds(&self, now: Microseconds, key: ShardKey) -> bool {
         now < self.held_until && contains(&self.ranges, key)
     }
 
-    /// Whether the backend is about to get the key.
+    /// Returns whether the key is in a range that is about to be assigned to the backend.
     pub fn is_pending(&self, key: ShardKey) -> bool {
         contains(&self.pending, key)
     }
@@ -35,20 +36,20 @@
 /// The backend beside this node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LocalBackend {
-    /// Its name; a request for another is refused.
+    /// The backend's name. A request for a backend of another name is refused.
     pub name: String,
-    /// Where it listens.
+    /// The address at which the backend listens.
     pub address: String,
-    /// How many requests it runs at the same time.
+    /// The number of requests that the backend runs concurrently.
     pub slots: u32,
-    /// It takes no new request from then on: it drains, or has ended.
+    /// The time from which the backend accepts no new requests, as it drains or has ended.
     pub drains_at: Option<Microseconds>,
-    /// `None` if its service is not divided by key.
+    /// The shard keys that the backend holds; `None` if its service is not sharded.
     pub held_keys: Option<HeldKeys>,
 }
 
 impl LocalBackend {
-    /// Whether it takes new requests now.
+    /// Returns whether the backend accepts new requests at `now`.
     pub fn accepts_requests(&self, now: Microseconds) -> bool {
         self.drains_at.is_none_or(|drains_at| now < drains_at)
     }
--- a/crates/inbound/src/outlier_detection.rs
+++ b/crates/inbound/src/outlier_detection.rs
@@ -1,7 +1,7 @@
-//! Outlier detection: how the backend beside this node does, judged by what became of its runs and by
-//! nothing else (design 13.8). Pure, with the time passed in.
+//! Outlier detection: judges the health of the backend beside this node by the results of its runs
+//! alone (design 13.8). This module does no I/O; callers pass in the current time.
 //!
-//! `legacy-proxy` has no such detection: it only avoids a backend for a moment after a failure.
+//! `legacy-proxy` has no outlier detection; it only avoids a backend briefly after a failure.
 
 use std::collections::BTreeMap;
 use std::mem;
@@ -9,80 +9,88 @@
 use model::{Error, ErrorKind, Microseconds};
 use transport::ForwardedResponse;
 
-use crate::backend_client::MISDIRECTED;
+use crate::backend_client::MISDIRECTED_DETAIL;
 
-/// What the end of a run says of the backend.
+/// What the result of a run says about the health of the backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RunResult {
-    /// It answered, with a status below 500.
+    /// The backend answered with a status below 500.
     Success,
-    /// It failed, refused, broke off, or gave another request's response.
+    /// The backend failed, refused the request, closed the connection, or sent the response of another
+    /// request.
     Failure,
-    /// Nothing.
+    /// The result says nothing about the backend's health.
     Inconclusive,
 }
 
-/// A run that began and did not end.
+/// A run that has started and not ended.
 struct Run {
-    began: Microseconds,
-    /// It is not to be counted, or was already, as overdue.
+    started_at: Microseconds,
+    /// The end of this run is not counted: the run was already counted as overdue, or it belongs to
+    /// an earlier backend.
     counted: bool,
 }
 
-/// The ejection of a backend.
+/// The state of an ejected backend.
 struct Ejection {
-    /// Requests go elsewhere until then; from then on some try it.
+    /// The time until which all requests are refused; from then on some are admitted as trials.
     until: Microseconds,
     trial_successes: u32,
 }
 
-/// Decides when the backend is ejected, and when it has recovered.
+/// Decides when the backend is ejected and when it has recovered.
 #[derive(Default)]
 pub struct OutlierDetector {
     running: BTreeMap<u64, Run>,
     last_run_id: u64,
-    /// Decaying counts.
+    /// Decaying counts of successful and failed runs, as of `updated_at`.
     successes: f64,
     failures: f64,
     updated_at: Microseconds,
-    /// The latest runs, a bit each, set for a failure.
+    /// The latest [`RECENT_RUNS`] runs, one bit for each; a set bit is a failure.
     recent_failures: u32,
     ejection: Option<Ejection>,
     next_ejection_time: Microseconds,
     healthy_since: Microseconds,
 }
 
-/// Counts fall to a third (1/e) in 2 s.
+/// Time constant of the exponential decay of run counts, in microseconds.
 const DECAY_US: f64 = 2_000_000.0;
-/// So many failures, and such a share of all runs, eject the backend.
+/// The backend is ejected once the decayed counts reach both this number of failures and this ratio
+/// of failures to all runs.
 const MIN_FAILURES: f64 = 4.0;
 const FAILURE_RATIO: f64 = 0.25;
-/// So do so many of the latest runs, long before the counts do.
+/// The backend is also ejected after this number of failures among the latest runs, which reacts
+/// earlier than the decayed counts.
 const RECENT_RUNS: u32 = 12;
 const MAX_RECENT_FAILURES: u32 = 6;
-/// The first ejection lasts 1 s; each further one twice as long, up to 4 s, until the backend was
-/// healthy for 10 s.
+/// Duration of the first ejection, in microseconds. Each further ejection lasts twice as long, up to
+/// [`MAX_EJECTION_TIME`], until the backend was healthy for [`HEALTHY_TIME_TO_RESET`].
 const BASE_EJECTION_TIME: Microseconds = 1_000_000;
 const MAX_EJECTION_TIME: Microseconds = 4_000_000;
 const HEALTHY_TIME_TO_RESET: Microseconds = 10_000_000;
-/// So many successful trials in a row end the ejection; the first of them are idempotent requests.
+/// Number of consecutive successful trials that end the ejection; the first [`IDEMPOTENT_TRIALS`] of
+/// them use idempotent requests.
 const TRIALS_TO_RECOVER: u32 = 5;
 const IDEMPOTENT_TRIALS: u32 = 2;
-/// Without any run for 6 s after its time, nothing speaks for the ejection any more.
-const RECOVERY_WITHOUT_TRIALS: Microseconds = 6_000_000;
-/// Without idempotent requests for 2 s, any request may be a trial.
+/// Time after the start of the trial phase at which the ejection ends even without enough trials, in
+/// microseconds. The failures that led to the ejection are outdated by then.
+const RECOVERY_TIME_WITHOUT_TRIALS: Microseconds = 6_000_000;
+/// Time after the start of the trial phase from which any request may be a trial, in microseconds.
+/// Without this, a service without idempotent requests would get no trials.
 const TRIALS_BY_ANY_REQUEST_AFTER: Microseconds = 2_000_000;
-/// A run that takes so many times the mean, and 300 ms, counts as a failure before it ends, once the
-/// mean is of enough runs.
+/// A run is overdue once it takes longer than this multiple of the mean run duration and than
+/// [`MIN_OVERDUE_TIME`]. It counts as a failure from then on. The mean is used only if it is based on
+/// at least [`MIN_SAMPLES_FOR_MEAN`] runs.
 const OVERDUE_FACTOR: Microseconds = 4;
 const MIN_OVERDUE_TIME: Microseconds = 300_000;
 const MIN_SAMPLES_FOR_MEAN: u32 = 16;
-/// A request that comes during a trial is to go elsewhere for 250 ms.
+/// Retry delay for requests that are refused during the trial phase, in microseconds.
 const TRIAL_RETRY_AFTER: Microseconds = 250_000;
-/// From this status on the backend failed.
+/// The lowest HTTP status that counts as a failure.
 const FIRST_FAILURE_STATUS: u16 = 500;
 
-/// What came of a run, as far as it is the backend's doing.
+/// Classifies the result of a run by what it says about the backend's health.
 pub(crate) fn classify_run(result: &Result<ForwardedResponse, Error>) -> RunResult {
     match result {
         Ok(response) if response.status < FIRST_FAILURE_STATUS => RunResult::Success,
@@ -91,75 +99,75 @@
             ErrorKind::BackendLost | ErrorKind::BadSeal | ErrorKind::Unreachable => {
                 RunResult::Failure
             }
-            ErrorKind::Refused if error.detail != MISDIRECTED => RunResult::Failure,
+            ErrorKind::Refused if error.detail != MISDIRECTED_DETAIL => RunResult::Failure,
             _ => RunResult::Inconclusive,
         },
     }
 }
 
 impl OutlierDetector {
-    /// How many runs began and did not end.
+    /// Returns the number of runs that have started and not ended.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// A run began; returns its id.
+    /// Records the start of a run and returns its id.
     pub fn run_started(&mut self, now: Microseconds) -> u64 {
         self.last_run_id += 1;
         self.running.insert(
             self.last_run_id,
             Run {
-                began: now,
+                started_at: now,
                 counted: false,
             },
         );
         self.last_run_id
     }
 
-    /// A run ended.
+    /// Records the end of a run.
     pub fn run_ended(&mut self, now: Microseconds, run_id: u64, result: RunResult) {
         let Some(run) = self.running.remove(&run_id) else {
             return;
         };
         match result {
-            RunResult::Success if !run.counted => self.record(now, run.began, true),
-            RunResult::Failure if !run.counted => self.record(now, run.began, false),
+            RunResult::Success if !run.counted => self.record(now, run.started_at, true),
+            RunResult::Failure if !run.counted => self.record(now, run.started_at, false),
             _ => {}
         }
     }
 
-    /// Counts runs that take far too long as failures. `mean` is the mean time of a run, of so many
-    /// `samples`.
+    /// Counts overdue runs as failures, and ends an ejection whose trial phase has lasted too long.
+    /// `mean` is the mean run duration over `samples` runs.
     pub fn check_overdue(&mut self, now: Microseconds, (mean, samples): (Microseconds, u32)) {
-        let longest = (mean * OVERDUE_FACTOR).max(MIN_OVERDUE_TIME);
+        let overdue_time = (mean * OVERDUE_FACTOR).max(MIN_OVERDUE_TIME);
         if samples >= MIN_SAMPLES_FOR_MEAN {
-            let overdue = |run: &&mut Run| !run.counted && now > run.began + longest;
-            let mut began = Vec::new();
+            let overdue = |run: &&mut Run| !run.counted && now > run.started_at + overdue_time;
+            let mut started_at = Vec::new();
             for run in self.running.values_mut().filter(overdue) {
                 run.counted = true;
-                began.push(run.began);
+                started_at.push(run.started_at);
             }
-            for began in began {
-                self.record(now, began, false);
+            for started_at in started_at {
+                self.record(now, started_at, false);
             }
         }
         let ejection = self.ejection.as_ref();
-        if ejection.is_some_and(|ejection| now > ejection.until + RECOVERY_WITHOUT_TRIALS) {
+        if ejection.is_some_and(|ejection| now > ejection.until + RECOVERY_TIME_WITHOUT_TRIALS) {
             self.recover(now);
         }
     }
 
-    fn record(&mut self, now: Microseconds, began: Microseconds, success: bool) {
-        let kept = (-(now.saturating_sub(self.updated_at) as f64) / DECAY_US).exp();
-        self.successes = self.successes * kept + success as u8 as f64;
-        self.failures = self.failures * kept + !success as u8 as f64;
+    fn record(&mut self, now: Microseconds, started_at: Microseconds, success: bool) {
+        let decay = (-(now.saturating_sub(self.updated_at) as f64) / DECAY_US).exp();
+        self.successes = self.successes * decay + success as u8 as f64;
+        self.failures = self.failures * decay + !success as u8 as f64;
         self.updated_at = now;
         self.recent_failures =
             (self.recent_failures << 1 | !success as u32) & ((1 << RECENT_RUNS) - 1);
-        let fails_too_often = self.fails_too_often();
+        let exceeds_failure_limits = self.exceeds_failure_limits();
         match self.ejection.as_mut() {
-            // What began before the trials says nothing new.
-            Some(ejection) if began < ejection.until => {}
+            // A run that started before the trial phase is no new evidence.
+            Some(ejection) if started_at < ejection.until => {}
             Some(ejection) if success => {
                 ejection.trial_successes += 1;
                 if ejection.trial_successes >= TRIALS_TO_RECOVER {
@@ -167,7 +175,7 @@
                 }
             }
             Some(_) => self.eject(now),
-            None if fails_too_often => {
+            None if exceeds_failure_limits => {
                 if now > self.healthy_since + HEALTHY_TIME_TO_RESET {
                     self.next_ejection_time = BASE_EJECTION_TIME;
                 }
@@ -177,7 +185,7 @@
         }
     }
 
-    fn fails_too_often(&self) -> bool {
+    fn exceeds_failure_limits(&self) -> bool {
         let runs = self.successes + self.failures;
         self.failures >= MIN_FAILURES && self.failures >= FAILURE_RATIO * runs
             || self.recent_failures.count_ones() >= MAX_RECENT_FAILURES
@@ -200,13 +208,13 @@
         (self.successes, self.failures, self.recent_failures) = (0.0, 0.0, 0);
     }
 
-    /// Whether the backend is ejected, also while requests try it.
+    /// Returns whether the backend is ejected; this includes the trial phase.
     pub fn is_ejected(&self) -> bool {
         self.ejection.is_some()
     }
 
-    /// For how long, in microseconds, a request that may go elsewhere should; `None` if the backend
-    /// is to take it, as a trial or because it is healthy.
+    /// Returns the retry delay, in microseconds, for a request that another backend can run; `None` if
+    /// this backend should run it, because it is healthy or as a trial.
     pub fn ejection_retry_after(
         &self,
         now: Microseconds,
@@ -216,14 +224,15 @@
         if now < ejection.until {
             return Some(ejection.until - now);
         }
-        let may_try = idempotent
+        let eligible_for_trial = idempotent
             || ejection.trial_successes >= IDEMPOTENT_TRIALS
             || now > ejection.until + TRIALS_BY_ANY_REQUEST_AFTER;
-        let trials_at_once = ejection.trial_successes as usize;
-        (!may_try || self.running.len() > trials_at_once).then_some(TRIAL_RETRY_AFTER)
+        let concurrent_trials = ejection.trial_successes as usize;
+        (!eligible_for_trial || self.running.len() > concurrent_trials).then_some(TRIAL_RETRY_AFTER)
     }
 
-    /// Another backend took its place: its runs go on, and say nothing of the new one.
+    /// Resets the detector because the backend was replaced. Runs of the former backend are still
+    /// tracked, but not counted for the new one.
     pub fn reset(&mut self) {
         let mut running = mem::take(&mut self.running);
         for run in running.values_mut() {
--- a/crates/proxy-core/src/lib.rs
+++ b/crates/proxy-core/src/lib.rs
@@ -1,12 +1,11 @@
-//! What both data planes share: `outbound` with `inbound` over the cluster state, and
-//! `legacy-proxy` over standing orders.
+//! Code shared by both data planes: `outbound` with `inbound`, which follow the cluster state, and
+//! `legacy-proxy`, which follows standing orders.
 //!
 //! * [`in_flight`] counts requests so that a shutdown can refuse new ones and wait for the rest.
-//! * [`selection`] picks the candidate of least cost, in turn among equals.
+//! * [`selection`] selects the candidate of least cost and rotates among candidates of equal cost.
 //!
-//! What the two planes do differently stays in each of them and is named in the module
-//! documentation there: what a candidate costs (`selector`) and how retries are earned
-//! (`retry_budget`).
+//! Each data plane has its own cost function (`selector`) and its own retry budget
+//! (`retry_budget`); the documentation of these modules explains the differences.
 #![deny(missing_docs)]
 
 pub mod in_flight;
--- a/crates/proxy-core/tests/in_flight.rs
+++ b/crates/proxy-core/tests/in_flight.rs
@@ -1,4 +1,4 @@
-//! What a graceful shutdown may rely on (design 8.3).
+//! Guarantees of the in-flight counter on which a graceful shutdown relies (design 8.3).
 
 use proxy_core::InFlightRequests;
 
