--- a/crates/inbound/tests/refusals.rs
+++ b/crates/inbound/tests/refusals.rs
@@ -1,11 +1,12 @@
-//! What a backend answers with a status that promises it did not run, with and without the word that it did not
-//! (design 13.4).
+//! Responses with a status that promises that the request did not run, with and without the `not_run`
+//! header that confirms it (design 13.4).
 
 use model::{ErrorKind, ExecutionStatus};
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::TcpListener;
 
-/// Answers each request with the head that its path names.
+/// Starts a backend that answers each request with the status that the path names, and with the
+/// `not_run` header if the path ends in `/marked`.
 async fn start_backend() -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
@@ -16,34 +17,34 @@
                 head.push(stream.read_u8().await.expect("a head"));
             }
             let head = String::from_utf8_lossy(&head).to_string();
-            let mut asked = head
+            let mut path_segments = head
                 .split(' ')
                 .nth(1)
                 .unwrap_or_default()
                 .trim_start_matches('/')
                 .split('/');
-            let (status, marked) = (
-                asked.next().unwrap_or_default(),
-                asked.next() == Some("marked"),
+            let (status, with_header) = (
+                path_segments.next().unwrap_or_default(),
+                path_segments.next() == Some("marked"),
             );
-            let mark = if marked {
+            let not_run_header = if with_header {
                 "x-gradeford-not-run: 1\r\n"
             } else {
                 ""
             };
-            let answer = format!(
-                "HTTP/1.1 {status} x\r\nx-gradeford-try: t\r\n{mark}connection: close\r\ncontent-length: 0\r\n\r\n"
+            let response = format!(
+                "HTTP/1.1 {status} x\r\nx-gradeford-try: t\r\n{not_run_header}connection: close\r\ncontent-length: 0\r\n\r\n"
             );
             stream
-                .write_all(answer.as_bytes())
+                .write_all(response.as_bytes())
                 .await
-                .expect("it is read");
+                .expect("the client reads the response");
         }
     });
     address
 }
 
-async fn answered(address: &str, target: &str) -> Result<u16, (ErrorKind, ExecutionStatus)> {
+async fn forward(address: &str, target: &str) -> Result<u16, (ErrorKind, ExecutionStatus)> {
     let request = transport::ForwardedRequest {
         backend: "b".into(),
         caller: "seat".into(),
@@ -62,37 +63,38 @@
         .forward(address, &request, 30_000_000)
         .await;
     outcome
-        .map(|take| take.status)
+        .map(|response| response.status)
         .map_err(|error| (error.kind, error.execution_status))
 }
 
 #[tokio::test]
-async fn a_status_that_promises_is_passed_on_only_with_the_backends_word() {
+async fn a_status_that_promises_no_run_counts_as_refusal_only_with_the_not_run_header() {
     let address = start_backend().await;
     for status in [408, 421, 429, 503] {
-        let marked = answered(&address, &format!("/{status}/marked")).await;
+        let with_header = forward(&address, &format!("/{status}/marked")).await;
         assert_eq!(
-            marked,
+            with_header,
             Err((ErrorKind::Refused, ExecutionStatus::NotRun)),
             "{status}"
         );
     }
     for status in [408, 429, 503] {
-        let bare = answered(&address, &format!("/{status}/bare")).await;
+        let without_header = forward(&address, &format!("/{status}/bare")).await;
         assert_eq!(
-            bare,
+            without_header,
             Err((ErrorKind::BackendLost, ExecutionStatus::MayHaveRun)),
-            "{status}: nobody said that it did not run"
+            "{status}: the response does not say that the request did not run"
         );
     }
-    // A backend that is not the one asked for says so by the status alone; all else is its own answer.
+    // Status 421 alone means that the request reached the wrong backend. All other statuses are passed
+    // on to the client.
     assert_eq!(
-        answered(&address, "/421/bare").await,
+        forward(&address, "/421/bare").await,
         Err((ErrorKind::Refused, ExecutionStatus::NotRun))
     );
     for status in [400, 404, 409, 500, 504] {
         assert_eq!(
-            answered(&address, &format!("/{status}/bare")).await,
+            forward(&address, &format!("/{status}/bare")).await,
             Ok(status)
         );
     }
--- a/crates/inbound/tests/stale_connections.rs
+++ b/crates/inbound/tests/stale_connections.rs
@@ -1,11 +1,13 @@
-//! A stand-in backend that forgets every connection it has answered on: the next thing sent there is reset (design 13.9).
+//! Stale connections (design 13.9). The test backend answers one request on each connection and resets
+//! the connection when the next request arrives.
 
 use std::sync::Arc;
 use std::sync::Mutex;
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::{TcpListener, TcpStream};
 
-/// The requests in the order of their arrival: the number of the connection, how many came on it before, and the method.
+/// The requests in order of arrival: the number of the connection, the number of earlier requests on
+/// it, and the method.
 type Arrivals = Arc<Mutex<Vec<(usize, usize, String)>>>;
 
 async fn start_backend() -> (String, Arrivals) {
@@ -18,14 +20,14 @@
             let Ok((stream, _)) = listener.accept().await else {
                 return;
             };
-            tokio::spawn(attend(connection, stream, seen.clone()));
+            tokio::spawn(serve_connection(connection, stream, seen.clone()));
         }
     });
     (address, arrivals)
 }
 
-async fn attend(connection: usize, mut stream: TcpStream, seen: Arrivals) {
-    for before in 0.. {
+async fn serve_connection(connection: usize, mut stream: TcpStream, seen: Arrivals) {
+    for earlier_requests in 0.. {
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
             match stream.read_u8().await {
@@ -36,20 +38,20 @@
         let head = String::from_utf8_lossy(&head).to_string();
         let method = head.split(' ').next().unwrap_or_default().to_string();
         seen.lock()
-            .expect("whole")
-            .push((connection, before, method));
-        if before > 0 {
-            // What it read and never answers makes the close a reset.
+            .expect("the lock is not poisoned")
+            .push((connection, earlier_requests, method));
+        if earlier_requests > 0 {
+            // Closing without an answer to this request resets the connection.
             return;
         }
-        let try_id = head
+        let attempt_id = head
             .lines()
             .find_map(|line| line.strip_prefix("x-gradeford-try: "))
             .unwrap_or_default();
-        let answer = format!(
-            "HTTP/1.1 200 OK\r\nx-gradeford-try: {try_id}\r\nx-gradeford-seal: s\r\ncontent-length: 2\r\n\r\nok"
+        let response = format!(
+            "HTTP/1.1 200 OK\r\nx-gradeford-try: {attempt_id}\r\nx-gradeford-seal: s\r\ncontent-length: 2\r\n\r\nok"
         );
-        if stream.write_all(answer.as_bytes()).await.is_err() {
+        if stream.write_all(response.as_bytes()).await.is_err() {
             return;
         }
     }
@@ -73,8 +75,7 @@
 }
 
 #[tokio::test]
-async fn a_request_that_must_not_run_twice_is_sent_on_new_connections_only_and_the_rest_is_left_to_the_budget()
- {
+async fn a_non_idempotent_request_uses_new_connections_only_and_no_request_is_resent() {
     let (address, arrivals) = start_backend().await;
     let client = inbound::BackendClient::new(http_util::headers::DEFAULT_HEADER_NAMES);
     let mut outcomes = Vec::new();
@@ -87,7 +88,7 @@
                 .await,
         ));
     }
-    let seen = arrivals.lock().expect("whole").clone();
+    let seen = arrivals.lock().expect("the lock is not poisoned").clone();
     assert!(
         outcomes
             .iter()
@@ -96,22 +97,23 @@
     );
     assert!(
         seen.iter()
-            .all(|(_, before, method)| method != "PUT" || *before == 0),
+            .all(|(_, earlier_requests, method)| method != "PUT" || *earlier_requests == 0),
         "{seen:?}"
     );
-    // Each was sent once: a repeat is an arrival that the near side has to pay for.
+    // Each request was sent once: a second attempt is subject to the retry budget of the outbound side.
     assert_eq!(seen.len(), 40);
-    let lost: Vec<_> = outcomes
+    let failures: Vec<_> = outcomes
         .iter()
         .filter_map(|(_, outcome)| outcome.as_ref().err())
         .collect();
     assert!(
-        lost.len() >= 10,
-        "kept connections were used: {}",
-        lost.len()
+        failures.len() >= 10,
+        "pooled connections must have been used: {}",
+        failures.len()
     );
     assert!(
-        lost.iter()
+        failures
+            .iter()
             .all(|error| error.execution_status == model::ExecutionStatus::MayHaveRun)
     );
 }
@@ -123,12 +125,12 @@
     client
         .forward(&address, &request(true, 0), 30_000_000)
         .await
-        .expect("the first on its connection");
+        .expect("the first request on a connection succeeds");
     for number in 1..4 {
         client
             .forward(&address, &request(false, number), 30_000_000)
             .await
-            .expect("on a connection of its own");
+            .expect("a request on a new connection succeeds");
     }
     for number in 4..6 {
         drop(
@@ -139,13 +141,13 @@
     }
     let seen: Vec<(usize, usize)> = arrivals
         .lock()
-        .expect("whole")
+        .expect("the lock is not poisoned")
         .iter()
-        .map(|(connection, before, _)| (*connection, *before))
+        .map(|(connection, earlier_requests, _)| (*connection, *earlier_requests))
         .collect();
     assert_eq!(
         seen[4..],
         [(3, 1), (2, 1)],
-        "the connection used last, then the one before it, and no new one"
+        "the most recently used connection is taken first, then the one before it, and no new one"
     );
 }
--- a/crates/outbound/src/lib.rs
+++ b/crates/outbound/src/lib.rs
@@ -1,15 +1,16 @@
-//! The outbound side of a node: takes clients' requests, finds the backend that is to run each, and
-//! answers (design 13).
+//! The outbound side of a node: accepts clients' requests, selects a backend for each request, and
+//! returns the response (design 13).
 //!
-//! A request passes these layers, each named for what it adds:
+//! A request passes these layers:
 //!
-//! 1. [`Listener`]: HTTP. Takes a request whole and answers it whole.
-//! 2. [`OutboundProxy`]: routing, the deadline, and retries. Its phases are its methods.
-//! 3. [`SelectorHandle`]: load balancing and, through [`RetryBudget`], the bound on retries.
-//! 4. [`PeerConnections`]: multiplexed connections to the nodes beside other backends; for the
-//!    backend beside this node `inbound::ConcurrencyLimiter` is called directly.
+//! 1. [`Listener`]: HTTP server. It reads a complete request and writes a complete response.
+//! 2. [`OutboundProxy`]: routing, deadlines and retries.
+//! 3. [`SelectorHandle`]: load balancing and, with [`RetryBudget`], the limit on retries.
+//! 4. [`PeerConnections`]: multiplexed connections to the nodes beside other backends. For the
+//!    backend beside this node, `inbound::ConcurrencyLimiter` is called directly.
 //!
-//! [`serve_peers`] is the other end of layer 4: it hands what peers forward to `inbound`.
+//! [`serve_peers`] is the receiving end of layer 4: it passes the requests that peers forward to
+//! `inbound`.
 #![deny(missing_docs)]
 
 mod listener;
--- a/crates/outbound/src/listener.rs
+++ b/crates/outbound/src/listener.rs
@@ -1,5 +1,5 @@
-//! Clients' HTTP connections: a request is taken whole before anything is decided, and an answer is
-//! given whole, so that one cut short cannot look complete (design 13.1).
+//! Clients' HTTP connections. A request is read completely before it is processed, and a response is
+//! written as a whole, so that a truncated response cannot look complete (design 13.1).
 
 use std::convert::Infallible;
 use std::pin::pin;
@@ -20,40 +20,40 @@
 
 use crate::{OutboundProxy, Request};
 
-/// What a [`Listener`] is set to.
+/// Configuration of a [`Listener`].
 #[derive(Clone)]
 pub struct ListenerConfig {
-    /// The header names of this site.
+    /// The header names that this site uses.
     pub header_names: HeaderNames,
 }
 
-/// Serves clients over HTTP/1.1 and has their requests performed by an [`OutboundProxy`].
+/// Serves clients over HTTP/1.1 and passes their requests to an [`OutboundProxy`].
 #[derive(Clone)]
 pub struct Listener {
-    /// What it is set to.
+    /// The configuration of the listener.
     pub config: ListenerConfig,
-    /// Performs the requests.
+    /// The proxy that performs the requests.
     pub proxy: OutboundProxy,
 }
 
 type HttpResponse = hyper::Response<Full<Bytes>>;
 
-/// How long a connection may idle while no limits are known.
+/// Idle timeout of a connection while the site's limits are not known.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// How large a head may be while no limits are known.
+/// Size limit of a request head while the site's limits are not known.
 const DEFAULT_MAX_HEADER_BYTES: usize = 65_536;
-/// The HTTP library accepts no smaller limit for a head.
-const LEAST_MAX_HEADER_BYTES: usize = 8_192;
-/// How large a body may be while no limits are known.
+/// The smallest size limit of a request head that the HTTP library accepts.
+const MIN_HEADER_BYTES_LIMIT: usize = 8_192;
+/// Size limit of a request body while the site's limits are not known.
 const DEFAULT_MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
-/// When a client is to come back where the error does not say: 0.5 s.
+/// Retry delay of errors that specify none, in microseconds.
 const DEFAULT_RETRY_AFTER: Microseconds = 500_000;
 const MICROSECONDS_PER_MILLISECOND: Microseconds = 1_000;
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
 impl Listener {
-    /// Serves until `shutdown` turns true. Then no connection begins a further request, and each
-    /// request that was taken is answered.
+    /// Serves clients until `shutdown` becomes true. After that no connection starts another request,
+    /// and each request that was already accepted is answered.
     pub async fn serve(self, listener: TcpListener, shutdown: watch::Receiver<bool>) {
         let mut shutdown_requested = shutdown.clone();
         loop {
@@ -84,7 +84,7 @@
             .max_buf_size(
                 max_header_bytes
                     .unwrap_or(DEFAULT_MAX_HEADER_BYTES)
-                    .max(LEAST_MAX_HEADER_BYTES),
+                    .max(MIN_HEADER_BYTES_LIMIT),
             );
         let mut connection = pin!(builder.serve_connection(TokioIo::new(stream), service));
         tokio::select! {
@@ -105,17 +105,20 @@
             Err(error) => return self.error_response(&attempt_id, error),
         };
         if attempt_id.is_empty() {
-            let error = Error::new(ErrorKind::BadRequest, "the attempt has no identity");
+            let error = Error::new(
+                ErrorKind::BadRequest,
+                "the request has no attempt id header",
+            );
             return self.error_response(&attempt_id, error);
         }
         let request = self.build_request(&head, body, attempt_id.clone(), received_at);
         match self.proxy.perform(request).await {
-            Ok(response) => self.success_response(&attempt_id, response),
+            Ok(response) => self.client_response(&attempt_id, response),
             Err(error) => self.error_response(&attempt_id, error),
         }
     }
 
-    /// Reads the whole body, up to the limit of the site.
+    /// Reads the complete body, up to the site's limit.
     async fn read_body(&self, body: Incoming) -> Result<Vec<u8>, Error> {
         let max_body_bytes = {
             let state = self.proxy.verified_state.load();
@@ -128,9 +131,12 @@
             Ok(body) => Ok(body.to_bytes().to_vec()),
             Err(error) if error.is::<LengthLimitError>() => Err(Error::new(
                 ErrorKind::TooLarge,
-                "the body is over the limit",
+                "the request body exceeds the size limit",
+            )),
+            Err(_) => Err(Error::new(
+                ErrorKind::BadRequest,
+                "the request body is incomplete",
             )),
-            Err(_) => Err(Error::new(ErrorKind::BadRequest, "the body broke off")),
         }
     }
 
@@ -166,21 +172,21 @@
         }
     }
 
-    /// The client's headers without those of one connection, and without those that the node beside
-    /// the backend sets anew.
+    /// Returns the client's headers without hop-by-hop headers and without the headers that the node
+    /// beside the backend sets.
     fn end_to_end_headers(&self, head: &Parts) -> Headers {
         let names = &self.config.header_names;
-        let own_headers = [names.time_left_ms, names.target_backend, names.caller];
+        let replaced_headers = [names.time_left_ms, names.target_backend, names.caller];
         let headers = head.headers.iter().filter(|(name, _)| {
-            !is_hop_by_hop(name.as_str()) && !own_headers.contains(&name.as_str())
+            !is_hop_by_hop(name.as_str()) && !replaced_headers.contains(&name.as_str())
         });
         headers
             .map(|(name, value)| (name.as_str().to_string(), value.as_bytes().to_vec()))
             .collect()
     }
 
-    fn success_response(&self, attempt_id: &str, response: ForwardedResponse) -> HttpResponse {
-        // This side knows the attempt: its id need not come back over the connection between nodes.
+    fn client_response(&self, attempt_id: &str, response: ForwardedResponse) -> HttpResponse {
+        // The attempt id is known here, so peers don't send it back.
         let builder = hyper::Response::builder()
             .status(response.status)
             .header(self.config.header_names.attempt_id, attempt_id);
@@ -195,13 +201,16 @@
             .unwrap_or_else(|_| {
                 self.error_response(
                     "",
-                    Error::new(ErrorKind::BadSeal, "a response that HTTP cannot carry"),
+                    Error::new(
+                        ErrorKind::BadSeal,
+                        "the response cannot be encoded as an HTTP response",
+                    ),
                 )
             })
     }
 
-    /// 503 promises that the request did not run and never will, and says when to come back; 502 and
-    /// 504 promise nothing.
+    /// Builds the response for an error. Status 503 promises that the request did not run and never
+    /// will, and specifies a retry delay; after 502 and 504 the request may have run.
     fn error_response(&self, attempt_id: &str, error: Error) -> HttpResponse {
         let status = match (error.execution_status, error.kind) {
             (_, ErrorKind::NoRoute) => 404,
--- a/crates/outbound/src/peer_connections.rs
+++ b/crates/outbound/src/peer_connections.rs
@@ -1,5 +1,5 @@
-//! Connections to the nodes beside other backends: one to each, with many requests on it, closed
-//! when idle (design 13.2).
+//! Connections to the nodes beside other backends. There is one multiplexed connection per node, which
+//! is closed when idle (design 13.2).
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -18,29 +18,30 @@
 type OutcomeSender = oneshot::Sender<ForwardOutcome>;
 
 enum Command {
-    /// Forward a request under this id and answer with its outcome.
+    /// Forward a request under this id and send back its outcome.
     Forward(u32, Box<ForwardedRequest>, OutcomeSender),
-    /// The caller of this request waits no longer.
+    /// Cancel the request with this id, because its caller has stopped waiting.
     Cancel(u32),
-    /// Send this frame; no answer is expected.
+    /// Send this frame without expecting an answer.
     Notify(Frame),
 }
 
-/// What this node says of itself in a handshake, by the purpose of the connection.
+/// Builds this node's handshake for a connection of the given purpose.
 pub type HandshakeFactory = Arc<dyn Fn(Purpose) -> Handshake + Send + Sync>;
 
-/// A handle on all connections to peers. Each connection is owned by a task of its own, which is
-/// started by the first request to its address and reached over a queue. Clones share everything.
+/// Handle of all connections to peers. Each connection is owned by its own task, which is started by
+/// the first request to its address and receives commands over a queue. Clones share all connections.
 #[derive(Clone)]
 pub struct PeerConnections {
-    /// The queue of the task that owns the connection to each address.
+    /// By address, the command queue of the task that owns the connection.
     queues: Arc<Mutex<HashMap<String, mpsc::Sender<Command>>>>,
-    /// Request ids count over all connections, so that a late answer meets no later request.
+    /// Request ids are unique over all connections, so that a late answer is not matched to a later
+    /// request.
     next_request_id: Arc<AtomicU32>,
     handshake_factory: HandshakeFactory,
 }
 
-/// Tells the peer that the caller is gone, unless the outcome came first.
+/// Guard that cancels the request at the peer when it is dropped before the outcome has arrived.
 struct CancelOnDrop {
     queue: mpsc::Sender<Command>,
     request_id: u32,
@@ -50,19 +51,19 @@
 impl Drop for CancelOnDrop {
     fn drop(&mut self) {
         if !self.answered {
-            // Without room in the queue the peer finds the request's time over instead.
+            // If the queue is full, the peer drops the request when its time has passed.
             drop(self.queue.try_send(Command::Cancel(self.request_id)));
         }
     }
 }
 
-/// A connection without a request for so long is closed.
+/// Time without requests after which a connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Commands that may wait for one connection.
-const QUEUE_CAPACITY: usize = 1_024;
+/// Capacity of the command queue of a connection.
+const COMMAND_QUEUE_CAPACITY: usize = 1_024;
 
 impl PeerConnections {
-    /// A handle without any connection yet.
+    /// Creates a handle without connections.
     pub fn start(handshake_factory: HandshakeFactory) -> PeerConnections {
         PeerConnections {
             queues: Default::default(),
@@ -72,17 +73,18 @@
     }
 
     /// Forwards a request to the node at `address` and waits for the outcome. Dropping the future
-    /// cancels the request there.
+    /// cancels the request at that node.
     ///
-    /// An error is [`ErrorKind::Unreachable`], certainly not run, if the request was never written, and
-    /// [`ErrorKind::PeerLost`], may have run, if the connection broke with the request on it.
+    /// The error is [`ErrorKind::Unreachable`] if the request was never written and certainly did not
+    /// run, and [`ErrorKind::PeerLost`] if the connection failed after it was written and the request
+    /// may have run.
     pub async fn call(&self, address: &str, request: Box<ForwardedRequest>) -> ForwardOutcome {
         let (outcome_sender, outcome) = oneshot::channel();
         let queue = self.queue_to(address);
         let request_id = self.next_request_id.fetch_add(1, Ordering::Relaxed);
-        let sent = queue.try_send(Command::Forward(request_id, request, outcome_sender));
-        if let Err(mpsc::error::TrySendError::Full(_)) = sent {
-            return unreachable("too much waits for that node");
+        let enqueued = queue.try_send(Command::Forward(request_id, request, outcome_sender));
+        if let Err(mpsc::error::TrySendError::Full(_)) = enqueued {
+            return unreachable("the queue to the peer node is full");
         }
         let mut cancel_on_drop = CancelOnDrop {
             queue,
@@ -91,23 +93,25 @@
         };
         let outcome = outcome.await;
         cancel_on_drop.answered = true;
-        // A queue that closed, or a task that ended with the command in hand, has written nothing.
-        outcome.unwrap_or_else(|_| unreachable("the connection to that node ended"))
+        // If the queue was closed or the task ended without an outcome, the request was not written.
+        outcome.unwrap_or_else(|_| {
+            unreachable("the connection to the peer node was closed before the request was written")
+        })
     }
 
-    /// Sends a frame that may as well be lost.
+    /// Sends a frame without a delivery guarantee.
     pub fn notify(&self, address: &str, frame: Frame) {
         drop(self.queue_to(address).try_send(Command::Notify(frame)));
     }
 
-    /// The queue to the connection's task, which is started if there is none. The lock is a leaf:
-    /// nothing is awaited or locked while it is held (design 8.1).
+    /// Returns the queue of the connection's task, and starts the task if there is none. While the lock
+    /// is held, no other lock is taken and nothing is awaited (design 8.1).
     fn queue_to(&self, address: &str) -> mpsc::Sender<Command> {
         let mut queues = self.queues.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(queue) = queues.get(address).filter(|queue| !queue.is_closed()) {
             return queue.clone();
         }
-        let (queue, commands) = mpsc::channel(QUEUE_CAPACITY);
+        let (queue, commands) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
         queues.insert(address.to_string(), queue.clone());
         tokio::spawn(connect_and_run(
             address.to_string(),
@@ -118,11 +122,13 @@
     }
 }
 
-/// The outcome of a request that was never written.
+/// Builds the outcome of a request that was never written.
 fn unreachable(detail: impl Into<String>) -> ForwardOutcome {
     (Err(Error::new(ErrorKind::Unreachable, detail)), 0)
 }
 
+/// Connects to the peer and runs the connection's task. If connecting fails, all queued requests fail
+/// as unreachable.
 async fn connect_and_run(
     address: String,
     handshake_factory: HandshakeFactory,
@@ -141,7 +147,7 @@
     }
 }
 
-/// Owns one connection, and the requests on it that wait for their outcome.
+/// The task that owns one connection and its pending requests.
 struct ConnectionTask {
     connection: Connection,
     pending: HashMap<u32, OutcomeSender>,
@@ -149,12 +155,12 @@
     decoder: HeaderDecoder,
 }
 
-/// Whether the connection goes on after a command or a frame.
+/// Whether the connection can still be used after a command or a frame.
 #[derive(PartialEq)]
-enum Continue {
-    Yes,
-    /// Both ends' tables of headers may differ from now on: the connection has to end.
-    No,
+enum ConnectionState {
+    Usable,
+    /// The header tables of the two ends may differ, so the connection must be closed.
+    MustClose,
 }
 
 impl ConnectionTask {
@@ -169,10 +175,10 @@
 
     async fn run(mut self, mut commands: mpsc::Receiver<Command>) {
         loop {
-            let forwarded_or_received = tokio::select! {
+            let connection_state = tokio::select! {
                 command = commands.recv() => match command {
                     Some(Command::Forward(request_id, request, outcome_sender)) => {
-                        // The caller left before anything was written.
+                        // The caller stopped waiting before anything was written.
                         if outcome_sender.is_closed() {
                             continue;
                         }
@@ -194,15 +200,18 @@
                 },
                 _ = time::sleep(IDLE_TIMEOUT), if self.pending.is_empty() => break,
             };
-            // A full table of headers begins anew with a new connection.
-            let table_used_up = self.encoder.is_full() && self.pending.is_empty();
-            if forwarded_or_received == Continue::No || table_used_up {
+            // A full header table is reset by opening a new connection.
+            let header_table_is_full = self.encoder.is_full() && self.pending.is_empty();
+            if connection_state == ConnectionState::MustClose || header_table_is_full {
                 break;
             }
         }
-        // What was written and not answered may have run; what is still queued was not written.
+        // A request that was written and not answered may have run; a queued request was not written.
         for outcome_sender in self.pending.into_values() {
-            let error = Error::new(ErrorKind::PeerLost, "the connection to that node broke");
+            let error = Error::new(
+                ErrorKind::PeerLost,
+                "the connection to the peer node was lost",
+            );
             drop(outcome_sender.send((Err(error), 0)));
         }
         commands.close();
@@ -213,7 +222,7 @@
         request_id: u32,
         request: ForwardedRequest,
         outcome_sender: OutcomeSender,
-    ) -> Continue {
+    ) -> ConnectionState {
         let encoded = Box::new(request.encode(&mut self.encoder));
         match self
             .connection
@@ -222,12 +231,14 @@
         {
             Ok(()) => {
                 self.pending.insert(request_id, outcome_sender);
-                Continue::Yes
+                ConnectionState::Usable
             }
-            // What was not written is not in the peer's table of headers either.
+            // The peer's header table lacks the headers of a request that was not written.
             Err(_) => {
-                drop(outcome_sender.send(unreachable("the connection takes nothing more")));
-                Continue::No
+                drop(outcome_sender.send(unreachable(
+                    "the connection to the peer node accepts no more frames",
+                )));
+                ConnectionState::MustClose
             }
         }
     }
@@ -242,11 +253,11 @@
         }
     }
 
-    fn receive(&mut self, frame: Frame) -> Continue {
+    fn receive(&mut self, frame: Frame) -> ConnectionState {
         match frame {
             Frame::ForwardedResponse(request_id, expected_wait, encoded) => {
                 let Ok(response) = encoded.decode(&mut self.decoder) else {
-                    return Continue::No;
+                    return ConnectionState::MustClose;
                 };
                 self.answer(request_id, Ok(response), expected_wait);
             }
@@ -255,7 +266,7 @@
             }
             _ => {}
         }
-        Continue::Yes
+        ConnectionState::Usable
     }
 
     fn answer(
--- a/crates/outbound/src/peer_server.rs
+++ b/crates/outbound/src/peer_server.rs
@@ -1,5 +1,5 @@
-//! What a node serves to its peers: requests for the backend beside it, heartbeats, and reports of
-//! the load on shard keys (design 13.2, 5.10).
+//! Server for peer nodes. It accepts requests for the backend beside this node, heartbeats, and reports
+//! on the load of shard keys (design 13.2, 5.10).
 
 use std::collections::HashMap;
 
@@ -15,15 +15,15 @@
 
 use crate::HandshakeFactory;
 
-/// Tells the failure detector which peer, in which incarnation, sent a heartbeat.
+/// Sends the name and incarnation of each peer that sent a heartbeat to the failure detector.
 pub type HeartbeatSender = mpsc::Sender<(String, Incarnation)>;
-/// Tells the placement coordinator how much its shard keys are asked for beside a peer.
+/// Sends peers' reports on the load of shard keys to the placement coordinator.
 pub type LoadReportSender = mpsc::Sender<LoadReport>;
 
-/// Outcomes that may wait to be written to one connection.
+/// Capacity of the queue of outcomes that wait to be written to one connection.
 const OUTCOME_CAPACITY: usize = 1_024;
 
-/// Accepts peers' connections for ever and serves each in a task of its own.
+/// Accepts connections from peers indefinitely and serves each connection in its own task.
 pub async fn serve_peers(
     listener: TcpListener,
     handshake_factory: HandshakeFactory,
@@ -49,7 +49,8 @@
     }
 }
 
-/// The handshake: takes over the replicas that the peer knows, and refuses what only a replica serves.
+/// Performs the handshake: merges the replicas that the peer knows into `known_replicas`, and refuses
+/// connections whose purpose only a replica serves.
 async fn accept(
     stream: TcpStream,
     handshake_factory: HandshakeFactory,
@@ -58,15 +59,17 @@
     let accepted = transport::accept(stream, |peer| async move {
         control::membership::discovery::merge(&known_replicas, peer.known_replicas);
         match peer.purpose {
-            Purpose::Consensus | Purpose::RequestAssignment => Err("no core seat is here".into()),
+            Purpose::Consensus | Purpose::RequestAssignment => {
+                Err("this node is not a core replica".into())
+            }
             purpose => Ok((handshake_factory)(purpose)),
         }
     });
     accepted.await.ok()
 }
 
-/// Requests of one connection, by the peer's request id. Dropping it aborts them: with the
-/// connection goes whoever waited on it.
+/// The running requests of one connection, by the peer's request id. Dropping this aborts them, because
+/// nobody waits for their outcome after the connection has ended.
 #[derive(Default)]
 struct RunningRequests {
     tasks: HashMap<u32, AbortHandle>,
@@ -80,6 +83,7 @@
     }
 }
 
+/// Serves the connection of one peer.
 struct PeerServer {
     limiter: ConcurrencyLimiter,
     heartbeats: HeartbeatSender,
@@ -87,14 +91,27 @@
 }
 
 impl PeerServer {
-    /// Serves one connection to its end.
+    /// Serves the connection until it ends.
     async fn serve(self, mut connection: Connection) {
         let (mut encoder, mut decoder) = (HeaderEncoder::default(), HeaderDecoder::default());
         let (outcome_sender, mut outcomes) =
             mpsc::channel::<(u32, ForwardOutcome)>(OUTCOME_CAPACITY);
         let mut running = RunningRequests::default();
         loop {
-            let frame = tokio::select! { frame = connection.receiver.recv() => match frame { Some(frame) => frame, None => return }, Some((request_id, outcome)) = outcomes.recv() => { running.tasks.remove(&request_id); let response = response_frame(request_id, outcome, &mut encoder); if connection.sender.send(response).await.is_err() { return; } continue; } };
+            let frame = tokio::select! {
+                frame = connection.receiver.recv() => match frame {
+                    Some(frame) => frame,
+                    None => return,
+                },
+                Some((request_id, outcome)) = outcomes.recv() => {
+                    running.tasks.remove(&request_id);
+                    let response = response_frame(request_id, outcome, &mut encoder);
+                    if connection.sender.send(response).await.is_err() {
+                        return;
+                    }
+                    continue;
+                }
+            };
             match frame {
                 Frame::ForwardedRequest(request_id, encoded) => {
                     let task =
@@ -102,7 +119,8 @@
                     let Ok(task) = task else { return };
                     running.tasks.insert(request_id, task);
                 }
-                // What is queued never begins; what runs is broken off if it is idempotent (design 13.2).
+                // A queued request is never started; a running request is cancelled only if it is
+                // idempotent (design 13.2).
                 Frame::CancelRequest(request_id) => {
                     if let Some(task) = running.tasks.remove(&request_id) {
                         task.abort();
@@ -113,18 +131,18 @@
                     let heartbeat = (peer.node_name.clone(), peer.incarnation);
                     self.heartbeats.send(heartbeat).await.unwrap_or_default();
                 }
-                // A report that finds no room is followed by the next.
+                // A report that does not fit into the queue is dropped; another one follows.
                 Frame::LoadReport(load_report) => drop(self.load_reports.try_send(*load_report)),
                 _ => {}
             }
         }
     }
 
-    /// Starts a request.
+    /// Starts a request in a separate task.
     ///
     /// # Errors
     ///
-    /// If it cannot be decoded; the connection has to end then.
+    /// Fails if the request cannot be decoded; the connection must be closed then.
     fn run_request(
         &self,
         request_id: u32,
--- a/crates/outbound/src/proxy.rs
+++ b/crates/outbound/src/proxy.rs
@@ -1,18 +1,20 @@
-//! The way of one request, from its route to its answer (design 13.5).
+//! Processing of one request, from its route to its answer (design 13.5).
 //!
 //! [`OutboundProxy::perform`] calls the phases in this order:
 //!
-//! 1. **Admit**: refuse while the node shuts down, else count the request as in flight.
-//! 2. **Resolve the route** ([`RoutedRequest`]): which service, until when, how often.
-//! 3. **Prepare** an attempt: check the deadline, and say what time is left.
-//! 4. **Select an endpoint**: the holder of the shard key, or the cheapest backend.
-//! 5. **Attempt**: forward to the node beside that backend and wait for its answer.
-//! 6. **Classify** ([`AttemptHistory::classify_failure`]): is a retry allowed, and is it paid for?
+//! 1. **Admit**: refuse the request while the node shuts down, otherwise count it as in flight.
+//! 2. **Resolve the route** ([`RoutedRequest`]): determine the service, the deadline and the number of
+//!    attempts.
+//! 3. **Prepare** an attempt: check the deadline and set the time left.
+//! 4. **Select an endpoint**: the holder of the shard key, or the backend of least cost.
+//! 5. **Attempt**: forward the request to the node beside that backend and wait for the answer.
+//! 6. **Classify** ([`AttemptHistory::classify_failure`]): determine whether a retry is allowed and
+//!    whether the retry budget has to grant it.
 //! 7. **Retry or answer**.
 //!
-//! Two guarantees hold on every way out. A request that must not run twice is attempted again only
-//! after a certain [`ExecutionStatus::NotRun`]; and once an attempt may have run, no later error
-//! claims that the request did not.
+//! Two guarantees hold on every return path. A request that is not idempotent is attempted again only
+//! after an error with [`ExecutionStatus::NotRun`]. Once an attempt may have run, no later error claims
+//! that the request did not run.
 //!
 //! [`ExecutionStatus::NotRun`]: model::ExecutionStatus::NotRun
 
@@ -36,69 +38,73 @@
 use attempts::{AttemptHistory, NextStep, preserve_execution_status};
 use routing::RoutedRequest;
 
-/// Between two selections while nobody can take the request: a shard key may be on its way from one
-/// backend to another.
+/// Interval between two selections while no backend can take the request. A shard key may be moving
+/// from one backend to another.
 const RESELECT_INTERVAL: Duration = Duration::from_millis(15);
-/// How much later than the deadline a peer's answer may come: 50 ms. A peer answers by the deadline;
-/// one that is suspended never does.
+/// Time after the deadline for which a peer's answer is still awaited, in microseconds. A peer answers
+/// by the deadline; a peer whose process is suspended never answers.
 const PEER_RESPONSE_GRACE: Microseconds = 50_000;
-/// When a client is to come back to a node that shuts down: 1 s.
+/// Retry delay for clients of a node that shuts down, in microseconds.
 const RETRY_AFTER_SHUTDOWN: Microseconds = 1_000_000;
-/// When a client is to come back where no state is known or no backend can take the request: 0.3 s.
+/// Retry delay for clients while no state is known or no backend can take the request, in
+/// microseconds.
 const RETRY_AFTER_UNAVAILABLE: Microseconds = 300_000;
 
-/// Performs clients' requests. Clones share all state.
+/// Routes clients' requests to backends. Clones share all state.
 #[derive(Clone)]
 pub struct OutboundProxy {
     /// The name of this node.
     pub node: String,
-    /// The zone of this node; leaving it costs (see [`SelectorConfig`](crate::SelectorConfig)).
+    /// The zone of this node. Backends of other zones cost more, see
+    /// [`SelectorConfig`](crate::SelectorConfig).
     pub zone: String,
-    /// The service of this machine: a request that begins here is made in its name.
+    /// The service of this machine, which is named as the caller of the requests that start here.
     pub service: String,
     /// Routes, services, backends and shard maps, as last verified with the core.
     pub verified_state: SharedVerifiedState,
-    /// The way into the backend beside this node.
+    /// The concurrency limiter of the backend beside this node.
     pub limiter: ConcurrencyLimiter,
-    /// The way to the nodes beside all other backends.
+    /// The connections to the nodes beside all other backends.
     pub peers: PeerConnections,
     /// Load balancing and retry budgets.
     pub selector: SelectorHandle,
     /// Counts requests for a graceful shutdown.
     pub in_flight: InFlightRequests,
-    /// Where refused requests are logged, at debug level.
+    /// The logger; refused requests are logged at debug level.
     pub logger: Logger,
 }
 
-/// One request as its client sent it.
+/// A request as its client sent it.
 pub struct Request {
     /// The host, in lower case and without a port.
     pub host: String,
     /// The HTTP method.
     pub method: String,
-    /// Path and query as they were sent.
+    /// The path and query, unchanged.
     pub target: String,
-    /// The client's headers, without those that hold for one connection only and without ours.
+    /// The client's headers, without hop-by-hop headers and without the headers that the node beside
+    /// the backend sets.
     pub headers: Headers,
-    /// The whole body.
+    /// The complete body.
     pub body: Vec<u8>,
-    /// The identity that the client gave this attempt; it decides among a route's services.
+    /// The attempt id that the client assigned. It also selects one of the route's services.
     pub attempt_id: String,
-    /// The key, for services that are divided by key.
+    /// The shard key, for sharded services.
     pub shard_key: Option<ShardKey>,
-    /// How long the client waits, from `received_at`; `None` leaves it to the route.
+    /// The time that the client waits, in microseconds from `received_at`; `None` applies the route's
+    /// timeout.
     pub timeout: Option<Microseconds>,
-    /// When its head was read.
+    /// The time at which the head of the request was read.
     pub received_at: Microseconds,
 }
 
 impl OutboundProxy {
-    /// Performs one request to its one answer.
+    /// Performs a request, with retries, and returns its response.
     ///
     /// # Errors
     ///
-    /// The error of the last phase that failed. Its execution status says whether the request may
-    /// have run, over all attempts; its `retry_after` says when the client may come back.
+    /// Returns the error of the last phase that failed. Its execution status says whether any attempt
+    /// may have run; its `retry_after` says when the client may retry.
     pub async fn perform(&self, request: Request) -> Result<ForwardedResponse, Error> {
         let _in_flight = self.admit()?;
         let mut routed = self.resolve_route(request)?;
@@ -112,8 +118,8 @@
                 .select_endpoint(&state.snapshot, &routed, &history)
                 .await
             else {
-                routed.may_wait_for_endpoint(&history, now)?;
-                history.forget_passed_over();
+                routed.check_admission_deadline(&history, now)?;
+                history.clear_excluded_backends();
                 time::sleep(RESELECT_INTERVAL).await;
                 continue;
             };
@@ -152,18 +158,18 @@
         })
     }
 
-    /// Finds the route of the request's host and path, and the service that is to answer.
+    /// Finds the route for the request's host and path, and selects one of its services.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::StaleState`] before any state was verified or while it holds no route at all;
-    /// [`ErrorKind::NoRoute`] where no route fits.
+    /// [`ErrorKind::StaleState`] before any state was verified or while the state has no routes;
+    /// [`ErrorKind::NoRoute`] if no route matches.
     fn resolve_route(&self, request: Request) -> Result<RoutedRequest, Error> {
         let state = self.verified_state.load_full();
         if state.verified_at == 0 || !state.snapshot.has_routes() {
             let error = Error::new(
                 ErrorKind::StaleState,
-                "nothing is known yet of what is to be served",
+                "this node has no verified routes yet",
             );
             return Err(error.with_retry_after(RETRY_AFTER_UNAVAILABLE));
         }
@@ -182,34 +188,36 @@
         ))
     }
 
-    /// The backend that the next attempt goes to; `None` while nobody can take it.
+    /// Selects the backend for the next attempt; `None` while no backend can take it.
     async fn select_endpoint(
         &self,
         snapshot: &StateSnapshot,
         routed: &RoutedRequest,
         history: &AttemptHistory,
     ) -> Option<AvailableBackend> {
-        let passed_over = history.passed_over();
+        let excluded_backends = history.excluded_backends();
         match routed.forwarded.shard_key {
-            Some(shard_key) => select_key_holder(snapshot, &routed.service, shard_key, passed_over),
+            Some(shard_key) => {
+                select_key_holder(snapshot, &routed.service, shard_key, excluded_backends)
+            }
             None => {
-                self.select_any(snapshot, &routed.service, passed_over)
+                self.select_any(snapshot, &routed.service, excluded_backends)
                     .await
             }
         }
     }
 
-    /// The cheapest backend of the service that was not passed over.
+    /// Selects the backend of least cost among those of the service that are not excluded.
     async fn select_any(
         &self,
         snapshot: &StateSnapshot,
         service: &str,
-        passed_over: &[String],
+        excluded_backends: &[String],
     ) -> Option<AvailableBackend> {
         let backends = snapshot.available_backends(service);
         let open = backends
             .iter()
-            .filter(|backend| !passed_over.contains(&backend.name));
+            .filter(|backend| !excluded_backends.contains(&backend.name));
         let candidates = open
             .map(|backend| Candidate {
                 name: backend.name.clone(),
@@ -224,7 +232,7 @@
             .cloned()
     }
 
-    /// Forwards the request to one backend and waits for what came of it.
+    /// Forwards the request to one backend and waits for the outcome.
     async fn attempt(
         &self,
         endpoint: &AvailableBackend,
@@ -238,8 +246,8 @@
         within_deadline(routed.forwarded.time_left, call).await
     }
 
-    /// Tells the selector how the attempt ended. A backend whose connection was lost, or whose node
-    /// shuts down, said nothing of its load and is avoided for a while.
+    /// Reports a failed attempt to the selector. A backend whose connection was lost or whose node
+    /// shuts down has reported no load, and is avoided for a while.
     async fn report_failure(
         &self,
         endpoint: &AvailableBackend,
@@ -260,36 +268,37 @@
     }
 }
 
-/// Waits for a peer's answer until [`PEER_RESPONSE_GRACE`] after the deadline. Without an answer the
-/// request may have run.
+/// Waits for a peer's answer until [`PEER_RESPONSE_GRACE`] after the deadline. If there is no answer,
+/// the request may have run.
 async fn within_deadline(
     time_left: Microseconds,
     call: impl Future<Output = ForwardOutcome>,
 ) -> ForwardOutcome {
-    let patience = Duration::from_micros(time_left + PEER_RESPONSE_GRACE);
-    let outcome = time::timeout(patience, call).await;
+    let wait_limit = Duration::from_micros(time_left + PEER_RESPONSE_GRACE);
+    let outcome = time::timeout(wait_limit, call).await;
     outcome.unwrap_or_else(|_| {
         (
             Err(Error::new(
                 ErrorKind::TimedOut,
-                "that node answered nothing in time",
+                "the peer node did not answer before the deadline",
             )),
             0,
         )
     })
 }
 
-/// The holder of the shard key; while the key moves, whoever may still hold it.
+/// Selects the holder of the shard key. While the key moves, this may be an earlier holder that has not
+/// released the key yet.
 fn select_key_holder(
     snapshot: &StateSnapshot,
     service: &str,
     shard_key: ShardKey,
-    passed_over: &[String],
+    excluded_backends: &[String],
 ) -> Option<AvailableBackend> {
     let (_, shard_map) = &**snapshot.placements.get(service)?;
     let range = shard_map::range_of(shard_map, shard_key)?;
     let earlier_holders = range.pending_releases.iter().rev().map(|(name, _)| name);
     let holders = range.holder.iter().chain(earlier_holders);
-    let mut open = holders.filter(|name| !passed_over.contains(name));
+    let mut open = holders.filter(|name| !excluded_backends.contains(name));
     open.find_map(|name| snapshot.find_backend(name))
 }
--- a/crates/outbound/src/proxy/attempts.rs
+++ b/crates/outbound/src/proxy/attempts.rs
@@ -1,82 +1,82 @@
-//! What became of a request's attempts, and whether there may be another. Pure.
+//! Results of a request's attempts, and the decision on a further attempt. This module does no I/O.
 
 use model::{Error, ErrorKind, ExecutionStatus};
 
-/// So many ejected backends may pass a request over; the next has to take it. However many are
-/// ejected, a request goes past few of them (design 13.8).
-const MAX_PASSED_OVER: u8 = 2;
+/// Maximum number of ejected backends that may refuse a request; the next one has to run it. This bounds
+/// the delay of a request while many backends are ejected (design 13.8).
+const MAX_EJECTION_REFUSALS: u8 = 2;
 
-/// What allows or forbids a further attempt.
+/// Conditions for a further attempt.
 pub(super) struct RetryPolicy {
-    /// Whether the request may run more than once without harm.
+    /// Whether the request is idempotent, so that it may run more than once.
     pub(super) idempotent: bool,
-    /// Whether only the holder of a shard key can run it.
+    /// Whether only the holder of a shard key can run the request.
     pub(super) keyed: bool,
-    /// The most attempts that may reach a backend.
+    /// The maximum number of attempts that may reach a backend.
     pub(super) max_attempts: u8,
 }
 
-/// What follows a failed attempt.
+/// The step that follows a failed attempt.
 #[derive(Debug)]
 pub(super) enum NextStep {
-    /// No further attempt: the client is answered with this error.
+    /// Make no further attempt, and answer the client with this error.
     Answer(Error),
-    /// Another attempt, free of charge: this one reached no backend.
+    /// Make another attempt without charging the retry budget, as this one reached no backend.
     Retry,
-    /// Another attempt if the retry budget grants it, else the client is answered with this error.
+    /// Make another attempt if the retry budget grants it, otherwise answer the client with this error.
     RetryFromBudget(Error),
 }
 
 /// The failed attempts of one request.
 #[derive(Default)]
 pub(super) struct AttemptHistory {
-    /// The backends that failed since the last pause between selections.
-    passed_over: Vec<String>,
-    /// Attempts that reached a backend, which counts though it ran nothing.
+    /// The backends that failed since the last pause between selections, and are not selected again.
+    excluded_backends: Vec<String>,
+    /// Number of attempts that reached a backend, including those that the backend refused.
     reached_backends: u8,
-    /// Attempts that an ejected backend passed over.
+    /// Number of attempts that were refused because the backend was ejected.
     ejection_refusals: u8,
     /// Whether any attempt may have run.
     may_have_run: bool,
 }
 
 impl AttemptHistory {
-    /// The backends that are not to be selected again for now.
-    pub(super) fn passed_over(&self) -> &[String] {
-        &self.passed_over
+    /// Returns the backends that are currently excluded from selection.
+    pub(super) fn excluded_backends(&self) -> &[String] {
+        &self.excluded_backends
     }
 
-    /// Allows all backends again, after a selection that found none.
-    pub(super) fn forget_passed_over(&mut self) {
-        self.passed_over.clear();
+    /// Makes all backends eligible again, after a selection that found none.
+    pub(super) fn clear_excluded_backends(&mut self) {
+        self.excluded_backends.clear();
     }
 
-    /// Whether any attempt may have run.
+    /// Returns whether any attempt may have run.
     pub(super) fn may_have_run(&self) -> bool {
         self.may_have_run
     }
 
-    /// Whether the next backend has to take the request though it is ejected.
-    pub(super) fn must_be_taken(&self) -> bool {
-        self.ejection_refusals >= MAX_PASSED_OVER
+    /// Returns whether the next backend has to run the request even if it is ejected.
+    pub(super) fn must_ignore_ejection(&self) -> bool {
+        self.ejection_refusals >= MAX_EJECTION_REFUSALS
     }
 
-    /// Records that `backend` failed with `error`, and says what follows.
+    /// Records that `backend` failed with `error`, and returns the next step.
     pub(super) fn classify_failure(
         &mut self,
         backend: String,
         error: Error,
         policy: &RetryPolicy,
     ) -> NextStep {
-        self.passed_over.push(backend);
+        self.excluded_backends.push(backend);
         self.ejection_refusals += (error.kind == ErrorKind::PassedOver) as u8;
-        let certainly_not_run = error.execution_status == ExecutionStatus::NotRun;
-        self.may_have_run |= !certainly_not_run;
-        let may_run_again = certainly_not_run || policy.idempotent;
+        let did_not_run = error.execution_status == ExecutionStatus::NotRun;
+        self.may_have_run |= !did_not_run;
+        let may_run_again = did_not_run || policy.idempotent;
         if !may_run_again || !is_retryable(&error, policy.keyed) {
             return NextStep::Answer(preserve_execution_status(error, self.may_have_run));
         }
-        let reached_backend = !certainly_not_run || error.kind == ErrorKind::Refused;
+        let reached_backend = !did_not_run || error.kind == ErrorKind::Refused;
         if !reached_backend {
             return NextStep::Retry;
         }
@@ -88,20 +88,21 @@
     }
 }
 
-/// Once an attempt may have run, no later error takes that back (docs/verdicts.md).
+/// Ensures that an error does not claim that the request did not run once an earlier attempt may have
+/// run (docs/verdicts.md).
 pub(super) fn preserve_execution_status(error: Error, may_have_run: bool) -> Error {
     if !may_have_run || error.execution_status == ExecutionStatus::MayHaveRun {
         return error;
     }
     let detail = format!(
-        "an earlier attempt may have run; then: {}",
+        "an earlier attempt may have run; last error: {}",
         error.kind.code()
     );
     Error::new(ErrorKind::BackendLost, detail)
 }
 
-/// Whether another backend, or the same a moment later, may do without this error. With a shard key
-/// there is no other backend to leave a full or refusing one for.
+/// Returns whether another attempt may succeed, on another backend or later on the same one. For a
+/// request with a shard key there is no alternative to a backend that is overloaded or refuses.
 pub(super) fn is_retryable(error: &Error, keyed: bool) -> bool {
     match error.kind {
         ErrorKind::PassedOver
--- a/crates/outbound/src/proxy/routing.rs
+++ b/crates/outbound/src/proxy/routing.rs
@@ -1,4 +1,4 @@
-//! What a request's route decides: its service, its times, and how often it may be attempted.
+//! Applies a route to a request: service, deadlines and number of attempts.
 
 use model::cluster_state::{Route, ShardKey, StateSnapshot};
 use model::{Error, ErrorKind, Microseconds, leases};
@@ -7,32 +7,32 @@
 use super::attempts::{AttemptHistory, RetryPolicy, preserve_execution_status};
 use super::{RETRY_AFTER_UNAVAILABLE, Request};
 
-/// The latency target where an operator names none: 1 s.
+/// Latency target of routes for which the operator sets none, in microseconds.
 const DEFAULT_LATENCY_TARGET: Microseconds = 1_000_000;
-/// A client that is refused for want of a backend hears it within this part of the latency target,
-/// and may come back in time.
-const ADMISSION_PART_OF_TARGET: Microseconds = 4;
+/// A request for which no backend is available is refused after the latency target divided by this
+/// number, so that the client can retry in time.
+const ADMISSION_TARGET_DIVISOR: Microseconds = 4;
 
-/// A request with its route resolved. All times are points of [`model::now`], in microseconds.
+/// A request whose route is resolved. All times are points of [`model::now`], in microseconds.
 pub(super) struct RoutedRequest {
-    /// The service that is to answer.
+    /// The service that the request goes to.
     pub(super) service: String,
-    /// What goes to the node beside the backend; prepared anew for each attempt.
+    /// The request that is sent to the node beside the backend; updated before each attempt.
     pub(super) forwarded: Box<ForwardedRequest>,
-    /// The client's shard key, used only while the service is divided by key.
+    /// The client's shard key, used only while the service is sharded.
     shard_key: Option<ShardKey>,
-    /// The client waits no longer.
+    /// The time at which the client stops waiting.
     deadline: Microseconds,
-    /// An answer after it is worth less.
+    /// The time by which the answer meets the latency target.
     respond_by: Microseconds,
-    /// Without a backend by then, the request is refused.
+    /// The time at which the request is refused if no backend was found.
     admission_deadline: Microseconds,
-    /// The most attempts that may reach a backend.
+    /// The maximum number of attempts that may reach a backend.
     max_attempts: u8,
 }
 
 impl RoutedRequest {
-    /// Applies the route to a request; `caller` is the service in whose name it is made.
+    /// Applies the route to a request; `caller` is the service that makes the request.
     pub(super) fn new(request: Request, route: &Route, caller: String) -> RoutedRequest {
         let latency_target = if route.latency_target_us == 0 {
             DEFAULT_LATENCY_TARGET
@@ -45,7 +45,7 @@
             shard_key: request.shard_key,
             deadline: request.received_at + timeout,
             respond_by: request.received_at + latency_target,
-            admission_deadline: request.received_at + latency_target / ADMISSION_PART_OF_TARGET,
+            admission_deadline: request.received_at + latency_target / ADMISSION_TARGET_DIVISOR,
             max_attempts: route.dispatches,
             forwarded: Box::new(ForwardedRequest {
                 backend: String::new(),
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Says in the forwarded request what holds for an attempt that begins `now`: the shard key, the
-    /// time left, and whether an ejected backend has to take it.
+    /// Updates the forwarded request for an attempt that starts at `now`: the shard key, the time
+    /// left, and whether an ejected backend has to run the request.
     ///
     /// # Errors
     ///
@@ -90,17 +90,17 @@
         }
         self.forwarded.time_left = self.deadline - now;
         self.forwarded.latency_target = self.respond_by.saturating_sub(now);
-        self.forwarded.force = history.must_be_taken();
+        self.forwarded.force = history.must_ignore_ejection();
         Ok(())
     }
 
-    /// Whether a request for which no endpoint was found may wait for one.
+    /// Checks whether a request for which no endpoint was found may wait for one.
     ///
     /// # Errors
     ///
     /// From the admission deadline on, [`ErrorKind::KeyWithoutHolder`] with a shard key and
     /// [`ErrorKind::NoBackend`] without.
-    pub(super) fn may_wait_for_endpoint(
+    pub(super) fn check_admission_deadline(
         &self,
         history: &AttemptHistory,
         now: Microseconds,
@@ -114,12 +114,12 @@
         } else {
             ErrorKind::NoBackend
         };
-        let error =
-            Error::new(kind, "nobody can take it now").with_retry_after(RETRY_AFTER_UNAVAILABLE);
+        let error = Error::new(kind, "no backend can take the request")
+            .with_retry_after(RETRY_AFTER_UNAVAILABLE);
         Err(preserve_execution_status(error, history.may_have_run()))
     }
 
-    /// What allows or forbids a further attempt after the present one.
+    /// Returns the conditions for a further attempt after the current one.
     pub(super) fn retry_policy(&self) -> RetryPolicy {
         RetryPolicy {
             idempotent: self.forwarded.idempotent,
@@ -129,7 +129,7 @@
     }
 }
 
-/// One of the route's services, by their weights. The same attempt id always gives the same service.
+/// Selects one of the route's services by weight. The same attempt id always selects the same service.
 pub(super) fn select_service(route: &Route, attempt_id: &str) -> String {
     let total_weight: u64 = route.shares.iter().map(|(_, weight)| *weight as u64).sum();
     if route.shares.len() == 1 || total_weight == 0 {
@@ -139,11 +139,11 @@
             .map(|(service, _)| service.clone())
             .unwrap_or_default();
     }
-    let point = leases::stable_hash(attempt_id) % total_weight;
+    let hash_point = leases::stable_hash(attempt_id) % total_weight;
     let mut cumulative_weight = 0;
     for (service, weight) in &route.shares {
         cumulative_weight += *weight as u64;
-        if point < cumulative_weight {
+        if hash_point < cumulative_weight {
             return service.clone();
         }
     }
--- a/crates/outbound/src/proxy/tests.rs
+++ b/crates/outbound/src/proxy/tests.rs
@@ -1,4 +1,4 @@
-//! Each phase of a request by itself.
+//! Unit tests of the phases of a request.
 
 use std::future;
 
@@ -12,7 +12,7 @@
     keyed: false,
     max_attempts: 3,
 };
-const ONCE_ONLY: RetryPolicy = RetryPolicy {
+const NOT_IDEMPOTENT: RetryPolicy = RetryPolicy {
     idempotent: false,
     ..IDEMPOTENT
 };
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn what_may_have_run_is_never_said_not_to_have_run() {
+fn an_error_after_an_attempt_that_may_have_run_does_not_claim_that_the_request_did_not_run() {
     let refusal = || Error::new(ErrorKind::Overloaded, "full").with_retry_after(1);
     assert_eq!(
         preserve_execution_status(refusal(), false).execution_status,
@@ -39,9 +39,9 @@
 }
 
 #[tokio::test]
-async fn a_suspended_peer_is_waited_for_no_longer_than_the_client_waits() {
+async fn the_wait_for_a_suspended_peer_ends_with_the_deadline() {
     let (outcome, _) = within_deadline(0, future::pending()).await;
-    let error = outcome.expect_err("nobody answers");
+    let error = outcome.expect_err("the peer never answers");
     assert_eq!(
         (error.kind, error.execution_status),
         (ErrorKind::TimedOut, ExecutionStatus::MayHaveRun)
@@ -49,24 +49,24 @@
 }
 
 #[test]
-fn a_request_that_must_not_run_twice_is_retried_only_after_a_certain_refusal() {
+fn a_non_idempotent_request_is_retried_only_after_an_attempt_that_did_not_run() {
     let mut history = AttemptHistory::default();
     assert!(matches!(
-        classify(&mut history, ErrorKind::Unreachable, &ONCE_ONLY),
+        classify(&mut history, ErrorKind::Unreachable, &NOT_IDEMPOTENT),
         NextStep::Retry
     ));
     assert!(matches!(
-        classify(&mut history, ErrorKind::Refused, &ONCE_ONLY),
+        classify(&mut history, ErrorKind::Refused, &NOT_IDEMPOTENT),
         NextStep::RetryFromBudget(_)
     ));
     assert!(matches!(
-        classify(&mut history, ErrorKind::BackendLost, &ONCE_ONLY),
+        classify(&mut history, ErrorKind::BackendLost, &NOT_IDEMPOTENT),
         NextStep::Answer(_)
     ));
 }
 
 #[test]
-fn retries_end_with_the_most_attempts_that_may_reach_a_backend() {
+fn retries_end_at_the_maximum_number_of_attempts_that_reach_a_backend() {
     let mut history = AttemptHistory::default();
     assert!(matches!(
         classify(&mut history, ErrorKind::BackendLost, &IDEMPOTENT),
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_full_backend_is_left_for_another_only_without_a_shard_key() {
+fn an_overloaded_backend_leads_to_a_retry_only_without_a_shard_key() {
     let keyed = RetryPolicy {
         keyed: true,
         ..IDEMPOTENT
@@ -115,14 +115,14 @@
 }
 
 #[test]
-fn after_two_ejected_backends_the_third_has_to_take_the_request() {
+fn after_refusals_by_two_ejected_backends_the_third_has_to_run_the_request() {
     let mut history = AttemptHistory::default();
-    for must_be_taken in [false, true] {
+    for must_ignore_ejection in [false, true] {
         assert!(matches!(
-            classify(&mut history, ErrorKind::PassedOver, &ONCE_ONLY),
+            classify(&mut history, ErrorKind::PassedOver, &NOT_IDEMPOTENT),
             NextStep::Retry
         ));
-        assert_eq!(history.must_be_taken(), must_be_taken);
+        assert_eq!(history.must_ignore_ejection(), must_ignore_ejection);
     }
-    assert_eq!(history.passed_over().len(), 2);
+    assert_eq!(history.excluded_backends().len(), 2);
 }
--- a/crates/outbound/src/retry_budget.rs
+++ b/crates/outbound/src/retry_budget.rs
@@ -1,44 +1,48 @@
-//! How many retries a node may give a service, such that any number of nodes together keep the
-//! promise: in any window no more retries than a share of the requests (design 13.10). Pure, with the
-//! time passed in.
+//! Retry budget of a service on one node. With any number of nodes, the retries of all nodes in any
+//! window stay below a fixed ratio of the requests (design 13.10). This module does no I/O; callers
+//! pass in the current time.
 //!
-//! Unlike the budget of `legacy-proxy`, which keeps what was earned up to a fixed allowance, what is
-//! earned here expires: an allowance of each node adds up over many nodes, this does not.
+//! Deposits expire. The budget of `legacy-proxy` instead keeps deposits up to a fixed allowance per
+//! node; these allowances add up over many nodes and exceed the ratio.
 
 use std::collections::VecDeque;
 
 use model::Microseconds;
 
-/// What a service's requests earned lately on one node. It is empty at the start, and nothing in it
-/// lasts: what is withdrawn in a window was deposited in it or in the half before it.
+/// The retry budget of a service on one node. It is empty at the start and its deposits expire, so that
+/// a withdrawal in a window uses deposits of that window or of the half window before it.
 ///
 /// Amounts are hundredths of a retry.
 #[derive(Default)]
 pub struct RetryBudget {
-    /// Start of each grain of time and what it earned, the oldest first.
+    /// The start of each deposit interval and the sum of its deposits, oldest first.
     deposits: VecDeque<(Microseconds, u64)>,
 }
 
-/// One retry, in hundredths.
+/// The cost of one retry, in hundredths of a retry.
 const RETRY_COST: u64 = 100;
-/// A deposit expires after 5 s: half of the shortest window that a site may promise by.
+/// Time after which a deposit expires, in microseconds: half of the shortest window for which a site
+/// may promise a retry ratio.
 const DEPOSIT_LIFETIME: Microseconds = 5_000_000;
-/// Deposits within 250 ms are kept as one.
-const DEPOSIT_GRAIN: Microseconds = 250_000;
-/// The part of the promised ratio that is used. The rest stands against what cannot be seen here:
-/// backends' own requests look like clients' requests, and a run that was a retry makes its requests
-/// again.
+/// Length of the interval whose deposits are summed, in microseconds.
+const DEPOSIT_INTERVAL: Microseconds = 250_000;
+/// The fraction of the promised ratio that is used. The rest is a margin for retries that cannot be
+/// recognized here: requests of backends look like requests of clients, and a run that is itself a
+/// retry makes its own requests again.
 const RATIO_MARGIN: f64 = 0.8;
 
 impl RetryBudget {
-    /// What one request earns, in hundredths of a retry, under a promise of `ratio` retries a request.
+    /// Returns the deposit for one request, in hundredths of a retry, for a promise of `ratio` retries
+    /// per request.
     ///
-    /// In every window there are as many requests as in the one counted, and in the half before it at
-    /// most as many as in the one half a window earlier: each of the two may spend half of the share.
+    /// Withdrawals in a window use deposits of that window and of the half window before it. The half
+    /// window before it has at most as many requests as the window that starts half a window earlier.
+    /// Therefore each of the two may contribute half of the ratio.
     pub fn deposit_for_ratio(ratio: f64) -> u64 {
         (ratio * RETRY_COST as f64 / 2.0 * RATIO_MARGIN) as u64
     }
 
+    /// Removes expired deposits.
     fn expire(&mut self, now: Microseconds) {
         while self
             .deposits
@@ -49,26 +53,26 @@
         }
     }
 
-    /// Earns `amount` hundredths of a retry.
+    /// Adds a deposit of `amount` hundredths of a retry.
     pub fn deposit(&mut self, now: Microseconds, amount: u64) {
-        let grain = now / DEPOSIT_GRAIN * DEPOSIT_GRAIN;
+        let interval_start = now / DEPOSIT_INTERVAL * DEPOSIT_INTERVAL;
         match self.deposits.back_mut() {
-            Some((at, sum)) if *at == grain => *sum += amount,
-            _ => self.deposits.push_back((grain, amount)),
+            Some((at, sum)) if *at == interval_start => *sum += amount,
+            _ => self.deposits.push_back((interval_start, amount)),
         }
         self.expire(now);
     }
 
-    /// Pays for one retry, out of the oldest deposits first. False, and nothing is paid, if the
-    /// deposits do not suffice.
+    /// Withdraws the cost of one retry, oldest deposits first. Returns false and withdraws nothing if
+    /// the deposits do not suffice.
     pub fn withdraw(&mut self, now: Microseconds) -> bool {
         self.expire(now);
         let suffices = self.deposits.iter().map(|(_, sum)| sum).sum::<u64>() >= RETRY_COST;
-        let mut unpaid = if suffices { RETRY_COST } else { 0 };
+        let mut remaining_cost = if suffices { RETRY_COST } else { 0 };
         for (_, sum) in &mut self.deposits {
-            let taken = unpaid.min(*sum);
-            *sum -= taken;
-            unpaid -= taken;
+            let amount_taken = remaining_cost.min(*sum);
+            *sum -= amount_taken;
+            remaining_cost -= amount_taken;
         }
         suffices
     }
--- a/crates/outbound/src/selector.rs
+++ b/crates/outbound/src/selector.rs
@@ -1,10 +1,10 @@
-//! Load balancing: which backend a request goes to (design 13.5), and whether its service may have a
-//! retry (design 13.6). One task owns the state and is reached through a [`SelectorHandle`].
+//! Load balancing: selection of the backend for a request (design 13.5), and the retry budgets of the
+//! services (design 13.6). One task owns the state; [`SelectorHandle`] is its handle.
 //!
-//! Unlike the selector of `legacy-proxy`, which prefers its own zone absolutely and then the lower
-//! share of slots in flight, a candidate's cost here is time: the wait that its node reported last,
-//! less the time since; the cost of leaving the zone; and a guess for the requests that are not yet
-//! in that report.
+//! The cost of a candidate is a time. It is the sum of the wait that the candidate's node reported
+//! last, less the time that has passed since; the cost of a backend in another zone; and an estimate
+//! for the requests that this report does not include yet. The selector of `legacy-proxy` differs: it
+//! always prefers its own zone, and then the lower ratio of requests in flight to slots.
 
 mod handle;
 #[cfg(test)]
@@ -20,32 +20,33 @@
 
 pub use handle::SelectorHandle;
 
-/// How long a slot is taken to be busy with a request that is in flight and not yet in a report: 60 ms.
+/// Assumed run time of a request that is in flight and not included in a report yet, in microseconds.
 const ASSUMED_RUN_TIME: Microseconds = 60_000;
 
-/// What a selector is set to.
+/// Configuration of a selector.
 #[derive(Clone, Copy, Debug)]
 pub struct SelectorConfig {
-    /// What leaving the zone is taken to cost, in microseconds of waiting time.
+    /// The additional cost of a backend in another zone, in microseconds of waiting time.
     pub zone_crossing_cost: Microseconds,
-    /// What each request earns its service, in hundredths of a retry
+    /// The deposit of each request into its service's retry budget, in hundredths of a retry
     /// (see [`RetryBudget::deposit_for_ratio`]).
     pub retry_deposit: u64,
 }
 
-/// What is known here of a backend's load.
+/// The load of a backend as this node knows it.
 #[derive(Default)]
 struct BackendLoad {
-    /// Attempts that began and did not finish.
+    /// The number of attempts that have started and not finished.
     in_flight: u32,
-    /// How long a request would have waited there, and when its node said so.
+    /// The expected wait that the backend's node reported last, in microseconds, and the time of that
+    /// report.
     reported_wait: Microseconds,
     reported_at: Microseconds,
-    /// Until then it is selected only if all others are avoided too.
+    /// The time until which the backend is selected only if all other candidates are avoided too.
     avoid_until: Microseconds,
 }
 
-/// The state of selection and retry budgets. Pure, with the time passed in.
+/// The state of selection and retry budgets. It does no I/O; callers pass in the current time.
 pub(crate) struct Selector {
     config: SelectorConfig,
     backends: HashMap<String, BackendLoad>,
@@ -75,7 +76,7 @@
             .withdraw(now)
     }
 
-    /// Whether the candidate is avoided for now, then its cost in microseconds.
+    /// Returns whether the candidate is currently avoided, and its cost in microseconds.
     fn cost(&self, now: Microseconds, candidate: &Candidate) -> (bool, Microseconds) {
         let zone_cost = if candidate.same_zone {
             0
@@ -107,8 +108,8 @@
         Some(name)
     }
 
-    /// An attempt ended. `reported_wait` is what its node said of the wait there, if it said
-    /// anything; with `avoid` the backend is avoided for a while.
+    /// Records the end of an attempt. `reported_wait` is the expected wait that the backend's node
+    /// reported, if any; with `avoid` the backend is avoided for [`FAILURE_COOLDOWN`].
     pub(crate) fn attempt_finished(
         &mut self,
         now: Microseconds,
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Forgets backends that the cluster state no longer holds and that have nothing in flight.
+    /// Removes backends that are no longer in the cluster state and have no attempt in flight.
     pub(crate) fn remove_departed(&mut self, snapshot: &StateSnapshot) {
         self.backends
             .retain(|name, load| load.in_flight > 0 || snapshot.backends.contains_key(name));
--- a/crates/outbound/src/selector/handle.rs
+++ b/crates/outbound/src/selector/handle.rs
@@ -1,4 +1,4 @@
-//! The selector's task and the handle on it.
+//! The selector task and its handle.
 
 use control::SharedVerifiedState;
 use model::Microseconds;
@@ -7,9 +7,9 @@
 
 use super::{Selector, SelectorConfig};
 
-/// Commands that may wait for the task.
-const QUEUE_CAPACITY: usize = 4_096;
-/// After so many commands, backends that left the cluster state are forgotten.
+/// Capacity of the task's command queue.
+const COMMAND_QUEUE_CAPACITY: usize = 4_096;
+/// Number of commands between two removals of backends that left the cluster state.
 const COMMANDS_BETWEEN_REMOVALS: u64 = 4_096;
 
 enum Command {
@@ -19,35 +19,37 @@
     Withdraw(String, oneshot::Sender<bool>),
 }
 
-/// A handle on the task that owns selection and retry budgets. The task ends with its last handle.
+/// Handle of the task that owns selection and retry budgets. The task ends when the last handle is
+/// dropped.
 #[derive(Clone)]
 pub struct SelectorHandle {
     commands: mpsc::Sender<Command>,
 }
 
 impl SelectorHandle {
-    /// Starts the task. `verified_state` says which backends there still are.
+    /// Starts the task. `verified_state` is used to find backends that left the cluster state.
     pub fn start(config: SelectorConfig, verified_state: SharedVerifiedState) -> SelectorHandle {
-        let (commands, receiver) = mpsc::channel(QUEUE_CAPACITY);
+        let (commands, receiver) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
         tokio::spawn(run(Selector::new(config), verified_state, receiver));
         SelectorHandle { commands }
     }
 
-    /// Counts a request of the service, which earns it part of a retry.
+    /// Counts a request of the service, which adds a deposit to the service's retry budget.
     pub async fn deposit(&self, service: &str) {
         self.send(Command::Deposit(service.into())).await;
     }
 
-    /// Selects the candidate of least cost and counts an attempt on it as in flight; `None` without
-    /// candidates or once the task is gone.
+    /// Selects the candidate of least cost and counts an attempt on it as in flight; `None` if there
+    /// are no candidates or the task has ended.
     pub(crate) async fn select(&self, candidates: Vec<Candidate>) -> Option<String> {
         let (reply, selected) = oneshot::channel();
         self.send(Command::Select(candidates, reply)).await;
         selected.await.ok().flatten()
     }
 
-    /// An attempt on the backend ended. `reported_wait` is how long a request would wait there, in
-    /// microseconds, if its node said so; with `avoid` the backend is avoided for a while.
+    /// Records the end of an attempt on the backend. `reported_wait` is the expected wait that the
+    /// backend's node reported, in microseconds, if any; with `avoid` the backend is avoided for a
+    /// while.
     pub async fn attempt_finished(
         &self,
         name: &str,
@@ -58,7 +60,8 @@
             .await;
     }
 
-    /// Pays for a retry; false if the service has not earned one, or once the task is gone.
+    /// Withdraws one retry from the service's budget; false if the budget does not suffice or the task
+    /// has ended.
     pub async fn withdraw(&self, service: &str) -> bool {
         let (reply, granted) = oneshot::channel();
         self.send(Command::Withdraw(service.into(), reply)).await;
@@ -75,7 +78,7 @@
     verified_state: SharedVerifiedState,
     mut commands: mpsc::Receiver<Command>,
 ) {
-    let mut handled = 0u64;
+    let mut command_count = 0u64;
     while let Some(command) = commands.recv().await {
         let now = model::now();
         match command {
@@ -88,8 +91,8 @@
             }
             Command::Withdraw(service, reply) => drop(reply.send(selector.withdraw(now, &service))),
         }
-        handled += 1;
-        if handled.is_multiple_of(COMMANDS_BETWEEN_REMOVALS) {
+        command_count += 1;
+        if command_count.is_multiple_of(COMMANDS_BETWEEN_REMOVALS) {
             selector.remove_departed(&verified_state.load().snapshot);
         }
     }
--- a/crates/outbound/src/selector/tests.rs
+++ b/crates/outbound/src/selector/tests.rs
@@ -1,5 +1,6 @@
-//! A service that any backend serves, in virtual time: nodes select, and the nodes beside backends
-//! whose runs fail pass requests over (design 13.8).
+//! Simulation, in virtual time, of a service that every backend serves. Nodes select backends, and the
+//! nodes beside faulty backends refuse requests after outlier detection has ejected the backend
+//! (design 13.8).
 
 use std::collections::BTreeMap;
 
@@ -16,7 +17,7 @@
 const REQUESTS_PER_SECOND: f64 = 700.0;
 const MEAN_RUN_US: f64 = 80_000.0;
 const SECOND: Microseconds = 1_000_000;
-const STEP: Microseconds = 1_000;
+const SIMULATION_STEP: Microseconds = 1_000;
 const FLAP_PERIOD: Microseconds = 750_000;
 
 /// The end of a run.
@@ -31,33 +32,35 @@
 
 #[derive(Clone, Copy)]
 enum Fault {
-    /// Every run fails at once.
-    FailsAtOnce,
-    /// Every run takes a second and says nothing.
-    Hangs,
-    /// Fails in one half of each second and a half, and not in the other.
-    Flaps,
+    /// Every run fails immediately.
+    ImmediateFailure,
+    /// Every run takes one second and its result is inconclusive.
+    Unresponsive,
+    /// Runs fail in one half of each period of 1.5 seconds and succeed in the other half.
+    Flapping,
 }
 
 #[derive(Clone, Copy)]
 struct Scenario {
     faulty_backends: usize,
-    from: Microseconds,
-    to: Microseconds,
+    fault_start: Microseconds,
+    fault_end: Microseconds,
     fault: Fault,
-    /// Whether ejected backends pass requests over.
-    ejects: bool,
+    /// Whether ejected backends refuse requests.
+    ejection_enabled: bool,
 }
 
 #[derive(Debug, Default)]
-struct Tally {
+struct Statistics {
     requests: u32,
-    lost: u32,
-    /// Times that a request was passed over.
+    /// Requests that were run by a backend while its fault was active.
+    sent_to_faulty: u32,
+    /// Refusals by ejected backends.
     passed_over: u32,
+    /// Ejections that no fault explains.
     ejected_without_fault: u32,
-    lost_in_second: Vec<u32>,
-    /// Given to the formerly faulty backends in the last two seconds.
+    sent_to_faulty_by_second: Vec<u32>,
+    /// Requests that the formerly faulty backends received in the last two seconds.
     after_recovery: u32,
 }
 
@@ -81,11 +84,11 @@
     names: Vec<String>,
     selectors: Vec<Selector>,
     inbound_sides: Vec<InboundSide>,
-    /// Ends of runs by time and by the number of their request.
-    ends: BTreeMap<(Microseconds, u64), RunEnd>,
-    until: Microseconds,
-    begun: u64,
-    tally: Tally,
+    /// Ends of runs, by time and request number.
+    run_ends: BTreeMap<(Microseconds, u64), RunEnd>,
+    end_time: Microseconds,
+    request_count: u64,
+    statistics: Statistics,
 }
 
 impl Simulation {
@@ -94,8 +97,8 @@
             zone_crossing_cost: 30_000,
             retry_deposit: 6,
         };
-        let until = scenario.to + 12 * SECOND;
-        let lost_in_second = vec![0; (until / SECOND) as usize + 1];
+        let end_time = scenario.fault_end + 12 * SECOND;
+        let sent_to_faulty_by_second = vec![0; (end_time / SECOND) as usize + 1];
         Simulation {
             scenario,
             random: StdRng::seed_from_u64(43),
@@ -104,45 +107,49 @@
                 .map(|_| Selector::new(config))
                 .collect(),
             inbound_sides: (0..BACKENDS).map(|_| InboundSide::default()).collect(),
-            ends: BTreeMap::new(),
-            until,
-            begun: 0,
-            tally: Tally {
-                lost_in_second,
-                ..Tally::default()
+            run_ends: BTreeMap::new(),
+            end_time,
+            request_count: 0,
+            statistics: Statistics {
+                sent_to_faulty_by_second,
+                ..Statistics::default()
             },
         }
     }
 
-    fn run(mut self) -> Tally {
+    fn run(mut self) -> Statistics {
         let mut requests_due = 0.0;
-        for now in (1..self.until / STEP).map(|step| step * STEP) {
-            self.end_runs(now);
+        for now in (1..self.end_time / SIMULATION_STEP).map(|step| step * SIMULATION_STEP) {
+            self.finish_runs(now);
             requests_due += REQUESTS_PER_SECOND / 1_000.0;
             while requests_due >= 1.0 {
                 requests_due -= 1.0;
                 self.request(now);
             }
         }
-        eprintln!("{:?}", self.tally);
-        self.tally
+        eprintln!("{:?}", self.statistics);
+        self.statistics
     }
 
-    fn end_runs(&mut self, now: Microseconds) {
-        while let Some((key, end)) = self.ends.first_key_value().map(|(key, end)| (*key, *end)) {
+    fn finish_runs(&mut self, now: Microseconds) {
+        while let Some((key, end)) = self
+            .run_ends
+            .first_key_value()
+            .map(|(key, end)| (*key, *end))
+        {
             if key.0 > now {
                 return;
             }
-            self.ends.remove(&key);
-            self.end_run(now, end);
+            self.run_ends.remove(&key);
+            self.finish_run(now, end);
         }
     }
 
-    fn end_run(&mut self, now: Microseconds, end: RunEnd) {
+    fn finish_run(&mut self, now: Microseconds, end: RunEnd) {
         let Scenario {
             faulty_backends,
-            from,
-            to,
+            fault_start,
+            fault_end,
             ..
         } = self.scenario;
         let inbound_side = &mut self.inbound_sides[end.backend];
@@ -150,9 +157,10 @@
         inbound_side.outliers.run_ended(now, end.run_id, end.result);
         let mean_run_duration = inbound_side.queue.mean_run_duration();
         inbound_side.check_overdue(now);
-        let has_cause = end.backend < faulty_backends && now >= from && now < to + 2 * SECOND;
+        let explained_by_fault =
+            end.backend < faulty_backends && now >= fault_start && now < fault_end + 2 * SECOND;
         let newly_ejected = !was_ejected && inbound_side.outliers.is_ejected();
-        self.tally.ejected_without_fault += (newly_ejected && !has_cause) as u32;
+        self.statistics.ejected_without_fault += (newly_ejected && !explained_by_fault) as u32;
         let inconclusive = end.result == RunResult::Inconclusive;
         if !inconclusive {
             inbound_side.queue.record_run_duration(end.duration);
@@ -172,20 +180,20 @@
     }
 
     fn request(&mut self, now: Microseconds) {
-        self.tally.requests += 1;
+        self.statistics.requests += 1;
         let selecting_node = self.random.random_range(0..SELECTING_NODES);
         let idempotent = self.random.random_bool(0.6);
         let backend = self.select(now, selecting_node, idempotent);
-        let fault_is_on =
-            !matches!(self.scenario.fault, Fault::Flaps) || (now / FLAP_PERIOD).is_multiple_of(2);
-        let in_time = (self.scenario.from..self.scenario.to).contains(&now);
-        let faulty = backend < self.scenario.faulty_backends && in_time && fault_is_on;
-        let (duration, result) = self.draw_run(faulty);
-        self.tally.lost += faulty as u32;
-        let recovered = backend < self.scenario.faulty_backends && now > self.until - 2 * SECOND;
-        self.tally.after_recovery += recovered as u32;
-        self.tally.lost_in_second[(now / SECOND) as usize] += faulty as u32;
-        self.begun += 1;
+        let fault_active = !matches!(self.scenario.fault, Fault::Flapping)
+            || (now / FLAP_PERIOD).is_multiple_of(2);
+        let in_fault_period = (self.scenario.fault_start..self.scenario.fault_end).contains(&now);
+        let faulty = backend < self.scenario.faulty_backends && in_fault_period && fault_active;
+        let (duration, result) = self.random_run(faulty);
+        self.statistics.sent_to_faulty += faulty as u32;
+        let recovered = backend < self.scenario.faulty_backends && now > self.end_time - 2 * SECOND;
+        self.statistics.after_recovery += recovered as u32;
+        self.statistics.sent_to_faulty_by_second[(now / SECOND) as usize] += faulty as u32;
+        self.request_count += 1;
         let inbound_side = &mut self.inbound_sides[backend];
         let run_id = inbound_side.outliers.run_started(now);
         inbound_side.check_overdue(now);
@@ -196,14 +204,15 @@
             result,
             duration,
         };
-        self.ends.insert((now + duration, self.begun), end);
+        self.run_ends
+            .insert((now + duration, self.request_count), end);
     }
 
     fn select(&mut self, now: Microseconds, selecting_node: usize, idempotent: bool) -> usize {
         let mut passed_over: Vec<usize> = Vec::new();
         loop {
-            let open = (0..BACKENDS).filter(|index| !passed_over.contains(index));
-            let candidates: Vec<Candidate> = open
+            let remaining = (0..BACKENDS).filter(|index| !passed_over.contains(index));
+            let candidates: Vec<Candidate> = remaining
                 .map(|index| Candidate {
                     name: self.names[index].clone(),
                     slots: SLOTS,
@@ -211,29 +220,31 @@
                 })
                 .collect();
             let selector = &mut self.selectors[selecting_node];
-            let selected = selector.select(now, &candidates).expect("there are some");
+            let selected = selector
+                .select(now, &candidates)
+                .expect("there are candidates");
             let backend = self
                 .names
                 .iter()
                 .position(|name| *name == selected)
-                .expect("it is one of them");
-            let declined_for = self.inbound_sides[backend]
+                .expect("the selected backend is a candidate");
+            let retry_after = self.inbound_sides[backend]
                 .outliers
                 .ejection_retry_after(now, idempotent);
-            let may_decline = self.scenario.ejects && passed_over.len() < 2;
-            let Some(declined_for) = declined_for.filter(|_| may_decline) else {
+            let may_refuse = self.scenario.ejection_enabled && passed_over.len() < 2;
+            let Some(retry_after) = retry_after.filter(|_| may_refuse) else {
                 return backend;
             };
-            selector.attempt_finished(now, &selected, Some(declined_for), false);
+            selector.attempt_finished(now, &selected, Some(retry_after), false);
             passed_over.push(backend);
-            self.tally.passed_over += 1;
+            self.statistics.passed_over += 1;
         }
     }
 
-    fn draw_run(&mut self, faulty: bool) -> (Microseconds, RunResult) {
+    fn random_run(&mut self, faulty: bool) -> (Microseconds, RunResult) {
         let duration = (-MEAN_RUN_US * (1.0 - self.random.random::<f64>()).ln()) as Microseconds;
         match (faulty, self.scenario.fault) {
-            (true, Fault::Hangs) => (SECOND, RunResult::Inconclusive),
+            (true, Fault::Unresponsive) => (SECOND, RunResult::Inconclusive),
             (true, _) => (2_000, RunResult::Failure),
             _ if self.random.random_bool(0.03) => (duration, RunResult::Failure),
             _ => (duration, RunResult::Success),
@@ -241,86 +252,101 @@
     }
 }
 
-fn simulate(scenario: Scenario) -> Tally {
+fn simulate(scenario: Scenario) -> Statistics {
     Simulation::new(scenario).run()
 }
 
-const FAILS_AT_ONCE: Scenario = Scenario {
+const IMMEDIATE_FAILURE: Scenario = Scenario {
     faulty_backends: 2,
-    from: 8 * SECOND,
-    to: 16 * SECOND,
-    fault: Fault::FailsAtOnce,
-    ejects: true,
+    fault_start: 8 * SECOND,
+    fault_end: 16 * SECOND,
+    fault: Fault::ImmediateFailure,
+    ejection_enabled: true,
 };
 
-/// What was lost in the second and later seconds of the fault.
-fn lost_after_first_second(tally: &Tally) -> u32 {
-    tally.lost_in_second[9..16].iter().sum()
+/// Requests sent to faulty backends from the second second of the fault on.
+fn sent_to_faulty_after_first_second(statistics: &Statistics) -> u32 {
+    statistics.sent_to_faulty_by_second[9..16].iter().sum()
 }
 
 #[test]
-fn a_backend_that_fails_at_once_is_passed_over_within_a_second_and_comes_back() {
-    let with = simulate(FAILS_AT_ONCE);
-    let without = simulate(Scenario {
-        ejects: false,
-        ..FAILS_AT_ONCE
+fn a_backend_that_fails_immediately_is_ejected_within_a_second_and_recovers() {
+    let with_ejection = simulate(IMMEDIATE_FAILURE);
+    let without_ejection = simulate(Scenario {
+        ejection_enabled: false,
+        ..IMMEDIATE_FAILURE
     });
-    assert!(with.lost * 6 < without.lost, "{with:?} {without:?}");
-    let (later_with, later_without) = (
-        lost_after_first_second(&with),
-        lost_after_first_second(&without),
+    assert!(
+        with_ejection.sent_to_faulty * 6 < without_ejection.sent_to_faulty,
+        "{with_ejection:?} {without_ejection:?}"
+    );
+    let (later_with_ejection, later_without_ejection) = (
+        sent_to_faulty_after_first_second(&with_ejection),
+        sent_to_faulty_after_first_second(&without_ejection),
+    );
+    assert!(
+        later_with_ejection * 12 < later_without_ejection,
+        "{with_ejection:?} {without_ejection:?}"
     );
-    assert!(later_with * 12 < later_without, "{with:?} {without:?}");
     let half_share = 2 * REQUESTS_PER_SECOND as u32 * 2 / BACKENDS as u32 / 2;
     assert!(
-        with.after_recovery > half_share,
-        "it has its share again: {with:?}"
+        with_ejection.after_recovery > half_share,
+        "the backends must get their share of requests again: {with_ejection:?}"
     );
-    assert_eq!(with.ejected_without_fault, 0);
+    assert_eq!(with_ejection.ejected_without_fault, 0);
 }
 
 #[test]
-fn a_backend_that_lets_runs_hang_is_passed_over_before_they_end() {
-    let hangs = Scenario {
-        fault: Fault::Hangs,
-        ..FAILS_AT_ONCE
+fn an_unresponsive_backend_is_ejected_before_its_runs_end() {
+    let unresponsive = Scenario {
+        fault: Fault::Unresponsive,
+        ..IMMEDIATE_FAILURE
     };
-    let (with, without) = (
-        simulate(hangs),
+    let (with_ejection, without_ejection) = (
+        simulate(unresponsive),
         simulate(Scenario {
-            ejects: false,
-            ..hangs
+            ejection_enabled: false,
+            ..unresponsive
         }),
     );
-    assert!(with.lost * 2 < without.lost, "{with:?} {without:?}");
+    assert!(
+        with_ejection.sent_to_faulty * 2 < without_ejection.sent_to_faulty,
+        "{with_ejection:?} {without_ejection:?}"
+    );
 }
 
 #[test]
-fn a_backend_that_flaps_comes_back_ever_more_slowly() {
-    let flaps = Scenario {
-        fault: Fault::Flaps,
-        to: 24 * SECOND,
-        ..FAILS_AT_ONCE
+fn a_flapping_backend_is_ejected_for_longer_each_time() {
+    let flapping = Scenario {
+        fault: Fault::Flapping,
+        fault_end: 24 * SECOND,
+        ..IMMEDIATE_FAILURE
     };
-    let (with, without) = (
-        simulate(flaps),
+    let (with_ejection, without_ejection) = (
+        simulate(flapping),
         simulate(Scenario {
-            ejects: false,
-            ..flaps
+            ejection_enabled: false,
+            ..flapping
         }),
     );
-    assert!(with.lost * 4 < without.lost, "{with:?} {without:?}");
-    let first: u32 = with.lost_in_second[8..12].iter().sum();
-    let last: u32 = with.lost_in_second[20..24].iter().sum();
-    assert!(last * 3 < first, "{with:?}");
+    assert!(
+        with_ejection.sent_to_faulty * 4 < without_ejection.sent_to_faulty,
+        "{with_ejection:?} {without_ejection:?}"
+    );
+    let first: u32 = with_ejection.sent_to_faulty_by_second[8..12].iter().sum();
+    let last: u32 = with_ejection.sent_to_faulty_by_second[20..24].iter().sum();
+    assert!(last * 3 < first, "{with_ejection:?}");
 }
 
 #[test]
-fn where_all_backends_are_faulty_a_request_is_passed_over_twice_at_most() {
+fn if_all_backends_are_faulty_a_request_is_refused_at_most_twice() {
     let all = simulate(Scenario {
         faulty_backends: BACKENDS,
-        ..FAILS_AT_ONCE
+        ..IMMEDIATE_FAILURE
     });
     assert!(all.passed_over <= 2 * all.requests, "{all:?}");
-    assert!(all.after_recovery > 1_000, "all serve again: {all:?}");
+    assert!(
+        all.after_recovery > 1_000,
+        "all backends must serve again: {all:?}"
+    );
 }
