--- a/crates/outbound/tests/forwarding.rs
+++ b/crates/outbound/tests/forwarding.rs
@@ -1,6 +1,7 @@
-//! Two nodes over the loopback with the real outbound and inbound side, and a scripted backend that
-//! does every wrong thing: no response meets another caller, what must not run twice runs once, and
-//! nobody works for a caller that is gone (design 13.2, 13.4; docs/control-plane.md, point 5).
+//! Forwarding between two nodes over the loopback interface, with the real outbound and inbound sides
+//! and a scripted backend that misbehaves in every known way. No response may reach another caller, a
+//! request that is not idempotent may run only once, and no request may start for a caller that has
+//! left (design 13.2, 13.4; docs/control-plane.md, point 5).
 
 mod scripted_backend;
 
@@ -19,15 +20,15 @@
 use transport::{ForwardedRequest, ForwardedResponse, Handshake, Purpose};
 
 const OUTCOME_TIMEOUT: Duration = Duration::from_secs(300);
-const NAME: &str = "back-end";
+const BACKEND_NAME: &str = "back-end";
 const TEN_MINUTES: u64 = 600_000_000;
 
 struct Site {
     peers: PeerConnections,
-    far_address: String,
+    peer_address: String,
     backend: ScriptedBackend,
     limiter: ConcurrencyLimiter,
-    /// Connections to the far node go through it, so that they can be broken.
+    /// Carries the connections to the peer node, so that the test can close them.
     relay: Relay,
 }
 
@@ -53,7 +54,7 @@
     };
     let limiter = ConcurrencyLimiter::start(config);
     let local = LocalBackend {
-        name: NAME.into(),
+        name: BACKEND_NAME.into(),
         address: backend.address.clone(),
         slots,
         drains_at: None,
@@ -62,22 +63,22 @@
     limiter.set_backend(Some(local)).await;
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let relay = Relay::start(listener.local_addr().expect("an address").to_string()).await;
-    let info: HandshakeFactory = Arc::new(|purpose| handshake(purpose, "127.0.0.1:0"));
+    let handshake_factory: HandshakeFactory = Arc::new(|purpose| handshake(purpose, "127.0.0.1:0"));
     let (heartbeats, _) = mpsc::channel(8);
     let (load_reports, _) = mpsc::channel(8);
     let known_replicas = control::membership::discovery::empty();
     let senders = (heartbeats, load_reports);
     tokio::spawn(outbound::serve_peers(
         listener,
-        info.clone(),
+        handshake_factory.clone(),
         known_replicas,
         limiter.clone(),
         senders,
     ));
-    let far_address = relay.address.clone();
+    let peer_address = relay.address.clone();
     Site {
-        peers: PeerConnections::start(info),
-        far_address,
+        peers: PeerConnections::start(handshake_factory),
+        peer_address,
         backend,
         limiter,
         relay,
@@ -86,7 +87,7 @@
 
 fn request(number: usize, script: &str, idempotent: bool) -> Box<ForwardedRequest> {
     Box::new(ForwardedRequest {
-        backend: NAME.into(),
+        backend: BACKEND_NAME.into(),
         caller: "seat".into(),
         method: "GET".into(),
         target: format!("/{script}"),
@@ -113,15 +114,15 @@
     ) -> Result<ForwardedResponse, Error> {
         let call = self
             .peers
-            .call(&self.far_address, request(number, script, idempotent));
+            .call(&self.peer_address, request(number, script, idempotent));
         tokio::time::timeout(OUTCOME_TIMEOUT, call)
             .await
             .expect("an outcome in time")
             .0
     }
 
-    /// Sent again, as a caller does it, after each certain refusal.
-    async fn until_served(&self, number: usize) -> ForwardedResponse {
+    /// Sends a request again after each error that certifies that it did not run, as a caller does.
+    async fn send_until_served(&self, number: usize) -> ForwardedResponse {
         loop {
             match self.call(number, "ok", false).await {
                 Ok(response) => return response,
@@ -133,7 +134,7 @@
     }
 }
 
-/// All that a backend may do wrong, and what right answers look like between.
+/// The scripts of the backend: correct responses and all kinds of faults.
 const SCRIPTS: [&str; 12] = [
     "ok",
     "other",
@@ -150,7 +151,7 @@
 ];
 
 #[tokio::test(flavor = "multi_thread")]
-async fn every_response_is_complete_and_its_own_callers_whatever_the_backend_does() {
+async fn every_response_is_complete_and_reaches_its_own_caller_whatever_the_backend_does() {
     let site = site(4).await;
     let calls = (0..240).map(|number| {
         let script = SCRIPTS[(number * 7 + number / 12) % SCRIPTS.len()];
@@ -163,7 +164,7 @@
             )
         }
     });
-    for (number, script, outcome) in futures(calls).await {
+    for (number, script, outcome) in join_all(calls).await {
         match outcome {
             Ok(response) => {
                 assert_eq!(
@@ -173,13 +174,13 @@
                 );
                 assert!(
                     ["ok", "surplus", "endless", "continue"].contains(&script),
-                    "{script} brought a success"
+                    "{script} led to a success"
                 );
             }
             Err(error) if error.execution_status == ExecutionStatus::NotRun => {
                 assert!(
-                    !site.backend.ran(number),
-                    "{script}: it ran and was said not to have run: {error:?}"
+                    !site.backend.was_started(number),
+                    "{script}: the request ran although the error says that it did not: {error:?}"
                 );
             }
             Err(_) => {}
@@ -187,33 +188,37 @@
     }
     for number in 0..240 {
         assert!(
-            site.backend.count(number) <= 1,
+            site.backend.start_count(number) <= 1,
             "request {number} reached the backend {} times",
-            site.backend.count(number)
+            site.backend.start_count(number)
         );
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn connections_between_nodes_that_break_leave_requests_undecided_and_none_is_sent_twice() {
+async fn after_a_lost_connection_between_nodes_requests_may_have_run_and_none_is_sent_twice() {
     let site = site(16).await;
     for round in 0..6 {
         let numbers: Vec<usize> = (round * 8..round * 8 + 8).collect();
         let calls = numbers
             .iter()
             .map(|number| site.call(*number, "silent", false));
-        let all_began = async {
+        let break_after_all_started = async {
             for number in &numbers {
                 site.backend
-                    .until(|event| *event == Event::Began(*number))
+                    .wait_for_event(|event| *event == Event::Started(*number))
                     .await;
             }
-            site.relay.break_all();
+            site.relay.close_all_connections();
         };
-        let (outcomes, ()) = tokio::join!(futures(calls), all_began);
+        let (outcomes, ()) = tokio::join!(join_all(calls), break_after_all_started);
         let statuses: Vec<_> = outcomes
             .into_iter()
-            .map(|outcome| outcome.expect_err("nobody answers").execution_status)
+            .map(|outcome| {
+                outcome
+                    .expect_err("the backend never answers")
+                    .execution_status
+            })
             .collect();
         assert!(
             statuses
@@ -221,93 +226,105 @@
                 .all(|status| *status == ExecutionStatus::MayHaveRun),
             "{statuses:?}"
         );
-        // The same node answers again, each caller its own.
+        // The peer node answers again over a new connection.
         let number = 1_000 + round;
-        let response = site.until_served(number).await;
+        let response = site.send_until_served(number).await;
         assert_eq!(response.body, format!("whole t{number}").into_bytes());
         site.backend.release();
     }
-    assert!((0..48).all(|number| site.backend.count(number) == 1));
+    assert!((0..48).all(|number| site.backend.start_count(number) == 1));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_idempotent_request_is_broken_off_when_its_caller_has_left() {
+async fn an_idempotent_request_is_cancelled_when_its_caller_has_left() {
     let site = site(4).await;
-    let left = site
+    let abandoned_call = site
         .peers
-        .call(&site.far_address, request(1, "silent", true));
+        .call(&site.peer_address, request(1, "silent", true));
     tokio::select! {
-        _ = left => panic!("nobody answers"),
-        () = site.backend.until(|event| *event == Event::Began(1)) => {}
+        _ = abandoned_call => panic!("the backend never answers"),
+        () = site.backend.wait_for_event(|event| *event == Event::Started(1)) => {}
     }
     tokio::time::timeout(
         OUTCOME_TIMEOUT,
-        site.backend.until(|event| *event == Event::Abandoned(1)),
+        site.backend
+            .wait_for_event(|event| *event == Event::Abandoned(1)),
     )
     .await
-    .expect("it is broken off");
+    .expect("the request is cancelled");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_must_not_run_twice_goes_on_when_its_caller_has_left() {
+async fn a_non_idempotent_request_continues_when_its_caller_has_left() {
     let site = site(4).await;
     tokio::select! {
-        _ = site.peers.call(&site.far_address, request(1, "silent", false)) => panic!("nobody answers"),
-        () = site.backend.until(|event| *event == Event::Began(1)) => {}
+        _ = site.peers.call(&site.peer_address, request(1, "silent", false)) => panic!("the backend never answers"),
+        () = site.backend.wait_for_event(|event| *event == Event::Started(1)) => {}
     }
-    // Said after it on the same connection, so the far node has heard that the caller left.
-    site.call(2, "ok", false).await.expect("it is served");
-    assert!(!site.backend.saw(|event| *event == Event::Abandoned(1)));
+    // Sent after the cancellation on the same connection, so the peer node has received the cancellation.
+    site.call(2, "ok", false)
+        .await
+        .expect("the request is served");
+    assert!(
+        !site
+            .backend
+            .has_event(|event| *event == Event::Abandoned(1))
+    );
     site.backend.release();
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_queued_for_a_slot_never_begins_once_its_caller_has_left() {
+async fn a_queued_request_is_never_started_after_its_caller_has_left() {
     let site = site(1).await;
-    let holds = site.call(0, "silent", false);
-    let rest = async {
-        site.backend.until(|event| *event == Event::Began(0)).await;
+    let slot_holder = site.call(0, "silent", false);
+    let abandon_queued_calls = async {
+        site.backend
+            .wait_for_event(|event| *event == Event::Started(0))
+            .await;
         for number in 1..6 {
-            let waits = site
+            let queued_call = site
                 .peers
-                .call(&site.far_address, request(number, "ok", number % 2 == 0));
+                .call(&site.peer_address, request(number, "ok", number % 2 == 0));
             tokio::select! {
-                outcome = waits => panic!("the slot is taken: {outcome:?}"),
-                // It waits there, and then its caller leaves.
-                () = until_waiting(&site.limiter) => {}
+                outcome = queued_call => panic!("the slot is taken: {outcome:?}"),
+                // The request is queued at the peer node; then its caller leaves.
+                () = wait_until_queued(&site.limiter) => {}
             }
-            until_cancellations_arrived(&site).await;
+            wait_until_cancellations_arrived(&site).await;
         }
         site.backend.release();
     };
-    let (held, ()) = tokio::join!(holds, rest);
-    assert!(held.is_ok());
+    let (holder_result, ()) = tokio::join!(slot_holder, abandon_queued_calls);
+    assert!(holder_result.is_ok());
     let last = site.call(9, "ok", false).await;
     assert!(last.is_ok(), "{last:?}");
     assert!(
-        (1..6).all(|number| site.backend.count(number) == 0),
-        "one began for nobody"
+        (1..6).all(|number| site.backend.start_count(number) == 0),
+        "a request was started after its caller had left"
     );
 }
 
-async fn until_waiting(limiter: &ConcurrencyLimiter) {
+async fn wait_until_queued(limiter: &ConcurrencyLimiter) {
     while limiter.load().await.1 == 0 {
         tokio::task::yield_now().await;
     }
 }
 
-/// What was said on the connectionection before has been heard: a refused request comes back after it.
-async fn until_cancellations_arrived(site: &Site) {
+/// Sends a request that is refused. Frames are handled in order, so its answer shows that the peer node
+/// has received all earlier cancellations.
+async fn wait_until_cancellations_arrived(site: &Site) {
     let mut other = request(99, "ok", false);
     other.backend = "another".into();
-    let (outcome, _) = site.peers.call(&site.far_address, other).await;
+    let (outcome, _) = site.peers.call(&site.peer_address, other).await;
     assert_eq!(
-        outcome.expect_err("it is not there").kind,
+        outcome
+            .expect_err("the backend is not beside the peer node")
+            .kind,
         ErrorKind::WrongIncarnation
     );
 }
 
-async fn futures<T>(calls: impl Iterator<Item = impl Future<Output = T>>) -> Vec<T> {
+async fn join_all<T>(calls: impl Iterator<Item = impl Future<Output = T>>) -> Vec<T> {
     let mut pending: Vec<_> = calls.map(|call| (Box::pin(call), None)).collect();
     poll_fn(|context| {
         for (call, done) in pending.iter_mut().filter(|(_, done)| done.is_none()) {
--- a/crates/outbound/tests/scripted_backend/mod.rs
+++ b/crates/outbound/tests/scripted_backend/mod.rs
@@ -1,4 +1,5 @@
-//! A backend that does what the path of a request says, and a relay that breaks connections.
+//! A test backend whose behaviour is selected by the path of a request, and a relay that can close its
+//! connections.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,16 +12,17 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Event {
-    /// The request of this number has been read.
-    Began(usize),
-    /// Its connection was closed from the other side while it was under way.
+    /// The request with this number has been read.
+    Started(usize),
+    /// The connection of this request was closed by the client before the response.
     Abandoned(usize),
 }
 
+/// The test backend, with the events that it has recorded.
 pub(crate) struct ScriptedBackend {
     pub address: String,
     events: watch::Receiver<Vec<Event>>,
-    /// Those that are silent answer once it moves.
+    /// Each change makes the `silent` requests answer.
     released: watch::Sender<u64>,
 }
 
@@ -28,12 +30,16 @@
     pub(crate) async fn start() -> ScriptedBackend {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address").to_string();
-        let (tell, events) = watch::channel(Vec::new());
+        let (event_sender, events) = watch::channel(Vec::new());
         let (released, releases) = watch::channel(0);
-        let tell = Arc::new(tell);
+        let event_sender = Arc::new(event_sender);
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(attend(stream, tell.clone(), releases.clone()));
+                tokio::spawn(serve_connection(
+                    stream,
+                    event_sender.clone(),
+                    releases.clone(),
+                ));
             }
         });
         ScriptedBackend {
@@ -43,28 +49,28 @@
         }
     }
 
-    pub(crate) fn count(&self, number: usize) -> usize {
+    pub(crate) fn start_count(&self, number: usize) -> usize {
         self.events
             .borrow()
             .iter()
-            .filter(|event| **event == Event::Began(number))
+            .filter(|event| **event == Event::Started(number))
             .count()
     }
 
-    pub(crate) fn ran(&self, number: usize) -> bool {
-        self.count(number) > 0
+    pub(crate) fn was_started(&self, number: usize) -> bool {
+        self.start_count(number) > 0
     }
 
-    pub(crate) fn saw(&self, fits: impl Fn(&Event) -> bool) -> bool {
-        self.events.borrow().iter().any(fits)
+    pub(crate) fn has_event(&self, matches: impl Fn(&Event) -> bool) -> bool {
+        self.events.borrow().iter().any(matches)
     }
 
-    pub(crate) async fn until(&self, fits: impl Fn(&Event) -> bool) {
+    pub(crate) async fn wait_for_event(&self, matches: impl Fn(&Event) -> bool) {
         let mut events = self.events.clone();
         events
-            .wait_for(|events| events.iter().any(&fits))
+            .wait_for(|events| events.iter().any(&matches))
             .await
-            .expect("the backend is there");
+            .expect("the backend is running");
     }
 
     pub(crate) fn release(&self) {
@@ -72,7 +78,7 @@
     }
 }
 
-async fn head(stream: &mut TcpStream) -> Option<String> {
+async fn read_head(stream: &mut TcpStream) -> Option<String> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         head.push(stream.read_u8().await.ok()?);
@@ -80,10 +86,14 @@
     Some(String::from_utf8_lossy(&head).to_string())
 }
 
-type Tell = Arc<watch::Sender<Vec<Event>>>;
+type EventSender = Arc<watch::Sender<Vec<Event>>>;
 
-async fn attend(mut stream: TcpStream, tell: Tell, releases: watch::Receiver<u64>) {
-    while let Some(head) = head(&mut stream).await {
+async fn serve_connection(
+    mut stream: TcpStream,
+    event_sender: EventSender,
+    releases: watch::Receiver<u64>,
+) {
+    while let Some(head) = read_head(&mut stream).await {
         let script = head
             .split(' ')
             .nth(1)
@@ -97,27 +107,27 @@
             .unwrap_or_default()
             .to_string();
         let number: usize = id.trim_start_matches('t').parse().expect("a number");
-        tell.send_modify(|events| events.push(Event::Began(number)));
-        if script == "silent" && !released(&mut stream, releases.clone()).await {
-            return tell.send_modify(|events| events.push(Event::Abandoned(number)));
+        event_sender.send_modify(|events| events.push(Event::Started(number)));
+        if script == "silent" && !wait_for_release(&mut stream, releases.clone()).await {
+            return event_sender.send_modify(|events| events.push(Event::Abandoned(number)));
         }
-        if !perform(&script, &id, &mut stream).await {
+        if !respond(&script, &id, &mut stream).await {
             return;
         }
     }
 }
 
-/// False once the other side has closed the connection.
-async fn released(stream: &mut TcpStream, mut releases: watch::Receiver<u64>) -> bool {
+/// Waits for a release; false if the client closes the connection first.
+async fn wait_for_release(stream: &mut TcpStream, mut releases: watch::Receiver<u64>) -> bool {
     releases.mark_unchanged();
     let mut byte = [0];
     tokio::select! {
-        moved = releases.changed() => moved.is_ok(),
+        changed = releases.changed() => changed.is_ok(),
         _ = stream.read(&mut byte) => false,
     }
 }
 
-fn whole(id: &str, extra: &str) -> String {
+fn complete_response(id: &str, extra: &str) -> String {
     let body = format!("whole {id}");
     format!(
         "HTTP/1.1 200 OK\r\n{}: {id}\r\n{}: s\r\n{extra}content-length: {}\r\n\r\n{body}",
@@ -127,21 +137,31 @@
     )
 }
 
-/// Whether the connection stays open.
-async fn perform(script: &str, id: &str, stream: &mut TcpStream) -> bool {
-    let (said, open) = match script {
-        "ok" | "silent" => (whole(id, ""), true),
-        "other" => (whole("t424242", ""), true),
-        "half" => (whole(id, "").trim_end_matches(id).to_string(), false),
+/// Writes the response that the script selects. Returns whether the connection stays open.
+async fn respond(script: &str, id: &str, stream: &mut TcpStream) -> bool {
+    let (response, open) = match script {
+        "ok" | "silent" => (complete_response(id, ""), true),
+        "other" => (complete_response("t424242", ""), true),
+        "half" => (
+            complete_response(id, "").trim_end_matches(id).to_string(),
+            false,
+        ),
         "garbage" => ("\x01\x02 no answer at all\r\n\r\n".to_string(), false),
-        "surplus" => (format!("{}{}", whole(id, ""), whole("t31", "")), true),
+        "surplus" => (
+            format!(
+                "{}{}",
+                complete_response(id, ""),
+                complete_response("t31", "")
+            ),
+            true,
+        ),
         "unsealed" => (
-            whole(id, "").replace(DEFAULT_HEADER_NAMES.seal, "x-else"),
+            complete_response(id, "").replace(DEFAULT_HEADER_NAMES.seal, "x-else"),
             true,
         ),
-        "encoded" => (whole(id, "content-encoding: gzip\r\n"), true),
+        "encoded" => (complete_response(id, "content-encoding: gzip\r\n"), true),
         "continue" => (
-            format!("HTTP/1.1 100 Continue\r\n\r\n{}", whole(id, "")),
+            format!("HTTP/1.1 100 Continue\r\n\r\n{}", complete_response(id, "")),
             true,
         ),
         "endless" | "endless-reset" => {
@@ -158,10 +178,10 @@
                 false,
             )
         }
-        // `reset` and `close`.
+        // `reset` and `close` send no response.
         _ => (String::new(), false),
     };
-    if stream.write_all(said.as_bytes()).await.is_err() {
+    if stream.write_all(response.as_bytes()).await.is_err() {
         return false;
     }
     if script.ends_with("reset") {
@@ -170,35 +190,40 @@
     open
 }
 
+/// Forwards connections to an address, and can close all of them.
 pub(crate) struct Relay {
     pub address: String,
-    broken: watch::Sender<u64>,
+    close_count: watch::Sender<u64>,
 }
 
 impl Relay {
     pub(crate) async fn start(to: String) -> Relay {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address").to_string();
-        let (broken, breaks) = watch::channel(0);
+        let (close_count, close_signals) = watch::channel(0);
         tokio::spawn(async move {
             while let Ok((mut from, _)) = listener.accept().await {
-                let (to, mut breaks) = (to.clone(), breaks.clone());
-                breaks.mark_unchanged();
+                let (to, mut close_signals) = (to.clone(), close_signals.clone());
+                close_signals.mark_unchanged();
                 tokio::spawn(async move {
                     let Ok(mut to) = TcpStream::connect(to).await else {
                         return;
                     };
                     tokio::select! {
                         _ = copy_bidirectional(&mut from, &mut to) => {}
-                        _ = breaks.changed() => {}
+                        _ = close_signals.changed() => {}
                     }
                 });
             }
         });
-        Relay { address, broken }
+        Relay {
+            address,
+            close_count,
+        }
     }
 
-    pub(crate) fn break_all(&self) {
-        self.broken.send_modify(|broken| *broken += 1);
+    pub(crate) fn close_all_connections(&self) {
+        self.close_count
+            .send_modify(|close_count| *close_count += 1);
     }
 }
