--- a/crates/inbound/src/admission_queue.rs
+++ b/crates/inbound/src/admission_queue.rs
@@ -1,6 +1,6 @@
-//! Queue of requests that wait for a slot (design 13.3), ordered by priority and, within a priority,
-//! by arrival. A request that can no longer meet its latency target is moved behind all requests that
-//! can. This module does no I/O; callers pass in the current time.
+//! Queue of requests that wait for a slot (design 13.3), ordered by priority and, within a
+//! priority, by arrival. A request that can no longer meet its latency target is moved behind all
+//! requests that can. This module does no I/O; callers pass in the current time.
 
 #[cfg(test)]
 mod tests;
@@ -72,8 +72,9 @@
     request.respond_by.saturating_sub(run)
 }
 
-/// Returns the time at which the request is refused if it still waits for a slot: after nine twentieths
-/// of the time between queueing and deadline, so that the client has enough time for a retry.
+/// Returns the time at which the request is refused if it still waits for a slot: after nine
+/// twentieths of the time between queueing and deadline, so that the client has enough time for a
+/// retry.
 fn expires_at<T>(request: &QueuedRequest<T>) -> Microseconds {
     request.queued_at + request.deadline.saturating_sub(request.queued_at) * 9 / 20
 }
@@ -144,8 +145,8 @@
         (runs_ahead * self.mean_run_us / slots / (1.0 - higher_priority_share)) as Microseconds
     }
 
-    /// Returns the longest expected wait, in microseconds, at which a request is still admitted. With
-    /// this wait it will probably meet its latency target.
+    /// Returns the longest expected wait, in microseconds, at which a request is still admitted.
+    /// With this wait it will probably meet its latency target.
     pub fn longest_acceptable_wait(
         &self,
         now: Microseconds,
--- a/crates/inbound/src/backend_client.rs
+++ b/crates/inbound/src/backend_client.rs
@@ -25,20 +25,20 @@
     connections: ConnectionPool,
 }
 
-/// Timeout for connecting to the backend. The connection stays on this machine, so if it takes longer,
-/// no process is accepting connections.
+/// Timeout for connecting to the backend. The connection stays on this machine, so if it takes
+/// longer, no process is accepting connections.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Error detail of a refusal with status 421: the request reached another backend, or one that does not
-/// hold the shard key. This says nothing about the backend's health.
+/// Error detail of a refusal with status 421: the request reached another backend, or one that does
+/// not hold the shard key. This says nothing about the backend's health.
 pub(crate) const MISDIRECTED_DETAIL: &str = "the backend refused the request with status 421";
 const MISDIRECTED_STATUS: u16 = 421;
-/// Clients take these statuses as a promise that the request did not run. That is certain only if the
-/// backend's response also carries the `not_run` header.
+/// Clients take these statuses as a promise that the request did not run. That is certain only if
+/// the backend's response also carries the `not_run` header.
 const NOT_RUN_STATUSES: [u16; 3] = [408, 429, 503];
 
-/// Shortest idle time after which a closed connection counts as stale, in microseconds. If a connection
-/// fails after a shorter idle time, the backend is at fault.
+/// Shortest idle time after which a closed connection counts as stale, in microseconds. If a
+/// connection fails after a shorter idle time, the backend is at fault.
 const MIN_STALE_IDLE_TIME: Microseconds = 100_000;
 const MICROSECONDS_PER_MILLISECOND: Microseconds = 1_000;
 const MICROSECONDS_PER_SECOND: Microseconds = 1_000_000;
@@ -133,13 +133,14 @@
         })
     }
 
-    /// Sends a request and reads its response; `time_left` is in microseconds. If a pooled connection
-    /// was closed before a byte was written, the request did not run and the next connection is used.
+    /// Sends a request and reads its response; `time_left` is in microseconds. If a pooled
+    /// connection was closed before a byte was written, the request did not run and the next
+    /// connection is used.
     ///
     /// # Errors
     ///
-    /// After [`ErrorKind::Unreachable`] and [`ErrorKind::Refused`] the request is certain not to have
-    /// run. After [`ErrorKind::BackendLost`], [`ErrorKind::BadSeal`] and
+    /// After [`ErrorKind::Unreachable`] and [`ErrorKind::Refused`] the request is certain not to
+    /// have run. After [`ErrorKind::BackendLost`], [`ErrorKind::BadSeal`] and
     /// [`ErrorKind::ConnectionForgotten`] it may have run.
     pub async fn forward(
         &self,
@@ -169,8 +170,9 @@
         }
     }
 
-    /// Classifies the failure of a request that got no response. The request is not sent again here,
-    /// even after a stale connection: retries are subject to the retry budget of the outbound side.
+    /// Classifies the failure of a request that got no response. The request is not sent again
+    /// here, even after a stale connection: retries are subject to the retry budget of the outbound
+    /// side.
     fn send_error(&self, error: &hyper::Error, idle_time: Option<Microseconds>) -> Error {
         if error.is_canceled() {
             let detail = "the connection was closed before the request was sent";
@@ -213,8 +215,8 @@
         })
     }
 
-    /// Checks that the response belongs to this request, and that a successful response carries the seal
-    /// header.
+    /// Checks that the response belongs to this request, and that a successful response carries the
+    /// seal header.
     fn check_seal(&self, request: &ForwardedRequest, head: &Parts) -> Result<(), Error> {
         let names = &self.header_names;
         let sent_attempt_id = request
@@ -257,8 +259,8 @@
         self.connections.put_back(model::now(), sender, keep_alive);
     }
 
-    /// Checks for a refusal by the backend. The request is certain not to have run if the response says
-    /// so by the `not_run` header or by status 421.
+    /// Checks for a refusal by the backend. The request is certain not to have run if the response
+    /// says so by the `not_run` header or by status 421.
     fn check_not_run_status(&self, head: &Parts) -> Result<(), Error> {
         let status = head.status.as_u16();
         if status == MISDIRECTED_STATUS {
--- a/crates/inbound/src/concurrency_limiter.rs
+++ b/crates/inbound/src/concurrency_limiter.rs
@@ -1,9 +1,9 @@
 //! Admission of requests to the backend's slots (design 13.2, 13.3). One task owns the queue, the
-//! running requests and the description of the backend; [`ConcurrencyLimiter`] is the handle of that
-//! task.
+//! running requests and the description of the backend; [`ConcurrencyLimiter`] is the handle of
+//! that task.
 //!
-//! A request passes through these phases: admission, start (as soon as a slot is free), run, and end.
-//! A request that is refused before its run starts is certain not to have run.
+//! A request passes through these phases: admission, start (as soon as a slot is free), run, and
+//! end. A request that is refused before its run starts is certain not to have run.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,8 +24,8 @@
 pub struct ConcurrencyLimiterConfig {
     /// The header names that this site uses.
     pub header_names: HeaderNames,
-    /// The number of concurrent runs beyond the backend's slots, so that no slot is idle between two
-    /// runs.
+    /// The number of concurrent runs beyond the backend's slots, so that no slot is idle between
+    /// two runs.
     pub extra_runs: u32,
 }
 
@@ -86,8 +86,8 @@
     }
 
     /// Runs a request and waits for its outcome: the response, or an error that says whether the
-    /// request may have run. Dropping the future removes a queued request from the queue. It cancels a
-    /// run that has started only if the request is idempotent.
+    /// request may have run. Dropping the future removes a queued request from the queue. It
+    /// cancels a run that has started only if the request is idempotent.
     pub async fn perform(&self, request: Box<ForwardedRequest>) -> ForwardOutcome {
         let (outcome_sender, outcome) = oneshot::channel();
         let deadline = model::now() + request.time_left;
@@ -131,8 +131,8 @@
         report.await.ok().flatten()
     }
 
-    /// Returns the number of running requests, the number of queued requests, and whether the backend
-    /// is ejected.
+    /// Returns the number of running requests, the number of queued requests, and whether the
+    /// backend is ejected.
     pub async fn load(&self) -> (usize, usize, bool) {
         let (reply, load) = oneshot::channel();
         self.send(Command::Load(reply)).await;
@@ -216,8 +216,8 @@
         ))
     }
 
-    /// Replaces the description of the backend, and refuses queued requests that this backend can no
-    /// longer run.
+    /// Replaces the description of the backend, and refuses queued requests that this backend can
+    /// no longer run.
     fn set_backend(&mut self, backend: Option<LocalBackend>) {
         if backend_identity(self.backend.as_ref()) != backend_identity(backend.as_ref()) {
             self.client.clear_connections();
@@ -231,7 +231,7 @@
         for queued in refused {
             let (request, outcome_sender) = queued.payload;
             let reason = refusal_reason(self.backend.as_ref(), now, &request)
-                .unwrap_or_else(|| Error::new(ErrorKind::NoBackend, "the backend was replaced"));
+                .unwrap_or_else(|| Error::new(ErrorKind::NoBackend, "gone"));
             self.respond(outcome_sender, Err(reason));
         }
     }
@@ -303,9 +303,9 @@
         self.queue.push(now, queued);
     }
 
-    /// Returns the retry delay for a request that is refused because the backend is ejected. Requests
-    /// with a shard key are never refused for this reason: shard placement moves the key instead
-    /// (design 13.8).
+    /// Returns the retry delay for a request that is refused because the backend is ejected.
+    /// Requests with a shard key are never refused for this reason: shard placement moves the key
+    /// instead (design 13.8).
     fn ejection_retry_after(
         &self,
         now: Microseconds,
@@ -390,8 +390,8 @@
     backend.map(|backend| (backend.name.as_str(), backend.address.as_str()))
 }
 
-/// Builds an overload error whose retry delay leaves time for another attempt before the deadline. The
-/// delay is randomized so that refused clients do not all retry at the same time.
+/// Builds an overload error whose retry delay leaves time for another attempt before the deadline.
+/// The delay is randomized so that refused clients do not all retry at the same time.
 fn overloaded_error(time_left: Microseconds, wait: Microseconds) -> Error {
     let latest = (time_left / 3).max(MIN_RETRY_AFTER);
     let retry_after = wait.max(time_left / 8).clamp(MIN_RETRY_AFTER, latest);
--- a/crates/inbound/src/connection_pool.rs
+++ b/crates/inbound/src/connection_pool.rs
@@ -49,8 +49,8 @@
 const IDLE_LIMIT_DOUBLING_INTERVAL: Microseconds = 4_000_000;
 
 /// Adaptive limit on the idle time of a connection. A stale connection lowers the limit to half of
-/// that connection's idle time; after [`IDLE_LIMIT_DOUBLING_INTERVAL`] without a stale connection the
-/// limit doubles. Callers pass in the current time.
+/// that connection's idle time; after [`IDLE_LIMIT_DOUBLING_INTERVAL`] without a stale connection
+/// the limit doubles. Callers pass in the current time.
 struct IdleLimit {
     limit: Microseconds,
     changed_at: Microseconds,
@@ -99,8 +99,8 @@
         Some((now.saturating_sub(connection.idle_since), connection.sender))
     }
 
-    /// Returns a connection to the pool. `keep_alive` is the idle timeout that the backend announced,
-    /// in microseconds.
+    /// Returns a connection to the pool. `keep_alive` is the idle timeout that the backend
+    /// announced, in microseconds.
     pub(crate) fn put_back(
         &self,
         now: Microseconds,
--- a/crates/inbound/src/key_demand.rs
+++ b/crates/inbound/src/key_demand.rs
@@ -1,5 +1,5 @@
-//! Request counts by shard key. The counts decay over time and are reported as ranges of roughly equal
-//! weight (design 11.4). This module does no I/O; callers pass in the current time.
+//! Request counts by shard key. The counts decay over time and are reported as ranges of roughly
+//! equal weight (design 11.4). This module does no I/O; callers pass in the current time.
 
 #[cfg(test)]
 mod tests;
@@ -36,9 +36,9 @@
         *self.counts.entry(key).or_default() += 1.0;
     }
 
-    /// Splits the held `ranges`, given by first and last key, into approximately `max_ranges` parts at
-    /// most. Returns each part with its requests per second, and the decayed number of requests on
-    /// which the report is based.
+    /// Splits the held `ranges`, given by first and last key, into approximately `max_ranges` parts
+    /// at most. Returns each part with its requests per second, and the decayed number of requests
+    /// on which the report is based.
     pub fn report(
         &mut self,
         now: Microseconds,
@@ -62,8 +62,8 @@
         (report, total)
     }
 
-    /// Splits one range into parts of about `target_weight` each. A key that alone reaches the target
-    /// weight gets a part of its own.
+    /// Splits one range into parts of about `target_weight` each. A key whose own weight exceeds
+    /// [`MAX_TARGET_WEIGHTS_PER_RANGE`] times the target gets a part of its own.
     fn split_range(
         &self,
         first: ShardKey,
--- a/crates/inbound/src/outlier_detection.rs
+++ b/crates/inbound/src/outlier_detection.rs
@@ -16,8 +16,8 @@
 pub enum RunResult {
     /// The backend answered with a status below 500.
     Success,
-    /// The backend failed, refused the request, closed the connection, or sent the response of another
-    /// request.
+    /// The backend failed, refused the request, closed the connection, or sent the response of
+    /// another request.
     Failure,
     /// The result says nothing about the backend's health.
     Inconclusive,
@@ -60,28 +60,28 @@
 /// of failures to all runs.
 const MIN_FAILURES: f64 = 4.0;
 const FAILURE_RATIO: f64 = 0.25;
-/// The backend is also ejected after this number of failures among the latest runs, which reacts
-/// earlier than the decayed counts.
+/// The backend is also ejected once [`RECENT_FAILURES_TO_EJECT`] of this number of latest runs have
+/// failed. This criterion reacts much earlier than the decayed counts.
 const RECENT_RUNS: u32 = 12;
-const MAX_RECENT_FAILURES: u32 = 6;
-/// Duration of the first ejection, in microseconds. Each further ejection lasts twice as long, up to
-/// [`MAX_EJECTION_TIME`], until the backend was healthy for [`HEALTHY_TIME_TO_RESET`].
+const RECENT_FAILURES_TO_EJECT: u32 = 6;
+/// Duration of the first ejection, in microseconds. Each further ejection lasts twice as long, up
+/// to [`MAX_EJECTION_TIME`], until the backend was healthy for [`HEALTHY_TIME_TO_RESET`].
 const BASE_EJECTION_TIME: Microseconds = 1_000_000;
 const MAX_EJECTION_TIME: Microseconds = 4_000_000;
 const HEALTHY_TIME_TO_RESET: Microseconds = 10_000_000;
-/// Number of consecutive successful trials that end the ejection; the first [`IDEMPOTENT_TRIALS`] of
-/// them use idempotent requests.
+/// Number of consecutive successful trials that end the ejection; the first [`IDEMPOTENT_TRIALS`]
+/// of them use idempotent requests.
 const TRIALS_TO_RECOVER: u32 = 5;
 const IDEMPOTENT_TRIALS: u32 = 2;
-/// Time after the start of the trial phase at which the ejection ends even without enough trials, in
-/// microseconds. The failures that led to the ejection are outdated by then.
+/// Time after the start of the trial phase at which the ejection ends even without enough trials,
+/// in microseconds. The failures that led to the ejection are outdated by then.
 const RECOVERY_TIME_WITHOUT_TRIALS: Microseconds = 6_000_000;
 /// Time after the start of the trial phase from which any request may be a trial, in microseconds.
 /// Without this, a service without idempotent requests would get no trials.
 const TRIALS_BY_ANY_REQUEST_AFTER: Microseconds = 2_000_000;
 /// A run is overdue once it takes longer than this multiple of the mean run duration and than
-/// [`MIN_OVERDUE_TIME`]. It counts as a failure from then on. The mean is used only if it is based on
-/// at least [`MIN_SAMPLES_FOR_MEAN`] runs.
+/// [`MIN_OVERDUE_TIME`]. It counts as a failure from then on. The mean is used only if it is based
+/// on at least [`MIN_SAMPLES_FOR_MEAN`] runs.
 const OVERDUE_FACTOR: Microseconds = 4;
 const MIN_OVERDUE_TIME: Microseconds = 300_000;
 const MIN_SAMPLES_FOR_MEAN: u32 = 16;
@@ -188,7 +188,7 @@
     fn exceeds_failure_limits(&self) -> bool {
         let runs = self.successes + self.failures;
         self.failures >= MIN_FAILURES && self.failures >= FAILURE_RATIO * runs
-            || self.recent_failures.count_ones() >= MAX_RECENT_FAILURES
+            || self.recent_failures.count_ones() >= RECENT_FAILURES_TO_EJECT
     }
 
     fn eject(&mut self, now: Microseconds) {
@@ -213,8 +213,8 @@
         self.ejection.is_some()
     }
 
-    /// Returns the retry delay, in microseconds, for a request that another backend can run; `None` if
-    /// this backend should run it, because it is healthy or as a trial.
+    /// Returns the retry delay, in microseconds, for a request that another backend can run; `None`
+    /// if this backend should run it, because it is healthy or as a trial.
     pub fn ejection_retry_after(
         &self,
         now: Microseconds,
--- a/crates/inbound/tests/outlier_detection.rs
+++ b/crates/inbound/tests/outlier_detection.rs
@@ -4,8 +4,8 @@
 
 const RUN_DURATION: u64 = 50_000;
 
-/// Performs runs one after the other from `from` on, until the backend is ejected or `to` is reached.
-/// Returns the start of the run that led to the ejection.
+/// Performs runs one after the other from `from` on, until the backend is ejected or `to` is
+/// reached. Returns the start of the run that led to the ejection.
 fn run_until_ejected(
     detector: &mut OutlierDetector,
     from: u64,
@@ -76,9 +76,9 @@
         .map(|_| {
             let ejected =
                 run_until_ejected(&mut detector, now, now + 10_000_000, |_| RunResult::Failure)
-                    .expect("it is ejected")
+                    .expect("the backend is ejected")
                     + RUN_DURATION;
-            now = run_until_recovered(&mut detector, ejected).expect("it has recovered");
+            now = run_until_recovered(&mut detector, ejected).expect("the backend has recovered");
             (now - ejected) / 1_000_000
         })
         .collect();
@@ -91,10 +91,10 @@
     let ejected = run_until_ejected(&mut detector, now + 11_000_000, now + 20_000_000, |_| {
         RunResult::Failure
     })
-    .expect("it is ejected")
+    .expect("the backend is ejected")
         + RUN_DURATION;
     assert_eq!(
-        (run_until_recovered(&mut detector, ejected).expect("it has recovered") - ejected)
+        (run_until_recovered(&mut detector, ejected).expect("the backend has recovered") - ejected)
             / 1_000_000,
         1
     );
--- a/crates/inbound/tests/refusals.rs
+++ b/crates/inbound/tests/refusals.rs
@@ -1,5 +1,5 @@
-//! Responses with a status that promises that the request did not run, with and without the `not_run`
-//! header that confirms it (design 13.4).
+//! Responses with a status that promises that the request did not run, with and without the
+//! `not_run` header that confirms it (design 13.4).
 
 use model::{ErrorKind, ExecutionStatus};
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
@@ -8,13 +8,18 @@
 /// Starts a backend that answers each request with the status that the path names, and with the
 /// `not_run` header if the path ends in `/marked`.
 async fn start_backend() -> String {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address").to_string();
+    let listener = TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("a loopback port can be bound");
+    let address = listener
+        .local_addr()
+        .expect("the listener has an address")
+        .to_string();
     tokio::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
             let mut head = Vec::new();
             while !head.ends_with(b"\r\n\r\n") {
-                head.push(stream.read_u8().await.expect("a head"));
+                head.push(stream.read_u8().await.expect("the request has a head"));
             }
             let head = String::from_utf8_lossy(&head).to_string();
             let mut path_segments = head
@@ -86,8 +91,8 @@
             "{status}: the response does not say that the request did not run"
         );
     }
-    // Status 421 alone means that the request reached the wrong backend. All other statuses are passed
-    // on to the client.
+    // Status 421 alone means that the request reached the wrong backend. All other statuses are
+    // passed on to the client.
     assert_eq!(
         forward(&address, "/421/bare").await,
         Err((ErrorKind::Refused, ExecutionStatus::NotRun))
--- a/crates/inbound/tests/stale_connections.rs
+++ b/crates/inbound/tests/stale_connections.rs
@@ -1,18 +1,23 @@
-//! Stale connections (design 13.9). The test backend answers one request on each connection and resets
-//! the connection when the next request arrives.
+//! Stale connections (design 13.9). The test backend answers one request on each connection and
+//! resets the connection when the next request arrives.
 
 use std::sync::Arc;
 use std::sync::Mutex;
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::{TcpListener, TcpStream};
 
-/// The requests in order of arrival: the number of the connection, the number of earlier requests on
-/// it, and the method.
+/// The requests in order of arrival: the number of the connection, the number of earlier requests
+/// on it, and the method.
 type Arrivals = Arc<Mutex<Vec<(usize, usize, String)>>>;
 
 async fn start_backend() -> (String, Arrivals) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address").to_string();
+    let listener = TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("a loopback port can be bound");
+    let address = listener
+        .local_addr()
+        .expect("the listener has an address")
+        .to_string();
     let arrivals = Arrivals::default();
     let seen = arrivals.clone();
     tokio::spawn(async move {
@@ -38,7 +43,7 @@
         let head = String::from_utf8_lossy(&head).to_string();
         let method = head.split(' ').next().unwrap_or_default().to_string();
         seen.lock()
-            .expect("the lock is not poisoned")
+            .expect("whole")
             .push((connection, earlier_requests, method));
         if earlier_requests > 0 {
             // Closing without an answer to this request resets the connection.
@@ -88,7 +93,7 @@
                 .await,
         ));
     }
-    let seen = arrivals.lock().expect("the lock is not poisoned").clone();
+    let seen = arrivals.lock().expect("whole").clone();
     assert!(
         outcomes
             .iter()
@@ -100,7 +105,8 @@
             .all(|(_, earlier_requests, method)| method != "PUT" || *earlier_requests == 0),
         "{seen:?}"
     );
-    // Each request was sent once: a second attempt is subject to the retry budget of the outbound side.
+    // Each request was sent once: a second attempt is subject to the retry budget of the outbound
+    // side.
     assert_eq!(seen.len(), 40);
     let failures: Vec<_> = outcomes
         .iter()
@@ -141,7 +147,7 @@
     }
     let seen: Vec<(usize, usize)> = arrivals
         .lock()
-        .expect("the lock is not poisoned")
+        .expect("whole")
         .iter()
         .map(|(connection, earlier_requests, _)| (*connection, *earlier_requests))
         .collect();
--- a/crates/outbound/src/listener.rs
+++ b/crates/outbound/src/listener.rs
@@ -1,5 +1,5 @@
-//! Clients' HTTP connections. A request is read completely before it is processed, and a response is
-//! written as a whole, so that a truncated response cannot look complete (design 13.1).
+//! Clients' HTTP connections. A request is read completely before it is processed, and a response
+//! is written as a whole, so that a truncated response cannot look complete (design 13.1).
 
 use std::convert::Infallible;
 use std::pin::pin;
@@ -52,8 +52,8 @@
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
 impl Listener {
-    /// Serves clients until `shutdown` becomes true. After that no connection starts another request,
-    /// and each request that was already accepted is answered.
+    /// Serves clients until `shutdown` becomes true. After that no connection starts another
+    /// request, and each request that was already accepted is answered.
     pub async fn serve(self, listener: TcpListener, shutdown: watch::Receiver<bool>) {
         let mut shutdown_requested = shutdown.clone();
         loop {
@@ -172,8 +172,8 @@
         }
     }
 
-    /// Returns the client's headers without hop-by-hop headers and without the headers that the node
-    /// beside the backend sets.
+    /// Returns the client's headers without hop-by-hop headers and without the headers that the
+    /// node beside the backend sets.
     fn end_to_end_headers(&self, head: &Parts) -> Headers {
         let names = &self.config.header_names;
         let replaced_headers = [names.time_left_ms, names.target_backend, names.caller];
--- a/crates/outbound/src/peer_connections.rs
+++ b/crates/outbound/src/peer_connections.rs
@@ -1,5 +1,5 @@
-//! Connections to the nodes beside other backends. There is one multiplexed connection per node, which
-//! is closed when idle (design 13.2).
+//! Connections to the nodes beside other backends. There is one multiplexed connection per node,
+//! which is closed when idle (design 13.2).
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -29,8 +29,9 @@
 /// Builds this node's handshake for a connection of the given purpose.
 pub type HandshakeFactory = Arc<dyn Fn(Purpose) -> Handshake + Send + Sync>;
 
-/// Handle of all connections to peers. Each connection is owned by its own task, which is started by
-/// the first request to its address and receives commands over a queue. Clones share all connections.
+/// Handle of all connections to peers. Each connection is owned by its own task, which is started
+/// by the first request to its address and receives commands over a queue. Clones share all
+/// connections.
 #[derive(Clone)]
 pub struct PeerConnections {
     /// By address, the command queue of the task that owns the connection.
@@ -75,9 +76,9 @@
     /// Forwards a request to the node at `address` and waits for the outcome. Dropping the future
     /// cancels the request at that node.
     ///
-    /// The error is [`ErrorKind::Unreachable`] if the request was never written and certainly did not
-    /// run, and [`ErrorKind::PeerLost`] if the connection failed after it was written and the request
-    /// may have run.
+    /// The error is [`ErrorKind::Unreachable`] if the request was never written and certainly did
+    /// not run, and [`ErrorKind::PeerLost`] if the connection failed after it was written and the
+    /// request may have run.
     pub async fn call(&self, address: &str, request: Box<ForwardedRequest>) -> ForwardOutcome {
         let (outcome_sender, outcome) = oneshot::channel();
         let queue = self.queue_to(address);
@@ -93,7 +94,8 @@
         };
         let outcome = outcome.await;
         cancel_on_drop.answered = true;
-        // If the queue was closed or the task ended without an outcome, the request was not written.
+        // If the queue was closed or the task ended without an outcome, the request was not
+        // written.
         outcome.unwrap_or_else(|_| {
             unreachable("the connection to the peer node was closed before the request was written")
         })
@@ -104,8 +106,8 @@
         drop(self.queue_to(address).try_send(Command::Notify(frame)));
     }
 
-    /// Returns the queue of the connection's task, and starts the task if there is none. While the lock
-    /// is held, no other lock is taken and nothing is awaited (design 8.1).
+    /// Returns the queue of the connection's task, and starts the task if there is none. While the
+    /// lock is held, no other lock is taken and nothing is awaited (design 8.1).
     fn queue_to(&self, address: &str) -> mpsc::Sender<Command> {
         let mut queues = self.queues.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(queue) = queues.get(address).filter(|queue| !queue.is_closed()) {
@@ -127,8 +129,8 @@
     (Err(Error::new(ErrorKind::Unreachable, detail)), 0)
 }
 
-/// Connects to the peer and runs the connection's task. If connecting fails, all queued requests fail
-/// as unreachable.
+/// Connects to the peer and runs the connection's task. If connecting fails, all queued requests
+/// fail as unreachable.
 async fn connect_and_run(
     address: String,
     handshake_factory: HandshakeFactory,
@@ -206,7 +208,8 @@
                 break;
             }
         }
-        // A request that was written and not answered may have run; a queued request was not written.
+        // A request that was written and not answered may have run; a queued request was not
+        // written.
         for outcome_sender in self.pending.into_values() {
             let error = Error::new(
                 ErrorKind::PeerLost,
--- a/crates/outbound/src/peer_server.rs
+++ b/crates/outbound/src/peer_server.rs
@@ -1,5 +1,5 @@
-//! Server for peer nodes. It accepts requests for the backend beside this node, heartbeats, and reports
-//! on the load of shard keys (design 13.2, 5.10).
+//! Server for peer nodes. It accepts requests for the backend beside this node, heartbeats, and
+//! reports on the load of shard keys (design 13.2, 5.10).
 
 use std::collections::HashMap;
 
@@ -49,8 +49,8 @@
     }
 }
 
-/// Performs the handshake: merges the replicas that the peer knows into `known_replicas`, and refuses
-/// connections whose purpose only a replica serves.
+/// Performs the handshake: merges the replicas that the peer knows into `known_replicas`, and
+/// refuses connections whose purpose only a replica serves.
 async fn accept(
     stream: TcpStream,
     handshake_factory: HandshakeFactory,
@@ -68,8 +68,8 @@
     accepted.await.ok()
 }
 
-/// The running requests of one connection, by the peer's request id. Dropping this aborts them, because
-/// nobody waits for their outcome after the connection has ended.
+/// The running requests of one connection, by the peer's request id. Dropping this aborts them,
+/// because nobody waits for their outcome after the connection has ended.
 #[derive(Default)]
 struct RunningRequests {
     tasks: HashMap<u32, AbortHandle>,
--- a/crates/outbound/src/proxy.rs
+++ b/crates/outbound/src/proxy.rs
@@ -3,8 +3,8 @@
 //! [`OutboundProxy::perform`] calls the phases in this order:
 //!
 //! 1. **Admit**: refuse the request while the node shuts down, otherwise count it as in flight.
-//! 2. **Resolve the route** ([`RoutedRequest`]): determine the service, the deadline and the number of
-//!    attempts.
+//! 2. **Resolve the route** ([`RoutedRequest`]): determine the service, the deadline and the number
+//!    of attempts.
 //! 3. **Prepare** an attempt: check the deadline and set the time left.
 //! 4. **Select an endpoint**: the holder of the shard key, or the backend of least cost.
 //! 5. **Attempt**: forward the request to the node beside that backend and wait for the answer.
@@ -12,9 +12,9 @@
 //!    whether the retry budget has to grant it.
 //! 7. **Retry or answer**.
 //!
-//! Two guarantees hold on every return path. A request that is not idempotent is attempted again only
-//! after an error with [`ExecutionStatus::NotRun`]. Once an attempt may have run, no later error claims
-//! that the request did not run.
+//! Two guarantees hold on every return path. A request that is not idempotent is attempted again
+//! only after an error with [`ExecutionStatus::NotRun`]. Once an attempt may have run, no later
+//! error claims that the request did not run.
 //!
 //! [`ExecutionStatus::NotRun`]: model::ExecutionStatus::NotRun
 
@@ -41,8 +41,8 @@
 /// Interval between two selections while no backend can take the request. A shard key may be moving
 /// from one backend to another.
 const RESELECT_INTERVAL: Duration = Duration::from_millis(15);
-/// Time after the deadline for which a peer's answer is still awaited, in microseconds. A peer answers
-/// by the deadline; a peer whose process is suspended never answers.
+/// Time after the deadline for which a peer's answer is still awaited, in microseconds. A peer
+/// answers by the deadline; a peer whose process is suspended never answers.
 const PEER_RESPONSE_GRACE: Microseconds = 50_000;
 /// Retry delay for clients of a node that shuts down, in microseconds.
 const RETRY_AFTER_SHUTDOWN: Microseconds = 1_000_000;
@@ -82,8 +82,8 @@
     pub method: String,
     /// The path and query, unchanged.
     pub target: String,
-    /// The client's headers, without hop-by-hop headers and without the headers that the node beside
-    /// the backend sets.
+    /// The client's headers, without hop-by-hop headers and without the headers that the node
+    /// beside the backend sets.
     pub headers: Headers,
     /// The complete body.
     pub body: Vec<u8>,
@@ -91,8 +91,8 @@
     pub attempt_id: String,
     /// The shard key, for sharded services.
     pub shard_key: Option<ShardKey>,
-    /// The time that the client waits, in microseconds from `received_at`; `None` applies the route's
-    /// timeout.
+    /// The time that the client waits, in microseconds from `received_at`. The route's timeout is
+    /// the upper bound and also applies if this is `None`.
     pub timeout: Option<Microseconds>,
     /// The time at which the head of the request was read.
     pub received_at: Microseconds,
@@ -103,8 +103,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the error of the last phase that failed. Its execution status says whether any attempt
-    /// may have run; its `retry_after` says when the client may retry.
+    /// Returns the error of the last phase that failed. Its execution status says whether any
+    /// attempt may have run; its `retry_after` says when the client may retry.
     pub async fn perform(&self, request: Request) -> Result<ForwardedResponse, Error> {
         let _in_flight = self.admit()?;
         let mut routed = self.resolve_route(request)?;
@@ -215,10 +215,10 @@
         excluded_backends: &[String],
     ) -> Option<AvailableBackend> {
         let backends = snapshot.available_backends(service);
-        let open = backends
+        let eligible = backends
             .iter()
             .filter(|backend| !excluded_backends.contains(&backend.name));
-        let candidates = open
+        let candidates = eligible
             .map(|backend| Candidate {
                 name: backend.name.clone(),
                 slots: backend.slots,
@@ -268,8 +268,8 @@
     }
 }
 
-/// Waits for a peer's answer until [`PEER_RESPONSE_GRACE`] after the deadline. If there is no answer,
-/// the request may have run.
+/// Waits for a peer's answer until [`PEER_RESPONSE_GRACE`] after the deadline. If there is no
+/// answer, the request may have run.
 async fn within_deadline(
     time_left: Microseconds,
     call: impl Future<Output = ForwardOutcome>,
@@ -287,8 +287,8 @@
     })
 }
 
-/// Selects the holder of the shard key. While the key moves, this may be an earlier holder that has not
-/// released the key yet.
+/// Selects the holder of the shard key. While the key moves, this may be an earlier holder that has
+/// not released the key yet.
 fn select_key_holder(
     snapshot: &StateSnapshot,
     service: &str,
@@ -299,6 +299,6 @@
     let range = shard_map::range_of(shard_map, shard_key)?;
     let earlier_holders = range.pending_releases.iter().rev().map(|(name, _)| name);
     let holders = range.holder.iter().chain(earlier_holders);
-    let mut open = holders.filter(|name| !excluded_backends.contains(name));
-    open.find_map(|name| snapshot.find_backend(name))
+    let mut eligible = holders.filter(|name| !excluded_backends.contains(name));
+    eligible.find_map(|name| snapshot.find_backend(name))
 }
--- a/crates/outbound/src/proxy/attempts.rs
+++ b/crates/outbound/src/proxy/attempts.rs
@@ -2,8 +2,8 @@
 
 use model::{Error, ErrorKind, ExecutionStatus};
 
-/// Maximum number of ejected backends that may refuse a request; the next one has to run it. This bounds
-/// the delay of a request while many backends are ejected (design 13.8).
+/// Maximum number of ejected backends that may refuse a request; the next one has to run it. This
+/// bounds the delay of a request while many backends are ejected (design 13.8).
 const MAX_EJECTION_REFUSALS: u8 = 2;
 
 /// Conditions for a further attempt.
@@ -23,14 +23,16 @@
     Answer(Error),
     /// Make another attempt without charging the retry budget, as this one reached no backend.
     Retry,
-    /// Make another attempt if the retry budget grants it, otherwise answer the client with this error.
+    /// Make another attempt if the retry budget grants it, otherwise answer the client with this
+    /// error.
     RetryFromBudget(Error),
 }
 
 /// The failed attempts of one request.
 #[derive(Default)]
 pub(super) struct AttemptHistory {
-    /// The backends that failed since the last pause between selections, and are not selected again.
+    /// The backends that failed since the last pause between selections, and are not selected
+    /// again.
     excluded_backends: Vec<String>,
     /// Number of attempts that reached a backend, including those that the backend refused.
     reached_backends: u8,
@@ -88,8 +90,8 @@
     }
 }
 
-/// Ensures that an error does not claim that the request did not run once an earlier attempt may have
-/// run (docs/verdicts.md).
+/// Ensures that an error does not claim that the request did not run once an earlier attempt may
+/// have run (docs/verdicts.md).
 pub(super) fn preserve_execution_status(error: Error, may_have_run: bool) -> Error {
     if !may_have_run || error.execution_status == ExecutionStatus::MayHaveRun {
         return error;
--- a/crates/outbound/src/proxy/routing.rs
+++ b/crates/outbound/src/proxy/routing.rs
@@ -84,7 +84,7 @@
         if now >= self.deadline {
             let error = Error::new(
                 ErrorKind::ExpiredBeforeRun,
-                "the wait was over before it could be attempted",
+                "the deadline passed before the request could be attempted",
             );
             return Err(preserve_execution_status(error, history.may_have_run()));
         }
@@ -129,7 +129,8 @@
     }
 }
 
-/// Selects one of the route's services by weight. The same attempt id always selects the same service.
+/// Selects one of the route's services by weight. The same attempt id always selects the same
+/// service.
 pub(super) fn select_service(route: &Route, attempt_id: &str) -> String {
     let total_weight: u64 = route.shares.iter().map(|(_, weight)| *weight as u64).sum();
     if route.shares.len() == 1 || total_weight == 0 {
--- a/crates/outbound/src/retry_budget.rs
+++ b/crates/outbound/src/retry_budget.rs
@@ -1,6 +1,6 @@
-//! Retry budget of a service on one node. With any number of nodes, the retries of all nodes in any
-//! window stay below a fixed ratio of the requests (design 13.10). This module does no I/O; callers
-//! pass in the current time.
+//! Retry budget of a service on one node. In any window, the retries of all nodes together do not
+//! exceed a fixed ratio of the requests, whatever the number of nodes (design 13.10). This module
+//! does no I/O; callers pass in the current time.
 //!
 //! Deposits expire. The budget of `legacy-proxy` instead keeps deposits up to a fixed allowance per
 //! node; these allowances add up over many nodes and exceed the ratio.
@@ -9,8 +9,8 @@
 
 use model::Microseconds;
 
-/// The retry budget of a service on one node. It is empty at the start and its deposits expire, so that
-/// a withdrawal in a window uses deposits of that window or of the half window before it.
+/// The retry budget of a service on one node. It is empty at the start and its deposits expire, so
+/// that a withdrawal in a window uses deposits of that window or of the half window before it.
 ///
 /// Amounts are hundredths of a retry.
 #[derive(Default)]
@@ -21,8 +21,8 @@
 
 /// The cost of one retry, in hundredths of a retry.
 const RETRY_COST: u64 = 100;
-/// Time after which a deposit expires, in microseconds: half of the shortest window for which a site
-/// may promise a retry ratio.
+/// Time after which a deposit expires, in microseconds: half of the shortest window for which a
+/// site may promise a retry ratio.
 const DEPOSIT_LIFETIME: Microseconds = 5_000_000;
 /// Length of the interval whose deposits are summed, in microseconds.
 const DEPOSIT_INTERVAL: Microseconds = 250_000;
@@ -32,12 +32,12 @@
 const RATIO_MARGIN: f64 = 0.8;
 
 impl RetryBudget {
-    /// Returns the deposit for one request, in hundredths of a retry, for a promise of `ratio` retries
-    /// per request.
+    /// Returns the deposit for one request, in hundredths of a retry, for a promise of `ratio`
+    /// retries per request.
     ///
-    /// Withdrawals in a window use deposits of that window and of the half window before it. The half
-    /// window before it has at most as many requests as the window that starts half a window earlier.
-    /// Therefore each of the two may contribute half of the ratio.
+    /// Withdrawals in a window use deposits of that window and of the half window before it. The
+    /// half window before it has at most as many requests as the window that starts half a window
+    /// earlier. Therefore each of the two may contribute half of the ratio.
     pub fn deposit_for_ratio(ratio: f64) -> u64 {
         (ratio * RETRY_COST as f64 / 2.0 * RATIO_MARGIN) as u64
     }
@@ -63,8 +63,8 @@
         self.expire(now);
     }
 
-    /// Withdraws the cost of one retry, oldest deposits first. Returns false and withdraws nothing if
-    /// the deposits do not suffice.
+    /// Withdraws the cost of one retry, oldest deposits first. Returns false and withdraws nothing
+    /// if the deposits do not suffice.
     pub fn withdraw(&mut self, now: Microseconds) -> bool {
         self.expire(now);
         let suffices = self.deposits.iter().map(|(_, sum)| sum).sum::<u64>() >= RETRY_COST;
--- a/crates/outbound/src/selector.rs
+++ b/crates/outbound/src/selector.rs
@@ -1,10 +1,11 @@
-//! Load balancing: selection of the backend for a request (design 13.5), and the retry budgets of the
-//! services (design 13.6). One task owns the state; [`SelectorHandle`] is its handle.
+//! Load balancing: selection of the backend for a request (design 13.5), and the retry budgets of
+//! the services (design 13.6). One task owns the state; [`SelectorHandle`] is its handle.
 //!
 //! The cost of a candidate is a time. It is the sum of the wait that the candidate's node reported
-//! last, less the time that has passed since; the cost of a backend in another zone; and an estimate
-//! for the requests that this report does not include yet. The selector of `legacy-proxy` differs: it
-//! always prefers its own zone, and then the lower ratio of requests in flight to slots.
+//! last, less the time that has passed since; the cost of a backend in another zone; and an
+//! estimate for the requests that this report does not include yet. The selector of `legacy-proxy`
+//! differs: it always prefers its own zone, and then the lower ratio of requests in flight to
+//! slots.
 
 mod handle;
 #[cfg(test)]
@@ -20,7 +21,8 @@
 
 pub use handle::SelectorHandle;
 
-/// Assumed run time of a request that is in flight and not included in a report yet, in microseconds.
+/// Assumed run time of a request that is in flight and not included in a report yet, in
+/// microseconds.
 const ASSUMED_RUN_TIME: Microseconds = 60_000;
 
 /// Configuration of a selector.
@@ -38,8 +40,8 @@
 struct BackendLoad {
     /// The number of attempts that have started and not finished.
     in_flight: u32,
-    /// The expected wait that the backend's node reported last, in microseconds, and the time of that
-    /// report.
+    /// The expected wait that the backend's node reported last, in microseconds, and the time of
+    /// that report.
     reported_wait: Microseconds,
     reported_at: Microseconds,
     /// The time until which the backend is selected only if all other candidates are avoided too.
--- a/crates/outbound/src/selector/handle.rs
+++ b/crates/outbound/src/selector/handle.rs
@@ -39,8 +39,8 @@
         self.send(Command::Deposit(service.into())).await;
     }
 
-    /// Selects the candidate of least cost and counts an attempt on it as in flight; `None` if there
-    /// are no candidates or the task has ended.
+    /// Selects the candidate of least cost and counts an attempt on it as in flight; `None` if
+    /// there are no candidates or the task has ended.
     pub(crate) async fn select(&self, candidates: Vec<Candidate>) -> Option<String> {
         let (reply, selected) = oneshot::channel();
         self.send(Command::Select(candidates, reply)).await;
@@ -60,8 +60,8 @@
             .await;
     }
 
-    /// Withdraws one retry from the service's budget; false if the budget does not suffice or the task
-    /// has ended.
+    /// Withdraws one retry from the service's budget; false if the budget does not suffice or the
+    /// task has ended.
     pub async fn withdraw(&self, service: &str) -> bool {
         let (reply, granted) = oneshot::channel();
         self.send(Command::Withdraw(service.into(), reply)).await;
--- a/crates/outbound/src/selector/tests.rs
+++ b/crates/outbound/src/selector/tests.rs
@@ -1,5 +1,5 @@
-//! Simulation, in virtual time, of a service that every backend serves. Nodes select backends, and the
-//! nodes beside faulty backends refuse requests after outlier detection has ejected the backend
+//! Simulation, in virtual time, of a service that every backend serves. Nodes select backends, and
+//! the nodes beside faulty backends refuse requests after outlier detection has ejected the backend
 //! (design 13.8).
 
 use std::collections::BTreeMap;
@@ -56,7 +56,7 @@
     /// Requests that were run by a backend while its fault was active.
     sent_to_faulty: u32,
     /// Refusals by ejected backends.
-    passed_over: u32,
+    refusals: u32,
     /// Ejections that no fault explains.
     ejected_without_fault: u32,
     sent_to_faulty_by_second: Vec<u32>,
@@ -209,9 +209,9 @@
     }
 
     fn select(&mut self, now: Microseconds, selecting_node: usize, idempotent: bool) -> usize {
-        let mut passed_over: Vec<usize> = Vec::new();
+        let mut refusing_backends: Vec<usize> = Vec::new();
         loop {
-            let remaining = (0..BACKENDS).filter(|index| !passed_over.contains(index));
+            let remaining = (0..BACKENDS).filter(|index| !refusing_backends.contains(index));
             let candidates: Vec<Candidate> = remaining
                 .map(|index| Candidate {
                     name: self.names[index].clone(),
@@ -231,13 +231,13 @@
             let retry_after = self.inbound_sides[backend]
                 .outliers
                 .ejection_retry_after(now, idempotent);
-            let may_refuse = self.scenario.ejection_enabled && passed_over.len() < 2;
+            let may_refuse = self.scenario.ejection_enabled && refusing_backends.len() < 2;
             let Some(retry_after) = retry_after.filter(|_| may_refuse) else {
                 return backend;
             };
             selector.attempt_finished(now, &selected, Some(retry_after), false);
-            passed_over.push(backend);
-            self.statistics.passed_over += 1;
+            refusing_backends.push(backend);
+            self.statistics.refusals += 1;
         }
     }
 
@@ -264,7 +264,7 @@
     ejection_enabled: true,
 };
 
-/// Requests sent to faulty backends from the second second of the fault on.
+/// Requests sent to faulty backends from one second after the start of the fault on.
 fn sent_to_faulty_after_first_second(statistics: &Statistics) -> u32 {
     statistics.sent_to_faulty_by_second[9..16].iter().sum()
 }
@@ -344,7 +344,7 @@
         faulty_backends: BACKENDS,
         ..IMMEDIATE_FAILURE
     });
-    assert!(all.passed_over <= 2 * all.requests, "{all:?}");
+    assert!(all.refusals <= 2 * all.requests, "{all:?}");
     assert!(
         all.after_recovery > 1_000,
         "all backends must serve again: {all:?}"
--- a/crates/outbound/tests/forwarding.rs
+++ b/crates/outbound/tests/forwarding.rs
@@ -1,7 +1,7 @@
-//! Forwarding between two nodes over the loopback interface, with the real outbound and inbound sides
-//! and a scripted backend that misbehaves in every known way. No response may reach another caller, a
-//! request that is not idempotent may run only once, and no request may start for a caller that has
-//! left (design 13.2, 13.4; docs/control-plane.md, point 5).
+//! Forwarding between two nodes over the loopback interface, with the real outbound and inbound
+//! sides and a scripted backend that misbehaves in every known way. No response may reach another
+//! caller, a request that is not idempotent may run only once, and no request may start for a
+//! caller that has left (design 13.2, 13.4; docs/control-plane.md, point 5).
 
 mod scripted_backend;
 
@@ -23,7 +23,7 @@
 const BACKEND_NAME: &str = "back-end";
 const TEN_MINUTES: u64 = 600_000_000;
 
-struct Site {
+struct NodePair {
     peers: PeerConnections,
     peer_address: String,
     backend: ScriptedBackend,
@@ -46,7 +46,7 @@
     }
 }
 
-async fn site(slots: u32) -> Site {
+async fn start_node_pair(slots: u32) -> NodePair {
     let backend = ScriptedBackend::start().await;
     let config = ConcurrencyLimiterConfig {
         header_names: DEFAULT_HEADER_NAMES,
@@ -61,8 +61,16 @@
         held_keys: None,
     };
     limiter.set_backend(Some(local)).await;
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let relay = Relay::start(listener.local_addr().expect("an address").to_string()).await;
+    let listener = TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("a loopback port can be bound");
+    let relay = Relay::start(
+        listener
+            .local_addr()
+            .expect("the listener has an address")
+            .to_string(),
+    )
+    .await;
     let handshake_factory: HandshakeFactory = Arc::new(|purpose| handshake(purpose, "127.0.0.1:0"));
     let (heartbeats, _) = mpsc::channel(8);
     let (load_reports, _) = mpsc::channel(8);
@@ -76,7 +84,7 @@
         senders,
     ));
     let peer_address = relay.address.clone();
-    Site {
+    NodePair {
         peers: PeerConnections::start(handshake_factory),
         peer_address,
         backend,
@@ -105,7 +113,7 @@
     })
 }
 
-impl Site {
+impl NodePair {
     async fn call(
         &self,
         number: usize,
@@ -117,7 +125,7 @@
             .call(&self.peer_address, request(number, script, idempotent));
         tokio::time::timeout(OUTCOME_TIMEOUT, call)
             .await
-            .expect("an outcome in time")
+            .expect("an outcome before the timeout")
             .0
     }
 
@@ -152,15 +160,15 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn every_response_is_complete_and_reaches_its_own_caller_whatever_the_backend_does() {
-    let site = site(4).await;
+    let node_pair = start_node_pair(4).await;
     let calls = (0..240).map(|number| {
         let script = SCRIPTS[(number * 7 + number / 12) % SCRIPTS.len()];
-        let site = &site;
+        let node_pair = &node_pair;
         async move {
             (
                 number,
                 script,
-                site.call(number, script, number % 3 != 0).await,
+                node_pair.call(number, script, number % 3 != 0).await,
             )
         }
     });
@@ -179,7 +187,7 @@
             }
             Err(error) if error.execution_status == ExecutionStatus::NotRun => {
                 assert!(
-                    !site.backend.was_started(number),
+                    !node_pair.backend.was_started(number),
                     "{script}: the request ran although the error says that it did not: {error:?}"
                 );
             }
@@ -188,28 +196,29 @@
     }
     for number in 0..240 {
         assert!(
-            site.backend.start_count(number) <= 1,
+            node_pair.backend.start_count(number) <= 1,
             "request {number} reached the backend {} times",
-            site.backend.start_count(number)
+            node_pair.backend.start_count(number)
         );
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn after_a_lost_connection_between_nodes_requests_may_have_run_and_none_is_sent_twice() {
-    let site = site(16).await;
+    let node_pair = start_node_pair(16).await;
     for round in 0..6 {
         let numbers: Vec<usize> = (round * 8..round * 8 + 8).collect();
         let calls = numbers
             .iter()
-            .map(|number| site.call(*number, "silent", false));
+            .map(|number| node_pair.call(*number, "silent", false));
         let break_after_all_started = async {
             for number in &numbers {
-                site.backend
+                node_pair
+                    .backend
                     .wait_for_event(|event| *event == Event::Started(*number))
                     .await;
             }
-            site.relay.close_all_connections();
+            node_pair.relay.close_all_connections();
         };
         let (outcomes, ()) = tokio::join!(join_all(calls), break_after_all_started);
         let statuses: Vec<_> = outcomes
@@ -228,26 +237,27 @@
         );
         // The peer node answers again over a new connection.
         let number = 1_000 + round;
-        let response = site.send_until_served(number).await;
+        let response = node_pair.send_until_served(number).await;
         assert_eq!(response.body, format!("whole t{number}").into_bytes());
-        site.backend.release();
+        node_pair.backend.release();
     }
-    assert!((0..48).all(|number| site.backend.start_count(number) == 1));
+    assert!((0..48).all(|number| node_pair.backend.start_count(number) == 1));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_idempotent_request_is_cancelled_when_its_caller_has_left() {
-    let site = site(4).await;
-    let abandoned_call = site
+    let node_pair = start_node_pair(4).await;
+    let abandoned_call = node_pair
         .peers
-        .call(&site.peer_address, request(1, "silent", true));
+        .call(&node_pair.peer_address, request(1, "silent", true));
     tokio::select! {
         _ = abandoned_call => panic!("the backend never answers"),
-        () = site.backend.wait_for_event(|event| *event == Event::Started(1)) => {}
+        () = node_pair.backend.wait_for_event(|event| *event == Event::Started(1)) => {}
     }
     tokio::time::timeout(
         OUTCOME_TIMEOUT,
-        site.backend
+        node_pair
+            .backend
             .wait_for_event(|event| *event == Event::Abandoned(1)),
     )
     .await
@@ -256,50 +266,54 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_non_idempotent_request_continues_when_its_caller_has_left() {
-    let site = site(4).await;
+    let node_pair = start_node_pair(4).await;
     tokio::select! {
-        _ = site.peers.call(&site.peer_address, request(1, "silent", false)) => panic!("the backend never answers"),
-        () = site.backend.wait_for_event(|event| *event == Event::Started(1)) => {}
+        _ = node_pair.peers.call(&node_pair.peer_address, request(1, "silent", false)) => panic!("the backend never answers"),
+        () = node_pair.backend.wait_for_event(|event| *event == Event::Started(1)) => {}
     }
-    // Sent after the cancellation on the same connection, so the peer node has received the cancellation.
-    site.call(2, "ok", false)
+    // Sent after the cancellation on the same connection, so the peer node has received the
+    // cancellation.
+    node_pair
+        .call(2, "ok", false)
         .await
         .expect("the request is served");
     assert!(
-        !site
+        !node_pair
             .backend
             .has_event(|event| *event == Event::Abandoned(1))
     );
-    site.backend.release();
+    node_pair.backend.release();
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_queued_request_is_never_started_after_its_caller_has_left() {
-    let site = site(1).await;
-    let slot_holder = site.call(0, "silent", false);
+    let node_pair = start_node_pair(1).await;
+    let slot_holder = node_pair.call(0, "silent", false);
     let abandon_queued_calls = async {
-        site.backend
+        node_pair
+            .backend
             .wait_for_event(|event| *event == Event::Started(0))
             .await;
         for number in 1..6 {
-            let queued_call = site
-                .peers
-                .call(&site.peer_address, request(number, "ok", number % 2 == 0));
+            let queued_call = node_pair.peers.call(
+                &node_pair.peer_address,
+                request(number, "ok", number % 2 == 0),
+            );
             tokio::select! {
                 outcome = queued_call => panic!("the slot is taken: {outcome:?}"),
                 // The request is queued at the peer node; then its caller leaves.
-                () = wait_until_queued(&site.limiter) => {}
+                () = wait_until_queued(&node_pair.limiter) => {}
             }
-            wait_until_cancellations_arrived(&site).await;
+            wait_until_cancellations_arrived(&node_pair).await;
         }
-        site.backend.release();
+        node_pair.backend.release();
     };
     let (holder_result, ()) = tokio::join!(slot_holder, abandon_queued_calls);
     assert!(holder_result.is_ok());
-    let last = site.call(9, "ok", false).await;
+    let last = node_pair.call(9, "ok", false).await;
     assert!(last.is_ok(), "{last:?}");
     assert!(
-        (1..6).all(|number| site.backend.start_count(number) == 0),
+        (1..6).all(|number| node_pair.backend.start_count(number) == 0),
         "a request was started after its caller had left"
     );
 }
@@ -310,12 +324,12 @@
     }
 }
 
-/// Sends a request that is refused. Frames are handled in order, so its answer shows that the peer node
-/// has received all earlier cancellations.
-async fn wait_until_cancellations_arrived(site: &Site) {
+/// Sends a request that is refused. Frames are handled in order, so its answer shows that the peer
+/// node has received all earlier cancellations.
+async fn wait_until_cancellations_arrived(node_pair: &NodePair) {
     let mut other = request(99, "ok", false);
     other.backend = "another".into();
-    let (outcome, _) = site.peers.call(&site.peer_address, other).await;
+    let (outcome, _) = node_pair.peers.call(&node_pair.peer_address, other).await;
     assert_eq!(
         outcome
             .expect_err("the backend is not beside the peer node")
--- a/crates/outbound/tests/scripted_backend/mod.rs
+++ b/crates/outbound/tests/scripted_backend/mod.rs
@@ -1,5 +1,5 @@
-//! A test backend whose behaviour is selected by the path of a request, and a relay that can close its
-//! connections.
+//! A test backend whose behaviour is selected by the path of a request, and a relay that can close
+//! its connections.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,8 +28,13 @@
 
 impl ScriptedBackend {
     pub(crate) async fn start() -> ScriptedBackend {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("an address").to_string();
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("a loopback port can be bound");
+        let address = listener
+            .local_addr()
+            .expect("the listener has an address")
+            .to_string();
         let (event_sender, events) = watch::channel(Vec::new());
         let (released, releases) = watch::channel(0);
         let event_sender = Arc::new(event_sender);
@@ -106,7 +111,10 @@
             .find_map(|line| line.strip_prefix(&prefix))
             .unwrap_or_default()
             .to_string();
-        let number: usize = id.trim_start_matches('t').parse().expect("a number");
+        let number: usize = id
+            .trim_start_matches('t')
+            .parse()
+            .expect("the attempt id contains a number");
         event_sender.send_modify(|events| events.push(Event::Started(number)));
         if script == "silent" && !wait_for_release(&mut stream, releases.clone()).await {
             return event_sender.send_modify(|events| events.push(Event::Abandoned(number)));
@@ -198,8 +206,13 @@
 
 impl Relay {
     pub(crate) async fn start(to: String) -> Relay {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("an address").to_string();
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("a loopback port can be bound");
+        let address = listener
+            .local_addr()
+            .expect("the listener has an address")
+            .to_string();
         let (close_count, close_signals) = watch::channel(0);
         tokio::spawn(async move {
             while let Ok((mut from, _)) = listener.accept().await {
--- a/crates/proxy-core/src/selection.rs
+++ b/crates/proxy-core/src/selection.rs
@@ -25,9 +25,9 @@
 ) -> Option<&Candidate> {
     let count = candidates.len().max(1) as u64;
     let rotated_position = |index: usize| (index as u64 + rotation) % count;
-    let least = candidates
+    let selected = candidates
         .iter()
         .enumerate()
         .min_by_key(|(index, candidate)| (cost(candidate), rotated_position(*index)));
-    least.map(|(_, candidate)| candidate)
+    selected.map(|(_, candidate)| candidate)
 }
