--- a/crates/mencius/src/acceptor.rs
+++ b/crates/mencius/src/acceptor.rs
@@ -5,7 +5,7 @@
 use crate::state::Proposal;
 
 impl Replica {
-    /// Takes the messages of a revoker.
+    /// Handles the messages that a proposer sends to acceptors.
     pub(crate) fn handle_acceptor_message(&mut self, from: ReplicaId, message: Message) {
         match message {
             Message::Prepare {
@@ -34,11 +34,11 @@
                 },
                 commands,
             ),
-            other => debug_assert!(false, "not for an acceptor: {other:?}"),
+            other => debug_assert!(false, "unexpected message for an acceptor: {other:?}"),
         }
     }
 
-    /// Phase 1: promises to accept nothing below the proposal's number, and reports what it accepted.
+    /// Phase 1: promises to accept no proposal with a lower number, and reports what was accepted.
     pub(crate) fn on_prepare(&mut self, from: ReplicaId, proposal: Proposal) {
         let Proposal {
             coordinator,
@@ -73,7 +73,7 @@
         );
     }
 
-    /// Phase 2: accepts no-op in the whole block, but for the commands listed.
+    /// Phase 2: accepts no-op for the whole block, except for the commands listed.
     pub(crate) fn on_propose(&mut self, from: ReplicaId, proposal: Proposal, commands: Commands) {
         let Proposal {
             coordinator,
@@ -103,8 +103,8 @@
         );
     }
 
-    /// Whether this replica may vote in all of a block. To a proposer that is behind the
-    /// compaction point it sends the outcomes instead.
+    /// Whether this replica may vote in the whole block. A proposer whose block starts below the
+    /// compaction point is sent the outcomes instead.
     fn may_answer(&mut self, from: ReplicaId, (start, end): Block) -> bool {
         if start < self.compaction_point {
             self.send_outcomes(from, start);
--- a/crates/mencius/src/apply.rs
+++ b/crates/mencius/src/apply.rs
@@ -1,4 +1,4 @@
-//! Delivery in order, snapshots, and what a restart finds (design 3.2, 3.8).
+//! In-order delivery, snapshots, and recovery after a restart (design 3.2, 3.8).
 
 use std::collections::BTreeSet;
 use std::iter::once;
@@ -9,10 +9,12 @@
 use crate::state::{OwnSuggestion, Snapshot};
 
 impl Replica {
-    /// Gives out, in order, every command whose predecessors are all learned (paper 4.3, commit).
+    /// Emits, in order, every learned command whose predecessors are all learned (paper 4.3,
+    /// commit).
     pub(crate) fn apply_ready(&mut self) {
         loop {
-            // Everything below is no-op: jump, however wide the revoked block was.
+            // All instances up to the next one that is not skipped are no-ops: advance past the
+            // whole range at once, as a revoked block can be very large.
             self.applied = self.applied.max(self.first_not_skipped());
             let instance = self.applied;
             let Some(value) = self.log_at(instance).chosen.get(&instance).cloned() else {
@@ -22,10 +24,10 @@
             self.applied += 1;
         }
         self.complete_reads();
-        self.hand_back_deferred();
+        self.return_deferred();
     }
 
-    /// The first instance from `applied` on that is not a known no-op, of any coordinator.
+    /// The first instance from `applied` on, of any coordinator, that is not known to be a no-op.
     fn first_not_skipped(&self) -> Instance {
         let firsts = self.replica_ids().map(|coordinator| {
             let from = self.first_coordinated_from(coordinator, self.applied);
@@ -35,39 +37,41 @@
         firsts.min().unwrap_or(self.applied)
     }
 
-    /// The driver's state is given: the log below is let go.
+    /// Compacts the log below a snapshot of the driver's state machine.
     pub(crate) fn compact_to_snapshot(&mut self, next_instance: Instance, state: Vec<u8>) {
         if next_instance <= self.compaction_point || next_instance > self.applied {
             return;
         }
-        self.keep_snapshot(next_instance, state);
+        self.record_snapshot(next_instance, state);
     }
 
-    /// A peer's snapshot, for a replica that is behind that peer's compaction point.
+    /// Installs a peer's snapshot, which is sent to a replica that is behind the peer's compaction
+    /// point.
     pub(crate) fn on_snapshot(&mut self, next_instance: Instance, state: Vec<u8>) {
         if next_instance <= self.applied {
             return;
         }
         self.applied = next_instance;
-        self.keep_snapshot(next_instance, state.clone());
+        self.record_snapshot(next_instance, state.clone());
         self.effects.push(Effect::InstallSnapshot {
             next_instance,
             state,
         });
         self.skip_own_below(next_instance);
-        // Own suggestions below may have been chosen or lost; the state machine drops a repeat.
-        let passed = self
+        // Own suggestions below the snapshot may have been chosen or lost. If one that was chosen
+        // is submitted again, the state machine drops the duplicate.
+        let undecided = self
             .own_suggestions
             .range(..next_instance)
             .map(|(instance, _)| *instance);
-        let passed: Vec<Instance> = passed.collect();
-        for instance in passed {
-            self.hand_back(instance);
+        let undecided: Vec<Instance> = undecided.collect();
+        for instance in undecided {
+            self.return_unchosen(instance);
         }
         self.apply_ready();
     }
 
-    fn keep_snapshot(&mut self, next_instance: Instance, state: Vec<u8>) {
+    fn record_snapshot(&mut self, next_instance: Instance, state: Vec<u8>) {
         self.compact_below(next_instance);
         self.batch.writes.push(Write::Snapshot {
             next_instance,
@@ -89,7 +93,7 @@
             .retain(|_, revocation| revocation.block.0 >= end);
     }
 
-    /// The whole state as writes: what a compacted disk holds.
+    /// The complete state as writes, to replace the journal after a compaction.
     pub(crate) fn full_state_writes(&self) -> Vec<Write> {
         let mut writes = Vec::new();
         if let Some(Snapshot {
@@ -111,7 +115,7 @@
         writes
     }
 
-    /// Takes a write back from the disk.
+    /// Replays one write from the disk.
     pub(crate) fn replay(&mut self, write: Write) {
         match write {
             Write::Index(index) => self.index = self.index.max(index),
@@ -163,20 +167,20 @@
         });
     }
 
-    /// After a restart: own unused instances below the kept index are skipped, suggestions without
-    /// a known outcome are taken up again under their old instance.
+    /// Completes the recovery after all writes are replayed: skips the own unused instances below
+    /// the stored index and resumes suggestions without a known outcome in their instances.
     pub(crate) fn resume(&mut self) {
         let own = self.log_of(self.replica_id);
-        let open = own
+        let undecided = own
             .accepted
             .iter()
             .filter(|(instance, _)| own.outcome(**instance).is_none());
-        let open: Vec<(Instance, Value)> = open
+        let undecided: Vec<(Instance, Value)> = undecided
             .map(|(instance, accepted)| (*instance, accepted.value.clone()))
             .collect();
-        self.skip_unused_between(&open);
+        self.skip_unused_instances(&undecided);
         let replica_id = self.replica_id;
-        let suggested = open.into_iter().map(|(instance, value)| {
+        let suggested = undecided.into_iter().map(|(instance, value)| {
             let accepted_by = BTreeSet::from([replica_id]);
             (instance, OwnSuggestion { value, accepted_by })
         });
@@ -194,12 +198,13 @@
         self.apply_ready();
     }
 
-    /// Skips the own instances below the index that hold no open suggestion.
-    fn skip_unused_between(&mut self, open: &[(Instance, Value)]) {
-        // The instances of an earlier disk of this replica are not this disk's to call skipped.
+    /// Skips the own instances below the index that hold no undecided suggestion.
+    fn skip_unused_instances(&mut self, undecided: &[(Instance, Value)]) {
+        // An earlier disk of this replica may have suggested in its instances, so this disk must
+        // not treat them as skipped.
         let first = self.compaction_point.max(self.voting_range_start);
-        let starts = once(first).chain(open.iter().map(|(instance, _)| instance + 1));
-        let ends = open
+        let starts = once(first).chain(undecided.iter().map(|(instance, _)| instance + 1));
+        let ends = undecided
             .iter()
             .map(|(instance, _)| *instance)
             .chain(once(self.index));
@@ -209,7 +214,7 @@
     }
 }
 
-/// What is known of one coordinator's instances, as writes.
+/// Appends the log of one coordinator's instances as writes.
 fn push_log_writes(writes: &mut Vec<Write>, coordinator: ReplicaId, log: &CoordinatorLog) {
     writes.extend(log.promised.iter().map(|range| Write::Promise {
         coordinator,
--- a/crates/mencius/src/catch_up.rs
+++ b/crates/mencius/src/catch_up.rs
@@ -1,26 +1,27 @@
-//! What is sent again: on a new connection, and to a replica that is behind (paper 4.5; design
+//! Catch-up: retransmission on a new connection and to a replica that is behind (paper 4.5; design
 //! 3.5).
 //!
-//! Implicit skips are sound only on an unbroken connection (paper 4.1, 4.4), so each new
-//! one begins with a `Hello` that says what the sender knows, answered by a `Resync` and all that
-//! the other may have missed. Until the resync the cursors of that connection count for nothing.
+//! Implicit skips are sound only on an unbroken FIFO channel (paper 4.1, 4.4). Each new connection
+//! therefore begins with a `Hello` that tells what the sender knows. The peer responds with a
+//! `Resync` and everything that the sender may have missed. Cursors received before the `Resync`
+//! are ignored.
 
 use crate::coordinator_log::Outcome;
 use crate::messages::{Commands, Effect, Instance, Message, Micros, ReplicaId, Value};
 use crate::replica::Replica;
 use crate::state::SentOutcomes;
 
-/// Outcomes of so many bytes are given [`RESEND_DELAY`] to arrive before they are sent again: what
-/// they take on a narrow link and a slow processor. Fewer are sent again whenever they are asked
-/// for.
+/// The number of bytes of outcomes for each [`RESEND_DELAY`] of waiting before they are sent again.
+/// Fewer bytes are sent again on every request.
 const RESEND_DELAY_BYTES: usize = 32 * 1024;
-/// In microseconds.
+/// The time to transfer and process [`RESEND_DELAY_BYTES`] of outcomes on a narrow link and a slow
+/// processor, in microseconds.
 const RESEND_DELAY: Micros = 100_000;
-/// The most commands in one `Outcomes` message.
+/// The maximum number of commands in one `Outcomes` message.
 pub(crate) const MAX_OUTCOMES_PER_MESSAGE: usize = 512;
 
 impl Replica {
-    /// Takes what a peer sends to catch up, or to let this replica do so.
+    /// Handles the messages by which a peer catches up or lets this replica catch up.
     pub(crate) fn handle_catch_up_message(&mut self, from: ReplicaId, message: Message) {
         match message {
             Message::Hello {
@@ -34,7 +35,7 @@
                 next_instance,
                 state,
             } => self.on_snapshot(next_instance, state),
-            other => debug_assert!(false, "not for catching up: {other:?}"),
+            other => debug_assert!(false, "unexpected message for catch-up: {other:?}"),
         }
     }
 
@@ -61,8 +62,8 @@
         if let Some(batch) = &mut self.persisting {
             batch.frames.retain(|frame| frame.to != peer);
         }
-        // Nor what is released and not yet taken: the next connection may lead to a later
-        // incarnation of that replica.
+        // Also drop frames that are released but not yet taken: the next connection may lead to a
+        // later incarnation of the peer.
         self.effects
             .retain(|effect| !matches!(effect, Effect::Send(to, _) if *to == peer));
     }
@@ -72,7 +73,8 @@
         if applied < self.applied {
             self.send_outcomes(from, applied);
         }
-        // What an earlier disk of this replica said is not this disk's to repeat: others do.
+        // Suggestions of an earlier disk of this replica are not repeated by this disk: the other
+        // replicas provide their outcomes.
         let start = learned_below
             .max(self.compaction_point)
             .max(self.voting_range_start);
@@ -81,8 +83,8 @@
         self.send(from, Message::Skip);
     }
 
-    /// Suggests again, in order, all own instances from `start` on that are not known no-ops, each
-    /// with the cursor that it first had.
+    /// Repeats, in order, the own suggestions from `start` on that are not known to be no-ops, each
+    /// with its original cursor.
     fn repeat_own_suggestions(&mut self, to: ReplicaId, start: Instance) {
         let coordinator = self.replica_id;
         let accepted = self.log_of(coordinator).accepted.range(start..);
@@ -101,7 +103,8 @@
                     };
                     self.send_with_cursor(to, instance, message);
                 }
-                // A lost suggestion is a no-op like the unused instances around it.
+                // A suggestion that lost to no-op needs no message, like the unused instances
+                // around it.
                 Some(Outcome::NoOp) => {}
                 None => {
                     let cursor = instance + self.replica_count;
@@ -112,15 +115,15 @@
     }
 
     fn on_resync(&mut self, from: ReplicaId, start: Instance) {
-        // What lies below and is not known here comes by snapshot or outcomes, never from the
-        // cursor.
+        // Unknown outcomes below `start` arrive as a snapshot or as outcomes; they must not be
+        // derived from the cursor.
         self.log_of_mut(from).cursor = Some(start);
     }
 
-    /// Sends all outcomes from `from` on, as far as they are known: the snapshot if they are
-    /// compacted away, then what is applied, then each coordinator's known stretch above that.
+    /// Sends all known outcomes from `from` on: the snapshot if `from` is compacted away, then the
+    /// applied instances, then the range of known outcomes of each coordinator above them.
     pub(crate) fn send_outcomes(&mut self, to: ReplicaId, from: Instance) {
-        if to == self.replica_id || self.may_still_arrive(to, from) {
+        if to == self.replica_id || self.sent_recently(to, from) {
             return;
         }
         if from < self.compaction_point {
@@ -144,7 +147,7 @@
             );
         }
         if sent_below == end {
-            bytes += self.send_known_stretches(to, end);
+            bytes += self.send_known_ranges(to, end);
         }
         let delay = RESEND_DELAY * (bytes / RESEND_DELAY_BYTES) as Micros;
         let resend_not_before = self.now + delay;
@@ -154,8 +157,10 @@
         });
     }
 
-    /// A peer on a narrow link asks often, and must not be sent the same each time.
-    fn may_still_arrive(&self, to: ReplicaId, from: Instance) -> bool {
+    /// Whether the outcomes from `from` on were sent so recently that they may still be in transit.
+    /// A peer on a narrow link repeats its request often and must not be sent the same outcomes
+    /// each time.
+    fn sent_recently(&self, to: ReplicaId, from: Instance) -> bool {
         self.peer(to)
             .sent_outcomes
             .is_some_and(|sent| sent.from == from && self.now < sent.resend_not_before)
@@ -174,7 +179,7 @@
         }
     }
 
-    /// The size of the snapshot, if it ends at `instance`.
+    /// The size of the snapshot in bytes if it ends at `instance`, otherwise 0.
     fn snapshot_bytes_at(&self, instance: Instance) -> usize {
         let snapshot = self.snapshot.as_ref();
         let snapshot = snapshot.filter(|snapshot| snapshot.next_instance == instance);
@@ -190,9 +195,9 @@
         commands
     }
 
-    /// Beyond the first gap, each coordinator's known stretch may still be what the peer lacks.
-    /// Returns the bytes of the commands sent.
-    fn send_known_stretches(&mut self, to: ReplicaId, from: Instance) -> usize {
+    /// Sends the range of known outcomes of each coordinator above the first gap, as the peer may
+    /// lack them. Returns the number of bytes of the commands sent.
+    fn send_known_ranges(&mut self, to: ReplicaId, from: Instance) -> usize {
         let mut bytes = 0;
         for coordinator in self.replica_ids() {
             let start = self.first_coordinated_from(coordinator, from);
--- a/crates/mencius/src/coordinator_log.rs
+++ b/crates/mencius/src/coordinator_log.rs
@@ -1,4 +1,4 @@
-//! What one replica knows about the instances of one coordinator (design 3.3).
+//! The log of one coordinator's instances, as known to a replica (design 3.3).
 
 use std::collections::BTreeMap;
 use std::iter::once;
@@ -8,48 +8,48 @@
     Block, Commands, Instance, ProposalNumber, ReportedCommand, ReportedNoOps, Value,
 };
 
-/// A command with the highest proposal that it was accepted in here.
+/// A command with the number of the highest proposal in which this replica accepted it.
 #[derive(Clone, Debug)]
 pub(crate) struct AcceptedValue {
     pub proposal_number: ProposalNumber,
     pub value: Value,
 }
 
-/// What came of an instance, where that is known.
+/// The known outcome of an instance.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Outcome<'log> {
     NoOp,
     Command(&'log Value),
 }
 
-/// What an acceptor reports with its promise.
+/// The commands and no-ops that an acceptor reports with its promise.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PromiseReport {
     pub commands: Vec<ReportedCommand>,
     pub accepted_noops: Vec<ReportedNoOps>,
 }
 
-/// The instances of one coordinator, as this replica knows them. Instances of other coordinators
-/// lie within the ranges and mean nothing there.
+/// The instances of one coordinator, as known to this replica. The ranges also span instances of
+/// other coordinators, for which they have no meaning.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CoordinatorLog {
-    /// The highest number promised; where there is none, [`ProposalNumber::INITIAL`] holds.
+    /// The highest number promised; [`ProposalNumber::INITIAL`] where there is no entry.
     pub promised: InstanceRanges<ProposalNumber>,
     /// Accepted commands.
     pub accepted: BTreeMap<Instance, AcceptedValue>,
-    /// Accepted proposals of no-op, but where `accepted` has a command of the same number.
+    /// Accepted proposals of no-op, except where `accepted` has a command with the same number.
     pub accepted_noops: InstanceRanges<ProposalNumber>,
     /// Commands known to be chosen.
     pub chosen: BTreeMap<Instance, Value>,
     /// Instances known to be no-ops.
     pub skipped: InstanceRanges<()>,
-    /// Below it the coordinator has suggested on this connection all that it ever will. `None`
-    /// until the connection's resync.
+    /// The coordinator has sent all its suggestions below this instance on the current connection.
+    /// `None` until the `Resync` of the connection.
     pub cursor: Option<Instance>,
 }
 
 impl CoordinatorLog {
-    /// `None` while the outcome is not known here.
+    /// The outcome of an instance; `None` if it is not known here.
     pub(crate) fn outcome(&self, instance: Instance) -> Option<Outcome<'_>> {
         match self.chosen.get(&instance) {
             Some(value) => Some(Outcome::Command(value)),
@@ -87,12 +87,13 @@
         );
     }
 
-    /// Accepts no-op in a block, but for the commands accepted under the same number.
+    /// Accepts no-op in a block, except for the commands accepted with the same number.
     pub(crate) fn accept_noops(&mut self, (start, end): Block, proposal_number: ProposalNumber) {
         self.accepted_noops.set(start, end, proposal_number);
     }
 
-    /// Learns no-ops. Chosen commands are never overwritten: a skip fills what lies between them.
+    /// Learns no-ops. Chosen commands are never overwritten: only the instances between them become
+    /// no-ops.
     pub(crate) fn skip(&mut self, start: Instance, end: Instance) {
         let commands = self
             .chosen
@@ -110,13 +111,13 @@
     pub(crate) fn choose(&mut self, instance: Instance, value: Value) {
         debug_assert!(
             !self.skipped.contains(instance),
-            "instance {instance} is a no-op and was chosen with a command"
+            "instance {instance} is known to be a no-op but a command was chosen in it"
         );
         self.chosen.insert(instance, value);
     }
 
-    /// The first instance of the coordinator whose outcome is unknown. `from` is an instance of
-    /// the coordinator to begin at, `replica_count` the distance to its next.
+    /// The first instance of the coordinator, from `from` on, whose outcome is unknown. `from` is
+    /// an instance of the coordinator; `replica_count` is the distance to its next instance.
     pub(crate) fn first_unknown(&self, from: Instance, replica_count: u64) -> Instance {
         let mut instance = from;
         loop {
@@ -130,7 +131,8 @@
         }
     }
 
-    /// The first instance of the coordinator that is not a known no-op, from one of its instances.
+    /// The first instance of the coordinator, from `from` on, that is not known to be a no-op.
+    /// `from` is an instance of the coordinator.
     pub(crate) fn first_not_skipped(&self, from: Instance, replica_count: u64) -> Instance {
         let mut instance = from;
         while let Some(range) = self.skipped.range_at(instance) {
@@ -139,15 +141,18 @@
         instance
     }
 
-    /// What a promise must report of a block. Known outcomes are reported as accepted in
-    /// [`ProposalNumber::CHOSEN`].
+    /// The report that a promise must carry for a block. Known outcomes are reported as accepted
+    /// with [`ProposalNumber::CHOSEN`].
     pub(crate) fn promise_report(&self, (start, end): Block) -> PromiseReport {
         let chosen = self.chosen.range(start..end);
-        let chosen = chosen.map(|(at, value)| (*at, ProposalNumber::CHOSEN, value.clone()));
+        let chosen =
+            chosen.map(|(instance, value)| (*instance, ProposalNumber::CHOSEN, value.clone()));
         let accepted = self.accepted.range(start..end);
         let accepted = accepted
-            .filter(|(at, _)| !self.chosen.contains_key(at))
-            .map(|(at, accepted)| (*at, accepted.proposal_number, accepted.value.clone()));
+            .filter(|(instance, _)| !self.chosen.contains_key(instance))
+            .map(|(instance, accepted)| {
+                (*instance, accepted.proposal_number, accepted.value.clone())
+            });
         let skipped = self.skipped.overlapping(start, end).into_iter();
         let skipped = skipped.map(|range| (range.start, range.end, ProposalNumber::CHOSEN));
         let noops = self.accepted_noops.overlapping(start, end).into_iter();
@@ -162,12 +167,12 @@
     pub(crate) fn chosen_commands(&self, (start, end): Block) -> Commands {
         self.chosen
             .range(start..end)
-            .map(|(at, value)| (*at, value.clone()))
+            .map(|(instance, value)| (*instance, value.clone()))
             .collect()
     }
 
     /// The highest instance with an accepted or chosen command.
-    pub(crate) fn highest_command(&self) -> Option<Instance> {
+    pub(crate) fn highest_command_instance(&self) -> Option<Instance> {
         let accepted = self
             .accepted
             .last_key_value()
@@ -176,7 +181,7 @@
         accepted.max(chosen)
     }
 
-    /// Forgets what lies below `end`, as a snapshot covers it.
+    /// Removes all entries below `end`, which a snapshot covers.
     pub(crate) fn compact_below(&mut self, end: Instance) {
         self.promised.clear(0, end);
         self.accepted_noops.clear(0, end);
@@ -186,7 +191,7 @@
     }
 }
 
-/// The first of `from`, `from + step`, ... that is not below `bound`.
+/// Returns the first of `from`, `from + step`, ... that is not below `bound`.
 fn first_step_at_or_above(bound: Instance, from: Instance, step: u64) -> Instance {
     from + (bound - from).div_ceil(step) * step
 }
--- a/crates/mencius/src/instance_ranges.rs
+++ b/crates/mencius/src/instance_ranges.rs
@@ -1,11 +1,11 @@
-//! Ranges of instances that share one value, kept as ranges (design 3.3): a revoked block of
-//! hundreds of thousands of no-ops takes one entry.
+//! A map from instances to values that stores ranges instead of single instances (design 3.3): a
+//! revoked block of hundreds of thousands of no-ops takes one entry.
 
 use std::collections::BTreeMap;
 
 use crate::messages::Instance;
 
-/// The instances from `start` on and below `end`, and their value.
+/// The instances from `start` to below `end`, and their value.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct ValuedRange<V> {
     pub start: Instance,
@@ -13,10 +13,10 @@
     pub value: V,
 }
 
-/// A map from instances to values, stored by ranges. Ranges with equal values that touch are one.
+/// A map from instances to values, stored by ranges. Adjacent ranges with equal values are merged.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct InstanceRanges<V> {
-    /// By the start of the range. No two overlap and none is empty.
+    /// The ranges by their start. No two ranges overlap and none is empty.
     by_start: BTreeMap<Instance, RangeEnd<V>>,
 }
 
@@ -35,7 +35,7 @@
 }
 
 impl<V: Copy + PartialEq> InstanceRanges<V> {
-    /// The whole range that `instance` lies in.
+    /// The whole range that contains `instance`.
     pub(crate) fn range_at(&self, instance: Instance) -> Option<ValuedRange<V>> {
         let (&start, &RangeEnd { end, value }) = self.by_start.range(..=instance).next_back()?;
         (instance < end).then_some(ValuedRange { start, end, value })
@@ -45,7 +45,8 @@
         self.range_at(instance).is_some()
     }
 
-    /// The parts of the instances from `start` on and below `end` that have a value, in order.
+    /// The ranges that have a value between `start` and below `end`, clipped to these bounds, in
+    /// order.
     pub(crate) fn overlapping(&self, start: Instance, end: Instance) -> Vec<ValuedRange<V>> {
         self.touching(start, end)
             .map(|range| ValuedRange {
@@ -57,7 +58,7 @@
             .collect()
     }
 
-    /// Gives the instances from `start` on and below `end` a value, in place of any that they had.
+    /// Sets the value of the instances from `start` to below `end`, replacing any previous values.
     pub(crate) fn set(&mut self, start: Instance, end: Instance, value: V) {
         if start >= end {
             return;
@@ -70,7 +71,7 @@
         self.by_start.insert(start, RangeEnd { end, value });
     }
 
-    /// Takes the value from the instances from `start` on and below `end`.
+    /// Removes the values of the instances from `start` to below `end`.
     pub(crate) fn clear(&mut self, start: Instance, end: Instance) {
         let touched: Vec<ValuedRange<V>> = self.touching(start, end).collect();
         for range in touched {
@@ -103,7 +104,7 @@
             .map(|(&start, &RangeEnd { end, value })| ValuedRange { start, end, value })
     }
 
-    /// The whole ranges that have an instance from `start` on and below `end`.
+    /// The whole ranges that contain an instance from `start` to below `end`.
     fn touching(
         &self,
         start: Instance,
--- a/crates/mencius/src/learner.rs
+++ b/crates/mencius/src/learner.rs
@@ -1,4 +1,4 @@
-//! Incoming frames, and learning outcomes from whoever brings them (design 3.2).
+//! Dispatch of incoming frames, and learning of outcomes (design 3.2).
 
 use crate::catch_up::MAX_OUTCOMES_PER_MESSAGE;
 use crate::messages::{Block, Commands, Frame, Instance, Message, ReplicaId, Value, Write};
@@ -8,7 +8,7 @@
     pub(crate) fn on_frame(&mut self, from: ReplicaId, frame: Frame) {
         self.record_contact(from);
         let cursor = match &frame.message {
-            // These two move the cursor themselves.
+            // The handlers of these messages move the cursor themselves.
             Message::Suggest { .. } | Message::Resync { .. } => None,
             _ => Some(frame.cursor),
         };
@@ -19,7 +19,7 @@
         self.apply_ready();
     }
 
-    /// Handles a message of a peer or of this replica to itself.
+    /// Handles a message from a peer or from this replica to itself.
     pub(crate) fn handle_message(&mut self, from: ReplicaId, message: Message) {
         match message {
             Message::Suggest { instance, value } => self.on_suggest(from, instance, value),
@@ -52,8 +52,8 @@
         self.apply_ready();
     }
 
-    /// The command accepted here is the one chosen: at most one can ever be proposed in an
-    /// instance (paper 4.2).
+    /// Learns the command accepted here as the chosen one: at most one command can ever be proposed
+    /// in an instance (paper 4.2). If none was accepted here, the outcome is fetched.
     fn on_learn(&mut self, from: ReplicaId, instance: Instance) {
         if self.is_learned(instance) {
             return;
@@ -81,7 +81,7 @@
         self.rejected.remove(&instance);
     }
 
-    /// Learns that a coordinator's instances are no-ops, but for those with a chosen command.
+    /// Learns that a coordinator's instances are no-ops, except those with a chosen command.
     pub(crate) fn learn_skip(&mut self, coordinator: ReplicaId, start: Instance, end: Instance) {
         let start = start.max(self.compaction_point);
         self.log_of_mut(coordinator).skip(start, end);
@@ -89,16 +89,16 @@
             let skipped = &self.log_of(coordinator).skipped;
             let suggested = self.own_suggestions.range(start..end.max(start));
             let suggested = suggested.map(|(instance, _)| *instance);
-            let lost: Vec<Instance> = suggested
+            let skipped_suggestions: Vec<Instance> = suggested
                 .filter(|instance| skipped.contains(*instance))
                 .collect();
-            for instance in lost {
-                self.hand_back(instance);
+            for instance in skipped_suggestions {
+                self.return_unchosen(instance);
             }
         }
     }
 
-    /// A block of one coordinator whose outcome somebody knows in full.
+    /// Learns the outcome of all of one coordinator's instances in a block.
     pub(crate) fn on_chosen(&mut self, coordinator: ReplicaId, block: Block, commands: Commands) {
         let (start, end) = block;
         for (instance, value) in commands {
@@ -115,7 +115,7 @@
         self.learn_skip(coordinator, start, end);
     }
 
-    /// A block of all coordinators whose outcome somebody knows in full.
+    /// Learns the outcome of all instances in a block, of all coordinators.
     pub(crate) fn on_outcomes(&mut self, from: ReplicaId, (start, end): Block, commands: Commands) {
         let more_to_fetch = commands.len() >= MAX_OUTCOMES_PER_MESSAGE;
         for (instance, value) in commands {
--- a/crates/mencius/src/lib.rs
+++ b/crates/mencius/src/lib.rs
@@ -1,14 +1,15 @@
-//! The ordering core of the control plane: Mencius without a clock, a disk or a socket.
+//! The ordering core of the control plane: the Mencius protocol as a state machine without a clock,
+//! disk or socket.
 //!
-//! A [`Replica`] takes [`Input`]s and answers with [`Effect`]s. Its driver owns the connections,
-//! the disk and the state machine: it hands in what arrived, carries out the effects in their order,
-//! and reports a finished sync with [`Input::Persisted`]. The daemon and the simulator drive the
-//! same code, so a run of the simulator with the same inputs takes the same decisions.
+//! A [`Replica`] takes [`Input`]s and produces [`Effect`]s. Its driver owns the connections, the
+//! disk and the state machine: it passes events to the replica, carries out the effects in order,
+//! and reports each completed sync with [`Input::Persisted`]. The daemon and the simulator drive
+//! the same code, so a simulator run with the same inputs makes the same decisions.
 //!
 //! ```
 //! use mencius::{Config, Effect, Input, Replica};
 //!
-//! // A group of one: its own vote is a majority.
+//! // In a group of one replica, its own vote is a majority.
 //! let mut replica = Replica::restore(0, 1, 7, Config::default(), 0, Vec::new());
 //! replica.step(0, Input::Submit(b"command".to_vec()));
 //! let mut applied = Vec::new();
@@ -30,27 +31,28 @@
 //! ```
 //!
 //! The protocol is that of "Mencius: Building Efficient Replicated State Machines for WANs" (Mao,
-//! Junqueira, Marzullo); "paper 4.3" in a comment is a section of it. "design 3.5" is a section of
-//! `docs/design.md`, which says where this implementation departs from the paper and why.
+//! Junqueira, Marzullo); "paper 4.3" in a comment refers to a section of that paper. "design 3.5"
+//! refers to a section of `docs/design.md`, which explains where and why this implementation
+//! differs from the paper.
 //!
-//! | module | what it does |
+//! | module | purpose |
 //! | --- | --- |
 //! | `messages` | messages, durable writes, inputs, effects |
 //! | `config` | parameters, with units |
 //! | `replica` | the state of a replica, its entry points, batching of writes and frames |
-//! | `state` | the parts of that state |
-//! | `propose` | Rules 1, 2 and 4: suggestions in a replica's own instances |
+//! | `state` | the data types of that state |
+//! | `propose` | Rules 1, 2 and 4: suggestions and skips in a replica's own instances |
 //! | `acceptor` | the acceptor's side of a revocation |
-//! | `revocation` | the proposer's side: Rule 3 and Optimization 3 |
-//! | `learner` | incoming frames, and what is learned from them |
-//! | `apply` | delivery in order, snapshots, restart |
-//! | `catch_up` | what is sent again on a new connection and to a replica that is behind |
+//! | `revocation` | the proposer's side of a revocation: Rule 3 and Optimization 3 |
+//! | `learner` | dispatch of incoming frames, learning of outcomes |
+//! | `apply` | in-order delivery, snapshots, recovery after a restart |
+//! | `catch_up` | retransmission on a new connection and to a replica that is behind |
 //! | `read_index` | linearizable reads |
-//! | `voting_range` | which instances a disk may vote in when a replica's disk is replaced |
-//! | `timers` | heartbeats, suspicion, stalls |
-//! | `coordinator_log` | what is known of the instances of one coordinator |
-//! | `instance_ranges` | ranges of instances that share a value |
-//! | `status` | a description of the replica for logs |
+//! | `voting_range` | the instances in which a disk may vote when a replica's disk is replaced |
+//! | `timers` | heartbeats, failure suspicion, stalled instances |
+//! | `coordinator_log` | the log of one coordinator's instances |
+//! | `instance_ranges` | a map from ranges of instances to values |
+//! | `status` | a description of the replica for log messages |
 #![deny(missing_docs)]
 
 mod acceptor;
--- a/crates/mencius/src/propose.rs
+++ b/crates/mencius/src/propose.rs
@@ -1,4 +1,5 @@
-//! Rules 1, 2 and 4: suggesting and skipping in one's own instances (paper 4.3; design 3.2).
+//! Rules 1, 2 and 4: suggesting commands and skipping in a replica's own instances (paper 4.3;
+//! design 3.2).
 
 use std::collections::BTreeSet;
 
@@ -8,8 +9,8 @@
 use crate::state::OwnSuggestion;
 
 impl Replica {
-    /// Rule 1: suggests a command in the instance that the index stands at. The suggestion is in
-    /// the batch, so it is synced before any peer sees it.
+    /// Rule 1: suggests a command in the instance at the index. The suggestion is part of the
+    /// batch, so it is synced before it is sent to any peer.
     pub(crate) fn suggest(&mut self, value: Value) {
         if !self.may_vote(self.index) {
             self.deferred.push_back(value);
@@ -40,10 +41,11 @@
             .accept(instance, proposal_number, value);
     }
 
-    /// Rule 2, the receiver's half. The cursor of the frame is not needed: by Optimization 2 the
-    /// suggestion itself says that the coordinator's earlier instances are no-ops.
+    /// Rule 2, the receiver's side. The cursor of the frame is not needed: by Optimization 2 the
+    /// suggestion itself implies that the coordinator's earlier instances without a suggestion are
+    /// no-ops.
     pub(crate) fn on_suggest(&mut self, from: ReplicaId, instance: Instance, value: Value) {
-        // Simple consensus, enforced on receipt: only the coordinator may suggest (paper 4.2).
+        // Simple consensus: only the coordinator may suggest a command (paper 4.2).
         if self.coordinator(instance) != from || instance < self.compaction_point {
             return;
         }
@@ -83,7 +85,8 @@
         self.send(from, Message::Accept { instance });
     }
 
-    /// A replica accepted an own suggestion; with a majority the command is chosen.
+    /// Records that a replica accepted an own suggestion; the command is chosen once a majority has
+    /// accepted.
     pub(crate) fn on_accept(&mut self, from: ReplicaId, instance: Instance) {
         let majority = self.majority();
         let Some(suggestion) = self.own_suggestions.get_mut(&instance) else {
@@ -98,7 +101,7 @@
         self.learn_command(instance, value);
     }
 
-    /// Rule 2: the own unused instances up to and including `last` will never be used.
+    /// Rule 2: skips the own unused instances up to and including `last`.
     pub(crate) fn skip_own_through(&mut self, last: Instance) {
         if last < self.index {
             return;
@@ -109,16 +112,16 @@
         self.learn_skip(self.replica_id, start, self.index);
     }
 
-    /// The own instances below `end` are decided or promised away to a higher proposal: none is left
-    /// to suggest in (design 3.6).
+    /// Skips the own instances below `end`. They are decided or promised to a higher proposal, so
+    /// that this replica can no longer suggest in them (design 3.6).
     pub(crate) fn skip_own_below(&mut self, end: Instance) {
         if end > self.index {
             self.skip_own_through(end - 1);
         }
     }
 
-    /// Optimizations 1 to 3 on the receiving side: what a coordinator's cursor passes over is
-    /// no-op. `skipped_below` bounds what becomes no-op, `cursor` is the new cursor.
+    /// Optimizations 1 to 3, the receiver's side: learns no-ops for the instances that a
+    /// coordinator's cursor passes, up to below `skipped_below`, and sets the new `cursor`.
     pub(crate) fn advance_cursor(
         &mut self,
         coordinator: ReplicaId,
@@ -134,10 +137,10 @@
         self.log_of_mut(coordinator).cursor = Some(known.max(cursor));
     }
 
-    /// Rule 4 as far as the driver wants it: a command that lost to no-op is suggested again only
-    /// for a caller that still waits. One whose caller was answered that it was not taken would
-    /// otherwise take effect long after (design 3.2).
-    pub(crate) fn hand_back(&mut self, instance: Instance) {
+    /// Rule 4, left to the driver: returns a command that lost to no-op, which is suggested again
+    /// only if a caller still waits. Otherwise a command could take effect long after its caller
+    /// was told that it was not accepted (design 3.2).
+    pub(crate) fn return_unchosen(&mut self, instance: Instance) {
         self.rejected.remove(&instance);
         if let Some(suggestion) = self.own_suggestions.remove(&instance) {
             self.effects.push(Effect::NotChosen(suggestion.value));
--- a/crates/mencius/src/read_index.rs
+++ b/crates/mencius/src/read_index.rs
@@ -1,9 +1,9 @@
 //! Linearizable reads through a quorum, an addition to the paper (design 3.9; ReadIndex in Raft).
 //!
-//! A replica asks a majority for the highest instance in which they accepted a command, and answers
-//! once it has applied through the highest of these. Whatever was answered to anyone before had
-//! been accepted by a majority, so at least one of those asked reports it. One round of messages
-//! serves all reads that came before it set out.
+//! A replica asks a majority for the highest instance in which each accepted a command, and answers
+//! the read once it has applied the log through the highest of these. Any command whose effect was
+//! visible to a client before was accepted by a majority, so at least one of the responses covers
+//! it. One round of messages serves all reads requested before the round started.
 
 use std::collections::BTreeMap;
 use std::mem::take;
@@ -12,14 +12,14 @@
 use crate::replica::Replica;
 use crate::state::{ConfirmedReads, ReadIndexRound};
 
-/// Reads of one replica that are not answered yet.
+/// The reads of a replica that are not answered yet.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PendingReads {
-    /// Reads that wait for the next round.
+    /// The number of reads that wait for the next round.
     pub waiting: usize,
-    /// Reads in the round under way.
+    /// The number of reads in the current round.
     pub in_round: usize,
-    /// For each finished round whose reads are not answered: the instance to be applied first.
+    /// For each finished round with unanswered reads, the instance that must be applied first.
     pub awaited_instances: Vec<Instance>,
 }
 
@@ -29,7 +29,7 @@
         self.start_read_round();
     }
 
-    /// Begins a round for the waiting reads, if none is under way.
+    /// Starts a round for the waiting reads, unless a round is already in progress.
     pub(crate) fn start_read_round(&mut self) {
         let idle = self.reads.current_round.is_none() && !self.reads.waiting.is_empty();
         if !idle || !self.has_caught_up() {
@@ -47,8 +47,8 @@
         self.on_read_index_response(self.replica_id, token, self.highest_command_instance());
     }
 
-    /// Repeats the requests of a round whose responses do not come: they may have been lost with a
-    /// connection.
+    /// Repeats the requests of a round that is overdue: requests or responses may have been lost
+    /// with a connection.
     pub(crate) fn retry_read_round(&mut self) {
         let Some(round) = &mut self.reads.current_round else {
             return;
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Sends the request of the round under way to a peer that has not responded to it.
+    /// Sends the request of the current round to a peer that has not responded to it.
     pub(crate) fn request_read_index_of(&mut self, peer: ReplicaId) {
         let Some(round) = &self.reads.current_round else {
             return;
@@ -93,14 +93,14 @@
         highest_accepted: Option<Instance>,
     ) {
         let majority = self.majority();
-        let responded = self.reads.current_round.take_if(|round| {
+        let completed = self.reads.current_round.take_if(|round| {
             if round.token != token {
                 return false;
             }
             round.responses.insert(from, highest_accepted);
             round.responses.len() >= majority
         });
-        let Some(round) = responded else { return };
+        let Some(round) = completed else { return };
         let read_index = round.responses.into_values().max().flatten();
         self.reads.confirmed.push(ConfirmedReads {
             read_index,
@@ -110,10 +110,11 @@
         self.start_read_round();
     }
 
-    /// Answers the confirmed reads whose index is applied.
+    /// Answers the confirmed reads whose read index is applied.
     pub(crate) fn complete_reads(&mut self) {
         let applied = self.applied;
-        let is_applied = |reads: &ConfirmedReads| reads.read_index.is_none_or(|at| at < applied);
+        let is_applied =
+            |reads: &ConfirmedReads| reads.read_index.is_none_or(|instance| instance < applied);
         let (ready, waiting): (Vec<_>, Vec<_>) = take(&mut self.reads.confirmed)
             .into_iter()
             .partition(is_applied);
@@ -122,7 +123,7 @@
         self.effects.extend(tokens.map(Effect::ReadReady));
     }
 
-    /// The reads that are not answered yet, for status pages.
+    /// The reads that are not answered yet, for status reports.
     pub fn pending_reads(&self) -> PendingReads {
         let round = self.reads.current_round.as_ref();
         PendingReads {
@@ -132,8 +133,8 @@
         }
     }
 
-    /// The highest instance that a read waits for or that is known to hold a command. Nothing waits
-    /// where it is below `applied`.
+    /// The highest instance that a read waits for or that is known to hold a command. If it is
+    /// below `applied`, nothing is waiting to be applied.
     pub(crate) fn awaited_instance(&self) -> Option<Instance> {
         self.read_indexes()
             .max()
--- a/crates/mencius/src/replica.rs
+++ b/crates/mencius/src/replica.rs
@@ -1,5 +1,5 @@
-//! The state of a replica and its entry points: one input at a time, effects collected
-//! (design 3.2), writes and frames gathered into batches that are synced as one (design 3.3).
+//! The state of a replica and its entry points. A replica processes one input at a time and
+//! collects effects (design 3.2); writes and frames are batched and synced together (design 3.3).
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::mem::take;
@@ -20,59 +20,60 @@
 
 /// One replica of the replicated log.
 ///
-/// It owns no clock, disk or socket: [`step`](Replica::step) takes one [`Input`] and the time,
-/// [`take_effects`](Replica::take_effects) gives the [`Effect`]s to carry out.
+/// A replica owns no clock, disk or socket: [`step`](Replica::step) takes one [`Input`] and the
+/// time, [`take_effects`](Replica::take_effects) returns the [`Effect`]s to carry out.
 pub struct Replica {
     pub(crate) replica_id: ReplicaId,
     pub(crate) replica_count: u64,
     /// The identity of this replica's disk; part of each of its proposal numbers.
     pub(crate) disk_id: u64,
     pub(crate) config: Config,
-    /// The latest time handed in.
+    /// The latest time passed to `step`.
     pub(crate) now: Micros,
-    /// Drawn from a fixed seed, so that the same inputs have the same effects.
+    /// Seeded from the disk identity, so that the same inputs produce the same effects.
     pub(crate) rng: StdRng,
 
-    // The durable state; the writes that change it are in `Write`.
+    // Durable state, changed by the writes in `Write`.
     /// The next own instance to suggest in: I_p (paper 4.3).
     pub(crate) index: Instance,
     /// The highest counter of a proposal number used or seen.
     pub(crate) proposal_counter: u64,
-    /// What is known of the instances of each coordinator, by replica id.
+    /// The log of each coordinator's instances, indexed by replica id.
     pub(crate) coordinator_logs: Vec<CoordinatorLog>,
     pub(crate) snapshot: Option<Snapshot>,
-    /// Everything below is compacted away and only in the snapshot.
+    /// All instances below this one are compacted away and contained in the snapshot only.
     pub(crate) compaction_point: Instance,
-    /// The first instance that this disk may vote in (design 4.4).
+    /// The first instance in which this disk may vote (design 4.4).
     pub(crate) voting_range_start: Instance,
 
-    // Delivery in order.
-    /// All instances below were given out with `Effect::Apply` or are no-ops.
+    // In-order delivery.
+    /// All instances below this one were emitted as `Effect::Apply` or are no-ops.
     pub(crate) applied: Instance,
-    /// `applied` at the last `take_effects`.
+    /// The value of `applied` at the last call of `take_effects`.
     pub(crate) delivered: Instance,
-    /// All instances below are carried out by the driver: a change of a replica's disk among them
-    /// is in force.
+    /// The driver has carried out all instances below this one, so any replacement of a replica's
+    /// disk among them is in force.
     pub(crate) executed: Instance,
-    /// The last instance that this disk may vote in, as far as the log says (design 4.4).
+    /// The last instance in which this disk may vote, as far as known from the log (design 4.4).
     pub(crate) voting_range_end: Instance,
 
     // Own suggestions.
-    /// Those without a known outcome.
+    /// Own suggestions without a known outcome.
     pub(crate) own_suggestions: BTreeMap<Instance, OwnSuggestion>,
-    /// Those that an acceptor rejected for a higher promise.
+    /// Own suggestions that an acceptor rejected because of a higher promise.
     pub(crate) rejected: BTreeSet<Instance>,
-    /// Commands that came while the index was outside of the voting range.
+    /// Commands that were submitted while the index was outside of the voting range.
     pub(crate) deferred: VecDeque<Value>,
 
     // Peers, suspicion and revocation.
-    /// By replica id; the entry of this replica itself is not used.
+    /// Peers, indexed by replica id; the entry of this replica itself is not used.
     pub(crate) peers: Vec<Peer>,
-    /// The revocations that this replica leads, by the coordinator revoked.
+    /// The revocations that this replica leads, by revoked coordinator.
     pub(crate) revocations: BTreeMap<ReplicaId, Revocation>,
-    /// By the coordinator: no revocation is begun before this time. 0 where none was delayed.
+    /// The time before which no revocation is started, indexed by coordinator; 0 if none was
+    /// delayed.
     pub(crate) revoke_not_before: Vec<Micros>,
-    /// By the coordinator: revocations begun since the log last moved.
+    /// The number of revocations started since the log last advanced, indexed by coordinator.
     pub(crate) revocation_attempts: Vec<u32>,
     pub(crate) stall: Stall,
     pub(crate) last_tick: Micros,
@@ -83,15 +84,15 @@
     pub(crate) batch: Batch,
     pub(crate) persisting: Option<PersistingBatch>,
     pub(crate) last_ticket: PersistTicket,
-    /// Released and not yet taken by the driver.
+    /// Effects not yet taken by the driver.
     pub(crate) effects: Vec<Effect>,
 }
 
 impl Replica {
-    /// Brings a replica back from what its disk kept.
+    /// Restores a replica from the writes on its disk.
     ///
-    /// `replica_id` is below `replica_count`; `disk_id` is unique to this disk and not 0; `writes`
-    /// are all that was persisted, oldest first, and empty on a new disk.
+    /// `replica_id` must be below `replica_count`; `disk_id` must be unique to this disk and not 0;
+    /// `writes` holds all persisted writes, oldest first, and is empty for a new disk.
     pub fn restore(
         replica_id: ReplicaId,
         replica_count: u16,
@@ -153,7 +154,8 @@
         }
     }
 
-    /// Takes in one input. `now` never goes back: an earlier time counts as the latest one.
+    /// Processes one input. Time is monotonic: if `now` is earlier than in a previous call, the
+    /// latest time seen is used.
     pub fn step(&mut self, now: Micros, input: Input) {
         self.now = self.now.max(now);
         match input {
@@ -174,12 +176,12 @@
         }
     }
 
-    /// The effects since the last call, to be carried out in order before the next input.
+    /// Returns the effects since the last call, to be carried out in order before the next input.
     ///
-    /// Closes the batch: one sync for all that gathered, and no frame of a batch leaves before its
-    /// writes are synced, nor any later frame before an earlier one (design 3.3).
+    /// Closes the current batch, which takes one sync. The frames of a batch are sent only after
+    /// its writes are synced, and frames are never reordered (design 3.3).
     pub fn take_effects(&mut self) -> Vec<Effect> {
-        // Whoever asks for more has carried out what it was given before.
+        // A driver calls this only after it has carried out the effects of the previous call.
         self.executed = self.delivered;
         while self.persisting.is_none() && !self.batch.is_empty() {
             if self.batch.writes.is_empty() {
@@ -221,7 +223,7 @@
         }
     }
 
-    /// Lets frames go whose batch is synced; this replica's messages to itself are handled here.
+    /// Sends the frames of a synced batch. Messages of this replica to itself are handled directly.
     fn release(&mut self, frames: Vec<OutgoingFrame>) {
         let now = self.now;
         for OutgoingFrame { to, frame } in frames {
@@ -237,8 +239,8 @@
         }
     }
 
-    /// Puts a message into the batch. Its cursor is the index as it stands now: every suggestion
-    /// below is in the batch already, or was sent before.
+    /// Adds a message to the batch. Its cursor is the current index: every suggestion below the
+    /// index is already in the batch or was sent before.
     pub(crate) fn send(&mut self, to: ReplicaId, message: Message) {
         self.send_with_cursor(to, self.index, message);
     }
@@ -261,14 +263,14 @@
         }
     }
 
-    /// All replicas but this one.
+    /// All replicas except this one.
     pub(crate) fn peer_ids(&self) -> impl Iterator<Item = ReplicaId> + use<> {
         let own = self.replica_id;
         self.replica_ids()
             .filter(move |replica_id| *replica_id != own)
     }
 
-    /// All replicas, this one among them.
+    /// All replicas, including this one.
     pub(crate) fn replica_ids(&self) -> impl Iterator<Item = ReplicaId> + use<> {
         0..self.replica_count as ReplicaId
     }
@@ -294,7 +296,7 @@
         &mut self.coordinator_logs[usize::from(coordinator)]
     }
 
-    /// The log that an instance stands in: that of its coordinator.
+    /// The log that contains an instance: that of its coordinator.
     pub(crate) fn log_at(&self, instance: Instance) -> &CoordinatorLog {
         self.log_of(self.coordinator(instance))
     }
@@ -319,43 +321,45 @@
             .first_unknown(first, self.replica_count)
     }
 
-    /// How many replicas a quorum takes (paper 4.4: f + 1 of 2f + 1).
+    /// The number of replicas in a quorum (paper 4.4: f + 1 of 2f + 1).
     pub(crate) fn majority(&self) -> usize {
         self.replica_count as usize / 2 + 1
     }
 
-    /// All instances below are applied: given out with [`Effect::Apply`], in a snapshot, or no-ops.
+    /// The first instance that is not applied. All instances below were emitted as
+    /// [`Effect::Apply`], are contained in a snapshot, or are no-ops.
     pub fn applied(&self) -> Instance {
         self.applied
     }
 
-    /// Everything below is compacted away and only in the latest snapshot.
+    /// All instances below this one are compacted away and contained in the latest snapshot only.
     pub fn compaction_point(&self) -> Instance {
         self.compaction_point
     }
 
-    /// The next instance that this replica suggests in: I_p (paper 4.3).
+    /// The next instance in which this replica suggests a command: I_p (paper 4.3).
     pub fn index(&self) -> Instance {
         self.index
     }
 
-    /// The peers that are held for failed.
+    /// The peers that are suspected to have failed.
     pub fn suspected_peers(&self) -> Vec<ReplicaId> {
         self.peer_ids()
             .filter(|peer| self.peer(*peer).suspected)
             .collect()
     }
 
-    /// The highest instance known to hold a command. Revoked blocks far ahead do not count.
+    /// The highest instance known to hold a command. Revoked blocks far ahead of it, which hold
+    /// no-ops, do not count.
     pub fn highest_command_instance(&self) -> Option<Instance> {
         let commands = self
             .coordinator_logs
             .iter()
-            .filter_map(CoordinatorLog::highest_command);
+            .filter_map(CoordinatorLog::highest_command_instance);
         commands.max().max(self.compaction_point.checked_sub(1))
     }
 
-    /// How many replicas are connected and not suspected, this one included.
+    /// The number of replicas that are connected and not suspected, including this one.
     pub fn reachable_replica_count(&self) -> usize {
         let reachable = |peer: &Peer| peer.connected && !peer.suspected;
         1 + self
--- a/crates/mencius/src/revocation.rs
+++ b/crates/mencius/src/revocation.rs
@@ -1,9 +1,10 @@
-//! Rule 3 and Optimization 3: finishing instances on behalf of a coordinator that does not (paper
-//! 4.2 to 4.4; design 3.6).
+//! Revocation, the proposer's side (Rule 3 and Optimization 3): finishing instances on behalf of a
+//! coordinator that does not finish them itself (paper 4.2 to 4.4; design 3.6).
 //!
 //! A revocation runs both phases of Coordinated Paxos over a block of one coordinator's instances,
-//! with a number above every promise. Only the coordinator ever proposes a command in an instance,
-//! so at most one command can have been accepted there, and it is carried on.
+//! with a proposal number above every promise. Only the coordinator may suggest a command in an
+//! instance, so at most one command can have been accepted there; phase 2 proposes this command
+//! again.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,11 +18,11 @@
 use crate::replica::Replica;
 use crate::state::{Proposal, Revocation};
 
-/// A back-off doubles with each attempt, this many times.
+/// The maximum number of times that the revocation back-off doubles.
 const MAX_BACK_OFF_DOUBLINGS: u32 = 3;
 
 impl Replica {
-    /// Takes the answers of the acceptors.
+    /// Handles the responses of the acceptors.
     pub(crate) fn handle_proposer_message(&mut self, from: ReplicaId, message: Message) {
         match message {
             Message::Promise {
@@ -66,12 +67,13 @@
                 proposal_number,
                 block,
             }),
-            other => debug_assert!(false, "not for a proposer: {other:?}"),
+            other => debug_assert!(false, "unexpected message for a proposer: {other:?}"),
         }
     }
 
-    /// Leaves a coordinator to another revoker for a while. Replicas that outbid each other on slow
-    /// machines finish nothing, so each waits ever longer, by chance.
+    /// Delays the next revocation of a coordinator, so that another proposer can finish its own.
+    /// Replicas on slow machines that preempt each other make no progress, so the delay is random
+    /// and grows exponentially.
     pub(crate) fn back_off_revocation(&mut self, coordinator: ReplicaId) {
         let attempts = self.revocation_attempts[usize::from(coordinator)];
         let pause = self.config.stall_revoke_after << attempts.min(MAX_BACK_OFF_DOUBLINGS);
@@ -79,11 +81,11 @@
         self.revoke_not_before[usize::from(coordinator)] = self.now + pause;
     }
 
-    /// Phase 1 over the coordinator's instances from the first unknown one to below `end`.
+    /// Starts phase 1 for the coordinator's instances from the first unknown one to below `end`.
     pub(crate) fn start_revocation(&mut self, coordinator: ReplicaId, end: Instance) {
         let start = self.first_unknown_of(coordinator, self.applied);
-        // No further than anybody may vote: after a restart the own index can be far above what is
-        // applied.
+        // Acceptors do not vote beyond the voting window, and after a restart the own index can be
+        // far above the applied instances.
         let end = end.min(self.applied + VOTING_WINDOW / 2);
         if start >= end {
             return;
@@ -115,7 +117,7 @@
         );
     }
 
-    /// A number above every promise known here, unique to this disk and never used twice.
+    /// Returns a number above every known promise, unique to this disk and never used twice.
     fn next_proposal_number(&mut self, coordinator: ReplicaId, block: Block) -> ProposalNumber {
         let promised = self.log_of(coordinator).highest_promised(block);
         self.proposal_counter = self.proposal_counter.max(promised.counter) + 1;
@@ -128,7 +130,7 @@
         }
     }
 
-    /// With promises of a majority, phase 2 begins.
+    /// Records a promise; starts phase 2 once a majority has promised.
     fn on_promise(&mut self, from: ReplicaId, proposal: Proposal, report: PromiseReport) {
         let Proposal {
             coordinator,
@@ -139,7 +141,7 @@
         let Some(revocation) = self.revocations.get_mut(&coordinator) else {
             return;
         };
-        if !revocation.is_of(proposal) || revocation.proposed_commands.is_some() {
+        if !revocation.matches(proposal) || revocation.proposed_commands.is_some() {
             return;
         }
         revocation.promises.insert(from, report);
@@ -157,7 +159,7 @@
         self.on_propose(self.replica_id, proposal, commands);
     }
 
-    /// With acceptances of a majority, the block is chosen.
+    /// Records an acceptance; the block is chosen once a majority has accepted.
     fn on_accept_proposal(&mut self, from: ReplicaId, proposal: Proposal) {
         let Proposal {
             coordinator, block, ..
@@ -166,7 +168,7 @@
         let Some(revocation) = self.revocations.get_mut(&coordinator) else {
             return;
         };
-        if !revocation.is_of(proposal) {
+        if !revocation.matches(proposal) {
             return;
         }
         revocation.accepted_by.insert(from);
@@ -185,8 +187,8 @@
         self.on_chosen(coordinator, block, commands);
     }
 
-    /// A peer has promised the number in `proposal`, which is higher than that of this replica's
-    /// revocation or suggestion.
+    /// Handles a rejection: a peer has promised the number in `proposal`, which is higher than that
+    /// of this replica's revocation or suggestion.
     fn on_reject(&mut self, proposal: Proposal) {
         let Proposal {
             coordinator,
@@ -194,14 +196,14 @@
             block: (start, end),
         } = proposal;
         self.proposal_counter = self.proposal_counter.max(proposal_number.counter);
-        let outbid = self
+        let preempted = self
             .revocations
             .get(&coordinator)
             .is_some_and(|revocation| {
-                let (revoked_from, _) = revocation.block;
-                revocation.proposal_number < proposal_number && revoked_from < end
+                let (revoked_start, _) = revocation.block;
+                revocation.proposal_number < proposal_number && revoked_start < end
             });
-        if outbid {
+        if preempted {
             self.revocations.remove(&coordinator);
             self.back_off_revocation(coordinator);
         }
@@ -216,8 +218,8 @@
     }
 }
 
-/// The commands that may have been chosen: in each instance the one accepted in the highest
-/// proposal, unless a higher one had no-op there (paper 4.2).
+/// The commands that may have been chosen: for each instance, the command accepted in the highest
+/// proposal, unless a higher proposal had no-op there (paper 4.2).
 fn commands_to_propose(promises: &BTreeMap<ReplicaId, PromiseReport>) -> Commands {
     let mut highest = BTreeMap::<Instance, (ProposalNumber, &Value)>::new();
     for (instance, proposal_number, value) in promises.values().flat_map(|report| &report.commands)
@@ -231,7 +233,8 @@
     }
     highest
         .into_iter()
-        // In one proposal a command and a no-op never meet: it lists its commands.
+        // With equal numbers the command wins: a proposal lists its commands, and only its other
+        // instances are no-ops.
         .filter(|(instance, (proposal_number, _))| {
             highest_noop(promises, *instance).is_none_or(|noop| noop <= *proposal_number)
         })
@@ -239,7 +242,7 @@
         .collect()
 }
 
-/// The highest proposal in which no-op is reported as accepted in an instance.
+/// The number of the highest proposal in which no-op is reported as accepted in an instance.
 fn highest_noop(
     promises: &BTreeMap<ReplicaId, PromiseReport>,
     instance: Instance,
--- a/crates/mencius/src/state.rs
+++ b/crates/mencius/src/state.rs
@@ -1,4 +1,5 @@
-//! The parts of a replica's state. What happens to them is in the modules named by action.
+//! The data types that make up a replica's state. The modules named after protocol actions operate
+//! on them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,22 +9,22 @@
     Value, Write,
 };
 
-/// What this replica knows of another one and of the connection to it.
+/// The state that a replica keeps about a peer and the connection to it.
 #[derive(Clone, Debug)]
 pub(crate) struct Peer {
     pub connected: bool,
     pub last_heard: Micros,
-    /// Silence for longer than this raises suspicion; grows with each mistake.
+    /// The peer is suspected after a silence longer than this; grows with each false suspicion.
     pub suspicion_timeout: Micros,
     pub suspected: bool,
-    /// The highest cursor put on a frame for this peer.
+    /// The highest cursor sent to the peer.
     pub announced_cursor: Instance,
-    /// When the peer last had nothing outstanding, or was sent a skip for what was.
+    /// The time when the peer last had no outstanding skips, or was last sent a `Skip` message.
     pub announced_at: Micros,
     pub last_sent: Micros,
-    /// All instances below are applied at the peer, as far as it has said.
+    /// The peer has reported that all instances below this one are applied there.
     pub applied: Instance,
-    /// The outcomes sent last on this connection.
+    /// The outcomes last sent on this connection.
     pub sent_outcomes: Option<SentOutcomes>,
 }
 
@@ -43,23 +44,23 @@
     }
 }
 
-/// Outcomes that may still be on their way to a peer.
+/// Outcomes that may still be in transit to a peer.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SentOutcomes {
-    /// The first instance that the peer asked for.
+    /// The first instance that the peer requested.
     pub from: Instance,
-    /// Before this time the same is not sent again.
+    /// The same outcomes are not sent again before this time.
     pub resend_not_before: Micros,
 }
 
-/// An own suggestion whose outcome is not known yet.
+/// A suggestion of this replica whose outcome is not yet known.
 #[derive(Clone, Debug)]
 pub(crate) struct OwnSuggestion {
     pub value: Value,
     pub accepted_by: BTreeSet<ReplicaId>,
 }
 
-/// The state machine of the driver at some point of the log.
+/// The state machine of the driver at a position in the log.
 #[derive(Clone, Debug)]
 pub(crate) struct Snapshot {
     /// The first instance whose command is not in the state.
@@ -67,7 +68,7 @@
     pub state: Vec<u8>,
 }
 
-/// The first instance that is not applied, and since when it has been that one.
+/// The first instance that is not applied, and the time when it became the first.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Stall {
     pub instance: Instance,
@@ -80,15 +81,16 @@
     pub frame: Frame,
 }
 
-/// What gathers until the next sync.
+/// The writes and frames collected until the next sync.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Batch {
-    /// Writes that must be synced before the frames leave.
+    /// Writes that must be synced before the frames are sent.
     pub writes: Vec<Write>,
-    /// Learned outcomes. They can be asked for again, so they cause no sync and go with the next.
+    /// Learned outcomes. They can be fetched again from a peer, so they do not cause a sync of
+    /// their own and are written with the next one.
     pub outcomes: Vec<Write>,
     pub frames: Vec<OutgoingFrame>,
-    /// The whole state is to be written in place of the journal.
+    /// Whether the complete state is written in place of the journal.
     pub replace_journal: bool,
 }
 
@@ -98,14 +100,14 @@
     }
 }
 
-/// A batch whose writes are on their way to the disk.
+/// A batch whose writes are being synced to the disk.
 #[derive(Clone, Debug)]
 pub(crate) struct PersistingBatch {
     pub ticket: PersistTicket,
     pub frames: Vec<OutgoingFrame>,
 }
 
-/// What the messages of one revocation speak of.
+/// The coordinator, proposal number and block that identify a revocation in its messages.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Proposal {
     /// The coordinator whose instances are revoked.
@@ -119,7 +121,7 @@
 pub(crate) struct Revocation {
     pub proposal_number: ProposalNumber,
     pub block: Block,
-    /// By the acceptor.
+    /// The reports of the acceptors that promised.
     pub promises: BTreeMap<ReplicaId, PromiseReport>,
     /// The commands proposed in phase 2; `None` in phase 1.
     pub proposed_commands: Option<Commands>,
@@ -128,39 +130,39 @@
 }
 
 impl Revocation {
-    pub(crate) fn is_of(&self, proposal: Proposal) -> bool {
+    pub(crate) fn matches(&self, proposal: Proposal) -> bool {
         self.proposal_number == proposal.proposal_number && self.block == proposal.block
     }
 }
 
-/// The reads of this replica, from request to answer.
+/// The reads of this replica that are not answered yet.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ReadIndexState {
     /// The token of the latest round.
     pub last_token: ReadToken,
-    /// Requested since the round under way set out; they need a round of their own.
+    /// Reads requested after the current round started; they need the next round.
     pub waiting: Vec<ReadToken>,
     pub current_round: Option<ReadIndexRound>,
-    /// A majority has responded; what remains is to apply through the instance named.
+    /// Reads for which a majority has responded; they wait until their read index is applied.
     pub confirmed: Vec<ConfirmedReads>,
 }
 
-/// A round of messages to a majority.
+/// A round of read-index requests to a majority.
 #[derive(Clone, Debug)]
 pub(crate) struct ReadIndexRound {
     pub token: ReadToken,
-    /// The reads that it serves.
+    /// The reads that the round serves.
     pub requested_by: Vec<ReadToken>,
     /// The highest accepted instance of each replica that responded.
     pub responses: BTreeMap<ReplicaId, Option<Instance>>,
-    /// When its requests were last sent.
+    /// The time when the requests were last sent.
     pub sent_at: Micros,
 }
 
 /// Reads that may be answered once the log is applied through `read_index`.
 #[derive(Clone, Debug)]
 pub(crate) struct ConfirmedReads {
-    /// `None` where no command was ever accepted.
+    /// `None` if no command was ever accepted.
     pub read_index: Option<Instance>,
     pub tokens: Vec<ReadToken>,
 }
--- a/crates/mencius/src/status.rs
+++ b/crates/mencius/src/status.rs
@@ -1,11 +1,12 @@
-//! A description of the replica for the logs, for whoever looks into a log that does not move.
+//! A textual description of the replica's state for log messages, to diagnose a log that does not
+//! advance.
 
 use crate::messages::ReplicaId;
 use crate::replica::Replica;
 
 impl Replica {
-    /// Each replica's connection and how far its instances are known, the revocations under way,
-    /// and the bounds of this replica, as one line of text.
+    /// Describes, in one line of text, the connection and the progress of each replica, the
+    /// revocations in progress, and the bounds of this replica.
     pub fn diagnostics(&self) -> String {
         let replicas = self
             .replica_ids()
--- a/crates/mencius/src/timers.rs
+++ b/crates/mencius/src/timers.rs
@@ -1,5 +1,5 @@
-//! What happens as time passes: heartbeats, overdue skips, suspicion, and instances that do not
-//! finish (design 3.6, 3.7).
+//! Time-driven actions: heartbeats, overdue skips, failure suspicion, and stalled instances (design
+//! 3.6, 3.7).
 
 use std::mem::take;
 
@@ -9,17 +9,17 @@
 use crate::replica::Replica;
 use crate::state::Stall;
 
-/// A revocation without an outcome is given up after this, so that another can begin. In
+/// The time after which a revocation without an outcome is abandoned, so that another can start, in
 /// microseconds.
 const REVOCATION_TIMEOUT: Micros = 1_000_000;
-/// The pause between two fetches is `stall_fetch_after` at first. It doubles each time that so many
-/// times `stall_fetch_after` have passed.
+/// The interval between two fetches, initially `stall_fetch_after`, doubles each time that this
+/// many times `stall_fetch_after` have passed.
 const FETCHES_PER_DOUBLING: u64 = 4;
-/// How often that pause doubles at most.
+/// The maximum number of times that the interval between two fetches doubles.
 const MAX_FETCH_DOUBLINGS: u64 = 3;
 
 impl Replica {
-    /// Anything that a peer sends shows that it runs.
+    /// Records that a peer sent something, which shows that it is alive.
     pub(crate) fn record_contact(&mut self, from: ReplicaId) {
         if from == self.replica_id {
             return;
@@ -29,14 +29,14 @@
         let peer = self.peer_mut(from);
         peer.last_heard = now;
         if take(&mut peer.suspected) {
-            // It was alive after all, or came back: be slower to suspect it next time (paper 4.1,
-            // unreliable failure detector).
+            // The suspicion was false or the peer has recovered: wait longer before suspecting it
+            // again (paper 4.1, unreliable failure detector).
             peer.suspicion_timeout = (peer.suspicion_timeout * 3 / 2).min(max_timeout);
         }
     }
 
     pub(crate) fn tick(&mut self) {
-        self.excuse_own_pause();
+        self.discount_own_pause();
         for peer in self.peer_ids() {
             self.flush_skips(peer);
             self.send_heartbeat(peer);
@@ -54,20 +54,21 @@
         self.apply_ready();
     }
 
-    /// A replica that did not run for a while must not blame its peers for its own silence.
-    fn excuse_own_pause(&mut self) {
+    /// Extends the suspicion deadlines after a pause of this replica: peers must not be suspected
+    /// because this replica did not process their frames.
+    fn discount_own_pause(&mut self) {
         let pause = self.now - self.last_tick;
         self.last_tick = self.now;
         if pause > self.config.initial_suspicion_timeout {
-            let excused = self.now.saturating_sub(self.config.heartbeat_interval);
+            let last_heard_at_least = self.now.saturating_sub(self.config.heartbeat_interval);
             for peer in &mut self.peers {
-                peer.last_heard = peer.last_heard.max(excused);
+                peer.last_heard = peer.last_heard.max(last_heard_at_least);
             }
         }
     }
 
-    /// Accelerator 1 (paper 4.4): skips that were not announced to a peer are sent once there are more
-    /// than α, or after τ.
+    /// Accelerator 1 (paper 4.4): announces outstanding skips to a peer once there are more than α,
+    /// or after τ.
     fn flush_skips(&mut self, to: ReplicaId) {
         let peer = self.peer(to);
         let outstanding = self.index.saturating_sub(peer.announced_cursor) / self.replica_count;
@@ -99,8 +100,9 @@
         }
     }
 
-    /// An instance that is known to exist cannot be applied: its outcome is first asked for, then
-    /// its coordinator is revoked, suspected or not (design 3.6).
+    /// Resolves a stall: the first unapplied instance has no known outcome, but a later command or
+    /// a read waits for it. The outcome is first fetched from peers, then the instance is revoked,
+    /// whether its coordinator is suspected or not (design 3.6).
     fn resolve_stall(&mut self) {
         let awaited = self
             .awaited_instance()
@@ -116,28 +118,28 @@
         let waited = self.now - self.stall.since;
         let coordinator = self.coordinator(self.applied);
         let own = coordinator == self.replica_id;
-        if self.fetch_is_due(waited, 2 * self.config.heartbeat_interval) {
+        if self.is_fetch_due(waited, 2 * self.config.heartbeat_interval) {
             self.fetch_from_next_peer(waited);
         }
-        if own && self.fetch_is_due(waited, self.config.heartbeat_interval) {
+        if own && self.is_fetch_due(waited, self.config.heartbeat_interval) {
             self.resend_suggestion(self.applied);
         }
-        let revocable = !own || self.rejected.contains(&self.applied);
-        if waited >= self.config.stall_revoke_after && revocable {
+        let may_revoke = !own || self.rejected.contains(&self.applied);
+        if waited >= self.config.stall_revoke_after && may_revoke {
             self.schedule_revocation(coordinator, self.index.max(self.applied + 1));
         }
     }
 
-    /// Whether `waited` lies within `window` after a multiple of the pause between fetches. The
-    /// pause grows, as what was asked for may be on its way.
-    fn fetch_is_due(&self, waited: Micros, window: Micros) -> bool {
+    /// Whether `waited` lies within `window` after a multiple of the interval between fetches. The
+    /// interval grows, as the requested outcomes may be in transit.
+    fn is_fetch_due(&self, waited: Micros, window: Micros) -> bool {
         let base = self.config.stall_fetch_after;
         let doublings = (waited / (FETCHES_PER_DOUBLING * base)).min(MAX_FETCH_DOUBLINGS);
         let pause = base << doublings;
         waited >= pause && waited % pause < window
     }
 
-    /// Asks the connected peers in turn.
+    /// Fetches outcomes from one connected peer, in round-robin order.
     fn fetch_from_next_peer(&mut self, waited: Micros) {
         let connected: Vec<ReplicaId> = self
             .peer_ids()
@@ -149,7 +151,8 @@
         }
     }
 
-    /// Optimization 3 (paper 4.4): a suspected coordinator is revoked ahead of need, in blocks.
+    /// Optimization 3 (paper 4.4): revokes the instances of a suspected coordinator in advance, in
+    /// large blocks.
     fn revoke_ahead(&mut self, coordinator: ReplicaId) {
         let beta = self.config.beta;
         if self.first_unknown_of(coordinator, self.applied) < self.index + beta {
@@ -157,27 +160,28 @@
         }
     }
 
-    /// Begins a revocation of the coordinator's instances below `end`, now or later: the nearest
-    /// live replica after the coordinator goes first, the others leave it time and jitter.
+    /// Starts a revocation of the coordinator's instances below `end`, now or after a delay. The
+    /// next live replica after the coordinator starts first; each of the others waits one heartbeat
+    /// interval for each live replica before it, plus jitter.
     fn schedule_revocation(&mut self, coordinator: ReplicaId, end: Instance) {
         let not_before = self.revoke_not_before[usize::from(coordinator)];
         if self.revocations.contains_key(&coordinator) || self.now < not_before {
             return;
         }
-        let earlier = self.live_replicas_between(coordinator);
-        if earlier > 0 && not_before == 0 && coordinator != self.replica_id {
+        let live_replicas_before = self.live_replicas_between(coordinator);
+        if live_replicas_before > 0 && not_before == 0 && coordinator != self.replica_id {
             let interval = self.config.heartbeat_interval;
             let jitter = self.rng.random_range(0..interval);
             self.revoke_not_before[usize::from(coordinator)] =
-                self.now + earlier * interval + jitter;
+                self.now + live_replicas_before * interval + jitter;
             return;
         }
         self.revoke_not_before[usize::from(coordinator)] = 0;
         self.start_revocation(coordinator, end);
     }
 
-    /// How many replicas that are not suspected come after the coordinator and before this one,
-    /// counted around the group.
+    /// The number of replicas between the coordinator and this one, in cyclic order, that are not
+    /// suspected.
     fn live_replicas_between(&self, coordinator: ReplicaId) -> u64 {
         let count = self.replica_count as ReplicaId;
         (1..count)
--- a/crates/mencius/src/voting_range.rs
+++ b/crates/mencius/src/voting_range.rs
@@ -1,9 +1,9 @@
-//! Which instances this disk may vote in, when another disk takes over a replica (design 4.4; the
-//! paper leaves membership open).
+//! The range of instances in which a disk may vote when another disk takes over a replica (design
+//! 4.4; the paper does not cover membership changes).
 //!
-//! A change of a replica's disk takes effect after an instance E far enough above the change that
-//! whoever votes above E has applied it. The old disk votes up to E, the new one after it, so no
-//! instance is decided by two sets of members.
+//! The replacement of a replica's disk takes effect after an instance E that is so far above the
+//! command that every replica voting above E has applied it. The old disk votes up to E, the new
+//! one after it, so that no instance is decided by two different memberships.
 
 use std::mem::take;
 
@@ -12,15 +12,16 @@
 use crate::replica::Replica;
 
 impl Replica {
-    /// Not where an earlier or later disk of this replica votes, and not so far ahead that a change
-    /// of disks could have been missed.
+    /// Whether this disk may vote in an instance: not where an earlier or later disk of this
+    /// replica votes, and not so far ahead that it could have missed the replacement of a disk.
     pub(crate) fn may_vote(&self, instance: Instance) -> bool {
         instance >= self.voting_range_start
             && instance <= self.voting_range_end
             && instance < self.executed + VOTING_WINDOW
     }
 
-    /// This disk takes over the replica after instance `last`, with its first own instance there.
+    /// Makes this disk take over the replica after instance `last`; it suggests from its first own
+    /// instance above `last`.
     pub(crate) fn start_voting_after(&mut self, last: Instance) {
         if self.voting_range_start > last {
             return;
@@ -30,40 +31,42 @@
             .writes
             .push(Write::VotingRangeStart(self.voting_range_start));
         if self.index <= last {
-            // Not skipped: what the earlier disk did there is not this one's to say.
+            // The instances below are not skipped: the earlier disk may have suggested in them.
             self.index = self.first_coordinated_from(self.replica_id, last + 1);
             self.batch.writes.push(Write::Index(self.index));
         }
     }
 
-    /// Another disk votes for this replica after instance `last`. A change below where this disk
-    /// begins is one between disks before it, which it hears of while it catches up.
+    /// Ends the voting range at instance `last`, after which another disk votes for this replica. A
+    /// replacement below the start of this disk's range was between earlier disks and is only seen
+    /// here while catching up; it is ignored.
     pub(crate) fn stop_voting_after(&mut self, last: Instance) {
         if last >= self.voting_range_start {
             self.voting_range_end = self.voting_range_end.min(last);
         }
     }
 
-    /// The last instance that this disk may vote in, if another disk takes over after it.
+    /// The last instance in which this disk may vote, if another disk takes over after it.
     pub fn replaced_after(&self) -> Option<Instance> {
         (self.voting_range_end < Instance::MAX).then_some(self.voting_range_end)
     }
 
-    /// Whether all that an earlier disk of this replica may have accepted is applied here. Before
-    /// that this replica cannot speak for the past in a read.
+    /// Whether all instances in which an earlier disk of this replica may have accepted a command
+    /// are applied here. Until then, this replica must not respond to read-index requests.
     pub(crate) fn has_caught_up(&self) -> bool {
         self.applied >= self.voting_range_start
     }
 
-    /// Gives the deferred commands back to the driver once they can be suggested.
-    pub(crate) fn hand_back_deferred(&mut self) {
+    /// Returns the deferred commands to the driver once they can be suggested.
+    pub(crate) fn return_deferred(&mut self) {
         if !self.deferred.is_empty() && self.may_vote(self.index) {
             self.effects
                 .extend(take(&mut self.deferred).into_iter().map(Effect::NotChosen));
         }
     }
 
-    /// Suggests again to those that have not accepted: they may have been too far behind to vote.
+    /// Sends a suggestion again to the peers that have not accepted it: they may have been too far
+    /// behind to vote.
     pub(crate) fn resend_suggestion(&mut self, instance: Instance) {
         let Some(suggestion) = self.own_suggestions.get(&instance).cloned() else {
             return;
