--- a/crates/storage/src/identity.rs
+++ b/crates/storage/src/identity.rs
@@ -1,33 +1,33 @@
-//! Which disk this is, which replica it was given, and which disks it has met for the others
+//! The identity of a disk, the replica assigned to it, and the disks pinned for the other replicas
 //! (design 4.1, 4.4).
 
 use std::collections::BTreeMap;
 
 use mencius::ReplicaId;
 
-/// The identity of a disk, drawn when its store is made and never 0.
+/// The identity of a disk, generated at random when its store is created; never 0.
 ///
-/// A replica whose disk was emptied comes back with another identity: it is not its old self, as it
-/// has forgotten its promises.
+/// A replica whose disk was emptied gets a new identity: it has lost its promises, so it must not
+/// act as the same member of the group.
 pub type DiskId = u64;
 
-/// The first disk met for each other replica, or the one that replaced it through the log. A
-/// replica speaks with no other disk under that replica's number.
+/// The disk pinned for each other replica: the first one seen, or the one that replaced it through
+/// the log. A replica does not communicate with any other disk under that replica's number.
 pub type PinnedDisks = BTreeMap<ReplicaId, DiskId>;
 
-/// Which replica a disk was given, where the settings do not say (design 12.1).
+/// The replica assigned to a disk, if the settings do not specify one (design 12.1).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MembershipRecord {
-    /// The replica's number.
+    /// The number of the replica.
     pub replica_id: ReplicaId,
-    /// How many replicas the group has.
+    /// The number of replicas in the group.
     pub replica_count: u16,
-    /// The disk was there when the group was founded, so that it has no past to learn. Otherwise
-    /// it took over from another disk.
+    /// Whether the disk was a member when the group was founded, so that there is no earlier log to
+    /// catch up with. Otherwise the disk took over from another one.
     pub founded: bool,
 }
 
-pub(crate) fn generate() -> DiskId {
-    // Zero is in the proposal numbers of coordinators and never an identity.
+pub(crate) fn generate_disk_id() -> DiskId {
+    // Zero is reserved for the initial proposal numbers of coordinators.
     rand::random::<u64>().max(1)
 }
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,14 +1,13 @@
-//! What a replica keeps on its disk, in one `redb` file: the journal of `mencius` writes, which
-//! replica the disk was given, and which disks it has met for the other replicas (design 3.3, 3.8,
-//! 4.1).
+//! The durable state of a replica in one `redb` file: the journal of `mencius` writes, the replica
+//! assigned to the disk, and the disks pinned for the other replicas (design 3.3, 3.8, 4.1).
 //!
-//! | module | what it does |
+//! | module | purpose |
 //! | --- | --- |
-//! | `store` | the file: reading it at start, one synced transaction a change |
+//! | `store` | the database file: recovery at start, one synced transaction for each change |
 //! | `writer` | the thread that owns the open store, and the handle to it |
-//! | `record` | the form of a record in the journal |
+//! | `record` | the encoding of a journal record |
 //! | `identity` | disk identities and membership |
-//! | `error` | what can fail |
+//! | `error` | errors |
 #![deny(missing_docs)]
 
 mod error;
--- a/crates/storage/src/record.rs
+++ b/crates/storage/src/record.rs
@@ -1,4 +1,5 @@
-//! The form of a journal record: a digest of the rest, then the writes in `rkyv`'s form.
+//! The encoding of a journal record: a digest of the remaining bytes, followed by the writes in the
+//! `rkyv` format.
 
 use mencius::Write;
 use rkyv::rancor;
@@ -7,21 +8,22 @@
 
 use crate::error::Error;
 
-/// The first bytes of a SHA-256: enough to notice damage, which is no attack.
+/// The length of the digest in bytes. A truncated SHA-256 is enough to detect accidental damage;
+/// the digest is not a protection against attacks.
 const DIGEST_LENGTH: usize = 16;
-/// At least the alignment of every archived type.
+/// The alignment of a decoded record in bytes; at least that of every archived type.
 const RECORD_ALIGNMENT: usize = 16;
 
-/// A record begins with a digest of the rest, so that damage is noticed when it is read.
+/// Encodes writes as a record, which begins with a digest so that damage is detected on reading.
 pub(crate) fn encode(writes: &[Write]) -> Result<Vec<u8>, Error> {
     let bytes = rkyv::to_bytes::<rancor::Error>(&writes.to_vec()).map_err(Error::Encode)?;
     Ok([digest(&bytes).as_slice(), &bytes].concat())
 }
 
-/// `None` for a record that is damaged.
+/// Decodes a record. Returns `None` if the record is damaged.
 pub(crate) fn decode(record: &[u8]) -> Option<Vec<Write>> {
-    let (kept_digest, bytes) = record.split_at_checked(DIGEST_LENGTH)?;
-    if digest(bytes) != kept_digest {
+    let (stored_digest, bytes) = record.split_at_checked(DIGEST_LENGTH)?;
+    if digest(bytes) != stored_digest {
         return None;
     }
     let mut aligned = AlignedVec::<RECORD_ALIGNMENT>::with_capacity(bytes.len());
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -1,4 +1,4 @@
-//! The file. Every transaction is synced before it is reported (design 3.3).
+//! The database file. Every transaction is synced before its success is reported (design 3.3).
 
 use std::fs::{self, File, create_dir_all};
 use std::io;
@@ -10,80 +10,82 @@
 };
 
 use crate::error::Error;
-use crate::identity::{DiskId, MembershipRecord, PinnedDisks, generate};
+use crate::identity::{DiskId, MembershipRecord, PinnedDisks, generate_disk_id};
 use crate::record::{decode, encode};
 
-/// The layout of the file. A file with another one is refused by its number.
+/// The layout version of the file. Files with another version are rejected.
 pub const LAYOUT_VERSION: u64 = 3;
 
-/// The file in the data folder.
+/// The name of the database file in the data folder.
 const FILE_NAME: &str = "core.redb";
-/// The file while it is being made.
+/// The name of the file while it is being created.
 const UNFINISHED_FILE_NAME: &str = "core.redb.unfinished";
 
-// The names of tables and keys are on the disks of running sites and stay as they are.
-/// Numbers by name: the keys are below.
+// The names of tables and keys are stored on the disks of existing installations and must not
+// change.
+/// Single numeric values by key; the keys are defined below.
 const META: TableDefinition<&str, u64> = TableDefinition::new("meta");
-/// The disk of each other replica.
+/// The pinned disk of each other replica.
 const PINNED_DISKS: TableDefinition<ReplicaId, DiskId> = TableDefinition::new("pins");
-/// Records by their position, which is one above the last with each record.
+/// Journal records by position; each record has the position after that of the previous one.
 const JOURNAL: TableDefinition<u64, &[u8]> = TableDefinition::new("journal");
 const LAYOUT_KEY: &str = "layout";
 const DISK_ID_KEY: &str = "identity";
 const START_COUNT_KEY: &str = "starts";
-/// Is there once this disk gave up a replica.
+/// Present if this disk has been retired from a replica.
 const RETIRED_KEY: &str = "retired";
-/// These three are there once the disk was given a replica.
+// The following three keys are present if a replica is assigned to the disk.
 const REPLICA_ID_KEY: &str = "seat";
 const REPLICA_COUNT_KEY: &str = "seats";
 const FOUNDED_KEY: &str = "founded";
 
 type MetaTable<'transaction> = Table<'transaction, &'static str, u64>;
 
-/// How the database is opened, and opened again after a failure has spoilt it.
+/// Opens the database, at start and again after a failure has made it unusable.
 type Opener = Box<dyn Fn() -> Result<Database, Error> + Send>;
 
-/// The open store of one replica. Meant to be owned by a [`StoreWriter`](crate::StoreWriter), as
-/// each change waits for a sync.
+/// The open store of one replica. It should be owned by a [`StoreWriter`](crate::StoreWriter), as
+/// each change blocks on a sync.
 pub struct ReplicaStore {
-    /// `None` after a failed change, until the next one opens it again.
+    /// `None` after a failed change, until the next change reopens the database.
     database: Option<Database>,
     opener: Opener,
     /// The position of the next journal record.
     next_position: u64,
-    /// This disk's identity.
+    /// The identity of this disk.
     pub disk_id: DiskId,
-    /// The disks of the other replicas.
+    /// The pinned disks of the other replicas.
     pub pinned_disks: PinnedDisks,
-    /// The replica that this disk was given, if the settings do not say.
+    /// The replica assigned to this disk, if the settings do not specify one.
     pub membership: Option<MembershipRecord>,
-    /// Another disk took over its replica and it was let go: this disk never founds a group.
+    /// Whether another disk took over the replica of this disk and this disk was retired. A retired
+    /// disk never founds a group.
     pub retired: bool,
-    /// How often a process has opened this store, this one included: a later start has the greater
-    /// number.
+    /// The number of times that a process has opened this store, including this time. It increases
+    /// with every start.
     pub start_count: u64,
 }
 
-/// A store and what its journal held.
+/// An open store and the contents of its journal.
 pub struct RecoveredStore {
-    /// The store, open.
+    /// The open store.
     pub store: ReplicaStore,
     /// All writes of the journal, oldest first; for [`mencius::Replica::restore`].
     pub writes: Vec<Write>,
 }
 
 impl ReplicaStore {
-    /// Opens the store in `folder`, or makes it with a new identity, and reads the journal back.
+    /// Opens the store in `folder`, or creates it with a new identity, and reads the journal.
     ///
     /// # Errors
     /// [`Error::Folder`], [`Error::Store`], [`Error::Layout`], or [`Error::Damaged`] if a record
-    /// does not fit its digest.
+    /// does not match its digest.
     pub fn open(folder: &Path) -> Result<RecoveredStore, Error> {
         Self::open_with_creator(folder, |path| Ok(Database::create(path)?))
     }
 
-    /// As [`open`](ReplicaStore::open), with the way in which a file is made: the tests of
-    /// processes that end meanwhile bring their own (design 9.4).
+    /// Like [`open`](ReplicaStore::open), with a custom function to create the file. Tests use it
+    /// to simulate a process that is killed during the creation (design 9.4).
     ///
     /// # Errors
     /// As [`open`](ReplicaStore::open), and those of `create`.
@@ -95,14 +97,14 @@
         let folder = folder.to_path_buf();
         Self::load(Box::new(move || {
             if !has_store(&folder)? {
-                make_store(&folder, &create)?;
+                create_store(&folder, &create)?;
             }
             Ok(Database::open(folder.join(FILE_NAME))?)
         }))
     }
 
-    /// As [`open`](ReplicaStore::open), over any storage: the tests of disk faults bring their own
-    /// (design 9.4).
+    /// Like [`open`](ReplicaStore::open), with a custom storage backend. Tests use it to simulate
+    /// disk faults (design 9.4).
     ///
     /// # Errors
     /// As [`open`](ReplicaStore::open), without [`Error::Folder`].
@@ -137,13 +139,14 @@
         })
     }
 
-    /// Adds a record of `writes` to the journal. With `replace_journal` it replaces all records.
+    /// Appends a record of `writes` to the journal. With `replace_journal`, the record replaces all
+    /// previous records.
     ///
-    /// After a failure it may be called again with the same writes: whether the first call got
-    /// through is looked up by the record's position, not guessed.
+    /// After a failure, the call may be retried with the same writes: if the record of the failed
+    /// call is already in the journal at its position, it is not written again.
     ///
     /// # Errors
-    /// [`Error::Store`]; the store may be used further.
+    /// [`Error::Store`]; the store remains usable.
     pub fn append(&mut self, writes: &[Write], replace_journal: bool) -> Result<(), Error> {
         let record = encode(writes)?;
         let position = self.next_position;
@@ -162,10 +165,11 @@
         Ok(())
     }
 
-    /// Binds a replica to the disk first met for it. Returns the disk that it is bound to now.
+    /// Pins a disk for a replica, unless one is already pinned. Returns the disk that is now pinned
+    /// for the replica.
     ///
     /// # Errors
-    /// [`Error::Store`]; nothing is bound then.
+    /// [`Error::Store`]; no disk is pinned in this case.
     pub fn pin_disk(&mut self, replica_id: ReplicaId, disk_id: DiskId) -> Result<DiskId, Error> {
         if let Some(pinned) = self.pinned_disks.get(&replica_id) {
             return Ok(*pinned);
@@ -174,20 +178,20 @@
         Ok(disk_id)
     }
 
-    /// Binds replicas to the disks that took them over. `writes` go into the journal in the same
-    /// transaction, so that a disk never knows one without the other.
+    /// Pins the disks that took over replicas, replacing the previous ones. `writes` are added to
+    /// the journal in the same transaction, so that the store never contains one without the other.
     ///
     /// # Errors
-    /// [`Error::Store`]; nothing is changed then.
+    /// [`Error::Store`]; nothing is changed in this case.
     pub fn replace_pinned_disks(
         &mut self,
-        pins: &PinnedDisks,
+        pinned_disks: &PinnedDisks,
         writes: &[Write],
     ) -> Result<(), Error> {
         let position = self.next_position;
         let record = encode(writes)?;
         self.transact(|transaction| {
-            insert_pins(transaction, pins)?;
+            insert_pinned_disks(transaction, pinned_disks)?;
             if !writes.is_empty() {
                 transaction
                     .open_table(JOURNAL)?
@@ -198,41 +202,41 @@
         if !writes.is_empty() {
             self.next_position += 1;
         }
-        self.pinned_disks.extend(pins);
+        self.pinned_disks.extend(pinned_disks);
         Ok(())
     }
 
-    /// Keeps which replica this disk was given and, when a group is founded, the disks of the
-    /// others (design 12.1). An entry of `pins` for this replica is passed over.
+    /// Records the replica assigned to this disk and, when a group is founded, the disks of the
+    /// other replicas (design 12.1). An entry of `pinned_disks` for this replica is ignored.
     ///
     /// # Errors
-    /// [`Error::Store`]; nothing is changed then.
+    /// [`Error::Store`]; nothing is changed in this case.
     pub fn record_membership(
         &mut self,
         membership: MembershipRecord,
-        pins: &PinnedDisks,
+        pinned_disks: &PinnedDisks,
     ) -> Result<(), Error> {
-        let mut pins = pins.clone();
-        pins.remove(&membership.replica_id);
+        let mut pinned_disks = pinned_disks.clone();
+        pinned_disks.remove(&membership.replica_id);
         self.transact(|transaction| {
             let mut meta = transaction.open_table(META)?;
             meta.insert(REPLICA_ID_KEY, u64::from(membership.replica_id))?;
             meta.insert(REPLICA_COUNT_KEY, u64::from(membership.replica_count))?;
             meta.insert(FOUNDED_KEY, u64::from(membership.founded))?;
-            insert_pins(transaction, &pins)
+            insert_pinned_disks(transaction, &pinned_disks)
         })?;
-        self.pinned_disks.extend(pins);
+        self.pinned_disks.extend(pinned_disks);
         self.membership = Some(membership);
         Ok(())
     }
 
-    /// Another disk holds this one's replica for good: all that was kept for the replica goes, and
-    /// the disk is a new one, with a new identity.
+    /// Retires this disk after another disk has permanently taken over its replica: deletes the
+    /// data of the replica and gives the disk a new identity.
     ///
     /// # Errors
-    /// [`Error::Store`]; nothing is changed then.
+    /// [`Error::Store`]; nothing is changed in this case.
     pub fn retire(&mut self) -> Result<(), Error> {
-        let disk_id = generate();
+        let disk_id = generate_disk_id();
         self.transact(|transaction| {
             let mut meta = transaction.open_table(META)?;
             for key in [REPLICA_ID_KEY, REPLICA_COUNT_KEY, FOUNDED_KEY] {
@@ -251,8 +255,8 @@
         Ok(())
     }
 
-    /// Makes a change in one synced transaction. A database that failed once answers nothing more:
-    /// it is closed, and the next change opens it again (design 3.10).
+    /// Makes a change in one synced transaction. A database that has failed rejects all further
+    /// operations, so it is closed, and the next change reopens it (design 3.10).
     fn transact(
         &mut self,
         change: impl FnOnce(&WriteTransaction) -> Result<(), Error>,
@@ -276,7 +280,7 @@
     start_count: u64,
 }
 
-/// Whether there is a store in the folder. An empty file is none.
+/// Whether the folder contains a store. An empty file does not count as a store.
 fn has_store(folder: &Path) -> Result<bool, Error> {
     match fs::metadata(folder.join(FILE_NAME)) {
         Ok(metadata) => Ok(metadata.len() > 0),
@@ -285,9 +289,9 @@
     }
 }
 
-/// Makes the store under another name and renames it once it is whole: the process may be killed
-/// meanwhile, and the database never opens a file that it had not finished.
-fn make_store(
+/// Creates the store under a temporary name and renames it once it is complete: the process may be
+/// killed in between, and the database cannot open a file whose creation did not finish.
+fn create_store(
     folder: &Path,
     create: impl Fn(&Path) -> Result<Database, Error>,
 ) -> Result<(), Error> {
@@ -299,7 +303,7 @@
     drop(create(&unfinished)?);
     File::open(&unfinished)?.sync_all()?;
     fs::rename(&unfinished, folder.join(FILE_NAME))?;
-    // A name lasts once its folder is synced.
+    // The rename is durable only after the folder is synced.
     File::open(folder)?.sync_all()?;
     Ok(())
 }
@@ -309,7 +313,7 @@
     bytes: Vec<u8>,
 }
 
-/// Reads the meta table, begins it in a new file, and counts this start.
+/// Reads the meta table, initializes it in a new file, and increments the start count.
 fn read_meta(transaction: &WriteTransaction) -> Result<Meta, Error> {
     let mut meta = transaction.open_table(META)?;
     match meta_value(&meta, LAYOUT_KEY)? {
@@ -322,7 +326,7 @@
         }
         None => {
             meta.insert(LAYOUT_KEY, LAYOUT_VERSION)?;
-            meta.insert(DISK_ID_KEY, generate())?;
+            meta.insert(DISK_ID_KEY, generate_disk_id())?;
         }
     }
     let start_count = meta_value(&meta, START_COUNT_KEY)?.unwrap_or_default() + 1;
@@ -356,17 +360,20 @@
 }
 
 fn read_pinned_disks(transaction: &WriteTransaction) -> Result<PinnedDisks, Error> {
-    let mut pins = PinnedDisks::new();
+    let mut pinned_disks = PinnedDisks::new();
     for row in transaction.open_table(PINNED_DISKS)?.iter()? {
         let (replica_id, disk_id) = row?;
-        pins.insert(replica_id.value(), disk_id.value());
+        pinned_disks.insert(replica_id.value(), disk_id.value());
     }
-    Ok(pins)
+    Ok(pinned_disks)
 }
 
-fn insert_pins(transaction: &WriteTransaction, pins: &PinnedDisks) -> Result<(), Error> {
+fn insert_pinned_disks(
+    transaction: &WriteTransaction,
+    pinned_disks: &PinnedDisks,
+) -> Result<(), Error> {
     let mut table = transaction.open_table(PINNED_DISKS)?;
-    for (replica_id, disk_id) in pins {
+    for (replica_id, disk_id) in pinned_disks {
         table.insert(replica_id, disk_id)?;
     }
     Ok(())
--- a/crates/storage/src/writer.rs
+++ b/crates/storage/src/writer.rs
@@ -1,5 +1,4 @@
-//! The thread that owns the open store, since a sync blocks (design 3.3, 8.1), and the handle
-//! through which others reach it.
+//! The thread that owns the open store, as syncs block (design 3.3, 8.1), and the handle to it.
 
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::thread::{Builder, sleep};
@@ -12,22 +11,22 @@
 use crate::identity::{DiskId, PinnedDisks};
 use crate::store::ReplicaStore;
 
-/// Between two tries of a failed append.
+/// The interval between two attempts of a failed append.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What the writer reports by itself, from its own thread.
+/// An event that the writer reports from its own thread.
 #[derive(Debug)]
 pub enum WriterEvent {
-    /// The writes of this ticket are synced.
+    /// The writes with this ticket are synced.
     Persisted(PersistTicket),
-    /// An append failed. It is tried again until it holds; until then its ticket is not reported,
-    /// so nothing that depends on it leaves (design 3.3, 3.10).
+    /// An append failed. It is retried until it succeeds. Its ticket is not reported before that,
+    /// so no message that depends on the writes is sent (design 3.3, 3.10).
     AppendFailed(Error),
-    /// The append that failed holds now.
+    /// A previously failed append has succeeded.
     Recovered,
 }
 
-/// Called on the writer's thread with what came of a change.
+/// Called on the writer's thread with the result of a change.
 type Completion = Box<dyn FnOnce(Result<(), Error>) + Send>;
 
 enum StoreCommand {
@@ -36,8 +35,8 @@
         writes: Vec<Write>,
         replace_journal: bool,
     },
-    ReplacePins {
-        pins: PinnedDisks,
+    ReplacePinnedDisks {
+        pinned_disks: PinnedDisks,
         writes: Vec<Write>,
         on_done: Completion,
     },
@@ -51,9 +50,9 @@
     },
 }
 
-/// The handle to the writer. Changes are made one after the other, in the order of the calls.
+/// The handle to the writer thread. Changes are made one at a time, in the order of the calls.
 ///
-/// The thread ends after [`retire`](StoreWriter::retire) or once all handles are dropped.
+/// The thread ends after [`retire`](StoreWriter::retire) or when all handles are dropped.
 #[derive(Clone, Debug)]
 pub struct StoreWriter {
     commands: Sender<StoreCommand>,
@@ -63,7 +62,7 @@
     /// Starts the thread that owns `store`. `on_event` is called on that thread and may block.
     ///
     /// # Errors
-    /// [`Error::Thread`] if the system has no thread to give.
+    /// [`Error::Thread`] if the operating system cannot start the thread.
     pub fn spawn(
         store: ReplicaStore,
         on_event: impl Fn(WriterEvent) + Send + 'static,
@@ -76,7 +75,7 @@
         Ok(StoreWriter { commands })
     }
 
-    /// Appends to the journal; answered by [`WriterEvent::Persisted`].
+    /// Appends a record to the journal; completion is reported by [`WriterEvent::Persisted`].
     pub fn append(&self, ticket: PersistTicket, writes: Vec<Write>, replace_journal: bool) {
         self.send(StoreCommand::Append {
             ticket,
@@ -85,23 +84,24 @@
         });
     }
 
-    /// Binds replicas to the disks that took them over, and keeps `writes` with it: both or neither
-    /// ([`ReplicaStore::replace_pinned_disks`]). `on_done` is called on the writer's thread, before any
-    /// later change, and not at all if the writer has stopped.
+    /// Pins the disks that took over replicas and appends `writes`, atomically
+    /// ([`ReplicaStore::replace_pinned_disks`]). `on_done` is called on the writer's thread, before
+    /// any later change; it is not called if the writer has stopped.
     pub fn replace_pinned_disks(
         &self,
-        pins: PinnedDisks,
+        pinned_disks: PinnedDisks,
         writes: Vec<Write>,
         on_done: impl FnOnce(Result<(), Error>) + Send + 'static,
     ) {
-        self.send(StoreCommand::ReplacePins {
-            pins,
+        self.send(StoreCommand::ReplacePinnedDisks {
+            pinned_disks,
             writes,
             on_done: Box::new(on_done),
         });
     }
 
-    /// Binds a replica to the disk first met for it. Returns the disk that it is bound to now.
+    /// Pins a disk for a replica, unless one is already pinned. Returns the disk that is now pinned
+    /// for the replica.
     ///
     /// # Errors
     /// [`Error::Store`] or [`Error::WriterStopped`].
@@ -115,20 +115,20 @@
         answer.await.map_err(|_| Error::WriterStopped)?
     }
 
-    /// Another disk holds this one's replica: forgets all that was kept for it
-    /// ([`ReplicaStore::retire`]) and ends the writer. The file is closed when this returns, so
-    /// that whoever waits may open it. The process is to end: nothing is kept any more.
+    /// Retires the disk after another disk has taken over its replica ([`ReplicaStore::retire`])
+    /// and stops the writer. The file is closed when this function returns, so that the caller may
+    /// open it. The process should exit afterwards, as no further changes are stored.
     ///
     /// # Errors
-    /// [`Error::Store`] or [`Error::WriterStopped`]; the writer goes on after the former.
+    /// [`Error::Store`] or [`Error::WriterStopped`]; after the former, the writer continues.
     pub async fn retire(&self) -> Result<(), Error> {
         let (reply, answer) = oneshot::channel();
         self.send(StoreCommand::Retire { reply });
         answer.await.map_err(|_| Error::WriterStopped)?
     }
 
-    /// A writer that has stopped takes nothing; whoever waits for an answer sees that the reply is
-    /// dropped.
+    /// Sends a command to the writer. If the writer has stopped, the command is dropped together
+    /// with its reply channel, which ends the wait of the caller.
     fn send(&self, command: StoreCommand) {
         drop(self.commands.send(command));
     }
@@ -142,15 +142,15 @@
                 writes,
                 replace_journal,
             } => {
-                append_until_it_holds(&mut store, &writes, replace_journal, &on_event);
+                append_with_retries(&mut store, &writes, replace_journal, &on_event);
                 on_event(WriterEvent::Persisted(ticket));
             }
-            StoreCommand::ReplacePins {
-                pins,
+            StoreCommand::ReplacePinnedDisks {
+                pinned_disks,
                 writes,
                 on_done,
             } => {
-                on_done(store.replace_pinned_disks(&pins, &writes));
+                on_done(store.replace_pinned_disks(&pinned_disks, &writes));
             }
             StoreCommand::PinDisk {
                 replica_id,
@@ -161,7 +161,7 @@
             }
             StoreCommand::Retire { reply } => match store.retire() {
                 Ok(()) => {
-                    // Closed before it is reported, so that whoever waits may open the file.
+                    // Close the file before replying, so that the caller may open it.
                     drop(store);
                     answer(reply, Ok(()));
                     return;
@@ -172,7 +172,7 @@
     }
 }
 
-fn append_until_it_holds(
+fn append_with_retries(
     store: &mut ReplicaStore,
     writes: &[Write],
     replace_journal: bool,
@@ -189,7 +189,7 @@
     }
 }
 
-/// Whoever asked may have stopped waiting.
+/// Sends a reply; the caller may have stopped waiting for it.
 fn answer<T>(reply: oneshot::Sender<T>, result: T) {
     drop(reply.send(result));
 }
