--- a/crates/mencius/tests/recorded_bytes.rs
+++ b/crates/mencius/tests/recorded_bytes.rs
@@ -1,5 +1,5 @@
-//! The bytes of all messages between replicas and of all writes to a disk, as an earlier
-//! build wrote them.
+//! Compares the encoding of all messages between replicas and of all disk writes with recorded
+//! bytes of an earlier build.
 
 use mencius::{Frame, Message, ProposalNumber, Write};
 use recorded::RecordedBytes;
@@ -103,7 +103,7 @@
             }
         );
     }
-    let nothing = Message::ReadIndexResponse {
+    let no_command_accepted = Message::ReadIndexResponse {
         token: 55,
         highest_accepted: None,
     };
@@ -113,7 +113,7 @@
         Frame,
         &Frame {
             cursor: 0,
-            message: nothing
+            message: no_command_accepted
         }
     );
     recorded.finish();
--- a/crates/mencius/tests/replica/harness.rs
+++ b/crates/mencius/tests/replica/harness.rs
@@ -1,16 +1,17 @@
-//! A replica in a group of three, whose disk syncs at once and whose peers are the test itself.
+//! Test harness: a replica in a group of three, whose disk syncs immediately and whose peers are
+//! played by the test.
 
 use mencius::{Config, Effect, Frame, Input, Replica, ReplicaId, Write};
 
-/// A group small enough for the test to play the others.
+/// The size of the group, small enough for the test to play the other replicas.
 pub(crate) const REPLICA_COUNT: u16 = 3;
 
-/// A replica on a new disk, with no connection.
+/// Creates a replica with a new disk and no connections.
 pub(crate) fn new_replica(replica_id: ReplicaId) -> Replica {
     restore(replica_id, Vec::new())
 }
 
-/// A replica on a disk that kept `writes`.
+/// Restores a replica from a disk that holds `writes`.
 pub(crate) fn restore(replica_id: ReplicaId, writes: Vec<Write>) -> Replica {
     let disk_id = u64::from(replica_id) + 1;
     Replica::restore(
@@ -23,7 +24,7 @@
     )
 }
 
-/// Carries out all effects, with syncs that finish at once, until there are none.
+/// Carries out effects until there are none, completing syncs immediately. Returns the effects.
 pub(crate) fn run(replica: &mut Replica) -> Vec<Effect> {
     let mut carried_out = Vec::new();
     loop {
@@ -49,7 +50,7 @@
     run(replica).into_iter().filter_map(to_peer).collect()
 }
 
-/// Carries out all effects and returns what was written to the disk.
+/// Carries out all effects and returns the writes to the disk.
 pub(crate) fn persisted(replica: &mut Replica) -> Vec<Write> {
     let written = |effect| match effect {
         Effect::Persist { writes, .. } => writes,
@@ -58,7 +59,7 @@
     run(replica).into_iter().flat_map(written).collect()
 }
 
-/// Hands frames from a peer to the replica, in order.
+/// Delivers frames from a peer to the replica, in order.
 pub(crate) fn deliver(replica: &mut Replica, from: ReplicaId, frames: Vec<Frame>) {
     for frame in frames {
         replica.step(0, Input::Frame(from, frame));
--- a/crates/mencius/tests/replica/main.rs
+++ b/crates/mencius/tests/replica/main.rs
@@ -1,4 +1,4 @@
-//! What a replica promises to its peers, its disk and its driver.
+//! The guarantees of a replica towards its peers, its disk and its driver.
 
 mod connections;
 mod harness;
--- a/crates/mencius/tests/replica/voting_range.rs
+++ b/crates/mencius/tests/replica/voting_range.rs
@@ -1,4 +1,4 @@
-//! Which changes of a replica's disk end a disk's right to vote (design 4.4).
+//! The replacements of a replica's disk that end the voting range of a disk (design 4.4).
 
 use mencius::{Config, Effect, Input, Instance, Replica, Write, first_instance_of};
 
@@ -12,7 +12,7 @@
     )
 }
 
-/// A disk that votes after instance `last` and has caught up.
+/// Creates a replica whose disk votes after instance `last` and has caught up.
 fn replica_voting_after(last: Instance) -> Replica {
     let writes = vec![
         Write::VotingRangeStart(last + 1),
@@ -29,28 +29,31 @@
 }
 
 #[test]
-fn a_change_between_disks_before_this_one_takes_nothing_from_it() {
+fn a_replacement_between_earlier_disks_does_not_end_the_voting_range() {
     let mut replica = replica_voting_after(5_000_000);
     replica.step(0, Input::StopVotingAfter(2_000_000));
     assert_eq!(replica.replaced_after(), None);
     assert!(
         suggests(&mut replica),
-        "it may not vote though it is the replica's disk"
+        "the current disk of the replica cannot vote"
     );
 }
 
 #[test]
-fn a_change_above_where_this_disk_begins_ends_its_vote_there() {
+fn a_replacement_above_the_start_of_the_voting_range_ends_it() {
     let mut replica = replica_voting_after(5_000_000);
     replica.step(0, Input::StopVotingAfter(5_000_000));
     assert_eq!(
         replica.replaced_after(),
         None,
-        "that is the change that made it the disk"
+        "the replacement that installed this disk ended its voting range"
     );
     replica.step(0, Input::StopVotingAfter(5_000_001));
     assert_eq!(replica.replaced_after(), Some(5_000_001));
-    assert!(suggests(&mut replica), "the last instance that is its own");
+    assert!(
+        suggests(&mut replica),
+        "the disk cannot vote in the last instance of its range"
+    );
     replica.step(2, Input::Submit(b"another".to_vec()));
     assert!(!suggests(&mut replica));
 }
--- a/crates/storage/tests/recorded_records.rs
+++ b/crates/storage/tests/recorded_records.rs
@@ -1,4 +1,5 @@
-//! The tables of a disk and the bytes of each stored record, as an earlier build wrote them.
+//! Compares the tables of a store and the bytes of each journal record with those recorded from an
+//! earlier build.
 
 use mencius::{ProposalNumber, Write};
 use recorded::RecordedBytes;
@@ -18,14 +19,14 @@
 mod recorded_variants;
 
 const META: TableDefinition<&str, u64> = TableDefinition::new("meta");
-const PINS: TableDefinition<u16, u64> = TableDefinition::new("pins");
+const PINNED_DISKS: TableDefinition<u16, u64> = TableDefinition::new("pins");
 const JOURNAL: TableDefinition<u64, &[u8]> = TableDefinition::new("journal");
 const PROPOSAL: ProposalNumber = ProposalNumber {
     counter: 3,
     disk_id: 0x1122_3344_5566_7788,
 };
 
-/// A folder for one disk, removed with the value.
+/// A data folder for one store, removed on drop.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -36,7 +37,7 @@
     }
 
     fn database(&self) -> Database {
-        Database::open(self.0.join("core.redb")).expect("the file of the disk")
+        Database::open(self.0.join("core.redb")).expect("open the database file")
     }
 }
 
@@ -69,51 +70,60 @@
 
 fn journal(folder: &Folder) -> BTreeMap<u64, Vec<u8>> {
     let database = folder.database();
-    let reading = database.begin_read().expect("a read");
-    let table = reading.open_table(JOURNAL).expect("the journal");
-    let rows = table.iter().expect("rows").map(|row| row.expect("a row"));
-    rows.map(|(at, bytes)| (at.value(), bytes.value().to_vec()))
+    let reading = database.begin_read().expect("begin a read transaction");
+    let table = reading.open_table(JOURNAL).expect("open the journal");
+    let rows = table
+        .iter()
+        .expect("read the rows")
+        .map(|row| row.expect("read a row"));
+    rows.map(|(position, bytes)| (position.value(), bytes.value().to_vec()))
         .collect()
 }
 
 fn meta(folder: &Folder) -> BTreeMap<String, u64> {
     let database = folder.database();
-    let reading = database.begin_read().expect("a read");
-    let table = reading
-        .open_table(META)
-        .expect("the table of single values");
-    let rows = table.iter().expect("rows").map(|row| row.expect("a row"));
-    rows.map(|(name, held)| (name.value().to_string(), held.value()))
+    let reading = database.begin_read().expect("begin a read transaction");
+    let table = reading.open_table(META).expect("open the meta table");
+    let rows = table
+        .iter()
+        .expect("read the rows")
+        .map(|row| row.expect("read a row"));
+    rows.map(|(name, value)| (name.value().to_string(), value.value()))
         .collect()
 }
 
-fn pins(folder: &Folder) -> BTreeMap<u16, u64> {
+fn pinned_disks(folder: &Folder) -> BTreeMap<u16, u64> {
     let database = folder.database();
-    let reading = database.begin_read().expect("a read");
-    let table = reading.open_table(PINS).expect("the table of disks");
-    let rows = table.iter().expect("rows").map(|row| row.expect("a row"));
+    let reading = database.begin_read().expect("begin a read transaction");
+    let table = reading
+        .open_table(PINNED_DISKS)
+        .expect("open the table of pinned disks");
+    let rows = table
+        .iter()
+        .expect("read the rows")
+        .map(|row| row.expect("read a row"));
     rows.map(|(replica, disk)| (replica.value(), disk.value()))
         .collect()
 }
 
-/// What this build reads from a disk that holds just this record.
+/// Returns the writes that this build reads from a store that holds only this record.
 fn read_back(name: &str, record: &[u8]) -> Vec<Write> {
     let folder = Folder::new(&format!("read-{name}"));
     drop(open(&folder.0));
     let database = folder.database();
-    let change = database.begin_write().expect("a change");
+    let change = database.begin_write().expect("begin a write transaction");
     change
         .open_table(JOURNAL)
-        .expect("the journal")
+        .expect("open the journal")
         .insert(0, record)
-        .expect("a record");
-    change.commit().expect("kept");
+        .expect("insert the record");
+    change.commit().expect("commit the record");
     drop(database);
     open(&folder.0).1
 }
 
 fn open(folder: &Path) -> (ReplicaStore, Vec<Write>) {
-    let recovered = ReplicaStore::open(folder).expect("a disk that opens");
+    let recovered = ReplicaStore::open(folder).expect("open the store");
     (recovered.store, recovered.writes)
 }
 
@@ -123,7 +133,9 @@
     for (name, write) in records() {
         let folder = Folder::new(name);
         let (mut store, _) = open(&folder.0);
-        store.append(slice::from_ref(&write), false).expect("kept");
+        store
+            .append(slice::from_ref(&write), false)
+            .expect("append");
         drop(store);
         let journal = journal(&folder);
         assert_eq!(journal.len(), 1);
@@ -134,7 +146,7 @@
 }
 
 #[test]
-fn a_disk_has_the_recorded_tables_and_keys() {
+fn a_store_has_the_recorded_tables_and_keys() {
     let folder = Folder::new("tables");
     let (mut store, _) = open(&folder.0);
     let disk_id = store.disk_id;
@@ -147,17 +159,17 @@
             },
             &PinnedDisks::from([(0, 70), (1, 71), (2, 72)]),
         )
-        .expect("a membership");
-    store.append(&[Write::Index(4)], false).expect("kept");
+        .expect("record the membership");
+    store.append(&[Write::Index(4)], false).expect("append");
     store
         .replace_pinned_disks(
             &PinnedDisks::from([(2, 73)]),
             &[Write::VotingRangeStart(9), Write::Index(10)],
         )
-        .expect("another disk");
-    store.append(&[Write::Index(13)], false).expect("kept");
+        .expect("replace the pinned disk");
+    store.append(&[Write::Index(13)], false).expect("append");
     drop(store);
-    let single = [
+    let expected_meta = [
         ("founded", 1),
         ("identity", disk_id),
         ("layout", 3),
@@ -167,9 +179,11 @@
     ];
     assert_eq!(
         meta(&folder),
-        single.map(|(name, held)| (name.to_string(), held)).into()
+        expected_meta
+            .map(|(name, value)| (name.to_string(), value))
+            .into()
     );
-    assert_eq!(pins(&folder), [(0, 70), (2, 73)].into());
+    assert_eq!(pinned_disks(&folder), [(0, 70), (2, 73)].into());
     assert_eq!(journal(&folder).into_keys().collect::<Vec<_>>(), [0, 1, 2]);
     let (mut store, writes) = open(&folder.0);
     assert_eq!(
@@ -183,13 +197,13 @@
     );
     store
         .append(&[Write::Index(16)], true)
-        .expect("a replaced journal");
+        .expect("replace the journal");
     drop(store);
     assert_eq!(journal(&folder).into_keys().collect::<Vec<_>>(), [3]);
 }
 
 #[test]
-fn a_disk_that_gave_up_its_replica_has_the_recorded_tables_and_keys() {
+fn a_retired_store_has_the_recorded_tables_and_keys() {
     let folder = Folder::new("given-up");
     let (mut store, _) = open(&folder.0);
     store
@@ -201,12 +215,12 @@
             },
             &PinnedDisks::from([(0, 70), (2, 72)]),
         )
-        .expect("a membership");
-    store.append(&[Write::Index(4)], false).expect("kept");
-    store.retire().expect("given up");
+        .expect("record the membership");
+    store.append(&[Write::Index(4)], false).expect("append");
+    store.retire().expect("retire the disk");
     let disk_id = store.disk_id;
     drop(store);
-    let single = [
+    let expected_meta = [
         ("identity", disk_id),
         ("layout", 3),
         ("retired", 1),
@@ -214,8 +228,10 @@
     ];
     assert_eq!(
         meta(&folder),
-        single.map(|(name, held)| (name.to_string(), held)).into()
+        expected_meta
+            .map(|(name, value)| (name.to_string(), value))
+            .into()
     );
-    assert!(pins(&folder).is_empty());
+    assert!(pinned_disks(&folder).is_empty());
     assert!(journal(&folder).is_empty());
 }
--- a/crates/storage/tests/store/disk_faults.rs
+++ b/crates/storage/tests/store/disk_faults.rs
@@ -1,5 +1,5 @@
-//! Disks that fill, tear and lose what was not synced, at every numbered operation in turn (design
-//! 9.4).
+//! Disk faults at each operation in turn: full disks, torn writes and the loss of unsynced data
+//! (design 9.4).
 
 use std::ops::RangeInclusive;
 
@@ -8,9 +8,9 @@
 
 use crate::faulty_disk::{Fault, FaultyDisk};
 
-const RECORDS: u64 = 12;
-/// The record that replaces the journal in the test of lost power.
-const REPLACING: u64 = 6;
+const RECORD_COUNT: u64 = 12;
+/// The record that replaces the journal in the power loss test.
+const REPLACING_RECORD: u64 = 6;
 
 fn record(number: u64) -> Vec<Write> {
     vec![Write::Accept {
@@ -20,19 +20,19 @@
     }]
 }
 
-/// Draws, by the operation at which the power goes, which unsynced writes survive.
-fn chance(operation: u64) -> u64 {
+/// Derives from the operation at which power is lost which unsynced writes survive.
+fn survival_bits(operation: u64) -> u64 {
     operation.wrapping_mul(0x9E37_79B9_7F4A_7C15)
 }
 
-/// The operations that it takes to append all records.
-fn operations_of_appending() -> RangeInclusive<u64> {
+/// The disk operations needed to append all records.
+fn append_operations() -> RangeInclusive<u64> {
     let disk = FaultyDisk::new();
     let mut store = disk.open_store().expect("a store").store;
     let before = disk.state().operations;
-    for number in 0..RECORDS {
+    for number in 0..RECORD_COUNT {
         store
-            .append(&record(number), number == REPLACING)
+            .append(&record(number), number == REPLACING_RECORD)
             .expect("append");
     }
     let last = disk.state().operations;
@@ -40,35 +40,41 @@
 }
 
 #[test]
-fn power_lost_at_any_operation_loses_nothing_that_was_reported() {
-    for operation in operations_of_appending() {
+fn power_loss_at_any_operation_loses_no_reported_append() {
+    for operation in append_operations() {
         let disk = FaultyDisk::new();
         let mut store = disk.open_store().expect("a store").store;
         let disk_id = store.disk_id;
-        disk.state().fault = Fault::Power(operation);
-        let appended = |number: &u64| store.append(&record(*number), *number == REPLACING).is_ok();
-        let reported: Vec<u64> = (0..RECORDS).take_while(appended).collect();
+        disk.state().fault = Fault::PowerLoss(operation);
+        let appended = |number: &u64| {
+            store
+                .append(&record(*number), *number == REPLACING_RECORD)
+                .is_ok()
+        };
+        let reported: Vec<u64> = (0..RECORD_COUNT).take_while(appended).collect();
         drop(store);
-        disk.restart(chance(operation));
+        disk.restart(survival_bits(operation));
         let RecoveredStore { store, writes } = disk
             .open_store()
             .unwrap_or_else(|error| panic!("power lost at {operation}: {error}"));
         assert_eq!(store.disk_id, disk_id);
-        // The record that replaces the journal stands for all before it.
-        let from = if reported.contains(&REPLACING) {
-            REPLACING
+        // The record that replaces the journal supersedes all earlier records.
+        let from = if reported.contains(&REPLACING_RECORD) {
+            REPLACING_RECORD
         } else {
             0
         };
-        let kept = reported.iter().filter(|number| **number >= from);
-        let expected: Vec<Write> = kept.flat_map(|number| record(*number)).collect();
+        let expected_records = reported.iter().filter(|number| **number >= from);
+        let expected: Vec<Write> = expected_records
+            .flat_map(|number| record(*number))
+            .collect();
         let next = reported.len() as u64;
-        let one_more = match next {
-            REPLACING => record(REPLACING),
+        let expected_with_unreported = match next {
+            REPLACING_RECORD => record(REPLACING_RECORD),
             _ => [expected.clone(), record(next)].concat(),
         };
         assert!(
-            writes == expected || writes == one_more,
+            writes == expected || writes == expected_with_unreported,
             "power lost at {operation}, reported {reported:?}, found {}",
             writes.len()
         );
@@ -76,30 +82,33 @@
 }
 
 #[test]
-fn a_full_disk_refuses_and_goes_on_without_a_restart_once_there_is_room() {
-    for operation in operations_of_appending() {
+fn a_full_disk_fails_appends_and_recovers_without_a_restart() {
+    for operation in append_operations() {
         let disk = FaultyDisk::new();
         let mut store = disk.open_store().expect("a store").store;
         disk.state().fault = Fault::Full(operation);
-        let mut refusals = 0;
-        for number in 0..RECORDS {
+        let mut failures = 0;
+        for number in 0..RECORD_COUNT {
             while store.append(&record(number), false).is_err() {
-                refusals += 1;
-                assert!(refusals < 100, "it never came back, full at {operation}");
-                if refusals == 3 {
+                failures += 1;
+                assert!(
+                    failures < 100,
+                    "appends still fail after the disk has room again, full at {operation}"
+                );
+                if failures == 3 {
                     disk.state().fault = Fault::None;
                 }
             }
         }
         drop(store);
         let writes = disk.open_store().expect("the store").writes;
-        let expected: Vec<Write> = (0..RECORDS).flat_map(record).collect();
+        let expected: Vec<Write> = (0..RECORD_COUNT).flat_map(record).collect();
         assert_eq!(writes, expected, "full at {operation}");
     }
 }
 
 #[test]
-fn a_damaged_record_is_named_and_not_used() {
+fn a_damaged_record_is_reported_and_not_used() {
     let disk = FaultyDisk::new();
     let mut store = disk.open_store().expect("a store").store;
     store.append(&record(200), false).expect("append");
@@ -108,10 +117,10 @@
         let mut state = disk.state();
         let windows = state.contents.windows(64).enumerate();
         let values = windows.filter(|(_, bytes)| bytes.iter().all(|byte| *byte == 200));
-        let places: Vec<usize> = values.map(|(place, _)| place).collect();
-        assert!(!places.is_empty());
-        for place in places {
-            state.contents[place] ^= 1;
+        let positions: Vec<usize> = values.map(|(position, _)| position).collect();
+        assert!(!positions.is_empty());
+        for position in positions {
+            state.contents[position] ^= 1;
         }
     }
     let opened = disk.open_store();
@@ -122,31 +131,36 @@
 }
 
 #[test]
-fn power_lost_while_a_new_disk_is_admitted_leaves_it_knowing_where_it_begins_or_no_peer() {
-    let pins = PinnedDisks::from([(0, 7), (2, 9)]);
-    let begins = [Write::VotingRangeStart(1_000_001), Write::Index(1_000_003)];
-    let (mut both, mut neither) = (0, 0);
+fn power_loss_while_a_disk_is_admitted_keeps_its_voting_range_and_pinned_disks_or_neither() {
+    let pinned_disks = PinnedDisks::from([(0, 7), (2, 9)]);
+    let first_writes = [Write::VotingRangeStart(1_000_001), Write::Index(1_000_003)];
+    let (mut complete_count, mut empty_count) = (0, 0);
     for operation in 1..60u64 {
         let disk = FaultyDisk::new();
         let mut store = disk.open_store().expect("a store").store;
         let before = disk.state().operations;
-        disk.state().fault = Fault::Power(before + operation);
-        let reported = store.replace_pinned_disks(&pins, &begins).is_ok();
+        disk.state().fault = Fault::PowerLoss(before + operation);
+        let reported = store
+            .replace_pinned_disks(&pinned_disks, &first_writes)
+            .is_ok();
         drop(store);
-        disk.restart(chance(operation));
+        disk.restart(survival_bits(operation));
         let RecoveredStore { store, writes } = disk.open_store().expect("the store");
         let pinned = &store.pinned_disks;
-        let whole = pinned.len() == 2 && writes == begins;
-        let nothing = pinned.is_empty() && writes.is_empty();
+        let complete = pinned.len() == 2 && writes == first_writes;
+        let empty = pinned.is_empty() && writes.is_empty();
         assert!(
-            whole || nothing && !reported,
+            complete || empty && !reported,
             "power lost at {operation}: {pinned:?} {writes:?}"
         );
-        if whole {
-            both += 1;
+        if complete {
+            complete_count += 1;
         } else {
-            neither += 1;
+            empty_count += 1;
         }
     }
-    assert!(both > 0 && neither > 0, "{both} {neither}");
+    assert!(
+        complete_count > 0 && empty_count > 0,
+        "complete {complete_count}, empty {empty_count}"
+    );
 }
--- a/crates/storage/tests/store/faulty_disk.rs
+++ b/crates/storage/tests/store/faulty_disk.rs
@@ -1,4 +1,5 @@
-//! A disk in memory that fills, tears and loses what was not synced, at a numbered operation.
+//! An in-memory disk that becomes full or loses power at a given operation. A power loss tears the
+//! last write and loses unsynced data.
 
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -6,14 +7,15 @@
 use redb::StorageBackend;
 use storage::{Error, RecoveredStore, ReplicaStore};
 
-/// What goes wrong, from which operation on.
+/// The injected fault and the operation from which it takes effect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Fault {
     None,
-    /// Writes from this operation on are refused until there is room again.
+    /// The disk is full: operations from this one on fail until the fault is removed.
     Full(u64),
-    /// Power goes at this operation: what was not synced survives by chance, the last write torn.
-    Power(u64),
+    /// Power is lost at this operation: unsynced writes survive at random, and the last write is
+    /// torn.
+    PowerLoss(u64),
 }
 
 #[derive(Debug)]
@@ -25,15 +27,15 @@
 #[derive(Debug)]
 pub(crate) struct DiskState {
     synced: Vec<u8>,
-    /// As a program sees it, with what is not synced.
+    /// The contents as visible to the program, including unsynced writes.
     pub contents: Vec<u8>,
     unsynced: Vec<UnsyncedWrite>,
     pub operations: u64,
     pub fault: Fault,
-    dead: bool,
+    powered_off: bool,
 }
 
-/// A disk; clones are the same one.
+/// A handle to a disk; clones share the same disk.
 #[derive(Clone, Debug)]
 pub(crate) struct FaultyDisk(Arc<Mutex<DiskState>>);
 
@@ -45,14 +47,14 @@
             unsynced: Vec::new(),
             operations: 0,
             fault: Fault::None,
-            dead: false,
+            powered_off: false,
         })))
     }
 
     pub(crate) fn state(&self) -> MutexGuard<'_, DiskState> {
         self.0
             .lock()
-            .expect("no test panics while it holds the disk")
+            .expect("no test panics while it holds the lock")
     }
 
     pub(crate) fn open_store(&self) -> Result<RecoveredStore, Error> {
@@ -60,37 +62,38 @@
         ReplicaStore::open_with_backend(move || disk.clone())
     }
 
-    /// What a machine finds when it starts again. `chance` draws which unsynced writes survived.
-    pub(crate) fn restart(&self, chance: u64) {
+    /// Restarts the machine after a power loss. `survival_bits` selects the unsynced writes that
+    /// survive.
+    pub(crate) fn restart(&self, survival_bits: u64) {
         let mut state = self.state();
         let mut bytes = state.synced.clone();
         for (write, number) in state.unsynced.drain(..).zip(0u32..) {
-            if chance >> (number % 61) & 1 == 1 {
+            if survival_bits >> (number % 61) & 1 == 1 {
                 overwrite(&mut bytes, write.offset, &write.data);
             }
         }
         state.synced = bytes.clone();
         state.contents = bytes;
         state.fault = Fault::None;
-        state.dead = false;
+        state.powered_off = false;
     }
 }
 
 impl DiskState {
-    /// Counts an operation and fails it if its turn has come.
-    fn operate(&mut self, write: Option<(u64, &[u8])>) -> io::Result<()> {
+    /// Counts and applies an operation, unless the fault makes it fail.
+    fn apply_operation(&mut self, write: Option<(u64, &[u8])>) -> io::Result<()> {
         self.operations += 1;
         match self.fault {
-            _ if self.dead => return Err(power_is_gone()),
-            Fault::Power(at) if self.operations >= at => {
-                self.dead = true;
+            _ if self.powered_off => return Err(power_lost()),
+            Fault::PowerLoss(operation) if self.operations >= operation => {
+                self.powered_off = true;
                 if let Some((offset, data)) = write {
                     let data = data[..data.len() / 2].to_vec();
                     self.unsynced.push(UnsyncedWrite { offset, data });
                 }
-                return Err(power_is_gone());
+                return Err(power_lost());
             }
-            Fault::Full(at) if self.operations >= at => {
+            Fault::Full(operation) if self.operations >= operation => {
                 return Err(io::ErrorKind::StorageFull.into());
             }
             _ => {}
@@ -106,8 +109,8 @@
     }
 }
 
-fn power_is_gone() -> io::Error {
-    io::Error::other("the power is gone")
+fn power_lost() -> io::Error {
+    io::Error::other("the disk has lost power")
 }
 
 fn overwrite(bytes: &mut Vec<u8>, offset: u64, data: &[u8]) {
@@ -132,9 +135,9 @@
 
     fn set_len(&self, length: u64) -> io::Result<()> {
         let mut state = self.state();
-        state.operate(None)?;
+        state.apply_operation(None)?;
         state.contents.resize(length as usize, 0);
-        // A length that is not synced may survive; the longer file only holds zeros more.
+        // A new length may survive without a sync; a longer file only has additional zeros.
         let known = state.synced.len().max(length as usize);
         state.synced.resize(known, 0);
         Ok(())
@@ -142,13 +145,13 @@
 
     fn sync_data(&self) -> io::Result<()> {
         let mut state = self.state();
-        state.operate(None)?;
+        state.apply_operation(None)?;
         state.synced = state.contents.clone();
         state.unsynced.clear();
         Ok(())
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        self.state().operate(Some((offset, data)))
+        self.state().apply_operation(Some((offset, data)))
     }
 }
--- a/crates/storage/tests/store/main.rs
+++ b/crates/storage/tests/store/main.rs
@@ -1,4 +1,4 @@
-//! What a store keeps, over a real folder and over disks that fail.
+//! The durability of a store, in a real folder and on simulated disks that fail.
 
 mod disk_faults;
 mod faulty_disk;
--- a/crates/storage/tests/store/reopening.rs
+++ b/crates/storage/tests/store/reopening.rs
@@ -1,4 +1,4 @@
-//! A store in a folder, as the daemons use it.
+//! Reopening a store in a real folder, as used by the daemons.
 
 use std::env::temp_dir;
 use std::fs::{self, remove_dir_all};
@@ -10,7 +10,7 @@
 use storage::{Error, RecoveredStore, ReplicaStore};
 
 #[test]
-fn a_reopened_store_keeps_identity_pins_and_order() {
+fn a_reopened_store_keeps_its_identity_pinned_disks_and_journal_order() {
     let folder = temp_dir().join(format!("gradeford-store-{}", process::id()));
     let accept = Write::Accept {
         instance: 2,
@@ -29,11 +29,12 @@
         assert_eq!(
             store.pin_disk(1, 12).expect("pin"),
             11,
-            "a replica stays with the disk first met"
+            "a replica keeps the disk that was pinned first"
         );
         store.disk_id
     };
-    let RecoveredStore { mut store, writes } = ReplicaStore::open(&folder).expect("the same store");
+    let RecoveredStore { mut store, writes } =
+        ReplicaStore::open(&folder).expect("reopen the store with its first records");
     assert_eq!(
         (store.disk_id, store.pinned_disks.get(&1)),
         (disk_id, Some(&11))
@@ -43,17 +44,17 @@
         .append(&[Write::Index(9)], true)
         .expect("replace the journal");
     drop(store);
-    let again = ReplicaStore::open(&folder).expect("again");
+    let again = ReplicaStore::open(&folder).expect("reopen the store");
     assert_eq!(again.writes, vec![Write::Index(9)]);
-    remove_dir_all(&folder).expect("clean");
+    remove_dir_all(&folder).expect("remove the folder");
 }
 
-/// What a soak showed: a core machine that had lost its disk was killed in the first milliseconds of
-/// its next start, and after that ended at every start, 76 times, with "Not a redb database: magic
-/// number mismatch". The database writes its magic number last, so that a file that was not finished
-/// is never taken for a whole one; and it never finishes such a file.
+/// Guards against a failure seen in a soak test: a core machine that had lost its disk was killed
+/// in the first milliseconds of its next start, and then failed at each of 76 starts with "Not a
+/// redb database: magic number mismatch". The database writes the magic number last, so that an
+/// unfinished file is not taken for a complete one, but it never completes such a file either.
 #[test]
-fn a_process_killed_while_it_makes_its_store_leaves_a_folder_that_opens() {
+fn a_store_can_be_created_after_a_process_was_killed_while_creating_it() {
     let folder = temp_dir().join(format!("gradeford-unfinished-{}", process::id()));
     let killed_before_the_magic_number = |path: &Path| {
         fs::write(path, vec![0; 73_728])?;
@@ -66,7 +67,7 @@
     let opened = ReplicaStore::open(&folder);
     let opened = opened.map_err(|error| error.to_string());
     assert!(opened.is_ok_and(|opened| opened.writes.is_empty()));
-    let again = ReplicaStore::open(&folder).expect("it is whole now");
+    let again = ReplicaStore::open(&folder).expect("the store is complete now");
     assert_eq!(again.store.start_count, 2);
-    remove_dir_all(&folder).expect("clean");
+    remove_dir_all(&folder).expect("remove the folder");
 }
--- a/crates/storage/tests/store/writer.rs
+++ b/crates/storage/tests/store/writer.rs
@@ -1,4 +1,4 @@
-//! The writer's thread, as its handle shows it.
+//! The behaviour of the writer thread, observed through its handle.
 
 use std::env::temp_dir;
 use std::fs::remove_dir_all;
@@ -11,11 +11,11 @@
 
 use crate::faulty_disk::{Fault, FaultyDisk};
 
-/// Far longer than a retry takes.
+/// The time limit for an event; far longer than a retry takes.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
 #[test]
-fn a_ticket_is_reported_only_once_its_append_holds() {
+fn a_ticket_is_reported_only_after_its_append_succeeds() {
     let disk = FaultyDisk::new();
     let store = disk.open_store().expect("a store").store;
     let full_from = disk.state().operations + 1;
@@ -38,11 +38,11 @@
     let last = reported.recv_timeout(TIMEOUT).expect("an event");
     assert!(matches!(last, WriterEvent::Persisted(7)), "{last:?}");
 
-    // The thread ends with the last handle, and what it kept is there.
+    // The thread ends when the last handle is dropped, and the appended write is in the store.
     drop(writer);
     assert!(
         reported.recv_timeout(TIMEOUT).is_err(),
-        "the writer still runs"
+        "the writer thread is still running"
     );
     assert_eq!(
         disk.open_store().expect("the store").writes,
@@ -51,29 +51,29 @@
 }
 
 #[tokio::test]
-async fn a_retired_disk_is_closed_and_new_once_its_writer_says_so() {
+async fn a_retired_store_is_closed_and_has_a_new_identity_when_retire_returns() {
     let folder = temp_dir().join(format!("gradeford-retired-{}", process::id()));
     let store = ReplicaStore::open(&folder).expect("a store").store;
     let disk_id = store.disk_id;
     let writer = StoreWriter::spawn(store, |_| {}).expect("writer");
-    let (kept, answer) = channel();
-    let pins = PinnedDisks::from([(1, 11)]);
-    writer.replace_pinned_disks(pins, vec![Write::Index(3)], move |result| {
-        drop(kept.send(result))
+    let (done, answer) = channel();
+    let pinned_disks = PinnedDisks::from([(1, 11)]);
+    writer.replace_pinned_disks(pinned_disks, vec![Write::Index(3)], move |result| {
+        drop(done.send(result))
     });
     assert_eq!(
         writer.pin_disk(1, 12).await.expect("pin"),
         11,
-        "in the order of the calls"
+        "the calls were not processed in order"
     );
     assert!(answer.recv_timeout(TIMEOUT).expect("an answer").is_ok());
 
     writer.retire().await.expect("retire");
-    let reopened = ReplicaStore::open(&folder).expect("closed before it was reported");
+    let reopened = ReplicaStore::open(&folder).expect("the file is closed before retire returns");
     assert!(reopened.store.retired);
     assert_ne!(reopened.store.disk_id, disk_id);
     assert!(reopened.store.pinned_disks.is_empty() && reopened.writes.is_empty());
     let stopped = writer.pin_disk(2, 13).await;
     assert!(matches!(stopped, Err(Error::WriterStopped)), "{stopped:?}");
-    remove_dir_all(&folder).expect("clean");
+    remove_dir_all(&folder).expect("remove the folder");
 }
