--- a/crates/mencius/src/replica.rs
+++ b/crates/mencius/src/replica.rs
@@ -223,7 +223,8 @@
         }
     }
 
-    /// Sends the frames of a synced batch. Messages of this replica to itself are handled directly.
+    /// Sends the frames of a batch whose writes, if any, are synced. Messages of this replica to
+    /// itself are handled directly.
     fn release(&mut self, frames: Vec<OutgoingFrame>) {
         let now = self.now;
         for OutgoingFrame { to, frame } in frames {
--- a/crates/mencius/src/status.rs
+++ b/crates/mencius/src/status.rs
@@ -13,7 +13,8 @@
             .map(|replica_id| self.describe_replica(replica_id));
         let revocations = self.revocations.iter().map(|(coordinator, revocation)| {
             format!(
-                "revoking {coordinator} {:?} {:?} promises {} accepted by {}",
+                "revocation of coordinator {coordinator}: block {:?}, {:?}, \
+                 {} promises, {} acceptances",
                 revocation.block,
                 revocation.proposal_number,
                 revocation.promises.len(),
@@ -21,7 +22,7 @@
             )
         });
         let bounds = format!(
-            "voting range {} to {} compaction point {} executed {}",
+            "voting range {} to {}, compaction point {}, executed below {}",
             self.voting_range_start, self.voting_range_end, self.compaction_point, self.executed
         );
         replicas
@@ -35,7 +36,8 @@
         let peer = self.peer(replica_id);
         let unknown = self.first_unknown_of(replica_id, self.applied);
         format!(
-            "{replica_id}: connected {} suspected {} applied {} unknown from {unknown}",
+            "replica {replica_id}: connected {}, suspected {}, applied below {}, \
+             first unknown instance {unknown}",
             peer.connected, peer.suspected, peer.applied
         )
     }
--- a/crates/mencius/src/voting_range.rs
+++ b/crates/mencius/src/voting_range.rs
@@ -2,8 +2,9 @@
 //! 4.4; the paper does not cover membership changes).
 //!
 //! The replacement of a replica's disk takes effect after an instance E that is so far above the
-//! command that every replica voting above E has applied it. The old disk votes up to E, the new
-//! one after it, so that no instance is decided by two different memberships.
+//! instance of the replacement that every replica voting above E has applied the replacement. The
+//! old disk votes up to E, the new one after it, so that no instance is decided by two different
+//! memberships.
 
 use std::mem::take;
 
@@ -52,7 +53,7 @@
     }
 
     /// Whether all instances in which an earlier disk of this replica may have accepted a command
-    /// are applied here. Until then, this replica must not respond to read-index requests.
+    /// are applied here. Until then, this replica must not take part in read-index rounds.
     pub(crate) fn has_caught_up(&self) -> bool {
         self.applied >= self.voting_range_start
     }
--- a/crates/mencius/tests/replica/connections.rs
+++ b/crates/mencius/tests/replica/connections.rs
@@ -160,7 +160,7 @@
         });
     // These inputs all arrive before the driver takes effects again, so the released response is
     // still queued when the connection closes.
-    replica_0.step(0, Input::Persisted(ticket.expect("a sync")));
+    replica_0.step(0, Input::Persisted(ticket.expect("a persist effect")));
     replica_0.step(0, Input::ConnectionClosed(1));
     replica_0.step(0, Input::ConnectionOpened(1));
     let sent = frames_to(&mut replica_0, 1);
--- a/crates/storage/tests/store/disk_faults.rs
+++ b/crates/storage/tests/store/disk_faults.rs
@@ -28,7 +28,7 @@
 /// The disk operations needed to append all records.
 fn append_operations() -> RangeInclusive<u64> {
     let disk = FaultyDisk::new();
-    let mut store = disk.open_store().expect("a store").store;
+    let mut store = disk.open_store().expect("open the store").store;
     let before = disk.state().operations;
     for number in 0..RECORD_COUNT {
         store
@@ -43,7 +43,7 @@
 fn power_loss_at_any_operation_loses_no_reported_append() {
     for operation in append_operations() {
         let disk = FaultyDisk::new();
-        let mut store = disk.open_store().expect("a store").store;
+        let mut store = disk.open_store().expect("open the store").store;
         let disk_id = store.disk_id;
         disk.state().fault = Fault::PowerLoss(operation);
         let appended = |number: &u64| {
@@ -85,7 +85,7 @@
 fn a_full_disk_fails_appends_and_recovers_without_a_restart() {
     for operation in append_operations() {
         let disk = FaultyDisk::new();
-        let mut store = disk.open_store().expect("a store").store;
+        let mut store = disk.open_store().expect("open the store").store;
         disk.state().fault = Fault::Full(operation);
         let mut failures = 0;
         for number in 0..RECORD_COUNT {
@@ -101,7 +101,7 @@
             }
         }
         drop(store);
-        let writes = disk.open_store().expect("the store").writes;
+        let writes = disk.open_store().expect("reopen the store").writes;
         let expected: Vec<Write> = (0..RECORD_COUNT).flat_map(record).collect();
         assert_eq!(writes, expected, "full at {operation}");
     }
@@ -110,7 +110,7 @@
 #[test]
 fn a_damaged_record_is_reported_and_not_used() {
     let disk = FaultyDisk::new();
-    let mut store = disk.open_store().expect("a store").store;
+    let mut store = disk.open_store().expect("open the store").store;
     store.append(&record(200), false).expect("append");
     drop(store);
     {
@@ -137,7 +137,7 @@
     let (mut complete_count, mut empty_count) = (0, 0);
     for operation in 1..60u64 {
         let disk = FaultyDisk::new();
-        let mut store = disk.open_store().expect("a store").store;
+        let mut store = disk.open_store().expect("open the store").store;
         let before = disk.state().operations;
         disk.state().fault = Fault::PowerLoss(before + operation);
         let reported = store
@@ -145,7 +145,7 @@
             .is_ok();
         drop(store);
         disk.restart(survival_bits(operation));
-        let RecoveredStore { store, writes } = disk.open_store().expect("the store");
+        let RecoveredStore { store, writes } = disk.open_store().expect("reopen the store");
         let pinned = &store.pinned_disks;
         let complete = pinned.len() == 2 && writes == first_writes;
         let empty = pinned.is_empty() && writes.is_empty();
--- a/crates/storage/tests/store/reopening.rs
+++ b/crates/storage/tests/store/reopening.rs
@@ -21,13 +21,13 @@
     let second = vec![Write::ProposalCounter(3)];
     let disk_id = {
         let RecoveredStore { mut store, writes } =
-            ReplicaStore::open(&folder).expect("a new store");
+            ReplicaStore::open(&folder).expect("create the store");
         assert!(writes.is_empty());
         store.append(&first, false).expect("append");
         store.append(&second, false).expect("append");
-        assert_eq!(store.pin_disk(1, 11).expect("pin"), 11);
+        assert_eq!(store.pin_disk(1, 11).expect("pin the disk"), 11);
         assert_eq!(
-            store.pin_disk(1, 12).expect("pin"),
+            store.pin_disk(1, 12).expect("pin the disk"),
             11,
             "a replica keeps the disk that was pinned first"
         );
