--- a/crates/mencius/src/status.rs
+++ b/crates/mencius/src/status.rs
@@ -1,18 +1,20 @@
-//! A description of the replica for the logs, for whoever looks into a log that does not move.
+//! A textual description of the replica's state for log messages, to diagnose a log that does not
+//! advance.
 
 use crate::messages::ReplicaId;
 use crate::replica::Replica;
 
 impl Replica {
-    /// Each replica's connection and how far its instances are known, the revocations under way,
-    /// and the bounds of this replica, as one line of text.
+    /// Describes, in one line of text, the connection and the progress of each replica, the
+    /// revocations in progress, and the bounds of this replica.
     pub fn diagnostics(&self) -> String {
         let replicas = self
             .replica_ids()
             .map(|replica_id| self.describe_replica(replica_id));
         let revocations = self.revocations.iter().map(|(coordinator, revocation)| {
             format!(
-                "revoking {coordinator} {:?} {:?} promises {} accepted by {}",
+                "revocation of coordinator {coordinator}: block {:?}, {:?}, \
+                 {} promises, {} acceptances",
                 revocation.block,
                 revocation.proposal_number,
                 revocation.promises.len(),
@@ -20,7 +22,7 @@
             )
         });
         let bounds = format!(
-            "voting range {} to {} compaction point {} executed {}",
+            "voting range {} to {}, compaction point {}, executed below {}",
             self.voting_range_start, self.voting_range_end, self.compaction_point, self.executed
         );
         replicas
@@ -34,7 +36,8 @@
         let peer = self.peer(replica_id);
         let unknown = self.first_unknown_of(replica_id, self.applied);
         format!(
-            "{replica_id}: connected {} suspected {} applied {} unknown from {unknown}",
+            "replica {replica_id}: connected {}, suspected {}, applied below {}, \
+             first unknown instance {unknown}",
             peer.connected, peer.suspected, peer.applied
         )
     }
