--- a/crates/transport/src/error.rs
+++ b/crates/transport/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a connection could not be opened or did not last.
+//! Errors of opening and using a connection.
 
 use std::io;
 
@@ -6,31 +6,31 @@
 
 use crate::PROTOCOL_VERSION;
 
-/// Why a connection could not be opened or did not last.
+/// Why a connection could not be opened or has ended.
 ///
-/// The texts reach operators (in `/ready` and on the command line) and peers (as the reason of a
-/// refused handshake), so they are part of the interface.
+/// The texts are part of the interface: they reach operators (in `/ready` and on the command line)
+/// and peers (as the reason for a refused handshake).
 #[derive(Debug, Error)]
 pub enum Error {
-    /// The socket failed, or the address to dial is no IP address and port.
-    #[error("conn failed: {0}")]
+    /// The socket failed, or the address to dial is not an IP address and port.
+    #[error("connection failed: {0}")]
     Connection(#[from] io::Error),
     /// The connection was closed.
-    #[error("conn closed")]
+    #[error("connection closed")]
     Closed,
     /// A frame is longer than [`MAX_FRAME_BYTES`](crate::MAX_FRAME_BYTES); holds its length in bytes.
-    #[error("a frame of {0} bytes is over the limit")]
+    #[error("frame of {0} bytes exceeds the size limit")]
     FrameTooLong(usize),
-    /// The peer sent bytes that are no valid frame, or a frame that has no place where it came.
-    #[error("a frame that does not hold together")]
+    /// The peer sent bytes that are not a valid frame, or a frame that is not allowed at that point.
+    #[error("malformed or unexpected frame")]
     Malformed,
-    /// The peer speaks another version of the protocol; holds the peer's.
-    #[error("the mate speaks version {0}, this program {PROTOCOL_VERSION}")]
+    /// The peer uses another protocol version; holds the peer's version.
+    #[error("the peer uses protocol version {0}, this program uses version {PROTOCOL_VERSION}")]
     VersionMismatch(u16),
-    /// The handshake was refused; holds the reason that was given.
-    #[error("refused by the mate: {0}")]
+    /// The handshake was refused; holds the reason.
+    #[error("handshake refused by the peer: {0}")]
     Refused(String),
-    /// The peer did not answer within the time-out of the step it was in.
+    /// The peer did not answer before the timeout of the current step.
     #[error("no answer in time")]
     TimedOut,
 }
