--- a/crates/transport/src/compact_encoding.rs
+++ b/crates/transport/src/compact_encoding.rs
@@ -1,8 +1,8 @@
-//! Compact encoding of headers: what is repeated on one connection is sent by number (design 13.2).
+//! Compact encoding of headers: repeated headers of a connection are sent by index (design 13.2).
 //!
-//! Both ends keep the same tables, which works because a connection delivers everything in order: a
-//! name is numbered when it is first sent, a whole header when it is sent for the second time. A new
-//! connection begins with empty tables.
+//! Both ends keep the same tables, which works because a connection delivers everything in order. A
+//! name gets its index when it is first sent, a whole header when it is sent for the second time. A
+//! new connection starts with empty tables.
 
 use std::collections::{HashMap, HashSet};
 
@@ -11,30 +11,30 @@
 /// A header's name and value.
 pub type Header = (String, Vec<u8>);
 
-/// The headers of one message; those of the same name are in the order in which they were sent.
+/// The headers of one message; headers of the same name keep the order in which they were sent.
 pub type Headers = Vec<Header>;
 
-/// Names after which a connection is to be replaced; see [`HeaderEncoder::is_full`].
+/// Number of indexed names above which a connection is replaced; see [`HeaderEncoder::is_full`].
 const MAX_NAMES: usize = 512;
-/// Whole headers that are sent by number at the most.
+/// Maximum number of whole headers that are sent by index.
 const MAX_HEADERS: usize = 2_048;
-/// Headers remembered as seen once, of which a second sight makes one worth a number.
+/// Maximum number of headers remembered as sent once; a header gets an index the second time.
 const MAX_SEEN_ONCE: usize = 4_096;
 
-/// The headers of one message as they travel, with what they add to the tables.
+/// The encoded headers of one message, with their additions to the tables.
 #[derive(Clone, Debug, Default, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct EncodedHeaders {
-    /// Names that get the next free numbers.
+    /// Names that get the next free name indices.
     new_names: Vec<String>,
-    /// Headers (number of the name, value) that get the next free numbers.
+    /// Headers (name index, value) that get the next free header indices.
     indexed: Vec<(u16, Vec<u8>)>,
-    /// Headers (number of the name, value) that get none.
+    /// Headers (name index, value) that are not added to the header table.
     literals: Vec<(u16, Vec<u8>)>,
-    /// Numbers of headers sent before.
+    /// Indices of headers sent before.
     known: Vec<u16>,
 }
 
-/// The sending end's tables.
+/// Encodes headers with the tables of the sending end.
 #[derive(Default)]
 pub struct HeaderEncoder {
     name_indices: HashMap<String, u16>,
@@ -42,7 +42,7 @@
     seen_once: HashSet<Header>,
 }
 
-/// The receiving end's tables.
+/// Decodes headers with the tables of the receiving end.
 #[derive(Default)]
 pub struct HeaderDecoder {
     names: Vec<String>,
@@ -50,10 +50,12 @@
 }
 
 impl HeaderEncoder {
-    /// Encodes the headers of one message, which has to be sent: the tables now count on it.
+    /// Encodes the headers of one message. The message has to be sent, because the tables already
+    /// contain its additions.
     pub fn encode(&mut self, headers: Headers) -> EncodedHeaders {
         let mut encoded = EncodedHeaders::default();
-        // Headers that share a name keep their order, so none of that message is sent by number.
+        // Headers of the same name have to keep their order, and indexed headers do not: a message
+        // with such headers sends none by index.
         let may_index = has_distinct_names(&headers);
         for header in headers {
             if let Some(index) = self.header_indices.get(&header).filter(|_| may_index) {
@@ -71,18 +73,18 @@
             } else {
                 let (_, value) = header.clone();
                 encoded.literals.push((name, value));
-                self.remember(header);
+                self.record_first_use(header);
             }
         }
         encoded
     }
 
-    /// Whether a new connection, with empty tables, should take over from this one.
+    /// Whether the connection should be replaced by a new one with empty tables.
     pub fn is_full(&self) -> bool {
         self.name_indices.len() > MAX_NAMES
     }
 
-    /// The number of the header's name, which is a new one if it was never sent.
+    /// Returns the index of the header's name and assigns a new one if the name was never sent.
     fn name_index(&mut self, (name, _): &Header, new_names: &mut Vec<String>) -> u16 {
         if let Some(index) = self.name_indices.get(name) {
             return *index;
@@ -93,7 +95,7 @@
         index
     }
 
-    fn remember(&mut self, header: Header) {
+    fn record_first_use(&mut self, header: Header) {
         if self.seen_once.len() >= MAX_SEEN_ONCE {
             self.seen_once.clear();
         }
@@ -102,12 +104,12 @@
 }
 
 impl HeaderDecoder {
-    /// Decodes the headers of the next message; headers of different names may change places.
+    /// Decodes the headers of the next message; the order of headers of different names may change.
     ///
     /// # Errors
     ///
-    /// [`Error::Malformed`] if a number was never given out or the tables outgrow their bounds; the
-    /// tables of the two ends may then differ, and the connection has to be closed.
+    /// [`Error::Malformed`] if an index was never assigned or the tables exceed their limits. The
+    /// tables of the two ends may then differ, so the connection has to be closed.
     pub fn decode(&mut self, encoded: EncodedHeaders) -> Result<Headers, Error> {
         self.names.extend(encoded.new_names);
         let mut headers = self.with_names(encoded.literals)?;
@@ -128,7 +130,7 @@
         Ok(headers)
     }
 
-    /// Puts the names in the place of their numbers.
+    /// Replaces name indices by the names.
     fn with_names(&self, headers: Vec<(u16, Vec<u8>)>) -> Result<Headers, Error> {
         let named = |(index, value)| {
             let name = self.names.get(usize::from(index)).ok_or(Error::Malformed)?;
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -1,7 +1,7 @@
-//! One open connection: a task that reads frames, a task that writes them, a channel to each.
+//! An open connection: a reader task and a writer task, each with a channel of frames.
 //!
 //! A frame on the wire is its length in bytes (`u32`, big-endian), the protocol version (`u16`,
-//! big-endian) and its `rkyv` bytes. Either task's end closes the connection (design 4.2).
+//! big-endian) and its `rkyv` bytes. The connection closes when either task ends (design 4.2).
 
 use std::iter;
 use std::time::Duration;
@@ -16,18 +16,18 @@
 use crate::traffic::{self, TrafficCounter};
 use crate::{Error, Frame, Handshake, MAX_FRAME_BYTES, PROTOCOL_VERSION};
 
-/// Frames that may wait in each direction; a full channel means that the receiver is not keeping up.
+/// Capacity of the channel in each direction, in frames; it is full if the receiver is too slow.
 const CHANNEL_CAPACITY: usize = 1_024;
-/// Frames that leave in one write at the most.
+/// Maximum number of frames in one write.
 const MAX_FRAMES_PER_WRITE: usize = 256;
-/// Bytes that a peer has to take within [`WRITE_TIMEOUT`].
+/// Number of bytes that the peer has to accept within [`WRITE_TIMEOUT`].
 const WRITE_CHUNK_BYTES: usize = 16 * 1024;
-/// How long a peer may take for [`WRITE_CHUNK_BYTES`].
+/// Timeout for writing [`WRITE_CHUNK_BYTES`].
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Length and version in front of each frame, in bytes.
+/// Size of the length and the version before each frame, in bytes.
 const PREFIX_BYTES: usize = size_of::<u32>() + size_of::<u16>();
 
-/// Where frames for a peer are put; closed once the connection has ended.
+/// Sends frames to a peer; closed once the connection has ended.
 pub type FrameSender = mpsc::Sender<Frame>;
 
 pub(crate) type SocketReader = BufReader<OwnedReadHalf>;
@@ -35,18 +35,18 @@
 
 /// An open connection after both handshakes.
 ///
-/// It ends when every [`FrameSender`] is dropped, when the peer closes it, when either side breaks
-/// the protocol, or when the peer takes nothing for two seconds.
+/// The connection ends when every [`FrameSender`] is dropped, when the peer closes the connection,
+/// when either side violates the protocol, or when the peer accepts no data for two seconds.
 pub struct Connection {
-    /// What the peer said of itself.
+    /// Handshake that the peer sent.
     pub peer_handshake: Handshake,
-    /// Takes frames for the peer.
+    /// Sends frames to the peer.
     pub sender: FrameSender,
-    /// Yields the peer's frames in the order in which it sent them, and `None` at the end.
+    /// Yields the peer's frames in the order in which they were sent, and `None` at the end.
     pub receiver: mpsc::Receiver<Frame>,
 }
 
-/// Reads one frame; waits until it is complete.
+/// Reads one complete frame.
 pub(crate) async fn read_frame(reader: &mut SocketReader) -> Result<Frame, Error> {
     let length = reader.read_u32().await? as usize;
     let version = reader.read_u16().await?;
@@ -62,7 +62,7 @@
     rkyv::from_bytes::<Frame, rancor::Error>(&bytes).map_err(|_| Error::Malformed)
 }
 
-/// Appends a frame with its prefix to `buffer` and counts it by its kind.
+/// Appends a frame with its prefix to `buffer` and counts the frame under its kind.
 pub(crate) fn encode_frame(frame: &Frame, buffer: &mut Vec<u8>) -> Result<(), Error> {
     let bytes = rkyv::to_bytes::<rancor::Error>(frame).map_err(|_| Error::Malformed)?;
     if bytes.len() > MAX_FRAME_BYTES {
@@ -82,7 +82,7 @@
     Ok(writer.write_all(&buffer).await?)
 }
 
-/// Starts both tasks once the handshakes are done. `zone` is that of this process.
+/// Starts both tasks after the handshakes. `zone` is the zone of this process.
 pub(crate) fn start(
     zone: &str,
     peer_handshake: Handshake,
@@ -105,9 +105,10 @@
     }
 }
 
-/// Hands frames to the owner until the stream ends, breaks the protocol or nobody receives them.
+/// Forwards received frames to the connection's owner until the stream ends, a frame is invalid or
+/// the receiver is dropped.
 ///
-/// `_reader_alive` is dropped with this task, which tells the writer that the connection is over.
+/// `_reader_alive` is dropped with this task, which tells the writer that the connection has ended.
 async fn read_frames(
     mut reader: SocketReader,
     incoming: mpsc::Sender<Frame>,
@@ -120,7 +121,7 @@
     }
 }
 
-/// Sends frames until every sender is dropped, reading has ended or a write fails.
+/// Writes frames until every sender is dropped, the reader task has ended or a write fails.
 async fn write_frames(
     writer: &mut SocketWriter,
     outgoing: &mut mpsc::Receiver<Frame>,
@@ -131,11 +132,11 @@
     loop {
         let first = tokio::select! {
             frame = outgoing.recv() => frame,
-            // The peer is gone: whoever holds a sender learns it by the closed channel.
+            // The peer is gone; the closed channel tells this to the holders of senders.
             _ = &mut reader_ended => None,
         };
         let Some(first) = first else { return };
-        // Everything that waits leaves in one write.
+        // Sends all waiting frames in one write.
         let mut frames = vec![first];
         frames.extend(iter::from_fn(|| outgoing.try_recv().ok()).take(MAX_FRAMES_PER_WRITE - 1));
         buffer.clear();
@@ -149,8 +150,8 @@
     }
 }
 
-/// Writes everything, with a time-out for each chunk: a peer on a narrow link may take long for
-/// much, while one that takes nothing for a while is gone.
+/// Writes all bytes, with a timeout for each chunk: a peer on a slow link may need long for many
+/// bytes, while a peer that accepts no bytes within the timeout is taken for gone.
 async fn write_in_chunks(writer: &mut SocketWriter, bytes: &[u8]) -> Result<(), Error> {
     for chunk in bytes.chunks(WRITE_CHUNK_BYTES) {
         timeout(WRITE_TIMEOUT, writer.write_all(chunk))
--- a/crates/transport/src/connection/tests.rs
+++ b/crates/transport/src/connection/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn a_small_frame_is_not_as_long_as_the_largest_kind() {
+fn small_frames_are_not_padded_to_the_size_of_the_largest_variant() {
     let heartbeat = mencius::Message::Heartbeat { applied: 1 };
     let lengths = [
         encoded_length(&Frame::Heartbeat),
--- a/crates/transport/src/error.rs
+++ b/crates/transport/src/error.rs
@@ -18,10 +18,10 @@
     /// The connection was closed.
     #[error("connection closed")]
     Closed,
-    /// A frame is longer than [`MAX_FRAME_BYTES`](crate::MAX_FRAME_BYTES); holds its length in bytes.
+    /// A frame exceeds [`MAX_FRAME_BYTES`](crate::MAX_FRAME_BYTES); holds its length in bytes.
     #[error("frame of {0} bytes exceeds the size limit")]
     FrameTooLong(usize),
-    /// The peer sent bytes that are not a valid frame, or a frame that is not allowed at that point.
+    /// The peer sent bytes that are no valid frame, or a frame that is not allowed at that point.
     #[error("malformed or unexpected frame")]
     Malformed,
     /// The peer uses another protocol version; holds the peer's version.
--- a/crates/transport/src/forwarding.rs
+++ b/crates/transport/src/forwarding.rs
@@ -1,18 +1,18 @@
 //! Requests and responses between the nodes beside two backends (design 13.2).
 //!
-//! Backend, caller and method travel as headers with reserved names, so that the compact encoding
-//! sends them by number too.
+//! Backend, caller and method are sent as headers with reserved names, so that the compact encoding
+//! sends them by index too.
 
 use model::{BackendName, Microseconds, ServiceName};
 
 use crate::{EncodedHeaders, Error, HeaderDecoder, HeaderEncoder, Headers};
 
-/// A request on its way to the node beside the backend that is to run it.
+/// A request that is forwarded to the node beside the backend that is to run it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ForwardedRequest {
-    /// Backend that is to run it.
+    /// Backend that is to run the request.
     pub backend: BackendName,
-    /// Service of the machine where the request began.
+    /// Service of the machine that the request comes from.
     pub caller: ServiceName,
     /// HTTP method.
     pub method: String,
@@ -20,23 +20,24 @@
     pub target: String,
     /// End-to-end headers.
     pub headers: Headers,
-    /// Body, complete.
+    /// Complete body.
     pub body: Vec<u8>,
     /// Key by which a sharded service's backend was selected.
     pub shard_key: Option<u16>,
-    /// What is left of the caller's wait, in microseconds.
+    /// Time left until the caller's deadline, in microseconds.
     pub time_left: Microseconds,
-    /// What is left of the time in which an answer is worth most, in microseconds.
+    /// Time left until the latency target of the request, in microseconds.
     pub latency_target: Microseconds,
     /// Priority in the queue beside the backend.
     pub priority: u8,
-    /// Whether running it twice does no harm.
+    /// Whether the request may be run more than once.
     pub idempotent: bool,
-    /// Others passed it over: the backend is to take it even if it counts as unhealthy (design 13.8).
+    /// Other backends rejected the request: the backend has to accept it even while it counts as
+    /// unhealthy (design 13.8).
     pub force: bool,
 }
 
-/// A [`ForwardedRequest`] as it travels on a connection.
+/// A [`ForwardedRequest`] as encoded for a connection.
 #[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct EncodedRequest {
     headers: EncodedHeaders,
@@ -50,18 +51,18 @@
     force: bool,
 }
 
-/// A backend's response as it came.
+/// A backend's response, unchanged.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ForwardedResponse {
     /// HTTP status.
     pub status: u16,
     /// Headers for the caller.
     pub headers: Headers,
-    /// Body, complete.
+    /// Complete body.
     pub body: Vec<u8>,
 }
 
-/// A [`ForwardedResponse`] as it travels on a connection.
+/// A [`ForwardedResponse`] as encoded for a connection.
 #[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct EncodedResponse {
     headers: EncodedHeaders,
@@ -76,11 +77,12 @@
 /// Reserved name of the header that holds the method.
 const METHOD_FIELD: &str = ":method";
 
-/// An hour in microseconds. No wait is longer, and it fits the 32 bits that it travels in.
+/// Upper bound of the times in a request, in microseconds: an hour, which fits the 32 bits in which
+/// they are encoded.
 const MAX_WAIT: Microseconds = 3_600_000_000;
 
 impl ForwardedRequest {
-    /// Encodes the request for the connection that `encoder` belongs to, on which it has to be sent.
+    /// Encodes the request for the connection of `encoder`; it has to be sent on that connection.
     pub fn encode(self, encoder: &mut HeaderEncoder) -> EncodedRequest {
         let fields = [
             (BACKEND_FIELD, self.backend),
@@ -93,8 +95,8 @@
             target: self.target,
             body: self.body,
             shard_key: self.shard_key,
-            time_left: capped_micros(self.time_left),
-            latency_target: capped_micros(self.latency_target),
+            time_left: bounded_micros(self.time_left),
+            latency_target: bounded_micros(self.latency_target),
             priority: self.priority,
             idempotent: self.idempotent,
             force: self.force,
@@ -103,11 +105,11 @@
 }
 
 impl EncodedRequest {
-    /// Decodes the next request of the connection that `decoder` belongs to.
+    /// Decodes the next request of the connection of `decoder`.
     ///
     /// # Errors
     ///
-    /// [`Error::Malformed`] if the headers cannot be decoded or a reserved one is missing or not
+    /// [`Error::Malformed`] if the headers cannot be decoded or a reserved header is missing or not
     /// UTF-8; the connection has to be closed.
     pub fn decode(self, decoder: &mut HeaderDecoder) -> Result<ForwardedRequest, Error> {
         let (fields, headers): (Headers, Headers) = decoder
@@ -115,9 +117,9 @@
             .into_iter()
             .partition(|(name, _)| name.starts_with(':'));
         Ok(ForwardedRequest {
-            backend: field(&fields, BACKEND_FIELD)?,
-            caller: field(&fields, CALLER_FIELD)?,
-            method: field(&fields, METHOD_FIELD)?,
+            backend: reserved_header(&fields, BACKEND_FIELD)?,
+            caller: reserved_header(&fields, CALLER_FIELD)?,
+            method: reserved_header(&fields, METHOD_FIELD)?,
             target: self.target,
             headers,
             body: self.body,
@@ -132,7 +134,7 @@
 }
 
 impl ForwardedResponse {
-    /// Encodes the response for the connection that `encoder` belongs to, on which it has to be sent.
+    /// Encodes the response for the connection of `encoder`; it has to be sent on that connection.
     pub fn encode(self, encoder: &mut HeaderEncoder) -> EncodedResponse {
         let headers = encoder.encode(self.headers);
         EncodedResponse {
@@ -144,7 +146,7 @@
 }
 
 impl EncodedResponse {
-    /// Decodes the next response of the connection that `decoder` belongs to.
+    /// Decodes the next response of the connection of `decoder`.
     ///
     /// # Errors
     ///
@@ -159,12 +161,12 @@
     }
 }
 
-fn capped_micros(time: Microseconds) -> u32 {
+fn bounded_micros(time: Microseconds) -> u32 {
     time.min(MAX_WAIT) as u32
 }
 
-/// The text of a reserved header.
-fn field(fields: &Headers, wanted: &str) -> Result<String, Error> {
+/// Returns the value of a reserved header.
+fn reserved_header(fields: &Headers, wanted: &str) -> Result<String, Error> {
     let (_, value) = fields
         .iter()
         .find(|(name, _)| name == wanted)
--- a/crates/transport/src/frame.rs
+++ b/crates/transport/src/frame.rs
@@ -1,4 +1,4 @@
-//! Everything that gradeford's processes say to each other on a connection (design 4.2).
+//! The frames that gradeford's processes exchange on a connection (design 4.2).
 
 use std::collections::BTreeSet;
 
@@ -9,89 +9,90 @@
     LoadReport,
 };
 
-/// One frame. Its form on the wire is the order of variants and fields, which therefore stays.
+/// One frame. The order of variants and fields determines the wire format and must not change.
 ///
-/// Large parts are boxed, because a frame is as long as its longest part that is not.
+/// Large payloads are boxed, because each frame is as long as the largest variant.
 #[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub enum Frame {
-    /// First frame in each direction: who speaks and what for.
+    /// First frame in each direction: the sender's identity and the purpose of the connection.
     Handshake(Box<Handshake>),
-    /// Answer to a handshake that is refused; holds the reason.
+    /// Response to a handshake that is refused; holds the reason.
     HandshakeRefused(String),
-    /// Replicas that the sender knows of.
+    /// Replicas that the sender knows.
     KnownReplicas(Vec<KnownReplica>),
-    /// A message of the consensus.
+    /// A consensus message.
     Consensus(mencius::Frame),
-    /// To a disk that replaced a member: after which instance it votes, and which disks hold the
-    /// other replicas.
+    /// Sent to a disk that replaced a member of the log: the instance after which the new disk may
+    /// vote, and the disks of the members.
     VotingRange {
-        /// Last instance in which the new disk has no vote.
+        /// Last instance in which the new disk may not vote.
         votes_after: u64,
         /// Replica number and disk of each member.
         pinned_disks: Vec<(u16, u64)>,
     },
     /// An entry for the log, from a node to a replica.
     ForwardEntry {
-        /// Repeated in the answer.
+        /// Repeated in the response.
         request_id: u64,
         /// The entry.
         entry: Box<Entry>,
     },
-    /// What came of a forwarded entry.
+    /// The outcome of a forwarded entry.
     EntryOutcome {
-        /// That of [`Frame::ForwardEntry`].
+        /// Request id of the [`Frame::ForwardEntry`].
         request_id: u64,
-        /// `None` if no majority has decided in time.
+        /// `None` if no majority decided before the timeout.
         outcome: Option<Outcome>,
     },
-    /// Asks for state updates; they begin once the sender of updates has reached `held_position`.
+    /// Subscribes to state updates; they begin once the publisher has reached `held_position`.
     Subscribe {
-        /// Services that the subscriber wants to hear of.
+        /// Services for which the subscriber wants updates.
         services: BTreeSet<ServiceName>,
         /// Position that the subscriber has reached.
         held_position: Position,
     },
-    /// All of the state that the subscriber asked for.
+    /// The complete state of the services in the subscription.
     StateUpdate(Box<StateSlice>),
-    /// What changed since the last update or patch on this connection.
+    /// The changes since the last update or patch on this connection.
     StatePatch(Box<StatePatch>),
-    /// Asks for a proof that the subscriber's state is current.
+    /// Requests a proof that the subscriber's state is current (a freshness proof).
     RequestProof {
         /// Repeated in the proof.
         request_id: u64,
     },
-    /// Everything accepted before the request for this proof was sent is in `position`.
+    /// Freshness proof: every entry accepted before the request was sent is at or below `position`.
     Proof {
-        /// That of [`Frame::RequestProof`].
+        /// Request id of the [`Frame::RequestProof`].
         request_id: u64,
-        /// Position up to which the subscriber must have come.
+        /// Position that the subscriber must have reached for its state to be current.
         position: Position,
     },
     /// The sender is alive.
     Heartbeat,
-    /// A number that grows with the sender's clock, from which it tells the age of attempts.
+    /// A number that increases with the sender's clock. Attempts return the latest one, from which
+    /// the sender of watermarks tells their age.
     Watermark(u64),
     /// An attempt of a request.
     Attempt(Box<AttemptRequest>),
-    /// The end of an attempt.
+    /// The result of an attempt.
     AttemptResult {
-        /// That of [`AttemptRequest`].
+        /// Request id of the [`AttemptRequest`].
         request_id: u64,
-        /// The backend's answer, or why there is none.
+        /// The backend's response, or the error that occurred instead.
         reply: Box<Result<AttemptResponse, model::Error>>,
     },
-    /// Asks for all the state that the peer has.
+    /// Requests all state of the peer.
     Inspect,
-    /// The state that was asked for, as JSON.
+    /// Response to [`Frame::Inspect`]: the state as JSON.
     Inspection(Vec<u8>),
-    /// Changes of the cluster state are wanted from here on (design 11.3).
+    /// Subscribes to changes of the cluster state (design 11.3).
     FollowClusterState {
-        /// Position that the follower has reached.
+        /// Position that the follower has reached already.
         held_position: Position,
     },
     /// A change of the cluster state.
     ClusterStateUpdate {
-        /// Whether `deltas` is the complete state, else what changed since `from`.
+        /// Whether `deltas` holds the complete state instead of the changes since `from`.
         is_snapshot: bool,
         /// Position before the change.
         from: Position,
@@ -100,33 +101,33 @@
         /// An `rkyv` list of deltas.
         deltas: Vec<u8>,
     },
-    /// A request, with its number on this connection.
+    /// A request, with its request number on this connection.
     ForwardedRequest(u32, Box<EncodedRequest>),
-    /// The caller of the request with this number waits for it no longer.
+    /// Cancels the request with this number: its caller no longer waits.
     CancelRequest(u32),
-    /// A backend's load.
+    /// A load report of a backend.
     LoadReport(Box<LoadReport>),
-    /// The response to the request with the first number; the second is how long a request would
-    /// wait there now, in microseconds.
+    /// The response to the request with the first number. The second number is the current queue
+    /// delay at the sender, in microseconds.
     ForwardedResponse(u32, u32, Box<EncodedResponse>),
-    /// Why the request with the first number has no response; the second number is as in
-    /// [`Frame::ForwardedResponse`].
+    /// The error of the request with the first number, which has no response. The second number is
+    /// the queue delay, as in [`Frame::ForwardedResponse`].
     ForwardFailed(u32, u32, Box<model::Error>),
-    /// The sender takes nothing new: it is shutting down.
+    /// The sender is shutting down and accepts no new requests.
     ShuttingDown,
-    /// Which replica a core machine is to become (design 12.1).
+    /// Assigns a replica number to a core machine (design 12.1).
     ReplicaAssignment {
-        /// Its replica number.
+        /// Replica number of the receiver.
         replica_id: u16,
-        /// How many replicas there are.
+        /// Number of replicas.
         replica_count: u16,
-        /// Whether the core begins with the disks in `pinned_disks`.
+        /// Whether the log is new and starts with the disks in `pinned_disks`.
         founding: bool,
         /// Replica number and disk of each member.
         pinned_disks: Vec<(u16, u64)>,
     },
-    /// No replica is free for the core machine that asked.
+    /// No replica number is free for the core machine that requested one.
     NoReplicaAvailable,
-    /// First frame in the place of [`Frame::VotingRange`] where the sender replaced no member.
+    /// Sent as first frame instead of [`Frame::VotingRange`] if the sender replaced no member.
     FoundingReplica,
 }
--- a/crates/transport/src/handshake.rs
+++ b/crates/transport/src/handshake.rs
@@ -1,5 +1,5 @@
-//! Opening a connection from either side: who each is, what the connection is for, or why not
-//! (design 4.2).
+//! Opens and accepts connections: both sides exchange a handshake with their identity and the
+//! purpose of the connection, or the connection is refused with a reason (design 4.2).
 
 use std::io::{self, ErrorKind};
 use std::net::{AddrParseError, SocketAddr};
@@ -14,80 +14,82 @@
 use crate::connection::{self, Connection, SocketReader, SocketWriter};
 use crate::{Error, Frame};
 
-/// How long connecting and both handshakes may take together.
+/// Timeout for connecting and both handshakes together.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long sent bytes may stay unacknowledged by the peer's machine, which says nothing once it
-/// has lost its power.
+/// How long sent bytes may stay unacknowledged before the connection is closed. A machine that has
+/// lost power does not close its connections.
 const TCP_USER_TIMEOUT: Duration = Duration::from_secs(3);
-/// Bytes read from the socket at once.
+/// Size of the read buffer of a socket, in bytes.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
 
-/// What a connection is opened for.
+/// The purpose of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub enum Purpose {
-    /// Only to learn which replicas are known.
+    /// Only to learn which replicas the peer knows.
     Discover,
-    /// Replica to replica: the messages of the consensus.
+    /// From replica to replica: consensus messages.
     Consensus,
-    /// A node to a replica or to its zone's relay: state updates, proofs, forwarded entries.
+    /// From a node to a replica or to its zone's relay: state updates, freshness proofs and
+    /// forwarded entries.
     Subscribe,
-    /// Node to node: requests.
+    /// From node to node: requests.
     Forward,
-    /// Heartbeats to the node that monitors the sender.
+    /// From a node to a node that monitors it: heartbeats.
     Monitor,
-    /// A look at the state that a process has.
+    /// To read the state of a process.
     Inspect,
-    /// A core machine that is no replica yet asks to become one (design 12.1).
+    /// From a core machine without a replica number, to request one (design 12.1).
     RequestAssignment,
 }
 
-/// A replica, as processes tell each other of it and status pages show it.
+/// A replica, as exchanged between processes and shown by status pages.
 #[derive(
     Clone, Debug, PartialEq, Eq, serde::Serialize, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize,
 )]
 pub struct KnownReplica {
-    /// Its number among the replicas.
+    /// Replica number.
     #[serde(rename = "seat")]
     pub replica_id: u16,
-    /// Identity of its disk.
+    /// Identity of the replica's disk.
     #[serde(rename = "identity")]
     pub disk_id: u64,
-    /// Where peers reach it: IP address and port.
+    /// IP address and port where peers reach the replica.
     pub address: String,
-    /// Its zone.
+    /// Zone of the replica.
     pub zone: ZoneName,
-    /// How often this disk was started: of one disk, the greater number has the better address.
+    /// Number of starts from this disk; of two entries of one disk, the entry with the greater
+    /// number has the current address.
     #[serde(rename = "starts")]
     pub start_count: u64,
 }
 
-/// What each side says of itself before anything else.
+/// The first message of each side, which describes the sender.
 #[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct Handshake {
-    /// What the connection is for.
+    /// Purpose of the connection.
     pub purpose: Purpose,
     /// Name of the process.
     pub node_name: NodeName,
-    /// Its zone.
+    /// Zone of the process.
     pub zone: ZoneName,
-    /// Where peers reach it: IP address and port, or nothing if they cannot.
+    /// IP address and port where peers reach the process; empty if they cannot.
     pub address: String,
-    /// Which of its lives this is; 0 where it does not matter.
+    /// Incarnation of the process; 0 where it does not matter.
     pub incarnation: Incarnation,
-    /// Set by replicas only: replica number, number of replicas, identity of the disk.
+    /// Replica number, number of replicas and identity of the disk; set by replicas only.
     pub replica: Option<(u16, u16, u64)>,
-    /// A replica's disk that has kept nothing yet.
+    /// Whether the replica's disk holds no data yet.
     pub has_empty_disk: bool,
-    /// The disk that the caller of a consensus connection takes for the member it calls.
+    /// Disk that the opener of a consensus connection expects the called member to have.
     pub expected_disk: Option<u64>,
-    /// Replicas that the sender knows of.
+    /// Replicas that the sender knows.
     pub known_replicas: Vec<KnownReplica>,
 }
 
-/// Why a handshake is refused; the text reaches the caller and its operators.
+/// Why a handshake is refused; the text reaches the opener of the connection and its operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rejection {
-    /// The reason in words.
+    /// Reason as text.
     pub reason: String,
 }
 
@@ -105,14 +107,15 @@
     }
 }
 
-/// Opens a connection to a peer and waits until it has answered the handshake.
+/// Opens a connection to a peer and waits for the peer's handshake.
 ///
-/// The socket goes out from the address in `own`, so that a site's own rules can tell who calls.
+/// The socket is bound to the address in `own`, so that firewall rules of a site can identify the
+/// sender.
 ///
 /// # Errors
 ///
-/// [`Error::Refused`] with the peer's reason, [`Error::TimedOut`] after a second, or whatever broke
-/// the connection.
+/// [`Error::Refused`] with the peer's reason, [`Error::TimedOut`] after a second, or the error that
+/// ended the connection.
 pub async fn dial(address: &str, own: Handshake) -> Result<Connection, Error> {
     within_timeout(async {
         let (mut reader, mut writer) = split_stream(connect(address, &own.address).await?)?;
@@ -127,16 +130,16 @@
     .await
 }
 
-/// Takes a connection that a peer has opened. `authorize` sees the peer's handshake and answers
-/// with ours, or with the reason for which it is refused.
+/// Accepts a connection that a peer has opened. `authorize` receives the peer's handshake and
+/// returns the handshake of this process, or the reason why the peer is refused.
 ///
 /// # Errors
 ///
-/// [`Error::Refused`] with the reason given here, [`Error::TimedOut`] after a second, or whatever
-/// broke the connection.
-pub async fn accept<J, F>(stream: TcpStream, authorize: J) -> Result<Connection, Error>
+/// [`Error::Refused`] with the reason from `authorize`, [`Error::TimedOut`] after a second, or the
+/// error that ended the connection.
+pub async fn accept<A, F>(stream: TcpStream, authorize: A) -> Result<Connection, Error>
 where
-    J: FnOnce(Handshake) -> F,
+    A: FnOnce(Handshake) -> F,
     F: Future<Output = Result<Handshake, Rejection>>,
 {
     within_timeout(async {
@@ -181,7 +184,7 @@
     Ok((BufReader::with_capacity(READ_BUFFER_BYTES, reader), writer))
 }
 
-/// Connects from the address that this process is known by, if it is one of the same family.
+/// Connects from the advertised address of this process, if it is of the target's address family.
 async fn connect(address: &str, own_address: &str) -> Result<TcpStream, Error> {
     let invalid = |error: AddrParseError| io::Error::new(ErrorKind::InvalidInput, error);
     let target: SocketAddr = address.parse().map_err(invalid)?;
@@ -196,7 +199,7 @@
     Ok(socket.connect(target).await?)
 }
 
-/// `own_address` with any port, if a socket to `target` can be bound to it.
+/// Returns `own_address` with an ephemeral port, if a socket to `target` can be bound to it.
 fn source_address(own_address: &str, target: SocketAddr) -> Option<SocketAddr> {
     let own = own_address.parse::<SocketAddr>().ok()?;
     let usable = !own.ip().is_unspecified() && own.is_ipv4() == target.is_ipv4();
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,9 +1,9 @@
-//! Connections between gradeford's own processes: replicas, nodes and the operators' command line.
+//! Connections between gradeford's processes: replicas, nodes and the operators' command line.
 //!
 //! A connection is a TCP stream on which both sides send length-prefixed, validated `rkyv` frames
-//! in order. It begins with a [`Handshake`] in each direction; after that, [`Connection`] hands the
-//! frames of the peer to its owner and takes frames to send. Requests between the nodes beside two
-//! backends are sent in a compact encoding that names repeated headers by number (design 4.2, 13.2).
+//! in order. The first frame in each direction is a [`Handshake`]; after that, [`Connection`]
+//! delivers the peer's frames to its owner and accepts frames to send. Requests between nodes are
+//! sent in a compact encoding that replaces repeated headers by indices (design 4.2, 13.2).
 
 #![deny(missing_docs)]
 
@@ -26,8 +26,9 @@
 pub use handshake::{Handshake, KnownReplica, Purpose, Rejection, accept, dial};
 pub use load_report::LoadReport;
 
-/// Version of the protocol this program speaks; a peer with another one is refused with both numbers.
+/// Protocol version of this program. A peer with another version is refused, with both versions in
+/// the reason.
 pub const PROTOCOL_VERSION: u16 = 5;
 
-/// Largest frame accepted from a peer or sent to one, in bytes without its prefix.
+/// Maximum size of a sent or received frame without its prefix, in bytes.
 pub const MAX_FRAME_BYTES: usize = 16 * 1024 * 1024;
--- a/crates/transport/src/traffic.rs
+++ b/crates/transport/src/traffic.rs
@@ -1,12 +1,12 @@
-//! Frames and bytes that this process sent to peers, by whether they cross a zone
-//! (docs/measurements.md) and by what they are for (docs/CAPACITY.md).
+//! Counts the frames and bytes that this process sent to peers, by zone (docs/measurements.md) and
+//! by kind of frame (docs/CAPACITY.md).
 
 use std::array;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
 use crate::{Frame, Purpose};
 
-/// Counts frames and their bytes on the wire; shared by all connections of the process.
+/// Counts frames and their bytes on the wire; the counters are shared by all connections.
 #[derive(Default)]
 pub struct TrafficCounter {
     frames: AtomicU64,
@@ -26,15 +26,15 @@
         self.bytes.fetch_add(bytes as u64, Relaxed);
     }
 
-    /// Frames and bytes since the process began.
+    /// Returns the numbers of frames and bytes since the process started.
     pub fn totals(&self) -> (u64, u64) {
         (self.frames.load(Relaxed), self.bytes.load(Relaxed))
     }
 }
 
-/// What was sent to peers in the zone of this process, handshakes left out.
+/// Traffic to peers in the zone of this process, without handshakes.
 pub static SAME_ZONE: TrafficCounter = TrafficCounter::new();
-/// What was sent to peers in other zones, handshakes left out.
+/// Traffic to peers in other zones, without handshakes.
 pub static CROSS_ZONE: TrafficCounter = TrafficCounter::new();
 
 pub(crate) fn counter_between(zone: &str, peer_zone: &str) -> &'static TrafficCounter {
@@ -45,15 +45,15 @@
     }
 }
 
-/// Frames and bytes within the zone, then across zones, as status pages show them.
+/// Returns frames and bytes within the zone, then across zones, as status pages show them.
 pub fn by_zone() -> [(u64, u64); 2] {
     [SAME_ZONE.totals(), CROSS_ZONE.totals()]
 }
 
-/// What a frame is for, in the words of the measurements.
+/// Names of the kinds of frames, as used in metrics.
 ///
-/// A connection that only asks which replicas are known carries nothing but handshakes, which is
-/// why these are a kind of their own.
+/// A [`Purpose::Discover`] connection carries nothing but handshakes, so its handshakes are counted
+/// as a separate kind.
 pub const KINDS: [&str; 11] = [
     "greeting", "acquaint", "core", "forward", "answer", "ask", "proof", "bulletin", "beat",
     "call", "other",
@@ -61,7 +61,7 @@
 
 static BY_KIND: [TrafficCounter; KINDS.len()] = [const { TrafficCounter::new() }; KINDS.len()];
 
-/// Where the frame's kind stands in [`KINDS`].
+/// Returns the index of the frame's kind in [`KINDS`].
 fn kind_index(frame: &Frame) -> usize {
     match frame {
         Frame::Handshake(handshake) if handshake.purpose == Purpose::Discover => 1,
@@ -83,12 +83,12 @@
     }
 }
 
-/// Counts a frame by its kind, handshakes too. `bytes` includes the prefix.
+/// Counts a frame under its kind, including handshakes. `bytes` includes the prefix.
 pub(crate) fn record(frame: &Frame, bytes: usize) {
     BY_KIND[kind_index(frame)].count(1, bytes);
 }
 
-/// Frames and bytes of each kind, in the order of [`KINDS`].
+/// Returns frames and bytes of each kind, in the order of [`KINDS`].
 pub fn by_kind() -> [(u64, u64); KINDS.len()] {
     array::from_fn(|kind| BY_KIND[kind].totals())
 }
