--- a/crates/endpoints/src/heartbeat.rs
+++ b/crates/endpoints/src/heartbeat.rs
@@ -1,41 +1,41 @@
-//! What a back end says of itself in a heartbeat, and what it is answered (design sections 11.2 and 11.5).
+//! Heartbeats of a backend and their answers (design sections 11.2 and 11.5).
 
 use model::cluster_state::ShardKey;
 use model::{BackendName, Microseconds, Position, ServiceName, ZoneName};
 
-/// First key, last key and fencing token of a range that a back end says it holds.
+/// First key, last key and fencing token of a range that a backend reports as held.
 pub type HeldRange = (ShardKey, ShardKey, Position);
 
-/// First key and last key of a range that a back end has released, and the handover token for its next holder.
+/// First key and last key of a range that a backend has released, and the handover token for its next holder.
 pub type ReleasedRange = (ShardKey, ShardKey, String);
 
-/// First key, last key, fencing token and handover token of a range that a back end is to hold. The handover token is
-/// empty if there is none or if the back end holds the range already.
+/// First key, last key, fencing token and handover token of a range that a backend is granted. The handover token is
+/// empty if there is none or if the backend already holds the range.
 pub type LeasedRange = (ShardKey, ShardKey, Position, String);
 
-/// A heartbeat of the back end beside this node.
+/// A heartbeat of the backend beside this node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Heartbeat {
-    /// The back end's name. Each process of a back end has a new one.
+    /// Name of the backend. Each process of a backend has a new name.
     pub name: BackendName,
-    /// The service that the back end belongs to.
+    /// Service that the backend belongs to.
     pub service: ServiceName,
-    /// Where the back end accepts requests, as `host:port`.
+    /// Address where the backend accepts requests, as `host:port`.
     pub address: String,
-    /// The zone that the back end is in.
+    /// Zone of the backend.
     pub zone: ZoneName,
-    /// How many requests the back end runs at a time.
+    /// Number of requests that the backend runs concurrently.
     pub slots: u32,
-    /// Whether the back end is shutting down and is to be given no new requests.
+    /// Whether the backend is shutting down and must get no new requests.
     pub draining: bool,
-    /// Number of this heartbeat: greater than that of each earlier one of the same back end.
+    /// Sequence number of this heartbeat, greater than that of each earlier heartbeat of the backend.
     pub sequence: u64,
-    /// The ranges that the back end holds, with the fencing tokens that it was given.
+    /// Ranges that the backend holds, with their fencing tokens.
     pub held_ranges: Vec<HeldRange>,
-    /// The ranges that the back end has released since the heartbeat before.
+    /// Ranges that the backend has released since the previous heartbeat.
     pub released_ranges: Vec<ReleasedRange>,
 }
 
-/// Everything that the back end is to hold from now on, and for how long, counted from when it sent the heartbeat.
-/// `None` renews nothing: what the back end holds runs out when it was to run out.
+/// All ranges that the backend is to hold, and the duration of their leases in microseconds, counted from when the
+/// heartbeat was sent. `None` renews no lease: the leases that the backend has expire as granted before.
 pub type HeartbeatAnswer = Option<(Vec<LeasedRange>, Microseconds)>;
--- a/crates/endpoints/src/lease_table/command.rs
+++ b/crates/endpoints/src/lease_table/command.rs
@@ -1,4 +1,4 @@
-//! What the lease table's task is asked to do, by its handle and by the tasks that it starts itself.
+//! Commands to the lease table's task, sent by its handle and by the tasks that it spawns.
 
 use model::cluster_state::ClusterReport;
 use model::{BackendName, Outcome};
@@ -6,31 +6,31 @@
 
 use crate::heartbeat::{Heartbeat, HeartbeatAnswer};
 
-/// Takes the answer to one heartbeat.
+/// Sends the answer to one heartbeat.
 pub(super) type AnswerSender = oneshot::Sender<HeartbeatAnswer>;
 
 pub(super) enum Command {
-    /// The back end beside this node sent a heartbeat.
+    /// The backend beside this node sent a heartbeat.
     Heartbeat {
         heartbeat: Box<Heartbeat>,
         answer: AnswerSender,
     },
-    /// The answer to the back end's heartbeat of this number was kept back for long enough.
+    /// The answer to the backend's heartbeat with this sequence number was delayed for the maximum time.
     AnswerDue { name: BackendName, sequence: u64 },
-    /// The back end of this name says that it ends.
+    /// The backend of this name deregisters.
     Deregister {
         name: BackendName,
         done: oneshot::Sender<()>,
     },
     /// The verified state has changed.
     StateChanged,
-    /// A short time has passed.
+    /// Sent at a fixed interval.
     Tick,
-    /// The log has answered these reports; `None` if the reporter's task is gone.
+    /// The log's outcome of these reports; `None` if the reporter's task has ended.
     Reported {
         reports: Vec<ClusterReport>,
         outcome: Option<Outcome>,
     },
-    /// The process of the back end of this name was probed; `refused` if it refused each connection.
+    /// The result of probing the backend of this name; `refused` if each connection attempt was refused.
     Probed { name: BackendName, refused: bool },
 }
--- a/crates/endpoints/src/lease_table/config.rs
+++ b/crates/endpoints/src/lease_table/config.rs
@@ -7,21 +7,21 @@
 /// Settings of a node's [`LeaseTableHandle`](crate::LeaseTableHandle).
 #[derive(Clone)]
 pub struct LeaseTableConfig {
-    /// The name of this node.
+    /// Name of this node.
     pub node: NodeName,
-    /// The zone that this node is in.
+    /// Zone of this node.
     pub zone: ZoneName,
-    /// Where peers reach this node, as `host:port`.
+    /// Address where peers reach this node, as `host:port`.
     pub address: String,
-    /// The incarnation of this process.
+    /// Incarnation of this process.
     pub incarnation: Incarnation,
-    /// How long leases last.
+    /// Durations of leases.
     pub leases: LeaseConfig,
-    /// Between two heartbeats of the back end, in microseconds.
+    /// Interval between two heartbeats of the backend, in microseconds.
     pub heartbeat_interval: Microseconds,
-    /// How long a draining back end still takes requests that are under way to it, in microseconds.
+    /// How long a draining backend still accepts requests that were already sent to it, in microseconds.
     pub drain_timeout: Microseconds,
-    /// Where the one back end of this machine is found, as `host:port`, if the settings say so. With it, a node that
-    /// starts again gives requests to the back end that the log has, and probes it.
+    /// Address of the one backend of this machine, as `host:port`, if the settings contain it. With this address, a
+    /// restarted node forwards requests to the backend that is registered in the log, and probes that backend.
     pub backend_address: Option<String>,
 }
--- a/crates/endpoints/src/lease_table/event_loop.rs
+++ b/crates/endpoints/src/lease_table/event_loop.rs
@@ -1,5 +1,5 @@
-//! The lease table's task: takes one command after the other and, after each, sends the reports that are due and
-//! tells the concurrency limiter what it has to know of the back end.
+//! The lease table's task: processes commands in order and, after each, sends the reports that are due and updates the
+//! concurrency limiter's view of the backend.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use super::state::{LeaseTableTask, MAX_MISSED_HEARTBEATS, is_keyed};
 use crate::restored_backend::restored_backend;
 
-/// Between two [`Command::Tick`].
+/// Interval between two [`Command::Tick`].
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
 pub(super) async fn run(mut task: LeaseTableTask, mut commands: mpsc::Receiver<Command>) {
@@ -21,7 +21,7 @@
     }
 }
 
-/// Turns changes of the verified state and the passing of time into commands.
+/// Sends a command for each change of the verified state and for each tick.
 pub(super) async fn forward_wakeups(
     commands: mpsc::Sender<Command>,
     mut changes: watch::Receiver<u64>,
@@ -57,7 +57,7 @@
         self.limiter.set_backend(self.backend_for_limiter()).await;
     }
 
-    /// The answer to the latest heartbeat was kept back for long enough; an earlier one's was given already.
+    /// Sends the delayed answer if `sequence` is the latest heartbeat; earlier heartbeats are already answered.
     fn answer_due(&mut self, name: &str, sequence: u64) {
         let is_latest = self.backend.as_ref().is_some_and(|backend| {
             backend.heartbeat.name == name && backend.heartbeat.sequence == sequence
@@ -77,7 +77,7 @@
             backend.draining_since.get_or_insert(model::now());
             backend.silent = true;
         }
-        // The caller may have stopped waiting.
+        // Fails if the caller no longer waits.
         let _ = done.send(());
     }
 
@@ -93,14 +93,14 @@
         self.answer_heartbeat(false);
     }
 
-    /// The back end as the concurrency limiter has to know it; `None` if there is none.
+    /// Returns the backend for the concurrency limiter; `None` if there is no backend.
     fn backend_for_limiter(&self) -> Option<LocalBackend> {
         let verified = self.verified_state.load();
         let Some(backend) = self.backend.as_ref() else {
             return self.backend_from_log(&verified.snapshot);
         };
         let heartbeat = &backend.heartbeat;
-        // Before the first proof nobody here knows what the back end may hold: none of its keys is served (design
+        // Before the first freshness proof it is unknown which keys the backend may hold, so none is served (design
         // section 11.6).
         let keyed = verified.verified_at == 0 || is_keyed(&verified.snapshot, &heartbeat.service);
         let margin = self.config.heartbeat_interval / 8;
@@ -113,7 +113,7 @@
             until: backend.lease_expires.saturating_sub(margin),
             pending: Vec::new(),
         });
-        // Requests that are under way to it have to be over before the drain time-out is.
+        // In-flight requests to the backend have to end before the drain timeout.
         let drain_notice = self.config.drain_timeout * 3 / 4;
         Some(LocalBackend {
             name: heartbeat.name.clone(),
@@ -124,7 +124,8 @@
         })
     }
 
-    /// The back end that the log has beside this node, until a heartbeat of it would have come if it were there.
+    /// Returns the backend that the log has beside this node, until the time by which a heartbeat of a running backend
+    /// would have arrived.
     fn backend_from_log(&self, snapshot: &StateSnapshot) -> Option<LocalBackend> {
         let until = self.started_at + self.config.heartbeat_interval * MAX_MISSED_HEARTBEATS;
         let address = self
--- a/crates/endpoints/src/lease_table/granter.rs
+++ b/crates/endpoints/src/lease_table/granter.rs
@@ -1,6 +1,6 @@
-//! Which key leases a back end may be granted, and for how long: only what the log says is its own, never longer than
-//! the node's proof of the state allows, and not before an earlier holder surely holds them no more (design
-//! section 11.5). Without input or output; the caller passes the time in.
+//! Decides which shard leases a backend is granted, and for how long: only ranges that the log assigns to the backend,
+//! never longer than the node's freshness proof allows, and not before the leases of earlier holders have certainly
+//! ended (design section 11.5). Performs no I/O; the caller passes the time.
 
 use std::collections::BTreeMap;
 
@@ -9,41 +9,41 @@
 
 use crate::heartbeat::{HeldRange, LeasedRange};
 
-/// How long leases last. All nodes have to have the same values.
+/// Durations of leases. All nodes have to use the same values.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseConfig {
-    /// How long after it was requested a proof of the state allows leases, in microseconds.
+    /// How long a freshness proof permits leases, counted from the request for the proof, in microseconds.
     pub proof_validity: Microseconds,
-    /// Added to `proof_validity` where a node waits until leases that another node granted have expired, in
-    /// microseconds.
+    /// Margin for clock differences, in microseconds: added to `proof_validity` when a node waits for the expiry of
+    /// leases that another node granted.
     pub clock_guard: Microseconds,
-    /// The longest lease that a back end takes, in microseconds.
+    /// Maximum duration of a lease, in microseconds.
     pub max_duration: Microseconds,
 }
 
-/// What a back end may hold, as of one heartbeat.
+/// The leases that a backend is granted in answer to one heartbeat.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LeaseGrant {
-    /// All ranges that the back end is to hold.
+    /// All shard ranges that the backend is to hold.
     pub ranges: Vec<LeasedRange>,
-    /// For how long, counted from when the heartbeat was sent, in microseconds.
+    /// Duration of the leases, counted from when the heartbeat was sent, in microseconds.
     pub duration: Microseconds,
-    /// Ranges whose earlier holders were waited out here: their leases have expired, so they hold these no more.
+    /// Granted ranges that earlier holders have not released: the leases of these holders have expired.
     pub expired_releases: Vec<HeldRange>,
-    /// First and last key of each range that is the back end's own but may still be held by an earlier holder.
+    /// First and last key of each range that is assigned to the backend but may still be held by an earlier holder.
     pub pending: Vec<(ShardKey, ShardKey)>,
 }
 
-/// Grants the leases of one back end.
+/// Grants the leases of one backend.
 pub struct LeaseGranter {
     config: LeaseConfig,
-    /// By fencing token, when this node first saw the back end's ranges of it: their earlier holder may
-    /// have been granted a lease up to `proof_validity` later.
+    /// For each fencing token, when this node first saw the backend's ranges with this token: their earlier holder
+    /// may have been granted a lease that ends up to `proof_validity` after that.
     first_seen: BTreeMap<Position, Microseconds>,
 }
 
-/// A lease duration that is safe on a back end's clock that runs two in a hundred slow, with one in a hundred more
-/// for this node's own clock.
+/// Shortens a lease duration so that it is safe if the backend's clock runs 2 % slow, with a further 1 % for this
+/// node's own clock.
 fn shortened_for_slow_clocks(duration: Microseconds) -> Microseconds {
     duration * 100 / 103
 }
@@ -53,7 +53,7 @@
 }
 
 impl LeaseGranter {
-    /// A granter that has seen no range yet.
+    /// Creates a granter that has seen no ranges yet.
     pub fn new(config: LeaseConfig) -> LeaseGranter {
         LeaseGranter {
             config,
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Takes in the shard map of the service that the back end `name` belongs to. Has to be called for each change of
-    /// it, so that waiting for earlier holders begins when the change arrives.
+    /// Records the ranges that the shard map of its service assigns to the backend `name`. Has to be called for each
+    /// change of the shard map, because the wait for earlier holders begins when the change arrives.
     pub fn observe(&mut self, now: Microseconds, shard_map: &ShardMap, name: &str) {
         let own = || shard_map.iter().filter(|range| is_held_by(range, name));
         self.first_seen
@@ -72,10 +72,10 @@
         }
     }
 
-    /// What the back end `name` may hold, given that the state was proved by a request sent at `verified_at` (0 if
-    /// never). `held` is what the back end says it holds, with the fencing tokens that it was given.
+    /// Returns the leases of the backend `name`, or `None` if the freshness proof is too old to renew any lease.
     ///
-    /// `None` if the proof is too old: no lease may be renewed now.
+    /// `verified_at` is when the latest successful freshness proof was requested (0 if never). `held` are the ranges
+    /// that the backend reports as held, with their fencing tokens.
     pub fn grant(
         &mut self,
         now: Microseconds,
@@ -108,23 +108,23 @@
         held: &[HeldRange],
     ) {
         let (first_key, last_key, token) = (range.first_key, range.last_key, range.fencing_token);
-        let is_owed = range
+        let has_pending_release = range
             .pending_releases
             .iter()
             .any(|(earlier, _)| earlier != name);
-        let waited = self.is_waited_out(now, token);
-        // What the back end holds already it may go on holding: nobody else was granted it since.
+        let earlier_expired = self.earlier_leases_expired(now, token);
+        // The backend may keep a range that it already holds: nobody else was granted the range since.
         let is_held = held
             .iter()
             .any(|(from, to, held)| *held == token && *from <= first_key && last_key <= *to);
-        if is_owed && !waited && !is_held {
+        if has_pending_release && !earlier_expired && !is_held {
             grant.pending.push((first_key, last_key));
             return;
         }
-        if is_owed {
+        if has_pending_release {
             grant.expired_releases.push((first_key, last_key, token));
         }
-        let handover_token = if is_held || waited && is_owed {
+        let handover_token = if is_held || earlier_expired && has_pending_release {
             String::new()
         } else {
             range.handover_token.clone()
@@ -134,11 +134,11 @@
             .push((first_key, last_key, token, handover_token));
     }
 
-    /// Whether each lease that another node granted before the ranges of this fencing token moved has expired.
-    fn is_waited_out(&self, now: Microseconds, token: Position) -> bool {
+    /// Whether all leases that other nodes granted before the ranges got this fencing token have expired.
+    fn earlier_leases_expired(&self, now: Microseconds, token: Position) -> bool {
         let wait = self.config.proof_validity + self.config.clock_guard;
         self.first_seen
             .get(&token)
-            .is_some_and(|seen| now >= seen + wait)
+            .is_some_and(|first_seen_at| now >= first_seen_at + wait)
     }
 }
--- a/crates/endpoints/src/lease_table/heartbeats.rs
+++ b/crates/endpoints/src/lease_table/heartbeats.rs
@@ -1,5 +1,5 @@
-//! A heartbeat and its answer: what the back end says of itself, and the leases that it is granted (design sections
-//! 11.2 and 11.5).
+//! Processes heartbeats of the backend and answers them with the leases that it is granted (design sections 11.2 and
+//! 11.5).
 
 use std::time::Duration;
 
@@ -11,14 +11,14 @@
 use super::state::{LeaseTableTask, LocalBackend, is_keyed, shard_map_of};
 use crate::heartbeat::{Heartbeat, HeldRange, LeasedRange};
 
-/// An answer is kept back for so long at most: a back end waits one second for it.
+/// Maximum delay of an answer; backends wait one second for it.
 const MAX_ANSWER_DELAY: Duration = Duration::from_millis(650);
 
 impl LeaseTableTask {
     pub(super) fn receive_heartbeat(&mut self, heartbeat: Heartbeat, answer: AnswerSender) {
         let now = model::now();
         if self.is_stale(&heartbeat, now) {
-            // The back end may have stopped waiting.
+            // Fails if the backend no longer waits.
             drop(answer.send(None));
             return;
         }
@@ -37,13 +37,14 @@
             let commands = self.commands.clone();
             tokio::spawn(async move {
                 tokio::time::sleep(MAX_ANSWER_DELAY).await;
-                // If the lease table is gone, so is the answer.
+                // Fails if the lease table's task has ended; then no answer is sent.
                 drop(commands.send(Command::AnswerDue { name, sequence }).await);
             });
         }
     }
 
-    /// Whether a heartbeat is of an earlier incarnation of the back end, of one that has ended, or no news.
+    /// Whether a heartbeat is from an earlier incarnation of the backend or from a backend that has ended, or repeats
+    /// an earlier heartbeat.
     fn is_stale(&self, heartbeat: &Heartbeat, now: Microseconds) -> bool {
         let is_repeated = self.backend.as_ref().is_some_and(|backend| {
             backend.heartbeat.name == heartbeat.name
@@ -54,9 +55,11 @@
             || self.has_ended(&heartbeat.name)
     }
 
-    /// While another back end is heard, one that the log had here before is the earlier incarnation, and its
-    /// heartbeat comes late. Of two heard almost at once, as after a pause of this node, the first one stays until
-    /// the one that lives sends its next heartbeat.
+    /// Whether a heartbeat is a late one of an earlier incarnation.
+    ///
+    /// While heartbeats of another backend arrive, a backend that the log already had here is the earlier incarnation.
+    /// If heartbeats of two backends arrive almost at the same time, as after a pause of this node, the first one is
+    /// kept until the running backend sends its next heartbeat.
     fn is_of_earlier_incarnation(&self, heartbeat: &Heartbeat, now: Microseconds) -> bool {
         let heard_another_within = |span: Microseconds| {
             self.backend.as_ref().is_some_and(|backend| {
@@ -68,7 +71,8 @@
         heard_another_within(interval / 4) || is_known() && heard_another_within(interval * 2)
     }
 
-    /// A machine has one back end: if one of another name is heard, the earlier one's process is gone.
+    /// Ends the current backend if the heartbeat has another name: a machine has one backend, so the earlier backend's
+    /// process is gone.
     fn end_replaced_backend(&mut self, name: &str) {
         if let Some(earlier) = self
             .backend
@@ -90,13 +94,13 @@
         });
     }
 
-    /// Whether the heartbeat says that the back end begins to drain or has released ranges.
+    /// Whether the backend starts to drain or has released ranges with this heartbeat.
     fn is_release_or_drain(&self, heartbeat: &Heartbeat) -> bool {
-        let drains = self
+        let is_draining = self
             .backend
             .as_ref()
             .is_some_and(|backend| backend.draining_since.is_some());
-        heartbeat.draining && !drains || !heartbeat.released_ranges.is_empty()
+        heartbeat.draining && !is_draining || !heartbeat.released_ranges.is_empty()
     }
 
     fn updated_backend(
@@ -105,33 +109,34 @@
         answer: AnswerSender,
         now: Microseconds,
     ) -> LocalBackend {
-        let before = self.backend.as_ref();
-        // What the back end holds at the first heartbeat that is received here was granted by an earlier process of
-        // this node, and nobody here knows for how long.
-        let unknown_lease = || match heartbeat.held_ranges.is_empty() {
+        let previous = self.backend.as_ref();
+        // Ranges that the backend holds at the first heartbeat to this process were granted by an earlier process of
+        // this node, for an unknown time of at most the maximum lease duration.
+        let earlier_lease_expiry = || match heartbeat.held_ranges.is_empty() {
             true => 0,
             false => now + self.config.leases.max_duration,
         };
         LocalBackend {
             last_heard: now,
-            draining_since: before
+            draining_since: previous
                 .and_then(|backend| backend.draining_since)
                 .or(heartbeat.draining.then_some(now)),
-            lease_expires: before.map_or(0, |backend| backend.lease_expires),
-            earlier_lease_expires: before
-                .map_or_else(unknown_lease, |backend| backend.earlier_lease_expires),
+            lease_expires: previous.map_or(0, |backend| backend.lease_expires),
+            earlier_lease_expires: previous.map_or_else(earlier_lease_expiry, |backend| {
+                backend.earlier_lease_expires
+            }),
             silent: false,
             probing: false,
             pending_answer: Some(answer),
-            heard_repeatedly: before.is_some(),
-            rejected: before.is_some_and(|backend| backend.rejected),
+            heard_repeatedly: previous.is_some(),
+            rejected: previous.is_some_and(|backend| backend.rejected),
             heartbeat,
         }
     }
 
-    /// Answers the latest heartbeat if its ranges change by it, or if it is due. So a back end that has to release a
-    /// range, and one that gets it, hear it as soon as it is in the log and not at their next heartbeat (design
-    /// section 11.5).
+    /// Answers the latest heartbeat if the answer changes the backend's ranges, or if the answer is due. This way the
+    /// backends that release or receive a range are told as soon as the change is in the log instead of at their next
+    /// heartbeat (design section 11.5).
     pub(super) fn answer_heartbeat(&mut self, due: bool) {
         let Some(mut backend) = self.backend.take() else {
             return;
@@ -142,7 +147,7 @@
         self.backend = Some(backend);
     }
 
-    /// Gives the answer back if it is to be kept.
+    /// Sends the answer, or returns the sender if the answer is delayed further.
     fn answer_or_keep(
         &mut self,
         backend: &mut LocalBackend,
@@ -164,20 +169,20 @@
                 &heartbeat.held_ranges,
             )
             .filter(|_| keyed && !*self.superseded.borrow());
-        let changes = grant
+        let ranges_changed = grant
             .as_ref()
             .is_some_and(|grant| held_ranges(grant) != heartbeat.held_ranges);
-        // A service that is not divided by key has nothing to wait for.
-        if !due && !changes && keyed {
+        // Answers of an unkeyed service are never delayed, as no ranges can change.
+        if !due && !ranges_changed && keyed {
             return Some(answer);
         }
         let renewal = grant.map(|grant| self.record_grant(now, backend, grant));
-        // The back end may have stopped waiting.
+        // Fails if the backend no longer waits.
         drop(answer.send(renewal));
         None
     }
 
-    /// Records the ranges that the back end is granted, and until when.
+    /// Records the granted ranges and their expiry, and returns the answer for the backend.
     fn record_grant(
         &mut self,
         now: Microseconds,
--- a/crates/endpoints/src/lease_table/mod.rs
+++ b/crates/endpoints/src/lease_table/mod.rs
@@ -1,5 +1,5 @@
-//! The back end beside this node: its registration, heartbeats, leases, drain and end (design sections 11.2 and
-//! 11.5). One task owns the state; [`LeaseTableHandle`] is the way to it.
+//! The backend beside this node: its registration, heartbeats, leases, draining and end (design sections 11.2 and
+//! 11.5). One task owns the state; [`LeaseTableHandle`] sends commands to the task.
 
 mod command;
 mod config;
@@ -26,18 +26,18 @@
 use command::Command;
 use state::LeaseTableTask;
 
-/// Commands that wait for the task; a sender beyond that waits for room.
+/// Capacity of the task's command channel; senders wait while the channel is full.
 const COMMAND_CAPACITY: usize = 1_024;
 
 /// Why the lease table did not answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// The task that owns the lease table has ended, as it does when its runtime shuts down.
+    /// The task that owns the lease table has ended, as happens when the runtime shuts down.
     #[error("the lease table's task has ended")]
     Stopped,
 }
 
-/// Gives commands to the task that owns the state of the back end beside this node.
+/// Sends commands to the task that owns the state of the backend beside this node.
 #[derive(Clone)]
 pub struct LeaseTableHandle {
     commands: mpsc::Sender<Command>,
@@ -45,8 +45,8 @@
 }
 
 impl LeaseTableHandle {
-    /// Starts the task. It reads the state that `follower` verifies, reports through `reporter`, and keeps `limiter`
-    /// up to date about the back end.
+    /// Starts the task. The task reads the state that `follower` verifies, sends reports through `reporter`, and
+    /// updates the backend that `limiter` has.
     pub fn start(
         config: LeaseTableConfig,
         follower: FollowerHandle,
@@ -69,7 +69,7 @@
             ended_names: BTreeSet::new(),
             pending_reports: Vec::new(),
             started_at: model::now(),
-            earlier_probed_at: 0,
+            unheard_probed_at: 0,
             report_in_flight: false,
             superseded: superseded_sender,
             logger,
@@ -85,7 +85,8 @@
         }
     }
 
-    /// Takes in a heartbeat and waits until there is something to answer, up to 650 ms.
+    /// Processes a heartbeat and waits for the answer, which may be delayed by up to 650 ms until there are changes to
+    /// send.
     pub async fn heartbeat(&self, heartbeat: Heartbeat) -> Result<HeartbeatAnswer, Error> {
         let (answer, answered) = oneshot::channel();
         self.send(Command::Heartbeat {
@@ -96,14 +97,14 @@
         answered.await.map_err(|_| Error::Stopped)
     }
 
-    /// Takes in that the back end `name` ends: it drains, and its end is reported.
+    /// Deregisters the backend `name`: the backend drains, and its end is reported to the log.
     pub async fn deregister(&self, name: BackendName) -> Result<(), Error> {
         let (done, is_done) = oneshot::channel();
         self.send(Command::Deregister { name, done }).await?;
         is_done.await.map_err(|_| Error::Stopped)
     }
 
-    /// Whether another process was registered under this node's name after this one, which then has to stop.
+    /// Whether another process was registered under this node's name after this process, which then has to stop.
     pub fn is_superseded(&self) -> bool {
         *self.superseded.borrow()
     }
--- a/crates/endpoints/src/lease_table/reports.rs
+++ b/crates/endpoints/src/lease_table/reports.rs
@@ -1,4 +1,4 @@
-//! What the log should know and does not: reported again until the log has it (design section 11.2).
+//! Reports differences between the local state and the log, repeated until the log has them (design section 11.2).
 
 use std::time::Duration;
 
@@ -11,17 +11,18 @@
 use super::state::{LeaseTableTask, LocalBackend, MAX_MISSED_HEARTBEATS};
 use crate::registration::{RegistrationStatus, is_registered};
 
-/// Between reports that changed nothing or were not taken and the next ones.
+/// Delay before the next reports if the last ones changed nothing or were not accepted.
 const REPORT_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// How long the change that a report made is waited for, and how often it is looked for.
+/// How long to wait until an accepted report is visible in the local state.
 const VISIBLE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Interval at which the local state is checked during that wait.
 const VISIBLE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 impl LeaseTableTask {
-    /// Sends all reports that are due as one entry, unless an earlier one is not answered yet: what changes meanwhile
-    /// goes with the next one.
+    /// Sends all reports that are due as one entry, unless the previous entry is not answered yet. Changes in the
+    /// meantime are sent with the next entry.
     pub(super) fn send_reports(&mut self) {
-        // Before the first proof the state that is held here may lack what is in the log already.
+        // Before the first freshness proof the local state may lack entries of the log.
         if self.report_in_flight || self.verified_state.load().verified_at == 0 {
             return;
         }
@@ -30,7 +31,7 @@
             .registration
             .observe(snapshot.nodes.get(&self.config.node));
         if status == RegistrationStatus::Superseded {
-            self.stop_superseded();
+            self.mark_superseded();
             return;
         }
         let reports = self.missing_reports(&snapshot, status);
@@ -52,7 +53,7 @@
         ));
     }
 
-    /// All differences between what is so here and what the log says.
+    /// Returns all differences between the local state and the log.
     fn missing_reports(
         &self,
         snapshot: &StateSnapshot,
@@ -71,7 +72,7 @@
         reports
     }
 
-    /// The registration of this node, unless the log has it as it is.
+    /// Returns the registration of this node, unless the log has the current one.
     fn node_report(
         &self,
         snapshot: &StateSnapshot,
@@ -94,7 +95,7 @@
         })
     }
 
-    /// That the back end is there, silent or heard again, and draining, as far as the log has it otherwise.
+    /// Reports that the backend has joined, is silent or no longer silent, or is draining, where the log differs.
     fn backend_reports(
         &self,
         snapshot: &StateSnapshot,
@@ -130,7 +131,7 @@
         [joined, silent, draining].into_iter().flatten()
     }
 
-    /// A back end that has deregistered is reported once, and again once its process is known to be gone.
+    /// Reports the end of a backend that has deregistered, and again once its process is known to be gone.
     fn end_reports(&self, snapshot: &StateSnapshot) -> Vec<ClusterReport> {
         self.pending_ends
             .iter()
@@ -142,19 +143,20 @@
             .collect()
     }
 
-    /// A machine has one back end: each other one that the log has beside this node is an earlier incarnation whose
-    /// process is gone, though this process of the node never heard it. While none is heard, it is only silent.
+    /// Reports other backends that the log has beside this node. A machine has one backend, so these are earlier
+    /// incarnations whose processes are gone, even if this process never received their heartbeats. While no backend
+    /// sends heartbeats here, they are reported as silent only.
     fn other_backend_reports(&self, snapshot: &StateSnapshot) -> Vec<ClusterReport> {
         let own = self
             .backend
             .as_ref()
             .map(|backend| backend.heartbeat.name.as_str());
-        // If the log has both, the one that goes on sending heartbeats is the one that lives.
-        let is_sure = self.backend.as_ref().is_some_and(|backend| {
+        // If the log has both, the running backend is the one that continues to send heartbeats.
+        let is_confirmed = self.backend.as_ref().is_some_and(|backend| {
             backend.heard_repeatedly || !snapshot.backends.contains_key(&backend.heartbeat.name)
         });
-        let waited = self.config.heartbeat_interval * MAX_MISSED_HEARTBEATS;
-        let is_overdue = model::now() > self.started_at + waited;
+        let silence_timeout = self.config.heartbeat_interval * MAX_MISSED_HEARTBEATS;
+        let is_overdue = model::now() > self.started_at + silence_timeout;
         let others = snapshot.backends.iter().filter(|(name, backend)| {
             backend.node == self.config.node
                 && !self.pending_ends.contains_key(*name)
@@ -164,7 +166,7 @@
             .filter_map(|(name, backend)| {
                 let name = name.clone();
                 if own.is_some() {
-                    return is_sure.then_some(ClusterReport::BackendEnded {
+                    return is_confirmed.then_some(ClusterReport::BackendEnded {
                         name,
                         process_gone: true,
                     });
@@ -175,11 +177,12 @@
             .collect()
     }
 
-    /// Another process was registered under this node's name after this one, which reports and grants nothing more.
-    fn stop_superseded(&self) {
+    /// Records that another process was registered under this node's name after this process, which then sends no
+    /// reports and grants no leases.
+    fn mark_superseded(&self) {
         if !self.superseded.send_replace(true) {
             slog::error!(self.logger,
-                "another process was registered under this node's name; this one serves no more";
+                "another process was registered under this node's name; this process stops serving requests";
                 "node" => &self.config.node);
         }
     }
@@ -194,17 +197,17 @@
             None => return,
             Some(Outcome::Superseded { position }) => {
                 slog::warn!(self.logger,
-                    "the log has another incarnation of this node; registers again";
+                    "the log rejected reports because it has another incarnation of this node; registering again";
                     "position" => position);
                 return;
             }
-            // Reported once more it would change nothing either.
+            // Sending the reports again would change nothing either.
             Some(Outcome::Unchanged { .. }) => self.reject_joined(reports),
             Some(_) => {}
         }
         self.pending_reports
             .retain(|report| !reports.contains(report));
-        // One whose process may live is kept in mind until it is known to be gone.
+        // An entry whose process may still run is kept until the process is known to be gone.
         self.pending_ends.retain(|name, gone| {
             let end = ClusterReport::BackendEnded {
                 name: name.clone(),
@@ -226,7 +229,8 @@
     }
 }
 
-/// Sends reports and hands the answer back to the lease table's task, once the change is visible here or is late.
+/// Sends reports and returns the outcome to the lease table's task once the change is visible in the local state or
+/// the wait has timed out.
 async fn submit(
     reporter: StatusReporter,
     commands: mpsc::Sender<Command>,
@@ -234,24 +238,24 @@
     reports: Vec<ClusterReport>,
 ) {
     let outcome = reporter.report(reports.clone()).await;
-    // Until the change is visible here the same reports would seem to be due again.
+    // Until the change is visible in the local state the same reports would seem to be due again.
     if let Some(position) = outcome.as_ref().and_then(log_position) {
         let visible = async {
             while verified_state.load().snapshot.position < position {
                 tokio::time::sleep(VISIBLE_POLL_INTERVAL).await;
             }
         };
-        // If it is late, reports that the log has already do no harm.
+        // After the timeout, sending reports that the log already has does no harm.
         drop(tokio::time::timeout(VISIBLE_TIMEOUT, visible).await);
     }
     if !matches!(outcome, Some(Outcome::Accepted { .. })) {
         tokio::time::sleep(REPORT_RETRY_DELAY).await;
     }
-    // If the lease table is gone, nobody needs the answer.
+    // Fails if the lease table's task has ended; then the outcome is not needed.
     drop(commands.send(Command::Reported { reports, outcome }).await);
 }
 
-/// How far the log had come when it gave this answer.
+/// Returns the position of the log at this outcome.
 fn log_position(outcome: &Outcome) -> Option<Position> {
     match outcome {
         Outcome::Accepted { position, .. }
--- a/crates/endpoints/src/lease_table/silence.rs
+++ b/crates/endpoints/src/lease_table/silence.rs
@@ -1,5 +1,5 @@
-//! A back end that is no longer heard: it is silent while its process may live, and has ended once its process is
-//! known to be gone (design section 11.2).
+//! A backend without heartbeats is silent while its process may still run, and has ended once its process is known to
+//! be gone (design section 11.2).
 
 use std::io::ErrorKind;
 use std::time::Duration;
@@ -12,37 +12,39 @@
 use super::command::Command;
 use super::state::{LeaseTableTask, MAX_MISSED_HEARTBEATS, shard_map_of};
 
-/// How often a process has to refuse a connection, in a row, to be taken for gone.
+/// Number of consecutive refused connections after which a process counts as gone.
 const PROBES: usize = 2;
+/// Timeout of one connection attempt.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
+/// Pause after each connection attempt.
 const PROBE_INTERVAL: Duration = Duration::from_millis(100);
 
 impl LeaseTableTask {
-    /// A back end that has stopped sending heartbeats: is its process gone? A connection that is refused on this
-    /// machine says so.
+    /// Probes a backend that has stopped sending heartbeats. A refused connection on the same machine shows that the
+    /// backend's process is gone.
     pub(super) fn check_silence(&mut self) {
         let now = model::now();
-        let patience = self.config.heartbeat_interval * MAX_MISSED_HEARTBEATS;
+        let silence_timeout = self.config.heartbeat_interval * MAX_MISSED_HEARTBEATS;
         let Some(backend) = self.backend.as_mut() else {
-            self.check_earlier_backend(now);
+            self.check_unheard_backend(now);
             return;
         };
-        if now < backend.last_heard + patience / 2 && !backend.silent || backend.probing {
+        if now < backend.last_heard + silence_timeout / 2 && !backend.silent || backend.probing {
             return;
         }
-        backend.silent |= now > backend.last_heard + patience;
-        // Nobody renews its leases: once they have expired it holds nothing.
+        backend.silent |= now > backend.last_heard + silence_timeout;
+        // The leases of a silent backend are not renewed: once they have expired the backend holds no ranges.
         let last_lease = backend.lease_expires.max(backend.earlier_lease_expires);
-        let holds_nothing = backend.silent && now > last_lease + self.config.heartbeat_interval;
+        let leases_expired = backend.silent && now > last_lease + self.config.heartbeat_interval;
         let (address, name) = (
             backend.heartbeat.address.clone(),
             backend.heartbeat.name.clone(),
         );
-        if holds_nothing && self.pending_ends.contains_key(&name) {
+        if leases_expired && self.pending_ends.contains_key(&name) {
             self.handle_probe_outcome(&name, true);
             return;
         }
-        if holds_nothing {
+        if leases_expired {
             self.queue_expired_release();
         }
         if let Some(backend) = self.backend.as_mut() {
@@ -51,10 +53,11 @@
         self.probe(address, name);
     }
 
-    /// The log has a back end beside this node that this process has not heard: its process may be gone.
-    fn check_earlier_backend(&mut self, now: Microseconds) {
-        let quiet_since = self.started_at.max(self.earlier_probed_at);
-        if now <= quiet_since + self.config.heartbeat_interval * 2 {
+    /// Probes a backend that the log has beside this node but that sent no heartbeat to this process: the backend's
+    /// process may be gone.
+    fn check_unheard_backend(&mut self, now: Microseconds) {
+        let last_checked = self.started_at.max(self.unheard_probed_at);
+        if now <= last_checked + self.config.heartbeat_interval * 2 {
             return;
         }
         let snapshot = self.snapshot();
@@ -62,7 +65,7 @@
             backend.node == self.config.node && !self.pending_ends.contains_key(*name)
         });
         if let Some((address, (name, _))) = self.config.backend_address.clone().zip(earlier) {
-            self.earlier_probed_at = now;
+            self.unheard_probed_at = now;
             self.probe(address, name.clone());
         }
     }
@@ -71,8 +74,8 @@
         tokio::spawn(probe(address, name, self.commands.clone()));
     }
 
-    /// The leases of a silent back end have expired. It may be heard again under the same name, but a back end that
-    /// waits for it to release ranges need not wait longer.
+    /// Reports the ranges of a silent backend as released, because its leases have expired. The backend may send
+    /// heartbeats under the same name again, but backends that wait for its releases need not wait any longer.
     fn queue_expired_release(&mut self) {
         let Some(backend) = &self.backend else { return };
         let (service, name) = (
@@ -105,7 +108,7 @@
         }
     }
 
-    /// `refused`: the process of the back end `name` is gone.
+    /// Ends the backend `name` if its process refused the connections, which shows that the process is gone.
     pub(super) fn handle_probe_outcome(&mut self, name: &str, refused: bool) {
         if let Some(backend) = self
             .backend
@@ -115,7 +118,7 @@
             backend.probing = false;
         }
         if refused {
-            slog::info!(self.logger, "the back end's process is gone"; "name" => name);
+            slog::info!(self.logger, "the backend's process is gone; reporting the backend as ended"; "name" => name);
             self.pending_ends.insert(name.to_string(), true);
             self.backend
                 .take_if(|backend| backend.heartbeat.name == name);
@@ -123,7 +126,7 @@
     }
 }
 
-/// Tries to connect to the back end's process and hands the outcome back to the lease table's task.
+/// Tries to connect to the backend's process and sends the result to the lease table's task.
 async fn probe(address: String, name: String, commands: mpsc::Sender<Command>) {
     let mut refused = 0;
     for _ in 0..PROBES {
@@ -133,7 +136,7 @@
         }
         tokio::time::sleep(PROBE_INTERVAL).await;
     }
-    // If the lease table is gone, nobody needs the outcome.
+    // Fails if the lease table's task has ended; then the result is not needed.
     drop(
         commands
             .send(Command::Probed {
--- a/crates/endpoints/src/lease_table/state.rs
+++ b/crates/endpoints/src/lease_table/state.rs
@@ -1,4 +1,4 @@
-//! The state of the back end beside this node, owned by one task.
+//! The state of the backend beside this node, owned by one task.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -16,58 +16,58 @@
 use crate::heartbeat::Heartbeat;
 use crate::registration::Registration;
 
-/// How many heartbeats in a row may be missed before a back end is taken for silent.
+/// Number of consecutive heartbeats that may be missed before a backend is considered silent.
 pub(super) const MAX_MISSED_HEARTBEATS: u64 = 3;
 
-/// A back end as its heartbeats describe it. Times are in microseconds of the node's clock.
+/// A backend as described by its heartbeats. Times are in microseconds of the node's clock.
 pub(super) struct LocalBackend {
-    /// The latest heartbeat. Its held ranges are those that the back end was granted last.
+    /// The latest heartbeat. Its held ranges are replaced by those of the latest grant.
     pub(super) heartbeat: Heartbeat,
-    /// When the latest heartbeat came.
+    /// When the latest heartbeat was received.
     pub(super) last_heard: Microseconds,
-    /// Since when the back end drains.
+    /// When the backend started to drain.
     pub(super) draining_since: Option<Microseconds>,
-    /// When the leases that the back end was granted last expire.
+    /// When the latest granted leases expire.
     pub(super) lease_expires: Microseconds,
-    /// When leases that an earlier process of this node granted have surely expired.
+    /// When all leases granted by an earlier process of this node have certainly expired.
     pub(super) earlier_lease_expires: Microseconds,
-    /// More than [`MAX_MISSED_HEARTBEATS`] were missed, or the back end has said that it ends.
+    /// Whether more than [`MAX_MISSED_HEARTBEATS`] were missed or the backend has deregistered.
     pub(super) silent: bool,
-    /// A probe of the back end's process is under way.
+    /// Whether a probe of the backend's process is in progress.
     pub(super) probing: bool,
-    /// For the answer to the latest heartbeat, kept back while there is nothing to say.
+    /// Sends the answer to the latest heartbeat, which is delayed while there are no changes.
     pub(super) pending_answer: Option<AnswerSender>,
-    /// Heard more than once, so no late heartbeat of an earlier incarnation.
+    /// Whether more than one heartbeat was received, which excludes a late one of an earlier incarnation.
     pub(super) heard_repeatedly: bool,
-    /// The log did not take the back end: it already has the end of this name.
+    /// Whether the log rejected the registration because the backend of this name has already ended.
     pub(super) rejected: bool,
 }
 
-/// Everything that the lease table's task owns. The other modules of this folder add the handlers of its commands.
+/// The state that the lease table's task owns. The command handlers are in the other modules of this folder.
 pub(super) struct LeaseTableTask {
     pub(super) config: LeaseTableConfig,
     pub(super) verified_state: SharedVerifiedState,
     pub(super) limiter: ConcurrencyLimiter,
     pub(super) reporter: StatusReporter,
-    /// Back to this task, for the tasks that it starts.
+    /// Sends commands to this task; used by the tasks that it spawns.
     pub(super) commands: mpsc::Sender<Command>,
     pub(super) lease_granter: LeaseGranter,
-    /// The back end that is heard here; at most one, as a machine has one.
+    /// The backend whose heartbeats this process receives; a machine has at most one backend.
     pub(super) backend: Option<LocalBackend>,
-    /// Back ends whose end has to be reported, and whether the process is known to be gone.
+    /// Backends whose end has to be reported, and whether the backend's process is known to be gone.
     pub(super) pending_ends: BTreeMap<BackendName, bool>,
-    /// Back ends whose end this process has reported: a late heartbeat brings none of them back.
+    /// Backends whose end this process has reported; late heartbeats of these are ignored.
     pub(super) ended_names: BTreeSet<BackendName>,
-    /// Reports of events, sent until the log has answered them.
+    /// Reports of events, sent again until the log has answered them.
     pub(super) pending_reports: Vec<ClusterReport>,
-    /// When this process began, in microseconds.
+    /// When this process started, in microseconds.
     pub(super) started_at: Microseconds,
-    /// When a back end that this process has not heard was last probed, in microseconds.
-    pub(super) earlier_probed_at: Microseconds,
-    /// Reports were sent and are not answered yet.
+    /// When a backend without a heartbeat to this process was last probed, in microseconds.
+    pub(super) unheard_probed_at: Microseconds,
+    /// Whether reports were sent and are not answered yet.
     pub(super) report_in_flight: bool,
     pub(super) registration: Registration,
-    /// Set once another process was registered under this node's name.
+    /// Set to true once another process was registered under this node's name.
     pub(super) superseded: watch::Sender<bool>,
     pub(super) logger: Logger,
 }
@@ -77,12 +77,12 @@
         self.verified_state.load().snapshot.clone()
     }
 
-    /// Whether this process reports, or has reported, the end of the back end of this name.
+    /// Whether this process has reported, or is about to report, the end of the backend `name`.
     pub(super) fn has_ended(&self, name: &str) -> bool {
         self.pending_ends.contains_key(name) || self.ended_names.contains(name)
     }
 
-    /// The back end as the log is to have it.
+    /// Returns the record of the backend that the log should have.
     pub(super) fn backend_record(&self, backend: &LocalBackend) -> BackendRecord {
         let heartbeat = &backend.heartbeat;
         let phase = if backend.draining_since.is_some() {
@@ -101,7 +101,7 @@
     }
 }
 
-/// The shard map of a service; empty if the service has no placement.
+/// Returns the shard map of a service; empty if the service has no placement.
 pub(super) fn shard_map_of(snapshot: &StateSnapshot, service: &str) -> ShardMap {
     snapshot
         .placements
@@ -110,7 +110,7 @@
         .unwrap_or_default()
 }
 
-/// Whether requests to this service go to the holder of their key.
+/// Whether requests to this service are routed to the holder of their key.
 pub(super) fn is_keyed(snapshot: &StateSnapshot, service: &str) -> bool {
     snapshot
         .services
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -1,9 +1,9 @@
-//! A node of the mesh and the back end beside it: the back end's registration, heartbeats and key leases, the
-//! placement of a service's keys on its back ends, and the node's part in failure detection (design section 11).
+//! A node of the mesh and the backend beside the node: the backend's registration, heartbeats and shard leases, the
+//! placement of a service's keys on its backends, and the node's part in failure detection (design section 11).
 //!
-//! [`Node`] puts the parts together. [`LeaseTableHandle`] is the only way to the state of the local back end. The
-//! rules that need no input or output, [`LeaseGranter`], [`Registration`] and the placement functions, get the time
-//! and the cluster state from their callers, so that simulators can run them too.
+//! [`Node`] assembles the parts. All access to the state of the local backend goes through [`LeaseTableHandle`]. The
+//! logic without I/O, [`LeaseGranter`], [`Registration`] and the placement functions, gets the time and the cluster
+//! state from its callers, so that simulators can run it too.
 #![deny(missing_docs)]
 
 mod heartbeat;
--- a/crates/endpoints/src/monitor.rs
+++ b/crates/endpoints/src/monitor.rs
@@ -1,10 +1,10 @@
 //! Heartbeats to the nodes that monitor this one, and failure detection for the nodes that this one monitors
 //! (design section 5.10).
 //!
-//! `control::failure_detection::monitor` does the same for the older interface. The two differ and both stay: that one checks ten times
-//! within its time-out, opens a connection again at its next heartbeat and repeats a report until the log takes it;
-//! this one checks at each heartbeat, reports only while it is registered and its own state is verified, and leaves
-//! a lost report to the next change.
+//! `control::failure_detection::monitor` does the same for the older interface. Both are kept because they differ. The
+//! older one checks ten times per timeout, reopens a connection at its next heartbeat and repeats a report until the
+//! log accepts it. This one checks at each heartbeat, reports only while the node is registered and its state is
+//! verified, and does not repeat a lost report before the next change.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -21,24 +21,24 @@
 
 use crate::registration::is_registered;
 
-/// Heartbeats received and not yet looked at.
+/// Capacity of the channel of received heartbeats.
 const RECEIVED_CAPACITY: usize = 1_024;
-/// Heartbeats that wait for one connection; a connection that falls further behind is closed.
+/// Capacity of a connection's channel of heartbeats; a connection is closed when its channel is full.
 const CONNECTION_CAPACITY: usize = 4;
 
-/// Who this node is and how often it sends and checks.
+/// Identity of this node and the times of its heartbeats and checks.
 pub(crate) struct MonitorConfig {
-    /// The name of this node.
+    /// Name of this node.
     pub(crate) node: NodeName,
-    /// The incarnation of this process.
+    /// Incarnation of this process.
     pub(crate) incarnation: Incarnation,
-    /// Between two heartbeats to a monitor, and between two checks, in microseconds.
+    /// Interval between two heartbeats to a monitor, and between two checks, in microseconds.
     pub(crate) heartbeat_interval: Microseconds,
-    /// A monitored node that was not heard for so long is reported as missed, in microseconds.
+    /// Time without a heartbeat after which a monitored node is reported as missed, in microseconds.
     pub(crate) detection_timeout: Microseconds,
 }
 
-/// Starts the monitor's task. It ends when all senders that this function gave out are dropped.
+/// Starts the monitor's task. The task ends when all clones of the returned sender are dropped.
 pub(crate) fn start(
     config: MonitorConfig,
     verified_state: SharedVerifiedState,
@@ -66,7 +66,7 @@
     handshake: HandshakeInfo,
     detector: FailureDetector,
     ring: RingPosition,
-    /// By the address of the monitor that each goes to.
+    /// Senders of heartbeats to the monitors of this node, by the monitor's address.
     connections: BTreeMap<String, mpsc::Sender<Frame>>,
 }
 
@@ -92,7 +92,7 @@
         }
     }
 
-    /// One heartbeat to each monitor, over new connections where there is none.
+    /// Sends a heartbeat to each monitor; opens missing connections.
     fn send_heartbeats(&mut self) {
         let monitors = &self.ring.monitor_addresses;
         self.connections.retain(|address, connection| {
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Reports the monitored nodes that are missed since the last check, or heard again.
+    /// Reports the monitored nodes that became missed or were heard again since the last check.
     fn report_changes(&mut self) {
         let reports: Vec<ClusterReport> = self
             .check()
@@ -121,7 +121,7 @@
         }
         let reporter = self.reporter.clone();
         tokio::spawn(async move {
-            // Whatever the log answers: a node that stays missed is seen by its other monitors too.
+            // A lost report is not repeated: the other monitors of a missed node report it too.
             drop(reporter.report(reports).await);
         });
     }
@@ -129,10 +129,10 @@
     fn check(&mut self) -> Vec<EndpointReport> {
         let verified = self.verified_state.load();
         let now = model::now();
-        // A node that receives no proof is cut off itself and reports nobody; the detector then takes the pause in
-        // its checks for this node's own and forgives all.
+        // A node that receives no freshness proof is disconnected itself and reports no other nodes. The detector then
+        // attributes the pause in its checks to this node and restarts the timeouts of all monitored nodes.
         let is_verified = verified.verified_at + self.config.detection_timeout * 2 / 3 > now;
-        // Before this process is registered the log takes no report from it.
+        // The log accepts no reports from this process before it is registered.
         let node = verified.snapshot.nodes.get(&self.config.node);
         if !is_verified || !is_registered(node, self.config.incarnation) {
             return Vec::new();
@@ -146,7 +146,7 @@
     }
 }
 
-/// The detector's report in the form that the cluster state takes.
+/// Converts the detector's report to a report for the cluster state.
 fn cluster_report(report: EndpointReport) -> Option<ClusterReport> {
     match report {
         EndpointReport::NodeObserved {
@@ -164,7 +164,7 @@
     }
 }
 
-/// Sends a heartbeat when it is connected, and one for each that it is given, until the connection breaks.
+/// Connects to a monitor, sends a heartbeat, and then forwards heartbeats from the channel until the connection ends.
 async fn run_connection(
     address: String,
     handshake: Handshake,
@@ -173,7 +173,7 @@
     let Ok(connection) = transport::dial(&address, handshake).await else {
         return;
     };
-    // If the connection is broken the next send finds it out.
+    // If the connection is broken, the next send fails.
     drop(connection.sender.send(Frame::Heartbeat).await);
     while let Some(heartbeat) = heartbeats.recv().await {
         if connection.sender.send(heartbeat).await.is_err() {
--- a/crates/endpoints/src/node.rs
+++ b/crates/endpoints/src/node.rs
@@ -1,4 +1,4 @@
-//! Puts the parts of a node together, and takes them down in order (design section 13.7).
+//! Assembles the parts of a node and shuts them down in order (design section 13.7).
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -24,56 +24,56 @@
 use crate::monitor::{self, MonitorConfig};
 use crate::placement::PlacementCoordinator;
 
-/// Load reports of other nodes that wait for the placement coordinator.
+/// Capacity of the channel of load reports from other nodes to the placement coordinator.
 const LOAD_REPORT_CAPACITY: usize = 1_024;
-/// How many replicas a node wants to know.
+/// Number of replicas that a node tries to know.
 const WANTED_REPLICAS: usize = 3;
-/// Between two looks at whether requests still run.
+/// Interval between two checks for running requests during shutdown.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// For responses that were given and are still on their way out of this process.
+/// Time for writing the last responses to their sockets before the process ends.
 const RESPONSE_FLUSH_TIME: Duration = Duration::from_millis(60);
 
 /// Settings of a node.
 #[derive(Clone)]
 pub struct NodeConfig {
-    /// Who the node is, and the back end beside it.
+    /// Identity of the node and settings of the lease table.
     pub lease_table: LeaseTableConfig,
-    /// The service of the back end beside the node.
+    /// Service of the backend beside the node.
     pub service: ServiceName,
-    /// Addresses, as `host:port`, that the node asks for the replicas of the log.
+    /// Addresses, as `host:port`, where the node discovers the replicas of the log.
     pub seeds: Vec<String>,
-    /// The names of the headers by which requests are known.
+    /// Names of the headers that identify requests.
     pub header_names: HeaderNames,
-    /// How a back end is selected for a request.
+    /// Settings of the backend selection.
     pub selection: SelectorConfig,
-    /// Requests given to the back end beyond its slots, so that no slot stands empty between two.
+    /// Number of requests sent to the backend beyond its slots, so that no slot is idle between two requests.
     pub queued_ahead: u32,
-    /// Between two requests for a proof of the cluster state, in microseconds.
+    /// Interval between two freshness-proof requests, in microseconds.
     pub proof_interval: Microseconds,
-    /// Between two heartbeats to the nodes that monitor this one, in microseconds.
+    /// Interval between two heartbeats to the nodes that monitor this one, in microseconds.
     pub monitor_interval: Microseconds,
-    /// A monitored node that was not heard for so long is reported as missed, in microseconds.
+    /// Time without a heartbeat after which a monitored node is reported as missed, in microseconds.
     pub monitor_timeout: Microseconds,
 }
 
 /// A running node.
 pub struct Node {
-    /// The back end beside the node.
+    /// Lease table of the backend beside the node.
     pub lease_table: LeaseTableHandle,
-    /// Takes requests of clients on this machine.
+    /// Accepts requests of clients on this machine.
     pub listener: Listener,
-    /// The cluster state that the node follows and verifies.
+    /// Follows and verifies the cluster state.
     pub follower: FollowerHandle,
-    /// The replicas of the log that the node knows.
+    /// Replicas of the log that the node knows.
     pub known_replicas: KnownReplicas,
     limiter: ConcurrencyLimiter,
     in_flight: InFlightRequests,
-    /// The node was told to stop: it is no longer ready, though it serves on for a while.
+    /// Set when the shutdown begins: the node is no longer ready, but still serves requests for a while.
     draining: AtomicBool,
     shutdown: watch::Sender<bool>,
 }
 
-/// The parts that more than one task of the node uses.
+/// The parts that several tasks of the node use.
 struct Shared {
     known_replicas: KnownReplicas,
     handshake: HandshakeInfo,
@@ -84,7 +84,7 @@
 }
 
 impl Node {
-    /// Starts the node's tasks. `peer_listener` is bound already; its address stands in the settings.
+    /// Starts the node's tasks. `peer_listener` is bound to the address in the settings.
     pub fn start(config: NodeConfig, peer_listener: TcpListener, logger: Logger) -> Node {
         let shared = Shared::start(&config, logger);
         let lease_table = LeaseTableHandle::start(
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Takes requests of clients from this listener until the node shuts down.
+    /// Accepts requests of clients on this listener until the node shuts down.
     pub fn serve(&self, listener: TcpListener) {
         tokio::spawn(
             self.listener
@@ -124,23 +124,23 @@
         );
     }
 
-    /// Whether clients may send requests here: the node knows routes, and is neither superseded nor about to stop.
+    /// Whether clients may send requests here: the node knows routes, is not superseded and is not shutting down.
     pub fn is_ready(&self) -> bool {
         let verified = self.follower.verified_state.load();
         let knows_routes = verified.verified_at > 0 && verified.snapshot.has_routes();
         knows_routes && !self.lease_table.is_superseded() && !self.draining.load(Ordering::Relaxed)
     }
 
-    /// Stops the node. It is not ready from now on, but serves as before for `notice`, until whoever sends requests
-    /// here has asked and knows. Then it takes no new requests, and this function returns once all that were taken
-    /// are answered or `timeout` is over (design section 13.7).
+    /// Stops the node. The node stops being ready at once, but serves as before for `notice`, so that clients can
+    /// notice this. Then the node accepts no new requests, and this function returns once all accepted requests are
+    /// answered or `timeout` has passed (design section 13.7).
     pub async fn shut_down(&self, notice: Duration, timeout: Duration) {
         self.draining.store(true, Ordering::Relaxed);
         tokio::time::sleep(notice).await;
         self.shutdown.send_replace(true);
         self.in_flight.drain();
         self.limiter.drain().await;
-        // What is not answered by then is lost with the process.
+        // Requests that are not answered by then are lost.
         drop(tokio::time::timeout(timeout, self.drained()).await);
     }
 
@@ -193,8 +193,8 @@
         }
     }
 
-    /// Starts what has to do with other nodes: the monitor, the server for peers and the search for replicas. Returns where
-    /// the load reports of other nodes arrive.
+    /// Starts the monitor, the server for peers and the discovery of replicas. Returns the receiver of load reports
+    /// from other nodes.
     fn start_peer_tasks(
         &self,
         config: &NodeConfig,
@@ -275,7 +275,7 @@
     }
 }
 
-/// What this node says of itself when it opens or accepts a connection.
+/// Returns a function that creates this node's handshake for a connection.
 fn handshake_factory(config: &NodeConfig, known_replicas: KnownReplicas) -> HandshakeInfo {
     let own = config.lease_table.clone();
     Arc::new(move |purpose| Handshake {
@@ -287,7 +287,7 @@
         replica: None,
         has_empty_disk: false,
         expected_disk: None,
-        // A connection for requests or heartbeats is not used to look for replicas.
+        // Connections for requests and heartbeats are not used for the discovery of replicas.
         known_replicas: match purpose {
             Purpose::Forward | Purpose::Monitor => Vec::new(),
             _ => discovery::list(&known_replicas),
--- a/crates/endpoints/src/placement/algorithm.rs
+++ b/crates/endpoints/src/placement/algorithm.rs
@@ -1,37 +1,36 @@
-//! Who is to hold which keys: by what is requested of each key and how much each back end can do, with as few moves
-//! as that allows (design section 11.4). Without input or output.
+//! Assigns the keys of a service to its backends by the demand for each key and the capacity of each backend, and moves
+//! as few keys as possible (design section 11.4). Performs no I/O.
 
 use std::collections::HashMap;
 
 use model::BackendName;
 use model::cluster_state::{ShardKey, ShardMap, ShardRange};
 
-/// A back end and how much it can do, in any unit that is the same for all back ends.
+/// A backend and its capacity, in any unit that is the same for all backends.
 pub type BackendCapacity = (BackendName, f64);
 
-/// First key and last key of a range and how much is requested of it, in any unit that is the same for all ranges.
+/// First key, last key and demand of a range, in any unit that is the same for all ranges.
 pub type RangeDemand = (ShardKey, ShardKey, f64);
 
-/// First key, last key and holder of each range, in the order of the keys and without gaps.
+/// First key, last key and holder of each range, in key order and without gaps.
 pub type ShardPlacement = Vec<(ShardKey, ShardKey, BackendName)>;
 
-/// How far a placement is from an even one.
+/// How far a placement is from a balanced one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Imbalance {
-    /// How far the busiest back end is above its share: 0.5 if it has one and a half times its share.
+    /// Excess of the busiest backend over its share, as a fraction of the share: 0.5 at one and a half times the share.
     pub excess: f64,
-    /// What each back end is asked for, in the order of the capacities and the unit of the demand.
+    /// Load of each backend, in the order of the capacities and the unit of the demand.
     pub loads: Vec<f64>,
-    /// The part of all load that is on ranges which have not reached their holder yet, from 0 to 1.
+    /// Fraction of all load that is on ranges whose earlier holders have not released them, from 0 to 1.
     pub in_transit: f64,
 }
 
-/// The part of all demand that is spread over all keys alike: keys that nobody has requested yet have to be somewhere
-/// too.
+/// Fraction of all demand that is spread evenly over all keys, so that keys without requests are distributed too.
 const BASELINE_SHARE: f64 = 0.04;
-/// The keys of a service.
+/// Number of keys of a service.
 const KEY_COUNT: f64 = 65_536.0;
-/// Where tolerance allows it, ranges smaller than this part of what is to be moved stay whole.
+/// Upper bound of [`Balancer::minimum_move`], as a fraction of a range's weight; the tolerance may require a lower one.
 const MAX_MINIMUM_MOVE: f64 = 0.05;
 
 #[derive(Clone, Debug)]
@@ -39,9 +38,9 @@
     first_key: u32,
     last_key: u32,
     weight: f64,
-    /// The position of its holder in the list of capacities.
+    /// Index of the holder in the list of capacities.
     holder: Option<usize>,
-    /// On its way to its holder: it is not moved again before it is there.
+    /// Not released by all earlier holders yet; such a range is not moved again.
     in_transit: bool,
 }
 
@@ -50,7 +49,7 @@
         self.last_key - self.first_key + 1
     }
 
-    /// The part of about this weight, from the first key on, and the rest. A key is not divided.
+    /// Splits off a lower part of about this weight and returns it with the rest. Single keys are not split.
     fn split(self, weight: f64) -> (Option<WeightedRange>, Option<WeightedRange>) {
         let keys = self.key_count() as f64;
         let low_count = (keys * (weight / self.weight).clamp(0.0, 1.0)).round() as u32;
@@ -69,9 +68,9 @@
     }
 }
 
-/// Demand per range and the baseline that is spread over all keys.
+/// Demand of each range, and the baseline that is spread over all keys.
 struct Demand<'a> {
-    /// In the order of the keys, none overlapping another.
+    /// In key order and without overlaps.
     ranges: &'a [RangeDemand],
     total: f64,
 }
@@ -79,7 +78,7 @@
 impl<'a> Demand<'a> {
     fn new(ranges: &'a [RangeDemand]) -> Demand<'a> {
         let total: f64 = ranges.iter().map(|(.., weight)| weight).sum();
-        // Where no demand is known, each key weighs one.
+        // Without any demand, each key has the weight 1.
         Demand {
             ranges,
             total: if total > 0.0 {
@@ -94,8 +93,8 @@
         self.total * BASELINE_SHARE * (last_key - first_key + 1) as f64 / KEY_COUNT
     }
 
-    /// The range of a shard map, cut where the demand changes.
-    fn weigh(&self, range: &ShardRange, holder: Option<usize>) -> Vec<WeightedRange> {
+    /// Splits a range of a shard map where the demand changes.
+    fn split_by_demand(&self, range: &ShardRange, holder: Option<usize>) -> Vec<WeightedRange> {
         let in_transit = !range.pending_releases.is_empty();
         let (first_key, last_key) = (range.first_key as u32, range.last_key as u32);
         let weighted = |first_key, last_key, weight| WeightedRange {
@@ -105,16 +104,16 @@
             holder,
             in_transit,
         };
-        // Both are ordered: the first demand that reaches the range, and on from there.
-        let reached = self
+        // The demand is in key order: starts at the first one that overlaps the range.
+        let first_overlap = self
             .ranges
             .partition_point(|(_, end, _)| (*end as u32) < first_key);
-        let within = self.ranges[reached..]
+        let overlapping = self.ranges[first_overlap..]
             .iter()
             .take_while(|(start, ..)| (*start as u32) <= last_key);
         let mut next = first_key;
         let mut pieces = Vec::new();
-        for (start, end, weight) in within {
+        for (start, end, weight) in overlapping {
             let keys = (*end - *start) as f64 + 1.0;
             let (start, end) = ((*start as u32).max(first_key), (*end as u32).min(last_key));
             if next < start {
@@ -134,25 +133,25 @@
     }
 }
 
-/// The ranges of the shard map, in its order, none across two ranges of different demand.
+/// Returns the ranges of the shard map in its order, split where the demand changes.
 fn weighted_ranges(
     shard_map: &ShardMap,
     demand: &[RangeDemand],
     capacities: &[BackendCapacity],
 ) -> Vec<WeightedRange> {
     let demand = Demand::new(demand);
-    let positions: HashMap<&str, usize> = capacities
+    let indices: HashMap<&str, usize> = capacities
         .iter()
         .enumerate()
-        .map(|(at, (name, _))| (name.as_str(), at))
+        .map(|(index, (name, _))| (name.as_str(), index))
         .collect();
     let mut ranges = Vec::new();
     for range in shard_map {
         let holder = range
             .holder
             .as_deref()
-            .and_then(|name| positions.get(name).copied());
-        ranges.extend(demand.weigh(range, holder));
+            .and_then(|name| indices.get(name).copied());
+        ranges.extend(demand.split_by_demand(range, holder));
     }
     ranges
 }
@@ -171,7 +170,7 @@
     capacities.iter().map(|(_, capacity)| capacity).sum()
 }
 
-/// How even the placement is as it stands. `demand` is in the order of the keys and does not overlap.
+/// Returns the imbalance of the current placement. `demand` is in key order and has no overlaps.
 pub fn imbalance(
     shard_map: &ShardMap,
     demand: &[RangeDemand],
@@ -185,7 +184,7 @@
         .zip(capacities)
         .map(|(load, (_, own))| load / own)
         .fold(0.0, f64::max);
-    let moving: f64 = ranges
+    let in_transit_weight: f64 = ranges
         .iter()
         .filter(|range| range.in_transit)
         .map(|range| range.weight)
@@ -194,11 +193,11 @@
     Imbalance {
         excess: busiest / mean.max(f64::EPSILON) - 1.0,
         loads,
-        in_transit: moving / total,
+        in_transit: in_transit_weight / total,
     }
 }
 
-/// Whole keys in proportion to the capacities, all of them given.
+/// Distributes all keys in proportion to the capacities, in whole keys.
 fn key_quotas(capacities: &[BackendCapacity], total_capacity: f64) -> Vec<f64> {
     let keys_up_to = |capacity: f64| (capacity / total_capacity * KEY_COUNT).round();
     let mut sum = 0.0;
@@ -211,11 +210,11 @@
     quotas
 }
 
-/// A placement of all keys. A back end that is no more than `tolerance` (0.1: a tenth) above its share keeps what it
-/// holds; what is above it, and what nobody holds, goes to those furthest below their shares. Empty if no back end
-/// can do anything.
+/// Returns a placement of all keys. A backend that exceeds its share by no more than the fraction `tolerance` keeps its
+/// ranges. Any greater excess and ranges without a holder are assigned to the backends that are furthest below their
+/// shares. The placement is empty if no backend has any capacity.
 ///
-/// `demand` is in the order of the keys and does not overlap; if it is empty, all keys count alike.
+/// `demand` is in key order and has no overlaps; if it is empty, all keys have the same weight.
 pub fn rebalance(
     shard_map: &ShardMap,
     demand: &[RangeDemand],
@@ -243,26 +242,27 @@
     };
     ranges.sort_by_key(|range| range.first_key);
     let (kept, free) = balancer.free_excess(ranges);
-    let given = balancer.assign(free);
-    let mut placed: Vec<WeightedRange> = kept.into_iter().chain(given).collect();
+    let assigned = balancer.assign(free);
+    let mut placed: Vec<WeightedRange> = kept.into_iter().chain(assigned).collect();
     placed.sort_by_key(|range| range.first_key);
-    merge_neighbours(&placed, capacities)
+    merge_adjacent(&placed, capacities)
 }
 
-/// What each back end should hold and holds while keys are moved.
+/// The weights that each backend should hold and holds while keys are moved.
 struct Balancer {
-    /// The weight that each back end should hold.
+    /// Weight that each backend should hold.
     shares: Vec<f64>,
-    /// The weight that each back end holds.
+    /// Weight that each backend holds.
     held: Vec<f64>,
-    /// How far above its share a back end may be, as a part of its share.
+    /// Excess over its share that a backend may keep, as a fraction of the share.
     tolerance: f64,
-    /// What is moved at least, as a part of a range. With a tolerance of 0 keys are moved one by one.
+    /// Minimum weight that is moved, as a fraction of a range's weight, so that ranges are not split for small
+    /// differences. It is 0 if the tolerance is 0: then keys are moved one by one.
     minimum_move: f64,
 }
 
 impl Balancer {
-    /// The ranges that stay where they are, and those that are free for another back end.
+    /// Returns the ranges that stay with their holders, and those that are free for another backend.
     fn free_excess(
         &mut self,
         ranges: Vec<WeightedRange>,
@@ -273,15 +273,15 @@
                 free.push(range);
                 continue;
             };
-            let above = self.held[holder] - self.shares[holder];
-            // Moving next to nothing is not worth the pause in which nobody holds the range.
-            let is_small = above <= self.shares[holder] * self.tolerance
-                || above < range.weight * self.minimum_move;
+            let excess = self.held[holder] - self.shares[holder];
+            // Moving very little load is not worth the pause in which no backend holds the range.
+            let is_small = excess <= self.shares[holder] * self.tolerance
+                || excess < range.weight * self.minimum_move;
             if range.in_transit || is_small {
                 kept.push(range);
                 continue;
             }
-            let (low, high) = range.split(above);
+            let (low, high) = range.split(excess);
             if let Some(low) = low {
                 self.held[holder] -= low.weight;
                 free.push(low);
@@ -291,48 +291,52 @@
         (kept, free)
     }
 
-    /// Gives the free ranges away: the heaviest first, each to whoever has most room; what does not fit is split.
+    /// Assigns the free ranges, the heaviest first, each to the backend that is furthest below its share. A range that
+    /// does not fit is split.
     fn assign(&mut self, mut free: Vec<WeightedRange>) -> Vec<WeightedRange> {
         free.sort_by(|one, other| one.weight.total_cmp(&other.weight));
-        let mut given = Vec::new();
+        let mut assigned = Vec::new();
         while let Some(range) = free.pop() {
-            let Some(taker) = self.most_room() else { break };
-            let room = (self.shares[taker] - self.held[taker]).max(0.0);
-            let fits = range.weight <= room * (1.0 + 4.0 * self.minimum_move)
-                || room < range.weight * 2.0 * self.minimum_move;
+            let Some(receiver) = self.furthest_below_share() else {
+                break;
+            };
+            let deficit = (self.shares[receiver] - self.held[receiver]).max(0.0);
+            let fits = range.weight <= deficit * (1.0 + 4.0 * self.minimum_move)
+                || deficit < range.weight * 2.0 * self.minimum_move;
             let (low, high) = if fits {
                 (Some(range), None)
             } else {
-                range.split(room)
+                range.split(deficit)
             };
-            // A single key is never split: if it does not fit, it goes whole.
-            let (taken, rest) = if low.is_some() {
+            // A single key is never split; if it does not fit, it is assigned as a whole.
+            let (assigned_part, rest) = if low.is_some() {
                 (low, high)
             } else {
                 (high, None)
             };
-            if let Some(range) = taken {
-                self.held[taker] += range.weight;
-                given.push(WeightedRange {
-                    holder: Some(taker),
+            if let Some(range) = assigned_part {
+                self.held[receiver] += range.weight;
+                assigned.push(WeightedRange {
+                    holder: Some(receiver),
                     ..range
                 });
             }
             free.extend(rest);
         }
-        given
+        assigned
     }
 
-    /// The back end that is furthest below its share, as a part of it.
-    fn most_room(&self) -> Option<usize> {
-        let room =
-            |at: usize| (self.shares[at] - self.held[at]) / self.shares[at].max(f64::EPSILON);
-        (0..self.shares.len()).max_by(|one, other| room(*one).total_cmp(&room(*other)))
+    /// Returns the backend that is furthest below its share, relative to the share.
+    fn furthest_below_share(&self) -> Option<usize> {
+        let deficit = |index: usize| {
+            (self.shares[index] - self.held[index]) / self.shares[index].max(f64::EPSILON)
+        };
+        (0..self.shares.len()).max_by(|one, other| deficit(*one).total_cmp(&deficit(*other)))
     }
 }
 
-/// One range in place of neighbours with the same holder.
-fn merge_neighbours(ranges: &[WeightedRange], capacities: &[BackendCapacity]) -> ShardPlacement {
+/// Merges adjacent ranges with the same holder.
+fn merge_adjacent(ranges: &[WeightedRange], capacities: &[BackendCapacity]) -> ShardPlacement {
     let mut placement = ShardPlacement::new();
     for range in ranges {
         let Some(holder) = range.holder else { continue };
@@ -353,8 +357,8 @@
     placement
 }
 
-/// The placement before any demand is known: `stripe_count` stripes over all keys, each cut in proportion to the
-/// capacities, as busy keys lie together.
+/// Returns the placement to use before any demand is known: `stripe_count` stripes over all keys, each divided in
+/// proportion to the capacities. Stripes spread busy keys over the backends, because busy keys are often adjacent.
 pub fn initial_placement(capacities: &[BackendCapacity], stripe_count: u32) -> ShardPlacement {
     let total_capacity = total_capacity(capacities);
     let boundary = |stripe: u32, share: f64| {
--- a/crates/endpoints/src/placement/coordinator.rs
+++ b/crates/endpoints/src/placement/coordinator.rs
@@ -1,6 +1,6 @@
-//! Puts placements of a service's keys in the log: one node beside a back end of the service does so, the next in
-//! order when that one does not (design section 11.4). A placement counts only on top of the one that it was made on,
-//! so two coordinators at a time do no harm.
+//! Submits placements of a service's keys to the log. The coordinator is a node beside a backend of the service; if it
+//! submits none, the next node in order does (design section 11.4). The log accepts a placement only if its base is the
+//! current placement, so two concurrent coordinators do no harm.
 
 use std::time::Duration;
 
@@ -19,46 +19,46 @@
 use super::outliers::EjectionPolicy;
 use super::plan::{PlannedPlacement, RebalanceReason, plan_placement};
 
-/// Between two looks at whether a placement is due.
+/// Interval between two checks whether a placement is due.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// The first placement waits until no back end has joined or left for so long, in microseconds.
+/// Time without a backend joining or leaving before the first placement, in microseconds.
 const INITIAL_QUIET_PERIOD: Microseconds = 1_300_000;
-/// Back ends that join are gathered for so long, in microseconds; one that leaves is acted on at once.
+/// Time for which joining backends are batched, in microseconds; a leaving backend is handled at once.
 const QUIET_PERIOD: Microseconds = 300_000;
-/// Each next node in order waits so much longer, in microseconds.
+/// Additional delay of each following node in the coordinator order, in microseconds.
 const RANK_DELAY: Microseconds = 700_000;
-/// Between two load reports, in microseconds.
+/// Interval between two load reports, in microseconds.
 const LOAD_REPORT_INTERVAL: Microseconds = 1_000_000;
-/// The same while requests wait or the back end is unhealthy.
+/// Interval between two load reports while requests wait or the backend is unhealthy, in microseconds.
 const BUSY_LOAD_REPORT_INTERVAL: Microseconds = 200_000;
-/// Ranges of keys in one load report.
+/// Maximum number of shard ranges in one load report.
 const MAX_REPORTED_RANGES: usize = 24;
-/// How long the coordinator waits for a placement that it made to be visible here.
+/// How long the coordinator waits until an accepted placement is visible in the local state.
 const VISIBLE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What the coordinator works with.
+/// The placement coordinator of a node, with the parts that it uses.
 pub(crate) struct PlacementCoordinator {
-    /// The name of this node.
+    /// Name of this node.
     pub(crate) node: NodeName,
-    /// The service of the back end beside this node.
+    /// Service of the backend beside this node.
     pub(crate) service: ServiceName,
     pub(crate) follower: FollowerHandle,
     pub(crate) reporter: StatusReporter,
-    /// Knows the load of the back end beside this node.
+    /// Supplies the load of the backend beside this node.
     pub(crate) limiter: ConcurrencyLimiter,
-    /// To the node that coordinates, if it is another one.
+    /// Connections for load reports to the coordinating node, if that is another node.
     pub(crate) peers: PeerConnections,
     /// Load reports from other nodes.
     pub(crate) load_receiver: mpsc::Receiver<LoadReport>,
     pub(crate) logger: Logger,
 }
 
-/// What the coordinator remembers between two checks. Times are in microseconds.
+/// State that the coordinator keeps between two checks. Times are in microseconds.
 #[derive(Default)]
-struct Memory {
+struct CoordinatorState {
     load_reports: LoadReports,
     ejections: EjectionPolicy,
-    /// The back ends that take requests, and since when they are the same.
+    /// The backends that accept requests, and when this set last changed.
     available: Vec<BackendName>,
     available_since: Microseconds,
     load_reported_at: Microseconds,
@@ -66,16 +66,16 @@
 }
 
 impl PlacementCoordinator {
-    /// Runs until the runtime ends.
+    /// Runs until the runtime shuts down.
     pub(crate) async fn run(mut self) {
         let mut ticks = tokio::time::interval(CHECK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut memory = Memory::default();
+        let mut state = CoordinatorState::default();
         loop {
             ticks.tick().await;
             let now = model::now();
             while let Ok(report) = self.load_receiver.try_recv() {
-                memory.load_reports.record(now, report);
+                state.load_reports.record(now, report);
             }
             let verified = self.follower.verified_state.load_full();
             let snapshot = &verified.snapshot;
@@ -83,45 +83,45 @@
             if verified.verified_at == 0 || !service.is_some_and(|service| service.keyed) {
                 continue;
             }
-            self.report_load_if_due(now, snapshot, &mut memory).await;
-            memory.load_reports.expire(now);
-            if let Some(planned) = self.due_placement(now, snapshot, &mut memory) {
-                self.submit(planned, &mut memory).await;
+            self.report_load_if_due(now, snapshot, &mut state).await;
+            state.load_reports.expire(now);
+            if let Some(planned) = self.due_placement(now, snapshot, &mut state) {
+                self.submit(planned, &mut state).await;
             }
         }
     }
 
-    /// The placement that is to be made now.
+    /// Returns the placement that is to be submitted now.
     fn due_placement(
         &self,
         now: Microseconds,
         snapshot: &StateSnapshot,
-        memory: &mut Memory,
+        state: &mut CoordinatorState,
     ) -> Option<PlannedPlacement> {
-        memory.observe_backends(now, snapshot, &self.service);
+        state.observe_backends(now, snapshot, &self.service);
         let rank = coordinator_rank(snapshot, &self.service, &self.node);
-        let ejected = memory
+        let ejected = state
             .ejections
-            .ejected(now, &memory.load_reports, memory.available.len());
-        let since_last = (rank == 0).then(|| now.saturating_sub(memory.placed_at));
+            .ejected(now, &state.load_reports, state.available.len());
+        let since_last = (rank == 0).then(|| now.saturating_sub(state.placed_at));
         let planned = plan_placement(
             snapshot,
             &self.service,
-            &memory.load_reports,
+            &state.load_reports,
             &ejected,
             since_last,
         )?;
-        let due = memory.available_since + quiet_period(&planned) + RANK_DELAY * rank;
+        let due = state.available_since + quiet_period(&planned) + RANK_DELAY * rank;
         (now >= due).then_some(planned)
     }
 
-    async fn submit(&mut self, planned: PlannedPlacement, memory: &mut Memory) {
+    async fn submit(&mut self, planned: PlannedPlacement, state: &mut CoordinatorState) {
         let PlannedPlacement {
             base_placement,
             placement,
             reason,
         } = planned;
-        slog::info!(self.logger, "submits a placement";
+        slog::info!(self.logger, "submitting a placement";
             "service" => &self.service, "base_placement" => base_placement,
             "ranges" => placement.len(), "reason" => ?reason);
         let report = ClusterReport::ShardsReassigned {
@@ -130,13 +130,13 @@
             ranges: placement,
         };
         let outcome = self.reporter.report(vec![report]).await;
-        memory.placed_at = model::now();
+        state.placed_at = model::now();
         if let Some(Outcome::Accepted { position, .. }) = outcome {
             self.wait_until_visible(position).await;
         }
     }
 
-    /// Waits until the state that is verified here has come to this position, or until it is late.
+    /// Waits until the verified state has reached this position, or until the timeout.
     async fn wait_until_visible(&mut self, position: Position) {
         let verified_state = self.follower.verified_state.clone();
         let changes = &mut self.follower.changes;
@@ -145,7 +145,7 @@
                 && changes.changed().await.is_ok()
             {}
         };
-        // If it is late, a second placement on top of the same one is not taken.
+        // After a timeout, the log rejects a second placement with the same base.
         drop(tokio::time::timeout(VISIBLE_TIMEOUT, visible).await);
     }
 
@@ -153,19 +153,19 @@
         &self,
         now: Microseconds,
         snapshot: &StateSnapshot,
-        memory: &mut Memory,
+        state: &mut CoordinatorState,
     ) {
-        if now < memory.load_reported_at + BUSY_LOAD_REPORT_INTERVAL {
+        if now < state.load_reported_at + BUSY_LOAD_REPORT_INTERVAL {
             return;
         }
         let (_, waiting, unhealthy) = self.limiter.load().await;
-        if waiting > 0 || unhealthy || now >= memory.load_reported_at + LOAD_REPORT_INTERVAL {
-            memory.load_reported_at = now;
-            self.report_load(snapshot, &mut memory.load_reports).await;
+        if waiting > 0 || unhealthy || now >= state.load_reported_at + LOAD_REPORT_INTERVAL {
+            state.load_reported_at = now;
+            self.report_load(snapshot, &mut state.load_reports).await;
         }
     }
 
-    /// Reports what the back end beside this node is asked for to the node that coordinates.
+    /// Reports the load of the backend beside this node to the coordinating node.
     async fn report_load(&self, snapshot: &StateSnapshot, load_reports: &mut LoadReports) {
         let backends = snapshot.available_backends(&self.service);
         let coordinator = backends
@@ -203,7 +203,7 @@
     }
 }
 
-impl Memory {
+impl CoordinatorState {
     fn observe_backends(&mut self, now: Microseconds, snapshot: &StateSnapshot, service: &str) {
         let backends = snapshot.available_backends(service);
         let available: Vec<BackendName> = backends
@@ -216,7 +216,7 @@
     }
 }
 
-/// How long the set of back ends has to be the same before this placement, in microseconds.
+/// Returns how long the set of backends has to be unchanged before this placement, in microseconds.
 fn quiet_period(planned: &PlannedPlacement) -> Microseconds {
     match planned.reason {
         _ if planned.base_placement == 0 => INITIAL_QUIET_PERIOD,
@@ -225,18 +225,18 @@
     }
 }
 
-/// Nodes coordinate a service's placement in the order of this number, the greatest first.
+/// Returns the weight that orders the nodes as coordinators of a service's placement, the greatest first.
 fn coordinator_weight(service: &str, node: &str) -> u64 {
     stable_hash(&format!("{service}\n{node}"))
 }
 
-/// How many other nodes come before this one in the order of those that may coordinate.
+/// Returns the number of nodes that precede this node in the coordinator order.
 fn coordinator_rank(snapshot: &StateSnapshot, service: &str, node: &str) -> u64 {
     let own = coordinator_weight(service, node);
     let backends = snapshot.available_backends(service);
-    let is_before = |other: &str| other != node && coordinator_weight(service, other) > own;
+    let precedes = |other: &str| other != node && coordinator_weight(service, other) > own;
     backends
         .iter()
-        .filter(|backend| is_before(&backend.node))
+        .filter(|backend| precedes(&backend.node))
         .count() as u64
 }
--- a/crates/endpoints/src/placement/load.rs
+++ b/crates/endpoints/src/placement/load.rs
@@ -1,4 +1,4 @@
-//! What back ends report of their load, and how much each of them can do by that. Without input or output.
+//! Load reports of backends, and the capacity of each backend estimated from them. Performs no I/O.
 
 use std::collections::BTreeMap;
 
@@ -8,17 +8,17 @@
 
 use super::algorithm::{BackendCapacity, RangeDemand};
 
-/// How long a load report counts, in microseconds.
+/// How long a load report is used, in microseconds.
 const REPORT_LIFETIME: Microseconds = 3_500_000;
-/// The mean run time of all back ends counts beside a back end's own as much as so many runs of its own.
+/// Weight of the mean run time of all backends in the estimate of one backend, in runs of that backend.
 const MEAN_RUN_TIME_WEIGHT: f64 = 12.0;
-/// The run time that is assumed while no run was reported, in microseconds.
+/// Run time that is assumed until a run is reported, in microseconds.
 const DEFAULT_RUN_TIME: f64 = 1_000_000.0;
 const MICROSECONDS_PER_SECOND: f64 = 1_000_000.0;
-/// The part of what it could do that an ejected back end is given.
+/// The share of its capacity that an ejected backend is given.
 const EJECTED_CAPACITY_SHARE: f64 = 0.1;
 
-/// The latest load report of each back end.
+/// The latest load report of each backend.
 #[derive(Default)]
 pub(super) struct LoadReports {
     latest: BTreeMap<BackendName, ReceivedReport>,
@@ -29,7 +29,7 @@
     report: LoadReport,
 }
 
-/// Mean time of a back end's runs, in microseconds, and how many runs it is the mean of.
+/// Mean run time of a backend, in microseconds, and the number of runs in the mean.
 #[derive(Clone, Copy, Default)]
 struct RunTimes {
     mean: f64,
@@ -37,7 +37,7 @@
 }
 
 impl LoadReports {
-    /// Takes in a report in place of the back end's earlier one.
+    /// Records a report, which replaces the backend's previous one.
     pub(super) fn record(&mut self, now: Microseconds, report: LoadReport) {
         let received = ReceivedReport {
             received_at: now,
@@ -47,13 +47,13 @@
             .insert(received.report.backend.clone(), received);
     }
 
-    /// Forgets reports that are too old to count.
+    /// Removes reports that are too old.
     pub(super) fn expire(&mut self, now: Microseconds) {
         self.latest
             .retain(|_, received| now < received.received_at + REPORT_LIFETIME);
     }
 
-    /// Requests a second per range of keys, in the order of the keys.
+    /// Returns the requests per second of each shard range, in key order.
     pub(super) fn demand(&self) -> Vec<RangeDemand> {
         let mut demand = Vec::new();
         for received in self.latest.values() {
@@ -64,7 +64,7 @@
         demand
     }
 
-    /// How many requests the demand was counted from.
+    /// Returns the weighted number of requests from which the demand was estimated.
     pub(super) fn observed_requests(&self) -> f64 {
         self.latest
             .values()
@@ -78,7 +78,7 @@
             .is_some_and(|received| received.report.unhealthy)
     }
 
-    /// The back ends that are reported to be unhealthy.
+    /// Returns the backends that are reported as unhealthy.
     pub(super) fn unhealthy(&self) -> impl Iterator<Item = &BackendName> {
         self.latest
             .iter()
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Mean run time over all these back ends, in microseconds.
+    /// Returns the mean run time over all these backends, in microseconds.
     fn mean_run_time(&self, backends: &[AvailableBackend]) -> f64 {
         let (mut sum, mut count) = (0.0, 0.0);
         for backend in backends {
@@ -112,8 +112,9 @@
     }
 }
 
-/// Requests a second that each back end can do: its slots over the mean time of its runs. The fewer of its runs were
-/// seen, the more it counts as the others do. An ejected one is given little (design section 13.8).
+/// Returns the requests per second that each backend can run: its slots divided by its mean run time. The fewer runs of
+/// a backend were reported, the closer its run time is taken to the mean of all backends. The capacity of an ejected
+/// backend is reduced (design section 13.8).
 pub(super) fn backend_capacities(
     backends: &[AvailableBackend],
     load_reports: &LoadReports,
--- a/crates/endpoints/src/placement/mod.rs
+++ b/crates/endpoints/src/placement/mod.rs
@@ -1,5 +1,5 @@
-//! Which back end of a service holds which of its keys (design section 11.4): the placement algorithm, the load it
-//! goes by, the back ends it spares, and the coordinator that puts placements in the log.
+//! Placement of a service's keys on its backends (design section 11.4): the placement algorithm, the load reports that
+//! it uses, the ejection of unhealthy backends, and the coordinator that submits placements to the log.
 
 mod algorithm;
 mod coordinator;
--- a/crates/endpoints/src/placement/outliers.rs
+++ b/crates/endpoints/src/placement/outliers.rs
@@ -1,8 +1,8 @@
-//! Back ends that are unhealthy for a cause of their own: reported so for a while, and not many of them at a time
-//! (design section 13.8). Without input or output.
+//! Selects the unhealthy backends that are ejected: those that were reported as unhealthy for some time, unless too
+//! many are unhealthy at the same time, which points to a common cause (design section 13.8). Performs no I/O.
 //!
-//! `inbound::OutlierDetector` judges one back end by its own runs and says that it is unhealthy; this policy sees
-//! what all of them were reported to be.
+//! `inbound::OutlierDetector` judges one backend by the results of its runs; this policy uses the reports of all
+//! backends.
 
 use std::collections::BTreeMap;
 
@@ -10,23 +10,24 @@
 
 use super::load::LoadReports;
 
-/// Others that become unhealthy by the same cause are reported within so long, in microseconds.
+/// Delay before an unhealthy backend is ejected, in microseconds; other backends that are unhealthy for the same reason
+/// are reported within this time.
 const CONFIRMATION_DELAY: Microseconds = 300_000;
-/// At most one in so many back ends may be ejected.
+/// At most one in this number of backends may be ejected.
 const MAX_EJECTED_DIVISOR: usize = 3;
-/// How long a common cause is taken to go on after many were unhealthy, in microseconds.
+/// How long a common cause is assumed to last after many backends were unhealthy, in microseconds.
 const COMMON_CAUSE_DURATION: Microseconds = 5_000_000;
 
-/// Decides which unhealthy back ends are ejected; remembers since when they are unhealthy.
+/// Decides which unhealthy backends are ejected, from the time since which each is unhealthy.
 #[derive(Default)]
 pub(super) struct EjectionPolicy {
     unhealthy_since: BTreeMap<BackendName, Microseconds>,
-    /// Many were unhealthy at one time, so the cause is one that they share; until then.
+    /// Until when a common cause is assumed because many backends were unhealthy at the same time.
     common_cause_until: Microseconds,
 }
 
 impl EjectionPolicy {
-    /// The back ends, of `backend_count`, that are to be given little work now.
+    /// Returns the backends to eject now; `backend_count` is the number of all backends.
     pub(super) fn ejected(
         &mut self,
         now: Microseconds,
--- a/crates/endpoints/src/placement/plan.rs
+++ b/crates/endpoints/src/placement/plan.rs
@@ -1,4 +1,5 @@
-//! Whether keys of a service have to move, why, and where to (design section 11.4). Without input or output.
+//! Decides whether and why keys of a service have to move, and plans the new placement (design section 11.4). Performs
+//! no I/O.
 
 use std::collections::HashSet;
 
@@ -10,53 +11,53 @@
 };
 use super::load::{LoadReports, backend_capacities};
 
-/// A placement for the load alone waits so long after the one before, in microseconds.
+/// Minimum time between a placement and one that only balances the load, in microseconds.
 const REBALANCE_INTERVAL: Microseconds = 1_000_000;
-/// The same where the load is far from even.
+/// As [`REBALANCE_INTERVAL`], while the excess is above [`URGENT_IMBALANCE`].
 const URGENT_REBALANCE_INTERVAL: Microseconds = 800_000;
-/// How far above its share the busiest back end has to be for the load to be far from even.
+/// Excess of the busiest backend over its share above which rebalancing is urgent, as a fraction of the share.
 const URGENT_IMBALANCE: f64 = 1.0;
-/// How far above its share the busiest back end may be before keys move for it, if it is busy.
+/// Excess of the busiest backend over its share that is tolerated at a busy backend, as a fraction of the share.
 const MAX_BUSY_IMBALANCE: f64 = 0.18;
-/// The same if slots stand free there.
+/// As [`MAX_BUSY_IMBALANCE`], if the backend has free slots.
 const MAX_IDLE_IMBALANCE: f64 = 1.0;
-/// The part of its capacity that is in use at a busy back end.
+/// Utilization above which a backend counts as busy, as a fraction of its capacity.
 const BUSY_UTILIZATION: f64 = 0.6;
-/// So much of one back end's share may still be in transit when keys move for the load again: what is in transit does
-/// not show in the load reports yet.
+/// Load that may still be in transit when keys move for the load again, as a fraction of one backend's share. Load in
+/// transit is not visible in the load reports yet.
 const MAX_IN_TRANSIT_SHARE: f64 = 0.02;
-/// How far above its share a back end may stay once keys move.
+/// Excess over its share that a backend may keep when keys move, as a fraction of the share.
 const REBALANCE_TOLERANCE: f64 = 0.05;
-/// Requests, over all back ends, that are enough to go by the load.
+/// Number of observed requests over all backends that is needed to balance by load.
 const MIN_OBSERVED_REQUESTS: f64 = 40.0;
-/// What may be chance in a mean of one request; of more of them it falls with the square root of their count.
+/// Sampling error of the demand with one request; it decreases with the square root of the number of requests.
 const SAMPLING_ERROR: f64 = 0.8;
-/// Stripes of the first placement.
+/// Number of stripes of the first placement.
 const INITIAL_STRIPES: u32 = 8;
 
 /// Why keys have to move.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum RebalanceReason {
-    /// A back end that is gone or shutting down holds keys, or nobody does.
+    /// Keys are held by a backend that is gone or shutting down, or by no backend.
     Orphaned,
-    /// A back end that has joined holds no keys.
+    /// A backend that joined holds no keys.
     WithoutKeys,
-    /// The load is not even.
+    /// The load is unbalanced.
     Imbalanced,
 }
 
-/// A placement that is to replace another one.
+/// A placement that replaces the current one.
 pub(super) struct PlannedPlacement {
-    /// The position of the placement that it was made on top of; 0 if there was none.
+    /// Log position of the placement that is replaced; 0 if there was none.
     pub(super) base_placement: Position,
     pub(super) placement: ShardPlacement,
     pub(super) reason: RebalanceReason,
 }
 
-/// The placement that the service should have in place of the one that it has, `None` if that one may stay.
+/// Returns the placement that should replace the service's current one, `None` if the current one may stay.
 ///
-/// `since_last` is how long ago this node last made a placement, in microseconds; `None` if this node is not the one
-/// that moves keys for the load.
+/// `since_last` is the time since this node last submitted a placement, in microseconds; `None` if this node is not the
+/// one that moves keys to balance the load.
 pub(super) fn plan_placement(
     snapshot: &StateSnapshot,
     service: &str,
@@ -68,27 +69,29 @@
     if backends.is_empty() {
         return None;
     }
-    let nothing = (0, shard_map::unassigned());
+    let unassigned = (0, shard_map::unassigned());
     let (base_placement, shard_map) = snapshot
         .placements
         .get(service)
-        .map_or(&nothing, |placement| &**placement);
+        .map_or(&unassigned, |placement| &**placement);
     let missing = missing_coverage(shard_map, &backends);
     if missing.is_none() && since_last.is_none_or(|since| since < URGENT_REBALANCE_INTERVAL) {
         return None;
     }
     let demand = load_reports.demand();
     let capacities = backend_capacities(&backends, load_reports, ejected);
-    let observed = load_reports.observed_requests();
-    let sampling_error = SAMPLING_ERROR / (observed / capacities.len() as f64).sqrt();
-    let is_uneven = |since| is_imbalanced(shard_map, &demand, &capacities, sampling_error, since);
+    let observed_requests = load_reports.observed_requests();
+    let sampling_error = SAMPLING_ERROR / (observed_requests / capacities.len() as f64).sqrt();
+    let imbalanced = |since| is_imbalanced(shard_map, &demand, &capacities, sampling_error, since);
     let (reason, tolerance) = match missing {
         Some(RebalanceReason::Orphaned) => (RebalanceReason::Orphaned, 1.0),
         Some(reason) => (reason, REBALANCE_TOLERANCE / 2.0),
-        None if observed > MIN_OBSERVED_REQUESTS && since_last.is_some_and(is_uneven) => (
-            RebalanceReason::Imbalanced,
-            REBALANCE_TOLERANCE + sampling_error,
-        ),
+        None if observed_requests > MIN_OBSERVED_REQUESTS && since_last.is_some_and(imbalanced) => {
+            (
+                RebalanceReason::Imbalanced,
+                REBALANCE_TOLERANCE + sampling_error,
+            )
+        }
         None => return None,
     };
     let placement = match *base_placement {
@@ -102,7 +105,7 @@
     })
 }
 
-/// Whether keys have no holder that takes requests, or a back end has no keys.
+/// Whether keys have no holder that accepts requests, or a backend has no keys.
 fn missing_coverage(
     shard_map: &ShardMap,
     backends: &[AvailableBackend],
@@ -119,12 +122,12 @@
     if holders.iter().any(is_gone) {
         return Some(RebalanceReason::Orphaned);
     }
-    let has_none = names.iter().any(|name| !holders.contains(&Some(name)));
-    has_none.then_some(RebalanceReason::WithoutKeys)
+    let some_without_keys = names.iter().any(|name| !holders.contains(&Some(name)));
+    some_without_keys.then_some(RebalanceReason::WithoutKeys)
 }
 
-/// Whether the busiest back end is so far above its share that keys have to move, `since_last` microseconds after the
-/// last placement. What the few observed requests show may be chance, up to `sampling_error`.
+/// Whether the busiest backend exceeds its share so far that keys have to move, `since_last` microseconds after the
+/// last placement. An excess up to `sampling_error` may be a random effect of the observed requests.
 fn is_imbalanced(
     shard_map: &ShardMap,
     demand: &[RangeDemand],
@@ -145,7 +148,7 @@
     } else {
         REBALANCE_INTERVAL
     };
-    // Where slots stand free, moving keys is not worth the pause in which nobody holds them.
+    // While slots are free, balancing is not worth the pause in which no backend holds the moved keys.
     let allowed = if utilization > BUSY_UTILIZATION {
         MAX_BUSY_IMBALANCE
     } else {
--- a/crates/endpoints/src/placement/tests.rs
+++ b/crates/endpoints/src/placement/tests.rs
@@ -1,5 +1,5 @@
-//! A service divided by key, in virtual time: back ends become unhealthy, and the placement of keys follows the
-//! outcomes of their runs (design section 13.8). While nobody reports a back end as unhealthy, the requests for its
+//! A service divided by key, in virtual time: backends become unhealthy, and the placement of keys follows the
+//! outcomes of their runs (design section 13.8). While nobody reports a backend as unhealthy, the requests for its
 //! keys fail for as long as it is unhealthy.
 
 use std::collections::BTreeMap;
@@ -29,7 +29,7 @@
 /// From a placement until the earlier holder has released its range.
 const HANDOVER_DELAY: Microseconds = 500_000;
 const FAST_FAILURE_TIME: Microseconds = 2_000;
-/// The part of the runs at a healthy back end that fail.
+/// The part of the runs at a healthy backend that fail.
 const HEALTHY_FAILURE_SHARE: f64 = 0.03;
 const STEP: Microseconds = 1_000;
 const CHECK_INTERVAL: Microseconds = 100_000;
@@ -53,7 +53,7 @@
     outage: Outage,
     /// Runs that fail get no response until the request times out; otherwise they fail at once.
     hang: bool,
-    /// Back ends are reported as unhealthy.
+    /// Backends are reported as unhealthy.
     outlier_detection: bool,
     duration: Microseconds,
 }
@@ -62,17 +62,17 @@
 struct Observed {
     requests: u32,
     failed: u32,
-    /// Found no back end while a key was moved.
+    /// Found no backend while a key was moved.
     rejected_in_transit: u32,
     moved_keys: u32,
-    /// When the unhealthy back ends held less than a third of the keys that they had held, after the outage began.
+    /// When the unhealthy backends held less than a third of the keys that they had held, after the outage began.
     recovery_time: Option<Microseconds>,
     /// Judged unhealthy while they were healthy.
     false_positives: u32,
 }
 
 impl Observed {
-    /// Failed requests; those that found no back end come again, in time as often as not.
+    /// Failed requests; those that found no backend come again, in time as often as not.
     fn cost(&self) -> u32 {
         self.failed + self.rejected_in_transit / 2
     }
@@ -152,7 +152,7 @@
             .unwrap_or_default()
     }
 
-    /// How many keys the first `count` back ends hold.
+    /// How many keys the first `count` backends hold.
     fn keys_held_by_first(&self, count: usize) -> u32 {
         let shard_map = self.shard_map();
         let is_one = |holder: &str| holder < name(count).as_str();
--- a/crates/endpoints/src/registration.rs
+++ b/crates/endpoints/src/registration.rs
@@ -1,40 +1,41 @@
-//! Whether this process is the incarnation that the log has registered under its node's name (design section 11.2).
+//! Tells whether this process is the incarnation that the log has registered under its node's name (design section
+//! 11.2).
 //!
-//! Incarnations are drawn at random, so of two of them the greater one is not the later one. A process registers on
-//! top of the incarnation that it found, and one that was registered and then finds another one knows that the
-//! other one came after it.
+//! Incarnations are random, so the greater one of two is not necessarily the later one. A process registers as the
+//! successor of the incarnation that it finds in the log. A process that was registered and then finds another
+//! incarnation knows that the other one was registered later.
 
 use model::Incarnation;
 use model::cluster_state::NodeRecord;
 
-/// What the log says of this process.
+/// Registration status of this process in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RegistrationStatus {
-    /// The log does not have this process yet: it has to register.
+    /// The log does not have this process yet; the process has to register.
     Unregistered {
-        /// The incarnation that the log has and that the registration replaces; 0 if it has none.
+        /// Incarnation in the log that the registration replaces; 0 if there is none.
         replaces: Incarnation,
     },
-    /// The log has this process under the node's name.
+    /// The log has this process registered under the node's name.
     Registered,
-    /// This process was registered and another one of the same name is now: this one has to stop.
+    /// This process was registered and has been replaced by another one; it has to stop.
     Superseded,
 }
 
-/// Whether `node`, as the log has it, is the process of this `incarnation`. The log takes reports from no other one.
+/// Whether the log's record `node` is that of this `incarnation`. The log accepts reports from no other incarnation.
 pub(crate) fn is_registered(node: Option<&NodeRecord>, incarnation: Incarnation) -> bool {
     node.is_some_and(|node| node.incarnation == incarnation)
 }
 
-/// Follows what the log has under the name of this process's node.
+/// Tracks the registration of this process's node in the log.
 pub struct Registration {
     incarnation: Incarnation,
-    /// The log has had this process at some time.
+    /// Whether the log has had this process registered at any time.
     was_registered: bool,
 }
 
 impl Registration {
-    /// A process of this incarnation, of which nothing has been seen in the log yet.
+    /// Creates the state of a process whose incarnation has not been seen in the log yet.
     pub fn new(incarnation: Incarnation) -> Registration {
         Registration {
             incarnation,
@@ -42,10 +43,10 @@
         }
     }
 
-    /// Takes in what the log has under the node's name, `None` if nothing, and says where this process stands.
+    /// Updates the status with the log's record of the node, `None` if there is none, and returns the new status.
     ///
-    /// The state that is seen here only moves forward, so an incarnation that is seen after this process's own one
-    /// was registered after it.
+    /// The observed state only moves forward, so an incarnation that is seen after that of this process was registered
+    /// after this process.
     pub fn observe(&mut self, registered: Option<&NodeRecord>) -> RegistrationStatus {
         let Some(node) = registered else {
             return RegistrationStatus::Unregistered { replaces: 0 };
--- a/crates/endpoints/src/restored_backend.rs
+++ b/crates/endpoints/src/restored_backend.rs
@@ -1,5 +1,5 @@
-//! The back end beside a node that has just started, as the log has it: the node gives it requests from the first
-//! cluster state on and not only from the back end's next heartbeat (design section 11.2). Without input or output.
+//! Restores the backend beside a restarted node from the log, so that the node forwards requests to the backend from
+//! the first cluster state on instead of from the backend's next heartbeat (design section 11.2). Performs no I/O.
 
 #[cfg(test)]
 mod tests;
@@ -8,11 +8,11 @@
 use model::cluster_state::StateSnapshot;
 use model::{BackendPhase, Microseconds};
 
-/// The back end that the log has beside `node`, found at `address`, to be given requests before `until` (in
+/// Returns the backend that the log has beside `node`, with its `address`, for requests before `until` (in
 /// microseconds of the node's clock).
 ///
-/// `None` if the log does not have exactly one there, or if that one takes no new requests. The back end itself
-/// rejects a request that was meant for another incarnation and a key that it does not hold.
+/// `None` unless the log has exactly one backend there and that backend accepts new requests. The backend itself
+/// rejects requests for another incarnation and for keys that it does not hold.
 pub(crate) fn restored_backend(
     snapshot: &StateSnapshot,
     node: &str,
@@ -33,7 +33,7 @@
         .services
         .get(&backend.service)
         .is_some_and(|service| service.keyed);
-    // A range that an earlier holder has not released was perhaps never granted to this one.
+    // A range that an earlier holder has not released may never have been granted to this backend.
     let ranges = snapshot
         .placements
         .get(&backend.service)
--- a/crates/endpoints/src/restored_backend/tests.rs
+++ b/crates/endpoints/src/restored_backend/tests.rs
@@ -1,4 +1,4 @@
-//! Which back end of the log a node that has just started gives requests to.
+//! Which backend of the log a node that has just started gives requests to.
 
 use std::iter;
 
--- a/crates/endpoints/tests/lease_granter.rs
+++ b/crates/endpoints/tests/lease_granter.rs
@@ -1,4 +1,4 @@
-//! Leases that a back end is granted, against earlier holders and slow clocks (design section 11.5).
+//! Leases that a backend is granted, against earlier holders and slow clocks (design section 11.5).
 
 use endpoints::{LeaseConfig, LeaseGranter};
 use model::cluster_state::{ShardKey, ShardMap, shard_map};
--- a/crates/endpoints/tests/lease_table.rs
+++ b/crates/endpoints/tests/lease_table.rs
@@ -73,7 +73,7 @@
         vec![joined("old", "n0"), joined("other", "n1"), all(0, "old")],
     )
     .await;
-    // While no back end is heard it may still be there.
+    // While no backend is heard it may still be there.
     harness
         .wait_for_report("it is silent", |report| silent(report, "old", true))
         .await;
@@ -88,7 +88,7 @@
             name: "old".into(),
             process_gone: true
         },
-        "there is one back end to a machine"
+        "there is one backend to a machine"
     );
     harness
         .wait_for_report(
@@ -218,7 +218,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_restarted_node_gives_requests_to_the_logged_backend_before_its_first_heartbeat() {
-    // No back end sends heartbeats here.
+    // No backend sends heartbeats here.
     let harness = start_harness_with(
         600_000_000,
         true,
--- a/crates/endpoints/tests/placement_algorithm.rs
+++ b/crates/endpoints/tests/placement_algorithm.rs
@@ -1,4 +1,4 @@
-//! Placements of all keys: each back end's share, and no key moved without need (design section 11.4).
+//! Placements of all keys: each backend's share, and no key moved without need (design section 11.4).
 
 use endpoints::{BackendCapacity, RangeDemand, imbalance, initial_placement, rebalance};
 use model::cluster_state::shard_map::{self, ShardMap, ShardRange};
@@ -17,7 +17,7 @@
         400,
         |(shares, weights, before)| {
             let name = |number: u8| format!("backend-{}", number % 8);
-            // Any earlier placement: ranges of any size, some without a holder or of a back end that is gone.
+            // Any earlier placement: ranges of any size, some without a holder or of a backend that is gone.
             let held = before.iter().zip(1u64..).fold(
                 shard_map::unassigned(),
                 |ranges, ((one, other, who), position)| {
@@ -91,7 +91,7 @@
                 rest,
                 "nothing moves without a reason"
             );
-            // A range that has not reached its holder is not moved again, as long as that back end is there.
+            // A range that has not reached its holder is not moved again, as long as that backend is there.
             let next = shard_map::reassign(
                 in_transit.clone(),
                 &rebalance(&in_transit, &[], &capacities, 0.0),
--- a/crates/endpoints/tests/unverified_state.rs
+++ b/crates/endpoints/tests/unverified_state.rs
@@ -293,7 +293,7 @@
         idempotent: false,
         force: false,
     };
-    // Until the owner of the slots has heard of the back end it knows nobody of that name.
+    // Until the owner of the slots has heard of the backend it knows nobody of that name.
     let cause = async {
         loop {
             let trouble = harness
