--- a/crates/transport/tests/compact_encoding.rs
+++ b/crates/transport/tests/compact_encoding.rs
@@ -1,4 +1,4 @@
-//! Headers arrive as they were sent, and repeated ones are short.
+//! The compact encoding returns the headers that were sent and shortens repeated headers.
 
 use rkyv::rancor;
 use transport::{Error, Header, HeaderDecoder, HeaderEncoder, Headers};
@@ -29,27 +29,27 @@
         let encoded = encoder.encode(request(number));
         lengths.push(
             rkyv::to_bytes::<rancor::Error>(&encoded)
-                .expect("it archives")
+                .expect("the headers are serialized")
                 .len(),
         );
-        let decoded = decoder.decode(encoded).expect("every number was given out");
+        let decoded = decoder.decode(encoded).expect("every index was assigned");
         assert_eq!(sorted(decoded), sorted(request(number)));
     }
     assert!(lengths[4] * 2 < lengths[0], "{lengths:?}");
 }
 
 #[test]
-fn headers_of_one_name_keep_their_order_and_unknown_numbers_are_refused() {
+fn headers_of_one_name_keep_their_order_and_unknown_indices_are_rejected() {
     let (mut encoder, mut decoder) = (HeaderEncoder::default(), HeaderDecoder::default());
     let cookies: Headers = ["b", "a", "b"].map(|value| header("cookie", value)).into();
     for _ in 0..3 {
         let decoded = decoder.decode(encoder.encode(cookies.clone()));
-        assert_eq!(decoded.expect("every number was given out"), cookies);
+        assert_eq!(decoded.expect("every index was assigned"), cookies);
     }
     let single: Headers = vec![("x".to_string(), vec![1])];
     for _ in 0..2 {
         drop(encoder.encode(single.clone()));
     }
-    let unheard = HeaderDecoder::default().decode(encoder.encode(single));
-    assert!(matches!(unheard, Err(Error::Malformed)), "{unheard:?}");
+    let unknown = HeaderDecoder::default().decode(encoder.encode(single));
+    assert!(matches!(unknown, Err(Error::Malformed)), "{unknown:?}");
 }
--- a/crates/transport/tests/recorded_frames/main.rs
+++ b/crates/transport/tests/recorded_frames/main.rs
@@ -1,5 +1,5 @@
-//! The bytes of all frames as they stand on a conn, length and version included, as an earlier build
-//! wrote them. Each goes through a real conn both ways: said by it, and taken by it.
+//! Compares the bytes of all frames, including length and version, with those that an earlier build
+//! wrote. Each frame is sent and received by a real connection.
 
 #[path = "../../../test-support/tests/recorded/mod.rs"]
 mod recorded;
@@ -8,68 +8,75 @@
 mod samples;
 
 use recorded::RecordedBytes;
-use samples::{cue, frames, further_frames, greeting, take};
+use samples::{additional_frames, forwarded_request, forwarded_response, frames, handshake};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use transport::{Connection, Frame, Handshake, HeaderDecoder, HeaderEncoder, Purpose, accept};
 
-const LENGTH_AND_VERSION: usize = 6;
+const PREFIX_BYTES: usize = 6;
 
-/// A frame as bytes, as the far side of the conn reads it.
+/// Reads the bytes of one frame at the other end of the connection.
 async fn read_raw(stream: &mut TcpStream) -> Vec<u8> {
-    let mut bytes = vec![0; LENGTH_AND_VERSION];
+    let mut bytes = vec![0; PREFIX_BYTES];
     stream
         .read_exact(&mut bytes)
         .await
         .expect("length and version");
     let length = u32::from_be_bytes(bytes[..4].try_into().expect("four bytes")) as usize;
-    bytes.resize(LENGTH_AND_VERSION + length, 0);
+    bytes.resize(PREFIX_BYTES + length, 0);
     stream
-        .read_exact(&mut bytes[LENGTH_AND_VERSION..])
+        .read_exact(&mut bytes[PREFIX_BYTES..])
         .await
         .expect("a whole frame");
     bytes
 }
 
-/// A conn of this build, and the bare stream at its other end. The greeting that opens it is the
-/// recorded one; the one that answers it is checked as well.
-async fn conn(recorded: &mut RecordedBytes, greeting_bytes: &[u8]) -> (Connection, TcpStream) {
+/// Returns a connection of this build with the raw stream at the other end. The opening handshake is
+/// the recorded one; the bytes of the answering handshake are checked too.
+async fn open_connection(
+    recorded: &mut RecordedBytes,
+    handshake_bytes: &[u8],
+) -> (Connection, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     let mut stream = TcpStream::connect(address).await.expect("a stream");
-    let (accepted, _) = listener.accept().await.expect("a caller");
+    let (accepted, _) = listener.accept().await.expect("an incoming connection");
     stream
-        .write_all(greeting_bytes)
+        .write_all(handshake_bytes)
         .await
-        .expect("a greeting is sent");
-    let own = greeting(Purpose::Consensus);
-    let taken = accept(accepted, async |called: Handshake| {
-        assert_eq!(called, greeting(Purpose::Consensus));
+        .expect("the handshake is sent");
+    let own = handshake(Purpose::Consensus);
+    let accepting = accept(accepted, async |received: Handshake| {
+        assert_eq!(received, handshake(Purpose::Consensus));
         Ok(own)
     });
-    let conn = taken.await.expect("a conn");
+    let connection = accepting.await.expect("an accepted connection");
     recorded.check("greeting-in-answer", &read_raw(&mut stream).await);
-    (conn, stream)
+    (connection, stream)
 }
 
 async fn check(
     recorded: &mut RecordedBytes,
-    (conn, stream): &mut (Connection, TcpStream),
+    (connection, stream): &mut (Connection, TcpStream),
     name: &str,
     frame: Frame,
 ) {
-    conn.sender
+    connection
+        .sender
         .send(frame.clone())
         .await
-        .expect("the conn is open");
+        .expect("the connection is open");
     let bytes = recorded.check(name, &read_raw(stream).await);
-    stream.write_all(&bytes).await.expect("the conn is open");
-    assert_eq!(conn.receiver.recv().await, Some(frame), "{name}");
+    stream
+        .write_all(&bytes)
+        .await
+        .expect("the connection is open");
+    assert_eq!(connection.receiver.recv().await, Some(frame), "{name}");
 }
 
-/// What opens the conn on which all others are compared.
-fn opening() -> Vec<u8> {
-    let frame = Frame::Handshake(Box::new(greeting(Purpose::Consensus)));
+/// Returns the frame that opens the connection on which all other frames are compared.
+fn opening_frame() -> Vec<u8> {
+    let frame = Frame::Handshake(Box::new(handshake(Purpose::Consensus)));
     let archive = rkyv::to_bytes::<rkyv::rancor::Error>(&frame).expect("an archive");
     let length = (archive.len() as u32).to_be_bytes();
     [
@@ -81,40 +88,59 @@
 }
 
 #[tokio::test]
-async fn every_frame_has_the_recorded_bytes_on_a_conn_both_ways() {
+async fn every_frame_has_the_recorded_bytes_in_both_directions() {
     let mut recorded = RecordedBytes::of("frames");
-    let opening = recorded.check("greeting-to-open", &opening());
-    let mut conn = conn(&mut recorded, &opening).await;
+    let opening_frame = recorded.check("greeting-to-open", &opening_frame());
+    let mut connection = open_connection(&mut recorded, &opening_frame).await;
     let all = frames()
         .into_iter()
         .map(|(name, frame)| (name.to_string(), frame));
-    for (name, frame) in all.chain(further_frames()) {
-        check(&mut recorded, &mut conn, &name, frame).await;
+    for (name, frame) in all.chain(additional_frames()) {
+        check(&mut recorded, &mut connection, &name, frame).await;
     }
     recorded.finish();
 }
 
-/// Whole, then as a pair worth a number, then by that number.
+/// The same headers are sent as literals, then with new indices, then by these indices.
 #[tokio::test]
-async fn what_is_said_again_on_a_conn_has_the_recorded_bytes() {
+async fn repeated_headers_have_the_recorded_bytes() {
     let mut recorded = RecordedBytes::of("said-again");
-    let opening = opening();
-    let mut conn = conn(&mut recorded, &opening).await;
-    let (mut speaker, mut listener) = (HeaderEncoder::default(), HeaderDecoder::default());
+    let opening_frame = opening_frame();
+    let mut connection = open_connection(&mut recorded, &opening_frame).await;
+    let (mut encoder, mut decoder) = (HeaderEncoder::default(), HeaderDecoder::default());
     for number in 1..=3 {
-        let said = cue(number).encode(&mut speaker);
-        let frame = Frame::ForwardedRequest(number, Box::new(said.clone()));
-        check(&mut recorded, &mut conn, &format!("cue-{number}"), frame).await;
-        let mut heard = said.decode(&mut listener).expect("known words");
-        heard.headers.sort();
-        assert_eq!(heard, cue(number));
+        let encoded = forwarded_request(number).encode(&mut encoder);
+        let frame = Frame::ForwardedRequest(number, Box::new(encoded.clone()));
+        check(
+            &mut recorded,
+            &mut connection,
+            &format!("cue-{number}"),
+            frame,
+        )
+        .await;
+        let mut decoded = encoded
+            .decode(&mut decoder)
+            .expect("every index was assigned");
+        decoded.headers.sort();
+        assert_eq!(decoded, forwarded_request(number));
     }
-    let (mut speaker, mut listener) = (HeaderEncoder::default(), HeaderDecoder::default());
+    let (mut encoder, mut decoder) = (HeaderEncoder::default(), HeaderDecoder::default());
     for number in 1..=3 {
-        let said = take().encode(&mut speaker);
-        let frame = Frame::ForwardedResponse(number, 5, Box::new(said.clone()));
-        check(&mut recorded, &mut conn, &format!("taken-{number}"), frame).await;
-        assert_eq!(said.decode(&mut listener).expect("known words"), take());
+        let encoded = forwarded_response().encode(&mut encoder);
+        let frame = Frame::ForwardedResponse(number, 5, Box::new(encoded.clone()));
+        check(
+            &mut recorded,
+            &mut connection,
+            &format!("taken-{number}"),
+            frame,
+        )
+        .await;
+        assert_eq!(
+            encoded
+                .decode(&mut decoder)
+                .expect("every index was assigned"),
+            forwarded_response()
+        );
     }
     recorded.finish();
 }
--- a/crates/transport/tests/recorded_frames/samples.rs
+++ b/crates/transport/tests/recorded_frames/samples.rs
@@ -1,4 +1,4 @@
-//! Samples of all frames.
+//! Samples of all frames, for the comparison with recorded bytes.
 
 use crate::recorded_variants::every_variant;
 use mencius::{Message, ProposalNumber};
@@ -9,7 +9,7 @@
     HeaderEncoder, Headers, KnownReplica, LoadReport, Purpose,
 };
 
-const IDENTITY: u64 = 0x1122_3344_5566_7788;
+const DISK_ID: u64 = 0x1122_3344_5566_7788;
 
 pub(crate) fn text(text: &str) -> String {
     text.to_string()
@@ -27,40 +27,41 @@
     })
 }
 
-pub(crate) fn core_seat() -> KnownReplica {
+pub(crate) fn known_replica() -> KnownReplica {
     KnownReplica {
         replica_id: 2,
-        disk_id: IDENTITY,
+        disk_id: DISK_ID,
         address: text("10.0.0.1:7000"),
         zone: text("z0"),
         start_count: 4,
     }
 }
 
-pub(crate) fn greeting(purpose: Purpose) -> Handshake {
+pub(crate) fn handshake(purpose: Purpose) -> Handshake {
     Handshake {
         purpose,
         node_name: text("c2"),
         zone: text("z0"),
         address: text("10.0.0.1:7000"),
         incarnation: 0x0a0b_0c0d,
-        replica: Some((2, 3, IDENTITY)),
+        replica: Some((2, 3, DISK_ID)),
         has_empty_disk: true,
         expected_disk: Some(71),
-        known_replicas: vec![core_seat()],
+        known_replicas: vec![known_replica()],
     }
 }
 
 pub(crate) fn headers(number: u32) -> Headers {
-    let held = [
+    let pairs = [
         ("host", text("seats.example")),
         ("try", format!("{number:08x}")),
     ];
-    held.map(|(name, value)| (name.to_string(), value.into_bytes()))
+    pairs
+        .map(|(name, value)| (name.to_string(), value.into_bytes()))
         .into()
 }
 
-pub(crate) fn cue(number: u32) -> ForwardedRequest {
+pub(crate) fn forwarded_request(number: u32) -> ForwardedRequest {
     ForwardedRequest {
         backend: text("b1"),
         caller: text("web"),
@@ -77,7 +78,7 @@
     }
 }
 
-pub(crate) fn take() -> ForwardedResponse {
+pub(crate) fn forwarded_response() -> ForwardedResponse {
     ForwardedResponse {
         status: 201,
         headers: headers(7),
@@ -85,7 +86,7 @@
     }
 }
 
-pub(crate) fn dispatch() -> AttemptRequest {
+pub(crate) fn attempt_request() -> AttemptRequest {
     AttemptRequest {
         request_id: 81,
         attempt_id: text("try-1"),
@@ -108,7 +109,7 @@
     }
 }
 
-pub(crate) fn reply() -> AttemptResponse {
+pub(crate) fn attempt_response() -> AttemptResponse {
     AttemptResponse {
         status: 200,
         headers: headers(2),
@@ -117,7 +118,7 @@
     }
 }
 
-pub(crate) fn load() -> LoadReport {
+pub(crate) fn load_report() -> LoadReport {
     LoadReport {
         service: text("seat"),
         backend: text("b1"),
@@ -131,7 +132,7 @@
 }
 
 pub(crate) fn entry() -> Entry {
-    let act = Operation::EndpointReport(EndpointReport::NodeLeft {
+    let operation = Operation::EndpointReport(EndpointReport::NodeLeft {
         node: text("n1"),
         incarnation: 5,
         clean: true,
@@ -140,11 +141,11 @@
         origin: text("n1"),
         incarnation: 5,
         sequence: 41,
-        operation: act,
+        operation: operation,
     }
 }
 
-pub(crate) fn slice(position: u64) -> StateSlice {
+pub(crate) fn state_slice(position: u64) -> StateSlice {
     StateSlice {
         position,
         longest_requests: [(text("seat"), position)].into(),
@@ -154,14 +155,14 @@
 
 pub(crate) fn frames() -> Vec<(&'static str, Frame)> {
     every_variant!(Frame {
-        "greeting": Frame::Handshake(_) => Frame::Handshake(Box::new(greeting(Purpose::Consensus))),
+        "greeting": Frame::Handshake(_) => Frame::Handshake(Box::new(handshake(Purpose::Consensus))),
         "refusal": Frame::HandshakeRefused(_) => Frame::HandshakeRefused(text("why not")),
-        "known": Frame::KnownReplicas(_) => Frame::KnownReplicas(vec![core_seat()]),
+        "known": Frame::KnownReplicas(_) => Frame::KnownReplicas(vec![known_replica()]),
         "core": Frame::Consensus(_) => Frame::Consensus(mencius::Frame {
             cursor: 61,
             message: Message::Propose {
                 coordinator: 2,
-                proposal_number: ProposalNumber { counter: 3, disk_id: IDENTITY },
+                proposal_number: ProposalNumber { counter: 3, disk_id: DISK_ID },
                 block: (62, 70),
                 commands: vec![(65, vec![0xa1, 0xa2, 0xa3])],
             },
@@ -177,15 +178,15 @@
         "subscribe": Frame::Subscribe { .. } => {
             Frame::Subscribe { services: [text("seat"), text("web")].into(), held_position: 78 }
         },
-        "news": Frame::StateUpdate(_) => Frame::StateUpdate(Box::new(slice(79))),
-        "patch": Frame::StatePatch(_) => Frame::StatePatch(Box::new(slice(79).diff_to(&slice(80)))),
+        "news": Frame::StateUpdate(_) => Frame::StateUpdate(Box::new(state_slice(79))),
+        "patch": Frame::StatePatch(_) => Frame::StatePatch(Box::new(state_slice(79).diff_to(&state_slice(80)))),
         "ask": Frame::RequestProof { .. } => Frame::RequestProof { request_id: 83 },
         "proof": Frame::Proof { .. } => Frame::Proof { request_id: 84, position: 85 },
         "beat": Frame::Heartbeat => Frame::Heartbeat,
         "mark": Frame::Watermark(_) => Frame::Watermark(86),
-        "dispatch": Frame::Attempt(_) => Frame::Attempt(Box::new(dispatch())),
+        "dispatch": Frame::Attempt(_) => Frame::Attempt(Box::new(attempt_request())),
         "reply": Frame::AttemptResult { .. } => {
-            Frame::AttemptResult { request_id: 87, reply: Box::new(Ok(reply())) }
+            Frame::AttemptResult { request_id: 87, reply: Box::new(Ok(attempt_response())) }
         },
         "look": Frame::Inspect => Frame::Inspect,
         "seen": Frame::Inspection(_) => Frame::Inspection(b"{}".to_vec()),
@@ -194,12 +195,12 @@
             Frame::ClusterStateUpdate { is_snapshot: true, from: 89, to: 90, deltas: vec![0xb1, 0xb2] }
         },
         "cue": Frame::ForwardedRequest(..) => {
-            Frame::ForwardedRequest(91, Box::new(cue(1).encode(&mut HeaderEncoder::default())))
+            Frame::ForwardedRequest(91, Box::new(forwarded_request(1).encode(&mut HeaderEncoder::default())))
         },
         "cancel": Frame::CancelRequest(_) => Frame::CancelRequest(92),
-        "load": Frame::LoadReport(_) => Frame::LoadReport(Box::new(load())),
+        "load": Frame::LoadReport(_) => Frame::LoadReport(Box::new(load_report())),
         "taken": Frame::ForwardedResponse(..) => {
-            Frame::ForwardedResponse(93, 94, Box::new(take().encode(&mut HeaderEncoder::default())))
+            Frame::ForwardedResponse(93, 94, Box::new(forwarded_response().encode(&mut HeaderEncoder::default())))
         },
         "untaken": Frame::ForwardFailed(..) => {
             Frame::ForwardFailed(95, 96, Box::new(Error::new(ErrorKind::Overloaded, "full")))
@@ -216,32 +217,35 @@
     })
 }
 
-/// Frames that look otherwise within the same variant.
-pub(crate) fn further_frames() -> Vec<(String, Frame)> {
-    let greetings = purposes().into_iter().map(|(name, purpose)| {
+/// Further samples of variants with optional or enum fields.
+pub(crate) fn additional_frames() -> Vec<(String, Frame)> {
+    let handshakes = purposes().into_iter().map(|(name, purpose)| {
         (
             format!("greeting-{name}"),
-            Frame::Handshake(Box::new(greeting(purpose))),
+            Frame::Handshake(Box::new(handshake(purpose))),
         )
     });
-    let of_a_node = Handshake {
+    let node_handshake = Handshake {
         replica: None,
         has_empty_disk: false,
         expected_disk: None,
         known_replicas: Vec::new(),
-        ..greeting(Purpose::Forward)
+        ..handshake(Purpose::Forward)
     };
-    let plain_dispatch = AttemptRequest {
+    let unsharded_attempt = AttemptRequest {
         shard_key: None,
         fencing_token: None,
-        ..dispatch()
+        ..attempt_request()
     };
-    let lost = Error {
+    let peer_lost = Error {
         retry_after: None,
         ..Error::new(ErrorKind::PeerLost, "cut")
     };
     let others = [
-        ("greeting-of-a-node", Frame::Handshake(Box::new(of_a_node))),
+        (
+            "greeting-of-a-node",
+            Frame::Handshake(Box::new(node_handshake)),
+        ),
         (
             "answer-not-known",
             Frame::EntryOutcome {
@@ -251,17 +255,17 @@
         ),
         (
             "dispatch-without-a-key",
-            Frame::Attempt(Box::new(plain_dispatch)),
+            Frame::Attempt(Box::new(unsharded_attempt)),
         ),
         (
             "reply-of-trouble",
             Frame::AttemptResult {
                 request_id: 100,
-                reply: Box::new(Err(lost)),
+                reply: Box::new(Err(peer_lost)),
             },
         ),
     ];
-    greetings
+    handshakes
         .chain(others.map(|(name, frame)| (name.to_string(), frame)))
         .collect()
 }
