--- a/crates/endpoints/src/placement/tests.rs
+++ b/crates/endpoints/src/placement/tests.rs
@@ -1,6 +1,6 @@
-//! A service divided by key, in virtual time: backends become unhealthy, and the placement of keys follows the
-//! outcomes of their runs (design section 13.8). While nobody reports a backend as unhealthy, the requests for its
-//! keys fail for as long as it is unhealthy.
+//! Simulates a keyed service in virtual time: backends become unhealthy, and the placement of keys reacts to the
+//! results of their runs (design section 13.8). Without outlier detection, requests for the keys of an unhealthy
+//! backend fail until the backend recovers.
 
 use std::collections::BTreeMap;
 use std::mem;
@@ -26,10 +26,10 @@
 const REQUESTS_PER_SECOND: f64 = 600.0;
 const MEAN_RUN_TIME: f64 = 160_000.0;
 const REQUEST_TIMEOUT: Microseconds = 1_200_000;
-/// From a placement until the earlier holder has released its range.
+/// Time from a placement until the earlier holder has released its range, in microseconds.
 const HANDOVER_DELAY: Microseconds = 500_000;
 const FAST_FAILURE_TIME: Microseconds = 2_000;
-/// The part of the runs at a healthy backend that fail.
+/// Fraction of the runs at a healthy backend that fail.
 const HEALTHY_FAILURE_SHARE: f64 = 0.03;
 const STEP: Microseconds = 1_000;
 const CHECK_INTERVAL: Microseconds = 100_000;
@@ -38,41 +38,41 @@
 const MAX_REPORTED_RANGES: usize = 24;
 const SECOND: Microseconds = 1_000_000;
 
-/// The first `backends` of all are unhealthy for a while.
+/// A period in which the first `backends` of all backends are unhealthy.
 #[derive(Clone, Copy)]
 struct Outage {
     backends: usize,
     from: Microseconds,
     until: Microseconds,
-    /// The part of their runs that fail.
+    /// Fraction of their runs that fail.
     failure_share: f64,
 }
 
 #[derive(Clone, Copy)]
 struct Scenario {
     outage: Outage,
-    /// Runs that fail get no response until the request times out; otherwise they fail at once.
+    /// Whether failing runs get no response until the request times out, instead of failing at once.
     hang: bool,
-    /// Backends are reported as unhealthy.
+    /// Whether backends are reported as unhealthy.
     outlier_detection: bool,
     duration: Microseconds,
 }
 
 #[derive(Default, Debug)]
-struct Observed {
+struct Measurements {
     requests: u32,
     failed: u32,
-    /// Found no backend while a key was moved.
+    /// Requests without a backend because their key was in transit.
     rejected_in_transit: u32,
     moved_keys: u32,
-    /// When the unhealthy backends held less than a third of the keys that they had held, after the outage began.
+    /// Time from the start of the outage until the unhealthy backends held less than a third of their share of keys.
     recovery_time: Option<Microseconds>,
-    /// Judged unhealthy while they were healthy.
+    /// Number of times that a healthy backend was judged unhealthy.
     false_positives: u32,
 }
 
-impl Observed {
-    /// Failed requests; those that found no backend come again, in time as often as not.
+impl Measurements {
+    /// Returns the failed requests plus half of the rejected ones: the other half succeeds when it is retried.
     fn cost(&self) -> u32 {
         self.failed + self.rejected_in_transit / 2
     }
@@ -83,7 +83,7 @@
     backend: usize,
     run_id: u64,
     result: RunResult,
-    /// How long the run took, if it got a response.
+    /// Duration of the run, if it got a response.
     run_time: Option<Microseconds>,
 }
 
@@ -100,7 +100,7 @@
     format!("b{at:02}")
 }
 
-/// The cluster state that all nodes see at once.
+/// The cluster state, which all nodes see without delay.
 struct Cluster {
     state: ClusterState,
     sequence: u64,
@@ -152,13 +152,13 @@
             .unwrap_or_default()
     }
 
-    /// How many keys the first `count` backends hold.
+    /// Returns the number of keys that the first `count` backends hold.
     fn keys_held_by_first(&self, count: usize) -> u32 {
         let shard_map = self.shard_map();
-        let is_one = |holder: &str| holder < name(count).as_str();
+        let is_among_first = |holder: &str| holder < name(count).as_str();
         let held = shard_map
             .iter()
-            .filter(|range| range.holder.as_deref().is_some_and(is_one));
+            .filter(|range| range.holder.as_deref().is_some_and(is_among_first));
         held.map(|range| (range.last_key - range.first_key) as u32 + 1)
             .sum()
     }
@@ -198,20 +198,20 @@
     random: StdRng,
     cluster: Cluster,
     backends: Vec<SimulatedBackend>,
-    /// By time and the number of the request.
+    /// Ends of runs, by time and request number.
     completions: BTreeMap<(Microseconds, u64), Completion>,
     started: u64,
-    /// Requests that are due to start, with the part of one that is not due yet.
+    /// Number of requests that are due to start, including a fraction of the next one.
     due_requests: f64,
     load_reports: LoadReports,
     ejections: EjectionPolicy,
-    /// Reports of released ranges, and when each is sent.
+    /// Reports of released ranges, with the time at which each is sent.
     releases: Vec<(Microseconds, ClusterReport)>,
     placed_at: Microseconds,
-    observed: Observed,
+    measurements: Measurements,
 }
 
-fn simulate(scenario: Scenario) -> Observed {
+fn simulate(scenario: Scenario) -> Measurements {
     let mut simulation = Simulation {
         scenario,
         random: StdRng::seed_from_u64(41),
@@ -224,13 +224,13 @@
         ejections: EjectionPolicy::default(),
         releases: Vec::new(),
         placed_at: 0,
-        observed: Observed::default(),
+        measurements: Measurements::default(),
     };
     for now in (1..scenario.duration / STEP).map(|step| step * STEP) {
         simulation.step(now);
     }
-    eprintln!("{:?}", simulation.observed);
-    simulation.observed
+    eprintln!("{:?}", simulation.measurements);
+    simulation.measurements
 }
 
 impl Simulation {
@@ -243,7 +243,7 @@
             }
             self.release_ranges(now);
             self.place_keys(now);
-            self.note_recovery(now);
+            self.record_recovery(now);
         }
     }
 
@@ -275,7 +275,7 @@
     }
 
     fn start_request(&mut self, now: Microseconds) {
-        self.observed.requests += 1;
+        self.measurements.requests += 1;
         let key: u16 = self.random.random();
         let shard_map = &self.cluster.snapshot.placements[SERVICE].1;
         let Some(range) = shard_map::range_of(shard_map, key) else {
@@ -286,7 +286,7 @@
             .filter(|_| range.pending_releases.is_empty());
         let free = holder.filter(|at| self.backends[*at].outliers.running() < 2 * SLOTS as usize);
         let Some(at) = free else {
-            self.observed.rejected_in_transit += 1;
+            self.measurements.rejected_in_transit += 1;
             return;
         };
         let (result, run_time) = self.draw_run(now, at);
@@ -308,7 +308,7 @@
             .insert((now + run_time, self.started), completion);
     }
 
-    /// The result of a run that starts now, and how long it takes.
+    /// Draws the result and the duration of a run that starts now.
     fn draw_run(&mut self, now: Microseconds, at: usize) -> (RunResult, Microseconds) {
         let Outage {
             backends,
@@ -319,7 +319,7 @@
         let fails =
             at < backends && (from..until).contains(&now) && self.random.random_bool(failure_share);
         let run_time = (-MEAN_RUN_TIME * (1.0 - self.random.random::<f64>()).ln()) as Microseconds;
-        self.observed.failed += fails as u32;
+        self.measurements.failed += fails as u32;
         match (fails, self.scenario.hang) {
             (true, true) => (RunResult::Inconclusive, REQUEST_TIMEOUT),
             (true, false) => (RunResult::Failure, FAST_FAILURE_TIME),
@@ -338,7 +338,8 @@
         let in_outage = at < backends && now > from && now < until + 2 * SECOND;
         let backend = &mut self.backends[at];
         let unhealthy = backend.outliers.is_ejected();
-        self.observed.false_positives += (unhealthy && !backend.was_unhealthy && !in_outage) as u32;
+        self.measurements.false_positives +=
+            (unhealthy && !backend.was_unhealthy && !in_outage) as u32;
         backend.was_unhealthy = unhealthy;
         let interval = if unhealthy {
             UNHEALTHY_LOAD_REPORT_INTERVAL
@@ -395,7 +396,7 @@
         self.schedule_releases(now);
     }
 
-    /// The earlier holders of ranges that have just moved release them after a while.
+    /// Schedules the releases of the ranges that have just moved by their earlier holders.
     fn schedule_releases(&mut self, now: Microseconds) {
         let position = self.cluster.snapshot.position;
         let shard_map = self.cluster.shard_map();
@@ -404,7 +405,7 @@
             .filter(|range| range.fencing_token == position)
         {
             for (earlier, _) in &range.pending_releases {
-                self.observed.moved_keys += (range.last_key - range.first_key) as u32 + 1;
+                self.measurements.moved_keys += (range.last_key - range.first_key) as u32 + 1;
                 let report = ClusterReport::ShardsReleased {
                     service: SERVICE.into(),
                     name: earlier.clone(),
@@ -416,14 +417,14 @@
         }
     }
 
-    fn note_recovery(&mut self, now: Microseconds) {
+    fn record_recovery(&mut self, now: Microseconds) {
         let Outage { backends, from, .. } = self.scenario.outage;
-        if now <= from || self.observed.recovery_time.is_some() || backends == 0 {
+        if now <= from || self.measurements.recovery_time.is_some() || backends == 0 {
             return;
         }
         let third = 65_536 / BACKENDS as u32 * backends as u32 / 3;
         if self.cluster.keys_held_by_first(backends) < third {
-            self.observed.recovery_time = Some(now - from);
+            self.measurements.recovery_time = Some(now - from);
         }
     }
 }
@@ -440,7 +441,7 @@
     duration: 24 * SECOND,
 };
 
-fn without_detection(scenario: Scenario) -> Observed {
+fn without_detection(scenario: Scenario) -> Measurements {
     simulate(Scenario {
         outlier_detection: false,
         ..scenario
@@ -448,67 +449,73 @@
 }
 
 #[test]
-fn keys_leave_a_back_end_that_lets_runs_hang_and_most_failures_are_avoided() {
-    let (with, without) = (simulate(HANGING), without_detection(HANGING));
+fn keys_leave_a_backend_whose_runs_hang_and_most_failures_are_avoided() {
+    let (enabled, disabled) = (simulate(HANGING), without_detection(HANGING));
     assert!(
-        with.recovery_time.is_some_and(|time| time <= 3 * SECOND),
-        "{with:?}"
+        enabled.recovery_time.is_some_and(|time| time <= 3 * SECOND),
+        "{enabled:?}"
     );
-    assert!(without.recovery_time.is_none(), "{without:?}");
-    assert!(with.cost() * 2 < without.cost(), "{with:?} {without:?}");
-    assert_eq!(with.false_positives, 0);
+    assert!(disabled.recovery_time.is_none(), "{disabled:?}");
+    assert!(
+        enabled.cost() * 2 < disabled.cost(),
+        "{enabled:?} {disabled:?}"
+    );
+    assert_eq!(enabled.false_positives, 0);
 }
 
 #[test]
-fn keys_leave_a_back_end_that_fails_at_once_though_it_looks_fast() {
+fn keys_leave_a_backend_that_looks_fast_because_its_runs_fail_at_once() {
     let scenario = Scenario {
         hang: false,
         ..HANGING
     };
-    let (with, without) = (simulate(scenario), without_detection(scenario));
+    let (enabled, disabled) = (simulate(scenario), without_detection(scenario));
+    assert!(
+        enabled.recovery_time.is_some_and(|time| time <= 3 * SECOND),
+        "{enabled:?}"
+    );
     assert!(
-        with.recovery_time.is_some_and(|time| time <= 3 * SECOND),
-        "{with:?}"
+        enabled.cost() * 2 < disabled.cost(),
+        "{enabled:?} {disabled:?}"
     );
-    assert!(with.cost() * 2 < without.cost(), "{with:?} {without:?}");
 }
 
 #[test]
-fn while_all_are_healthy_none_is_ejected_and_keys_stay() {
+fn no_backend_is_ejected_and_no_keys_move_while_all_are_healthy() {
     let outage = Outage {
         backends: 0,
         from: 0,
         until: 0,
         failure_share: 0.0,
     };
-    let calm = Scenario {
+    let all_healthy = Scenario {
         outage,
         duration: 40 * SECOND,
         ..HANGING
     };
-    let (with, without) = (simulate(calm), without_detection(calm));
+    let (enabled, disabled) = (simulate(all_healthy), without_detection(all_healthy));
     assert_eq!(
-        (with.false_positives, with.moved_keys),
-        (0, without.moved_keys)
+        (enabled.false_positives, enabled.moved_keys),
+        (0, disabled.moved_keys)
     );
 }
 
 #[test]
-fn while_all_are_unhealthy_the_cause_is_elsewhere_and_no_key_moves_for_it() {
+fn no_keys_move_while_all_backends_are_unhealthy() {
     let outage = Outage {
         backends: BACKENDS,
         from: 8 * SECOND,
         until: 16 * SECOND,
         failure_share: 0.5,
     };
-    let all = Scenario {
+    let all_unhealthy = Scenario {
         outage,
         hang: false,
         ..HANGING
     };
-    let (with, without) = (simulate(all), without_detection(all));
+    let (enabled, disabled) = (simulate(all_unhealthy), without_detection(all_unhealthy));
     assert!(
-        with.moved_keys <= without.moved_keys + 6_554,
-        "{with:?} {without:?}"
+        enabled.moved_keys <= disabled.moved_keys + 6_554,
+        "{enabled:?} {disabled:?}"
     );
 }
--- a/crates/endpoints/src/restored_backend/tests.rs
+++ b/crates/endpoints/src/restored_backend/tests.rs
@@ -1,4 +1,4 @@
-//! Which backend of the log a node that has just started gives requests to.
+//! Tests which backend a restarted node restores from the log, and which keys the backend holds.
 
 use std::iter;
 
@@ -34,18 +34,18 @@
 }
 
 #[test]
-fn a_restored_backend_holds_what_the_log_gave_it_and_nobody_else_may_still_have() {
+fn a_restored_backend_holds_its_ranges_that_no_earlier_holder_may_still_have() {
     let first = shard_map::reassign(
         shard_map::unassigned(),
         &[(0, 99, "a".into()), (100, u16::MAX, "b".into())],
         3,
     );
     let moved = shard_map::reassign(first, &[(200, 299, "a".into())], 5);
-    let programme = snapshot_of(vec![
+    let snapshot = snapshot_of(vec![
         backend("a", BackendPhase::Registered),
         Delta::ShardRanges("seat".into(), 5, moved),
     ]);
-    let local = restored_backend(&programme, NODE, "here", 70).expect("the one that the log has");
+    let local = restored_backend(&snapshot, NODE, "here", 70).expect("the backend in the log");
     assert_eq!(
         (
             local.name.as_str(),
@@ -55,29 +55,29 @@
         ),
         ("a", "here", 4, Some(70))
     );
-    let holding = local.held_keys.expect("a service divided by key");
+    let held_keys = local.held_keys.expect("a keyed service");
     assert!(
-        holding.holds(69, 99)
-            && !holding.holds(69, 100)
-            && !holding.holds(69, 250)
-            && !holding.holds(70, 99)
+        held_keys.holds(69, 99)
+            && !held_keys.holds(69, 100)
+            && !held_keys.holds(69, 250)
+            && !held_keys.holds(70, 99)
     );
 }
 
 #[test]
 fn a_draining_backend_or_one_of_two_is_not_restored() {
     let registered = || backend("a", BackendPhase::Registered);
-    let found = |deltas| restored_backend(&snapshot_of(deltas), NODE, "here", 70).is_some();
-    assert!(found(vec![registered()]));
-    assert!(!found(vec![
+    let is_restored = |deltas| restored_backend(&snapshot_of(deltas), NODE, "here", 70).is_some();
+    assert!(is_restored(vec![registered()]));
+    assert!(!is_restored(vec![
         registered(),
         backend("b", BackendPhase::Registered)
     ]));
-    assert!(!found(vec![
+    assert!(!is_restored(vec![
         registered(),
         backend("b", BackendPhase::Draining)
     ]));
-    assert!(!found(vec![backend("a", BackendPhase::Draining)]));
-    assert!(!found(vec![backend("a", BackendPhase::PresumedGone)]));
-    assert!(!found(Vec::new()));
+    assert!(!is_restored(vec![backend("a", BackendPhase::Draining)]));
+    assert!(!is_restored(vec![backend("a", BackendPhase::PresumedGone)]));
+    assert!(!is_restored(Vec::new()));
 }
--- a/crates/endpoints/tests/harness/mod.rs
+++ b/crates/endpoints/tests/harness/mod.rs
@@ -1,4 +1,4 @@
-//! A log of one replica in this process, and the lease table of a node over it.
+//! A log of one replica in this process, and a node's lease table that uses this log.
 
 use control::{
     FollowerHandle, SharedVerifiedState, StatusReporter, StatusReporterConfig, VerifiedState,
@@ -25,13 +25,13 @@
 
 pub(crate) type ReceivedReport = (Microseconds, ClusterReport);
 
-/// A log that applies each report that it gets and shows its node all of its state at once.
+/// A log that applies each report and publishes its complete state to the node without delay.
 pub(crate) struct Harness {
     pub lease_table: LeaseTableHandle,
-    pub heard: watch::Receiver<Vec<ReceivedReport>>,
-    /// Whether the log answers.
-    pub answers: watch::Sender<bool>,
-    /// Accepts connections and sends nothing: a process that lives.
+    pub received_reports: watch::Receiver<Vec<ReceivedReport>>,
+    /// Whether the log answers reports.
+    pub log_answers: watch::Sender<bool>,
+    /// Listener of the backend's process, which accepts connections but sends nothing.
     pub process: TcpListener,
     pub limiter: ConcurrencyLimiter,
 }
@@ -47,14 +47,14 @@
     }
 }
 
-pub(crate) fn joined(name: &str, node: &str) -> ClusterReport {
+pub(crate) fn backend_joined(name: &str, node: &str) -> ClusterReport {
     ClusterReport::BackendJoined {
         name: name.into(),
         backend: backend_record(node),
     }
 }
 
-pub(crate) fn all(base: u64, name: &str) -> ClusterReport {
+pub(crate) fn all_keys_assigned(base: u64, name: &str) -> ClusterReport {
     ClusterReport::ShardsReassigned {
         service: "seat".into(),
         base_placement: base,
@@ -76,14 +76,14 @@
     }
 }
 
-pub(crate) async fn start_harness(keyed: bool, before: Vec<ClusterReport>) -> Harness {
-    start_harness_with(HEARTBEAT_INTERVAL, keyed, before).await
+pub(crate) async fn start_harness(keyed: bool, initial_reports: Vec<ClusterReport>) -> Harness {
+    start_harness_with(HEARTBEAT_INTERVAL, keyed, initial_reports).await
 }
 
 pub(crate) async fn start_harness_with(
     heartbeat_interval: Microseconds,
     keyed: bool,
-    before: Vec<ClusterReport>,
+    initial_reports: Vec<ClusterReport>,
 ) -> Harness {
     let mut state = ClusterState::default();
     let body = ItemBody::Service(Service {
@@ -107,34 +107,37 @@
             drops: Vec::new(),
         }),
     );
-    before.into_iter().zip(1..).for_each(|(report, sequence)| {
-        drop(state.apply(
-            "earlier",
-            1,
-            sequence,
-            ClusterOperation::Reports(vec![report]),
-        ))
-    });
-    let (moved, watch) = watch::channel(0);
+    initial_reports
+        .into_iter()
+        .zip(1..)
+        .for_each(|(report, sequence)| {
+            drop(state.apply(
+                "earlier",
+                1,
+                sequence,
+                ClusterOperation::Reports(vec![report]),
+            ))
+        });
+    let (change_sender, changes) = watch::channel(0);
     let follower = FollowerHandle {
         verified_state: Default::default(),
-        changes: watch,
+        changes,
         followed: watch::channel(None).1,
     };
-    // There was a proof, so reports are sent, and it was long ago, so nothing is granted.
-    let show = |state: &ClusterState, verified_state: &SharedVerifiedState| {
+    // There was a freshness proof, so reports are sent; it is too old to grant leases.
+    let publish = |state: &ClusterState, verified_state: &SharedVerifiedState| {
         let snapshot = StateSnapshot::default().updated(true, state.position, state.full_deltas());
         verified_state.store(Arc::new(VerifiedState {
             snapshot: Arc::new(snapshot),
             verified_at: 1,
         }));
     };
-    show(&state, &follower.verified_state);
-    let log = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = log.local_addr().expect("an address").to_string();
-    let known = discovery::empty();
+    publish(&state, &follower.verified_state);
+    let log_listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let address = log_listener.local_addr().expect("an address").to_string();
+    let known_replicas = discovery::empty();
     discovery::merge(
-        &known,
+        &known_replicas,
         vec![KnownReplica {
             replica_id: 0,
             disk_id: 1,
@@ -143,11 +146,11 @@
             start_count: 1,
         }],
     );
-    let (told, heard) = watch::channel(Vec::new());
+    let (report_sender, received_reports) = watch::channel(Vec::new());
     let verified_state = follower.verified_state.clone();
-    let (answers, mut answering) = watch::channel(true);
+    let (log_answers, mut answers_enabled) = watch::channel(true);
     tokio::spawn(async move {
-        while let Ok((stream, _)) = log.accept().await {
+        while let Ok((stream, _)) = log_listener.accept().await {
             let own = handshake(&address);
             let Ok(mut connection) = transport::accept(stream, |_| async { Ok(own) }).await else {
                 continue;
@@ -160,10 +163,10 @@
                 else {
                     continue;
                 };
-                told.send_modify(|told| {
-                    told.extend(reports.iter().map(|report| (model::now(), report.clone())))
+                report_sender.send_modify(|received| {
+                    received.extend(reports.iter().map(|report| (model::now(), report.clone())))
                 });
-                drop(answering.wait_for(|answers| *answers).await);
+                drop(answers_enabled.wait_for(|enabled| *enabled).await);
                 let outcome = state
                     .apply(
                         &entry.origin,
@@ -172,8 +175,8 @@
                         ClusterOperation::Reports(reports),
                     )
                     .0;
-                show(&state, &verified_state);
-                moved.send_modify(|moved| *moved += 1);
+                publish(&state, &verified_state);
+                change_sender.send_modify(|changes| *changes += 1);
                 drop(
                     connection
                         .sender
@@ -187,12 +190,12 @@
         }
     });
     let process = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let keys = LeaseConfig {
+    let leases = LeaseConfig {
         proof_validity: 1_000_000,
         clock_guard: 0,
         max_duration: MAX_LEASE,
     };
-    let back_end = process
+    let backend_address = process
         .local_addr()
         .ok()
         .map(|address| address.to_string())
@@ -202,36 +205,49 @@
         zone: "z0".into(),
         address: "n0".into(),
         incarnation: 1,
-        leases: keys,
+        leases,
         heartbeat_interval,
-        backend_address: back_end,
+        backend_address,
         drain_timeout: 1_000_000,
     };
-    let reporting = StatusReporterConfig {
+    let reporter_config = StatusReporterConfig {
         node: "n0".into(),
         incarnation: 1,
         logger: discard_logger(),
     };
-    let reports = StatusReporter::start(reporting, known, watch::channel(None).1, || {
-        handshake("127.0.0.1:0")
-    });
+    let reporter = StatusReporter::start(
+        reporter_config,
+        known_replicas,
+        watch::channel(None).1,
+        || handshake("127.0.0.1:0"),
+    );
     let limiter = ConcurrencyLimiter::start(ConcurrencyLimiterConfig {
         header_names: DEFAULT_HEADER_NAMES,
         extra_runs: 0,
     });
-    let lease_table =
-        LeaseTableHandle::start(config, follower, limiter.clone(), reports, discard_logger());
+    let lease_table = LeaseTableHandle::start(
+        config,
+        follower,
+        limiter.clone(),
+        reporter,
+        discard_logger(),
+    );
     Harness {
         lease_table,
-        heard,
-        answers,
+        received_reports,
+        log_answers,
         process,
         limiter,
     }
 }
 
 impl Harness {
-    pub(crate) async fn heartbeat(&self, name: &str, sequence: u64, holds: Vec<(u16, u16, u64)>) {
+    pub(crate) async fn heartbeat(
+        &self,
+        name: &str,
+        sequence: u64,
+        held_ranges: Vec<(u16, u16, u64)>,
+    ) {
         let address = self.process.local_addr().expect("an address").to_string();
         let (name, service, zone) = (name.to_string(), "seat".to_string(), "z0".to_string());
         let heartbeat = Heartbeat {
@@ -242,38 +258,45 @@
             slots: 4,
             draining: false,
             sequence,
-            held_ranges: holds,
+            held_ranges,
             released_ranges: Vec::new(),
         };
         assert_eq!(
             self.lease_table.heartbeat(heartbeat).await,
             Ok(None),
-            "nothing can be granted"
+            "no leases can be granted"
         );
     }
 
-    /// The first report that fits, and when it was heard.
+    /// Waits for the first report that satisfies `matches_report`, and returns it with the time of its receipt.
     pub(crate) async fn wait_for_report(
         &mut self,
         what: &str,
-        fits: impl Fn(&ClusterReport) -> bool,
+        matches_report: impl Fn(&ClusterReport) -> bool,
     ) -> ReceivedReport {
-        let found =
-            |heard: &Vec<ReceivedReport>| heard.iter().find(|(_, report)| fits(report)).cloned();
-        let waited =
-            tokio::time::timeout(TIMEOUT, self.heard.wait_for(|heard| found(heard).is_some()))
-                .await;
-        let heard = waited
-            .unwrap_or_else(|_| panic!("it was never told: {what}"))
-            .expect("the log is there");
-        found(&heard).expect("it fits")
+        let found = |received: &Vec<ReceivedReport>| {
+            received
+                .iter()
+                .find(|(_, report)| matches_report(report))
+                .cloned()
+        };
+        let waited = tokio::time::timeout(
+            TIMEOUT,
+            self.received_reports
+                .wait_for(|received| found(received).is_some()),
+        )
+        .await;
+        let received = waited
+            .unwrap_or_else(|_| panic!("no report before the timeout: {what}"))
+            .expect("the log is running");
+        found(&received).expect("a matching report")
     }
 
-    pub(crate) fn count(&self, fits: impl Fn(&ClusterReport) -> bool) -> usize {
-        self.heard
+    pub(crate) fn count(&self, matches_report: impl Fn(&ClusterReport) -> bool) -> usize {
+        self.received_reports
             .borrow()
             .iter()
-            .filter(|(_, report)| fits(report))
+            .filter(|(_, report)| matches_report(report))
             .count()
     }
 }
--- a/crates/endpoints/tests/lease_table.rs
+++ b/crates/endpoints/tests/lease_table.rs
@@ -1,86 +1,102 @@
-//! The lease table of a node, over a log of one replica in this process (design sections 11.2 and 11.5).
+//! Tests the lease table of a node with a log of one replica in this process (design sections 11.2 and 11.5).
 
 mod harness;
 
 use harness::{
-    HEARTBEAT_INTERVAL, MAX_LEASE, TIMEOUT, all, joined, start_harness, start_harness_with,
+    HEARTBEAT_INTERVAL, MAX_LEASE, TIMEOUT, all_keys_assigned, backend_joined, start_harness,
+    start_harness_with,
 };
 use model::cluster_state::ClusterReport;
 use transport::ForwardedRequest;
 
-fn ends(report: &ClusterReport, who: &str) -> bool {
-    matches!(report, ClusterReport::BackendEnded { name, .. } if name == who)
+fn reports_end(report: &ClusterReport, expected_name: &str) -> bool {
+    matches!(report, ClusterReport::BackendEnded { name, .. } if name == expected_name)
 }
 
-fn silent(report: &ClusterReport, who: &str, wanted: bool) -> bool {
-    matches!(report, ClusterReport::BackendSilent { name, silent } if name == who && *silent == wanted)
+fn reports_silence(report: &ClusterReport, expected_name: &str, expected: bool) -> bool {
+    matches!(report, ClusterReport::BackendSilent { name, silent } if name == expected_name && *silent == expected)
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_silent_backend_whose_process_lives_comes_back_under_its_name() {
+async fn a_silent_backend_whose_process_runs_can_return_under_its_name() {
     let mut harness = start_harness(false, Vec::new()).await;
     harness.heartbeat("a", 1, Vec::new()).await;
     harness
-        .wait_for_report("it is there", |report| {
+        .wait_for_report("the backend has joined", |report| {
             matches!(report, ClusterReport::BackendJoined { .. })
         })
         .await;
     let (_, first) = harness
-        .wait_for_report("it is silent, or gone", |report| {
-            silent(report, "a", true) || ends(report, "a")
+        .wait_for_report("the backend is silent or has ended", |report| {
+            reports_silence(report, "a", true) || reports_end(report, "a")
         })
         .await;
     assert!(
-        silent(&first, "a", true),
-        "nobody knows that its process is gone: {first:?}"
+        reports_silence(&first, "a", true),
+        "the process is not known to be gone: {first:?}"
     );
     harness.heartbeat("a", 2, Vec::new()).await;
     harness
-        .wait_for_report("it is heard again", |report| silent(report, "a", false))
+        .wait_for_report("the backend is no longer silent", |report| {
+            reports_silence(report, "a", false)
+        })
         .await;
-    assert_eq!(harness.count(|report| ends(report, "a")), 0);
+    assert_eq!(harness.count(|report| reports_end(report, "a")), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn leases_of_an_earlier_process_of_the_node_are_waited_out() {
-    // The log has moved its keys on; whoever got them waits until it holds them no more.
-    let before = vec![
-        joined("a", "n0"),
-        joined("b", "n1"),
-        all(0, "a"),
-        all(4, "b"),
+    // The log has assigned the keys to another backend, which waits until the first one no longer holds them.
+    let initial_reports = vec![
+        backend_joined("a", "n0"),
+        backend_joined("b", "n1"),
+        all_keys_assigned(0, "a"),
+        all_keys_assigned(4, "b"),
     ];
-    let mut harness = start_harness(true, before).await;
+    let mut harness = start_harness(true, initial_reports).await;
     harness.heartbeat("a", 9, vec![(0, u16::MAX, 4)]).await;
-    let heard = model::now();
-    let over = |report: &ClusterReport| {
-        ends(report, "a")
+    let received_at = model::now();
+    let is_release_or_end = |report: &ClusterReport| {
+        reports_end(report, "a")
             || matches!(report, ClusterReport::ShardsReleased { name, .. } if name == "a")
     };
-    let (told, report) = harness.wait_for_report("it holds nothing", over).await;
+    let (reported_at, report) = harness
+        .wait_for_report("the backend holds no ranges", is_release_or_end)
+        .await;
     assert!(
-        told >= heard + MAX_LEASE - HEARTBEAT_INTERVAL,
+        reported_at >= received_at + MAX_LEASE - HEARTBEAT_INTERVAL,
         "{report:?} after {}",
-        told - heard
+        reported_at - received_at
+    );
+    assert!(
+        !reports_end(&report, "a"),
+        "the backend may send heartbeats again: {report:?}"
     );
-    assert!(!ends(&report, "a"), "it may be heard again: {report:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_backend_that_ended_while_the_node_was_down_is_reported_as_ended() {
     let mut harness = start_harness(
         true,
-        vec![joined("old", "n0"), joined("other", "n1"), all(0, "old")],
+        vec![
+            backend_joined("old", "n0"),
+            backend_joined("other", "n1"),
+            all_keys_assigned(0, "old"),
+        ],
     )
     .await;
-    // While no backend is heard it may still be there.
+    // While no backend sends heartbeats, the earlier backend may still run.
     harness
-        .wait_for_report("it is silent", |report| silent(report, "old", true))
+        .wait_for_report("the earlier backend is silent", |report| {
+            reports_silence(report, "old", true)
+        })
         .await;
-    assert_eq!(harness.count(|report| ends(report, "old")), 0);
+    assert_eq!(harness.count(|report| reports_end(report, "old")), 0);
     harness.heartbeat("new", 1, Vec::new()).await;
     let (_, ended) = harness
-        .wait_for_report("it has ended", |report| ends(report, "old"))
+        .wait_for_report("the earlier backend has ended", |report| {
+            reports_end(report, "old")
+        })
         .await;
     assert_eq!(
         ended,
@@ -88,15 +104,15 @@
             name: "old".into(),
             process_gone: true
         },
-        "there is one backend to a machine"
+        "a machine has one backend"
     );
     harness
         .wait_for_report(
-            "the new one is there",
+            "the new backend has joined",
             |report| matches!(report, ClusterReport::BackendJoined { name, .. } if name == "new"),
         )
         .await;
-    assert_eq!(harness.count(|report| ends(report, "other")), 0);
+    assert_eq!(harness.count(|report| reports_end(report, "other")), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -104,7 +120,7 @@
     let mut harness = start_harness(false, Vec::new()).await;
     harness.heartbeat("a", 1, Vec::new()).await;
     harness
-        .wait_for_report("it is there", |report| {
+        .wait_for_report("the backend has joined", |report| {
             matches!(report, ClusterReport::BackendJoined { .. })
         })
         .await;
@@ -114,20 +130,20 @@
         .await
         .expect("the task runs");
     harness
-        .wait_for_report("it has ended", |report| ends(report, "a"))
+        .wait_for_report("the backend has ended", |report| reports_end(report, "a"))
         .await;
-    // The task sends its reports after each command; what it would report again it has reported by then.
+    // The task sends its due reports after each command, so a repeated report would appear during these heartbeats.
     for sequence in 2..400 {
         harness.heartbeat("a", sequence, Vec::new()).await;
     }
     assert!(
-        harness.count(|report| ends(report, "a")) <= 2,
-        "that it deregistered, and that it is gone"
+        harness.count(|report| reports_end(report, "a")) <= 2,
+        "one report of the deregistration and one of the end of the process"
     );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_backend_whose_end_the_log_has_is_not_reported_for_ever() {
+async fn a_backend_whose_end_is_in_the_log_is_not_reported_again_and_again() {
     let mut harness = start_harness(
         false,
         vec![ClusterReport::BackendEnded {
@@ -138,91 +154,104 @@
     .await;
     harness.heartbeat("gone", 1, Vec::new()).await;
     harness
-        .wait_for_report("it is there", |report| {
+        .wait_for_report("the backend has joined", |report| {
             matches!(report, ClusterReport::BackendJoined { .. })
         })
         .await;
     for sequence in 2..400 {
         harness.heartbeat("gone", sequence, Vec::new()).await;
     }
-    let joined = harness.count(|report| matches!(report, ClusterReport::BackendJoined { .. }));
+    let joined_count =
+        harness.count(|report| matches!(report, ClusterReport::BackendJoined { .. }));
     assert!(
-        joined <= 2,
-        "once beside the node, and once alone, which changes nothing: {joined}"
+        joined_count <= 2,
+        "one with the node's registration and one alone, which changes nothing: {joined_count}"
     );
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_late_heartbeat_of_an_earlier_incarnation_does_not_end_the_later_one() {
-    let mut harness = start_harness(false, vec![joined("a", "n0")]).await;
-    // This process has just begun; what the earlier incarnation had sent is read after the new one's first, while the log
-    // has not answered yet.
-    harness.answers.send_replace(false);
+    let mut harness = start_harness(false, vec![backend_joined("a", "n0")]).await;
+    // The node's process has just started. A heartbeat of the earlier incarnation is received after the first one of
+    // the new incarnation, before the log has answered.
+    harness.log_answers.send_replace(false);
     harness
-        .wait_for_report("the node is there", |report| {
+        .wait_for_report("the node has registered", |report| {
             matches!(report, ClusterReport::NodeRegistered { .. })
         })
         .await;
     harness.heartbeat("b", 1, Vec::new()).await;
     harness.heartbeat("a", 7, Vec::new()).await;
-    harness.answers.send_replace(true);
+    harness.log_answers.send_replace(true);
     harness
         .wait_for_report(
-            "the new one is there",
+            "the new backend has joined",
             |report| matches!(report, ClusterReport::BackendJoined { name, .. } if name == "b"),
         )
         .await;
     harness
-        .wait_for_report("the earlier one has ended", |report| ends(report, "a"))
+        .wait_for_report("the earlier backend has ended", |report| {
+            reports_end(report, "a")
+        })
         .await;
     harness.heartbeat("a", 8, Vec::new()).await;
     harness
-        .wait_for_report("the new one is silent", |report| silent(report, "b", true))
+        .wait_for_report("the new backend is silent", |report| {
+            reports_silence(report, "b", true)
+        })
         .await;
-    // By now the log has forgotten where the earlier one was.
+    // By now the log has no record of the earlier backend.
     harness.heartbeat("a", 9, Vec::new()).await;
     harness.heartbeat("b", 2, Vec::new()).await;
     harness
-        .wait_for_report("the new one is heard again", |report| {
-            silent(report, "b", false) || ends(report, "b")
+        .wait_for_report("the new backend is no longer silent", |report| {
+            reports_silence(report, "b", false) || reports_end(report, "b")
         })
         .await;
-    assert_eq!(harness.count(|report| ends(report, "b")), 0);
+    assert_eq!(harness.count(|report| reports_end(report, "b")), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_late_heartbeat_read_first_does_not_keep_out_the_living_backend() {
-    let harness = start_harness(false, vec![joined("a", "n0"), joined("b", "n0")]).await;
-    // The node has begun anew; the log knows both, and the one that is over is read first.
+async fn a_late_heartbeat_received_first_does_not_exclude_the_running_backend() {
+    let harness = start_harness(
+        false,
+        vec![backend_joined("a", "n0"), backend_joined("b", "n0")],
+    )
+    .await;
+    // The node has restarted and the log has both backends; the heartbeat of the ended backend is received first.
     harness.heartbeat("a", 7, Vec::new()).await;
-    let beats = async {
+    let heartbeats = async {
         for sequence in 1.. {
             harness.heartbeat("b", sequence, Vec::new()).await;
             tokio::task::yield_now().await;
-            if harness.count(|report| ends(report, "a")) > 0 {
+            if harness.count(|report| reports_end(report, "a")) > 0 {
                 return sequence;
             }
         }
         0
     };
-    let sequence = tokio::time::timeout(TIMEOUT, beats)
+    let sequence = tokio::time::timeout(TIMEOUT, heartbeats)
         .await
-        .expect("the one that beats is taken for the one that lives");
+        .expect("the backend that sends heartbeats replaces the earlier one");
     harness.heartbeat("b", sequence + 1, Vec::new()).await;
     assert_eq!(
-        harness.count(|report| ends(report, "b")),
+        harness.count(|report| reports_end(report, "b")),
         0,
-        "and the other one's beat has ended nobody"
+        "the late heartbeat has ended no backend"
     );
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_restarted_node_gives_requests_to_the_logged_backend_before_its_first_heartbeat() {
-    // No backend sends heartbeats here.
+    // No backend sends heartbeats in this test.
     let harness = start_harness_with(
         600_000_000,
         true,
-        vec![joined("a", "n0"), joined("other", "n1"), all(0, "a")],
+        vec![
+            backend_joined("a", "n0"),
+            backend_joined("other", "n1"),
+            all_keys_assigned(0, "a"),
+        ],
     )
     .await;
     let request = ForwardedRequest {
@@ -239,22 +268,22 @@
         idempotent: true,
         force: false,
     };
-    let given = async {
+    let requests_sent = async {
         loop {
             harness
                 .limiter
                 .perform(Box::new(request.clone()))
                 .await
                 .0
-                .expect_err("it never answers");
+                .expect_err("the backend never responds");
         }
     };
-    let given = async {
-        tokio::select! { taken = harness.process.accept() => taken.is_ok(), () = given => false }
+    let requests_sent = async {
+        tokio::select! { accepted = harness.process.accept() => accepted.is_ok(), () = requests_sent => false }
     };
     assert!(
-        tokio::time::timeout(TIMEOUT, given)
+        tokio::time::timeout(TIMEOUT, requests_sent)
             .await
-            .expect("it was never given its request")
+            .expect("the request is sent to the backend")
     );
 }
--- a/crates/endpoints/tests/placement_algorithm.rs
+++ b/crates/endpoints/tests/placement_algorithm.rs
@@ -1,4 +1,4 @@
-//! Placements of all keys: each backend's share, and no key moved without need (design section 11.4).
+//! Tests that placements give each backend its share of the keys and move no key unnecessarily (design section 11.4).
 
 use endpoints::{BackendCapacity, RangeDemand, imbalance, initial_placement, rebalance};
 use model::cluster_state::shard_map::{self, ShardMap, ShardRange};
@@ -17,7 +17,7 @@
         400,
         |(shares, weights, before)| {
             let name = |number: u8| format!("backend-{}", number % 8);
-            // Any earlier placement: ranges of any size, some without a holder or of a backend that is gone.
+            // A random earlier placement, with ranges that have no holder or whose holder is gone.
             let held = before.iter().zip(1u64..).fold(
                 shard_map::unassigned(),
                 |ranges, ((one, other, who), position)| {
@@ -56,7 +56,7 @@
                 placement
                     .windows(2)
                     .all(|pair| pair[0].1 as u32 + 1 == pair[1].0 as u32),
-                "every key once: {placement:?}"
+                "each key has exactly one range: {placement:?}"
             );
             let moved = shard_map::reassign(held.clone(), &placement, 100);
             let total: f64 = capacities.iter().map(|(_, share)| share).sum();
@@ -68,13 +68,13 @@
                 );
                 assert!(
                     (has as f64 - wanted).abs() <= 1.0,
-                    "{name} has {has}, its share is {wanted}"
+                    "{name} has {has} keys, its share is {wanted}"
                 );
                 let kept = count(&moved, name, |range| range.fencing_token < 100);
-                assert_eq!(kept, had.min(has), "{name} keeps what fits its share");
+                assert_eq!(kept, had.min(has), "{name} keeps the keys within its share");
             });
-            // Nothing to be released any more, and equal neighbours merged.
-            let rest = shard_map::reassign(
+            // Without pending releases, and with adjacent ranges of one holder merged.
+            let settled = shard_map::reassign(
                 moved
                     .iter()
                     .cloned()
@@ -87,11 +87,15 @@
                 0,
             );
             assert_eq!(
-                shard_map::reassign(rest.clone(), &rebalance(&rest, &[], &capacities, 0.0), 101),
-                rest,
-                "nothing moves without a reason"
+                shard_map::reassign(
+                    settled.clone(),
+                    &rebalance(&settled, &[], &capacities, 0.0),
+                    101
+                ),
+                settled,
+                "no keys move without a reason"
             );
-            // A range that has not reached its holder is not moved again, as long as that backend is there.
+            // A range in transit to an available backend is not moved again.
             let next = shard_map::reassign(
                 in_transit.clone(),
                 &rebalance(&in_transit, &[], &capacities, 0.0),
@@ -124,23 +128,23 @@
         3,
     );
     let demand = [(0, 99, 50.0), (100, 32_767, 10.0), (32_768, 65_535, 40.0)];
-    let moving = |ranges: &ShardMap| imbalance(ranges, &demand, &capacities).in_transit;
-    assert_eq!(moving(&held), 0.0);
+    let in_transit_share = |ranges: &ShardMap| imbalance(ranges, &demand, &capacities).in_transit;
+    assert_eq!(in_transit_share(&held), 0.0);
     let moved = shard_map::reassign(held, &[(0, 99, "b".into())], 5);
     assert!(
-        (0.45..0.55).contains(&moving(&moved)),
-        "few keys, and half of all demand: {}",
-        moving(&moved)
+        (0.45..0.55).contains(&in_transit_share(&moved)),
+        "the range has few keys but half of all demand: {}",
+        in_transit_share(&moved)
     );
     assert_eq!(
-        moving(&shard_map::release(
+        in_transit_share(&shard_map::release(
             moved,
             "a",
             5,
             &[(0, 99, String::new())]
         )),
         0.0,
-        "it has come to its holder"
+        "the range is released"
     );
 }
 
@@ -157,7 +161,7 @@
 }
 
 #[test]
-fn every_backend_gets_its_share_and_only_what_must_moves() {
+fn every_backend_gets_its_share_and_only_necessary_keys_move() {
     let one = shard_map::reassign(
         shard_map::unassigned(),
         &rebalance(
@@ -191,7 +195,7 @@
     assert_eq!(
         shard_map::reassign(two.clone(), &three, 11),
         two,
-        "nothing moves without a reason"
+        "no keys move without a reason"
     );
 }
 
@@ -215,14 +219,14 @@
 }
 
 #[test]
-fn a_busy_range_is_spread_and_the_slow_get_less() {
+fn a_busy_range_is_spread_and_slow_backends_get_less() {
     let capacities = [capacity("a", 1.0), capacity("b", 1.0), capacity("c", 0.5)];
     let even = shard_map::reassign(
         shard_map::unassigned(),
         &rebalance(&shard_map::unassigned(), &[], &capacities, 0.0),
         5,
     );
-    // Half of all demand lies within 200 keys, in ranges of ten.
+    // Half of all demand is for 200 keys, in ranges of ten.
     let busy = (0..20u16).map(|at| (100 + at * 10, 109 + at * 10, 5.0));
     let demand: Vec<RangeDemand> = [(0, 99, 0.2)]
         .into_iter()
@@ -244,7 +248,7 @@
     assert_eq!(
         shard_map::reassign(next.clone(), &again, 12),
         next,
-        "what is balanced stays"
+        "a balanced placement does not change"
     );
 }
 
@@ -261,9 +265,9 @@
         demand.sort_by_key(|(from, ..)| *from);
         let all = demand
             .into_iter()
-            .fold(Vec::new(), |mut all: Vec<RangeDemand>, ask| {
-                if all.last().is_none_or(|last| last.1 < ask.0) {
-                    all.push(ask);
+            .fold(Vec::new(), |mut all: Vec<RangeDemand>, range| {
+                if all.last().is_none_or(|last| last.1 < range.0) {
+                    all.push(range);
                 }
                 all
             });
--- a/crates/endpoints/tests/registration.rs
+++ b/crates/endpoints/tests/registration.rs
@@ -1,5 +1,5 @@
-//! A process that starts registers on top of what the log has, whatever was drawn, and stops once another one did so
-//! after it (design section 11.2).
+//! Tests that a starting process replaces the incarnation in the log, whatever the random numbers, and stops once
+//! another process has replaced it (design section 11.2).
 
 use endpoints::{Registration, RegistrationStatus};
 use model::cluster_state::{ClusterOperation, ClusterReport, NodeRecord};
@@ -18,15 +18,17 @@
 
 #[test]
 fn a_process_registers_on_top_of_any_incarnation_that_the_log_has() {
-    for held in [1, u64::MAX] {
+    for registered in [1, u64::MAX] {
         let mut registration = Registration::new(500);
         assert_eq!(
             registration.observe(None),
             RegistrationStatus::Unregistered { replaces: 0 }
         );
         assert_eq!(
-            registration.observe(Some(&node_record(held))),
-            RegistrationStatus::Unregistered { replaces: held }
+            registration.observe(Some(&node_record(registered))),
+            RegistrationStatus::Unregistered {
+                replaces: registered
+            }
         );
         assert_eq!(
             registration.observe(Some(&node_record(500))),
@@ -46,19 +48,22 @@
     assert_eq!(
         registration.observe(None),
         RegistrationStatus::Unregistered { replaces: 0 },
-        "names that were away for long are forgotten"
+        "the log removes nodes that were absent for long"
     );
 }
 
-/// Processes of one node start one after the other, each with a drawn incarnation; what they send arrives in any order
-/// and any number of times. The last one is registered in the end, and no earlier one's words hold after its own.
+/// Processes of one node start one after the other with random incarnations; their registrations arrive in any order
+/// and any number of times. The last process has to be registered in the end, and registrations of earlier processes
+/// must be rejected from then on.
 #[test]
 fn the_process_that_started_last_is_registered_in_the_end() {
-    test_support::drawn::<[(u64, u8, u8); 12]>(400, |drawn| {
+    test_support::drawn::<[(u64, u8, u8); 12]>(400, |processes| {
         let mut state = ClusterState::default();
-        let mut late: Vec<(u64, u64)> = Vec::new();
-        let mut last = 0;
-        for (incarnation, from, again) in drawn.iter().filter(|(incarnation, ..)| *incarnation != 0)
+        let mut delayed: Vec<(u64, u64)> = Vec::new();
+        let mut latest = 0;
+        for (incarnation, choice, delayed_count) in processes
+            .iter()
+            .filter(|(incarnation, ..)| *incarnation != 0)
         {
             let register = |state: &mut ClusterState, incarnation: u64, replaces: u64| {
                 let node = ClusterReport::NodeRegistered {
@@ -73,41 +78,44 @@
                     .0
             };
             let mut registration = Registration::new(*incarnation);
-            // It may die before its word is taken, and be heard later.
+            // The process may end before its registration is applied; the registration may still arrive later.
             if let RegistrationStatus::Unregistered { replaces } =
                 registration.observe(state.nodes.get("n0"))
             {
-                late.push((*incarnation, replaces));
-                if from % 3 != 0 {
+                delayed.push((*incarnation, replaces));
+                if choice % 3 != 0 {
                     register(&mut state, *incarnation, replaces);
                 }
             }
-            for at in 0..usize::from(again % 4) {
-                let (earlier, replaces) = late[(usize::from(*from) + at) % late.len()];
+            for at in 0..usize::from(delayed_count % 4) {
+                let (earlier, replaces) = delayed[(usize::from(*choice) + at) % delayed.len()];
                 register(&mut state, earlier, replaces);
             }
-            // The one that lives looks again until it stands; each look finds what stands now.
-            let mut looks = 0;
+            // The running process retries with the current state of the log until it is registered.
+            let mut attempts = 0;
             while let RegistrationStatus::Unregistered { replaces } =
                 registration.observe(state.nodes.get("n0"))
             {
-                looks += 1;
-                assert!(looks <= 2, "it asks in circles");
+                attempts += 1;
+                assert!(attempts <= 2, "the process does not get registered");
                 register(&mut state, *incarnation, replaces);
             }
-            last = *incarnation;
-            let refused =
-                late.iter()
-                    .filter(|(earlier, _)| *earlier != last)
-                    .all(|(earlier, replaces)| {
-                        let outcome = register(&mut state, *earlier, *replaces);
-                        matches!(outcome, Outcome::Superseded { .. })
-                    });
-            assert!(refused, "an earlier process took the node back");
+            latest = *incarnation;
+            let all_rejected = delayed
+                .iter()
+                .filter(|(earlier, _)| *earlier != latest)
+                .all(|(earlier, replaces)| {
+                    let outcome = register(&mut state, *earlier, *replaces);
+                    matches!(outcome, Outcome::Superseded { .. })
+                });
+            assert!(all_rejected, "an earlier process replaced the last one");
         }
         assert_eq!(
-            state.nodes.get("n0").map_or(0, |held| held.incarnation),
-            last
+            state
+                .nodes
+                .get("n0")
+                .map_or(0, |registered| registered.incarnation),
+            latest
         );
     });
 }
--- a/crates/endpoints/tests/shutdown.rs
+++ b/crates/endpoints/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! A node that is told to stop (design section 13.7).
+//! Tests the shutdown of a node (design section 13.7).
 
 use control::VerifiedState;
 use endpoints::{LeaseConfig, LeaseTableConfig, Node, NodeConfig};
@@ -16,7 +16,7 @@
 const DAY: Duration = Duration::from_secs(86_400);
 
 async fn node() -> (Node, String) {
-    let keys = LeaseConfig {
+    let leases = LeaseConfig {
         proof_validity: 9_000_000,
         clock_guard: 200_000,
         max_duration: 10_000_000,
@@ -32,7 +32,7 @@
             zone: own.1,
             address: own.2,
             incarnation: 1,
-            leases: keys,
+            leases,
             heartbeat_interval: 1_500_000,
             backend_address: None,
             drain_timeout: 2_000_000,
@@ -76,14 +76,17 @@
         snapshot: Arc::new(snapshot),
         verified_at: 1,
     }));
-    let clients = bind().await;
-    let address = clients.local_addr().expect("an address").to_string();
-    node.serve(clients);
+    let client_listener = bind().await;
+    let address = client_listener
+        .local_addr()
+        .expect("an address")
+        .to_string();
+    node.serve(client_listener);
     (node, address)
 }
 
-/// The status of a new connectionection's first answer.
-async fn ask(address: &str) -> io::Result<String> {
+/// Sends a request on a new connection and returns the status line of the response.
+async fn send_request(address: &str) -> io::Result<String> {
     let mut connection = TcpStream::connect(address).await?;
     let request = format!(
         "GET /b/ HTTP/1.1\r\nhost: h\r\n{}: t1\r\nconnection: close\r\n\r\n",
@@ -96,33 +99,36 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_told_to_stop_is_not_ready_and_serves_until_its_clients_know() {
+async fn a_node_that_shuts_down_is_not_ready_but_serves_for_the_notice_period() {
     let (node, address) = node().await;
     assert!(node.is_ready());
-    // No route begins there: the node itself answers, as it does as long as it serves.
-    let answered = async {
-        let first = ask(&address).await;
+    // No route has this prefix, so the node answers itself for as long as it serves requests.
+    let responses = async {
+        let first = send_request(&address).await;
         let ready = node.is_ready();
         (
             first.unwrap_or_default(),
             ready,
-            ask(&address).await.unwrap_or_default(),
+            send_request(&address).await.unwrap_or_default(),
         )
     };
-    let served = async {
-        tokio::select! { biased; () = node.shut_down(DAY, TIMEOUT) => None, answered = answered => Some(answered) }
+    let responses_before_shutdown = async {
+        tokio::select! { biased; () = node.shut_down(DAY, TIMEOUT) => None, responses = responses => Some(responses) }
     };
-    let (first, ready, second) = tokio::time::timeout(TIMEOUT, served)
+    let (first, ready, second) = tokio::time::timeout(TIMEOUT, responses_before_shutdown)
         .await
-        .expect("an answer")
-        .expect("it has not gone yet");
-    assert!(!ready, "clients are told to send no more requests");
+        .expect("a response")
+        .expect("the node still serves requests");
+    assert!(!ready, "clients see that the node is not ready");
     assert!(
         first.contains("404") && second.contains("404"),
         "{first:?} {second:?}"
     );
     tokio::time::timeout(TIMEOUT, node.shut_down(Duration::ZERO, TIMEOUT))
         .await
-        .expect("nothing is under way");
-    assert!(ask(&address).await.is_err(), "nobody is left to answer");
+        .expect("no requests are in flight");
+    assert!(
+        send_request(&address).await.is_err(),
+        "the node serves no more requests"
+    );
 }
--- a/crates/endpoints/tests/unverified_state.rs
+++ b/crates/endpoints/tests/unverified_state.rs
@@ -1,5 +1,5 @@
-//! A node that has just started, before its first proof: it refuses requests at once and acts on nothing unverified
-//! (design section 11.6).
+//! Tests a node that has just started, before its first freshness proof: the node rejects requests immediately and uses
+//! no unverified state (design section 11.6).
 
 use control::membership::discovery;
 use control::updates::publisher::UpdatePublisher;
@@ -34,7 +34,7 @@
 }
 
 fn config(address: &str) -> NodeConfig {
-    let keys = LeaseConfig {
+    let leases = LeaseConfig {
         proof_validity: 9_000_000,
         clock_guard: 200_000,
         max_duration: 10_000_000,
@@ -46,7 +46,7 @@
             zone,
             address: address.into(),
             incarnation: 1,
-            leases: keys,
+            leases,
             heartbeat_interval: 1_500_000,
             drain_timeout: 2_000_000,
             backend_address: None,
@@ -65,7 +65,7 @@
     }
 }
 
-/// A route, a service divided by key, and limits that take hardly any body.
+/// Returns a publisher of a route, a keyed service, and limits with a small maximum body.
 fn publisher() -> UpdatePublisher {
     let put = |name: &str, body| ItemPut {
         name: name.into(),
@@ -115,7 +115,8 @@
     publisher
 }
 
-/// A replica that publishes its state, and proves it only once it may. `held`: what followers last said they hold.
+/// Runs a replica that publishes its state and answers proof requests only while `proves` is set. `held` gets the
+/// greatest position that followers have reported as held.
 async fn replica(listener: TcpListener, held: watch::Sender<u64>, proves: watch::Receiver<bool>) {
     while let Ok((stream, _)) = listener.accept().await {
         let (held, proves) = (held.clone(), proves.clone());
@@ -129,15 +130,17 @@
             while let Some(frame) = connection.receiver.recv().await {
                 match frame {
                     Frame::FollowClusterState {
-                        held_position: told,
+                        held_position: reported_position,
                     } => {
-                        held.send_modify(|held| *held = told.max(*held));
-                        publisher.add_follower(told, connection.sender.clone());
+                        held.send_modify(|held| *held = reported_position.max(*held));
+                        publisher.add_follower(reported_position, connection.sender.clone());
                     }
-                    Frame::RequestProof { request_id: number } if *proves.borrow() => {
-                        publisher.request_proof(number, connection.sender.clone());
-                        publisher.begin_proof_round(number * 1_000_000, number);
-                        publisher.send_proofs(number);
+                    Frame::RequestProof {
+                        request_id: request_number,
+                    } if *proves.borrow() => {
+                        publisher.request_proof(request_number, connection.sender.clone());
+                        publisher.begin_proof_round(request_number * 1_000_000, request_number);
+                        publisher.send_proofs(request_number);
                     }
                     _ => {}
                 }
@@ -154,19 +157,19 @@
     stream
         .write_all(&[head.into_bytes(), vec![b'b'; body]].concat())
         .await
-        .expect("it is taken");
-    let mut heard = Vec::new();
+        .expect("the request is sent");
+    let mut response = Vec::new();
     stream
-        .read_to_end(&mut heard)
+        .read_to_end(&mut response)
         .await
-        .expect("a whole answer");
-    String::from_utf8_lossy(&heard).to_ascii_lowercase()
+        .expect("a complete response");
+    String::from_utf8_lossy(&response).to_ascii_lowercase()
 }
 
-async fn in_time<T>(what: &str, work: impl Future<Output = T>) -> T {
+async fn within_timeout<T>(what: &str, work: impl Future<Output = T>) -> T {
     tokio::time::timeout(TIMEOUT, work)
         .await
-        .unwrap_or_else(|_| panic!("it never came: {what}"))
+        .unwrap_or_else(|_| panic!("timed out waiting for {what}"))
 }
 
 struct Harness {
@@ -182,10 +185,10 @@
         let address = listener.local_addr().expect("an address").to_string();
         (listener, address)
     };
-    let ((core, core_address), (peers, address), (outbound, client_address)) =
+    let ((replica_listener, replica_address), (peers, address), (outbound, client_address)) =
         (bind().await, bind().await, bind().await);
-    let ((tell_held, held), (proves, may_prove)) = (watch::channel(0), watch::channel(false));
-    tokio::spawn(replica(core, tell_held, may_prove));
+    let ((held_sender, held), (proves, may_prove)) = (watch::channel(0), watch::channel(false));
+    tokio::spawn(replica(replica_listener, held_sender, may_prove));
     let node = Node::start(config(&address), peers, discard_logger());
     node.serve(outbound);
     discovery::merge(
@@ -193,7 +196,7 @@
         vec![KnownReplica {
             replica_id: 0,
             disk_id: 1,
-            address: core_address,
+            address: replica_address,
             zone: "z0".into(),
             start_count: 1,
         }],
@@ -207,23 +210,25 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn unverified_state_is_not_served_and_clients_are_refused_at_once() {
+async fn unverified_state_is_not_used_and_requests_are_rejected_immediately() {
     let mut harness = start_harness().await;
-    // A second connection that begins with what the first one told: the state is here, and unproved.
+    // The follower's second connection reports the position that the first one delivered: the node has received the
+    // state, but no proof.
     drop(
-        in_time("what is held", harness.held.wait_for(|held| *held > 0))
+        within_timeout("a held position", harness.held.wait_for(|held| *held > 0))
             .await
-            .expect("a seat"),
+            .expect("the replica is running"),
     );
     for (path, body) in [("/x/1", 2), ("/nowhere/", 2), ("/x/1", 5_000)] {
-        let heard = in_time("an answer", post(&harness.client_address, path, body)).await;
+        let response =
+            within_timeout("a response", post(&harness.client_address, path, body)).await;
         assert!(
-            heard.starts_with("http/1.1 503"),
-            "neither 404 nor 413: {heard}"
+            response.starts_with("http/1.1 503"),
+            "neither 404 nor 413: {response}"
         );
         assert!(
-            heard.contains("retry-after: 0.3") && heard.contains("x-gradeford-try: t-1"),
-            "{heard}"
+            response.contains("retry-after: 0.3") && response.contains("x-gradeford-try: t-1"),
+            "{response}"
         );
     }
     assert!(!harness.node.is_ready());
@@ -236,32 +241,32 @@
             .snapshot
             .position,
         0,
-        "nothing in this process sees unverified state"
+        "no part of the process uses unverified state"
     );
     harness.proves.send_replace(true);
-    let mut moved = harness.node.follower.changes.clone();
+    let mut changes = harness.node.follower.changes.clone();
     while !harness.node.is_ready() {
-        drop(in_time("a proof", moved.changed()).await);
+        drop(within_timeout("a proof", changes.changed()).await);
     }
     assert!(
-        in_time("an answer", post(&harness.client_address, "/nowhere/", 2))
+        within_timeout("a response", post(&harness.client_address, "/nowhere/", 2))
             .await
             .starts_with("http/1.1 404")
     );
     assert!(
-        in_time("an answer", post(&harness.client_address, "/x/1", 5_000))
+        within_timeout("a response", post(&harness.client_address, "/x/1", 5_000))
             .await
             .starts_with("http/1.1 413")
     );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_is_not_served_for_peers_before_its_holder_is_known() {
+async fn keys_are_not_served_for_peers_before_their_holders_are_known() {
     let harness = start_harness().await;
     let process = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = process.local_addr().expect("an address").to_string();
-    // It was granted all keys before the node began anew; who holds them now nobody here can say.
-    let holds = vec![(0, u16::MAX, 1)];
+    // The backend was granted all keys before the node restarted; the current holder is unknown to the node.
+    let held_ranges = vec![(0, u16::MAX, 1)];
     let (name, service, zone) = ("a".to_string(), "seat".to_string(), "z0".to_string());
     let heartbeat = Heartbeat {
         name,
@@ -271,13 +276,13 @@
         slots: 4,
         draining: false,
         sequence: 1,
-        held_ranges: holds,
+        held_ranges,
         released_ranges: Vec::new(),
     };
     assert_eq!(
-        in_time("an answer", harness.node.lease_table.heartbeat(heartbeat)).await,
+        within_timeout("a response", harness.node.lease_table.heartbeat(heartbeat)).await,
         Ok(None),
-        "nothing can be granted"
+        "no leases can be granted"
     );
     let request = ForwardedRequest {
         backend: "a".into(),
@@ -293,10 +298,10 @@
         idempotent: false,
         force: false,
     };
-    // Until the owner of the slots has heard of the backend it knows nobody of that name.
-    let cause = async {
+    // The concurrency limiter does not know the backend until the lease table has passed it on.
+    let error_kind = async {
         loop {
-            let trouble = harness
+            let error = harness
                 .node
                 .listener
                 .proxy
@@ -304,15 +309,15 @@
                 .perform(Box::new(request.clone()))
                 .await
                 .0
-                .expect_err("nobody answers there");
-            if trouble.kind != ErrorKind::WrongIncarnation {
-                return trouble.kind;
+                .expect_err("the backend never responds");
+            if error.kind != ErrorKind::WrongIncarnation {
+                return error.kind;
             }
             tokio::task::yield_now().await;
         }
     };
     assert_eq!(
-        in_time("a refusal", cause).await,
+        within_timeout("an error", error_kind).await,
         ErrorKind::KeyWithoutHolder
     );
 }
--- a/crates/transport/tests/recorded_frames/samples.rs
+++ b/crates/transport/tests/recorded_frames/samples.rs
@@ -141,7 +141,7 @@
         origin: text("n1"),
         incarnation: 5,
         sequence: 41,
-        operation: operation,
+        operation,
     }
 }
 
