--- a/crates/endpoints/tests/registration.rs
+++ b/crates/endpoints/tests/registration.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_process_registers_on_top_of_any_incarnation_that_the_log_has() {
+fn a_process_replaces_any_incarnation_that_the_log_has() {
     for registered in [1, u64::MAX] {
         let mut registration = Registration::new(500);
         assert_eq!(
--- a/crates/transport/src/forwarding.rs
+++ b/crates/transport/src/forwarding.rs
@@ -32,8 +32,8 @@
     pub priority: u8,
     /// Whether the request may be run more than once.
     pub idempotent: bool,
-    /// Other backends rejected the request: the backend has to accept it even while it counts as
-    /// unhealthy (design 13.8).
+    /// Whether the backend has to accept the request even while it is ejected, because other ejected
+    /// backends declined the request (design 13.8).
     pub force: bool,
 }
 
