--- a/crates/endpoints/tests/harness/mod.rs
+++ b/crates/endpoints/tests/harness/mod.rs
@@ -122,7 +122,7 @@
     let follower = FollowerHandle {
         verified_state: Default::default(),
         changes,
-        followed: watch::channel(None).1,
+        followed_address: watch::channel(None).1,
     };
     // There was a freshness proof, so reports are sent; it is too old to grant leases.
     let publish = |state: &ClusterState, verified_state: &SharedVerifiedState| {
