--- a/crates/model/src/archive.rs
+++ b/crates/model/src/archive.rs
@@ -1,7 +1,7 @@
-//! `rkyv` archives of what is stored and sent.
+//! `rkyv` archives of stored and transmitted values.
 //!
 //! `rkyv` stores by position: fields and variants of archived types may be renamed, but never
-//! reordered, added or removed, or stored data could not be read any more.
+//! reordered, added or removed, because stored data would become unreadable.
 
 use rkyv::api::high::{HighDeserializer, HighSerializer, HighValidator};
 use rkyv::bytecheck::CheckBytes;
@@ -10,20 +10,20 @@
 use rkyv::util::AlignedVec;
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// Bytes that are no archive of the type they were read as.
+/// The error of reading bytes that are not an archive of the expected type.
 #[derive(Debug, thiserror::Error)]
 pub enum DecodeError {
-    /// The compressed form is damaged or claims to be longer than is allowed.
+    /// The compressed form is damaged or claims an uncompressed length above the limit.
     #[error("the compressed bytes are damaged")]
     Compression,
-    /// The bytes are no archive of the type.
-    #[error("the bytes are no archive of the expected type")]
+    /// The bytes are not an archive of the expected type.
+    #[error("the bytes are not an archive of the expected type")]
     Archive(#[source] rancor::Error),
 }
 
-/// The archive of a value.
+/// Serializes a value to its archive.
 ///
-/// Writing to memory does not fail. Were it to, the answer is empty and decodes as nothing.
+/// Writing to memory does not fail. If it did, the result would be empty and could not be decoded.
 pub(crate) fn to_bytes<T>(value: &T) -> Vec<u8>
 where
     T: for<'a> Serialize<HighSerializer<AlignedVec, ArenaHandle<'a>, rancor::Error>>,
@@ -33,11 +33,11 @@
         .unwrap_or_default()
 }
 
-/// Reads an archive of any alignment, after checking all of it.
+/// Deserializes an archive of any alignment after validating all of it.
 ///
 /// # Errors
 ///
-/// [`DecodeError::Archive`] if the bytes are no archive of a `T`.
+/// Returns [`DecodeError::Archive`] if the bytes are not an archive of a `T`.
 pub(crate) fn from_bytes<T>(bytes: &[u8]) -> Result<T, DecodeError>
 where
     T: Archive,
--- a/crates/model/src/cluster_state/endpoints.rs
+++ b/crates/model/src/cluster_state/endpoints.rs
@@ -1,11 +1,11 @@
-//! Back ends and nodes as the log knows them, and what changes them (design 11.2).
+//! Backends and nodes as recorded in the log, and the rules that change them (design 11.2).
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
-use crate::registration::observers_needed;
+use crate::registration::required_observers;
 use crate::{BackendName, BackendPhase, Incarnation, NodeName, Position, ServiceName, ZoneName};
 
-/// A back end. Its name is one incarnation: a new start has a new name.
+/// A backend. Its name identifies one incarnation: a restarted backend gets a new name.
 #[derive(
     Clone,
     Debug,
@@ -17,22 +17,22 @@
     rkyv::Deserialize,
 )]
 pub struct BackendRecord {
-    /// The service it serves.
+    /// The service that it serves.
     pub service: ServiceName,
-    /// The zone it stands in.
+    /// The zone that it is in.
     pub zone: ZoneName,
     /// The node beside it.
     pub node: NodeName,
-    /// How many requests it runs at once.
+    /// The number of requests that it runs concurrently.
     pub slots: u32,
-    /// How far its life has come.
+    /// The lifecycle phase.
     pub phase: BackendPhase,
-    /// The position that brought it into its phase.
+    /// The position at which it entered its phase.
     #[serde(rename = "since")]
     pub changed_at: Position,
 }
 
-/// A node beside back ends.
+/// A proxy node beside backends.
 #[derive(
     Clone,
     Debug,
@@ -44,25 +44,26 @@
     rkyv::Deserialize,
 )]
 pub struct NodeRecord {
-    /// The zone it stands in.
+    /// The zone that it is in.
     pub zone: ZoneName,
-    /// Where other nodes reach it: an IP number and port.
+    /// The address at which other nodes reach it: an IP address and port.
     pub address: String,
-    /// Which process of the name is registered.
+    /// The registered incarnation.
     #[serde(rename = "life")]
     pub incarnation: Incarnation,
-    /// Fewer observers miss it than it takes to presume it gone.
+    /// Whether the node is present: fewer observers suspect it than are required to presume it
+    /// gone.
     pub present: bool,
-    /// The observers that miss this incarnation.
+    /// The observers that suspect this incarnation to be gone.
     #[serde(rename = "missed_by")]
     pub suspected_by: BTreeSet<NodeName>,
-    /// The position that made it present or absent.
+    /// The position at which it became present or absent.
     #[serde(rename = "since")]
     pub changed_at: Position,
 }
 
 impl NodeRecord {
-    /// A node that registers at position `next`, and that nobody misses.
+    /// A node that registers at position `next` and is suspected by no observer.
     pub(crate) fn present(
         zone: ZoneName,
         address: String,
@@ -80,13 +81,13 @@
     }
 }
 
-/// Back ends by name.
+/// Backends by name.
 pub type BackendRecords = BTreeMap<BackendName, BackendRecord>;
 /// Nodes by name.
 pub type NodeRecords = BTreeMap<NodeName, NodeRecord>;
 
-/// Counts a word of an observer. A node is absent once enough observers miss it, and present again
-/// once fewer do.
+/// Records an observation. A node becomes absent once enough observers suspect it, and present
+/// again once fewer do.
 pub(crate) fn record_observation(
     nodes: &mut NodeRecords,
     observer: NodeName,
@@ -108,42 +109,44 @@
     } else {
         current.suspected_by.remove(&observer);
     }
-    let present = current.suspected_by.len() < observers_needed(others);
+    let present = current.suspected_by.len() < required_observers(others);
     if present != current.present {
         current.present = present;
         current.changed_at = next;
     }
 }
 
-/// For how many positions an absent node is kept.
-const ABSENT_KEPT_POSITIONS: Position = 4_096;
+/// Number of positions for which an absent node is retained.
+const ABSENT_RETENTION_POSITIONS: Position = 4_096;
 
-/// The names of back ends and of nodes that were absent for long.
+/// The names of backends and nodes that were absent for long.
 #[derive(Debug, Default, PartialEq)]
 pub(crate) struct LongAbsent {
-    /// Back ends beside such nodes, unless a range of keys names them.
+    /// Backends beside such nodes, except those named in a shard range.
     pub(crate) backends: BTreeSet<BackendName>,
-    /// Such nodes with no back end left.
+    /// Such nodes that have no backends left.
     pub(crate) nodes: BTreeSet<NodeName>,
 }
 
-/// Who was absent for so long that it is forgotten (design 11.7).
+/// The backends and nodes that were absent long enough to be removed (design 11.7).
 pub(crate) fn long_absent(
     backends: &BackendRecords,
     nodes: &NodeRecords,
-    named_in_shards: &HashSet<&BackendName>,
+    backends_in_shard_maps: &HashSet<&BackendName>,
     next: Position,
 ) -> LongAbsent {
-    let long_ago = |position: Position| position + ABSENT_KEPT_POSITIONS < next;
-    let is_gone = |name: &str| {
+    let is_long_ago = |position: Position| position + ABSENT_RETENTION_POSITIONS < next;
+    let is_long_absent = |name: &str| {
         nodes
             .get(name)
-            .is_none_or(|node| !node.present && long_ago(node.changed_at))
+            .is_none_or(|node| !node.present && is_long_ago(node.changed_at))
     };
     let mut absent = LongAbsent::default();
     let mut nodes_in_use: HashSet<&NodeName> = HashSet::new();
     for (name, backend) in backends {
-        if long_ago(backend.changed_at) && is_gone(&backend.node) && !named_in_shards.contains(name)
+        if is_long_ago(backend.changed_at)
+            && is_long_absent(&backend.node)
+            && !backends_in_shard_maps.contains(name)
         {
             absent.backends.insert(name.clone());
         } else {
@@ -152,7 +155,7 @@
     }
     let unused = nodes
         .keys()
-        .filter(|name| is_gone(name) && !nodes_in_use.contains(name));
+        .filter(|name| is_long_absent(name) && !nodes_in_use.contains(name));
     absent.nodes = unused.cloned().collect();
     absent
 }
--- a/crates/model/src/cluster_state/items.rs
+++ b/crates/model/src/cluster_state/items.rs
@@ -1,8 +1,7 @@
-//! What operators write item by item, each under a version of its own; the highest holds
-//! (design 11.1).
+//! Items that operators write, each with its own version; the highest version wins (design 11.1).
 //!
-//! Where a type or field has another name outside, `serde` keeps it. Paths and texts of faults are
-//! part of the public interface.
+//! Where a type or field has a different public name, a `serde` attribute states it. Paths and
+//! texts of faults are part of the public interface.
 
 use std::collections::BTreeMap;
 
@@ -12,14 +11,14 @@
 use crate::validation::{self, Fault};
 use crate::{Microseconds, ServiceName};
 
-/// The operator's version of an item. It only grows.
+/// The version that the operator gives an item. It only grows.
 pub type ItemVersion = u64;
-/// The operator's name for an item; empty for the limits.
+/// The name that the operator gives an item; empty for the limits.
 pub type ItemName = String;
-/// What tells items apart.
+/// The key that identifies an item.
 pub type ItemKey = (ItemKind, ItemName);
 
-/// What an item is.
+/// The kind of an item.
 #[derive(
     Clone,
     Copy,
@@ -42,12 +41,12 @@
     Route,
     /// A [`Service`].
     Service,
-    /// The [`Limits`]; there is one of them.
+    /// The [`Limits`], of which there is one item.
     Limits,
 }
 
 impl ItemKind {
-    /// The name the operators' interface gives this kind, in fault paths and in JSON.
+    /// The name of this kind in the operator API, in fault paths and in JSON.
     pub fn public_name(self) -> &'static str {
         match self {
             ItemKind::Route => "lane",
@@ -57,7 +56,8 @@
     }
 }
 
-/// Where requests of a host and a path prefix go, how long they may wait and how much they matter.
+/// The route of requests with a host and path prefix: their target services, their timeout and
+/// their priority.
 #[derive(
     Clone,
     Debug,
@@ -74,37 +74,37 @@
     /// The host of the requests.
     #[validate(length(min = 1, max = 253, message = "names a host of 1 to 253 bytes"))]
     pub host: String,
-    /// What their paths begin with; ends with a slash.
-    #[validate(custom(function = "crate::validation::prefix"))]
+    /// The path prefix of the requests; ends with a slash.
+    #[validate(custom(function = "crate::validation::validate_prefix"))]
     pub prefix: String,
-    /// May run more than once without harm.
+    /// Whether the requests may safely run more than once.
     #[serde(rename = "repeatable")]
     pub idempotent: bool,
-    /// The longest a request may take, in microseconds.
+    /// The request timeout, in microseconds.
     #[validate(range(
         min = 1,
         max = 600_000_000,
         message = "is from 1 microsecond to ten minutes"
     ))]
     pub wait_us: Microseconds,
-    /// An answer within so many microseconds is worth its full value; 0 if not said.
+    /// The target latency, in microseconds: a response within it has its full value. 0 if not set.
     #[serde(default, rename = "aim_us")]
     pub latency_target_us: Microseconds,
-    /// 0 matters most.
+    /// The priority of the requests; 0 is the highest.
     #[serde(default)]
     pub rank: u8,
-    /// The most back ends that one attempt may go to.
+    /// The maximum number of backends that one attempt may be sent to.
     #[validate(range(min = 1, max = 16, message = "is from 1 to 16"))]
     pub dispatches: u8,
-    /// The services that take the requests, by weight.
+    /// The services that receive the requests, with their weights.
     #[validate(
         length(min = 1, max = 32, message = "names 1 to 32 services"),
-        custom(function = "crate::validation::shares")
+        custom(function = "crate::validation::validate_shares")
     )]
     pub shares: Vec<(ServiceName, u32)>,
 }
 
-/// What holds for all back ends of a service.
+/// Settings of all backends of a service.
 #[derive(
     Clone,
     Debug,
@@ -121,18 +121,18 @@
     /// The path of the health check; empty if there is none.
     #[serde(default)]
     pub health_path: String,
-    /// Connections that one of its back ends takes, over all that call it; 0 if not said.
+    /// The maximum number of connections to one of its backends, over all clients; 0 if not set.
     #[serde(default, rename = "conns")]
     pub max_connections: u32,
-    /// Divided by key: one back end at a time holds each key.
+    /// Whether the service is sharded by key: one backend at a time holds each key.
     #[serde(default)]
     pub keyed: bool,
-    /// How long the slow start of a new back end lasts, in microseconds.
+    /// The duration of a new backend's slow start, in microseconds.
     #[serde(default, rename = "warm_us")]
     pub slow_start_us: Microseconds,
 }
 
-/// Limits of HTTP messages, over all routes.
+/// Limits of HTTP messages on all routes.
 #[derive(
     Clone,
     Debug,
@@ -146,20 +146,20 @@
 )]
 #[serde(deny_unknown_fields)]
 pub struct Limits {
-    /// The most bytes of a message's head.
+    /// The maximum size of a message's header section, in bytes.
     #[validate(range(min = 256, max = 1_048_576, message = "is from 256 bytes to 1 MiB"))]
     pub header_bytes: u64,
-    /// The most bytes of a message's body.
+    /// The maximum size of a message's body, in bytes.
     #[validate(range(max = 1_073_741_824, message = "is at most 1 GiB"))]
     pub body_bytes: u64,
-    /// How long the head of a request may take to arrive, in microseconds.
+    /// The timeout for receiving the header section of a request, in microseconds.
     #[validate(range(
         min = 1,
         max = 600_000_000,
         message = "is from 1 microsecond to ten minutes"
     ))]
     pub header_wait_us: Microseconds,
-    /// How long a connection may lie idle, in microseconds.
+    /// The idle timeout of a connection, in microseconds.
     #[validate(range(
         min = 1,
         max = 86_400_000_000_u64,
@@ -168,7 +168,7 @@
     pub idle_us: Microseconds,
 }
 
-/// What an item says.
+/// The content of an item.
 #[derive(
     Clone,
     Debug,
@@ -181,17 +181,17 @@
 )]
 #[serde(rename_all = "snake_case")]
 pub enum ItemBody {
-    /// Where requests go.
+    /// A route.
     #[serde(rename = "lane")]
     Route(Route),
-    /// What holds for a service.
+    /// Settings of a service.
     Service(Service),
-    /// What holds for all messages.
+    /// Limits of all HTTP messages.
     Limits(Limits),
 }
 
 impl ItemBody {
-    /// The kind of its item.
+    /// The kind of the item with this content.
     pub fn kind(&self) -> ItemKind {
         match self {
             ItemBody::Route(_) => ItemKind::Route,
@@ -213,7 +213,7 @@
     }
 }
 
-/// An item as it is stored.
+/// An item as stored in the cluster state.
 #[derive(
     Clone,
     Debug,
@@ -227,17 +227,17 @@
 pub struct Item {
     /// Its version.
     pub version: ItemVersion,
-    /// What it says; `None` if it was dropped.
+    /// Its content; `None` if the item was dropped.
     pub body: Option<ItemBody>,
-    /// What the operator wrote, kept to be read back as it was sent.
+    /// The operator's original text, kept to be returned unchanged.
     pub text: String,
 }
 
-/// Items by kind and name; dropped ones stay, as their version must be known.
+/// Items by kind and name. Dropped items remain, because their versions must stay known.
 pub type Items = BTreeMap<ItemKey, Item>;
 
-/// One call of an operator. It is accepted whole or not at all, though each of its items has a
-/// version of its own.
+/// A call of an operator. It is accepted as a whole or not at all, although each of its items has
+/// its own version.
 #[derive(
     Clone,
     Debug,
@@ -254,7 +254,7 @@
     /// Items to add or to replace.
     #[serde(default)]
     pub puts: Vec<ItemPut>,
-    /// Items to drop, with the version that drops them.
+    /// Items to drop, each with the version that drops it.
     #[serde(default)]
     pub drops: Vec<(ItemKind, ItemName, ItemVersion)>,
 }
@@ -276,14 +276,14 @@
     pub name: ItemName,
     /// Its new version.
     pub version: ItemVersion,
-    /// What it is to say.
+    /// Its new content.
     pub body: ItemBody,
-    /// What the operator wrote.
+    /// The operator's original text.
     #[serde(default)]
     pub text: String,
 }
 
-/// All items of a call, in its order.
+/// All items of a call, in the order of the call.
 pub(crate) fn items_of_call(call: &ItemCall) -> impl Iterator<Item = (ItemKey, Item)> {
     let puts = call.puts.iter().map(|put| {
         let body = Some(put.body.clone());
@@ -307,11 +307,11 @@
     puts.chain(drops)
 }
 
-/// The items of the call that are newer than the present ones.
+/// The items of the call that are newer than the stored ones.
 pub fn newer_items(items: &Items, call: &ItemCall) -> Items {
     let mut newer = Items::new();
     for (key, item) in items_of_call(call) {
-        // One name twice in a call: the higher version, like everywhere else.
+        // If a call contains one item twice, the higher version wins, as everywhere else.
         let present = newer.get(&key).or_else(|| items.get(&key));
         if present.is_none_or(|present| present.version < item.version) {
             newer.insert(key, item);
@@ -320,7 +320,7 @@
     newer
 }
 
-/// Every fault of the call, judged by what would stand after it.
+/// All faults of the call, judged by the items that would exist after it.
 pub fn faults(items: &Items, call: &ItemCall) -> Vec<Fault> {
     let after = ItemsAfter {
         items,
@@ -336,7 +336,7 @@
         faults.extend(put.body.faults(&path));
     }
     faults.extend(after.faults_of_unknown_services());
-    faults.extend(after.faults_of_equal_routes());
+    faults.extend(after.faults_of_duplicate_routes());
     faults
 }
 
@@ -350,13 +350,13 @@
         .iter()
         .filter(|put| put.name.is_empty())
         .map(|put| put.body.kind());
-    let nameless = kinds.filter(|kind| *kind != ItemKind::Limits);
-    nameless
+    let without_name = kinds.filter(|kind| *kind != ItemKind::Limits);
+    without_name
         .map(|kind| new_fault(kind.public_name().into(), "has no name".into()))
         .collect()
 }
 
-/// What would stand after a call, and which of it is new.
+/// The items that would exist after a call, and which of them are new.
 struct ItemsAfter<'a> {
     items: &'a Items,
     newer: Items,
@@ -386,7 +386,7 @@
         self.newer.iter().filter_map(route_of_item)
     }
 
-    /// Routes that do not change were valid before; unless a service is dropped they still are.
+    /// Unchanged routes were valid before, and still are unless a service is dropped.
     fn faults_of_unknown_services(&self) -> Vec<Fault> {
         if self.drops_a_service() {
             self.unknown_services_of(self.routes())
@@ -411,7 +411,7 @@
         faults
     }
 
-    fn faults_of_equal_routes(&self) -> Vec<Fault> {
+    fn faults_of_duplicate_routes(&self) -> Vec<Fault> {
         let new_routes: BTreeMap<(&str, &str), &ItemName> = self
             .new_routes()
             .map(|(name, route)| ((route.host.as_str(), route.prefix.as_str()), name))
--- a/crates/model/src/cluster_state/mod.rs
+++ b/crates/model/src/cluster_state/mod.rs
@@ -1,7 +1,8 @@
-//! The state machine of items, back ends, nodes and the shard maps of keyed services, and what each
-//! entry changed of it, so that followers receive changes and not states (design 11).
+//! The state machine of items, backends, nodes and the shard maps of keyed services. Applying an
+//! entry also returns the deltas it caused, so that followers receive changes instead of whole
+//! states (design 11).
 //!
-//! It is driven by the same log as [`StateMachine`](crate::StateMachine); an entry is for one of
+//! It is driven by the same log as [`StateMachine`](crate::StateMachine); each entry is for one of
 //! the two.
 
 mod delta;
@@ -28,51 +29,52 @@
 use placement::{Placements, Reassignment};
 use version_history::{CallDigests, VersionHistory};
 
-/// For how many positions the ends of back ends are remembered: a late word does not bring one
-/// back.
-const ENDED_KEPT_POSITIONS: Position = 20_000;
-/// Origins whose last sequence is remembered.
+/// Number of positions for which the names of ended backends are remembered, so that a late report
+/// does not restore one.
+const ENDED_BACKEND_RETENTION_POSITIONS: Position = 20_000;
+/// Number of origins whose last sequence number is remembered.
 const MAX_REMEMBERED_ORIGINS: usize = 4_096;
-/// Old names are looked for at each position that is a multiple of it.
+/// Positions between two cleanups of old names.
 const CLEANUP_INTERVAL_POSITIONS: Position = 256;
 
-/// What the log may hold for the cluster state.
+/// An operation on the cluster state, as stored in the log.
 #[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub enum ClusterOperation {
     /// An operator's call.
     Items(ItemCall),
-    /// Reports of one origin. They go together, one entry at a time.
+    /// Reports of one origin, sent together in one entry. An origin has at most one such entry in
+    /// flight.
     Reports(Vec<ClusterReport>),
 }
 
-/// What an entry did, and the deltas that followers are sent of it.
+/// The outcome of an entry, and the deltas to send to followers.
 type Applied = (Outcome, Vec<Delta>);
 
-/// The state that entries of items and cluster reports lead to.
+/// The state produced by the log entries for items and cluster reports.
 #[derive(Clone, Debug, Default, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct ClusterState {
     /// The position of the last entry that changed this state.
     pub position: Position,
     /// Items by kind and name.
     pub items: items::Items,
-    /// Back ends by name.
+    /// Backends by name.
     pub backends: endpoints::BackendRecords,
     /// Nodes by name.
     pub nodes: endpoints::NodeRecords,
     /// The placements of keyed services.
     pub placements: Placements,
     version_history: VersionHistory,
-    /// Back ends that ended, and when.
+    /// Backends that ended, with the position at which each ended.
     ended_backends: BTreeMap<BackendName, Position>,
-    /// By origin: its incarnation, its last sequence, and the position after it.
+    /// By origin: its incarnation, its last sequence number, and the position after that entry.
     origins: BTreeMap<String, (u64, u64, Position)>,
 }
 
 impl ClusterState {
-    /// Applies an operation. The answer is what it did, and what followers must be sent of it.
+    /// Applies an operation and returns its outcome and the deltas to send to followers.
     ///
-    /// `origin`, `incarnation` and `sequence` are those of the entry; only reports are judged by
-    /// them.
+    /// `origin`, `incarnation` and `sequence` are those of the entry; they are checked for reports
+    /// only.
     pub fn apply(
         &mut self,
         origin: &str,
@@ -115,7 +117,7 @@
         )
     }
 
-    /// Reports of one origin are taken once, in the order of their sequence.
+    /// Applies each batch of reports of an origin once, in the order of the sequence numbers.
     fn apply_reports(
         &mut self,
         origin: &str,
@@ -298,7 +300,7 @@
         (is_present(self) != before).then(|| self.node_delta(name))
     }
 
-    /// A late word neither brings an ended back end back nor turns back a phase.
+    /// A late report neither restores an ended backend nor changes a phase back.
     fn backend_joined(
         &mut self,
         name: BackendName,
@@ -325,14 +327,14 @@
         Some(self.backend_delta(&name))
     }
 
-    /// Only a registered back end becomes silent, and only a silent one is heard again: one that
-    /// drains goes on draining.
+    /// Only a registered backend becomes unresponsive, and only an unresponsive one becomes
+    /// registered again: a draining backend stays draining.
     fn backend_silent(&mut self, name: &str, silent: bool, next: Position) -> Option<Delta> {
-        let (heard, not_heard) = (BackendPhase::Registered, BackendPhase::PresumedGone);
+        let (registered, unresponsive) = (BackendPhase::Registered, BackendPhase::PresumedGone);
         if silent {
-            self.change_phase(name, heard, not_heard, next)
+            self.change_phase(name, registered, unresponsive, next)
         } else {
-            self.change_phase(name, not_heard, heard, next)
+            self.change_phase(name, unresponsive, registered, next)
         }
     }
 
@@ -393,7 +395,7 @@
     fn forget_old_entries(&mut self, next: Position) {
         if next.is_multiple_of(CLEANUP_INTERVAL_POSITIONS) {
             self.ended_backends
-                .retain(|_, ended_at| *ended_at + ENDED_KEPT_POSITIONS > next);
+                .retain(|_, ended_at| *ended_at + ENDED_BACKEND_RETENTION_POSITIONS > next);
         }
         if self.origins.len() > MAX_REMEMBERED_ORIGINS {
             let oldest = self
@@ -406,12 +408,12 @@
         }
     }
 
-    /// Forgets back ends and nodes that were absent for long (design 11.7).
+    /// Removes backends and nodes that were absent for long (design 11.7).
     fn remove_long_absent(&mut self, next: Position) -> Vec<Delta> {
         if !next.is_multiple_of(CLEANUP_INTERVAL_POSITIONS) {
             return Vec::new();
         }
-        let named = self.named_in_shards();
+        let named = self.backends_in_shard_maps();
         let absent = endpoints::long_absent(&self.backends, &self.nodes, &named, next);
         self.backends
             .retain(|name, _| !absent.backends.contains(name));
@@ -426,8 +428,8 @@
             .collect()
     }
 
-    /// Back ends that hold keys, or may still hold some.
-    fn named_in_shards(&self) -> HashSet<&BackendName> {
+    /// Backends that hold keys or may still hold some.
+    fn backends_in_shard_maps(&self) -> HashSet<&BackendName> {
         let ranges = self.placements.values().flat_map(|(_, ranges)| ranges);
         let names = ranges.flat_map(|range| {
             let pending = range.pending_releases.iter().map(|(name, _)| name);
@@ -436,7 +438,7 @@
         names.collect()
     }
 
-    /// All of the state, as changes from nothing.
+    /// The complete state, as deltas from the empty state.
     pub fn full_deltas(&self) -> Vec<Delta> {
         let items = self
             .items
@@ -454,16 +456,16 @@
         items.chain(nodes).chain(backends).chain(ranges).collect()
     }
 
-    /// The archive for a snapshot.
+    /// Serializes the state for a snapshot.
     pub fn to_bytes(&self) -> Vec<u8> {
         archive::to_bytes(self)
     }
 
-    /// Reads what [`ClusterState::to_bytes`] wrote.
+    /// Deserializes the output of [`ClusterState::to_bytes`].
     ///
     /// # Errors
     ///
-    /// [`DecodeError`] if the bytes are no archive of a cluster state.
+    /// Returns [`DecodeError`] if the bytes are not a valid archive of a cluster state.
     pub fn from_bytes(bytes: &[u8]) -> Result<ClusterState, DecodeError> {
         archive::from_bytes(bytes)
     }
--- a/crates/model/src/cluster_state/placement.rs
+++ b/crates/model/src/cluster_state/placement.rs
@@ -1,5 +1,5 @@
-//! Placements: who is to hold which keys of each keyed service, and what became of it
-//! (design 11.4).
+//! Placements: the assignment of keys to holders for each keyed service, and the shard map that
+//! results from it (design 11.4).
 
 use std::collections::BTreeMap;
 
@@ -14,19 +14,19 @@
 /// The placements of all keyed services.
 pub type Placements = BTreeMap<ServiceName, Placement>;
 
-/// Who is to hold which keys of a service.
+/// A new assignment of a service's keys to holders.
 pub(crate) struct Reassignment {
     /// The service of the keys.
     pub(crate) service: ServiceName,
-    /// The position of the placement it was made on top of.
+    /// The position of the placement that this one is based on.
     pub(crate) base_placement: Position,
-    /// First key, last key, and holder of each span.
+    /// First key, last key and holder of each key span.
     pub(crate) ranges: Vec<(ShardKey, ShardKey, BackendName)>,
 }
 
 impl Reassignment {
-    /// It counts only on top of the latest placement, and only for back ends of the service that
-    /// are known: so two that are made at once do no harm.
+    /// A reassignment is valid only if it is based on the latest placement and names only known
+    /// backends of the service. Of two concurrent reassignments one is therefore ignored.
     fn is_valid(&self, placements: &Placements, backends: &BackendRecords) -> bool {
         let latest = placements
             .get(&self.service)
@@ -43,7 +43,7 @@
             && ranges.all(|(first_key, last_key, holder)| first_key <= last_key && serves(holder))
     }
 
-    /// Makes it the service's latest placement, at position `next`.
+    /// Makes this the service's latest placement, at position `next`.
     pub(crate) fn apply(
         self,
         placements: &mut Placements,
@@ -59,8 +59,8 @@
         let before = before.unwrap_or_else(shard_map::unassigned);
         let after = shard_map::reassign(before.clone(), &self.ranges, next);
         let changes = shard_map::diff(&before, &after);
-        // One that moves nothing is none: followers, who receive only changes, still hold the
-        // position of the one before.
+        // A reassignment that moves nothing is ignored: followers receive only changes and would
+        // keep the position of the previous placement.
         if changes.is_empty() {
             return None;
         }
--- a/crates/model/src/cluster_state/report.rs
+++ b/crates/model/src/cluster_state/report.rs
@@ -1,100 +1,102 @@
-//! Reports of nodes, in the form the log keeps them (design 11.2, 11.4).
+//! Reports of nodes, as stored in the log (design 11.2, 11.4).
 
 use super::endpoints::BackendRecord;
 use crate::{BackendName, Incarnation, NodeName, Position, ServiceName, ZoneName};
 
-/// What a node tells of itself, its back ends, its peers and the keys of its services.
+/// A node's report about itself, its backends, its peers or the keys of its services.
 ///
-/// It stands beside [`EndpointReport`](crate::endpoint_status::EndpointReport), which speaks of the
-/// other state machine: both are stored in the log, under other rules, and cannot become one.
+/// [`EndpointReport`](crate::endpoint_status::EndpointReport) is its counterpart for the other
+/// state machine. Both are stored in the log under different rules, so they cannot be merged.
 #[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub enum ClusterReport {
-    /// A node started, or is present again.
+    /// A node started or became present again.
     NodeRegistered {
         /// The name of the node.
         node: NodeName,
-        /// The zone it stands in.
+        /// The zone that the node is in.
         zone: ZoneName,
-        /// Where other nodes reach it.
+        /// The address at which other nodes reach it.
         address: String,
         /// The incarnation that registers.
         incarnation: Incarnation,
-        /// The incarnation that the sender found registered, 0 if none. The registration counts
-        /// only while that one still is.
+        /// The incarnation that the sender found registered, 0 if none. The registration takes
+        /// effect only while that incarnation is still the registered one.
         replaces: Incarnation,
     },
-    /// A node left for good: no back end is beside it any more.
+    /// A node left permanently: it has no backends any more.
     NodeLeft {
         /// The name of the node.
         node: NodeName,
-        /// Which process of that name.
+        /// The incarnation of the node.
         incarnation: Incarnation,
     },
-    /// An observer misses a node, or hears it again.
+    /// An observer suspects a node to be gone, or has heard from it again.
     NodeObserved {
         /// The node that observes.
         observer: NodeName,
         /// The node that is observed.
         node: NodeName,
-        /// Which process of that name.
+        /// The incarnation of the node.
         incarnation: Incarnation,
-        /// It is missed; else it is heard again.
+        /// Whether the node is suspected; otherwise the observer has heard from it again.
         suspected: bool,
     },
-    /// A back end started, or changed what it announces.
+    /// A backend started, or changed the data that it announces.
     BackendJoined {
-        /// The name of the back end.
+        /// The name of the backend.
         name: BackendName,
-        /// What it announces.
+        /// The data that it announces.
         backend: BackendRecord,
     },
-    /// A back end takes no new work any more.
+    /// A backend accepts no new requests any more.
     BackendDraining {
-        /// The name of the back end.
+        /// The name of the backend.
         name: BackendName,
     },
-    /// A back end is not heard though its process may live, or is heard again. It takes no new
-    /// work meanwhile.
+    /// A backend sends no heartbeats although its process may still run, or sends heartbeats again.
+    /// It receives no new requests in between.
     BackendSilent {
-        /// The name of the back end.
+        /// The name of the backend.
         name: BackendName,
-        /// It is not heard; else it is heard again.
+        /// Whether heartbeats are missing; otherwise they have resumed.
         silent: bool,
     },
-    /// A back end is gone for good.
+    /// A backend ended permanently.
     BackendEnded {
-        /// The name of the back end.
+        /// The name of the backend.
         name: BackendName,
-        /// Its process is gone, so it holds no keys; else it was only not heard.
+        /// Whether its process has ended, so that it holds no keys. Otherwise it only stopped
+        /// sending heartbeats.
         process_gone: bool,
     },
-    /// A placement: who is to hold which keys (design 11.4).
+    /// A placement: the assignment of keys to holders (design 11.4).
     ShardsReassigned {
         /// The service of the keys.
         service: ServiceName,
-        /// The position of the placement it was made on top of. It counts only while that one is
-        /// the latest.
+        /// The position of the placement that this one is based on. The report takes effect only if
+        /// that placement is still the latest.
         base_placement: Position,
-        /// First key, last key, and holder of each span that is placed.
+        /// First key, last key and holder of each key span that is placed.
         ranges: Vec<(u16, u16, BackendName)>,
     },
     /// An earlier holder has released keys.
     ShardsReleased {
         /// The service of the keys.
         service: ServiceName,
-        /// The back end that held them.
+        /// The backend that held them.
         name: BackendName,
-        /// How far its node knew the log: what it lost later is not released.
+        /// The position up to which its node knew the log. Keys that were lost later are not
+        /// released.
         known_through: Position,
-        /// First key, last key, and what it hands over, of each span.
+        /// First key, last key and handover token of each key span.
         ranges: Vec<(u16, u16, String)>,
     },
-    /// Whoever held these keys before the fencing token can hold them no more: the longest hold
-    /// has passed.
+    /// Earlier holders, from before the fencing token, can no longer hold these keys: the longest
+    /// time that they may be held has passed.
     ReleasesExpired {
         /// The service of the keys.
         service: ServiceName,
-        /// First key, last key, and fencing token of each span.
+        /// First key, last key and fencing token of each key span.
         ranges: Vec<(u16, u16, Position)>,
     },
 }
--- a/crates/model/src/cluster_state/shard_map.rs
+++ b/crates/model/src/cluster_state/shard_map.rs
@@ -1,4 +1,5 @@
-//! Which back end holds which keys: ranges over all keys of a service, cut anywhere (design 11.4).
+//! Shard maps: which backend holds which keys, as ranges that cover all keys of a service and may
+//! begin and end at any key (design 11.4).
 
 use std::collections::HashMap;
 
@@ -7,7 +8,7 @@
 /// A key of a keyed service.
 pub type ShardKey = u16;
 
-/// Keys next to each other that went through the same.
+/// A range of adjacent keys with the same holder and history.
 #[derive(
     Clone,
     Debug,
@@ -25,15 +26,16 @@
     /// The last key of the range.
     #[serde(rename = "to")]
     pub last_key: ShardKey,
-    /// The back end that is to hold the keys.
+    /// The backend that the keys are assigned to.
     pub holder: Option<BackendName>,
-    /// The position that moved the range here. It only grows.
+    /// The position of the entry that moved the range to this holder. It only grows.
     #[serde(rename = "fence")]
     pub fencing_token: Position,
-    /// Earlier holders that may still hold the range, with the position at which each lost it.
+    /// Earlier holders that may still hold the range, each with the position at which it lost the
+    /// range.
     #[serde(rename = "owed")]
     pub pending_releases: Vec<(BackendName, Position)>,
-    /// What the last holder handed over; opaque.
+    /// The token that the previous holder handed over; opaque.
     #[serde(rename = "token")]
     pub handover_token: String,
 }
@@ -53,10 +55,10 @@
     }
 }
 
-/// The ranges of a service: ordered, without gaps, over all keys.
+/// The ranges of a service, ordered and without gaps over all keys.
 pub type ShardMap = Vec<ShardRange>;
 
-/// The map of a service that no back end holds keys of.
+/// The shard map of a service whose keys are all unassigned.
 pub fn unassigned() -> ShardMap {
     vec![ShardRange {
         first_key: 0,
@@ -68,15 +70,15 @@
     }]
 }
 
-/// The range that a key lies in; `None` only if the map is empty.
+/// The range that contains a key; `None` only if the map is empty.
 pub fn range_of(ranges: &ShardMap, key: ShardKey) -> Option<&ShardRange> {
     ranges.get(ranges.partition_point(|range| range.last_key < key))
 }
 
-/// Assigns spans of keys (first, last, holder) to the holders that a placement names.
+/// Assigns key spans (first key, last key, holder) to the holders that a placement names.
 ///
-/// Who keeps a range keeps its fencing token. Whoever gets a range back has no release pending of
-/// it: what it lost earlier it holds now.
+/// A holder that keeps a range keeps its fencing token. A backend that gets a range back has no
+/// release of the range pending any more, because it holds the range again.
 pub fn reassign(
     ranges: ShardMap,
     assignments: &[(ShardKey, ShardKey, BackendName)],
@@ -100,8 +102,9 @@
     merge_neighbours(change_spans(ranges, assignments, &assigned))
 }
 
-/// `backend` has released spans of keys (first, last, what it hands over), knowing the log up to
-/// `known_through`: what it lost later stays pending.
+/// Applies `backend`'s release of key spans (first key, last key, handover token). `known_through`
+/// is the position up to which the backend's node knew the log: releases of ranges lost later stay
+/// pending.
 pub fn release(
     ranges: ShardMap,
     backend: &str,
@@ -123,8 +126,8 @@
     merge_neighbours(change_spans(ranges, &released_spans, &released))
 }
 
-/// Ends the pending releases of spans of keys (first, last, fencing token) that are still held
-/// under the token: whoever held them before has been waited out.
+/// Removes the pending releases of key spans (first key, last key, fencing token) that still have
+/// this fencing token: the time that their earlier holders may have held them has passed.
 pub fn expire_releases(ranges: ShardMap, expired: &[(ShardKey, ShardKey, Position)]) -> ShardMap {
     let mut expired = expired.to_vec();
     expired.sort();
@@ -137,7 +140,7 @@
     merge_neighbours(change_spans(ranges, &expired, &expire))
 }
 
-/// A back end whose process is gone holds nothing and hands nothing over.
+/// Removes a backend whose process has ended: it holds no keys and hands over no token.
 pub fn remove_backend(mut ranges: ShardMap, backend: &str) -> ShardMap {
     for range in &mut ranges {
         let is_holder = range.holder.as_deref() == Some(backend);
@@ -154,7 +157,7 @@
     merge_neighbours(ranges)
 }
 
-/// The ranges of `new` that are not in `old`, for followers that hold `old`.
+/// The ranges of `new` that are not in `old`, for followers that have `old`.
 pub fn diff(old: &ShardMap, new: &ShardMap) -> ShardMap {
     let old: HashMap<ShardKey, &ShardRange> =
         old.iter().map(|range| (range.first_key, range)).collect();
@@ -164,7 +167,7 @@
         .collect()
 }
 
-/// The map with the ranges of a [`diff`] put in their place.
+/// Applies the ranges of a [`diff`] to a shard map.
 pub fn apply_diff(ranges: ShardMap, changes: ShardMap) -> ShardMap {
     let mut next = 0;
     let mut result = ShardMap::with_capacity(ranges.len() + changes.len());
@@ -183,18 +186,18 @@
         }
     }
     result.extend(changes);
-    // Two ordered runs: the sort joins them in one pass.
+    // The vector consists of two ordered runs, which the stable sort merges in one pass.
     result.sort_by_key(|range| range.first_key);
     result
 }
 
-/// A change of one range, by what its span says.
+/// A change of one range by the value of a key span.
 type RangeChange<'a, T> = &'a dyn Fn(ShardRange, &T) -> ShardRange;
 
-/// The map with cuts at the edges of the spans; the parts inside a span are changed by it.
+/// Splits the map at the edges of the key spans and changes the ranges inside each span.
 ///
-/// One pass over both, as spans are ordered and none overlaps another; those that do are taken one
-/// after the other.
+/// Spans that are ordered and do not overlap are applied in one pass; others are applied one after
+/// another.
 fn change_spans<T>(
     ranges: ShardMap,
     spans: &[(ShardKey, ShardKey, T)],
@@ -213,20 +216,21 @@
         {
             next += 1;
         }
-        // A span may reach into the ranges after this one: it is looked at again there.
+        // A span may extend into the following ranges, so `next` still points to it there.
         change_range(range, &spans[next..], change, &mut result);
     }
     result
 }
 
-/// Cuts one range at the edges of the spans that begin in or before it, and changes the parts.
+/// Splits one range at the edges of the key spans that begin in or before it, and changes the parts
+/// inside the spans.
 fn change_range<T>(
     mut range: ShardRange,
     spans: &[(ShardKey, ShardKey, T)],
     change: RangeChange<T>,
     result: &mut ShardMap,
 ) {
-    for (first_key, last_key, what) in spans {
+    for (first_key, last_key, value) in spans {
         if *first_key > range.last_key {
             break;
         }
@@ -238,7 +242,7 @@
             range.first_key = *first_key;
         }
         if *last_key >= range.last_key {
-            result.push(change(range, what));
+            result.push(change(range, value));
             return;
         }
         result.push(change(
@@ -246,14 +250,14 @@
                 last_key: *last_key,
                 ..range.clone()
             },
-            what,
+            value,
         ));
         range.first_key = last_key + 1;
     }
     result.push(range);
 }
 
-/// Neighbours that differ in nothing but their keys become one.
+/// Merges adjacent ranges that differ only in their keys.
 fn merge_neighbours(ranges: ShardMap) -> ShardMap {
     let mut merged: ShardMap = Vec::new();
     for range in ranges {
--- a/crates/model/src/cluster_state/snapshot.rs
+++ b/crates/model/src/cluster_state/snapshot.rs
@@ -1,5 +1,5 @@
-//! What a node makes of the changes it received: an immutable snapshot of the cluster state, ready
-//! to be looked up (design 11.3).
+//! An immutable snapshot of the cluster state, which a node builds from the deltas it receives and
+//! uses for lookups (design 11.3).
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
@@ -18,52 +18,51 @@
     pub name: ItemName,
     /// The version of the item.
     pub version: ItemVersion,
-    /// What the item says.
+    /// The content of the item.
     pub route: Route,
 }
 
-/// Routes of one host by prefix. Keys and routes are shared, so that a copy costs a pointer for
+/// The routes of one host by prefix. Keys and routes are shared, so that a copy costs one pointer
 /// each.
 type RoutesByPrefix = HashMap<Arc<str>, Arc<RouteItem>>;
 
-/// What a node holds of the cluster state. Parts that did not change are shared with the snapshot
-/// before.
+/// A node's copy of the cluster state. Unchanged parts are shared with the previous snapshot.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StateSnapshot {
-    /// The position of the state it is a copy of.
+    /// The position of the cluster state that this is a copy of.
     pub position: Position,
     routes_by_host: Arc<HashMap<Arc<str>, Arc<RoutesByPrefix>>>,
     routes_by_name: Arc<HashMap<Arc<str>, Arc<RouteItem>>>,
     /// Services by name.
     pub services: Arc<BTreeMap<ServiceName, Service>>,
-    /// The limits of HTTP messages, if an operator set them.
+    /// The limits of HTTP messages, if an operator has set them.
     pub limits: Option<Limits>,
-    /// Back ends by name.
+    /// Backends by name.
     pub backends: Arc<BackendRecords>,
     /// Nodes by name.
     pub nodes: Arc<NodeRecords>,
     /// The placements of keyed services.
     pub placements: Arc<BTreeMap<ServiceName, Arc<Placement>>>,
-    /// Back ends that take new work, by service; follows from back ends and nodes.
+    /// Backends that accept new requests, by service; derived from backends and nodes.
     available: Arc<HashMap<ServiceName, Arc<Vec<AvailableBackend>>>>,
 }
 
-/// A back end, with the address of the node beside it.
+/// A backend with the address of the node beside it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AvailableBackend {
     /// Its name.
     pub name: BackendName,
     /// The node beside it.
     pub node: NodeName,
-    /// The zone it stands in.
+    /// The zone that it is in.
     pub zone: ZoneName,
-    /// Where other nodes reach its node.
+    /// The address at which other nodes reach its node.
     pub address: String,
-    /// How many requests it runs at once.
+    /// The number of requests that it runs concurrently.
     pub slots: u32,
 }
 
-/// Which back ends a set of deltas speaks of.
+/// The backends and nodes that a set of deltas changes.
 struct ChangedEndpoints {
     backends: HashSet<BackendName>,
     nodes: HashSet<NodeName>,
@@ -89,7 +88,8 @@
         self.backends.is_empty() && self.nodes.is_empty()
     }
 
-    /// The services that these back ends, and those beside these nodes, serve in a snapshot.
+    /// The services that the changed backends, and those beside the changed nodes, serve in a
+    /// snapshot.
     fn services(&self, snapshot: &StateSnapshot) -> Vec<ServiceName> {
         let changed = snapshot.backends.iter().filter(|(name, backend)| {
             self.backends.contains(*name) || self.nodes.contains(&backend.node)
@@ -101,25 +101,26 @@
 }
 
 impl StateSnapshot {
-    /// The route of the longest prefix of this host that begins the path.
+    /// The route of this host with the longest prefix that matches the path.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<RouteItem>> {
         let routes = self.routes_by_host.get(host)?;
-        // A prefix ends with a slash: the longest that is known, from the whole path down.
+        // Prefixes end with a slash, so candidates are the path's parts up to each slash, longest
+        // first.
         path.rmatch_indices('/')
             .find_map(|(slash, _)| routes.get(&path[..=slash]))
     }
 
-    /// Whether there is any route.
+    /// Whether any route exists.
     pub fn has_routes(&self) -> bool {
         !self.routes_by_host.is_empty()
     }
 
-    /// How many routes there are.
+    /// The number of routes.
     pub fn route_count(&self) -> usize {
         self.routes_by_name.len()
     }
 
-    /// Whether a back end takes new work: it is registered, beside a node that is present.
+    /// Whether a backend accepts new requests: it is registered, and its node is present.
     pub fn accepts_work(&self, backend: &BackendRecord) -> bool {
         backend.phase == BackendPhase::Registered
             && self
@@ -128,8 +129,8 @@
                 .is_some_and(|node| node.present)
     }
 
-    /// The snapshot at `position`, after deltas on top of this one; or, with `from_empty`, after
-    /// deltas on top of nothing.
+    /// The snapshot at `position` after applying deltas to this snapshot or, with `from_empty`, to
+    /// an empty one.
     pub fn updated(
         &self,
         from_empty: bool,
@@ -142,7 +143,7 @@
             self.clone()
         };
         let changed = ChangedEndpoints::of(&deltas);
-        // Of a back end that changed, both the service it left and the one it came to.
+        // If a backend changed its service, both its old and its new service are affected.
         let mut services: HashSet<ServiceName> = HashSet::new();
         if !changed.backends.is_empty() {
             services.extend(changed.services(&base));
@@ -155,7 +156,7 @@
         StateSnapshot { position, ..next }
     }
 
-    /// Makes the lists of available back ends anew, for these services only.
+    /// Rebuilds the lists of available backends of these services only.
     fn refresh_available(&mut self, services: &HashSet<ServiceName>) {
         let refreshed = self.available_of(services);
         let available = Arc::make_mut(&mut self.available);
@@ -171,12 +172,12 @@
         for (name, backend) in self.backends.iter() {
             if services.contains(&backend.service)
                 && self.accepts_work(backend)
-                && let Some(located) = self.located(name, backend)
+                && let Some(with_node_address) = self.with_node_address(name, backend)
             {
                 by_service
                     .entry(backend.service.clone())
                     .or_default()
-                    .push(located);
+                    .push(with_node_address);
             }
         }
         by_service
@@ -185,7 +186,7 @@
             .collect()
     }
 
-    fn located(&self, name: &str, backend: &BackendRecord) -> Option<AvailableBackend> {
+    fn with_node_address(&self, name: &str, backend: &BackendRecord) -> Option<AvailableBackend> {
         let node = self.nodes.get(&backend.node)?;
         Some(AvailableBackend {
             name: name.into(),
@@ -196,16 +197,16 @@
         })
     }
 
-    /// The back ends of a service that take new work, in the order of their names.
+    /// The backends of a service that accept new requests, ordered by name.
     pub fn available_backends(&self, service: &str) -> Arc<Vec<AvailableBackend>> {
         self.available.get(service).cloned().unwrap_or_default()
     }
 
-    /// Where a back end is found, though it may take no new work.
+    /// The location of a backend, even if it accepts no new requests.
     pub fn find_backend(&self, name: &str) -> Option<AvailableBackend> {
         self.backends
             .get(name)
-            .and_then(|backend| self.located(name, backend))
+            .and_then(|backend| self.with_node_address(name, backend))
     }
 
     fn with_delta(mut self, delta: Delta) -> StateSnapshot {
@@ -274,7 +275,7 @@
             return;
         };
         let prefix = old.route.prefix.as_str();
-        // Another item may have taken the prefix within the same call.
+        // Another item may have taken over the prefix in the same call.
         if by_prefix.get(prefix).is_some_and(|item| item.name == name) {
             Arc::make_mut(by_prefix).remove(prefix);
         }
--- a/crates/model/src/cluster_state/version_history.rs
+++ b/crates/model/src/cluster_state/version_history.rs
@@ -1,6 +1,6 @@
-//! Which content was accepted under which version of each item, so that two operators are never
-//! both told that theirs is in force under one number, and a repeat of what was accepted is told
-//! from a second content.
+//! The history of accepted versions and contents of each item. It ensures that two operators never
+//! both get a confirmation for different contents under one version, and distinguishes a repeat of
+//! an accepted item from different content.
 
 use std::collections::BTreeMap;
 
@@ -9,10 +9,10 @@
 use super::items::{self, Item, ItemCall, ItemKey, ItemVersion, Items};
 use crate::VersionConflict;
 
-/// The latest versions of an item whose contents are remembered. An operator repeats an order for
-/// seconds, and an item changes a few times a day; what is older counts as a repeat, as it was
-/// confirmed or overtaken long ago.
-const VERSIONS_KEPT_PER_ITEM: usize = 16;
+/// Number of versions per item whose contents are remembered. Operators repeat a call for seconds,
+/// and an item changes a few times a day; an older version counts as a repeat, because it was
+/// confirmed or superseded long ago.
+const MAX_REMEMBERED_VERSIONS_PER_ITEM: usize = 16;
 
 /// The first eight bytes of the SHA-256 of an item's content.
 type ContentDigest = u64;
@@ -27,7 +27,7 @@
     digest: ContentDigest,
 }
 
-/// The digest of each item of a call, in its order.
+/// The digest of each item of a call, in the order of the call.
 pub(crate) struct CallDigests(Vec<(ItemKey, ItemVersion, ContentDigest)>);
 
 impl CallDigests {
@@ -46,8 +46,8 @@
 }
 
 impl VersionHistory {
-    /// Remembers what a call brought into force. `digests` are those of the call, which has no
-    /// conflicts.
+    /// Records the items that a call made current. `digests` are those of the call, which must have
+    /// no conflicts.
     pub(crate) fn record(&mut self, newer: &Items, digests: &CallDigests) {
         let digests = digests.by_version();
         for (key, item) in newer {
@@ -58,20 +58,22 @@
                 version: item.version,
                 digest,
             });
-            let surplus = versions.len().saturating_sub(VERSIONS_KEPT_PER_ITEM);
-            versions.drain(..surplus);
+            let excess = versions
+                .len()
+                .saturating_sub(MAX_REMEMBERED_VERSIONS_PER_ITEM);
+            versions.drain(..excess);
         }
     }
 
-    /// Every item of the call that has other content than was accepted under its version, or that
-    /// stands twice in the call with two contents under one version.
+    /// All items of the call whose content differs from the content accepted under their version,
+    /// or that occur twice in the call with different contents under one version.
     pub(crate) fn conflicts(&self, items: &Items, digests: &CallDigests) -> Vec<VersionConflict> {
         let mut sent: BTreeMap<(&ItemKey, ItemVersion), ContentDigest> = BTreeMap::new();
         let mut conflicts = Vec::new();
         for (key, version, digest) in &digests.0 {
             let accepted = self.digest_under(key, *version);
-            let earlier = *sent.entry((key, *version)).or_insert(*digest);
-            if earlier != *digest || accepted.is_some_and(|accepted| accepted != *digest) {
+            let previous = *sent.entry((key, *version)).or_insert(*digest);
+            if previous != *digest || accepted.is_some_and(|accepted| accepted != *digest) {
                 let (kind, name) = key.clone();
                 let current_version = items.get(key).map_or(*version, |item| item.version);
                 let conflict = VersionConflict {
@@ -93,9 +95,9 @@
     }
 }
 
-/// Alike for contents that differ only in white space and in the order of fields.
+/// The digest is the same for contents that differ only in white space and in the order of fields.
 ///
-/// It is stored, so the JSON of an item's body must not change.
+/// The digest is stored, so the JSON of an item's body must stay the same.
 fn content_digest(item: &Item) -> ContentDigest {
     let body = || serde_json::to_value(&item.body).unwrap_or_default();
     let content: serde_json::Value = if item.text.is_empty() {
--- a/crates/model/src/desired_state.rs
+++ b/crates/model/src/desired_state.rs
@@ -1,6 +1,6 @@
-//! What operators write: groupings and standing orders (design 2.1).
+//! The desired state that operators write: groupings and standing orders (design 2.1).
 //!
-//! Where a type or field has another name outside, `serde` keeps it.
+//! Where a type or field has a different public name, a `serde` attribute states it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,7 +9,7 @@
 
 use crate::{Labels, Microseconds, Position, ServiceName, ZoneName};
 
-/// Back ends that announce this service and zone and carry these labels belong to it.
+/// A group of backends: those that announce this service and zone and carry these labels.
 #[derive(
     Clone,
     Debug,
@@ -23,20 +23,20 @@
 )]
 #[serde(deny_unknown_fields)]
 pub struct Grouping {
-    /// The service its back ends serve.
-    #[validate(custom(function = "crate::validation::name"))]
+    /// The service its backends serve.
+    #[validate(custom(function = "crate::validation::validate_name"))]
     pub service: ServiceName,
-    /// The zone its back ends stand in.
-    #[validate(custom(function = "crate::validation::name"))]
+    /// The zone that its backends are in.
+    #[validate(custom(function = "crate::validation::validate_name"))]
     pub zone: ZoneName,
-    /// Labels that its back ends carry, among others.
+    /// Labels that its backends carry; they may carry others too.
     #[serde(default)]
-    #[validate(custom(function = "crate::validation::labels"))]
+    #[validate(custom(function = "crate::validation::validate_labels"))]
     pub labels: Labels,
 }
 
-/// Which requests an order covers. An empty list or map leaves that side open, except `from`:
-/// nobody may call a service that no order lets them call.
+/// The requests that an order covers. An empty list or map matches anything, except `from`: only
+/// the services that an order names may call a service.
 #[derive(
     Clone,
     Debug,
@@ -50,27 +50,27 @@
 )]
 #[serde(deny_unknown_fields)]
 pub struct Selector {
-    /// The services whose back ends may send the requests.
+    /// The services whose backends may send the requests.
     #[validate(length(min = 1, max = 64, message = "names 1 to 64 services"))]
     pub from: Vec<ServiceName>,
     /// The service that is called.
-    #[validate(custom(function = "crate::validation::name"))]
+    #[validate(custom(function = "crate::validation::validate_name"))]
     pub service: ServiceName,
     /// HTTP methods in capitals.
     #[serde(default)]
-    #[validate(custom(function = "crate::validation::methods"))]
+    #[validate(custom(function = "crate::validation::validate_methods"))]
     pub methods: Vec<String>,
-    /// Path segments that the path begins with.
-    #[serde(default = "crate::validation::any_path")]
-    #[validate(custom(function = "crate::validation::path"))]
+    /// The path segments that the path begins with.
+    #[serde(default = "crate::validation::default_path_prefix")]
+    #[validate(custom(function = "crate::validation::validate_path"))]
     pub path_prefix: String,
-    /// Only back ends with these labels serve the requests.
+    /// Only backends with these labels serve the requests.
     #[serde(default)]
-    #[validate(custom(function = "crate::validation::labels"))]
+    #[validate(custom(function = "crate::validation::validate_labels"))]
     pub labels: Labels,
 }
 
-/// How requests of a selector are handled.
+/// The handling of the requests that a selector covers.
 #[derive(
     Clone,
     Debug,
@@ -87,25 +87,26 @@
     /// The requests it covers.
     #[validate(nested)]
     pub selector: Selector,
-    /// The longest a request may take, waiting and running together, in microseconds.
+    /// The request timeout, including both waiting and running, in microseconds.
     #[validate(range(
         min = 1_000,
         max = 60_000_000,
         message = "is from 1000 to 60000000 microseconds"
     ))]
     pub wait_us: Microseconds,
-    /// 0 gives way first when a back end is overloaded, 9 last.
-    #[serde(default = "crate::validation::middle_importance")]
+    /// The importance of the requests when a backend is overloaded: 0 is rejected first, 9 last.
+    #[serde(default = "crate::validation::default_importance")]
     #[validate(range(max = 9, message = "is from 0 to 9"))]
     pub importance: u8,
-    /// May run twice without harm: only then is an attempt repeated that may have run.
+    /// Whether the requests may safely run twice: only then is an attempt that may have run
+    /// retried.
     #[serde(default, rename = "repeatable")]
     pub idempotent: bool,
-    /// Requests name a key, and one back end at a time holds it.
+    /// Whether requests name a key, which one backend at a time holds.
     #[serde(default)]
     pub keyed: bool,
-    /// Requests may go to another zone when their own has no back end.
-    #[serde(default = "crate::validation::yes", rename = "leave_zone")]
+    /// Whether requests may be sent to another zone if their own zone has no backend.
+    #[serde(default = "crate::validation::default_true", rename = "leave_zone")]
     pub allow_other_zones: bool,
 }
 
@@ -122,7 +123,7 @@
     rkyv::Deserialize,
 )]
 pub struct DesiredState {
-    /// Counts the changes that took effect.
+    /// The number of changes that took effect.
     pub version: Position,
     /// Groupings by name.
     pub groupings: BTreeMap<String, Grouping>,
@@ -147,7 +148,7 @@
     PutGrouping {
         /// The name of the grouping.
         name: String,
-        /// What it is to be.
+        /// The new value.
         grouping: Grouping,
     },
     /// Removes a grouping.
@@ -159,7 +160,7 @@
     PutOrder {
         /// The name of the order.
         name: String,
-        /// What it is to be.
+        /// The new value.
         order: StandingOrder,
     },
     /// Removes a standing order.
@@ -169,7 +170,7 @@
     },
 }
 
-/// One atomic change: all of its edits or none, against the version it names.
+/// An atomic change: all of its edits or none are applied, on top of its base version.
 #[derive(
     Clone,
     Debug,
@@ -182,17 +183,17 @@
 )]
 #[serde(deny_unknown_fields)]
 pub struct Change {
-    /// The operator's own name for the change; sending it again is harmless.
+    /// The operator's id for the change. Sending the same change again has no further effect.
     pub id: String,
     /// The version of the desired state that the operator saw.
     #[serde(rename = "base")]
     pub base_version: Position,
-    /// What is to be changed, in this order.
+    /// The edits, in the order in which they are applied.
     pub edits: Vec<Edit>,
 }
 
 impl DesiredState {
-    /// The state after the edits, of the same version and not yet validated.
+    /// The state after the edits, with the same version and not yet validated.
     pub fn with_edits(&self, edits: &[Edit]) -> DesiredState {
         let mut state = self.clone();
         for edit in edits.iter().cloned() {
@@ -214,7 +215,7 @@
         state
     }
 
-    /// The services that some grouping has.
+    /// The services of all groupings.
     pub fn services(&self) -> BTreeSet<&str> {
         self.groupings
             .values()
--- a/crates/model/src/endpoint_status.rs
+++ b/crates/model/src/endpoint_status.rs
@@ -1,7 +1,8 @@
-//! Back ends and nodes as the log knows them, for groupings and standing orders (design 2.4).
+//! Backends and nodes as recorded in the log, for groupings and standing orders (design 2.4).
 //!
-//! The [cluster state](crate::cluster_state) keeps its own records of back ends and nodes, with
-//! other rules: there a back end's name is one incarnation, and an absent node keeps its back ends.
+//! The [cluster state](crate::cluster_state) keeps separate records of backends and nodes under
+//! different rules: there a backend's name identifies one incarnation, and an absent node keeps its
+//! backends.
 
 mod report;
 
@@ -11,7 +12,7 @@
 
 use crate::{BackendName, Incarnation, Labels, NodeName, Position, ServiceName, ZoneName};
 
-/// How far the life of a back end has come. It only ever moves on.
+/// The lifecycle phase of a backend. It never moves backwards.
 #[derive(
     Clone,
     Copy,
@@ -26,18 +27,18 @@
 )]
 #[serde(rename_all = "snake_case")]
 pub enum BackendPhase {
-    /// Takes work.
+    /// Accepts new requests.
     Registered,
-    /// Finishes what it has and takes nothing new.
+    /// Finishes its current requests and accepts no new ones.
     Draining,
-    /// Said itself that it is done.
+    /// Has deregistered itself.
     #[serde(rename = "signed_off")]
     Deregistered,
-    /// Was not heard of for too long, or its node was lost.
+    /// Sent no heartbeat for too long, or its node was lost.
     PresumedGone,
 }
 
-/// A registered back end.
+/// A registered backend.
 #[derive(
     Clone,
     Debug,
@@ -49,33 +50,33 @@
     rkyv::Deserialize,
 )]
 pub struct Backend {
-    /// The service it serves.
+    /// The service that it serves.
     pub service: ServiceName,
-    /// The zone it stands in.
+    /// The zone that it is in.
     pub zone: ZoneName,
-    /// The labels it carries.
+    /// The labels that it carries.
     pub labels: Labels,
-    /// How many requests it runs at once.
+    /// The number of requests that it runs concurrently.
     pub slots: u32,
     /// The node beside it.
     pub node: NodeName,
-    /// Which registration of the name this is; later ones are higher.
+    /// The incarnation of this registration of the name; later registrations have higher ones.
     pub incarnation: Incarnation,
-    /// How far its life has come.
+    /// The lifecycle phase.
     pub phase: BackendPhase,
-    /// The position that brought it into its phase.
+    /// The position at which it entered its phase.
     #[serde(rename = "since")]
     pub changed_at: Position,
 }
 
 impl Backend {
-    /// Whether it may be given new requests.
+    /// Whether the backend may receive new requests.
     pub fn accepts_work(&self) -> bool {
         self.phase == BackendPhase::Registered
     }
 }
 
-/// A node beside back ends.
+/// A proxy node beside backends.
 #[derive(
     Clone,
     Debug,
@@ -87,24 +88,24 @@
     rkyv::Deserialize,
 )]
 pub struct Node {
-    /// The zone it stands in.
+    /// The zone that it is in.
     pub zone: ZoneName,
-    /// Where other nodes reach it: an IP number and port.
+    /// The address at which other nodes reach it: an IP address and port.
     pub address: String,
-    /// Which process of the name is registered.
+    /// The registered incarnation.
     pub incarnation: Incarnation,
-    /// Neither left nor presumed gone.
+    /// Whether the node is present: it has neither left nor been presumed gone.
     pub present: bool,
-    /// The observers that miss this incarnation.
+    /// The observers that suspect this incarnation to be gone.
     #[serde(rename = "reporters")]
     pub suspected_by: BTreeSet<NodeName>,
-    /// The position that made it present or absent.
+    /// The position at which it became present or absent.
     #[serde(rename = "since")]
     pub changed_at: Position,
 }
 
 impl Node {
-    /// A node that registers at position `next`, and that nobody misses.
+    /// A node that registers at position `next` and is suspected by no observer.
     pub(crate) fn present(
         zone: ZoneName,
         address: String,
@@ -122,7 +123,7 @@
     }
 }
 
-/// All back ends and nodes that are known.
+/// All known backends and nodes.
 #[derive(
     Clone,
     Debug,
@@ -135,7 +136,7 @@
     rkyv::Deserialize,
 )]
 pub struct EndpointStatus {
-    /// Back ends by name; those that ended are remembered for a while.
+    /// Backends by name. Backends that ended are retained for a number of positions.
     #[serde(rename = "back_ends")]
     pub backends: BTreeMap<BackendName, Backend>,
     /// Nodes by name.
--- a/crates/model/src/endpoint_status/report.rs
+++ b/crates/model/src/endpoint_status/report.rs
@@ -1,79 +1,80 @@
-//! Reports of nodes, in the form the log keeps them (design 2.4).
+//! Reports of nodes, as stored in the log (design 2.4).
 
 use super::{Backend, BackendPhase};
 use crate::{BackendName, Incarnation, NodeName, Position, ServiceName, ZoneName};
 
-/// What a node saw, in the form the log keeps it.
+/// A report of a node, as stored in the log.
 #[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub enum EndpointReport {
-    /// A node started, or is present again.
+    /// A node started or became present again.
     NodeRegistered {
         /// The name of the node.
         node: NodeName,
-        /// The zone it stands in.
+        /// The zone that the node is in.
         zone: ZoneName,
-        /// Where other nodes reach it.
+        /// The address at which other nodes reach it.
         address: String,
         /// The incarnation that registers.
         incarnation: Incarnation,
-        /// The incarnation that the sender found registered, 0 if none. The registration counts
-        /// only while that one still is.
+        /// The incarnation that the sender found registered, 0 if none. The registration takes
+        /// effect only while that incarnation is still the registered one.
         replaces: Incarnation,
     },
-    /// A planned end of a node.
+    /// A node shut down as planned.
     NodeLeft {
         /// The name of the node.
         node: NodeName,
-        /// Which process of that name.
+        /// The incarnation of the node.
         incarnation: Incarnation,
-        /// Every run beside it had ended, and it forwards nothing any more.
+        /// Whether all requests beside the node had ended and the node forwards no more.
         clean: bool,
     },
-    /// An observer misses a node, or hears it again.
+    /// An observer suspects a node to be gone, or has heard from it again.
     NodeObserved {
         /// The node that observes.
         observer: NodeName,
         /// The node that is observed.
         node: NodeName,
-        /// Which process of that name.
+        /// The incarnation of the node.
         incarnation: Incarnation,
-        /// It is missed; else it is heard again.
+        /// Whether the node is suspected; otherwise the observer has heard from it again.
         suspected: bool,
     },
-    /// A back end registers.
+    /// A backend registers.
     BackendRegistered {
-        /// The name of the back end.
+        /// The name of the backend.
         name: BackendName,
-        /// What it announces.
+        /// The data that it announces.
         backend: Backend,
     },
-    /// A back end enters a phase.
+    /// A backend enters a phase.
     PhaseChanged {
-        /// The name of the back end.
+        /// The name of the backend.
         name: BackendName,
-        /// Which registration of that name.
+        /// The incarnation of the registration.
         incarnation: Incarnation,
         /// The phase it enters.
         phase: BackendPhase,
     },
-    /// The holder of moved key slots has no run left on them (design 7.3).
+    /// The former holder of moved key slots has no requests running on them any more (design 7.3).
     LeasesReleased {
         /// The service of the keys.
         service: ServiceName,
-        /// The back end that held them.
+        /// The backend that held them.
         name: BackendName,
-        /// Which registration of that name.
+        /// The incarnation of the registration.
         incarnation: Incarnation,
-        /// How far its node knew the log: slots that were lost later are not released.
+        /// The position up to which its node knew the log. Slots that were lost later are not
+        /// released.
         known_through: Position,
     },
-    /// A heartbeat named another number of slots.
+    /// A heartbeat announced a different number of slots.
     SlotsChanged {
-        /// The name of the back end.
+        /// The name of the backend.
         name: BackendName,
-        /// Which registration of that name.
+        /// The incarnation of the registration.
         incarnation: Incarnation,
-        /// How many requests it runs at once.
+        /// The number of requests that it runs concurrently.
         slots: u32,
     },
 }
--- a/crates/model/src/endpoint_status_rules.rs
+++ b/crates/model/src/endpoint_status_rules.rs
@@ -1,28 +1,28 @@
-//! How each report changes the endpoint status. Repeats and late reports of an earlier incarnation
-//! do nothing (design 2.4).
+//! The effect of each report on the endpoint status. Repeated reports and late reports of an
+//! earlier incarnation have no effect (design 2.4).
 
 use crate::endpoint_status::{EndpointReport, Node};
-use crate::registration::{may_register, observers_needed};
+use crate::registration::{may_register, required_observers};
 use crate::{
     Backend, BackendName, BackendPhase, Incarnation, NodeName, Position, StateMachine, leases,
 };
 
-/// For how many positions back ends that ended are remembered.
-const ENDED_KEPT_POSITIONS: Position = 10_000;
+/// Number of positions for which ended backends are retained.
+const ENDED_BACKEND_RETENTION_POSITIONS: Position = 10_000;
 
-/// Why a report does not hold. The texts reach operators.
+/// The reason why a report is rejected. The texts reach operators.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub(crate) enum Rejection {
-    /// No grouping takes the back end in.
+    /// The backend matches no grouping.
     #[error("no grouping fits service {service:?} in zone {zone:?} with these labels")]
     NoGrouping { service: String, zone: String },
-    /// The node beside the back end is not present.
+    /// The node beside the backend is not present.
     #[error("the node {node:?} is not present")]
     NodeAbsent { node: NodeName },
-    /// Another node has a live back end of this name.
+    /// Another node has a live backend of this name.
     #[error("the name {name:?} is live beside the node {node:?}")]
     NameTaken { name: BackendName, node: NodeName },
-    /// The log has a later incarnation than the sender knew.
+    /// The log has a later incarnation than the one the sender knew.
     #[error("a later incarnation is registered")]
     Superseded,
 }
@@ -135,7 +135,7 @@
     }
 }
 
-/// A node is presumed gone once enough observers miss it.
+/// Records an observation. A node is presumed gone once enough observers suspect it.
 fn record_observation(
     state: &mut StateMachine,
     observer: NodeName,
@@ -156,7 +156,7 @@
     } else {
         node.suspected_by.remove(&observer);
     }
-    if node.suspected_by.len() >= observers_needed(others) {
+    if node.suspected_by.len() >= required_observers(others) {
         node.present = false;
         node.suspected_by.clear();
         node.changed_at = next;
@@ -204,14 +204,14 @@
         ..backend
     };
     status.backends.insert(name, registered);
-    let forgotten_before = next.saturating_sub(ENDED_KEPT_POSITIONS);
+    let oldest_retained = next.saturating_sub(ENDED_BACKEND_RETENTION_POSITIONS);
     status
         .backends
-        .retain(|_, backend| !has_ended(backend) || backend.changed_at >= forgotten_before);
+        .retain(|_, backend| !has_ended(backend) || backend.changed_at >= oldest_retained);
     Ok(())
 }
 
-/// The node, if this incarnation of it is present.
+/// The node, if this incarnation is registered and present.
 fn present_node<'a>(
     state: &'a mut StateMachine,
     name: &str,
@@ -221,7 +221,7 @@
     node.filter(|node| node.incarnation == incarnation && node.present)
 }
 
-/// The back end, if this is its registered incarnation.
+/// The backend, if this incarnation is registered.
 fn registered_backend<'a>(
     state: &'a mut StateMachine,
     name: &str,
@@ -238,7 +238,8 @@
     }
 }
 
-/// A life only ever moves on: registered, draining, then one of the two ends.
+/// The order of the phases: registered, draining, then one of the two final phases. A backend never
+/// returns to an earlier one.
 fn phase_rank(phase: BackendPhase) -> u8 {
     match phase {
         BackendPhase::Registered => 0,
--- a/crates/model/src/entry.rs
+++ b/crates/model/src/entry.rs
@@ -1,4 +1,4 @@
-//! What the log holds, and what applying an entry answered (design 2.3).
+//! Log entries and the outcomes of applying them (design 2.3).
 
 use crate::cluster_state::ItemKind;
 use crate::cluster_state::items::{ItemName, ItemVersion};
@@ -6,22 +6,22 @@
 use crate::{Change, DecodeError, Incarnation, Position};
 use crate::{archive, cluster_state, compression, endpoint_status};
 
-/// What an entry is to do.
+/// The operation of a log entry.
 #[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub enum Operation {
     /// An operator's change of groupings and standing orders.
     Change(Change),
-    /// What a node saw of itself, its back ends or another node.
+    /// A node's report about itself, its backends or another node.
     EndpointReport(endpoint_status::EndpointReport),
-    /// Another disk becomes a replica of the log.
+    /// Makes another disk a replica of the log.
     ReplaceReplica(ReplicaReplacement),
     /// An operation on the [`ClusterState`](crate::ClusterState) (design 11).
     ClusterState(cluster_state::ClusterOperation),
-    /// Changes nothing; moves the log on.
+    /// Changes nothing; advances the log.
     Barrier,
 }
 
-/// Another disk takes a replica over (design 4.4).
+/// Replaces the disk of a replica (design 4.4).
 #[derive(
     Clone,
     Debug,
@@ -34,47 +34,49 @@
 )]
 #[serde(deny_unknown_fields)]
 pub struct ReplicaReplacement {
-    /// The replica that is taken over.
+    /// The replica whose disk is replaced.
     #[serde(rename = "seat")]
     pub replica_id: u16,
-    /// The identity of the disk that is to lose it, so that of two operators one is refused.
+    /// The identity of the replica's present disk. If two operators replace the same disk, this
+    /// field makes one of the two requests fail.
     #[serde(rename = "from")]
     pub old_disk: u64,
-    /// The identity of the disk that is to become it.
+    /// The identity of the new disk.
     #[serde(rename = "to")]
     pub new_disk: u64,
 }
 
-/// One entry of the log. `origin`, `incarnation` and `sequence` tell a repeat from a second entry.
+/// An entry of the log. `origin`, `incarnation` and `sequence` distinguish a repeat from a new
+/// entry.
 #[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct Entry {
-    /// The name of the process that made the entry.
+    /// The name of the process that created the entry.
     pub origin: String,
-    /// Which process of that name.
+    /// The incarnation of that process.
     pub incarnation: Incarnation,
-    /// Grows with each entry of the process.
+    /// The sequence number of the entry; it increases with each entry of the process.
     pub sequence: u64,
-    /// What is to be done.
+    /// The operation to apply.
     pub operation: Operation,
 }
 
 impl Entry {
-    /// The bytes that are proposed and stored, compressed from 1 KiB on.
+    /// Serializes the entry for proposals and storage; entries of 1 KiB or more are compressed.
     pub fn to_bytes(&self) -> Vec<u8> {
         compression::compress(archive::to_bytes(self))
     }
 
-    /// Reads what [`Entry::to_bytes`] wrote.
+    /// Deserializes the output of [`Entry::to_bytes`].
     ///
     /// # Errors
     ///
-    /// [`DecodeError`] if the bytes are damaged or no entry.
+    /// Returns [`DecodeError`] if the bytes are damaged or not an entry.
     pub fn from_bytes(bytes: &[u8]) -> Result<Entry, DecodeError> {
         archive::from_bytes(&compression::decompress(bytes)?)
     }
 }
 
-/// What applying an entry came to.
+/// The outcome of applying an entry.
 #[derive(
     Clone,
     Debug,
@@ -94,46 +96,46 @@
         /// The version of the desired state; 0 for operations on the cluster state.
         version: Position,
     },
-    /// Nothing to do: the state already was as asked.
+    /// The state already was as requested.
     Unchanged {
         /// The position of the state.
         position: Position,
     },
-    /// The change was made on top of another version of the desired state.
+    /// The change is based on another version of the desired state.
     Stale {
-        /// The present version.
+        /// The current version of the desired state.
         version: Position,
     },
-    /// The change has faults. None of it took effect.
+    /// The change is invalid and none of it was applied.
     Invalid {
-        /// Every fault, each with its path.
+        /// All faults, each with its path.
         faults: Vec<Fault>,
     },
-    /// The same change id was used before with other edits.
+    /// The change id was used before with other edits.
     Reused {
-        /// The present version of the desired state.
+        /// The current version of the desired state.
         version: Position,
     },
     /// The report contradicts the state.
     Refused {
-        /// Why, for people who read it.
+        /// A description of the reason, for people.
         reason: String,
     },
-    /// The log has another incarnation of the sender, or none yet that this one replaces: it has to
-    /// register first.
+    /// The log has registered another incarnation of the sender, or none yet that this one
+    /// replaces. The sender has to register first.
     Superseded {
         /// The position of the state.
         position: Position,
     },
-    /// An item was sent with other content under a version that was accepted before. Nothing of
-    /// the call took effect.
+    /// An item was sent with different content under a version that was accepted before. Nothing of
+    /// the call was applied.
     Conflict {
-        /// Every item in conflict.
+        /// All conflicting items.
         conflicts: Vec<VersionConflict>,
     },
 }
 
-/// An item that was accepted with other content under the very version that was sent.
+/// An item that was already accepted with different content under the version that was sent.
 #[derive(
     Clone,
     Debug,
@@ -149,10 +151,10 @@
     pub kind: ItemKind,
     /// The name of the item.
     pub name: ItemName,
-    /// The version that was sent and had been accepted before.
+    /// The version that was sent and that had been accepted before.
     #[serde(rename = "sent")]
     pub sent_version: ItemVersion,
-    /// The newest version of the item.
+    /// The latest version of the item.
     #[serde(rename = "held")]
     pub current_version: ItemVersion,
 }
--- a/crates/model/src/error.rs
+++ b/crates/model/src/error.rs
@@ -1,14 +1,14 @@
-//! Why a request was not answered by a back end, and whether it may have run.
+//! Errors of requests that got no response from a backend, and whether the request may have run.
 //!
-//! Every error says for certain that the request did not run, or that it may have: clients decide
-//! by it whether to send the request again (design 5.4). `docs/verdicts.md` gives the reason for
-//! each kind.
+//! Every error states either that the request certainly did not run or that it may have run;
+//! clients decide by this whether a retry is safe (design 5.4). `docs/verdicts.md` gives the reason
+//! for each kind.
 
 use std::fmt::Display;
 
 use crate::Microseconds;
 
-/// Whether a request may have reached a back end.
+/// Whether a request may have reached a backend.
 #[derive(
     Clone,
     Copy,
@@ -22,16 +22,16 @@
     rkyv::Deserialize,
 )]
 pub enum ExecutionStatus {
-    /// Certain: no back end was given this attempt, nor ever will be.
+    /// No backend has received this attempt, and none will.
     NotRun,
-    /// Bytes may have left for a back end.
+    /// Bytes of the request may have been sent to a backend.
     MayHaveRun,
 }
 
-/// Defines [`ErrorKind`] from one table: variant, outside name, execution status, HTTP status.
+/// Defines [`ErrorKind`] from one table: variant, public code, execution status, HTTP status.
 macro_rules! error_kinds {
     ($($(#[$doc:meta])* $name:ident = $code:literal, $execution:ident, $http_status:literal;)*) => {
-        /// What went wrong with a request.
+        /// The reason why a request failed.
         #[derive(
             Clone,
             Copy,
@@ -47,20 +47,20 @@
         pub enum ErrorKind { $($(#[$doc])* #[serde(rename = $code)] $name),* }
 
         impl ErrorKind {
-            /// Every kind, in the order of the page.
+            /// All error kinds, in the order of `docs/verdicts.md`.
             pub const ALL: &[ErrorKind] = &[$(ErrorKind::$name),*];
 
-            /// The name that clients and operators see.
+            /// The code that clients and operators see.
             pub fn code(self) -> &'static str {
                 match self { $(ErrorKind::$name => $code),* }
             }
 
-            /// Whether a request that failed so may have run.
+            /// Whether a request that failed with this kind may have run.
             pub fn execution_status(self) -> ExecutionStatus {
                 match self { $(ErrorKind::$name => ExecutionStatus::$execution),* }
             }
 
-            /// The HTTP status of the answer.
+            /// The HTTP status of the response.
             pub fn http_status(self) -> u16 {
                 match self { $(ErrorKind::$name => $http_status),* }
             }
@@ -68,74 +68,73 @@
     };
 }
 
-// The table with the reasons is `docs/verdicts.md`; a test keeps both alike.
+// `docs/verdicts.md` has the same table with the reasons; a test compares the two.
 error_kinds! {
-    /// No live registration has the client's secret.
+    /// No live registration matches the client's secret.
     UnknownClient = "unknown_sender", MayHaveRun, 401;
     /// The request is malformed.
     BadRequest = "bad_request", NotRun, 400;
-    /// No route, or no standing order, covers the request.
+    /// No route or standing order covers the request.
     NoRoute = "no_lane", NotRun, 403;
-    /// The node has no proof that its state is current.
+    /// The node has no current freshness proof for its state.
     StaleState = "not_fresh", NotRun, 503;
-    /// No back end could be selected.
+    /// No backend could be selected.
     NoBackend = "no_back_end", NotRun, 503;
-    /// No connection to the back end or its node was made.
+    /// No connection to the backend or its node could be established.
     Unreachable = "unreachable", NotRun, 503;
-    /// The queue of the far node is full, or a more important request took the place.
+    /// The queue of the remote node is full, or a request of higher importance took the queue slot.
     Overloaded = "overloaded", NotRun, 429;
-    /// The back end's own node has ejected it for its failures.
+    /// The backend's own node has ejected the backend because of its failures.
     BackendEjected = "passed_over", NotRun, 503;
-    /// The key has filled its share of the queue.
+    /// The requests of this key already fill its share of the queue.
     KeyOverloaded = "key_crowded", NotRun, 429;
-    /// Nobody holds the key, or an earlier holder may still serve it.
+    /// No backend holds the key, or an earlier holder may still serve it.
     KeyWithoutHolder = "key_unheld", NotRun, 503;
     /// The deadline passed before the request was forwarded.
     ExpiredBeforeRun = "too_late", NotRun, 504;
-    /// The node is shutting down and admits nothing new.
+    /// The node is shutting down and admits no new requests.
     ShuttingDown = "leaving", NotRun, 503;
-    /// The back end drains.
+    /// The backend is draining.
     Draining = "draining", NotRun, 503;
-    /// The incarnation of the back end that was asked for is not beside this node.
+    /// This node does not serve the incarnation of the backend that the request names.
     WrongIncarnation = "wrong_incarnation", NotRun, 503;
-    /// The back end says that it did not run the request.
+    /// The backend reports that it did not run the request.
     Refused = "refused", NotRun, 503;
-    /// The key moved between selection and the last check.
+    /// The key moved to another holder between backend selection and the final check.
     StaleFencingToken = "stale_fence", NotRun, 503;
-    /// The body of the request is over the limit or broke off.
+    /// The request body exceeds the limit or ended prematurely.
     RequestTooLarge = "too_large", NotRun, 413;
-    /// An attempt of this identity was taken before.
+    /// An attempt with this identity was already accepted.
     DuplicateAttempt = "duplicate_try", MayHaveRun, 409;
-    /// The attempt was named under an earlier registration of the client.
+    /// The attempt identity was created under an earlier registration of the client.
     EarlierIncarnation = "earlier_life", MayHaveRun, 409;
-    /// The connection to the far node broke after the attempt may have left.
+    /// The connection to the remote node broke after the attempt may have been sent.
     PeerLost = "mate_lost", MayHaveRun, 502;
-    /// The connection to the back end broke after the request may have left.
+    /// The connection to the backend broke after the request may have been sent.
     BackendLost = "back_end_lost", MayHaveRun, 502;
-    /// A kept connection of the back end broke before an answer began.
+    /// A reused keep-alive connection to the backend broke before a response began.
     ReusedConnectionLost = "conn_forgotten", MayHaveRun, 502;
-    /// The answer is not the back end's whole, sealed answer to this attempt.
+    /// The response is not the backend's complete, sealed response to this attempt.
     BadSeal = "bad_seal", MayHaveRun, 502;
-    /// The answer is over the limit.
+    /// The response exceeds the size limit.
     ResponseTooLarge = "reply_too_large", MayHaveRun, 502;
-    /// The request was forwarded and not answered before its deadline.
+    /// The request was forwarded but got no response before its deadline.
     TimedOut = "ran_out_of_time", MayHaveRun, 504;
 }
 
-/// When to come back, where nothing better is known.
+/// Retry delay of errors for which no better estimate is known, in microseconds.
 const DEFAULT_RETRY_AFTER: Microseconds = 500_000;
 
 impl ErrorKind {
-    /// Whether the request is rejected for the moment only (429, 503): every such answer says when
-    /// to come back.
+    /// Whether the failure is temporary (429, 503). Every such response carries a retry delay.
     pub fn may_retry_later(self) -> bool {
         matches!(self.http_status(), 429 | 503)
     }
 }
 
-/// Why a request failed.
+/// The failure of a request.
 ///
-/// It goes over the wire between nodes and into JSON, so its source is kept as text, in `detail`
+/// Errors are sent between nodes and written as JSON, so the source is kept as text in `detail`
 /// (see [`Error::caused_by`]).
 #[derive(
     Clone,
@@ -150,21 +149,22 @@
 )]
 #[error("{execution_status:?}: {} ({detail})", kind.code())]
 pub struct Error {
-    /// Whether the request may have run. An earlier attempt that may have run outweighs the kind.
+    /// Whether the request may have run. An earlier attempt that may have run takes precedence over
+    /// the kind.
     #[serde(rename = "verdict")]
     pub execution_status: ExecutionStatus,
-    /// What went wrong.
+    /// The reason for the failure.
     #[serde(rename = "cause")]
     pub kind: ErrorKind,
-    /// More for people who read it.
+    /// A description for people who read the error.
     pub detail: String,
-    /// After how many microseconds it is worth asking again, if that can be said.
+    /// The delay after which a retry is worthwhile, in microseconds, if known.
     pub retry_after: Option<Microseconds>,
 }
 
 impl Error {
-    /// An error with the execution status of its kind; if the kind is for the moment only, to be
-    /// retried after half a second.
+    /// Creates an error with the execution status of its kind. Temporary kinds get the default
+    /// retry delay of half a second.
     pub fn new(kind: ErrorKind, detail: impl Into<String>) -> Self {
         Error {
             execution_status: kind.execution_status(),
@@ -174,12 +174,12 @@
         }
     }
 
-    /// An error with the text of what caused it as its detail.
+    /// Creates an error whose detail is the text of its source.
     pub fn caused_by(kind: ErrorKind, source: &impl Display) -> Self {
         Error::new(kind, source.to_string())
     }
 
-    /// The error with the time to come back, in microseconds from now.
+    /// Sets the retry delay, in microseconds from now.
     pub fn with_retry_after(self, wait: Microseconds) -> Self {
         Error {
             retry_after: Some(wait),
@@ -187,8 +187,7 @@
         }
     }
 
-    /// Whether a further attempt can do no harm: this one did not run, or the request is
-    /// idempotent.
+    /// Whether another attempt is safe: this one did not run, or the request is idempotent.
     pub fn allows_retry(&self, idempotent: bool) -> bool {
         idempotent || self.execution_status == ExecutionStatus::NotRun
     }
--- a/crates/model/src/incarnation.rs
+++ b/crates/model/src/incarnation.rs
@@ -1,25 +1,26 @@
-//! Incarnations: which process of a name, or which registration of a back end, is meant.
+//! Incarnations: they distinguish the processes of one name and the registrations of one backend.
 //!
-//! No clock takes part. A process draws its incarnation and the log says which one is registered,
-//! so incarnations of processes are compared for equality only.
+//! They do not depend on a clock. A process draws a random incarnation and the log records which
+//! one is registered, so the incarnations of processes are compared only for equality.
 
-/// One process of a node, or one registration of a back end; never used twice.
+/// The identifier of one process of a node or of one registration of a backend; never reused.
 pub type Incarnation = u64;
 
-/// Low bits of a registration's incarnation that are drawn; its epoch stands above them.
+/// Number of low bits of a registration's incarnation that are random; the higher bits hold its
+/// epoch.
 const RANDOM_BITS: u32 = 32;
 
-/// Draws the incarnation of a process that starts: a number that no earlier process had.
+/// Draws the incarnation of a starting process: a random number that no earlier process had.
 ///
-/// Zero is never drawn, as it stands for "none registered".
+/// Zero is never drawn, because it means "none registered".
 pub fn draw() -> Incarnation {
     rand::random::<u64>().max(1)
 }
 
-/// Draws the incarnation of a back end that registers again.
+/// Draws the incarnation of a backend that registers again.
 ///
-/// Its epoch is one above that of `registered`, so it counts as later; the drawn part tells two
-/// registrations on top of the same one apart.
+/// Its epoch is one above that of `registered`, so it counts as later. The random bits distinguish
+/// two registrations that replace the same one.
 pub fn successor(registered: Incarnation) -> Incarnation {
     let epoch = (registered >> RANDOM_BITS) + 1;
     (epoch << RANDOM_BITS) | u64::from(rand::random::<u32>())
--- a/crates/model/src/leases.rs
+++ b/crates/model/src/leases.rs
@@ -1,8 +1,7 @@
-//! Who holds which keys of a service: a pure function of the state that the log leads to
-//! (design 7).
+//! Key leases of a service: a pure function of the replicated state (design 7).
 //!
-//! Keys are hashed to 64 slots per service. A slot that moves to another back end gets a new
-//! fencing token, and its earlier holders stay on record until they said that they are done.
+//! Keys are hashed to 64 slots per service. A slot that moves to another backend gets a new fencing
+//! token, and its earlier holders stay on record until they have released the slot.
 
 use std::collections::BTreeMap;
 
@@ -10,14 +9,14 @@
 
 use crate::{Backend, BackendName, Incarnation, Microseconds, Position, ServiceName};
 
-/// Key slots per service.
+/// Number of key slots per service.
 pub const KEY_SLOTS: u16 = 64;
 /// A key slot, from 0 to [`KEY_SLOTS`] - 1.
 pub type KeySlot = u16;
-/// A back end that holds key slots: its name and which registration of it.
+/// A backend that holds key slots: its name and the incarnation of its registration.
 pub type LeaseHolder = (BackendName, Incarnation);
 
-/// Who holds a key slot, and who held it before.
+/// The lease on a key slot: its holder, and earlier holders that have not released it.
 #[derive(
     Clone,
     Debug,
@@ -30,30 +29,32 @@
     rkyv::Deserialize,
 )]
 pub struct Lease {
-    /// The present holder; `None` while no back end takes work.
+    /// The current holder; `None` if no backend accepts requests.
     pub holder: Option<LeaseHolder>,
-    /// The position that moved the slot here. Every request on the slot carries it.
+    /// The position of the entry that moved the slot to this holder. Every request on the slot
+    /// carries it.
     #[serde(rename = "fence")]
     pub fencing_token: Position,
-    /// Earlier holders that have not yet said they are done with the slot, with the position at
-    /// which each lost it.
+    /// Earlier holders that have not yet released the slot, each with the position at which it lost
+    /// the slot.
     #[serde(rename = "owed")]
     pub pending_releases: Vec<(LeaseHolder, Position)>,
 }
 
-/// The leases of each service, by key slot.
+/// The leases of each service, indexed by key slot.
 pub type LeaseTable = BTreeMap<ServiceName, Vec<Lease>>;
 
-/// The longest run that was ever permitted on a service's keys, in microseconds: a next holder
-/// waits as long for an earlier one that cannot be asked.
+/// The longest request duration ever permitted on a service's keys, in microseconds. A new holder
+/// waits this long for an earlier holder that cannot be asked.
 pub type LongestRequests = BTreeMap<ServiceName, Microseconds>;
 
-/// A back end that may hold key slots.
+/// A backend that may hold key slots.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
-    /// The back end.
+    /// The backend.
     pub holder: LeaseHolder,
-    /// How many requests it runs at once; key slots are shared out in proportion.
+    /// The number of requests that it runs concurrently; key slots are assigned in proportion to
+    /// it.
     pub slots: u32,
 }
 
@@ -64,8 +65,8 @@
 
 /// The first eight bytes of the SHA-256 of a text.
 ///
-/// It is the same on every node and in every version: keys and the singleton role of the placement
-/// coordinator are divided by it.
+/// The hash is the same on every node and in every version: it assigns keys to slots and selects
+/// the placement coordinator.
 pub fn stable_hash(text: &str) -> u64 {
     let digest = Sha256::digest(text.as_bytes());
     digest
@@ -74,31 +75,32 @@
         .fold(0, |hash, byte| hash << 8 | u64::from(*byte))
 }
 
-/// The back ends that take work, as candidates for [`assign`].
+/// The backends that accept new requests, as candidates for [`assign`].
 pub fn candidates<'a>(
     backends: impl Iterator<Item = (&'a BackendName, &'a Backend)>,
 ) -> Vec<Candidate> {
-    let working = backends.filter(|(_, backend)| backend.accepts_work());
+    let accepting = backends.filter(|(_, backend)| backend.accepts_work());
     let candidate = |(name, backend): (&BackendName, &Backend)| Candidate {
         holder: (name.clone(), backend.incarnation),
         slots: backend.slots,
     };
-    working.map(candidate).collect()
+    accepting.map(candidate).collect()
 }
 
-/// Assigns the key slots in proportion to the candidates' slots, moving as few as possible.
+/// Assigns the key slots in proportion to the candidates' slots and moves as few of them as
+/// possible.
 ///
-/// Everyone keeps what fits its quota, and what is left goes to whoever is furthest below its own.
-/// Slots that move get `position` as their fencing token.
+/// Each holder keeps its slots up to its quota; each remaining slot goes to the candidate that is
+/// furthest below its quota. Slots that move get `position` as their fencing token.
 pub fn assign(before: &[Lease], candidates: &[Candidate], position: Position) -> Vec<Lease> {
-    let mut room = slot_quotas(candidates);
+    let mut remaining_quotas = slot_quotas(candidates);
     let slots = 0..usize::from(KEY_SLOTS);
     let kept: Vec<Option<LeaseHolder>> = slots
-        .map(|slot| keep_holder(before.get(slot)?, &mut room))
+        .map(|slot| keep_holder(before.get(slot)?, &mut remaining_quotas))
         .collect();
     let chosen = kept
         .into_iter()
-        .map(|kept| kept.or_else(|| take_most_room(&mut room)));
+        .map(|kept| kept.or_else(|| take_furthest_below_quota(&mut remaining_quotas)));
     let with_lease = chosen.enumerate().map(|(slot, holder)| {
         let lease = before.get(slot).cloned().unwrap_or_default();
         reassigned(lease, holder, position)
@@ -106,21 +108,28 @@
     with_lease.collect()
 }
 
-/// The present holder, if its quota has room for the slot.
-fn keep_holder(lease: &Lease, room: &mut BTreeMap<LeaseHolder, usize>) -> Option<LeaseHolder> {
+/// The current holder, if its quota still has room for the slot.
+fn keep_holder(
+    lease: &Lease,
+    remaining_quotas: &mut BTreeMap<LeaseHolder, usize>,
+) -> Option<LeaseHolder> {
     let holder = lease.holder.as_ref()?;
-    let left = room.get_mut(holder).filter(|left| **left > 0)?;
-    *left -= 1;
+    let remaining = remaining_quotas
+        .get_mut(holder)
+        .filter(|remaining| **remaining > 0)?;
+    *remaining -= 1;
     Some(holder.clone())
 }
 
-/// Whoever is furthest below its quota; of equals the first by name.
-fn take_most_room(room: &mut BTreeMap<LeaseHolder, usize>) -> Option<LeaseHolder> {
-    let (holder, left) = room
+/// The candidate that is furthest below its quota; ties go to the first by name.
+fn take_furthest_below_quota(
+    remaining_quotas: &mut BTreeMap<LeaseHolder, usize>,
+) -> Option<LeaseHolder> {
+    let (holder, remaining) = remaining_quotas
         .iter_mut()
-        .filter(|(_, left)| **left > 0)
+        .filter(|(_, remaining)| **remaining > 0)
         .max_by(|(one, own), (other, theirs)| own.cmp(theirs).then_with(|| other.cmp(one)))?;
-    *left -= 1;
+    *remaining -= 1;
     Some(holder.clone())
 }
 
@@ -137,7 +146,8 @@
     }
 }
 
-/// Whole key slots in proportion to the candidates' slots; the largest remainders get the odd ones.
+/// The number of key slots of each candidate, in proportion to the candidates' slots. The slots
+/// left over by rounding down go to the largest remainders.
 fn slot_quotas(candidates: &[Candidate]) -> BTreeMap<LeaseHolder, usize> {
     let total: u64 = candidates
         .iter()
@@ -146,13 +156,13 @@
     if total == 0 {
         return BTreeMap::new();
     }
-    let whole = |slots: u32| u64::from(slots) * u64::from(KEY_SLOTS) / total;
+    let whole_slots = |slots: u32| u64::from(slots) * u64::from(KEY_SLOTS) / total;
     let remainder = |slots: u32| u64::from(slots) * u64::from(KEY_SLOTS) % total;
-    let given: u64 = candidates
+    let assigned: u64 = candidates
         .iter()
-        .map(|candidate| whole(candidate.slots))
+        .map(|candidate| whole_slots(candidate.slots))
         .sum();
-    let odd = u64::from(KEY_SLOTS) - given;
+    let leftover = u64::from(KEY_SLOTS) - assigned;
     let mut by_remainder: Vec<&Candidate> = candidates.iter().collect();
     by_remainder.sort_by(|one, other| {
         let largest_first = remainder(other.slots).cmp(&remainder(one.slots));
@@ -162,14 +172,14 @@
         .into_iter()
         .zip(0u64..)
         .map(|(candidate, rank)| {
-            let quota = whole(candidate.slots) + u64::from(rank < odd);
+            let quota = whole_slots(candidate.slots) + u64::from(rank < leftover);
             (candidate.holder.clone(), quota as usize)
         });
     quotas.filter(|(_, quota)| *quota > 0).collect()
 }
 
-/// The leases after `holder` said that it knows the log up to `known_through` and runs nothing on
-/// slots that it does not hold there.
+/// The leases after `holder` has reported that it knows the log up to `known_through` and runs no
+/// request on slots that it no longer holds at that position.
 pub fn release(leases: &[Lease], holder: &LeaseHolder, known_through: Position) -> Vec<Lease> {
     let mut leases = leases.to_vec();
     for lease in &mut leases {
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,9 +1,11 @@
-//! What all parts of gradeford share: the replicated state and its rules, errors, settings, logging.
+//! The types shared by all parts of gradeford: the replicated state and its rules, errors, settings
+//! and logging.
 //!
 //! The log drives two state machines. [`StateMachine`] holds groupings and standing orders, the
-//! back ends that registered for them and the key leases (design 2, 7). [`ClusterState`] holds
-//! items, back ends, nodes and the shard maps of keyed services (design 11). Both are pure: the
-//! same entries give the same state on every replica, and no clock or random number takes part.
+//! backends that registered for them, and the key leases (design 2, 7). [`ClusterState`] holds
+//! items, backends, nodes and the shard maps of keyed services (design 11). Both are deterministic:
+//! the same entries produce the same state on every replica, and no clock or random number is
+//! involved.
 #![deny(missing_docs)]
 
 pub mod archive;
@@ -39,16 +41,16 @@
 pub use state_patch::StatePatch;
 pub use state_slice::StateSlice;
 
-/// A place in the sequence of entries that changed something. It is the version of the state, and
-/// the fencing token of keys that an entry moved.
+/// A position in the sequence of entries that changed the state. It serves as the version of the
+/// state and as the fencing token of the keys that an entry moved.
 pub type Position = u64;
-/// The name of a service that back ends serve.
+/// The name of a service that backends serve.
 pub type ServiceName = String;
-/// The name of a zone: machines that are near each other and may fail together.
+/// The name of a zone: a group of machines that are close to each other and may fail together.
 pub type ZoneName = String;
-/// The name of a back end.
+/// The name of a backend.
 pub type BackendName = String;
-/// The name of a node, the proxy process beside back ends.
+/// The name of a node, the proxy process beside backends.
 pub type NodeName = String;
-/// Names and values that a back end carries and a grouping or order asks for.
+/// Label names and values that a backend carries and a grouping or order requires.
 pub type Labels = BTreeMap<String, String>;
--- a/crates/model/src/logging.rs
+++ b/crates/model/src/logging.rs
@@ -1,5 +1,5 @@
-//! JSON log lines on standard error, with a level that can be changed while the program runs
-//! (design 10.3).
+//! JSON log lines on standard error, with a log level that can be changed at run time (design
+//! 10.3).
 
 use std::io;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -8,20 +8,20 @@
 use slog::{Discard, Filter, FnValue, Fuse, Level, Logger, PushFnValue, o};
 use slog_async::{Async, AsyncGuard};
 
-/// Lines that may wait to be written; further ones are counted and dropped.
+/// Capacity of the queue of unwritten lines; further lines are counted and dropped.
 const QUEUED_LINES: usize = 4_096;
 
-/// The least severe level that is still logged, shared by all loggers it was given to.
+/// The least severe level that is logged, shared by all loggers that were given this switch.
 #[derive(Clone)]
 pub struct LogLevelSwitch(Arc<AtomicUsize>);
 
 impl LogLevelSwitch {
-    /// A switch that starts at `level`.
+    /// Creates a switch that is set to `level`.
     pub fn new(level: Level) -> LogLevelSwitch {
         LogLevelSwitch(Arc::new(AtomicUsize::new(level.as_usize())))
     }
 
-    /// Changes the level of every logger that shares this switch.
+    /// Changes the level of all loggers that share this switch.
     pub fn set_level(&self, level: Level) {
         self.0.store(level.as_usize(), Ordering::Relaxed);
     }
@@ -31,10 +31,10 @@
     }
 }
 
-/// Starts the logger of a daemon: one JSON object a line on standard error, with `time_us`,
+/// Starts the logger of a daemon: one JSON object per line on standard error, with `time_us`,
 /// `level`, `message`, `program` and `name`.
 ///
-/// Lines are written by a thread of their own; dropping the guard writes what is still queued.
+/// A separate thread writes the lines; dropping the guard flushes the queued lines.
 pub fn start_logger(
     program: &'static str,
     name: &str,
@@ -56,7 +56,7 @@
     (Logger::root(Fuse::new(drain), context), guard)
 }
 
-/// A logger that writes nothing, for tests and simulators.
+/// A logger that discards all lines, for tests and simulators.
 pub fn discard_logger() -> Logger {
     Logger::root(Discard, o!())
 }
--- a/crates/model/src/registration.rs
+++ b/crates/model/src/registration.rs
@@ -1,13 +1,14 @@
-//! Rules about nodes that both state machines share: who may register, whose reports count, and how
-//! many observers it takes to presume a node gone.
+//! Node rules shared by both state machines: which incarnation may register, whose reports are
+//! accepted, and how many observers must suspect a node before it is presumed gone.
 
 use crate::Incarnation;
 
 /// Whether an incarnation may be registered under a name.
 ///
-/// Compare-and-set: a registration counts only on top of the incarnation that its sender found in
-/// the log (`replaces`), so a late registration of an earlier process replaces nothing. A repeat
-/// of the registered incarnation is allowed.
+/// This is a compare-and-set: a registration takes effect only if `replaces`, the incarnation that
+/// its sender found in the log, is still the registered one. A late registration of an earlier
+/// process therefore replaces nothing. Repeating the registration of the current incarnation is
+/// allowed.
 pub(crate) fn may_register(
     registered: Option<Incarnation>,
     sender: Incarnation,
@@ -16,11 +17,11 @@
     registered.is_none_or(|current| current == sender || current == replaces)
 }
 
-/// Whether the reports of an entry count: they come from the registered incarnation of their
-/// origin, or register it themselves on top of the incarnation `registration` names.
+/// Whether the reports of an entry are accepted: they come from the registered incarnation of their
+/// origin, or they register the sender in place of the incarnation given in `registration`.
 ///
-/// `last_seen` is the incarnation whose reports were taken last; it decides for an origin that no
-/// registration is held of. Incarnations are drawn and only compared for equality: their order is
+/// `last_seen` is the incarnation whose reports were accepted last; it decides for an origin
+/// without a registration. Incarnations are random and compared only for equality: their order is
 /// the order of their registrations in the log.
 pub(crate) fn may_report(
     registered: Option<Incarnation>,
@@ -36,8 +37,8 @@
     }
 }
 
-/// How many observers have to miss a node before it is presumed gone: two, or the only other node
-/// there is (design 2.4).
-pub(crate) fn observers_needed(other_present_nodes: usize) -> usize {
+/// The number of observers that must suspect a node before it is presumed gone: two, or one if
+/// there is only one other node (design 2.4).
+pub(crate) fn required_observers(other_present_nodes: usize) -> usize {
     other_present_nodes.clamp(1, 2)
 }
--- a/crates/model/src/settings.rs
+++ b/crates/model/src/settings.rs
@@ -1,5 +1,5 @@
-//! Settings of a daemon: read from a TOML file, overridden by flags, with every fault named at once
-//! (design 10.1).
+//! Settings of a daemon: read from a TOML file and overridden by flags. All faults are reported at
+//! once (design 10.1).
 
 use std::net::SocketAddr;
 use std::{fs, process};
@@ -10,10 +10,10 @@
 
 use crate::validation::{self, Fault};
 
-/// The exit code of a daemon whose flags or settings are at fault.
+/// The exit code of a daemon with invalid flags or settings.
 pub const USAGE_EXIT_CODE: i32 = 2;
 
-/// Settings whose text stays text, though it may look like a number: a zone may well be called 1.
+/// Settings that are always text, even if the value looks like a number: a zone may be named 1.
 const TEXT_SETTINGS: [&str; 7] = [
     "name",
     "zone",
@@ -24,21 +24,21 @@
     "folder",
 ];
 
-/// What the command line of a daemon says.
+/// The parsed command line of a daemon.
 pub struct CommandLine {
-    /// Settings given as flags; they win over the file.
+    /// Settings given as flags; they override the file.
     pub overrides: toml::Table,
-    /// Only check the settings (`--check`).
+    /// Whether to only check the settings (`--check`).
     pub check_only: bool,
-    /// The settings file (`--config`).
+    /// The path of the settings file (`--config`).
     pub config_file: Option<String>,
 }
 
-/// Reads `--config FILE`, `--check`, and one `--NAME VALUE` for each setting named.
+/// Parses `--config FILE`, `--check`, and one `--NAME VALUE` for each setting in `settings`.
 ///
 /// # Errors
 ///
-/// Every flag that is unknown or lacks its value.
+/// Returns a fault for each flag that is unknown or lacks its value.
 pub fn parse_command_line(
     mut arguments: Arguments,
     settings: &[&'static str],
@@ -50,7 +50,7 @@
     let mut overrides = toml::Table::new();
     let mut faults = Vec::new();
     for setting in settings {
-        // The parser wants names that live as long as the program; there are a few dozen.
+        // The parser requires static names; a few dozen are leaked once per process.
         let flag: &'static str =
             Box::leak(format!("--{}", setting.replace('_', "-")).into_boxed_str());
         match arguments.opt_value_from_str::<_, String>(flag) {
@@ -85,8 +85,8 @@
     }
 }
 
-/// A flag's text is a list for seeds, plain text for names and places, else a number, a yes or no,
-/// or text.
+/// Parses the value of a flag: a list for `seeds`, text for names and addresses, and otherwise an
+/// integer, a boolean or text.
 fn parse_value(setting: &str, text: &str) -> toml::Value {
     if setting == "seeds" {
         let addresses = text.split(',').filter(|part| !part.is_empty());
@@ -101,11 +101,12 @@
         .unwrap_or_else(|_| toml::Value::String(text.into()))
 }
 
-/// The settings of the file and the flags, validated.
+/// Loads the settings from the file and the flags and validates them.
 ///
 /// # Errors
 ///
-/// That the file cannot be read or parsed, or every setting that is out of its range.
+/// Returns a fault if the file cannot be read or parsed, or one for each setting that is out of
+/// range.
 pub fn load_settings<T: DeserializeOwned + Validate>(
     command_line: &CommandLine,
 ) -> Result<T, Vec<Fault>> {
@@ -136,11 +137,11 @@
     }
 }
 
-/// Validates an IP number and port.
+/// Validates that a text is an IP address and port.
 ///
 /// # Errors
 ///
-/// What an address looks like.
+/// Returns an error that describes the expected form.
 pub fn validate_address(text: &str) -> Result<(), ValidationError> {
     let parsed = text.parse::<SocketAddr>();
     parsed.map(|_| ()).map_err(|_| {
@@ -149,11 +150,11 @@
     })
 }
 
-/// Validates a list of IP numbers and ports.
+/// Validates that every text in a list is an IP address and port.
 ///
 /// # Errors
 ///
-/// What an address looks like, if one of the list does not.
+/// Returns an error that describes the expected form if any text is invalid.
 pub fn validate_addresses(list: &[String]) -> Result<(), ValidationError> {
     list.iter().try_for_each(|text| validate_address(text))
 }
@@ -162,7 +163,7 @@
 ///
 /// # Errors
 ///
-/// The names there are.
+/// Returns an error that lists the valid names.
 pub fn validate_log_level(text: &str) -> Result<(), ValidationError> {
     let parsed = text.parse::<slog::Level>();
     parsed.map(|_| ()).map_err(|()| {
@@ -171,10 +172,11 @@
     })
 }
 
-/// What every daemon does before it runs: `--help`, `--version`, settings, `--check`.
+/// Handles `--help`, `--version` and `--check` and loads the settings, as every daemon does on
+/// startup.
 ///
-/// `None` means that this was all there was to do. If the flags or settings are at fault, it prints
-/// the faults and ends the process with [`USAGE_EXIT_CODE`].
+/// Returns `None` if the program should exit because one of these flags was handled. On invalid
+/// flags or settings it prints the faults and ends the process with [`USAGE_EXIT_CODE`].
 pub fn load_settings_or_exit<T: DeserializeOwned + Validate>(
     program: &str,
     help: &str,
--- a/crates/model/src/state_machine.rs
+++ b/crates/model/src/state_machine.rs
@@ -1,4 +1,4 @@
-//! The state machine of groupings and standing orders: the same entries give the same state on
+//! The state machine of groupings and standing orders. The same entries produce the same state on
 //! every replica (design 2.3).
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,16 +14,17 @@
 };
 use crate::{archive, registration, validation};
 
-/// Decided changes that are remembered, to answer a repeat as the first time.
+/// Number of decided changes whose outcome is remembered, so that a repeated change gets the same
+/// answer.
 const MAX_REMEMBERED_CHANGES: usize = 1_024;
-/// Origins whose last report is remembered, to tell a repeat from a new one.
+/// Number of origins whose last report is remembered, to detect repeated reports.
 const MAX_REMEMBERED_ORIGINS: usize = 1_024;
 
-/// The state that entries of groupings, standing orders, endpoint reports and replica replacements
-/// lead to.
+/// The state produced by the log entries for groupings, standing orders, endpoint reports and
+/// replica replacements.
 ///
-/// The tables of repeats are bounded and part of the snapshot. When a change id has been evicted,
-/// the base version still refuses its repeat as stale.
+/// The tables for detecting repeats are bounded and part of the snapshot. After a change id has
+/// been evicted, a repeat of the change is still rejected as stale because of its base version.
 #[derive(
     Clone,
     Debug,
@@ -39,28 +40,30 @@
     pub position: Position,
     /// Groupings and standing orders.
     pub desired: DesiredState,
-    /// Back ends and nodes.
+    /// Registered backends and nodes.
     #[serde(rename = "standing")]
     pub endpoint_status: EndpointStatus,
-    /// Who holds which keys, by service.
+    /// Key leases by service.
     #[serde(rename = "terms")]
     pub leases: LeaseTable,
-    /// The longest run that was ever permitted on the keys of each service.
+    /// The longest request duration ever permitted on the keys of each service, in microseconds.
     #[serde(rename = "longest")]
     pub longest_requests: LongestRequests,
-    /// Replicas that were replaced: the disk that is the replica now, and after which instance.
+    /// Replaced replicas: the identity of the disk that now is the replica, and the last instance
+    /// of the previous disk.
     #[serde(rename = "seats")]
     pub replica_holders: BTreeMap<u16, (u64, u64)>,
-    /// By change id: the position of the decision, the digest of the edits, and the answer.
+    /// By change id: the position of the decision, the digest of the change, and the outcome.
     #[serde(rename = "changes")]
     decided_changes: BTreeMap<String, (Position, Vec<u8>, Outcome)>,
-    /// By origin: its incarnation, its last sequence, the position after it, and the answer.
+    /// By origin: its incarnation, its last sequence number, the position after that entry, and the
+    /// outcome.
     origins: BTreeMap<String, (u64, u64, Position, Outcome)>,
 }
 
 impl StateMachine {
-    /// Applies the entry of a log instance. A replica that is replaced changes hands `window`
-    /// instances after the one of the entry.
+    /// Applies the entry of a log instance. A replaced replica switches to its new disk `window`
+    /// instances after the instance of the entry.
     pub fn apply_at(&mut self, entry: Entry, instance: u64, window: u64) -> Outcome {
         match entry.operation {
             Operation::ReplaceReplica(change) => self.replace_replica(change, instance, window),
@@ -101,8 +104,8 @@
         self.accepted()
     }
 
-    /// Applies an entry that does not depend on its place in the log. Replica replacements,
-    /// operations on the cluster state and barriers change nothing here.
+    /// Applies an entry that does not depend on its log instance. Replica replacements, operations
+    /// on the cluster state and barriers change nothing here.
     pub fn apply(&mut self, entry: Entry) -> Outcome {
         match entry.operation {
             Operation::ReplaceReplica(_) | Operation::ClusterState(_) | Operation::Barrier => {
@@ -115,7 +118,7 @@
         }
     }
 
-    /// Reports of one origin are taken once, in the order of their sequence.
+    /// Applies each report of an origin once, in the order of the sequence numbers.
     fn apply_report_once(
         &mut self,
         origin: String,
@@ -184,7 +187,8 @@
             }
             None => {}
         }
-        // Neither of these answers is remembered: the same id may come again, corrected.
+        // The two outcomes below are not remembered: the operator may correct the change and send
+        // it again under the same id.
         if change.base_version != self.desired.version {
             return Outcome::Stale {
                 version: self.desired.version,
@@ -204,11 +208,11 @@
         let outcome = self.accepted();
         let remembered = (self.position, digest, outcome.clone());
         self.decided_changes.insert(change.id, remembered);
-        let decided_at = |(position, ..): &(Position, Vec<u8>, Outcome)| *position;
+        let position_of = |(position, ..): &(Position, Vec<u8>, Outcome)| *position;
         evict_oldest(
             &mut self.decided_changes,
             MAX_REMEMBERED_CHANGES,
-            decided_at,
+            position_of,
         );
         outcome
     }
@@ -235,7 +239,7 @@
         self.accepted()
     }
 
-    /// Leases follow from the desired state and the endpoint status; nothing else decides them.
+    /// Recomputes the key leases, which depend only on the desired state and the endpoint status.
     fn reassign_leases(&mut self) {
         let longest_allowed = self.longest_keyed_requests();
         let services: BTreeSet<ServiceName> = longest_allowed
@@ -254,7 +258,8 @@
         }
     }
 
-    /// The longest run that the keyed orders of each service permit now.
+    /// The longest request duration that the keyed orders of each service permit now, in
+    /// microseconds.
     fn longest_keyed_requests(&self) -> BTreeMap<ServiceName, Microseconds> {
         let mut longest = BTreeMap::new();
         for order in self.desired.orders.values().filter(|order| order.keyed) {
@@ -264,9 +269,11 @@
         longest
     }
 
-    /// Nothing runs beside the node: what its back ends held is free as soon as it moves.
+    /// Releases the leases of a node that left with no requests running: its backends' key slots
+    /// need no pending release when they move.
     ///
-    /// The leases move at the position of the report that is being applied, one above the present.
+    /// The leases move at the position of the report that is being applied, which is one above the
+    /// current position.
     pub(crate) fn release_leases_of_node(&mut self, node: &str) {
         let backends = self.endpoint_status.backends.iter();
         let holders: Vec<(ServiceName, LeaseHolder)> = backends
@@ -283,7 +290,7 @@
         self.position -= 1;
     }
 
-    /// Back ends of a service that still match one of its groupings.
+    /// The backends of a service that match one of its groupings.
     pub fn backends_of<'a>(
         &'a self,
         service: &'a str,
@@ -294,7 +301,7 @@
         })
     }
 
-    /// Whether some grouping takes the back end in.
+    /// Whether the backend matches any grouping.
     pub fn matches_grouping(&self, backend: &Backend) -> bool {
         self.desired.groupings.values().any(|grouping| {
             grouping.service == backend.service
@@ -306,21 +313,21 @@
         })
     }
 
-    /// The archive for a snapshot.
+    /// Serializes the state for a snapshot.
     pub fn to_bytes(&self) -> Vec<u8> {
         archive::to_bytes(self)
     }
 
-    /// Reads what [`StateMachine::to_bytes`] wrote.
+    /// Deserializes the output of [`StateMachine::to_bytes`].
     ///
     /// # Errors
     ///
-    /// [`DecodeError`] if the bytes are no archive of a state machine.
+    /// Returns [`DecodeError`] if the bytes are not a valid archive of a state machine.
     pub fn from_bytes(bytes: &[u8]) -> Result<StateMachine, DecodeError> {
         archive::from_bytes(bytes)
     }
 
-    /// How many back ends are in a phase.
+    /// The number of backends in a phase.
     pub fn count_in_phase(&self, phase: BackendPhase) -> usize {
         self.endpoint_status
             .backends
@@ -349,13 +356,13 @@
     }
 }
 
-/// SHA-256 of the change as JSON. It is stored, so the JSON must not change.
+/// SHA-256 of the change's JSON. The digest is stored, so the JSON must stay the same.
 fn change_digest(change: &Change) -> Vec<u8> {
     let bytes = serde_json::to_vec(change).unwrap_or_default();
     Sha256::digest(&bytes).to_vec()
 }
 
-/// Removes the entry of the lowest position once there are more than `limit`.
+/// Removes the entry with the lowest position if the table holds more than `limit` entries.
 fn evict_oldest<V>(
     table: &mut BTreeMap<String, V>,
     limit: usize,
--- a/crates/model/src/state_patch.rs
+++ b/crates/model/src/state_patch.rs
@@ -1,5 +1,5 @@
-//! What changed between two slices, so that an update costs what changed and not what there is
-//! (design 5.12).
+//! The difference between two slices, so that the cost of an update depends on what changed and not
+//! on the size of the state (design 5.12).
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,10 +9,10 @@
 use crate::{Backend, Grouping, Microseconds, Position, StandingOrder, StateSlice};
 
 type Table<V> = BTreeMap<String, V>;
-/// What to put into a table, and the names to remove from it.
+/// Entries to put into a table, and the names to remove from it.
 pub type TablePatch<V> = (Table<V>, BTreeSet<String>);
 
-/// What makes a later [`StateSlice`] of an earlier one. Its fields are those of the slice.
+/// The difference from an earlier [`StateSlice`] to a later one. Its fields are those of the slice.
 #[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct StatePatch {
     /// The local services of the later slice.
@@ -29,7 +29,7 @@
     pub backends: TablePatch<Backend>,
     /// Changes of [`StateSlice::nodes`].
     pub nodes: TablePatch<Node>,
-    /// Changes of [`StateSlice::leases`]; a service is replaced whole.
+    /// Changes of [`StateSlice::leases`]; the leases of a service are replaced as a whole.
     pub leases: TablePatch<Vec<Lease>>,
     /// Changes of [`StateSlice::longest_requests`].
     pub longest_requests: TablePatch<Microseconds>,
@@ -58,7 +58,7 @@
 }
 
 impl StateSlice {
-    /// What makes `next` of this slice.
+    /// The patch that turns this slice into `next`.
     pub fn diff_to(&self, next: &StateSlice) -> StatePatch {
         StatePatch {
             services: next.services.clone(),
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The slice that a patch on top of this one makes.
+    /// This slice with a patch applied.
     pub fn with_patch(&self, patch: StatePatch) -> StateSlice {
         StateSlice {
             services: patch.services,
--- a/crates/model/src/state_slice.rs
+++ b/crates/model/src/state_slice.rs
@@ -1,5 +1,5 @@
-//! The part of the state machine that a node needs: what the orders of its services select
-//! (design 5.1).
+//! The part of the state machine that a node needs, selected by the orders of its services (design
+//! 5.1).
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,7 +8,7 @@
 use crate::{Backend, BackendName, Grouping, NodeName, Position};
 use crate::{ServiceName, StandingOrder, StateMachine};
 
-/// What a node with back ends of some services needs to forward and take their requests.
+/// The state that a node with backends of some services needs to forward and accept their requests.
 #[derive(
     Clone,
     Debug,
@@ -21,25 +21,26 @@
     rkyv::Deserialize,
 )]
 pub struct StateSlice {
-    /// The local services it was made for.
+    /// The local services that the slice was made for.
     pub services: ServiceSet,
-    /// The position of the state it was made of.
+    /// The position of the state that the slice was made from.
     pub position: Position,
-    /// The version of the desired state it was made of.
+    /// The version of the desired state that the slice was made from.
     pub version: Position,
-    /// Groupings of the services that are called, by name.
+    /// Groupings of the called services, by name.
     pub groupings: BTreeMap<String, Grouping>,
-    /// Orders that the services send or serve by, by name.
+    /// Orders under which the services send or serve requests, by name.
     pub orders: BTreeMap<String, StandingOrder>,
-    /// Back ends of the services that are called, by name.
+    /// Backends of the called services, by name.
     #[serde(rename = "back_ends")]
     pub backends: BTreeMap<BackendName, Backend>,
     /// All nodes, by name.
     pub nodes: BTreeMap<NodeName, Node>,
-    /// Who holds which keys of the services that are called.
+    /// The key leases of the called services.
     #[serde(rename = "terms")]
     pub leases: LeaseTable,
-    /// The longest run that was ever permitted on the keys of each of these services.
+    /// The longest request duration ever permitted on the keys of each of these services, in
+    /// microseconds.
     #[serde(rename = "longest")]
     pub longest_requests: LongestRequests,
 }
@@ -48,44 +49,46 @@
 pub type ServiceSet = BTreeSet<ServiceName>;
 
 impl StateSlice {
-    /// What a node needs that has back ends of `services` beside it.
+    /// The slice for a node that has backends of `services`.
     pub fn for_services(state: &StateMachine, services: &ServiceSet) -> StateSlice {
         let backends = &state.endpoint_status.backends;
-        let whole = StateSlice {
+        let full_slice = StateSlice {
             services: services.clone(),
             position: state.position,
             version: state.desired.version,
             groupings: state.desired.groupings.clone(),
             orders: state.desired.orders.clone(),
-            backends: filtered(backends, |backend| state.matches_grouping(backend)),
+            backends: filter_table(backends, |backend| state.matches_grouping(backend)),
             nodes: state.endpoint_status.nodes.clone(),
             leases: state.leases.clone(),
             longest_requests: state.longest_requests.clone(),
         };
-        whole.narrowed_to(services)
+        full_slice.narrowed_to(services)
     }
 
-    /// What a node with only these services beside it needs of this slice.
+    /// The part of this slice for a node that has backends of `services` only.
     pub fn narrowed_to(&self, services: &ServiceSet) -> StateSlice {
-        let orders = filtered(&self.orders, |order| selects_any(order, services));
-        let touched = touched_services(&orders, services);
+        let orders = filter_table(&self.orders, |order| selects_any(order, services));
+        let relevant = relevant_services(&orders, services);
         StateSlice {
             services: services.clone(),
             position: self.position,
             version: self.version,
-            groupings: filtered(&self.groupings, |grouping| {
-                touched.contains(&grouping.service)
+            groupings: filter_table(&self.groupings, |grouping| {
+                relevant.contains(&grouping.service)
+            }),
+            backends: filter_table(&self.backends, |backend| {
+                relevant.contains(&backend.service)
             }),
-            backends: filtered(&self.backends, |backend| touched.contains(&backend.service)),
             nodes: self.nodes.clone(),
-            leases: of_services(&self.leases, &touched),
-            longest_requests: of_services(&self.longest_requests, &touched),
+            leases: filter_by_service(&self.leases, &relevant),
+            longest_requests: filter_by_service(&self.longest_requests, &relevant),
             orders,
         }
     }
 
-    /// Whether two slices differ in nothing but what they were made of: then no update needs to be
-    /// sent.
+    /// Whether two slices differ only in the position and version that they were made from. If so,
+    /// no update needs to be sent.
     pub fn same_content(&self, other: &StateSlice) -> bool {
         let content = |slice: &StateSlice| StateSlice {
             position: 0,
@@ -95,8 +98,8 @@
         content(self) == content(other)
     }
 
-    /// The most particular order that lets `from` send this request: the one of the longest path,
-    /// then one that names methods.
+    /// The most specific order that allows `from` to send this request: the one with the longest
+    /// path prefix, then one that names methods.
     pub fn route(
         &self,
         from: &str,
@@ -131,7 +134,8 @@
     }
 }
 
-/// A prefix ends at a path segment: `/seats` does not cover `/seatsold`.
+/// Whether the path has this prefix. A prefix ends at a path segment: `/seats` does not match
+/// `/seatsold`.
 fn path_has_prefix(path: &str, prefix: &str) -> bool {
     let prefix = prefix.trim_end_matches('/');
     path.strip_prefix(prefix)
@@ -147,12 +151,15 @@
             .any(|from| services.contains(from))
 }
 
-fn touched_services(orders: &BTreeMap<String, StandingOrder>, services: &ServiceSet) -> ServiceSet {
+fn relevant_services(
+    orders: &BTreeMap<String, StandingOrder>,
+    services: &ServiceSet,
+) -> ServiceSet {
     let called = orders.values().map(|order| order.selector.service.clone());
     called.chain(services.iter().cloned()).collect()
 }
 
-fn of_services<V: Clone>(
+fn filter_by_service<V: Clone>(
     table: &BTreeMap<ServiceName, V>,
     services: &ServiceSet,
 ) -> BTreeMap<ServiceName, V> {
@@ -164,7 +171,7 @@
         .collect()
 }
 
-fn filtered<V: Clone>(
+fn filter_table<V: Clone>(
     table: &BTreeMap<String, V>,
     wanted: impl Fn(&V) -> bool,
 ) -> BTreeMap<String, V> {
--- a/crates/model/src/validation.rs
+++ b/crates/model/src/validation.rs
@@ -1,6 +1,6 @@
-//! Validation of a change: every fault of it, each with its path (design 2.2).
+//! Validation of a change: all of its faults, each with its path (design 2.2).
 //!
-//! Paths and texts reach operators: they are part of the public interface.
+//! Paths and texts reach operators and are part of the public interface.
 
 use std::collections::BTreeSet;
 
@@ -9,22 +9,22 @@
 use crate::Labels;
 use crate::desired_state::{DesiredState, Edit, Selector, StandingOrder};
 
-/// The most edits of one change.
+/// Maximum number of edits in one change.
 const MAX_EDITS: usize = 256;
-/// The longest name, in bytes.
+/// Maximum length of a name, in bytes.
 const MAX_NAME_BYTES: usize = 63;
-/// The most labels of a selector or grouping.
+/// Maximum number of labels of a selector or grouping.
 const MAX_LABELS: usize = 16;
-/// The longest value of a label, in bytes.
+/// Maximum length of a label value, in bytes.
 const MAX_LABEL_BYTES: usize = 63;
-/// The longest prefix of a route, in bytes.
+/// Maximum length of a route's prefix, in bytes.
 const MAX_PREFIX_BYTES: usize = 1_024;
-/// The longest path prefix of a standing order, in bytes.
+/// Maximum length of a standing order's path prefix, in bytes.
 const MAX_PATH_BYTES: usize = 256;
 const METHODS: [&str; 7] = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"];
 const NAME_RULE: &str = "is 1 to 63 of a-z, 0-9 and '-', not starting with '-'";
 
-/// One fault of what was sent.
+/// One fault of an input.
 #[derive(
     Clone,
     Debug,
@@ -39,9 +39,9 @@
     rkyv::Deserialize,
 )]
 pub struct Fault {
-    /// Where it is, as in `edits[1].order.wait_us`.
+    /// The path of the faulty value, such as `edits[1].order.wait_us`.
     pub path: String,
-    /// What the value there has to be, or what is wrong with it.
+    /// The rule that the value must satisfy, or what is wrong with it.
     #[serde(rename = "fault")]
     pub message: String,
 }
@@ -53,81 +53,83 @@
     }
 }
 
-pub(crate) fn any_path() -> String {
+pub(crate) fn default_path_prefix() -> String {
     "/".into()
 }
 
-pub(crate) fn middle_importance() -> u8 {
+pub(crate) fn default_importance() -> u8 {
     5
 }
 
-pub(crate) fn yes() -> bool {
+pub(crate) fn default_true() -> bool {
     true
 }
 
-fn require(holds: bool, rule: &'static str) -> Result<(), ValidationError> {
-    if holds {
+fn check_rule(satisfied: bool, rule: &'static str) -> Result<(), ValidationError> {
+    if satisfied {
         Ok(())
     } else {
         Err(ValidationError::new("bad").with_message(rule.into()))
     }
 }
 
-/// Whether a text is a name: 1 to 63 of `a-z`, `0-9` and `-`, not starting with `-`.
+/// Whether a text is a valid name: 1 to 63 characters of `a-z`, `0-9` and `-`, not starting with
+/// `-`.
 pub fn is_valid_name(text: &str) -> bool {
-    let allowed =
-        |letter: char| letter.is_ascii_lowercase() || letter.is_ascii_digit() || letter == '-';
+    let allowed = |character: char| {
+        character.is_ascii_lowercase() || character.is_ascii_digit() || character == '-'
+    };
     !text.is_empty()
         && text.len() <= MAX_NAME_BYTES
         && text.chars().all(allowed)
         && !text.starts_with('-')
 }
 
-pub(crate) fn name(text: &str) -> Result<(), ValidationError> {
-    require(is_valid_name(text), NAME_RULE)
+pub(crate) fn validate_name(text: &str) -> Result<(), ValidationError> {
+    check_rule(is_valid_name(text), NAME_RULE)
 }
 
-pub(crate) fn labels(labels: &Labels) -> Result<(), ValidationError> {
+pub(crate) fn validate_labels(labels: &Labels) -> Result<(), ValidationError> {
     let mut pairs = labels.iter();
     let valid = labels.len() <= MAX_LABELS
         && pairs.all(|(name, value)| is_valid_name(name) && value.len() <= MAX_LABEL_BYTES);
-    require(
+    check_rule(
         valid,
         "holds at most 16 labels with plain names and values up to 63 bytes",
     )
 }
 
-pub(crate) fn methods(methods: &[String]) -> Result<(), ValidationError> {
+pub(crate) fn validate_methods(methods: &[String]) -> Result<(), ValidationError> {
     let valid = methods
         .iter()
         .all(|method| METHODS.contains(&method.as_str()));
-    require(valid, "holds HTTP methods in capitals")
+    check_rule(valid, "holds HTTP methods in capitals")
 }
 
-pub(crate) fn prefix(prefix: &str) -> Result<(), ValidationError> {
+pub(crate) fn validate_prefix(prefix: &str) -> Result<(), ValidationError> {
     let valid = prefix.starts_with('/')
         && prefix.ends_with('/')
         && prefix.len() <= MAX_PREFIX_BYTES
         && !prefix.contains(['?', '#', ' ']);
-    require(
+    check_rule(
         valid,
         "begins and ends with '/' and has no '?', '#' or space",
     )
 }
 
-pub(crate) fn shares(shares: &[(String, u32)]) -> Result<(), ValidationError> {
+pub(crate) fn validate_shares(shares: &[(String, u32)]) -> Result<(), ValidationError> {
     let valid = shares.iter().all(|(service, _)| !service.is_empty())
         && shares.iter().any(|(_, weight)| *weight > 0);
-    require(valid, "names services, and not all with weight 0")
+    check_rule(valid, "names services, and not all with weight 0")
 }
 
-pub(crate) fn path(path: &str) -> Result<(), ValidationError> {
+pub(crate) fn validate_path(path: &str) -> Result<(), ValidationError> {
     let valid =
         path.starts_with('/') && path.len() <= MAX_PATH_BYTES && !path.contains(['?', '#', ' ']);
-    require(valid, "starts with '/' and has no '?', '#' or space")
+    check_rule(valid, "starts with '/' and has no '?', '#' or space")
 }
 
-/// The faults that `validator` found in a value, with their paths below `path`.
+/// Converts the errors that `validator` found in a value to faults, with their paths below `path`.
 pub fn faults_from_errors(path: &str, errors: &ValidationErrors) -> Vec<Fault> {
     let mut faults = Vec::new();
     for (field, kind) in errors.errors() {
@@ -151,16 +153,16 @@
     faults
 }
 
-/// The faults of a change that can be seen without the current state.
+/// The faults of a change that can be detected without the current state.
 pub fn faults_of_edits(edits: &[Edit]) -> Vec<Fault> {
-    let mut faults = faults_of_count(edits.len());
+    let mut faults = faults_of_edit_count(edits.len());
     faults.extend(faults_of_names(edits));
     faults.extend(faults_of_fields(edits));
     faults.extend(faults_of_keyed_orders(edits));
     faults
 }
 
-fn faults_of_count(count: usize) -> Vec<Fault> {
+fn faults_of_edit_count(count: usize) -> Vec<Fault> {
     match count {
         0 => vec![new_fault("edits", "holds at least one edit")],
         1..=MAX_EDITS => Vec::new(),
@@ -168,7 +170,7 @@
     }
 }
 
-/// Names that are none, then names that are edited twice.
+/// Invalid names, then names that are edited twice.
 fn faults_of_names(edits: &[Edit]) -> Vec<Fault> {
     let edited: Vec<(&str, &String)> = edits
         .iter()
@@ -211,8 +213,8 @@
     faults
 }
 
-/// Keys are placed over the whole service: an order for a part of it would have keys that nobody
-/// it names holds.
+/// Keys are placed over the whole service: a keyed order for only a part of it would have keys that
+/// none of the selected backends holds.
 fn faults_of_keyed_orders(edits: &[Edit]) -> Vec<Fault> {
     let mut faults = Vec::new();
     for (index, edit) in edits.iter().enumerate() {
@@ -239,7 +241,8 @@
     faults
 }
 
-/// The faults of a change against a state, in order: decided alike wherever the entry is applied.
+/// The faults of a change against a state, in a fixed order: every replica that applies the entry
+/// gets the same result.
 pub fn faults_against(state: &DesiredState, edits: &[Edit]) -> Vec<Fault> {
     let mut faults = BTreeSet::from_iter(faults_of_edits(edits));
     faults.extend(faults_of_absent_names(state, edits));
@@ -266,8 +269,8 @@
 
 fn faults_of_state(state: &DesiredState) -> Vec<Fault> {
     let mut faults = faults_of_unknown_services(state);
-    faults.extend(faults_of_order_pairs(state));
-    faults.extend(faults_of_equal_groupings(state));
+    faults.extend(faults_of_conflicting_orders(state));
+    faults.extend(faults_of_duplicate_groupings(state));
     faults
 }
 
@@ -296,18 +299,18 @@
     faults
 }
 
-fn faults_of_order_pairs(state: &DesiredState) -> Vec<Fault> {
+fn faults_of_conflicting_orders(state: &DesiredState) -> Vec<Fault> {
     let mut faults = Vec::new();
     for (index, (first_name, first)) in state.orders.iter().enumerate() {
         for (second_name, second) in state.orders.iter().skip(index + 1) {
-            if same_route(&first.selector, &second.selector) {
+            if selectors_conflict(&first.selector, &second.selector) {
                 faults.push(new_fault(
                     format!("orders.{second_name}.selector"),
                     format!(
                         "overlaps the order {first_name:?}: both fit the same requests equally well"
                     ),
                 ));
-            } else if keyed_disagree(first, second) {
+            } else if keyed_settings_differ(first, second) {
                 faults.push(new_fault(
                     format!("orders.{second_name}.keyed"),
                     format!(
@@ -320,7 +323,7 @@
     faults
 }
 
-fn faults_of_equal_groupings(state: &DesiredState) -> Vec<Fault> {
+fn faults_of_duplicate_groupings(state: &DesiredState) -> Vec<Fault> {
     let mut faults = Vec::new();
     for (index, (first_name, first)) in state.groupings.iter().enumerate() {
         for (second_name, second) in state.groupings.iter().skip(index + 1) {
@@ -333,8 +336,8 @@
     faults
 }
 
-/// Two orders clash when one request can fit both and neither is the more particular.
-fn same_route(one: &Selector, other: &Selector) -> bool {
+/// Whether two selectors conflict: one request can match both, and neither is more specific.
+fn selectors_conflict(one: &Selector, other: &Selector) -> bool {
     let overlap = |own: &[String], theirs: &[String]| {
         own.is_empty() || theirs.is_empty() || own.iter().any(|item| theirs.contains(item))
     };
@@ -345,8 +348,8 @@
         && overlap(&one.methods, &other.methods)
 }
 
-/// Two orders of one service and path disagree when only one of them is keyed.
-fn keyed_disagree(one: &StandingOrder, other: &StandingOrder) -> bool {
+/// Whether two orders have the same service and path but only one of them is keyed.
+fn keyed_settings_differ(one: &StandingOrder, other: &StandingOrder) -> bool {
     one.selector.service == other.selector.service
         && one.selector.path_prefix == other.selector.path_prefix
         && one.keyed != other.keyed
