--- a/crates/model/tests/cluster_state/call_order.rs
+++ b/crates/model/tests/cluster_state/call_order.rs
@@ -1,11 +1,12 @@
-//! The same calls in any order end in the same items (design 11.1).
+//! The same calls in any order produce the same items (design 11.1).
 
 use crate::fixtures::*;
 use model::ClusterState;
 use model::cluster_state::{ItemBody, ItemCall, ItemKind};
 
-/// What version `version` of an item says is the same whoever sends it. None of it is ever at fault.
-fn one(kind: u8, name: u8, version: u8) -> ItemCall {
+/// A call with one item. Each version of an item always has the same content, and no call is
+/// invalid.
+fn drawn_call(kind: u8, name: u8, version: u8) -> ItemCall {
     let (name, number, version) = (
         format!("item-{}", name % 3),
         version % 6,
@@ -25,11 +26,11 @@
     }
 }
 
-fn played(calls: &[ItemCall]) -> ClusterState {
+fn state_after(calls: &[ItemCall]) -> ClusterState {
     let mut state = ClusterState::default();
     apply_call(
         &mut state,
-        both(
+        combined(
             put("service-0", 1, service(false)),
             put("service-1", 1, service(true)),
         ),
@@ -45,13 +46,13 @@
 }
 
 #[test]
-fn any_order_of_the_same_calls_ends_in_the_same_items() {
+fn calls_in_any_order_produce_the_same_items() {
     test_support::drawn::<[([(u8, u8, u8); 3], u32, u32); 12]>(300, |drawn| {
         let call = |parts: &[(u8, u8, u8); 3]| {
             parts
                 .iter()
-                .map(|(kind, name, version)| one(*kind, *name, *version))
-                .fold(ItemCall::default(), both)
+                .map(|(kind, name, version)| drawn_call(*kind, *name, *version))
+                .fold(ItemCall::default(), combined)
         };
         let ordered = |key: fn(&(u32, u32)) -> u32| {
             let mut calls: Vec<_> = drawn
@@ -59,31 +60,31 @@
                 .map(|(parts, x, y)| (key(&(*x, *y)), call(parts)))
                 .collect();
             calls.sort_by_key(|(key, _)| *key);
-            played(&calls.into_iter().map(|(_, call)| call).collect::<Vec<_>>())
+            state_after(&calls.into_iter().map(|(_, call)| call).collect::<Vec<_>>())
         };
-        let (forth, other) = (ordered(|(x, _)| *x), ordered(|(_, y)| *y));
-        assert_eq!(forth.items, other.items);
+        let (first, second) = (ordered(|(x, _)| *x), ordered(|(_, y)| *y));
+        assert_eq!(first.items, second.items);
         let snapshot = |state: &ClusterState| {
             model::cluster_state::StateSnapshot::default().updated(true, 1, state.full_deltas())
         };
         assert_eq!(
-            snapshot(&forth),
-            snapshot(&other),
-            "and followers hold the same"
+            snapshot(&first),
+            snapshot(&second),
+            "followers have the same state"
         );
-        // Sent once more, whole or in part, they change nothing.
-        let mut again = forth.clone();
+        // Repeating the calls as a whole or in part changes nothing.
+        let mut again = first.clone();
         drawn
             .iter()
             .for_each(|(parts, ..)| drop(apply_call(&mut again, call(parts))));
-        assert_eq!(again, forth);
-        let highest = forth.items.iter().all(|((kind, name), item)| {
-            let said = drawn.iter().flat_map(|(parts, ..)| {
+        assert_eq!(again, first);
+        let highest = first.items.iter().all(|((kind, name), item)| {
+            let drawn_calls = drawn.iter().flat_map(|(parts, ..)| {
                 parts
                     .iter()
-                    .map(|(kind, name, version)| one(*kind, *name, *version))
+                    .map(|(kind, name, version)| drawn_call(*kind, *name, *version))
             });
-            let of = said.flat_map(|call| {
+            let versions = drawn_calls.flat_map(|call| {
                 let puts = call
                     .puts
                     .into_iter()
@@ -95,11 +96,12 @@
                 )
                 .collect::<Vec<_>>()
             });
-            let most = of
-                .filter(|(of, named, ..)| of == kind && named == name)
+            let highest_version = versions
+                .filter(|(item_kind, item_name, ..)| item_kind == kind && item_name == name)
                 .max_by_key(|(_, _, version, _)| *version);
-            most.is_none_or(|(_, _, version, body)| (version, &body) == (item.version, &item.body))
+            highest_version
+                .is_none_or(|(_, _, version, body)| (version, &body) == (item.version, &item.body))
         });
-        assert!(highest, "the highest version of each holds");
+        assert!(highest, "the highest version of each item wins");
     });
 }
--- a/crates/model/tests/cluster_state/conflicts.rs
+++ b/crates/model/tests/cluster_state/conflicts.rs
@@ -1,5 +1,5 @@
-//! Two operators under one number, and one order sent again: exactly one content of a version is ever confirmed, and
-//! what was confirmed once is never refused (design 11.1).
+//! Two operators using one version number, and repeated calls: at most one content of a version is
+//! ever confirmed, and a confirmed content is never rejected (design 11.1).
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -8,7 +8,7 @@
 use model::cluster_state::{ClusterOperation, ClusterReport, ItemCall, ItemKind};
 use model::{ClusterState, Outcome};
 
-/// Contents of one route that differ, as two operators write them.
+/// A route call whose content depends on the prefix, as different operators write it.
 fn route_call(name: &str, version: u64, prefix: &str) -> ItemCall {
     let mut call = put(name, version, route_body("shop", prefix, "seat"));
     call.puts[0].text = format!(r#"{{"path_prefix":"{prefix}","timeout":"1s"}}"#);
@@ -22,9 +22,9 @@
     )
 }
 
-fn refused_by(outcome: Outcome) -> Vec<(ItemKind, String, u64, u64)> {
+fn conflicts_of(outcome: Outcome) -> Vec<(ItemKind, String, u64, u64)> {
     let Outcome::Conflict { conflicts } = outcome else {
-        panic!("it is no conflict: {outcome:?}")
+        panic!("expected a conflict: {outcome:?}")
     };
     conflicts
         .into_iter()
@@ -40,20 +40,20 @@
 }
 
 #[test]
-fn of_two_contents_under_one_version_exactly_one_is_confirmed_and_is_read_back() {
-    let mut state = site();
+fn only_the_first_of_two_contents_under_one_version_is_confirmed() {
+    let mut state = sample_state();
     assert!(confirmed(&apply_call(
         &mut state,
         route_call("sell", 7, "/one/")
     )));
     let before = state.clone();
-    // Nothing of the call takes effect, though its other item is new.
-    let second = both(
+    // Nothing of the call takes effect, although its other item is new.
+    let second = combined(
         route_call("sell", 7, "/two/"),
         route_call("buy", 7, "/buy/"),
     );
     assert_eq!(
-        refused_by(apply_call(&mut state, second)),
+        conflicts_of(apply_call(&mut state, second)),
         [(ItemKind::Route, "sell".to_string(), 7, 7)]
     );
     assert_eq!(state, before);
@@ -65,14 +65,14 @@
 }
 
 #[test]
-fn a_drop_and_a_put_under_one_version_are_two_contents() {
-    let mut state = site();
+fn a_drop_and_a_put_under_one_version_conflict() {
+    let mut state = sample_state();
     assert!(confirmed(&apply_call(
         &mut state,
         route_call("sell", 7, "/one/")
     )));
     assert_eq!(
-        refused_by(apply_call(&mut state, drop_of(ItemKind::Route, "sell", 7))),
+        conflicts_of(apply_call(&mut state, drop_of(ItemKind::Route, "sell", 7))),
         [(ItemKind::Route, "sell".to_string(), 7, 7)]
     );
     assert!(confirmed(&apply_call(
@@ -84,27 +84,27 @@
         "the same drop again"
     );
     assert_eq!(
-        refused_by(apply_call(&mut state, route_call("sell", 9, "/one/"))),
+        conflicts_of(apply_call(&mut state, route_call("sell", 9, "/one/"))),
         [(ItemKind::Route, "sell".to_string(), 9, 9)]
     );
 }
 
 #[test]
 fn one_item_with_two_contents_under_one_version_in_one_call_is_a_conflict() {
-    let mut state = site();
+    let mut state = sample_state();
     let before = state.clone();
-    let call = both(
+    let call = combined(
         route_call("sell", 7, "/one/"),
         route_call("sell", 7, "/two/"),
     );
     assert_eq!(
-        refused_by(apply_call(&mut state, call)),
+        conflicts_of(apply_call(&mut state, call)),
         [(ItemKind::Route, "sell".to_string(), 7, 7)]
     );
     assert_eq!(state, before);
     assert!(confirmed(&apply_call(
         &mut state,
-        both(
+        combined(
             route_call("sell", 7, "/one/"),
             route_call("sell", 7, "/one/")
         )
@@ -113,7 +113,7 @@
 
 #[test]
 fn content_that_differs_only_in_white_space_or_order_is_a_repeat() {
-    let mut state = site();
+    let mut state = sample_state();
     assert!(confirmed(&apply_call(
         &mut state,
         route_call("sell", 7, "/one/")
@@ -124,9 +124,9 @@
 }
 
 #[test]
-fn an_order_that_was_taken_is_confirmed_again_after_newer_versions_a_snapshot_and_many_others() {
-    let mut state = site();
-    let first = both(
+fn an_accepted_call_is_confirmed_again_after_newer_versions_and_snapshots() {
+    let mut state = sample_state();
+    let first = combined(
         route_call("sell", 7, "/one/"),
         route_call("buy", 7, "/buy/"),
     );
@@ -139,40 +139,41 @@
         state = ClusterState::from_bytes(&state.to_bytes()).expect("a snapshot");
         assert!(
             confirmed(&apply_call(&mut state, first.clone())),
-            "the first order again, under version {version}"
+            "the first call repeated after version {version}"
         );
     }
-    // A recent version that was overtaken still tells a second content from a repeat.
+    // A repeat of a recent superseded version is still distinguished from different content.
     assert!(confirmed(&apply_call(
         &mut state,
         route_call("sell", 195, "/195/")
     )));
     assert_eq!(
-        refused_by(apply_call(&mut state, route_call("sell", 195, "/else/"))),
+        conflicts_of(apply_call(&mut state, route_call("sell", 195, "/else/"))),
         [(ItemKind::Route, "sell".to_string(), 195, 199)]
     );
 }
 
 #[test]
-fn hundreds_of_versions_of_an_item_keep_a_bounded_record() {
-    let mut state = site();
-    let grown = |state: &mut ClusterState, versions: Range<u64>| {
+fn the_version_history_of_an_item_is_bounded() {
+    let mut state = sample_state();
+    let size_after = |state: &mut ClusterState, versions: Range<u64>| {
         versions.for_each(|version| drop(apply_call(state, route_call("sell", version, "/one/"))));
         state.to_bytes().len()
     };
-    let after_a_hundred = grown(&mut state, 7..107);
+    let after_a_hundred = size_after(&mut state, 7..107);
     assert!(
-        grown(&mut state, 107..5_000) <= after_a_hundred + 64,
+        size_after(&mut state, 107..5_000) <= after_a_hundred + 64,
         "{after_a_hundred} bytes after a hundred"
     );
 }
 
-/// Drawn orders of two operators, each sent to any of three replicas in any order and any number of times: all
-/// replicas answer alike, as they apply the same log, and of two contents of a version at most one is ever confirmed.
+/// Random calls of two operators, each sent to any of three replicas in any order and any number of
+/// times. All replicas give the same outcome because they apply the same log, and of two contents
+/// of a version at most one is ever confirmed.
 #[test]
-fn drawn_races_and_repeats_confirm_one_content_of_each_version_and_refuse_nothing_confirmed() {
+fn random_races_and_repeats_confirm_one_content_per_version() {
     test_support::drawn::<[(u8, u8, u8); 80]>(300, |steps| {
-        let mut state = site();
+        let mut state = sample_state();
         let mut confirmed_content: BTreeMap<(String, u64), u8> = Default::default();
         for (name, version, content) in steps {
             let (name, version, content) = (
@@ -187,9 +188,9 @@
             let earlier = confirmed_content.get(&(name.clone(), version)).copied();
             match (&outcome, earlier) {
                 (Outcome::Conflict { .. }, Some(earlier)) => {
-                    assert_ne!(earlier, content, "what was confirmed is refused")
+                    assert_ne!(earlier, content, "a confirmed content is rejected")
                 }
-                (Outcome::Conflict { .. }, None) => panic!("a conflict with nothing"),
+                (Outcome::Conflict { .. }, None) => panic!("a conflict without an earlier content"),
                 (_, Some(earlier)) => assert_eq!(earlier, content, "two contents were confirmed"),
                 (Outcome::Accepted { .. }, None) => {
                     confirmed_content.insert((name, version), content);
@@ -202,7 +203,7 @@
 
 #[test]
 fn a_late_registration_of_an_earlier_process_replaces_nothing() {
-    let mut state = site();
+    let mut state = sample_state();
     let node = |incarnation: u64, replaces: u64| ClusterReport::NodeRegistered {
         node: "n0".into(),
         zone: "z0".into(),
@@ -220,12 +221,12 @@
             )
             .0
     };
-    // Drawn incarnations fall as well as rise.
+    // Random incarnations are not ordered by time.
     assert!(matches!(register(900, 0), Outcome::Accepted { .. }));
     assert!(matches!(register(20, 900), Outcome::Accepted { .. }));
     assert!(
         matches!(register(500, 900), Outcome::Superseded { .. }),
-        "made on top of what stands no more"
+        "it replaces an incarnation that is no longer registered"
     );
     assert!(matches!(register(900, 0), Outcome::Superseded { .. }));
     assert!(matches!(register(7, 20), Outcome::Accepted { .. }));
--- a/crates/model/tests/cluster_state/endpoints.rs
+++ b/crates/model/tests/cluster_state/endpoints.rs
@@ -1,16 +1,16 @@
-//! Back ends and nodes: what is over stays over, whoever speaks late (design 11.2).
+//! Backends and nodes: late reports do not undo later ones (design 11.2).
 
 use crate::fixtures::*;
 use model::cluster_state::{ClusterOperation, ClusterReport, shard_map};
 use model::{BackendPhase, ClusterState, Outcome};
 
 #[test]
-fn late_words_do_not_bring_an_ended_back_end_back() {
+fn late_reports_do_not_restore_an_ended_backend() {
     [true, false].into_iter().for_each(|process_gone| {
-        let mut state = site();
+        let mut state = sample_state();
         apply_reports(&mut state, vec![joined("a"), joined("b")]);
         apply_reports(&mut state, vec![ended("a", process_gone)]);
-        let late = [
+        let late_reports = [
             joined("a"),
             ClusterReport::BackendSilent {
                 name: "a".into(),
@@ -19,18 +19,19 @@
             ClusterReport::BackendDraining { name: "a".into() },
             joined("a"),
         ];
-        late.into_iter()
+        late_reports
+            .into_iter()
             .for_each(|report| assert_eq!(apply_reports(&mut state, vec![report]), Vec::new()));
         assert!(!state.backends.contains_key("a") && state.backends.contains_key("b"));
     });
-    let mut state = site();
+    let mut state = sample_state();
     apply_reports(&mut state, vec![ended("early", false)]);
     assert_eq!(
         apply_reports(&mut state, vec![joined("early")]),
         Vec::new(),
-        "the end came before the report that it joined"
+        "the backend ended before the report that it joined"
     );
-    // Kept in a snapshot too, and over many other changes.
+    // The ended backend is also remembered in a snapshot and over many other changes.
     (0..2_000).for_each(|turn| {
         drop(apply_reports(
             &mut state,
@@ -52,8 +53,8 @@
 }
 
 #[test]
-fn a_back_end_phase_only_moves_on() {
-    let mut state = site();
+fn late_reports_do_not_move_a_backend_phase_back() {
+    let mut state = sample_state();
     let phase = |state: &ClusterState| state.backends["a"].phase;
     let silent = |silent: bool| ClusterReport::BackendSilent {
         name: "a".into(),
@@ -64,7 +65,7 @@
     assert_eq!(
         apply_reports(&mut state, vec![joined("a")]),
         Vec::new(),
-        "an earlier report does not make it heard again"
+        "an earlier report does not end the unresponsive phase"
     );
     apply_reports(&mut state, vec![silent(false)]);
     assert_eq!(phase(&state), BackendPhase::Registered);
@@ -78,13 +79,13 @@
     assert_eq!(
         phase(&state),
         BackendPhase::Draining,
-        "who drains takes no new work any more"
+        "a draining backend stays draining"
     );
 }
 
 #[test]
-fn reports_of_an_origin_are_taken_once_and_in_order() {
-    let mut state = site();
+fn reports_of_an_origin_are_applied_once_and_in_order() {
+    let mut state = sample_state();
     let mut report = |incarnation: u64, sequence: u64, name: &str| {
         let operation = ClusterOperation::Reports(vec![joined(name)]);
         matches!(
@@ -94,10 +95,10 @@
     };
     assert!(report(2, 5, "a"));
     assert!(!report(2, 5, "b"), "a repeat");
-    assert!(!report(2, 4, "c"), "earlier reports of this incarnation");
+    assert!(!report(2, 4, "c"), "an earlier report of this incarnation");
     assert!(
         !report(1, 9, "d") && !report(3, 1, "e"),
-        "of another incarnation, before it is registered"
+        "reports of another incarnation before it is registered"
     );
     assert!(matches!(
         state
@@ -122,17 +123,17 @@
     };
     assert!(
         matches!(report(1, 2, "g"), Outcome::Accepted { .. }),
-        "a new incarnation counts anew"
+        "a new incarnation starts a new sequence"
     );
     assert!(
         matches!(report(2, 6, "h"), Outcome::Superseded { .. }),
-        "the one before it is over"
+        "the previous incarnation is superseded"
     );
 }
 
 #[test]
-fn a_node_is_gone_when_two_observers_miss_it() {
-    let mut state = site();
+fn a_node_becomes_absent_when_two_observers_suspect_it() {
+    let mut state = sample_state();
     let node = |name: &str, incarnation: u64| ClusterReport::NodeRegistered {
         node: name.into(),
         zone: "z0".into(),
@@ -159,7 +160,7 @@
     );
     assert!(
         is_present(&state),
-        "one observer is one observer, however often it says so"
+        "repeated suspicions of one observer count once"
     );
     apply_reports(&mut state, vec![suspected("n2", 1, true)]);
     assert!(!is_present(&state));
@@ -173,14 +174,14 @@
     );
     assert!(
         is_present(&state),
-        "the one that was missed is an earlier incarnation"
+        "the suspected incarnation is an earlier one"
     );
     assert_eq!(apply_reports(&mut state, vec![node("n0", 1)]), Vec::new());
 }
 
 #[test]
-fn keys_go_only_to_known_back_ends_and_only_on_top_of_the_latest_placement() {
-    let mut state = site();
+fn placements_need_known_backends_and_the_latest_base_placement() {
+    let mut state = sample_state();
     apply_reports(&mut state, vec![joined("a"), joined("b")]);
     let all = |name: &'static str| [(0, u16::MAX, name)];
     apply_reports(&mut state, vec![reassigned(0, &all("a"))]);
@@ -188,7 +189,7 @@
     assert_eq!(
         apply_reports(&mut state, vec![reassigned(0, &all("b"))]),
         Vec::new(),
-        "on top of what stands no more"
+        "its base placement is not the latest"
     );
     assert_eq!(
         apply_reports(&mut state, vec![reassigned(base, &all("nobody"))]),
@@ -200,12 +201,12 @@
             vec![reassigned(base, &[(0, 9, "b"), (10, 20, "nobody")])]
         ),
         Vec::new(),
-        "whole or not at all"
+        "a placement is applied as a whole or not at all"
     );
     assert_eq!(
         apply_reports(&mut state, vec![reassigned(base, &[(9, 8, "b")])]),
         Vec::new(),
-        "a range ends where it begins, or later"
+        "the last key must not precede the first key"
     );
     apply_reports(&mut state, vec![reassigned(base, &all("b"))]);
     let range = |state: &ClusterState| {
@@ -222,19 +223,19 @@
     assert_eq!(
         range(&state).pending_releases.len(),
         1,
-        "its process may live"
+        "its process may still run"
     );
     apply_reports(&mut state, vec![ended("a", true)]);
     assert_eq!(
         (range(&state).pending_releases.len(), range(&state).holder),
         (0, Some("b".to_string())),
-        "its process is gone"
+        "its process has ended"
     );
     apply_reports(&mut state, vec![ended("b", false)]);
     assert_eq!(
         range(&state).holder,
         Some("b".to_string()),
-        "whoever comes next has to wait for it"
+        "the next holder has to wait for it"
     );
     let base = state.placements["seat"].0;
     apply_reports(&mut state, vec![joined("c"), reassigned(base, &all("c"))]);
@@ -260,8 +261,8 @@
     })
 }
 
-/// So many entries that speak of nobody here.
-fn pass(state: &mut ClusterState, count: u64) {
+/// Advances the state by `count` entries about an unrelated backend.
+fn advance(state: &mut ClusterState, count: u64) {
     (0..count).for_each(|turn| {
         drop(apply_reports(
             state,
@@ -273,8 +274,8 @@
     });
 }
 
-fn kept() -> ClusterState {
-    let mut state = site();
+fn state_with_holder() -> ClusterState {
+    let mut state = sample_state();
     let holder = ClusterReport::BackendJoined {
         name: "holder".into(),
         backend: backend_record("seat", "holder-0"),
@@ -293,13 +294,13 @@
 
 #[test]
 fn machines_replaced_under_new_names_do_not_grow_the_state() {
-    let mut state = kept();
+    let mut state = state_with_holder();
     let mut follower = model::cluster_state::StateSnapshot::default().updated(
         true,
         state.position,
         state.full_deltas(),
     );
-    let most = (0..3_000).map(|turn| {
+    let sizes = (0..3_000).map(|turn| {
         let (name, before) = (format!("{turn}"), turn - 1);
         let joined = ClusterReport::BackendJoined {
             name: name.clone(),
@@ -313,9 +314,12 @@
         follower = follower.updated(false, state.position, deltas.concat());
         state.nodes.len().max(state.backends.len())
     });
-    // Each took two entries, and one is away for at most some 4,096 of them.
-    let most = most.max();
-    assert!(most.is_some_and(|most| most < 2_200), "{most:?} names");
+    // Each replacement takes two entries, and an absent node is retained for about 4,096 entries.
+    let largest = sizes.max();
+    assert!(
+        largest.is_some_and(|largest| largest < 2_200),
+        "{largest:?} names"
+    );
     assert_eq!(
         follower,
         model::cluster_state::StateSnapshot::default().updated(
@@ -323,14 +327,14 @@
             state.position,
             state.full_deltas()
         ),
-        "followers forget the same names"
+        "followers remove the same names"
     );
     assert!(state.to_bytes().len() < 1_000_000);
 }
 
 #[test]
-fn back_ends_that_hold_or_may_hold_keys_are_kept_until_their_releases_expire() {
-    let mut state = kept();
+fn backends_that_hold_or_may_hold_keys_are_kept_until_their_releases_expire() {
+    let mut state = state_with_holder();
     apply_reports(
         &mut state,
         vec![
@@ -342,14 +346,14 @@
         ],
     );
     apply_reports(&mut state, suspected("node-a").to_vec());
-    pass(&mut state, 10_000);
+    advance(&mut state, 10_000);
     assert!(
         state.backends.contains_key("a") && state.nodes.contains_key("node-a"),
         "it holds keys"
     );
     let base = state.placements["seat"].0;
     apply_reports(&mut state, vec![reassigned(base, &[(0, u16::MAX, "b")])]);
-    pass(&mut state, 10_000);
+    advance(&mut state, 10_000);
     let range = state.placements["seat"].1[0].clone();
     assert_eq!(
         range
@@ -361,7 +365,7 @@
     );
     assert!(
         state.backends.contains_key("a") && state.nodes.contains_key("node-a"),
-        "it may still hold what it has not released"
+        "it may still hold the keys that it has not released"
     );
     apply_reports(
         &mut state,
@@ -370,29 +374,29 @@
             ranges: vec![(0, u16::MAX, range.fencing_token)],
         }],
     );
-    pass(&mut state, 600);
+    advance(&mut state, 600);
     assert!(
         !state.backends.contains_key("a") && !state.nodes.contains_key("node-a"),
-        "nothing is left to wait for"
+        "no release is pending any more"
     );
 }
 
 #[test]
-fn a_node_that_was_only_cut_off_registers_again() {
-    let mut state = kept();
+fn a_node_removed_during_a_partition_registers_again() {
+    let mut state = state_with_holder();
     apply_reports(&mut state, vec![node("node-a", 1), joined("a")]);
     apply_reports(&mut state, suspected("node-a").to_vec());
-    pass(&mut state, 4_000);
+    advance(&mut state, 4_000);
     assert!(
         state.nodes.contains_key("node-a"),
-        "not for so short a time"
+        "the node was not absent for long enough"
     );
-    pass(&mut state, 1_000);
+    advance(&mut state, 1_000);
     assert!(!state.nodes.contains_key("node-a") && !state.backends.contains_key("a"));
     apply_reports(&mut state, vec![node("node-a", 1), joined("a")]);
     assert!(state.nodes["node-a"].present && state.backends["a"].phase == BackendPhase::Registered);
     assert!(state.nodes["node-a"].suspected_by.is_empty());
-    // Nodes that are there stay, however long nothing is said of them.
-    pass(&mut state, 10_000);
+    // Present nodes are retained, even without any reports about them.
+    advance(&mut state, 10_000);
     assert!(state.nodes.contains_key("node-a") && state.backends.contains_key("a"));
 }
--- a/crates/model/tests/cluster_state/fixtures.rs
+++ b/crates/model/tests/cluster_state/fixtures.rs
@@ -1,4 +1,4 @@
-//! Short ways to items, calls and reports.
+//! Helpers to build items, calls and reports.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -64,7 +64,7 @@
     }
 }
 
-pub(crate) fn both(one: ItemCall, other: ItemCall) -> ItemCall {
+pub(crate) fn combined(one: ItemCall, other: ItemCall) -> ItemCall {
     ItemCall {
         puts: [one.puts, other.puts].concat(),
         drops: [one.drops, other.drops].concat(),
@@ -77,12 +77,12 @@
         .0
 }
 
-/// Where the call is at fault; empty when it was taken, or changed nothing.
+/// The fault paths of the call; empty if it was accepted or changed nothing.
 pub(crate) fn faults(state: &mut ClusterState, call: ItemCall) -> Vec<String> {
     let before = state.clone();
     match apply_call(state, call) {
         Outcome::Invalid { faults } => {
-            assert_eq!(*state, before, "what is invalid changes nothing");
+            assert_eq!(*state, before, "an invalid call changes nothing");
             faults.into_iter().map(|fault| fault.path).collect()
         }
         _ => Vec::new(),
@@ -91,7 +91,7 @@
 
 static SEQUENCE: AtomicU64 = AtomicU64::new(1);
 
-/// Reports that no earlier one of their origin stands in the way of.
+/// Applies reports with a sequence number that is higher than all earlier ones.
 pub(crate) fn apply_reports(state: &mut ClusterState, reports: Vec<ClusterReport>) -> Vec<Delta> {
     let sequence = SEQUENCE.fetch_add(1, Ordering::Relaxed);
     state
@@ -130,15 +130,15 @@
         base_placement: base,
         ranges: ranges
             .iter()
-            .map(|(from, to, name)| (*from, *to, name.to_string()))
+            .map(|(first_key, last_key, name)| (*first_key, *last_key, name.to_string()))
             .collect(),
     }
 }
 
-/// One keyed service, one route to it.
-pub(crate) fn site() -> ClusterState {
+/// A state with one keyed service and one route to it.
+pub(crate) fn sample_state() -> ClusterState {
     let mut state = ClusterState::default();
-    let call = both(
+    let call = combined(
         put("seat", 1, service(true)),
         put("book", 1, route_body("shop", "/book/", "seat")),
     );
--- a/crates/model/tests/cluster_state/items.rs
+++ b/crates/model/tests/cluster_state/items.rs
@@ -1,4 +1,4 @@
-//! Items under versions of their own; a call is taken whole or not at all (design 11.1).
+//! Items with their own versions; a call is accepted as a whole or not at all (design 11.1).
 
 use crate::fixtures::*;
 use model::Outcome;
@@ -14,14 +14,14 @@
 }
 
 #[test]
-fn each_item_goes_by_its_own_version() {
-    let mut state = site();
+fn each_item_has_its_own_version() {
+    let mut state = sample_state();
     apply_call(
         &mut state,
         put("book", 5, route_body("shop", "/five/", "seat")),
     );
-    // One of the two is older than what stands, and only that one is passed over.
-    let mixed = both(
+    // One of the two items is older than the stored one, and only that item is skipped.
+    let mixed = combined(
         put("book", 4, route_body("shop", "/four/", "seat")),
         put("sell", 1, route_body("shop", "/sell/", "seat")),
     );
@@ -51,13 +51,13 @@
     assert_eq!(
         (held.body, held.text.as_str()),
         (Some(route_body("shop", "/five/", "seat")), "book 5"),
-        "the first of a version holds, as it was sent"
+        "the first content of a version is kept as it was sent"
     );
 }
 
 #[test]
 fn a_drop_is_a_version_like_any_other() {
-    let mut state = site();
+    let mut state = sample_state();
     apply_call(&mut state, drop_of(ItemKind::Route, "book", 7));
     assert_eq!(version(&state, ItemKind::Route, "book"), None);
     apply_call(
@@ -67,7 +67,7 @@
     assert_eq!(
         version(&state, ItemKind::Route, "book"),
         None,
-        "an older call that comes later brings nothing back"
+        "an older put that arrives later restores nothing"
     );
     apply_call(
         &mut state,
@@ -77,9 +77,9 @@
     assert_eq!(
         version(&state, ItemKind::Route, "book"),
         Some(8),
-        "nor does an older drop take anything away"
+        "an older drop that arrives later removes nothing"
     );
-    // What was never put may be dropped before it comes.
+    // An item may be dropped before it was ever put.
     apply_call(&mut state, drop_of(ItemKind::Route, "late", 3));
     apply_call(
         &mut state,
@@ -89,50 +89,50 @@
 }
 
 #[test]
-fn one_fault_in_a_call_and_none_of_it_holds() {
-    let mut state = site();
-    let fine = || put("other", 1, service(false));
-    let spoilt = |spoil: fn(&mut Route)| {
+fn a_call_with_one_fault_has_no_effect() {
+    let mut state = sample_state();
+    let valid_put = || put("other", 1, service(false));
+    let modified = |modify: fn(&mut Route)| {
         let mut route = route_to("shop", "/new/", vec![("seat".into(), 1)]);
-        spoil(&mut route);
-        both(fine(), put("new", 1, ItemBody::Route(route)))
+        modify(&mut route);
+        combined(valid_put(), put("new", 1, ItemBody::Route(route)))
     };
     assert_eq!(
-        faults(&mut state, spoilt(|route| route.wait_us = 0)),
+        faults(&mut state, modified(|route| route.wait_us = 0)),
         ["lane.new.wait_us"]
     );
     assert_eq!(
-        faults(&mut state, spoilt(|route| route.host.clear())),
+        faults(&mut state, modified(|route| route.host.clear())),
         ["lane.new.host"]
     );
     assert_eq!(
-        faults(&mut state, spoilt(|route| route.prefix = "new".into())),
+        faults(&mut state, modified(|route| route.prefix = "new".into())),
         ["lane.new.prefix"]
     );
     assert_eq!(
-        faults(&mut state, spoilt(|route| route.dispatches = 0)),
+        faults(&mut state, modified(|route| route.dispatches = 0)),
         ["lane.new.dispatches"]
     );
     assert_eq!(
         faults(
             &mut state,
-            spoilt(|route| route.shares = vec![("seat".into(), 0)])
+            modified(|route| route.shares = vec![("seat".into(), 0)])
         ),
         ["lane.new.shares"]
     );
     assert_eq!(
         faults(
             &mut state,
-            both(fine(), put("", 1, route_body("shop", "/new/", "seat")))
+            combined(valid_put(), put("", 1, route_body("shop", "/new/", "seat")))
         ),
         ["lane"]
     );
     assert_eq!(
-        faults(&mut state, both(fine(), put("", 1, limits(1)))),
+        faults(&mut state, combined(valid_put(), put("", 1, limits(1)))),
         ["limits..header_bytes"]
     );
     assert_eq!(version(&state, ItemKind::Service, "other"), None);
-    // Older than what stands, and still not to be called fine.
+    // Items older than the stored ones are validated too.
     apply_call(
         &mut state,
         put("book", 9, route_body("shop", "/book/", "seat")),
@@ -144,8 +144,8 @@
 }
 
 #[test]
-fn a_route_goes_only_to_services_there_are() {
-    let mut state = site();
+fn a_route_may_name_only_existing_services() {
+    let mut state = sample_state();
     assert_eq!(
         faults(
             &mut state,
@@ -159,57 +159,57 @@
         vec![("seat".into(), 1), ("nowhere".into(), 1)],
     ));
     assert_eq!(faults(&mut state, put("new", 1, two)), ["lane.new.shares"]);
-    let together = both(
+    let together = combined(
         put("new", 1, route_body("shop", "/new/", "nowhere")),
         put("nowhere", 1, service(false)),
     );
     assert_eq!(
         faults(&mut state, together),
         Vec::<String>::new(),
-        "they may come in one call, in any order"
+        "one call may contain both, in any order"
     );
 }
 
 #[test]
-fn a_service_that_a_route_names_stays() {
-    let mut state = site();
+fn a_service_named_by_a_route_cannot_be_dropped() {
+    let mut state = sample_state();
     assert_eq!(
         faults(&mut state, drop_of(ItemKind::Service, "seat", 2)),
         ["lane.book.shares"]
     );
-    let away = both(
+    let with_old_route = combined(
         drop_of(ItemKind::Service, "seat", 2),
         put("book", 0, route_body("shop", "/book/", "desk")),
     );
     assert_eq!(
-        faults(&mut state, away),
+        faults(&mut state, with_old_route),
         ["lane.book.shares"],
-        "an older version of the route takes nothing away from it"
+        "an older version of the route does not replace it"
     );
-    let moved = both(
+    let moved = combined(
         put("book", 2, route_body("shop", "/book/", "desk")),
         put("desk", 1, service(false)),
     );
     assert_eq!(
         faults(
             &mut state,
-            both(moved, drop_of(ItemKind::Service, "seat", 2))
+            combined(moved, drop_of(ItemKind::Service, "seat", 2))
         ),
         Vec::<String>::new()
     );
-    let last = both(
+    let last = combined(
         drop_of(ItemKind::Service, "desk", 2),
         drop_of(ItemKind::Route, "book", 3),
     );
     assert_eq!(
         faults(&mut state, last),
         Vec::<String>::new(),
-        "gone with the route that named it"
+        "the service is dropped together with the route that named it"
     );
-    // A drop that is too old takes nothing away, so nothing is at fault.
+    // A drop with an old version removes nothing, so the call has no faults.
     apply_call(
         &mut state,
-        both(
+        combined(
             put("seat", 9, service(true)),
             put("book", 9, route_body("shop", "/book/", "seat")),
         ),
@@ -222,8 +222,8 @@
 }
 
 #[test]
-fn two_names_do_not_share_a_host_and_prefix() {
-    let mut state = site();
+fn two_routes_cannot_share_a_host_and_prefix() {
+    let mut state = sample_state();
     assert_eq!(
         faults(
             &mut state,
@@ -232,7 +232,7 @@
         .len(),
         1
     );
-    let within = both(
+    let within = combined(
         put("one", 1, route_body("shop", "/same/", "seat")),
         put("two", 1, route_body("shop", "/same/", "seat")),
     );
@@ -243,25 +243,25 @@
             put("twin", 1, route_body("fair", "/book/", "seat"))
         ),
         Vec::<String>::new(),
-        "another host is another place"
+        "the same prefix on another host is allowed"
     );
-    let swapped = both(
+    let swapped = combined(
         put("twin", 2, route_body("shop", "/book/", "seat")),
         put("book", 2, route_body("fair", "/book/", "seat")),
     );
     assert_eq!(
         faults(&mut state, swapped),
         Vec::<String>::new(),
-        "they may change places in one call"
+        "one call may swap the two"
     );
-    let freed = both(
+    let freed = combined(
         drop_of(ItemKind::Route, "twin", 3),
         put("third", 1, route_body("shop", "/book/", "seat")),
     );
     assert_eq!(
         faults(&mut state, freed),
         Vec::<String>::new(),
-        "what is dropped is free for another"
+        "a dropped route frees its host and prefix"
     );
     apply_call(
         &mut state,
@@ -270,6 +270,6 @@
     assert_eq!(
         version(&state, ItemKind::Route, "third"),
         Some(1),
-        "a call that is too old does not stand in anyone's way"
+        "a call with an old version does not block others"
     );
 }
--- a/crates/model/tests/cluster_state/main.rs
+++ b/crates/model/tests/cluster_state/main.rs
@@ -1,4 +1,5 @@
-//! The cluster state: items, back ends and nodes, shard maps, and what followers hold of it (design 11).
+//! The cluster state: items, backends, nodes, shard maps, and the snapshots of followers (design
+//! 11).
 
 mod call_order;
 mod conflicts;
--- a/crates/model/tests/cluster_state/shard_map.rs
+++ b/crates/model/tests/cluster_state/shard_map.rs
@@ -1,4 +1,4 @@
-//! Shard ranges against what each of their keys is to go through, one by one (design 11.4).
+//! Compares shard ranges with a model that tracks sample keys one by one (design 11.4).
 
 use std::collections::BTreeMap;
 
@@ -6,12 +6,13 @@
 
 const NAMES: [&str; 4] = ["a", "b", "c", "d"];
 
-type Pending = Vec<(String, u64)>;
-/// What one key is to know: holder, fencing token, who may still hold it, what was handed over.
-type Known = (Option<String>, u64, Pending, String);
+type PendingReleases = Vec<(String, u64)>;
+/// The expected state of one key: holder, fencing token, pending releases and handover token.
+type KeyState = (Option<String>, u64, PendingReleases, String);
 
 fn edges(one: u8, other: u8) -> (u16, u16) {
-    // Few edges, so that they meet; the first and the last key among them.
+    // There are few possible edges, so that spans meet often; the first and the last key are among
+    // them.
     let edge = |at: u8| (at % 9) as u32 * 8_192;
     let (from, to) = (edge(one).min(edge(other)), edge(one).max(edge(other)));
     (
@@ -34,7 +35,7 @@
         .collect()
 }
 
-fn known(range: &ShardRange) -> Known {
+fn key_state(range: &ShardRange) -> KeyState {
     (
         range.holder.clone(),
         range.fencing_token,
@@ -56,21 +57,21 @@
         ranges
             .windows(2)
             .all(|pair| pair[0].last_key as u32 + 1 == pair[1].first_key as u32),
-        "without gaps, and none twice: {ranges:?}"
+        "the ranges have gaps or overlap: {ranges:?}"
     );
     assert!(
         ranges
             .windows(2)
-            .all(|pair| known(&pair[0]) != known(&pair[1])),
-        "neighbours alike are one: {ranges:?}"
+            .all(|pair| key_state(&pair[0]) != key_state(&pair[1])),
+        "equal neighbours are not merged: {ranges:?}"
     );
 }
 
-/// One change of a shard map, and the same of each key.
+/// Applies one change to a shard map and the same change to the model of each key.
 fn step(
     position: u64,
     held: ShardMap,
-    keys: &mut BTreeMap<u16, Known>,
+    keys: &mut BTreeMap<u16, KeyState>,
     (kind, who, one, other): (u8, u8, u8, u8),
 ) -> ShardMap {
     let (name, (from, to)) = (NAMES[who as usize % 4], edges(one, other));
@@ -122,30 +123,30 @@
 }
 
 #[test]
-fn ranges_say_of_each_key_what_it_went_through_and_fencing_tokens_only_grow() {
+fn ranges_match_a_per_key_model_and_fencing_tokens_only_grow() {
     test_support::drawn::<[(u8, u8, u8, u8); 48]>(400, |steps| {
         let mut held = shard_map::unassigned();
-        let mut each: BTreeMap<u16, Known> = keys()
+        let mut key_states: BTreeMap<u16, KeyState> = keys()
             .into_iter()
             .map(|key| (key, (None, 0, Vec::new(), String::new())))
             .collect();
         steps.iter().zip(1u64..).for_each(|(drawn, position)| {
-            let next = step(position, held.clone(), &mut each, *drawn);
+            let next = step(position, held.clone(), &mut key_states, *drawn);
             assert_well_formed(&next);
-            each.iter().for_each(|(key, wanted)| {
+            key_states.iter().for_each(|(key, expected)| {
                 let range = |ranges| {
                     shard_map::range_of(ranges, *key)
                         .expect("every key has a range")
                         .clone()
                 };
                 assert_eq!(
-                    &known(&range(&next)),
-                    wanted,
+                    &key_state(&range(&next)),
+                    expected,
                     "key {key} after {drawn:?} at {position}"
                 );
                 assert!(
                     range(&next).fencing_token >= range(&held).fencing_token,
-                    "a fencing token went back"
+                    "a fencing token decreased"
                 );
                 let moved = range(&next)
                     .holder
@@ -157,11 +158,11 @@
                     "a new holder has a new fencing token"
                 );
             });
-            let handed_over = shard_map::diff(&held, &next);
+            let changes = shard_map::diff(&held, &next);
             assert_eq!(
-                shard_map::apply_diff(held.clone(), handed_over),
+                shard_map::apply_diff(held.clone(), changes),
                 next,
-                "who has the old ranges and applies the changes has the new ones"
+                "applying the diff to the old ranges gives the new ones"
             );
             held = next;
         });
@@ -169,10 +170,10 @@
 }
 
 #[test]
-fn a_release_is_taken_as_far_as_it_knew_the_log() {
+fn a_release_counts_only_up_to_its_known_position() {
     let all = |name: &str| [(0, u16::MAX, name.to_string())];
     let moved = |ranges: ShardMap, name: &str, at: u64| shard_map::reassign(ranges, &all(name), at);
-    // It lost them at 5, had them again, and lost them once more at 9.
+    // Backend `a` lost the keys at 5, regained them, and lost them again at 9.
     let back = moved(
         moved(moved(shard_map::unassigned(), "a", 3), "b", 5),
         "a",
@@ -181,14 +182,14 @@
     assert_eq!(
         back[0].pending_releases,
         [("b".to_string(), 7)],
-        "what it lost at 5 it holds again"
+        "the backend holds the keys that it lost at 5 again"
     );
     let held = moved(back, "c", 9);
     let late = shard_map::release(held, "a", 8, &[(0, u16::MAX, "old".into())]);
     assert_eq!(
         late[0].pending_releases,
         [("b".to_string(), 7), ("a".to_string(), 9)],
-        "a release from before 9 says nothing of 9"
+        "a release known through 8 does not cover the loss at 9"
     );
     let now = shard_map::release(late, "a", 9, &[(0, u16::MAX, "new".into())]);
     assert_eq!(
@@ -201,6 +202,6 @@
     assert_eq!(
         shard_map::expire_releases(now.clone(), &[(0, u16::MAX, 7)]),
         now,
-        "waited out for another fencing token"
+        "the expiry is for another fencing token"
     );
 }
--- a/crates/model/tests/cluster_state/snapshot.rs
+++ b/crates/model/tests/cluster_state/snapshot.rs
@@ -1,4 +1,4 @@
-//! What a follower holds: of deltas or of the full state, it is the same (design 11.3).
+//! Snapshots of followers: deltas and the full state give the same result (design 11.3).
 
 use std::mem;
 use std::sync::Arc;
@@ -102,11 +102,12 @@
 }
 
 #[test]
-fn a_follower_of_deltas_holds_what_one_of_the_full_state_holds() {
+fn applying_deltas_gives_the_same_snapshot_as_the_full_state() {
     test_support::drawn::<[Drawn; 60]>(300, |steps| {
         let mut state = ClusterState::default();
-        // From the start, from somewhere on, and in pieces of several entries.
-        let (mut first, mut later, mut seldom) = (
+        // Three followers: one from the start, one that is resent the full state at times, and one
+        // that gets the deltas of several entries at once.
+        let (mut first, mut later, mut batched) = (
             StateSnapshot::default(),
             StateSnapshot::default(),
             (StateSnapshot::default(), Vec::<Delta>::new()),
@@ -127,20 +128,20 @@
                 assert_eq!(
                     state.position > before,
                     !deltas.is_empty(),
-                    "followers are sent every position"
+                    "every new position has deltas"
                 );
                 first = first.updated(false, state.position, deltas.clone());
-                seldom.1.extend(deltas.clone());
+                batched.1.extend(deltas.clone());
                 later = if turn % 17 == 5 {
                     later.updated(true, state.position, state.full_deltas())
                 } else {
                     later.updated(false, state.position, deltas)
                 };
                 if turn.is_multiple_of(7) {
-                    seldom.0 = seldom
+                    batched.0 = batched
                         .0
-                        .updated(false, state.position, mem::take(&mut seldom.1));
-                    assert_eq!(seldom.0, full_snapshot(&state));
+                        .updated(false, state.position, mem::take(&mut batched.1));
+                    assert_eq!(batched.0, full_snapshot(&state));
                 }
                 assert_eq!(
                     first,
@@ -155,11 +156,11 @@
 }
 
 #[test]
-fn the_longest_prefix_goes_first_and_a_dropped_route_leaves_the_next() {
-    let mut state = site();
+fn the_longest_prefix_wins_and_dropping_its_route_exposes_the_next() {
+    let mut state = sample_state();
     apply_call(
         &mut state,
-        both(
+        combined(
             put("wide", 1, route_body("shop", "/", "seat")),
             put("narrow", 1, route_body("shop", "/book/now/", "seat")),
         ),
@@ -183,7 +184,7 @@
 }
 
 #[test]
-fn available_back_ends_are_listed_anew_only_for_services_that_changed() {
+fn available_backends_are_rebuilt_only_for_changed_services() {
     let services = 20;
     let name = |at: usize| format!("backend-{at}");
     let node = |at: usize, incarnation: u64| ClusterReport::NodeRegistered {
@@ -200,26 +201,26 @@
     let mut state = ClusterState::default();
     (0..100).for_each(|at| drop(apply_reports(&mut state, vec![node(at, 1), joined(at)])));
     let mut current = full_snapshot(&state);
-    let mut made_by = |report: ClusterReport| {
+    let mut rebuilt_by = |report: ClusterReport| {
         let deltas = apply_reports(&mut state, vec![report]);
         let next = current.updated(false, state.position, deltas);
         let before = mem::replace(&mut current, next);
         assert_eq!(current, full_snapshot(&state));
-        let made = |at: &usize| {
+        let is_rebuilt = |at: &usize| {
             !Arc::ptr_eq(
                 &before.available_backends(&format!("service-{at}")),
                 &current.available_backends(&format!("service-{at}")),
             )
         };
-        (0..services).filter(made).collect::<Vec<_>>()
+        (0..services).filter(is_rebuilt).collect::<Vec<_>>()
     };
-    assert_eq!(made_by(node(7, 2)), [7], "a node that came again");
+    assert_eq!(rebuilt_by(node(7, 2)), [7], "a node that registered again");
     assert_eq!(
-        made_by(ClusterReport::BackendDraining { name: name(48) }),
+        rebuilt_by(ClusterReport::BackendDraining { name: name(48) }),
         [8]
     );
     assert_eq!(
-        made_by(ClusterReport::BackendEnded {
+        rebuilt_by(ClusterReport::BackendEnded {
             name: name(48),
             process_gone: true
         }),
@@ -230,12 +231,12 @@
         backend: backend_record("service-2", "node-11"),
     };
     assert_eq!(
-        made_by(moved),
+        rebuilt_by(moved),
         [2, 11],
-        "the one it left and the one it came to"
+        "the old and the new service of the backend"
     );
     assert_eq!(
-        made_by(ClusterReport::NodeRegistered {
+        rebuilt_by(ClusterReport::NodeRegistered {
             node: "node-new".into(),
             zone: "z0".into(),
             address: "new".into(),
@@ -247,8 +248,8 @@
 }
 
 #[test]
-fn only_back_ends_that_take_work_beside_present_nodes_are_offered() {
-    let mut state = site();
+fn only_registered_backends_of_present_nodes_are_available() {
+    let mut state = sample_state();
     let node = |name: &str| ClusterReport::NodeRegistered {
         node: name.into(),
         zone: "z0".into(),
@@ -256,7 +257,7 @@
         incarnation: 1,
         replaces: 0,
     };
-    let offered = |state: &ClusterState| {
+    let available = |state: &ClusterState| {
         full_snapshot(state)
             .available_backends("seat")
             .iter()
@@ -274,9 +275,9 @@
         ],
     );
     assert_eq!(
-        offered(&state),
+        available(&state),
         ["a", "b"],
-        "nobody knows yet where the third one is"
+        "the node of the third backend is not registered yet"
     );
     apply_reports(
         &mut state,
@@ -289,10 +290,10 @@
             },
         ],
     );
-    assert_eq!(offered(&state), ["c"]);
+    assert_eq!(available(&state), ["c"]);
     assert!(
         full_snapshot(&state).find_backend("a").is_some(),
-        "what is on its way to one that drains still gets there"
+        "a request on its way to a draining backend still reaches it"
     );
     let suspected = |observer: &str| ClusterReport::NodeObserved {
         observer: observer.into(),
@@ -311,5 +312,5 @@
             },
         ],
     );
-    assert_eq!(offered(&state), ["b"]);
+    assert_eq!(available(&state), ["b"]);
 }
--- a/crates/model/tests/site/mod.rs
+++ b/crates/model/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small state machine: one service, one order, four nodes.
+//! A small state machine: one service, one order and four nodes.
 
 use model::{
     Backend, BackendPhase, Change, Edit, Entry, Grouping, Operation, Outcome, Selector,
@@ -95,7 +95,7 @@
     }
 }
 
-pub(crate) fn site() -> StateMachine {
+pub(crate) fn sample_state() -> StateMachine {
     let mut state = StateMachine::default();
     let accepted = change(
         &mut state,
--- a/crates/model/tests/compression.rs
+++ b/crates/model/tests/compression.rs
@@ -1,12 +1,12 @@
-//! Compression of what is sent and stored.
+//! Compression of stored and transmitted bytes.
 
 use model::compression::{compress, decompress};
 
-/// What compressed bytes begin with, as earlier versions wrote it.
+/// Prefix of compressed bytes, as earlier versions wrote it.
 const MAGIC: [u8; 8] = [0xf0, 0x9f, b'g', b'f', 0x00, b'l', b'z', b'4'];
 
 #[test]
-fn what_is_decompressed_is_what_was_compressed_and_damage_is_noticed() {
+fn compression_round_trips_and_damage_is_detected() {
     let large: Vec<u8> = (0..200u32)
         .flat_map(|index| format!("lane {index} of one host").into_bytes())
         .collect();
--- a/crates/model/tests/witness.rs
+++ b/crates/model/tests/golden_json.rs
@@ -1,6 +1,7 @@
-//! The JSON of the model's types as golden files (`tests/golden/`): what operators write, with the defaults of what they
-//! leave out, and what they are told. How the files are written anew stands at the head of
-//! `crates/test-support/tests/golden_files/mod.rs`: `GRADEFORD_WRITE_GOLDEN=1`.
+//! Compares the JSON of the model's types with golden files (`tests/golden/`): what operators
+//! write, including the defaults of omitted fields, and the responses. The head of
+//! `crates/test-support/tests/golden_files/mod.rs` describes how to rewrite the files with
+//! `GRADEFORD_WRITE_GOLDEN=1`.
 
 #[path = "../../test-support/tests/golden_files/mod.rs"]
 mod golden_files;
@@ -21,100 +22,104 @@
 use serde::de::DeserializeOwned;
 use std::fmt::Debug;
 
-/// One line: what it is, and its JSON.
-fn line<T: Serialize>(what: &str, value: &T) -> String {
-    format!("{what}: {}\n", serde_json::to_string(value).expect("JSON"))
+/// One line: a label and the JSON of a value.
+fn line<T: Serialize>(label: &str, value: &T) -> String {
+    format!("{label}: {}\n", serde_json::to_string(value).expect("JSON"))
 }
 
-/// What was written, what it means, and that the meaning is read again as the same.
-fn read<T: Serialize + DeserializeOwned + PartialEq + Debug>(text: &str) -> String {
+/// The input and its JSON after parsing, after checking that this JSON parses to the same value.
+fn round_trip<T: Serialize + DeserializeOwned + PartialEq + Debug>(text: &str) -> String {
     match serde_json::from_str::<T>(text) {
         Ok(value) => {
-            let told = serde_json::to_string(&value).expect("JSON");
+            let written = serde_json::to_string(&value).expect("JSON");
             assert_eq!(
-                serde_json::from_str::<T>(&told).expect("it reads what it writes"),
+                serde_json::from_str::<T>(&written).expect("the written JSON parses"),
                 value
             );
-            format!("{text}\n  {told}\n")
+            format!("{text}\n  {written}\n")
         }
         Err(error) => format!("{text}\n  refused: {error}\n"),
     }
 }
 
 #[test]
-fn what_operators_leave_out_keeps_its_default() {
+fn omitted_fields_keep_their_defaults() {
     let order = r#"{"selector":{"from":["a"],"service":"b"},"wait_us":5}"#;
     let all = [
-        read::<Grouping>(r#"{"service":"a","zone":"z"}"#),
-        read::<Grouping>(r#"{"service":"a","zone":"z","labels":{"k":"v"},"more":1}"#),
-        read::<Grouping>(r#"{"service":"a"}"#),
-        read::<Grouping>(r#"{"zone":"z"}"#),
-        read::<Selector>(r#"{"from":["a"],"service":"b"}"#),
-        read::<Selector>(
+        round_trip::<Grouping>(r#"{"service":"a","zone":"z"}"#),
+        round_trip::<Grouping>(r#"{"service":"a","zone":"z","labels":{"k":"v"},"more":1}"#),
+        round_trip::<Grouping>(r#"{"service":"a"}"#),
+        round_trip::<Grouping>(r#"{"zone":"z"}"#),
+        round_trip::<Selector>(r#"{"from":["a"],"service":"b"}"#),
+        round_trip::<Selector>(
             r#"{"from":["a"],"service":"b","methods":["GET"],"path_prefix":"/x","labels":{"k":"v"}}"#,
         ),
-        read::<Selector>(r#"{"from":["a"]}"#),
-        read::<Selector>(r#"{"service":"b"}"#),
-        read::<Selector>(r#"{"from":["a"],"service":"b","more":1}"#),
-        read::<StandingOrder>(order),
-        read::<StandingOrder>(
+        round_trip::<Selector>(r#"{"from":["a"]}"#),
+        round_trip::<Selector>(r#"{"service":"b"}"#),
+        round_trip::<Selector>(r#"{"from":["a"],"service":"b","more":1}"#),
+        round_trip::<StandingOrder>(order),
+        round_trip::<StandingOrder>(
             r#"{"selector":{"from":[],"service":"b"},"wait_us":5,"importance":1,"repeatable":true,"keyed":true,"leave_zone":false}"#,
         ),
-        read::<StandingOrder>(r#"{"selector":{"from":[],"service":"b"}}"#),
-        read::<StandingOrder>(r#"{"wait_us":5}"#),
-        read::<StandingOrder>(r#"{"selector":{"from":[],"service":"b"},"wait_us":5,"more":1}"#),
-        read::<Edit>(r#"{"put_grouping":{"name":"n","grouping":{"service":"a","zone":"z"}}}"#),
-        read::<Edit>(r#"{"drop_grouping":{"name":"n"}}"#),
-        read::<Edit>(&format!(
+        round_trip::<StandingOrder>(r#"{"selector":{"from":[],"service":"b"}}"#),
+        round_trip::<StandingOrder>(r#"{"wait_us":5}"#),
+        round_trip::<StandingOrder>(
+            r#"{"selector":{"from":[],"service":"b"},"wait_us":5,"more":1}"#,
+        ),
+        round_trip::<Edit>(
+            r#"{"put_grouping":{"name":"n","grouping":{"service":"a","zone":"z"}}}"#,
+        ),
+        round_trip::<Edit>(r#"{"drop_grouping":{"name":"n"}}"#),
+        round_trip::<Edit>(&format!(
             r#"{{"put_order":{{"name":"n","order":{order}}}}}"#
         )),
-        read::<Edit>(r#"{"drop_order":{"name":"n"}}"#),
-        read::<Edit>(r#"{"drop_order":{"name":"n","more":1}}"#),
-        read::<Edit>(r#"{"other":{}}"#),
-        read::<Change>(r#"{"id":"i","base":1,"edits":[{"drop_order":{"name":"n"}}]}"#),
-        read::<Change>(r#"{"base":1,"edits":[]}"#),
-        read::<Change>(r#"{"id":"i","edits":[]}"#),
-        read::<Change>(r#"{"id":"i","base":1}"#),
-        read::<Change>(r#"{"id":"i","base":1,"edits":[],"more":1}"#),
-        read::<ReplicaReplacement>(r#"{"seat":1,"from":2,"to":3}"#),
-        read::<ReplicaReplacement>(r#"{"seat":1,"from":2,"to":3,"more":1}"#),
-        read::<DesiredState>(r#"{"version":1,"groupings":{},"orders":{}}"#),
+        round_trip::<Edit>(r#"{"drop_order":{"name":"n"}}"#),
+        round_trip::<Edit>(r#"{"drop_order":{"name":"n","more":1}}"#),
+        round_trip::<Edit>(r#"{"other":{}}"#),
+        round_trip::<Change>(r#"{"id":"i","base":1,"edits":[{"drop_order":{"name":"n"}}]}"#),
+        round_trip::<Change>(r#"{"base":1,"edits":[]}"#),
+        round_trip::<Change>(r#"{"id":"i","edits":[]}"#),
+        round_trip::<Change>(r#"{"id":"i","base":1}"#),
+        round_trip::<Change>(r#"{"id":"i","base":1,"edits":[],"more":1}"#),
+        round_trip::<ReplicaReplacement>(r#"{"seat":1,"from":2,"to":3}"#),
+        round_trip::<ReplicaReplacement>(r#"{"seat":1,"from":2,"to":3,"more":1}"#),
+        round_trip::<DesiredState>(r#"{"version":1,"groupings":{},"orders":{}}"#),
     ];
     compare("written.txt", &all.concat(), &[]);
 }
 
 #[test]
-fn the_items_of_a_call_keep_their_fields_and_defaults() {
+fn item_calls_keep_their_fields_and_defaults() {
     let all = [
-        read::<Route>(
+        round_trip::<Route>(
             r#"{"host":"h","prefix":"/","repeatable":true,"wait_us":1,"dispatches":1,"shares":[["s",1]]}"#,
         ),
-        read::<Route>(
+        round_trip::<Route>(
             r#"{"host":"h","prefix":"/","repeatable":true,"wait_us":1,"aim_us":2,"rank":3,"dispatches":1,"shares":[],"more":1}"#,
         ),
-        read::<Route>("{}"),
-        read::<Service>("{}"),
-        read::<Service>(r#"{"health_path":"/h","conns":1,"keyed":true,"warm_us":2}"#),
-        read::<Service>(r#"{"more":1}"#),
-        read::<Limits>(r#"{"header_bytes":1,"body_bytes":2,"header_wait_us":3,"idle_us":4}"#),
-        read::<Limits>(r#"{"more":1}"#),
-        read::<ItemBody>(r#"{"service":{}}"#),
-        read::<ItemBody>(
+        round_trip::<Route>("{}"),
+        round_trip::<Service>("{}"),
+        round_trip::<Service>(r#"{"health_path":"/h","conns":1,"keyed":true,"warm_us":2}"#),
+        round_trip::<Service>(r#"{"more":1}"#),
+        round_trip::<Limits>(r#"{"header_bytes":1,"body_bytes":2,"header_wait_us":3,"idle_us":4}"#),
+        round_trip::<Limits>(r#"{"more":1}"#),
+        round_trip::<ItemBody>(r#"{"service":{}}"#),
+        round_trip::<ItemBody>(
             r#"{"limits":{"header_bytes":1,"body_bytes":2,"header_wait_us":3,"idle_us":4}}"#,
         ),
-        read::<ItemBody>(
+        round_trip::<ItemBody>(
             r#"{"lane":{"host":"h","prefix":"/","repeatable":true,"wait_us":1,"dispatches":1,"shares":[]}}"#,
         ),
-        read::<ItemBody>(r#"{"other":{}}"#),
-        read::<Item>(r#"{"version":1,"body":null,"text":""}"#),
-        read::<ItemCall>("{}"),
-        read::<ItemCall>(
+        round_trip::<ItemBody>(r#"{"other":{}}"#),
+        round_trip::<Item>(r#"{"version":1,"body":null,"text":""}"#),
+        round_trip::<ItemCall>("{}"),
+        round_trip::<ItemCall>(
             r#"{"puts":[{"name":"n","version":1,"body":{"service":{}}}],"drops":[["lane","n",2],["service","n",3],["limits","",4]]}"#,
         ),
-        read::<ItemCall>(
+        round_trip::<ItemCall>(
             r#"{"puts":[{"name":"n","version":1,"body":{"service":{}},"text":"t","more":1}]}"#,
         ),
-        read::<ItemCall>(r#"{"more":1}"#),
+        round_trip::<ItemCall>(r#"{"more":1}"#),
         line(
             "kinds",
             &[ItemKind::Route, ItemKind::Service, ItemKind::Limits],
@@ -123,7 +128,7 @@
     compare("items.txt", &all.concat(), &[]);
 }
 
-fn back_end() -> Backend {
+fn backend() -> Backend {
     let labels = [("k".to_string(), "v".to_string())].into();
     Backend {
         service: "s".into(),
@@ -149,7 +154,7 @@
 }
 
 #[test]
-fn what_a_change_came_to_keeps_its_words() {
+fn outcomes_keep_their_json() {
     let fault = Fault {
         path: "p".into(),
         message: "f".into(),
@@ -190,8 +195,8 @@
 }
 
 #[test]
-fn what_stands_keeps_its_fields() {
-    let player = BackendRecord {
+fn endpoint_status_and_leases_keep_their_json() {
+    let backend_record = BackendRecord {
         service: "s".into(),
         zone: "z".into(),
         node: "n".into(),
@@ -199,7 +204,7 @@
         phase: BackendPhase::Draining,
         changed_at: 2,
     };
-    let place = NodeRecord {
+    let node_record = NodeRecord {
         zone: "z".into(),
         address: "a".into(),
         incarnation: 1,
@@ -207,7 +212,7 @@
         suspected_by: ["m".to_string()].into(),
         changed_at: 2,
     };
-    let row = ShardRange {
+    let shard_range = ShardRange {
         first_key: Default::default(),
         last_key: Default::default(),
         holder: Some("h".into()),
@@ -215,26 +220,26 @@
         pending_releases: vec![("o".into(), 2)],
         handover_token: "t".into(),
     };
-    let term = Lease {
+    let lease = Lease {
         holder: Some(("h".into(), 1)),
         fencing_token: 2,
         pending_releases: vec![(("o".into(), 3), 4)],
     };
-    let standing = EndpointStatus {
-        backends: [("b".to_string(), back_end())].into(),
+    let endpoint_status = EndpointStatus {
+        backends: [("b".to_string(), backend())].into(),
         nodes: [("n".to_string(), node())].into(),
     };
     let slice = StateSlice {
         services: ["s".to_string()].into(),
         position: 1,
         version: 2,
-        backends: standing.backends.clone(),
-        nodes: standing.nodes.clone(),
-        leases: [("s".to_string(), vec![term.clone()])].into(),
+        backends: endpoint_status.backends.clone(),
+        nodes: endpoint_status.nodes.clone(),
+        leases: [("s".to_string(), vec![lease.clone()])].into(),
         longest_requests: [("s".to_string(), 3)].into(),
         ..Default::default()
     };
-    let mut book = StateMachine::default();
+    let mut state_machine = StateMachine::default();
     let grouping = Grouping {
         service: "s".into(),
         zone: "z".into(),
@@ -248,7 +253,7 @@
             grouping,
         }],
     };
-    book.apply(Entry {
+    state_machine.apply(Entry {
         origin: "o".into(),
         incarnation: 1,
         sequence: 1,
@@ -262,36 +267,36 @@
     ];
     let all = [
         line("phases", &phases),
-        line("standing", &standing),
-        line("term", &term),
+        line("standing", &endpoint_status),
+        line("term", &lease),
         line("slice of a node", &slice),
-        line("book of a core", &book),
-        line("back end of a site", &player),
-        line("node of a site", &place),
-        line("row of keys", &row),
+        line("book of a core", &state_machine),
+        line("back end of a site", &backend_record),
+        line("node of a site", &node_record),
+        line("row of keys", &shard_range),
     ];
     compare("standing.txt", &all.concat(), &[]);
 }
 
 #[test]
-fn every_trouble_keeps_its_cause_verdict_and_words() {
-    let causes = ErrorKind::ALL.iter().map(|cause| {
-        let trouble = Error::new(*cause, "in words");
+fn every_error_keeps_its_code_status_and_text() {
+    let errors = ErrorKind::ALL.iter().map(|kind| {
+        let error = Error::new(*kind, "in words");
         format!(
-            "{} {} {}\n  {trouble}\n  {}",
-            cause.code(),
-            cause.http_status(),
-            cause.may_retry_later(),
-            line("trouble", &trouble)
+            "{} {} {}\n  {error}\n  {}",
+            kind.code(),
+            kind.http_status(),
+            kind.may_retry_later(),
+            line("trouble", &error)
         )
     });
-    let verdicts = line(
+    let execution_statuses = line(
         "verdicts",
         &[ExecutionStatus::NotRun, ExecutionStatus::MayHaveRun],
     );
     compare(
         "troubles.txt",
-        &format!("{verdicts}{}", causes.collect::<String>()),
+        &format!("{execution_statuses}{}", errors.collect::<String>()),
         &[],
     );
 }
--- a/crates/model/tests/lease_assignment.rs
+++ b/crates/model/tests/lease_assignment.rs
@@ -1,26 +1,26 @@
-//! Leases as a pure function of who takes work: balanced, moving little, released by what was known
-//! (design 7).
+//! Lease assignment as a pure function of the candidates: balanced, with few moves, and released up
+//! to a known position (design 7).
 
 use std::collections::BTreeMap;
 
 use model::leases::{Candidate, KEY_SLOTS, assign, release};
 
-fn candidates_of(sizes: &[(u8, u32)]) -> Vec<Candidate> {
+fn candidates_of(slot_counts: &[(u8, u32)]) -> Vec<Candidate> {
     let candidate = |(name, slots): &(u8, u32)| Candidate {
         holder: (format!("b{name}"), 1),
         slots: *slots,
     };
-    sizes.iter().map(candidate).collect()
+    slot_counts.iter().map(candidate).collect()
 }
 
 #[test]
-fn placement_is_balanced_and_moves_only_what_it_must() {
-    test_support::drawn::<(u8, u8)>(500, |(count, leaver)| {
+fn assignment_is_balanced_and_moves_only_necessary_slots() {
+    test_support::drawn::<(u8, u8)>(500, |(count, leaving)| {
         let count = count % 12 + 2;
         let full = candidates_of(&(0..count).map(|name| (name, 9)).collect::<Vec<_>>());
-        let leaver = (format!("b{}", leaver % count), 1);
+        let leaving = (format!("b{}", leaving % count), 1);
         let mut fewer = full.clone();
-        fewer.retain(|candidate| candidate.holder != leaver);
+        fewer.retain(|candidate| candidate.holder != leaving);
         let first = assign(&[], &full, 1);
         let second = assign(&first, &fewer, 2);
         let third = assign(&second, &full, 3);
@@ -38,29 +38,32 @@
             );
         }
         for (before, after) in first.iter().zip(&second) {
-            let must = before.holder.as_ref() == Some(&leaver);
+            let must_move = before.holder.as_ref() == Some(&leaving);
             let moved = before.holder != after.holder;
-            assert!(must || !moved || after.fencing_token == 2);
-            if must {
-                assert!(moved && after.pending_releases == vec![(leaver.clone(), 2)]);
+            assert!(must_move || !moved || after.fencing_token == 2);
+            if must_move {
+                assert!(moved && after.pending_releases == vec![(leaving.clone(), 2)]);
             }
         }
         let pairs = first.iter().zip(&second);
         let moved = pairs.filter(|(before, after)| before.holder != after.holder);
-        let stray = moved
-            .filter(|(before, _)| before.holder.as_ref() != Some(&leaver))
+        let unnecessary = moved
+            .filter(|(before, _)| before.holder.as_ref() != Some(&leaving))
             .count();
-        assert!(stray <= odd_slots(live), "{stray} slots moved without need");
+        assert!(
+            unnecessary <= leftover_slots(live),
+            "{unnecessary} slots moved unnecessarily"
+        );
     });
 }
 
-// Whole-slot quotas may shift an odd slot between two that stay.
-fn odd_slots(count: usize) -> usize {
+// Rounding quotas to whole slots may move a leftover slot between two remaining backends.
+fn leftover_slots(count: usize) -> usize {
     KEY_SLOTS as usize % count
 }
 
 #[test]
-fn a_release_counts_only_for_what_was_lost_before_it() {
+fn a_release_covers_only_slots_lost_up_to_its_position() {
     let (one, two) = (candidates_of(&[(1, 4)]), candidates_of(&[(2, 4)]));
     let moved = assign(&assign(&[], &one, 1), &two, 7);
     let holder = ("b1".to_string(), 1);
--- a/crates/model/tests/leases.rs
+++ b/crates/model/tests/leases.rs
@@ -1,16 +1,16 @@
-//! Who holds which keys, as back ends come, go, and change (design 7).
+//! Key leases as backends register, end and change (design 7).
 
-mod site;
+mod common;
 
+use common::{apply_report, change, order, registered, sample_state};
 use model::{
     Edit, Grouping, Outcome, StandingOrder, StateMachine, endpoint_status::EndpointReport,
 };
-use site::{apply_report, change, order, registered, site};
 
 #[test]
-fn a_clean_leave_leaves_no_release_pending_and_a_vanished_node_does() {
+fn only_an_unclean_node_exit_leaves_releases_pending() {
     let pending_after = |report: EndpointReport| {
-        let mut state = keyed_site();
+        let mut state = keyed_sample_state();
         apply_report(&mut state, "n0", 1, 3, report);
         let leases = &state.leases["seat"];
         assert!(leases.iter().all(|lease| {
@@ -47,13 +47,13 @@
 }
 
 #[test]
-fn a_keyed_order_takes_the_whole_service_or_is_refused() {
-    let refused = |spoil: fn(&mut StandingOrder)| {
-        let mut state = site();
+fn a_keyed_order_for_part_of_a_service_is_invalid() {
+    let fault_paths = |modify: fn(&mut StandingOrder)| {
+        let mut state = sample_state();
         let mut edit = order("take", "seat", "seat", "/take");
         if let Edit::PutOrder { order, .. } = &mut edit {
             order.keyed = true;
-            spoil(order);
+            modify(order);
         }
         match change(&mut state, "keyed", 1, vec![edit]) {
             Outcome::Invalid { faults } => faults.into_iter().map(|fault| fault.path).collect(),
@@ -61,18 +61,18 @@
         }
     };
     assert_eq!(
-        refused(|order| drop(order.selector.labels.insert("kind".into(), "large".into()))),
+        fault_paths(|order| drop(order.selector.labels.insert("kind".into(), "large".into()))),
         ["edits[0].order.selector.labels"]
     );
     assert_eq!(
-        refused(|order| order.allow_other_zones = false),
+        fault_paths(|order| order.allow_other_zones = false),
         ["edits[0].order.leave_zone"]
     );
-    assert_eq!(refused(|_| ()), Vec::<String>::new());
+    assert_eq!(fault_paths(|_| ()), Vec::<String>::new());
 }
 
-fn keyed_site() -> StateMachine {
-    let mut state = site();
+fn keyed_sample_state() -> StateMachine {
+    let mut state = sample_state();
     let mut keyed = order("take", "seat", "seat", "/take");
     if let Edit::PutOrder { order, .. } = &mut keyed {
         order.keyed = true;
@@ -96,8 +96,8 @@
 }
 
 #[test]
-fn slots_of_a_heartbeat_move_keys_in_proportion() {
-    let mut state = keyed_site();
+fn slot_changes_move_keys_in_proportion() {
+    let mut state = keyed_sample_state();
     assert_eq!(
         (slots_held(&state, "seat-0"), slots_held(&state, "seat-1")),
         (32, 32)
@@ -112,7 +112,7 @@
             apply_report(&mut state, "n0", 1, 3, slots(9, 12)),
             Outcome::Unchanged { .. }
         ),
-        "an earlier incarnation says nothing"
+        "a report of an earlier incarnation is ignored"
     );
     apply_report(&mut state, "n0", 1, 4, slots(10, 12));
     assert_eq!(
@@ -127,8 +127,8 @@
 }
 
 #[test]
-fn a_grouping_taken_away_takes_its_back_ends_out_and_their_keys_move() {
-    let mut state = keyed_site();
+fn backends_that_match_no_grouping_lose_their_keys() {
+    let mut state = keyed_sample_state();
     let labelled = |value: &str| {
         let labels = [("rack".to_string(), value.to_string())]
             .into_iter()
@@ -148,19 +148,19 @@
     let slice = model::StateSlice::for_services(&state, &services);
     assert!(
         slice.backends.is_empty(),
-        "nobody is offered that no grouping holds"
+        "a backend without a grouping is not offered"
     );
     assert!(
         state.leases["seat"]
             .iter()
             .all(|lease| lease.holder.is_none() && !lease.pending_releases.is_empty()),
-        "and the release of what they held is pending"
+        "the release of their slots is pending"
     );
     assert!(matches!(
         apply_report(&mut state, "n2", 1, 2, registered("seat-2", "n2", 10)),
         Outcome::Refused { .. }
     ));
-    let back = Edit::PutGrouping {
+    let restored = Edit::PutGrouping {
         name: "seat-z0".into(),
         grouping: Grouping {
             service: "seat".into(),
@@ -168,7 +168,7 @@
             labels: Default::default(),
         },
     };
-    change(&mut state, "back", 3, vec![back]);
+    change(&mut state, "back", 3, vec![restored]);
     assert_eq!(
         slots_held(&state, "seat-0") + slots_held(&state, "seat-1"),
         64
--- a/crates/model/tests/recorded_bytes/entries.rs
+++ b/crates/model/tests/recorded_bytes/entries.rs
@@ -1,8 +1,9 @@
-//! Log entries, the answers to them and what followers are told of them.
+//! Samples of log entries, outcomes and deltas.
 
 use crate::recorded_variants::every_variant;
 use crate::samples::{
-    LIFE, back_end, bill_reports, bodies, edits, kinds, phases, place, player, reports, row, text,
+    INCARNATION, backend, backend_record, cluster_reports, edits, endpoint_reports, item_bodies,
+    item_kinds, node_record, phases, shard_range, text,
 };
 use model::cluster_state::items::ItemPut;
 use model::cluster_state::{ClusterOperation, Delta, ItemBody, ItemCall, ItemKind};
@@ -34,66 +35,69 @@
     }
 }
 
-pub(crate) fn bill_acts() -> Vec<(&'static str, ClusterOperation)> {
+pub(crate) fn cluster_operations() -> Vec<(&'static str, ClusterOperation)> {
     every_variant!(ClusterOperation {
         "items": ClusterOperation::Items(_) => items(
-            bodies().into_iter().map(|(name, body)| put(name, body)).collect(),
-            kinds().into_iter().map(|(name, kind)| (kind, text(name), 22)).collect(),
+            item_bodies().into_iter().map(|(name, body)| put(name, body)).collect(),
+            item_kinds().into_iter().map(|(name, kind)| (kind, text(name), 22)).collect(),
         ),
         "reports": ClusterOperation::Reports(_) => {
-            ClusterOperation::Reports(bill_reports().into_iter().map(|(_, report)| report).collect())
+            ClusterOperation::Reports(cluster_reports().into_iter().map(|(_, report)| report).collect())
         },
     })
 }
 
-pub(crate) fn acts() -> Vec<(&'static str, Operation)> {
+pub(crate) fn operations() -> Vec<(&'static str, Operation)> {
     every_variant!(Operation {
         "change": Operation::Change(_) => change(edits().into_iter().map(|(_, edit)| edit).collect()),
-        "standing": Operation::EndpointReport(_) => Operation::EndpointReport(reports()[0].1.clone()),
+        "standing": Operation::EndpointReport(_) => Operation::EndpointReport(endpoint_reports()[0].1.clone()),
         "seat": Operation::ReplaceReplica(_) => Operation::ReplaceReplica(ReplicaReplacement { replica_id: 2, old_disk: 71, new_disk: 72 }),
-        "bill": Operation::ClusterState(_) => Operation::ClusterState(bill_acts()[0].1.clone()),
+        "bill": Operation::ClusterState(_) => Operation::ClusterState(cluster_operations()[0].1.clone()),
         "barrier": Operation::Barrier => Operation::Barrier,
     })
 }
 
-pub(crate) fn entry_of(act: Operation) -> Entry {
+pub(crate) fn entry_of(operation: Operation) -> Entry {
     Entry {
         origin: text("n1"),
-        incarnation: LIFE,
+        incarnation: INCARNATION,
         sequence: 41,
-        operation: act,
+        operation,
     }
 }
 
-/// Every act, and for acts that carry one of several things one entry for each of these.
+/// One entry for each operation and, for operations that carry one of several values, one entry for
+/// each of these values.
 pub(crate) fn entries() -> Vec<(String, Entry)> {
-    let acts = acts().into_iter().map(|(name, act)| (text(name), act));
+    let operations = operations()
+        .into_iter()
+        .map(|(name, operation)| (text(name), operation));
     let edits = edits()
         .into_iter()
         .map(|(name, edit)| (format!("change-{name}"), change(vec![edit])));
-    let standing = reports().into_iter().map(|(name, report)| {
+    let endpoint_reports = endpoint_reports().into_iter().map(|(name, report)| {
         (
             format!("standing-{name}"),
             Operation::EndpointReport(report),
         )
     });
-    let bill = bill_acts()
+    let cluster_state = cluster_operations()
         .into_iter()
-        .map(|(name, act)| (format!("bill-{name}"), Operation::ClusterState(act)));
-    let puts = bodies().into_iter().map(|(name, body)| {
+        .map(|(name, operation)| (format!("bill-{name}"), Operation::ClusterState(operation)));
+    let puts = item_bodies().into_iter().map(|(name, body)| {
         (
             format!("bill-items-put-{name}"),
             Operation::ClusterState(items(vec![put(name, body)], Vec::new())),
         )
     });
-    let drops = kinds().into_iter().map(|(name, kind)| {
+    let drops = item_kinds().into_iter().map(|(name, kind)| {
         let drop = (kind, text("x"), 22);
         (
             format!("bill-items-drop-{name}"),
             Operation::ClusterState(items(Vec::new(), vec![drop])),
         )
     });
-    let told = bill_reports().into_iter().map(|(name, report)| {
+    let cluster_reports = cluster_reports().into_iter().map(|(name, report)| {
         (
             format!("bill-reports-{name}"),
             Operation::ClusterState(ClusterOperation::Reports(vec![report])),
@@ -102,22 +106,22 @@
     let phases = phases().into_iter().map(|(name, phase)| {
         let report = EndpointReport::BackendRegistered {
             name: text("b1"),
-            backend: back_end(phase),
+            backend: backend(phase),
         };
         (
             format!("standing-registered-{name}"),
             Operation::EndpointReport(report),
         )
     });
-    let all = acts
+    let all = operations
         .chain(edits)
-        .chain(standing)
-        .chain(bill)
+        .chain(endpoint_reports)
+        .chain(cluster_state)
         .chain(puts)
         .chain(drops);
-    all.chain(told)
+    all.chain(cluster_reports)
         .chain(phases)
-        .map(|(name, act)| (name, entry_of(act)))
+        .map(|(name, operation)| (name, entry_of(operation)))
         .collect()
 }
 
@@ -133,7 +137,7 @@
         "refused": Outcome::Refused { .. } => Outcome::Refused { reason: text("not now") },
         "superseded": Outcome::Superseded { .. } => Outcome::Superseded { position: 36 },
         "conflict": Outcome::Conflict { .. } => Outcome::Conflict {
-            conflicts: kinds()
+            conflicts: item_kinds()
                 .into_iter()
                 .map(|(name, kind)| VersionConflict { kind, name: text(name), sent_version: 37, current_version: 38 })
                 .collect(),
@@ -144,17 +148,17 @@
 pub(crate) fn deltas() -> Vec<(&'static str, Delta)> {
     every_variant!(Delta {
         "item": Delta::Item(..) => {
-            Delta::Item(ItemKind::Route, text("book"), 21, Some(bodies()[0].1.clone()))
+            Delta::Item(ItemKind::Route, text("book"), 21, Some(item_bodies()[0].1.clone()))
         },
         "player": Delta::Backend(..) => {
-            Delta::Backend(text("b1"), Some(player(BackendPhase::Registered)))
+            Delta::Backend(text("b1"), Some(backend_record(BackendPhase::Registered)))
         },
-        "place": Delta::Node(..) => Delta::Node(text("n1"), Some(place())),
-        "rows": Delta::ShardRanges(..) => Delta::ShardRanges(text("seat"), 9, vec![row()]),
+        "place": Delta::Node(..) => Delta::Node(text("n1"), Some(node_record())),
+        "rows": Delta::ShardRanges(..) => Delta::ShardRanges(text("seat"), 9, vec![shard_range()]),
     })
 }
 
-pub(crate) fn verdicts() -> Vec<(&'static str, ExecutionStatus)> {
+pub(crate) fn execution_statuses() -> Vec<(&'static str, ExecutionStatus)> {
     every_variant!(ExecutionStatus {
         "not-run": ExecutionStatus::NotRun => ExecutionStatus::NotRun,
         "may-have-run": ExecutionStatus::MayHaveRun => ExecutionStatus::MayHaveRun,
--- a/crates/model/tests/recorded_bytes/main.rs
+++ b/crates/model/tests/recorded_bytes/main.rs
@@ -1,5 +1,5 @@
-//! The bytes of all log entries, answers, changes told to followers, news and snapshots, as an
-//! earlier build wrote them.
+//! Compares the bytes of all log entries, outcomes, deltas, state slices and snapshots with those
+//! that an earlier build wrote.
 
 mod entries;
 #[path = "../../../test-support/tests/recorded/mod.rs"]
@@ -11,7 +11,7 @@
 mod samples;
 mod states;
 
-use entries::{deltas, entries, outcomes, verdicts};
+use entries::{deltas, entries, execution_statuses, outcomes};
 use model::cluster_state::{BackendRecord, Delta, Item, NodeRecord, ShardRange};
 use model::{
     Backend, ClusterState, Entry, Error, ErrorKind, ExecutionStatus, Grouping, Node, Outcome,
@@ -19,8 +19,11 @@
 };
 use recorded::RecordedBytes;
 use recorded_archive::check_archive;
-use samples::{back_end, bodies, grouping, kinds, node, order, phases, place, player, row, text};
-use states::{bill, book, patch, slice};
+use samples::{
+    backend, backend_record, grouping, item_bodies, item_kinds, node, node_record, order, phases,
+    shard_range, text,
+};
+use states::{cluster_state, state_machine, state_patch, state_slice};
 
 #[test]
 fn every_log_entry_has_the_recorded_bytes() {
@@ -33,7 +36,7 @@
 }
 
 #[test]
-fn every_answer_of_the_log_has_the_recorded_bytes() {
+fn every_outcome_has_the_recorded_bytes() {
     let mut recorded = RecordedBytes::of("outcomes");
     for (name, outcome) in outcomes() {
         check_archive!(recorded, name, Outcome, &outcome);
@@ -42,16 +45,16 @@
 }
 
 #[test]
-fn every_change_told_to_followers_has_the_recorded_bytes() {
+fn every_delta_has_the_recorded_bytes() {
     let mut recorded = RecordedBytes::of("deltas");
     for (name, delta) in deltas() {
         check_archive!(recorded, name, Vec<Delta>, &vec![delta]);
     }
-    for (name, body) in bodies() {
+    for (name, body) in item_bodies() {
         let delta = Delta::Item(body.kind(), text("x"), 21, Some(body));
         check_archive!(recorded, &format!("item-{name}"), Vec<Delta>, &vec![delta]);
     }
-    for (name, kind) in kinds() {
+    for (name, kind) in item_kinds() {
         let delta = Delta::Item(kind, text("x"), 22, None);
         check_archive!(
             recorded,
@@ -61,7 +64,7 @@
         );
     }
     for (name, phase) in phases() {
-        let delta = Delta::Backend(text("b1"), Some(player(phase)));
+        let delta = Delta::Backend(text("b1"), Some(backend_record(phase)));
         check_archive!(
             recorded,
             &format!("player-{name}"),
@@ -69,26 +72,26 @@
             &vec![delta]
         );
     }
-    let gone = vec![
+    let removed = vec![
         Delta::Backend(text("b1"), None),
         Delta::Node(text("n1"), None),
     ];
-    check_archive!(recorded, "gone", Vec<Delta>, &gone);
+    check_archive!(recorded, "gone", Vec<Delta>, &removed);
     recorded.finish();
 }
 
 #[test]
-fn every_trouble_has_the_recorded_bytes() {
+fn every_error_has_the_recorded_bytes() {
     let mut recorded = RecordedBytes::of("troubles");
-    for cause in ErrorKind::ALL {
-        check_archive!(recorded, cause.code(), Error, &Error::new(*cause, "why"));
+    for kind in ErrorKind::ALL {
+        check_archive!(recorded, kind.code(), Error, &Error::new(*kind, "why"));
     }
-    for (name, verdict) in verdicts() {
+    for (name, execution_status) in execution_statuses() {
         check_archive!(
             recorded,
             &format!("verdict-{name}"),
             ExecutionStatus,
-            &verdict
+            &execution_status
         );
     }
     let later = Error::new(ErrorKind::Overloaded, "why").with_retry_after(1_234_567);
@@ -97,37 +100,37 @@
 }
 
 #[test]
-fn news_and_patches_have_the_recorded_bytes() {
+fn state_slices_and_patches_have_the_recorded_bytes() {
     let mut recorded = RecordedBytes::of("news");
-    check_archive!(recorded, "slice", StateSlice, &slice());
+    check_archive!(recorded, "slice", StateSlice, &state_slice());
     check_archive!(recorded, "empty-slice", StateSlice, &StateSlice::default());
-    check_archive!(recorded, "patch", StatePatch, &patch());
+    check_archive!(recorded, "patch", StatePatch, &state_patch());
     recorded.finish();
 }
 
 #[test]
 fn snapshots_of_both_state_machines_have_the_recorded_bytes() {
     let mut recorded = RecordedBytes::of("snapshots");
-    let book = book();
+    let state_machine = state_machine();
     assert!(
         [
-            book.leases.len(),
-            book.longest_requests.len(),
-            book.replica_holders.len()
+            state_machine.leases.len(),
+            state_machine.longest_requests.len(),
+            state_machine.replica_holders.len()
         ]
         .iter()
         .all(|held| *held > 0)
     );
-    let bytes = recorded.check("book", &book.to_bytes());
-    assert_eq!(StateMachine::from_bytes(&bytes).ok(), Some(book));
-    let bill = bill();
-    assert!(
-        bill.placements
-            .values()
-            .any(|(_, rows)| rows.iter().any(|row| !row.pending_releases.is_empty()))
-    );
-    let bytes = recorded.check("bill", &bill.to_bytes());
-    assert_eq!(ClusterState::from_bytes(&bytes).ok(), Some(bill));
+    let bytes = recorded.check("book", &state_machine.to_bytes());
+    assert_eq!(StateMachine::from_bytes(&bytes).ok(), Some(state_machine));
+    let cluster_state = cluster_state();
+    assert!(cluster_state.placements.values().any(|(_, shard_ranges)| {
+        shard_ranges
+            .iter()
+            .any(|shard_range| !shard_range.pending_releases.is_empty())
+    }));
+    let bytes = recorded.check("bill", &cluster_state.to_bytes());
+    assert_eq!(ClusterState::from_bytes(&bytes).ok(), Some(cluster_state));
     recorded.check("empty-book", &StateMachine::default().to_bytes());
     recorded.check("empty-bill", &ClusterState::default().to_bytes());
     recorded.finish();
@@ -141,23 +144,23 @@
             recorded,
             &format!("back-end-{name}"),
             Backend,
-            &back_end(phase)
+            &backend(phase)
         );
         check_archive!(
             recorded,
             &format!("player-{name}"),
             BackendRecord,
-            &player(phase)
+            &backend_record(phase)
         );
     }
     check_archive!(recorded, "node", Node, &node());
-    check_archive!(recorded, "place", NodeRecord, &place());
-    check_archive!(recorded, "row", ShardRange, &row());
+    check_archive!(recorded, "place", NodeRecord, &node_record());
+    check_archive!(recorded, "row", ShardRange, &shard_range());
     check_archive!(recorded, "grouping", Grouping, &grouping());
     check_archive!(recorded, "order", StandingOrder, &order(false));
     let item = Item {
         version: 21,
-        body: Some(bodies()[1].1.clone()),
+        body: Some(item_bodies()[1].1.clone()),
         text: text("as sent"),
     };
     check_archive!(recorded, "item", Item, &item);
@@ -165,10 +168,10 @@
 }
 
 #[test]
-fn long_bytes_are_squeezed_to_the_recorded_bytes() {
+fn long_bytes_are_compressed_to_the_recorded_bytes() {
     let mut recorded = RecordedBytes::of("packed");
     let plain: Vec<u8> = (0..3_000u32)
-        .map(|at| (at * at % 251 / (1 + at % 7)) as u8)
+        .map(|index| (index * index % 251 / (1 + index % 7)) as u8)
         .collect();
     for (name, plain) in [
         ("short", &plain[..1_023]),
@@ -185,7 +188,8 @@
     recorded.finish();
 }
 
-/// Where a key goes is agreed by all nodes and by builds that run beside each other.
+/// All nodes, including those of other builds running at the same time, must assign a key to the
+/// same slot.
 #[test]
 fn keys_have_the_recorded_hashes() {
     let keys = ["", "a", "seat-17", "Ω", "b".repeat(300).as_str()].map(leases::stable_hash);
--- a/crates/model/tests/recorded_bytes/samples.rs
+++ b/crates/model/tests/recorded_bytes/samples.rs
@@ -1,4 +1,4 @@
-//! Samples of what entries, news and snapshots are made of, one of each variant.
+//! Samples of the parts of log entries, state slices and snapshots, one of each variant.
 
 use crate::recorded_variants::every_variant;
 use model::Selector;
@@ -10,14 +10,14 @@
 use model::{Backend, BackendPhase, Edit, Grouping, Node, StandingOrder};
 use std::collections::{BTreeMap, BTreeSet};
 
-pub(crate) const LIFE: u64 = 0x1122_3344_5566_7788;
+pub(crate) const INCARNATION: u64 = 0x1122_3344_5566_7788;
 
 pub(crate) fn text(text: &str) -> String {
     text.to_string()
 }
 
-pub(crate) fn names<const N: usize>(names: [&str; N]) -> BTreeSet<String> {
-    names.map(text).into()
+pub(crate) fn name_set<const N: usize>(name_set: [&str; N]) -> BTreeSet<String> {
+    name_set.map(text).into()
 }
 
 pub(crate) fn labels() -> BTreeMap<String, String> {
@@ -49,7 +49,7 @@
     }
 }
 
-pub(crate) fn back_end(phase: BackendPhase) -> Backend {
+pub(crate) fn backend(phase: BackendPhase) -> Backend {
     Backend {
         service: text("seat"),
         zone: text("z0"),
@@ -66,14 +66,14 @@
     Node {
         zone: text("z0"),
         address: text("10.0.0.1:7000"),
-        incarnation: LIFE,
+        incarnation: INCARNATION,
         present: true,
-        suspected_by: names(["n2", "n3"]),
+        suspected_by: name_set(["n2", "n3"]),
         changed_at: 4,
     }
 }
 
-pub(crate) fn player(phase: BackendPhase) -> BackendRecord {
+pub(crate) fn backend_record(phase: BackendPhase) -> BackendRecord {
     BackendRecord {
         service: text("seat"),
         zone: text("z0"),
@@ -84,18 +84,18 @@
     }
 }
 
-pub(crate) fn place() -> NodeRecord {
+pub(crate) fn node_record() -> NodeRecord {
     NodeRecord {
         zone: text("z0"),
         address: text("10.0.0.1:7000"),
-        incarnation: LIFE,
+        incarnation: INCARNATION,
         present: true,
-        suspected_by: names(["n2"]),
+        suspected_by: name_set(["n2"]),
         changed_at: 4,
     }
 }
 
-pub(crate) fn row() -> ShardRange {
+pub(crate) fn shard_range() -> ShardRange {
     ShardRange {
         first_key: 100,
         last_key: 4_000,
@@ -119,26 +119,26 @@
     })
 }
 
-pub(crate) fn reports() -> Vec<(&'static str, EndpointReport)> {
+pub(crate) fn endpoint_reports() -> Vec<(&'static str, EndpointReport)> {
     every_variant!(EndpointReport {
         "node": EndpointReport::NodeRegistered { .. } => EndpointReport::NodeRegistered {
             node: text("n1"),
             zone: text("z0"),
             address: text("10.0.0.1:7000"),
-            incarnation: LIFE,
+            incarnation: INCARNATION,
             replaces: 0,
         },
         "node-left": EndpointReport::NodeLeft { .. } => {
-            EndpointReport::NodeLeft { node: text("n1"), incarnation: LIFE, clean: true }
+            EndpointReport::NodeLeft { node: text("n1"), incarnation: INCARNATION, clean: true }
         },
         "watch": EndpointReport::NodeObserved { .. } => EndpointReport::NodeObserved {
             observer: text("n2"),
             node: text("n1"),
-            incarnation: LIFE,
+            incarnation: INCARNATION,
             suspected: true,
         },
         "registered": EndpointReport::BackendRegistered { .. } => {
-            EndpointReport::BackendRegistered { name: text("b1"), backend: back_end(BackendPhase::Registered) }
+            EndpointReport::BackendRegistered { name: text("b1"), backend: backend(BackendPhase::Registered) }
         },
         "phase": EndpointReport::PhaseChanged { .. } => EndpointReport::PhaseChanged {
             name: text("b1"),
@@ -159,7 +159,7 @@
     })
 }
 
-pub(crate) fn bodies() -> Vec<(&'static str, ItemBody)> {
+pub(crate) fn item_bodies() -> Vec<(&'static str, ItemBody)> {
     every_variant!(ItemBody {
         "lane": ItemBody::Route(_) => ItemBody::Route(Route {
             host: text("seats.example"),
@@ -186,26 +186,26 @@
     })
 }
 
-pub(crate) fn bill_reports() -> Vec<(&'static str, ClusterReport)> {
+pub(crate) fn cluster_reports() -> Vec<(&'static str, ClusterReport)> {
     every_variant!(ClusterReport {
         "node": ClusterReport::NodeRegistered { .. } => ClusterReport::NodeRegistered {
             node: text("n1"),
             zone: text("z0"),
             address: text("10.0.0.1:7000"),
-            incarnation: LIFE,
+            incarnation: INCARNATION,
             replaces: 0,
         },
         "node-left": ClusterReport::NodeLeft { .. } => {
-            ClusterReport::NodeLeft { node: text("n1"), incarnation: LIFE }
+            ClusterReport::NodeLeft { node: text("n1"), incarnation: INCARNATION }
         },
         "watch": ClusterReport::NodeObserved { .. } => ClusterReport::NodeObserved {
             observer: text("n2"),
             node: text("n1"),
-            incarnation: LIFE,
+            incarnation: INCARNATION,
             suspected: true,
         },
         "joined": ClusterReport::BackendJoined { .. } => {
-            ClusterReport::BackendJoined { name: text("b1"), backend: player(BackendPhase::Registered) }
+            ClusterReport::BackendJoined { name: text("b1"), backend: backend_record(BackendPhase::Registered) }
         },
         "draining": ClusterReport::BackendDraining { .. } => ClusterReport::BackendDraining { name: text("b1") },
         "silent": ClusterReport::BackendSilent { .. } => {
@@ -238,7 +238,7 @@
     })
 }
 
-pub(crate) fn kinds() -> Vec<(&'static str, ItemKind)> {
+pub(crate) fn item_kinds() -> Vec<(&'static str, ItemKind)> {
     every_variant!(ItemKind {
         "lane": ItemKind::Route => ItemKind::Route,
         "service": ItemKind::Service => ItemKind::Service,
--- a/crates/model/tests/recorded_bytes/states.rs
+++ b/crates/model/tests/recorded_bytes/states.rs
@@ -1,8 +1,9 @@
-//! News of a part of the state, and both state machines after entries that leave something in each part.
+//! A state slice, a patch, and both state machines after entries that change each of their parts.
 
 use crate::entries::{items, put};
 use crate::samples::{
-    LIFE, back_end, bodies, edits, grouping, names, node, order, phases, player, reports, text,
+    INCARNATION, backend, backend_record, edits, endpoint_reports, grouping, item_bodies, name_set,
+    node, order, phases, text,
 };
 use model::Selector;
 use model::cluster_state::{ClusterOperation, ClusterReport, ItemBody, Service};
@@ -14,49 +15,49 @@
 };
 use std::collections::BTreeMap;
 
-pub(crate) fn slice() -> StateSlice {
-    let term = Lease {
+pub(crate) fn state_slice() -> StateSlice {
+    let lease = Lease {
         holder: Some((text("b1"), 3)),
         fencing_token: 9,
         pending_releases: vec![((text("b0"), 2), 8)],
     };
     StateSlice {
-        services: names(["seat", "web"]),
+        services: name_set(["seat", "web"]),
         position: 51,
         version: 52,
         groupings: [(text("seats"), grouping())].into(),
         orders: [(text("book"), order(true))].into(),
         backends: phases()
             .into_iter()
-            .map(|(name, phase)| (text(name), back_end(phase)))
+            .map(|(name, phase)| (text(name), backend(phase)))
             .collect(),
         nodes: [(text("n1"), node())].into(),
-        leases: [(text("seat"), vec![term, Lease::default()])].into(),
+        leases: [(text("seat"), vec![lease, Lease::default()])].into(),
         longest_requests: [(text("seat"), 1_500_000)].into(),
     }
 }
 
-pub(crate) fn patch() -> StatePatch {
+pub(crate) fn state_patch() -> StatePatch {
     let next = StateSlice {
         position: 53,
         longest_requests: BTreeMap::new(),
-        ..slice()
+        ..state_slice()
     };
-    let held = StateSlice {
+    let previous = StateSlice {
         groupings: BTreeMap::new(),
         nodes: BTreeMap::new(),
-        ..slice()
+        ..state_slice()
     };
-    held.diff_to(&next)
+    previous.diff_to(&next)
 }
 
-/// Items, back ends, nodes and rows, after entries that leave something in each part.
-pub(crate) fn bill() -> ClusterState {
-    let mut bill = ClusterState::default();
+/// A cluster state after entries that change its items, backends, nodes and shard ranges.
+pub(crate) fn cluster_state() -> ClusterState {
+    let mut cluster_state = ClusterState::default();
     let mut sequence = 0;
-    let mut apply = |origin: &str, act: ClusterOperation| {
+    let mut apply = |origin: &str, operation: ClusterOperation| {
         sequence += 1;
-        let (outcome, _) = bill.apply(origin, LIFE, sequence, act);
+        let (outcome, _) = cluster_state.apply(origin, INCARNATION, sequence, operation);
         assert!(matches!(outcome, Outcome::Accepted { .. }), "{outcome:?}");
     };
     let seat = || {
@@ -71,66 +72,73 @@
     apply("operator", items(services, Vec::new()));
     apply(
         "operator",
-        items(vec![put("book", bodies()[0].1.clone())], Vec::new()),
+        items(vec![put("book", item_bodies()[0].1.clone())], Vec::new()),
     );
     apply(
         "operator",
-        items(vec![put("", bodies()[2].1.clone())], Vec::new()),
+        items(vec![put("", item_bodies()[2].1.clone())], Vec::new()),
     );
-    let registers = |node: &str| ClusterReport::NodeRegistered {
+    let registered = |node: &str| ClusterReport::NodeRegistered {
         node: text(node),
         zone: text("z0"),
         address: format!("{node}:7000"),
-        incarnation: LIFE,
+        incarnation: INCARNATION,
         replaces: 0,
     };
-    let joins = |name: &str| ClusterReport::BackendJoined {
+    let joined = |name: &str| ClusterReport::BackendJoined {
         name: text(name),
-        backend: player(BackendPhase::Registered),
+        backend: backend_record(BackendPhase::Registered),
     };
     apply(
         "n1",
-        ClusterOperation::Reports(vec![registers("n1"), joins("b0"), joins("b1"), joins("b2")]),
+        ClusterOperation::Reports(vec![
+            registered("n1"),
+            joined("b0"),
+            joined("b1"),
+            joined("b2"),
+        ]),
     );
-    apply("n2", ClusterOperation::Reports(vec![registers("n2")]));
-    let recast = |base: u64, rows: Vec<(u16, u16, String)>| ClusterReport::ShardsReassigned {
-        service: text("seat"),
-        base_placement: base,
-        ranges: rows,
-    };
+    apply("n2", ClusterOperation::Reports(vec![registered("n2")]));
+    let reassigned =
+        |base: u64, shard_ranges: Vec<(u16, u16, String)>| ClusterReport::ShardsReassigned {
+            service: text("seat"),
+            base_placement: base,
+            ranges: shard_ranges,
+        };
     let halves = vec![(0, 32_767, text("b0")), (32_768, u16::MAX, text("b1"))];
-    apply("n1", ClusterOperation::Reports(vec![recast(0, halves)]));
+    apply("n1", ClusterOperation::Reports(vec![reassigned(0, halves)]));
     let moved = vec![
         (0, 9_999, text("b1")),
         (10_000, 32_767, text("b0")),
         (32_768, u16::MAX, text("b1")),
     ];
-    apply("n1", ClusterOperation::Reports(vec![recast(6, moved)]));
-    let gone = ClusterReport::BackendEnded {
+    apply("n1", ClusterOperation::Reports(vec![reassigned(6, moved)]));
+    let removed = ClusterReport::BackendEnded {
         name: text("b2"),
         process_gone: true,
     };
     apply(
         "n1",
         ClusterOperation::Reports(vec![
-            gone,
+            removed,
             ClusterReport::BackendDraining { name: text("b0") },
         ]),
     );
-    bill
+    cluster_state
 }
 
-/// Changes, back ends, nodes, keys and a change of a seat's holder.
-pub(crate) fn book() -> StateMachine {
-    let mut book = StateMachine::default();
-    let mut apply = |instance: u64, origin: &str, act: Operation| {
+/// A state machine after entries that change its desired state, backends, nodes, leases and a
+/// replica's disk.
+pub(crate) fn state_machine() -> StateMachine {
+    let mut state_machine = StateMachine::default();
+    let mut apply = |instance: u64, origin: &str, operation: Operation| {
         let entry = Entry {
             origin: text(origin),
-            incarnation: LIFE,
+            incarnation: INCARNATION,
             sequence: instance,
-            operation: act,
+            operation,
         };
-        let outcome = book.apply_at(entry, instance, 1_000_000);
+        let outcome = state_machine.apply_at(entry, instance, 1_000_000);
         assert!(matches!(outcome, Outcome::Accepted { .. }), "{outcome:?}");
     };
     let callers = ["web", "desk"].map(|service| Edit::PutGrouping {
@@ -148,14 +156,14 @@
         allow_other_zones: true,
         ..order(true)
     };
-    let own = [
+    let target_edits = [
         edits()[0].1.clone(),
         Edit::PutOrder {
             name: text("book"),
             order: keyed,
         },
     ];
-    let first = callers.into_iter().chain(own).collect();
+    let first = callers.into_iter().chain(target_edits).collect();
     apply(
         1,
         "operator",
@@ -165,11 +173,15 @@
             edits: first,
         }),
     );
-    apply(2, "n1", Operation::EndpointReport(reports()[0].1.clone()));
+    apply(
+        2,
+        "n1",
+        Operation::EndpointReport(endpoint_reports()[0].1.clone()),
+    );
     for name in ["b1", "b2"] {
         let report = EndpointReport::BackendRegistered {
             name: text(name),
-            backend: back_end(BackendPhase::Registered),
+            backend: backend(BackendPhase::Registered),
         };
         apply(
             if name == "b1" { 3 } else { 4 },
@@ -177,12 +189,12 @@
             Operation::EndpointReport(report),
         );
     }
-    let leaves = EndpointReport::PhaseChanged {
+    let draining = EndpointReport::PhaseChanged {
         name: text("b1"),
-        incarnation: back_end(BackendPhase::Registered).incarnation,
+        incarnation: backend(BackendPhase::Registered).incarnation,
         phase: BackendPhase::Draining,
     };
-    apply(5, "n1", Operation::EndpointReport(leaves));
+    apply(5, "n1", Operation::EndpointReport(draining));
     apply(
         6,
         "operator",
@@ -192,5 +204,5 @@
             new_disk: 72,
         }),
     );
-    book
+    state_machine
 }
--- a/crates/model/tests/state_machine.rs
+++ b/crates/model/tests/state_machine.rs
@@ -1,13 +1,14 @@
-//! The state machine: repeats, races, faults, and who is presumed gone (design 2).
+//! The state machine: repeated entries, concurrent changes, invalid changes and failure detection
+//! (design 2).
 
-mod site;
+mod common;
 
+use common::{apply_report, change, grouping, order, registered, sample_state};
 use model::{BackendPhase, Edit, Outcome, StateMachine, endpoint_status::EndpointReport};
-use site::{apply_report, change, grouping, order, registered, site};
 
 #[test]
-fn a_change_sent_again_has_its_first_answer_and_no_second_effect() {
-    let mut state = site();
+fn a_repeated_change_gets_its_first_outcome_and_has_no_second_effect() {
+    let mut state = sample_state();
     let first = change(
         &mut state,
         "more",
@@ -46,8 +47,8 @@
 }
 
 #[test]
-fn an_invalid_change_has_all_its_faults_named_and_no_part_in_effect() {
-    let mut state = site();
+fn an_invalid_change_reports_all_faults_and_has_no_effect() {
+    let mut state = sample_state();
     let before = state.clone();
     let mut long = order("long", "seat", "seat", "/long");
     if let Edit::PutOrder { order, .. } = &mut long {
@@ -64,7 +65,7 @@
         },
     ];
     let Outcome::Invalid { faults } = change(&mut state, "bad", 1, edits) else {
-        panic!("it was accepted")
+        panic!("the invalid change was accepted")
     };
     let paths: Vec<&str> = faults.iter().map(|fault| fault.path.as_str()).collect();
     [
@@ -80,8 +81,8 @@
 }
 
 #[test]
-fn taking_away_what_an_order_needs_is_refused() {
-    let mut state = site();
+fn dropping_a_grouping_that_an_order_needs_is_invalid() {
+    let mut state = sample_state();
     let outcome = change(
         &mut state,
         "drop",
@@ -96,7 +97,7 @@
 
 #[test]
 fn repeats_and_earlier_incarnations_change_nothing() {
-    let mut state = site();
+    let mut state = sample_state();
     let first = apply_report(&mut state, "n0", 1, 2, registered("seat-0", "n0", 10));
     let before = state.clone();
     assert_eq!(
@@ -108,18 +109,19 @@
         Outcome::Superseded { .. }
     ));
     assert_eq!(state, before);
-    let mut stranger = registered("else-0", "n0", 10);
-    if let EndpointReport::BackendRegistered { backend, .. } = &mut stranger {
+    let mut unmatched = registered("else-0", "n0", 10);
+    if let EndpointReport::BackendRegistered { backend, .. } = &mut unmatched {
         backend.service = "else".into();
     }
     assert!(
         matches!(
-            apply_report(&mut state, "n0", 1, 3, stranger),
+            apply_report(&mut state, "n0", 1, 3, unmatched),
             Outcome::Refused { .. }
         ),
-        "it fits no grouping"
+        "it matches no grouping"
     );
-    // A live name is not taken by another node, and an incarnation that ended does not come back.
+    // Another node cannot take the name of a live backend, and an incarnation that ended stays
+    // ended.
     assert!(matches!(
         apply_report(&mut state, "n1", 1, 2, registered("seat-0", "n1", 20)),
         Outcome::Refused { .. }
@@ -138,8 +140,8 @@
 }
 
 #[test]
-fn one_observer_does_not_make_a_node_absent_two_do() {
-    let mut state = site();
+fn a_node_becomes_absent_when_two_observers_suspect_it() {
+    let mut state = sample_state();
     apply_report(&mut state, "n0", 1, 2, registered("seat-0", "n0", 10));
     let suspected = |observer: &str, suspected| EndpointReport::NodeObserved {
         observer: observer.into(),
@@ -153,7 +155,7 @@
     apply_report(&mut state, "n2", 1, 2, suspected("n2", true));
     assert!(
         state.endpoint_status.nodes["n0"].present,
-        "a report that is taken back does not count"
+        "a withdrawn suspicion does not count"
     );
     apply_report(&mut state, "n3", 1, 2, suspected("n3", true));
     assert!(!state.endpoint_status.nodes["n0"].present);
@@ -164,8 +166,8 @@
 }
 
 #[test]
-fn tables_of_repeats_stay_bounded_and_old_repeats_are_stale() {
-    let mut state = site();
+fn repeat_detection_tables_are_bounded_and_old_repeats_are_stale() {
+    let mut state = sample_state();
     (1..1_500u64).for_each(|version| {
         let path = if version % 2 == 0 { "/take" } else { "/give" };
         let outcome = change(
@@ -192,14 +194,14 @@
 }
 
 #[test]
-fn a_patch_makes_the_later_slice_of_the_earlier_one() {
+fn a_patch_turns_the_earlier_slice_into_the_later_one() {
     test_support::drawn::<[(u8, u8); 24]>(200, |steps| {
-        let mut state = site();
+        let mut state = sample_state();
         let services: model::state_slice::ServiceSet = ["seat".to_string()].into_iter().collect();
-        let mut held = model::StateSlice::for_services(&state, &services);
-        steps.iter().zip(10u64..).for_each(|((what, which), turn)| {
-            let name = format!("seat-{}", which % 4);
-            match what % 5 {
+        let mut slice = model::StateSlice::for_services(&state, &services);
+        steps.iter().zip(10u64..).for_each(|((kind, index), turn)| {
+            let name = format!("seat-{}", index % 4);
+            match kind % 5 {
                 0 => drop(apply_report(
                     &mut state,
                     "n0",
@@ -214,7 +216,7 @@
                     turn,
                     EndpointReport::PhaseChanged {
                         name,
-                        incarnation: *which as u64,
+                        incarnation: *index as u64,
                         phase: BackendPhase::Draining,
                     },
                 )),
@@ -224,7 +226,7 @@
                     1,
                     turn,
                     EndpointReport::NodeLeft {
-                        node: format!("n{}", which % 4),
+                        node: format!("n{}", index % 4),
                         incarnation: 1,
                         clean: true,
                     },
@@ -239,7 +241,7 @@
                             "take",
                             "seat",
                             "seat",
-                            &format!("/take{}", which % 3),
+                            &format!("/take{}", index % 3),
                         )],
                     ))
                 }
@@ -256,9 +258,9 @@
                 }
             }
             let next = model::StateSlice::for_services(&state, &services);
-            let patched = held.with_patch(held.diff_to(&next));
+            let patched = slice.with_patch(slice.diff_to(&next));
             assert_eq!(patched, next);
-            held = patched;
+            slice = patched;
         });
     });
 }
