--- a/crates/model/tests/cluster_state/conflicts.rs
+++ b/crates/model/tests/cluster_state/conflicts.rs
@@ -1,4 +1,4 @@
-//! Two operators using one version number, and repeated calls: at most one content of a version is
+//! Two operators using one version number, and repeated calls: exactly one content of a version is
 //! ever confirmed, and a confirmed content is never rejected (design 11.1).
 
 use std::collections::BTreeMap;
