--- a/crates/control/src/membership/replacement.rs
+++ b/crates/control/src/membership/replacement.rs
@@ -115,11 +115,11 @@
             return;
         };
         if self.state_machine.replica_holders.is_empty()
-            || now < self.handover_pushed_at + HANDOVER_PUSH_INTERVAL
+            || now < self.replacement_advanced_at + HANDOVER_PUSH_INTERVAL
         {
             return;
         }
-        self.handover_pushed_at = now;
+        self.replacement_advanced_at = now;
         self.push_log_towards_replacement(now, applied_below);
         self.adopt_new_members(now, applied_below);
     }
--- a/crates/control/src/replica/effects.rs
+++ b/crates/control/src/replica/effects.rs
@@ -1,4 +1,4 @@
-//! Carries out what the replicated log asks of its driver, and shows the status that results
+//! Carries out the effects that the replicated log requests, and publishes the resulting status
 //! (design 3.2, 3.8).
 
 use std::sync::Arc;
@@ -9,8 +9,9 @@
 use super::event_loop::{Progress, ReplicaEventLoop};
 use crate::updates::publisher::{self, EntryId};
 
-/// A caller has waited so long while no entry was applied: that is logged, and again after as long.
-const STALL_WARNING_AFTER: Microseconds = 2_000_000;
+/// How long callers wait without any entry being applied before a warning is logged, in
+/// microseconds. The warning repeats at the same interval.
+const STALL_WARNING_INTERVAL: Microseconds = 2_000_000;
 
 impl ReplicaEventLoop {
     pub(super) fn run_effect(&mut self, effect: Effect) {
@@ -41,14 +42,14 @@
         };
         let frame = transport::Frame::Consensus(frame);
         if connection.sender.try_send(frame).is_err() {
-            // A peer that does not keep up loses the connection; the next one begins with a
-            // catch-up.
+            // The queue is full because the peer does not keep up. The connection is closed; the
+            // next connection begins with a catch-up.
             self.close_connection(model::now(), peer_id);
         }
     }
 
-    /// Proposes a value again that lost its instance to a no-op, while its caller waits. A caller
-    /// that was already answered "not known to be taken" sends it again itself.
+    /// Proposes a value again after a no-op was chosen in its instance, if a caller still waits for
+    /// it. A caller that was already answered that the outcome is unknown retries by itself.
     fn resubmit(&mut self, value: Value) {
         let Ok(entry) = Entry::from_bytes(&value) else {
             return;
@@ -63,7 +64,7 @@
         let entry = match Entry::from_bytes(value) {
             Ok(entry) => entry,
             Err(error) => {
-                slog::error!(self.handle.logger, "an entry is malformed";
+                slog::error!(self.handle.logger, "could not decode a log entry; it is skipped";
                     "instance" => instance,
                     "error" => %error);
                 return;
@@ -90,14 +91,14 @@
     fn answer_callers(&mut self, entry_id: &EntryId, outcome: &Outcome) {
         let callers = self.pending_submissions.remove(entry_id);
         for caller in callers.into_iter().flatten() {
-            // It may have stopped waiting.
+            // The send fails if the caller has stopped waiting.
             drop(caller.send(outcome.clone()));
         }
     }
 
-    /// Takes a snapshot every so many entries, and at once past the instance from which another
-    /// disk holds a replica: the instances below it can be finished only by disks that may vote
-    /// there, and one of those is gone (design 4.4).
+    /// Takes a snapshot after every `snapshot_every_entries` entries, and also once the log has
+    /// passed the last instance in which a replaced disk may vote. Only disks that may vote in the
+    /// instances up to there can finish them, and the replaced disk is gone (design 4.4).
     fn snapshot_when_due(&mut self, instance: Instance) {
         self.entries_since_snapshot += 1;
         let since_snapshot = self.snapshot_end..=instance;
@@ -124,20 +125,21 @@
                 self.publisher.install(cluster_state);
                 self.enforce_voting_range();
             }
-            None => slog::error!(self.handle.logger, "a snapshot is malformed";
+            None => slog::error!(self.handle.logger, "could not decode a snapshot; it is ignored";
                 "next_instance" => next_instance),
         }
         self.publish_state_machine();
     }
 
     fn answer_read(&mut self, token: ReadToken) {
-        // Followers receive what was applied before the proof that rests on it.
+        // Followers must receive the updates before the freshness proof that covers them.
         self.publisher.publish();
         self.publisher.send_proofs(token);
-        // The reader finds the state machine at least as new as the position it is answered.
+        // Published before the answer, so that the reader finds the state machine at the returned
+        // position or a later one.
         self.publish_state_machine();
         if let Some(answer) = self.pending_reads.remove(&token) {
-            // It may have stopped waiting.
+            // The send fails if the caller has stopped waiting.
             let _ = answer.send(self.state_machine.position);
         }
     }
@@ -145,7 +147,7 @@
     pub(super) fn publish_status(&mut self) {
         self.refresh_status();
         self.warn_when_stalled();
-        self.forget_abandoned_calls();
+        self.drop_abandoned_calls();
         if **self.handle.status.load() != self.status {
             self.handle.status.store(Arc::new(self.status.clone()));
         }
@@ -155,11 +157,11 @@
         let Some(replica) = self.replica.as_ref() else {
             return;
         };
-        let majority_above = usize::from(self.handle.replica_count()) / 2;
+        let half_of_replicas = usize::from(self.handle.replica_count()) / 2;
         let status = &mut self.status;
         status.voting = true;
         status.connected_replicas = replica.reachable_replicas();
-        status.had_majority |= status.connected_replicas > majority_above;
+        status.had_majority |= status.connected_replicas > half_of_replicas;
         status.applied_below = replica.applied();
         status.compacted_below = replica.compaction_point();
         status.next_own_instance = replica.index();
@@ -173,17 +175,17 @@
     fn vacant_replicas(&self) -> Vec<ReplicaId> {
         let config = &self.handle.config;
         let now = model::now();
-        let vacant = |peer_id: ReplicaId, since: Microseconds| {
+        let is_vacant = |peer_id: ReplicaId, since: Microseconds| {
             peer_id != config.replica_id && now >= since + config.replace_after
         };
         let unreachable = self.unreachable_since.iter();
         unreachable
-            .filter(|(peer_id, since)| vacant(**peer_id, **since))
+            .filter(|(peer_id, since)| is_vacant(**peer_id, **since))
             .map(|(peer_id, _)| *peer_id)
             .collect()
     }
 
-    /// Logs that a caller waits while no entry is applied, with all that shows why.
+    /// Logs a warning with the status of the log if callers wait while no entry is applied.
     fn warn_when_stalled(&mut self) {
         let now = model::now();
         let applied_below = self.status.applied_below;
@@ -194,16 +196,16 @@
                 at: now,
             };
         }
-        if now > self.last_progress.at + STALL_WARNING_AFTER {
+        if now > self.last_progress.at + STALL_WARNING_INTERVAL {
             self.last_progress.at = now;
             let peers = self.replica.as_ref().map(Replica::diagnostics);
-            slog::warn!(self.handle.logger, "no entry is applied though callers wait";
+            slog::warn!(self.handle.logger, "no entry was applied for a while; callers are waiting";
                 "status" => ?self.status,
                 "peers" => peers.unwrap_or_default());
         }
     }
 
-    fn forget_abandoned_calls(&mut self) {
+    fn drop_abandoned_calls(&mut self) {
         self.pending_reads.retain(|_, answer| !answer.is_closed());
         self.pending_submissions
             .retain(|_, callers| callers.iter().any(|caller| !caller.is_closed()));
--- a/crates/control/src/replica/event_loop.rs
+++ b/crates/control/src/replica/event_loop.rs
@@ -1,7 +1,7 @@
-//! The one owner of log and state: commands in, effects of the replicated log out (design 3.2,
-//! 8.1).
+//! The event loop of a replica, which alone owns the log and the state: it handles commands and
+//! carries out the effects of the replicated log (design 3.2, 8.1).
 //!
-//! A command that only concerns who the members are is handled at once. All others wait until
+//! Commands that concern only the membership are handled at once. All others are deferred until
 //! this replica votes.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -19,7 +19,8 @@
 use super::handle::{ReplicaHandle, ReplicaStatus};
 use crate::updates::publisher::{EntryId, UpdatePublisher};
 
-/// Commands that are handled before their effects are carried out, so that they share one sync.
+/// The maximum number of commands, beside the first, that are handled before their effects are
+/// carried out. Commands of one batch share one sync of the disk.
 const MAX_COMMANDS_PER_BATCH: usize = 512;
 
 /// An open connection to a peer.
@@ -28,22 +29,22 @@
     pub(super) sender: FrameSender,
 }
 
-/// How far the log had come when it last moved, and when that was.
+/// The progress of the log: the first instance that was not applied, and when it last changed.
 #[derive(Default)]
 pub(super) struct Progress {
     pub(super) applied_below: Instance,
     pub(super) at: Microseconds,
 }
 
-/// All that the task of a replica owns.
+/// The state of the event loop of a replica.
 pub(crate) struct ReplicaEventLoop {
     pub(crate) handle: ReplicaHandle,
     /// `None` until this replica votes.
     pub(crate) replica: Option<Replica>,
-    /// What the disk held at the start, until it goes to `replica`.
+    /// The writes recovered from the disk, until `replica` is restored from them.
     pub(crate) restored_writes: Vec<Write>,
     pub(crate) pinned_disks: PinnedDisks,
-    /// What came before this replica voted (design 4.1).
+    /// Commands received before this replica votes (design 4.1).
     deferred_commands: Vec<Command>,
     pub(crate) connections: BTreeMap<ReplicaId, PeerConnection>,
     pub(crate) state_machine: StateMachine,
@@ -53,15 +54,15 @@
     pub(super) pending_reads: BTreeMap<ReadToken, oneshot::Sender<Position>>,
     last_read_token: ReadToken,
     pub(super) entries_since_snapshot: u64,
-    /// The first instance that the latest own snapshot does not cover.
+    /// The first instance that the latest snapshot of this replica does not cover.
     pub(super) snapshot_end: Instance,
     pub(crate) status: ReplicaStatus,
-    /// When the log was last moved towards a pending replacement.
-    pub(crate) handover_pushed_at: Microseconds,
+    /// When the log was last advanced towards a pending replacement.
+    pub(crate) replacement_advanced_at: Microseconds,
     pub(super) last_progress: Progress,
-    /// Peers that know this disk as the first that holds its replica.
+    /// Peers that confirmed that no other disk held this replica before.
     first_holder_confirmed_by: BTreeSet<ReplicaId>,
-    /// Replicas without a connection, and since when.
+    /// When the connection to each unreachable replica was lost.
     pub(crate) unreachable_since: BTreeMap<ReplicaId, Microseconds>,
     /// When a replacement was last submitted for an empty disk.
     pub(crate) replacement_requested_at: Microseconds,
@@ -81,7 +82,7 @@
         };
         handle.status.store(Arc::new(status.clone()));
         let config = &handle.config;
-        // Staggered, so that not all replicas take their snapshots at the same entry.
+        // The counts are staggered so that the replicas take their snapshots at different entries.
         let entries_since_snapshot = config.snapshot_every_entries * u64::from(config.replica_id)
             / u64::from(config.replica_count.max(1));
         let now = model::now();
@@ -101,7 +102,7 @@
             entries_since_snapshot,
             snapshot_end: 0,
             status,
-            handover_pushed_at: 0,
+            replacement_advanced_at: 0,
             last_progress: Progress::default(),
             first_holder_confirmed_by: BTreeSet::new(),
             unreachable_since: (0..config.replica_count).map(|id| (id, now)).collect(),
@@ -109,13 +110,13 @@
         }
     }
 
-    /// Runs until all senders of commands are gone.
+    /// Handles commands until all their senders are dropped.
     pub(super) async fn run(mut self, mut queue: mpsc::Receiver<Command>) {
         self.start_voting_when_peers_are_known();
         while let Some(first) = queue.recv().await {
             self.handle_command(first);
-            let gathered = iter::from_fn(|| queue.try_recv().ok());
-            for command in gathered.take(MAX_COMMANDS_PER_BATCH) {
+            let queued = iter::from_fn(|| queue.try_recv().ok());
+            for command in queued.take(MAX_COMMANDS_PER_BATCH) {
                 self.handle_command(command);
             }
             self.advance_replacements();
@@ -124,15 +125,15 @@
         }
     }
 
-    /// Voting begins only once every other replica's disk is on record here and this one's with
-    /// them: a disk that was emptied then finds itself refused. A disk that has kept nothing also
-    /// waits for the first frame of each peer, as it may replace another disk of whose votes it
-    /// knows nothing (design 4.1, 4.4).
+    /// Starts to vote once the disks of all peers are on record here and this disk is on record at
+    /// all peers, so that a disk that lost its contents is refused before it can vote. An empty
+    /// disk also waits for the first frame of each peer, because it may replace another disk whose
+    /// votes it does not know (design 4.1, 4.4).
     pub(crate) fn start_voting_when_peers_are_known(&mut self) {
         let peer_count = usize::from(self.handle.config.replica_count) - 1;
         if self.replica.is_some()
             || self.pinned_disks.len() < peer_count
-            || !self.knows_where_to_begin(peer_count)
+            || !self.knows_voting_range(peer_count)
         {
             return;
         }
@@ -145,20 +146,24 @@
             model::now(),
             mem::take(&mut self.restored_writes),
         ));
-        slog::info!(self.handle.logger, "all peers are known, voting begins");
+        slog::info!(
+            self.handle.logger,
+            "the disks of all peers are on record; this replica votes"
+        );
         self.handle_deferred_commands();
         self.run_effects();
     }
 
-    fn knows_where_to_begin(&self, peer_count: usize) -> bool {
+    /// Whether the instance from which this disk may vote is known.
+    fn knows_voting_range(&self, peer_count: usize) -> bool {
         if !self.restored_writes.is_empty() {
             return true;
         }
         match self.handle.config.membership {
-            // Founded together with all others: no disk held this replica before.
+            // The disk is a founding member, so no other disk held this replica before.
             Some(membership) if membership.founded => true,
-            // Took the replica over: only the log says where this disk begins, and a peer that has
-            // just started may not have read that far.
+            // The disk replaces another one. Only the log says from which instance it votes, and a
+            // peer that has just started may not have applied that entry yet.
             Some(_) => false,
             None => self.first_holder_confirmed_by.len() >= peer_count,
         }
@@ -166,7 +171,7 @@
 
     fn handle_deferred_commands(&mut self) {
         for command in mem::take(&mut self.deferred_commands) {
-            // Whoever gave up meanwhile was answered that its entry is not known to be in the log.
+            // A caller that timed out was already answered that the outcome is unknown.
             let abandoned =
                 matches!(&command, Command::Submit { answer, .. } if answer.is_closed());
             if !abandoned {
@@ -216,7 +221,7 @@
             Command::RequestProof { request_id, sender } => {
                 self.on_request_proof(now, request_id, sender)
             }
-            // Whoever asked may have stopped waiting.
+            // The send fails if the caller has stopped waiting.
             Command::ReadItems { answer } => drop(answer.send(self.publisher.items())),
             Command::Tick => self.on_tick(now),
         }
@@ -242,15 +247,17 @@
 
     fn on_refused_by_peer(&mut self, reason: String) {
         if self.status.refusal.as_ref() != Some(&reason) {
-            slog::error!(self.handle.logger, "a peer refuses this disk"; "reason" => &reason);
+            slog::error!(self.handle.logger, "a peer refused this disk; it cannot take part";
+                "reason" => &reason);
         }
         self.status.refusal = Some(reason);
     }
 
     fn on_disk_status(&mut self, error: Option<String>) {
         match &error {
-            Some(error) => slog::warn!(self.handle.logger, "disk write fails"; "error" => error),
-            None => slog::warn!(self.handle.logger, "disk write succeeds again"),
+            Some(error) => slog::warn!(self.handle.logger, "disk write failed; retrying";
+                "error" => error),
+            None => slog::warn!(self.handle.logger, "disk write succeeded after a retry"),
         }
         self.status.disk_error = error;
     }
@@ -302,7 +309,7 @@
         connection.is_some_and(|current| current.token == token)
     }
 
-    /// Forgets the connection to a peer, which is unreachable from now on.
+    /// Drops the connection to a peer and marks the peer as unreachable.
     pub(super) fn close_connection(&mut self, now: Microseconds, peer_id: ReplicaId) {
         self.connections.remove(&peer_id);
         self.unreachable_since.insert(peer_id, now);
@@ -347,7 +354,7 @@
         }
     }
 
-    /// Hands an input to the replicated log; nothing happens before this replica votes.
+    /// Passes an input to the replicated log. Inputs are ignored until this replica votes.
     pub(crate) fn step(&mut self, now: Microseconds, input: Input) {
         if let Some(replica) = self.replica.as_mut() {
             replica.step(now, input);
@@ -373,7 +380,7 @@
         }
     }
 
-    /// Shows readers the state machine as it is now.
+    /// Publishes the current state machine to readers in other tasks.
     pub(super) fn publish_state_machine(&self) {
         let state_machine = Arc::new(self.state_machine.clone());
         self.handle.state_machine.store(state_machine);
--- a/crates/control/src/replica/handle.rs
+++ b/crates/control/src/replica/handle.rs
@@ -1,5 +1,5 @@
-//! What the rest of the process holds of a replica: its settings, what it shows of itself, and
-//! the calls it answers (design 4).
+//! The interface of a replica to the rest of the process: its settings, its status, and the calls
+//! that its event loop answers (design 4).
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -23,127 +23,129 @@
 use super::command::{Command, ConnectionToken, Members};
 use crate::membership::discovery::{self, KnownReplicas};
 
-/// A caller waits so long for a majority. An answer that did not come by then leaves open whether
-/// a change took effect.
+/// How long a caller waits for an answer that needs a majority. After the timeout it is unknown
+/// whether a change took effect.
 pub const MAJORITY_TIMEOUT: Duration = Duration::from_millis(4_000);
 
 /// The settings of one replica.
 pub struct ReplicaConfig {
     /// The origin of the entries that this process submits itself.
     pub name: String,
-    /// The zone that this process stands in.
+    /// The zone in which this process runs.
     pub zone: String,
-    /// Which replica this is, from 0.
+    /// The number of this replica, counted from 0.
     pub replica_id: ReplicaId,
-    /// How many replicas share the log.
+    /// The number of replicas of the log.
     pub replica_count: u16,
-    /// Where peers reach this process.
+    /// The address, as `host:port`, at which peers connect to this process.
     pub address: String,
-    /// Addresses that are asked first for where the other replicas are.
+    /// The addresses at which discovery of the other replicas begins.
     pub seeds: Vec<String>,
     /// The folder that holds the database.
     pub folder: PathBuf,
     /// Timing and limits of the replicated log.
     pub timing: mencius::Config,
-    /// A snapshot is taken after so many applied entries.
+    /// The number of applied entries after which a snapshot is taken.
     pub snapshot_every_entries: u64,
-    /// How long a member must be unreachable before an empty disk that asks for its replica gets
-    /// it, in microseconds; 0 is never.
+    /// How long a member must be unreachable before an empty disk that asks for its replica may
+    /// replace it, in microseconds; 0 disables automatic replacement.
     pub replace_after: Microseconds,
-    /// The record of how this disk came to its replica, where settings do not name the replica
-    /// (design 12.1).
+    /// The record of how this disk was assigned its replica; `None` if the settings name the
+    /// replica (design 12.1).
     pub membership: Option<MembershipRecord>,
 }
 
-/// What readiness and status pages show of a replica.
+/// The status of a replica, for readiness checks and status pages.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ReplicaStatus {
-    /// All peers are known and this replica votes.
+    /// Whether this replica votes, which requires that the disks of all peers are on record.
     pub voting: bool,
     /// The identity of this disk.
     pub disk_id: DiskId,
-    /// Peers whose disk is on record here.
+    /// The number of peers whose disk is on record here.
     pub pinned_peers: usize,
-    /// Replicas that are heard, this one included.
+    /// The number of replicas from which messages arrive, including this one.
     pub connected_replicas: usize,
-    /// This process reached a majority at least once.
+    /// Whether this process has reached a majority at least once.
     pub had_majority: bool,
-    /// All instances below this one are applied.
+    /// The first instance that is not applied; all instances below it are.
     pub applied_below: Instance,
-    /// All instances below this one exist only as part of a snapshot.
+    /// The first instance that is not compacted; all instances below it are kept only as part of a
+    /// snapshot.
     pub compacted_below: Instance,
-    /// The instance in which this replica would propose next.
+    /// The instance in which this replica proposes next.
     pub next_own_instance: Instance,
     /// The highest instance that this replica knows to carry a command.
     pub highest_seen: Option<Instance>,
-    /// Reads that wait for a round, reads in the present round, and the instances that confirmed
-    /// reads wait to see applied.
+    /// The number of reads that wait for a round, the number of reads in the current round, and the
+    /// instances that must be applied before confirmed reads are answered.
     pub pending_reads: (usize, usize, Vec<Instance>),
-    /// Peers that were silent for longer than their suspicion timeout.
+    /// Peers that have been silent for longer than their suspicion timeout.
     pub suspected_replicas: Vec<ReplicaId>,
-    /// Replicas whose member was unreachable for `replace_after`.
+    /// Replicas whose member has been unreachable for `replace_after`.
     pub vacant_replicas: Vec<ReplicaId>,
-    /// Batches that were synced to disk.
+    /// The number of batches synced to disk.
     pub disk_syncs: u64,
-    /// Frames handed to connections to peers.
+    /// The number of frames passed to connections to peers.
     pub frames_sent: u64,
-    /// The error of the present write, while it is being retried.
+    /// The error of the current disk write while the write is being retried.
     pub disk_error: Option<String>,
-    /// Why this disk may not take part, in the words of the peer that refused it.
+    /// Why this disk may not take part, as stated by the peer that refused it.
     pub refusal: Option<String>,
 }
 
-/// A running replica. Clones reach the same event loop.
+/// A handle to a running replica. Clones send to the same event loop.
 #[derive(Clone)]
 pub struct ReplicaHandle {
     pub(crate) commands: mpsc::Sender<Command>,
     pub(super) store_writer: StoreWriter,
-    /// The state machine as last applied here. It may lag; [`Self::read_barrier`] first makes it
-    /// as new as every change accepted before the call.
+    /// The state machine with all entries applied here. It may lag behind other replicas; after
+    /// [`Self::read_barrier`] it contains every change accepted before that call.
     pub state_machine: Arc<ArcSwap<StateMachine>>,
-    /// The position of the state machine; changes with every applied batch.
+    /// The position of the state machine; updated with every applied batch.
     pub position: watch::Receiver<Position>,
-    /// The present status.
+    /// The current status.
     pub status: Arc<ArcSwap<ReplicaStatus>>,
-    /// Where the replicas are, as far as this process has heard.
+    /// The locations of the replicas known to this process.
     pub known_replicas: KnownReplicas,
     pub(crate) config: Arc<ReplicaConfig>,
     pub(super) disk_id: DiskId,
-    /// Which disk holds each other replica.
+    /// The disk on record for each peer.
     pub pinned_disks: Arc<ArcSwap<PinnedDisks>>,
-    /// The disk had kept nothing when the process began.
-    pub(super) started_blank: bool,
-    /// Tells the entries of this process from those of an earlier one.
+    /// Whether the disk held no writes when the process started.
+    pub(super) started_with_empty_disk: bool,
+    /// Distinguishes the entries of this process from those of its earlier runs.
     pub(super) incarnation: Incarnation,
-    /// How often this disk was started, this time included.
+    /// How often a process was started on this disk, including this one.
     pub(super) start_count: u64,
     pub(super) next_sequence: Arc<AtomicU64>,
     pub(crate) logger: Logger,
 }
 
-/// Why the disk of a peer could not be put on record.
+/// Why the disk of a peer could not be recorded.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum PinError {
-    /// The thread that writes the disk has ended. Peers read this text: it is part of the protocol.
+    /// The thread that writes the disk has ended. The text is sent to peers and is part of the
+    /// protocol.
     #[error("the disk's owner is gone")]
     WriterStopped,
-    /// The write failed. Peers read this text: it is part of the protocol.
+    /// The write failed. The text is sent to peers and is part of the protocol.
     #[error("the disk cannot keep who holds the seat")]
     NotStored,
 }
 
-/// The event loop has ended: the process is stopping.
+/// The event loop has ended because the process is stopping.
 #[derive(Debug, thiserror::Error)]
 #[error("stopping")]
 pub(crate) struct Stopped;
 
 impl ReplicaHandle {
-    /// How many replicas share the log.
+    /// The number of replicas of the log.
     pub fn replica_count(&self) -> u16 {
         self.config.replica_count
     }
 
-    /// Which replica this is.
+    /// The number of this replica.
     pub fn replica_id(&self) -> ReplicaId {
         self.config.replica_id
     }
@@ -153,7 +155,7 @@
         self.disk_id
     }
 
-    /// Every replica whose disk is on record here, and last this one itself.
+    /// Every replica whose disk is on record here, followed by this replica.
     pub fn members(&self) -> Vec<(ReplicaId, DiskId)> {
         let mut members: Members = Vec::new();
         for (peer_id, disk_id) in self.pinned_disks.load().iter() {
@@ -163,7 +165,7 @@
         members
     }
 
-    /// Where this replica is reached, as discovery passes it on.
+    /// The location of this replica, as discovery distributes it.
     pub(crate) fn own_location(&self) -> KnownReplica {
         KnownReplica {
             replica_id: self.config.replica_id,
@@ -174,7 +176,7 @@
         }
     }
 
-    /// What this replica says of itself when a connection opens.
+    /// The handshake with which this replica identifies itself on a new connection.
     pub fn handshake(&self, purpose: Purpose) -> Handshake {
         Handshake {
             purpose,
@@ -187,60 +189,61 @@
                 self.config.replica_count,
                 self.disk_id,
             )),
-            has_empty_disk: self.started_blank && !self.status.load().voting,
+            has_empty_disk: self.started_with_empty_disk && !self.status.load().voting,
             expected_disk: None,
             known_replicas: discovery::list(&self.known_replicas),
         }
     }
 
-    /// This replica votes and hears a majority now.
+    /// Whether this replica votes and currently receives messages from a majority.
     pub fn reaches_majority(&self) -> bool {
         let status = self.status.load();
         status.voting && status.connected_replicas > usize::from(self.replica_count()) / 2
     }
 
-    /// It reached a majority once and does not now: it can neither confirm a change nor read, so
-    /// callers are sent elsewhere at once. A process that has just started is given the time to
-    /// connect.
+    /// Whether this replica reached a majority before and does not now. It can then neither confirm
+    /// a change nor read, so callers are referred to another replica at once. A process that has
+    /// just started does not count, since its connections are still being opened.
     pub fn lost_majority(&self) -> bool {
         self.status.load().had_majority && !self.reaches_majority()
     }
 
-    /// Puts an entry in the log. `None`: not known to be there within [`MAJORITY_TIMEOUT`]; it may
-    /// yet take effect.
+    /// Appends an entry to the log and returns its outcome. Returns `None` if the outcome is not
+    /// known within [`MAJORITY_TIMEOUT`]; the entry may still take effect later.
     pub async fn submit(&self, entry: Entry) -> Option<Outcome> {
-        self.ask(|answer| Command::Submit { entry, answer }).await
+        self.request(|answer| Command::Submit { entry, answer })
+            .await
     }
 
-    /// Submits an operator's change with this process as its origin; the state machine tells
-    /// repeats by the change's own id.
+    /// Submits an operator's change with this process as its origin. The state machine recognizes a
+    /// repeated change by the id of the change.
     pub async fn change(&self, change: Change) -> Option<Outcome> {
         self.submit(self.new_entry(Operation::Change(change))).await
     }
 
-    /// Submits an operator's items; all take effect or none (design 11.1).
+    /// Submits an operator's items, which take effect together or not at all (design 11.1).
     pub async fn change_items(&self, call: ItemCall) -> Option<Outcome> {
         let operation = Operation::ClusterState(ClusterOperation::Items(call));
         self.submit(self.new_entry(operation)).await
     }
 
-    /// All items, at least as new as every change accepted before this call. `None`: no majority
-    /// answered in time.
+    /// Reads all items, including every change accepted before this call. Returns `None` if no
+    /// majority answered in time.
     pub async fn items(&self) -> Option<Items> {
         self.read_barrier().await?;
-        self.ask(|answer| Command::ReadItems { answer }).await
+        self.request(|answer| Command::ReadItems { answer }).await
     }
 
-    /// Submits that another disk is to hold a replica (design 4.4).
+    /// Submits the replacement of the disk that holds a replica (design 4.4).
     pub async fn replace_member(&self, change: ReplicaReplacement) -> Option<Outcome> {
         self.submit(self.new_entry(Operation::ReplaceReplica(change)))
             .await
     }
 
-    /// Everything accepted before this call is in `state_machine` once it answers (design 3.9).
-    /// `None`: no majority answered in time.
+    /// Waits until everything accepted before this call is applied to `state_machine`, and returns
+    /// the position of `state_machine` (design 3.9). Returns `None` if no majority answered in time.
     pub async fn read_barrier(&self) -> Option<Position> {
-        self.ask(|answer| Command::ReadBarrier { answer }).await
+        self.request(|answer| Command::ReadBarrier { answer }).await
     }
 
     pub(crate) fn new_entry(&self, operation: Operation) -> Entry {
@@ -252,18 +255,19 @@
         }
     }
 
-    /// Sends updates of the cluster state to `sender` from the position `held` on.
+    /// Starts to send `sender` the updates of the cluster state after the position `held`.
     pub(crate) async fn follow(&self, held: Position, sender: FrameSender) -> Result<(), Stopped> {
-        self.tell(Command::Follow { held, sender }).await
+        self.send(Command::Follow { held, sender }).await
     }
 
-    /// Sends a proof to a follower once a majority has confirmed the position.
+    /// Requests a freshness proof, which is sent to `sender` once a majority has confirmed the
+    /// position.
     pub(crate) async fn request_proof(
         &self,
         request_id: u64,
         sender: FrameSender,
     ) -> Result<(), Stopped> {
-        self.tell(Command::RequestProof { request_id, sender })
+        self.send(Command::RequestProof { request_id, sender })
             .await
     }
 
@@ -278,7 +282,7 @@
             token,
             sender,
         };
-        self.tell(command).await
+        self.send(command).await
     }
 
     pub(crate) async fn peer_frame(
@@ -292,7 +296,7 @@
             token,
             frame,
         };
-        self.tell(command).await
+        self.send(command).await
     }
 
     pub(crate) async fn peer_disconnected(
@@ -300,7 +304,7 @@
         peer_id: ReplicaId,
         token: ConnectionToken,
     ) -> Result<(), Stopped> {
-        self.tell(Command::PeerDisconnected { peer_id, token })
+        self.send(Command::PeerDisconnected { peer_id, token })
             .await
     }
 
@@ -309,7 +313,7 @@
         peer_id: ReplicaId,
         disk_id: DiskId,
     ) -> Result<(), Stopped> {
-        self.tell(Command::PeerPinned { peer_id, disk_id }).await
+        self.send(Command::PeerPinned { peer_id, disk_id }).await
     }
 
     pub(crate) async fn admitted(
@@ -321,15 +325,15 @@
             votes_after,
             members,
         };
-        self.tell(command).await
+        self.send(command).await
     }
 
     pub(crate) async fn refused_by_peer(&self, reason: String) -> Result<(), Stopped> {
-        self.tell(Command::RefusedByPeer { reason }).await
+        self.send(Command::RefusedByPeer { reason }).await
     }
 
     pub(crate) async fn first_holder_confirmed(&self, peer_id: ReplicaId) -> Result<(), Stopped> {
-        self.tell(Command::FirstHolderConfirmed { peer_id }).await
+        self.send(Command::FirstHolderConfirmed { peer_id }).await
     }
 
     pub(crate) async fn replacement_requested(
@@ -343,20 +347,20 @@
             disk_id,
             same_address,
         };
-        self.tell(command).await
+        self.send(command).await
     }
 
-    /// Writes down the first disk that is met as this replica, and answers with the disk that is
-    /// on record then: another one if there was one before.
+    /// Records `disk_id` as the disk of this replica unless a disk is on record already, and
+    /// returns the disk that is on record afterwards.
     pub(crate) async fn pin_disk(
         &self,
         replica_id: ReplicaId,
         disk_id: DiskId,
     ) -> Result<DiskId, PinError> {
         let pinned = self.store_writer.pin_disk(replica_id, disk_id).await;
-        // The cause stays here: the texts of a refusal are part of the protocol.
+        // The cause is only logged here, because the texts of a refusal are part of the protocol.
         pinned.map_err(|error| {
-            slog::error!(self.logger, "the disk of a peer could not be recorded";
+            slog::error!(self.logger, "could not record the disk of a peer; the connection is refused";
                 "peer_id" => replica_id,
                 "error" => %error);
             match error {
@@ -366,15 +370,15 @@
         })
     }
 
-    /// Empties this disk, as another holds its replica. Whether that is done and the database
-    /// closed.
+    /// Empties this disk, because another disk holds its replica. Returns whether the disk was
+    /// emptied and the database closed.
     pub(crate) async fn retire_disk(&self) -> bool {
         self.store_writer.retire().await.is_ok()
     }
 
-    /// Writes down new members, and with them `writes`; both come back to the event loop once they
-    /// are on disk. If that fails nothing comes back, and the next push of the log or the next
-    /// admission asks for it again.
+    /// Stores new members together with `writes`, and reports both to the event loop once they are
+    /// on disk. If the write fails nothing is reported, and the next
+    /// `ReplicaEventLoop::advance_replacements` or the next admission requests it again.
     pub(crate) fn replace_members(&self, members: Members, writes: Vec<Write>) {
         let commands = self.commands.clone();
         let stored = Command::MembersReplaced {
@@ -391,13 +395,13 @@
             .replace_pins(pinned_disks, writes, replaced);
     }
 
-    async fn tell(&self, command: Command) -> Result<(), Stopped> {
+    async fn send(&self, command: Command) -> Result<(), Stopped> {
         self.commands.send(command).await.map_err(|_| Stopped)
     }
 
-    async fn ask<T>(&self, command: impl FnOnce(oneshot::Sender<T>) -> Command) -> Option<T> {
+    async fn request<T>(&self, command: impl FnOnce(oneshot::Sender<T>) -> Command) -> Option<T> {
         let (answer, answered) = oneshot::channel();
-        self.tell(command(answer)).await.ok()?;
+        self.send(command(answer)).await.ok()?;
         timeout(MAJORITY_TIMEOUT, answered).await.ok()?.ok()
     }
 }
--- a/crates/control/src/replica/mod.rs
+++ b/crates/control/src/replica/mod.rs
@@ -1,8 +1,8 @@
 //! One replica of the replicated log: its event loop, its connections to peers, and the handle
-//! that the rest of the process holds of it.
+//! through which the rest of the process uses it.
 //!
-//! The event loop is the one owner of log and state; `command` is what it takes, `handle` sends
-//! commands to it, and neither knows the loop (design 8.1).
+//! The event loop alone owns the log and the state. `command` defines its inputs and `handle` sends
+//! them; neither module depends on the event loop (design 8.1).
 
 pub(crate) mod command;
 mod effects;
@@ -26,10 +26,10 @@
 
 pub use handle::{MAJORITY_TIMEOUT, ReplicaConfig, ReplicaHandle, ReplicaStatus};
 
-/// Commands that may wait for the event loop; further senders wait for room.
+/// Capacity of the queue of the event loop, in commands; a sender that finds it full waits.
 const COMMAND_QUEUE_CAPACITY: usize = 4_096;
 
-/// Between two ticks of the event loop.
+/// Interval between two ticks of the event loop.
 const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
 impl ReplicaHandle {
@@ -39,8 +39,8 @@
         ReplicaHandle::start_on(config, recovered.store, recovered.writes, logger)
     }
 
-    /// Starts the replica on a database that is open already, with the writes it holds. Tests
-    /// bring disks that fail (design 9.4).
+    /// Starts the replica on a database that is already open, with the writes recovered from it.
+    /// Tests pass databases on simulated disks that fail (design 9.4).
     pub fn start_on(
         config: ReplicaConfig,
         store: ReplicaStore,
@@ -60,7 +60,7 @@
             status: Arc::default(),
             known_replicas: discovery::empty(),
             disk_id,
-            started_blank: writes.is_empty(),
+            started_with_empty_disk: writes.is_empty(),
             pinned_disks: Arc::new(ArcSwap::from_pointee(pinned_disks.clone())),
             incarnation: model::incarnation::draw(),
             start_count,
@@ -69,7 +69,7 @@
             config: Arc::new(config),
         };
         discovery::merge(&handle.known_replicas, vec![handle.own_location()]);
-        slog::info!(handle.logger, "replica starts";
+        slog::info!(handle.logger, "replica started";
             "replica_id" => handle.replica_id(),
             "disk_id" => handle.disk_id,
             "writes" => writes.len(),
@@ -82,7 +82,7 @@
     }
 }
 
-/// Starts the thread that owns the disk; what it has to say comes as commands.
+/// Starts the thread that owns the database and reports its events as commands to the event loop.
 fn start_writer(
     store: ReplicaStore,
     commands: mpsc::Sender<Command>,
@@ -95,7 +95,7 @@
             },
             WriterEvent::Recovered => Command::DiskStatus { error: None },
         };
-        // When the loop has ended nothing waits for the disk.
+        // The send fails only after the event loop has ended, when nothing waits for the disk.
         drop(commands.blocking_send(command));
     })
 }
--- a/crates/control/src/replica/peer_link.rs
+++ b/crates/control/src/replica/peer_link.rs
@@ -1,5 +1,5 @@
-//! Connections between replicas: the one with the lower number dials, and both put the other's
-//! disk on record before anything else (design 4.1, 4.2).
+//! Connections between replicas. The replica with the lower number dials, and both sides record the
+//! disk of the other before they send any frame (design 4.1, 4.2).
 
 use std::mem;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,16 +14,18 @@
 use super::handle::{PinError, ReplicaHandle, Stopped};
 use crate::membership::discovery;
 
-/// A connection on which nothing came for so long is closed; peers send heartbeats far more often.
+/// A connection on which no frame arrives for this long is closed; peers send heartbeats far more
+/// often.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Between two attempts to connect, with up to as much again at random.
+/// Minimum pause between two attempts to connect, in milliseconds. A random pause of up to the same
+/// length is added.
 const REDIAL_INTERVAL_MS: u64 = 100;
 
 static NEXT_CONNECTION_TOKEN: AtomicU64 = AtomicU64::new(1);
 
-/// Why a connection between replicas is refused. Peers read these texts, and show them as the
-/// reason of a refusal: they are part of the protocol.
+/// Why a connection between replicas is refused. The texts are sent to the peer, which reports them
+/// as the reason of the refusal, and are part of the protocol.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum PeerRefused {
     #[error("only core seats may open this channel")]
@@ -43,19 +45,21 @@
     Stopped(#[from] Stopped),
 }
 
-/// Starts to connect to the peers with higher numbers, and to look for where they are.
+/// Starts the tasks that connect to the peers with higher numbers and that discover their
+/// locations.
 pub(super) fn start(handle: &ReplicaHandle) {
     for peer_id in handle.replica_id() + 1..handle.replica_count() {
         tokio::spawn(keep_connected(handle.clone(), peer_id));
     }
-    // Until this replica votes it asks often: whichever replica an empty disk asks submits that it
-    // replaces the lost one.
-    let (described, awaited) = (handle.clone(), handle.clone());
-    let wanted = move || match awaited.status.load().voting {
-        true => usize::from(awaited.replica_count()),
+    // Until this replica votes it keeps searching at the short interval: an empty disk requests its
+    // replica through these discovery connections, and each replica it contacts may submit the
+    // replacement of the lost disk.
+    let (handshake_handle, status_handle) = (handle.clone(), handle.clone());
+    let wanted = move || match status_handle.status.load().voting {
+        true => usize::from(status_handle.replica_count()),
         false => usize::MAX,
     };
-    let handshake = move || described.handshake(Purpose::Discover);
+    let handshake = move || handshake_handle.handshake(Purpose::Discover);
     let known_replicas = handle.known_replicas.clone();
     let seeds = handle.config.seeds.clone();
     tokio::spawn(discovery::run(known_replicas, seeds, handshake, wanted));
@@ -63,12 +67,12 @@
 
 async fn keep_connected(handle: ReplicaHandle, peer_id: ReplicaId) {
     let mut known_replicas = handle.known_replicas.subscribe();
-    let mut turn = 0;
+    let mut attempt = 0;
     loop {
         known_replicas.mark_unchanged();
         let pinned_disk = handle.pinned_disks.load().get(&peer_id).copied();
-        let location = location_of(&handle, peer_id, pinned_disk, turn);
-        turn += 1;
+        let location = location_of(&handle, peer_id, pinned_disk, attempt);
+        attempt += 1;
         if let Some(location) = location {
             connect(&handle, peer_id, pinned_disk, &location.address).await;
         }
@@ -77,25 +81,25 @@
     }
 }
 
-/// Where a peer is reached. While its disk is not on record several disks may say that they hold
-/// the replica; each has its turn.
+/// The location of a peer. Until the disk of the peer is on record, several disks may claim to hold
+/// the replica; successive attempts go through them in turn.
 fn location_of(
     handle: &ReplicaHandle,
     peer_id: ReplicaId,
     pinned_disk: Option<DiskId>,
-    turn: usize,
+    attempt: usize,
 ) -> Option<KnownReplica> {
     let known_replicas = handle.known_replicas.borrow();
-    let fits = |location: &&KnownReplica| {
-        let disk_fits = pinned_disk.is_none_or(|disk_id| location.disk_id == disk_id);
-        location.replica_id == peer_id && disk_fits
+    let matches_peer = |location: &&KnownReplica| {
+        let disk_matches = pinned_disk.is_none_or(|disk_id| location.disk_id == disk_id);
+        location.replica_id == peer_id && disk_matches
     };
-    let locations: Vec<&KnownReplica> = known_replicas.values().filter(fits).collect();
-    let location = locations.get(turn % locations.len().max(1));
+    let locations: Vec<&KnownReplica> = known_replicas.values().filter(matches_peer).collect();
+    let location = locations.get(attempt % locations.len().max(1));
     location.map(|location| (*location).clone())
 }
 
-/// Connects to a peer, and returns when the connection has ended.
+/// Connects to a peer and serves the connection until it ends.
 async fn connect(
     handle: &ReplicaHandle,
     peer_id: ReplicaId,
@@ -108,11 +112,10 @@
     };
     match transport::dial(address, own_handshake).await {
         Ok(connection) => {
-            let answered = connection.peer_handshake.replica;
-            let answered =
-                answered.map(|(replica_id, replica_count, _)| (replica_id, replica_count));
-            if answered != Some((peer_id, handle.replica_count())) {
-                slog::warn!(handle.logger, "another process answers at the address of a peer";
+            let found = connection.peer_handshake.replica;
+            let found = found.map(|(replica_id, replica_count, _)| (replica_id, replica_count));
+            if found != Some((peer_id, handle.replica_count())) {
+                slog::warn!(handle.logger, "a different process answered at the address of a peer; closing the connection";
                     "address" => address,
                     "found" => ?connection.peer_handshake.replica);
             } else if pin_peer(handle, &connection.peer_handshake).await.is_ok()
@@ -121,23 +124,23 @@
                 serve_peer(handle, connection).await;
             }
         }
-        // When the loop has ended nobody is left to show the reason to.
+        // The command is lost if the event loop has ended; the status is not read any more then.
         Err(transport::Error::Refused(reason)) => drop(handle.refused_by_peer(reason).await),
-        Err(error) => slog::debug!(handle.logger, "cannot connect to a peer";
+        Err(error) => slog::debug!(handle.logger, "could not connect to a peer; will retry";
             "peer_id" => peer_id,
             "error" => %error),
     }
 }
 
-/// Whether the caller means this disk. One that expects another is answered, so that it learns
-/// whom it found, and the connection then ends.
+/// Whether the caller expects this disk or no particular one. A caller that expects another disk is
+/// sent the handshake, so that it learns which disk it reached, and the connection is then closed.
 pub(crate) fn is_expected_disk(handle: &ReplicaHandle, handshake: &Handshake) -> bool {
     let expected_disk = handshake.expected_disk;
     expected_disk.is_none_or(|expected| expected == handle.disk_id())
 }
 
-/// Passes it on if the caller is an empty disk that asks to become a replica which another disk
-/// holds here (design 4.4).
+/// Reports to the event loop if the caller is an empty disk that requests a replica for which
+/// another disk is on record here (design 4.4).
 pub(crate) async fn handle_replacement_request(handle: &ReplicaHandle, handshake: &Handshake) {
     let Some((replica_id, replica_count, disk_id)) = handshake.replica else {
         return;
@@ -152,7 +155,8 @@
     if pinned_disk.is_none_or(|pinned| pinned == disk_id) {
         return;
     }
-    // No two processes share an address: the process that had the other disk there is gone.
+    // Two processes cannot share an address, so the process that had the other disk at this address
+    // is gone.
     let same_address = {
         let known_replicas = handle.known_replicas.borrow();
         known_replicas.values().any(|known| {
@@ -162,11 +166,11 @@
         })
     };
     let requested = handle.replacement_requested(replica_id, disk_id, same_address);
-    // When the loop has ended the empty disk asks another replica.
+    // The send fails if the event loop has ended; the empty disk then asks another replica.
     drop(requested.await);
 }
 
-/// Writes down the first disk that is met as this peer, before anything is said to it.
+/// Records the first disk that connects as this peer, before any frame is sent to the peer.
 pub(crate) async fn pin_peer(
     handle: &ReplicaHandle,
     handshake: &Handshake,
@@ -191,7 +195,7 @@
     Ok(handle.peer_pinned(peer_id, disk_id).await?)
 }
 
-/// Carries one connection to a peer until it breaks.
+/// Serves a connection to a peer until it ends.
 pub(crate) async fn serve_peer(handle: &ReplicaHandle, mut connection: Connection) {
     let Some((peer_id, _, disk_id)) = connection.peer_handshake.replica else {
         return;
@@ -203,17 +207,18 @@
     if connection.sender.send(first_frame).await.is_err() {
         return;
     }
-    if pass_on_frames(handle, connection, token, peer_id)
+    if forward_frames(handle, connection, token, peer_id)
         .await
         .is_ok()
     {
-        // When the loop has ended there is no connection to forget.
+        // The send fails if the event loop has ended, which then has no connection to drop.
         drop(handle.peer_disconnected(peer_id, token).await);
     }
 }
 
-/// Returns without an error once the connection is closed or silent.
-async fn pass_on_frames(
+/// Forwards the frames of a peer to the event loop until the connection is closed or times out. An
+/// error means that the event loop has ended.
+async fn forward_frames(
     handle: &ReplicaHandle,
     connection: Connection,
     token: ConnectionToken,
@@ -235,8 +240,8 @@
     Ok(())
 }
 
-/// What a peer has to know before anything else: from where on its disk votes, if the log says
-/// that it replaced another; else that no disk held its replica before.
+/// The first frame on a connection to a peer: the voting range of its disk, if the log says that
+/// the disk replaced another one; otherwise the confirmation that no disk held the replica before.
 fn first_frame(handle: &ReplicaHandle, peer_id: ReplicaId, disk_id: DiskId) -> Frame {
     let state_machine = handle.state_machine.load();
     match state_machine.replica_holders.get(&peer_id) {
