--- a/crates/control/src/updates/follower.rs
+++ b/crates/control/src/updates/follower.rs
@@ -1,5 +1,5 @@
-//! The task of a node that follows the cluster state: it keeps the connections that [`Upstreams`]
-//! asks for, and hands what comes on them to [`StateFollower`] (design 11.3).
+//! The task of a node that follows the cluster state: it maintains the connections that
+//! [`Upstreams`] selects, and passes the frames received on them to [`StateFollower`] (design 11.3).
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -19,10 +19,11 @@
 use super::verification::{SharedVerifiedState, StateFollower, UpdateOutcome};
 use crate::membership::discovery::{self, KnownReplicas};
 
-/// Events of connections that wait for the task. A connection that finds it full waits.
+/// Capacity of the event queue of the task, in events; a connection that finds it full waits.
 const EVENT_QUEUE_CAPACITY: usize = 64;
-/// Proofs that come further apart than this are logged: the node was without updates meanwhile.
-const LONG_GAP: Microseconds = 1_200_000;
+/// Interval between two proofs, in microseconds, above which a warning is logged, because the node
+/// may have received no updates in between.
+const PROOF_GAP_WARNING: Microseconds = 1_200_000;
 
 /// The settings of a follower. All times are in microseconds.
 pub struct FollowerConfig {
@@ -30,25 +31,25 @@
     pub node: String,
     /// The zone of this node.
     pub zone: String,
-    /// Between two requests for a proof.
+    /// Interval between two freshness-proof requests, in microseconds.
     pub proof_interval: Microseconds,
-    /// A replica that leaves a request without a proof for so long is not relied on: another one
-    /// is looked for.
+    /// How long a replica may leave a request for a freshness proof unanswered before the node tries
+    /// other replicas, in microseconds.
     pub proof_timeout: Microseconds,
 }
 
-/// What a follower shows of the cluster state.
+/// The results of a follower, for the other tasks of the node.
 #[derive(Clone)]
 pub struct FollowerHandle {
-    /// What the node may act on.
+    /// The state that the node may act on.
     pub verified_state: SharedVerifiedState,
-    /// Counts the changes of `verified_state`.
+    /// The number of changes of `verified_state`.
     pub changes: watch::Receiver<u64>,
-    /// The address of the replica that is relied on, if there is one.
+    /// The address of the replica that the node relies on, if there is one.
     pub followed_address: watch::Receiver<Option<String>>,
 }
 
-/// What happens on a connection.
+/// An event on a connection.
 enum Event {
     Connected {
         handshake: Box<Handshake>,
@@ -58,17 +59,18 @@
     Ended(CloseReason),
 }
 
-/// A connection, or an attempt to open one, as the task holds it.
-struct Link {
+/// A connection, or an attempt to open one.
+struct UpstreamConnection {
     address: String,
-    /// The name of the replica, once it is known.
+    /// The name of the replica; `None` until its handshake arrives.
     name: Option<String>,
+    /// The sender of the connection; `None` until it is open.
     sender: Option<FrameSender>,
-    /// Ends the task that reads from the connection, and with it the connection.
+    /// Aborts the task that reads from the connection, which closes the connection.
     reader: AbortHandle,
 }
 
-impl Drop for Link {
+impl Drop for UpstreamConnection {
     fn drop(&mut self) {
         self.reader.abort();
     }
@@ -83,13 +85,13 @@
     followed_address: watch::Sender<Option<String>>,
     follower: StateFollower,
     upstreams: Upstreams,
-    links: BTreeMap<UpstreamId, Link>,
+    connections: BTreeMap<UpstreamId, UpstreamConnection>,
     events: mpsc::Sender<(UpstreamId, Event)>,
     last_proof_at: Option<Microseconds>,
     logger: Logger,
 }
 
-/// Starts to follow; the task runs as long as the process.
+/// Starts the task that follows the cluster state. The task runs as long as the process.
 pub fn start<H: Fn() -> Handshake + Send + Sync + 'static>(
     config: FollowerConfig,
     known_replicas: KnownReplicas,
@@ -97,7 +99,7 @@
     logger: Logger,
 ) -> FollowerHandle {
     let (changes, watched_changes) = watch::channel(0);
-    let (followed_address, watched_followed) = watch::channel(None);
+    let (followed_address, watched_address) = watch::channel(None);
     let verified_state = SharedVerifiedState::default();
     let (events, incoming) = mpsc::channel(EVENT_QUEUE_CAPACITY);
     let timing = UpstreamTiming {
@@ -113,7 +115,7 @@
         followed_address,
         follower: StateFollower::default(),
         upstreams: Upstreams::new(timing, rand::random()),
-        links: BTreeMap::new(),
+        connections: BTreeMap::new(),
         events,
         last_proof_at: None,
         logger,
@@ -122,12 +124,12 @@
     FollowerHandle {
         verified_state,
         changes: watched_changes,
-        followed_address: watched_followed,
+        followed_address: watched_address,
     }
 }
 
-/// Replicas of the own zone first, and within and outside it in an order of the node's own, which
-/// spreads the nodes over the replicas.
+/// The known replicas in order of preference: those of the node's zone first. Within and outside the
+/// zone, the order depends on the name of the node, which spreads the nodes over the replicas.
 fn candidates(config: &FollowerConfig, known_replicas: &KnownReplicas) -> Vec<Candidate> {
     let rank = |replica_id: ReplicaId| {
         let node_and_replica = format!("{}{replica_id}", config.node);
@@ -136,8 +138,8 @@
     let mut replicas = discovery::list(known_replicas);
     replicas.sort_by_key(|replica| {
         let is_elsewhere = replica.zone != config.zone;
-        let latest_first = Reverse(replica.start_count);
-        (is_elsewhere, rank(replica.replica_id), latest_first)
+        let latest_start_first = Reverse(replica.start_count);
+        (is_elsewhere, rank(replica.replica_id), latest_start_first)
     });
     let candidate = |replica: KnownReplica| Candidate {
         key: ReplicaKey {
@@ -192,40 +194,42 @@
             self.events.clone(),
             self.logger.clone(),
         );
-        let link = Link {
+        let connection = UpstreamConnection {
             address: candidate.address,
             name: None,
             sender: None,
             reader: tokio::spawn(reading).abort_handle(),
         };
-        self.links.insert(upstream, link);
+        self.connections.insert(upstream, connection);
     }
 
     fn send(&mut self, upstream: UpstreamId, frame: Frame) {
-        let link = self.links.get(&upstream);
-        let sender = link.and_then(|link| link.sender.as_ref());
-        // The end of a connection that takes nothing more is an event of its own.
+        let connection = self.connections.get(&upstream);
+        let sender = connection.and_then(|connection| connection.sender.as_ref());
+        // If the send fails because the connection has ended, an event reports the end.
         let _ = sender.map(|sender| sender.try_send(frame));
     }
 
-    /// Forgets a connection, which ends it.
+    /// Removes a connection, which closes it.
     fn close(&mut self, upstream: UpstreamId, reason: CloseReason) {
-        let Some(link) = self.links.remove(&upstream) else {
+        let Some(connection) = self.connections.remove(&upstream) else {
             return;
         };
-        if let Some(name) = &link.name {
-            slog::info!(self.logger, "replica left"; "upstream" => name, "reason" => ?reason);
+        if let Some(name) = &connection.name {
+            slog::info!(self.logger, "closed the connection to a replica";
+                "upstream" => name,
+                "reason" => ?reason);
         }
-        self.followed_address.send_if_modified(|followed_address| {
-            followed_address
-                .take_if(|held| *held == link.address)
+        self.followed_address.send_if_modified(|address| {
+            address
+                .take_if(|held| *held == connection.address)
                 .is_some()
         });
     }
 
     fn on_event(&mut self, upstream: UpstreamId, event: Event) {
-        // What a connection still had to say when it was left is of no use.
-        if !self.links.contains_key(&upstream) {
+        // Events of a connection that was already closed are ignored.
+        if !self.connections.contains_key(&upstream) {
             return;
         }
         match event {
@@ -233,11 +237,11 @@
                 self.on_connected(upstream, *handshake, sender);
             }
             Event::Received(frame) => self.on_frame(upstream, frame),
-            Event::Ended(reason) => self.leave(upstream, reason),
+            Event::Ended(reason) => self.end(upstream, reason),
         }
     }
 
-    fn leave(&mut self, upstream: UpstreamId, reason: CloseReason) {
+    fn end(&mut self, upstream: UpstreamId, reason: CloseReason) {
         self.upstreams.on_ended(model::now(), upstream, reason);
         self.close(upstream, reason);
     }
@@ -245,11 +249,11 @@
     fn on_connected(&mut self, upstream: UpstreamId, handshake: Handshake, sender: FrameSender) {
         discovery::merge(&self.known_replicas, handshake.known_replicas);
         slog::info!(self.logger, "connected to a replica"; "upstream" => &handshake.node_name);
-        let Some(link) = self.links.get_mut(&upstream) else {
+        let Some(connection) = self.connections.get_mut(&upstream) else {
             return;
         };
-        link.name = Some(handshake.node_name);
-        link.sender = Some(sender);
+        connection.name = Some(handshake.node_name);
+        connection.sender = Some(sender);
         let request = Frame::FollowClusterState {
             held_position: self.follower.held_position(),
         };
@@ -267,7 +271,7 @@
         match outcome {
             UpdateOutcome::Ignored => return,
             UpdateOutcome::Inconsistent => {
-                return self.leave(upstream, CloseReason::Inconsistent);
+                return self.end(upstream, CloseReason::Inconsistent);
             }
             UpdateOutcome::Verified => self.on_verified(upstream),
             UpdateOutcome::Updated => {}
@@ -286,21 +290,22 @@
         }
         if !was_current
             && self.upstreams.is_current(upstream)
-            && let Some(link) = self.links.get(&upstream)
+            && let Some(connection) = self.connections.get(&upstream)
         {
-            slog::info!(self.logger, "following a replica"; "upstream" => link.name.as_ref());
+            slog::info!(self.logger, "following a replica"; "upstream" => connection.name.as_ref());
             self.followed_address
-                .send_replace(Some(link.address.clone()));
+                .send_replace(Some(connection.address.clone()));
         }
         let gap = self.last_proof_at.map_or(0, |last| now - last);
-        if gap > LONG_GAP {
-            slog::warn!(self.logger, "no replica proved anything for a while"; "gap_us" => gap);
+        if gap > PROOF_GAP_WARNING {
+            slog::warn!(self.logger, "received no freshness proof for a while; the state may have been outdated";
+                "gap_us" => gap);
         }
         self.last_proof_at = Some(now);
     }
 }
 
-/// Opens a connection and passes on what comes on it until it ends.
+/// Opens a connection and passes the frames received on it to the task until it ends.
 async fn read_connection(
     upstream: UpstreamId,
     address: String,
@@ -311,11 +316,11 @@
     let mut connection = match transport::dial(&address, handshake).await {
         Ok(connection) => connection,
         Err(error) => {
-            slog::debug!(logger, "cannot connect to a replica";
+            slog::debug!(logger, "could not connect to a replica";
                 "address" => address,
                 "error" => %error);
             let ended = Event::Ended(CloseReason::Unreachable);
-            // Nobody is left to tell once the process stops.
+            // The send fails only when the task has ended because the process stops.
             drop(events.send((upstream, ended)).await);
             return;
         }
--- a/crates/control/src/updates/mod.rs
+++ b/crates/control/src/updates/mod.rs
@@ -1,10 +1,11 @@
-//! How changes of the state reach the nodes: replicas publish them, nodes follow a replica and
-//! verify what they received (design 5.9, 6, 11.3).
+//! Distribution of the state to the nodes: replicas publish updates, and nodes follow a replica and
+//! verify what they receive (design 5.9, 6, 11.3).
 //!
-//! Two forms stand side by side. Of the *cluster state* every node follows the whole
-//! ([`publisher`], [`follower`], [`verification`]). Of the earlier *state machine* a node
-//! subscribes to the slice that its services need, directly or through a relay in its zone
-//! ([`server`], [`subscriber`], [`relay`], [`zone_relay`], [`view`]).
+//! Two states are distributed, each in its own way. Every node follows the whole *cluster state*
+//! ([`publisher`], [`follower`], [`upstreams`], [`verification`]). Of the older *state machine* a
+//! node subscribes to the slice that its services need, at a replica or through a relay in its zone
+//! ([`subscriber`], [`relay`], [`zone_relay`], [`view`]). [`server`] accepts the connections of both
+//! kinds at a replica.
 
 pub mod follower;
 pub mod publisher;
--- a/crates/control/src/updates/publisher.rs
+++ b/crates/control/src/updates/publisher.rs
@@ -1,5 +1,5 @@
-//! The cluster state at a replica, and the followers that are sent what changed since the position
-//! each holds (design 11.3).
+//! The cluster state at a replica, and its distribution to followers: each follower is sent the
+//! changes since the position it holds (design 11.3).
 
 use std::collections::{BTreeMap, VecDeque};
 use std::mem;
@@ -14,27 +14,29 @@
 #[cfg(test)]
 mod tests;
 
-/// Updates that are kept for followers that were away for a moment, by number and by bytes.
+/// The maximum number of updates kept for followers that reconnect after a short time.
 const MAX_HISTORY_UPDATES: usize = 512;
+/// The maximum total size of these updates, in bytes.
 const MAX_HISTORY_BYTES: usize = 1_048_576;
 
-/// So much history is sent without asking whether a snapshot would be shorter.
+/// Updates of up to this total size, in bytes, are sent without comparing them with the size of a
+/// snapshot.
 const ALWAYS_INCREMENTAL_BYTES: usize = 16_384;
 
-/// Between two rounds of proofs.
+/// Minimum interval between two rounds of freshness proofs, in microseconds.
 const PROOF_ROUND_INTERVAL: Microseconds = 50_000;
 
-/// Bytes before the state machine in an encoded state: its length, big-endian.
+/// The size, in bytes, of the big-endian length that precedes the state machine in an encoded state.
 const LENGTH_BYTES: usize = 8;
 
-/// Identifies an entry of the log; a repeat carries the same id.
+/// Identifies an entry of the log; a retry of the entry has the same id.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct EntryId {
-    /// The process that submitted the entry, by name.
+    /// The name of the process that submitted the entry.
     pub origin: String,
-    /// Tells processes of one name apart.
+    /// Distinguishes processes with the same name.
     pub incarnation: Incarnation,
-    /// Counts the entries of one process.
+    /// The number of the entry among the entries of its process.
     pub sequence: u64,
 }
 
@@ -59,13 +61,13 @@
     }
 }
 
-/// A process that is sent updates, and the position up to which it was.
+/// A process that receives updates, and the position up to which updates were sent to it.
 struct Follower {
     position: Position,
     sender: FrameSender,
 }
 
-/// Changes that were applied and not published yet, and the position before them.
+/// Changes that are applied and not published yet, and the position before them.
 #[derive(Default)]
 struct Unpublished {
     from: Position,
@@ -79,38 +81,38 @@
     deltas: Vec<u8>,
 }
 
-/// All that held at a position, encoded.
+/// The whole cluster state at a position, encoded.
 struct EncodedSnapshot {
     position: Position,
     deltas: Vec<u8>,
 }
 
-/// A follower's request, and where its proof is sent.
+/// A follower's request for a freshness proof, and the channel on which the proof is sent.
 struct ProofRequest {
     request_id: u64,
     sender: FrameSender,
 }
 
-/// Applies operations to the cluster state and sends the updates to followers. Owned by the event
-/// loop of a replica (design 8.1).
+/// Applies operations to the cluster state and sends the updates to followers. It is owned by the
+/// event loop of a replica (design 8.1).
 #[derive(Default)]
 pub struct UpdatePublisher {
-    /// The cluster state after everything applied so far.
+    /// The cluster state with all operations applied so far.
     pub cluster_state: ClusterState,
     unpublished: Unpublished,
     history: VecDeque<EncodedUpdate>,
     followers: Vec<Follower>,
-    /// The latest snapshot that was sent; what came since follows from the history.
+    /// The latest snapshot sent. The history contains the updates after it.
     snapshot: Option<EncodedSnapshot>,
-    /// Requests by the token of the read that proves them.
+    /// The requests of each pending round, by the token of the read that proves the round.
     proof_rounds: BTreeMap<u64, Vec<ProofRequest>>,
-    /// Requests that wait for the next round.
+    /// Requests for the next round.
     waiting_requests: Vec<ProofRequest>,
     last_round_at: Microseconds,
 }
 
 impl UpdatePublisher {
-    /// Applies an operation. Followers hear of it with the next [`Self::publish`].
+    /// Applies an operation. Its changes are sent to followers with the next [`Self::publish`].
     pub fn apply(&mut self, entry_id: &EntryId, operation: ClusterOperation) -> Outcome {
         let EntryId {
             origin,
@@ -128,8 +130,8 @@
         outcome
     }
 
-    /// Replaces the cluster state by one from a snapshot of the log. Followers and their requests
-    /// stay.
+    /// Replaces the cluster state by one from a snapshot of the log. Followers and their requests are
+    /// kept.
     pub fn install(&mut self, cluster_state: ClusterState) {
         *self = UpdatePublisher {
             cluster_state,
@@ -142,7 +144,7 @@
         self.send_updates();
     }
 
-    /// All items that were not dropped.
+    /// All items that are not dropped.
     pub fn items(&self) -> Items {
         let items = self.cluster_state.items.iter();
         let present = items.filter(|(_, item)| item.body.is_some());
@@ -151,7 +153,7 @@
             .collect()
     }
 
-    /// Sends updates from the position `held` on to a new follower.
+    /// Adds a follower and sends it the updates after the position `held`.
     pub fn add_follower(&mut self, held: Position, sender: FrameSender) {
         self.followers.push(Follower {
             position: held,
@@ -161,15 +163,16 @@
         self.send_updates();
     }
 
-    /// Takes a follower's request for a proof into the next round.
+    /// Adds a follower's request for a freshness proof to the next round.
     pub fn request_proof(&mut self, request_id: u64, sender: FrameSender) {
         self.waiting_requests
             .push(ProofRequest { request_id, sender });
     }
 
-    /// Whether a round begins now, which the read with this token is to prove: at once after a
-    /// pause, else for all requests that came meanwhile, so that reads do not grow with the number
-    /// of followers (design 11.7).
+    /// Begins a round with all waiting requests, unless there are none or the previous round began
+    /// less than [`PROOF_ROUND_INTERVAL`] ago. Returns whether a round began; the caller must then
+    /// perform the read with this token, which proves the round. Rounds keep the number of reads
+    /// independent of the number of followers (design 11.7).
     pub fn begin_proof_round(&mut self, now: Microseconds, token: u64) -> bool {
         if self.waiting_requests.is_empty() || now < self.last_round_at + PROOF_ROUND_INTERVAL {
             return false;
@@ -182,13 +185,13 @@
         true
     }
 
-    /// Whether a round waits for its read.
+    /// Whether a round is pending because its read is not done.
     pub fn has_open_rounds(&self) -> bool {
         !self.proof_rounds.is_empty()
     }
 
-    /// Sends the proofs of a round whose read is done, each on the channel that carried the updates
-    /// before it.
+    /// Sends the proofs of a round whose read is done. Each is sent on the channel that carries the
+    /// updates of its follower, and so arrives after the updates that it covers.
     pub fn send_proofs(&mut self, token: u64) {
         let requests = self.proof_rounds.remove(&token);
         for request in requests.into_iter().flatten() {
@@ -196,12 +199,12 @@
                 request_id: request.request_id,
                 position: self.cluster_state.position,
             };
-            // A channel that is full has lost its follower anyway.
+            // A full channel means that the follower does not keep up, which ends its connection.
             drop(request.sender.try_send(proof));
         }
     }
 
-    /// Sends all that was applied since the last time, as one update.
+    /// Sends all changes applied since the last call to the followers, as one update.
     pub fn publish(&mut self) {
         let Unpublished { from, deltas } = mem::take(&mut self.unpublished);
         if deltas.is_empty() {
@@ -228,8 +231,8 @@
         }
     }
 
-    /// Whether the follower is still there. A replica that lags behind a follower sends it nothing
-    /// until it has caught up.
+    /// Sends a follower the changes since its position, and returns whether it is still connected. A
+    /// replica that lags behind a follower sends nothing until it has caught up.
     fn send_update_to(&mut self, follower: &mut Follower) -> bool {
         let position = self.cluster_state.position;
         if follower.position >= position {
@@ -241,11 +244,12 @@
         frames.all(|frame| follower.sender.try_send(frame).is_ok())
     }
 
-    /// The shorter of what changed since `held`, and a snapshot with what changed since that.
+    /// The frames that bring a follower from the position `held` to the current one: either the
+    /// updates since `held`, or a snapshot with the updates since that, whichever is shorter.
     fn frames_since(&mut self, held: Position) -> Vec<Frame> {
         let since_held = self.history_index(held);
-        let changed_bytes = since_held.map(|first| self.history_bytes_from(first));
-        if let Some((first, bytes)) = since_held.zip(changed_bytes)
+        let update_bytes = since_held.map(|first| self.history_bytes_from(first));
+        if let Some((first, bytes)) = since_held.zip(update_bytes)
             && bytes <= ALWAYS_INCREMENTAL_BYTES
         {
             return self.incremental_frames(first);
@@ -254,20 +258,20 @@
         let snapshot_bytes = self.snapshot.as_ref().map(|held| held.deltas.len());
         let snapshot_bytes =
             snapshot_bytes.unwrap_or_default() + self.history_bytes_from(since_snapshot);
-        match since_held.zip(changed_bytes) {
+        match since_held.zip(update_bytes) {
             Some((first, bytes)) if bytes <= snapshot_bytes => self.incremental_frames(first),
             _ => self.snapshot_frames(since_snapshot),
         }
     }
 
-    /// Where in the history the updates after a position begin; `None` if it does not reach back
-    /// so far. A follower that comes from another replica may stand within an update, as that
-    /// replica grouped its entries differently: it is sent this one whole.
+    /// The index in the history at which the updates after a position begin, or `None` if the history
+    /// does not reach back to it. A follower that comes from another replica may be at a position
+    /// within an update, because replicas group entries differently; it is sent that update whole.
     fn history_index(&self, position: Position) -> Option<usize> {
         let mut history = self.history.iter();
-        let begins = history.position(|update| update.from <= position && position < update.to);
-        let is_present = position == self.cluster_state.position;
-        begins.or(is_present.then_some(self.history.len()))
+        let index = history.position(|update| update.from <= position && position < update.to);
+        let is_current = position == self.cluster_state.position;
+        index.or(is_current.then_some(self.history.len()))
     }
 
     fn history_bytes_from(&self, first: usize) -> usize {
@@ -301,8 +305,8 @@
         frames
     }
 
-    /// Makes a snapshot unless the latest one is longer than what came since, and returns where in
-    /// the history the updates after it begin.
+    /// Makes a new snapshot unless the latest one is longer than the updates since. Returns the index
+    /// in the history at which the updates after the snapshot begin.
     fn refresh_snapshot(&mut self) -> usize {
         if let Some(snapshot) = &self.snapshot
             && let Some(first) = self.history_index(snapshot.position)
@@ -324,7 +328,7 @@
     model::compression::compress(bytes)
 }
 
-/// The changes in an update or snapshot; `None` if the bytes are malformed.
+/// Decodes the changes in an update or snapshot; `None` if the bytes are malformed.
 pub(crate) fn decode_deltas(bytes: &[u8]) -> Option<Vec<Delta>> {
     let bytes = model::compression::decompress(bytes).ok()?;
     let mut aligned = AlignedVec::<16>::with_capacity(bytes.len());
@@ -332,7 +336,7 @@
     rkyv::from_bytes::<Vec<Delta>, rancor::Error>(&aligned).ok()
 }
 
-/// State machine and cluster state as one snapshot of the log.
+/// Encodes the state machine and the cluster state as one snapshot of the log.
 pub(crate) fn encode_state(state_machine: &StateMachine, cluster_state: &ClusterState) -> Vec<u8> {
     let state_machine = state_machine.to_bytes();
     let cluster_state = cluster_state.to_bytes();
@@ -340,7 +344,7 @@
     model::compression::compress([&length[..], &state_machine, &cluster_state].concat())
 }
 
-/// The parts of a snapshot of the log; `None` if the bytes are malformed.
+/// Decodes the parts of a snapshot of the log; `None` if the bytes are malformed.
 pub(crate) fn decode_state(state: &[u8]) -> Option<(StateMachine, ClusterState)> {
     let state = model::compression::decompress(state).ok()?;
     let (length, parts) = state.split_at_checked(LENGTH_BYTES)?;
--- a/crates/control/src/updates/relay.rs
+++ b/crates/control/src/updates/relay.rs
@@ -1,5 +1,6 @@
-//! What a node relays to the others of its zone: its own slice, and proofs no older than their
-//! request (design 5.9).
+//! The relay of a zone: a node that forwards its slice of the state machine to other nodes of its
+//! zone, and answers a request for a freshness proof only with a proof that it requested after the
+//! request arrived (design 5.9).
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -13,54 +14,57 @@
 use super::server;
 use super::view::{SharedView, View};
 
-/// The relay of one node, which shares the view of the node's own subscription.
+/// The relay of one node. It shares the view of the subscription of that node.
 #[derive(Clone)]
 pub struct Relay {
-    /// What the node itself received.
+    /// The view of the node's own subscription.
     pub view: SharedView,
-    /// When the latest proof from a replica was requested; changes with every proof.
+    /// When the latest proof from a replica was requested, in microseconds; updated with every proof.
     pub verified_at: watch::Receiver<Microseconds>,
-    /// Has the node request a proof now instead of at its next turn.
-    pub proof_wanted: Arc<Notify>,
-    /// Only a node that is connected to a replica may relay: no chains and no rings of relays.
-    pub follows_core_directly: Arc<AtomicBool>,
+    /// Makes the subscription request a proof now instead of after its regular interval.
+    pub proof_needed: Arc<Notify>,
+    /// Whether the node is connected to a replica. Only such a node may relay, so that relays never
+    /// form chains or cycles.
+    pub is_connected_to_replica: Arc<AtomicBool>,
 }
 
-/// A subscriber's request for a proof.
+/// A subscriber's request for a freshness proof.
 struct PendingProof {
     request_id: u64,
     received_at: Microseconds,
 }
 
-/// The relay's side of one connection.
+/// The state of one connection from a subscriber to the relay.
 struct RelaySession<'a> {
-    wanted: &'a ServiceSet,
+    services: &'a ServiceSet,
     /// The position that the subscriber holds from an earlier connection.
     held: Position,
     sender: &'a FrameSender,
-    /// What was last sent on this connection.
+    /// The slice last sent on this connection.
     last_sent: Option<StateSlice>,
     pending_proofs: VecDeque<PendingProof>,
 }
 
 impl Relay {
-    /// Serves one subscriber. Ends when this node cannot be its relay; the subscriber then asks a
-    /// replica.
-    pub async fn serve(&self, connection: Connection, wanted: ServiceSet, held: Position) {
+    /// Serves one subscriber until the connection ends or this node can no longer relay to it; the
+    /// subscriber then connects to a replica.
+    pub async fn serve(&self, connection: Connection, services: ServiceSet, held: Position) {
         let mut verified_at = self.verified_at.clone();
         let (sender, mut receiver) = (connection.sender, connection.receiver);
         let mut session = RelaySession {
-            wanted: &wanted,
+            services: &services,
             held,
             sender: &sender,
             last_sent: None,
             pending_proofs: VecDeque::new(),
         };
         loop {
-            // In this order: the view is stored before the proof that speaks of it.
+            // `verified_at` must be read before the view, because the subscription stores the view
+            // before the time of the proof that covers it.
             let proved_since = *verified_at.borrow_and_update();
             let view = self.view.load_full();
-            if !self.can_serve(&view, &wanted) || !session.send_news(&view, proved_since).await {
+            if !self.can_serve(&view, &services) || !session.send_updates(&view, proved_since).await
+            {
                 return;
             }
             tokio::select! {
@@ -70,7 +74,7 @@
                             request_id,
                             received_at: model::now(),
                         });
-                        self.proof_wanted.notify_one();
+                        self.proof_needed.notify_one();
                     }
                     Some(Frame::Subscribe { .. }) | None => return,
                     Some(_) => {}
@@ -80,21 +84,21 @@
         }
     }
 
-    fn can_serve(&self, view: &View, wanted: &ServiceSet) -> bool {
-        let is_direct = self.follows_core_directly.load(Ordering::Relaxed);
-        is_direct && wanted.is_subset(&view.slice.services)
+    fn can_serve(&self, view: &View, services: &ServiceSet) -> bool {
+        let is_connected_to_replica = self.is_connected_to_replica.load(Ordering::Relaxed);
+        is_connected_to_replica && services.is_subset(&view.slice.services)
     }
 }
 
 impl RelaySession<'_> {
-    /// Sends what changed, and then the proof that rests on it: one for the requests that were
-    /// received before the relay requested its own at `proved_since`. Whether the connection still
-    /// holds. A relay that lags behind its subscriber sends nothing.
-    async fn send_news(&mut self, view: &View, proved_since: Microseconds) -> bool {
+    /// Sends the changes of the slice, and then one proof for all requests that arrived before the
+    /// relay requested its own proof at `proved_since`. Returns whether the connection is still open.
+    /// A relay that lags behind its subscriber sends nothing.
+    async fn send_updates(&mut self, view: &View, proved_since: Microseconds) -> bool {
         if view.slice.position < self.held {
             return true;
         }
-        let slice = view.slice.narrowed_to(self.wanted);
+        let slice = view.slice.narrowed_to(self.services);
         if let Some(update) = server::update_frame(&mut self.last_sent, slice)
             && self.sender.send(update).await.is_err()
         {
@@ -110,7 +114,8 @@
         self.sender.send(proof).await.is_ok()
     }
 
-    /// The latest request that is proved, which speaks for all before it.
+    /// Removes the requests that are proved and returns the id of the latest. Answering that one
+    /// also answers all earlier requests.
     fn take_proved(&mut self, proved_since: Microseconds) -> Option<u64> {
         let mut latest = None;
         self.pending_proofs.retain(|pending| {
--- a/crates/control/src/updates/server.rs
+++ b/crates/control/src/updates/server.rs
@@ -1,5 +1,6 @@
-//! Serves everyone who connects to a replica: peers, machines that ask for a replica, and nodes
-//! with their subscriptions, proofs and forwarded entries (design 5.2, 6.2).
+//! Accepts and serves the connections to a replica: from peers, from machines that request a
+//! replica, and from nodes that subscribe, request freshness proofs and forward entries (design 5.2,
+//! 6.2).
 
 use std::time::Duration;
 
@@ -13,14 +14,15 @@
 use crate::membership::{bootstrap, discovery};
 use crate::replica::{ReplicaHandle, peer_link};
 
-/// A machine that was answered about a replica closes the connection; it is closed here after so
-/// long.
+/// How long the connection stays open after a replica assignment was sent, if the machine that
+/// requested it does not close it earlier.
 const ASSIGNMENT_LINGER: Duration = Duration::from_secs(2);
 
-/// Proofs of one subscriber that may wait to be sent.
+/// Capacity of the queue of completed reads of one subscriber, whose proofs are to be sent.
 const PROOF_QUEUE_CAPACITY: usize = 64;
 
-/// What a subscriber that was last sent `last_sent` has to be sent: nothing, a patch, or all.
+/// The frame that brings a subscriber from `last_sent` to `slice`: the whole slice, a patch, or
+/// `None` if the content is the same. Also updates `last_sent`.
 pub(crate) fn update_frame(last_sent: &mut Option<StateSlice>, slice: StateSlice) -> Option<Frame> {
     let frame = match last_sent.as_ref() {
         Some(held) if held.same_content(&slice) => return None,
@@ -31,7 +33,7 @@
     Some(frame)
 }
 
-/// Serves everyone who connects, for as long as the process runs.
+/// Accepts and serves connections for as long as the process runs.
 pub async fn listen(handle: ReplicaHandle, listener: TcpListener) {
     loop {
         if let Ok((stream, _)) = listener.accept().await {
@@ -41,17 +43,18 @@
 }
 
 async fn accept_connection(handle: ReplicaHandle, stream: TcpStream) {
-    let authorizing = handle.clone();
-    let authorize = |caller: Handshake| async move { authorize(&authorizing, &caller).await };
+    let authorizing_handle = handle.clone();
+    let authorize =
+        |caller: Handshake| async move { authorize(&authorizing_handle, &caller).await };
     match transport::accept(stream, authorize).await {
         Ok(connection) => serve(handle, connection).await,
-        Err(error) => slog::debug!(handle.logger, "a connection was not accepted";
+        Err(error) => slog::debug!(handle.logger, "did not accept a connection";
             "error" => %error),
     }
 }
 
-/// The handshake that answers a caller, or why it is refused; callers read that text, which is
-/// part of the protocol.
+/// Returns the handshake that answers a caller, or the reason why the caller is refused. The text is
+/// sent to the caller and is part of the protocol.
 async fn authorize(handle: &ReplicaHandle, caller: &Handshake) -> Result<Handshake, Rejection> {
     discovery::merge(&handle.known_replicas, caller.known_replicas.clone());
     match caller.purpose {
@@ -74,7 +77,7 @@
     }
     match connection.peer_handshake.purpose {
         Purpose::Consensus => peer_link::serve_peer(&handle, connection).await,
-        // The handshakes said all there is to say.
+        // The handshakes have already exchanged the known locations.
         Purpose::Discover => {}
         Purpose::RequestAssignment => answer_assignment(&handle, connection).await,
         _ => {
@@ -87,47 +90,47 @@
 
 async fn answer_assignment(handle: &ReplicaHandle, connection: Connection) {
     let answer = bootstrap::membership_answer(handle, &connection.peer_handshake);
-    // A machine that is gone asks again.
+    // If the send fails, the machine connects and asks again.
     drop(connection.sender.send(answer).await);
     let mut receiver = connection.receiver;
-    // Both ends of the wait end the connection.
+    // The connection ends after the timeout as well as when the machine closes it.
     drop(timeout(ASSIGNMENT_LINGER, receiver.recv()).await);
 }
 
-/// What a node subscribed to.
+/// The slice to which a node subscribed.
 struct SubscribedSlice {
     services: ServiceSet,
     /// The position that the node holds from an earlier connection.
     held: Position,
 }
 
-/// The replica's side of a connection to a node.
+/// The state of a connection from a node to the replica.
 struct Subscriber {
     handle: ReplicaHandle,
     sender: FrameSender,
-    /// Where reads for proofs report that they are done.
-    proved: mpsc::Sender<u64>,
-    proofs: mpsc::Receiver<u64>,
-    subscribed: Option<SubscribedSlice>,
+    /// Receives the id of each proof request whose read is done.
+    proved_sender: mpsc::Sender<u64>,
+    proved: mpsc::Receiver<u64>,
+    subscription: Option<SubscribedSlice>,
     last_sent: Option<StateSlice>,
-    /// The node follows the cluster state: the event loop sends its updates and proofs.
-    follows: bool,
+    /// Whether the node follows the cluster state. The event loop then sends its updates and proofs.
+    follows_cluster_state: bool,
 }
 
-/// The connection is of no use any more.
+/// The connection has ended.
 struct Ended;
 
 impl Subscriber {
     fn new(handle: ReplicaHandle, sender: FrameSender) -> Subscriber {
-        let (proved, proofs) = mpsc::channel(PROOF_QUEUE_CAPACITY);
+        let (proved_sender, proved) = mpsc::channel(PROOF_QUEUE_CAPACITY);
         Subscriber {
             handle,
             sender,
+            proved_sender,
             proved,
-            proofs,
-            subscribed: None,
+            subscription: None,
             last_sent: None,
-            follows: false,
+            follows_cluster_state: false,
         }
     }
 
@@ -137,7 +140,7 @@
             let proved = tokio::select! {
                 frame = receiver.recv() => match frame {
                     Some(Frame::Subscribe { services, held_position }) => {
-                        self.subscribed = Some(SubscribedSlice {
+                        self.subscription = Some(SubscribedSlice {
                             services,
                             held: held_position,
                         });
@@ -149,23 +152,24 @@
                     }
                     None => return,
                 },
-                proved = self.proofs.recv() => proved,
+                proved = self.proved.recv() => proved,
                 changed = position.changed() => if changed.is_err() { return } else { None },
             };
-            if self.send_news(proved).await.is_err() {
+            if self.send_updates(proved).await.is_err() {
                 return;
             }
         }
     }
 
-    /// Answers to frames that are late because the process stops are dropped.
+    /// Handles a frame of the node. Send errors are ignored, because they occur only when the process
+    /// stops or the connection has ended.
     async fn handle_frame(&mut self, frame: Frame) {
         match frame {
             Frame::FollowClusterState { held_position } => {
-                self.follows = true;
+                self.follows_cluster_state = true;
                 drop(self.handle.follow(held_position, self.sender.clone()).await);
             }
-            Frame::RequestProof { request_id } if self.follows => {
+            Frame::RequestProof { request_id } if self.follows_cluster_state => {
                 let sender = self.sender.clone();
                 drop(self.handle.request_proof(request_id, sender).await);
             }
@@ -177,10 +181,10 @@
     }
 
     fn prove(&self, request_id: u64) {
-        let (handle, proved) = (self.handle.clone(), self.proved.clone());
+        let (handle, proved_sender) = (self.handle.clone(), self.proved_sender.clone());
         tokio::spawn(async move {
             if handle.read_barrier().await.is_some() {
-                let _ = proved.send(request_id).await;
+                let _ = proved_sender.send(request_id).await;
             }
         });
     }
@@ -203,11 +207,11 @@
         drop(self.sender.send(Frame::Inspection(inspection)).await);
     }
 
-    /// Sends what changed of the subscribed slice, and then the proof that rests on it, which the
-    /// node receives in this order. A replica that has not reached the position that the node holds
-    /// sends nothing: an early update could later pass for an unchanged one.
-    async fn send_news(&mut self, proved: Option<u64>) -> Result<(), Ended> {
-        let Some(SubscribedSlice { services, held }) = &self.subscribed else {
+    /// Sends the changes of the subscribed slice, and then the proof that covers them. A replica that
+    /// has not reached the position held by the node sends nothing: an early update would be recorded
+    /// as sent although the node drops it, and its content could later be taken for unchanged.
+    async fn send_updates(&mut self, proved: Option<u64>) -> Result<(), Ended> {
+        let Some(SubscribedSlice { services, held }) = &self.subscription else {
             return Ok(());
         };
         let state_machine = self.handle.state_machine.load_full();
--- a/crates/control/src/updates/subscriber.rs
+++ b/crates/control/src/updates/subscriber.rs
@@ -1,5 +1,5 @@
-//! The task of a node that subscribes to a slice of the state machine: one connection at a time, to
-//! the relay of its zone or to a replica (design 5.9, 6.1).
+//! The task of a node that subscribes to a slice of the state machine, over one connection at a time
+//! to the relay of its zone or to a replica (design 5.9, 6.1).
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -18,14 +18,16 @@
 use super::zone_relay::select_zone_relay;
 use crate::membership::discovery::{self, KnownReplicas};
 
-/// Requests for a proof that are made out of turn are gathered for so long.
+/// How long proof requests outside the regular interval are collected before one is sent for all of
+/// them, in microseconds.
 const PROOF_BATCH_WINDOW: Microseconds = 20_000;
 
-/// A relay that failed is avoided for so long.
+/// How long a failed relay is avoided, in microseconds.
 const RELAY_RETRY_AFTER: Microseconds = 3_000_000;
 
-/// Between two connections, with up to so much more at random.
+/// Minimum pause between two connections, in milliseconds.
 const RECONNECT_PAUSE_MS: u64 = 20;
+/// Upper bound of the random part added to the pause, in milliseconds.
 const RECONNECT_JITTER_MS: u64 = 30;
 
 /// The settings of a subscription. All times are in microseconds.
@@ -34,33 +36,33 @@
     pub node: String,
     /// The zone of this node.
     pub zone: String,
-    /// How long a proof lasts from when it was requested.
+    /// How long a freshness proof is valid after its request, in microseconds.
     pub freshness_bound: Microseconds,
-    /// Between two requests for a proof.
+    /// Interval between two freshness-proof requests, in microseconds.
     pub proof_interval: Microseconds,
-    /// An upstream that proves nothing for so long is left for another.
+    /// How long the node stays connected to an upstream that sends no proof, in microseconds.
     pub proof_timeout: Microseconds,
-    /// Nodes subscribe through a relay in their zone; else each subscribes at a replica.
+    /// Whether the node subscribes through the relay of its zone instead of at a replica.
     pub use_zone_relays: bool,
 }
 
-/// What a subscription shows of the state machine.
+/// The result of a subscription, for the other tasks of the node.
 pub struct Subscription {
-    /// The slice that was received, and until when it is proved.
+    /// The received slice, and the time until which its freshness is proved.
     pub view: SharedView,
-    /// The position of the view; also signals proofs, which may leave the position as it is.
+    /// The position of the view. It is also signalled for every proof, even if it does not change.
     pub position: watch::Receiver<Position>,
-    /// Serves the other nodes of the zone from this subscription.
+    /// The relay that serves other nodes of the zone from this subscription.
     pub relay: Relay,
 }
 
-/// A proof that was requested on the present connection.
+/// A freshness proof that was requested on the current connection.
 struct PendingProof {
     request_id: u64,
     requested_at: Microseconds,
 }
 
-/// A relay that failed, by its address.
+/// A relay that failed, and until when it is avoided.
 struct AvoidedRelay {
     address: String,
     until: Microseconds,
@@ -74,18 +76,19 @@
     position: watch::Sender<Position>,
     verified_at: watch::Sender<Microseconds>,
     services: watch::Receiver<ServiceSet>,
-    proof_wanted: Arc<Notify>,
-    follows_core_directly: Arc<AtomicBool>,
+    proof_needed: Arc<Notify>,
+    is_connected_to_replica: Arc<AtomicBool>,
     pending_requests: VecDeque<PendingProof>,
     last_request: u64,
-    /// The view rests on what the present connection sent.
+    /// Whether the view was received on the current connection, so that patches and proofs from this
+    /// connection apply to it.
     has_base: bool,
     avoided_relay: Option<AvoidedRelay>,
     logger: Logger,
 }
 
-/// Starts to subscribe to the slice for `services`, which may change; the task runs as long as the
-/// process.
+/// Starts the task that subscribes to the slice for `services`, which may change. The task runs as
+/// long as the process.
 pub fn start<H: Fn() -> Handshake + Send + Sync + 'static>(
     config: SubscriptionConfig,
     known_replicas: KnownReplicas,
@@ -99,8 +102,8 @@
     let relay = Relay {
         view: view.clone(),
         verified_at: watched_verified_at,
-        proof_wanted: Arc::default(),
-        follows_core_directly: Arc::default(),
+        proof_needed: Arc::default(),
+        is_connected_to_replica: Arc::default(),
     };
     let task = SubscriberTask {
         config,
@@ -110,8 +113,8 @@
         position,
         verified_at,
         services,
-        proof_wanted: relay.proof_wanted.clone(),
-        follows_core_directly: relay.follows_core_directly.clone(),
+        proof_needed: relay.proof_needed.clone(),
+        is_connected_to_replica: relay.is_connected_to_replica.clone(),
         pending_requests: VecDeque::new(),
         last_request: 0,
         has_base: false,
@@ -128,14 +131,15 @@
 
 impl<H: Fn() -> Handshake + Send + Sync + 'static> SubscriberTask<H> {
     async fn run(mut self) {
-        // Nodes spread over the replicas by name, then go round when one does not answer.
-        let mut turn = usize::from(model::leases::key_slot(&self.config.node));
+        // The first replica depends on the name of the node, which spreads the nodes over the
+        // replicas; further connections try the replicas in turn.
+        let mut next_replica = usize::from(model::leases::key_slot(&self.config.node));
         loop {
             let relay = self.zone_relay();
             let address = relay.clone().or_else(|| {
                 let replicas = discovery::list(&self.known_replicas);
-                turn += 1;
-                let replica = replicas.get(turn % replicas.len().max(1));
+                next_replica += 1;
+                let replica = replicas.get(next_replica % replicas.len().max(1));
                 replica.map(|replica| replica.address.clone())
             });
             if let Some(address) = address {
@@ -147,8 +151,8 @@
         }
     }
 
-    /// The address of the zone's relay; `None` when this node is the relay, or there is none that
-    /// works.
+    /// The address of the relay of the zone. `None` if this node is the relay, if there is no relay,
+    /// or if the relay is avoided after a failure.
     fn zone_relay(&self) -> Option<String> {
         let view = self.view.load();
         let services = self.services.borrow();
@@ -160,7 +164,8 @@
         is_usable.then_some(address)
     }
 
-    /// The connection to a relay ended though it is still the one: it failed.
+    /// Avoids a relay whose connection ended although it is still the selected one, because the relay
+    /// has then failed.
     fn avoid_if_still_selected(&mut self, relay: Option<String>) {
         if relay.is_some() && relay == self.zone_relay() {
             let until = model::now() + RELAY_RETRY_AFTER;
@@ -172,7 +177,7 @@
         let connection = match transport::dial(address, (self.handshake)()).await {
             Ok(connection) => connection,
             Err(error) => {
-                slog::debug!(self.logger, "cannot connect to an upstream";
+                slog::debug!(self.logger, "could not connect to an upstream; will retry";
                     "address" => address,
                     "error" => %error);
                 return;
@@ -183,18 +188,18 @@
             &self.known_replicas,
             connection.peer_handshake.known_replicas,
         );
-        slog::info!(self.logger, "subscribed";
+        slog::info!(self.logger, "connected to an upstream; subscribing";
             "upstream" => &upstream,
             "is_relay" => relay.is_some());
-        let is_direct = relay.is_none();
-        self.follows_core_directly
-            .store(is_direct, Ordering::Relaxed);
+        let is_replica = relay.is_none();
+        self.is_connected_to_replica
+            .store(is_replica, Ordering::Relaxed);
         self.follow(connection.sender, connection.receiver, relay)
             .await;
-        slog::info!(self.logger, "upstream left"; "upstream" => &upstream);
+        slog::info!(self.logger, "closed the connection to an upstream"; "upstream" => &upstream);
     }
 
-    /// Subscribes and follows until the connection is of no use any more.
+    /// Subscribes, and handles frames until the connection ends or the upstream is to be replaced.
     async fn follow(
         &mut self,
         sender: FrameSender,
@@ -206,7 +211,7 @@
         let began_at = model::now();
         let mut proved_at = began_at;
         let mut usable = self.subscribe(&sender).await;
-        let proof_wanted = self.proof_wanted.clone();
+        let proof_needed = self.proof_needed.clone();
         let mut proof_ticks = interval(Duration::from_micros(self.config.proof_interval));
         proof_ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         while usable {
@@ -221,11 +226,11 @@
                     None => false,
                 },
                 _ = proof_ticks.tick() => {
-                    let proves = model::now() < proved_at + self.config.proof_timeout;
-                    let settled = self.is_settled(began_at, relay);
-                    self.request_proof(&sender) && proves && settled
+                    let has_recent_proof = model::now() < proved_at + self.config.proof_timeout;
+                    let is_selected = self.is_still_selected(began_at, relay);
+                    self.request_proof(&sender) && has_recent_proof && is_selected
                 }
-                _ = proof_wanted.notified() => {
+                _ = proof_needed.notified() => {
                     sleep(Duration::from_micros(PROOF_BATCH_WINDOW)).await;
                     self.request_proof(&sender)
                 }
@@ -236,8 +241,10 @@
         }
     }
 
-    /// The relay of a zone moves, also to this node or away from it: the connection then ends.
-    fn is_settled(&self, began_at: Microseconds, relay: Option<&String>) -> bool {
+    /// Whether the upstream is still the selected one. The connection ends when another relay is
+    /// selected for the zone, or when this node becomes the relay or ceases to be it. A new
+    /// connection is kept for [`PROOF_BATCH_WINDOW`] in any case.
+    fn is_still_selected(&self, began_at: Microseconds, relay: Option<&String>) -> bool {
         model::now() < began_at + PROOF_BATCH_WINDOW || relay == self.zone_relay().as_ref()
     }
 
@@ -263,14 +270,14 @@
         sender.send(request).await.is_ok()
     }
 
-    /// Whether the frame proved the view.
+    /// Handles a frame and returns whether it proved the freshness of the view.
     fn handle_frame(&mut self, frame: Frame) -> bool {
         match frame {
             Frame::StateUpdate(slice) => {
                 self.has_base = true;
                 self.store(*slice);
             }
-            // A patch fits only on what this connection sent before.
+            // A patch applies only to a slice received on this connection.
             Frame::StatePatch(patch) if self.has_base => {
                 let slice = self.view.load().slice.with_patch(*patch);
                 self.store(slice);
@@ -291,7 +298,8 @@
                 self.view.store(Arc::new(view));
                 self.position.send_replace(position);
             }
-            // What this connection sends is older than what is held: nothing more of it fits.
+            // The upstream sends an older slice than the one held, so its further patches do not
+            // apply.
             None => self.has_base = false,
         }
     }
@@ -302,7 +310,8 @@
         let requested_at = request.map(|request| request.requested_at);
         self.pending_requests
             .retain(|request| request.request_id > request_id);
-        // Without a base a proof would vouch for what another connection sent.
+        // Without a slice from this connection the proof would be applied to a slice from another
+        // one, which it does not cover.
         let Some(requested_at) = requested_at.filter(|_| self.has_base) else {
             return false;
         };
@@ -312,7 +321,7 @@
             return false;
         };
         self.view.store(Arc::new(view));
-        // Watchers of the position learn of the proof, too.
+        // Notifies the watchers of the position of the proof, too.
         self.position.send_modify(|_| {});
         self.verified_at.send_replace(requested_at);
         true
--- a/crates/control/src/updates/upstreams.rs
+++ b/crates/control/src/updates/upstreams.rs
@@ -1,11 +1,13 @@
-//! Which replicas a node is connected to, and which of them it relies on (design 11.3). Pure: the
-//! caller brings time and events, opens and closes connections, and sends the requests for proofs.
+//! Selection of the replicas to which a node connects, and of the one it relies on, its current
+//! upstream (design 11.3). The module does no I/O and reads no clock: the caller passes the time and
+//! events, opens and closes connections, and sends the requests for freshness proofs.
 //!
-//! A replica that works is left only for one that has proved what it sends. A replica can be silent
-//! without the connection saying so: its process is suspended, or its machine is gone. So while the
-//! one relied on owes a proof, further ones are tried beside it, each a short time after the one
-//! before and not after that one's time-out, and the first that proves is kept. Each silent replica
-//! that a node does not know of then costs it that short time, and not a time-out.
+//! A working replica is replaced only by one that has proved the state it sends. A replica can stop
+//! answering without the connection being closed, because its process is suspended or its machine is
+//! gone. While a proof of the current upstream is overdue, further replicas are therefore tried
+//! concurrently. Each attempt starts a short stagger after the previous one instead of after its
+//! timeout, and the first replica that sends a proof is kept. An unresponsive replica that the node
+//! does not know about then costs the node one stagger and not one timeout.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,105 +21,111 @@
 
 use super::verification::ProofRequests;
 
-/// While no replica proves anything, the next one is tried after so long; twice and four times as
-/// long after the first and second round without a proof.
+/// Interval between the starts of two attempts while no replica sends a proof, in microseconds. The
+/// interval doubles with each round of attempts on all replicas that brings no proof, at most
+/// [`MAX_STAGGER_DOUBLINGS`] times.
 const ATTEMPT_STAGGER: Microseconds = 300_000;
 const MAX_STAGGER_DOUBLINGS: usize = 2;
-/// Replicas that are tried at once, beside the one relied on.
+/// The maximum number of concurrent attempts, beside the current upstream.
 const MAX_ATTEMPTS: usize = 3;
-/// A replica that is tried and proves nothing for so long is given up.
+/// An attempt that brings no proof within this time is closed, in microseconds.
 const ATTEMPT_TIMEOUT: Microseconds = 2_000_000;
-/// A replica that was relied on is given up once a proof is late by so long and no other replica
-/// has proved anything meanwhile.
-const OVERDUE_KEPT: Microseconds = 3_000_000;
-/// After a replica could not be reached or was lost: the pause before the next one, as much again
-/// at random, and how much longer with each whole round without a proof.
+/// How long the current upstream is kept after a proof became overdue if no other replica sends one,
+/// in microseconds.
+const OVERDUE_GRACE_PERIOD: Microseconds = 3_000_000;
+/// Minimum pause before the next attempt after a replica could not be reached or a connection was
+/// lost, in microseconds. A random part of up to the pause plus [`RECONNECT_JITTER`] is added.
 const RECONNECT_PAUSE: Microseconds = 20_000;
+/// Additional random part of the pause, in microseconds.
 const RECONNECT_JITTER: Microseconds = 10_000;
+/// Increase of the pause with each round of attempts on all replicas that brings no proof, in
+/// microseconds, for at most [`MAX_PAUSED_ROUNDS`] rounds.
 const PAUSE_PER_ROUND: Microseconds = 150_000;
 const MAX_PAUSED_ROUNDS: usize = 4;
-/// A replica that proved nothing is tried after all others for so long; twice as long with each
-/// failure in a row, up to 2 to the power of [`MAX_AVOID_DOUBLINGS`].
+/// How long a replica that sent no proof is tried only after all others, in microseconds. The time
+/// doubles with each successive failure, at most [`MAX_AVOID_DOUBLINGS`] times.
 const AVOID_FOR: Microseconds = 1_000_000;
 const MAX_AVOID_DOUBLINGS: u32 = 4;
-/// Its failures are forgotten so long after it was avoided for the last time.
-const FORGIVEN_AFTER: Microseconds = 16_000_000;
-/// A node that relies on a replica of another zone tries one of its own after so long; twice as
-/// long with every time that it did, up to 2 to the power of [`MAX_RECHECK_DOUBLINGS`].
+/// How long after a replica was last avoided its failures are forgotten, in microseconds.
+const FAILURES_FORGOTTEN_AFTER: Microseconds = 16_000_000;
+/// How long a node relies on a replica of another zone before it tries the replicas of its own zone
+/// again, in microseconds. The time doubles with each such recheck, at most
+/// [`MAX_RECHECK_DOUBLINGS`] times.
 const OWN_ZONE_RECHECK_AFTER: Microseconds = 2_000_000;
 const MAX_RECHECK_DOUBLINGS: u32 = 4;
 
-/// Identifies a replica's disk.
+/// Identifies a replica and the disk that holds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ReplicaKey {
     /// The number of the replica.
     pub replica_id: ReplicaId,
-    /// The disk that fills it.
+    /// The disk that holds the replica.
     pub disk_id: DiskId,
 }
 
-/// A replica that may be followed.
+/// A known replica to which the node may connect.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// Which replica.
+    /// The replica and its disk.
     pub key: ReplicaKey,
-    /// Where it is reached, as `host:port`.
+    /// The address of the replica, as `host:port`.
     pub address: String,
-    /// Whether it stands in the zone of the node.
+    /// Whether the replica is in the zone of the node.
     pub is_own_zone: bool,
 }
 
-/// Identifies a connection, or an attempt to open one, within one process.
+/// Identifies a connection, or an attempt to open one, within a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct UpstreamId(u64);
 
-/// Why a replica was left.
+/// Why a connection or an attempt was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// It could not be reached.
+    /// The replica could not be reached.
     Unreachable,
-    /// The connection ended.
+    /// The connection was closed by the replica or the network.
     Closed,
-    /// A request stayed without a proof for too long.
+    /// No proof arrived in time.
     NoProof,
-    /// An update or a proof did not fit what was held.
+    /// An update or a proof did not match the received state.
     Inconsistent,
-    /// Another replica proved what it sent.
+    /// Another replica proved its state and became the current upstream.
     Replaced,
 }
 
-/// What the caller has to do.
+/// An action that the caller has to perform.
 #[derive(Debug, PartialEq)]
 pub enum Action {
     /// Open a connection.
     Dial {
-        /// How the connection is named from now on.
+        /// The id of the new connection.
         upstream: UpstreamId,
-        /// To whom.
+        /// The replica to connect to.
         candidate: Candidate,
     },
-    /// Send a request for a proof.
+    /// Send a request for a freshness proof.
     RequestProof {
-        /// On which connection.
+        /// The connection on which the request is sent.
         upstream: UpstreamId,
         /// The request.
         frame: Frame,
     },
-    /// Close a connection, or stop trying to open it.
+    /// Close a connection, or abort the attempt to open it.
     Close {
-        /// Which one.
+        /// The connection to close.
         upstream: UpstreamId,
-        /// Why.
+        /// Why the connection is closed.
         reason: CloseReason,
     },
 }
 
-/// When proofs are requested, and how long they are waited for. In microseconds.
+/// The timing of freshness proofs. All times are in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct UpstreamTiming {
-    /// Between two requests for a proof on one connection.
+    /// Interval between two freshness-proof requests on one connection, in microseconds.
     pub proof_interval: Microseconds,
-    /// A request without a proof for so long makes the node look for another replica.
+    /// How long a request may remain unanswered before the node tries other replicas, in
+    /// microseconds.
     pub proof_timeout: Microseconds,
 }
 
@@ -126,55 +134,57 @@
     key: ReplicaKey,
     is_own_zone: bool,
     opened_at: Microseconds,
-    /// When the next proof is requested; `None` until the connection is open.
+    /// When the next proof is to be requested; `None` until the connection is open.
     next_request_at: Option<Microseconds>,
     requests: ProofRequests,
 }
 
 impl Upstream {
-    /// When a proof is late, if one is awaited.
+    /// When the oldest pending proof becomes overdue; `None` if no proof is pending.
     fn overdue_at(&self, timing: UpstreamTiming) -> Option<Microseconds> {
         let oldest = self.requests.oldest_pending();
         oldest.map(|requested_at| requested_at + timing.proof_timeout)
     }
 }
 
-/// A replica that proved nothing when it was tried.
-struct Avoided {
+/// A replica that sent no proof when it was tried, and until when it is tried only after all others.
+struct AvoidedReplica {
     failures: u32,
     until: Microseconds,
 }
 
-/// The connections of a node to replicas.
+/// The connections of a node to replicas, and the attempts to open them.
 pub struct Upstreams {
     timing: UpstreamTiming,
     rng: StdRng,
     upstreams: BTreeMap<UpstreamId, Upstream>,
-    /// The one relied on: the latest that proved what it sent.
+    /// The current upstream: the connection that the node relies on, because it was the latest to
+    /// prove its state.
     current: Option<UpstreamId>,
     last_id: u64,
-    /// No further replica is tried before.
+    /// The earliest time of the next attempt.
     next_attempt_at: Microseconds,
-    /// Attempts that came to nothing since the latest proof.
-    failures_in_a_row: usize,
-    /// Attempts that reached nobody since the latest that did.
-    unreachable_in_a_row: usize,
+    /// The number of failed attempts since the latest proof.
+    consecutive_failures: usize,
+    /// The number of attempts that did not reach a replica since the latest that did.
+    consecutive_unreachable: usize,
     candidate_count: usize,
-    /// All known replicas are connected to, or being tried.
+    /// Whether every known replica is connected to or being tried.
     is_out_of_candidates: bool,
-    avoided: BTreeMap<ReplicaKey, Avoided>,
+    avoided: BTreeMap<ReplicaKey, AvoidedReplica>,
     /// When each replica was last tried.
     tried_at: BTreeMap<ReplicaKey, Microseconds>,
-    /// When the replicas of the own zone are tried next, beside one of another zone.
+    /// When the node, while it relies on a replica of another zone, tries the replicas of its own
+    /// zone again.
     recheck_at: Microseconds,
-    /// How often they were.
+    /// The number of these rechecks.
     rechecks: u32,
-    /// They are being tried, one after the other, since then.
+    /// When the current recheck began; `None` if none is in progress.
     recheck_began_at: Option<Microseconds>,
 }
 
 impl Upstreams {
-    /// No connections yet. `seed` draws the pauses.
+    /// Creates a set without connections. `seed` seeds the random pauses.
     pub fn new(timing: UpstreamTiming, seed: u64) -> Upstreams {
         Upstreams {
             timing,
@@ -183,8 +193,8 @@
             current: None,
             last_id: 0,
             next_attempt_at: 0,
-            failures_in_a_row: 0,
-            unreachable_in_a_row: 0,
+            consecutive_failures: 0,
+            consecutive_unreachable: 0,
             candidate_count: 0,
             is_out_of_candidates: false,
             avoided: BTreeMap::new(),
@@ -195,66 +205,68 @@
         }
     }
 
-    /// What is due now. `candidates` are all known replicas, the preferred first.
+    /// Returns the actions that are due. `candidates` are all known replicas in order of preference.
     pub fn poll(&mut self, now: Microseconds, candidates: &[Candidate]) -> Vec<Action> {
-        let mut actions = self.give_up_silent(now);
+        let mut actions = self.close_timed_out(now);
         actions.extend(self.next_attempt(now, candidates));
         actions.extend(self.due_requests(now));
         actions
     }
 
-    /// When [`Self::poll`] has something to do next, if no event comes before.
+    /// The time of the next call of [`Self::poll`], unless an event occurs earlier.
     pub fn next_poll_at(&self, now: Microseconds) -> Microseconds {
         let requests = self.upstreams.values().filter_map(|up| up.next_request_at);
-        let give_ups = self
+        let timeouts = self
             .upstreams
             .iter()
-            .map(|(id, up)| self.give_up_at(*id, up));
+            .map(|(id, up)| self.closes_at(*id, up));
         let overdue = self.current_overdue_at().filter(|at| *at > now);
-        let attempt = (self.is_seeking(now) && self.may_attempt()).then_some(self.next_attempt_at);
+        let attempt =
+            (self.needs_upstream(now) && self.may_attempt()).then_some(self.next_attempt_at);
         let recheck = self.relies_on_another_zone().then_some(self.recheck_at);
         let further = [overdue, attempt, recheck];
         let all = requests
-            .chain(give_ups)
+            .chain(timeouts)
             .chain(further.into_iter().flatten());
-        // What is due but cannot be done, for want of candidates, is looked at again after a pause.
+        // An attempt that is due but has no candidate is polled again after a pause.
         let earliest = now + RECONNECT_PAUSE;
         let next = all.map(|at| at.max(earliest)).min();
         next.unwrap_or(now + self.timing.proof_interval)
     }
 
-    /// A connection is open: proofs are requested on it from now on.
+    /// Handles the opening of a connection, on which proofs are requested from now on.
     pub fn on_connected(&mut self, now: Microseconds, id: UpstreamId, is_own_zone: bool) {
-        if self.unreachable_in_a_row >= self.candidate_count {
-            // None was reachable for a whole round, and now one is: the network is back, and what
-            // was learned without it is worth nothing.
+        if self.consecutive_unreachable >= self.candidate_count {
+            // A whole round of attempts reached no replica and now one is reachable, so the node's
+            // own network was down and the recorded failures say nothing about the replicas.
             self.avoided.clear();
         }
-        self.unreachable_in_a_row = 0;
+        self.consecutive_unreachable = 0;
         if let Some(upstream) = self.upstreams.get_mut(&id) {
             upstream.is_own_zone = is_own_zone;
             upstream.next_request_at = Some(now);
         }
     }
 
-    /// The proofs that were requested on a connection; `None` if it was closed meanwhile.
+    /// The freshness proofs requested on a connection; `None` if the connection is closed.
     pub fn proof_requests_mut(&mut self, id: UpstreamId) -> Option<&mut ProofRequests> {
         let upstream = self.upstreams.get_mut(&id);
         upstream.map(|upstream| &mut upstream.requests)
     }
 
-    /// A replica proved what it sent: it is relied on from now on, and all others are left.
+    /// Handles a freshness proof on a connection, which thereby becomes the current upstream. All
+    /// other connections are closed.
     pub fn on_verified(&mut self, now: Microseconds, id: UpstreamId) -> Vec<Action> {
         let Some(upstream) = self.upstreams.get(&id) else {
             return Vec::new();
         };
-        // The preferred one that a node relies on is not left for an attempt that was begun while
-        // it was late.
+        // A current upstream that is preferred and no longer overdue is kept; the attempt began
+        // while its proof was overdue.
         if self.current != Some(id) && self.keeps_current_over(now, upstream) {
             return self.close(id, CloseReason::Replaced).into_iter().collect();
         }
         self.avoided.remove(&upstream.key);
-        self.failures_in_a_row = 0;
+        self.consecutive_failures = 0;
         if self.current != Some(id) {
             self.current = Some(id);
             let pause = OWN_ZONE_RECHECK_AFTER << self.rechecks.min(MAX_RECHECK_DOUBLINGS);
@@ -262,7 +274,7 @@
         }
         let is_elsewhere = self.relies_on_another_zone();
         let others = self.upstreams.iter().filter(|(other, upstream)| {
-            // One of the own zone is still tried: it is to be preferred.
+            // An attempt in the node's own zone continues, because that zone is preferred.
             **other != id && !(is_elsewhere && upstream.is_own_zone)
         });
         let others: Vec<UpstreamId> = others.map(|(other, _)| *other).collect();
@@ -271,7 +283,7 @@
         closed.collect()
     }
 
-    /// A connection ended, could not be opened, or is of no use any more.
+    /// Handles the end of a connection, or of an attempt to open one.
     pub fn on_ended(&mut self, now: Microseconds, id: UpstreamId, reason: CloseReason) {
         let Some(upstream) = self.upstreams.remove(&id) else {
             return;
@@ -279,20 +291,21 @@
         let pause = self.reconnect_pause();
         self.next_attempt_at = now + pause;
         if self.current == Some(id) {
-            // A replica that proved what it sent may be back at once.
+            // This is not counted as a failure: the replica had proved its state and may be
+            // reachable again at once.
             self.current = None;
         } else {
-            self.failures_in_a_row += 1;
+            self.consecutive_failures += 1;
         }
         if reason == CloseReason::Unreachable {
-            self.unreachable_in_a_row += 1;
+            self.consecutive_unreachable += 1;
         }
         if reason == CloseReason::Unreachable || reason == CloseReason::NoProof {
             self.avoid(now, upstream.key);
         }
     }
 
-    /// Whether a replica proved what it sent and is relied on.
+    /// Whether a connection is the current upstream, which the node relies on.
     pub fn is_current(&self, id: UpstreamId) -> bool {
         self.current == Some(id)
     }
@@ -300,32 +313,33 @@
     fn keeps_current_over(&self, now: Microseconds, other: &Upstream) -> bool {
         let current = self.current.and_then(|id| self.upstreams.get(&id));
         current.is_some_and(|current| {
-            let is_late = current
+            let is_overdue = current
                 .overdue_at(self.timing)
                 .is_some_and(|overdue_at| now >= overdue_at);
-            !is_late && (current.is_own_zone || !other.is_own_zone)
+            !is_overdue && (current.is_own_zone || !other.is_own_zone)
         })
     }
 
-    /// Gives up replicas that have been silent for too long.
-    fn give_up_silent(&mut self, now: Microseconds) -> Vec<Action> {
-        let silent = self.upstreams.iter();
-        let silent = silent.filter(|(id, upstream)| now >= self.give_up_at(**id, upstream));
-        let silent: Vec<UpstreamId> = silent.map(|(id, _)| *id).collect();
-        for id in &silent {
+    /// Closes the connections and attempts whose proof did not arrive in time.
+    fn close_timed_out(&mut self, now: Microseconds) -> Vec<Action> {
+        let timed_out = self.upstreams.iter();
+        let timed_out = timed_out.filter(|(id, upstream)| now >= self.closes_at(**id, upstream));
+        let timed_out: Vec<UpstreamId> = timed_out.map(|(id, _)| *id).collect();
+        for id in &timed_out {
             self.on_ended(now, *id, CloseReason::NoProof);
         }
-        let closed = silent.into_iter().map(|upstream| Action::Close {
+        let closed = timed_out.into_iter().map(|upstream| Action::Close {
             upstream,
             reason: CloseReason::NoProof,
         });
         closed.collect()
     }
 
-    fn give_up_at(&self, id: UpstreamId, upstream: &Upstream) -> Microseconds {
+    /// When a connection or attempt is closed if no proof arrives.
+    fn closes_at(&self, id: UpstreamId, upstream: &Upstream) -> Microseconds {
         if self.current == Some(id) {
             let overdue_at = upstream.overdue_at(self.timing);
-            overdue_at.map_or(Microseconds::MAX, |at| at + OVERDUE_KEPT)
+            overdue_at.map_or(Microseconds::MAX, |at| at + OVERDUE_GRACE_PERIOD)
         } else {
             upstream.opened_at + ATTEMPT_TIMEOUT
         }
@@ -336,8 +350,9 @@
         current.and_then(|current| current.overdue_at(self.timing))
     }
 
-    /// Whether another replica is needed: none is relied on, or the one that is owes a proof.
-    fn is_seeking(&self, now: Microseconds) -> bool {
+    /// Whether another replica is needed, because there is no current upstream or its proof is
+    /// overdue.
+    fn needs_upstream(&self, now: Microseconds) -> bool {
         self.current.is_none() || self.current_overdue_at().is_some_and(|at| now >= at)
     }
 
@@ -359,11 +374,11 @@
 
     fn next_attempt(&mut self, now: Microseconds, candidates: &[Candidate]) -> Option<Action> {
         self.avoided
-            .retain(|_, avoided| now < avoided.until + FORGIVEN_AFTER);
+            .retain(|_, avoided| now < avoided.until + FAILURES_FORGOTTEN_AFTER);
         self.tried_at
             .retain(|key, _| candidates.iter().any(|candidate| candidate.key == *key));
         self.candidate_count = candidates.len();
-        if self.is_seeking(now) {
+        if self.needs_upstream(now) {
             let best = self.best_candidate(now, candidates);
             self.is_out_of_candidates = best.is_none();
             if now < self.next_attempt_at || !self.may_attempt() {
@@ -380,7 +395,8 @@
         None
     }
 
-    /// The next replica of the own zone to be tried beside one of another zone that works.
+    /// The next replica of the node's own zone to try while the node relies on a working replica of
+    /// another zone.
     fn recheck<'known>(
         &mut self,
         now: Microseconds,
@@ -408,9 +424,10 @@
         untried
     }
 
-    /// The first of the candidates that is not connected to. Those that lately proved nothing come
-    /// last, the one first that may be tried again soonest. While one of the own zone is tried, the
-    /// next is of another zone, as what silences one machine often silences its zone.
+    /// The first candidate without a connection or attempt. Avoided candidates come last, in the
+    /// order in which they may be tried again. While a replica of the node's own zone is being tried,
+    /// replicas of other zones come first, because the failure of one machine often affects its whole
+    /// zone.
     fn best_candidate<'known>(
         &self,
         now: Microseconds,
@@ -473,7 +490,7 @@
         })
     }
 
-    /// `None` if it is not avoided now.
+    /// Until when a replica is avoided; `None` if it is not avoided now.
     fn avoided_until(&self, now: Microseconds, key: ReplicaKey) -> Option<Microseconds> {
         let avoided = self.avoided.get(&key);
         let until = avoided.map(|avoided| avoided.until);
@@ -482,28 +499,29 @@
 
     fn avoid(&mut self, now: Microseconds, key: ReplicaKey) {
         let earlier = self.avoided.get(&key).map_or(0, |avoided| avoided.failures);
-        let avoided = Avoided {
+        let avoided = AvoidedReplica {
             failures: earlier + 1,
             until: now + (AVOID_FOR << earlier.min(MAX_AVOID_DOUBLINGS)),
         };
         self.avoided.insert(key, avoided);
     }
 
-    /// When no replica proves anything, asking them all faster does not help.
+    /// The pause between two attempts. It grows while no replica sends a proof, because connecting to
+    /// all of them faster does not help then.
     fn stagger(&self) -> Microseconds {
-        let rounds = self.failures_in_a_row / self.candidate_count.max(1);
+        let rounds = self.consecutive_failures / self.candidate_count.max(1);
         ATTEMPT_STAGGER << rounds.min(MAX_STAGGER_DOUBLINGS)
     }
 
     fn reconnect_pause(&mut self) -> Microseconds {
-        let rounds = self.failures_in_a_row / self.candidate_count.max(1);
+        let rounds = self.consecutive_failures / self.candidate_count.max(1);
         let rounds = rounds.min(MAX_PAUSED_ROUNDS);
         let pause = RECONNECT_PAUSE + PAUSE_PER_ROUND * rounds as Microseconds;
         pause + self.rng.random_range(0..pause + RECONNECT_JITTER)
     }
 }
 
-/// The time until `at`, for timers.
+/// The duration from `now` until `at`, for timers.
 pub(super) fn until(now: Microseconds, at: Microseconds) -> Duration {
     Duration::from_micros(at.saturating_sub(now))
 }
--- a/crates/control/src/updates/verification.rs
+++ b/crates/control/src/updates/verification.rs
@@ -1,5 +1,6 @@
-//! What one incarnation of a node received of the cluster state, and what of it a majority has
-//! confirmed (design 11.6). Pure: the caller brings the time.
+//! The cluster state that one incarnation of a node has received, and the part of it that is verified
+//! by a majority (design 11.6). The module does no I/O and reads no clock; the caller passes the
+//! time.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -14,28 +15,29 @@
 #[cfg(test)]
 mod tests;
 
-/// What a node may act on: nothing before the first proof of its incarnation (design 11.6). From
-/// then on it serves routes from the newest it ever held; only the right to grant shard keys needs
-/// a fresh proof, and counts from when that was requested (design 11.5).
+/// The cluster state that a node may act on. A node may not act on any state before the first
+/// freshness proof of its incarnation (design 11.6). After that it serves routes from the newest
+/// state it received; only the right to grant shard keys needs a recent proof, whose age counts from
+/// its request (design 11.5).
 #[derive(Clone, Debug, Default)]
 pub struct VerifiedState {
-    /// The newest cluster state that was received.
+    /// The newest cluster state received.
     pub snapshot: Arc<StateSnapshot>,
-    /// When the latest proof was requested, in microseconds; 0 before the first.
+    /// When the latest proof was requested, in microseconds; 0 before the first proof.
     pub verified_at: Microseconds,
 }
 
-/// The present verified state, for readers in other tasks.
+/// The current verified state, for readers in other tasks.
 pub type SharedVerifiedState = Arc<ArcSwap<VerifiedState>>;
 
-/// A proof that was requested and has not come.
+/// A freshness proof that was requested and has not arrived.
 struct PendingProof {
     request_id: u64,
     requested_at: Microseconds,
 }
 
-/// The proofs that were requested on one connection. They end with it: a proof speaks for the
-/// updates before it on its own connection only.
+/// The freshness proofs requested on one connection. They are dropped with the connection, because a
+/// proof covers only the updates sent before it on the same connection.
 #[derive(Default)]
 pub struct ProofRequests {
     pending: VecDeque<PendingProof>,
@@ -43,7 +45,7 @@
 }
 
 impl ProofRequests {
-    /// The frame that requests a proof.
+    /// Records a new request and returns the frame that sends it.
     pub fn request(&mut self, now: Microseconds) -> Frame {
         self.last_request += 1;
         self.pending.push_back(PendingProof {
@@ -55,15 +57,15 @@
         }
     }
 
-    /// When the oldest proof that is still awaited was requested.
+    /// When the oldest pending proof was requested.
     pub fn oldest_pending(&self) -> Option<Microseconds> {
         let oldest = self.pending.front();
         oldest.map(|request| request.requested_at)
     }
 
-    /// When the proof that came was requested, unless nobody waits for it. Earlier requests are
-    /// answered by it, too.
-    fn answered(&mut self, request_id: u64) -> Option<Microseconds> {
+    /// Removes an answered request and all earlier ones, which the same proof answers. Returns when
+    /// the answered one was requested, or `None` if it was not pending.
+    fn take_answered(&mut self, request_id: u64) -> Option<Microseconds> {
         let mut pending = self.pending.iter();
         let request = pending.find(|request| request.request_id == request_id);
         let requested_at = request.map(|request| request.requested_at);
@@ -73,34 +75,34 @@
     }
 }
 
-/// Follows the cluster state over one connection after the other, or over several at once: a
-/// position is the same state, whichever replica sends it.
+/// Follows the cluster state over successive or concurrent connections. Equal positions mean equal
+/// states, whichever replica sends them.
 #[derive(Default)]
 pub struct StateFollower {
     received: Arc<StateSnapshot>,
     verified_at: Microseconds,
 }
 
-/// What came of a frame.
+/// The result of handling a frame.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum UpdateOutcome {
-    /// Nothing changed.
+    /// The frame changed nothing.
     Ignored,
-    /// A newer cluster state was received.
+    /// The frame contained a newer cluster state.
     Updated,
-    /// A proof of what was received came.
+    /// The frame proved that the received state is current.
     Verified,
-    /// The frame does not fit what was received: the connection has to begin anew.
+    /// The frame does not match the received state; the connection must be closed.
     Inconsistent,
 }
 
 impl StateFollower {
-    /// The position up to which the cluster state was received, for the first frame on a connection.
+    /// The position of the received cluster state, for the first frame on a connection.
     pub fn held_position(&self) -> Position {
         self.received.position
     }
 
-    /// Takes in a frame from a connection with the proofs that were requested on it.
+    /// Handles a frame from a connection; `requests` are the proofs requested on that connection.
     pub fn handle_frame(&mut self, frame: Frame, requests: &mut ProofRequests) -> UpdateOutcome {
         match frame {
             Frame::ClusterStateUpdate {
@@ -112,15 +114,15 @@
             Frame::Proof {
                 request_id,
                 position,
-            } => self.on_proof(requests.answered(request_id), position),
+            } => self.on_proof(requests.take_answered(request_id), position),
             _ => UpdateOutcome::Ignored,
         }
     }
 
-    /// The state only moves forward: what is older than what was received is dropped, whoever
-    /// sends it, however late. An update that begins below what was received and ends above it
-    /// fits: replicas group their entries differently, and a delta says what holds after it, so
-    /// applying some of them again changes nothing.
+    /// Applies an update. The position never decreases: an update that ends at or below the received
+    /// position is dropped. An update that begins below that position and ends above it is applied,
+    /// because replicas group entries into updates differently, and applying a delta again changes
+    /// nothing, as it states the value after the change.
     fn on_update(
         &mut self,
         is_snapshot: bool,
@@ -131,17 +133,17 @@
         if to <= self.received.position {
             return UpdateOutcome::Ignored;
         }
-        let fits = is_snapshot || from <= self.received.position;
-        let Some(deltas) = publisher::decode_deltas(deltas).filter(|_| fits) else {
+        let is_applicable = is_snapshot || from <= self.received.position;
+        let Some(deltas) = publisher::decode_deltas(deltas).filter(|_| is_applicable) else {
             return UpdateOutcome::Inconsistent;
         };
         self.received = Arc::new(self.received.updated(is_snapshot, to, deltas));
         UpdateOutcome::Updated
     }
 
-    /// Updates are sent before the proof that rests on them: if the proof's position was received,
-    /// what is held here held at a majority. If it was not, the replica no longer sends updates on
-    /// this connection, and waiting would not bring them.
+    /// Applies a proof. A replica sends updates before the proof that covers them, so if the position
+    /// of the proof was received, the received state is verified. Otherwise the replica no longer
+    /// sends updates on this connection, and waiting for them would be in vain.
     fn on_proof(
         &mut self,
         requested_at: Option<Microseconds>,
@@ -157,14 +159,15 @@
         UpdateOutcome::Verified
     }
 
-    /// What was received, verified or not.
+    /// The received cluster state, whether verified or not.
     pub fn received(&self) -> &Arc<StateSnapshot> {
         &self.received
     }
 
-    /// What this incarnation may act on; `None` before its first proof, as an earlier incarnation
-    /// may have held a newer state than any one replica sends. A majority answered for the proof,
-    /// and every change that any replica ever sent was chosen by one.
+    /// The state that this incarnation may act on, or `None` before its first proof. An earlier
+    /// incarnation of the node may have received a newer state than a single replica sends. A proof
+    /// excludes that: a majority confirmed its position, and a replica sends only changes that a
+    /// majority has chosen.
     pub fn verified(&self) -> Option<VerifiedState> {
         (self.verified_at > 0).then(|| VerifiedState {
             snapshot: self.received.clone(),
--- a/crates/control/src/updates/view.rs
+++ b/crates/control/src/updates/view.rs
@@ -1,4 +1,5 @@
-//! What a node knows of the state machine, and until when it may act on it (design 6.1).
+//! The part of the state machine that a node has received, and the time until which the node may act
+//! on it (design 6.1).
 
 use std::sync::Arc;
 
@@ -8,16 +9,17 @@
 #[cfg(test)]
 mod tests;
 
-/// A slice of the state machine with the time until which it is proved.
+/// A slice of the state machine with the time until which its freshness is proved.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// The newest slice that was received.
+    /// The newest slice received.
     pub slice: Arc<StateSlice>,
-    /// The node may act on the slice before this time, on the clock that counts suspend.
+    /// The time before which the node may act on the slice, in microseconds of the clock that also
+    /// runs while the machine is suspended.
     pub fresh_until: Microseconds,
 }
 
-/// The present view, for readers in other tasks.
+/// The current view, for readers in other tasks.
 pub type SharedView = Arc<ArcSwap<View>>;
 
 impl View {
@@ -26,8 +28,8 @@
         now < self.fresh_until
     }
 
-    /// The view with a newer slice. `None` if the slice is older than the one held: positions
-    /// never go back, whoever sends them.
+    /// Returns the view with a newer slice, or `None` if the slice is older than the one held:
+    /// positions never decrease, whichever upstream sends them.
     pub fn with_update(&self, slice: StateSlice) -> Option<View> {
         if slice.position < self.slice.position {
             return None;
@@ -38,8 +40,8 @@
         })
     }
 
-    /// The view with a proof, which counts from when it was requested and lasts for `bound`.
-    /// `None` if the proof speaks of an older position than the one held.
+    /// Returns the view with a freshness proof, which is valid for `bound` microseconds from the time
+    /// of its request. Returns `None` if the proof is for an older position than the one held.
     pub fn with_proof(
         &self,
         requested_at: Microseconds,
@@ -49,7 +51,8 @@
         if position < self.slice.position {
             return None;
         }
-        // An update would have come before the proof: the slice held is the one at `position`.
+        // An upstream sends updates before the proof that covers them. Without an update, the slice
+        // at `position` has the same content as the slice held.
         let slice = if position > self.slice.position {
             Arc::new(StateSlice {
                 position,
--- a/crates/control/src/updates/zone_relay.rs
+++ b/crates/control/src/updates/zone_relay.rs
@@ -1,4 +1,5 @@
-//! Which node of a zone subscribes at a replica and relays to the others of its zone (design 5.9).
+//! Selection of the node of a zone that subscribes at a replica and relays to the other nodes of the
+//! zone (design 5.9).
 
 use model::state_slice::ServiceSet;
 use model::{BackendPhase, Incarnation, NodeName, StateSlice};
@@ -6,11 +7,12 @@
 #[cfg(test)]
 mod tests;
 
-/// The relay of a zone for a set of services, by name and address: of the present nodes beside
-/// registered backends of all these services the one with the highest hash.
+/// Selects the relay of a zone for a set of services, and returns its name and address. Among the
+/// present nodes that have registered backends of all these services, it is the one with the highest
+/// hash.
 ///
-/// Every node that holds the same slice selects the same one. Two nodes with different slices may
-/// differ, and nothing depends on it: both relays tell only what is proved.
+/// Nodes that hold the same slice select the same relay. Nodes with different slices may select
+/// different ones, which is harmless because every relay forwards only proved state.
 pub fn select_zone_relay(
     slice: &StateSlice,
     zone: &str,
@@ -19,7 +21,7 @@
     if services.is_empty() {
         return None;
     }
-    let is_beside = |node: &str, service: &str| {
+    let has_backend = |node: &str, service: &str| {
         let mut backends = slice.backends.values();
         backends.any(|backend| {
             backend.node == node
@@ -32,12 +34,13 @@
         .iter()
         .filter(|(_, node)| node.present && node.zone == zone);
     let eligible =
-        in_zone.filter(|(name, _)| services.iter().all(|service| is_beside(name, service)));
+        in_zone.filter(|(name, _)| services.iter().all(|service| has_backend(name, service)));
     let selected = eligible.max_by_key(|(name, node)| rank(name, node.incarnation, zone, services));
     selected.map(|(name, node)| (name.clone(), node.address.clone()))
 }
 
-/// A rendezvous hash: it does not depend on the other nodes, so few relays move when one goes.
+/// The rendezvous hash of a node. It does not depend on the other nodes, so the loss of a node moves
+/// few relays.
 fn rank(node: &str, incarnation: Incarnation, zone: &str, services: &ServiceSet) -> u64 {
     let mut text = format!("{zone}\n{node}\n{incarnation}");
     for service in services {
