--- a/crates/control/src/membership/bootstrap.rs
+++ b/crates/control/src/membership/bootstrap.rs
@@ -1,5 +1,5 @@
-//! How a core machine comes to its replica: when the cluster is founded, which happens once, or in
-//! place of a machine that is gone (design 12.1, 12.3).
+//! Assignment of a replica to a core machine, either when the cluster is founded, which happens once,
+//! or as the replacement of a lost machine (design 12.1, 12.3).
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,50 +15,53 @@
 
 use crate::replica::ReplicaHandle;
 
-/// What a machine without a replica names as its replica in a handshake.
+/// The replica number in the handshake of a machine without a replica.
 const NO_REPLICA: ReplicaId = ReplicaId::MAX;
 
-/// A machine that was asked for a replica sends an answer within so long.
+/// How long to wait for the answer of a machine to a request for a replica.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Between two requests while only the founder is asked, and later.
+/// Interval between two requests while only the founder is asked.
 const FOUNDER_REQUEST_INTERVAL: Duration = Duration::from_millis(60);
+/// Interval between two requests once other machines are asked, too.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(120);
 
-/// The founder keeps its connections open for so long, until its answers are written.
+/// How long the founder keeps its connections open, so that its answers are written.
 const ANSWER_LINGER: Duration = Duration::from_millis(500);
 
-/// Connections that may wait to be taken in by the founder.
+/// Capacity of the queue of accepted connections that the founder has not handled yet.
 const CANDIDATE_QUEUE_CAPACITY: usize = 64;
 
-/// How this machine may come to a replica. All times are in microseconds.
+/// The settings for the assignment of a replica to this machine. All times are in microseconds.
 pub struct BootstrapConfig {
-    /// Where peers reach this process.
+    /// The address, as `host:port`, at which peers connect to this process.
     pub address: String,
-    /// The zone that this machine stands in.
+    /// The zone of this machine.
     pub zone: String,
-    /// Addresses of the machines that are named at the start; at the first start the first of them
-    /// founds the cluster.
+    /// The addresses of the machines that the settings name. At the first start, the machine at the
+    /// first address founds the cluster.
     pub seeds: Vec<String>,
-    /// The whole system starts for the first time.
+    /// Whether the cluster starts for the first time.
     pub first_start: bool,
-    /// The founder waits for more machines until none has come for so long.
+    /// The founder waits for further machines until none has connected for this long, in
+    /// microseconds.
     pub quiet_period: Microseconds,
-    /// The founder waits at least so long.
+    /// The minimum time that the founder waits for further machines, in microseconds.
     pub minimum_wait: Microseconds,
-    /// At the first start only the founder is asked for so long; then any machine that has a
-    /// replica, as the founder may be gone for good. Long enough that no replica is taken for
-    /// vacant whose machine only starts slowly.
+    /// How long only the founder is asked at the first start, in microseconds. After that any machine
+    /// that has a replica is asked, because the founder may be lost. The period must be long enough
+    /// that the replica of a machine that only starts slowly does not become vacant.
     pub founder_only_period: Microseconds,
 }
 
-/// A machine that takes part in the founding.
+/// A machine that takes part in the founding of the cluster.
 struct Candidate {
     disk_id: DiskId,
     sender: FrameSender,
 }
 
-/// All machines that take part, by address, and the receivers that keep their connections open.
+/// All machines that take part in the founding, by address, and the receivers that keep their
+/// connections open.
 #[derive(Default)]
 struct Candidates {
     by_address: BTreeMap<String, Candidate>,
@@ -66,7 +69,7 @@
 }
 
 impl Candidates {
-    /// Whether this is a disk that had not come from this address yet.
+    /// Adds the machine of a connection. Returns whether its disk is new at its address.
     fn add(&mut self, connection: Connection) -> bool {
         let handshake = connection.peer_handshake;
         let disk_id = handshake.replica.map(|(_, _, disk_id)| disk_id);
@@ -79,12 +82,16 @@
     }
 }
 
-/// The replicas of a cluster that is being founded, with the disk of each.
+/// The replicas of the cluster that is being founded, with the disk of each.
 struct FoundingMembers(Vec<(ReplicaId, DiskId)>);
 
 impl FoundingMembers {
-    /// Numbers the machines by address.
-    fn numbered(config: &BootstrapConfig, own_disk: DiskId, candidates: &Candidates) -> Self {
+    /// Numbers the replicas in the order of the addresses of their machines.
+    fn numbered_by_address(
+        config: &BootstrapConfig,
+        own_disk: DiskId,
+        candidates: &Candidates,
+    ) -> Self {
         let mut disks = vec![(config.address.as_str(), own_disk)];
         for (address, candidate) in &candidates.by_address {
             disks.push((address, candidate.disk_id));
@@ -104,25 +111,26 @@
     }
 }
 
-/// What a machine that asked for a replica was answered.
+/// The answer to a request for a replica.
 pub(crate) enum Assignment {
-    /// It is to become this replica.
+    /// The requesting machine is assigned this replica.
     Replica {
         membership: MembershipRecord,
-        /// The disks of all replicas, if the answer names them.
+        /// The disks of all replicas; empty if the answer does not name them.
         pinned_disks: Vec<(ReplicaId, DiskId)>,
     },
     /// No replica is vacant.
     NoneVacant,
 }
 
-/// An answer, and what the machine that gave it says of itself.
+/// An answer to a request for a replica, and the handshake of the machine that sent it.
 pub(crate) struct AssignmentAnswer {
     pub(crate) peer_handshake: Handshake,
     pub(crate) assignment: Assignment,
 }
 
-/// Returns once this disk has a replica, and the record of it is on the disk.
+/// Waits until this disk is assigned a replica and the record of the assignment is stored on the
+/// disk, and returns the record.
 pub async fn obtain_membership(
     config: &BootstrapConfig,
     store: &mut ReplicaStore,
@@ -132,7 +140,7 @@
     if let Some(membership) = store.membership {
         return Ok(membership);
     }
-    // A disk that was retired had its replica before: the first start is over.
+    // A retired disk held a replica before, so this is not the first start of the cluster.
     let first_start = config.first_start && !store.retired;
     if first_start && config.seeds.first() == Some(&config.address) {
         return found_cluster(config, store, listener, logger).await;
@@ -147,13 +155,13 @@
     logger: &Logger,
 ) -> Result<MembershipRecord, storage::Error> {
     let candidates = gather_candidates(config, store.disk_id, listener).await;
-    let members = FoundingMembers::numbered(config, store.disk_id, &candidates);
+    let members = FoundingMembers::numbered_by_address(config, store.disk_id, &candidates);
     let membership = MembershipRecord {
         replica_id: members.replica_of(store.disk_id),
         replica_count: members.replica_count(),
         founded: true,
     };
-    // On disk before anyone is told: a founder that starts again founds nothing else.
+    // Stored before it is announced, so that a founder that restarts does not found another cluster.
     store.record_membership(membership, &members.0.iter().copied().collect())?;
     slog::info!(logger, "the cluster is founded";
         "replica_count" => membership.replica_count,
@@ -162,7 +170,8 @@
     Ok(membership)
 }
 
-/// Takes in every machine that asks, until none has come for a while.
+/// Accepts every machine that requests a replica, until the quiet period and the minimum wait are
+/// over.
 async fn gather_candidates(
     config: &BootstrapConfig,
     own_disk: DiskId,
@@ -173,8 +182,8 @@
     let mut latest_at = began_at;
     let mut candidates = Candidates::default();
     loop {
-        let quiet_at = latest_at + config.quiet_period;
-        let ends_at = quiet_at.max(began_at + config.minimum_wait);
+        let quiet_until = latest_at + config.quiet_period;
+        let ends_at = quiet_until.max(began_at + config.minimum_wait);
         let remaining = Duration::from_micros(ends_at.saturating_sub(model::now()));
         tokio::select! {
             incoming = listener.accept() => if let Ok((stream, _)) = incoming {
@@ -200,17 +209,17 @@
         if caller.purpose == Purpose::RequestAssignment && caller.replica.is_some() {
             Ok(own_handshake)
         } else {
-            // Part of the protocol: the caller shows it.
+            // The text is sent to the caller and is part of the protocol.
             Err("the core is not founded yet".into())
         }
     };
     if let Ok(connection) = transport::accept(stream, authorize).await {
-        // Once the founding is over the candidate asks again.
+        // The send fails once the cluster is founded; the candidate then asks again.
         drop(accepted.send(connection).await);
     }
 }
 
-/// Tells every candidate which replica it is, and who the others are.
+/// Sends every candidate its replica and the disks of all replicas.
 async fn announce(members: &FoundingMembers, candidates: Candidates) {
     for candidate in candidates.by_address.into_values() {
         let assignment = Frame::ReplicaAssignment {
@@ -219,7 +228,7 @@
             founding: true,
             pinned_disks: members.0.clone(),
         };
-        // A candidate that is gone asks again.
+        // If the send fails, the candidate connects and asks again.
         drop(candidate.sender.send(assignment).await);
     }
     let receivers = candidates.receivers;
@@ -229,7 +238,7 @@
     });
 }
 
-/// Asks machines in turn until one assigns a replica.
+/// Asks the machines in turn until one assigns a replica.
 async fn request_membership(
     config: &BootstrapConfig,
     first_start: bool,
@@ -237,15 +246,15 @@
     logger: &Logger,
 ) -> Result<MembershipRecord, storage::Error> {
     let began_at = model::now();
-    let mut turn = 0;
+    let mut attempt = 0;
     let mut known_addresses: Vec<String> = Vec::new();
     loop {
         let founder_only = first_start && model::now() < began_at + config.founder_only_period;
-        let asked = addresses_to_ask(config, &known_addresses, founder_only);
-        if let Some(address) = asked.get(turn % asked.len().max(1))
+        let addresses = addresses_to_ask(config, &known_addresses, founder_only);
+        if let Some(address) = addresses.get(attempt % addresses.len().max(1))
             && let Some(answer) = ask_for_membership(config, store.disk_id, address).await
         {
-            known_addresses = addresses_beside_seeds(config, answer.peer_handshake);
+            known_addresses = addresses_other_than_seeds(config, answer.peer_handshake);
             if let Assignment::Replica {
                 membership,
                 pinned_disks,
@@ -259,7 +268,7 @@
                 return Ok(membership);
             }
         }
-        turn += 1;
+        attempt += 1;
         sleep(match founder_only {
             true => FOUNDER_REQUEST_INTERVAL,
             false => REQUEST_INTERVAL,
@@ -282,7 +291,7 @@
     others.cloned().collect()
 }
 
-fn addresses_beside_seeds(config: &BootstrapConfig, peer_handshake: Handshake) -> Vec<String> {
+fn addresses_other_than_seeds(config: &BootstrapConfig, peer_handshake: Handshake) -> Vec<String> {
     let known = peer_handshake.known_replicas.into_iter();
     let addresses = known.map(|location| location.address);
     addresses
@@ -313,7 +322,7 @@
     }
 }
 
-/// The handshake of a running replica that asks what others would assign to its disk.
+/// The handshake with which a running replica asks which replica its disk would be assigned.
 pub(crate) fn handshake_of_replica(handle: &ReplicaHandle) -> Handshake {
     Handshake {
         replica: Some((NO_REPLICA, 0, handle.disk_id())),
@@ -321,15 +330,15 @@
     }
 }
 
-/// Asks one machine which replica this disk is to be. `None` if it cannot be reached, does not
-/// answer in time, or `is_asked` turns its handshake down.
+/// Asks a machine which replica this disk is assigned. Returns `None` if the machine cannot be
+/// reached, if it does not answer in time, or if `accepts_peer` rejects its handshake.
 pub(crate) async fn request_assignment(
     address: &str,
     own_handshake: Handshake,
-    is_asked: impl Fn(&Handshake) -> bool,
+    accepts_peer: impl Fn(&Handshake) -> bool,
 ) -> Option<AssignmentAnswer> {
     let mut connection = transport::dial(address, own_handshake).await.ok()?;
-    if !is_asked(&connection.peer_handshake) {
+    if !accepts_peer(&connection.peer_handshake) {
         return None;
     }
     loop {
@@ -358,19 +367,19 @@
     }
 }
 
-/// What a replica answers to a machine that asks for one.
-pub(crate) fn membership_answer(handle: &ReplicaHandle, handshake: &Handshake) -> Frame {
+/// The answer of a replica to a machine that requests a replica.
+pub(crate) fn assignment_answer(handle: &ReplicaHandle, handshake: &Handshake) -> Frame {
     let Some((_, _, disk_id)) = handshake.replica else {
         return Frame::NoReplicaAvailable;
     };
     let members = handle.members();
-    let named = members.iter().find(|(_, held)| *held == disk_id);
-    // It was named in the founding and missed the answer, or it starts again.
-    if let Some((replica_id, _)) = named {
+    let member = members.iter().find(|(_, held)| *held == disk_id);
+    // The disk is a member already: it missed the answer of the founder, or its machine restarted.
+    if let Some((replica_id, _)) = member {
         return Frame::ReplicaAssignment {
             replica_id: *replica_id,
             replica_count: handle.replica_count(),
-            founding: has_only_founder(handle, *replica_id),
+            founding: is_held_by_founding_member(handle, *replica_id),
             pinned_disks: members,
         };
     }
@@ -386,15 +395,16 @@
     }
 }
 
-/// Whether no other disk has held this replica since the cluster was founded.
-fn has_only_founder(handle: &ReplicaHandle, replica_id: ReplicaId) -> bool {
+/// Whether the disk of this replica has not been replaced since the cluster was founded.
+fn is_held_by_founding_member(handle: &ReplicaHandle, replica_id: ReplicaId) -> bool {
     let membership = handle.config.membership;
     let founded = membership.is_some_and(|membership| membership.founded);
     let state_machine = handle.state_machine.load();
     founded && !state_machine.replica_holders.contains_key(&replica_id)
 }
 
-/// The replica whose disk was last known at this address: that machine lost its disk.
+/// The replica whose disk was last known at this address. A machine with an empty disk at this
+/// address has lost that disk.
 fn replica_at(
     handle: &ReplicaHandle,
     members: &[(ReplicaId, DiskId)],
--- a/crates/control/src/membership/discovery.rs
+++ b/crates/control/src/membership/discovery.rs
@@ -1,5 +1,5 @@
-//! How processes learn where the replicas are: every handshake carries what its sender knows
-//! (design 4.3).
+//! Discovery of the replicas: every handshake carries the locations known to its sender (design
+//! 4.3).
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,28 +15,28 @@
 #[cfg(test)]
 mod tests;
 
-/// Between two rounds while fewer replicas are known than wanted.
+/// Interval between two rounds while fewer locations are known than wanted.
 const SEARCH_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Between two rounds once enough are known.
+/// Interval between two rounds once enough locations are known.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(5_000);
 
-/// The latest known location of each replica, by replica and disk. The lock of the watch channel
-/// is a leaf: nothing is awaited or locked while it is held (design 8.1).
+/// The latest known location of each replica, by replica and disk. The lock of the watch channel is
+/// a leaf lock: nothing is awaited and no other lock taken while it is held (design 8.1).
 pub type KnownReplicas = Arc<watch::Sender<BTreeMap<(ReplicaId, DiskId), KnownReplica>>>;
 
-/// A table that holds no replica yet.
+/// Creates a table without locations.
 pub fn empty() -> KnownReplicas {
     Arc::new(watch::Sender::new(BTreeMap::new()))
 }
 
-/// All known locations, by replica.
+/// All known locations, ordered by replica.
 pub fn list(known_replicas: &KnownReplicas) -> Vec<KnownReplica> {
     known_replicas.borrow().values().cloned().collect()
 }
 
-/// Adds locations. Of one disk the location with the higher start count stays: an address that
-/// moved is learned, and an old one never comes back.
+/// Adds locations to the table. For each disk the location with the highest start count is kept, so
+/// that a new address replaces an old one and never the reverse.
 pub fn merge(known_replicas: &KnownReplicas, received: Vec<KnownReplica>) {
     known_replicas.send_if_modified(|table| {
         let mut modified = false;
@@ -52,39 +52,40 @@
     });
 }
 
-/// Waits until the watched value changes, for `at_most` so long.
-pub async fn changed_within<T>(watched: &mut watch::Receiver<T>, at_most: Duration) {
-    // Both ends of the wait lead the caller to look again.
-    drop(timeout(at_most, watched.changed()).await);
+/// Waits until the watched value changes, but no longer than `max_wait`.
+pub async fn changed_within<T>(watched: &mut watch::Receiver<T>, max_wait: Duration) {
+    // The caller reads the value again in either case.
+    drop(timeout(max_wait, watched.changed()).await);
 }
 
-/// Asks seeds and known replicas for what they know, for ever: all of them in short intervals
-/// until `wanted` locations are known, then one at a time in long ones.
+/// Exchanges known locations with the seeds and the known replicas as long as the process runs. Until
+/// `wanted` locations are known all of them are contacted at a short interval, after that one at a
+/// time at a long interval.
 pub async fn run(
     known_replicas: KnownReplicas,
     seeds: Vec<String>,
     handshake: impl Fn() -> Handshake + Send + 'static,
     wanted: impl Fn() -> usize + Send,
 ) {
-    let mut turn = 0usize;
+    let mut round = 0usize;
     loop {
-        let addresses = addresses_to_ask(&known_replicas, &seeds);
-        let complete = known_replicas.borrow().len() >= wanted();
-        let asked = if complete {
-            let next = addresses.get(turn % addresses.len().max(1));
+        let addresses = addresses_to_contact(&known_replicas, &seeds);
+        let is_complete = known_replicas.borrow().len() >= wanted();
+        let contacted = if is_complete {
+            let next = addresses.get(round % addresses.len().max(1));
             next.cloned().into_iter().collect()
         } else {
             addresses
         };
-        turn += 1;
-        // All at once: one that is silent would keep the others waiting.
-        let asked = asked.into_iter().map(|address| {
+        round += 1;
+        // The exchanges run concurrently, so that one that does not answer does not delay the others.
+        let exchanges = contacted.into_iter().map(|address| {
             let known_replicas = known_replicas.clone();
             let handshake = handshake();
-            async move { ask(&known_replicas, &address, handshake).await }
+            async move { exchange_locations(&known_replicas, &address, handshake).await }
         });
-        asked.collect::<JoinSet<()>>().join_all().await;
-        sleep(if complete {
+        exchanges.collect::<JoinSet<()>>().join_all().await;
+        sleep(if is_complete {
             REFRESH_INTERVAL
         } else {
             SEARCH_INTERVAL
@@ -93,8 +94,8 @@
     }
 }
 
-/// The seeds, and after them the known replicas that are not among them.
-fn addresses_to_ask(known_replicas: &KnownReplicas, seeds: &[String]) -> Vec<String> {
+/// The addresses of the seeds, followed by those of the known replicas that are not seeds.
+fn addresses_to_contact(known_replicas: &KnownReplicas, seeds: &[String]) -> Vec<String> {
     let mut addresses = seeds.to_vec();
     for location in list(known_replicas) {
         if !seeds.contains(&location.address) {
@@ -104,7 +105,7 @@
     addresses
 }
 
-async fn ask(known_replicas: &KnownReplicas, address: &str, handshake: Handshake) {
+async fn exchange_locations(known_replicas: &KnownReplicas, address: &str, handshake: Handshake) {
     let own_handshake = Handshake {
         purpose: Purpose::Discover,
         known_replicas: list(known_replicas),
--- a/crates/control/src/membership/replacement.rs
+++ b/crates/control/src/membership/replacement.rs
@@ -1,5 +1,5 @@
-//! Replicas that another disk takes over: the old disk stops to vote, the log moves past the
-//! instance from which the new one votes, and the new one is admitted (design 4.4).
+//! Replacement of the disk that holds a replica: the old disk stops voting, the log advances past
+//! the instance after which the new disk votes, and the new disk is admitted (design 4.4).
 
 use mencius::{Input, Instance, Replica, ReplicaId, VOTING_WINDOW, Write};
 use model::{Microseconds, Operation, ReplicaReplacement};
@@ -11,15 +11,16 @@
 #[cfg(test)]
 mod tests;
 
-/// Between two pushes of the log towards the instance from which a new disk votes.
-const HANDOVER_PUSH_INTERVAL: Microseconds = 100_000;
+/// Interval between two steps that advance the log towards a pending replacement, in microseconds.
+const REPLACEMENT_ADVANCE_INTERVAL: Microseconds = 100_000;
 
-/// Between two replacements that this replica submits for empty disks.
+/// Minimum interval between two replacements that this replica submits for empty disks, in
+/// microseconds.
 const REPLACEMENT_REQUEST_INTERVAL: Microseconds = 500_000;
 
 impl ReplicaEventLoop {
-    /// Ends the voting of this disk after the instance that the log names, if another disk holds
-    /// its replica from there on.
+    /// Stops this disk from voting after the instance that the log names, if another disk holds its
+    /// replica from there on.
     pub(crate) fn enforce_voting_range(&mut self) {
         let replica_id = self.handle.replica_id();
         let holder = self.state_machine.replica_holders.get(&replica_id);
@@ -29,15 +30,16 @@
             self.step(model::now(), Input::StopVotingAfter(last_instance));
         }
         if let Some(after) = self.replica.as_ref().and_then(Replica::replaced_after) {
-            // Operators read this text: it is part of the interface.
+            // The text is shown to operators and is part of the interface.
             self.status.refusal = Some(format!(
                 "seat {replica_id} is held by another disk after instance {after}"
             ));
         }
     }
 
-    /// Takes in what a peer says to this disk, which is empty and replaces another: it knows
-    /// nothing of the votes of that one, and votes only after `votes_after`.
+    /// Admits this disk, which is empty and replaces another one, with the members reported by a
+    /// peer. This disk does not know the votes of the replaced one, and therefore votes only after
+    /// `votes_after`.
     pub(crate) fn admit(&mut self, votes_after: Instance, members: Members) {
         if self.replica.is_some() || !self.restored_writes.is_empty() {
             return;
@@ -47,17 +49,21 @@
             .into_iter()
             .filter(|(peer_id, _)| *peer_id != own_id);
         slog::info!(self.handle.logger, "admitted as a member"; "votes_after" => votes_after);
-        let begin = votes_after + 1;
-        let first_own = mencius::first_instance_of(begin, own_id, self.handle.replica_count());
-        // In one write: a disk that died knowing its peers, and not where it begins, would vote
-        // from the start.
-        let writes = vec![Write::VotingRangeStart(begin), Write::Index(first_own)];
+        let range_start = votes_after + 1;
+        let first_own =
+            mencius::first_instance_of(range_start, own_id, self.handle.replica_count());
+        // Stored in one write: a disk that held the record of its peers, but not the start of its
+        // voting range, would vote from the first instance on after a restart.
+        let writes = vec![
+            Write::VotingRangeStart(range_start),
+            Write::Index(first_own),
+        ];
         self.handle.replace_members(peers.collect(), writes);
     }
 
-    /// Submits that an empty disk becomes a replica whose member this replica has not heard for
-    /// long. The log decides, as it would for an operator. A disk that ever kept something is not
-    /// empty, so no disk that was replaced comes back by itself.
+    /// Submits the replacement of an unreachable member by an empty disk. The state machine decides
+    /// whether it takes effect, as for a replacement by an operator. A disk that ever stored anything
+    /// does not count as empty, so a replaced disk never returns by itself.
     pub(crate) fn replacement_requested(
         &mut self,
         now: Microseconds,
@@ -73,7 +79,7 @@
             return;
         }
         self.replacement_requested_at = now;
-        slog::warn!(self.handle.logger, "an empty disk replaces an unreachable member";
+        slog::warn!(self.handle.logger, "submitting the replacement of an unreachable member by an empty disk";
             "replica_id" => replica_id,
             "old_disk" => old_disk,
             "new_disk" => new_disk);
@@ -95,49 +101,49 @@
         same_address: bool,
     ) -> bool {
         let replace_after = self.handle.config.replace_after;
-        let pause = replace_after.min(REPLACEMENT_REQUEST_INTERVAL);
+        let request_interval = replace_after.min(REPLACEMENT_REQUEST_INTERVAL);
         let unreachable_since = self.unreachable_since.get(&replica_id);
-        let unreachable = unreachable_since.is_some_and(|since| now >= since + replace_after);
+        let is_unreachable = unreachable_since.is_some_and(|since| now >= since + replace_after);
         let holder = self.state_machine.replica_holders.get(&replica_id);
-        let already_replaced = holder.is_some_and(|(disk_id, _)| *disk_id == new_disk);
+        let is_already_replaced = holder.is_some_and(|(disk_id, _)| *disk_id == new_disk);
         replace_after > 0
-            && (same_address || unreachable)
-            && !already_replaced
+            && (same_address || is_unreachable)
+            && !is_already_replaced
             && self.replica.is_some()
-            && now >= self.replacement_requested_at + pause
+            && now >= self.replacement_requested_at + request_interval
     }
 
-    /// Moves the log towards the next pending replacement, and takes the new disks of those that
-    /// the log has passed for the members of their replicas.
+    /// Advances the log towards the next pending replacement, and records the new disks of the
+    /// replacements that the log has passed as members.
     pub(crate) fn advance_replacements(&mut self) {
         let now = model::now();
         let Some(applied_below) = self.replica.as_ref().map(Replica::applied) else {
             return;
         };
         if self.state_machine.replica_holders.is_empty()
-            || now < self.replacement_advanced_at + HANDOVER_PUSH_INTERVAL
+            || now < self.replacement_advanced_at + REPLACEMENT_ADVANCE_INTERVAL
         {
             return;
         }
         self.replacement_advanced_at = now;
-        self.push_log_towards_replacement(now, applied_below);
-        self.adopt_new_members(now, applied_below);
+        self.advance_log_towards_replacement(now, applied_below);
+        self.record_new_members(now, applied_below);
     }
 
-    /// Skips own instances at most half a voting window ahead, and submits a barrier there, which
-    /// makes the other replicas skip theirs.
-    fn push_log_towards_replacement(&mut self, now: Microseconds, applied_below: Instance) {
+    /// Skips instances of this replica, at most half a voting window ahead, and submits a barrier,
+    /// which makes the other replicas skip their instances below it.
+    fn advance_log_towards_replacement(&mut self, now: Microseconds, applied_below: Instance) {
         let holders = self.state_machine.replica_holders.values();
         let last_instances = holders.map(|(_, last_instance)| *last_instance);
         let pending = last_instances.filter(|last_instance| *last_instance >= applied_below);
         if let Some(last_instance) = pending.min() {
-            let reachable = applied_below + VOTING_WINDOW / 2;
-            self.step(now, Input::SkipThrough(last_instance.min(reachable)));
+            let limit = applied_below + VOTING_WINDOW / 2;
+            self.step(now, Input::SkipThrough(last_instance.min(limit)));
             self.submit_own(now, Operation::Barrier);
         }
     }
 
-    fn adopt_new_members(&mut self, now: Microseconds, applied_below: Instance) {
+    fn record_new_members(&mut self, now: Microseconds, applied_below: Instance) {
         let own_id = self.handle.replica_id();
         let mut new_members: Members = Vec::new();
         for (replica_id, (disk_id, last_instance)) in &self.state_machine.replica_holders {
@@ -152,8 +158,8 @@
             return;
         }
         for (replica_id, _) in &new_members {
-            // The new disk has no connection yet: it has the time that any member has before it is
-            // replaced itself.
+            // The new disk has no connection yet. It counts as unreachable from now on, and so has
+            // the full time to connect before it may be replaced itself.
             self.unreachable_since.insert(*replica_id, now);
             if self.connections.remove(replica_id).is_some() {
                 self.step(now, Input::ConnectionClosed(*replica_id));
