--- a/crates/control/src/failure_detection/monitor.rs
+++ b/crates/control/src/failure_detection/monitor.rs
@@ -1,10 +1,10 @@
-//! Sends heartbeats to the monitors of this node, and watches over the nodes that it monitors, by
-//! the nodes of the state machine (design 5.10).
+//! Sends heartbeats to the monitors of this node and checks the nodes that it monitors, based on the
+//! nodes of the state machine (design 5.10).
 //!
-//! The monitor of `endpoints` does the same by the cluster state and differs in behaviour: it
-//! reports only while its state is proved and its node registered, each report once; this one
-//! reports without a proof, and again until the log takes the report. The ring and the failure
-//! detector are the same.
+//! The monitor of the crate `endpoints` does the same based on the cluster state, with the same ring
+//! and failure detector. It differs in its reports: it sends each report once, and only while its
+//! state is verified and its node registered. This monitor reports without a freshness proof, and
+//! retries until the log accepts the report.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -20,29 +20,30 @@
 use crate::status_reports::StatusReporter;
 use crate::updates::view::SharedView;
 
-/// Between two attempts to report, until this process is registered.
+/// Interval between two attempts to send a report while this process is not registered.
 const REPORT_RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Heartbeats that may wait to be taken in.
+/// Capacity of the queue of received heartbeats that are not handled yet.
 const HEARTBEAT_QUEUE_CAPACITY: usize = 1_024;
 
-/// The failure detector checks its peers so many times within the failure timeout.
+/// How often the failure detector checks its peers within one failure timeout.
 const CHECKS_PER_TIMEOUT: Microseconds = 10;
 
 /// The settings of a monitor. All times are in microseconds.
 pub struct MonitorConfig {
     /// The name of this node.
     pub node: String,
-    /// Between two heartbeats to one monitor.
+    /// Interval between two heartbeats to one monitor, in microseconds.
     pub heartbeat_interval: Microseconds,
-    /// A node that was not heard for so long is reported.
+    /// How long a node may send no heartbeat before it is reported, in microseconds.
     pub failure_timeout: Microseconds,
 }
 
-/// Takes in heartbeats: which node sent one, and which process of it.
+/// Receives a heartbeat as the name and incarnation of the node that sent it.
 pub type HeartbeatSender = mpsc::Sender<(String, Incarnation)>;
 
-/// Starts to send heartbeats and to watch; the tasks run as long as the process.
+/// Starts the tasks that send heartbeats, check the monitored nodes and report failures. They run as
+/// long as the process.
 pub fn start<H: Fn() -> Handshake + Send + 'static>(
     config: MonitorConfig,
     view: SharedView,
@@ -50,7 +51,7 @@
     handshake: H,
 ) -> HeartbeatSender {
     let (heartbeats, received) = mpsc::channel(HEARTBEAT_QUEUE_CAPACITY);
-    let (reports, waiting_reports) = mpsc::unbounded_channel();
+    let (reports, pending_reports) = mpsc::unbounded_channel();
     let detection = Detection {
         node: config.node.clone(),
         failure_timeout: config.failure_timeout,
@@ -58,12 +59,12 @@
         reports,
     };
     tokio::spawn(detection.run(received));
-    tokio::spawn(send_reports(reporter, waiting_reports));
+    tokio::spawn(send_reports(reporter, pending_reports));
     tokio::spawn(send_heartbeats(config, view, handshake));
     heartbeats
 }
 
-/// The task that watches over the monitored nodes.
+/// The task that checks the monitored nodes.
 struct Detection {
     node: String,
     failure_timeout: Microseconds,
@@ -95,7 +96,7 @@
         let nodes = &view.slice.nodes;
         let timeout = self.failure_timeout;
         for report in detector.tick(model::now(), nodes, &self.node, timeout) {
-            // The task that takes reports runs as long as the process.
+            // The send cannot fail: the task that receives reports runs as long as the process.
             drop(self.reports.send(report));
         }
     }
@@ -106,7 +107,7 @@
     mut reports: mpsc::UnboundedReceiver<EndpointReport>,
 ) {
     while let Some(report) = reports.recv().await {
-        // Until this process is registered the log takes no report from it.
+        // The log rejects reports of a process that is not registered yet.
         while let Some(Outcome::Superseded { .. }) =
             reporter.report_endpoint_status(report.clone()).await
         {
@@ -125,11 +126,11 @@
     loop {
         let addresses = monitor_addresses(&view, &config.node);
         connections.retain(|address, connection| {
-            let kept = addresses.contains(address) && !connection.is_finished();
-            if !kept {
+            let is_kept = addresses.contains(address) && !connection.is_finished();
+            if !is_kept {
                 connection.abort();
             }
-            kept
+            is_kept
         });
         for address in addresses {
             let own_handshake = handshake();
@@ -154,10 +155,10 @@
         .collect()
 }
 
-async fn heartbeat_connection(address: String, handshake: Handshake, every: Duration) {
+async fn heartbeat_connection(address: String, handshake: Handshake, heartbeat_interval: Duration) {
     if let Ok(connection) = transport::dial(&address, handshake).await {
         while connection.sender.try_send(Frame::Heartbeat).is_ok() {
-            sleep(every).await;
+            sleep(heartbeat_interval).await;
         }
     }
 }
--- a/crates/control/src/failure_detection/ring.rs
+++ b/crates/control/src/failure_detection/ring.rs
@@ -1,4 +1,6 @@
-//! Who sends heartbeats to whom, and who is missed (design 5.10). Pure: the caller brings the time.
+//! The ring that determines which nodes send heartbeats to which, and the detection of nodes whose
+//! heartbeats stop (design 5.10). The module does no I/O and reads no clock; the caller passes the
+//! time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::mem;
@@ -12,21 +14,21 @@
 #[cfg(test)]
 mod tests;
 
-/// Each node sends heartbeats to the next so many on the ring of present nodes.
+/// The number of monitors of each node: the nodes that follow it on the ring of present nodes.
 pub const MONITORS_PER_NODE: usize = 3;
 
 type Nodes = BTreeMap<NodeName, Node>;
 
-/// A node that is monitored, as the process that it was when it was seen.
+/// A monitored node, identified by its name and its current process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MonitoredPeer {
     /// The name of the node.
     pub node: NodeName,
-    /// Its process.
+    /// The incarnation of the process of the node.
     pub incarnation: Incarnation,
 }
 
-/// The present nodes in the order of the ring, which depends on their names alone.
+/// The present nodes in the order of the ring, which depends only on their names.
 fn ring_order<'a>(present: impl Iterator<Item = &'a NodeName>) -> Vec<&'a NodeName> {
     let mut ring: Vec<&NodeName> = present.collect();
     ring.sort_by_cached_key(|name| (model::leases::stable_hash(name), *name));
@@ -35,11 +37,11 @@
 
 /// The nodes that follow `name` on the ring, and the nodes that precede it.
 fn neighbours<'a>(ring: &[&'a NodeName], name: &str) -> (Vec<&'a NodeName>, Vec<&'a NodeName>) {
-    let Some(place) = ring.iter().position(|held| *held == name) else {
+    let Some(index) = ring.iter().position(|other| *other == name) else {
         return (Vec::new(), Vec::new());
     };
     let steps = 1..=MONITORS_PER_NODE.min(ring.len() - 1);
-    let at = |distance: usize| ring[(place + distance) % ring.len()];
+    let at = |distance: usize| ring[(index + distance) % ring.len()];
     let following = steps.clone().map(at).collect();
     let preceding = steps.map(|step| at(ring.len() - step)).collect();
     (following, preceding)
@@ -50,14 +52,14 @@
     present.map(|(name, _)| name)
 }
 
-/// The nodes that `name` sends heartbeats to.
+/// The monitors of the node `name`, to which it sends heartbeats.
 pub fn monitors_of(nodes: &Nodes, name: &str) -> Vec<NodeName> {
     let ring = ring_order(present_nodes(nodes));
     let (following, _) = neighbours(&ring, name);
     following.into_iter().cloned().collect()
 }
 
-/// The nodes that send heartbeats to `name`.
+/// The nodes monitored by the node `name`, which send heartbeats to it.
 pub fn monitored_by(nodes: &Nodes, name: &str) -> Vec<MonitoredPeer> {
     let ring = ring_order(present_nodes(nodes));
     let (_, preceding) = neighbours(&ring, name);
@@ -70,24 +72,24 @@
     preceding.into_iter().filter_map(peer).collect()
 }
 
-/// Where one node stands on the ring of the cluster state; computed anew only when the nodes
-/// changed.
+/// The neighbours of one node on the ring of the cluster state. They are recomputed only when the
+/// nodes change.
 #[derive(Default)]
 pub struct RingPosition {
     computed_from: Option<Arc<NodeRecords>>,
-    /// Addresses of the nodes it sends heartbeats to.
+    /// The addresses of the monitors of the node, to which it sends heartbeats.
     pub monitor_addresses: BTreeSet<String>,
-    /// The nodes that send heartbeats to it.
+    /// The nodes that the node monitors, which send heartbeats to it.
     pub monitored_peers: BTreeSet<MonitoredPeer>,
-    /// How often the ring was computed.
+    /// The number of times the ring was computed.
     pub rebuild_count: u64,
 }
 
 impl RingPosition {
-    /// Computes the position of the node `name` unless it was computed from these very records.
+    /// Recomputes the neighbours of the node `name`, unless they were computed from the same records.
     pub fn update(&mut self, nodes: &Arc<NodeRecords>, name: &str) {
         let computed_from = self.computed_from.as_ref();
-        if computed_from.is_some_and(|held| Arc::ptr_eq(held, nodes)) {
+        if computed_from.is_some_and(|records| Arc::ptr_eq(records, nodes)) {
             return;
         }
         self.computed_from = Some(nodes.clone());
@@ -109,13 +111,13 @@
     }
 }
 
-/// When a peer was last heard, and whether it is reported as missing.
+/// When the last heartbeat of a peer arrived, and whether the peer is reported as missed.
 struct PeerContact {
-    last_heard_at: Microseconds,
-    reported_missing: bool,
+    last_heartbeat_at: Microseconds,
+    is_reported_missed: bool,
 }
 
-/// Decides which monitored peers are missing.
+/// Decides which monitored peers are missed, that is, have stopped sending heartbeats.
 #[derive(Default)]
 pub struct FailureDetector {
     peers: BTreeMap<MonitoredPeer, PeerContact>,
@@ -123,18 +125,19 @@
 }
 
 impl FailureDetector {
-    /// A heartbeat came; one of a peer that is not monitored is ignored.
+    /// Records a heartbeat. Heartbeats of peers that are not monitored are ignored.
     pub fn heartbeat_received(&mut self, now: Microseconds, node: &str, incarnation: Incarnation) {
         let peer = MonitoredPeer {
             node: node.to_string(),
             incarnation,
         };
         if let Some(contact) = self.peers.get_mut(&peer) {
-            contact.last_heard_at = now;
+            contact.last_heartbeat_at = now;
         }
     }
 
-    /// As [`Self::check`], with the peers that follow from the nodes of the state machine.
+    /// Does the same as [`Self::check`] for the peers that result from the nodes of the state
+    /// machine.
     pub fn tick(
         &mut self,
         now: Microseconds,
@@ -146,10 +149,10 @@
         self.check(now, &monitored, name, timeout)
     }
 
-    /// Reports, as the observer `name`, each monitored peer that was not heard for `timeout`, and
-    /// each that was reported so and is heard again. To be called more often than each half of
-    /// `timeout`: when more time has passed it was this node that stood still, and every peer is
-    /// given the whole time again.
+    /// Returns the reports of the observer `name`: one for each monitored peer that has sent no
+    /// heartbeat for `timeout`, and one for each such peer that sends heartbeats again. The interval
+    /// between calls must be less than half of `timeout`. If more time has passed, this node itself
+    /// was suspended, and every peer is given the whole timeout again.
     pub fn check(
         &mut self,
         now: Microseconds,
@@ -158,17 +161,17 @@
         timeout: Microseconds,
     ) -> Vec<EndpointReport> {
         let since_last_check = now.saturating_sub(mem::replace(&mut self.last_check_at, now));
-        self.monitor(now, monitored);
+        self.update_peers(now, monitored);
         if since_last_check > timeout / 2 {
             for contact in self.peers.values_mut() {
-                contact.last_heard_at = now;
+                contact.last_heartbeat_at = now;
             }
         }
         let mut reports = Vec::new();
         for (peer, contact) in &mut self.peers {
-            let missed = now > contact.last_heard_at + timeout;
-            if missed != contact.reported_missing {
-                contact.reported_missing = missed;
+            let missed = now > contact.last_heartbeat_at + timeout;
+            if missed != contact.is_reported_missed {
+                contact.is_reported_missed = missed;
                 reports.push(EndpointReport::NodeObserved {
                     observer: name.to_string(),
                     node: peer.node.clone(),
@@ -180,14 +183,15 @@
         reports
     }
 
-    /// Forgets peers that are not monitored any more, and takes new ones for heard now.
-    fn monitor(&mut self, now: Microseconds, monitored: &BTreeSet<MonitoredPeer>) {
+    /// Removes peers that are no longer monitored, and adds new ones as if a heartbeat had just
+    /// arrived.
+    fn update_peers(&mut self, now: Microseconds, monitored: &BTreeSet<MonitoredPeer>) {
         self.peers.retain(|peer, _| monitored.contains(peer));
         for peer in monitored {
             if !self.peers.contains_key(peer) {
                 let contact = PeerContact {
-                    last_heard_at: now,
-                    reported_missing: false,
+                    last_heartbeat_at: now,
+                    is_reported_missed: false,
                 };
                 self.peers.insert(peer.clone(), contact);
             }
--- a/crates/control/src/status_reports.rs
+++ b/crates/control/src/status_reports.rs
@@ -1,4 +1,4 @@
-//! Reports of a node on their way to the log, one at a time, through whichever replica answers
+//! Submission of the reports of a node to the log, one at a time, through any replica that answers
 //! (design 5.8).
 
 use std::time::Duration;
@@ -13,43 +13,43 @@
 
 use crate::membership::discovery::{self, KnownReplicas};
 
-/// A replica that has not answered within so long may be cut off; the same entry then goes to
-/// another.
+/// How long to wait for the answer of a replica before the same entry is sent to another replica,
+/// because the first may be cut off from the majority.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// A connection that carried nothing for so long is closed.
+/// How long a connection without reports is kept open.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Before the next attempt when no replica could be reached.
+/// Pause before the next attempt if no replica could be reached.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Reports that may wait; further reporters wait for room.
+/// Capacity of the queue of reports; a caller that finds it full waits.
 const REPORT_QUEUE_CAPACITY: usize = 256;
 
 /// The settings of a status reporter.
 pub struct StatusReporterConfig {
     /// The name of this node, which is the origin of its entries.
     pub node: String,
-    /// Tells this process from other ones of the same node.
+    /// Distinguishes this process from other processes of the same node.
     pub incarnation: Incarnation,
-    /// Where outcomes are logged.
+    /// The logger for the outcomes of reports.
     pub logger: Logger,
 }
 
-/// A report, and where its outcome is awaited.
+/// A report, and the sender that returns its outcome to the caller.
 struct PendingReport {
     operation: Operation,
     answer: oneshot::Sender<Outcome>,
 }
 
-/// Hands reports to the log. Clones share one queue.
+/// Submits reports to the log. Clones share one queue.
 #[derive(Clone)]
 pub struct StatusReporter(mpsc::Sender<PendingReport>);
 
 impl StatusReporter {
-    /// Starts the task that sends the reports. `followed` is the address of the replica that the
-    /// node relies on for updates, if there is one: it is asked first, as it has just shown that it
-    /// works, while others may be silent.
+    /// Starts the task that sends the reports. `followed_address` is the address of the replica that
+    /// the node relies on for updates, if there is one. That replica is preferred, because it has
+    /// recently answered while others may be unresponsive.
     pub fn start(
         config: StatusReporterConfig,
         known_replicas: KnownReplicas,
@@ -65,20 +65,20 @@
             handshake,
             connection: None,
             failed_address: None,
-            turn: node_slot,
+            next_replica: node_slot,
         };
         tokio::spawn(task.run(reports));
         StatusReporter(queue)
     }
 
-    /// Reports on a node or backend to the state machine and waits for the outcome; `None` when
-    /// the process stops.
+    /// Submits a report on a node or backend to the state machine and waits for its outcome. Returns
+    /// `None` if the process stops.
     pub async fn report_endpoint_status(&self, report: EndpointReport) -> Option<Outcome> {
         self.submit(Operation::EndpointReport(report)).await
     }
 
-    /// Reports on backends, nodes and shard keys to the cluster state, all in one entry, and waits
-    /// for the outcome; `None` when the process stops (design 11.2).
+    /// Submits reports on backends, nodes and shard keys to the cluster state in one entry, and waits
+    /// for its outcome (design 11.2). Returns `None` if the process stops.
     pub async fn report(&self, reports: Vec<ClusterReport>) -> Option<Outcome> {
         let operation = ClusterOperation::Reports(reports);
         self.submit(Operation::ClusterState(operation)).await
@@ -98,10 +98,11 @@
     followed_address: watch::Receiver<Option<String>>,
     handshake: H,
     connection: Option<Connection>,
-    /// The replica that was asked last, unless it answered.
+    /// The address of the replica tried last, unless it answered.
     failed_address: Option<String>,
-    /// Which replica is next; nodes spread over the replicas by name.
-    turn: usize,
+    /// The index of the replica to try next. The first depends on the name of the node, which spreads
+    /// the nodes over the replicas.
+    next_replica: usize,
 }
 
 impl<H: Fn() -> Handshake + Send + 'static> ReporterTask<H> {
@@ -125,18 +126,18 @@
             };
             let outcome = self.submit(&entry).await;
             slog::info!(self.config.logger, "reported"; "sequence" => sequence, "outcome" => ?outcome);
-            // Whoever asked may have stopped waiting.
+            // The send fails if the caller has stopped waiting.
             drop(report.answer.send(outcome));
         }
     }
 
-    /// Sends the same entry, sequence and all, to one replica after the other until it is answered:
-    /// the log takes it once.
+    /// Sends an entry to one replica after another until one answers. Each attempt sends the same
+    /// sequence number, so that the entry takes effect only once.
     async fn submit(&mut self, entry: &Entry) -> Outcome {
         loop {
             if let Some(connection) = self.connection.as_mut() {
-                let answered = timeout(ANSWER_TIMEOUT, forward(connection, entry)).await;
-                if let Some(outcome) = answered.ok().flatten() {
+                let answer = timeout(ANSWER_TIMEOUT, forward(connection, entry)).await;
+                if let Some(outcome) = answer.ok().flatten() {
                     self.failed_address = None;
                     return outcome;
                 }
@@ -154,21 +155,22 @@
         transport::dial(&address, (self.handshake)()).await.ok()
     }
 
-    /// The replica that the node relies on, unless that one has just failed; else the next in turn.
+    /// The address of the replica that the node relies on, unless that one has just failed; otherwise
+    /// the next known replica in turn.
     fn next_address(&mut self) -> Option<String> {
         let followed_address = self.followed_address.borrow().clone();
         if followed_address.is_some() && followed_address != self.failed_address {
             return followed_address;
         }
         let replicas = discovery::list(&self.known_replicas);
-        let replica = replicas.get(self.turn % replicas.len().max(1))?;
-        self.turn += 1;
+        let replica = replicas.get(self.next_replica % replicas.len().max(1))?;
+        self.next_replica += 1;
         Some(replica.address.clone())
     }
 }
 
-/// Sends an entry to a replica and waits for its outcome; `None` if the connection ends or the
-/// replica does not know the outcome.
+/// Sends an entry to a replica and waits for its outcome. Returns `None` if the connection ends or
+/// the replica does not know the outcome.
 async fn forward(connection: &mut Connection, entry: &Entry) -> Option<Outcome> {
     let frame = Frame::ForwardEntry {
         request_id: entry.sequence,
