--- a/crates/control/src/failure_detection/monitor.rs
+++ b/crates/control/src/failure_detection/monitor.rs
@@ -95,7 +95,7 @@
         let view = self.view.load();
         let nodes = &view.slice.nodes;
         let timeout = self.failure_timeout;
-        for report in detector.tick(model::now(), nodes, &self.node, timeout) {
+        for report in detector.check_nodes(model::now(), nodes, &self.node, timeout) {
             // The send cannot fail: the task that receives reports runs as long as the process.
             drop(self.reports.send(report));
         }
--- a/crates/control/src/failure_detection/ring.rs
+++ b/crates/control/src/failure_detection/ring.rs
@@ -138,7 +138,7 @@
 
     /// Does the same as [`Self::check`] for the peers that result from the nodes of the state
     /// machine.
-    pub fn tick(
+    pub fn check_nodes(
         &mut self,
         now: Microseconds,
         nodes: &Nodes,
--- a/crates/control/src/failure_detection/ring/tests.rs
+++ b/crates/control/src/failure_detection/ring/tests.rs
@@ -85,7 +85,7 @@
     let ticks = |watch: &mut FailureDetector, from: u64, to: u64| -> Vec<EndpointReport> {
         (from..to)
             .step_by(100)
-            .flat_map(|now| watch.tick(now, &nodes, "n0", 1_000))
+            .flat_map(|now| watch.check_nodes(now, &nodes, "n0", 1_000))
             .collect()
     };
     assert_eq!(ticks(&mut watch, 0, 1_000), vec![]);
@@ -100,7 +100,7 @@
         "{back:?}"
     );
     watch.heartbeat_received(3_500, "n1", 1);
-    assert_eq!(watch.tick(9_000, &nodes, "n0", 1_000), vec![]);
+    assert_eq!(watch.check_nodes(9_000, &nodes, "n0", 1_000), vec![]);
 }
 
 /// The next nodes on the ring, found by walking it in one direction.
--- a/crates/control/tests/disks/writing.rs
+++ b/crates/control/tests/disks/fixture_writer.rs
@@ -1,8 +1,8 @@
 //! Writes the recorded disks: a core over loopback is founded, changed, loses one replica's disk,
 //! gives the replica to a new disk and is changed again.
 
+use crate::contents::{Held, answered_by};
 use crate::entries::{after_the_replacement, before_the_replacement, while_one_is_away};
-use crate::held::{Held, answered_by};
 use crate::machines::{Machine, until};
 use control::ReplicaHandle;
 use model::{Entry, Outcome, compression};
--- a/crates/control/tests/disks/main.rs
+++ b/crates/control/tests/disks/main.rs
@@ -6,17 +6,17 @@
 //! `GRADEFORD_WRITE_FIXTURES=1 cargo test -p control --test disks`, which runs four replicas and
 //! writes the files before they are compared.
 
+mod contents;
 mod entries;
-mod held;
+mod fixture_writer;
 #[allow(
     dead_code,
     reason = "the tests of founding and replacement use more of it"
 )]
 #[path = "../membership/machines.rs"]
 mod machines;
-mod writing;
 
-use held::{Held, answered_by, disk_of, fixtures};
+use contents::{Held, answered_by, disk_of, fixtures};
 use machines::{Machine, soon, until};
 use std::collections::BTreeSet;
 use std::env;
@@ -34,7 +34,7 @@
 /// Writes the fixtures first where that is asked for.
 fn prepared() {
     if env::var_os("GRADEFORD_WRITE_FIXTURES").is_some() {
-        WRITTEN.call_once(|| writing::write_fixtures(&fixtures()));
+        WRITTEN.call_once(|| fixture_writer::write_fixtures(&fixtures()));
     }
 }
 
@@ -131,7 +131,7 @@
         .iter()
         .flat_map(|held| held.writes.keys().copied())
         .collect();
-    assert_eq!(kinds.len(), held::KINDS_OF_WRITES, "{kinds:?}");
+    assert_eq!(kinds.len(), contents::KINDS_OF_WRITES, "{kinds:?}");
 }
 
 /// The replicas as they run: they vote, finish what one disk alone does not tell, hold all that was
--- a/crates/control/tests/recorded_bulletins.rs
+++ b/crates/control/tests/recorded_updates.rs
@@ -78,7 +78,7 @@
 
 #[test]
 fn changes_told_to_followers_have_the_recorded_bytes() {
-    let mut recorded = RecordedBytes::of("bulletins");
+    let mut recorded = RecordedBytes::of("updates");
     let mut desk = UpdatePublisher::default();
     let mut follower = StateFollower::default();
     let held = follower.held_position();
@@ -111,7 +111,7 @@
     let held = follower.held_position();
     tell(
         &mut recorded,
-        "afresh",
+        "snapshot",
         &mut follower,
         frames_for(&mut desk, held),
     );
@@ -121,7 +121,7 @@
     let held = follower.received().position;
     tell(
         &mut recorded,
-        "squeezed",
+        "compressed",
         &mut follower,
         frames_for(&mut desk, held),
     );
