--- a/crates/control/src/failure_detection/monitor.rs
+++ b/crates/control/src/failure_detection/monitor.rs
@@ -1,10 +1,10 @@
-//! Sends heartbeats to the monitors of this node and checks the nodes that it monitors, based on the
-//! nodes of the state machine (design 5.10).
+//! Sends heartbeats to the monitors of this node and checks the nodes that it monitors, based on
+//! the nodes of the state machine (design 5.10).
 //!
-//! The monitor of the crate `endpoints` does the same based on the cluster state, with the same ring
-//! and failure detector. It differs in its reports: it sends each report once, and only while its
-//! state is verified and its node registered. This monitor reports without a freshness proof, and
-//! retries until the log accepts the report.
+//! The monitor of the crate `endpoints` does the same based on the cluster state, with the same
+//! ring and failure detector. It differs in its reports: it sends each report once, and only while
+//! its state is verified and its node registered. This monitor reports without a freshness proof,
+//! and retries until the log accepts the report.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -42,8 +42,8 @@
 /// Receives a heartbeat as the name and incarnation of the node that sent it.
 pub type HeartbeatSender = mpsc::Sender<(String, Incarnation)>;
 
-/// Starts the tasks that send heartbeats, check the monitored nodes and report failures. They run as
-/// long as the process.
+/// Starts the tasks that send heartbeats, check the monitored nodes and report failures. They run
+/// as long as the process.
 pub fn start<H: Fn() -> Handshake + Send + 'static>(
     config: MonitorConfig,
     view: SharedView,
--- a/crates/control/src/failure_detection/ring.rs
+++ b/crates/control/src/failure_detection/ring.rs
@@ -86,7 +86,8 @@
 }
 
 impl RingPosition {
-    /// Recomputes the neighbours of the node `name`, unless they were computed from the same records.
+    /// Recomputes the neighbours of the node `name`, unless they were computed from the same
+    /// records.
     pub fn update(&mut self, nodes: &Arc<NodeRecords>, name: &str) {
         let computed_from = self.computed_from.as_ref();
         if computed_from.is_some_and(|records| Arc::ptr_eq(records, nodes)) {
@@ -150,9 +151,9 @@
     }
 
     /// Returns the reports of the observer `name`: one for each monitored peer that has sent no
-    /// heartbeat for `timeout`, and one for each such peer that sends heartbeats again. The interval
-    /// between calls must be less than half of `timeout`. If more time has passed, this node itself
-    /// was suspended, and every peer is given the whole timeout again.
+    /// heartbeat for `timeout`, and one for each such peer that sends heartbeats again. The
+    /// interval between calls must not exceed half of `timeout`. If more time has passed, this node
+    /// itself was suspended, and every peer is given the whole timeout again.
     pub fn check(
         &mut self,
         now: Microseconds,
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,6 +1,6 @@
-//! The control plane: the replicas of the log and their membership, the distribution of state updates
-//! to the nodes, failure detection between nodes, and the reports of nodes to the log (design 4, 5,
-//! 6, 11, 12).
+//! The control plane: the replicas of the log and their membership, the distribution of state
+//! updates to the nodes, failure detection between nodes, and the reports of nodes to the log
+//! (design 4, 5, 6, 11, 12).
 #![deny(missing_docs)]
 
 pub mod failure_detection;
--- a/crates/control/src/membership/bootstrap.rs
+++ b/crates/control/src/membership/bootstrap.rs
@@ -1,5 +1,5 @@
-//! Assignment of a replica to a core machine, either when the cluster is founded, which happens once,
-//! or as the replacement of a lost machine (design 12.1, 12.3).
+//! Assignment of a replica to a core machine, either when the cluster is founded, which happens
+//! once, or as the replacement of a lost machine (design 12.1, 12.3).
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -48,9 +48,9 @@
     pub quiet_period: Microseconds,
     /// The minimum time that the founder waits for further machines, in microseconds.
     pub minimum_wait: Microseconds,
-    /// How long only the founder is asked at the first start, in microseconds. After that any machine
-    /// that has a replica is asked, because the founder may be lost. The period must be long enough
-    /// that the replica of a machine that only starts slowly does not become vacant.
+    /// How long only the founder is asked at the first start, in microseconds. After that any
+    /// machine that has a replica is asked, because the founder may be lost. The period must be
+    /// long enough that the replica of a machine that only starts slowly does not become vacant.
     pub founder_only_period: Microseconds,
 }
 
@@ -161,7 +161,8 @@
         replica_count: members.replica_count(),
         founded: true,
     };
-    // Stored before it is announced, so that a founder that restarts does not found another cluster.
+    // Stored before it is announced, so that a founder that restarts does not found another
+    // cluster.
     store.record_membership(membership, &members.0.iter().copied().collect())?;
     slog::info!(logger, "the cluster is founded";
         "replica_count" => membership.replica_count,
--- a/crates/control/src/membership/discovery.rs
+++ b/crates/control/src/membership/discovery.rs
@@ -58,9 +58,9 @@
     drop(timeout(max_wait, watched.changed()).await);
 }
 
-/// Exchanges known locations with the seeds and the known replicas as long as the process runs. Until
-/// `wanted` locations are known all of them are contacted at a short interval, after that one at a
-/// time at a long interval.
+/// Exchanges known locations with the seeds and the known replicas as long as the process runs.
+/// Until `wanted` locations are known all of them are contacted at a short interval, after that one
+/// at a time at a long interval.
 pub async fn run(
     known_replicas: KnownReplicas,
     seeds: Vec<String>,
@@ -78,7 +78,8 @@
             addresses
         };
         round += 1;
-        // The exchanges run concurrently, so that one that does not answer does not delay the others.
+        // The exchanges run concurrently, so that one that does not answer does not delay the
+        // others.
         let exchanges = contacted.into_iter().map(|address| {
             let known_replicas = known_replicas.clone();
             let handshake = handshake();
--- a/crates/control/src/membership/replacement.rs
+++ b/crates/control/src/membership/replacement.rs
@@ -62,8 +62,8 @@
     }
 
     /// Submits the replacement of an unreachable member by an empty disk. The state machine decides
-    /// whether it takes effect, as for a replacement by an operator. A disk that ever stored anything
-    /// does not count as empty, so a replaced disk never returns by itself.
+    /// whether it takes effect, as for a replacement by an operator. A disk that ever stored
+    /// anything does not count as empty, so a replaced disk never returns by itself.
     pub(crate) fn replacement_requested(
         &mut self,
         now: Microseconds,
@@ -79,7 +79,7 @@
             return;
         }
         self.replacement_requested_at = now;
-        slog::warn!(self.handle.logger, "submitting the replacement of an unreachable member by an empty disk";
+        slog::warn!(self.handle.logger, "submitting an empty disk to replace an unreachable member";
             "replica_id" => replica_id,
             "old_disk" => old_disk,
             "new_disk" => new_disk);
--- a/crates/control/src/membership/replacement/tests.rs
+++ b/crates/control/src/membership/replacement/tests.rs
@@ -50,7 +50,8 @@
         !votes(&handle).await,
         "one peer has not sent its first frame yet"
     );
-    // The other peer reports that this disk replaces another one and may vote only above an instance.
+    // The other peer reports that this disk replaces another one and may vote only above an
+    // instance.
     let members = vec![(1, 11), (2, 12)];
     handle.admitted(1_000_000, members).await.expect(running);
     while !handle.status.load().voting {
--- a/crates/control/src/membership/retirement.rs
+++ b/crates/control/src/membership/retirement.rs
@@ -34,8 +34,8 @@
 
 impl PeerAnswers {
     /// Whether this disk is to be emptied. A single answer that names another holder would suffice,
-    /// because a replica gives it only after it has applied the replacement. Answers from half of the
-    /// replicas are required so that a misconfigured machine does not empty a disk.
+    /// because a replica gives it only after it has applied the replacement. Answers from half of
+    /// the replicas are required so that a misconfigured machine does not empty a disk.
     fn should_retire(self, replica_count: u16) -> bool {
         let required = usize::from(replica_count / 2).max(1);
         self.still_member == 0 && self.superseded >= required
@@ -87,8 +87,8 @@
     }
 }
 
-/// Asks one peer, and returns which replica it is and whether it knows this disk as the holder of its
-/// replica. Returns `None` if the peer does not answer or does not vote yet.
+/// Asks one peer, and returns which replica it is and whether it knows this disk as the holder of
+/// its replica. Returns `None` if the peer does not answer or does not vote yet.
 async fn ask_peer(handle: &ReplicaHandle, address: &str) -> Option<(ReplicaId, bool)> {
     let replica_of = |peer: &Handshake| {
         let replica = peer.replica.filter(|_| !peer.has_empty_disk);
--- a/crates/control/src/replica/command.rs
+++ b/crates/control/src/replica/command.rs
@@ -1,7 +1,7 @@
 //! The commands that other tasks send to the event loop of a replica.
 //!
-//! Callers do not construct them: each command has a method on [`super::ReplicaHandle`], which sends
-//! it and awaits the answer if there is one.
+//! Callers do not construct them: each command has a method on [`super::ReplicaHandle`], which
+//! sends it and awaits the answer if there is one.
 
 use mencius::{Frame, PersistTicket, ReplicaId, Write};
 use model::cluster_state::items::Items;
@@ -28,7 +28,8 @@
     ReadBarrier { answer: oneshot::Sender<Position> },
     /// A follower that holds the cluster state up to `held` is to be sent updates (design 11.3).
     Follow { held: Position, sender: FrameSender },
-    /// A follower requests a freshness proof, which is sent on the channel that carries its updates.
+    /// A follower requests a freshness proof, which is sent on the channel that carries its
+    /// updates.
     RequestProof {
         request_id: u64,
         sender: FrameSender,
--- a/crates/control/src/replica/event_loop.rs
+++ b/crates/control/src/replica/event_loop.rs
@@ -62,7 +62,8 @@
     pub(super) last_progress: Progress,
     /// Peers that confirmed that no other disk held this replica before.
     first_holder_confirmed_by: BTreeSet<ReplicaId>,
-    /// When the connection to each unreachable replica was lost.
+    /// When the connection to each unreachable replica was lost, or when the process started if
+    /// there was none.
     pub(crate) unreachable_since: BTreeMap<ReplicaId, Microseconds>,
     /// When a replacement was last submitted for an empty disk.
     pub(crate) replacement_requested_at: Microseconds,
@@ -82,7 +83,8 @@
         };
         handle.status.store(Arc::new(status.clone()));
         let config = &handle.config;
-        // The counts are staggered so that the replicas take their snapshots at different entries.
+        // The initial counts are staggered so that the replicas take their snapshots at different
+        // entries.
         let entries_since_snapshot = config.snapshot_every_entries * u64::from(config.replica_id)
             / u64::from(config.replica_count.max(1));
         let now = model::now();
@@ -247,7 +249,7 @@
 
     fn on_refused_by_peer(&mut self, reason: String) {
         if self.status.refusal.as_ref() != Some(&reason) {
-            slog::error!(self.handle.logger, "a peer refused this disk; it cannot take part";
+            slog::error!(self.handle.logger, "a peer refused this disk; the disk cannot take part";
                 "reason" => &reason);
         }
         self.status.refusal = Some(reason);
--- a/crates/control/src/replica/handle.rs
+++ b/crates/control/src/replica/handle.rs
@@ -241,7 +241,8 @@
     }
 
     /// Waits until everything accepted before this call is applied to `state_machine`, and returns
-    /// the position of `state_machine` (design 3.9). Returns `None` if no majority answered in time.
+    /// the position of `state_machine` (design 3.9). Returns `None` if no majority answered in
+    /// time.
     pub async fn read_barrier(&self) -> Option<Position> {
         self.request(|answer| Command::ReadBarrier { answer }).await
     }
@@ -360,7 +361,7 @@
         let pinned = self.store_writer.pin_disk(replica_id, disk_id).await;
         // The cause is only logged here, because the texts of a refusal are part of the protocol.
         pinned.map_err(|error| {
-            slog::error!(self.logger, "could not record the disk of a peer; the connection is refused";
+            slog::error!(self.logger, "could not record the disk of a peer; refusing the peer";
                 "peer_id" => replica_id,
                 "error" => %error);
             match error {
--- a/crates/control/src/replica/peer_link.rs
+++ b/crates/control/src/replica/peer_link.rs
@@ -115,7 +115,8 @@
             let found = connection.peer_handshake.replica;
             let found = found.map(|(replica_id, replica_count, _)| (replica_id, replica_count));
             if found != Some((peer_id, handle.replica_count())) {
-                slog::warn!(handle.logger, "a different process answered at the address of a peer; closing the connection";
+                slog::warn!(handle.logger,
+                    "a different process answered at the address of a peer; disconnecting";
                     "address" => address,
                     "found" => ?connection.peer_handshake.replica);
             } else if pin_peer(handle, &connection.peer_handshake).await.is_ok()
--- a/crates/control/src/status_reports.rs
+++ b/crates/control/src/status_reports.rs
@@ -47,9 +47,9 @@
 pub struct StatusReporter(mpsc::Sender<PendingReport>);
 
 impl StatusReporter {
-    /// Starts the task that sends the reports. `followed_address` is the address of the replica that
-    /// the node relies on for updates, if there is one. That replica is preferred, because it has
-    /// recently answered while others may be unresponsive.
+    /// Starts the task that sends the reports. `followed_address` is the address of the replica
+    /// that the node relies on for updates, if there is one. That replica is preferred, because it
+    /// has recently answered while others may be unresponsive.
     pub fn start(
         config: StatusReporterConfig,
         known_replicas: KnownReplicas,
@@ -71,14 +71,14 @@
         StatusReporter(queue)
     }
 
-    /// Submits a report on a node or backend to the state machine and waits for its outcome. Returns
-    /// `None` if the process stops.
+    /// Submits a report on a node or backend to the state machine and waits for its outcome.
+    /// Returns `None` if the process stops.
     pub async fn report_endpoint_status(&self, report: EndpointReport) -> Option<Outcome> {
         self.submit(Operation::EndpointReport(report)).await
     }
 
-    /// Submits reports on backends, nodes and shard keys to the cluster state in one entry, and waits
-    /// for its outcome (design 11.2). Returns `None` if the process stops.
+    /// Submits reports on backends, nodes and shard keys to the cluster state in one entry, and
+    /// waits for its outcome (design 11.2). Returns `None` if the process stops.
     pub async fn report(&self, reports: Vec<ClusterReport>) -> Option<Outcome> {
         let operation = ClusterOperation::Reports(reports);
         self.submit(Operation::ClusterState(operation)).await
@@ -100,8 +100,8 @@
     connection: Option<Connection>,
     /// The address of the replica tried last, unless it answered.
     failed_address: Option<String>,
-    /// The index of the replica to try next. The first depends on the name of the node, which spreads
-    /// the nodes over the replicas.
+    /// The index of the replica to try next. The first depends on the name of the node, which
+    /// spreads the nodes over the replicas.
     next_replica: usize,
 }
 
@@ -125,7 +125,9 @@
                 operation: report.operation,
             };
             let outcome = self.submit(&entry).await;
-            slog::info!(self.config.logger, "reported"; "sequence" => sequence, "outcome" => ?outcome);
+            slog::info!(self.config.logger, "reported";
+                "sequence" => sequence,
+                "outcome" => ?outcome);
             // The send fails if the caller has stopped waiting.
             drop(report.answer.send(outcome));
         }
@@ -155,8 +157,8 @@
         transport::dial(&address, (self.handshake)()).await.ok()
     }
 
-    /// The address of the replica that the node relies on, unless that one has just failed; otherwise
-    /// the next known replica in turn.
+    /// The address of the replica that the node relies on, unless that one has just failed;
+    /// otherwise the next known replica in turn.
     fn next_address(&mut self) -> Option<String> {
         let followed_address = self.followed_address.borrow().clone();
         if followed_address.is_some() && followed_address != self.failed_address {
--- a/crates/control/src/updates/follower.rs
+++ b/crates/control/src/updates/follower.rs
@@ -1,5 +1,6 @@
 //! The task of a node that follows the cluster state: it maintains the connections that
-//! [`Upstreams`] selects, and passes the frames received on them to [`StateFollower`] (design 11.3).
+//! [`Upstreams`] selects, and passes the frames received on them to [`StateFollower`] (design
+//! 11.3).
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -33,8 +34,8 @@
     pub zone: String,
     /// Interval between two freshness-proof requests, in microseconds.
     pub proof_interval: Microseconds,
-    /// How long a replica may leave a request for a freshness proof unanswered before the node tries
-    /// other replicas, in microseconds.
+    /// How long a replica may leave a request for a freshness proof unanswered before the node
+    /// tries other replicas, in microseconds.
     pub proof_timeout: Microseconds,
 }
 
@@ -128,8 +129,8 @@
     }
 }
 
-/// The known replicas in order of preference: those of the node's zone first. Within and outside the
-/// zone, the order depends on the name of the node, which spreads the nodes over the replicas.
+/// The known replicas in order of preference: those of the node's zone first. Within and outside
+/// the zone, the order depends on the name of the node, which spreads the nodes over the replicas.
 fn candidates(config: &FollowerConfig, known_replicas: &KnownReplicas) -> Vec<Candidate> {
     let rank = |replica_id: ReplicaId| {
         let node_and_replica = format!("{}{replica_id}", config.node);
@@ -298,7 +299,7 @@
         }
         let gap = self.last_proof_at.map_or(0, |last| now - last);
         if gap > PROOF_GAP_WARNING {
-            slog::warn!(self.logger, "received no freshness proof for a while; the state may have been outdated";
+            slog::warn!(self.logger, "no freshness proof arrived for a while; updates may be late";
                 "gap_us" => gap);
         }
         self.last_proof_at = Some(now);
--- a/crates/control/src/updates/mod.rs
+++ b/crates/control/src/updates/mod.rs
@@ -4,8 +4,8 @@
 //! Two states are distributed, each in its own way. Every node follows the whole *cluster state*
 //! ([`publisher`], [`follower`], [`upstreams`], [`verification`]). Of the older *state machine* a
 //! node subscribes to the slice that its services need, at a replica or through a relay in its zone
-//! ([`subscriber`], [`relay`], [`zone_relay`], [`view`]). [`server`] accepts the connections of both
-//! kinds at a replica.
+//! ([`subscriber`], [`relay`], [`zone_relay`], [`view`]). [`server`] accepts the connections of
+//! both kinds at a replica.
 
 pub mod follower;
 pub mod publisher;
--- a/crates/control/src/updates/publisher.rs
+++ b/crates/control/src/updates/publisher.rs
@@ -26,7 +26,8 @@
 /// Minimum interval between two rounds of freshness proofs, in microseconds.
 const PROOF_ROUND_INTERVAL: Microseconds = 50_000;
 
-/// The size, in bytes, of the big-endian length that precedes the state machine in an encoded state.
+/// The size, in bytes, of the big-endian length that precedes the state machine in an encoded
+/// state.
 const LENGTH_BYTES: usize = 8;
 
 /// Identifies an entry of the log; a retry of the entry has the same id.
@@ -130,8 +131,8 @@
         outcome
     }
 
-    /// Replaces the cluster state by one from a snapshot of the log. Followers and their requests are
-    /// kept.
+    /// Replaces the cluster state by one from a snapshot of the log. Followers and their requests
+    /// are kept.
     pub fn install(&mut self, cluster_state: ClusterState) {
         *self = UpdatePublisher {
             cluster_state,
@@ -170,7 +171,7 @@
     }
 
     /// Begins a round with all waiting requests, unless there are none or the previous round began
-    /// less than [`PROOF_ROUND_INTERVAL`] ago. Returns whether a round began; the caller must then
+    /// less than `PROOF_ROUND_INTERVAL` ago. Returns whether a round began; the caller must then
     /// perform the read with this token, which proves the round. Rounds keep the number of reads
     /// independent of the number of followers (design 11.7).
     pub fn begin_proof_round(&mut self, now: Microseconds, token: u64) -> bool {
@@ -231,8 +232,8 @@
         }
     }
 
-    /// Sends a follower the changes since its position, and returns whether it is still connected. A
-    /// replica that lags behind a follower sends nothing until it has caught up.
+    /// Sends a follower the changes since its position, and returns whether it is still connected.
+    /// A replica that lags behind a follower sends nothing until it has caught up.
     fn send_update_to(&mut self, follower: &mut Follower) -> bool {
         let position = self.cluster_state.position;
         if follower.position >= position {
@@ -264,9 +265,10 @@
         }
     }
 
-    /// The index in the history at which the updates after a position begin, or `None` if the history
-    /// does not reach back to it. A follower that comes from another replica may be at a position
-    /// within an update, because replicas group entries differently; it is sent that update whole.
+    /// The index in the history at which the updates after a position begin, or `None` if the
+    /// history does not reach back to it. A follower that comes from another replica may be at a
+    /// position within an update, because replicas group entries differently; it is sent that
+    /// update whole.
     fn history_index(&self, position: Position) -> Option<usize> {
         let mut history = self.history.iter();
         let index = history.position(|update| update.from <= position && position < update.to);
@@ -305,8 +307,8 @@
         frames
     }
 
-    /// Makes a new snapshot unless the latest one is longer than the updates since. Returns the index
-    /// in the history at which the updates after the snapshot begin.
+    /// Makes a new snapshot unless the latest one is longer than the updates since. Returns the
+    /// index in the history at which the updates after the snapshot begin.
     fn refresh_snapshot(&mut self) -> usize {
         if let Some(snapshot) = &self.snapshot
             && let Some(first) = self.history_index(snapshot.position)
--- a/crates/control/src/updates/publisher/tests.rs
+++ b/crates/control/src/updates/publisher/tests.rs
@@ -116,7 +116,8 @@
     let mut publisher = UpdatePublisher::default();
     let (sender, mut proofs) = mpsc::channel(1_024);
     let mut rounds = Vec::new();
-    // Two hundred followers request one proof each within a second. The id of a request is its time.
+    // Two hundred followers request one proof each within a second. The id of a request is its
+    // time.
     (0..1_000_000u64).step_by(5_000).for_each(|now| {
         let requested_at = 10_000_000 + now;
         publisher.request_proof(requested_at, sender.clone());
--- a/crates/control/src/updates/relay.rs
+++ b/crates/control/src/updates/relay.rs
@@ -19,7 +19,8 @@
 pub struct Relay {
     /// The view of the node's own subscription.
     pub view: SharedView,
-    /// When the latest proof from a replica was requested, in microseconds; updated with every proof.
+    /// When the latest proof from a replica was requested, in microseconds; updated with every
+    /// proof.
     pub verified_at: watch::Receiver<Microseconds>,
     /// Makes the subscription request a proof now instead of after its regular interval.
     pub proof_needed: Arc<Notify>,
@@ -92,8 +93,8 @@
 
 impl RelaySession<'_> {
     /// Sends the changes of the slice, and then one proof for all requests that arrived before the
-    /// relay requested its own proof at `proved_since`. Returns whether the connection is still open.
-    /// A relay that lags behind its subscriber sends nothing.
+    /// relay requested its own proof at `proved_since`. Returns whether the connection is still
+    /// open. A relay that lags behind its subscriber sends nothing.
     async fn send_updates(&mut self, view: &View, proved_since: Microseconds) -> bool {
         if view.slice.position < self.held {
             return true;
--- a/crates/control/src/updates/server.rs
+++ b/crates/control/src/updates/server.rs
@@ -1,6 +1,6 @@
 //! Accepts and serves the connections to a replica: from peers, from machines that request a
-//! replica, and from nodes that subscribe, request freshness proofs and forward entries (design 5.2,
-//! 6.2).
+//! replica, and from nodes that subscribe, request freshness proofs and forward entries (design
+//! 5.2, 6.2).
 
 use std::time::Duration;
 
@@ -53,8 +53,8 @@
     }
 }
 
-/// Returns the handshake that answers a caller, or the reason why the caller is refused. The text is
-/// sent to the caller and is part of the protocol.
+/// Returns the handshake that answers a caller, or the reason why the caller is refused. The text
+/// is sent to the caller and is part of the protocol.
 async fn authorize(handle: &ReplicaHandle, caller: &Handshake) -> Result<Handshake, Rejection> {
     discovery::merge(&handle.known_replicas, caller.known_replicas.clone());
     match caller.purpose {
@@ -113,7 +113,8 @@
     proved: mpsc::Receiver<u64>,
     subscription: Option<SubscribedSlice>,
     last_sent: Option<StateSlice>,
-    /// Whether the node follows the cluster state. The event loop then sends its updates and proofs.
+    /// Whether the node follows the cluster state. The event loop then sends its updates and
+    /// proofs.
     follows_cluster_state: bool,
 }
 
@@ -161,8 +162,8 @@
         }
     }
 
-    /// Handles a frame of the node. Send errors are ignored, because they occur only when the process
-    /// stops or the connection has ended.
+    /// Handles a frame of the node. Send errors are ignored, because they occur only when the
+    /// process stops or the connection has ended.
     async fn handle_frame(&mut self, frame: Frame) {
         match frame {
             Frame::FollowClusterState { held_position } => {
@@ -207,9 +208,10 @@
         drop(self.sender.send(Frame::Inspection(inspection)).await);
     }
 
-    /// Sends the changes of the subscribed slice, and then the proof that covers them. A replica that
-    /// has not reached the position held by the node sends nothing: an early update would be recorded
-    /// as sent although the node drops it, and its content could later be taken for unchanged.
+    /// Sends the changes of the subscribed slice, and then the proof that covers them. A replica
+    /// that has not reached the position held by the node sends nothing: an early update would be
+    /// recorded as sent although the node drops it, and its content could later be taken for
+    /// unchanged.
     async fn send_updates(&mut self, proved: Option<u64>) -> Result<(), Ended> {
         let Some(SubscribedSlice { services, held }) = &self.subscription else {
             return Ok(());
--- a/crates/control/src/updates/subscriber.rs
+++ b/crates/control/src/updates/subscriber.rs
@@ -1,5 +1,5 @@
-//! The task of a node that subscribes to a slice of the state machine, over one connection at a time
-//! to the relay of its zone or to a replica (design 5.9, 6.1).
+//! The task of a node that subscribes to a slice of the state machine, over one connection at a
+//! time to the relay of its zone or to a replica (design 5.9, 6.1).
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -80,8 +80,8 @@
     is_connected_to_replica: Arc<AtomicBool>,
     pending_requests: VecDeque<PendingProof>,
     last_request: u64,
-    /// Whether the view was received on the current connection, so that patches and proofs from this
-    /// connection apply to it.
+    /// Whether the view was received on the current connection, so that patches and proofs from
+    /// this connection apply to it.
     has_base: bool,
     avoided_relay: Option<AvoidedRelay>,
     logger: Logger,
@@ -151,8 +151,8 @@
         }
     }
 
-    /// The address of the relay of the zone. `None` if this node is the relay, if there is no relay,
-    /// or if the relay is avoided after a failure.
+    /// The address of the relay of the zone. `None` if this node is the relay, if there is no
+    /// relay, or if the relay is avoided after a failure.
     fn zone_relay(&self) -> Option<String> {
         let view = self.view.load();
         let services = self.services.borrow();
@@ -164,8 +164,8 @@
         is_usable.then_some(address)
     }
 
-    /// Avoids a relay whose connection ended although it is still the selected one, because the relay
-    /// has then failed.
+    /// Avoids a relay whose connection ended although it is still the selected one, because the
+    /// relay has then failed.
     fn avoid_if_still_selected(&mut self, relay: Option<String>) {
         if relay.is_some() && relay == self.zone_relay() {
             let until = model::now() + RELAY_RETRY_AFTER;
--- a/crates/control/src/updates/upstreams.rs
+++ b/crates/control/src/updates/upstreams.rs
@@ -1,13 +1,13 @@
 //! Selection of the replicas to which a node connects, and of the one it relies on, its current
-//! upstream (design 11.3). The module does no I/O and reads no clock: the caller passes the time and
-//! events, opens and closes connections, and sends the requests for freshness proofs.
+//! upstream (design 11.3). The module does no I/O and reads no clock: the caller passes the time
+//! and events, opens and closes connections, and sends the requests for freshness proofs.
 //!
 //! A working replica is replaced only by one that has proved the state it sends. A replica can stop
-//! answering without the connection being closed, because its process is suspended or its machine is
-//! gone. While a proof of the current upstream is overdue, further replicas are therefore tried
+//! answering without the connection being closed, because its process is suspended or its machine
+//! is gone. While a proof of the current upstream is overdue, further replicas are therefore tried
 //! concurrently. Each attempt starts a short stagger after the previous one instead of after its
-//! timeout, and the first replica that sends a proof is kept. An unresponsive replica that the node
-//! does not know about then costs the node one stagger and not one timeout.
+//! timeout, and the first replica that sends a proof is kept. Each replica that the node does not
+//! yet know to be unresponsive then costs one stagger instead of one timeout.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -28,10 +28,10 @@
 const MAX_STAGGER_DOUBLINGS: usize = 2;
 /// The maximum number of concurrent attempts, beside the current upstream.
 const MAX_ATTEMPTS: usize = 3;
-/// An attempt that brings no proof within this time is closed, in microseconds.
+/// How long an attempt may go without a proof before it is closed, in microseconds.
 const ATTEMPT_TIMEOUT: Microseconds = 2_000_000;
-/// How long the current upstream is kept after a proof became overdue if no other replica sends one,
-/// in microseconds.
+/// How long the current upstream is kept after a proof became overdue if no other replica sends
+/// one, in microseconds.
 const OVERDUE_GRACE_PERIOD: Microseconds = 3_000_000;
 /// Minimum pause before the next attempt after a replica could not be reached or a connection was
 /// lost, in microseconds. A random part of up to the pause plus [`RECONNECT_JITTER`] is added.
@@ -147,7 +147,8 @@
     }
 }
 
-/// A replica that sent no proof when it was tried, and until when it is tried only after all others.
+/// A replica that sent no proof when it was tried, and until when it is tried only after all
+/// others.
 struct AvoidedReplica {
     failures: u32,
     until: Microseconds,
@@ -205,7 +206,8 @@
         }
     }
 
-    /// Returns the actions that are due. `candidates` are all known replicas in order of preference.
+    /// Returns the actions that are due. `candidates` are all known replicas in order of
+    /// preference.
     pub fn poll(&mut self, now: Microseconds, candidates: &[Candidate]) -> Vec<Action> {
         let mut actions = self.close_timed_out(now);
         actions.extend(self.next_attempt(now, candidates));
@@ -425,9 +427,9 @@
     }
 
     /// The first candidate without a connection or attempt. Avoided candidates come last, in the
-    /// order in which they may be tried again. While a replica of the node's own zone is being tried,
-    /// replicas of other zones come first, because the failure of one machine often affects its whole
-    /// zone.
+    /// order in which they may be tried again. While a replica of the node's own zone is being
+    /// tried, replicas of other zones come first, because the failure of one machine often affects
+    /// its whole zone.
     fn best_candidate<'known>(
         &self,
         now: Microseconds,
@@ -506,8 +508,8 @@
         self.avoided.insert(key, avoided);
     }
 
-    /// The pause between two attempts. It grows while no replica sends a proof, because connecting to
-    /// all of them faster does not help then.
+    /// The pause between two attempts. It grows while no replica sends a proof, because connecting
+    /// to all of them faster does not help then.
     fn stagger(&self) -> Microseconds {
         let rounds = self.consecutive_failures / self.candidate_count.max(1);
         ATTEMPT_STAGGER << rounds.min(MAX_STAGGER_DOUBLINGS)
--- a/crates/control/src/updates/verification.rs
+++ b/crates/control/src/updates/verification.rs
@@ -1,6 +1,6 @@
-//! The cluster state that one incarnation of a node has received, and the part of it that is verified
-//! by a majority (design 11.6). The module does no I/O and reads no clock; the caller passes the
-//! time.
+//! The cluster state that one incarnation of a node has received, and the part of it that is
+//! verified by a majority (design 11.6). The module does no I/O and reads no clock; the caller
+//! passes the time.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -17,8 +17,8 @@
 
 /// The cluster state that a node may act on. A node may not act on any state before the first
 /// freshness proof of its incarnation (design 11.6). After that it serves routes from the newest
-/// state it received; only the right to grant shard keys needs a recent proof, whose age counts from
-/// its request (design 11.5).
+/// state it received; only the right to grant shard keys needs a recent proof, whose age counts
+/// from its request (design 11.5).
 #[derive(Clone, Debug, Default)]
 pub struct VerifiedState {
     /// The newest cluster state received.
@@ -36,8 +36,8 @@
     requested_at: Microseconds,
 }
 
-/// The freshness proofs requested on one connection. They are dropped with the connection, because a
-/// proof covers only the updates sent before it on the same connection.
+/// The freshness proofs requested on one connection. They are dropped with the connection, because
+/// a proof covers only the updates sent before it on the same connection.
 #[derive(Default)]
 pub struct ProofRequests {
     pending: VecDeque<PendingProof>,
@@ -119,10 +119,10 @@
         }
     }
 
-    /// Applies an update. The position never decreases: an update that ends at or below the received
-    /// position is dropped. An update that begins below that position and ends above it is applied,
-    /// because replicas group entries into updates differently, and applying a delta again changes
-    /// nothing, as it states the value after the change.
+    /// Applies an update. The position never decreases: an update that ends at or below the
+    /// received position is dropped. An update that begins below that position and ends above it is
+    /// applied, because replicas group entries into updates differently, and applying a delta again
+    /// changes nothing, as it states the value after the change.
     fn on_update(
         &mut self,
         is_snapshot: bool,
@@ -141,9 +141,9 @@
         UpdateOutcome::Updated
     }
 
-    /// Applies a proof. A replica sends updates before the proof that covers them, so if the position
-    /// of the proof was received, the received state is verified. Otherwise the replica no longer
-    /// sends updates on this connection, and waiting for them would be in vain.
+    /// Applies a proof. A replica sends updates before the proof that covers them, so if the
+    /// position of the proof was received, the received state is verified. Otherwise the replica no
+    /// longer sends updates on this connection, and waiting for them would be in vain.
     fn on_proof(
         &mut self,
         requested_at: Option<Microseconds>,
--- a/crates/control/src/updates/view.rs
+++ b/crates/control/src/updates/view.rs
@@ -1,5 +1,5 @@
-//! The part of the state machine that a node has received, and the time until which the node may act
-//! on it (design 6.1).
+//! The part of the state machine that a node has received, and the time until which the node may
+//! act on it (design 6.1).
 
 use std::sync::Arc;
 
@@ -40,8 +40,8 @@
         })
     }
 
-    /// Returns the view with a freshness proof, which is valid for `bound` microseconds from the time
-    /// of its request. Returns `None` if the proof is for an older position than the one held.
+    /// Returns the view with a freshness proof, which is valid for `bound` microseconds from the
+    /// time of its request. Returns `None` if the proof is for an older position than the one held.
     pub fn with_proof(
         &self,
         requested_at: Microseconds,
--- a/crates/control/src/updates/zone_relay.rs
+++ b/crates/control/src/updates/zone_relay.rs
@@ -1,5 +1,5 @@
-//! Selection of the node of a zone that subscribes at a replica and relays to the other nodes of the
-//! zone (design 5.9).
+//! Selection of the node of a zone that subscribes at a replica and relays to the other nodes of
+//! the zone (design 5.9).
 
 use model::state_slice::ServiceSet;
 use model::{BackendPhase, Incarnation, NodeName, StateSlice};
@@ -8,8 +8,8 @@
 mod tests;
 
 /// Selects the relay of a zone for a set of services, and returns its name and address. Among the
-/// present nodes that have registered backends of all these services, it is the one with the highest
-/// hash.
+/// present nodes that have registered backends of all these services, it is the one with the
+/// highest hash.
 ///
 /// Nodes that hold the same slice select the same relay. Nodes with different slices may select
 /// different ones, which is harmless because every relay forwards only proved state.
@@ -39,8 +39,8 @@
     selected.map(|(name, node)| (name.clone(), node.address.clone()))
 }
 
-/// The rendezvous hash of a node. It does not depend on the other nodes, so the loss of a node moves
-/// few relays.
+/// The rendezvous hash of a node. It does not depend on the other nodes, so the loss of a node
+/// moves few relays.
 fn rank(node: &str, incarnation: Incarnation, zone: &str, services: &ServiceSet) -> u64 {
     let mut text = format!("{zone}\n{node}\n{incarnation}");
     for service in services {
--- a/crates/control/tests/disks/contents.rs
+++ b/crates/control/tests/disks/contents.rs
@@ -33,7 +33,8 @@
     format!("{:016x}", leases::stable_hash(&digits))
 }
 
-/// Describes the state of a replica after a read barrier, so that it contains every confirmed change.
+/// Describes the state of a replica after a read barrier, so that it contains every confirmed
+/// change.
 pub(crate) async fn confirmed_state(replica: &ReplicaHandle) -> String {
     within_timeout("a read", replica.read_barrier())
         .await
@@ -58,7 +59,8 @@
 pub(crate) struct DiskContents {
     pub disk_id: u64,
     pub start_count: u64,
-    /// The number of the replica, the number of replicas, and whether the disk is a founding member.
+    /// The number of the replica, the number of replicas, and whether the disk is a founding
+    /// member.
     pub membership: Option<(u16, u16, bool)>,
     pub retired: bool,
     /// The disks on record for the other replicas.
--- a/crates/control/tests/disks/fixture_writer.rs
+++ b/crates/control/tests/disks/fixture_writer.rs
@@ -16,8 +16,8 @@
 use tokio::runtime::{Builder, Runtime};
 
 const REPLICAS: usize = 3;
-/// The number of entries between two snapshots. Replica 2 takes its first after ten entries, because
-/// the replicas are staggered; all replicas take one at the replacement.
+/// The number of entries between two snapshots. Replica 2 takes its first after ten entries,
+/// because the replicas are staggered; all replicas take one at the replacement.
 const SNAPSHOT_EVERY_ENTRIES: u64 = 30;
 /// How long a disk must be unreachable before a new one may replace it, in microseconds.
 const REPLACE_AFTER: u64 = 2_000_000;
--- a/crates/control/tests/disks/main.rs
+++ b/crates/control/tests/disks/main.rs
@@ -1,8 +1,8 @@
-//! Opens disks written by an earlier build: those of three replicas after changes, snapshots and the
-//! replacement of one replica's disk, and the replaced disk.
+//! Opens disks written by an earlier build: those of three replicas after changes, snapshots and
+//! the replacement of one replica's disk, and the replaced disk.
 //!
-//! The compressed disks are in `tests/fixtures/disks`, each with a text that describes its contents.
-//! After an intended change of the layout, record them again with
+//! The compressed disks are in `tests/fixtures/disks`, each with a text that describes its
+//! contents. After an intended change of the layout, record them again with
 //! `GRADEFORD_WRITE_FIXTURES=1 cargo test -p control --test disks`, which runs four replicas and
 //! writes the files before they are compared.
 
--- a/crates/control/tests/following/regrouped_updates.rs
+++ b/crates/control/tests/following/regrouped_updates.rs
@@ -1,11 +1,11 @@
 //! Guards against a node that changes its replica, is sent updates that it cannot apply, and closes
 //! the new connection as inconsistent, possibly at several replicas in turn.
 //!
-//! Each replica combines the entries that it applies in one batch into one update, so the updates of
-//! two replicas cover different ranges when changes come in bursts. A node whose position was within
-//! an update of its new replica was sent an older snapshot and the updates after it, and rejected the
-//! update that contained its position. Two soak runs logged seven cases in which a connection was
-//! closed as `Inconsistent` within a millisecond of `following a replica`.
+//! Each replica combines the entries that it applies in one batch into one update, so the updates
+//! of two replicas cover different ranges when changes come in bursts. A node whose position was
+//! within an update of its new replica was sent an older snapshot and the updates after it, and
+//! rejected the update that contained its position. Two soak runs logged seven cases in which a
+//! connection was closed as `Inconsistent` within a millisecond of `following a replica`.
 
 use control::updates::publisher::UpdatePublisher;
 use control::updates::verification::{ProofRequests, StateFollower, UpdateOutcome};
--- a/crates/control/tests/following/replicas.rs
+++ b/crates/control/tests/following/replicas.rs
@@ -11,8 +11,8 @@
 /// A publisher that several connections share.
 pub(crate) type SharedPublisher = Arc<Mutex<UpdatePublisher>>;
 
-/// Applies the change with this number, which is also its position. The change is published with the
-/// next [`UpdatePublisher::publish`].
+/// Applies the change with this number, which is also its position. The change is published with
+/// the next [`UpdatePublisher::publish`].
 pub(crate) fn apply_change(publisher: &mut UpdatePublisher, number: u64) {
     let put = ItemPut {
         name: format!("service-{}", number % 4),
--- a/crates/control/tests/following/silent_zone.rs
+++ b/crates/control/tests/following/silent_zone.rs
@@ -1,12 +1,12 @@
 //! Guards against a node that receives no updates while it looks for a replica of its own zone.
 //!
 //! In a soak run, all nodes of one zone answered 404 on newly added routes for longer than the two
-//! seconds that a change may take. Both replicas of the zone were suspended, so the nodes followed a
-//! replica of another zone. After two seconds they closed that working connection to try the replicas
-//! of their own zone again. Each suspended replica accepted the connection and did not answer for a
-//! second, so a change that was confirmed meanwhile reached the nodes after both timeouts. The
-//! measured gap was 2.17 s (`gap_us 2173432`) at every node of the zone. With one suspended replica
-//! the gap was 1.1 s, which is within the bound.
+//! seconds that a change may take. Both replicas of the zone were suspended, so the nodes followed
+//! a replica of another zone. After two seconds they closed that working connection to try the
+//! replicas of their own zone again. Each suspended replica accepted the connection and did not
+//! answer for a second, so a change that was confirmed meanwhile reached the nodes after both
+//! timeouts. The measured gap was 2.17 s (`gap_us 2173432`) at every node of the zone. With one
+//! suspended replica the gap was 1.1 s, which is within the bound.
 
 use std::time::{Duration, Instant};
 
--- a/crates/control/tests/following/unsent_update.rs
+++ b/crates/control/tests/following/unsent_update.rs
@@ -1,7 +1,7 @@
 //! Guards against a node that stays behind for as long as its connection lasts. A replica drops a
 //! follower whose queue is full, but continues to answer its requests for freshness proofs. A node
-//! must therefore not ignore a proof for a position that it never received. The failure was found by
-//! analysis and has not been observed in a run.
+//! must therefore not ignore a proof for a position that it never received. The failure was found
+//! by analysis and has not been observed in a run.
 
 use control::updates::verification::{ProofRequests, StateFollower, UpdateOutcome};
 use transport::Frame;
--- a/crates/control/tests/membership/bootstrap.rs
+++ b/crates/control/tests/membership/bootstrap.rs
@@ -1,5 +1,5 @@
-//! Assignment of replicas to core machines, when the cluster is founded and when a machine replaces a
-//! lost one (design 12.1).
+//! Assignment of replicas to core machines, when the cluster is founded and when a machine replaces
+//! a lost one (design 12.1).
 
 use crate::machines::{
     Machine, assignment_handshake, handshake, request_answer, wait_until, within_timeout,
@@ -154,9 +154,9 @@
         .for_each(|folder| drop(std::fs::remove_dir_all(folder)));
 }
 
-/// Founds a cluster of four replicas, of which one machine takes part in the founding and never runs
-/// its replica. Returns the running replicas, the addresses of all machines, the replica and disk of
-/// the lost machine, and the folders of all machines.
+/// Founds a cluster of four replicas, of which one machine takes part in the founding and never
+/// runs its replica. Returns the running replicas, the addresses of all machines, the replica and
+/// disk of the lost machine, and the folders of all machines.
 async fn three_of_four(
     test: &str,
     replace_after: u64,
@@ -310,8 +310,8 @@
         })
     })
     .await;
-    // Without the snapshot, instances before the replacement could not be finished once another disk
-    // is lost (design 4.4).
+    // Without the snapshot, instances before the replacement could not be finished once another
+    // disk is lost (design 4.4).
     wait_until("a snapshot past the replacement at every replica", || {
         replicas
             .iter()
--- a/crates/control/tests/membership/machines.rs
+++ b/crates/control/tests/membership/machines.rs
@@ -100,8 +100,8 @@
         (membership, store, writes)
     }
 
-    /// Waits until the machine is assigned a replica and starts it, as the process of a core machine
-    /// does.
+    /// Waits until the machine is assigned a replica and starts it, as the process of a core
+    /// machine does.
     pub(crate) async fn start(
         self,
         seeds: &[String],
--- a/crates/control/tests/recorded_updates.rs
+++ b/crates/control/tests/recorded_updates.rs
@@ -1,5 +1,5 @@
-//! Compares the encoded updates sent to followers with the bytes recorded from an earlier build, and
-//! checks that a follower decodes the recorded bytes.
+//! Compares the encoded updates sent to followers with the bytes recorded from an earlier build,
+//! and checks that a follower decodes the recorded bytes.
 
 use control::updates::publisher::{EntryId, UpdatePublisher};
 use control::updates::verification::{ProofRequests, StateFollower};
