--- a/crates/control/tests/disks/main.rs
+++ b/crates/control/tests/disks/main.rs
@@ -6,14 +6,14 @@
 //! `GRADEFORD_WRITE_FIXTURES=1 cargo test -p control --test disks`, which runs four replicas and
 //! writes the files before they are compared.
 
-mod contents;
 mod entries;
-mod fixture_writer;
+mod held;
 #[allow(dead_code, reason = "only the membership tests use all of this module")]
 #[path = "../membership/machines.rs"]
 mod machines;
+mod writing;
 
-use contents::{DiskContents, confirmed_state, fixture_folder, read_disk};
+use held::{DiskContents, confirmed_state, fixture_folder, read_disk};
 use machines::{Machine, wait_until, within_timeout};
 use std::collections::BTreeSet;
 use std::env;
@@ -32,7 +32,7 @@
 /// Writes the fixtures first if the environment requests it.
 fn prepare_fixtures() {
     if env::var_os("GRADEFORD_WRITE_FIXTURES").is_some() {
-        WRITTEN.call_once(|| fixture_writer::write_fixtures(&fixture_folder()));
+        WRITTEN.call_once(|| writing::write_fixtures(&fixture_folder()));
     }
 }
 
@@ -136,7 +136,7 @@
         .iter()
         .flat_map(|disk| disk.write_counts.keys().copied())
         .collect();
-    assert_eq!(kinds.len(), contents::WRITE_KINDS, "{kinds:?}");
+    assert_eq!(kinds.len(), held::WRITE_KINDS, "{kinds:?}");
 }
 
 /// The replicas vote, finish the instances whose outcome no single disk determines, hold everything
--- a/crates/control/tests/disks/fixture_writer.rs
+++ b/crates/control/tests/disks/writing.rs
@@ -1,10 +1,10 @@
 //! Writes the recorded disks. It founds a cluster over loopback connections, submits entries, stops
 //! one replica, replaces its disk by a new one, and submits further entries.
 
-use crate::contents::{DiskContents, confirmed_state};
 use crate::entries::{
     after_the_replacement, before_the_replacement, while_one_replica_is_unreachable,
 };
+use crate::held::{DiskContents, confirmed_state};
 use crate::machines::{Machine, wait_until};
 use control::ReplicaHandle;
 use model::{Entry, Outcome, compression};
