--- a/crates/control/src/failure_detection/monitor.rs
+++ b/crates/control/src/failure_detection/monitor.rs
@@ -52,27 +52,27 @@
 ) -> HeartbeatSender {
     let (heartbeats, received) = mpsc::channel(HEARTBEAT_QUEUE_CAPACITY);
     let (reports, pending_reports) = mpsc::unbounded_channel();
-    let detection = Detection {
+    let detection_task = DetectionTask {
         node: config.node.clone(),
         failure_timeout: config.failure_timeout,
         view: view.clone(),
         reports,
     };
-    tokio::spawn(detection.run(received));
+    tokio::spawn(detection_task.run(received));
     tokio::spawn(send_reports(reporter, pending_reports));
     tokio::spawn(send_heartbeats(config, view, handshake));
     heartbeats
 }
 
 /// The task that checks the monitored nodes.
-struct Detection {
+struct DetectionTask {
     node: String,
     failure_timeout: Microseconds,
     view: SharedView,
     reports: mpsc::UnboundedSender<EndpointReport>,
 }
 
-impl Detection {
+impl DetectionTask {
     async fn run(self, mut heartbeats: mpsc::Receiver<(String, Incarnation)>) {
         let mut detector = FailureDetector::default();
         let check_interval = Duration::from_micros(self.failure_timeout / CHECKS_PER_TIMEOUT);
--- a/crates/control/src/updates/publisher.rs
+++ b/crates/control/src/updates/publisher.rs
@@ -103,7 +103,7 @@
     unpublished: Unpublished,
     history: VecDeque<EncodedUpdate>,
     followers: Vec<Follower>,
-    /// The latest snapshot sent. The history contains the updates after it.
+    /// The latest snapshot sent. Updates after its position are taken from the history.
     snapshot: Option<EncodedSnapshot>,
     /// The requests of each pending round, by the token of the read that proves the round.
     proof_rounds: BTreeMap<u64, Vec<ProofRequest>>,
@@ -256,7 +256,7 @@
             return self.incremental_frames(first);
         }
         let since_snapshot = self.refresh_snapshot();
-        let snapshot_bytes = self.snapshot.as_ref().map(|held| held.deltas.len());
+        let snapshot_bytes = self.snapshot.as_ref().map(|snapshot| snapshot.deltas.len());
         let snapshot_bytes =
             snapshot_bytes.unwrap_or_default() + self.history_bytes_from(since_snapshot);
         match since_held.zip(update_bytes) {
@@ -295,7 +295,7 @@
     fn snapshot_frames(&self, since_snapshot: usize) -> Vec<Frame> {
         let snapshot = self.snapshot.as_ref();
         let (to, deltas) = snapshot
-            .map(|held| (held.position, held.deltas.clone()))
+            .map(|snapshot| (snapshot.position, snapshot.deltas.clone()))
             .unwrap_or_default();
         let mut frames = vec![Frame::ClusterStateUpdate {
             is_snapshot: true,
--- a/crates/control/src/updates/relay.rs
+++ b/crates/control/src/updates/relay.rs
@@ -39,7 +39,7 @@
 struct RelaySession<'a> {
     services: &'a ServiceSet,
     /// The position that the subscriber holds from an earlier connection.
-    held: Position,
+    held_position: Position,
     sender: &'a FrameSender,
     /// The slice last sent on this connection.
     last_sent: Option<StateSlice>,
@@ -49,12 +49,17 @@
 impl Relay {
     /// Serves one subscriber until the connection ends or this node can no longer relay to it; the
     /// subscriber then connects to a replica.
-    pub async fn serve(&self, connection: Connection, services: ServiceSet, held: Position) {
+    pub async fn serve(
+        &self,
+        connection: Connection,
+        services: ServiceSet,
+        held_position: Position,
+    ) {
         let mut verified_at = self.verified_at.clone();
         let (sender, mut receiver) = (connection.sender, connection.receiver);
         let mut session = RelaySession {
             services: &services,
-            held,
+            held_position,
             sender: &sender,
             last_sent: None,
             pending_proofs: VecDeque::new(),
@@ -96,7 +101,7 @@
     /// relay requested its own proof at `proved_since`. Returns whether the connection is still
     /// open. A relay that lags behind its subscriber sends nothing.
     async fn send_updates(&mut self, view: &View, proved_since: Microseconds) -> bool {
-        if view.slice.position < self.held {
+        if view.slice.position < self.held_position {
             return true;
         }
         let slice = view.slice.narrowed_to(self.services);
--- a/crates/control/src/updates/server.rs
+++ b/crates/control/src/updates/server.rs
@@ -25,8 +25,8 @@
 /// `None` if the content is the same. Also updates `last_sent`.
 pub(crate) fn update_frame(last_sent: &mut Option<StateSlice>, slice: StateSlice) -> Option<Frame> {
     let frame = match last_sent.as_ref() {
-        Some(held) if held.same_content(&slice) => return None,
-        Some(held) => Frame::StatePatch(Box::new(held.diff_to(&slice))),
+        Some(sent) if sent.same_content(&slice) => return None,
+        Some(sent) => Frame::StatePatch(Box::new(sent.diff_to(&slice))),
         None => Frame::StateUpdate(Box::new(slice.clone())),
     };
     *last_sent = Some(slice);
