--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -9,6 +9,6 @@
 mod signals;
 
 pub use error::Error;
-pub use run::{Daemon, run, run_to_end};
+pub use run::{Daemon, exit_on_error, run};
 pub use settings::{DaemonSettings, default_log_level, parsed_log_level};
 pub use signals::{Signal, Signals};
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -36,7 +36,7 @@
 /// Reads flags and settings, runs the program and returns once it has stopped. Ends the process
 /// with the exit codes of the help page if it fails.
 pub fn run<D: Daemon>() {
-    run_to_end(D::PROGRAM, start_and_serve::<D>());
+    exit_on_error(D::PROGRAM, start_and_serve::<D>());
 }
 
 /// Catches signals before it reads flags and settings: until then one would end the process at once.
@@ -55,7 +55,7 @@
 }
 
 /// Ends the process with the exit code for failure, and the error on standard error, if there is one.
-pub fn run_to_end<E: Display>(program: &str, outcome: Result<(), E>) {
+pub fn exit_on_error<E: Display>(program: &str, outcome: Result<(), E>) {
     if let Err(error) = outcome {
         eprintln!("{program}: {error}");
         process::exit(FAILURE_EXIT_CODE);
