--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -1,19 +1,20 @@
-//! Why a program could not start.
+//! Errors that prevent a program from starting.
 
 use std::error;
 use std::io;
 
 use thiserror::Error;
 
-/// Why a program could not start; the text goes to standard error.
+/// Error that prevents a program from starting; it is printed to standard error.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// What a setting asks for cannot be had: an address is taken, a folder cannot be opened.
+    /// The resource that a setting names is not available, such as an address that is in use or a
+    /// folder that cannot be opened.
     #[error("{setting}: {source}")]
     Setting {
         /// Name of the setting.
         setting: String,
-        /// What stands against it.
+        /// The underlying error.
         source: Box<dyn error::Error + Send + Sync>,
     },
     /// The runtime or the signal handlers could not be set up.
@@ -22,7 +23,7 @@
 }
 
 impl Error {
-    /// The error for a setting and what stands against it.
+    /// Creates the error for a setting from the underlying error.
     pub fn new(
         setting: impl Into<String>,
         source: impl Into<Box<dyn error::Error + Send + Sync>>,
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Makes the error for a setting out of what stands against it; for `map_err`.
+    /// Returns a conversion from the underlying error to the error for a setting, for `map_err`.
     pub fn of_setting<E>(setting: &str) -> impl FnOnce(E) -> Error
     where
         E: Into<Box<dyn error::Error + Send + Sync>>,
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,5 +1,5 @@
-//! What every long-running program does around its own work: settings, logger, runtime, signals,
-//! shutdown and exit code (docs/operators/running.md).
+//! Common frame of the long-running programs: settings, logger, runtime, signals, shutdown and exit
+//! code (docs/operators/running.md).
 
 #![deny(missing_docs)]
 
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -1,4 +1,4 @@
-//! A program from its flags to its exit code.
+//! The life cycle of a program, from parsing its flags to its exit code.
 
 use std::fmt::Display;
 use std::process;
@@ -10,36 +10,37 @@
 
 use crate::{DaemonSettings, Error, Signal, Signals, parsed_log_level};
 
-/// Exit code of a program that failed.
+/// Exit code of a program that ended with an error.
 const FAILURE_EXIT_CODE: i32 = 1;
 
 /// A program that runs until it is told to stop.
 pub trait Daemon: Sized {
-    /// Its settings.
+    /// Settings of the program.
     type Settings: DaemonSettings;
 
-    /// Name of the program, in logs and messages.
+    /// Name of the program in logs and messages.
     const PROGRAM: &'static str;
-    /// The page that `--help` prints.
+    /// Text that `--help` prints.
     const HELP: &'static str;
 
-    /// Binds its addresses and starts its tasks.
+    /// Binds the program's addresses and starts its tasks.
     fn start(
         settings: &Self::Settings,
         logger: &Logger,
     ) -> impl Future<Output = Result<Self, Error>>;
 
-    /// Stops in good order.
+    /// Stops the program gracefully.
     fn shut_down(self, settings: &Self::Settings) -> impl Future<Output = ()>;
 }
 
-/// Reads flags and settings, runs the program and returns once it has stopped. Ends the process
-/// with the exit codes of the help page if it fails.
+/// Reads flags and settings, runs the program and returns once it has stopped. On failure the
+/// process ends with one of the exit codes that `--help` lists.
 pub fn run<D: Daemon>() {
     exit_on_error(D::PROGRAM, start_and_serve::<D>());
 }
 
-/// Catches signals before it reads flags and settings: until then one would end the process at once.
+/// Installs the signal handlers before it reads flags and settings, because the default action of
+/// SIGTERM and SIGHUP ends the process immediately.
 fn start_and_serve<D: Daemon>() -> Result<(), Error> {
     let runtime = Runtime::new()?;
     let signals = {
@@ -47,14 +48,14 @@
         Signals::install()?
     };
     let names = D::Settings::SETTING_NAMES;
-    let start_up = settings::load_settings_or_exit::<D::Settings>(D::PROGRAM, D::HELP, names);
-    let Some((command_line, settings)) = start_up else {
+    let loaded = settings::load_settings_or_exit::<D::Settings>(D::PROGRAM, D::HELP, names);
+    let Some((command_line, settings)) = loaded else {
         return Ok(());
     };
     runtime.block_on(serve_until_stopped::<D>(command_line, settings, signals))
 }
 
-/// Ends the process with the exit code for failure, and the error on standard error, if there is one.
+/// If the outcome is an error, prints it to standard error and ends the process with exit code 1.
 pub fn exit_on_error<E: Display>(program: &str, outcome: Result<(), E>) {
     if let Err(error) = outcome {
         eprintln!("{program}: {error}");
@@ -80,7 +81,8 @@
     Ok(())
 }
 
-/// Takes up the log level while running; the rest needs a restart, which the log says.
+/// Reads the settings again and applies the log level. All other settings need a restart; whether
+/// any of them changed is logged.
 fn reload<S: DaemonSettings>(
     command_line: &CommandLine,
     running: &S,
@@ -88,13 +90,13 @@
     logger: &Logger,
 ) {
     match settings::load_settings::<S>(command_line) {
-        Ok(fresh) => {
-            level_switch.set_level(parsed_log_level(fresh.log_level()));
-            let restart_needed = fresh.with_log_level(running.log_level()) != *running;
+        Ok(reloaded) => {
+            level_switch.set_level(parsed_log_level(reloaded.log_level()));
+            let restart_needed = reloaded.with_log_level(running.log_level()) != *running;
             slog::info!(logger, "settings read again"; "restart_needed" => restart_needed);
         }
         Err(faults) => {
-            slog::error!(logger, "settings at fault, the old ones stay"; "faults" => ?faults);
+            slog::error!(logger, "invalid settings; the old ones stay in force"; "faults" => ?faults);
         }
     }
 }
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -1,21 +1,21 @@
-//! What the settings of all programs have in common.
+//! The settings that all programs share.
 
 use serde::de::DeserializeOwned;
 use slog::Level;
 use validator::Validate;
 
-/// Settings of a program that reads them from a file and flags, and again on SIGHUP.
+/// Settings of a program, read from a file and flags at the start and again on SIGHUP.
 pub trait DaemonSettings: Clone + PartialEq + DeserializeOwned + Validate {
-    /// Every setting, in the order of the help page; each is a flag too.
+    /// Names of all settings in the order of the `--help` text; each of them is also a flag.
     const SETTING_NAMES: &'static [&'static str];
 
-    /// Name of the process, in logs and for peers.
+    /// Name of the process in logs and for peers.
     fn name(&self) -> &str;
 
-    /// The text of the setting `log_level`.
+    /// Value of the setting `log_level`.
     fn log_level(&self) -> &str;
 
-    /// The same settings with another text for `log_level`.
+    /// Returns the same settings with another value of `log_level`.
     fn with_log_level(self, log_level: &str) -> Self;
 }
 
@@ -24,7 +24,7 @@
     "info".into()
 }
 
-/// The level that a checked text stands for.
+/// Parses a validated log level; anything else becomes `info`.
 pub fn parsed_log_level(text: &str) -> Level {
     text.parse().unwrap_or(Level::Info)
 }
--- a/crates/daemon/src/signals.rs
+++ b/crates/daemon/src/signals.rs
@@ -1,30 +1,30 @@
-//! The signals by which operators speak to a program.
+//! Handling of the signals that operators send to a program.
 
 use std::io;
 
 use tokio::signal::unix::{self, SignalKind};
 
-/// What an operator asks for by a signal.
+/// Action that an operator requests by a signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// SIGTERM: stop in good order.
+    /// SIGTERM: stop gracefully.
     Stop,
     /// SIGHUP: read the settings again.
     Reload,
 }
 
-/// Catches SIGTERM and SIGHUP, which would otherwise end the process.
+/// Handlers for SIGTERM and SIGHUP, whose default action would end the process.
 pub struct Signals {
     terminate: unix::Signal,
     hang_up: unix::Signal,
 }
 
 impl Signals {
-    /// Begins to catch signals; to be called before anything else, as one may come early.
+    /// Installs the handlers. Call this first, because a signal may arrive early during the start.
     ///
     /// # Errors
     ///
-    /// If the system does not let the handlers be set.
+    /// Fails if the operating system rejects the handlers.
     pub fn install() -> io::Result<Signals> {
         let terminate = unix::signal(SignalKind::terminate())?;
         let hang_up = unix::signal(SignalKind::hangup())?;
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Waits for SIGTERM and takes no notice of SIGHUP.
+    /// Waits for SIGTERM and ignores SIGHUP.
     pub async fn stop_requested(&mut self) {
         while self.next().await != Signal::Stop {}
     }
--- a/crates/gradeford-core/src/core.rs
+++ b/crates/gradeford-core/src/core.rs
@@ -1,4 +1,4 @@
-//! The parts of a replica's process.
+//! The components of a replica's process.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
@@ -30,14 +30,14 @@
 exit codes: 0 stopped as asked, 1 failed, 2 settings or flags at fault
 ";
 
-/// How long operators' calls may take to end once the process is told to stop.
+/// Maximum time for pending operator requests to finish during shutdown.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A running replica with its operators' interface.
+/// A running replica with its operators' API.
 pub(crate) struct Core {
     accepting_work: Arc<AtomicBool>,
     http_server: HttpServer,
-    /// Cancelled when the process stops.
+    /// Tasks that are cancelled when the process stops.
     tasks: JoinSet<()>,
 }
 
--- a/crates/gradeford-core/src/main.rs
+++ b/crates/gradeford-core/src/main.rs
@@ -1,5 +1,5 @@
-//! A core seat: a replica that orders the log, keeps it on disk and brings state updates to the
-//! nodes (docs/operators/running.md).
+//! The core program: a replica that orders the log, stores it on disk and sends state updates to
+//! the nodes (docs/operators/running.md).
 
 #![deny(missing_docs)]
 
--- a/crates/gradeford-core/src/settings.rs
+++ b/crates/gradeford-core/src/settings.rs
@@ -1,5 +1,5 @@
-//! The settings of a core seat (docs/operators/settings.md). Fields are named as operators name
-//! them in the file and by flags; faults name them too.
+//! The settings of a replica (docs/operators/settings.md). Field names are the keys of the settings
+//! file and the names of the flags, and appear in fault messages.
 
 use std::path::PathBuf;
 
@@ -9,7 +9,7 @@
 use serde::Deserialize;
 use validator::{Validate, ValidationError};
 
-/// The settings of a core seat.
+/// The settings of a replica.
 #[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Settings {
@@ -19,19 +19,19 @@
     /// Zone of the machine, 1 to 63 bytes.
     #[validate(length(min = 1, max = 63, message = "is 1 to 63 bytes"))]
     pub zone: String,
-    /// Which replica this is, from 0 to `seats` - 1.
+    /// Replica number of this process, from 0 to `seats` - 1.
     #[validate(range(max = 8, message = "is from 0 to seats - 1"))]
     pub seat: u16,
-    /// How many replicas there are: 1, 3, 5, 7 or 9.
+    /// Number of replicas: 1, 3, 5, 7 or 9.
     #[validate(custom(function = "is_replica_count"))]
     pub seats: u16,
-    /// IP address and port on which peers are accepted.
+    /// IP address and port on which connections from peers are accepted.
     #[validate(custom(function = "model::settings::validate_address"))]
     pub mates_address: String,
-    /// IP address and port of the operators' HTTP interface.
+    /// IP address and port of the operators' HTTP API.
     #[validate(custom(function = "model::settings::validate_address"))]
     pub operators_address: String,
-    /// Where peers find this process, if not where it listens.
+    /// Address under which peers reach this process, if it differs from `mates_address`.
     #[serde(default)]
     pub advertised_address: Option<String>,
     /// Peer addresses of replicas, 1 to 9.
@@ -42,13 +42,13 @@
     pub seeds: Vec<String>,
     /// Folder for the log and its snapshots.
     pub folder: PathBuf,
-    /// Mencius' alpha, from 1 to 100000: skips that may be outstanding before they are sent on their
-    /// own (the paper's accelerator 1).
+    /// Mencius' alpha, from 1 to 100000: the number of outstanding SKIP messages after which they
+    /// are sent on their own (the paper's accelerator 1).
     #[serde(default = "default_alpha")]
     #[validate(range(min = 1, max = 100_000, message = "is from 1 to 100000"))]
     pub alpha: u64,
-    /// Mencius' tau, in microseconds, from 1000 to 1000000: how long a skip may wait to travel with
-    /// another message (the paper's accelerator 1).
+    /// Mencius' tau, in microseconds, from 1000 to 1000000: how long a SKIP message may be deferred
+    /// to be sent with another message (the paper's accelerator 1).
     #[serde(default = "default_tau_us")]
     #[validate(range(
         min = 1_000,
@@ -61,23 +61,23 @@
     #[serde(default = "default_beta")]
     #[validate(range(min = 100, max = 125_000, message = "is from 100 to 125000"))]
     pub beta: u64,
-    /// Entries between two snapshots, from 10 to 1000000; 500 by default.
+    /// Number of log entries between two snapshots, from 10 to 1000000; 500 by default.
     #[serde(default = "default_snapshot_every")]
     #[validate(range(min = 10, max = 1_000_000, message = "is from 10 to 1000000 entries"))]
     pub snapshot_every: u64,
-    /// How long a member has to be away before an empty disk replaces it, in microseconds: 0, which
-    /// leaves it to operators, or from 500000 to 3600000000; 3000000 by default.
+    /// How long a member must be unreachable before an empty disk replaces it, in microseconds: 0,
+    /// which leaves the replacement to operators, or from 500000 to 3600000000; 3000000 by default.
     #[serde(default = "default_replace_after_us")]
     #[validate(custom(function = "is_replacement_delay"))]
     pub replace_after_us: u64,
-    /// Least level that is logged: critical, error, warning, info (the default), debug or trace.
+    /// Lowest level that is logged: critical, error, warning, info (the default), debug or trace.
     #[serde(default = "daemon::default_log_level")]
     #[validate(custom(function = "model::settings::validate_log_level"))]
     pub log_level: String,
 }
 
 impl Settings {
-    /// What the replica is started with. `address` is the one it is bound to.
+    /// Builds the configuration of the replica. `address` is the bound peer address.
     pub(crate) fn replica_config(&self, address: String) -> ReplicaConfig {
         ReplicaConfig {
             name: self.name.clone(),
--- a/crates/gradeford-core/tests/witness.rs
+++ b/crates/gradeford-core/tests/witness.rs
@@ -1,6 +1,6 @@
-//! The core's program as golden files (`tests/golden/`): its pages, exit codes, settings and their defaults, and
-//! `deploy/system.toml`. How the files are written anew stands at the head of
-//! `crates/test-support/tests/golden_files/mod.rs`: `GRADEFORD_WRITE_GOLDEN=1`.
+//! Golden-file tests (`tests/golden/`) for the command line, the exit codes and the settings of the
+//! core program, and for `deploy/system.toml`. `GRADEFORD_WRITE_GOLDEN=1` regenerates the files, see
+//! `crates/test-support/tests/golden_files/mod.rs`.
 
 #[path = "../../test-support/tests/golden_files/mod.rs"]
 mod golden_files;
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn the_help_page_and_the_version_stay() {
+fn help_and_version_output_is_unchanged() {
     compare("help.txt", &told(&PROGRAM, &["--help"]), &[]);
     compare(
         "version.txt",
@@ -43,8 +43,8 @@
 }
 
 #[test]
-fn wrong_flags_keep_their_words_and_exit_code() {
-    let wrong: [&[&str]; 7] = [
+fn invalid_flags_keep_their_message_and_exit_code() {
+    let invalid: [&[&str]; 7] = [
         &[],
         &["--speed", "9"],
         &["more"],
@@ -53,21 +53,24 @@
         &["--name"],
         &["--check", "--name", "a", "--speed"],
     ];
-    let all: String = wrong.iter().map(|words| told(&PROGRAM, words)).collect();
-    compare("wrong_flags.txt", &all, &[]);
+    let transcript: String = invalid
+        .iter()
+        .map(|arguments| told(&PROGRAM, arguments))
+        .collect();
+    compare("wrong_flags.txt", &transcript, &[]);
 }
 
 #[test]
-fn every_setting_is_needed_or_has_a_default() {
-    let mut all = required().checked(&PROGRAM);
+fn every_setting_is_required_or_has_a_default() {
+    let mut transcript = required().checked(&PROGRAM);
     for (name, _) in REQUIRED {
-        all.push_str(&required().without(name).checked(&PROGRAM));
+        transcript.push_str(&required().without(name).checked(&PROGRAM));
     }
-    compare("needed_settings.txt", &all, &[]);
+    compare("needed_settings.txt", &transcript, &[]);
 }
 
 #[test]
-fn wrong_values_keep_their_words_and_right_ones_are_taken() {
+fn invalid_values_keep_their_messages_and_valid_ones_are_accepted() {
     let values: [(&str, &[&str]); 16] = [
         (
             "name",
@@ -122,30 +125,30 @@
         ),
         ("speed", &["1"]),
     ];
-    let mut all = String::new();
+    let mut transcript = String::new();
     for (name, values) in values {
         for value in values {
-            all.push_str(&required().with(name, value).checked(&PROGRAM));
+            transcript.push_str(&required().with(name, value).checked(&PROGRAM));
         }
     }
-    // Several faults are told in any order.
-    let several = required()
+    // The order in which several faults are reported is not fixed.
+    let several_faults = required()
         .with("seats", "2")
         .with("alpha", "0")
         .with("mates_address", "\"here\"")
         .checked(&PROGRAM);
-    let mut lines: Vec<&str> = several.lines().collect();
+    let mut lines: Vec<&str> = several_faults.lines().collect();
     lines.sort_unstable();
-    all.push_str(&format!("{}\n", lines.join("\n")));
-    compare("settings.txt", &all, &[]);
+    transcript.push_str(&format!("{}\n", lines.join("\n")));
+    compare("settings.txt", &transcript, &[]);
 }
 
 const TEN_SEEDS: &str = "[\"127.0.0.1:1\",\"127.0.0.1:1\",\"127.0.0.1:1\",\"127.0.0.1:1\",\"127.0.0.1:1\",\"127.0.0.1:1\",\"127.0.0.1:1\",\"127.0.0.1:1\",\"127.0.0.1:1\",\"127.0.0.1:1\"]";
 
 #[test]
-fn a_flag_goes_before_the_file_and_keeps_its_reading() {
-    let with = |words: &[&str]| required().checked_with(&PROGRAM, words);
-    let all = [
+fn flags_override_the_file_and_are_parsed_as_before() {
+    let with = |arguments: &[&str]| required().checked_with(&PROGRAM, arguments);
+    let transcript = [
         with(&["--seats", "4"]),
         with(&["--name", "1", "--zone", "2"]),
         with(&["--seeds", "127.0.0.1:1,127.0.0.1:2,"]),
@@ -156,12 +159,12 @@
         with(&["--replace_after_us", "1"]),
         with(&["--log-level", "loud"]),
     ];
-    compare("flags.txt", &all.concat(), &[]);
+    compare("flags.txt", &transcript.concat(), &[]);
 }
 
 #[test]
-fn a_file_that_is_no_toml_keeps_its_words() {
-    let all = [
+fn invalid_toml_keeps_its_messages() {
+    let transcript = [
         "name = ",
         "name\n",
         "name = \"a\"\nname = \"b\"",
@@ -169,43 +172,44 @@
         "\u{0}",
     ]
     .map(|text| program::checked_text(&PROGRAM, text, &[]));
-    compare("wrong_files.txt", &all.concat(), &[]);
+    compare("wrong_files.txt", &transcript.concat(), &[]);
 }
 
 #[test]
-fn what_cannot_start_keeps_its_exit_code() {
+fn failures_at_start_keep_their_exit_code() {
     let folder = program::folder("core-failed");
     let file = folder.join("file");
-    fs::write(&file, "").expect("a file");
-    // 192.0.2.1 is kept for documents: no machine has it.
-    let foreign = "\"192.0.2.1:1\"";
-    let inside = |path: &Path| format!("{:?}", path.join("disk"));
+    fs::write(&file, "").expect("the file can be written");
+    // 192.0.2.1 is reserved for documentation, so binding to it fails on every machine.
+    let foreign_address = "\"192.0.2.1:1\"";
+    let disk_in = |path: &Path| format!("{:?}", path.join("disk"));
     let cases = [
         required()
-            .with("mates_address", foreign)
-            .with("folder", &inside(&folder)),
+            .with("mates_address", foreign_address)
+            .with("folder", &disk_in(&folder)),
         required()
-            .with("operators_address", foreign)
-            .with("folder", &inside(&folder)),
-        required().with("folder", &inside(&file)),
+            .with("operators_address", foreign_address)
+            .with("folder", &disk_in(&folder)),
+        required().with("folder", &disk_in(&file)),
     ];
-    let all: String = cases
+    let transcript: String = cases
         .into_iter()
         .map(|settings| settings.run(&PROGRAM))
         .collect();
-    fs::remove_dir_all(&folder).expect("clean");
+    fs::remove_dir_all(&folder).expect("the directory can be removed");
     compare(
         "failed.txt",
-        &all,
+        &transcript,
         &[Volatile::Value(&folder.display().to_string(), "folder")],
     );
 }
 
 #[test]
-fn every_default_stays() {
+fn defaults_are_unchanged() {
     let folder = program::folder("core-defaults");
     let settings = required().with("folder", &format!("{:?}", folder.join("disk")));
-    // Each default, and a value beside it. A log level is taken up without a restart: `info` shows the lines read here.
+    // Each default with a neighbouring value. `log_level` is left out: it needs no restart, and the
+    // test reads log lines of level `info`.
     let defaults = [
         ("alpha", "20", "21"),
         ("tau_us", "50000", "50001"),
@@ -213,12 +217,12 @@
         ("snapshot_every", "500", "501"),
         ("replace_after_us", "3000000", "3000001"),
     ];
-    let all = program::defaults(&PROGRAM, &folder, &settings, &defaults);
-    fs::remove_dir_all(&folder).expect("clean");
-    compare("defaults.txt", &all, &[]);
+    let transcript = program::defaults(&PROGRAM, &folder, &settings, &defaults);
+    fs::remove_dir_all(&folder).expect("the directory can be removed");
+    compare("defaults.txt", &transcript, &[]);
 }
 
-/// One line a value, by its path.
+/// Formats a TOML value as one `path = value` line for each leaf.
 fn flattened(path: &str, value: &toml::Value) -> String {
     match value {
         toml::Value::Table(table) => table
@@ -230,10 +234,10 @@
 }
 
 #[test]
-fn the_deployment_file_keeps_its_roles_and_commands() {
+fn the_deployment_file_is_unchanged() {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../deploy/system.toml");
     let text = fs::read_to_string(path).expect("deploy/system.toml");
-    let table: toml::Table = text.parse().expect("TOML");
+    let table: toml::Table = text.parse().expect("valid TOML");
     compare(
         "system.txt",
         &flattened("", &toml::Value::Table(table)),
--- a/crates/gradeford-node/src/health.rs
+++ b/crates/gradeford-node/src/health.rs
@@ -14,24 +14,24 @@
 use serde_json::json;
 use transport::traffic;
 
-/// What the health pages tell of.
+/// Sources of the health pages.
 #[derive(Clone)]
 pub(crate) struct HealthApi {
     /// Name of the node.
     pub name: String,
-    /// The node's state.
+    /// The node's view of the cluster state.
     pub view: SharedView,
-    /// Replicas that it knows of.
+    /// Replicas that the node knows.
     pub known_replicas: KnownReplicas,
-    /// Requests running and queued.
+    /// Source of the numbers of running and queued requests.
     pub slot_owner: SlotOwnerHandle,
-    /// Counts requests and retries.
+    /// Source of the numbers of requests and retries.
     pub retry_budget: RetryBudgetHandle,
-    /// Counts key slices that backends claimed without a lease.
+    /// Number of key slices that backends claimed without a lease.
     pub unheld_claims: Arc<AtomicU64>,
-    /// Which of the node's lives this process is.
+    /// Incarnation of the node that this process is.
     pub incarnation: Incarnation,
-    /// False once the node stops, or another process has its name.
+    /// False once the node stops, or once another process has registered under its name.
     pub accepting_work: Arc<AtomicBool>,
 }
 
@@ -45,7 +45,7 @@
     api: HealthApi,
 }
 
-/// The routes of the three pages.
+/// Routes of the health pages.
 pub(crate) fn router(api: HealthApi) -> Router {
     Router::new()
         .push(Router::with_path("live").get(Liveness))
@@ -97,7 +97,7 @@
     }
 }
 
-/// Why the node is not ready, in words for operators.
+/// Returns the reasons for which the node is not ready, as text for operators.
 fn reasons_not_ready(api: &HealthApi) -> Vec<&'static str> {
     let view = api.view.load();
     let mut reasons = Vec::new();
--- a/crates/gradeford-node/src/main.rs
+++ b/crates/gradeford-node/src/main.rs
@@ -1,4 +1,5 @@
-//! A node beside backends: serves them and their clients (docs/operators/running.md).
+//! The node program: a proxy node that serves the backends and clients of its machine
+//! (docs/operators/running.md).
 
 #![deny(missing_docs)]
 
--- a/crates/gradeford-node/src/node.rs
+++ b/crates/gradeford-node/src/node.rs
@@ -1,4 +1,4 @@
-//! The parts of a node's process, put together and taken down in order.
+//! The components of a node's process, and the order in which they start and stop.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
@@ -18,7 +18,7 @@
 
 use crate::presence::NodeIdentity;
 use crate::settings::Settings;
-use crate::start::{Starter, bind_to_peers};
+use crate::start::{Starter, bind_peer_listener};
 
 const HELP: &str = "\
 gradeford-node: a gradeford node beside back ends
@@ -37,9 +37,9 @@
 exit codes: 0 stopped as asked, 1 failed, 2 settings or flags at fault
 ";
 
-/// How long the log may take for the report that this node has left.
-const FAREWELL_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long answers that were given may take to leave the process.
+/// How long a stopping node waits until the log has accepted the report that the node left.
+const NODE_LEFT_REPORT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum time for pending HTTP responses to be sent during shutdown.
 const HTTP_SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A running node.
@@ -50,7 +50,7 @@
     status_reports: StatusReporter,
     http_server: HttpServer,
     accepting_work: Arc<AtomicBool>,
-    /// Cancelled when the process stops.
+    /// Tasks that are cancelled when the process stops.
     tasks: JoinSet<()>,
 }
 
@@ -61,7 +61,7 @@
     const HELP: &'static str = HELP;
 
     async fn start(settings: &Settings, logger: &Logger) -> Result<Node, Error> {
-        let (peer_listener, identity) = bind_to_peers(settings).await?;
+        let (peer_listener, identity) = bind_peer_listener(settings).await?;
         let known_replicas = discovery::empty();
         let tasks = JoinSet::new();
         let mut starter = Starter {
@@ -98,27 +98,28 @@
         })
     }
 
-    /// Takes nothing new, lets what was forwarded end, and signs off from the log.
+    /// Stops accepting requests, waits for the forwarded ones and reports to the log that the node
+    /// has left.
     async fn shut_down(mut self, settings: &Settings) {
         self.accepting_work.store(false, Relaxed);
         self.proxy.drain();
         self.slot_owner.drain().await;
         let drained = async {
             self.proxy.drained().await;
-            // What peers forwarded to here ends after this node's own clients have left.
+            // Requests that peers forwarded to this node are drained after those of local clients.
             self.slot_owner.load().await;
             self.slot_owner.drained().await;
         };
         let drain_timeout = Duration::from_micros(settings.stop_patience_us);
         let clean = timeout(drain_timeout, drained).await.is_ok();
-        let farewell = self
-            .status_reports
-            .report_endpoint_status(EndpointReport::NodeLeft {
-                node: self.identity.name.clone(),
-                incarnation: self.identity.incarnation,
-                clean,
-            });
-        timeout(FAREWELL_TIMEOUT, farewell)
+        let node_left_report =
+            self.status_reports
+                .report_endpoint_status(EndpointReport::NodeLeft {
+                    node: self.identity.name.clone(),
+                    incarnation: self.identity.incarnation,
+                    clean,
+                });
+        timeout(NODE_LEFT_REPORT_TIMEOUT, node_left_report)
             .await
             .unwrap_or_default();
         self.http_server.stop(HTTP_SHUTDOWN_TIMEOUT).await;
--- a/crates/gradeford-node/src/presence.rs
+++ b/crates/gradeford-node/src/presence.rs
@@ -1,4 +1,4 @@
-//! This node's place in the log: who it is, and that it is there.
+//! Registration of this node in the log: its identity and its presence.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
@@ -13,24 +13,25 @@
 use tokio::time::sleep;
 use transport::{Handshake, Purpose};
 
-/// How often the node looks whether the log has it.
+/// Interval at which the node checks its registration in the log.
 const CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Who this process is, for peers and for the log.
+/// Identity of this process for peers and for the log.
 #[derive(Clone)]
 pub(crate) struct NodeIdentity {
     /// Name of the node.
     pub name: String,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: String,
-    /// Where peers reach it.
+    /// Address under which peers reach the node.
     pub address: String,
-    /// Which of the node's lives this process is.
+    /// Incarnation of the node that this process is.
     pub incarnation: Incarnation,
 }
 
 impl NodeIdentity {
-    /// Makes handshakes for connections with this purpose, each with the replicas known then.
+    /// Returns a factory of handshakes for connections with this purpose. Each handshake lists the
+    /// replicas that are known when it is made.
     pub(crate) fn handshakes(
         &self,
         purpose: Purpose,
@@ -51,9 +52,9 @@
     }
 }
 
-/// Tells the log that this node is here, and again whenever the log takes it for gone.
+/// Registers this node in the log, and again whenever the log holds it to be absent.
 ///
-/// Ends, and makes the node not ready, once another process was registered under its name.
+/// Returns and makes the node not ready once another process has registered under its name.
 pub(crate) async fn announce_presence(
     own: NodeIdentity,
     view: SharedView,
@@ -61,20 +62,20 @@
     accepting_work: Arc<AtomicBool>,
     logger: Logger,
 ) {
-    let mut was_registered = false;
+    let mut registered_before = false;
     loop {
         let current = view.load();
         let record = current.slice.nodes.get(&own.name);
         let registered = record.map_or(0, |node| node.incarnation);
-        if was_registered && registered != 0 && registered != own.incarnation {
+        if registered_before && registered != 0 && registered != own.incarnation {
             slog::error!(
                 logger,
-                "another process was registered under this node's name; this one serves no more";
+                "another process registered under this node's name; this node stops serving";
                 "node" => &own.name,
             );
             return accepting_work.store(false, Relaxed);
         }
-        was_registered |= registered == own.incarnation;
+        registered_before |= registered == own.incarnation;
         if registered != own.incarnation || record.is_some_and(|node| !node.present) {
             let report = EndpointReport::NodeRegistered {
                 node: own.name.clone(),
--- a/crates/gradeford-node/src/settings.rs
+++ b/crates/gradeford-node/src/settings.rs
@@ -1,12 +1,12 @@
-//! The settings of a node beside backends (docs/operators/settings.md). Fields are named as
-//! operators name them in the file and by flags; faults name them too.
+//! The settings of a node (docs/operators/settings.md). Field names are the keys of the settings file
+//! and the names of the flags, and appear in fault messages.
 
 use daemon::DaemonSettings;
 use model::Microseconds;
 use serde::Deserialize;
 use validator::Validate;
 
-/// The settings of a node beside backends. Times are in microseconds.
+/// The settings of a node. Durations are in microseconds.
 #[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Settings {
@@ -16,13 +16,13 @@
     /// Zone of the machine, 1 to 63 bytes.
     #[validate(length(min = 1, max = 63, message = "is 1 to 63 bytes"))]
     pub zone: String,
-    /// IP address and port on which peers are accepted.
+    /// IP address and port on which connections from peers are accepted.
     #[validate(custom(function = "model::settings::validate_address"))]
     pub mates_address: String,
-    /// Where peers find this process, if not where it listens.
+    /// Address under which peers reach this process, if it differs from `mates_address`.
     #[serde(default)]
     pub advertised_address: Option<String>,
-    /// IP address and port for the backends and clients on this machine.
+    /// IP address and port of the HTTP API for the backends and clients on this machine.
     #[validate(custom(function = "model::settings::validate_address"))]
     pub local_address: String,
     /// Peer addresses of replicas, 1 to 9.
@@ -31,7 +31,8 @@
         custom(function = "model::settings::validate_addresses")
     )]
     pub seeds: Vec<String>,
-    /// How often a backend sends a heartbeat, from 50000 to 1000000; 300000 by default.
+    /// Interval at which a backend sends heartbeats, in microseconds, from 50000 to 1000000; 300000 by
+    /// default.
     #[serde(default = "default_beat_every_us")]
     #[validate(range(
         min = 50_000,
@@ -39,8 +40,8 @@
         message = "is from 50000 to 1000000 microseconds"
     ))]
     pub beat_every_us: Microseconds,
-    /// How long a backend may be silent before it counts as gone, from 200000 to 2000000; 1200000 by
-    /// default.
+    /// Time without a heartbeat after which a backend counts as gone, in microseconds, from 200000 to
+    /// 2000000; 1200000 by default.
     #[serde(default = "default_beat_patience_us")]
     #[validate(range(
         min = 200_000,
@@ -48,8 +49,9 @@
         message = "is from 200000 to 2000000 microseconds"
     ))]
     pub beat_patience_us: Microseconds,
-    /// How long a proof lasts, from 300000 to 1500000; 1500000 by default. It is no more because
-    /// operators are promised that a change is everywhere within two seconds.
+    /// How long a freshness proof is valid, in microseconds, from 300000 to 1500000; 1500000 by
+    /// default. A longer time would break the promise to operators that a change is in force
+    /// everywhere within two seconds.
     #[serde(default = "default_freshness_us")]
     #[validate(range(
         min = 300_000,
@@ -57,7 +59,8 @@
         message = "is from 300000 to 1500000 microseconds"
     ))]
     pub freshness_us: Microseconds,
-    /// How often a proof is asked for, from 50000 to 500000; 250000 by default.
+    /// Interval between two freshness-proof requests, in microseconds, from 50000 to 500000; 250000
+    /// by default.
     #[serde(default = "default_ask_every_us")]
     #[validate(range(
         min = 50_000,
@@ -65,8 +68,8 @@
         message = "is from 50000 to 500000 microseconds"
     ))]
     pub ask_every_us: Microseconds,
-    /// Added to the time for which an earlier holder of a lease may still count on it, as clocks run
-    /// apart, from 50000 to 5000000; 250000 by default.
+    /// Margin for clock drift, added to the time for which the previous holder of a lease may still
+    /// rely on it, in microseconds, from 50000 to 5000000; 250000 by default.
     #[serde(default = "default_guard_us")]
     #[validate(range(
         min = 50_000,
@@ -74,13 +77,13 @@
         message = "is from 50000 to 5000000 microseconds"
     ))]
     pub guard_us: Microseconds,
-    /// Retries in any ten seconds beyond one for each five requests, from 0, which allows no retries
-    /// at all, to 10; 1 by default.
+    /// Retries allowed in any ten seconds in addition to one per five requests, from 0, which disables
+    /// retries completely, to 10; 1 by default.
     #[serde(default = "default_extra_allowance")]
     #[validate(range(max = 10, message = "is from 0 to 10"))]
     pub extra_allowance: usize,
-    /// How long forwarded requests may take to end when the node stops, from 100000 to 120000000;
-    /// 61000000 by default.
+    /// Drain timeout for forwarded requests when the node stops, in microseconds, from 100000 to
+    /// 120000000; 61000000 by default.
     #[serde(default = "default_stop_patience_us")]
     #[validate(range(
         min = 100_000,
@@ -88,8 +91,8 @@
         message = "is from 100000 to 120000000 microseconds"
     ))]
     pub stop_patience_us: Microseconds,
-    /// How often the node sends a heartbeat to those that monitor it, from 50000 to 1000000; 200000
-    /// by default.
+    /// Interval between two heartbeats to the nodes that monitor this one, in microseconds, from 50000
+    /// to 1000000; 200000 by default.
     #[serde(default = "default_watch_every_us")]
     #[validate(range(
         min = 50_000,
@@ -97,8 +100,8 @@
         message = "is from 50000 to 1000000 microseconds"
     ))]
     pub watch_every_us: Microseconds,
-    /// How long a node may be silent before those that monitor it report it, from 200000 to 5000000;
-    /// 1000000 by default.
+    /// Time without a heartbeat after which a monitored node is reported as failed, in microseconds,
+    /// from 200000 to 5000000; 1000000 by default.
     #[serde(default = "default_watch_patience_us")]
     #[validate(range(
         min = 200_000,
@@ -106,11 +109,11 @@
         message = "is from 200000 to 5000000 microseconds"
     ))]
     pub watch_patience_us: Microseconds,
-    /// Whether state updates come through the zone's relays rather than from the core; they do by
-    /// default.
+    /// Whether state updates are received through the relays of the zone, which is the default,
+    /// instead of directly from the core.
     #[serde(default = "default_homes")]
     pub homes: bool,
-    /// Least level that is logged: critical, error, warning, info (the default), debug or trace.
+    /// Lowest level that is logged: critical, error, warning, info (the default), debug or trace.
     #[serde(default = "daemon::default_log_level")]
     #[validate(custom(function = "model::settings::validate_log_level"))]
     pub log_level: String,
--- a/crates/gradeford-node/src/start.rs
+++ b/crates/gradeford-node/src/start.rs
@@ -26,36 +26,37 @@
 use crate::presence::{NodeIdentity, announce_presence};
 use crate::settings::Settings;
 
-/// Replicas after which discovery slows down. A node does not know how many there are; the first
-/// that answers it says so.
+/// Number of known replicas after which discovery slows down. The actual number is not known to a
+/// node before the first replica answers.
 const EXPECTED_REPLICAS: usize = 3;
 
-/// What the steps of the start share.
+/// State shared by the steps of the start.
 pub(crate) struct Starter<'a> {
     /// The node's settings.
     pub settings: &'a Settings,
-    /// For what operators should know.
+    /// Logger of the process.
     pub logger: &'a Logger,
-    /// Who this process is.
+    /// Identity of this process.
     pub identity: NodeIdentity,
-    /// Replicas that the node knows of.
+    /// Replicas that the node knows.
     pub known_replicas: KnownReplicas,
-    /// Tasks that end with the process.
+    /// Tasks that are cancelled when the process stops.
     pub tasks: JoinSet<()>,
 }
 
-/// The node's state and its links to the log.
+/// The node's view of the cluster state and its connections to the log.
 pub(crate) struct State {
-    /// The state, kept current.
+    /// Subscription that keeps the view current.
     pub subscription: Subscription,
-    /// The way of reports to the log.
+    /// Sends reports to the log.
     pub status_reports: StatusReporter,
-    /// Takes the heartbeats of the peers that this node monitors.
+    /// Receives the heartbeats of the peers that this node monitors.
     pub heartbeats: HeartbeatSender,
 }
 
-/// Binds the address for peers, by which the node is known if the settings name no other.
-pub(crate) async fn bind_to_peers(
+/// Binds the address for peers. The bound address becomes part of the node's identity unless
+/// `advertised_address` is set.
+pub(crate) async fn bind_peer_listener(
     settings: &Settings,
 ) -> Result<(TcpListener, NodeIdentity), Error> {
     let listener = TcpListener::bind(&settings.mates_address)
@@ -75,7 +76,8 @@
 }
 
 impl Starter<'_> {
-    /// The subscription to the log's state, the reports to the log and the monitoring of peers.
+    /// Starts the subscription to the cluster state, the reports to the log and the monitoring of
+    /// peers.
     pub(crate) fn start_state(&self, wanted_services: watch::Receiver<ServiceSet>) -> State {
         let (settings, known_replicas) = (self.settings, &self.known_replicas);
         let handshakes = |purpose| self.identity.handshakes(purpose, known_replicas);
@@ -102,7 +104,7 @@
         let status_reports = StatusReporter::start(
             config,
             known_replicas.clone(),
-            // It may be subscribed through a relay: no replica is known to work.
+            // The node may be subscribed through a relay, so no replica is known to be reachable.
             watch::channel(None).1,
             handshakes(Purpose::Subscribe),
         );
@@ -124,7 +126,8 @@
         }
     }
 
-    /// Who runs what on the backends here. `services` tells the subscription which ones they are.
+    /// Starts the owner of the backends' slots. Through `services` the subscription learns which
+    /// services they belong to.
     pub(crate) fn start_slot_owner(
         &self,
         state: &State,
@@ -147,8 +150,8 @@
         )
     }
 
-    /// The ways of requests: from peers to the backends here, and from the clients here to whichever
-    /// backend is selected. Discovery of replicas begins too.
+    /// Starts the inbound proxy for requests of peers to local backends, the outbound proxy for
+    /// requests of local clients, and the discovery of replicas.
     pub(crate) fn start_proxies(
         &mut self,
         state: &State,
@@ -192,7 +195,7 @@
         Ok(proxy)
     }
 
-    /// The HTTP interface: health pages, clients, backends.
+    /// Returns the routes of the local HTTP API: health pages, client API and backend API.
     pub(crate) fn router(
         &self,
         state: &State,
@@ -229,7 +232,7 @@
             .push(backend_api::router(backends))
     }
 
-    /// Keeps the log told that this node is here.
+    /// Starts the task that keeps this node registered in the log.
     pub(crate) fn announce(&mut self, state: &State, accepting_work: Arc<AtomicBool>) {
         self.tasks.spawn(announce_presence(
             self.identity.clone(),
--- a/crates/gradeford-node/tests/witness.rs
+++ b/crates/gradeford-node/tests/witness.rs
@@ -1,5 +1,6 @@
-//! The node's program as golden files (`tests/golden/`): its pages, exit codes, settings and their defaults. How the files are written anew stands at the head of
-//! `crates/test-support/tests/golden_files/mod.rs`: `GRADEFORD_WRITE_GOLDEN=1`.
+//! Golden-file tests (`tests/golden/`) for the command line, the exit codes and the settings of the
+//! node program. `GRADEFORD_WRITE_GOLDEN=1` regenerates the files, see
+//! `crates/test-support/tests/golden_files/mod.rs`.
 
 #[path = "../../test-support/tests/golden_files/mod.rs"]
 mod golden_files;
@@ -28,7 +29,7 @@
 }
 
 #[test]
-fn the_help_page_and_the_version_stay() {
+fn help_and_version_output_is_unchanged() {
     compare("help.txt", &told(&PROGRAM, &["--help"]), &[]);
     compare(
         "version.txt",
@@ -38,8 +39,8 @@
 }
 
 #[test]
-fn wrong_flags_keep_their_words_and_exit_code() {
-    let wrong: [&[&str]; 7] = [
+fn invalid_flags_keep_their_message_and_exit_code() {
+    let invalid: [&[&str]; 7] = [
         &[],
         &["--speed", "9"],
         &["more"],
@@ -48,21 +49,24 @@
         &["--name"],
         &["--check", "--name", "a", "--speed"],
     ];
-    let all: String = wrong.iter().map(|words| told(&PROGRAM, words)).collect();
-    compare("wrong_flags.txt", &all, &[]);
+    let transcript: String = invalid
+        .iter()
+        .map(|arguments| told(&PROGRAM, arguments))
+        .collect();
+    compare("wrong_flags.txt", &transcript, &[]);
 }
 
 #[test]
-fn every_setting_is_needed_or_has_a_default() {
-    let mut all = required().checked(&PROGRAM);
+fn every_setting_is_required_or_has_a_default() {
+    let mut transcript = required().checked(&PROGRAM);
     for (name, _) in REQUIRED {
-        all.push_str(&required().without(name).checked(&PROGRAM));
+        transcript.push_str(&required().without(name).checked(&PROGRAM));
     }
-    compare("needed_settings.txt", &all, &[]);
+    compare("needed_settings.txt", &transcript, &[]);
 }
 
 #[test]
-fn wrong_values_keep_their_words_and_right_ones_are_taken() {
+fn invalid_values_keep_their_messages_and_valid_ones_are_accepted() {
     let values: [(&str, &[&str]); 18] = [
         (
             "name",
@@ -129,30 +133,30 @@
         ),
         ("speed", &["1"]),
     ];
-    let mut all = String::new();
+    let mut transcript = String::new();
     for (name, values) in values {
         for value in values {
-            all.push_str(&required().with(name, value).checked(&PROGRAM));
+            transcript.push_str(&required().with(name, value).checked(&PROGRAM));
         }
     }
-    // Several faults are told in any order.
-    let several = required()
+    // The order in which several faults are reported is not fixed.
+    let several_faults = required()
         .with("beat_every_us", "2")
         .with("guard_us", "0")
         .with("mates_address", "\"here\"")
         .checked(&PROGRAM);
-    let mut lines: Vec<&str> = several.lines().collect();
+    let mut lines: Vec<&str> = several_faults.lines().collect();
     lines.sort_unstable();
-    all.push_str(&format!("{}\n", lines.join("\n")));
-    compare("settings.txt", &all, &[]);
+    transcript.push_str(&format!("{}\n", lines.join("\n")));
+    compare("settings.txt", &transcript, &[]);
 }
 
 const TEN_SEEDS: &str = "[\"127.0.0.1:1\",\"127.0.0.1:1\",\"127.0.0.1:1\",\"127.0.0.1:1\",\"127.0.0.1:1\",\"127.0.0.1:1\",\"127.0.0.1:1\",\"127.0.0.1:1\",\"127.0.0.1:1\",\"127.0.0.1:1\"]";
 
 #[test]
-fn a_flag_goes_before_the_file_and_keeps_its_reading() {
-    let with = |words: &[&str]| required().checked_with(&PROGRAM, words);
-    let all = [
+fn flags_override_the_file_and_are_parsed_as_before() {
+    let with = |arguments: &[&str]| required().checked_with(&PROGRAM, arguments);
+    let transcript = [
         with(&["--beat-every-us", "4"]),
         with(&["--name", "1", "--zone", "2"]),
         with(&["--seeds", "127.0.0.1:1,127.0.0.1:2,"]),
@@ -163,12 +167,12 @@
         with(&["--guard_us", "50000"]),
         with(&["--log-level", "loud"]),
     ];
-    compare("flags.txt", &all.concat(), &[]);
+    compare("flags.txt", &transcript.concat(), &[]);
 }
 
 #[test]
-fn a_file_that_is_no_toml_keeps_its_words() {
-    let all = [
+fn invalid_toml_keeps_its_messages() {
+    let transcript = [
         "name = ",
         "name\n",
         "name = \"a\"\nname = \"b\"",
@@ -176,23 +180,24 @@
         "\u{0}",
     ]
     .map(|text| program::checked_text(&PROGRAM, text, &[]));
-    compare("wrong_files.txt", &all.concat(), &[]);
+    compare("wrong_files.txt", &transcript.concat(), &[]);
 }
 
 #[test]
-fn what_cannot_start_keeps_its_exit_code() {
-    // 192.0.2.1 is kept for documents: no machine has it.
-    let foreign = "\"192.0.2.1:1\"";
-    let all: String = ["mates_address", "local_address"]
-        .map(|name| required().with(name, foreign).run(&PROGRAM))
+fn failures_at_start_keep_their_exit_code() {
+    // 192.0.2.1 is reserved for documentation, so binding to it fails on every machine.
+    let foreign_address = "\"192.0.2.1:1\"";
+    let transcript: String = ["mates_address", "local_address"]
+        .map(|name| required().with(name, foreign_address).run(&PROGRAM))
         .concat();
-    compare("failed.txt", &all, &[]);
+    compare("failed.txt", &transcript, &[]);
 }
 
 #[test]
-fn every_default_stays() {
+fn defaults_are_unchanged() {
     let folder = program::folder("node-defaults");
-    // Each default, and a value beside it. A log level is taken up without a restart: `info` shows the lines read here.
+    // Each default with a neighbouring value. `log_level` is left out: it needs no restart, and the
+    // test reads log lines of level `info`.
     let defaults = [
         ("beat_every_us", "300000", "299999"),
         ("beat_patience_us", "1200000", "1199999"),
@@ -205,7 +210,7 @@
         ("watch_patience_us", "1000000", "999999"),
         ("homes", "true", "false"),
     ];
-    let all = program::defaults(&PROGRAM, &folder, &required(), &defaults);
-    fs::remove_dir_all(&folder).expect("clean");
-    compare("defaults.txt", &all, &[]);
+    let transcript = program::defaults(&PROGRAM, &folder, &required(), &defaults);
+    fs::remove_dir_all(&folder).expect("the directory can be removed");
+    compare("defaults.txt", &transcript, &[]);
 }
--- a/crates/gradeford-node/tests/witness_backends.rs
+++ b/crates/gradeford-node/tests/witness_backends.rs
@@ -1,6 +1,6 @@
-//! What a node answers to the back ends and senders beside it, as golden files (`tests/golden/`): without a core, and
-//! with a core of one seat in this process. How the files are written anew stands at the head of
-//! `crates/test-support/tests/golden_files/mod.rs`: `GRADEFORD_WRITE_GOLDEN=1`.
+//! Golden-file tests (`tests/golden/`) for the answers of a node to local backends and clients, with no
+//! core and with a single replica in this process. `GRADEFORD_WRITE_GOLDEN=1` regenerates the files,
+//! see `crates/test-support/tests/golden_files/mod.rs`.
 
 #[path = "../../test-support/tests/golden_files/mod.rs"]
 mod golden_files;
@@ -19,32 +19,34 @@
 use tokio::runtime::Runtime;
 use tokio::task::yield_now;
 
-/// The bound of every wait here.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Timeout of every wait in these tests.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
-fn folder(name: &str) -> PathBuf {
-    env::temp_dir().join(format!("gradeford-witness-node-{name}-{}", process::id()))
+fn temp_dir(name: &str) -> PathBuf {
+    env::temp_dir().join(format!("gradeford-golden-node-{name}-{}", process::id()))
 }
 
-/// A core of one seat that knows the services `seat` and `desk`, and its mates' address.
-async fn core(folder: &Path) -> (ReplicaHandle, String) {
-    let mates = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = mates.local_addr().expect("an address").to_string();
-    let env = ReplicaConfig {
+/// Starts a single replica that knows the services `seat` and `desk`; returns it with its peer
+/// address.
+async fn start_core(temp_dir: &Path) -> (ReplicaHandle, String) {
+    let peer_listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let address = peer_listener.local_addr().expect("an address").to_string();
+    let config = ReplicaConfig {
         name: "core-0".into(),
         zone: "z".into(),
         replica_id: 0,
         replica_count: 1,
         address: address.clone(),
         seeds: vec![address.clone()],
-        folder: folder.to_path_buf(),
+        folder: temp_dir.to_path_buf(),
         timing: Default::default(),
         snapshot_every_entries: 100,
         replace_after: 500_000,
         membership: None,
     };
-    let core = ReplicaHandle::start(env, model::logging::discard_logger()).expect("a core");
-    tokio::spawn(server::listen(core.clone(), mates));
+    let core =
+        ReplicaHandle::start(config, model::logging::discard_logger()).expect("the replica starts");
+    tokio::spawn(server::listen(core.clone(), peer_listener));
     while !core.status.load().voting {
         yield_now().await;
     }
@@ -55,7 +57,7 @@
         { "put_order": { "name": "seat-desk", "order": order } }
     ]);
     let change: Change = serde_json::from_value(json!({ "id": "site", "base": 0, "edits": edits }))
-        .expect("a change");
+        .expect("a valid change");
     assert!(matches!(
         core.change(change).await,
         Some(Outcome::Accepted { .. })
@@ -63,16 +65,16 @@
     (core, address)
 }
 
-/// A node's program, ended with its owner.
+/// A running node program that is killed on drop.
 struct Node {
     child: Child,
     address: String,
-    told: String,
+    transcript: String,
 }
 
 impl Drop for Node {
     fn drop(&mut self) {
-        // Ended already, or a failed test leaves it behind.
+        // Both calls fail if the program has already ended; then nothing is left to do.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -80,7 +82,7 @@
 
 impl Node {
     fn start(seed: &str) -> Node {
-        let words = [
+        let arguments = [
             "--name",
             "n",
             "--zone",
@@ -93,28 +95,30 @@
             seed,
         ];
         let mut child = Command::new(env!("CARGO_BIN_EXE_gradeford-node"))
-            .args(words)
+            .args(arguments)
             .stderr(Stdio::piped())
             .spawn()
-            .expect("it starts");
+            .expect("the program can be started");
         let mut log = BufReader::new(child.stderr.take().expect("a pipe"))
             .lines()
             .map_while(Result::ok);
         let listening = log
             .find(|line| line.contains("\"listening\""))
-            .expect("it listens");
+            .expect("the node logs that it listens");
         thread::spawn(move || log.for_each(drop));
         let listening: Value = serde_json::from_str(&listening).expect("JSON");
         Node {
             child,
             address: listening["local"].as_str().expect("an address").to_string(),
-            told: String::new(),
+            transcript: String::new(),
         }
     }
 
-    fn ask(&self, method: &str, path: &str, headers: &[(&str, &str)], body: &str) -> String {
+    fn request(&self, method: &str, path: &str, headers: &[(&str, &str)], body: &str) -> String {
         let mut stream = TcpStream::connect(&self.address).expect("a connection");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a bound");
+        stream
+            .set_read_timeout(Some(TIMEOUT))
+            .expect("the read timeout can be set");
         let headers: String = headers
             .iter()
             .map(|(name, value)| format!("{name}: {value}\r\n"))
@@ -125,47 +129,49 @@
         );
         stream
             .write_all(format!("{head}{body}").as_bytes())
-            .expect("a request");
+            .expect("the request can be sent");
         let mut text = String::new();
-        stream.read_to_string(&mut text).expect("an answer");
+        stream
+            .read_to_string(&mut text)
+            .expect("an answer arrives in time");
         let (head, answer) = text.split_once("\r\n\r\n").expect("a head and a body");
         let mut lines = head.split("\r\n");
         let status = lines.next().unwrap_or_default();
-        let mut own: Vec<&str> = lines
+        let mut relevant_headers: Vec<&str> = lines
             .filter(|line| {
                 ["content-type", "retry-after", "x-gradeford-"]
                     .iter()
                     .any(|name| line.starts_with(name))
             })
             .collect();
-        own.sort_unstable();
-        format!("{status}\n{}\n{answer}\n\n", own.join("\n"))
+        relevant_headers.sort_unstable();
+        format!("{status}\n{}\n{answer}\n\n", relevant_headers.join("\n"))
     }
 
-    /// Sends one call and writes down call and answer.
+    /// Sends a request and appends the request and its answer to the transcript.
     fn call(&mut self, method: &str, path: &str, headers: &[(&str, &str)], body: &str) -> String {
-        let answer = self.ask(method, path, headers, body);
+        let answer = self.request(method, path, headers, body);
         let sent: String = headers
             .iter()
             .map(|(name, value)| format!("{name}: {value}\n"))
             .collect();
-        self.told
+        self.transcript
             .push_str(&format!("{method} {path}\n{sent}{body}\n{answer}"));
         answer
     }
 
-    /// Asks until it is ready, and writes down that answer.
-    fn until_ready(&mut self) {
-        let begin = Instant::now();
+    /// Polls `/ready` until the node is ready and appends that answer to the transcript.
+    fn wait_until_ready(&mut self) {
+        let started_at = Instant::now();
         let ready = loop {
-            let answer = self.ask("GET", "/ready", &[], "");
+            let answer = self.request("GET", "/ready", &[], "");
             if answer.contains(" 200 ") {
                 break answer;
             }
-            assert!(begin.elapsed() < PATIENCE, "a node that is ready");
+            assert!(started_at.elapsed() < TIMEOUT, "the node becomes ready");
             thread::yield_now();
         };
-        self.told.push_str(&format!("GET /ready\n\n{ready}"));
+        self.transcript.push_str(&format!("GET /ready\n\n{ready}"));
     }
 }
 
@@ -173,9 +179,9 @@
     json!({ "name": "seat-0", "service": "seat", "zone": "z", "slots": 4, "labels": { "tier": "gold" }, "address": "127.0.0.1:1" })
 }
 
-/// Registrations that the node refuses by itself.
-fn wrong_registrations() -> Vec<Value> {
-    let wrong = [
+/// Registrations that the node rejects without consulting the log.
+fn invalid_registrations() -> Vec<Value> {
+    let invalid = [
         ("name", json!("Bad Name")),
         ("service", json!("")),
         ("zone", json!("elsewhere")),
@@ -186,27 +192,27 @@
         ("speed", json!(1)),
     ];
     let with = |(key, value): (&str, Value)| {
-        let mut ask = registration();
-        ask[key] = value;
-        ask
+        let mut request = registration();
+        request[key] = value;
+        request
     };
     let without = |key: &str| {
-        let mut ask = registration();
-        ask.as_object_mut().expect("an object").remove(key);
-        ask
+        let mut request = registration();
+        request.as_object_mut().expect("an object").remove(key);
+        request
     };
-    wrong
+    invalid
         .into_iter()
         .map(with)
         .chain(["name", "service", "zone", "slots", "address"].map(without))
         .collect()
 }
 
-const BEAT: &str = r#"{"service":"seat","zone":"z","slots":4,"state":"serving"}"#;
+const HEARTBEAT: &str = r#"{"service":"seat","zone":"z","slots":4,"state":"serving"}"#;
 
 #[test]
 fn a_node_without_a_core_keeps_its_answers() {
-    // Nobody listens on port 1 of the loopback.
+    // No process listens on port 1 of the loopback address.
     let mut node = Node::start("127.0.0.1:1");
     node.call("GET", "/live", &[], "");
     node.call("GET", "/ready", &[], "");
@@ -214,19 +220,19 @@
     for body in ["", "{}"] {
         node.call("POST", "/back-end/register", &[], body);
     }
-    for ask in wrong_registrations() {
-        node.call("POST", "/back-end/register", &[], &ask.to_string());
+    for request in invalid_registrations() {
+        node.call("POST", "/back-end/register", &[], &request.to_string());
     }
     let bearer = [("authorization", "Bearer none")];
-    let wrong = [
+    let invalid = [
         "",
         "{}",
-        &BEAT.replace("serving", "dancing"),
-        &BEAT.replace(":4", ":4097"),
-        &BEAT.replace("}", ",\"speed\":1}"),
-        BEAT,
+        &HEARTBEAT.replace("serving", "dancing"),
+        &HEARTBEAT.replace(":4", ":4097"),
+        &HEARTBEAT.replace("}", ",\"speed\":1}"),
+        HEARTBEAT,
     ];
-    for body in wrong {
+    for body in invalid {
         node.call("POST", "/back-end/beat", &bearer, body);
     }
     node.call("POST", "/back-end/drain", &bearer, "");
@@ -245,17 +251,18 @@
     node.call("GET", "/call/desk/x", &named, "");
     compare(
         "node_without_a_core.txt",
-        &node.told,
+        &node.transcript,
         &["life", "traffic"].map(Volatile::Field),
     );
 }
 
-/// From registration to sign-off beside a node that has just started. `None`: the machine stood still for so long that
-/// the node rightly took its back end for gone, or its own state for old.
-fn life(address: &str) -> Option<String> {
+/// Runs a backend from registration to deregistration beside a newly started node. Returns `None` if
+/// the machine stalled for so long that the node rightly considered its backend gone or its own state
+/// stale.
+fn run_lifecycle(address: &str) -> Option<String> {
     let mut node = Node::start(address);
-    node.until_ready();
-    let begin = Instant::now();
+    node.wait_until_ready();
+    let started_at = Instant::now();
     let registered = node.call(
         "POST",
         "/back-end/register",
@@ -270,24 +277,24 @@
     let secret = body["secret"].as_str().expect("a secret").to_string();
     let bearer = format!("Bearer {secret}");
     let bearer = [("authorization", bearer.as_str())];
-    node.call("POST", "/back-end/beat", &bearer, BEAT);
+    node.call("POST", "/back-end/beat", &bearer, HEARTBEAT);
     node.call(
         "POST",
         "/back-end/beat",
         &bearer,
-        &BEAT.replace("}", ",\"keys\":[3]}"),
+        &HEARTBEAT.replace("}", ",\"keys\":[3]}"),
     );
     node.call(
         "POST",
         "/back-end/beat",
         &bearer,
-        &BEAT.replace("\"seat\"", "\"desk\""),
+        &HEARTBEAT.replace("\"seat\"", "\"desk\""),
     );
     node.call(
         "POST",
         "/back-end/beat",
         &bearer,
-        &BEAT.replace("\"z\"", "\"y\""),
+        &HEARTBEAT.replace("\"z\"", "\"y\""),
     );
     let prefix = body["try_prefix"].as_str().expect("a prefix").to_string();
     let calls = [
@@ -315,8 +322,8 @@
     node.call("GET", "/status", &[], "");
     node.call("POST", "/back-end/drain", &bearer, "");
     node.call("POST", "/back-end/sign-off", &bearer, "");
-    node.call("POST", "/back-end/beat", &bearer, BEAT);
-    if begin.elapsed() > Duration::from_millis(900) || node.told.contains("not_fresh") {
+    node.call("POST", "/back-end/beat", &bearer, HEARTBEAT);
+    if started_at.elapsed() > Duration::from_millis(900) || node.transcript.contains("not_fresh") {
         return None;
     }
     let volatile = [
@@ -334,28 +341,28 @@
         Volatile::Value(&prefix, "prefix"),
     ];
     Some(with_placeholders(
-        &node.told,
+        &node.transcript,
         &volatile.into_iter().chain(values).collect::<Vec<_>>(),
     ))
 }
 
 #[test]
-fn a_back_ends_life_keeps_its_answers() {
-    let folder = folder("life");
+fn the_life_cycle_of_a_backend_keeps_its_answers() {
+    let temp_dir = temp_dir("life");
     let runtime = Runtime::new().expect("a runtime");
-    let (core, address) = runtime.block_on(core(&folder));
-    let begin = Instant::now();
-    let told = loop {
-        if let Some(told) = life(&address) {
-            break told;
+    let (core, address) = runtime.block_on(start_core(&temp_dir));
+    let started_at = Instant::now();
+    let transcript = loop {
+        if let Some(transcript) = run_lifecycle(&address) {
+            break transcript;
         }
         assert!(
-            begin.elapsed() < PATIENCE,
-            "a life without a standstill of the machine"
+            started_at.elapsed() < TIMEOUT,
+            "the life cycle completes without a stall of the machine"
         );
     };
     drop(core);
     runtime.shutdown_background();
-    fs::remove_dir_all(folder).expect("clean");
-    compare("a_back_ends_life.txt", &told, &[]);
+    fs::remove_dir_all(temp_dir).expect("the directory can be removed");
+    compare("a_back_ends_life.txt", &transcript, &[]);
 }
