--- a/crates/gradefordctl/src/cli.rs
+++ b/crates/gradefordctl/src/cli.rs
@@ -1,4 +1,4 @@
-//! From the command line to a command.
+//! Parsing of the command line.
 
 use std::fs;
 use std::io;
@@ -10,7 +10,7 @@
 
 use crate::core_client::CoreClient;
 
-/// What is wrong with the command line, in words for its user.
+/// Error in the command line, as text for the user.
 #[derive(Debug, Error)]
 #[error("{0}")]
 pub(crate) struct UsageError(String);
@@ -21,55 +21,55 @@
     }
 }
 
-/// What is to be done.
+/// Command that the program carries out.
 pub(crate) enum Command {
-    /// Print what a replica answers to this path.
+    /// Print the answer of a replica to `GET` of this path.
     Get {
         /// Path with its leading slash.
         path: String,
     },
     /// Send a change.
     Change {
-        /// The change's name, if given as a flag.
+        /// Id of the change, if given as a flag.
         id: Option<String>,
-        /// The version that it was made from, if given as a flag.
+        /// Version that the change is based on, if given as a flag.
         base_version: Option<u64>,
-        /// The change as JSON, which may hold `id` and `base` too.
+        /// The change as JSON, which may also contain `id` and `base`.
         change: Value,
     },
-    /// Let another disk replace a member.
+    /// Replace the disk of a member by another one.
     ReplaceDisk {
-        /// The member's replica number.
+        /// Replica number of the member.
         replica_id: u16,
-        /// The new disk, in hexadecimal.
+        /// Identity of the new disk in hexadecimal.
         new_disk: String,
     },
     /// Compare the states of two processes.
     Compare {
-        /// Peer address of the first.
+        /// Peer address of the first process.
         first: String,
-        /// Peer address of the second.
+        /// Peer address of the second process.
         second: String,
     },
 }
 
-/// Reads the command line and the files it names.
+/// Parses the command line and reads the files that it names.
 pub(crate) fn parse(mut arguments: Arguments) -> Result<(CoreClient, Command), UsageError> {
     let cores: Option<String> = arguments.opt_value_from_str("--core")?;
     let id: Option<String> = arguments.opt_value_from_str("--id")?;
     let base_version: Option<u64> = arguments.opt_value_from_str("--base")?;
     let name = arguments.subcommand()?;
     let name = name.ok_or_else(|| UsageError("a command is missing".into()))?;
-    let words: Vec<String> = arguments
+    let operands: Vec<String> = arguments
         .finish()
         .into_iter()
-        .map(|word| word.to_string_lossy().into_owned())
+        .map(|operand| operand.to_string_lossy().into_owned())
         .collect();
-    if let Some(flag) = words.iter().find(|word| word.starts_with("--")) {
+    if let Some(flag) = operands.iter().find(|operand| operand.starts_with("--")) {
         return Err(UsageError(format!("{flag} is not a flag of gradefordctl")));
     }
-    let words: Vec<&str> = words.iter().map(String::as_str).collect();
-    let command = parse_command(&name, &words, id, base_version)?;
+    let operands: Vec<&str> = operands.iter().map(String::as_str).collect();
+    let command = parse_command(&name, &operands, id, base_version)?;
     let cores: Vec<String> = cores
         .unwrap_or_default()
         .split(',')
@@ -87,7 +87,7 @@
 
 fn parse_command(
     name: &str,
-    words: &[&str],
+    operands: &[&str],
     id: Option<String>,
     base_version: Option<u64>,
 ) -> Result<Command, UsageError> {
@@ -96,7 +96,7 @@
         base_version,
         change,
     };
-    Ok(match (name, words) {
+    Ok(match (name, operands) {
         ("get", []) => Command::Get {
             path: "/v1/desired".into(),
         },
@@ -109,10 +109,10 @@
         ("status", []) => Command::Get {
             path: "/v1/status".into(),
         },
-        ("replace-seat", [seat, disk]) => Command::ReplaceDisk {
-            replica_id: seat
+        ("replace-seat", [replica, disk]) => Command::ReplaceDisk {
+            replica_id: replica
                 .parse()
-                .map_err(|_| UsageError(format!("{seat:?} is no seat")))?,
+                .map_err(|_| UsageError(format!("{replica:?} is no seat")))?,
             new_disk: disk.to_string(),
         },
         ("compare", [first, second]) => Command::Compare {
@@ -135,7 +135,7 @@
     })
 }
 
-/// A change that puts one item from a JSON file.
+/// Builds a change that creates or replaces one item with the content of a JSON file.
 fn put_change(kind: &str, item: &str, file: &str) -> Result<Value, UsageError> {
     let kind = item_kind(kind)?;
     let item = checked_name(item)?;
@@ -143,19 +143,19 @@
     Ok(json!({ "edits": [edit] }))
 }
 
-/// A change that drops one item.
+/// Builds a change that deletes one item.
 fn drop_change(kind: &str, item: &str) -> Result<Value, UsageError> {
     let kind = item_kind(kind)?;
     let edit = json!({ format!("drop_{kind}"): { "name": checked_name(item)? } });
     Ok(json!({ "edits": [edit] }))
 }
 
-/// The kind of item that a word names; both have a path and edits of their own.
-fn item_kind(word: &str) -> Result<&str, UsageError> {
-    match word {
-        "grouping" | "order" => Ok(word),
+/// Checks the name of an item kind, which is part of paths and of the names of edits.
+fn item_kind(kind: &str) -> Result<&str, UsageError> {
+    match kind {
+        "grouping" | "order" => Ok(kind),
         _ => Err(UsageError(format!(
-            "{word:?} is neither grouping nor order"
+            "{kind:?} is neither grouping nor order"
         ))),
     }
 }
@@ -169,7 +169,7 @@
     )))
 }
 
-/// Reads a JSON file, or standard input for `-`.
+/// Reads JSON from a file, or from standard input if the file name is `-`.
 fn read_json_file(file: &str) -> Result<Value, UsageError> {
     let text = match file {
         "-" => io::read_to_string(io::stdin()),
--- a/crates/gradefordctl/src/commands.rs
+++ b/crates/gradefordctl/src/commands.rs
@@ -1,4 +1,4 @@
-//! Each command, up to its exit code.
+//! Execution of the commands.
 
 use serde_json::{Value, json};
 
@@ -6,7 +6,7 @@
 use crate::core_client::{Answer, CoreClient};
 use crate::{compare, exit};
 
-/// Carries the command out, prints the answer and returns the exit code.
+/// Executes the command, prints the answer and returns the exit code.
 pub(crate) async fn run(client: &CoreClient, command: Command) -> i32 {
     match command {
         Command::Get { path } => print_answer(client.get(&path).await),
@@ -23,8 +23,8 @@
     }
 }
 
-/// Sends a change. What is not given, as a flag or in the file, is filled in: a name of its own, and
-/// the current version.
+/// Sends a change. If neither the flags nor the file give them, the id is generated and the base
+/// version is the current one.
 async fn send_change(
     client: &CoreClient,
     id: Option<String>,
@@ -59,7 +59,7 @@
     print_answer(client.post("/v1/changes", &change).await)
 }
 
-/// Replaces the disk that the core now takes for the member.
+/// Replaces the disk that the core currently has as the member.
 async fn replace_disk(client: &CoreClient, replica_id: u16, new_disk: String) -> i32 {
     let status = match client.get("/v1/status").await {
         Some(Answer { status: 200, body }) => body,
--- a/crates/gradefordctl/src/compare.rs
+++ b/crates/gradefordctl/src/compare.rs
@@ -1,4 +1,4 @@
-//! The states of two processes: where they differ, and since which position
+//! Comparison of the states of two processes: the entries that differ, and since which log position
 //! (docs/operators/gradefordctl.md).
 
 use std::collections::BTreeSet;
@@ -11,12 +11,12 @@
 
 use crate::exit;
 
-/// How long a process may take to show its state.
+/// Timeout for the state of one process.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
-/// The tables that are compared.
+/// Names of the compared tables.
 const TABLES: [&str; 5] = ["groupings", "orders", "back_ends", "nodes", "terms"];
 
-/// Why a process did not show its state.
+/// Error that prevents reading the state of a process.
 #[derive(Debug, Error)]
 enum Error {
     #[error(transparent)]
@@ -31,41 +31,41 @@
     TimedOut,
 }
 
-/// What a process has.
+/// State of a process.
 struct NodeState {
-    /// Services that it subscribes to; a replica has none of its own.
+    /// Services that the process subscribes to; empty for a replica.
     services: BTreeSet<String>,
-    /// Position and [`TABLES`].
+    /// Log position and the [`TABLES`].
     state: Value,
 }
 
-/// Compares the processes with these peer addresses, prints the differences and returns the exit
-/// code.
+/// Compares the states of the processes at two peer addresses, prints the differences and returns
+/// the exit code.
 pub(crate) async fn run(first: &str, second: &str) -> i32 {
     let (first, second) = (fetch_or_report(first).await, fetch_or_report(second).await);
     let (Some(first), Some(second)) = (first, second) else {
         return exit::UNREACHABLE;
     };
     let shared: Vec<&String> = first.services.intersection(&second.services).collect();
-    let mut differing = Vec::new();
+    let mut differing_entries = Vec::new();
     for table in TABLES {
-        differing.extend(differences(
+        differing_entries.extend(differences(
             table,
             &first.state[table],
             &second.state[table],
         ));
     }
     let answer = json!({
-        "alike": differing.is_empty(),
+        "alike": differing_entries.is_empty(),
         "positions": [first.state["position"], second.state["position"]],
         "both_subscribe_to": shared,
-        "differences": differing,
+        "differences": differing_entries,
     });
     println!(
         "{}",
         serde_json::to_string_pretty(&answer).unwrap_or_default()
     );
-    if differing.is_empty() {
+    if differing_entries.is_empty() {
         exit::DONE
     } else {
         exit::REFUSED
@@ -121,7 +121,8 @@
         .collect()
 }
 
-/// A replica shows its state machine and a node its slice of it; this brings both to one form.
+/// Converts the state machine that a replica returns to the form of the state slice that a node
+/// returns.
 fn in_node_form(state: Value) -> Value {
     if !state["desired"].is_object() {
         return state;
@@ -136,21 +137,21 @@
     })
 }
 
-/// Entries of one table that differ. Only what both have can: a node that does not subscribe to a
-/// service does not lack it.
+/// Returns the differing_entries entries of one table. Only entries that both sides have are compared,
+/// because a node has no entries for services that it does not subscribe to.
 fn differences(table: &str, first: &Value, second: &Value) -> Vec<Value> {
     let (Some(first), Some(second)) = (first.as_object(), second.as_object()) else {
         return Vec::new();
     };
-    let mut differing = Vec::new();
+    let mut differing_entries = Vec::new();
     for (name, entry) in first {
         let Some(other) = second.get(name).filter(|other| *other != entry) else {
             continue;
         };
         let since = entry["since"].as_u64().max(other["since"].as_u64());
-        differing.push(json!({
+        differing_entries.push(json!({
             "part": table, "name": name, "first": entry, "second": other, "since": since,
         }));
     }
-    differing
+    differing_entries
 }
--- a/crates/gradefordctl/src/core_client.rs
+++ b/crates/gradefordctl/src/core_client.rs
@@ -1,35 +1,35 @@
-//! Asking replicas in turn until one answers.
+//! HTTP client that tries the replicas in turn until one of them answers.
 
 use std::time::Duration;
 
 use reqwest::{Client, RequestBuilder};
 use serde_json::Value;
 
-/// How long connecting to one replica may take.
+/// Timeout for connecting to one replica.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long one replica may take to answer, which is longer than it waits for its majority.
+/// Timeout for the answer of one replica; longer than a replica waits for its majority.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Speaks to the operators' interface of the replicas.
+/// Client of the replicas' operator API.
 pub(crate) struct CoreClient {
     http: Client,
     cores: Vec<String>,
 }
 
-/// Status and JSON body of an answer; the body is null if it was no JSON.
+/// Status and JSON body of an answer.
 pub(crate) struct Answer {
     /// HTTP status.
     pub status: u16,
-    /// The body.
+    /// JSON body; null if the body was not valid JSON.
     pub body: Value,
 }
 
 impl CoreClient {
-    /// Makes a client for the replicas with these operators' addresses.
+    /// Creates a client for the replicas at these operator addresses.
     ///
     /// # Errors
     ///
-    /// If the HTTP client cannot be set up.
+    /// Fails if the HTTP client cannot be initialized.
     pub(crate) fn new(cores: Vec<String>) -> Result<CoreClient, reqwest::Error> {
         let http = Client::builder()
             .no_proxy()
@@ -39,22 +39,24 @@
         Ok(CoreClient { http, cores })
     }
 
-    /// Answer to a `GET`, as of [`CoreClient::first_answer`].
+    /// Sends a `GET` to the replicas in turn, see [`CoreClient::first_answer`].
     pub(crate) async fn get(&self, path: &str) -> Option<Answer> {
         self.first_answer(|core| self.http.get(format!("http://{core}{path}")))
             .await
     }
 
-    /// Answer to a `POST`, as of [`CoreClient::first_answer`]. What is posted names itself, so asking
-    /// the next replica after one that fell silent is safe.
+    /// Sends a `POST` to the replicas in turn, see [`CoreClient::first_answer`]. Trying the next
+    /// replica after one that did not answer is safe, because the bodies are idempotent: a change
+    /// carries its id, a replacement the disk that it replaces.
     pub(crate) async fn post(&self, path: &str, body: &Value) -> Option<Answer> {
         self.first_answer(|core| self.http.post(format!("http://{core}{path}")).json(body))
             .await
     }
 
-    /// The first answer that is no server error, else the last that is one, else `None`.
+    /// Returns the first answer that is not a server error, otherwise the last server error, otherwise
+    /// `None`.
     async fn first_answer(&self, request: impl Fn(&str) -> RequestBuilder) -> Option<Answer> {
-        let mut last = None;
+        let mut last_error = None;
         for core in &self.cores {
             match request(core).send().await {
                 Ok(response) => {
@@ -64,11 +66,11 @@
                     if status < 500 {
                         return Some(answer);
                     }
-                    last = Some(answer);
+                    last_error = Some(answer);
                 }
                 Err(error) => eprintln!("gradefordctl: {core}: {error}"),
             }
         }
-        last
+        last_error
     }
 }
--- a/crates/gradefordctl/src/exit.rs
+++ b/crates/gradefordctl/src/exit.rs
@@ -1,12 +1,12 @@
-//! The exit codes.
+//! Exit codes of the program.
 
-/// The command was carried out; of `compare`, that both are alike.
+/// The command succeeded; for `compare`, the two states are alike.
 pub(crate) const DONE: i32 = 0;
-/// The core refused the command; of `compare`, that the two differ.
+/// The core refused the command; for `compare`, the two states differ.
 pub(crate) const REFUSED: i32 = 1;
 /// The command line is wrong.
 pub(crate) const USAGE: i32 = 2;
-/// No replica answered, so nothing was changed.
+/// No replica answered or was able to serve the command, so nothing was changed.
 pub(crate) const UNREACHABLE: i32 = 3;
-/// Whether the change took effect is not known.
+/// It is unknown whether the change took effect.
 pub(crate) const UNKNOWN: i32 = 4;
--- a/crates/gradefordctl/src/main.rs
+++ b/crates/gradefordctl/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command line (docs/operators/gradefordctl.md).
+//! The command-line client for operators (docs/operators/gradefordctl.md).
 
 #![deny(missing_docs)]
 
--- a/crates/gradefordctl/tests/witness.rs
+++ b/crates/gradefordctl/tests/witness.rs
@@ -1,6 +1,6 @@
-//! The operators' command line as golden files (`tests/golden/`): its pages, its exit codes, what it asks of a core and
-//! what it makes of each answer. How the files are written anew stands at the head of
-//! `crates/test-support/tests/golden_files/mod.rs`: `GRADEFORD_WRITE_GOLDEN=1`.
+//! Golden-file tests (`tests/golden/`) for the operators' command line: its outputs, its exit codes, its
+//! requests to a core and how it handles each answer. `GRADEFORD_WRITE_GOLDEN=1` regenerates the
+//! files, see `crates/test-support/tests/golden_files/mod.rs`.
 
 #[path = "../../test-support/tests/golden_files/mod.rs"]
 mod golden_files;
@@ -12,43 +12,44 @@
 use std::process::{Command, Stdio};
 use std::thread;
 
-/// Arguments, standard input, then exit code and both outputs.
-fn told(words: &[&str], input: &str) -> String {
+/// Runs the program with standard input and returns the arguments, the exit code and both outputs.
+fn run_program(arguments: &[&str], input: &str) -> String {
     let mut child = Command::new(env!("CARGO_BIN_EXE_gradefordctl"))
-        .args(words)
+        .args(arguments)
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("it starts");
-    // A program that ends before it reads closes the pipe: that is its right.
+        .expect("the program can be started");
+    // Writing fails if the program ends without reading its input, which is allowed.
     let _ = child
         .stdin
         .take()
         .expect("a pipe")
         .write_all(input.as_bytes());
-    let output = child.wait_with_output().expect("it ends");
-    let [out, err] =
-        [output.stdout, output.stderr].map(|bytes| String::from_utf8(bytes).expect("text"));
+    let process_output = child.wait_with_output().expect("the program ends");
+    let [out, err] = [process_output.stdout, process_output.stderr]
+        .map(|bytes| String::from_utf8(bytes).expect("valid UTF-8"));
     format!(
         "$ gradefordctl {}\nexit code {:?}\n--- out\n{out}--- err\n{err}\n",
-        words.join(" "),
-        output.status.code()
+        arguments.join(" "),
+        process_output.status.code()
     )
 }
 
-/// A stand-in core that gives the answers in turn, each to one request, and writes down what it was asked.
-fn stand_in(answers: Vec<(u16, &'static str)>) -> (String, thread::JoinHandle<String>) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address").to_string();
-    let serving = thread::spawn(move || {
-        let mut asked = String::new();
+/// Starts a stub core that gives one of the answers to each request in turn. The thread returns the
+/// requests that it received.
+fn start_stub_core(answers: Vec<(u16, &'static str)>) -> (String, thread::JoinHandle<String>) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = listener.local_addr().expect("a bound address").to_string();
+    let stub = thread::spawn(move || {
+        let mut requests = String::new();
         for (status, answer) in answers {
             let (stream, _) = listener.accept().expect("a connection");
             let mut reader = BufReader::new(stream);
             let mut line = String::new();
             reader.read_line(&mut line).expect("a request");
-            write!(asked, "> {}", line.replace("\r\n", "\n")).expect("text");
+            write!(requests, "> {}", line.replace("\r\n", "\n")).expect("text");
             let mut length = 0;
             loop {
                 line.clear();
@@ -64,12 +65,12 @@
                     || header.starts_with("x-")
                     || header.starts_with("if-match")
                 {
-                    writeln!(asked, "> {header}").expect("text");
+                    writeln!(requests, "> {header}").expect("text");
                 }
             }
             let mut body = vec![0; length];
             reader.read_exact(&mut body).expect("a body");
-            writeln!(asked, "> {}", String::from_utf8(body).expect("text")).expect("text");
+            writeln!(requests, "> {}", String::from_utf8(body).expect("text")).expect("text");
             let head = format!(
                 "HTTP/1.1 {status} Any\r\nconnection: close\r\ncontent-type: application/json\r\ncontent-length: {}\r\n\r\n",
                 answer.len()
@@ -79,35 +80,36 @@
                 .write_all(format!("{head}{answer}").as_bytes())
                 .expect("an answer");
         }
-        asked
+        requests
     });
-    (address, serving)
+    (address, stub)
 }
 
-/// One call against a stand-in core, with what that core was asked.
-fn conversation(words: &[&str], input: &str, answers: &[(u16, &'static str)]) -> String {
-    let (address, serving) = stand_in(answers.to_vec());
-    let told = told(&[&["--core", &address], words].concat(), input);
-    let asked = serving.join().expect("the stand-in");
-    format!("{told}--- asked\n{asked}\n").replace(&address, "<core>")
+/// Runs the program against a stub core and returns its output and the requests that the core
+/// received.
+fn run_against_stub(arguments: &[&str], input: &str, answers: &[(u16, &'static str)]) -> String {
+    let (address, stub) = start_stub_core(answers.to_vec());
+    let output = run_program(&[&["--core", &address], arguments].concat(), input);
+    let requests = stub.join().expect("the stub core ends");
+    format!("{output}--- asked\n{requests}\n").replace(&address, "<core>")
 }
 
 const ORDER: &str = r#"{"selector":{"from":["desk"],"service":"seat"},"wait_us":1000000}"#;
 
 #[test]
-fn the_help_page_and_the_version_stay() {
-    compare("help.txt", &told(&["--help"], ""), &[]);
+fn help_and_version_output_is_unchanged() {
+    compare("help.txt", &run_program(&["--help"], ""), &[]);
     compare(
         "version.txt",
-        &told(&["--version"], ""),
+        &run_program(&["--version"], ""),
         &[Volatile::Value(env!("CARGO_PKG_VERSION"), "version")],
     );
 }
 
 #[test]
-fn wrong_usage_keeps_its_words_and_exit_code() {
+fn usage_errors_keep_their_message_and_exit_code() {
     let core = ["--core", "127.0.0.1:1"];
-    let wrong: [&[&str]; 16] = [
+    let invalid: [&[&str]; 16] = [
         &[],
         &["dance"],
         &["get", "order"],
@@ -125,93 +127,96 @@
         &["get", "--speed"],
         &["get", "--base", "x"],
     ];
-    let mut all = told(&["get"], "");
-    for words in wrong {
-        all.push_str(&told(&[&core, words].concat(), ""));
+    let mut transcript = run_program(&["get"], "");
+    for arguments in invalid {
+        transcript.push_str(&run_program(&[&core, arguments].concat(), ""));
     }
-    all.push_str(&told(&["--core", "127.0.0.1:1", "apply", "-"], "[]"));
-    all.push_str(&told(&["--core", "127.0.0.1:1", "apply", "-"], "not JSON"));
-    compare("wrong_usage.txt", &all, &[]);
+    transcript.push_str(&run_program(&["--core", "127.0.0.1:1", "apply", "-"], "[]"));
+    transcript.push_str(&run_program(
+        &["--core", "127.0.0.1:1", "apply", "-"],
+        "not JSON",
+    ));
+    compare("wrong_usage.txt", &transcript, &[]);
 }
 
 #[test]
-fn each_command_keeps_what_it_asks_of_a_core() {
+fn commands_send_the_same_requests_as_before() {
     let desired = (200, r#"{"version":7,"groupings":{},"orders":{}}"#);
     let accepted = (200, r#"{"accepted":{"position":9,"version":8}}"#);
     let status = (
         200,
         r#"{"holders":{"0":"00000000000000aa","1":"00000000000000bb"}}"#,
     );
-    let site = r#"{"edits":[{"drop_order":{"name":"a"}}]}"#;
+    let change = r#"{"edits":[{"drop_order":{"name":"a"}}]}"#;
     let whole = r#"{"id":"own","base":3,"edits":[]}"#;
-    let all = [
-        conversation(&["get"], "", &[desired]),
-        conversation(&["get", "grouping", "a"], "", &[desired]),
-        conversation(&["get", "order", "a"], "", &[desired]),
-        conversation(&["standing"], "", &[(200, r#"{"position":1}"#)]),
-        conversation(&["status"], "", &[status]),
+    let transcript = [
+        run_against_stub(&["get"], "", &[desired]),
+        run_against_stub(&["get", "grouping", "a"], "", &[desired]),
+        run_against_stub(&["get", "order", "a"], "", &[desired]),
+        run_against_stub(&["standing"], "", &[(200, r#"{"position":1}"#)]),
+        run_against_stub(&["status"], "", &[status]),
         with_placeholders(
-            &conversation(&["apply", "-"], site, &[desired, accepted]),
+            &run_against_stub(&["apply", "-"], change, &[desired, accepted]),
             &[Volatile::Field("id")],
         ),
-        conversation(&["apply", "-"], whole, &[accepted]),
-        conversation(
+        run_against_stub(&["apply", "-"], whole, &[accepted]),
+        run_against_stub(
             &["apply", "-", "--id", "given", "--base", "5"],
             whole,
             &[accepted],
         ),
-        conversation(
+        run_against_stub(
             &["edit", "order", "a", "-", "--id", "given"],
             ORDER,
             &[desired, accepted],
         ),
-        conversation(
+        run_against_stub(
             &["edit", "grouping", "a", "-", "--id", "given", "--base", "5"],
             r#"{"service":"seat","zone":"z"}"#,
             &[accepted],
         ),
-        conversation(
+        run_against_stub(
             &["delete", "order", "a", "--id", "given", "--base", "5"],
             "",
             &[accepted],
         ),
-        conversation(
+        run_against_stub(
             &["delete", "grouping", "a", "--id", "given", "--base", "5"],
             "",
             &[accepted],
         ),
-        conversation(
+        run_against_stub(
             &["replace-seat", "1", "00000000000000cc"],
             "",
             &[status, accepted],
         ),
     ];
-    compare("commands.txt", &all.concat(), &[]);
+    compare("commands.txt", &transcript.concat(), &[]);
 }
 
 #[test]
-fn each_kind_of_answer_keeps_its_exit_code() {
+fn every_kind_of_answer_keeps_its_exit_code() {
     let get = ["get", "order", "a"];
     let change = ["delete", "order", "a", "--id", "given", "--base", "5"];
-    let all = [
-        conversation(&get, "", &[(404, r#"{"cause":"not_found","name":"a"}"#)]),
-        conversation(
+    let transcript = [
+        run_against_stub(&get, "", &[(404, r#"{"cause":"not_found","name":"a"}"#)]),
+        run_against_stub(
             &get,
             "",
             &[(503, r#"{"cause":"no_majority","detail":"none"}"#)],
         ),
-        conversation(&change, "", &[(200, r#"{"unchanged":{"position":9}}"#)]),
-        conversation(
+        run_against_stub(&change, "", &[(200, r#"{"unchanged":{"position":9}}"#)]),
+        run_against_stub(
             &change,
             "",
             &[(409, r#"{"verdict":"not-run","cause":"id_reused"}"#)],
         ),
-        conversation(
+        run_against_stub(
             &change,
             "",
             &[(412, r#"{"verdict":"not-run","cause":"stale","version":8}"#)],
         ),
-        conversation(
+        run_against_stub(
             &change,
             "",
             &[(
@@ -219,38 +224,38 @@
                 r#"{"verdict":"not-run","cause":"invalid","faults":[]}"#,
             )],
         ),
-        conversation(
+        run_against_stub(
             &change,
             "",
             &[(503, r#"{"verdict":"not-run","cause":"no_majority"}"#)],
         ),
-        conversation(
+        run_against_stub(
             &change,
             "",
             &[(503, r#"{"verdict":"may-have-run","cause":"no_answer"}"#)],
         ),
-        conversation(&change, "", &[(500, "no JSON")]),
-        conversation(
+        run_against_stub(&change, "", &[(500, "no JSON")]),
+        run_against_stub(
             &["apply", "-"],
             r#"{"edits":[]}"#,
             &[(503, r#"{"cause":"no_majority"}"#)],
         ),
-        conversation(&["replace-seat", "1", "00"], "", &[(503, "null")]),
+        run_against_stub(&["replace-seat", "1", "00"], "", &[(503, "null")]),
     ];
-    compare("answers.txt", &all.concat(), &[]);
+    compare("answers.txt", &transcript.concat(), &[]);
 }
 
 #[test]
-fn the_next_core_is_asked_after_one_that_has_no_majority() {
-    let (first, one) = stand_in(vec![(503, "{}")]);
-    let (second, two) = stand_in(vec![(200, r#"{"version":7}"#)]);
-    let told = told(&["--core", &format!("{first},{second}"), "get"], "");
-    let asked = [one, two]
-        .map(|serving| serving.join().expect("the stand-in"))
+fn the_next_core_is_tried_after_one_without_a_majority() {
+    let (first, one) = start_stub_core(vec![(503, "{}")]);
+    let (second, two) = start_stub_core(vec![(200, r#"{"version":7}"#)]);
+    let output = run_program(&["--core", &format!("{first},{second}"), "get"], "");
+    let requests = [one, two]
+        .map(|stub| stub.join().expect("the stub core ends"))
         .concat();
     compare(
         "next_core.txt",
-        &format!("{told}{asked}"),
+        &format!("{output}{requests}"),
         &[
             Volatile::Value(&first, "first"),
             Volatile::Value(&second, "second"),
@@ -259,16 +264,20 @@
 }
 
 #[test]
-fn a_core_that_cannot_be_reached_keeps_its_exit_code() {
-    // Nobody listens on port 1 of the loopback.
-    let out = |words: &[&str]| {
-        told(words, "")
+fn an_unreachable_core_keeps_its_exit_code() {
+    // No process listens on port 1 of the loopback address.
+    let run_and_filter_output = |arguments: &[&str]| {
+        run_program(arguments, "")
             .lines()
             .filter(|line| !line.contains("127.0.0.1:1: "))
             .collect::<Vec<_>>()
             .join("\n")
     };
-    let get = out(&["--core", "127.0.0.1:1", "get"]);
-    let compared = out(&["compare", "127.0.0.1:1", "127.0.0.1:1"]);
-    compare("unreachable.txt", &format!("{get}\n{compared}\n"), &[]);
+    let get_output = run_and_filter_output(&["--core", "127.0.0.1:1", "get"]);
+    let compare_output = run_and_filter_output(&["compare", "127.0.0.1:1", "127.0.0.1:1"]);
+    compare(
+        "unreachable.txt",
+        &format!("{get_output}\n{compare_output}\n"),
+        &[],
+    );
 }
--- a/crates/gradefordctl/tests/witness_compare.rs
+++ b/crates/gradefordctl/tests/witness_compare.rs
@@ -1,5 +1,6 @@
-//! `gradefordctl compare` between two stand-in mates as golden files (`tests/golden/`). How the files are written anew
-//! stands at the head of `crates/test-support/tests/golden_files/mod.rs`: `GRADEFORD_WRITE_GOLDEN=1`.
+//! Golden-file tests (`tests/golden/`) for `gradefordctl compare` with two stub peers.
+//! `GRADEFORD_WRITE_GOLDEN=1` regenerates the files, see
+//! `crates/test-support/tests/golden_files/mod.rs`.
 
 #[path = "../../test-support/tests/golden_files/mod.rs"]
 mod golden_files;
@@ -11,7 +12,7 @@
 use tokio::runtime::Runtime;
 use transport::{Error, Frame, Handshake, Purpose};
 
-fn greeting() -> Handshake {
+fn stub_handshake() -> Handshake {
     Handshake {
         purpose: Purpose::Inspect,
         node_name: "mate".into(),
@@ -25,53 +26,55 @@
     }
 }
 
-/// A mate that shows this to one that looks; `None`: it refuses.
-async fn mate(seen: Option<Value>) -> String {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address").to_string();
+/// Starts a stub peer that returns `state` to an inspection; with `None` it refuses the connection.
+/// Returns its address.
+async fn start_stub_peer(state: Option<Value>) -> String {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let address = listener.local_addr().expect("a bound address").to_string();
     tokio::spawn(async move {
         let (stream, _) = listener.accept().await.expect("a connection");
-        let judged = seen.is_some();
+        let accepts = state.is_some();
         let accepted = transport::accept(stream, |_| async move {
-            if judged {
-                Ok(greeting())
+            if accepts {
+                Ok(stub_handshake())
             } else {
                 Err("not this one".into())
             }
         })
         .await;
-        if let (Ok(mut conn), Some(seen)) = (accepted, seen) {
-            assert_eq!(conn.receiver.recv().await, Some(Frame::Inspect));
-            conn.sender
-                .send(Frame::Inspection(seen.to_string().into_bytes()))
+        if let (Ok(mut connection), Some(state)) = (accepted, state) {
+            assert_eq!(connection.receiver.recv().await, Some(Frame::Inspect));
+            connection
+                .sender
+                .send(Frame::Inspection(state.to_string().into_bytes()))
                 .await
-                .expect("it listens");
-            // Until the other side has what it wants.
-            while conn.receiver.recv().await.is_some() {}
+                .expect("the program receives the state");
+            // Keeps the connection open until the other side closes it.
+            while connection.receiver.recv().await.is_some() {}
         }
     });
     address
 }
 
-/// What the command says of the two, and its exit code; once more where the machine stood still for longer than the
-/// command's own patience.
-fn compared(one: Option<Value>, two: Option<Value>) -> String {
-    let slow = Error::TimedOut.to_string();
-    let mut tries = (0..60).map(|_| compared_once(one.clone(), two.clone()));
-    tries
-        .find(|told| !told.contains("no answer in time") && !told.contains(&slow))
-        .expect("a machine that does not stand still")
+/// Runs the command for two states and returns its output and exit code. Retries after a timeout of
+/// the command, which a stall of the machine can cause.
+fn compare_states(one: Option<Value>, two: Option<Value>) -> String {
+    let timeout_message = Error::TimedOut.to_string();
+    let mut attempts = (0..60).map(|_| compare_states_once(one.clone(), two.clone()));
+    attempts
+        .find(|output| !output.contains("no answer in time") && !output.contains(&timeout_message))
+        .expect("one attempt ends without a timeout")
 }
 
-fn compared_once(one: Option<Value>, two: Option<Value>) -> String {
+fn compare_states_once(one: Option<Value>, two: Option<Value>) -> String {
     let runtime = Runtime::new().expect("a runtime");
-    let [one, two] = [one, two].map(|seen| runtime.block_on(mate(seen)));
+    let [one, two] = [one, two].map(|state| runtime.block_on(start_stub_peer(state)));
     let output = Command::new(env!("CARGO_BIN_EXE_gradefordctl"))
         .args(["compare", &one, &two])
         .output()
-        .expect("it runs");
+        .expect("the program can be started");
     let [out, err] =
-        [output.stdout, output.stderr].map(|bytes| String::from_utf8(bytes).expect("text"));
+        [output.stdout, output.stderr].map(|bytes| String::from_utf8(bytes).expect("valid UTF-8"));
     format!(
         "exit code {:?}\n--- out\n{out}--- err\n{err}\n",
         output.status.code()
@@ -80,7 +83,7 @@
     .replace(&two, "<second>")
 }
 
-fn slice() -> Value {
+fn node_state() -> Value {
     json!({
         "position": 5, "version": 2, "services": ["desk", "seat"], "groupings": { "g": { "service": "seat", "zone": "z", "labels": {} } },
         "orders": { "o": { "wait_us": 1 } }, "back_ends": { "b": { "phase": "registered", "since": 3 } },
@@ -89,17 +92,17 @@
 }
 
 #[test]
-fn two_nodes_that_believe_the_same_are_alike() {
+fn two_nodes_with_equal_states_are_alike() {
     compare(
         "compare_alike.txt",
-        &compared(Some(slice()), Some(slice())),
+        &compare_states(Some(node_state()), Some(node_state())),
         &[],
     );
 }
 
 #[test]
-fn where_two_nodes_differ_is_told_part_by_part() {
-    let mut other = slice();
+fn differences_of_two_nodes_are_listed_by_table() {
+    let mut other = node_state();
     other["position"] = json!(7);
     other["services"] = json!(["seat", "till"]);
     other["orders"]["o"]["wait_us"] = json!(2);
@@ -109,22 +112,30 @@
     other["groupings"]["more"] = json!({ "service": "till" });
     compare(
         "compare_differ.txt",
-        &compared(Some(slice()), Some(other)),
+        &compare_states(Some(node_state()), Some(other)),
         &[],
     );
 }
 
 #[test]
-fn a_core_and_a_node_are_brought_to_one_shape() {
-    let node = slice();
+fn a_core_and_a_node_are_compared_in_one_form() {
+    let node = node_state();
     let core = json!({
         "position": 5, "desired": { "version": 2, "groupings": node["groupings"], "orders": { "o": { "wait_us": 2 } } },
         "standing": { "back_ends": node["back_ends"], "nodes": node["nodes"] }, "terms": node["terms"]
     });
-    compare("compare_core.txt", &compared(Some(core), Some(node)), &[]);
+    compare(
+        "compare_core.txt",
+        &compare_states(Some(core), Some(node)),
+        &[],
+    );
 }
 
 #[test]
-fn a_mate_that_refuses_is_told() {
-    compare("compare_refused.txt", &compared(Some(slice()), None), &[]);
+fn a_refusing_peer_is_reported() {
+    compare(
+        "compare_refused.txt",
+        &compare_states(Some(node_state()), None),
+        &[],
+    );
 }
--- a/crates/http-util/src/headers.rs
+++ b/crates/http-util/src/headers.rs
@@ -1,25 +1,26 @@
-//! The headers by which requests are known, under whatever names a site gives them (design 13.1).
+//! Names of the HTTP headers that gradeford uses; a site may choose its own names (design 13.1).
 
 /// Names of the headers that gradeford adds to requests and responses, in lower case.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HeaderNames {
-    /// A request's own name, the same in each attempt and echoed in every response.
+    /// Id of a request, which is the same in every attempt and is echoed in every response.
     pub attempt_id: &'static str,
-    /// What is left of the client's wait, in milliseconds.
+    /// Time until the client's deadline, in milliseconds.
     pub time_left_ms: &'static str,
-    /// Set on responses that come from the backend itself; others are not passed on as its own.
+    /// Marks a response as made by the backend itself; a response without this header is not
+    /// forwarded as the backend's response.
     pub seal: &'static str,
-    /// The one backend that may run the request.
+    /// The only backend that may run the request.
     pub target_backend: &'static str,
-    /// Set where a backend has not run the request.
+    /// States that the backend has not run the request.
     pub not_run: &'static str,
-    /// The service of the machine where the request began.
+    /// Service of the machine that sent the request.
     pub caller: &'static str,
-    /// Key by which a sharded service's backend is selected.
+    /// Key that selects the backend of a sharded service.
     pub shard_key: &'static str,
 }
 
-/// The names that gradeford uses where the site gives no others.
+/// Header names that gradeford uses unless the site has its own.
 pub const DEFAULT_HEADER_NAMES: HeaderNames = HeaderNames {
     attempt_id: "x-gradeford-try",
     time_left_ms: "x-gradeford-wait-ms",
@@ -30,8 +31,8 @@
     shard_key: "x-gradeford-key",
 };
 
-/// Whether a header (its name in lower case) is for one connection only and must not be forwarded.
-/// The length counts as such, because it is set anew.
+/// Whether a header, given by its name in lower case, applies to a single connection and must not be
+/// forwarded. `content-length` is included because each hop sets it again.
 pub fn is_hop_by_hop(name: &str) -> bool {
     matches!(
         name,
--- a/crates/http-util/src/lib.rs
+++ b/crates/http-util/src/lib.rs
@@ -1,5 +1,5 @@
-//! What the three HTTP interfaces (operators, clients, backends) share: serving with a graceful
-//! stop, reading requests, writing JSON and errors, the names of headers.
+//! Shared parts of the three HTTP APIs (operators, clients, backends): a server with graceful
+//! shutdown, reading of requests, writing of JSON and errors, and header names.
 
 #![deny(missing_docs)]
 
--- a/crates/http-util/src/request.rs
+++ b/crates/http-util/src/request.rs
@@ -1,13 +1,13 @@
-//! Reading requests.
+//! Reading of requests.
 
 use model::validation::Fault;
 use salvo::Request;
 use serde::de::DeserializeOwned;
 
-/// Largest body accepted from a client, a backend or an operator, in bytes.
+/// Maximum size of a request body from a client, a backend or an operator, in bytes.
 pub const MAX_BODY_BYTES: usize = 1024 * 1024;
 
-/// The text of a header, if the request has it and it is text.
+/// Returns the value of a header if the request has it and it is valid text.
 pub fn header_text(request: &Request, name: &str) -> Option<String> {
     request
         .headers()
@@ -16,23 +16,23 @@
         .map(str::to_string)
 }
 
-/// The secret of `Authorization: Bearer …`.
+/// Returns the token of the `Authorization: Bearer` header.
 pub fn bearer_token(request: &Request) -> Option<String> {
     header_text(request, "authorization")
         .and_then(|text| text.strip_prefix("Bearer ").map(str::to_string))
 }
 
-/// The complete body; `None` if it is over [`MAX_BODY_BYTES`] or broke off.
+/// Returns the complete body, or `None` if it exceeds [`MAX_BODY_BYTES`] or is incomplete.
 pub async fn read_body(request: &mut Request) -> Option<Vec<u8>> {
     let bytes = request.payload_with_max_size(MAX_BODY_BYTES).await.ok()?;
     Some(bytes.to_vec())
 }
 
-/// The body as JSON of a checked type.
+/// Parses the body as JSON.
 ///
 /// # Errors
 ///
-/// A fault with the path `body` that names what does not fit.
+/// Returns a fault with the path `body` that describes the first error.
 pub async fn read_json<T: DeserializeOwned>(request: &mut Request) -> Result<T, Fault> {
     let fault = |message: String| Fault {
         path: "body".into(),
--- a/crates/http-util/src/response.rs
+++ b/crates/http-util/src/response.rs
@@ -1,4 +1,4 @@
-//! Writing answers.
+//! Writing of responses.
 
 use model::{Error, ExecutionStatus};
 use salvo::Response;
@@ -9,15 +9,15 @@
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// Answers with a status and a JSON body.
+/// Writes a response with a status and a JSON body.
 pub fn write_json<T: Serialize + Sync>(response: &mut Response, status: u16, value: &T) {
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     response.status_code(status);
     response.render(Json(value));
 }
 
-/// Answers with an error as clients and backends see it: whether the request may have run, why, and
-/// when to ask again (docs/verdicts.md). `attempt_id` is the request's own name, if it has one.
+/// Writes an error response for a client or a backend: whether the request may have run, the cause,
+/// and when to retry (docs/verdicts.md). `attempt_id` is the id of the request, if it has one.
 pub fn write_error(response: &mut Response, attempt_id: Option<&str>, error: &Error) {
     let status = match error.execution_status {
         ExecutionStatus::NotRun => "not-run",
@@ -25,10 +25,10 @@
     };
     let headers = response.headers_mut();
     headers.insert("x-gradeford-verdict", HeaderValue::from_static(status));
-    if let Some(wait) = error.retry_after {
+    if let Some(delay) = error.retry_after {
         headers.insert(
             "retry-after",
-            HeaderValue::from(wait.div_ceil(MICROS_PER_SECOND)),
+            HeaderValue::from(delay.div_ceil(MICROS_PER_SECOND)),
         );
     }
     let body = json!({
--- a/crates/http-util/src/server.rs
+++ b/crates/http-util/src/server.rs
@@ -1,4 +1,4 @@
-//! An HTTP server that ends in good order.
+//! HTTP server with graceful shutdown.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 
 /// A running HTTP server.
 pub struct HttpServer {
-    /// Where it listens, with the port that the system gave it.
+    /// Bound address, with the port that the operating system assigned if none was given.
     pub address: SocketAddr,
     handle: ServerHandle,
     task: JoinHandle<()>,
@@ -24,7 +24,7 @@
     ///
     /// # Errors
     ///
-    /// If the address cannot be bound.
+    /// Fails if the address cannot be bound.
     pub async fn start(address: &str, router: Router) -> io::Result<HttpServer> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
@@ -38,11 +38,11 @@
         })
     }
 
-    /// Takes no more connections and waits until the requests at work are answered, for at most
+    /// Stops accepting connections and waits until the running requests are answered, for at most
     /// `grace_period`.
     pub async fn stop(self, grace_period: Duration) {
         self.handle.stop_graceful(grace_period);
-        // What has no answer by then gets none.
+        // Requests that are still running after the grace period get no answer.
         drop(timeout(grace_period, self.task).await);
     }
 }
--- a/crates/http-util/tests/witness.rs
+++ b/crates/http-util/tests/witness.rs
@@ -1,5 +1,6 @@
-//! The answers that every HTTP peer shares, as golden files (`tests/golden/`). How they are written anew stands at the
-//! head of `crates/test-support/tests/golden_files/mod.rs`: `GRADEFORD_WRITE_GOLDEN=1`.
+//! Golden-file tests (`tests/golden/`) for the answers that all HTTP APIs share.
+//! `GRADEFORD_WRITE_GOLDEN=1` regenerates the files, see
+//! `crates/test-support/tests/golden_files/mod.rs`.
 
 #[path = "../../test-support/tests/golden_files/mod.rs"]
 mod golden_files;
@@ -12,31 +13,31 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-struct Troubled;
-struct Reader;
+/// Answers with the error whose code is the path.
+struct ErrorHandler;
+/// Answers with the change that the body contains.
+struct EchoHandler;
 
 #[salvo::handler]
-impl Troubled {
+impl ErrorHandler {
     async fn handle(&self, request: &mut Request, response: &mut Response) {
         let code = request.param::<String>("code").unwrap_or_default();
-        let cause = ErrorKind::ALL
+        let kind = ErrorKind::ALL
             .iter()
-            .find(|cause| cause.code() == code)
-            .expect("a cause");
-        let trouble = Error::new(*cause, "in words");
+            .find(|kind| kind.code() == code)
+            .expect("a known error code");
+        let error = Error::new(*kind, "in words");
         match request.uri().query() {
-            Some("later") => http_util::write_error(
-                response,
-                Some("desk/1"),
-                &trouble.with_retry_after(1_200_000),
-            ),
-            _ => http_util::write_error(response, None, &trouble),
+            Some("later") => {
+                http_util::write_error(response, Some("desk/1"), &error.with_retry_after(1_200_000))
+            }
+            _ => http_util::write_error(response, None, &error),
         }
     }
 }
 
 #[salvo::handler]
-impl Reader {
+impl EchoHandler {
     async fn handle(&self, request: &mut Request, response: &mut Response) {
         match http_util::read_json::<Change>(request).await {
             Ok(change) => http_util::write_json(response, 200, &change),
@@ -45,9 +46,9 @@
     }
 }
 
-/// Status line, the headers that are the product's own, and the body.
-async fn answer(serving: &HttpServer, method: &str, path: &str, body: &str) -> String {
-    let mut stream = TcpStream::connect(serving.address)
+/// Sends a request and returns the status line, the headers that gradeford sets and the body.
+async fn send_request(http_server: &HttpServer, method: &str, path: &str, body: &str) -> String {
+    let mut stream = TcpStream::connect(http_server.address)
         .await
         .expect("a connection");
     let head = format!(
@@ -61,40 +62,41 @@
     let mut text = String::new();
     stream.read_to_string(&mut text).await.expect("an answer");
     let (head, body) = text.split_once("\r\n\r\n").expect("a head and a body");
-    let own = |line: &&str| {
+    let is_relevant = |line: &&str| {
         line.starts_with("HTTP/")
             || line.starts_with("x-gradeford")
             || line.starts_with("retry-after")
             || line.starts_with("content-type")
     };
-    let mut lines: Vec<&str> = head.split("\r\n").filter(own).collect();
+    let mut lines: Vec<&str> = head.split("\r\n").filter(is_relevant).collect();
     lines[1..].sort_unstable();
     format!("{}\n{body}\n", lines.join("\n"))
 }
 
 #[tokio::test]
-async fn every_cause_of_trouble_keeps_its_status_headers_and_body() {
-    let serving = HttpServer::start("127.0.0.1:0", Router::with_path("{code}").get(Troubled))
-        .await
-        .expect("http");
-    let mut told = String::new();
-    for cause in ErrorKind::ALL {
+async fn every_error_kind_keeps_its_status_headers_and_body() {
+    let http_server =
+        HttpServer::start("127.0.0.1:0", Router::with_path("{code}").get(ErrorHandler))
+            .await
+            .expect("http");
+    let mut transcript = String::new();
+    for kind in ErrorKind::ALL {
         for query in ["", "?later"] {
-            let path = format!("/{}{query}", cause.code());
+            let path = format!("/{}{query}", kind.code());
             writeln!(
-                told,
+                transcript,
                 "GET {path}\n{}",
-                answer(&serving, "GET", &path, "").await
+                send_request(&http_server, "GET", &path, "").await
             )
             .expect("text");
         }
     }
-    compare("troubles.txt", &told, &[]);
+    compare("troubles.txt", &transcript, &[]);
 }
 
 #[tokio::test]
-async fn a_body_that_cannot_be_read_keeps_its_fault() {
-    let serving = HttpServer::start("127.0.0.1:0", Router::new().post(Reader))
+async fn invalid_bodies_keep_their_faults() {
+    let http_server = HttpServer::start("127.0.0.1:0", Router::new().post(EchoHandler))
         .await
         .expect("http");
     let bodies = [
@@ -108,36 +110,36 @@
         r#"{"id":"a","base":1,"edits":[{"put_speed":{}}]}"#,
         r#"{"id":"a","base":1,"edits":[{"drop_order":{"name":"a","more":1}}]}"#,
     ];
-    let mut told = String::new();
+    let mut transcript = String::new();
     for body in bodies {
         writeln!(
-            told,
+            transcript,
             "POST {body}\n{}",
-            answer(&serving, "POST", "/", body).await
+            send_request(&http_server, "POST", "/", body).await
         )
         .expect("text");
     }
     let large = " ".repeat(http_util::MAX_BODY_BYTES + 1);
     writeln!(
-        told,
+        transcript,
         "POST one byte over the limit\n{}",
-        answer(&serving, "POST", "/", &large).await
+        send_request(&http_server, "POST", "/", &large).await
     )
     .expect("text");
-    compare("bodies.txt", &told, &[]);
+    compare("bodies.txt", &transcript, &[]);
 }
 
 #[test]
-fn the_products_own_header_words_stay() {
-    let words = http_util::headers::DEFAULT_HEADER_NAMES;
-    let all = [
-        words.attempt_id,
-        words.time_left_ms,
-        words.seal,
-        words.target_backend,
-        words.not_run,
-        words.caller,
-        words.shard_key,
+fn default_header_names_are_unchanged() {
+    let names = http_util::headers::DEFAULT_HEADER_NAMES;
+    let all_names = [
+        names.attempt_id,
+        names.time_left_ms,
+        names.seal,
+        names.target_backend,
+        names.not_run,
+        names.caller,
+        names.shard_key,
     ];
-    compare("words.txt", &format!("{}\n", all.join("\n")), &[]);
+    compare("words.txt", &format!("{}\n", all_names.join("\n")), &[]);
 }
--- a/crates/operator-api/src/api.rs
+++ b/crates/operator-api/src/api.rs
@@ -1,4 +1,4 @@
-//! What the handlers share: the replica they speak for, and the form of their answers.
+//! Shared parts of the request handlers: their state and the form of their answers.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -8,16 +8,16 @@
 use salvo::Response;
 use serde_json::{Value, json};
 
-/// What the operators' interface needs of the process that serves it.
+/// State that the handlers of the operators' API share.
 #[derive(Clone)]
 pub struct OperatorApi {
     /// The replica of this process.
     pub replica: ReplicaHandle,
-    /// False once the process was told to stop, which makes it not ready.
+    /// False once the process was told to stop; the replica then reports that it is not ready.
     pub accepting_work: Arc<AtomicBool>,
 }
 
-/// Kinds of items that have a name of their own in the desired state.
+/// Kinds of named items in the desired state.
 #[derive(Clone, Copy)]
 pub(crate) enum ItemKind {
     Grouping,
@@ -31,7 +31,7 @@
 }
 
 impl Answer {
-    /// The request is at fault and had no effect.
+    /// Answer for an invalid request, which had no effect.
     pub(crate) fn invalid(status: u16, faults: Vec<Fault>) -> Answer {
         Answer {
             status,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The change was not handed to the log at all, so it is certain not to take effect.
+    /// Answer for a change that was not proposed to the log, so that it certainly has no effect.
     pub(crate) fn no_majority() -> Answer {
         let detail = "this core seat is not in touch with a majority";
         let body = json!({ "verdict": "not-run", "cause": "no_majority", "detail": detail });
@@ -51,7 +51,7 @@
     }
 }
 
-/// Names what is wrong at `path` of a request.
+/// Creates a fault for `path` of a request.
 pub(crate) fn fault(path: &str, message: impl Into<String>) -> Fault {
     Fault {
         path: path.into(),
--- a/crates/operator-api/src/changes.rs
+++ b/crates/operator-api/src/changes.rs
@@ -1,4 +1,5 @@
-//! Changes: each call is one atomic change against the version it names (design 2.2).
+//! Handlers for changes. Each request is one atomic change against the version that it names
+//! (design 2.2).
 
 use http_util::{header_text, read_json};
 use model::validation::{self, Fault};
@@ -8,34 +9,34 @@
 
 use crate::api::{Answer, ItemKind, OperatorApi, fault};
 
-/// Longest name of a change, in bytes.
+/// Maximum length of a change id, in bytes.
 const MAX_CHANGE_ID_BYTES: usize = 128;
 
-/// `POST /v1/changes`: several edits at once.
+/// `POST /v1/changes`: applies several edits atomically.
 pub(crate) struct ApplyChange {
     pub(crate) api: OperatorApi,
 }
 
-/// `PUT` of a named item: one edit.
+/// `PUT` of a named item: applies one edit.
 pub(crate) struct PutItem {
     pub(crate) api: OperatorApi,
     pub(crate) kind: ItemKind,
 }
 
-/// `DELETE` of a named item: one edit.
+/// `DELETE` of a named item: applies one edit.
 pub(crate) struct DeleteItem {
     pub(crate) api: OperatorApi,
     pub(crate) kind: ItemKind,
 }
 
-/// `POST /v1/seats`: another disk takes the place of a member.
+/// `POST /v1/seats`: replaces the disk of a member.
 pub(crate) struct ReplaceReplica {
     pub(crate) api: OperatorApi,
 }
 
-/// Disks are named in hexadecimal, as status pages show them.
+/// Body of `POST /v1/seats`. Disk identities are in hexadecimal, as in `/v1/status`.
 #[derive(serde::Deserialize)]
-// The faults that operators see name the type so.
+// `expecting` keeps the type name that operators see in fault messages.
 #[serde(deny_unknown_fields, expecting = "struct ReplaceAsk")]
 struct ReplaceRequest {
     #[serde(rename = "seat")]
@@ -105,7 +106,8 @@
         Ok(replacement) => replacement,
         Err(faults) => return Answer::invalid(422, faults),
     };
-    // The disk that is to go must be the member here; between two operators the log decides.
+    // The old disk must be the member as known to this replica. The log decides between concurrent
+    // requests of two operators.
     let member = member_disk(api, replacement.replica_id);
     if member != Some(replacement.old_disk) {
         let (replica_id, disk) = (replacement.replica_id, member.unwrap_or(0));
@@ -119,7 +121,7 @@
     outcome_answer(api.replica.replace_member(replacement).await)
 }
 
-/// All faults of the request at once.
+/// Validates the request and reports all of its faults together.
 fn checked_replacement(
     request: &ReplaceRequest,
     replica_count: u16,
@@ -146,7 +148,7 @@
     }
 }
 
-/// The disk that this replica takes for the member.
+/// Returns the identity of the member's disk as known to this replica.
 fn member_disk(api: &OperatorApi, replica_id: u16) -> Option<u64> {
     if api.replica.replica_id() == replica_id {
         return Some(api.replica.disk_id());
@@ -154,7 +156,8 @@
     api.replica.pinned_disks.load().get(&replica_id).copied()
 }
 
-/// Submits a change of one edit, whose base version and name stand in headers.
+/// Submits a change with one edit; its base version and id are taken from the headers `If-Match` and
+/// `X-Change-Id`.
 async fn submit_edit(api: &OperatorApi, request: &Request, edit: Edit) -> Answer {
     let missing = |header: &str, message: &str| Answer::invalid(428, vec![fault(header, message)]);
     let base_version =
--- a/crates/operator-api/src/lib.rs
+++ b/crates/operator-api/src/lib.rs
@@ -1,5 +1,5 @@
-//! The operators' HTTP interface of a replica: changes of the desired state, reading it back, what
-//! became of it, and the health of the replica (docs/operators/changes.md).
+//! The operators' HTTP API of a replica: changes and queries of the desired state, the status of
+//! backends and nodes, and the health of the replica (docs/operators/changes.md).
 
 #![deny(missing_docs)]
 
@@ -15,7 +15,7 @@
 use changes::{ApplyChange, DeleteItem, PutItem, ReplaceReplica};
 use queries::{DesiredState, EndpointStatus, Liveness, Readiness, ReplicaStatus, SingleItem};
 
-/// All routes of the interface.
+/// Routes of the operators' API.
 pub fn router(api: OperatorApi) -> Router {
     let version_1 = Router::with_path("v1")
         .push(Router::with_path("changes").post(ApplyChange { api: api.clone() }))
@@ -31,7 +31,7 @@
         .push(version_1)
 }
 
-/// Routes of one kind of named items.
+/// Routes for one kind of named items.
 fn item_router(api: &OperatorApi, kind: ItemKind) -> Router {
     Router::with_path("{name}")
         .get(SingleItem {
--- a/crates/operator-api/src/queries.rs
+++ b/crates/operator-api/src/queries.rs
@@ -1,5 +1,5 @@
-//! Queries: the log's state goes through a quorum read, so that what was accepted anywhere is seen
-//! (design 3.9); health and status are this replica's own.
+//! Handlers for queries. Queries of the log's state use a quorum read, so that they see everything
+//! that any replica has accepted (design 3.9). Health and status describe this replica only.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,10 +13,10 @@
 
 use crate::api::{Answer, ItemKind, OperatorApi};
 
-/// `GET /live`: the process answers.
+/// `GET /live`: confirms that the process answers.
 pub(crate) struct Liveness;
 
-/// `GET /ready`: the replica takes part, or why it does not.
+/// `GET /ready`: whether the replica is ready, and otherwise the reasons.
 pub(crate) struct Readiness {
     pub(crate) api: OperatorApi,
 }
@@ -31,7 +31,7 @@
     pub(crate) api: OperatorApi,
 }
 
-/// `GET /v1/status`: this replica's own counters.
+/// `GET /v1/status`: counters and peers of this replica.
 pub(crate) struct ReplicaStatus {
     pub(crate) api: OperatorApi,
 }
@@ -128,8 +128,8 @@
     }
 }
 
-/// The state with everything that was accepted before the call, and its version in `ETag`. Without
-/// a majority it answers so itself.
+/// Returns a state that contains everything accepted before the request, and sets the `ETag` header
+/// to its version. Without a majority, writes the error response and returns `None`.
 async fn read_current(api: &OperatorApi, response: &mut Response) -> Option<Arc<StateMachine>> {
     if api.replica.read_barrier().await.is_none() {
         let detail = "no majority answered, so nothing here is known to be current";
@@ -144,7 +144,7 @@
     Some(state)
 }
 
-/// Why the replica is not ready, in words for operators.
+/// Returns the reasons for which the replica is not ready, as text for operators.
 fn reasons_not_ready(api: &OperatorApi) -> Vec<String> {
     let status = api.replica.status.load();
     let replica_count = api.replica.replica_count();
@@ -154,8 +154,8 @@
         reasons.push("stopping".to_string());
     }
     if !status.voting {
-        let (met, others) = (status.pinned_peers, replica_count - 1);
-        reasons.push(format!("has met {met} of {others} other seats"));
+        let (pinned, others) = (status.pinned_peers, replica_count - 1);
+        reasons.push(format!("has met {pinned} of {others} other seats"));
     } else if status.connected_replicas < majority {
         let connected = status.connected_replicas;
         reasons.push(format!(
@@ -171,7 +171,7 @@
     reasons
 }
 
-/// Each replica's disk, as this replica has it on its own.
+/// Returns the disk identity of each member as known to this replica.
 fn member_disks(replica: &ReplicaHandle) -> BTreeMap<u16, String> {
     let members = replica.members().into_iter();
     members
--- a/crates/operator-api/tests/operators.rs
+++ b/crates/operator-api/tests/operators.rs
@@ -1,4 +1,5 @@
-//! Operators against a core in this process: faults, races, repeats, and no majority (design 2.2, 4.1).
+//! Tests of the operators' API with replicas in this process: faults, concurrent changes, repeated
+//! changes, and a missing majority (design 2.2, 4.1).
 
 use std::path::Path;
 use std::path::PathBuf;
@@ -11,15 +12,15 @@
 }
 
 async fn start_replica(
-    folder: &Path,
+    temp_dir: &Path,
     replica_id: u16,
     replica_count: u16,
     seeds: Vec<String>,
 ) -> (TestReplica, String) {
     let peers = tokio::net::TcpListener::bind("127.0.0.1:0")
         .await
-        .expect("a port");
-    let address = peers.local_addr().expect("an address").to_string();
+        .expect("a free port");
+    let address = peers.local_addr().expect("a bound address").to_string();
     let config = control::ReplicaConfig {
         name: format!("core-{replica_id}"),
         zone: "z0".into(),
@@ -27,14 +28,14 @@
         replica_count,
         address: address.clone(),
         seeds: seeds.into_iter().chain([address.clone()]).collect(),
-        folder: folder.join(replica_id.to_string()),
+        folder: temp_dir.join(replica_id.to_string()),
         timing: Default::default(),
         snapshot_every_entries: 100,
         replace_after: 500_000,
         membership: None,
     };
     let replica = control::ReplicaHandle::start(config, model::logging::discard_logger())
-        .expect("a core seat");
+        .expect("the replica starts");
     tokio::spawn(control::updates::server::listen(replica.clone(), peers));
     let accepting_work = Arc::new(AtomicBool::new(true));
     let router = operator_api::router(operator_api::OperatorApi {
@@ -43,7 +44,7 @@
     });
     let http_server = http_util::HttpServer::start("127.0.0.1:0", router)
         .await
-        .expect("http");
+        .expect("the HTTP server starts");
     (
         TestReplica {
             handle: replica,
@@ -53,7 +54,7 @@
     )
 }
 
-async fn until_started(replica: &TestReplica) {
+async fn wait_until_connected(replica: &TestReplica) {
     while !replica.handle.status.load().voting
         || replica.handle.status.load().connected_replicas
             <= replica.handle.replica_count() as usize / 2
@@ -87,7 +88,7 @@
     serde_json::json!({ "id": id, "base": base, "edits": edits }).to_string()
 }
 
-fn site() -> serde_json::Value {
+fn initial_edits() -> serde_json::Value {
     serde_json::json!([
         { "put_grouping": { "name": "seat-z0", "grouping": { "service": "seat", "zone": "z0" } } },
         { "put_order": { "name": "check", "order": { "selector": { "from": ["seat"], "service": "seat", "path_prefix": "/check" }, "wait_us": 1000000 } } }
@@ -99,21 +100,32 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_input_is_named_and_changes_nothing() {
-    let folder = temp_dir("faults");
-    let (replica, _) = start_replica(&folder, 0, 1, vec![]).await;
-    until_started(&replica).await;
-    assert_eq!(post(&replica, change("site", 0, site())).await.0, 200);
-    let put = |wait: serde_json::Value, extra: &str| {
+async fn invalid_requests_are_reported_and_change_nothing() {
+    let temp_dir = temp_dir("faults");
+    let (replica, _) = start_replica(&temp_dir, 0, 1, vec![]).await;
+    wait_until_connected(&replica).await;
+    assert_eq!(
+        post(&replica, change("site", 0, initial_edits())).await.0,
+        200
+    );
+    let put_order_with_wait = |wait: serde_json::Value, extra: &str| {
         format!(
             r#"{{"id":"x","base":1,"edits":[{{"put_order":{{"name":"a","order":{{"selector":{{"from":["seat"],"service":"seat"}},"wait_us":{wait}{extra}}}}}}}]}}"#
         )
     };
     let cases = [
         ("not JSON".to_string(), 400, "body"),
-        (put(1_000_000.into(), r#","speed":9"#), 400, "body"),
-        (put("soon".into(), ""), 400, "body"),
-        (put(5.into(), ""), 422, "edits[0].order.wait_us"),
+        (
+            put_order_with_wait(1_000_000.into(), r#","speed":9"#),
+            400,
+            "body",
+        ),
+        (put_order_with_wait("soon".into(), ""), 400, "body"),
+        (
+            put_order_with_wait(5.into(), ""),
+            422,
+            "edits[0].order.wait_us",
+        ),
         (change("y", 1, serde_json::json!([])), 422, "edits"),
         (
             change(
@@ -133,16 +145,17 @@
             "{body} got {answer}"
         );
     }
-    // Single edits name their version and their own id, or are refused without effect.
+    // Single edits must name their base version and their id; otherwise they are refused without
+    // effect.
     let url = format!("http://{}/v1/groupings/more", replica.http_server.address);
     let grouping = serde_json::json!({ "service": "seat", "zone": "z1" });
-    let unnamed = client()
+    let without_version = client()
         .put(&url)
         .json(&grouping)
         .send()
         .await
         .expect("an answer");
-    assert_eq!(unnamed.status().as_u16(), 428);
+    assert_eq!(without_version.status().as_u16(), 428);
     let stale = client()
         .put(&url)
         .json(&grouping)
@@ -160,14 +173,14 @@
         .await
         .expect("an answer");
     assert_eq!(absent.status().as_u16(), 422);
-    let no_disk = serde_json::json!({ "seat": 4, "from": "x", "to": "1" });
-    let no_disk = client()
+    let invalid_replacement = serde_json::json!({ "seat": 4, "from": "x", "to": "1" });
+    let invalid_replacement = client()
         .post(format!("http://{}/v1/seats", replica.http_server.address))
-        .json(&no_disk)
+        .json(&invalid_replacement)
         .send()
         .await
         .expect("an answer");
-    assert_eq!(no_disk.status().as_u16(), 422);
+    assert_eq!(invalid_replacement.status().as_u16(), 422);
     let state = client()
         .get(format!("http://{}/v1/desired", replica.http_server.address))
         .send()
@@ -185,25 +198,28 @@
         state["orders"].as_object().map(|orders| orders.len()),
         Some(1)
     );
-    std::fs::remove_dir_all(folder).expect("clean");
+    std::fs::remove_dir_all(temp_dir).expect("the directory can be removed");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn of_two_operators_racing_one_wins_and_a_repeat_is_harmless() {
-    let folder = temp_dir("race");
-    let (first, address) = start_replica(&folder, 0, 3, vec![]).await;
-    let (second, second_address) = start_replica(&folder, 1, 3, vec![address.clone()]).await;
-    let lonely = post(&first, change("early", 0, site())).await;
+async fn one_of_two_concurrent_changes_wins_and_repeating_it_is_harmless() {
+    let temp_dir = temp_dir("race");
+    let (first, address) = start_replica(&temp_dir, 0, 3, vec![]).await;
+    let (second, second_address) = start_replica(&temp_dir, 1, 3, vec![address.clone()]).await;
+    let without_majority = post(&first, change("early", 0, initial_edits())).await;
     assert_eq!(
-        (lonely.0, lonely.1["verdict"].as_str()),
+        (without_majority.0, without_majority.1["verdict"].as_str()),
         (503, Some("not-run")),
-        "no majority has met yet"
+        "there is no majority yet"
     );
-    let (third, _) = start_replica(&folder, 2, 3, vec![address, second_address]).await;
+    let (third, _) = start_replica(&temp_dir, 2, 3, vec![address, second_address]).await;
     for replica in [&first, &second, &third] {
-        until_started(replica).await;
+        wait_until_connected(replica).await;
     }
-    assert_eq!(post(&first, change("site", 0, site())).await.0, 200);
+    assert_eq!(
+        post(&first, change("site", 0, initial_edits())).await.0,
+        200
+    );
     let edit = |path: &str| serde_json::json!([{ "put_order": { "name": "a", "order": { "selector": { "from": ["seat"], "service": "seat", "path_prefix": path }, "wait_us": 1000000 } } }]);
     let (one, two) = tokio::join!(
         post(&first, change("one", 1, edit("/one"))),
@@ -217,13 +233,13 @@
     } else {
         ("two", "/two")
     };
-    let again = post(&third, change(winner, 1, edit(path))).await;
+    let repeated = post(&third, change(winner, 1, edit(path))).await;
     assert_eq!(
-        (again.0, again.1["accepted"]["version"].as_u64()),
+        (repeated.0, repeated.1["accepted"]["version"].as_u64()),
         (200, Some(2)),
-        "{again:?}"
+        "{repeated:?}"
     );
-    // Any replica reads back what another accepted.
+    // A replica reads what another replica has accepted.
     let state = client()
         .get(format!("http://{}/v1/orders/a", third.http_server.address))
         .send()
@@ -231,22 +247,30 @@
         .expect("an answer");
     let order: serde_json::Value = state.json().await.expect("JSON");
     assert_eq!(order["selector"]["path_prefix"].as_str(), Some(path));
-    std::fs::remove_dir_all(folder).expect("clean");
+    std::fs::remove_dir_all(temp_dir).expect("the directory can be removed");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_emptied_disk_may_not_vote_as_its_former_replica() {
-    let folder = temp_dir("emptied");
-    let (first, address) = start_replica(&folder, 0, 3, vec![]).await;
-    let (second, second_address) = start_replica(&folder, 1, 3, vec![address.clone()]).await;
-    let (third, _) =
-        start_replica(&folder, 2, 3, vec![address.clone(), second_address.clone()]).await;
+    let temp_dir = temp_dir("emptied");
+    let (first, address) = start_replica(&temp_dir, 0, 3, vec![]).await;
+    let (second, second_address) = start_replica(&temp_dir, 1, 3, vec![address.clone()]).await;
+    let (third, _) = start_replica(
+        &temp_dir,
+        2,
+        3,
+        vec![address.clone(), second_address.clone()],
+    )
+    .await;
     for replica in [&first, &second, &third] {
-        until_started(replica).await;
+        wait_until_connected(replica).await;
     }
-    assert_eq!(post(&first, change("site", 0, site())).await.0, 200);
-    // The same replica on an empty disk, at another address.
-    let (emptied, _) = start_replica_on_empty_disk(&folder, vec![address, second_address]).await;
+    assert_eq!(
+        post(&first, change("site", 0, initial_edits())).await.0,
+        200
+    );
+    // The same replica number with an empty disk and another address.
+    let (emptied, _) = start_replica_on_empty_disk(&temp_dir, vec![address, second_address]).await;
     while emptied.handle.status.load().refusal.is_none() {
         tokio::task::yield_now().await;
     }
@@ -259,38 +283,48 @@
     assert_eq!(ready.status().as_u16(), 503);
     let text = ready.text().await.expect("text");
     assert!(text.contains("another disk"), "{text}");
-    std::fs::remove_dir_all(folder).expect("clean");
+    std::fs::remove_dir_all(temp_dir).expect("the directory can be removed");
 }
 
-async fn start_replica_on_empty_disk(folder: &Path, seeds: Vec<String>) -> (TestReplica, String) {
-    start_replica(&folder.join("emptied"), 0, 3, seeds).await
+async fn start_replica_on_empty_disk(temp_dir: &Path, seeds: Vec<String>) -> (TestReplica, String) {
+    start_replica(&temp_dir.join("emptied"), 0, 3, seeds).await
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_empty_disk_replaces_its_member_by_itself_once_that_is_gone() {
-    let folder = temp_dir("knock");
-    let (first, address) = start_replica(&folder, 0, 3, vec![]).await;
-    let (second, second_address) = start_replica(&folder, 1, 3, vec![address.clone()]).await;
-    // The third replica lives in a runtime of its own, which ends as its machine does.
-    let machine = tokio::runtime::Runtime::new().expect("a runtime");
+async fn an_empty_disk_replaces_an_unreachable_member_automatically() {
+    let temp_dir = temp_dir("replace");
+    let (first, address) = start_replica(&temp_dir, 0, 3, vec![]).await;
+    let (second, second_address) = start_replica(&temp_dir, 1, 3, vec![address.clone()]).await;
+    // The third replica runs in a runtime of its own; shutting that down simulates the loss of its
+    // machine.
+    let third_runtime = tokio::runtime::Runtime::new().expect("a runtime");
     let (dir, seeds) = (
-        folder.clone(),
+        temp_dir.clone(),
         vec![address.clone(), second_address.clone()],
     );
-    let (third, _) = machine
+    let (third, _) = third_runtime
         .spawn(async move { start_replica(&dir, 2, 3, seeds).await })
         .await
-        .expect("a seat");
+        .expect("the third replica starts");
     for replica in [&first, &second, &third] {
-        until_started(replica).await;
+        wait_until_connected(replica).await;
     }
-    assert_eq!(post(&first, change("site", 0, site())).await.0, 200);
-    machine.shutdown_background();
+    assert_eq!(
+        post(&first, change("site", 0, initial_edits())).await.0,
+        200
+    );
+    third_runtime.shutdown_background();
     drop(third);
-    let (empty, _) =
-        start_replica(&folder.join("emptied"), 2, 3, vec![address, second_address]).await;
-    until_started(&empty).await;
-    // With one of the two others gone, nothing is accepted without the new disk's vote: it has one, and what was accepted before.
+    let (empty, _) = start_replica(
+        &temp_dir.join("emptied"),
+        2,
+        3,
+        vec![address, second_address],
+    )
+    .await;
+    wait_until_connected(&empty).await;
+    // If one of the two other replicas failed now, a majority would need the vote of the new disk. The
+    // new disk has that vote, and the state that was accepted before.
     let state = client()
         .get(format!("http://{}/v1/desired", empty.http_server.address))
         .send()
@@ -298,9 +332,10 @@
         .expect("an answer");
     let state: serde_json::Value = state.json().await.expect("JSON");
     assert_eq!(state["version"].as_u64(), Some(1), "{state}");
-    // The other replicas pin theirs to the new disk as they come past the change; the old one counts no more.
+    // The other replicas pin the member to the new disk once they have applied the replacement; from
+    // then on the old disk does not count.
     while second.handle.pinned_disks.load().get(&2) != Some(&empty.handle.disk_id()) {
         tokio::task::yield_now().await;
     }
-    std::fs::remove_dir_all(folder).expect("clean");
+    std::fs::remove_dir_all(temp_dir).expect("the directory can be removed");
 }
--- a/crates/operator-api/tests/witness.rs
+++ b/crates/operator-api/tests/witness.rs
@@ -1,6 +1,6 @@
-//! The operators' interface as golden files (`tests/golden/`): each call, its answer, and the serde types behind them.
-//! How the files are written anew stands at the head of `crates/test-support/tests/golden_files/mod.rs`:
-//! `GRADEFORD_WRITE_GOLDEN=1`.
+//! Golden-file tests (`tests/golden/`) for the operators' API: requests, their answers and the serialized
+//! types. `GRADEFORD_WRITE_GOLDEN=1` regenerates the files, see
+//! `crates/test-support/tests/golden_files/mod.rs`.
 
 #[path = "../../test-support/tests/golden_files/mod.rs"]
 mod golden_files;
@@ -18,49 +18,54 @@
 use tokio::task::yield_now;
 use transport::KnownReplica;
 
-struct Office {
-    core: ReplicaHandle,
-    serving: HttpServer,
-    staying: Arc<AtomicBool>,
-    told: String,
+/// A replica in this process with its operators' API, and a transcript of the requests to it.
+struct TestServer {
+    replica: ReplicaHandle,
+    http_server: HttpServer,
+    accepting_work: Arc<AtomicBool>,
+    transcript: String,
 }
 
-impl Office {
-    async fn start(folder: &Path, seats: u16) -> Office {
-        let mates = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = mates.local_addr().expect("an address").to_string();
-        let env = ReplicaConfig {
+impl TestServer {
+    async fn start(temp_dir: &Path, replica_count: u16) -> TestServer {
+        let peer_listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+        let address = peer_listener
+            .local_addr()
+            .expect("a bound address")
+            .to_string();
+        let config = ReplicaConfig {
             name: "core-0".into(),
             zone: "z0".into(),
             replica_id: 0,
-            replica_count: seats,
+            replica_count,
             address: address.clone(),
             seeds: vec![address],
-            folder: folder.to_path_buf(),
+            folder: temp_dir.to_path_buf(),
             timing: Default::default(),
             snapshot_every_entries: 100,
             replace_after: 500_000,
             membership: None,
         };
-        let core = ReplicaHandle::start(env, model::logging::discard_logger()).expect("a core");
-        tokio::spawn(server::listen(core.clone(), mates));
-        let staying = Arc::new(AtomicBool::new(true));
+        let replica = ReplicaHandle::start(config, model::logging::discard_logger())
+            .expect("the replica starts");
+        tokio::spawn(server::listen(replica.clone(), peer_listener));
+        let accepting_work = Arc::new(AtomicBool::new(true));
         let router = operator_api::router(OperatorApi {
-            replica: core.clone(),
-            accepting_work: staying.clone(),
+            replica: replica.clone(),
+            accepting_work: accepting_work.clone(),
         });
-        let serving = HttpServer::start("127.0.0.1:0", router)
+        let http_server = HttpServer::start("127.0.0.1:0", router)
             .await
-            .expect("http");
-        Office {
-            core,
-            serving,
-            staying,
-            told: String::new(),
+            .expect("the HTTP server starts");
+        TestServer {
+            replica,
+            http_server,
+            accepting_work,
+            transcript: String::new(),
         }
     }
 
-    /// Sends one call and writes down call and answer.
+    /// Sends a request and appends the request and its answer to the transcript.
     async fn call(&mut self, method: &str, path: &str, headers: &[(&str, &str)], body: &str) {
         let client = reqwest::Client::builder()
             .no_proxy()
@@ -70,7 +75,7 @@
         let request = client
             .request(
                 method.clone(),
-                format!("http://{}{path}", self.serving.address),
+                format!("http://{}{path}", self.http_server.address),
             )
             .body(body.to_string());
         let request = headers.iter().fold(request, |request, (name, value)| {
@@ -85,9 +90,9 @@
                 .map(|value| format!("{name}: {}\n", value.to_str().expect("text")))
                 .unwrap_or_default()
         };
-        let named = ["content-type", "etag", "retry-after"].map(header).concat();
+        let own_headers = ["content-type", "etag", "retry-after"].map(header).concat();
         let answer = response.text().await.expect("text");
-        let told = if answer.starts_with("<!DOCTYPE") {
+        let shown_answer = if answer.starts_with("<!DOCTYPE") {
             "(a page of the HTTP library)"
         } else {
             &answer
@@ -96,8 +101,8 @@
             .iter()
             .map(|(name, value)| format!("{name}: {value}\n"))
             .collect();
-        self.told.push_str(&format!(
-            "{method} {path}\n{sent}{body}\n{status}\n{named}{told}\n\n"
+        self.transcript.push_str(&format!(
+            "{method} {path}\n{sent}{body}\n{status}\n{own_headers}{shown_answer}\n\n"
         ));
     }
 
@@ -107,20 +112,20 @@
     }
 }
 
-async fn until_started(core: &ReplicaHandle) {
-    while !core.status.load().voting {
+async fn wait_until_voting(replica: &ReplicaHandle) {
+    while !replica.status.load().voting {
         yield_now().await;
     }
 }
 
-fn folder(name: &str) -> PathBuf {
-    env::temp_dir().join(format!("gradeford-witness-{name}-{}", process::id()))
+fn temp_dir(name: &str) -> PathBuf {
+    env::temp_dir().join(format!("gradeford-golden-{name}-{}", process::id()))
 }
 
-/// Where in the log a change came depends on what the core itself wrote meanwhile.
-const POSITIONS: [Volatile; 2] = [Volatile::Field("position"), Volatile::Field("since")];
+/// Log positions vary between runs, because the core itself also appends entries to the log.
+const POSITION_FIELDS: [Volatile; 2] = [Volatile::Field("position"), Volatile::Field("since")];
 
-fn site() -> Value {
+fn initial_edits() -> Value {
     json!([
         { "put_grouping": { "name": "seat-z0", "grouping": { "service": "seat", "zone": "z0" } } },
         { "put_grouping": { "name": "seat-z1", "grouping": { "service": "seat", "zone": "z1", "labels": { "tier": "gold" } } } },
@@ -132,21 +137,21 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn changes_and_what_is_read_back_keep_their_answers() {
-    let folder = folder("changes");
-    let mut office = Office::start(&folder, 1).await;
-    until_started(&office.core).await;
-    office.call("GET", "/v1/desired", &[], "").await;
-    office.change("site", 0, site()).await;
-    office.change("site", 0, site()).await;
-    office
+async fn changes_and_queries_keep_their_answers() {
+    let temp_dir = temp_dir("changes");
+    let mut server = TestServer::start(&temp_dir, 1).await;
+    wait_until_voting(&server.replica).await;
+    server.call("GET", "/v1/desired", &[], "").await;
+    server.change("site", 0, initial_edits()).await;
+    server.change("site", 0, initial_edits()).await;
+    server
         .change("site", 1, json!([{ "drop_order": { "name": "check" } }]))
         .await;
-    office
+    server
         .change("late", 0, json!([{ "drop_order": { "name": "check" } }]))
         .await;
-    office.change("same", 1, site()).await;
-    office.call("GET", "/v1/desired", &[], "").await;
+    server.change("same", 1, initial_edits()).await;
+    server.call("GET", "/v1/desired", &[], "").await;
     for path in [
         "/v1/groupings/seat-z1",
         "/v1/orders/check",
@@ -156,52 +161,72 @@
         "/v1/orders/none",
         "/v1/standing",
     ] {
-        office.call("GET", path, &[], "").await;
+        server.call("GET", path, &[], "").await;
     }
-    let named = |base, id| [("if-match", base), ("x-change-id", id)];
+    let own_headers = |base, id| [("if-match", base), ("x-change-id", id)];
     let grouping = r#"{"service":"seat","zone":"z2"}"#;
     let order = r#"{"selector":{"from":["seat"],"service":"seat"},"wait_us":5000}"#;
-    office
+    server
         .call(
             "PUT",
             "/v1/groupings/more",
-            &named("\"1\"", "more"),
+            &own_headers("\"1\"", "more"),
             grouping,
         )
         .await;
-    office
-        .call("PUT", "/v1/orders/more", &named("2", "order"), order)
+    server
+        .call("PUT", "/v1/orders/more", &own_headers("2", "order"), order)
         .await;
-    office
-        .call("PUT", "/v1/orders/more", &named("\"1\"", "stale"), order)
+    server
+        .call(
+            "PUT",
+            "/v1/orders/more",
+            &own_headers("\"1\"", "stale"),
+            order,
+        )
         .await;
-    office.call("PUT", "/v1/orders/more", &[], order).await;
-    office
+    server.call("PUT", "/v1/orders/more", &[], order).await;
+    server
         .call("PUT", "/v1/orders/more", &[("if-match", "\"3\"")], order)
         .await;
-    office
-        .call("PUT", "/v1/orders/more", &named("\"3\"", "bad"), "{}")
+    server
+        .call("PUT", "/v1/orders/more", &own_headers("\"3\"", "bad"), "{}")
         .await;
-    office
-        .call("DELETE", "/v1/orders/more", &named("\"3\"", "drop"), "")
+    server
+        .call(
+            "DELETE",
+            "/v1/orders/more",
+            &own_headers("\"3\"", "drop"),
+            "",
+        )
         .await;
-    office
-        .call("DELETE", "/v1/orders/more", &named("\"4\"", "absent"), "")
+    server
+        .call(
+            "DELETE",
+            "/v1/orders/more",
+            &own_headers("\"4\"", "absent"),
+            "",
+        )
         .await;
-    office.call("DELETE", "/v1/groupings/more", &[], "").await;
-    office
-        .call("DELETE", "/v1/groupings/more", &named("\"4\"", "away"), "")
+    server.call("DELETE", "/v1/groupings/more", &[], "").await;
+    server
+        .call(
+            "DELETE",
+            "/v1/groupings/more",
+            &own_headers("\"4\"", "away"),
+            "",
+        )
         .await;
-    compare("changes.txt", &office.told, &POSITIONS);
-    fs::remove_dir_all(folder).expect("clean");
+    compare("changes.txt", &server.transcript, &POSITION_FIELDS);
+    fs::remove_dir_all(temp_dir).expect("the directory can be removed");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn each_fault_of_a_change_keeps_its_path_and_words() {
-    let folder = folder("faults");
-    let mut office = Office::start(&folder, 1).await;
-    until_started(&office.core).await;
-    office.change("site", 0, site()).await;
+async fn faults_of_a_change_keep_their_path_and_message() {
+    let temp_dir = temp_dir("faults");
+    let mut server = TestServer::start(&temp_dir, 1).await;
+    wait_until_voting(&server.replica).await;
+    server.change("site", 0, initial_edits()).await;
     for body in [
         "",
         "not JSON",
@@ -209,7 +234,7 @@
         r#"{"id":"a","base":1,"edits":[],"speed":9}"#,
         r#"{"id":"a","base":1,"edits":[{"put_speed":{}}]}"#,
     ] {
-        office.call("POST", "/v1/changes", &[], body).await;
+        server.call("POST", "/v1/changes", &[], body).await;
     }
     let order = |key: &str, value: Value| {
         let mut order =
@@ -262,23 +287,23 @@
         json!([{ "drop_order": { "name": "check" } }, { "drop_order": { "name": "check" } }]),
     ];
     for (number, edits) in edits.into_iter().enumerate() {
-        // What is no fault is accepted, and the next goes on from there.
-        let version = office.core.state_machine.load().desired.version;
-        office
+        // Valid edits are accepted and raise the version, on which the next change is based.
+        let version = server.replica.state_machine.load().desired.version;
+        server
             .change(&format!("fault-{number}"), version, edits)
             .await;
     }
-    compare("faults.txt", &office.told, &POSITIONS);
-    fs::remove_dir_all(folder).expect("clean");
+    compare("faults.txt", &server.transcript, &POSITION_FIELDS);
+    fs::remove_dir_all(temp_dir).expect("the directory can be removed");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_status_answer_keeps_its_fields() {
-    let folder = folder("status");
-    let mut office = Office::start(&folder, 1).await;
-    until_started(&office.core).await;
-    let identity = format!("{:016x}", office.core.disk_id());
-    office.call("GET", "/v1/status", &[], "").await;
+    let temp_dir = temp_dir("status");
+    let mut server = TestServer::start(&temp_dir, 1).await;
+    wait_until_voting(&server.replica).await;
+    let identity = format!("{:016x}", server.replica.disk_id());
+    server.call("GET", "/v1/status", &[], "").await;
     let seat = KnownReplica {
         replica_id: 1,
         disk_id: 2,
@@ -286,7 +311,7 @@
         zone: "z".into(),
         start_count: 4,
     };
-    office.told.push_str(&format!(
+    server.transcript.push_str(&format!(
         "a known seat: {}\n",
         serde_json::to_string(&seat).expect("JSON")
     ));
@@ -309,19 +334,19 @@
         .into_iter()
         .chain([Volatile::Value(&identity, "identity")])
         .collect();
-    compare("status.txt", &office.told, &volatile);
-    fs::remove_dir_all(folder).expect("clean");
+    compare("status.txt", &server.transcript, &volatile);
+    fs::remove_dir_all(temp_dir).expect("the directory can be removed");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn readiness_and_the_taking_over_of_a_seat_keep_their_answers() {
-    let folder = folder("ready");
-    let mut office = Office::start(&folder, 1).await;
-    until_started(&office.core).await;
-    let identity = format!("{:016x}", office.core.disk_id());
-    office.call("GET", "/live", &[], "").await;
-    office.call("GET", "/ready", &[], "").await;
-    office.call("GET", "/v1/none", &[], "").await;
+async fn readiness_and_replacement_of_a_member_keep_their_answers() {
+    let temp_dir = temp_dir("ready");
+    let mut server = TestServer::start(&temp_dir, 1).await;
+    wait_until_voting(&server.replica).await;
+    let identity = format!("{:016x}", server.replica.disk_id());
+    server.call("GET", "/live", &[], "").await;
+    server.call("GET", "/ready", &[], "").await;
+    server.call("GET", "/v1/none", &[], "").await;
     for body in [
         "",
         "{}",
@@ -329,34 +354,34 @@
         r#"{"seat":4,"from":"x","to":"y"}"#,
         r#"{"seat":0,"from":"1","to":"2"}"#,
     ] {
-        office.call("POST", "/v1/seats", &[], body).await;
+        server.call("POST", "/v1/seats", &[], body).await;
     }
     let zero = json!({ "seat": 0, "from": identity, "to": identity }).to_string();
-    office.call("POST", "/v1/seats", &[], &zero).await;
-    office.staying.store(false, Ordering::Relaxed);
-    office.call("GET", "/ready", &[], "").await;
+    server.call("POST", "/v1/seats", &[], &zero).await;
+    server.accepting_work.store(false, Ordering::Relaxed);
+    server.call("GET", "/ready", &[], "").await;
     let own = [
         Volatile::Value(&identity, "identity"),
         Volatile::Field("position"),
     ];
-    compare("ready_and_seats.txt", &office.told, &own);
-    fs::remove_dir_all(folder).expect("clean");
+    compare("ready_and_seats.txt", &server.transcript, &own);
+    fs::remove_dir_all(temp_dir).expect("the directory can be removed");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_seat_without_a_majority_keeps_its_answers() {
-    let folder = folder("lonely");
-    let mut office = Office::start(&folder, 3).await;
-    let identity = format!("{:016x}", office.core.disk_id());
-    office.change("early", 0, site()).await;
+async fn a_replica_without_a_majority_keeps_its_answers() {
+    let temp_dir = temp_dir("no-majority");
+    let mut server = TestServer::start(&temp_dir, 3).await;
+    let identity = format!("{:016x}", server.replica.disk_id());
+    server.change("early", 0, initial_edits()).await;
     let body = json!({ "seat": 0, "from": identity, "to": "1" }).to_string();
-    office.call("POST", "/v1/seats", &[], &body).await;
-    office.call("GET", "/ready", &[], "").await;
-    office.call("GET", "/live", &[], "").await;
+    server.call("POST", "/v1/seats", &[], &body).await;
+    server.call("GET", "/ready", &[], "").await;
+    server.call("GET", "/live", &[], "").await;
     compare(
         "no_majority.txt",
-        &office.told,
+        &server.transcript,
         &[Volatile::Value(&identity, "identity")],
     );
-    fs::remove_dir_all(folder).expect("clean");
+    fs::remove_dir_all(temp_dir).expect("the directory can be removed");
 }
