--- a/crates/gradefordctl/src/cli.rs
+++ b/crates/gradefordctl/src/cli.rs
@@ -112,7 +112,7 @@
         ("replace-seat", [replica, disk]) => Command::ReplaceDisk {
             replica_id: replica
                 .parse()
-                .map_err(|_| UsageError(format!("{replica:?} is no seat")))?,
+                .map_err(|_| UsageError(format!("{replica:?} is not a seat number")))?,
             new_disk: disk.to_string(),
         },
         ("compare", [first, second]) => Command::Compare {
@@ -127,9 +127,7 @@
             | "replace-seat",
             _,
         ) => {
-            return Err(UsageError(format!(
-                "{name} is given other words than it takes"
-            )));
+            return Err(UsageError(format!("wrong arguments for {name}")));
         }
         _ => return Err(UsageError(format!("there is no command {name:?}"))),
     })
