--- a/crates/control/src/updates/view/tests.rs
+++ b/crates/control/src/updates/view/tests.rs
@@ -15,7 +15,7 @@
         view.with_proof(100, 4, 50).is_none(),
         "a proof for an older position was accepted"
     );
-    let view = view.with_proof(100, 6, 50).expect("a valid proof");
+    let view = view.with_proof(100, 6, 50).expect("proof");
     assert!(
         view.with_update(at(5)).is_none(),
         "the proof did not advance the position"
