--- a/crates/backend-api/src/config.rs
+++ b/crates/backend-api/src/config.rs
@@ -30,7 +30,7 @@
     /// Changes whenever the state or its proof does.
     pub view_changes: watch::Receiver<Position>,
     /// Counts key slices that backends claimed in heartbeats and have no lease on.
-    pub unheld_claims: Arc<AtomicU64>,
+    pub claims_without_lease: Arc<AtomicU64>,
     /// For what operators should know.
     pub logger: Logger,
 }
--- a/crates/backend-api/src/heartbeat.rs
+++ b/crates/backend-api/src/heartbeat.rs
@@ -73,7 +73,7 @@
             return write_json(response, GONE, &body);
         };
         let leases = self.held_leases(&name, &request.service);
-        let let_go = self.claims_not_held(&name, &request.keys, &leases);
+        let let_go = self.record_claims_without_lease(&name, &request.keys, &leases);
         let body = json!({
             "name": name,
             "slots": request.slots,
@@ -110,7 +110,12 @@
 
     /// Slices claimed without a lease. A claim never makes a lease: it is only compared, counted and
     /// answered.
-    fn claims_not_held(&self, name: &str, claimed: &[u16], leases: &[HeldLease]) -> Vec<u16> {
+    fn record_claims_without_lease(
+        &self,
+        name: &str,
+        claimed: &[u16],
+        leases: &[HeldLease],
+    ) -> Vec<u16> {
         let is_held = |slice: u16| leases.iter().any(|lease| lease.slice == slice);
         let unheld: Vec<u16> = claimed
             .iter()
@@ -119,7 +124,7 @@
             .collect();
         if !unheld.is_empty() {
             self.config
-                .unheld_claims
+                .claims_without_lease
                 .fetch_add(unheld.len() as u64, Relaxed);
             slog::warn!(
                 self.config.logger, "a backend claims keys it has no lease on";
--- a/crates/gradeford-node/src/health.rs
+++ b/crates/gradeford-node/src/health.rs
@@ -28,7 +28,7 @@
     /// Counts requests and retries.
     pub retry_budget: RetryBudgetHandle,
     /// Counts key slices that backends claimed without a lease.
-    pub unheld_claims: Arc<AtomicU64>,
+    pub claims_without_lease: Arc<AtomicU64>,
     /// Which of the node's lives this process is.
     pub incarnation: Incarnation,
     /// False once the node stops, or another process has its name.
@@ -85,7 +85,7 @@
             "position": view.slice.position,
             "version": view.slice.version,
             "services": view.slice.services,
-            "keys_claimed_unheld": api.unheld_claims.load(Relaxed),
+            "keys_claimed_unheld": api.claims_without_lease.load(Relaxed),
             "fresh_for_us": view.fresh_until.saturating_sub(model::now()),
             "running": running,
             "waiting": queued,
--- a/crates/gradeford-node/src/start.rs
+++ b/crates/gradeford-node/src/start.rs
@@ -199,7 +199,7 @@
         proxy: &OutboundProxy,
         accepting_work: Arc<AtomicBool>,
     ) -> Router {
-        let unheld_claims: Arc<AtomicU64> = Arc::default();
+        let claims_without_lease: Arc<AtomicU64> = Arc::default();
         let slot_owner = proxy.inbound.slot_owner.clone();
         let health = HealthApi {
             name: self.settings.name.clone(),
@@ -207,7 +207,7 @@
             known_replicas: self.known_replicas.clone(),
             slot_owner: slot_owner.clone(),
             retry_budget: proxy.retry_budget.clone(),
-            unheld_claims: unheld_claims.clone(),
+            claims_without_lease: claims_without_lease.clone(),
             incarnation: self.identity.incarnation,
             accepting_work,
         };
@@ -220,7 +220,7 @@
             status_reports: state.status_reports.clone(),
             view: state.subscription.view.clone(),
             view_changes: state.subscription.position.clone(),
-            unheld_claims,
+            claims_without_lease,
             logger: self.logger.clone(),
         };
         Router::new()
--- a/crates/legacy-proxy/src/accepted_attempts.rs
+++ b/crates/legacy-proxy/src/accepted_attempts.rs
@@ -52,7 +52,7 @@
     }
 
     /// The attempt certainly did not run, and never will: whoever sends it again gets the same error.
-    pub fn did_not_run(&mut self, attempt_id: &str, error: Error) {
+    pub fn record_not_run(&mut self, attempt_id: &str, error: Error) {
         if let Some(held) = self.table.get_mut(attempt_id) {
             *held = Some(error);
         }
@@ -61,7 +61,7 @@
 
 enum Command {
     Accept(String, oneshot::Sender<Result<(), Error>>),
-    DidNotRun(String, Error),
+    RecordNotRun(String, Error),
 }
 
 /// A handle on the task that owns the table. The task ends with its last handle.
@@ -81,8 +81,8 @@
                     Command::Accept(attempt_id, reply) => {
                         drop(reply.send(accepted.accept(&attempt_id)))
                     }
-                    Command::DidNotRun(attempt_id, error) => {
-                        accepted.did_not_run(&attempt_id, error)
+                    Command::RecordNotRun(attempt_id, error) => {
+                        accepted.record_not_run(&attempt_id, error)
                     }
                 }
             }
@@ -106,9 +106,9 @@
     }
 
     /// The attempt certainly did not run.
-    pub async fn did_not_run(&self, attempt_id: &str, error: Error) {
+    pub async fn record_not_run(&self, attempt_id: &str, error: Error) {
         self.commands
-            .send(Command::DidNotRun(attempt_id.to_string(), error))
+            .send(Command::RecordNotRun(attempt_id.to_string(), error))
             .await
             .unwrap_or_default();
     }
--- a/crates/legacy-proxy/src/accepted_attempts/tests.rs
+++ b/crates/legacy-proxy/src/accepted_attempts/tests.rs
@@ -15,7 +15,7 @@
     );
     let first = Error::new(ErrorKind::StaleState, "no proof");
     assert_eq!(accepted.accept("seat-0.7.b"), Ok(()));
-    accepted.did_not_run("seat-0.7.b", first.clone());
+    accepted.record_not_run("seat-0.7.b", first.clone());
     assert_eq!(
         accepted.accept("seat-0.7.b"),
         Err(first),
--- a/crates/legacy-proxy/src/age_marks.rs
+++ b/crates/legacy-proxy/src/age_marks.rs
@@ -9,22 +9,22 @@
 use model::Microseconds;
 
 /// Between two marks on one connection: 100 ms.
-pub const MARK_INTERVAL: Microseconds = 100_000;
+pub const WATERMARK_INTERVAL: Microseconds = 100_000;
 /// A request that was not held up names a mark this young: one interval, and the way there and back.
-const MAX_HONEST_AGE: Microseconds = 3 * MARK_INTERVAL;
+const MAX_HONEST_AGE: Microseconds = 3 * WATERMARK_INTERVAL;
 /// A request that names an older mark has no time left.
 const MARKS_KEPT: usize = 64;
 
 /// The marks sent on one connection. The inbound side sends numbered marks; a request names the last
 /// one that its sender had received, so it cannot have been sent before that mark was.
-pub struct AgeMarks {
+pub struct AgeWatermarks {
     sent: VecDeque<(u64, Microseconds)>,
 }
 
-impl AgeMarks {
+impl AgeWatermarks {
     /// Marks of a connection that was opened now; the first is number 0.
     pub fn new(now: Microseconds) -> Self {
-        AgeMarks {
+        AgeWatermarks {
             sent: [(0, now)].into_iter().collect(),
         }
     }
--- a/crates/legacy-proxy/src/age_marks/tests.rs
+++ b/crates/legacy-proxy/src/age_marks/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn a_request_that_lay_in_a_suspended_process_has_no_time_left() {
-    let mut marks = AgeMarks::new(0);
+    let mut marks = AgeWatermarks::new(0);
     let mark = marks.issue(100_000);
     assert_eq!(
         marks.time_left(200_000, mark, 3_000_000),
--- a/crates/legacy-proxy/src/attempt_loop.rs
+++ b/crates/legacy-proxy/src/attempt_loop.rs
@@ -163,7 +163,7 @@
     }
 
     /// The error of a request that found no backend.
-    pub fn no_backend(&self) -> Error {
+    pub fn no_backend_error(&self) -> Error {
         let kind = if self.order.keyed {
             ErrorKind::KeyWithoutHolder
         } else {
--- a/crates/legacy-proxy/src/outbound_proxy.rs
+++ b/crates/legacy-proxy/src/outbound_proxy.rs
@@ -112,7 +112,7 @@
         let not_run = |error: &&Error| error.execution_status == ExecutionStatus::NotRun;
         if let Some(error) = error.filter(not_run) {
             self.accepted_attempts
-                .did_not_run(attempt_id, error.clone())
+                .record_not_run(attempt_id, error.clone())
                 .await;
         }
     }
@@ -130,7 +130,7 @@
             let view = self.view.load_full();
             let candidates = attempts.candidates(&view, model::now(), &self.zone)?;
             let selected = self.selector.select(candidates).await;
-            let selected = selected.ok_or_else(|| attempts.no_backend())?;
+            let selected = selected.ok_or_else(|| attempts.no_backend_error())?;
             let result = self.attempt(&attempts, &view, &selected).await;
             let avoid = matches!(&result, Err(error) if error.kind != ErrorKind::DuplicateAttempt);
             self.selector.attempt_finished(&selected, avoid).await;
--- a/crates/legacy-proxy/src/peer_connections.rs
+++ b/crates/legacy-proxy/src/peer_connections.rs
@@ -35,7 +35,7 @@
         RequestId,
         Result<AttemptResponse, Error>,
     ),
-    /// The other node sent its latest mark (see [`AgeMarks`](crate::age_marks::AgeMarks)).
+    /// The other node sent its latest mark (see [`AgeWatermarks`](crate::age_marks::AgeWatermarks)).
     Marked(String, ConnectionId, u64),
     ConnectionLost(String, ConnectionId),
     CallerGone(String, RequestId),
--- a/crates/legacy-proxy/src/server.rs
+++ b/crates/legacy-proxy/src/server.rs
@@ -13,7 +13,7 @@
 use transport::{Connection, Frame, Handshake, Purpose};
 
 use crate::InboundProxy;
-use crate::age_marks::{AgeMarks, MARK_INTERVAL};
+use crate::age_marks::{AgeWatermarks, WATERMARK_INTERVAL};
 
 /// Accepts peers' connections for ever and serves each in a task of its own.
 pub async fn serve_peers(
@@ -53,8 +53,8 @@
     relay: Relay,
     heartbeats: HeartbeatSender,
 ) {
-    let mut marks = AgeMarks::new(model::now());
-    let mut mark_interval = time::interval(Duration::from_micros(MARK_INTERVAL));
+    let mut marks = AgeWatermarks::new(model::now());
+    let mut mark_interval = time::interval(Duration::from_micros(WATERMARK_INTERVAL));
     mark_interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         let frame = tokio::select! {
--- a/crates/simulator/src/sim/site/attempts.rs
+++ b/crates/simulator/src/sim/site/attempts.rs
@@ -136,7 +136,7 @@
         {
             self.nodes[at]
                 .accepted_attempts
-                .did_not_run(try_id, trouble);
+                .record_not_run(try_id, trouble);
         }
         self.checks
             .answered(self.now, service, try_id, answer.as_ref().err());
@@ -153,7 +153,7 @@
             Err(trouble) => return self.answer_pending(trying, Err(trouble)),
         };
         let Some(picked) = node.selector.select(now, &candidates, turn) else {
-            let trouble = trying.attempt_loop.no_backend();
+            let trouble = trying.attempt_loop.no_backend_error();
             return self.answer_pending(trying, Err(trouble));
         };
         let dispatched =
