--- a/crates/backend-api/src/backend_client.rs
+++ b/crates/backend-api/src/backend_client.rs
@@ -1,7 +1,7 @@
-//! Forwarding an attempt to the backend over HTTP.
+//! Forwards attempts to backends over HTTP.
 //!
-//! Each request has a connection of its own, so that nothing is ever sent twice or to whoever took
-//! over an address (design 5.3).
+//! Each request uses a new connection, so that no request is ever sent twice or to another process
+//! that took over the address (design 5.3).
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
     INCARNATION_HEADER, SEAL_HEADER, SERVICE_HEADER, SHARD_KEY_HEADER, TIME_LEFT_HEADER,
 };
 
-/// How long a backend on this machine may take to accept a connection.
+/// Timeout for connecting to a backend on this machine.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Forwards attempts to backends.
@@ -26,11 +26,11 @@
 }
 
 impl BackendClient {
-    /// Makes a client that keeps no connections, follows no redirects and repeats nothing.
+    /// Creates a client that keeps no connections, follows no redirects and makes no retries.
     ///
     /// # Errors
     ///
-    /// If the HTTP client cannot be set up.
+    /// If the HTTP client cannot be created.
     pub fn new() -> Result<BackendClient, reqwest::Error> {
         let http = Client::builder()
             .pool_max_idle_per_host(0)
@@ -42,8 +42,8 @@
         Ok(BackendClient { http })
     }
 
-    /// Sends one attempt and checks the seal of the response. Only a failed connect is certain not to
-    /// have run.
+    /// Sends one attempt and checks the seal of the response. Once sending begins, only a failed
+    /// connection attempt is certain not to have run the request.
     async fn send_attempt(
         &self,
         address: &str,
@@ -53,7 +53,7 @@
         let request = self.http_request(address, attempt, time_left)?;
         let response = self.http.execute(request).await.map_err(|error| {
             if error.is_connect() {
-                Error::new(ErrorKind::Unreachable, "the back end takes no conn")
+                Error::new(ErrorKind::Unreachable, "the backend accepts no connection")
             } else {
                 Error::caused_by(ErrorKind::BackendLost, &error)
             }
@@ -65,7 +65,7 @@
         if seal != self::seal(&attempt.attempt_id, status, &body) {
             return Err(Error::new(
                 ErrorKind::BadSeal,
-                "the reply is not sealed for this try",
+                "the seal of the response does not match this attempt",
             ));
         }
         Ok(AttemptResponse {
@@ -83,7 +83,7 @@
         time_left: Microseconds,
     ) -> Result<Request, Error> {
         let method = Method::from_bytes(attempt.method.as_bytes())
-            .map_err(|_| Error::new(ErrorKind::BadRequest, "not a method"))?;
+            .map_err(|_| Error::new(ErrorKind::BadRequest, "the HTTP method is invalid"))?;
         let url = format!("http://{address}{}{}", attempt.path, attempt.query);
         let mut request = self.http.request(method, url);
         for (name, value) in &attempt.headers {
@@ -128,7 +128,7 @@
     seal.unwrap_or_default().to_string()
 }
 
-/// The headers that reach the client.
+/// The response headers that are passed to the client.
 fn client_headers(response: &Response) -> Headers {
     response
         .headers()
@@ -143,7 +143,7 @@
     loop {
         match response.chunk().await {
             Ok(Some(chunk)) if body.len() + chunk.len() > MAX_BODY_BYTES => {
-                let detail = format!("the reply is over {MAX_BODY_BYTES} bytes");
+                let detail = format!("the response body is over {MAX_BODY_BYTES} bytes");
                 return Err(Error::new(ErrorKind::ResponseTooLarge, detail));
             }
             Ok(Some(chunk)) => body.extend_from_slice(&chunk),
--- a/crates/backend-api/src/config.rs
+++ b/crates/backend-api/src/config.rs
@@ -1,4 +1,4 @@
-//! What the backends' interface needs of the node that serves it.
+//! Configuration of the interface for backends.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -10,27 +10,27 @@
 use slog::Logger;
 use tokio::sync::watch;
 
-/// What the backends' interface needs of the node that serves it.
+/// Configuration of the interface for backends, with the node's components that it uses.
 #[derive(Clone)]
 pub struct BackendApiConfig {
     /// Name of the node.
     pub node: String,
-    /// Zone of the node, which its backends have to name too.
+    /// Zone of the node; its backends must state the same zone.
     pub zone: String,
-    /// How often a backend is to send a heartbeat, in microseconds.
+    /// Interval at which backends have to send heartbeats, in microseconds.
     pub heartbeat_interval: Microseconds,
-    /// How long the node's state counts as current after a proof, in microseconds.
+    /// Time for which the node's state counts as current after a freshness proof, in microseconds.
     pub freshness_bound: Microseconds,
-    /// Registrations and slots.
+    /// Manages registrations and slots.
     pub slot_owner: SlotOwnerHandle,
-    /// The way of reports to the log.
+    /// Sends reports to the log.
     pub status_reports: StatusReporter,
-    /// The node's state.
+    /// The state that the node follows.
     pub view: SharedView,
-    /// Changes whenever the state or its proof does.
+    /// Changes whenever the state or its freshness proof changes.
     pub view_changes: watch::Receiver<Position>,
-    /// Counts key slices that backends claimed in heartbeats and have no lease on.
+    /// Counts the key slots that backends claimed in heartbeats without holding their leases.
     pub claims_without_lease: Arc<AtomicU64>,
-    /// For what operators should know.
+    /// Logger for events that concern operators.
     pub logger: Logger,
 }
--- a/crates/backend-api/src/heartbeat.rs
+++ b/crates/backend-api/src/heartbeat.rs
@@ -1,4 +1,4 @@
-//! What a registered backend says afterwards: heartbeats, draining, signing off.
+//! Requests of registered backends: heartbeats, draining and deregistration.
 
 use std::sync::atomic::Ordering::Relaxed;
 
@@ -10,25 +10,25 @@
 use crate::BackendApiConfig;
 use crate::registration::{bad_request, validate_slots};
 
-/// Status for a secret that no registration has.
+/// HTTP status for a secret that no current registration has.
 const GONE: u16 = 410;
 
-/// `POST /back-end/beat`.
+/// Handles `POST /back-end/beat`.
 pub(crate) struct Heartbeat {
     pub(crate) config: BackendApiConfig,
 }
 
-/// `POST /back-end/drain`.
+/// Handles `POST /back-end/drain`.
 pub(crate) struct Drain {
     pub(crate) slot_owner: SlotOwnerHandle,
 }
 
-/// `POST /back-end/sign-off`.
+/// Handles `POST /back-end/sign-off`.
 pub(crate) struct Deregister {
     pub(crate) slot_owner: SlotOwnerHandle,
 }
 
-// The faults that backends see name the type so.
+// The `expecting` text appears in error messages that backends see.
 #[derive(serde::Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct BeatAsk")]
 struct HeartbeatRequest {
@@ -36,6 +36,7 @@
     zone: String,
     slots: u32,
     state: ReportedState,
+    /// The key slots that the backend claims to hold.
     #[serde(default)]
     keys: Vec<u16>,
 }
@@ -47,13 +48,14 @@
     Draining,
 }
 
-/// A key slice that a backend has the lease on.
+/// A key slot whose lease a backend holds.
 #[derive(serde::Serialize)]
 struct HeldLease {
-    slice: u16,
+    #[serde(rename = "slice")]
+    key_slot: u16,
     #[serde(rename = "fence")]
     fencing_token: u64,
-    /// How long the lease lasts without further proofs.
+    /// Time for which the lease remains valid without further freshness proofs, in microseconds.
     left_us: u64,
 }
 
@@ -73,20 +75,21 @@
             return write_json(response, GONE, &body);
         };
         let leases = self.held_leases(&name, &request.service);
-        let let_go = self.record_claims_without_lease(&name, &request.keys, &leases);
+        let unleased_claims = self.record_claims_without_lease(&name, &request.keys, &leases);
         let body = json!({
             "name": name,
             "slots": request.slots,
             "standing": self.endpoint_status(&name),
             "terms": leases,
-            "let_go": let_go,
+            "let_go": unleased_claims,
         });
         write_json(response, 200, &body);
     }
 }
 
 impl Heartbeat {
-    /// The backend's name, if the secret, the service and the zone belong to a registration.
+    /// Records the heartbeat. Returns the backend's name if the secret, the service and the zone
+    /// match a current registration.
     async fn record(&self, secret: &str, request: &HeartbeatRequest) -> Option<String> {
         let client = self.config.slot_owner.client(secret)?;
         if client.service != request.service || request.zone != self.config.zone {
@@ -99,7 +102,8 @@
             .await
     }
 
-    /// What the log says of the backend: its phase, or that no grouping has it any more.
+    /// The status of the backend in the log: its phase, or `ungrouped` if it no longer belongs to a
+    /// grouping.
     fn endpoint_status(&self, name: &str) -> Value {
         let view = self.config.view.load();
         match view.slice.backends.get(name) {
@@ -108,33 +112,33 @@
         }
     }
 
-    /// Slices claimed without a lease. A claim never makes a lease: it is only compared, counted and
-    /// answered.
+    /// Returns the key slots that the backend claimed without holding their leases, and counts
+    /// them. A claim never grants a lease; it is only compared, counted and reported back.
     fn record_claims_without_lease(
         &self,
         name: &str,
         claimed: &[u16],
         leases: &[HeldLease],
     ) -> Vec<u16> {
-        let is_held = |slice: u16| leases.iter().any(|lease| lease.slice == slice);
-        let unheld: Vec<u16> = claimed
+        let is_leased = |key_slot: u16| leases.iter().any(|lease| lease.key_slot == key_slot);
+        let unleased: Vec<u16> = claimed
             .iter()
             .copied()
-            .filter(|slice| !is_held(*slice))
+            .filter(|key_slot| !is_leased(*key_slot))
             .collect();
-        if !unheld.is_empty() {
+        if !unleased.is_empty() {
             self.config
                 .claims_without_lease
-                .fetch_add(unheld.len() as u64, Relaxed);
+                .fetch_add(unleased.len() as u64, Relaxed);
             slog::warn!(
-                self.config.logger, "a backend claims keys it has no lease on";
-                "backend" => name, "slices" => ?unheld,
+                self.config.logger, "backend claims key slots without holding their leases; told it to release them";
+                "backend" => name, "slices" => ?unleased,
             );
         }
-        unheld
+        unleased
     }
 
-    /// The slices on which this incarnation of the backend has the lease.
+    /// The key slots whose leases this incarnation of the backend holds.
     fn held_leases(&self, name: &str, service: &str) -> Vec<HeldLease> {
         let view = self.config.view.load();
         let left_us = view.fresh_until.saturating_sub(model::now());
@@ -147,7 +151,7 @@
             return Vec::new();
         };
         let mut held = Vec::new();
-        for (slice, lease) in (0u16..).zip(leases) {
+        for (key_slot, lease) in (0u16..).zip(leases) {
             let is_holder = lease
                 .holder
                 .as_ref()
@@ -156,7 +160,7 @@
                 });
             if is_holder {
                 held.push(HeldLease {
-                    slice,
+                    key_slot,
                     fencing_token: lease.fencing_token,
                     left_us,
                 });
@@ -170,9 +174,13 @@
 impl Drain {
     async fn handle(&self, request: &mut Request, response: &mut Response) {
         let secret = bearer_token(request).unwrap_or_default();
-        let drained = self.slot_owner.heartbeat(&secret, true, None).await;
-        let status = if drained.is_some() { 200 } else { GONE };
-        write_json(response, status, &json!({ "draining": drained }));
+        let draining_backend = self.slot_owner.heartbeat(&secret, true, None).await;
+        let status = if draining_backend.is_some() {
+            200
+        } else {
+            GONE
+        };
+        write_json(response, status, &json!({ "draining": draining_backend }));
     }
 }
 
@@ -180,8 +188,8 @@
 impl Deregister {
     async fn handle(&self, request: &mut Request, response: &mut Response) {
         let secret = bearer_token(request).unwrap_or_default();
-        let signed_off = self.slot_owner.deregister(&secret).await;
-        let status = if signed_off { 200 } else { GONE };
-        write_json(response, status, &json!({ "signed_off": signed_off }));
+        let deregistered = self.slot_owner.deregister(&secret).await;
+        let status = if deregistered { 200 } else { GONE };
+        write_json(response, status, &json!({ "signed_off": deregistered }));
     }
 }
--- a/crates/backend-api/src/lib.rs
+++ b/crates/backend-api/src/lib.rs
@@ -1,6 +1,6 @@
-//! Backends: how they register, send heartbeats, drain and sign off at the node on their machine,
-//! and how a request reaches one (design 5.3). The contract for their authors is
-//! `docs/operators/back-ends.md`.
+//! The HTTP interface of a node for the backends on its machine: they register, send heartbeats,
+//! drain and deregister here, and [`BackendClient`] forwards requests to them (design 5.3). The
+//! contract for authors of backends is `docs/operators/back-ends.md`.
 
 #![deny(missing_docs)]
 
@@ -18,26 +18,26 @@
 use heartbeat::{Deregister, Drain, Heartbeat};
 use registration::Register;
 
-/// Header with a request's own name, the same in each attempt.
+/// Header with the attempt id that the client set; it is the same in each attempt on a backend.
 pub const ATTEMPT_ID_HEADER: &str = "x-gradeford-try";
-/// Header that counts the attempts of a request that may have run, from 0.
+/// Header with the number of earlier attempts of the request that may have run.
 pub const ATTEMPT_ORDINAL_HEADER: &str = "x-gradeford-dispatch";
-/// Header with what is left of the client's wait, in microseconds.
+/// Header with the time that is left until the client's deadline, in microseconds.
 pub const TIME_LEFT_HEADER: &str = "x-gradeford-wait";
 /// Header with the client's service.
 pub const CLIENT_HEADER: &str = "x-gradeford-sender";
-/// Header with the service that is asked.
+/// Header with the service that the request is for.
 pub const SERVICE_HEADER: &str = "x-gradeford-service";
-/// Header with the incarnation of the backend that is to run the request.
+/// Header with the incarnation of the backend that the request is for.
 pub const INCARNATION_HEADER: &str = "x-gradeford-incarnation";
-/// Header with the key of a sharded service's request.
+/// Header with the shard key of the request.
 pub const SHARD_KEY_HEADER: &str = "x-gradeford-key";
-/// Header with the fencing token of the lease on the key's shard.
+/// Header with the fencing token of the lease that covers the shard key.
 pub const FENCING_TOKEN_HEADER: &str = "x-gradeford-fence";
-/// Header of the response with its seal, see [`seal`].
+/// Response header with the seal; see [`seal`].
 pub const SEAL_HEADER: &str = "x-gradeford-seal";
 
-/// All routes for backends, below `/back-end`.
+/// Returns the router for all requests of backends, below `/back-end`.
 pub fn router(config: BackendApiConfig) -> Router {
     let deregister = Deregister {
         slot_owner: config.slot_owner.clone(),
--- a/crates/backend-api/src/registration.rs
+++ b/crates/backend-api/src/registration.rs
@@ -1,4 +1,5 @@
-//! Registration of a backend: reserved here, decided by the log, confirmed here.
+//! Registration of a backend: the slot owner reserves an incarnation, the log accepts or rejects
+//! it, and the slot owner records the outcome.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,23 +16,24 @@
 
 use crate::BackendApiConfig;
 
-/// Most requests that a backend may ask to run at once.
+/// Maximum number of slots of a backend.
 pub(crate) const MAX_SLOTS: u32 = 4_096;
-/// How often a registration is made on top of what the log has, which may be overtaken meanwhile.
+/// Maximum number of attempts to register. An attempt fails if the log has accepted a later
+/// incarnation of the backend than this node knew.
 const MAX_REGISTRATION_ATTEMPTS: u32 = 4;
-/// How long the log may take for a registration.
+/// Timeout for the log's answer to a registration.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long the node may take to see what the log has accepted.
+/// Timeout for this node's state to include an accepted registration.
 const VISIBILITY_TIMEOUT: Duration = Duration::from_secs(2);
-/// When a backend should ask again if the log did not answer, in microseconds.
+/// Retry delay for backends if the log did not answer, in microseconds.
 const RETRY_AFTER: Microseconds = 500_000;
 
-/// `POST /back-end/register`.
+/// Handles `POST /back-end/register`.
 pub(crate) struct Register {
     pub(crate) config: BackendApiConfig,
 }
 
-// The faults that backends see name the type so.
+// The `expecting` text appears in error messages that backends see.
 #[derive(serde::Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct RegisterAsk")]
 struct RegisterRequest {
@@ -70,7 +72,7 @@
             slots: request.slots,
             address: request.address,
         };
-        let (incarnation, outcome) = self.decide(registration, &secret).await?;
+        let (incarnation, outcome) = self.register_in_log(registration, &secret).await?;
         let accepted = accepted_position(outcome.as_ref());
         config
             .slot_owner
@@ -78,7 +80,7 @@
             .await;
         let position = accepted.ok_or_else(|| match outcome {
             Some(Outcome::Refused { reason }) => bad_request(reason),
-            _ => Error::new(ErrorKind::StaleState, "the core did not answer")
+            _ => Error::new(ErrorKind::StaleState, "the log did not answer in time")
                 .with_retry_after(RETRY_AFTER),
         })?;
         wait_until_visible(config, position, &request.service).await;
@@ -91,9 +93,9 @@
         }))
     }
 
-    /// Reserves an incarnation and asks the log for it, again while the log has a later one than
-    /// this node knew. `None` if the log did not answer in time.
-    async fn decide(
+    /// Reserves an incarnation and reports it to the log; repeats this while the log has a later
+    /// one than this node knew. The outcome is `None` if the log did not answer in time.
+    async fn register_in_log(
         &self,
         registration: Registration,
         secret: &str,
@@ -106,14 +108,14 @@
                 .slot_owner
                 .reserve(registration.clone(), secret.to_string())
                 .await?;
-            let back_end = config
+            let backend = config
                 .slot_owner
                 .backend(&name)
                 .await
                 .ok_or_else(|| Error::new(ErrorKind::ShuttingDown, "this node is stopping"))?;
             let report = EndpointReport::BackendRegistered {
                 name: name.clone(),
-                backend: back_end,
+                backend,
             };
             let answer = config.status_reports.report_endpoint_status(report);
             let outcome = timeout(REPORT_TIMEOUT, answer).await.ok().flatten();
@@ -169,8 +171,9 @@
     }
 }
 
-/// Waits until the node's state has come as far as `position` and holds the service, so that a
-/// backend that has its answer can send requests at once. Gives up in silence after a while.
+/// Waits until the node's state includes `position` and the service, so that a backend can send
+/// requests as soon as it has the answer to its registration. Returns without an error after a
+/// timeout.
 async fn wait_until_visible(config: &BackendApiConfig, position: Position, service: &str) {
     let mut view_changes = config.view_changes.clone();
     let visible = view_changes.wait_for(|_| {
--- a/crates/backend-api/src/seal.rs
+++ b/crates/backend-api/src/seal.rs
@@ -1,9 +1,10 @@
-//! The seal: a digest by which a complete response to this very attempt is known (design 5.3).
+//! The seal of a response: a digest that shows that the response is complete and belongs to the
+//! attempt (design 5.3).
 
 use sha2::{Digest, Sha256};
 
-/// SHA-256, in hexadecimal, over the attempt's name, the status (two bytes, big-endian) and the
-/// body, each preceded by its length (eight bytes, big-endian).
+/// Returns the seal: the SHA-256 digest, in hexadecimal, of the attempt id, the status (two bytes,
+/// big-endian) and the body, each preceded by its length (eight bytes, big-endian).
 pub fn seal(attempt_id: &str, status: u16, body: &[u8]) -> String {
     let status = status.to_be_bytes();
     let mut digest = Sha256::new();
--- a/crates/client-api/src/call.rs
+++ b/crates/client-api/src/call.rs
@@ -1,4 +1,4 @@
-//! A client's call: read the request, forward it, write the response or the error.
+//! Handles a client's call: reads the request, performs it, and writes the response or the error.
 
 use http_util::{MAX_BODY_BYTES, bearer_token, header_text, read_body, write_error};
 use legacy_proxy::{OutboundProxy, SlotOwnerHandle, forwarded_attempts};
@@ -12,13 +12,14 @@
 const SHARD_KEY_HEADER: &str = "x-gradeford-key";
 const SEAL_HEADER: &str = "x-gradeford-seal";
 
-/// Longest name of a request, in bytes.
+/// Maximum length of an attempt id, in bytes.
 const MAX_ATTEMPT_ID_BYTES: usize = 192;
-/// Longest key of a sharded service, in bytes; a longer one counts as none.
+/// Maximum length of a shard key, in bytes; a longer key is ignored.
 const MAX_SHARD_KEY_BYTES: usize = 256;
 
-/// Headers that are for one connection or that only gradeford may set, besides those of its prefix.
-const RESERVED_NAMES: [&str; 10] = [
+/// Headers that apply to a single connection or that only gradeford may set, in addition to those
+/// with its prefix.
+const RESERVED_HEADERS: [&str; 10] = [
     "connection",
     "host",
     "content-length",
@@ -59,7 +60,8 @@
             let detail = "the header x-gradeford-try is the registration's try_prefix and a name, at most 192 letters";
             Error::new(ErrorKind::BadRequest, detail)
         })?;
-        // An earlier incarnation of this node may have known the secret, and accepted the request.
+        // The error says that the request may have run: an earlier incarnation of this node may
+        // have known the secret and accepted the attempt.
         let client = self.slot_owner.client(&secret).ok_or_else(|| {
             Error::new(
                 ErrorKind::UnknownClient,
@@ -74,11 +76,16 @@
                 return Err(error);
             }
         };
-        // On its own task: a client that hangs up does not break off a request that was forwarded.
+        // A separate task: a request that was forwarded is not cancelled when its client
+        // disconnects.
         let proxy = self.proxy.clone();
         let call = tokio::spawn(async move { proxy.call(client, request).await });
-        call.await
-            .unwrap_or_else(|_| Err(Error::new(ErrorKind::PeerLost, "the request's task broke")))
+        call.await.unwrap_or_else(|_| {
+            Err(Error::new(
+                ErrorKind::PeerLost,
+                "the task of the request ended without a result",
+            ))
+        })
     }
 }
 
@@ -141,7 +148,7 @@
         .map(|(name, value)| (name.to_string(), value.into_bytes()));
     for (name, value) in reply.headers.into_iter().chain(own_headers) {
         let name = HeaderName::from_bytes(name.as_bytes());
-        // What is no header in HTTP is left out.
+        // Names and values that are not valid in HTTP are left out.
         if let (Ok(name), Ok(value)) = (name, HeaderValue::from_bytes(&value)) {
             response.headers_mut().insert(name, value);
         }
@@ -149,24 +156,27 @@
     response.write_body(reply.body).unwrap_or_default();
 }
 
-/// Whether a client's header (its name in lower case) is not forwarded.
+/// Whether a client's header is not forwarded; `name` is in lower case.
 fn is_reserved_header(name: &str) -> bool {
-    RESERVED_NAMES.contains(&name) || name.starts_with("x-gradeford-") || name.starts_with("proxy-")
+    RESERVED_HEADERS.contains(&name)
+        || name.starts_with("x-gradeford-")
+        || name.starts_with("proxy-")
 }
 
-/// The path at the backend. What a standing order's path is compared with must be what the backend
-/// sees, so dots and hidden slashes are refused.
+/// Returns the path to request from the backend. The path that is matched with standing orders must
+/// be the one that the backend sees, so paths with dot segments, backslashes, doubled or encoded
+/// slashes or null bytes are rejected.
 fn unambiguous_path(path: &str, service: &str) -> Result<String, Error> {
     let rest = path
         .strip_prefix("/call/")
         .and_then(|rest| rest.strip_prefix(service));
     let rest = rest.unwrap_or_default();
     let lower = rest.to_ascii_lowercase();
-    let is_tricky = ["//", "%2e", "%2f", "%5c", "\\", "%00"]
+    let has_ambiguous_part = ["//", "%2e", "%2f", "%5c", "\\", "%00"]
         .iter()
         .any(|part| lower.contains(part));
-    let has_dots = rest.split('/').any(|part| part == "." || part == "..");
-    if !rest.starts_with('/') || is_tricky || has_dots {
+    let has_dot_segment = rest.split('/').any(|part| part == "." || part == "..");
+    if !rest.starts_with('/') || has_ambiguous_part || has_dot_segment {
         let detail = "the path holds dots, doubled or encoded slashes";
         return Err(Error::new(ErrorKind::BadRequest, detail));
     }
--- a/crates/client-api/src/call/tests.rs
+++ b/crates/client-api/src/call/tests.rs
@@ -1,7 +1,9 @@
+//! Validation of paths and filtering of headers in a client's call.
+
 use super::{is_reserved_header, unambiguous_path};
 
 #[test]
-fn a_path_that_could_mean_two_things_is_refused() {
+fn ambiguous_paths_are_rejected() {
     let path = |text: &str| unambiguous_path(text, "seat").ok();
     assert_eq!(
         path("/call/seat/checkout/4").as_deref(),
@@ -21,7 +23,7 @@
 }
 
 #[test]
-fn a_client_cannot_set_headers_in_our_name() {
+fn clients_cannot_set_reserved_headers() {
     assert!(is_reserved_header("x-gradeford-sender"));
     assert!(is_reserved_header("authorization"));
     assert!(is_reserved_header("host"));
--- a/crates/client-api/src/lib.rs
+++ b/crates/client-api/src/lib.rs
@@ -1,4 +1,5 @@
-//! The HTTP interface of a node for the clients on its machine: one call a request (design 5.2).
+//! The HTTP interface of a node for the clients on its machine: one call for each request
+//! (design 5.2).
 
 #![deny(missing_docs)]
 
@@ -9,7 +10,7 @@
 
 use call::CallHandler;
 
-/// The route `/call/{service}/…`, which takes any method.
+/// Returns the router for `/call/{service}/…`, which accepts any method.
 pub fn router(proxy: OutboundProxy, slot_owner: SlotOwnerHandle) -> Router {
     Router::with_path("call/{service}/{**rest}").goal(CallHandler { proxy, slot_owner })
 }
--- a/crates/legacy-proxy/src/accepted_attempts.rs
+++ b/crates/legacy-proxy/src/accepted_attempts.rs
@@ -1,4 +1,5 @@
-//! Attempts that this node accepted, and the errors of those that certainly did not run (design 5.5).
+//! Attempts that this node accepted, with the errors of those that certainly did not run
+//! (design 5.5).
 
 #[cfg(test)]
 mod tests;
@@ -8,27 +9,29 @@
 use model::{Error, ErrorKind};
 use tokio::sync::{mpsc, oneshot};
 
-/// Commands that may wait for the task.
+/// Capacity of the task's command channel.
 const QUEUE_CAPACITY: usize = 1_024;
-/// So many attempts are remembered. They are counted and not timed: a client that was suspended for
-/// an hour finds its attempt still known.
+/// Number of attempts that are remembered. The table is bounded by count and not by time, so that
+/// an attempt is still known to a client that was suspended for an hour.
 pub const MAX_ATTEMPTS: usize = 65_536;
 
-/// The attempts that one node accepted. An attempt id is unique under its registration, so its text is
-/// its identity. Pure.
+/// The attempts that one node accepted. Attempt ids begin with the prefix of their client's
+/// registration, so the id alone identifies an attempt. Pure.
 #[derive(Default)]
 pub struct AcceptedAttempts {
-    /// `None` while it is in flight, and for ever once it may have run.
+    /// The error of an attempt that certainly did not run; `None` for one that is in flight or may
+    /// have run.
     table: HashMap<String, Option<Error>>,
+    /// Attempt ids, oldest first.
     order: VecDeque<String>,
 }
 
 impl AcceptedAttempts {
-    /// Accepts an attempt that was not seen before.
+    /// Accepts an attempt that has not been seen before.
     ///
     /// # Errors
     ///
-    /// For a second arrival: the error of the first if it certainly did not run, else
+    /// For a duplicate: the error of the first arrival if that certainly did not run, otherwise
     /// [`ErrorKind::DuplicateAttempt`].
     pub fn accept(&mut self, attempt_id: &str) -> Result<(), Error> {
         match self.table.get(attempt_id) {
@@ -36,7 +39,7 @@
             Some(None) => {
                 return Err(Error::new(
                     ErrorKind::DuplicateAttempt,
-                    "this node has taken this try before; its first answer stands",
+                    "this node has already accepted this attempt; its first answer stands",
                 ));
             }
             None => {}
@@ -51,10 +54,11 @@
         Ok(())
     }
 
-    /// The attempt certainly did not run, and never will: whoever sends it again gets the same error.
+    /// Records that the attempt certainly did not run and never will: duplicates get the same
+    /// error.
     pub fn record_not_run(&mut self, attempt_id: &str, error: Error) {
-        if let Some(held) = self.table.get_mut(attempt_id) {
-            *held = Some(error);
+        if let Some(outcome) = self.table.get_mut(attempt_id) {
+            *outcome = Some(error);
         }
     }
 }
@@ -64,7 +68,7 @@
     RecordNotRun(String, Error),
 }
 
-/// A handle on the task that owns the table. The task ends with its last handle.
+/// Handle on the task that owns the table. The task ends when its last handle is dropped.
 #[derive(Clone)]
 pub struct AcceptedAttemptsHandle {
     commands: mpsc::Sender<Command>,
@@ -100,12 +104,12 @@
         accepted.await.unwrap_or_else(|_| {
             Err(Error::new(
                 ErrorKind::DuplicateAttempt,
-                "the table of tries is gone; whether it ran is not known here",
+                "the table of accepted attempts was lost; whether this attempt ran is unknown",
             ))
         })
     }
 
-    /// The attempt certainly did not run.
+    /// Records that an attempt certainly did not run.
     pub async fn record_not_run(&self, attempt_id: &str, error: Error) {
         self.commands
             .send(Command::RecordNotRun(attempt_id.to_string(), error))
--- a/crates/legacy-proxy/src/accepted_attempts/tests.rs
+++ b/crates/legacy-proxy/src/accepted_attempts/tests.rs
@@ -1,16 +1,16 @@
-//! What a second arrival of an attempt is told.
+//! Duplicates of an attempt are rejected with the outcome of its first arrival.
 
 use model::ExecutionStatus;
 
 use super::*;
 
 #[test]
-fn a_second_arrival_never_runs_and_gets_what_is_true_of_the_first() {
+fn duplicate_never_runs_and_gets_the_outcome_of_the_first_arrival() {
     let mut accepted = AcceptedAttempts::default();
     assert_eq!(accepted.accept("seat-0.7.a"), Ok(()));
-    let again = accepted.accept("seat-0.7.a").expect_err("in flight");
+    let duplicate = accepted.accept("seat-0.7.a").expect_err("in flight");
     assert_eq!(
-        (again.kind, again.execution_status),
+        (duplicate.kind, duplicate.execution_status),
         (ErrorKind::DuplicateAttempt, ExecutionStatus::MayHaveRun)
     );
     let first = Error::new(ErrorKind::StaleState, "no proof");
@@ -19,12 +19,12 @@
     assert_eq!(
         accepted.accept("seat-0.7.b"),
         Err(first),
-        "what was told not to run does not run later"
+        "an attempt reported as not run is not run later"
     );
 }
 
 #[test]
-fn the_table_is_bounded_by_count() {
+fn table_is_bounded_by_count() {
     let mut accepted = AcceptedAttempts::default();
     (0..MAX_ATTEMPTS + 10)
         .for_each(|number| assert_eq!(accepted.accept(&format!("a.1.{number}")), Ok(())));
--- a/crates/legacy-proxy/src/age_marks/tests.rs
+++ b/crates/legacy-proxy/src/age_marks/tests.rs
@@ -1,24 +1,27 @@
-//! The age of requests by marks.
+//! The age of requests by the watermarks that they name.
 
 use super::*;
 
 #[test]
-fn a_request_that_lay_in_a_suspended_process_has_no_time_left() {
-    let mut marks = AgeWatermarks::new(0);
-    let mark = marks.issue(100_000);
+fn request_held_by_a_suspended_process_has_no_time_left() {
+    let mut watermarks = AgeWatermarks::new(0);
+    let watermark = watermarks.issue(100_000);
     assert_eq!(
-        marks.time_left(200_000, mark, 3_000_000),
+        watermarks.time_left(200_000, watermark, 3_000_000),
         3_000_000,
-        "an honest one loses nothing"
+        "an undelayed request loses no time"
     );
-    assert_eq!(marks.time_left(2_400_000, mark, 3_000_000), 1_000_000);
-    assert_eq!(marks.time_left(60_000_000, mark, 3_000_000), 0);
-    for turn in 0..100u64 {
-        assert!(marks.issue(200_000 + turn) > mark);
+    assert_eq!(
+        watermarks.time_left(2_400_000, watermark, 3_000_000),
+        1_000_000
+    );
+    assert_eq!(watermarks.time_left(60_000_000, watermark, 3_000_000), 0);
+    for offset in 0..100u64 {
+        assert!(watermarks.issue(200_000 + offset) > watermark);
     }
     assert_eq!(
-        marks.time_left(300_000, mark, 3_000_000),
+        watermarks.time_left(300_000, watermark, 3_000_000),
         0,
-        "a mark long forgotten"
+        "the watermark is no longer remembered"
     );
 }
--- a/crates/legacy-proxy/src/attempt_loop.rs
+++ b/crates/legacy-proxy/src/attempt_loop.rs
@@ -1,5 +1,5 @@
-//! What is decided of one request between its waits (design 5.2). Pure, with the view and the time
-//! passed in.
+//! The decisions made for one request between its I/O operations (design 5.2). Pure, with the view
+//! and the time passed in.
 
 use control::View;
 use model::leases::Lease;
@@ -9,30 +9,33 @@
 use crate::selector::Candidate;
 use crate::{ClientId, Request};
 
-/// Address and incarnation of the node beside the selected backend; `None` if it is this one.
+/// Address and incarnation of the node beside the selected backend; `None` if that is this node.
 pub type PeerLocation = Option<(String, u64)>;
 
-/// One request with its route, and what became of its attempts so far.
+/// One request with its route and the outcomes of its attempts so far.
 pub struct AttemptLoop {
     client: ClientId,
     request: Request,
     route: String,
     order: StandingOrder,
     deadline: Microseconds,
-    /// Counts the retries of what may have run, so that a retry is told apart from a second arrival.
+    /// Number of attempts that may have run; it distinguishes a retry from a duplicate.
     ordinal: u32,
-    passed_over: Vec<String>,
+    /// Backends on which an attempt failed.
+    tried_backends: Vec<String>,
+    /// The latest error of an attempt that may have run.
     may_have_run: Option<Error>,
 }
 
 impl AttemptLoop {
-    /// Finds the route of a request, and its deadline.
+    /// Finds the route of a request and sets its deadline.
     ///
     /// # Errors
     ///
     /// [`ErrorKind::StaleState`] if the view is not fresh or lacks the client's service,
-    /// [`ErrorKind::NoRoute`] if no standing order lets the request through, and
-    /// [`ErrorKind::BadRequest`] if its route needs a key.
+    /// [`ErrorKind::NoRoute`] if no standing order allows the request or the client belongs to no
+    /// grouping, and [`ErrorKind::BadRequest`] if the route is keyed and the request has no shard
+    /// key.
     pub fn begin(
         view: &View,
         now: Microseconds,
@@ -42,13 +45,13 @@
         if !view.is_fresh(now) {
             return Err(Error::new(
                 ErrorKind::StaleState,
-                "no proof that the state held here is current",
+                "this node has no current freshness proof for its state",
             ));
         }
         if !view.slice.services.contains(&client.service) {
             return Err(Error::new(
                 ErrorKind::StaleState,
-                "the news of the sender's own service is still on its way",
+                "this node has not yet received the state of the client's service",
             )
             .with_retry_after(100_000));
         }
@@ -56,7 +59,7 @@
             return Err(Error::new(
                 ErrorKind::NoRoute,
                 format!(
-                    "no grouping holds {:?} any more, so it speaks for no service",
+                    "{:?} no longer belongs to a grouping and cannot send requests for a service",
                     client.name
                 ),
             ));
@@ -79,7 +82,7 @@
         if order.keyed && request.shard_key.is_none() {
             return Err(Error::new(
                 ErrorKind::BadRequest,
-                "this lane needs the header x-gradeford-key",
+                "this route requires the header x-gradeford-key",
             ));
         }
         let deadline = now + request.timeout.unwrap_or(order.wait_us).min(order.wait_us);
@@ -90,21 +93,22 @@
             order,
             deadline,
             ordinal: 0,
-            passed_over: Vec::new(),
+            tried_backends: Vec::new(),
             may_have_run: None,
         })
     }
 
-    /// The service that is to answer.
+    /// The service that the request is for.
     pub fn service(&self) -> &str {
         &self.request.service
     }
 
-    /// When the client stops waiting.
+    /// The time at which the client stops waiting.
     pub fn deadline(&self) -> Microseconds {
         self.deadline
     }
 
+    /// The lease on the request's shard key, if the route is keyed.
     fn lease<'a>(&self, view: &'a View) -> Option<&'a Lease> {
         let key = self
             .request
@@ -114,12 +118,13 @@
         view.slice.lease(&self.request.service, key)
     }
 
-    /// The backends that the next attempt may go to now.
+    /// The backends that are eligible for the next attempt.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::ExpiredBeforeRun`] from the deadline on, and [`ErrorKind::StaleState`] if the view
-    /// is not fresh. Either ends the request.
+    /// [`ErrorKind::ExpiredBeforeRun`] from the deadline on, and [`ErrorKind::StaleState`] if the
+    /// view is not fresh; if an attempt may have run, its error instead. Any of them ends the
+    /// request.
     pub fn candidates(
         &self,
         view: &View,
@@ -129,13 +134,13 @@
         if now >= self.deadline {
             return Err(self.final_error(Error::new(
                 ErrorKind::ExpiredBeforeRun,
-                "the wait was over before it could be dispatched",
+                "the deadline passed before the request could be forwarded",
             )));
         }
         if !view.is_fresh(now) {
             return Err(self.final_error(Error::new(
                 ErrorKind::StaleState,
-                "no proof that the state held here is current",
+                "this node has no current freshness proof for its state",
             )));
         }
         let keyed = self.order.keyed;
@@ -144,15 +149,16 @@
             .and_then(|lease| lease.holder.as_ref())
             .map(|(name, _)| name.as_str());
         let labels = &self.order.selector.labels;
-        let fitting = view.slice.backends.iter().filter(|(name, backend)| {
+        let eligible = view.slice.backends.iter().filter(|(name, backend)| {
             backend.service == self.request.service
                 && backend.accepts_work()
                 && backend.slots > 0
                 && labels.iter().all(|(name, value)| backend.labels.get(name) == Some(value))
-                // Another than before; but a key has one holder, which may be asked again.
-                && if keyed { holder == Some(name.as_str()) } else { !self.passed_over.contains(name) }
+                // A retry goes to another backend. A key has only one holder, which may be tried
+                // again.
+                && if keyed { holder == Some(name.as_str()) } else { !self.tried_backends.contains(name) }
         });
-        Ok(fitting
+        Ok(eligible
             .map(|(name, backend)| Candidate {
                 name: name.clone(),
                 slots: backend.slots,
@@ -162,7 +168,7 @@
             .collect())
     }
 
-    /// The error of a request that found no backend.
+    /// The error of a request for which no backend is eligible.
     pub fn no_backend_error(&self) -> Error {
         let kind = if self.order.keyed {
             ErrorKind::KeyWithoutHolder
@@ -171,11 +177,14 @@
         };
         self.final_error(Error::new(
             kind,
-            format!("no back end of {:?} can take it now", self.request.service),
+            format!(
+                "no backend of {:?} is available for this request",
+                self.request.service
+            ),
         ))
     }
 
-    /// What goes to the selected backend, and where that is.
+    /// The request to forward to the selected backend, and the location of the node beside it.
     ///
     /// # Errors
     ///
@@ -204,7 +213,7 @@
             Some(location.ok_or_else(|| {
                 Error::new(
                     ErrorKind::Unreachable,
-                    "the node beside the back end is not known",
+                    "the node beside the backend is unknown",
                 )
             })?)
         };
@@ -231,9 +240,10 @@
         Ok((request, location))
     }
 
-    /// Records that an attempt failed; whether another is allowed and useful, if the budget grants it.
+    /// Records that an attempt on the backend `selected` failed. Returns whether a retry is safe
+    /// and can be useful; the retry budget still has to grant it.
     pub fn may_retry(&mut self, selected: &str, error: &Error) -> bool {
-        self.passed_over.push(selected.to_string());
+        self.tried_backends.push(selected.to_string());
         if error.execution_status == ExecutionStatus::MayHaveRun {
             self.may_have_run = Some(error.clone());
             self.ordinal += 1;
@@ -241,13 +251,14 @@
         is_retryable(error) && error.allows_retry(self.order.idempotent)
     }
 
-    /// What the client is answered: once an attempt may have run, no later error takes that back.
+    /// The error for the client. Once an attempt may have run, its error is returned instead of
+    /// `error`, so that the execution status covers all attempts.
     pub fn final_error(&self, error: Error) -> Error {
         self.may_have_run.clone().unwrap_or(error)
     }
 }
 
-/// Whether another backend, or the same a moment later, may do without this error.
+/// Whether an attempt on another backend, or later on the same one, can succeed after this error.
 fn is_retryable(error: &Error) -> bool {
     !matches!(
         error.kind,
--- a/crates/legacy-proxy/src/forwarded_attempts.rs
+++ b/crates/legacy-proxy/src/forwarded_attempts.rs
@@ -1,43 +1,44 @@
-//! Identities of attempts that were already forwarded to a backend, kept as long as one could still
-//! arrive (design 5.5). Pure, with the time passed in.
+//! Identities of the attempts that were forwarded to a backend, kept for as long as a duplicate can
+//! still arrive (design 5.5). Pure, with the time passed in.
 
 use std::collections::{HashSet, VecDeque};
 
 use model::{Incarnation, Microseconds, validation};
 
-/// What all attempt ids of a registration begin with: another incarnation of the node or of the client
-/// is told apart.
+/// Common prefix of all attempt ids of one registration. It contains the incarnation, so ids of
+/// other incarnations of the node or of the client differ.
 pub fn attempt_prefix(name: &str, registered: Incarnation) -> String {
     format!("{name}.{registered}.")
 }
 
-/// Whether the text is an attempt id under some registration, though maybe not the present one.
+/// Whether the text is a well-formed attempt id of any registration, current or earlier.
 pub fn is_attempt_id(attempt_id: &str) -> bool {
     let mut parts = attempt_id.splitn(3, '.');
-    let named = parts.next().is_some_and(validation::is_valid_name);
+    let has_name = parts.next().is_some_and(validation::is_valid_name);
     let has_incarnation = parts.next().is_some_and(|part| part.parse::<u64>().is_ok());
-    named && has_incarnation && parts.next().is_some_and(|rest| !rest.is_empty())
+    has_name && has_incarnation && parts.next().is_some_and(|rest| !rest.is_empty())
 }
 
-/// Attempts by the client's service and their identity.
+/// The forwarded attempts, by the client's service and the attempt's identity.
 #[derive(Default)]
 pub struct ForwardedAttempts {
     seen: HashSet<(String, String)>,
+    /// Expiry time and identity of each attempt, oldest first.
     order: VecDeque<(Microseconds, (String, String))>,
 }
 
-/// An attempt is remembered for three minutes: a standing order may name a timeout of one minute at
-/// most, and an older request is refused by its mark.
+/// Time for which a forwarded attempt is remembered, in microseconds. A standing order can set a
+/// timeout of at most one minute, and an older request is rejected by the watermark that it names.
 pub const RETENTION: Microseconds = 180_000_000;
 
 impl ForwardedAttempts {
-    /// Whether the attempt was forwarded.
+    /// Whether the attempt has been forwarded.
     pub fn contains(&self, service: &str, attempt_id: &str) -> bool {
         self.seen
             .contains(&(service.to_string(), attempt_id.to_string()))
     }
 
-    /// Remembers that the attempt is forwarded now.
+    /// Records that the attempt is forwarded at `now`.
     pub fn insert(&mut self, now: Microseconds, service: &str, attempt_id: &str) {
         let identity = (service.to_string(), attempt_id.to_string());
         if self.seen.insert(identity.clone()) {
@@ -45,27 +46,31 @@
         }
     }
 
-    /// The attempt certainly was not forwarded after all: it may be sent here again.
+    /// Removes an attempt that certainly was not forwarded after all, so that it may be sent again.
     pub fn remove(&mut self, service: &str, attempt_id: &str) {
         self.seen
             .remove(&(service.to_string(), attempt_id.to_string()));
     }
 
-    /// Forgets what can no longer arrive.
+    /// Removes the attempts whose retention time has passed.
     pub fn expire(&mut self, now: Microseconds) {
-        while self.order.front().is_some_and(|(until, _)| *until <= now) {
+        while self
+            .order
+            .front()
+            .is_some_and(|(expires_at, _)| *expires_at <= now)
+        {
             if let Some((_, identity)) = self.order.pop_front() {
                 self.seen.remove(&identity);
             }
         }
     }
 
-    /// How many attempts are remembered.
+    /// Number of attempts that are remembered.
     pub fn len(&self) -> usize {
         self.seen.len()
     }
 
-    /// Whether none is remembered.
+    /// Whether no attempt is remembered.
     pub fn is_empty(&self) -> bool {
         self.seen.is_empty()
     }
--- a/crates/legacy-proxy/src/inbound_proxy.rs
+++ b/crates/legacy-proxy/src/inbound_proxy.rs
@@ -1,4 +1,5 @@
-//! Beside the selected backend: admission, the run, and its response (design 5.3).
+//! The side of the selected backend: admits a request, runs it and returns its response
+//! (design 5.3).
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -13,14 +14,14 @@
 use crate::SlotOwnerHandle;
 use crate::slot_owner::Permit;
 
-/// The run of a request in a backend.
+/// Future of a request that runs in a backend.
 pub type ForwardFuture<'a> =
     Pin<Box<dyn Future<Output = Result<AttemptResponse, Error>> + Send + 'a>>;
 
-/// How a request gets from this process into the backend.
+/// Forwards requests from this process to backends.
 pub trait BackendConnector: Send + Sync {
     /// Sends the request to the backend at `address` and waits for its response; `time_left` is in
-    /// microseconds. Only a sealed, complete response comes back as one.
+    /// microseconds. Only a complete response with a valid seal is returned as a success.
     fn forward<'a>(
         &'a self,
         address: &'a str,
@@ -34,13 +35,14 @@
 pub struct InboundProxy {
     /// Admits requests to the backends' slots.
     pub slot_owner: SlotOwnerHandle,
-    /// The way into the backends.
+    /// Forwards requests to the backends.
     pub connector: Arc<dyn BackendConnector>,
-    /// Where retries are logged.
+    /// Logger for retries.
     pub logger: Logger,
 }
 
-/// A backend that overruns the deadline keeps its slot for 1 s more: it may still be at work.
+/// Time after the deadline, in microseconds, for which a backend that has not responded keeps its
+/// slot, because the request may still be running.
 const OVERRUN_GRACE: Microseconds = 1_000_000;
 
 impl InboundProxy {
@@ -48,35 +50,39 @@
     ///
     /// # Errors
     ///
-    /// Certainly not run if the slot was refused; else as the connector says, or
-    /// [`ErrorKind::TimedOut`] at the deadline.
+    /// The error of the admission, in which case the request was not forwarded; otherwise that of
+    /// the connector, or [`ErrorKind::TimedOut`] at the deadline.
     pub async fn perform(&self, request: AttemptRequest) -> Result<AttemptResponse, Error> {
         let permit = self.slot_owner.admit(request.clone()).await?;
         let (reply, response) = oneshot::channel();
         let time_left = permit.deadline.saturating_sub(model::now());
         let (connector, slot_owner) = (self.connector.clone(), self.slot_owner.clone());
-        // In a task of its own: the run goes on, and holds its slot, though its caller may be lost.
+        // A separate task: the run continues and keeps its slot even if its caller is cancelled.
         tokio::spawn(async move {
-            let patience = Duration::from_micros(time_left + OVERRUN_GRACE);
+            let run_timeout = Duration::from_micros(time_left + OVERRUN_GRACE);
             let run = connector.forward(&permit.address, &request, time_left);
-            let result = time::timeout(patience, run)
+            let result = time::timeout(run_timeout, run)
                 .await
                 .unwrap_or_else(|_| Err(timed_out()));
-            free_slot(slot_owner, permit, &result).await;
+            release_slot(slot_owner, permit, &result).await;
             // The caller may have stopped waiting.
             reply.send(result).is_ok()
         });
         match time::timeout(Duration::from_micros(time_left), response).await {
-            Ok(result) => result
-                .unwrap_or_else(|_| Err(Error::new(ErrorKind::BackendLost, "the run was lost"))),
+            Ok(result) => result.unwrap_or_else(|_| {
+                Err(Error::new(
+                    ErrorKind::BackendLost,
+                    "the task that ran the request ended without a result",
+                ))
+            }),
             Err(_) => Err(timed_out()),
         }
     }
 }
 
-/// Gives the slot back. A backend that broke off may still be at work: its slot and key stay taken
-/// until the deadline.
-async fn free_slot(
+/// Releases the slot of a run that ended. If the connection to the backend broke, the request may
+/// still be running there, so its slot and key stay occupied until the deadline.
+async fn release_slot(
     slot_owner: SlotOwnerHandle,
     permit: Permit,
     result: &Result<AttemptResponse, Error>,
@@ -95,5 +101,8 @@
 }
 
 fn timed_out() -> Error {
-    Error::new(ErrorKind::TimedOut, "the back end did not answer in time")
+    Error::new(
+        ErrorKind::TimedOut,
+        "the backend did not respond before the deadline",
+    )
 }
--- a/crates/legacy-proxy/src/lib.rs
+++ b/crates/legacy-proxy/src/lib.rs
@@ -1,16 +1,19 @@
-//! The data plane over standing orders: from the node beside a client to the node beside the selected
-//! backend (design 5).
+//! The data plane that routes by standing orders: it carries a request from the node beside its
+//! client to the node beside the selected backend (design 5).
 //!
-//! A request passes these layers, each named for what it adds:
+//! A request passes through these layers:
 //!
-//! 1. [`OutboundProxy`]: each attempt id once, route, selection, retries. What it decides between its
-//!    waits is [`attempt_loop::AttemptLoop`], which is pure.
-//! 2. [`peer_connections`] and [`server`]: the two ends of the connections between nodes.
-//! 3. [`InboundProxy`]: the run in the backend, in a task of its own.
-//! 4. [`SlotOwner`]: the last check, slots, the bounded queue, and duplicates.
+//! 1. [`OutboundProxy`] rejects duplicate attempt ids, finds the route, selects backends and
+//!    retries. Its decisions between I/O operations are made by [`attempt_loop::AttemptLoop`],
+//!    which is pure.
+//! 2. [`peer_connections`] and [`server`] are the two ends of the connections between nodes.
+//! 3. [`InboundProxy`] runs the request in the backend, in a separate task.
+//! 4. [`SlotOwner`] makes the admission check, assigns slots, keeps the bounded queues and detects
+//!    duplicates.
 //!
-//! `outbound` and `inbound` are the data plane over the cluster state. What both share is
-//! `proxy-core`; the modules [`selector`] and [`retry_budget`] name what differs.
+//! `outbound` and `inbound` are the data plane that routes by the cluster state. The code common to
+//! both data planes is in `proxy-core`; the modules [`selector`] and [`retry_budget`] say how they
+//! differ.
 #![deny(missing_docs)]
 
 pub mod accepted_attempts;
--- a/crates/legacy-proxy/src/outbound_proxy.rs
+++ b/crates/legacy-proxy/src/outbound_proxy.rs
@@ -1,4 +1,5 @@
-//! Beside the client: route, selection, attempt, and retries where they are allowed (design 5.2).
+//! The side of the client: routes a request, selects a backend, makes attempts and retries where
+//! that is allowed (design 5.2).
 
 use control::View;
 use control::updates::view::SharedView;
@@ -13,80 +14,79 @@
 use crate::selector::SelectorHandle;
 use crate::{ClientId, InboundProxy};
 
-/// One request as its client sent it.
+/// A request as its client sent it.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The identity that the client gave this attempt.
+    /// The attempt id that the client set.
     pub attempt_id: String,
-    /// The service that is to answer.
+    /// The service that the request is for.
     pub service: String,
     /// The HTTP method.
     pub method: String,
     /// The path, without the query.
     pub path: String,
-    /// The query with its question mark, or empty; standing orders do not look at it.
+    /// The query with its question mark, or empty. It is not used for routing.
     pub query: String,
     /// The client's headers.
     pub headers: Headers,
-    /// The whole body.
+    /// The complete body.
     pub body: Vec<u8>,
-    /// The key, for routes that are divided by key.
+    /// The shard key, which keyed routes require.
     pub shard_key: Option<String>,
-    /// How long the client waits, in microseconds; `None` leaves it to the standing order.
+    /// How long the client waits, in microseconds; `None` uses the timeout of the standing order.
     pub timeout: Option<Microseconds>,
 }
 
-/// Performs clients' requests. Clones share all state.
+/// Performs the requests of clients. Clones share all state.
 #[derive(Clone)]
 pub struct OutboundProxy {
-    /// The name of this node.
+    /// Name of this node.
     pub node: String,
-    /// The zone of this node.
+    /// Zone of this node.
     pub zone: String,
-    /// The state that this node follows, and until when it is proved fresh.
+    /// The state that this node follows, with the time until which it is proved fresh.
     pub view: SharedView,
-    /// The way into backends beside this node.
+    /// Runs requests in the backends beside this node.
     pub inbound: InboundProxy,
-    /// The way to the nodes beside all other backends.
+    /// Connections to the nodes beside all other backends.
     pub peers: PeerConnections,
     /// Load balancing.
     pub selector: SelectorHandle,
-    /// The bound on retries.
+    /// Limits the number of retries.
     pub retry_budget: RetryBudgetHandle,
-    /// Which attempts were seen before.
+    /// The attempts that this node accepted, for rejecting duplicates.
     pub accepted_attempts: AcceptedAttemptsHandle,
-    /// Counts requests for a graceful shutdown.
+    /// Counts the requests in flight for a graceful shutdown.
     pub in_flight: InFlightRequests,
 }
 
-/// When a client is to come back to a node that shuts down: 1 s.
+/// Retry delay for clients of a node that is shutting down, in microseconds.
 const RETRY_AFTER_SHUTDOWN: Microseconds = 1_000_000;
 
 impl OutboundProxy {
-    /// Returns once every request that was in flight has its answer. Call it after
-    /// [`drain`](Self::drain).
+    /// Waits until every request in flight has its answer. Call it after [`drain`](Self::drain).
     pub async fn drained(&self) {
         self.in_flight.drained().await;
     }
 
-    /// Refuses every request from now on; those in flight go on.
+    /// Rejects all new requests; those in flight continue.
     pub fn drain(&self) {
         self.in_flight.drain();
     }
 
-    /// Accepts an attempt, before anything else is looked at: each is accepted once, in the present
-    /// incarnation of its client's registration.
+    /// Accepts an attempt, before the request is examined any further. Each attempt is accepted
+    /// once, and only under the current registration of its client.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::EarlierIncarnation`] for an id of another registration; for a second arrival as
-    /// in [`AcceptedAttempts::accept`](crate::accepted_attempts::AcceptedAttempts::accept).
+    /// [`ErrorKind::EarlierIncarnation`] for an id of another registration; for a duplicate the
+    /// error of [`AcceptedAttempts::accept`](crate::accepted_attempts::AcceptedAttempts::accept).
     pub async fn accept(&self, client: &ClientId, attempt_id: &str) -> Result<(), Error> {
         if !attempt_id.starts_with(&client.attempt_prefix) {
             return Err(Error::new(
                 ErrorKind::EarlierIncarnation,
                 format!(
-                    "tries of this registration are named {}…; what became of this one is not known here",
+                    "attempt ids of this registration begin with {}; the outcome of this attempt is unknown",
                     client.attempt_prefix
                 ),
             ));
@@ -94,11 +94,11 @@
         self.accepted_attempts.accept(attempt_id).await
     }
 
-    /// Performs an attempt that was accepted, to its one answer.
+    /// Performs a request whose attempt id was accepted, with retries where they are allowed.
     ///
     /// # Errors
     ///
-    /// The error's execution status holds over all attempts on backends.
+    /// The execution status of the error covers all attempts on backends.
     pub async fn call(&self, client: ClientId, request: Request) -> Result<AttemptResponse, Error> {
         let attempt_id = request.attempt_id.clone();
         let result = self.perform(client, request).await;
@@ -107,7 +107,8 @@
         result
     }
 
-    /// Remembers an attempt that certainly did not run: it stays so, whoever sends it again.
+    /// Records an error with which the request certainly did not run, so that duplicates of the
+    /// attempt get the same error.
     pub async fn record_not_run(&self, attempt_id: &str, error: Option<&Error>) {
         let not_run = |error: &&Error| error.execution_status == ExecutionStatus::NotRun;
         if let Some(error) = error.filter(not_run) {
@@ -143,7 +144,7 @@
             {
                 return Err(attempts.final_error(error));
             }
-            // The harness that reads this line knows it by these words.
+            // The simulator matches this message.
             slog::info!(
                 self.inbound.logger, "dispatched again";
                 "service" => attempts.service(), "at" => model::now(), "after" => error.kind.code()
@@ -151,7 +152,7 @@
         }
     }
 
-    /// One attempt on the selected backend, beside this node or beside a peer.
+    /// Makes one attempt on the selected backend, which is beside this node or beside a peer.
     async fn attempt(
         &self,
         attempts: &AttemptLoop,
--- a/crates/legacy-proxy/src/peer_connections.rs
+++ b/crates/legacy-proxy/src/peer_connections.rs
@@ -1,5 +1,5 @@
-//! Connections to other nodes: one to each, with many requests on it, told apart by request id
-//! (design 5.2). One task owns them all and is reached through [`PeerConnections`].
+//! Connections to other nodes: one connection to each, on which requests are multiplexed by request
+//! id (design 5.2). One task owns all connections; [`PeerConnections`] is its handle.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -15,17 +15,17 @@
 type ConnectionId = u64;
 type RequestId = u64;
 
-/// Commands that may wait for the task.
+/// Capacity of the task's command channel.
 const QUEUE_CAPACITY: usize = 4_096;
 
-/// A request on its way to one incarnation of the node at some address.
+/// A request to a certain incarnation of a node.
 struct Call {
     incarnation: Incarnation,
     request: Box<AttemptRequest>,
     reply: ReplySender,
 }
 
-/// What the task is told; the first field is the address of the node.
+/// A command to the task. The first field is the address of the node.
 enum Command {
     Call(String, Call),
     Connected(String, Result<transport::Connection, transport::Error>),
@@ -35,13 +35,14 @@
         RequestId,
         Result<AttemptResponse, Error>,
     ),
-    /// The other node sent its latest mark (see [`AgeWatermarks`](crate::age_marks::AgeWatermarks)).
-    Marked(String, ConnectionId, u64),
+    /// The peer sent a watermark (see [`AgeWatermarks`](crate::age_marks::AgeWatermarks)).
+    Watermark(String, ConnectionId, u64),
     ConnectionLost(String, ConnectionId),
-    CallerGone(String, RequestId),
+    /// The caller of a request stopped waiting.
+    CallAbandoned(String, RequestId),
 }
 
-/// A handle on the task that owns all connections. Clones share everything.
+/// Handle on the task that owns all connections. Clones share all state.
 #[derive(Clone)]
 pub struct PeerConnections {
     commands: mpsc::Sender<Command>,
@@ -49,22 +50,22 @@
 }
 
 enum Connection {
-    /// Since when it is being dialed, and what waits for it, which has certainly not left.
+    /// When dialing began, and the calls that wait for the connection; none of them has been sent.
     Dialing(Microseconds, Vec<Call>),
     Open(OpenConnection),
 }
 
 struct OpenConnection {
     id: ConnectionId,
-    /// The incarnation of the node that answered there.
+    /// Incarnation of the node at the other end.
     incarnation: Incarnation,
     sender: FrameSender,
-    last_mark: u64,
+    last_watermark: u64,
     pending: HashMap<RequestId, ReplySender>,
 }
 
 impl PeerConnections {
-    /// Starts the task. `handshake` is what this node says of itself when it connects.
+    /// Starts the task. `handshake` returns the handshake that this node sends when it connects.
     pub fn start(handshake: impl Fn() -> Handshake + Send + Sync + 'static) -> Self {
         let (commands, receiver) = mpsc::channel(QUEUE_CAPACITY);
         let task = ConnectionsTask {
@@ -80,13 +81,13 @@
         }
     }
 
-    /// Has a request run beside the node at `address`; another incarnation than the one given is not
-    /// the node that was meant.
+    /// Sends a request to the node at `address` and waits for its result. The request is sent only
+    /// if that node still has the given incarnation.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Unreachable`], certainly not run, if the request never left;
-    /// [`ErrorKind::PeerLost`] and [`ErrorKind::TimedOut`], may have run, if no answer came.
+    /// [`ErrorKind::Unreachable`] (certainly not run) if the request was not sent;
+    /// [`ErrorKind::PeerLost`] or [`ErrorKind::TimedOut`] (may have run) if no answer arrived.
     pub async fn call(
         &self,
         address: &str,
@@ -111,12 +112,16 @@
             return Err(Error::new(ErrorKind::ShuttingDown, "this node is stopping"));
         }
         match time::timeout(time_left, replied).await {
-            Ok(result) => result
-                .unwrap_or_else(|_| Err(Error::new(ErrorKind::PeerLost, "the far node was lost"))),
+            Ok(result) => result.unwrap_or_else(|_| {
+                Err(Error::new(
+                    ErrorKind::PeerLost,
+                    "the connection to the peer node was lost",
+                ))
+            }),
             Err(_) => {
-                let command = Command::CallerGone(address.to_string(), request_id);
+                let command = Command::CallAbandoned(address.to_string(), request_id);
                 self.commands.send(command).await.unwrap_or_default();
-                let detail = "the far node did not answer in time";
+                let detail = "the peer node did not answer before the deadline";
                 Err(Error::new(ErrorKind::TimedOut, detail))
             }
         }
@@ -125,7 +130,7 @@
 
 struct ConnectionsTask {
     commands: mpsc::Sender<Command>,
-    /// By address.
+    /// Connections by the address of their node.
     connections: HashMap<String, Connection>,
     last_connection_id: ConnectionId,
     handshake: Arc<dyn Fn() -> Handshake + Send + Sync>,
@@ -143,47 +148,53 @@
             Command::Call(address, call) => self.call(address, call),
             Command::Connected(address, connection) => self.connected(address, connection),
             Command::Reply(address, connection_id, request_id, result) => {
-                let open = self.open(&address).filter(|open| open.id == connection_id);
+                let open = self
+                    .open_connection(&address)
+                    .filter(|open| open.id == connection_id);
                 if let Some(reply) = open.and_then(|open| open.pending.remove(&request_id)) {
                     // The caller may have stopped waiting.
                     drop(reply.send(result));
                 }
             }
-            Command::Marked(address, connection_id, mark) => {
-                if let Some(open) = self.open(&address).filter(|open| open.id == connection_id) {
-                    open.last_mark = mark;
+            Command::Watermark(address, connection_id, watermark) => {
+                if let Some(open) = self
+                    .open_connection(&address)
+                    .filter(|open| open.id == connection_id)
+                {
+                    open.last_watermark = watermark;
                 }
             }
             Command::ConnectionLost(address, connection_id) => {
-                // Dropping the senders of replies says that the peer was lost: what was sent may have
-                // run.
+                // Dropping the reply senders fails the pending calls with `PeerLost`: they were
+                // sent and may have run.
                 if self
-                    .open(&address)
+                    .open_connection(&address)
                     .is_some_and(|open| open.id == connection_id)
                 {
                     self.connections.remove(&address);
                 }
             }
-            Command::CallerGone(address, request_id) => {
-                if let Some(open) = self.open(&address) {
+            Command::CallAbandoned(address, request_id) => {
+                if let Some(open) = self.open_connection(&address) {
                     open.pending.remove(&request_id);
                 }
             }
         }
     }
 
-    fn open(&mut self, address: &str) -> Option<&mut OpenConnection> {
+    fn open_connection(&mut self, address: &str) -> Option<&mut OpenConnection> {
         match self.connections.get_mut(address)? {
             Connection::Open(open) => Some(open),
             Connection::Dialing(..) => None,
         }
     }
 
-    /// Sends a request, or has it wait for a connection.
+    /// Sends a request on the open connection, or queues it until one is established.
     fn call(&mut self, address: String, mut call: Call) {
         match self.connections.get_mut(&address) {
             Some(Connection::Dialing(since, waiting)) => {
-                // Counted from the beginning of the dial, so that no more time than is left is said.
+                // `connected` subtracts the whole time of the dial, so the part of it that was over
+                // before this call is added here.
                 call.request.time_left += model::now() - *since;
                 waiting.push(call);
             }
@@ -201,7 +212,8 @@
         }
     }
 
-    /// A dial ended: what waited for the connection is sent, or certainly never left.
+    /// Handles the end of a dial: sends the calls that waited for the connection, or fails them as
+    /// certainly not run.
     fn connected(
         &mut self,
         address: String,
@@ -218,7 +230,7 @@
                     id: self.last_connection_id,
                     incarnation: connection.peer_handshake.incarnation,
                     sender: connection.sender,
-                    last_mark: 0,
+                    last_watermark: 0,
                     pending: HashMap::new(),
                 };
                 for mut call in waiting {
@@ -254,12 +266,12 @@
             reply,
         } = call;
         if reply.is_closed() {
-            // Its caller has given up, so it need not leave at all.
+            // The caller stopped waiting, so the request need not be sent.
             return;
         }
-        request.last_watermark = self.last_mark;
+        request.last_watermark = self.last_watermark;
         if incarnation != self.incarnation {
-            let detail = "another life of the far node answers there";
+            let detail = "the address now belongs to another incarnation of the peer node";
             return drop(reply.send(Err(Error::new(ErrorKind::Unreachable, detail))));
         }
         let request_id = request.request_id;
@@ -267,16 +279,16 @@
             Ok(()) => {
                 self.pending.insert(request_id, reply);
             }
-            // It never entered the queue, so it never left.
+            // The frame did not enter the send queue, so the request was not sent.
             Err(_) => {
-                let detail = "the conn to the far node takes nothing";
+                let detail = "the connection to the peer node accepts no frames";
                 drop(reply.send(Err(Error::new(ErrorKind::Unreachable, detail))));
             }
         }
     }
 }
 
-/// Hands what the other node sends to the task, until the connection ends.
+/// Passes the frames of the peer to the task until the connection ends.
 async fn receive_frames(
     address: String,
     connection_id: ConnectionId,
@@ -288,7 +300,9 @@
             Frame::AttemptResult { request_id, reply } => {
                 Command::Reply(address.clone(), connection_id, request_id, *reply)
             }
-            Frame::Watermark(mark) => Command::Marked(address.clone(), connection_id, mark),
+            Frame::Watermark(watermark) => {
+                Command::Watermark(address.clone(), connection_id, watermark)
+            }
             _ => continue,
         };
         commands.send(command).await.unwrap_or_default();
--- a/crates/legacy-proxy/src/retry_budget.rs
+++ b/crates/legacy-proxy/src/retry_budget.rs
@@ -1,7 +1,7 @@
-//! How many retries a node may give a service: one for five requests, and a small allowance that is
-//! saved up (design 5.6).
+//! The retry budget of each service on a node: one retry for five requests, saved up to a small
+//! allowance (design 5.6).
 //!
-//! Unlike the budget of `outbound`, whose deposits expire, what is earned here lasts, up to the
+//! Unlike in the budget of `outbound`, deposits do not expire; the balance is limited by the
 //! allowance of this node.
 
 #[cfg(test)]
@@ -13,16 +13,16 @@
 use arc_swap::ArcSwap;
 use tokio::sync::{mpsc, oneshot};
 
-/// Commands that may wait for the task.
+/// Capacity of the task's command channel.
 const QUEUE_CAPACITY: usize = 1_024;
-/// A fifth of a retry, the smallest amount there is.
+/// An amount in fifths of a retry, the smallest unit of a budget.
 type Fifths = u64;
-/// One retry.
+/// Cost of one retry, in fifths.
 const RETRY_COST: Fifths = 5;
 
-/// One bucket for each service. Each request earns a fifth of a retry and each retry costs a whole one;
-/// time earns nothing, and a new bucket is empty. So the retries in any span are at most a fifth of the
-/// requests in it and the allowance. Pure.
+/// One bucket for each service. Each request deposits a fifth of a retry and each retry withdraws a
+/// whole one. A new bucket is empty and is not refilled over time. So the number of retries in any
+/// time span is at most a fifth of the requests in that span plus the allowance. Pure.
 #[derive(Default)]
 pub struct RetryBudget {
     allowance: Fifths,
@@ -30,7 +30,7 @@
 }
 
 impl RetryBudget {
-    /// Empty buckets that hold at most `allowance` retries each.
+    /// Creates a budget whose buckets hold at most `allowance` retries each.
     pub fn new(allowance: usize) -> Self {
         RetryBudget {
             allowance: allowance as Fifths * RETRY_COST,
@@ -38,13 +38,13 @@
         }
     }
 
-    /// Counts a request of the service.
+    /// Counts a request to the service, which deposits a fifth of a retry.
     pub fn deposit(&mut self, service: &str) {
         let bucket = self.buckets.entry(service.to_string()).or_default();
         *bucket = (*bucket + 1).min(self.allowance);
     }
 
-    /// Pays for one retry; false, and nothing is paid, if it has not been earned.
+    /// Withdraws one retry. Returns false and withdraws nothing if the balance is too small.
     pub fn withdraw(&mut self, service: &str) -> bool {
         let bucket = self.buckets.entry(service.to_string()).or_default();
         let suffices = *bucket >= RETRY_COST;
@@ -58,22 +58,22 @@
     Withdraw(String, oneshot::Sender<bool>),
 }
 
-/// A handle on the task that owns the buckets. The task ends with its last handle.
+/// Handle on the task that owns the buckets. The task ends when its last handle is dropped.
 #[derive(Clone)]
 pub struct RetryBudgetHandle {
     commands: mpsc::Sender<Command>,
     counts: RetryCounts,
 }
 
-/// Requests and retries by service since the start, for status pages.
+/// Numbers of requests and of retries by service since the start, for status pages.
 pub type RetryCounts = Arc<ArcSwap<BTreeMap<String, (u64, u64)>>>;
 
 impl RetryBudgetHandle {
-    /// Starts the task, with at most `allowance` retries saved up for each service.
+    /// Starts the task with a budget that saves up at most `allowance` retries for each service.
     pub fn start(allowance: usize) -> Self {
         let (commands, mut receiver) = mpsc::channel(QUEUE_CAPACITY);
         let published: RetryCounts = Default::default();
-        let counts_of_task = published.clone();
+        let task_counts = published.clone();
         tokio::spawn(async move {
             let mut budget = RetryBudget::new(allowance);
             let mut counts = BTreeMap::<String, (u64, u64)>::new();
@@ -89,7 +89,7 @@
                         reply.send(granted).unwrap_or_default();
                     }
                 }
-                counts_of_task.store(Arc::new(counts.clone()));
+                task_counts.store(Arc::new(counts.clone()));
             }
         });
         RetryBudgetHandle {
@@ -98,12 +98,12 @@
         }
     }
 
-    /// Requests and retries by service since the start.
+    /// Numbers of requests and of retries by service since the start.
     pub fn counts(&self) -> Arc<BTreeMap<String, (u64, u64)>> {
         self.counts.load_full()
     }
 
-    /// Counts a request of the service, which earns it a fifth of a retry.
+    /// Counts a request to the service, which deposits a fifth of a retry.
     pub async fn deposit(&self, service: &str) {
         self.commands
             .send(Command::Deposit(service.to_string()))
@@ -111,7 +111,7 @@
             .unwrap_or_default();
     }
 
-    /// Pays for a retry; false if it has not been earned, or once the task is gone.
+    /// Withdraws one retry. Returns false if the balance is too small or the task has ended.
     pub async fn withdraw(&self, service: &str) -> bool {
         let (reply, granted) = oneshot::channel();
         self.commands
--- a/crates/legacy-proxy/src/selector.rs
+++ b/crates/legacy-proxy/src/selector.rs
@@ -1,8 +1,8 @@
-//! Load balancing: which backend gets the next request (design 5.2).
+//! Load balancing: selects the backend for the next attempt (design 5.2).
 //!
-//! Unlike the selector of `outbound`, which weighs waiting times against the cost of leaving the
-//! zone, backends of the own zone always come first here, then those with the lower share of their
-//! slots in flight from this node.
+//! The selector of `outbound` weighs waiting times against the cost of leaving the zone. This one
+//! always prefers backends in the zone of this node, and among those the ones with the smaller
+//! share of their slots in use by attempts from this node.
 
 #[cfg(test)]
 mod tests;
@@ -15,17 +15,17 @@
 
 pub use proxy_core::Candidate;
 
-/// Commands that may wait for the selector's task.
+/// Capacity of the task's command channel.
 const QUEUE_CAPACITY: usize = 1_024;
-/// Shares of slots are compared in thousandths.
-const WHOLE_SHARE: u64 = 1_000;
+/// Scale of the shares of slots in use, which are compared in thousandths.
+const SHARE_SCALE: u64 = 1_000;
 
-/// What is known here of a backend.
+/// The load that this node puts on a backend, and its cooldown.
 #[derive(Default)]
 struct BackendLoad {
-    /// Attempts from this node that began and did not finish.
+    /// Number of attempts from this node that are in flight.
     in_flight: u32,
-    /// Until then it is selected only if all others are avoided too.
+    /// End of the cooldown; until then the backend is selected only if all others are avoided too.
     avoid_until: Microseconds,
 }
 
@@ -36,8 +36,8 @@
 }
 
 impl Selector {
-    /// Selects the candidate of least load and counts the attempt as in flight. Among equals they
-    /// take turns: `rotation` is to be one more each time.
+    /// Selects the candidate with the least load and counts the attempt as in flight. Candidates of
+    /// equal load take turns: the caller increments `rotation` with each call.
     pub fn select(
         &mut self,
         now: Microseconds,
@@ -48,7 +48,7 @@
             let load = self.backends.get(&candidate.name);
             let avoided = load.is_some_and(|load| now < load.avoid_until);
             let in_flight = u64::from(load.map(|load| load.in_flight).unwrap_or(0));
-            let share = in_flight * WHOLE_SHARE / u64::from(candidate.slots.max(1));
+            let share = in_flight * SHARE_SCALE / u64::from(candidate.slots.max(1));
             (avoided, !candidate.same_zone, share)
         })?;
         let name = selected.name.clone();
@@ -56,7 +56,7 @@
         Some(name)
     }
 
-    /// An attempt ended; with `avoid` the backend is avoided for a while.
+    /// Records that an attempt ended; `avoid` starts a cooldown of the backend.
     pub fn attempt_finished(&mut self, now: Microseconds, name: &str, avoid: bool) {
         let Some(load) = self.backends.get_mut(name) else {
             return;
@@ -76,7 +76,7 @@
     AttemptFinished(String, bool),
 }
 
-/// A handle on the task that owns selection. The task ends with its last handle.
+/// Handle on the task that owns the selector. The task ends when its last handle is dropped.
 #[derive(Clone)]
 pub struct SelectorHandle {
     commands: mpsc::Sender<Command>,
@@ -90,8 +90,8 @@
         SelectorHandle { commands }
     }
 
-    /// Selects the candidate of least load and counts an attempt on it as in flight; `None` without
-    /// candidates or once the task is gone.
+    /// Selects the candidate with the least load and counts an attempt on it as in flight; `None`
+    /// if there are no candidates or the task has ended.
     pub async fn select(&self, candidates: Vec<Candidate>) -> Option<String> {
         let (reply, selected) = oneshot::channel();
         self.commands
@@ -101,7 +101,7 @@
         selected.await.ok().flatten()
     }
 
-    /// An attempt on the backend ended; with `avoid` the backend is avoided for a while.
+    /// Records that an attempt on the backend ended; `avoid` starts a cooldown of the backend.
     pub async fn attempt_finished(&self, name: &str, avoid: bool) {
         self.commands
             .send(Command::AttemptFinished(name.to_string(), avoid))
--- a/crates/legacy-proxy/src/server.rs
+++ b/crates/legacy-proxy/src/server.rs
@@ -1,5 +1,5 @@
-//! What a node serves to its peers: attempts on the backends beside it, heartbeats, inspection, and
-//! updates of the state it follows (design 5.2).
+//! The server for peer nodes: runs attempts on the backends beside this node, and serves
+//! heartbeats, inspection and updates of the state that this node follows (design 5.2).
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use crate::InboundProxy;
 use crate::age_marks::{AgeWatermarks, WATERMARK_INTERVAL};
 
-/// Accepts peers' connections for ever and serves each in a task of its own.
+/// Accepts connections of peers and serves each in a separate task. Does not return.
 pub async fn serve_peers(
     listener: TcpListener,
     handshake: impl Fn() -> Handshake + Send + Sync + 'static,
@@ -34,7 +34,7 @@
                 let accepted = transport::accept(stream, |peer| async move {
                     discovery::merge(&known_replicas, peer.known_replicas);
                     match peer.purpose {
-                        Purpose::Consensus => Err("no core seat is here".into()),
+                        Purpose::Consensus => Err("this node is not a replica of the log".into()),
                         _ => Ok((handshake)()),
                     }
                 })
@@ -53,26 +53,27 @@
     relay: Relay,
     heartbeats: HeartbeatSender,
 ) {
-    let mut marks = AgeWatermarks::new(model::now());
-    let mut mark_interval = time::interval(Duration::from_micros(WATERMARK_INTERVAL));
-    mark_interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut watermarks = AgeWatermarks::new(model::now());
+    let mut watermark_interval = time::interval(Duration::from_micros(WATERMARK_INTERVAL));
+    watermark_interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         let frame = tokio::select! {
             frame = connection.receiver.recv() => match frame {
                 Some(frame) => frame,
                 None => return,
             },
-            _ = mark_interval.tick(), if connection.peer_handshake.purpose == Purpose::Forward => {
-                let mark = marks.issue(model::now());
-                // A peer that takes nothing just now goes without; its requests then look older, not younger.
-                drop(connection.sender.try_send(Frame::Watermark(mark)));
+            _ = watermark_interval.tick(), if connection.peer_handshake.purpose == Purpose::Forward => {
+                let watermark = watermarks.issue(model::now());
+                // If the send queue is full, the watermark is dropped: the peer's requests then
+                // appear older, never younger, than they are.
+                drop(connection.sender.try_send(Frame::Watermark(watermark)));
                 continue;
             }
         };
         match frame {
             Frame::Attempt(mut request) => {
                 request.time_left =
-                    marks.time_left(model::now(), request.last_watermark, request.time_left);
+                    watermarks.time_left(model::now(), request.last_watermark, request.time_left);
                 let (inbound, replies) = (inbound.clone(), connection.sender.clone());
                 tokio::spawn(async move {
                     let request_id = request.request_id;
--- a/crates/legacy-proxy/src/slot_owner.rs
+++ b/crates/legacy-proxy/src/slot_owner.rs
@@ -1,6 +1,6 @@
-//! The owner of the slots of the backends beside this node: their registrations, slots, queues and
-//! duplicates (design 5.3). [`SlotOwner`] is pure, with the time passed in; [`SlotOwnerHandle`] is the
-//! handle on the task that owns one.
+//! The slot owner manages the registrations, slots and queues of the backends beside this node and
+//! detects duplicate attempts (design 5.3). [`SlotOwner`] is pure, with the time passed in;
+//! [`SlotOwnerHandle`] is the handle on the task that owns one.
 
 mod admission_check;
 mod queue;
@@ -22,71 +22,74 @@
 
 pub use task::{ClientId, SlotOwnerHandle};
 
-/// What a slot owner is set to.
+/// Configuration of a slot owner.
 #[derive(Clone, Debug)]
 pub struct SlotOwnerConfig {
-    /// The name of this node.
+    /// Name of this node.
     pub node: String,
-    /// The zone of this node.
+    /// Zone of this node.
     pub zone: String,
-    /// A backend without a heartbeat for so long, in microseconds, is presumed gone.
+    /// Time without a heartbeat, in microseconds, after which a backend is presumed gone.
     pub heartbeat_timeout: Microseconds,
-    /// How long a proof of freshness lasts, in microseconds. The next holder of a key waits it out.
+    /// Lifetime of a freshness proof, in microseconds. The next holder of a key waits until it has
+    /// passed, because the previous holder may serve the key until then.
     pub proof_lifetime: Microseconds,
-    /// What clocks may differ by, in microseconds. The next holder of a key waits it out too.
+    /// Allowance for differences between clocks, in microseconds, which the next holder of a key
+    /// waits in addition.
     pub clock_margin: Microseconds,
 }
 
-/// Where a registration stands.
+/// State of a registration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RegistrationState {
-    /// Not yet in the log.
+    /// The log has not accepted the registration yet.
     Pending,
-    /// In the log; takes requests.
+    /// Accepted by the log; the backend takes requests.
     Live,
-    /// Takes no new requests.
+    /// The backend takes no new requests.
     Draining,
-    /// Ended.
+    /// The registration has ended.
     Gone,
 }
 
-/// What a backend says of itself when it registers.
+/// The properties that a backend states when it registers.
 #[derive(Clone, Debug)]
 pub struct Registration {
-    /// Its name.
+    /// Name of the backend.
     pub name: String,
-    /// The service that it runs.
+    /// The service that the backend runs.
     pub service: String,
-    /// Its zone.
+    /// Zone of the backend.
     pub zone: String,
-    /// Its labels, which standing orders may ask for.
+    /// Labels of the backend, which standing orders can require.
     pub labels: Labels,
-    /// How many requests it runs at the same time.
+    /// Number of requests that the backend runs concurrently.
     pub slots: u32,
-    /// Where it listens.
+    /// Address at which the backend listens.
     pub address: String,
 }
 
-/// A registered backend, with its runs and its queue.
+/// A registered backend, with its running and queued requests.
 pub(crate) struct RegisteredBackend {
     pub registration: Registration,
     pub incarnation: Incarnation,
-    /// The incarnation that the backend was told when it registered; its attempt ids begin with it.
+    /// The incarnation that the backend received when it registered; the prefix of its attempt ids
+    /// contains it.
     pub registered_incarnation: Incarnation,
     pub secret: String,
     pub state: RegistrationState,
-    /// The backend said so itself; no new incarnation in the log takes it back.
+    /// Whether the backend has asked to drain. A new incarnation in the log does not reset this.
     pub draining: bool,
     pub last_heartbeat: Microseconds,
-    /// The shard key of each run, by run id.
+    /// The shard key of each running request, by run id.
     pub running: BTreeMap<u64, Option<String>>,
     pub queued: Vec<QueuedRequest>,
-    /// Up to this position the log was told that keys are released.
-    pub reported_released: Position,
-    /// The slots that the log was last told.
+    /// The position up to which released leases were reported to the log.
+    pub reported_release_position: Position,
+    /// The number of slots that was last reported to the log.
     pub reported_slots: u32,
-    /// Incarnations that this very backend had before the log presumed it gone; their runs are counted
-    /// here too.
+    /// Incarnations of this registration that the log presumed gone. Their requests may still be
+    /// among those in `running`.
     pub earlier_incarnations: Vec<Incarnation>,
 }
 
@@ -97,34 +100,35 @@
     pub request: AttemptRequest,
 }
 
-/// Permission to forward one request, once.
+/// Permission to forward one request once.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Permit {
-    /// The run, by which [`SlotOwner::finish`] knows it.
+    /// Identifies the run to [`SlotOwner::finish`].
     pub run_id: u64,
-    /// The backend that is to run it.
+    /// Name of the backend that runs the request.
     pub backend_name: String,
-    /// Where that backend listens.
+    /// Address of that backend.
     pub address: String,
-    /// When the client stops waiting.
+    /// The time at which the client stops waiting.
     pub deadline: Microseconds,
-    /// The client's service and the attempt, as duplicates are known by.
+    /// The client's service and the identity of the attempt, by which duplicates are detected.
     pub identity: (String, String),
-    /// The key, if the route is divided by key.
+    /// The shard key of the request, if there is one.
     pub shard_key: Option<String>,
 }
 
-/// Tickets of requests that were admitted or refused.
+/// Tickets of requests that were admitted or rejected, with their permits or errors.
 pub type Admissions = Vec<(u64, Result<Permit, Error>)>;
 
-/// The backends beside this node. Pure, with the time passed in.
+/// The registrations, slots and queues of the backends beside this node. Pure, with the time passed
+/// in.
 pub struct SlotOwner {
     pub(crate) config: SlotOwnerConfig,
     pub(crate) backends: BTreeMap<String, RegisteredBackend>,
     pub(crate) forwarded_attempts: ForwardedAttempts,
-    /// When each lease, by service and key slot, was first seen here with its fencing token.
+    /// The fencing token of each lease, by service and key slot, and when it was first observed.
     pub(crate) fencing_tokens: BTreeMap<(String, u16), (Position, Microseconds)>,
-    /// The slice whose leases `fencing_tokens` was last brought up to.
+    /// The slice from which `fencing_tokens` was last updated.
     pub(crate) fenced_slice: Arc<StateSlice>,
     pub(crate) last_run_id: u64,
     pub(crate) draining: bool,
@@ -132,7 +136,7 @@
 }
 
 impl SlotOwner {
-    /// An owner without any backend.
+    /// Creates a slot owner without backends.
     pub fn new(config: SlotOwnerConfig) -> Self {
         SlotOwner {
             config,
@@ -146,11 +150,12 @@
         }
     }
 
-    /// Reserves the name for a new incarnation, above the one that the log has (`logged`).
+    /// Reserves the name for a new incarnation, which is greater than the one in the log
+    /// (`logged`).
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::BadRequest`] while the name has a live registration, which is never taken over;
+    /// [`ErrorKind::BadRequest`] while the name has a live registration, which is never replaced;
     /// [`ErrorKind::ShuttingDown`] while the node drains.
     pub fn reserve(
         &mut self,
@@ -161,7 +166,10 @@
     ) -> Result<Incarnation, Error> {
         let known = self.backends.get(&registration.name);
         if self.draining {
-            return Err(Error::new(ErrorKind::ShuttingDown, "this node is leaving"));
+            return Err(Error::new(
+                ErrorKind::ShuttingDown,
+                "this node is shutting down",
+            ));
         }
         if known.is_some_and(|known| {
             matches!(
@@ -174,12 +182,12 @@
                 format!("the name {:?} has a live registration", registration.name),
             ));
         }
-        // An address that now belongs to another backend reaches nobody else any more.
-        let previous = self.backends.values_mut().filter(|known| {
+        // The previous backends at this address can no longer be reached.
+        let displaced = self.backends.values_mut().filter(|known| {
             known.registration.address == registration.address
                 && known.registration.name != registration.name
         });
-        previous
+        displaced
             .filter(|known| known.state != RegistrationState::Gone)
             .for_each(|known| {
                 known.state = RegistrationState::Gone;
@@ -204,7 +212,7 @@
             last_heartbeat: now,
             running: Default::default(),
             queued: Vec::new(),
-            reported_released: 0,
+            reported_release_position: 0,
             reported_slots,
             earlier_incarnations: Vec::new(),
         };
@@ -213,7 +221,7 @@
         Ok(incarnation)
     }
 
-    /// The log accepted or refused the registration of this incarnation.
+    /// Records whether the log accepted the registration of this incarnation.
     pub fn confirm(
         &mut self,
         now: Microseconds,
@@ -249,8 +257,8 @@
         }
     }
 
-    /// A heartbeat, which counts only with the secret of this incarnation; returns the name of its
-    /// backend. Other slots than before hold here at once.
+    /// Records a heartbeat and returns the name of its backend; `None` if no current registration
+    /// has the secret. A changed number of slots takes effect here at once.
     pub fn heartbeat(
         &mut self,
         now: Microseconds,
@@ -279,7 +287,7 @@
         Some(backend.registration.name.clone())
     }
 
-    /// The backend with this secret ends its registration; false if there is none.
+    /// Ends the registration with this secret. Returns false if there is no current one.
     pub fn deregister(&mut self, secret: &str) -> bool {
         let backend = self
             .backends
@@ -295,12 +303,12 @@
         true
     }
 
-    /// Refuses every request from now on; what was forwarded runs to its end.
+    /// Rejects all new requests; those that were forwarded run to completion.
     pub fn drain(&mut self) {
         self.draining = true;
     }
 
-    /// How many requests run.
+    /// Number of running requests.
     pub fn running(&self) -> usize {
         self.backends
             .values()
@@ -308,7 +316,7 @@
             .sum()
     }
 
-    /// How many requests wait for a slot.
+    /// Number of requests that wait for a slot.
     pub fn queued(&self) -> usize {
         self.backends
             .values()
@@ -316,7 +324,7 @@
             .sum()
     }
 
-    /// The services of the backends that are there.
+    /// The services of all backends whose registration has not ended.
     pub fn services(&self) -> ServiceSet {
         self.backends
             .values()
@@ -325,7 +333,7 @@
             .collect()
     }
 
-    /// The secrets of backends that may send requests, with who each belongs to.
+    /// The clients that may send requests, by the secrets of their registrations.
     pub fn clients(&self) -> HashMap<String, ClientId> {
         self.backends
             .values()
@@ -352,12 +360,12 @@
             .collect()
     }
 
-    /// Takes what the log is to be told.
+    /// Takes the reports that are to be sent to the log.
     pub fn take_reports(&mut self) -> Vec<EndpointReport> {
         mem::take(&mut self.pending_reports)
     }
 
-    /// A backend as the log is to hold it.
+    /// The entry for the backend that the log is to record.
     pub fn backend(&self, name: &str) -> Option<Backend> {
         self.backends
             .get(name)
--- a/crates/legacy-proxy/src/slot_owner/queue.rs
+++ b/crates/legacy-proxy/src/slot_owner/queue.rs
@@ -1,5 +1,5 @@
-//! Slots and bounded queues: which request is admitted, which waits, and which gives way (design 5.3,
-//! 5.7).
+//! Slots and bounded queues: decides which request is admitted, which is queued and which is shed
+//! (design 5.3, 5.7).
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -17,12 +17,12 @@
     SlotOwnerConfig,
 };
 
-/// When a request that was shed is to come back: 0.25 s.
+/// Retry delay of a request that was shed, in microseconds.
 const SHED_RETRY_AFTER: Microseconds = 250_000;
 
 impl SlotOwner {
-    /// Takes one request. Its admission or refusal comes at once or from a later
-    /// [`admit_queued`](Self::admit_queued), always exactly one.
+    /// Admits, queues or rejects a request. Each ticket is returned exactly once with its admission
+    /// or rejection, here or by a later call of `admit` or [`admit_queued`](Self::admit_queued).
     pub fn admit(
         &mut self,
         now: Microseconds,
@@ -32,7 +32,10 @@
     ) -> Admissions {
         let deadline = now + request.time_left;
         let checked = match request.time_left {
-            0 => Err(Error::new(ErrorKind::ExpiredBeforeRun, "no time is left")),
+            0 => Err(Error::new(
+                ErrorKind::ExpiredBeforeRun,
+                "the request arrived after its deadline",
+            )),
             _ => self.check(now, view, &request).map(|_| ()),
         };
         if let Err(error) = checked {
@@ -51,7 +54,7 @@
     fn has_free_slot(&self, request: &AttemptRequest) -> bool {
         self.backends.get(&request.backend).is_some_and(|backend| {
             let slots = backend.registration.slots;
-            let same = backend
+            let runs_of_key = backend
                 .running
                 .values()
                 .filter(|key| key.is_some() && **key == request.shard_key)
@@ -59,7 +62,7 @@
             backend.running.len() < slots as usize
                 && (request.shard_key.is_none()
                     || slots < 2
-                    || same < SlotOwner::max_slots_per_key(slots))
+                    || runs_of_key < SlotOwner::max_slots_per_key(slots))
         })
     }
 
@@ -102,48 +105,49 @@
         let Some(backend) = self.backends.get_mut(&queued.request.backend) else {
             return Vec::new();
         };
-        // Twice the slots: longer queues only age requests (design 5.7).
-        let bound = (backend.registration.slots as usize * 2).max(4);
-        let same = backend
+        // Twice the slots: in a longer queue requests only get older (design 5.7).
+        let capacity = (backend.registration.slots as usize * 2).max(4);
+        let queued_for_key = backend
             .queued
             .iter()
-            .filter(|held| {
-                held.request.shard_key.is_some()
-                    && held.request.shard_key == queued.request.shard_key
+            .filter(|other| {
+                other.request.shard_key.is_some()
+                    && other.request.shard_key == queued.request.shard_key
             })
             .count();
-        if same >= bound / 2 {
+        if queued_for_key >= capacity / 2 {
             let error = Error::new(
                 ErrorKind::KeyOverloaded,
-                "the key has filled its share of the buffer",
+                "the key has filled its share of the queue",
             )
             .with_retry_after(SHED_RETRY_AFTER);
             return vec![(queued.ticket, Err(error))];
         }
-        let full = || {
-            Error::new(ErrorKind::Overloaded, "the buffer is full")
+        let queue_full = || {
+            Error::new(ErrorKind::Overloaded, "the queue is full")
                 .with_retry_after(SHED_RETRY_AFTER)
         };
         let mut shed = Vec::new();
-        if backend.queued.len() >= bound {
-            let least = backend
+        if backend.queued.len() >= capacity {
+            let least_important = backend
                 .queued
                 .iter()
                 .enumerate()
-                .min_by_key(|(at, held)| (held.request.priority, Reverse(*at)));
-            match least
-                .filter(|(_, held)| held.request.priority < queued.request.priority)
-                .map(|(at, _)| at)
+                .min_by_key(|(index, other)| (other.request.priority, Reverse(*index)));
+            match least_important
+                .filter(|(_, other)| other.request.priority < queued.request.priority)
+                .map(|(index, _)| index)
             {
-                Some(at) => shed.push((backend.queued.remove(at).ticket, Err(full()))),
-                None => return vec![(queued.ticket, Err(full()))],
+                Some(index) => shed.push((backend.queued.remove(index).ticket, Err(queue_full()))),
+                None => return vec![(queued.ticket, Err(queue_full()))],
             }
         }
         backend.queued.push(queued);
         shed
     }
 
-    /// A run ended; `unsent` if the attempt certainly never left for the backend.
+    /// Releases the slot of a run that ended. `unsent` says that the attempt certainly was not sent
+    /// to the backend; it may then be forwarded again.
     pub fn finish(&mut self, permit: &Permit, unsent: bool) {
         if let Some(backend) = self.backends.get_mut(&permit.backend_name) {
             backend.running.remove(&permit.run_id);
@@ -154,8 +158,9 @@
         }
     }
 
-    /// To be called whenever a slot, the view or the time has moved: requests whose time is over are
-    /// refused at once, and free slots go by priority, then by arrival.
+    /// Re-evaluates the queues; to be called when a slot was released, when the view changed and
+    /// periodically. Rejects requests whose deadline has passed and grants free slots in the order
+    /// of priority, then of arrival.
     pub fn admit_queued(&mut self, now: Microseconds, view: &View) -> Admissions {
         self.forwarded_attempts.expire(now);
         self.observe(now, view);
@@ -178,20 +183,20 @@
             .map(|backend| mem::take(&mut backend.queued))
             .unwrap_or_default();
         waiting.sort_by_key(|queued| Reverse(queued.request.priority));
-        let mut granted = Vec::new();
+        let mut admissions = Vec::new();
         let mut kept = Vec::new();
         for queued in waiting {
             let checked = if queued.deadline <= now {
                 Err(Error::new(
                     ErrorKind::ExpiredBeforeRun,
-                    "its time ran out in the buffer",
+                    "the deadline passed while the request was queued",
                 ))
             } else {
                 self.check(now, view, &queued.request).map(|_| ())
             };
             match checked {
-                Err(error) => granted.push((queued.ticket, Err(error))),
-                Ok(()) if self.has_free_slot(&queued.request) => granted.push((
+                Err(error) => admissions.push((queued.ticket, Err(error))),
+                Ok(()) if self.has_free_slot(&queued.request) => admissions.push((
                     queued.ticket,
                     Ok(self.grant(now, queued.deadline, &queued.request)),
                 )),
@@ -202,11 +207,11 @@
         if let Some(backend) = self.backends.get_mut(name) {
             backend.queued = kept;
         }
-        granted
+        admissions
     }
 
-    /// Looks at what time and the log say of the backends: silence, a live backend that the log
-    /// presumed gone, other slots, and moved leases.
+    /// Updates the backends by the time and the view: heartbeat timeouts, live backends that the
+    /// log presumed gone, changed numbers of slots, and moved leases.
     fn observe(&mut self, now: Microseconds, view: &View) {
         for backend in self.backends.values_mut() {
             if matches!(
@@ -220,28 +225,29 @@
         self.observe_leases(now, view);
     }
 
-    /// Notes new fencing tokens, once for each slice that comes and not for each request.
-    fn observe_fences(&mut self, now: Microseconds, view: &View) {
+    /// Records when new fencing tokens were first observed, once for each new slice and not for
+    /// each request.
+    fn record_fencing_tokens(&mut self, now: Microseconds, view: &View) {
         if Arc::ptr_eq(&self.fenced_slice, &view.slice) {
             return;
         }
         self.fenced_slice = view.slice.clone();
         for (service, leases) in &view.slice.leases {
             for (lease, key_slot) in leases.iter().zip(0u16..) {
-                let first_seen = (lease.fencing_token, now);
-                let seen = self
+                let first_observed = (lease.fencing_token, now);
+                let observed = self
                     .fencing_tokens
                     .entry((service.clone(), key_slot))
-                    .or_insert(first_seen);
-                if seen.0 != lease.fencing_token {
-                    *seen = first_seen;
+                    .or_insert(first_observed);
+                if observed.0 != lease.fencing_token {
+                    *observed = first_observed;
                 }
             }
         }
     }
 
     fn observe_leases(&mut self, now: Microseconds, view: &View) {
-        self.observe_fences(now, view);
+        self.record_fencing_tokens(now, view);
         for (service, leases) in &view.slice.leases {
             for backend in self.backends.values_mut() {
                 if backend.registration.service == *service {
@@ -254,7 +260,8 @@
 }
 
 impl RegisteredBackend {
-    /// What the log is to be told of a backend that is there, if anything.
+    /// Updates a registered backend by the time and the view. Returns the report to the log, if one
+    /// is due.
     fn observe(
         &mut self,
         now: Microseconds,
@@ -275,8 +282,8 @@
                 phase,
             })
         } else if !node_drains && presumed_gone {
-            // Its heartbeats go on: it gets a new incarnation in the log, and requests for the old
-            // one are void.
+            // The heartbeats continue, so the backend is registered in the log again under a new
+            // incarnation; requests for the earlier one are rejected.
             self.earlier_incarnations.push(self.incarnation);
             self.incarnation += 1;
             self.state = RegistrationState::Pending;
@@ -296,35 +303,36 @@
         }
     }
 
-    /// Releases of leases that moved away from this backend, once no run on any moved key is left.
+    /// Reports the release of leases that moved away from this backend, once no request for a key
+    /// of a moved lease is running.
     fn release_leases(&mut self, leases: &[Lease], position: Position) -> Vec<EndpointReport> {
         let name = &self.registration.name;
         let holder = (name.clone(), self.incarnation);
-        let owing: BTreeSet<Incarnation> = leases
+        let pending_incarnations: BTreeSet<Incarnation> = leases
             .iter()
             .flat_map(|lease| &lease.pending_releases)
-            .filter(|((owing, incarnation), lost_at)| {
-                owing == name
-                    && *lost_at > self.reported_released
+            .filter(|((owner, incarnation), lost_at)| {
+                owner == name
+                    && *lost_at > self.reported_release_position
                     && (*incarnation == self.incarnation
                         || self.earlier_incarnations.contains(incarnation))
             })
             .map(|((_, incarnation), _)| *incarnation)
             .collect();
-        let busy = self.running.values().flatten().any(|shard_key| {
+        let has_running_requests = self.running.values().flatten().any(|shard_key| {
             let lease = leases.get(key_slot(shard_key) as usize);
             lease.and_then(|lease| lease.holder.as_ref()) != Some(&holder)
         });
-        if owing.is_empty() || busy {
+        if pending_incarnations.is_empty() || has_running_requests {
             return Vec::new();
         }
-        self.reported_released = position;
-        let released = |incarnation| EndpointReport::LeasesReleased {
+        self.reported_release_position = position;
+        let to_report = |incarnation| EndpointReport::LeasesReleased {
             service: self.registration.service.clone(),
             name: self.registration.name.clone(),
             incarnation,
             known_through: position,
         };
-        owing.into_iter().map(released).collect()
+        pending_incarnations.into_iter().map(to_report).collect()
     }
 }
--- a/crates/legacy-proxy/src/slot_owner/task.rs
+++ b/crates/legacy-proxy/src/slot_owner/task.rs
@@ -1,5 +1,5 @@
-//! The task that owns a [`SlotOwner`], and the handle on it: commands in, replies out, reports on to
-//! the log (design 8.1).
+//! The task that owns a [`SlotOwner`], and its handle. The task executes commands, replies to them
+//! and sends reports to the log (design 8.1).
 
 use std::collections::HashMap;
 use std::mem;
@@ -19,9 +19,9 @@
 
 use super::{Admissions, Permit, Registration, SlotOwner, SlotOwnerConfig};
 
-/// Commands that may wait for the task.
+/// Capacity of the task's command channel.
 const QUEUE_CAPACITY: usize = 4_096;
-/// Between two looks at the queues while nothing else happens.
+/// Interval at which the queues are evaluated without other events.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
 type ReplySender<T> = oneshot::Sender<T>;
@@ -43,22 +43,23 @@
     Load(ReplySender<(usize, usize)>),
 }
 
-/// Who sends requests with a backend's secret: they are made in its service's name.
+/// Identity of a client: the registered backend whose secret a request carries. Its requests are
+/// made in the name of its service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientId {
-    /// The name of the backend.
+    /// Name of the backend.
     pub name: String,
-    /// Its service.
+    /// Service of the backend.
     pub service: String,
-    /// Its present incarnation.
+    /// Current incarnation of the backend.
     pub incarnation: Incarnation,
-    /// All attempt ids of this registration begin with it (design 5.5).
+    /// Common prefix of all attempt ids of this registration (design 5.5).
     pub attempt_prefix: String,
 }
 
 type Clients = HashMap<String, ClientId>;
 
-/// A handle on the task that owns the slots. The task ends with its last handle.
+/// Handle on the task that owns the slots. The task ends when its last handle is dropped.
 #[derive(Clone)]
 pub struct SlotOwnerHandle {
     commands: mpsc::Sender<Command>,
@@ -67,12 +68,12 @@
 }
 
 impl SlotOwnerHandle {
-    /// Starts the task. `moved` says when the view changed; `reports` brings what happens here to the
-    /// log; `services` is told which services are beside this node.
+    /// Starts the task. `view_changes` signals changes of the view, `reports` sends reports to the
+    /// log, and `services` receives the services of the backends beside this node.
     pub fn start(
         config: SlotOwnerConfig,
         view: SharedView,
-        moved: watch::Receiver<Position>,
+        view_changes: watch::Receiver<Position>,
         reports: StatusReporter,
         services: watch::Sender<ServiceSet>,
         logger: Logger,
@@ -87,7 +88,7 @@
         let (report_sender, outgoing) = mpsc::unbounded_channel();
         tokio::spawn(send_reports(outgoing, reports, handle.clone(), logger));
         let task = SlotOwnerTask {
-            slots: SlotOwner::new(config),
+            slot_owner: SlotOwner::new(config),
             view,
             pending: Default::default(),
             last_ticket: 0,
@@ -96,17 +97,17 @@
             reports: report_sender,
             running: running_sender,
         };
-        tokio::spawn(task.run(receiver, moved));
+        tokio::spawn(task.run(receiver, view_changes));
         handle
     }
 
-    async fn ask<T>(&self, command: impl FnOnce(ReplySender<T>) -> Command) -> Option<T> {
+    async fn request<T>(&self, command: impl FnOnce(ReplySender<T>) -> Command) -> Option<T> {
         let (reply, replied) = oneshot::channel();
         self.commands.send(command(reply)).await.ok()?;
         replied.await.ok()
     }
 
-    /// Who sends with this secret.
+    /// The client whose registration has this secret.
     pub fn client(&self, secret: &str) -> Option<ClientId> {
         self.clients.load().get(secret).cloned()
     }
@@ -117,12 +118,12 @@
         registration: Registration,
         secret: String,
     ) -> Result<Incarnation, Error> {
-        self.ask(|reply| Command::Reserve(registration, secret, reply))
+        self.request(|reply| Command::Reserve(registration, secret, reply))
             .await
             .unwrap_or_else(|| Err(stopping_error()))
     }
 
-    /// The log accepted or refused a registration.
+    /// Records whether the log accepted a registration.
     pub async fn confirm(&self, name: &str, incarnation: Incarnation, accepted: bool) {
         self.commands
             .send(Command::Confirm(name.to_string(), incarnation, accepted))
@@ -130,40 +131,42 @@
             .unwrap_or_default();
     }
 
-    /// A backend as the log is to hold it.
+    /// The entry for the backend that the log is to record.
     pub async fn backend(&self, name: &str) -> Option<Backend> {
-        self.ask(|reply| Command::Backend(name.to_string(), reply))
+        self.request(|reply| Command::Backend(name.to_string(), reply))
             .await
             .flatten()
     }
 
-    /// A heartbeat of the backend with this secret; returns its name, or `None` for a wrong secret.
+    /// Records a heartbeat of the backend with this secret. Returns its name, or `None` if no
+    /// current registration has the secret.
     pub async fn heartbeat(
         &self,
         secret: &str,
         draining: bool,
         slots: Option<u32>,
     ) -> Option<String> {
-        self.ask(|reply| Command::Heartbeat(secret.to_string(), draining, slots, reply))
+        self.request(|reply| Command::Heartbeat(secret.to_string(), draining, slots, reply))
             .await
             .flatten()
     }
 
-    /// Ends the registration with this secret; false if there is none.
+    /// Ends the registration with this secret. Returns false if there is no current one.
     pub async fn deregister(&self, secret: &str) -> bool {
-        self.ask(|reply| Command::Deregister(secret.to_string(), reply))
+        self.request(|reply| Command::Deregister(secret.to_string(), reply))
             .await
             .unwrap_or(false)
     }
 
-    /// Waits for a slot. An error is certain not to have run.
+    /// Waits for a slot. On an error the request was not forwarded.
     pub(crate) async fn admit(&self, request: AttemptRequest) -> Admission {
-        self.ask(|reply| Command::Admit(Box::new(request), reply))
+        self.request(|reply| Command::Admit(Box::new(request), reply))
             .await
             .unwrap_or_else(|| Err(stopping_error()))
     }
 
-    /// A run ended; `unsent` if the attempt certainly never left for the backend.
+    /// Releases the slot of a run that ended. `unsent` says that the attempt certainly was not sent
+    /// to the backend.
     pub(crate) async fn finish(&self, permit: Permit, unsent: bool) {
         self.commands
             .send(Command::Finish(permit, unsent))
@@ -171,19 +174,19 @@
             .unwrap_or_default();
     }
 
-    /// Refuses every request from now on; what was forwarded runs to its end.
+    /// Rejects all new requests; those that were forwarded run to completion.
     pub async fn drain(&self) {
         self.commands.send(Command::Drain).await.unwrap_or_default();
     }
 
-    /// Returns once nothing runs any more. Call it after [`drain`](Self::drain).
+    /// Waits until no request is running. Call it after [`drain`](Self::drain).
     pub async fn drained(&self) {
         drop(self.running.clone().wait_for(|running| *running == 0).await);
     }
 
-    /// How many requests run, and how many are queued.
+    /// Numbers of running and of queued requests.
     pub async fn load(&self) -> (usize, usize) {
-        self.ask(Command::Load).await.unwrap_or_default()
+        self.request(Command::Load).await.unwrap_or_default()
     }
 }
 
@@ -192,8 +195,9 @@
 }
 
 struct SlotOwnerTask {
-    slots: SlotOwner,
+    slot_owner: SlotOwner,
     view: SharedView,
+    /// Reply senders of the requests that wait for admission, by ticket.
     pending: HashMap<u64, ReplySender<Admission>>,
     last_ticket: u64,
     clients: Arc<ArcSwap<Clients>>,
@@ -206,38 +210,40 @@
     async fn run(
         mut self,
         mut commands: mpsc::Receiver<Command>,
-        mut moved: watch::Receiver<Position>,
+        mut view_changes: watch::Receiver<Position>,
     ) {
-        let mut every = time::interval(TICK_INTERVAL);
-        every.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut ticks = time::interval(TICK_INTERVAL);
+        ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 command = commands.recv() => match command {
                     Some(command) => self.handle(command),
                     None => return,
                 },
-                _ = moved.changed() => {}
-                _ = every.tick() => {}
+                _ = view_changes.changed() => {}
+                _ = ticks.tick() => {}
             }
-            let admissions = self.slots.admit_queued(model::now(), &self.view.load());
-            self.answer(admissions);
-            let running = self.slots.running();
+            let admissions = self
+                .slot_owner
+                .admit_queued(model::now(), &self.view.load());
+            self.send_admissions(admissions);
+            let running = self.slot_owner.running();
             self.running
-                .send_if_modified(|known| mem::replace(known, running) != running);
-            for report in self.slots.take_reports() {
+                .send_if_modified(|published| mem::replace(published, running) != running);
+            for report in self.slot_owner.take_reports() {
                 self.reports.send(report).unwrap_or_default();
             }
         }
     }
 
-    fn answer(&mut self, admissions: Admissions) {
+    fn send_admissions(&mut self, admissions: Admissions) {
         for (ticket, admission) in admissions {
             let Some(reply) = self.pending.remove(&ticket) else {
                 continue;
             };
             if let Err(Ok(permit)) = reply.send(admission) {
-                // The caller is gone, so nothing was forwarded.
-                self.slots.finish(&permit, true);
+                // The caller stopped waiting, so the request was not forwarded.
+                self.slot_owner.finish(&permit, true);
             }
         }
     }
@@ -252,55 +258,57 @@
                     .slice
                     .backends
                     .get(&registration.name)
-                    .map_or(0, |held| held.incarnation);
-                let reserved = self.slots.reserve(now, logged, registration, secret);
+                    .map_or(0, |backend| backend.incarnation);
+                let reserved = self.slot_owner.reserve(now, logged, registration, secret);
                 reply.send(reserved).ignore_unreceived();
-                self.publish();
+                self.publish_registrations();
             }
             Command::Confirm(name, incarnation, accepted) => {
-                self.slots.confirm(now, &name, incarnation, accepted);
-                self.publish();
-            }
-            Command::Backend(name, reply) => {
-                reply.send(self.slots.backend(&name)).ignore_unreceived()
+                self.slot_owner.confirm(now, &name, incarnation, accepted);
+                self.publish_registrations();
             }
+            Command::Backend(name, reply) => reply
+                .send(self.slot_owner.backend(&name))
+                .ignore_unreceived(),
             Command::Heartbeat(secret, draining, slots, reply) => reply
-                .send(self.slots.heartbeat(now, &secret, draining, slots))
+                .send(self.slot_owner.heartbeat(now, &secret, draining, slots))
                 .ignore_unreceived(),
             Command::Deregister(secret, reply) => {
                 reply
-                    .send(self.slots.deregister(&secret))
+                    .send(self.slot_owner.deregister(&secret))
                     .ignore_unreceived();
-                self.publish();
+                self.publish_registrations();
             }
             Command::Admit(request, reply) => {
                 self.last_ticket += 1;
                 self.pending.insert(self.last_ticket, reply);
                 let admissions =
-                    self.slots
+                    self.slot_owner
                         .admit(now, &self.view.load(), self.last_ticket, *request);
-                self.answer(admissions);
+                self.send_admissions(admissions);
             }
-            Command::Finish(permit, unsent) => self.slots.finish(&permit, unsent),
-            Command::Drain => self.slots.drain(),
+            Command::Finish(permit, unsent) => self.slot_owner.finish(&permit, unsent),
+            Command::Drain => self.slot_owner.drain(),
             Command::Load(reply) => reply
-                .send((self.slots.running(), self.slots.queued()))
+                .send((self.slot_owner.running(), self.slot_owner.queued()))
                 .ignore_unreceived(),
         }
     }
 
-    fn publish(&mut self) {
-        self.clients.store(Arc::new(self.slots.clients()));
-        let services = self.slots.services();
-        self.services.send_if_modified(|held| {
-            let differs = *held != services;
-            *held = services;
+    /// Publishes the clients and services after a registration changed.
+    fn publish_registrations(&mut self) {
+        self.clients.store(Arc::new(self.slot_owner.clients()));
+        let services = self.slot_owner.services();
+        self.services.send_if_modified(|published| {
+            let differs = *published != services;
+            *published = services;
             differs
         });
     }
 }
 
-/// Whoever asked may have gone away; a reply that nobody receives is no error.
+/// Discards the result of sending a reply. The caller may have stopped waiting, which is not an
+/// error.
 trait IgnoreUnreceived {
     fn ignore_unreceived(self);
 }
@@ -309,7 +317,7 @@
     fn ignore_unreceived(self) {}
 }
 
-/// Sends reports to the log, one after the other; none is given up.
+/// Sends reports to the log one at a time and drops none. Confirms registrations by their outcomes.
 async fn send_reports(
     mut outgoing: mpsc::UnboundedReceiver<EndpointReport>,
     reports: StatusReporter,
--- a/crates/legacy-proxy/tests/heartbeats.rs
+++ b/crates/legacy-proxy/tests/heartbeats.rs
@@ -1,4 +1,5 @@
-//! What a heartbeat says, and what becomes of a backend that no grouping holds any more (design 5.3, 7.3).
+//! What a heartbeat says, and what becomes of a backend that no grouping holds any more (design
+//! 5.3, 7.3).
 
 mod scene;
 
