--- a/crates/legacy-proxy/src/slot_owner/admission_check.rs
+++ b/crates/legacy-proxy/src/slot_owner/admission_check.rs
@@ -188,8 +188,8 @@
         format!("{} {}", request.ordinal, request.attempt_id)
     }
 
-    /// Number of slots that one shard key may occupy: three quarters of the backend's slots, rounded
-    /// down, but at least one. A key thus leaves slots to other keys.
+    /// Number of slots that one shard key may occupy: three quarters of the backend's slots,
+    /// rounded down, but at least one. A key thus leaves slots to other keys.
     pub(crate) fn max_slots_per_key(slots: u32) -> usize {
         (slots as usize - (slots as usize).div_ceil(4)).max(1)
     }
