--- a/crates/backend-api/tests/backend_client.rs
+++ b/crates/backend-api/tests/backend_client.rs
@@ -1,4 +1,4 @@
-//! Only a whole, sealed reply to this very try is a success (design 5.3).
+//! Only a complete response with a valid seal for the attempt is a success (design 5.3).
 
 use legacy_proxy::BackendConnector;
 use model::{ErrorKind, ExecutionStatus};
@@ -8,30 +8,31 @@
 #[salvo::handler]
 impl BackendStandIn {
     async fn handle(&self, request: &mut salvo::Request, response: &mut salvo::Response) {
-        let try_id =
+        let attempt_id =
             http_util::header_text(request, backend_api::ATTEMPT_ID_HEADER).unwrap_or_default();
-        let told = http_util::header_text(request, backend_api::CLIENT_HEADER).unwrap_or_default();
-        let body = format!("{try_id} for {told}").into_bytes();
-        let whole = backend_api::seal::seal(&try_id, 200, &body);
+        let client_service =
+            http_util::header_text(request, backend_api::CLIENT_HEADER).unwrap_or_default();
+        let body = format!("{attempt_id} for {client_service}").into_bytes();
+        let valid_seal = backend_api::seal::seal(&attempt_id, 200, &body);
         let (status, body, seal) = match request.uri().path() {
-            "/whole" => (200, body, whole),
-            "/truncated" => (200, body[..3].to_vec(), whole),
+            "/complete" => (200, body, valid_seal),
+            "/truncated" => (200, body[..3].to_vec(), valid_seal),
             "/unsealed" => (200, body, String::new()),
-            "/anothers" => (
+            "/other-attempt" => (
                 200,
                 body.clone(),
                 backend_api::seal::seal("another", 200, &body),
             ),
-            "/status" => (201, body, whole),
+            "/status" => (201, body, valid_seal),
             "/large" => (
                 200,
                 vec![7; http_util::MAX_BODY_BYTES + 1],
-                backend_api::seal::seal(&try_id, 200, &vec![7; http_util::MAX_BODY_BYTES + 1]),
+                backend_api::seal::seal(&attempt_id, 200, &vec![7; http_util::MAX_BODY_BYTES + 1]),
             ),
             _ => (
                 404,
                 body.clone(),
-                backend_api::seal::seal(&try_id, 404, &body),
+                backend_api::seal::seal(&attempt_id, 404, &body),
             ),
         };
         response.status_code(salvo::http::StatusCode::from_u16(status).expect("a status"));
@@ -44,7 +45,7 @@
     }
 }
 
-fn dispatch(path: &str) -> transport::AttemptRequest {
+fn attempt_request(path: &str) -> transport::AttemptRequest {
     transport::AttemptRequest {
         request_id: 1,
         attempt_id: "desk/1".into(),
@@ -68,79 +69,79 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn every_spoilt_response_is_an_error_that_may_have_run() {
-    let actor = http_util::HttpServer::start(
+async fn response_with_a_wrong_seal_or_size_is_an_error_that_may_have_run() {
+    let server = http_util::HttpServer::start(
         "127.0.0.1:0",
         salvo::Router::with_path("{**rest}").goal(BackendStandIn),
     )
     .await
-    .expect("a stand-in");
-    let address = actor.address.to_string();
-    let door = backend_api::BackendClient::new().expect("a door");
-    let whole = door
-        .forward(&address, &dispatch("/whole"), 5_000_000)
+    .expect("the backend starts");
+    let address = server.address.to_string();
+    let client = backend_api::BackendClient::new().expect("the client is created");
+    let complete = client
+        .forward(&address, &attempt_request("/complete"), 5_000_000)
         .await
-        .expect("a reply");
+        .expect("a response");
     assert_eq!(
-        (whole.status, whole.body),
+        (complete.status, complete.body),
         (200, b"desk/1 for desk".to_vec())
     );
-    let refusal = door
-        .forward(&address, &dispatch("/absent"), 5_000_000)
+    let error_response = client
+        .forward(&address, &attempt_request("/absent"), 5_000_000)
         .await
-        .expect("the back end's own refusal is its answer");
-    assert_eq!(refusal.status, 404);
-    let spoilt = [
+        .expect("an error status of the backend is a response");
+    assert_eq!(error_response.status, 404);
+    let invalid_responses = [
         ("/truncated", ErrorKind::BadSeal),
         ("/unsealed", ErrorKind::BadSeal),
-        ("/anothers", ErrorKind::BadSeal),
+        ("/other-attempt", ErrorKind::BadSeal),
         ("/status", ErrorKind::BadSeal),
         ("/large", ErrorKind::ResponseTooLarge),
     ];
-    for (path, cause) in spoilt {
-        let trouble = door
-            .forward(&address, &dispatch(path), 5_000_000)
+    for (path, expected_kind) in invalid_responses {
+        let error = client
+            .forward(&address, &attempt_request(path), 5_000_000)
             .await
             .expect_err(path);
         assert_eq!(
-            (trouble.kind, trouble.execution_status),
-            (cause, ExecutionStatus::MayHaveRun),
+            (error.kind, error.execution_status),
+            (expected_kind, ExecutionStatus::MayHaveRun),
             "{path}"
         );
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_closed_port_is_certain_and_a_broken_answer_is_not() {
-    let door = backend_api::BackendClient::new().expect("a door");
+async fn closed_port_means_not_run_and_a_broken_response_may_have_run() {
+    let client = backend_api::BackendClient::new().expect("the client is created");
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
         .await
         .expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
-    // Takes the request, answers half a head and hangs up.
-    let hanging_up = tokio::spawn(async move {
-        let (mut stream, _) = listener.accept().await.expect("a conn");
+    // Reads from the request, sends a part of the response head and closes the connection.
+    let server = tokio::spawn(async move {
+        let (mut stream, _) = listener.accept().await.expect("a connection");
         let mut head = [0; 64];
         tokio::io::AsyncReadExt::read(&mut stream, &mut head)
             .await
             .expect("a request");
         tokio::io::AsyncWriteExt::write_all(&mut stream, b"HTTP/1.1 200")
             .await
-            .expect("half an answer");
+            .expect("a partial response");
     });
-    let lost = door
-        .forward(&address, &dispatch("/x"), 5_000_000)
+    let broken = client
+        .forward(&address, &attempt_request("/x"), 5_000_000)
         .await
-        .expect_err("half an answer");
+        .expect_err("a partial response");
     assert_eq!(
-        (lost.kind, lost.execution_status),
+        (broken.kind, broken.execution_status),
         (ErrorKind::BackendLost, ExecutionStatus::MayHaveRun)
     );
-    hanging_up.await.expect("it hung up");
-    let closed = door
-        .forward(&address, &dispatch("/x"), 5_000_000)
+    server.await.expect("the server closed the connection");
+    let closed = client
+        .forward(&address, &attempt_request("/x"), 5_000_000)
         .await
-        .expect_err("nobody listens");
+        .expect_err("no listener");
     assert_eq!(
         (closed.kind, closed.execution_status),
         (ErrorKind::Unreachable, ExecutionStatus::NotRun)
--- a/crates/backend-api/tests/witness.rs
+++ b/crates/backend-api/tests/witness.rs
@@ -1,5 +1,6 @@
-//! What a back end is sent and how it seals its reply, as golden files (`tests/golden/`). How the files are written anew
-//! stands at the head of `crates/test-support/tests/golden_files/mod.rs`: `GRADEFORD_WRITE_GOLDEN=1`.
+//! Compares requests to backends, headers and seals with golden files (`tests/golden/`). With
+//! `GRADEFORD_WRITE_GOLDEN=1` the files are written anew; see
+//! `crates/test-support/tests/golden_files/mod.rs`.
 
 #[path = "../../test-support/tests/golden_files/mod.rs"]
 mod golden_files;
@@ -12,7 +13,11 @@
 use std::thread;
 use transport::AttemptRequest;
 
-fn dispatch(key: Option<&str>, fence: Option<u64>, body: &str) -> AttemptRequest {
+fn attempt_request(
+    shard_key: Option<&str>,
+    fencing_token: Option<u64>,
+    body: &str,
+) -> AttemptRequest {
     AttemptRequest {
         request_id: 1,
         attempt_id: "desk/1".into(),
@@ -30,20 +35,21 @@
             ("content-type".into(), b"text/plain".to_vec()),
         ],
         body: body.into(),
-        shard_key: key.map(str::to_string),
-        fencing_token: fence,
+        shard_key: shard_key.map(str::to_string),
+        fencing_token,
         time_left: 5_000_000,
         priority: 5,
         last_watermark: 0,
     }
 }
 
-/// What the back end is sent, its headers in the order of their names, and what comes of its sealed reply.
-async fn sent(dispatch: AttemptRequest) -> String {
+/// Forwards the attempt to a backend. Returns the request that the backend received, with its
+/// headers sorted by name, and the response that was passed on.
+async fn exchange(attempt_request: AttemptRequest) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
-    let try_id = dispatch.attempt_id.clone();
-    let back_end = thread::spawn(move || {
+    let attempt_id = attempt_request.attempt_id.clone();
+    let backend = thread::spawn(move || {
         let (stream, _) = listener.accept().expect("a connection");
         let mut reader = BufReader::new(stream);
         let mut lines: Vec<String> = reader
@@ -58,12 +64,12 @@
             .map_or(0, |length| length.parse().expect("a length"));
         let mut body = vec![0; length];
         reader.read_exact(&mut body).expect("a body");
-        let seal = seal::seal(&try_id, 200, b"done");
+        let seal = seal::seal(&attempt_id, 200, b"done");
         let head = "HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 4\r\ncontent-type: text/plain\r\nx-app-note: back\r\nx-more: left out\r\n";
         reader
             .into_inner()
             .write_all(format!("{head}x-gradeford-seal: {seal}\r\n\r\ndone").as_bytes())
-            .expect("a reply");
+            .expect("a response");
         lines[1..].sort_unstable();
         format!(
             "{}\n\n{}\n",
@@ -71,39 +77,39 @@
             String::from_utf8(body).expect("text")
         )
     });
-    let reply = BackendClient::new()
-        .expect("a door")
-        .forward(&address, &dispatch, 4_000_000)
+    let response = BackendClient::new()
+        .expect("the client is created")
+        .forward(&address, &attempt_request, 4_000_000)
         .await
-        .expect("a reply");
-    let headers: String = reply
+        .expect("a response");
+    let headers: String = response
         .headers
         .iter()
         .map(|(name, value)| format!("{name}: {}\n", String::from_utf8_lossy(value)))
         .collect();
-    let sent = back_end
+    let received = backend
         .join()
-        .expect("the back end")
+        .expect("the backend thread")
         .replace(&address, "<back end>");
     format!(
-        "{sent}---\n{}\n{headers}seal: {}\n{}\n\n",
-        reply.status,
-        reply.seal,
-        String::from_utf8_lossy(&reply.body)
+        "{received}---\n{}\n{headers}seal: {}\n{}\n\n",
+        response.status,
+        response.seal,
+        String::from_utf8_lossy(&response.body)
     )
 }
 
 #[tokio::test]
-async fn a_back_end_is_sent_the_same_head_and_body() {
+async fn requests_to_backends_match_the_golden_file() {
     let all = [
-        sent(dispatch(None, None, "")).await,
-        sent(dispatch(Some("k-1"), Some(7), "body")).await,
+        exchange(attempt_request(None, None, "")).await,
+        exchange(attempt_request(Some("k-1"), Some(7), "body")).await,
     ];
     compare("dispatches.txt", &all.concat(), &[]);
 }
 
 #[test]
-fn the_names_of_the_headers_stay() {
+fn header_names_match_the_golden_file() {
     let names = [
         backend_api::ATTEMPT_ID_HEADER,
         backend_api::ATTEMPT_ORDINAL_HEADER,
@@ -119,21 +125,21 @@
 }
 
 #[test]
-fn a_seal_stays_the_same_for_the_same_reply() {
+fn seals_match_the_golden_file() {
     let large = vec![7; 70_000];
-    let replies: [(&str, u16, &[u8]); 4] = [
+    let responses: [(&str, u16, &[u8]); 4] = [
         ("desk/1", 200, b""),
         ("desk/1", 200, b"body"),
         ("desk/1", 404, b"body"),
         ("desk/2", 200, &large),
     ];
-    let seals: String = replies
+    let seals: String = responses
         .iter()
-        .map(|(try_id, status, body)| {
+        .map(|(attempt_id, status, body)| {
             format!(
-                "{try_id} {status} {}: {}\n",
+                "{attempt_id} {status} {}: {}\n",
                 body.len(),
-                seal::seal(try_id, *status, body)
+                seal::seal(attempt_id, *status, body)
             )
         })
         .collect();
