--- a/crates/simulator/src/checker/mod.rs
+++ b/crates/simulator/src/checker/mod.rs
@@ -10,11 +10,11 @@
 /// What is allowed at this site and in this scenario.
 pub struct Rules<'a> {
     /// Paths whose requests may run twice; everything else must not.
-    pub repeatable: &'a [&'a str],
+    pub idempotent_paths: &'a [&'a str],
     /// Sender and service.
     pub allowed: &'a [(&'a str, &'a str)],
     /// Only planned ends: nothing that was passed on may be cut off.
-    pub planned_ends_only: bool,
+    pub planned_stops_only: bool,
     /// Extra dispatches of one service, over the fleet, beside one in five.
     pub retry_allowance: usize,
     /// What has to be seen, or the scenario proves nothing.
@@ -49,7 +49,10 @@
                     attempt_id: try_id,
                     path,
                     ..
-                } if !rules.repeatable.iter().any(|start| path.starts_with(start))
+                } if !rules
+                    .idempotent_paths
+                    .iter()
+                    .any(|start| path.starts_with(start))
                     && runs[try_id.as_str()] > 1 =>
                 {
                     Some(format!("{try_id} {path}"))
@@ -167,7 +170,7 @@
             .chain(late)
             .collect(),
     );
-    if rules.planned_ends_only {
+    if rules.planned_stops_only {
         broken(
             "planned_ends_cut_nothing",
             promises::interrupted_runs(records),
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -77,7 +77,7 @@
         .into_iter()
         .chain(crate::history::repeated_attempts(&plan.folder).map_err(told)?)
         .collect();
-    let repeatable: Vec<&str> = deployment
+    let idempotent_paths: Vec<&str> = deployment
         .routes
         .iter()
         .filter(|lane| lane.3)
@@ -95,9 +95,9 @@
         &[]
     };
     let rules = crate::checker::Rules {
-        repeatable: &repeatable,
+        idempotent_paths: &idempotent_paths,
         allowed: &allowed,
-        planned_ends_only: scenario.planned_ends_only,
+        planned_stops_only: scenario.planned_stops_only,
         retry_allowance: nodes,
         must_observe: provokes,
     };
@@ -198,7 +198,7 @@
         name: "midway",
         steps,
         length,
-        planned_ends_only: false,
+        planned_stops_only: false,
         must_observe: &[],
     }
 }
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -19,11 +19,11 @@
     /// An empty machine at a new address takes the seat over, by an operator's change.
     Replace(usize),
     Freeze(Target),
-    Wake(Target),
+    Unfreeze(Target),
     /// Both ways, against every other machine.
     Isolate(Target),
     /// Only what it sends is lost.
-    Mute(Target),
+    CutOutgoing(Target),
     /// These core seats against the rest of the core.
     Partition(Vec<usize>),
     HealNetwork,
@@ -58,7 +58,7 @@
         matches!(
             self,
             Step::Start(_)
-                | Step::Wake(_)
+                | Step::Unfreeze(_)
                 | Step::HealNetwork
                 | Step::StartEverything
                 | Step::StartAllReplicas
@@ -74,7 +74,7 @@
     pub steps: Vec<(u64, Step)>,
     pub length: u64,
     /// A planned restart: nothing that was passed on may be cut off.
-    pub planned_ends_only: bool,
+    pub planned_stops_only: bool,
     /// What has to be seen, or the run proves nothing.
     pub must_observe: &'static [&'static str],
 }
@@ -84,7 +84,7 @@
         name,
         steps,
         length,
-        planned_ends_only: false,
+        planned_stops_only: false,
         must_observe: &["an accepted change", "a refused change", "a second arrival"],
     }
 }
@@ -192,14 +192,14 @@
             vec![
                 (2_000, Step::Freeze(Target::Replica(seat))),
                 (3_000, Step::RemoveRoute),
-                (6_000, Step::Wake(Target::Replica(seat))),
+                (6_000, Step::Unfreeze(Target::Replica(seat))),
             ],
         ),
         "core-muted" => scenario(
             "core-muted",
             9_000,
             vec![
-                (2_000, Step::Mute(Target::Replica(seat))),
+                (2_000, Step::CutOutgoing(Target::Replica(seat))),
                 (3_000, Step::RemoveRoute),
                 (6_000, Step::HealNetwork),
             ],
@@ -227,7 +227,7 @@
             vec![
                 (2_000, Step::Freeze(Target::Node(at))),
                 (2_500, Step::RemoveRoute),
-                (7_000, Step::Wake(Target::Node(at))),
+                (7_000, Step::Unfreeze(Target::Node(at))),
             ],
         ),
         "back-end-killed" => scenario(
@@ -243,7 +243,7 @@
             14_000,
             vec![
                 (2_000, Step::Freeze(Target::Backend(at))),
-                (8_000, Step::Wake(Target::Backend(at))),
+                (8_000, Step::Unfreeze(Target::Backend(at))),
             ],
         ),
         "back-ends-replaced" => {
@@ -255,7 +255,7 @@
                 ]
             });
             Scenario {
-                planned_ends_only: true,
+                planned_stops_only: true,
                 ..scenario("back-ends-replaced", 13_000, steps.collect())
             }
         }
@@ -273,7 +273,7 @@
             let stops = struck
                 .clone()
                 .map(|at| (2_000, Step::Freeze(Target::Backend(at))));
-            let wakes = struck.map(|at| (2_900, Step::Wake(Target::Backend(at))));
+            let wakes = struck.map(|at| (2_900, Step::Unfreeze(Target::Backend(at))));
             scenario("service-slow", 9_000, stops.chain(wakes).collect())
         }
         "nodes-rolled" => {
@@ -285,7 +285,7 @@
                 ]
             });
             Scenario {
-                planned_ends_only: true,
+                planned_stops_only: true,
                 ..scenario("nodes-rolled", 14_000, steps.collect())
             }
         }
@@ -298,7 +298,7 @@
                 ]
             });
             Scenario {
-                planned_ends_only: true,
+                planned_stops_only: true,
                 ..scenario("core-rolled", 3_000 + cores as u64 * 2_000, steps.collect())
             }
         }
--- a/crates/simulator/src/scenario_more.rs
+++ b/crates/simulator/src/scenario_more.rs
@@ -23,7 +23,7 @@
                 everything(machines, cores).map(move |who| (turn * 1_200, Step::Reload(who)))
             });
             Scenario {
-                planned_ends_only: true,
+                planned_stops_only: true,
                 ..scenario("reloaded", 7_000, turns.collect())
             }
         }
@@ -230,16 +230,19 @@
                 ),
                 1 => pair(
                     Step::Freeze(Target::Replica(seat)),
-                    Step::Wake(Target::Replica(seat)),
+                    Step::Unfreeze(Target::Replica(seat)),
                 ),
-                2 => pair(Step::Mute(Target::Replica(seat)), Step::HealNetwork),
+                2 => pair(Step::CutOutgoing(Target::Replica(seat)), Step::HealNetwork),
                 3 => pair(
                     Step::Partition((0..cores / 2).map(|step| (seat + step) % cores).collect()),
                     Step::HealNetwork,
                 ),
                 4 => vec![(time, Step::Wipe(seat))],
                 5 => pair(Step::Kill(Target::Node(at)), Step::Start(Target::Node(at))),
-                6 => pair(Step::Freeze(Target::Node(at)), Step::Wake(Target::Node(at))),
+                6 => pair(
+                    Step::Freeze(Target::Node(at)),
+                    Step::Unfreeze(Target::Node(at)),
+                ),
                 7 => pair(Step::Isolate(Target::Node(at)), Step::HealNetwork),
                 8 => pair(
                     Step::Kill(Target::Backend(at)),
@@ -247,7 +250,7 @@
                 ),
                 9 => pair(
                     Step::Freeze(Target::Backend(at)),
-                    Step::Wake(Target::Backend(at)),
+                    Step::Unfreeze(Target::Backend(at)),
                 ),
                 10 => pair(
                     Step::Stop(Target::Backend(at)),
--- a/crates/simulator/src/supervisor.rs
+++ b/crates/simulator/src/supervisor.rs
@@ -106,7 +106,7 @@
                     .iter()
                     .for_each(|process| process.signal(Signal::STOP));
             }
-            Step::Wake(who) => self.wake(who)?,
+            Step::Unfreeze(who) => self.wake(who)?,
             Step::Isolate(who) => {
                 let own = self.host(who);
                 self.hosts()
@@ -117,7 +117,7 @@
                         self.fleet.network.cut(host, own);
                     });
             }
-            Step::Mute(who) => {
+            Step::CutOutgoing(who) => {
                 let own = self.host(who);
                 self.hosts()
                     .into_iter()
--- a/crates/simulator/tests/checker.rs
+++ b/crates/simulator/tests/checker.rs
@@ -70,9 +70,9 @@
     let report = check(
         &records,
         &Rules {
-            repeatable: &["/check"],
+            idempotent_paths: &["/check"],
             allowed: &[("desk", "seat")],
-            planned_ends_only: true,
+            planned_stops_only: true,
             retry_allowance: 2,
             must_observe: &[],
         },
--- a/crates/simulator/tests/checker_operators.rs
+++ b/crates/simulator/tests/checker_operators.rs
@@ -107,9 +107,9 @@
 fn broken(extra: Vec<Record>, allowance: usize) -> Vec<String> {
     let records: Vec<Record> = clean().into_iter().chain(extra).collect();
     let rules = Rules {
-        repeatable: &[],
+        idempotent_paths: &[],
         allowed: &[("desk", "seat")],
-        planned_ends_only: false,
+        planned_stops_only: false,
         retry_allowance: allowance,
         must_observe: &["a moved key"],
     };
@@ -285,9 +285,9 @@
         keyed(26 * SECOND, false),
     ];
     let rules = Rules {
-        repeatable: &[],
+        idempotent_paths: &[],
         allowed: &[],
-        planned_ends_only: false,
+        planned_stops_only: false,
         retry_allowance: 0,
         must_observe: &[],
     };
