--- a/crates/simulator/src/checker/desired_state.rs
+++ b/crates/simulator/src/checker/desired_state.rs
@@ -1,8 +1,10 @@
-//! What operators were told, read back, and what nodes held: one story, or a broken promise (design 9.5).
+//! Invariants on the desired state: the answers to operators, the states that they read and the states that nodes hold
+//! must agree (design 9.5).
 
 use crate::history::Record;
 use std::collections::BTreeMap;
 
+/// Time after which every node that holds a valid proof serves by an accepted change.
 const IN_FORCE_WITHIN_US: u64 = 2_500_000;
 
 struct SentChange<'a> {
@@ -39,23 +41,30 @@
 
 type ChangesByVersion<'a> = BTreeMap<u64, &'a SentChange<'a>>;
 
-/// Each version is one accepted change's; a change whose answer was lost may hold the one that is missing.
+/// Maps each version to the accepted change that produced it; two changes with the same version are a violation. A
+/// version without an entry may belong to a change whose answer was lost.
 fn changes_by_version<'a>(sent: &'a [SentChange<'a>]) -> (ChangesByVersion<'a>, Vec<String>) {
-    let mut broken = Vec::new();
-    let table = sent
+    let mut violations = Vec::new();
+    let accepted_changes = sent
         .iter()
         .filter_map(|change| change.version.map(|version| (version, change)))
-        .fold(ChangesByVersion::new(), |mut table, (version, change)| {
-            if table.get(&version).is_some_and(|held| held.id != change.id) {
-                broken.push(format!(
-                    "version {version} was told to {} and to {}",
-                    table[&version].id, change.id
-                ));
-            }
-            table.entry(version).or_insert(change);
-            table
-        });
-    (table, broken)
+        .fold(
+            ChangesByVersion::new(),
+            |mut accepted_changes, (version, change)| {
+                if accepted_changes
+                    .get(&version)
+                    .is_some_and(|existing| existing.id != change.id)
+                {
+                    violations.push(format!(
+                        "version {version} was given to {} and to {}",
+                        accepted_changes[&version].id, change.id
+                    ));
+                }
+                accepted_changes.entry(version).or_insert(change);
+                accepted_changes
+            },
+        );
+    (accepted_changes, violations)
 }
 
 fn parsed_edits(change: &SentChange) -> Vec<model::Edit> {
@@ -66,15 +75,16 @@
         .collect()
 }
 
-/// Every state read back is the fold of the accepted changes up to its version: nothing of a refused one, nothing lost.
+/// States read by operators that are not the result of applying all accepted changes up to their version, and nothing
+/// else.
 pub(crate) fn inconsistent_reads(records: &[Record]) -> Vec<String> {
     let sent = sent_changes(records);
-    let (table, mut broken) = changes_by_version(&sent);
-    let lost: Vec<&SentChange> = sent
+    let (accepted_changes, mut violations) = changes_by_version(&sent);
+    let unanswered: Vec<&SentChange> = sent
         .iter()
         .filter(|change| change.version.is_none() && !change.refused)
         .collect();
-    let top = table.keys().max().copied().unwrap_or(0);
+    let last_version = accepted_changes.keys().max().copied().unwrap_or(0);
     let reads = records.iter().filter_map(|record| match record {
         Record::StateRead { asked, desired, .. } => {
             serde_json::from_value::<model::DesiredState>(desired.clone())
@@ -84,22 +94,23 @@
         _ => None,
     });
     let reads: Vec<(u64, model::DesiredState)> = reads.collect();
-    let top = reads
+    let last_version = reads
         .iter()
         .map(|(_, state)| state.version)
         .max()
         .unwrap_or(0)
-        .max(top);
-    let mut folded = vec![vec![model::DesiredState::default()]];
-    (1..=top).for_each(|version| {
-        // What stands at this version: one state, or one for each change that may hold it.
-        let candidates: Vec<&&SentChange> = lost
+        .max(last_version);
+    let mut states_by_version = vec![vec![model::DesiredState::default()]];
+    (1..=last_version).for_each(|version| {
+        // The possible states at this version: one if its change is known, otherwise one for each change whose answer
+        // was lost.
+        let candidates: Vec<&&SentChange> = unanswered
             .iter()
-            .filter(|_| !table.contains_key(&version))
+            .filter(|_| !accepted_changes.contains_key(&version))
             .collect();
-        let known = table.get(&version).into_iter().copied();
+        let known = accepted_changes.get(&version).into_iter().copied();
         let changes: Vec<&SentChange> = known.chain(candidates.into_iter().copied()).collect();
-        let states: Vec<model::DesiredState> = folded[version as usize - 1]
+        let states: Vec<model::DesiredState> = states_by_version[version as usize - 1]
             .iter()
             .flat_map(|before| {
                 changes.iter().map(move |change| model::DesiredState {
@@ -108,17 +119,17 @@
                 })
             })
             .filter(|after| {
-                let seen = reads.iter().find(|(_, state)| state.version == version);
-                seen.is_none_or(|(_, state)| state == after)
+                let read = reads.iter().find(|(_, state)| state.version == version);
+                read.is_none_or(|(_, state)| state == after)
             })
             .take(16)
             .collect();
-        folded.push(states);
+        states_by_version.push(states);
     });
-    broken.extend(
+    violations.extend(
         reads
             .iter()
-            .filter(|(_, state)| !folded[state.version as usize].contains(state))
+            .filter(|(_, state)| !states_by_version[state.version as usize].contains(state))
             .map(|(asked, state)| {
                 format!(
                     "read back at {asked}: version {} is not what the accepted changes make of it",
@@ -126,10 +137,10 @@
                 )
             }),
     );
-    broken
+    violations
 }
 
-/// A read-back never lacks what had been accepted before it was asked for.
+/// Reads that lack a change which had been accepted before the read was requested.
 pub(crate) fn lost_changes(records: &[Record]) -> Vec<String> {
     let sent = sent_changes(records);
     let accepted: Vec<(u64, u64)> = sent
@@ -144,14 +155,16 @@
     });
     reads
         .filter_map(|(asked, version)| {
-            let due = accepted
+            let expected = accepted
                 .iter()
                 .filter(|(at, _)| *at < asked)
                 .map(|(_, version)| *version)
                 .max()
                 .unwrap_or(0);
-            (version < due).then(|| {
-                format!("read back at {asked}: version {version}, though {due} had been accepted")
+            (version < expected).then(|| {
+                format!(
+                    "read back at {asked}: version {version}, though {expected} had been accepted"
+                )
             })
         })
         .collect()
@@ -163,42 +176,44 @@
     let of = |record| match record {
         &Record::NodeObserved {
             ref node,
-            incarnation: life,
+            incarnation,
             asked,
             position,
             fresh,
-        } => Some((node.as_str(), life, asked, position, fresh)),
+        } => Some((node.as_str(), incarnation, asked, position, fresh)),
         _ => None,
     };
-    let mut seen: Vec<NodeObservation> = records.iter().filter_map(of).collect();
-    seen.sort_by_key(|(node, _, asked, ..)| (*node, *asked));
-    seen
+    let mut observations: Vec<NodeObservation> = records.iter().filter_map(of).collect();
+    observations.sort_by_key(|(node, _, asked, ..)| (*node, *asked));
+    observations
 }
 
-/// Within a life never, and over a restart not below what it had proved.
+/// Observations of a node whose position went back: within an incarnation at all, or over a restart below a position
+/// that it had proved.
 pub(crate) fn regressed_positions(records: &[Record]) -> Vec<String> {
-    let mut held: BTreeMap<&str, (u64, u64, u64)> = Default::default();
+    let mut positions: BTreeMap<&str, (u64, u64, u64)> = Default::default();
     node_observations(records)
         .into_iter()
-        .filter_map(|(node, life, asked, position, fresh)| {
-            let (last_life, last, proved) = held.get(node).copied().unwrap_or_default();
-            let back = life == last_life && position < last || fresh && position < proved;
-            held.insert(
+        .filter_map(|(node, incarnation, asked, position, fresh)| {
+            let (last_incarnation, last, proved) = positions.get(node).copied().unwrap_or_default();
+            let is_regression =
+                incarnation == last_incarnation && position < last || fresh && position < proved;
+            positions.insert(
                 node,
                 (
-                    life,
+                    incarnation,
                     position,
                     if fresh { proved.max(position) } else { proved },
                 ),
             );
-            back.then(|| {
+            is_regression.then(|| {
                 format!("{node} at {asked}: position {position} after {last}, {proved} proved")
             })
         })
         .collect()
 }
 
-/// Whoever serves two and a half seconds after a change was accepted, serves by it.
+/// Nodes with a valid proof that lack a change two and a half seconds after it was accepted.
 pub(crate) fn late_changes(records: &[Record]) -> Vec<String> {
     let sent = sent_changes(records);
     let mut accepted: Vec<(u64, u64)> = sent
@@ -210,14 +225,14 @@
         .into_iter()
         .filter(|(.., fresh)| *fresh)
         .filter_map(|(node, _, asked, position, _)| {
-            let due = accepted
+            let expected = accepted
                 .iter()
                 .take_while(|(at, _)| at + IN_FORCE_WITHIN_US <= asked)
                 .map(|(_, position)| *position)
                 .max()
                 .unwrap_or(0);
-            (position < due).then(|| {
-                format!("{node} at {asked} serves by {position}, {due} was accepted before")
+            (position < expected).then(|| {
+                format!("{node} at {asked} serves by {position}, {expected} was accepted before")
             })
         })
         .collect()
--- a/crates/simulator/src/checker/mod.rs
+++ b/crates/simulator/src/checker/mod.rs
@@ -1,4 +1,4 @@
-//! What must hold over all that stand-ins saw (design 9.5).
+//! Checks the recorded history of a run against the invariants of the service mesh (design 9.5).
 
 mod desired_state;
 mod promises;
@@ -7,163 +7,156 @@
 use crate::history::{Record, Report};
 use std::collections::HashMap;
 
-/// What is allowed at this site and in this scenario.
+/// What the deployment and the scenario allow, and what the scenario must produce.
 pub struct Rules<'a> {
-    /// Paths whose requests may run twice; everything else must not.
+    /// Prefixes of paths whose requests may run more than once; all other requests must not.
     pub idempotent_paths: &'a [&'a str],
-    /// Sender and service.
+    /// The allowed pairs of client and service.
     pub allowed: &'a [(&'a str, &'a str)],
-    /// Only planned ends: nothing that was passed on may be cut off.
+    /// Whether processes are only stopped gracefully, so that no forwarded request may be interrupted.
     pub planned_stops_only: bool,
-    /// Extra dispatches of one service, over the fleet, beside one in five.
+    /// Retries of one service over the whole fleet that are allowed beside one for every five requests.
     pub retry_allowance: usize,
-    /// What has to be seen, or the scenario proves nothing.
+    /// Situations that must occur in the run, because without them the scenario tests nothing.
     pub must_observe: &'a [&'a str],
 }
 
 pub fn check(records: &[Record], rules: &Rules) -> Report {
     let mut report = Report::default();
-    let began: Vec<&Record> = records
+    let begun_runs: Vec<&Record> = records
         .iter()
         .filter(|record| matches!(record, Record::RunBegan { .. }))
         .collect();
-    let runs = began
+    let runs = begun_runs
         .iter()
         .fold(HashMap::<&str, usize>::new(), |mut runs, record| {
-            if let Record::RunBegan {
-                attempt_id: try_id, ..
-            } = record
-            {
-                *runs.entry(try_id).or_default() += 1;
+            if let Record::RunBegan { attempt_id, .. } = record {
+                *runs.entry(attempt_id).or_default() += 1;
             }
             runs
         });
-    let mut broken =
+    let mut add_violations =
         |name: &str, found: Vec<String>| drop(report.invariants.insert(name.to_string(), found));
-    broken(
+    add_violations(
         "nothing_runs_twice",
-        began
+        begun_runs
             .iter()
             .filter_map(|record| match record {
                 Record::RunBegan {
-                    attempt_id: try_id,
-                    path,
-                    ..
+                    attempt_id, path, ..
                 } if !rules
                     .idempotent_paths
                     .iter()
                     .any(|start| path.starts_with(start))
-                    && runs[try_id.as_str()] > 1 =>
+                    && runs[attempt_id.as_str()] > 1 =>
                 {
-                    Some(format!("{try_id} {path}"))
+                    Some(format!("{attempt_id} {path}"))
                 }
                 _ => None,
             })
             .collect(),
     );
-    broken(
+    add_violations(
         "not_run_did_not_run",
         answers(records)
-            // What could not even be asked was refused by nobody.
-            .filter(|(_, _, _, cause)| *cause != Some("own_usher_down"))
-            .filter(|(try_id, verdict, _, _)| {
-                *verdict == Some("not-run") && runs.contains_key(try_id)
+            // A request that could not reach its own node was rejected by nobody.
+            .filter(|(_, _, _, error_kind)| *error_kind != Some("own_usher_down"))
+            .filter(|(attempt_id, execution_status, _, _)| {
+                *execution_status == Some("not-run") && runs.contains_key(attempt_id)
             })
-            .map(|(try_id, ..)| try_id.to_string())
+            .map(|(attempt_id, ..)| attempt_id.to_string())
             .collect(),
     );
-    broken(
+    add_violations(
         "success_is_whole",
         answers(records)
-            .filter(|(try_id, verdict, whole, _)| {
-                verdict.is_none() && (!whole || !runs.contains_key(try_id))
+            .filter(|(attempt_id, execution_status, complete, _)| {
+                execution_status.is_none() && (!complete || !runs.contains_key(attempt_id))
             })
-            .map(|(try_id, ..)| try_id.to_string())
+            .map(|(attempt_id, ..)| attempt_id.to_string())
             .collect(),
     );
-    broken(
+    add_violations(
         "routes_are_kept",
-        began
+        begun_runs
             .iter()
             .filter_map(|record| match record {
                 Record::RunBegan {
-                    attempt_id: try_id,
+                    attempt_id,
                     service,
-                    intended_service: meant_for,
-                    client: sender,
+                    intended_service,
+                    client,
                     ..
-                } if service != meant_for
-                    || !rules.allowed.contains(&(sender.as_str(), service.as_str())) =>
+                } if service != intended_service
+                    || !rules.allowed.contains(&(client.as_str(), service.as_str())) =>
                 {
-                    Some(format!("{try_id} for {meant_for} at {service}"))
+                    Some(format!("{attempt_id} for {intended_service} at {service}"))
                 }
                 _ => None,
             })
             .collect(),
     );
-    broken(
+    add_violations(
         "senders_are_told_truly",
-        began
+        begun_runs
             .iter()
             .filter_map(|record| match record {
                 Record::RunBegan {
-                    attempt_id: try_id,
-                    client: sender,
-                    ..
-                } if client_service(try_id) != Some(sender.as_str()) => {
-                    Some(format!("{try_id} told as {sender}"))
+                    attempt_id, client, ..
+                } if client_service(attempt_id) != Some(client.as_str()) => {
+                    Some(format!("{attempt_id} arrived as one of {client}"))
                 }
                 _ => None,
             })
             .collect(),
     );
-    broken(
+    add_violations(
         "addresses_change_hands_safely",
         promises::misrouted_requests(records),
     );
-    broken("one_holder_a_key", promises::overlapping_runs(records));
-    broken(
+    add_violations("one_holder_a_key", promises::overlapping_runs(records));
+    add_violations(
         "drained_gets_nothing_new",
         promises::runs_after_leaving(records),
     );
-    broken(
+    add_violations(
         "changes_are_in_force",
         promises::runs_on_removed_routes(records),
     );
-    broken(
+    add_violations(
         "every_change_is_in_force_everywhere",
         desired_state::late_changes(records),
     );
-    broken(
+    add_violations(
         "no_version_slides_back",
         desired_state::regressed_positions(records),
     );
-    broken(
+    add_violations(
         "what_is_read_back_was_accepted",
         desired_state::inconsistent_reads(records),
     );
-    broken(
+    add_violations(
         "accepted_changes_stay",
         desired_state::lost_changes(records),
     );
-    broken(
+    add_violations(
         "extras_keep_to_their_budget",
         serving::retry_budget_overruns(records, rules.retry_allowance),
     );
-    broken(
+    add_violations(
         "refusals_say_when_to_come_back",
         serving::rejections_without_retry_after(records),
     );
-    broken(
+    add_violations(
         "given_up_means_answered_at_once",
         serving::late_rejections(records),
     );
-    broken(
+    add_violations(
         "others_are_served_beside_a_hot_key",
         serving::starved_keys(records),
     );
-    let (back, late) = serving::recovery_times(records);
-    broken(
+    let (recovery_us, late) = serving::recovery_times(records);
+    add_violations(
         "service_is_back",
         promises::services_not_served_at_the_end(records)
             .into_iter()
@@ -171,26 +164,26 @@
             .collect(),
     );
     if rules.planned_stops_only {
-        broken(
+        add_violations(
             "planned_ends_cut_nothing",
             promises::interrupted_runs(records),
         );
     }
-    report.recovery_us = back;
+    report.recovery_us = recovery_us;
     report.not_observed = rules
         .must_observe
         .iter()
         .filter(|what| !serving::observed(records, what))
         .map(|what| what.to_string())
         .collect();
-    let firsts = || {
+    let first_answers = || {
         answers(
             records
                 .iter()
                 .filter(|record| !matches!(record, Record::ClientAnswered { repeated: true, .. })),
         )
     };
-    let times: Vec<u64> = records
+    let answer_times: Vec<u64> = records
         .iter()
         .filter_map(|record| {
             if let Record::ClientAnswered { at, .. } = record {
@@ -200,37 +193,38 @@
             }
         })
         .collect();
-    let span = times
+    let span = answer_times
         .iter()
         .max()
-        .zip(times.iter().min())
+        .zip(answer_times.iter().min())
         .map(|(last, first)| last - first)
         .unwrap_or(0)
         .max(1);
-    report.measurements.requests_per_second = times.len() as f64 * 1e6 / span as f64;
-    report.asked = firsts().count();
+    report.measurements.requests_per_second = answer_times.len() as f64 * 1e6 / span as f64;
+    report.asked = first_answers().count();
     report.repeated = answers(records).count() - report.asked;
-    report.served = firsts()
-        .filter(|(_, verdict, ..)| verdict.is_none())
+    report.served = first_answers()
+        .filter(|(_, execution_status, ..)| execution_status.is_none())
         .count();
-    report.not_run = firsts()
-        .filter(|(_, verdict, ..)| *verdict == Some("not-run"))
+    report.not_run = first_answers()
+        .filter(|(_, execution_status, ..)| *execution_status == Some("not-run"))
         .count();
     report.may_have_run = report.asked - report.served - report.not_run;
     answers(records)
-        .filter_map(|(.., cause)| cause)
-        .for_each(|cause| *report.causes.entry(cause.to_string()).or_default() += 1);
+        .filter_map(|(.., error_kind)| error_kind)
+        .for_each(|error_kind| *report.causes.entry(error_kind.to_string()).or_default() += 1);
     report
 }
 
-/// A stand-in writes its own service into its tries, behind the registration's prefix.
-fn client_service(try_id: &str) -> Option<&str> {
-    try_id
+/// The client's service, which a backend stand-in writes into its attempt ids after the prefix of its registration.
+fn client_service(attempt_id: &str) -> Option<&str> {
+    attempt_id
         .rsplit('.')
         .next()
         .and_then(|rest| rest.split('/').next())
 }
 
+/// Attempt id, execution status, completeness and error kind of an answer.
 type AnswerSummary<'a> = (&'a str, Option<&'a str>, bool, Option<&'a str>);
 
 fn answers<'a>(
@@ -238,16 +232,16 @@
 ) -> impl Iterator<Item = AnswerSummary<'a>> {
     records.into_iter().filter_map(|record| match record {
         Record::ClientAnswered {
-            attempt_id: try_id,
-            execution_status: verdict,
-            complete: whole,
-            error_kind: cause,
+            attempt_id,
+            execution_status,
+            complete,
+            error_kind,
             ..
         } => Some((
-            try_id.as_str(),
-            verdict.as_deref(),
-            *whole,
-            cause.as_deref(),
+            attempt_id.as_str(),
+            execution_status.as_deref(),
+            *complete,
+            error_kind.as_deref(),
         )),
         _ => None,
     })
--- a/crates/simulator/src/checker/promises.rs
+++ b/crates/simulator/src/checker/promises.rs
@@ -1,4 +1,4 @@
-//! What must hold between times: keys, drains, changes, returns (design 9.5).
+//! Invariants on the order of events: key ownership, draining, route changes and recovery (design 9.5).
 
 use crate::history::Record;
 use std::collections::BTreeMap;
@@ -6,13 +6,14 @@
 use std::collections::HashMap;
 use std::collections::HashSet;
 
-/// What operators and back ends are promised, with the half second the brief leaves.
+/// Time after which an accepted change or a drain is in force: the promised two seconds and half a second of
+/// tolerance.
 const IN_FORCE_WITHIN_US: u64 = 2_500_000;
 
-/// From, to, by which process: two of one name are two live back ends.
+/// Begin, end and process of a run. Two processes of the same name are two live backends.
 type RunSpan = (u64, u64, u32);
 
-/// Two back ends at work on one key of one service at the same time.
+/// Runs of two backends on the same key of a service at the same time.
 pub(crate) fn overlapping_runs(records: &[Record]) -> Vec<String> {
     let ends: HashMap<&str, u64> = records
         .iter()
@@ -32,7 +33,8 @@
             ..
         } = record
         {
-            // A run without an end was killed with its back end: it did nothing after its beginning.
+            // A run without an end was killed together with its backend; it did nothing after its beginning, so its
+            // span is empty.
             spans.entry((service, key)).or_default().push((
                 *at,
                 ends.get(run.as_str()).copied().unwrap_or(*at),
@@ -48,11 +50,11 @@
             spans
                 .iter()
                 .filter_map(|(from, to, process)| {
-                    let clash = *from < latest.0 && *process != latest.1;
+                    let overlaps = *from < latest.0 && *process != latest.1;
                     if *to > latest.0 {
                         latest = (*to, *process);
                     }
-                    clash.then(|| {
+                    overlaps.then(|| {
                         format!("{service} {key} at {from} by process {process} and another")
                     })
                 })
@@ -61,53 +63,55 @@
         .collect()
 }
 
-/// Two and a half seconds after a back end said it was leaving, that process begins nothing new.
+/// Runs that a process begins more than two and a half seconds after its backend announced that it is leaving.
 pub(crate) fn runs_after_leaving(records: &[Record]) -> Vec<String> {
     let leavings = records.iter().filter_map(|record| match record {
-        Record::BackendLeaving { backend: by, at } => Some((by, *at)),
+        Record::BackendLeaving { backend, at } => Some((backend, *at)),
         _ => None,
     });
     leavings
-        .flat_map(|(leaver, left)| {
+        .flat_map(|(leaving_backend, left_at)| {
             let began = records.iter().filter_map(move |record| match record {
                 Record::RunBegan {
-                    attempt_id: try_id,
-                    backend: by,
+                    attempt_id,
+                    backend,
                     process,
                     at,
                     ..
-                } if by == leaver => Some((try_id, *process, *at)),
+                } if backend == leaving_backend => Some((attempt_id, *process, *at)),
                 _ => None,
             });
-            // The process that left; its successor of the same name may begin what it likes.
+            // Only the process that left is checked; its successor of the same name may begin runs.
             let left_process = began
                 .clone()
-                .filter(|(_, _, at)| *at <= left)
+                .filter(|(_, _, at)| *at <= left_at)
                 .max_by_key(|(_, _, at)| *at)
                 .map(|(_, process, _)| process);
-            let late = began.filter(move |(_, process, at)| {
-                *at > left + IN_FORCE_WITHIN_US && Some(*process) == left_process
+            let late_runs = began.filter(move |(_, process, at)| {
+                *at > left_at + IN_FORCE_WITHIN_US && Some(*process) == left_process
             });
-            late.map(move |(try_id, ..)| format!("{try_id} at {leaver}"))
+            late_runs
+                .map(move |(attempt_id, ..)| format!("{attempt_id} at {leaving_backend}"))
                 .collect::<Vec<_>>()
         })
         .collect()
 }
 
-/// Between a lane's end being accepted, and its return being asked for, nothing goes through it.
+/// Runs on a removed route: those that begin after the removal is in force and before the route's restoration is
+/// requested.
 pub(crate) fn runs_on_removed_routes(records: &[Record]) -> Vec<String> {
-    let lanes: Vec<(&str, &str, &str, bool, bool, u64)> = records
+    let routes: Vec<(&str, &str, &str, bool, bool, u64)> = records
         .iter()
         .filter_map(|record| match record {
             Record::RouteChange {
-                client: sender,
+                client,
                 service,
                 path,
                 allowed,
                 accepted,
                 at,
             } => Some((
-                sender.as_str(),
+                client.as_str(),
                 service.as_str(),
                 path.as_str(),
                 *allowed,
@@ -117,30 +121,37 @@
             _ => None,
         })
         .collect();
-    let forbidden = lanes.iter().filter(|lane| !lane.3 && lane.4).map(|lane| {
-        let back = lanes
-            .iter()
-            .filter(|other| other.3 && !other.4 && other.5 > lane.5)
-            .map(|other| other.5)
-            .min();
-        (lane, lane.5 + IN_FORCE_WITHIN_US, back.unwrap_or(u64::MAX))
-    });
-    forbidden
-        .flat_map(|(lane, from, to)| {
+    let removals = routes
+        .iter()
+        .filter(|route| !route.3 && route.4)
+        .map(|route| {
+            let restored_at = routes
+                .iter()
+                .filter(|other| other.3 && !other.4 && other.5 > route.5)
+                .map(|other| other.5)
+                .min();
+            (
+                route,
+                route.5 + IN_FORCE_WITHIN_US,
+                restored_at.unwrap_or(u64::MAX),
+            )
+        });
+    removals
+        .flat_map(|(route, from, to)| {
             records.iter().filter_map(move |record| match record {
                 Record::RunBegan {
-                    attempt_id: try_id,
+                    attempt_id,
                     at,
-                    client: sender,
+                    client,
                     service,
                     path,
                     ..
-                } if (sender.as_str(), service.as_str()) == (lane.0, lane.1)
-                    && path == lane.2
+                } if (client.as_str(), service.as_str()) == (route.0, route.1)
+                    && path == route.2
                     && (from..to).contains(at) =>
                 {
                     Some(format!(
-                        "{try_id} {} after the change",
+                        "{attempt_id} {} µs after the change",
                         at - from + IN_FORCE_WITHIN_US
                     ))
                 }
@@ -150,32 +161,33 @@
         .collect()
 }
 
-/// Every service that sends is served again in the last two and a half seconds.
+/// Client services none of whose requests were served in the last two and a half seconds of the run.
 pub(crate) fn services_not_served_at_the_end(records: &[Record]) -> Vec<String> {
-    let told = records.iter().filter_map(|record| match record {
+    let answers = records.iter().filter_map(|record| match record {
         Record::ClientAnswered {
             service,
             at,
-            execution_status: verdict,
+            execution_status,
             ..
-        } => Some((service.as_str(), *at, verdict.is_none())),
+        } => Some((service.as_str(), *at, execution_status.is_none())),
         _ => None,
     });
-    let end = told.clone().map(|(_, at, _)| at).max().unwrap_or(0);
-    let senders: BTreeSet<&str> = told.clone().map(|(service, ..)| service).collect();
-    let served: BTreeSet<&str> = told
-        .filter(|(_, at, fine)| *fine && *at + IN_FORCE_WITHIN_US >= end)
+    let end = answers.clone().map(|(_, at, _)| at).max().unwrap_or(0);
+    let clients: BTreeSet<&str> = answers.clone().map(|(service, ..)| service).collect();
+    let served: BTreeSet<&str> = answers
+        .filter(|(_, at, served)| *served && *at + IN_FORCE_WITHIN_US >= end)
         .map(|(service, ..)| service)
         .collect();
-    senders
+    clients
         .difference(&served)
         .map(|service| format!("{service} is not served at the end"))
         .collect()
 }
 
-/// A request that reached another service than it was meant for, longer after the address' owner died than it may take.
+/// Requests that reached another service than the one they were meant for, unless a backend had left shortly before and
+/// its address may still have been in use.
 pub(crate) fn misrouted_requests(records: &[Record]) -> Vec<String> {
-    let left: Vec<u64> = records
+    let departures: Vec<u64> = records
         .iter()
         .filter_map(|record| {
             if let Record::BackendLeaving { at, .. } = record {
@@ -189,28 +201,28 @@
         .iter()
         .filter_map(|record| match record {
             Record::Misrouted {
-                backend: by,
-                intended_service: meant_for,
+                backend,
+                intended_service,
                 at,
-            } if !left
+            } if !departures
                 .iter()
                 .any(|left| (*left..*left + IN_FORCE_WITHIN_US).contains(at)) =>
             {
-                Some(format!("a request for {meant_for} reached {by} at {at}"))
+                Some(format!(
+                    "a request for {intended_service} reached {backend} at {at}"
+                ))
             }
             _ => None,
         })
         .collect()
 }
 
-/// Requests that ran, or were running, and whose senders never got the answer because of a planned end.
+/// Requests that began to run and whose clients got an error because a process on the way stopped.
 pub(crate) fn interrupted_runs(records: &[Record]) -> Vec<String> {
     let began: HashSet<&str> = records
         .iter()
         .filter_map(|record| match record {
-            Record::RunBegan {
-                attempt_id: try_id, ..
-            } => Some(try_id.as_str()),
+            Record::RunBegan { attempt_id, .. } => Some(attempt_id.as_str()),
             _ => None,
         })
         .collect();
@@ -224,11 +236,13 @@
         .iter()
         .filter_map(|record| match record {
             Record::ClientAnswered {
-                attempt_id: try_id,
-                error_kind: Some(cause),
+                attempt_id,
+                error_kind: Some(error_kind),
                 ..
-            } if INTERRUPTIONS.contains(&cause.as_str()) && began.contains(try_id.as_str()) => {
-                Some(format!("{try_id}: {cause}"))
+            } if INTERRUPTIONS.contains(&error_kind.as_str())
+                && began.contains(attempt_id.as_str()) =>
+            {
+                Some(format!("{attempt_id}: {error_kind}"))
             }
             _ => None,
         })
--- a/crates/simulator/src/checker/serving.rs
+++ b/crates/simulator/src/checker/serving.rs
@@ -1,11 +1,12 @@
-//! Budgets, refusals, returns: what senders are promised beside their verdicts (design 5.4, 5.6).
+//! Invariants on what clients are promised beside the execution status: retry budgets, rejections and recovery
+//! (design 5.4, 5.6).
 
 use crate::history::Record;
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
 const BUDGET_WINDOW_US: u64 = 10_000_000;
-/// Between a request's asking and its counting at the node.
+/// Longest time between a client's sending a request and the node's adding it to the retry budget, in microseconds.
 const COUNTING_DELAY_US: u64 = 50_000;
 const RECOVERY_LIMIT_US: u64 = 15_000_000;
 
@@ -21,18 +22,18 @@
     key: Option<&'a str>,
 }
 
-/// First arrivals at the service they were meant for.
+/// Answers to requests that were not resent, by the service they were meant for.
 fn first_answers(records: &[Record]) -> impl Iterator<Item = FirstAnswer<'_>> {
     records.iter().filter_map(|record| match record {
         Record::ClientAnswered {
             target,
             asked,
             at,
-            wait_us: wait,
+            wait_us,
             status,
-            execution_status: verdict,
-            error_kind: cause,
-            has_retry_after: come_back,
+            execution_status,
+            error_kind,
+            has_retry_after,
             key,
             repeated: false,
             ..
@@ -40,102 +41,104 @@
             service: target,
             asked: *asked,
             at: *at,
-            wait_us: *wait,
+            wait_us: *wait_us,
             status: *status,
-            execution_status: verdict.as_deref(),
-            error_kind: cause.as_deref(),
-            has_retry_after: *come_back,
+            execution_status: execution_status.as_deref(),
+            error_kind: error_kind.as_deref(),
+            has_retry_after: *has_retry_after,
             key: key.as_deref(),
         }),
         _ => None,
     })
 }
 
-/// In any ten seconds, over the fleet: the worst windows begin with an extra dispatch.
+/// Retries of one service over the whole fleet that exceed the budget in some window of ten seconds. Each window that
+/// can exceed it most begins with a retry, so only those windows are checked.
 pub(crate) fn retry_budget_overruns(records: &[Record], allowance: usize) -> Vec<String> {
-    let extras = records.iter().filter_map(|record| match record {
+    let retries = records.iter().filter_map(|record| match record {
         Record::AttemptRepeated { service, at, .. } => Some((service.as_str(), *at)),
         _ => None,
     });
-    let gathered = |mut table: BTreeMap<String, Vec<u64>>, (service, at): (&str, u64)| {
+    let group_by_service = |mut table: BTreeMap<String, Vec<u64>>, (service, at): (&str, u64)| {
         table.entry(service.to_string()).or_default().push(at);
         table
     };
-    let mut extras = extras.fold(Default::default(), gathered);
-    let mut asked = first_answers(records)
-        .map(|told| (told.service, told.asked))
-        .fold(Default::default(), gathered);
-    extras
+    let mut retries = retries.fold(Default::default(), group_by_service);
+    let mut request_times = first_answers(records)
+        .map(|answer| (answer.service, answer.asked))
+        .fold(Default::default(), group_by_service);
+    retries
         .values_mut()
-        .chain(asked.values_mut())
+        .chain(request_times.values_mut())
         .for_each(|times| times.sort());
-    let inside = |times: &[u64], from: u64, to: u64| {
+    let count_between = |times: &[u64], from: u64, to: u64| {
         times.partition_point(|time| *time < to) - times.partition_point(|time| *time < from)
     };
-    extras
+    retries
         .iter()
         .flat_map(|(service, times)| {
-            let requests = asked.get(service).map(Vec::as_slice).unwrap_or_default();
+            let requests = request_times.get(service).map(Vec::as_slice).unwrap_or_default();
             times.iter().filter_map(move |from| {
-                let (spent, earned) = (inside(times, *from, from + BUDGET_WINDOW_US), inside(requests, from.saturating_sub(COUNTING_DELAY_US), from + BUDGET_WINDOW_US));
-                (spent > earned / 5 + allowance).then(|| format!("{service}: {spent} extra dispatches and {earned} requests in ten seconds from {from}"))
+                let (retry_count, request_count) = (count_between(times, *from, from + BUDGET_WINDOW_US), count_between(requests, from.saturating_sub(COUNTING_DELAY_US), from + BUDGET_WINDOW_US));
+                (retry_count > request_count / 5 + allowance).then(|| format!("{service}: {retry_count} retries and {request_count} requests in ten seconds from {from}"))
             })
         })
         .collect()
 }
 
-/// Refused for the moment, and not told when to come back.
+/// Temporary rejections without a `Retry-After` time.
 pub(crate) fn rejections_without_retry_after(records: &[Record]) -> Vec<String> {
-    let silent = first_answers(records).filter(|told| {
-        told.execution_status == Some("not-run")
-            && matches!(told.status, 429 | 503)
-            && !told.has_retry_after
+    let rejections = first_answers(records).filter(|answer| {
+        answer.execution_status == Some("not-run")
+            && matches!(answer.status, 429 | 503)
+            && !answer.has_retry_after
     });
-    silent
-        .map(|told| {
+    rejections
+        .map(|answer| {
             format!(
-                "{} at {}: {} does not say when",
-                told.service,
-                told.at,
-                told.error_kind.unwrap_or("?")
+                "{} at {}: {} has no Retry-After",
+                answer.service,
+                answer.at,
+                answer.error_kind.unwrap_or("?")
             )
         })
         .collect()
 }
 
-/// Kept until near the deadline though there was nothing more to wait for. Whoever waited in a buffer until
-/// a more important one came, or until its time was over, had something to wait for.
+/// Requests that were rejected only shortly before their deadline, though there was nothing left to wait for. A request
+/// that waited in a queue until its time was over, or until a more important one displaced it, is not counted.
 pub(crate) fn late_rejections(records: &[Record]) -> Vec<String> {
     const QUEUED_ERROR_KINDS: [&str; 2] = ["too_late", "overloaded"];
-    let late = first_answers(records).filter(|told| {
-        told.execution_status == Some("not-run") && told.at - told.asked > told.wait_us * 9 / 10
+    let late = first_answers(records).filter(|answer| {
+        answer.execution_status == Some("not-run")
+            && answer.at - answer.asked > answer.wait_us * 9 / 10
     });
-    // An usher that stands still answers nothing, at either end; nobody has given the try up meanwhile.
-    let stood = |record: &Record| {
+    // A stalled node answers nothing, at either end, so a request that overlaps a stall is not counted.
+    let stall = |record: &Record| {
         if let Record::NodeStalled { from, to, .. } = record {
             Some((*from, *to))
         } else {
             None
         }
     };
-    let stood: Vec<(u64, u64)> = records.iter().filter_map(stood).collect();
-    let late = late.filter(|told| {
-        !stood
+    let stalls: Vec<(u64, u64)> = records.iter().filter_map(stall).collect();
+    let late = late.filter(|answer| {
+        !stalls
             .iter()
-            .any(|(from, to)| told.asked < *to && told.at > *from)
+            .any(|(from, to)| answer.asked < *to && answer.at > *from)
     });
-    let late = late.filter(|told| {
-        !told
+    let late = late.filter(|answer| {
+        !answer
             .error_kind
-            .is_some_and(|cause| QUEUED_ERROR_KINDS.contains(&cause))
+            .is_some_and(|error_kind| QUEUED_ERROR_KINDS.contains(&error_kind))
     });
-    late.map(|told| {
+    late.map(|answer| {
         format!(
             "{}: {} after {} of {}",
-            told.service,
-            told.error_kind.unwrap_or("?"),
-            told.at - told.asked,
-            told.wait_us
+            answer.service,
+            answer.error_kind.unwrap_or("?"),
+            answer.at - answer.asked,
+            answer.wait_us
         )
     })
     .collect()
@@ -151,26 +154,30 @@
     })
 }
 
-/// Served share of the other keys, before one key swamps the rest and after.
+/// Compares the served share of the requests for other keys before and after one key becomes hot; a drop of more than
+/// 50 in a thousand is a violation.
 pub(crate) fn starved_keys(records: &[Record]) -> Vec<String> {
-    let Some(heated) = hot_key_start(records) else {
+    let Some(hot_since) = hot_key_start(records) else {
         return Vec::new();
     };
-    let share = |hot: bool| {
-        let others: Vec<bool> = first_answers(records)
-            .filter(|told| told.key.is_some_and(|key| key != "hot") && (told.asked > heated) == hot)
-            .map(|told| told.execution_status.is_none())
+    let served_per_mille = |hot: bool| {
+        let outcomes: Vec<bool> = first_answers(records)
+            .filter(|answer| {
+                answer.key.is_some_and(|key| key != "hot") && (answer.asked > hot_since) == hot
+            })
+            .map(|answer| answer.execution_status.is_none())
             .collect();
-        others.iter().filter(|served| **served).count() * 1_000 / others.len().max(1)
+        outcomes.iter().filter(|served| **served).count() * 1_000 / outcomes.len().max(1)
     };
-    let (before, after) = (share(false), share(true));
-    let fell = before.saturating_sub(after) > 50;
-    fell.then(|| format!("of the other keys' requests {before} in a thousand were served before, {after} beside the hot key")).into_iter().collect()
+    let (before, after) = (served_per_mille(false), served_per_mille(true));
+    let is_starved = before.saturating_sub(after) > 50;
+    is_starved.then(|| format!("of the requests for other keys {before} in a thousand were served before, {after} beside the hot key")).into_iter().collect()
 }
 
-/// Service to how long after the last fault it was served, and whoever was not in time.
+/// Maps each service to the time between the end of the last fault and its next served request, in microseconds, and
+/// lists the services that were not served in time.
 pub(crate) fn recovery_times(records: &[Record]) -> (BTreeMap<String, u64>, Vec<String>) {
-    let healed = records
+    let healed_at = records
         .iter()
         .filter_map(|record| {
             if let Record::FaultHealed { at } = record {
@@ -180,32 +187,31 @@
             }
         })
         .max();
-    let Some(healed) = healed else {
+    let Some(healed_at) = healed_at else {
         return Default::default();
     };
     let end = first_answers(records)
-        .map(|told| told.at)
+        .map(|answer| answer.at)
         .max()
         .unwrap_or(0);
-    let after = || first_answers(records).filter(move |told| told.asked >= healed);
+    let after = || first_answers(records).filter(move |answer| answer.asked >= healed_at);
     let services: BTreeSet<String> = first_answers(records)
-        .map(|told| told.service.to_string())
+        .map(|answer| answer.service.to_string())
         .collect();
-    let served = after().filter(|told| told.execution_status.is_none()).fold(
-        BTreeMap::<String, u64>::new(),
-        |mut served, told| {
-            let since = told.at - healed;
+    let served = after()
+        .filter(|answer| answer.execution_status.is_none())
+        .fold(BTreeMap::<String, u64>::new(), |mut served, answer| {
+            let since = answer.at - healed_at;
             served
-                .entry(told.service.to_string())
-                .and_modify(|held| *held = since.min(*held))
+                .entry(answer.service.to_string())
+                .and_modify(|earliest| *earliest = since.min(*earliest))
                 .or_insert(since);
             served
-        },
-    );
+        });
     let late = services.iter().filter(|service| {
         served
             .get(*service)
-            .map_or(end > healed + RECOVERY_LIMIT_US, |since| {
+            .map_or(end > healed_at + RECOVERY_LIMIT_US, |since| {
                 *since > RECOVERY_LIMIT_US
             })
     });
@@ -215,16 +221,16 @@
     (served, late)
 }
 
-/// Whether the run brought about what its scenario is for.
+/// Whether the run produced the situation that its scenario is meant to test.
 pub(crate) fn observed(records: &[Record], what: &str) -> bool {
     match what {
-        "not-run" => first_answers(records).any(|told| told.execution_status == Some("not-run") && told.error_kind != Some("own_usher_down")),
+        "not-run" => first_answers(records).any(|answer| answer.execution_status == Some("not-run") && answer.error_kind != Some("own_usher_down")),
         "a second arrival" => records.iter().any(|record| matches!(record, Record::ClientAnswered { repeated: true, status: 409, .. })),
         "an accepted change" => records.iter().filter(|record| matches!(record, Record::DesiredChange { version: Some(_), .. })).count() > 1,
         "a refused change" => records.iter().any(|record| matches!(record, Record::DesiredChange { refused: true, .. })),
         "an address reused" => records.iter().any(|record| matches!(record, Record::RunBegan { backend, .. } if backend.starts_with("heir-"))),
         "a hot key" => {
-            hot_key_start(records).is_some_and(|heated| first_answers(records).any(|told| told.key == Some("hot") && told.asked > heated && told.execution_status == Some("not-run")))
+            hot_key_start(records).is_some_and(|hot_since| first_answers(records).any(|answer| answer.key == Some("hot") && answer.asked > hot_since && answer.execution_status == Some("not-run")))
         }
         "a forger refused" => records.iter().any(|record| matches!(record, Record::ClientAnswered { client, status: 401 | 409 | 403, .. } if client.starts_with("forger"))),
         "a moved key" => {
@@ -236,7 +242,7 @@
                 holders.entry(key).or_default().insert(process);
                 holders
             });
-            holders.values().any(|held| held.len() > 1)
+            holders.values().any(|processes| processes.len() > 1)
         }
         _ => false,
     }
--- a/crates/simulator/src/state_sim/checks.rs
+++ b/crates/simulator/src/state_sim/checks.rs
@@ -1,61 +1,63 @@
-//! What is judged at each step of a run, and at its end.
+//! The checks at each step of a run and at its end.
 
 use model::{Microseconds, Position};
 
 use super::harness::StateHarness;
 
-/// A change is in force at calm nodes so long after it was applied anywhere.
+/// Time within which a change is in force at every undisturbed node after a replica first applied it, in
+/// microseconds.
 const IN_FORCE_WITHIN: Microseconds = 2_000_000;
-/// And so much longer while the core is not calm.
-const STRETCHED_BY: Microseconds = 5_000_000;
-/// A node, and the core, are calm so long after something happened to them.
-const CALM_AFTER: Microseconds = 3_000_000;
+/// Additional time that a change may take while the replicas are disturbed, in microseconds.
+const DISTURBED_CORE_ALLOWANCE: Microseconds = 5_000_000;
+/// Time after a fault for which a node, or the core, still counts as disturbed, in microseconds.
+const RECOVERY_TIME: Microseconds = 3_000_000;
 
-/// When something last happened that excuses a late change.
+/// The faults that excuse a late change.
 #[derive(Default)]
 pub(super) struct Disturbances {
-    /// Times at which a replica was touched.
+    /// Times of the faults at replicas.
     pub core: Vec<Microseconds>,
-    /// Times at which a node was touched, by node; a fault that lasts is there to its end.
+    /// The faults at each node, with their duration.
     pub nodes: Vec<Vec<Disturbance>>,
-    /// When less than a majority last ran and was connected.
+    /// The last time at which no majority of the replicas was running and connected.
     pub no_majority_at: Option<Microseconds>,
 }
 
-/// A time in which a node is not judged.
+/// A span of time in which a node is not checked for late changes.
 pub(super) struct Disturbance {
     pub from: Microseconds,
     pub until: Microseconds,
 }
 
 impl Disturbances {
-    fn core_is_calm(&self, now: Microseconds) -> bool {
+    fn core_is_undisturbed(&self, now: Microseconds) -> bool {
         let mut times = self.core.iter();
-        !times.any(|at| *at <= now && now < at + CALM_AFTER)
+        !times.any(|at| *at <= now && now < at + RECOVERY_TIME)
     }
 
-    fn node_is_calm(&self, node: usize, now: Microseconds) -> bool {
+    fn node_is_undisturbed(&self, node: usize, now: Microseconds) -> bool {
         let mut disturbances = self.nodes[node].iter();
-        !disturbances.any(|one| one.from <= now && now < one.until + CALM_AFTER)
+        !disturbances.any(|one| one.from <= now && now < one.until + RECOVERY_TIME)
     }
 
-    /// How late a change may be at a node; `None` where it is not judged.
+    /// The allowed delay of a change at a node, or `None` if the node is not checked.
     fn allowed_lateness(&self, node: usize, now: Microseconds) -> Option<Microseconds> {
-        let judged_after = self.no_majority_at.unwrap_or(0) + IN_FORCE_WITHIN + STRETCHED_BY;
-        if now < judged_after || !self.node_is_calm(node, now) {
+        let checked_from =
+            self.no_majority_at.unwrap_or(0) + IN_FORCE_WITHIN + DISTURBED_CORE_ALLOWANCE;
+        if now < checked_from || !self.node_is_undisturbed(node, now) {
             return None;
         }
-        let stretch = if self.core_is_calm(now) {
+        let allowance = if self.core_is_undisturbed(now) {
             0
         } else {
-            STRETCHED_BY
+            DISTURBED_CORE_ALLOWANCE
         };
-        Some(IN_FORCE_WITHIN + stretch)
+        Some(IN_FORCE_WITHIN + allowance)
     }
 }
 
 impl StateHarness {
-    /// What a node serves never goes back, stood there, and is new enough.
+    /// Checks that the state from which a node serves never goes back, is a state of the log, and is recent enough.
     pub(super) fn check_served_state(&mut self, at: usize) {
         let node = &mut self.nodes[at];
         let Some(served) = node.served_state(&self.plan.disabled) else {
@@ -66,16 +68,16 @@
         node.highest_served = highest_served.max(served.position);
         if served.position < highest_served {
             self.violations.push(format!(
-                "back: node {at} serves {} at {}, it had {highest_served}",
+                "back: node {at} serves {} at {}, it had served {highest_served}",
                 served.position, self.world.now
             ));
         }
-        let stood_there = self.state_history.get(&served.position);
+        let recorded = self.state_history.get(&served.position);
         if served.position > highest_served
-            && stood_there.is_none_or(|stood| stood.snapshot != *served)
+            && recorded.is_none_or(|recorded| recorded.snapshot != *served)
         {
             self.violations.push(format!(
-                "other: what node {at} serves at {} never stood there",
+                "other: what node {at} serves at {} is not the state at that position",
                 served.position
             ));
         }
@@ -100,7 +102,7 @@
         }
     }
 
-    /// Once all is mended every node is proved on the newest state.
+    /// Checks that every node holds a freshness proof for the newest state once all faults are over.
     pub(super) fn check_final_state(&mut self) {
         let newest = self.state_history.last_key_value();
         let newest = newest.map_or(0, |(position, _)| *position);
@@ -115,7 +117,7 @@
         }
     }
 
-    /// How often a node that had restarted received less than it had held before.
+    /// How often a restarted node received an older state than the one it had held before.
     pub fn older_received(&self) -> usize {
         self.nodes.iter().map(|node| node.older_received).sum()
     }
--- a/crates/simulator/src/state_sim/connection.rs
+++ b/crates/simulator/src/state_sim/connection.rs
@@ -1,4 +1,4 @@
-//! A node's connection to one incarnation of a replica, with the frames on their way on it.
+//! A node's connection to one incarnation of a replica, with the frames in flight on it.
 
 use std::collections::VecDeque;
 
@@ -6,7 +6,7 @@
 use tokio::sync::mpsc;
 use transport::{Frame, FrameSender};
 
-/// Frames that a replica's channel to a follower holds.
+/// Capacity of a replica's channel to a follower, in frames.
 const CHANNEL_CAPACITY: usize = 1_024;
 
 /// Frames with the times at which they arrive.
@@ -15,13 +15,13 @@
 /// A connection, or an attempt to open one.
 pub(super) struct UpdateConnection {
     pub replica: usize,
-    /// Of the replica's process; `None` until the connection is open.
+    /// The incarnation of the replica's process, or `None` until the connection is open.
     pub incarnation: Option<u64>,
-    /// When the attempt reaches the replica.
+    /// The time at which the attempt reaches the replica.
     pub arrives_at: Microseconds,
-    /// When the attempt is given up.
+    /// The time at which the attempt times out.
     pub times_out_at: Microseconds,
-    /// What the replica sends with.
+    /// The sending end of the replica's channel to the node.
     pub sender: FrameSender,
     outgoing: mpsc::Receiver<Frame>,
     to_replica: FramesInFlight,
@@ -47,24 +47,24 @@
         }
     }
 
-    /// The node sends a frame, which arrives at `at` or after those before it.
+    /// Sends a frame from the node, which arrives at `at` but never before an earlier frame.
     pub(super) fn send_to_replica(&mut self, at: Microseconds, frame: Frame) {
         push_in_order(&mut self.to_replica, at, frame);
     }
 
-    /// Puts what the replica has sent on its way, to arrive at `at` or after those before it.
+    /// Schedules the frames that the replica has sent, which arrive at `at` but never before an earlier frame.
     pub(super) fn send_to_node(&mut self, at: Microseconds) {
         while let Ok(frame) = self.outgoing.try_recv() {
             push_in_order(&mut self.to_node, at, frame);
         }
     }
 
-    /// The next frame that has arrived at the replica.
+    /// Takes the next frame that has arrived at the replica.
     pub(super) fn arrived_at_replica(&mut self, now: Microseconds) -> Option<Frame> {
         pop_due(&mut self.to_replica, now)
     }
 
-    /// The next frame that has arrived at the node.
+    /// Takes the next frame that has arrived at the node.
     pub(super) fn arrived_at_node(&mut self, now: Microseconds) -> Option<Frame> {
         pop_due(&mut self.to_node, now)
     }
--- a/crates/simulator/src/state_sim/harness.rs
+++ b/crates/simulator/src/state_sim/harness.rs
@@ -1,4 +1,4 @@
-//! The simulated core and its followers, step by step.
+//! Runs the simulated replicas and the nodes that follow them, step by step.
 
 use std::mem;
 
@@ -12,20 +12,21 @@
 use super::{Fault, ScheduledFault, StatePlan};
 use crate::sim::{Fault as WorldFault, World, WorldPlan};
 
-/// Virtual time of one step.
+/// Virtual time of one step, in microseconds.
 const STEP: Microseconds = 2_000;
-/// Once all is mended every node is proved on the newest state within this: revocations, a round of
-/// attempts at all replicas, two requests.
+/// Time after the end of all faults within which every node has a freshness proof for the newest state, in
+/// microseconds. It covers revocations, a round of connection attempts to all replicas and two proof requests.
 const RECOVERY: Microseconds = 8_000_000;
-/// Between two nodes that are restarted in turn.
+/// Interval between the restarts of two nodes that are restarted in turn, in microseconds.
 const RESTART_INTERVAL: Microseconds = 300_000;
-/// Routes that operators change over and over.
+/// Number of routes that operators change in turn.
 const ROUTE_NAMES: u64 = 7;
-/// A change in so many is followed by others at once.
+/// Operators submit a burst whenever the number of changes so far is a multiple of this.
 const BURST_EVERY: u64 = 5;
+/// Number of changes in a burst.
 const BURST: u64 = 4;
 
-/// A run, and what came of it.
+/// A run and its results.
 pub struct StateHarness {
     pub(super) plan: StatePlan,
     pub(super) world: World,
@@ -33,26 +34,29 @@
     pub(super) nodes: Vec<FollowerNode>,
     pub(super) state_history: StateHistory,
     pub(super) disturbances: Disturbances,
-    /// Replicas that reach none of their peers, and until when.
+    /// For each replica, the time until which it is cut off from its peers.
     cut_replicas: Vec<Microseconds>,
     last_token: u64,
     change_count: u64,
     next_change_at: Microseconds,
-    /// Promises that were broken, in words.
+    /// Descriptions of the violated invariants.
     pub violations: Vec<String>,
-    /// How often something was judged.
+    /// How often a served state was checked.
     pub checked: usize,
     /// How often a node was restarted.
     pub restarts: usize,
-    /// The longest time for which a calm node was without a change, in microseconds.
+    /// The longest time for which a node that was checked lacked an applied change, in microseconds.
     pub longest_lateness: Microseconds,
 }
 
-/// Plays the faults, mends everything, and judges what nodes served meanwhile and hold at the end.
-pub fn play(plan: StatePlan, faults: &[ScheduledFault]) -> StateHarness {
+/// Runs a simulated site through `faults`, heals all of them, and checks the states that nodes served meanwhile and hold
+/// at the end.
+pub fn simulate(plan: StatePlan, faults: &[ScheduledFault]) -> StateHarness {
     let mut harness = StateHarness::new(plan);
-    let in_turn = RESTART_INTERVAL * harness.nodes.len() as u64;
-    let ends = faults.iter().map(|fault| fault.at + fault.length + in_turn);
+    let restarts_in_turn = RESTART_INTERVAL * harness.nodes.len() as u64;
+    let ends = faults
+        .iter()
+        .map(|fault| fault.at + fault.length + restarts_in_turn);
     let end = ends.max().unwrap_or(0);
     let mut faults = faults.to_vec();
     faults.sort_by_key(|fault| fault.at);
@@ -142,7 +146,7 @@
         }
     }
 
-    /// Something happens to a replica.
+    /// Schedules a fault at a replica.
     fn schedule(&mut self, at: Microseconds, fault: WorldFault) {
         self.disturbances.core.push(at);
         self.world.schedule_fault(at, fault);
@@ -152,33 +156,33 @@
         self.disturbances.nodes[node].push(Disturbance { from, until });
     }
 
-    fn crash_replica(&mut self, replica: u16, at: Microseconds, back_at: Microseconds) {
+    fn crash_replica(&mut self, replica: u16, at: Microseconds, end: Microseconds) {
         self.schedule(at, WorldFault::Crash(replica));
-        self.schedule(back_at, WorldFault::Start(replica));
+        self.schedule(end, WorldFault::Start(replica));
     }
 
-    fn freeze_replica(&mut self, replica: u16, at: Microseconds, back_at: Microseconds) {
+    fn freeze_replica(&mut self, replica: u16, at: Microseconds, end: Microseconds) {
         self.schedule(at, WorldFault::Freeze(replica));
-        self.schedule(back_at, WorldFault::Unfreeze(replica));
+        self.schedule(end, WorldFault::Unfreeze(replica));
     }
 
-    fn freeze_zone(&mut self, zone: usize, at: Microseconds, back_at: Microseconds) {
+    fn freeze_zone(&mut self, zone: usize, at: Microseconds, end: Microseconds) {
         let minority = (usize::from(self.plan.replica_count) - 1) / 2;
         let in_zone = |replica: &u16| usize::from(*replica) % self.plan.zone_count == zone;
         let replicas = (0..self.plan.replica_count).filter(in_zone).take(minority);
         for replica in replicas.collect::<Vec<_>>() {
-            self.freeze_replica(replica, at, back_at);
+            self.freeze_replica(replica, at, end);
         }
     }
 
-    fn cut_replica(&mut self, replica: u16, at: Microseconds, back_at: Microseconds) {
+    fn cut_replica(&mut self, replica: u16, at: Microseconds, end: Microseconds) {
         for peer in (0..self.plan.replica_count).filter(|peer| *peer != replica) {
             self.schedule(at, WorldFault::CutLink(replica, peer));
             self.schedule(at, WorldFault::CutLink(peer, replica));
         }
-        // It heals all cuts.
-        self.schedule(back_at, WorldFault::HealLinks);
-        self.cut_replicas[usize::from(replica)] = back_at;
+        // Healing has no finer scope: it also ends the cuts of other replicas.
+        self.schedule(end, WorldFault::HealLinks);
+        self.cut_replicas[usize::from(replica)] = end;
     }
 
     fn crash_node(&mut self, node: usize, until: Microseconds) {
@@ -223,9 +227,9 @@
 
     fn note_lost_majority(&mut self) {
         let now = self.world.now;
-        let works =
+        let is_working =
             |replica: &usize| self.world.is_running(*replica) && now >= self.cut_replicas[*replica];
-        let working = (0..self.replicas.len()).filter(works).count();
+        let working = (0..self.replicas.len()).filter(is_working).count();
         if working * 2 <= self.replicas.len() {
             self.disturbances.no_majority_at = Some(now);
         }
@@ -235,9 +239,9 @@
         let now = self.world.now;
         for (index, replica) in self.replicas.iter_mut().enumerate() {
             let process = &self.world.replicas[index];
-            let runs = process.replica.is_some();
-            if replica.incarnation != process.incarnation || !runs {
-                let incarnation = if runs { process.incarnation } else { u64::MAX };
+            let is_up = process.replica.is_some();
+            if replica.incarnation != process.incarnation || !is_up {
+                let incarnation = if is_up { process.incarnation } else { u64::MAX };
                 *replica = PublishingReplica::begin(incarnation);
             }
             if self.world.is_running(index) {
--- a/crates/simulator/src/state_sim/node.rs
+++ b/crates/simulator/src/state_sim/node.rs
@@ -1,4 +1,4 @@
-//! A node that follows the cluster state, with the product's choice of replicas and verification.
+//! A node that follows the cluster state with the product's selection of replicas and verification of updates.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,35 +16,35 @@
 use super::replica::PublishingReplica;
 use crate::sim::World;
 
-/// How long opening a connection may take.
+/// Timeout for opening a connection, in microseconds.
 const HANDSHAKE_TIMEOUT: Microseconds = 1_000_000;
-/// A process that starts knows one replica, its seed; so long after its start it knows all.
+/// Time after a start until which a process knows only its seed replica, in microseconds. Afterwards it knows all.
 const DISCOVERY_TIME: Microseconds = 200_000;
 
-/// One node, over all its incarnations.
+/// A node over all its incarnations.
 pub(super) struct FollowerNode {
     is_own_zone: Vec<bool>,
     upstreams: Upstreams,
     pub follower: StateFollower,
     connections: BTreeMap<UpstreamId, UpdateConnection>,
     next_poll_at: Microseconds,
-    /// The replica that the present incarnation knows first.
+    /// The only replica that the present incarnation knows at its start.
     seed_replica: usize,
-    /// Its process does not run until then.
+    /// The time until which the process is not running.
     pub down_until: Microseconds,
-    /// It reaches no replica until then.
+    /// The time until which the node reaches no replica.
     pub cut_until: Microseconds,
-    /// What it receives is late until then.
+    /// The time until which received frames are held back.
     pub stalled_until: Microseconds,
-    /// It is restarted then.
+    /// The time of a scheduled restart.
     restarts_at: Option<Microseconds>,
     /// The newest position that any of its incarnations served from.
     pub highest_served: Position,
     /// The newest position that any of its incarnations received.
     highest_received: Position,
-    /// Something was proved in this incarnation.
+    /// Whether the present incarnation has verified a state.
     has_verified: bool,
-    /// How often an incarnation received less than an earlier one had, before its first proof.
+    /// How often an incarnation received an older state than an earlier incarnation had, before its first freshness proof.
     pub older_received: usize,
 }
 
@@ -98,7 +98,7 @@
         self.restarts_at.take_if(|at| now >= *at).is_some()
     }
 
-    /// All that happens to the node in one step, while its process runs.
+    /// Runs one step of the node while its process is running.
     pub(super) fn step(
         &mut self,
         plan: &StatePlan,
@@ -151,7 +151,7 @@
                 candidate,
             } => {
                 if plan.disabled.keep_replica {
-                    self.leave_all_but(upstream, world.now);
+                    self.close_others(upstream, world.now);
                 }
                 let arrives_at = world.now + world.draw(plan.network_delay);
                 let replica = usize::from(candidate.key.replica_id);
@@ -164,8 +164,8 @@
         }
     }
 
-    /// As a node without the guard does: it has one connection at a time.
-    fn leave_all_but(&mut self, kept: UpstreamId, now: Microseconds) {
+    /// Closes all connections but one, as a node does that keeps no replica until another one has proved its state.
+    fn close_others(&mut self, kept: UpstreamId, now: Microseconds) {
         for id in self.connection_ids() {
             if id != kept {
                 self.upstreams.on_ended(now, id, CloseReason::Closed);
@@ -192,14 +192,14 @@
             connection.incarnation.is_none() && now >= connection.times_out_at
         };
         let connections = self.connections.iter();
-        let silent = connections.filter(|(_, connection)| overdue(connection));
-        let silent: Vec<UpstreamId> = silent.map(|(id, _)| *id).collect();
-        for id in silent {
+        let unanswered = connections.filter(|(_, connection)| overdue(connection));
+        let unanswered: Vec<UpstreamId> = unanswered.map(|(id, _)| *id).collect();
+        for id in unanswered {
             self.end(id, now, CloseReason::Unreachable);
         }
     }
 
-    /// Opens, ends, or carries frames in both directions.
+    /// Opens or ends a connection, or carries its frames in both directions.
     fn exchange(
         &mut self,
         id: UpstreamId,
@@ -219,7 +219,7 @@
             None if running_incarnation.is_none() => {
                 return self.end(id, now, CloseReason::Unreachable);
             }
-            // A process that stands still accepts nothing and refuses nothing.
+            // A frozen process neither accepts nor refuses a connection.
             None if !world.is_running(replica) => return,
             None => {
                 connection.incarnation = running_incarnation;
@@ -237,7 +237,7 @@
     }
 
     fn open(&mut self, id: UpstreamId, plan: &StatePlan, world: &mut World) {
-        if plan.disabled.forward {
+        if plan.disabled.forward_only {
             self.follower = StateFollower::default();
         }
         let request = Frame::FollowClusterState {
@@ -316,9 +316,9 @@
         }
     }
 
-    /// What its routes are served from.
+    /// The state from which the node serves its routes.
     pub(super) fn served_state(&self, disabled: &DisabledGuards) -> Option<Arc<StateSnapshot>> {
-        if disabled.proof || disabled.forward && self.has_verified {
+        if disabled.proof || disabled.forward_only && self.has_verified {
             let received = self.follower.received().clone();
             Some(received).filter(|received| received.position > 0)
         } else {
--- a/crates/simulator/src/state_sim/plan.rs
+++ b/crates/simulator/src/state_sim/plan.rs
@@ -1,45 +1,45 @@
-//! What a simulated core with its followers is made of, and the faults drawn for it.
+//! The parameters of simulated replicas and their followers, and the random faults.
 
 use model::Microseconds;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// Guards that are left out in the simulator only, so that a promise is seen broken.
+/// Guards that a run leaves out, to show that the checks notice the missing guard. They exist in the simulator only.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DisabledGuards {
-    /// A node waits for a proof before it serves what it received.
+    /// A node waits for a freshness proof before it serves a state that it received.
     pub proof: bool,
-    /// A replica asks a majority before it proves what it holds.
+    /// A replica confirms its state with a majority before it sends a freshness proof.
     pub quorum: bool,
-    /// A node keeps what it holds when it begins a connection, and takes nothing older there.
-    pub forward: bool,
-    /// A node keeps the replica that it relies on until another one has proved what it sent.
+    /// A node keeps the state that it holds when it opens a connection, and accepts no older state on it.
+    pub forward_only: bool,
+    /// A node keeps the connection to its current replica until another replica has proved the state that it sent.
     pub keep_replica: bool,
 }
 
-/// The shape and the times of a simulated site. Times are in microseconds.
+/// The size and the timing of a simulated site. Times are in microseconds.
 #[derive(Clone, Debug)]
 pub struct StatePlan {
-    /// Draws delays and changes.
+    /// Seed of the random delays and changes.
     pub seed: u64,
-    /// How many replicas.
+    /// Number of replicas.
     pub replica_count: u16,
-    /// How many nodes.
+    /// Number of nodes.
     pub node_count: usize,
-    /// Replicas and nodes go to the zones by their number.
+    /// Number of zones. Replica or node `i` is in zone `i % zone_count`.
     pub zone_count: usize,
     /// The shortest and the longest delay of a frame.
     pub network_delay: (Microseconds, Microseconds),
-    /// Between two requests of a node for a proof, and how long one is waited for.
+    /// Interval between two freshness-proof requests of a node, and the timeout of each.
     pub proof_interval: Microseconds,
-    /// Between two changes by operators.
+    /// Interval between two changes by operators.
     pub change_interval: Microseconds,
-    /// What is left out.
+    /// The guards that are left out.
     pub disabled: DisabledGuards,
 }
 
 impl StatePlan {
-    /// A site of three or five replicas.
+    /// A site of five replicas for an even seed, otherwise of three.
     pub fn new(seed: u64) -> Self {
         let replica_count = if seed.is_multiple_of(2) { 5 } else { 3 };
         StatePlan {
@@ -55,30 +55,30 @@
     }
 }
 
-/// What goes wrong.
+/// The kinds of faults.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// A node's process is killed and starts again.
+    /// A node's process is killed and restarted.
     RestartNode,
-    /// All nodes' processes at once.
+    /// All nodes' processes are killed at once and restarted.
     RestartAllNodes,
-    /// All nodes' processes in turn.
+    /// All nodes' processes are killed and restarted one after the other.
     RestartNodesInTurn,
-    /// What a node receives is late, in its order.
+    /// The frames to a node are delayed, in order.
     DelayUpdates,
     /// A node reaches no replica.
     CutNode,
-    /// A replica's process is killed and starts again.
+    /// A replica's process is killed and restarted.
     CrashReplica,
-    /// All replicas' processes at once.
+    /// All replicas' processes are killed at once and restarted.
     CrashAllReplicas,
-    /// A replica stands still.
+    /// A replica's process is frozen.
     FreezeReplica,
-    /// As many replicas of one zone as leave a majority stand still.
+    /// Replicas of one zone are frozen, at most as many as leave a majority running.
     FreezeZone,
-    /// A replica reaches its peers no more, and goes on talking to its followers.
+    /// A replica is cut off from its peers but not from its followers.
     CutReplica,
-    /// A replica's disk is lost, and an empty one takes its place; once a run, as a site bears one.
+    /// A replica's disk is lost and replaced by an empty one. At most one per run, the most that a site tolerates.
     ReplaceReplica,
 }
 
@@ -97,8 +97,8 @@
     Fault::ReplaceReplica,
 ];
 
-/// Faults that leave a majority of replicas and touch no node, so that every change has to be in
-/// force in time.
+/// Faults that leave a majority of the replicas running and affect no node, so that every change has to be in force in
+/// time.
 pub const IN_FORCE_FAULTS: [Fault; 4] = [
     Fault::FreezeReplica,
     Fault::FreezeZone,
@@ -106,27 +106,27 @@
     Fault::CutReplica,
 ];
 
-/// A fault with its time.
+/// A fault with its time and target.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScheduledFault {
-    /// When it begins.
+    /// The time at which the fault begins.
     pub at: Microseconds,
-    /// What.
+    /// The kind of fault.
     pub kind: Fault,
-    /// Which replica, node or zone, modulo their number.
+    /// The affected replica, node or zone, modulo their number.
     pub target: usize,
-    /// How long it lasts.
+    /// How long the fault lasts.
     pub length: Microseconds,
 }
 
 const SECOND: Microseconds = 1_000_000;
 
-/// Draws one fault for each `interval` seconds, each over before the second after the next.
+/// Draws `count` faults, one for each `interval` seconds. Each lasts at most two and a half intervals.
 pub fn draw_faults(kinds: &[Fault], seed: u64, count: u64, interval: u64) -> Vec<ScheduledFault> {
     let mut rng = StdRng::seed_from_u64(seed);
     let longest = interval * SECOND * 5 / 2;
-    let drawn = (0..count).map(|turn| ScheduledFault {
-        at: (turn * interval + 1) * SECOND + rng.random_range(0..SECOND),
+    let drawn = (0..count).map(|round| ScheduledFault {
+        at: (round * interval + 1) * SECOND + rng.random_range(0..SECOND),
         kind: kinds[rng.random_range(0..kinds.len())],
         target: rng.random_range(0..60),
         length: rng.random_range(50_000..longest),
@@ -136,6 +136,6 @@
     let first_replacement = drawn.iter().position(is_replacement);
     let kept = drawn.into_iter().enumerate();
     let kept =
-        kept.filter(|(turn, fault)| !is_replacement(fault) || Some(*turn) == first_replacement);
+        kept.filter(|(round, fault)| !is_replacement(fault) || Some(*round) == first_replacement);
     kept.map(|(_, fault)| fault).collect()
 }
--- a/crates/simulator/src/state_sim/replica.rs
+++ b/crates/simulator/src/state_sim/replica.rs
@@ -1,4 +1,4 @@
-//! A replica's publisher over what its log has applied, as the event loop of the product keeps it.
+//! A replica's publisher of updates, fed with the applied entries as in the product's event loop.
 
 use std::collections::BTreeMap;
 
@@ -7,13 +7,13 @@
 use model::cluster_state::{ClusterOperation, StateSnapshot};
 use model::{ClusterState, Entry, Microseconds, Operation, Position};
 
-/// The cluster state at a position, and when it was applied for the first time anywhere.
+/// The cluster state at a position, and the time at which a replica first applied it.
 pub(super) struct AppliedState {
     pub snapshot: StateSnapshot,
     pub applied_at: Microseconds,
 }
 
-/// What followers may hold at each position.
+/// The state that followers may hold at each position.
 pub(super) type StateHistory = BTreeMap<Position, AppliedState>;
 
 /// One incarnation of a replica.
@@ -25,14 +25,14 @@
     last_instance: Instance,
 }
 
-/// An entry of the cluster state, with its id.
+/// An operation on the cluster state, with the id of its log entry.
 struct ClusterEntry {
     id: EntryId,
     operation: ClusterOperation,
 }
 
 impl ClusterEntry {
-    /// `None` for entries of the other state machine.
+    /// Decodes a log entry; `None` for entries of the other state machine.
     fn decode((_, value): &(Instance, Value)) -> Option<ClusterEntry> {
         let entry = Entry::from_bytes(value).ok()?;
         let id = EntryId::of(&entry);
@@ -59,8 +59,7 @@
         }
     }
 
-    /// Publishes all that was applied since the last time as one update; what was installed from a
-    /// snapshot, as the full state.
+    /// Publishes all entries applied since the last call as one update, or the full state if a snapshot was installed.
     pub(super) fn publish_applied(
         &mut self,
         applied: &[(Instance, Value)],
@@ -83,7 +82,7 @@
         self.last_instance = applied.last().map_or(0, |(instance, _)| *instance);
     }
 
-    /// Whether `applied` begins with what was published before.
+    /// Whether `applied` begins with the entries that were published before.
     fn continues(&self, applied: &[(Instance, Value)]) -> bool {
         let last = self.applied_count.checked_sub(1);
         last.is_none_or(|last| {
--- a/crates/simulator/tests/checker.rs
+++ b/crates/simulator/tests/checker.rs
@@ -1,4 +1,5 @@
-//! Each invariant of the history checker finds what was planted for it, and nothing in a clean history (design 9.5).
+//! Each invariant of the history checker finds the violation that was planted for it, and a clean history has none
+//! (design 9.5).
 
 use simulator::checker::{Rules, check};
 use simulator::history::Record;
--- a/crates/simulator/tests/state_sim.rs
+++ b/crates/simulator/tests/state_sim.rs
@@ -1,16 +1,17 @@
-//! Followers of the cluster state in virtual time: restarts in turn and together, late and older
-//! updates, replicas that lag, freeze, are cut off, killed and replaced; and variants that each lack
-//! one guard (design 11.3, 11.6).
+//! Simulates followers of the cluster state in virtual time: nodes restart in turn and together, updates are late or
+//! older, and replicas lag, freeze, are cut off, killed and replaced. Further tests leave out one guard each and expect
+//! the violation that the guard prevents (design 11.3, 11.6).
 
 use std::ops::Range;
 use std::thread;
 
 use simulator::state_sim::{
-    DisabledGuards, FAULTS, Fault, IN_FORCE_FAULTS, ScheduledFault, StatePlan, draw_faults, play,
+    DisabledGuards, FAULTS, Fault, IN_FORCE_FAULTS, ScheduledFault, StatePlan, draw_faults,
+    simulate,
 };
 
-/// The results of `work` for each seed, on all processors.
-fn over<T: Send>(seeds: Range<u64>, work: impl Fn(u64) -> T + Sync) -> Vec<T> {
+/// Runs `work` for each seed on all processors and returns the results.
+fn for_each_seed<T: Send>(seeds: Range<u64>, work: impl Fn(u64) -> T + Sync) -> Vec<T> {
     let cores = thread::available_parallelism().map_or(1, usize::from) as u64;
     thread::scope(|scope| {
         let work = &work;
@@ -28,24 +29,24 @@
 
 #[test]
 fn a_node_that_restarts_never_serves_an_older_state_than_it_had() {
-    let played = over(0..160, |seed| {
-        let harness = play(StatePlan::new(seed), &draw_faults(&FAULTS, seed, 10, 1));
+    let runs = for_each_seed(0..160, |seed| {
+        let harness = simulate(StatePlan::new(seed), &draw_faults(&FAULTS, seed, 10, 1));
         assert_eq!(harness.violations, Vec::<String>::new(), "seed {seed}");
         (harness.checked, harness.restarts, harness.older_received())
     });
-    let sum = played.into_iter().fold((0, 0, 0), |sum, one| {
-        (sum.0 + one.0, sum.1 + one.1, sum.2 + one.2)
+    let sum = runs.into_iter().fold((0, 0, 0), |sum, run| {
+        (sum.0 + run.0, sum.1 + run.1, sum.2 + run.2)
     });
     let (checked, restarts, older) = sum;
-    // Nodes that had restarted received older states than they had held, and did not serve them.
+    // Restarted nodes received older states than they had held, and did not serve them.
     assert!(
         checked > 1_000_000 && restarts > 1_000 && older > 50,
-        "{checked} judged, {restarts} restarts, {older} older updates"
+        "{checked} checked, {restarts} restarts, {older} older updates"
     );
 }
 
-/// Sites whose zones have one, two or three replicas.
-fn zoned(seed: u64, disabled: DisabledGuards) -> StatePlan {
+/// A site whose zones have one to four replicas each, depending on the seed.
+fn zoned_plan(seed: u64, disabled: DisabledGuards) -> StatePlan {
     StatePlan {
         replica_count: [5, 7][(seed % 2) as usize],
         zone_count: [2, 3, 4][(seed % 3) as usize],
@@ -61,8 +62,11 @@
 
 #[test]
 fn a_change_is_in_force_in_time_whichever_replicas_are_silent() {
-    let lateness = over(0..48, |seed| {
-        let harness = play(zoned(seed, DisabledGuards::default()), &long_faults(seed));
+    let lateness = for_each_seed(0..48, |seed| {
+        let harness = simulate(
+            zoned_plan(seed, DisabledGuards::default()),
+            &long_faults(seed),
+        );
         assert_eq!(harness.violations, Vec::<String>::new(), "seed {seed}");
         harness.longest_lateness
     });
@@ -75,36 +79,36 @@
         keep_replica: true,
         ..DisabledGuards::default()
     };
-    let late = over(0..48, |seed| {
-        let harness = play(zoned(seed, disabled), &long_faults(seed));
+    let is_late = for_each_seed(0..48, |seed| {
+        let harness = simulate(zoned_plan(seed, disabled), &long_faults(seed));
         let mut violations = harness.violations.iter();
         violations.any(|violation| violation.starts_with("late"))
     });
-    assert!(late.contains(&true), "no node was seen to be late");
+    assert!(is_late.contains(&true), "no node was late");
 }
 
-/// With every guard the promise holds under these faults, and without one it is seen broken under
-/// the same.
+/// Asserts that under random faults of these kinds no node goes back with all guards, and that some run shows a node
+/// going back with `disabled` left out.
 fn assert_caught(disabled: DisabledGuards, kinds: &[Fault]) {
-    let breaks = |seed: u64| {
+    let is_violated = |seed: u64| {
         let faults = draw_faults(kinds, seed, 8, 1);
-        let guarded = play(StatePlan::new(seed), &faults);
+        let guarded = simulate(StatePlan::new(seed), &faults);
         assert_eq!(
             guarded.violations,
             Vec::<String>::new(),
-            "seed {seed}: it holds with its guards"
+            "seed {seed}: a violation with all guards"
         );
         let plan = StatePlan {
             disabled,
             ..StatePlan::new(seed)
         };
-        let unguarded = play(plan, &faults);
+        let unguarded = simulate(plan, &faults);
         let mut violations = unguarded.violations.iter();
         violations.any(|violation| violation.starts_with("back"))
     };
     assert!(
-        (0..4u64).any(|turn| over(turn * 8..turn * 8 + 8, breaks).contains(&true)),
-        "{disabled:?}: nobody was seen to go back"
+        (0..4u64).any(|turn| for_each_seed(turn * 8..turn * 8 + 8, is_violated).contains(&true)),
+        "{disabled:?}: no node went back"
     );
 }
 
@@ -137,7 +141,7 @@
 #[test]
 fn nodes_that_forget_what_they_hold_at_a_new_connection_are_caught() {
     let disabled = DisabledGuards {
-        forward: true,
+        forward_only: true,
         ..DisabledGuards::default()
     };
     let kinds = [
