--- a/crates/simulator/src/sim/checks.rs
+++ b/crates/simulator/src/sim/checks.rs
@@ -1,61 +1,69 @@
-//! What must hold in every run, checked while it runs and at its end (design 9.3).
+//! The invariants of every run, checked while it runs and at its end (design 9.3).
 
 use std::collections::BTreeMap;
 
-/// An entry that was handed to a seat.
+/// A submitted entry.
 #[derive(Clone, Copy, Debug)]
 pub struct Submission {
-    pub seat: u16,
+    pub replica_id: u16,
     pub at: u64,
-    /// The seat died with whoever waited there.
+    /// Whether the replica crashed, and with it the caller that waited.
     pub caller_gone: bool,
-    /// When a seat first applied it.
+    /// The time at which a replica first applied the entry.
     pub applied: Option<u64>,
 }
 
 #[derive(Default)]
 pub struct Findings {
     pub submitted: BTreeMap<Vec<u8>, Submission>,
-    /// The longest an entry took until its own seat had applied it.
+    /// The longest time until an entry was applied by the replica that proposed it, in microseconds.
     pub slowest_entry_us: u64,
-    /// The one value of each instance, by whoever applied it first.
+    /// The value of each instance, as the first replica applied it.
     chosen: BTreeMap<u64, Vec<u8>>,
-    /// What its own seat applied: an operator may have been told "accepted".
+    /// The entries applied by the replicas that proposed them: an operator may have received "accepted" for them.
     answered: BTreeMap<u64, Vec<u8>>,
-    reads_asked: BTreeMap<u64, Option<u64>>,
-    pub reads_done: u64,
+    reads_requested: BTreeMap<u64, Option<u64>>,
+    pub reads_proved: u64,
     pub violations: Vec<String>,
 }
 
 impl Findings {
-    pub fn applied(&mut self, now: u64, seat: u16, at: u64, value: &[u8], seats: u16) {
-        let since = self.submitted.get(value).copied();
+    pub fn applied(
+        &mut self,
+        now: u64,
+        replica_id: u16,
+        at: u64,
+        value: &[u8],
+        replica_count: u16,
+    ) {
+        let submitted = self.submitted.get(value).copied();
         if let Some(submission) = self.submitted.get_mut(value) {
             submission.applied.get_or_insert(now);
         } else {
-            self.violations
-                .push(format!("seat {seat} applied at {at} what nobody proposed"));
+            self.violations.push(format!(
+                "replica {replica_id} applied an entry at {at} that nobody submitted"
+            ));
         }
-        let held = self.chosen.entry(at).or_insert_with(|| value.to_vec());
-        if held != value {
+        let chosen = self.chosen.entry(at).or_insert_with(|| value.to_vec());
+        if chosen != value {
             self.violations.push(format!(
-                "instance {at} has two values, the second at seat {seat}"
+                "instance {at} has two values, the second at replica {replica_id}"
             ));
         }
-        if at % seats as u64 == seat as u64 {
-            let waited = since
-                .filter(|since| !since.caller_gone)
-                .map_or(0, |since| now.saturating_sub(since.at));
+        if at % replica_count as u64 == replica_id as u64 {
+            let waited = submitted
+                .filter(|submission| !submission.caller_gone)
+                .map_or(0, |submission| now.saturating_sub(submission.at));
             self.slowest_entry_us = self.slowest_entry_us.max(waited);
             self.answered.insert(at, value.to_vec());
         }
     }
 
-    pub fn record_submitted(&mut self, value: Vec<u8>, seat: u16, at: u64) {
+    pub fn record_submitted(&mut self, value: Vec<u8>, replica_id: u16, at: u64) {
         self.submitted.insert(
             value,
             Submission {
-                seat,
+                replica_id,
                 at,
                 caller_gone: false,
                 applied: None,
@@ -63,48 +71,51 @@
         );
     }
 
-    /// Whoever waited at a seat that died waits no longer.
-    pub fn caller_lost(&mut self, seat: u16) {
+    /// Marks the callers that waited at a crashed replica as gone.
+    pub fn caller_lost(&mut self, replica_id: u16) {
         self.submitted
             .values_mut()
-            .filter(|held| held.seat == seat)
-            .for_each(|held| held.caller_gone = true);
+            .filter(|submission| submission.replica_id == replica_id)
+            .for_each(|submission| submission.caller_gone = true);
     }
 
     /// Whether the caller of an entry still waits for its answer.
-    pub fn caller_waits(&self, value: &[u8], now: u64, patience: u64) -> bool {
-        let waits = |held: &Submission| {
-            patience == u64::MAX || !held.caller_gone && now <= held.at.saturating_add(patience)
+    pub fn caller_waits(&self, value: &[u8], now: u64, timeout: u64) -> bool {
+        let waits = |submission: &Submission| {
+            timeout == u64::MAX
+                || !submission.caller_gone && now <= submission.at.saturating_add(timeout)
         };
         self.submitted.get(value).is_some_and(waits)
     }
 
-    /// Entries that first took effect so long after they were submitted.
+    /// The entries that were first applied more than `after` microseconds after their submission.
     pub fn late_entries(&self, after: u64) -> Vec<&[u8]> {
-        let late = |held: &Submission| {
-            held.applied
-                .is_some_and(|applied| applied > held.at + after)
+        let is_late = |submission: &Submission| {
+            submission
+                .applied
+                .is_some_and(|applied| applied > submission.at + after)
         };
         self.submitted
             .iter()
-            .filter(|(_, held)| late(held))
+            .filter(|(_, submission)| is_late(submission))
             .map(|(value, _)| value.as_slice())
             .collect()
     }
 
-    /// A read must see at least what any seat had applied when it was asked: that may have been told (design 11.6).
-    pub fn read_asked(&mut self, token: u64) {
-        self.reads_asked
+    /// Records a read. It must see at least what any replica had applied when it was requested, because that may have been
+    /// answered already (design 11.6).
+    pub fn read_requested(&mut self, token: u64) {
+        self.reads_requested
             .insert(token, self.chosen.last_key_value().map(|(at, _)| *at));
     }
 
-    pub fn read_done(&mut self, token: u64, applied: u64) {
-        self.reads_done += 1;
-        if let Some(Some(told)) = self.reads_asked.remove(&token)
-            && applied <= told
+    pub fn read_proved(&mut self, token: u64, applied: u64) {
+        self.reads_proved += 1;
+        if let Some(Some(required)) = self.reads_requested.remove(&token)
+            && applied <= required
         {
             self.violations.push(format!(
-                "read {token} was proved at {applied} though {told} had been applied before it"
+                "read {token} was proved at {applied} though {required} had been applied before it"
             ));
         }
     }
@@ -113,41 +124,42 @@
         self.answered.len()
     }
 
-    /// At the end, with all faults mended: all copies are equal and lack nothing that was answered.
-    pub fn check_final_state(&mut self, nodes: &[super::world::SimulatedReplica]) {
-        let longest = nodes
+    /// Checks at the end, with all faults healed, that all replicas applied the same entries and that none is missing that
+    /// was answered.
+    pub fn check_final_state(&mut self, replicas: &[super::world::SimulatedReplica]) {
+        let longest = replicas
             .iter()
-            .map(|node| &node.applied)
+            .map(|replica| &replica.applied)
             .max_by_key(|history| history.len())
             .cloned()
             .unwrap_or_default();
-        nodes.iter().zip(0..).for_each(|(node, seat): (&super::world::SimulatedReplica, usize)| {
-            if node.applied != longest {
-                let differs = node.applied.iter().zip(&longest).position(|(a, b)| a != b);
+        replicas.iter().zip(0..).for_each(|(replica, replica_id): (&super::world::SimulatedReplica, usize)| {
+            if replica.applied != longest {
+                let differs = replica.applied.iter().zip(&longest).position(|(a, b)| a != b);
                 self.violations.push(format!(
-                    "seat {seat} ends with {} entries, the longest copy has {}, first difference {differs:?}",
-                    node.applied.len(),
+                    "replica {replica_id} ends with {} entries, the longest log has {}, first difference {differs:?}",
+                    replica.applied.len(),
                     longest.len()
                 ));
             }
         });
-        let held: BTreeMap<u64, Vec<u8>> = longest.into_iter().collect();
+        let applied: BTreeMap<u64, Vec<u8>> = longest.into_iter().collect();
         let lost: Vec<u64> = self
             .answered
             .iter()
-            .filter(|(at, value)| held.get(at) != Some(value))
+            .filter(|(at, value)| applied.get(at) != Some(value))
             .map(|(at, _)| *at)
             .collect();
         if !lost.is_empty() {
             self.violations
-                .push(format!("answered entries vanished: {lost:?}"));
+                .push(format!("answered entries were lost: {lost:?}"));
         }
-        (0..nodes.len())
-            .map(|seat| format!("last {seat}").into_bytes())
+        (0..replicas.len())
+            .map(|replica_id| format!("last {replica_id}").into_bytes())
             .for_each(|last| {
-                if !held.values().any(|value| *value == last) {
+                if !applied.values().any(|value| *value == last) {
                     self.violations.push(format!(
-                        "{:?} was never applied though all faults were mended",
+                        "{:?} was never applied though all faults were healed",
                         String::from_utf8_lossy(&last)
                     ));
                 }
--- a/crates/simulator/src/sim/effects.rs
+++ b/crates/simulator/src/sim/effects.rs
@@ -1,11 +1,11 @@
-//! Carrying out what a seat asks for, each effect a numbered point (design 9.2).
+//! Performs the effects that a replica requests; each effect is a numbered point for a crash (design 9.2).
 
 use super::world::Event;
 
-type Seat = mencius::ReplicaId;
+type ReplicaId = mencius::ReplicaId;
 
 impl super::world::SimulatedReplica {
-    /// Records on the disk that are not a snapshot.
+    /// The number of records on the disk that are not a snapshot.
     pub fn records_beside_snapshot(&self) -> usize {
         self.disk
             .iter()
@@ -15,48 +15,54 @@
 }
 
 impl super::World {
-    pub fn submit(&mut self, seat: Seat, value: mencius::Value) {
-        if self.replicas[seat as usize].replica.is_some() && !self.replicas[seat as usize].frozen {
+    pub fn submit(&mut self, replica_id: ReplicaId, value: mencius::Value) {
+        if self.replicas[replica_id as usize].running.is_some()
+            && !self.replicas[replica_id as usize].frozen
+        {
             self.findings
-                .record_submitted(value.clone(), seat, self.now);
-            self.step_replica(seat, mencius::Input::Submit(value));
+                .record_submitted(value.clone(), replica_id, self.now);
+            self.step_replica(replica_id, mencius::Input::Submit(value));
         }
     }
 
-    pub fn read(&mut self, seat: Seat, token: u64) {
-        if self.replicas[seat as usize].replica.is_some() && !self.replicas[seat as usize].frozen {
-            self.findings.read_asked(token);
-            self.step_replica(seat, mencius::Input::ReadIndex(token));
+    pub fn read(&mut self, replica_id: ReplicaId, token: u64) {
+        if self.replicas[replica_id as usize].running.is_some()
+            && !self.replicas[replica_id as usize].frozen
+        {
+            self.findings.read_requested(token);
+            self.step_replica(replica_id, mencius::Input::ReadIndex(token));
         }
     }
 
-    pub(crate) fn is_running(&self, seat: usize) -> bool {
-        self.replicas[seat].replica.is_some() && !self.replicas[seat].frozen
+    pub(crate) fn is_running(&self, replica_id: usize) -> bool {
+        self.replicas[replica_id].running.is_some() && !self.replicas[replica_id].frozen
     }
 
-    /// Each effect is a numbered point; a plan may crash the seat just before it is carried out.
-    pub(super) fn perform_effects(&mut self, seat: Seat) {
-        let effects = self.replicas[seat as usize]
-            .replica
+    /// Performs the pending effects of a replica. The plan may crash the replica just before one of them.
+    pub(super) fn perform_effects(&mut self, replica_id: ReplicaId) {
+        let effects = self.replicas[replica_id as usize]
+            .running
             .as_mut()
             .map(mencius::Replica::take_effects)
             .unwrap_or_default();
         for effect in effects {
-            self.replicas[seat as usize].effect_count += 1;
+            self.replicas[replica_id as usize].effect_count += 1;
             self.counts.effects += 1;
-            if self.plan.crash_at == Some((seat, self.replicas[seat as usize].effect_count)) {
-                self.crash(seat);
+            if self.plan.crash_at
+                == Some((replica_id, self.replicas[replica_id as usize].effect_count))
+            {
+                self.crash(replica_id);
                 let now = self.now;
-                self.schedule_fault(now + 700_000, super::Fault::Start(seat));
+                self.schedule_fault(now + 700_000, super::Fault::Start(replica_id));
             }
-            if self.replicas[seat as usize].replica.is_none() {
+            if self.replicas[replica_id as usize].running.is_none() {
                 return;
             }
-            self.perform_effect(seat, effect);
+            self.perform_effect(replica_id, effect);
         }
     }
 
-    fn perform_effect(&mut self, seat: Seat, effect: mencius::Effect) {
+    fn perform_effect(&mut self, replica_id: ReplicaId, effect: mencius::Effect) {
         match effect {
             mencius::Effect::Send(to, frame) => {
                 self.counts.frames += 1;
@@ -67,7 +73,7 @@
                     .or_default() += 1;
                 self.counts.revocations +=
                     matches!(frame.message, mencius::Message::Prepare { .. }) as u64;
-                let (x, y) = (seat as usize, to as usize);
+                let (x, y) = (replica_id as usize, to as usize);
                 let time = (self.now + self.draw(self.plan.network_delay))
                     .max(self.last_delivery[x][y] + 1);
                 self.last_delivery[x][y] = time;
@@ -75,7 +81,7 @@
                 self.schedule(
                     time,
                     Event::Deliver {
-                        from: seat,
+                        from: replica_id,
                         to,
                         epoch,
                         frame,
@@ -85,80 +91,90 @@
             mencius::Effect::Persist {
                 ticket,
                 writes,
-                replace_journal: afresh,
+                replace_journal,
             } => {
                 self.counts.syncs += 1;
-                let wait = if self.plan.lying_disk {
+                let wait = if self.plan.acknowledges_unwritten {
                     0
                 } else {
-                    self.draw(self.plan.sync_delay) + self.replicas[seat as usize].extra_sync_delay
+                    self.draw(self.plan.sync_delay)
+                        + self.replicas[replica_id as usize].extra_sync_delay
                 };
-                let life = self.replicas[seat as usize].incarnation;
-                if self.plan.lying_disk {
-                    self.write_to_disk(seat);
+                let incarnation = self.replicas[replica_id as usize].incarnation;
+                if self.plan.acknowledges_unwritten {
+                    self.write_to_disk(replica_id);
                 }
-                self.replicas[seat as usize].unsynced = Some((ticket, writes, afresh));
+                self.replicas[replica_id as usize].unsynced =
+                    Some((ticket, writes, replace_journal));
                 let now = self.now;
-                self.schedule(now + wait, Event::Synced { seat, life, ticket });
+                self.schedule(
+                    now + wait,
+                    Event::Synced {
+                        replica_id,
+                        incarnation,
+                        ticket,
+                    },
+                );
             }
             mencius::Effect::Apply(at, value) => {
-                self.replicas[seat as usize]
+                self.replicas[replica_id as usize]
                     .applied
                     .push((at, value.clone()));
-                self.observe_replacement(seat, at, &value);
+                self.observe_replacement(replica_id, at, &value);
                 self.findings
-                    .applied(self.now, seat, at, &value, self.plan.replica_count);
-                self.snapshot_when_due(seat, at + 1);
+                    .applied(self.now, replica_id, at, &value, self.plan.replica_count);
+                self.snapshot_when_due(replica_id, at + 1);
             }
             mencius::Effect::NotChosen(value) => {
-                let patience = self.plan.caller_patience;
-                if self.findings.caller_waits(&value, self.now, patience) {
-                    self.step_replica(seat, mencius::Input::Submit(value));
+                let timeout = self.plan.caller_timeout;
+                if self.findings.caller_waits(&value, self.now, timeout) {
+                    self.step_replica(replica_id, mencius::Input::Submit(value));
                 }
             }
             mencius::Effect::InstallSnapshot { state, .. } => {
-                self.replicas[seat as usize].applied =
+                self.replicas[replica_id as usize].applied =
                     rkyv::from_bytes::<Vec<(u64, Vec<u8>)>, rkyv::rancor::Error>(&state)
                         .unwrap_or_default();
-                // The state a snapshot stands for knows the holders too.
-                self.replicas[seat as usize].state_machine = Default::default();
-                let history = self.replicas[seat as usize].applied.clone();
+                // The state of the snapshot includes the replacements, so they are applied again.
+                self.replicas[replica_id as usize].state_machine = Default::default();
+                let history = self.replicas[replica_id as usize].applied.clone();
                 history
                     .into_iter()
-                    .for_each(|(at, value)| self.observe_replacement(seat, at, &value));
+                    .for_each(|(at, value)| self.observe_replacement(replica_id, at, &value));
             }
             mencius::Effect::ReadReady(token) => {
-                let node = &mut self.replicas[seat as usize];
-                let applied = node
-                    .replica
+                let replica = &mut self.replicas[replica_id as usize];
+                let applied = replica
+                    .running
                     .as_ref()
                     .map(mencius::Replica::applied)
                     .unwrap_or(0);
-                self.findings.read_done(token, applied);
-                self.proved_reads.push((token, seat));
+                self.findings.read_proved(token, applied);
+                self.proved_reads.push((token, replica_id));
             }
         }
     }
 
-    fn snapshot_when_due(&mut self, seat: Seat, through: mencius::Instance) {
-        let node = &mut self.replicas[seat as usize];
-        node.applied_since_snapshot += 1;
-        let due =
-            self.plan.snapshot_every > 0 && node.applied_since_snapshot >= self.plan.snapshot_every;
-        // As the daemon's driver does it: what lies below a change could be finished only by disks of that time.
-        let handed_over = self.plan.snapshot_past_change
-            && node
+    fn snapshot_when_due(&mut self, replica_id: ReplicaId, through: mencius::Instance) {
+        let replica = &mut self.replicas[replica_id as usize];
+        replica.applied_since_snapshot += 1;
+        let due = self.plan.snapshot_every > 0
+            && replica.applied_since_snapshot >= self.plan.snapshot_every;
+        // As in the daemon's driver: instances before a replacement can be finished only by the disks of that time, so a
+        // snapshot is taken once the log is past it.
+        let replacement_passed = self.plan.snapshot_after_replacement
+            && replica
                 .state_machine
                 .replica_holders
                 .values()
-                .any(|(_, after)| (node.snapshot_through..through).contains(after));
-        if due || handed_over {
-            (node.applied_since_snapshot, node.snapshot_through) = (0, through);
-            let state = rkyv::to_bytes::<rkyv::rancor::Error>(&node.applied)
+                .any(|(_, after)| (replica.snapshot_through..through).contains(after));
+        if due || replacement_passed {
+            (replica.applied_since_snapshot, replica.snapshot_through) = (0, through);
+            let state = rkyv::to_bytes::<rkyv::rancor::Error>(&replica.applied)
                 .map(|bytes| bytes.to_vec())
                 .unwrap_or_default();
-            if let Some(machine) = node.replica.as_mut() {
-                machine.step(
+            if let Some(running) = replica.running.as_mut() {
+                running.step(
                     self.now,
                     mencius::Input::Snapshot {
                         next_instance: through,
@@ -169,13 +185,13 @@
         }
     }
 
-    pub(super) fn write_to_disk(&mut self, seat: Seat) {
-        let node = &mut self.replicas[seat as usize];
-        if let Some((_, writes, afresh)) = node.unsynced.take() {
-            if afresh {
-                node.disk.clear();
+    pub(super) fn write_to_disk(&mut self, replica_id: ReplicaId) {
+        let replica = &mut self.replicas[replica_id as usize];
+        if let Some((_, writes, replace_journal)) = replica.unsynced.take() {
+            if replace_journal {
+                replica.disk.clear();
             }
-            node.disk.extend(writes);
+            replica.disk.extend(writes);
         }
     }
 }
--- a/crates/simulator/src/sim/entry_cost.rs
+++ b/crates/simulator/src/sim/entry_cost.rs
@@ -1,4 +1,4 @@
-//! Frames and syncs an entry costs, by kind, under different settings (docs/measurements.md).
+//! Counts the frames, by kind, and the syncs for each entry under different settings (docs/measurements.md).
 
 pub(super) fn frame_kind(message: &mencius::Message) -> &'static str {
     match message {
@@ -23,56 +23,58 @@
     }
 }
 
-/// One seat or all suggest `entries`, `gap` microseconds apart; one line of counts per entry.
+/// Submits `entries` entries, `gap` microseconds apart, at one replica or at all in turn, and returns a table line with
+/// the counts per entry.
 pub fn table_line(
-    seats: u16,
+    replica_count: u16,
     alpha: u64,
     tau: u64,
     gap: u64,
     entries: u64,
-    one_seat: bool,
+    single_proposer: bool,
 ) -> String {
-    let tuning = mencius::Config {
+    let config = mencius::Config {
         alpha,
         tau,
         ..Default::default()
     };
     let mut world = super::World::new(super::WorldPlan {
-        tuning,
+        config,
         snapshot_every: 0,
-        ..super::WorldPlan::new(seats, 1)
+        ..super::WorldPlan::new(replica_count, 1)
     });
     world.run_until(1_000_000);
     let before = world.counts.clone();
     (0..entries).for_each(|number| {
-        let seat = if one_seat {
+        let replica_id = if single_proposer {
             0
         } else {
-            (number % seats as u64) as u16
+            (number % replica_count as u64) as u16
         };
         world.schedule_fault(
             1_000_000 + number * gap,
-            super::Fault::Submit(seat, number.to_be_bytes().to_vec()),
+            super::Fault::Submit(replica_id, number.to_be_bytes().to_vec()),
         );
     });
     let end = 1_000_000 + entries * gap;
     world.run_until(end);
     let each = |kind: &str| {
-        let grown = world.counts.frames_by_kind.get(kind).copied().unwrap_or(0)
+        let increase = world.counts.frames_by_kind.get(kind).copied().unwrap_or(0)
             - before.frames_by_kind.get(kind).copied().unwrap_or(0);
-        grown as f64 / entries as f64
+        increase as f64 / entries as f64
     };
     let syncs = (world.counts.syncs - before.syncs) as f64 / entries as f64;
-    let shown: Vec<String> = ["suggest", "accept", "learn", "skip", "beat", "revoke"]
+    let columns: Vec<String> = ["suggest", "accept", "learn", "skip", "beat", "revoke"]
         .iter()
         .map(|kind| format!("{:>8.2}", each(kind)))
         .collect();
     format!(
-        "{seats:>5} {alpha:>6} {tau:>7} {gap:>7} {:>6} {} {syncs:>8.2} {:>9}",
-        if one_seat { "one" } else { "all" },
-        shown.join(" "),
+        "{replica_count:>5} {alpha:>6} {tau:>7} {gap:>7} {:>6} {} {syncs:>8.2} {:>9}",
+        if single_proposer { "one" } else { "all" },
+        columns.join(" "),
         world.findings.slowest_entry_us
     )
 }
 
+/// The head of the table whose lines [`table_line`] returns.
 pub const TABLE_HEAD: &str = "seats  alpha     tau     gap  whose  suggest   accept    learn     skip     beat   revoke    syncs   slowest";
--- a/crates/simulator/src/sim/faults.rs
+++ b/crates/simulator/src/sim/faults.rs
@@ -1,31 +1,31 @@
-//! Faults and the schedules drawn from a seed (design 9.2).
+//! The faults of the simulator, and schedules of faults derived from random bytes (design 9.2).
 
-type Seat = mencius::ReplicaId;
+type ReplicaId = mencius::ReplicaId;
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    Crash(Seat),
-    Start(Seat),
-    Freeze(Seat),
-    Unfreeze(Seat),
-    /// Frames from the first to the second are lost.
-    CutLink(Seat, Seat),
+    Crash(ReplicaId),
+    Start(ReplicaId),
+    Freeze(ReplicaId),
+    Unfreeze(ReplicaId),
+    /// Frames from the first replica to the second are lost.
+    CutLink(ReplicaId, ReplicaId),
     HealLinks,
-    CloseConnection(Seat, Seat),
-    SlowDisk(Seat, u64),
-    /// The disk is lost; an empty one takes the seat over, by an entry handed to the next seat.
-    Replace(Seat),
-    Submit(Seat, Vec<u8>),
-    Read(Seat, u64),
+    CloseConnection(ReplicaId, ReplicaId),
+    SlowDisk(ReplicaId, u64),
+    /// The disk is lost. An empty one replaces it by an entry that a peer submits.
+    Replace(ReplicaId),
+    Submit(ReplicaId, Vec<u8>),
+    Read(ReplicaId, u64),
 }
 
 impl Fault {
     pub(super) fn apply(self, world: &mut super::World) {
         match self {
-            Fault::Crash(seat) => world.crash(seat),
-            Fault::Start(seat) => world.start(seat),
-            Fault::Freeze(seat) => world.freeze(seat, true),
-            Fault::Unfreeze(seat) => world.freeze(seat, false),
+            Fault::Crash(replica_id) => world.crash(replica_id),
+            Fault::Start(replica_id) => world.start(replica_id),
+            Fault::Freeze(replica_id) => world.freeze(replica_id, true),
+            Fault::Unfreeze(replica_id) => world.freeze(replica_id, false),
             Fault::CutLink(a, b) => world.cut_links[a as usize][b as usize] = true,
             Fault::HealLinks => world
                 .cut_links
@@ -33,66 +33,82 @@
                 .flatten()
                 .for_each(|cut| *cut = false),
             Fault::CloseConnection(a, b) => world.close(a, b),
-            Fault::SlowDisk(seat, extra) => world.slow_disk(seat, extra),
-            Fault::Replace(seat) => world.replace(seat),
-            Fault::Submit(seat, value) => world.submit(seat, value),
-            Fault::Read(seat, token) => world.read(seat, token),
+            Fault::SlowDisk(replica_id, extra) => world.slow_disk(replica_id, extra),
+            Fault::Replace(replica_id) => world.replace(replica_id),
+            Fault::Submit(replica_id, value) => world.submit(replica_id, value),
+            Fault::Read(replica_id, token) => world.read(replica_id, token),
         }
     }
 }
 
-/// `bytes` decide what fails and when; the last second mends everything.
+/// Schedules entries, reads and faults for `seconds` seconds; three of the `bytes` determine each fault. At the end all
+/// faults are healed.
 pub fn schedule_faults(world: &mut super::World, bytes: &[u8], seconds: u64) {
-    let seats = world.plan.replica_count;
+    let replica_count = world.plan.replica_count;
     let step = seconds * 1_000_000 / (bytes.len() as u64 / 3 + 1).max(1);
-    bytes.chunks_exact(3).zip(1u64..).for_each(|(chunk, turn)| {
-        let (seat, other) = (chunk[1] as Seat % seats, chunk[2] as Seat % seats);
-        let time = turn * step;
-        let back = time + 50_000 + chunk[2] as u64 * 6_000;
-        let faults: Vec<(u64, Fault)> = match chunk[0] % 8 {
-            0 => vec![(time, Fault::Crash(seat)), (back, Fault::Start(seat))],
-            1 => vec![(time, Fault::Freeze(seat)), (back, Fault::Unfreeze(seat))],
-            2 if seat != other => vec![
-                (time, Fault::CutLink(seat, other)),
-                (back, Fault::HealLinks),
-            ],
-            3 if seat != other => vec![(time, Fault::CloseConnection(seat, other))],
-            4 => (0..seats)
-                .filter(|mate| *mate != seat)
-                .map(|mate| (time, Fault::CutLink(seat, mate)))
-                .chain([(back, Fault::HealLinks)])
-                .collect(),
-            5 => vec![
-                (time, Fault::SlowDisk(seat, 600_000)),
-                (back, Fault::SlowDisk(seat, 0)),
-            ],
-            _ => Vec::new(),
-        };
-        faults
-            .into_iter()
-            .for_each(|(time, fault)| world.schedule_fault(time, fault));
-    });
+    bytes
+        .chunks_exact(3)
+        .zip(1u64..)
+        .for_each(|(chunk, round)| {
+            let (replica_id, peer) = (
+                chunk[1] as ReplicaId % replica_count,
+                chunk[2] as ReplicaId % replica_count,
+            );
+            let time = round * step;
+            let end = time + 50_000 + chunk[2] as u64 * 6_000;
+            let faults: Vec<(u64, Fault)> = match chunk[0] % 8 {
+                0 => vec![
+                    (time, Fault::Crash(replica_id)),
+                    (end, Fault::Start(replica_id)),
+                ],
+                1 => vec![
+                    (time, Fault::Freeze(replica_id)),
+                    (end, Fault::Unfreeze(replica_id)),
+                ],
+                2 if replica_id != peer => vec![
+                    (time, Fault::CutLink(replica_id, peer)),
+                    (end, Fault::HealLinks),
+                ],
+                3 if replica_id != peer => vec![(time, Fault::CloseConnection(replica_id, peer))],
+                4 => (0..replica_count)
+                    .filter(|peer| *peer != replica_id)
+                    .map(|peer| (time, Fault::CutLink(replica_id, peer)))
+                    .chain([(end, Fault::HealLinks)])
+                    .collect(),
+                5 => vec![
+                    (time, Fault::SlowDisk(replica_id, 600_000)),
+                    (end, Fault::SlowDisk(replica_id, 0)),
+                ],
+                _ => Vec::new(),
+            };
+            faults
+                .into_iter()
+                .for_each(|(time, fault)| world.schedule_fault(time, fault));
+        });
     let entries = seconds * 20;
     (0..entries).for_each(|number| {
-        let seat = (number * 7 % seats as u64) as Seat;
+        let replica_id = (number * 7 % replica_count as u64) as ReplicaId;
         let time = 100_000 + number * 50_000;
-        world.schedule_fault(time, Fault::Submit(seat, number.to_be_bytes().to_vec()));
+        world.schedule_fault(
+            time,
+            Fault::Submit(replica_id, number.to_be_bytes().to_vec()),
+        );
         world.schedule_fault(
             time + 20_000,
-            Fault::Read(((number + 3) % seats as u64) as Seat, number),
+            Fault::Read(((number + 3) % replica_count as u64) as ReplicaId, number),
         );
     });
     let end = seconds * 1_000_000 + 2_000_000;
     world.schedule_fault(end, Fault::HealLinks);
-    (0..seats).for_each(|seat| {
-        world.schedule_fault(end, Fault::Unfreeze(seat));
-        world.schedule_fault(end, Fault::SlowDisk(seat, 0));
-        world.schedule_fault(end, Fault::Start(seat));
+    (0..replica_count).for_each(|replica_id| {
+        world.schedule_fault(end, Fault::Unfreeze(replica_id));
+        world.schedule_fault(end, Fault::SlowDisk(replica_id, 0));
+        world.schedule_fault(end, Fault::Start(replica_id));
     });
-    (0..seats).for_each(|seat| {
+    (0..replica_count).for_each(|replica_id| {
         world.schedule_fault(
             end + 2_500_000,
-            Fault::Submit(seat, format!("last {seat}").into_bytes()),
+            Fault::Submit(replica_id, format!("last {replica_id}").into_bytes()),
         );
     });
 }
--- a/crates/simulator/src/sim/mod.rs
+++ b/crates/simulator/src/sim/mod.rs
@@ -1,4 +1,5 @@
-//! Core seats under virtual time: the real ordering machine, a made-up network and disks (design 9.1).
+//! Simulates the replicas of the log in virtual time: the replicas are the product's, network and disks are simulated
+//! (design 9.1).
 
 mod checks;
 mod effects;
--- a/crates/simulator/src/sim/plan.rs
+++ b/crates/simulator/src/sim/plan.rs
@@ -1,9 +1,9 @@
-//! What a simulated run is told, and what it counts (design 9.1).
+//! The parameters and the counters of a simulated run (design 9.1).
 
 use std::collections::BTreeMap;
 
 type Micros = mencius::Micros;
-type Seat = mencius::ReplicaId;
+type ReplicaId = mencius::ReplicaId;
 
 #[derive(Clone, Debug)]
 pub struct WorldPlan {
@@ -11,33 +11,34 @@
     pub seed: u64,
     pub network_delay: (Micros, Micros),
     pub sync_delay: (Micros, Micros),
-    pub tuning: mencius::Config,
-    /// Applied entries between two snapshots; 0 takes none.
+    pub config: mencius::Config,
+    /// Number of applied entries between two snapshots; 0 disables snapshots.
     pub snapshot_every: usize,
-    /// A snapshot as soon as the log is past a change of holders (design 4.4); without it a second lost disk stops the log.
-    pub snapshot_past_change: bool,
-    /// A broken disk that reports a sync before anything is kept. Only to show the checker bites.
-    pub lying_disk: bool,
-    /// How long a caller waits for its entry; the driver submits an overruled one again for so long.
-    pub caller_patience: Micros,
-    /// Crash the seat when it reaches the numbered point (design 9.2).
-    pub crash_at: Option<(Seat, u64)>,
+    /// Whether a replica takes a snapshot as soon as the log is past the replacement of a replica (design 4.4). Without
+    /// that snapshot the loss of a second disk stops the log.
+    pub snapshot_after_replacement: bool,
+    /// Whether disks report a sync before anything is written. Used to show that the checks notice it.
+    pub acknowledges_unwritten: bool,
+    /// How long a caller waits for its entry. For that time the driver submits an entry again that was not chosen.
+    pub caller_timeout: Micros,
+    /// Crashes the replica before its effect of this number (design 9.2).
+    pub crash_at: Option<(ReplicaId, u64)>,
 }
 
 impl WorldPlan {
-    pub fn new(seats: u16, seed: u64) -> Self {
-        let tuning = mencius::Config::default();
-        let (snapshot_every, snapshot_past_change) = (40, true);
+    pub fn new(replica_count: u16, seed: u64) -> Self {
+        let config = mencius::Config::default();
+        let (snapshot_every, snapshot_after_replacement) = (40, true);
         WorldPlan {
-            replica_count: seats,
+            replica_count,
             seed,
             network_delay: (300, 1_500),
             sync_delay: (500, 5_000),
-            tuning,
+            config,
             snapshot_every,
-            snapshot_past_change,
-            lying_disk: false,
-            caller_patience: Micros::MAX,
+            snapshot_after_replacement,
+            acknowledges_unwritten: false,
+            caller_timeout: Micros::MAX,
             crash_at: None,
         }
     }
--- a/crates/simulator/src/sim/replacement.rs
+++ b/crates/simulator/src/sim/replacement.rs
@@ -1,150 +1,180 @@
-//! Seats that change hands in the simulator, as the daemon's driver does it (design 4.4, 9.1).
+//! Replaces replicas in the simulator in the same way as the daemon's driver (design 4.4, 9.1).
 
 use super::world::Event;
 
-type Seat = mencius::ReplicaId;
+type ReplicaId = mencius::ReplicaId;
 
-/// Between two askings of an empty disk for its seat.
+/// Interval between two requests of a replica with an empty disk for its admission, in microseconds.
 const ADMISSION_RETRY_US: u64 = 500_000;
 
 impl super::World {
-    pub(super) fn replace(&mut self, seat: Seat) {
-        self.crash(seat);
-        let identity = 1_000 + self.now;
-        let node = &mut self.replicas[seat as usize];
-        (node.disk_id, node.awaiting_admission) = (identity, true);
-        node.disk.clear();
-        node.applied.clear();
-        node.pinned_disks = (1..=self.plan.replica_count as u64).collect();
-        node.state_machine = Default::default();
-        self.request_admission(seat, identity, (seat + 1) % self.plan.replica_count);
+    pub(super) fn replace(&mut self, replica_id: ReplicaId) {
+        self.crash(replica_id);
+        let disk_id = 1_000 + self.now;
+        let replica = &mut self.replicas[replica_id as usize];
+        (replica.disk_id, replica.awaiting_admission) = (disk_id, true);
+        replica.disk.clear();
+        replica.applied.clear();
+        replica.pinned_disks = (1..=self.plan.replica_count as u64).collect();
+        replica.state_machine = Default::default();
+        self.request_admission(
+            replica_id,
+            disk_id,
+            (replica_id + 1) % self.plan.replica_count,
+        );
     }
 
-    /// The empty disk asks one mate after the other for its seat, until it is let in; the log decides.
-    pub(super) fn request_admission(&mut self, seat: Seat, identity: u64, helper: Seat) {
-        let node = &self.replicas[seat as usize];
-        if !node.awaiting_admission || node.disk_id != identity {
+    /// A replica with an empty disk asks one peer after the other to submit the replacement, until it is admitted. The log
+    /// decides.
+    pub(super) fn request_admission(
+        &mut self,
+        replica_id: ReplicaId,
+        disk_id: u64,
+        helper: ReplicaId,
+    ) {
+        let replica = &self.replicas[replica_id as usize];
+        if !replica.awaiting_admission || replica.disk_id != disk_id {
             return;
         }
         let (now, next) = (self.now, (helper + 1) % self.plan.replica_count);
         self.schedule(
             now + ADMISSION_RETRY_US,
             Event::RequestAdmission {
-                seat,
-                identity,
+                replica_id,
+                disk_id,
                 helper: next,
             },
         );
-        let from = self.replicas[helper as usize].pinned_disks[seat as usize];
-        let known = self.replicas[helper as usize]
+        let from = self.replicas[helper as usize].pinned_disks[replica_id as usize];
+        let is_admitted = self.replicas[helper as usize]
             .state_machine
             .replica_holders
-            .get(&seat)
-            .is_some_and(|(holder, _)| *holder == identity);
-        if helper == seat || known || from == identity || !self.is_running(helper as usize) {
+            .get(&replica_id)
+            .is_some_and(|(holder, _)| *holder == disk_id);
+        if helper == replica_id
+            || is_admitted
+            || from == disk_id
+            || !self.is_running(helper as usize)
+        {
             return;
         }
-        let act = model::Operation::ReplaceReplica(model::ReplicaReplacement {
-            replica_id: seat,
+        let operation = model::Operation::ReplaceReplica(model::ReplicaReplacement {
+            replica_id,
             old_disk: from,
-            new_disk: identity,
+            new_disk: disk_id,
         });
         let entry = model::Entry {
             origin: format!("core-{helper}"),
             incarnation: 1,
             sequence: now,
-            operation: act,
+            operation,
         };
         self.submit(helper, entry.to_bytes());
     }
 
-    pub(super) fn observe_replacement(&mut self, at_seat: Seat, instance: u64, value: &[u8]) {
+    pub(super) fn observe_replacement(
+        &mut self,
+        replica_id: ReplicaId,
+        instance: u64,
+        value: &[u8],
+    ) {
         let Some(entry) = model::Entry::from_bytes(value)
             .ok()
             .filter(|entry| matches!(entry.operation, model::Operation::ReplaceReplica(_)))
         else {
             return;
         };
-        let node = &mut self.replicas[at_seat as usize];
-        node.state_machine
+        let replica = &mut self.replicas[replica_id as usize];
+        replica
+            .state_machine
             .apply_at(entry, instance, mencius::VOTING_WINDOW);
-        let lost = node
+        let last_vote = replica
             .state_machine
             .replica_holders
-            .get(&at_seat)
-            .filter(|(holder, _)| *holder != node.disk_id)
+            .get(&replica_id)
+            .filter(|(holder, _)| *holder != replica.disk_id)
             .map(|(_, after)| *after);
-        if let (Some(after), Some(machine)) = (lost, node.replica.as_mut()) {
-            machine.step(self.now, mencius::Input::StopVotingAfter(after));
+        if let (Some(after), Some(running)) = (last_vote, replica.running.as_mut()) {
+            running.step(self.now, mencius::Input::StopVotingAfter(after));
         }
     }
 
-    /// Pushes the log over a pending change, and takes the new disk for the holder once past it.
-    pub(super) fn complete_replacement(&mut self, seat: Seat) {
-        let node = &mut self.replicas[seat as usize];
-        let Some(applied) = node.replica.as_ref().map(mencius::Replica::applied) else {
+    /// Advances the log past pending replacements, and accepts the new disk of a replica once the log is past its
+    /// replacement.
+    pub(super) fn complete_replacement(&mut self, replica_id: ReplicaId) {
+        let replica = &mut self.replicas[replica_id as usize];
+        let Some(applied) = replica.running.as_ref().map(mencius::Replica::applied) else {
             return;
         };
-        if node.state_machine.replica_holders.is_empty() || self.now < node.last_advance + 100_000 {
+        if replica.state_machine.replica_holders.is_empty()
+            || self.now < replica.last_advance + 100_000
+        {
             return;
         }
-        node.last_advance = self.now;
-        let moved: Vec<(Seat, u64)> = node
+        replica.last_advance = self.now;
+        let replaced: Vec<(ReplicaId, u64)> = replica
             .state_machine
             .replica_holders
             .iter()
             .filter(|(other, (holder, after))| {
-                **other != seat
+                **other != replica_id
                     && *after < applied
-                    && node.pinned_disks[**other as usize] != *holder
+                    && replica.pinned_disks[**other as usize] != *holder
             })
             .map(|(other, (holder, _))| (*other, *holder))
             .collect();
-        let pending = node
+        let pending = replica
             .state_machine
             .replica_holders
             .values()
             .map(|(_, after)| *after)
             .filter(|after| *after >= applied)
             .min();
-        moved.into_iter().for_each(|(other, holder)| {
-            self.replicas[seat as usize].pinned_disks[other as usize] = holder;
-            self.close(seat, other);
+        replaced.into_iter().for_each(|(other, holder)| {
+            self.replicas[replica_id as usize].pinned_disks[other as usize] = holder;
+            self.close(replica_id, other);
         });
         if let Some(after) = pending {
-            let leap = after.min(applied + mencius::VOTING_WINDOW / 2);
-            self.step_replica(seat, mencius::Input::SkipThrough(leap));
-            self.submit(seat, format!("barrier {seat} {}", self.now).into_bytes());
+            let target = after.min(applied + mencius::VOTING_WINDOW / 2);
+            self.step_replica(replica_id, mencius::Input::SkipThrough(target));
+            self.submit(
+                replica_id,
+                format!("barrier {replica_id} {}", self.now).into_bytes(),
+            );
         }
     }
 
-    /// An empty disk starts when a mate knows it for the holder and says after which instance.
-    pub(super) fn admit(&mut self, mate: Seat, seat: Seat) {
-        let (helper, node) = (&self.replicas[mate as usize], &self.replicas[seat as usize]);
-        let known = helper.replica.is_some() && helper.pinned_disks[seat as usize] == node.disk_id;
+    /// Starts a replica with an empty disk once a peer accepts that disk and states after which instance it may vote.
+    pub(super) fn admit(&mut self, peer: ReplicaId, replica_id: ReplicaId) {
+        let (helper, replica) = (
+            &self.replicas[peer as usize],
+            &self.replicas[replica_id as usize],
+        );
+        let is_admitted =
+            helper.running.is_some() && helper.pinned_disks[replica_id as usize] == replica.disk_id;
         let Some((_, after)) = helper
             .state_machine
             .replica_holders
-            .get(&seat)
+            .get(&replica_id)
             .copied()
-            .filter(|_| node.awaiting_admission && known)
+            .filter(|_| replica.awaiting_admission && is_admitted)
         else {
             return;
         };
-        let mut pins = helper.pinned_disks.clone();
-        pins[mate as usize] = helper.disk_id;
-        let first = mencius::first_instance_of(after + 1, seat, self.plan.replica_count);
-        let node = &mut self.replicas[seat as usize];
-        (node.awaiting_admission, node.pinned_disks) = (false, pins);
-        // Kept together with the holders, before it says anything.
-        node.disk.extend([
+        let mut pinned_disks = helper.pinned_disks.clone();
+        pinned_disks[peer as usize] = helper.disk_id;
+        let first = mencius::first_instance_of(after + 1, replica_id, self.plan.replica_count);
+        let replica = &mut self.replicas[replica_id as usize];
+        (replica.awaiting_admission, replica.pinned_disks) = (false, pinned_disks);
+        // Written together with the accepted disks, before the replica sends anything.
+        replica.disk.extend([
             mencius::Write::VotingRangeStart(after + 1),
             mencius::Write::Index(first),
         ]);
-        self.start(seat);
+        self.start(replica_id);
     }
 
-    pub(super) fn know_each_other(&self, a: Seat, b: Seat) -> bool {
+    pub(super) fn know_each_other(&self, a: ReplicaId, b: ReplicaId) -> bool {
         let (one, two) = (&self.replicas[a as usize], &self.replicas[b as usize]);
         one.pinned_disks[b as usize] == two.disk_id && two.pinned_disks[a as usize] == one.disk_id
     }
--- a/crates/simulator/src/sim/site/attempts.rs
+++ b/crates/simulator/src/sim/site/attempts.rs
@@ -4,7 +4,7 @@
 use super::{Event, Site};
 use model::{Error, ErrorKind, ExecutionStatus};
 
-/// A try as its sender knows it: it may send it more than once.
+/// A try as its sender knows it may send it more than once.
 pub(super) struct ClientAttempt {
     pub id: String,
     pub route: SiteRoute,
--- a/crates/simulator/src/sim/site/replicas.rs
+++ b/crates/simulator/src/sim/site/replicas.rs
@@ -31,10 +31,10 @@
 }
 
 impl SiteReplicas {
-    pub fn new(seats: u16, seed: u64, lying_disk: bool) -> Self {
-        let snapshot_every = if lying_disk { 0 } else { 60 };
+    pub fn new(seats: u16, seed: u64, acknowledges_unwritten: bool) -> Self {
+        let snapshot_every = if acknowledges_unwritten { 0 } else { 60 };
         let world = crate::sim::World::new(crate::sim::WorldPlan {
-            lying_disk,
+            acknowledges_unwritten,
             snapshot_every,
             ..crate::sim::WorldPlan::new(seats, seed)
         });
@@ -46,7 +46,7 @@
 
     pub fn is_running(&self, seat: u16) -> bool {
         let node = &self.world.replicas[seat as usize];
-        node.replica.is_some() && !node.frozen
+        node.running.is_some() && !node.frozen
     }
 
     pub fn state_machine(&self, seat: u16) -> &StateMachine {
--- a/crates/simulator/src/sim/trial.rs
+++ b/crates/simulator/src/sim/trial.rs
@@ -1,22 +1,22 @@
-//! Any number of simulated sites, each named by its seed and its blows (design 9.8).
+//! Runs any number of simulated sites, each determined by its seed and its faults (design 9.8).
 
 const SECOND: u64 = 1_000_000;
 
-/// One site from its beginning through the blows to its recovery; what was broken, and the site.
-pub fn play(plan: super::SitePlan, bytes: &[u8]) -> (Vec<String>, super::Site) {
+/// Runs a site through the faults that `bytes` encode until it has recovered. Returns the violations and the site.
+pub fn simulate(plan: super::SitePlan, bytes: &[u8]) -> (Vec<String>, super::Site) {
     let mut site = super::Site::new(plan);
     super::schedule_site_faults(&mut site, bytes);
     let end = (6 + bytes.len() as u64 / 2) * SECOND;
     site.run_until(end);
-    let broken = site.finish(end);
-    (broken, site)
+    let violations = site.finish(end);
+    (violations, site)
 }
 
-/// The blows that a seed draws, `count` of them.
+/// Draws the encoding of `count` faults from the seed.
 pub fn draw_fault_bytes(seed: u64, count: usize) -> Vec<u8> {
-    let mut random: rand::rngs::StdRng = rand::SeedableRng::seed_from_u64(seed);
+    let mut rng: rand::rngs::StdRng = rand::SeedableRng::seed_from_u64(seed);
     (0..count * 3)
-        .map(|_| rand::Rng::random_range(&mut random, 0..=255u8))
+        .map(|_| rand::Rng::random_range(&mut rng, 0..=255u8))
         .collect()
 }
 
@@ -24,15 +24,16 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Three bytes a blow, in hexadecimal.
+/// Parses the encoding of faults, three bytes each, from hexadecimal digits.
 pub fn parse_hexadecimal(text: &str) -> Option<Vec<u8>> {
-    let fine = !text.is_empty() && text.len().is_multiple_of(6) && text.is_ascii();
-    fine.then(|| {
-        (0..text.len() / 2)
-            .map(|at| u8::from_str_radix(&text[at * 2..at * 2 + 2], 16).ok())
-            .collect()
-    })
-    .flatten()
+    let is_valid = !text.is_empty() && text.len().is_multiple_of(6) && text.is_ascii();
+    is_valid
+        .then(|| {
+            (0..text.len() / 2)
+                .map(|at| u8::from_str_radix(&text[at * 2..at * 2 + 2], 16).ok())
+                .collect()
+        })
+        .flatten()
 }
 
 #[derive(Debug, Default)]
@@ -42,20 +43,20 @@
     pub served: usize,
     pub retries: usize,
     pub moves: usize,
-    /// Seed, blows, and what was broken first.
+    /// The seed, the faults in hexadecimal, and the first violation.
     pub violations: Vec<(u64, String, String)>,
 }
 
-/// Seeds from `first` on, over the machine's cores.
+/// Runs the sites of the `count` seeds from `first` on, in parallel on all processors.
 pub fn run_many(first: u64, count: u64, length: usize) -> TrialSummary {
-    let cores = std::thread::available_parallelism()
+    let threads = std::thread::available_parallelism()
         .map(usize::from)
         .unwrap_or(1) as u64;
-    let workers: Vec<_> = (0..cores)
-        .map(|core| {
+    let workers: Vec<_> = (0..threads)
+        .map(|thread| {
             std::thread::spawn(move || {
                 (first..first + count)
-                    .filter(|seed| seed % cores == core)
+                    .filter(|seed| seed % threads == thread)
                     .map(|seed| run_one(seed, &draw_fault_bytes(seed, length)))
                     .collect::<Vec<_>>()
             })
@@ -65,30 +66,34 @@
         .into_iter()
         .filter_map(|worker| worker.join().ok())
         .flatten()
-        .fold(TrialSummary::default(), |sum, one| TrialSummary {
-            sites: sum.sites + one.sites,
-            runs: sum.runs + one.runs,
-            served: sum.served + one.served,
-            retries: sum.retries + one.retries,
-            moves: sum.moves + one.moves,
-            violations: sum.violations.into_iter().chain(one.violations).collect(),
+        .fold(TrialSummary::default(), |total, summary| TrialSummary {
+            sites: total.sites + summary.sites,
+            runs: total.runs + summary.runs,
+            served: total.served + summary.served,
+            retries: total.retries + summary.retries,
+            moves: total.moves + summary.moves,
+            violations: total
+                .violations
+                .into_iter()
+                .chain(summary.violations)
+                .collect(),
         })
 }
 
 pub fn run_one(seed: u64, bytes: &[u8]) -> TrialSummary {
-    let (broken, site) = play(super::SitePlan::new(seed), bytes);
-    let judge = &site.checks;
-    let broken = broken
+    let (violations, site) = simulate(super::SitePlan::new(seed), bytes);
+    let checks = &site.checks;
+    let violations = violations
         .into_iter()
         .take(1)
-        .map(|told| (seed, to_hexadecimal(bytes), told))
+        .map(|violation| (seed, to_hexadecimal(bytes), violation))
         .collect();
     TrialSummary {
         sites: 1,
-        runs: judge.runs,
-        served: judge.served,
-        retries: judge.retries,
-        moves: judge.moves,
-        violations: broken,
+        runs: checks.runs,
+        served: checks.served,
+        retries: checks.retries,
+        moves: checks.moves,
+        violations,
     }
 }
--- a/crates/simulator/src/sim/world.rs
+++ b/crates/simulator/src/sim/world.rs
@@ -1,41 +1,43 @@
-//! The simulated world: one queue of events ordered by virtual time (design 9.1).
+//! The simulated replicas, network and disks, driven by one queue of events in virtual time (design 9.1).
 
 use std::collections::BTreeMap;
 
 type Micros = mencius::Micros;
-type Seat = mencius::ReplicaId;
+type ReplicaId = mencius::ReplicaId;
 
 #[derive(Debug)]
 pub(super) enum Event {
     Deliver {
-        from: Seat,
-        to: Seat,
+        from: ReplicaId,
+        to: ReplicaId,
         epoch: u64,
         frame: mencius::Frame,
     },
     Synced {
-        seat: Seat,
-        life: u64,
+        replica_id: ReplicaId,
+        incarnation: u64,
         ticket: u64,
     },
     Tick {
-        seat: Seat,
-        life: u64,
+        replica_id: ReplicaId,
+        incarnation: u64,
     },
     Reopen {
-        a: Seat,
-        b: Seat,
+        a: ReplicaId,
+        b: ReplicaId,
     },
     RequestAdmission {
-        seat: Seat,
-        identity: u64,
-        helper: Seat,
+        replica_id: ReplicaId,
+        disk_id: u64,
+        helper: ReplicaId,
     },
     Fault(super::Fault),
 }
 
+/// A replica with its disk, over all its incarnations.
 pub struct SimulatedReplica {
-    pub replica: Option<mencius::Replica>,
+    /// The replica of the log, while its process is up.
+    pub running: Option<mencius::Replica>,
     pub applied: Vec<(mencius::Instance, mencius::Value)>,
     pub(super) disk: Vec<mencius::Write>,
     pub(super) unsynced: Option<(u64, Vec<mencius::Write>, bool)>,
@@ -47,24 +49,25 @@
     pub(super) snapshot_through: mencius::Instance,
     pub(super) effect_count: u64,
     pub(super) disk_id: u64,
-    /// An empty disk that waits to be let in.
+    /// Whether the disk is empty and the replica waits for its admission.
     pub(super) awaiting_admission: bool,
-    /// The disk this node takes for each seat's holder, and changes it has applied.
+    /// The disk that this replica accepts for each replica id.
     pub(super) pinned_disks: Vec<u64>,
     pub(super) state_machine: model::StateMachine,
     pub(super) last_advance: Micros,
 }
 
+/// A set of simulated replicas with the network between them.
 pub struct World {
     pub plan: super::WorldPlan,
     pub now: Micros,
     pub replicas: Vec<SimulatedReplica>,
     pub counts: super::Counts,
     pub findings: super::Findings,
-    pub proved_reads: Vec<(u64, Seat)>,
+    pub proved_reads: Vec<(u64, ReplicaId)>,
     events: BTreeMap<(Micros, u64), Event>,
     last_event_number: u64,
-    random: rand::rngs::StdRng,
+    rng: rand::rngs::StdRng,
     pub(super) connection_epochs: Vec<Vec<u64>>,
     connected: Vec<Vec<bool>>,
     pub cut_links: Vec<Vec<bool>>,
@@ -73,8 +76,8 @@
 
 impl World {
     pub fn new(plan: super::WorldPlan) -> Self {
-        let seats = plan.replica_count as usize;
-        let square = |_| vec![0; seats];
+        let replica_count = plan.replica_count as usize;
+        let zeroes = |_| vec![0; replica_count];
         let mut world = World {
             now: 0,
             replicas: Vec::new(),
@@ -83,16 +86,16 @@
             proved_reads: Vec::new(),
             events: Default::default(),
             last_event_number: 0,
-            random: rand::SeedableRng::seed_from_u64(plan.seed),
-            connection_epochs: (0..seats).map(square).collect(),
-            connected: vec![vec![false; seats]; seats],
-            cut_links: vec![vec![false; seats]; seats],
-            last_delivery: (0..seats).map(square).collect(),
+            rng: rand::SeedableRng::seed_from_u64(plan.seed),
+            connection_epochs: (0..replica_count).map(zeroes).collect(),
+            connected: vec![vec![false; replica_count]; replica_count],
+            cut_links: vec![vec![false; replica_count]; replica_count],
+            last_delivery: (0..replica_count).map(zeroes).collect(),
             plan,
         };
-        world.replicas = (0..seats)
-            .map(|seat| SimulatedReplica {
-                replica: None,
+        world.replicas = (0..replica_count)
+            .map(|replica_id| SimulatedReplica {
+                running: None,
                 applied: Vec::new(),
                 disk: Vec::new(),
                 unsynced: None,
@@ -103,14 +106,14 @@
                 applied_since_snapshot: 0,
                 snapshot_through: 0,
                 effect_count: 0,
-                disk_id: seat as u64 + 1,
+                disk_id: replica_id as u64 + 1,
                 awaiting_admission: false,
-                pinned_disks: (1..=seats as u64).collect(),
+                pinned_disks: (1..=replica_count as u64).collect(),
                 state_machine: Default::default(),
                 last_advance: 0,
             })
             .collect();
-        (0..world.plan.replica_count).for_each(|seat| world.start(seat));
+        (0..world.plan.replica_count).for_each(|replica_id| world.start(replica_id));
         world
     }
 
@@ -124,70 +127,76 @@
     }
 
     pub(crate) fn draw(&mut self, range: (Micros, Micros)) -> Micros {
-        rand::Rng::random_range(&mut self.random, range.0..=range.1)
+        rand::Rng::random_range(&mut self.rng, range.0..=range.1)
     }
 
-    pub fn start(&mut self, seat: Seat) {
-        let node = &mut self.replicas[seat as usize];
-        if node.replica.is_some() || node.awaiting_admission {
+    pub fn start(&mut self, replica_id: ReplicaId) {
+        let replica = &mut self.replicas[replica_id as usize];
+        if replica.running.is_some() || replica.awaiting_admission {
             return;
         }
-        node.incarnation += 1;
-        node.applied.clear();
-        node.state_machine = Default::default();
-        (node.applied_since_snapshot, node.snapshot_through) = (0, 0);
-        let (life, identity) = (node.incarnation, node.disk_id);
-        let machine = mencius::Replica::restore(
-            seat,
+        replica.incarnation += 1;
+        replica.applied.clear();
+        replica.state_machine = Default::default();
+        (replica.applied_since_snapshot, replica.snapshot_through) = (0, 0);
+        let (incarnation, disk_id) = (replica.incarnation, replica.disk_id);
+        let running = mencius::Replica::restore(
+            replica_id,
             self.plan.replica_count,
-            identity,
-            self.plan.tuning,
+            disk_id,
+            self.plan.config,
             self.now,
-            node.disk.clone(),
+            replica.disk.clone(),
         );
-        node.replica = Some(machine);
-        self.perform_effects(seat);
+        replica.running = Some(running);
+        self.perform_effects(replica_id);
         let now = self.now;
-        self.schedule(now + 10_000, Event::Tick { seat, life });
+        self.schedule(
+            now + 10_000,
+            Event::Tick {
+                replica_id,
+                incarnation,
+            },
+        );
         (0..self.plan.replica_count)
-            .filter(|mate| *mate != seat)
-            .for_each(|mate| self.schedule_reopen(seat, mate));
+            .filter(|peer| *peer != replica_id)
+            .for_each(|peer| self.schedule_reopen(replica_id, peer));
     }
 
-    pub fn crash(&mut self, seat: Seat) {
-        self.findings.caller_lost(seat);
-        let node = &mut self.replicas[seat as usize];
-        node.replica = None;
-        node.unsynced = None;
-        node.frozen = false;
-        node.deferred.clear();
+    pub fn crash(&mut self, replica_id: ReplicaId) {
+        self.findings.caller_lost(replica_id);
+        let replica = &mut self.replicas[replica_id as usize];
+        replica.running = None;
+        replica.unsynced = None;
+        replica.frozen = false;
+        replica.deferred.clear();
         (0..self.plan.replica_count)
-            .filter(|mate| *mate != seat)
-            .for_each(|mate| self.close(seat, mate));
+            .filter(|peer| *peer != replica_id)
+            .for_each(|peer| self.close(replica_id, peer));
     }
 
-    pub fn freeze(&mut self, seat: Seat, frozen: bool) {
-        let node = &mut self.replicas[seat as usize];
-        node.frozen = frozen;
-        let late = if frozen {
+    pub fn freeze(&mut self, replica_id: ReplicaId, frozen: bool) {
+        let replica = &mut self.replicas[replica_id as usize];
+        replica.frozen = frozen;
+        let deferred = if frozen {
             Vec::new()
         } else {
-            std::mem::take(&mut node.deferred)
+            std::mem::take(&mut replica.deferred)
         };
-        late.into_iter().for_each(|event| self.handle(event));
+        deferred.into_iter().for_each(|event| self.handle(event));
     }
 
-    pub fn slow_disk(&mut self, seat: Seat, extra: Micros) {
-        self.replicas[seat as usize].extra_sync_delay = extra;
+    pub fn slow_disk(&mut self, replica_id: ReplicaId, extra: Micros) {
+        self.replicas[replica_id as usize].extra_sync_delay = extra;
     }
 
-    fn schedule_reopen(&mut self, a: Seat, b: Seat) {
+    fn schedule_reopen(&mut self, a: ReplicaId, b: ReplicaId) {
         let wait = self.draw((1_000, 40_000));
         let now = self.now;
         self.schedule(now + wait, Event::Reopen { a, b });
     }
 
-    pub fn close(&mut self, a: Seat, b: Seat) {
+    pub fn close(&mut self, a: ReplicaId, b: ReplicaId) {
         let (x, y) = (a as usize, b as usize);
         if !std::mem::replace(&mut self.connected[x][y], false) {
             return;
@@ -195,16 +204,17 @@
         self.connected[y][x] = false;
         self.connection_epochs[x][y] += 1;
         self.connection_epochs[y][x] += 1;
-        [(a, b), (b, a)].into_iter().for_each(|(seat, mate)| {
-            self.step_replica(seat, mencius::Input::ConnectionClosed(mate))
+        [(a, b), (b, a)].into_iter().for_each(|(replica_id, peer)| {
+            self.step_replica(replica_id, mencius::Input::ConnectionClosed(peer))
         });
         self.schedule_reopen(a, b);
     }
 
-    fn reopen(&mut self, a: Seat, b: Seat) {
+    fn reopen(&mut self, a: ReplicaId, b: ReplicaId) {
         let (x, y) = (a as usize, b as usize);
-        let both = [a, b].iter().all(|seat| {
-            self.replicas[*seat as usize].replica.is_some() && !self.replicas[*seat as usize].frozen
+        let both = [a, b].iter().all(|replica_id| {
+            self.replicas[*replica_id as usize].running.is_some()
+                && !self.replicas[*replica_id as usize].frozen
         });
         if self.connected[x][y] {
             return;
@@ -216,16 +226,16 @@
         }
         self.connected[x][y] = true;
         self.connected[y][x] = true;
-        [(a, b), (b, a)].into_iter().for_each(|(seat, mate)| {
-            self.step_replica(seat, mencius::Input::ConnectionOpened(mate))
+        [(a, b), (b, a)].into_iter().for_each(|(replica_id, peer)| {
+            self.step_replica(replica_id, mencius::Input::ConnectionOpened(peer))
         });
     }
 
-    pub(super) fn step_replica(&mut self, seat: Seat, input: mencius::Input) {
+    pub(super) fn step_replica(&mut self, replica_id: ReplicaId, input: mencius::Input) {
         let now = self.now;
-        if let Some(machine) = self.replicas[seat as usize].replica.as_mut() {
-            machine.step(now, input);
-            self.perform_effects(seat);
+        if let Some(running) = self.replicas[replica_id as usize].running.as_mut() {
+            running.step(now, input);
+            self.perform_effects(replica_id);
         }
     }
 
@@ -249,39 +259,52 @@
                 {
                     self.step_replica(to, mencius::Input::Frame(from, frame));
                 } else if self.connection_epochs[from as usize][to as usize] == epoch {
-                    // A one-way cut: what is lost breaks the channel, as TCP would in time.
+                    // The link is cut in this direction only. The lost frame breaks the connection, as TCP would in time.
                     self.close(from, to);
                 }
             }
-            Event::Synced { seat, life, ticket }
-                if self.replicas[seat as usize].incarnation == life =>
-            {
-                if self.replicas[seat as usize].frozen {
-                    return self.replicas[seat as usize].deferred.push(Event::Synced {
-                        seat,
-                        life,
-                        ticket,
-                    });
+            Event::Synced {
+                replica_id,
+                incarnation,
+                ticket,
+            } if self.replicas[replica_id as usize].incarnation == incarnation => {
+                if self.replicas[replica_id as usize].frozen {
+                    return self.replicas[replica_id as usize]
+                        .deferred
+                        .push(Event::Synced {
+                            replica_id,
+                            incarnation,
+                            ticket,
+                        });
                 }
-                if !self.plan.lying_disk {
-                    self.write_to_disk(seat);
+                if !self.plan.acknowledges_unwritten {
+                    self.write_to_disk(replica_id);
                 }
-                self.step_replica(seat, mencius::Input::Persisted(ticket));
+                self.step_replica(replica_id, mencius::Input::Persisted(ticket));
             }
-            Event::Tick { seat, life } if self.replicas[seat as usize].incarnation == life => {
-                if !self.replicas[seat as usize].frozen {
-                    self.step_replica(seat, mencius::Input::Tick);
-                    self.complete_replacement(seat);
+            Event::Tick {
+                replica_id,
+                incarnation,
+            } if self.replicas[replica_id as usize].incarnation == incarnation => {
+                if !self.replicas[replica_id as usize].frozen {
+                    self.step_replica(replica_id, mencius::Input::Tick);
+                    self.complete_replacement(replica_id);
                 }
                 let now = self.now;
-                self.schedule(now + 10_000, Event::Tick { seat, life });
+                self.schedule(
+                    now + 10_000,
+                    Event::Tick {
+                        replica_id,
+                        incarnation,
+                    },
+                );
             }
             Event::Reopen { a, b } => self.reopen(a, b),
             Event::RequestAdmission {
-                seat,
-                identity,
+                replica_id,
+                disk_id,
                 helper,
-            } => self.request_admission(seat, identity, helper),
+            } => self.request_admission(replica_id, disk_id, helper),
             Event::Fault(fault) => fault.apply(self),
             Event::Synced { .. } | Event::Tick { .. } => {}
         }
--- a/crates/simulator/src/state_sim/harness.rs
+++ b/crates/simulator/src/state_sim/harness.rs
@@ -239,7 +239,7 @@
         let now = self.world.now;
         for (index, replica) in self.replicas.iter_mut().enumerate() {
             let process = &self.world.replicas[index];
-            let is_up = process.replica.is_some();
+            let is_up = process.running.is_some();
             if replica.incarnation != process.incarnation || !is_up {
                 let incarnation = if is_up { process.incarnation } else { u64::MAX };
                 *replica = PublishingReplica::begin(incarnation);
--- a/crates/simulator/src/state_sim/node.rs
+++ b/crates/simulator/src/state_sim/node.rs
@@ -213,7 +213,7 @@
         };
         let replica = connection.replica;
         let process = &world.replicas[replica];
-        let running_incarnation = process.replica.is_some().then_some(process.incarnation);
+        let running_incarnation = process.running.is_some().then_some(process.incarnation);
         match connection.incarnation {
             None if now < connection.arrives_at => return,
             None if running_incarnation.is_none() => {
--- a/crates/simulator/tests/catch_up.rs
+++ b/crates/simulator/tests/catch_up.rs
@@ -91,9 +91,9 @@
         }
         world.run_until(back + CATCH_UP);
         assert!(
-            world.findings.reads_done > 150,
+            world.findings.reads_proved > 150,
             "seed {seed}: {} reads",
-            world.findings.reads_done
+            world.findings.reads_proved
         );
         closed(&mut world, &format!("seed {seed}"));
     }
--- a/crates/simulator/tests/cut.rs
+++ b/crates/simulator/tests/cut.rs
@@ -67,9 +67,9 @@
     }
 }
 
-fn played(seats: u16, seed: u64, trouble: Trouble, caller_patience: u64) -> World {
+fn played(seats: u16, seed: u64, trouble: Trouble, caller_timeout: u64) -> World {
     let mut world = World::new(WorldPlan {
-        caller_patience,
+        caller_timeout,
         ..WorldPlan::new(seats, seed)
     });
     strike(&mut world, trouble);
@@ -113,7 +113,7 @@
 fn no_read_is_proved_at_a_seat_that_reaches_no_majority() {
     for (seats, seed, trouble) in drawn() {
         let mut world = World::new(WorldPlan {
-            caller_patience: PATIENCE,
+            caller_timeout: PATIENCE,
             ..WorldPlan::new(seats, seed)
         });
         strike(&mut world, trouble);
--- a/crates/simulator/tests/ordering.rs
+++ b/crates/simulator/tests/ordering.rs
@@ -19,7 +19,7 @@
     let world = play(WorldPlan::new(5, 1), &[], 5);
     assert_eq!(world.findings.violations, Vec::<String>::new());
     assert_eq!(world.findings.answered(), 5 * 20 + 5);
-    assert_eq!(world.findings.reads_done, 100);
+    assert_eq!(world.findings.reads_proved, 100);
     assert_eq!(world.counts.revocations, 0);
 }
 
@@ -58,7 +58,7 @@
 fn a_disk_that_lies_about_syncs_is_caught() {
     let broken = (1..40u64).find(|seed| {
         let plan = WorldPlan {
-            lying_disk: true,
+            acknowledges_unwritten: true,
             snapshot_every: 0,
             ..WorldPlan::new(3, *seed)
         };
@@ -164,7 +164,7 @@
         .replicas
         .iter()
         .filter_map(|node| {
-            node.replica
+            node.running
                 .as_ref()
                 .map(mencius::Replica::compaction_point)
         })
--- a/crates/simulator/tests/repairs.rs
+++ b/crates/simulator/tests/repairs.rs
@@ -119,7 +119,7 @@
     let broken = (0..40u64).any(|seed| {
         let plan = WorldPlan {
             snapshot_every: 0,
-            snapshot_past_change: false,
+            snapshot_after_replacement: false,
             ..WorldPlan::new(3, seed)
         };
         !played(plan, 1, the_one_that_repaired_it, true)
@@ -184,7 +184,7 @@
         let (seats, losses) = CORES[usize::from(*core) % CORES.len()];
         let plan = WorldPlan {
             snapshot_every: 10 + (*seed % 60) as usize,
-            caller_patience: 900_000,
+            caller_timeout: 900_000,
             ..WorldPlan::new(seats, *seed)
         };
         let mut world = World::new(plan);
--- a/crates/simulator/tests/replaced.rs
+++ b/crates/simulator/tests/replaced.rs
@@ -74,7 +74,7 @@
         let stands = |seed: u64| {
             let plan = WorldPlan {
                 snapshot_every: 0,
-                snapshot_past_change: false,
+                snapshot_after_replacement: false,
                 ..WorldPlan::new(*seats, seed)
             };
             let world = play(plan, replaced, *wiped, 40);
--- a/crates/simulator/tests/site.rs
+++ b/crates/simulator/tests/site.rs
@@ -1,11 +1,11 @@
 //! A whole site in virtual time under drawn faults, and variants that each lack one guard (design 9.8).
 
-use simulator::sim::trial::play;
+use simulator::sim::trial::simulate;
 use simulator::sim::{DisabledGuards, SitePlan};
 
 #[test]
 fn a_quiet_site_serves_and_breaks_nothing() {
-    let (broken, site) = play(SitePlan::new(1), &[]);
+    let (broken, site) = simulate(SitePlan::new(1), &[]);
     assert_eq!(broken, Vec::<String>::new());
     assert!(site.checks.served > 500, "{} served", site.checks.served);
 }
@@ -13,7 +13,7 @@
 #[test]
 fn drawn_faults_break_no_promise() {
     test_support::drawn::<(u64, [u8; 24])>(100, |(seed, bytes)| {
-        let (broken, site) = play(SitePlan::new(*seed), bytes);
+        let (broken, site) = simulate(SitePlan::new(*seed), bytes);
         assert!(
             broken.is_empty(),
             "seed {seed} {bytes:?}: {:#?}",
@@ -29,13 +29,13 @@
         let bytes: Vec<u8> = (0..6u8)
             .flat_map(|turn| [blows[turn as usize], turn.wrapping_mul(seed as u8 + 1), 200])
             .collect();
-        let whole = play(SitePlan::new(seed), &bytes).0;
+        let whole = simulate(SitePlan::new(seed), &bytes).0;
         assert_eq!(
             whole,
             Vec::<String>::new(),
             "seed {seed}: it holds with its guards"
         );
-        let found = play(
+        let found = simulate(
             SitePlan {
                 disabled: without,
                 ..SitePlan::new(seed)
