--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -1,6 +1,6 @@
-//! Named faults and the times they strike (design 9.7).
+//! The named scenarios: which faults occur at which times (design 9.7).
 
-/// A process by its place: core seats, then nodes beside back ends, then back ends.
+/// A process of a deployment, by its index among the replicas, the nodes or the backends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Target {
     Replica(usize),
@@ -11,49 +11,49 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
     Kill(Target),
-    /// SIGTERM: a planned end.
+    /// Sends SIGTERM for a graceful stop.
     Stop(Target),
     Start(Target),
-    /// Kill, empty its folder, start again.
+    /// Kills the replica, empties its folder and starts it again.
     Wipe(usize),
-    /// An empty machine at a new address takes the seat over, by an operator's change.
+    /// Replaces the replica by an empty one at a new address, by an operator's change.
     Replace(usize),
     Freeze(Target),
     Unfreeze(Target),
-    /// Both ways, against every other machine.
+    /// Cuts the network between the target and every other machine in both directions.
     Isolate(Target),
-    /// Only what it sends is lost.
+    /// Drops only what the target sends.
     CutOutgoing(Target),
-    /// These core seats against the rest of the core.
+    /// Separates these replicas from the other replicas.
     Partition(Vec<usize>),
     HealNetwork,
     KillEverything,
     StartEverything,
     KillAllReplicas,
     StartAllReplicas,
-    /// Take a lane away by an operator's change; a stale and a broken change go with it.
+    /// Removes a route by an operator's change, beside a stale and an invalid change.
     RemoveRoute,
     RestoreRoute,
-    /// SIGHUP.
+    /// Sends SIGHUP.
     Reload(Target),
-    /// A back end of the other service takes the address of one, beside some usher.
+    /// A backend of the other service beside some node takes over the address of backend `from`.
     ReuseAddress {
         from: usize,
         beside: usize,
     },
-    /// One more back end of the machine's service.
+    /// Starts one more backend of the machine's service.
     AddBackend(usize),
     DrainAddedBackends,
-    /// One key swamps the rest from here on.
+    /// From here on most requests are for one key.
     StartHotKey,
-    /// A change is accepted at this seat, which loses power and disk at once; an empty machine follows.
+    /// A change is accepted at this replica, which loses power and disk at once. An empty replica replaces it.
     LoseAfterAccept(usize),
-    /// What a core seat's disk is like from here on.
+    /// Sets how a replica's disk behaves from here on.
     SetDisk(usize, crate::disk::DiskFault),
 }
 
 impl Step {
-    /// Takes a fault away, or is the last of one.
+    /// Whether the step ends a fault.
     pub fn heals(&self) -> bool {
         matches!(
             self,
@@ -70,12 +70,12 @@
 #[derive(Clone, Debug)]
 pub struct Scenario {
     pub name: &'static str,
-    /// Milliseconds after the load began.
+    /// The steps, with their times in milliseconds after the start of the load.
     pub steps: Vec<(u64, Step)>,
     pub length: u64,
-    /// A planned restart: nothing that was passed on may be cut off.
+    /// Whether processes are only stopped gracefully, so that no forwarded request may be interrupted.
     pub planned_stops_only: bool,
-    /// What has to be seen, or the run proves nothing.
+    /// Situations that must occur in the run, because without them it tests nothing.
     pub must_observe: &'static [&'static str],
 }
 
@@ -128,50 +128,64 @@
     "disk-torn",
 ];
 
-/// Nodes beside back ends, core seats, zones.
+/// The numbers of machines with a node and a backend, of replicas, and of zones.
 pub type SiteSize = (usize, usize, usize);
 
-/// The seed picks who is struck.
-pub fn named(name: &str, (machines, cores, zones): SiteSize, seed: u64) -> Option<Scenario> {
-    let (at, seat) = (seed as usize % machines, seed as usize % cores);
+/// The scenario of this name; the seed selects the processes that fail.
+pub fn named(
+    name: &str,
+    (machine_count, replica_count, zone_count): SiteSize,
+    seed: u64,
+) -> Option<Scenario> {
+    let (machine, replica) = (seed as usize % machine_count, seed as usize % replica_count);
     let found = match name {
         "quiet" => scenario("quiet", 5_000, vec![]),
         "core-killed" => scenario(
             "core-killed",
             9_000,
             vec![
-                (2_000, Step::Kill(Target::Replica(seat))),
+                (2_000, Step::Kill(Target::Replica(replica))),
                 (2_500, Step::RemoveRoute),
-                (6_000, Step::Start(Target::Replica(seat))),
+                (6_000, Step::Start(Target::Replica(replica))),
             ],
         ),
-        // Nobody does anything; then others die until the wiped seat's vote is needed.
+        // The wiped replica recovers without an operator. Then others are killed until its vote is needed.
         "core-wiped" => {
-            let others = (1..=(cores - 1) / 2)
-                .map(|step| (10_000, Step::Kill(Target::Replica((seat + step) % cores))));
-            let steps = [(1_000, Step::RemoveRoute), (2_000, Step::Wipe(seat))]
+            let kills = (1..=(replica_count - 1) / 2).map(|step| {
+                (
+                    10_000,
+                    Step::Kill(Target::Replica((replica + step) % replica_count)),
+                )
+            });
+            let steps = [(1_000, Step::RemoveRoute), (2_000, Step::Wipe(replica))]
                 .into_iter()
-                .chain(others)
+                .chain(kills)
                 .chain([(12_000, Step::RestoreRoute)]);
             scenario("core-wiped", 15_000, steps.collect())
         }
-        // After the replacement another seat dies: with a short core the new disk's vote is needed.
+        // After the replacement others are killed, so that the vote of the new disk is needed.
         "core-replaced" => {
-            let others = (1..=(cores - 1) / 2)
-                .map(|step| (9_000, Step::Kill(Target::Replica((seat + step) % cores))));
-            let steps = [(1_000, Step::RemoveRoute), (2_000, Step::Replace(seat))]
+            let kills = (1..=(replica_count - 1) / 2).map(|step| {
+                (
+                    9_000,
+                    Step::Kill(Target::Replica((replica + step) % replica_count)),
+                )
+            });
+            let steps = [(1_000, Step::RemoveRoute), (2_000, Step::Replace(replica))]
                 .into_iter()
-                .chain(others)
+                .chain(kills)
                 .chain([(11_000, Step::RestoreRoute)]);
             scenario("core-replaced", 15_000, steps.collect())
         }
         "core-split" => {
-            let few = (0..cores / 2).map(|step| (seat + step) % cores).collect();
+            let minority = (0..replica_count / 2)
+                .map(|step| (replica + step) % replica_count)
+                .collect();
             scenario(
                 "core-split",
                 12_000,
                 vec![
-                    (2_000, Step::Partition(few)),
+                    (2_000, Step::Partition(minority)),
                     (3_000, Step::RemoveRoute),
                     (7_000, Step::HealNetwork),
                     (8_500, Step::RestoreRoute),
@@ -179,27 +193,27 @@
             )
         }
         "core-majority-lost" => {
-            let many = (0..=cores / 2).map(|step| (seat + step) % cores);
-            let kills = many
+            let majority = (0..=replica_count / 2).map(|step| (replica + step) % replica_count);
+            let kills = majority
                 .clone()
-                .map(|seat| (2_000, Step::Kill(Target::Replica(seat))));
-            let starts = many.map(|seat| (6_000, Step::Start(Target::Replica(seat))));
+                .map(|replica| (2_000, Step::Kill(Target::Replica(replica))));
+            let starts = majority.map(|replica| (6_000, Step::Start(Target::Replica(replica))));
             scenario("core-majority-lost", 14_000, kills.chain(starts).collect())
         }
         "core-frozen" => scenario(
             "core-frozen",
             9_000,
             vec![
-                (2_000, Step::Freeze(Target::Replica(seat))),
+                (2_000, Step::Freeze(Target::Replica(replica))),
                 (3_000, Step::RemoveRoute),
-                (6_000, Step::Unfreeze(Target::Replica(seat))),
+                (6_000, Step::Unfreeze(Target::Replica(replica))),
             ],
         ),
         "core-muted" => scenario(
             "core-muted",
             9_000,
             vec![
-                (2_000, Step::CutOutgoing(Target::Replica(seat))),
+                (2_000, Step::CutOutgoing(Target::Replica(replica))),
                 (3_000, Step::RemoveRoute),
                 (6_000, Step::HealNetwork),
             ],
@@ -208,15 +222,15 @@
             "node-killed",
             11_000,
             vec![
-                (2_000, Step::Kill(Target::Node(at))),
-                (6_000, Step::Start(Target::Node(at))),
+                (2_000, Step::Kill(Target::Node(machine))),
+                (6_000, Step::Start(Target::Node(machine))),
             ],
         ),
         "node-isolated" => scenario(
             "node-isolated",
             12_000,
             vec![
-                (2_000, Step::Isolate(Target::Node(at))),
+                (2_000, Step::Isolate(Target::Node(machine))),
                 (2_500, Step::RemoveRoute),
                 (7_000, Step::HealNetwork),
             ],
@@ -225,33 +239,33 @@
             "node-frozen",
             12_000,
             vec![
-                (2_000, Step::Freeze(Target::Node(at))),
+                (2_000, Step::Freeze(Target::Node(machine))),
                 (2_500, Step::RemoveRoute),
-                (7_000, Step::Unfreeze(Target::Node(at))),
+                (7_000, Step::Unfreeze(Target::Node(machine))),
             ],
         ),
         "back-end-killed" => scenario(
             "back-end-killed",
             10_000,
             vec![
-                (2_000, Step::Kill(Target::Backend(at))),
-                (5_000, Step::Start(Target::Backend(at))),
+                (2_000, Step::Kill(Target::Backend(machine))),
+                (5_000, Step::Start(Target::Backend(machine))),
             ],
         ),
         "back-end-frozen" => scenario(
             "back-end-frozen",
             14_000,
             vec![
-                (2_000, Step::Freeze(Target::Backend(at))),
-                (8_000, Step::Unfreeze(Target::Backend(at))),
+                (2_000, Step::Freeze(Target::Backend(machine))),
+                (8_000, Step::Unfreeze(Target::Backend(machine))),
             ],
         ),
         "back-ends-replaced" => {
-            let steps = (0..3).flat_map(|turn| {
-                let who = Target::Backend((at + turn) % machines);
+            let steps = (0..3).flat_map(|round| {
+                let target = Target::Backend((machine + round) % machine_count);
                 [
-                    (1_000 + turn as u64 * 3_000, Step::Stop(who)),
-                    (3_000 + turn as u64 * 3_000, Step::Start(who)),
+                    (1_000 + round as u64 * 3_000, Step::Stop(target)),
+                    (3_000 + round as u64 * 3_000, Step::Start(target)),
                 ]
             });
             Scenario {
@@ -259,29 +273,29 @@
                 ..scenario("back-ends-replaced", 13_000, steps.collect())
             }
         }
-        // The last third of the machines: a whole service at both sites.
+        // The last third of the machines holds all backends of one service, in both deployments.
         "service-down" => {
-            let struck = machines * 2 / 3..machines;
-            let kills = struck
+            let targets = machine_count * 2 / 3..machine_count;
+            let kills = targets
                 .clone()
-                .map(|at| (2_000, Step::Kill(Target::Backend(at))));
-            let starts = struck.map(|at| (5_000, Step::Start(Target::Backend(at))));
+                .map(|machine| (2_000, Step::Kill(Target::Backend(machine))));
+            let starts = targets.map(|machine| (5_000, Step::Start(Target::Backend(machine))));
             scenario("service-down", 11_000, kills.chain(starts).collect())
         }
         "service-slow" => {
-            let struck = machines * 2 / 3..machines;
-            let stops = struck
+            let targets = machine_count * 2 / 3..machine_count;
+            let stops = targets
                 .clone()
-                .map(|at| (2_000, Step::Freeze(Target::Backend(at))));
-            let wakes = struck.map(|at| (2_900, Step::Unfreeze(Target::Backend(at))));
+                .map(|machine| (2_000, Step::Freeze(Target::Backend(machine))));
+            let wakes = targets.map(|machine| (2_900, Step::Unfreeze(Target::Backend(machine))));
             scenario("service-slow", 9_000, stops.chain(wakes).collect())
         }
         "nodes-rolled" => {
-            let steps = (0..3).flat_map(|turn| {
-                let who = Target::Node((at + turn) % machines);
+            let steps = (0..3).flat_map(|round| {
+                let target = Target::Node((machine + round) % machine_count);
                 [
-                    (1_000 + turn as u64 * 3_500, Step::Stop(who)),
-                    (2_500 + turn as u64 * 3_500, Step::Start(who)),
+                    (1_000 + round as u64 * 3_500, Step::Stop(target)),
+                    (2_500 + round as u64 * 3_500, Step::Start(target)),
                 ]
             });
             Scenario {
@@ -290,16 +304,20 @@
             }
         }
         "core-rolled" => {
-            let steps = (0..cores).flat_map(|turn| {
-                let who = Target::Replica((seat + turn) % cores);
+            let steps = (0..replica_count).flat_map(|round| {
+                let target = Target::Replica((replica + round) % replica_count);
                 [
-                    (1_000 + turn as u64 * 2_000, Step::Stop(who)),
-                    (2_000 + turn as u64 * 2_000, Step::Start(who)),
+                    (1_000 + round as u64 * 2_000, Step::Stop(target)),
+                    (2_000 + round as u64 * 2_000, Step::Start(target)),
                 ]
             });
             Scenario {
                 planned_stops_only: true,
-                ..scenario("core-rolled", 3_000 + cores as u64 * 2_000, steps.collect())
+                ..scenario(
+                    "core-rolled",
+                    3_000 + replica_count as u64 * 2_000,
+                    steps.collect(),
+                )
             }
         }
         "core-herd" => scenario(
@@ -329,7 +347,13 @@
                 (7_500, Step::RemoveRoute),
             ],
         ),
-        _ => return crate::scenario_more::named(name, (machines, cores, zones), seed),
+        _ => {
+            return crate::scenario_more::named(
+                name,
+                (machine_count, replica_count, zone_count),
+                seed,
+            );
+        }
     };
     Some(found)
 }
--- a/crates/simulator/src/scenario_more.rs
+++ b/crates/simulator/src/scenario_more.rs
@@ -1,42 +1,50 @@
-//! Scenarios of addresses, keys, zones, operators and forgers, and a whole day drawn from a seed (design 9.7).
+//! Scenarios of addresses, keys, zones, operators and forged requests, and a long random scenario (design 9.7).
 
 use crate::scenario::{Scenario, SiteSize, Step, Target, scenario};
 
-fn with_observations(scenario: Scenario, provokes: &'static [&'static str]) -> Scenario {
+fn with_observations(scenario: Scenario, must_observe: &'static [&'static str]) -> Scenario {
     Scenario {
-        must_observe: provokes,
+        must_observe,
         ..scenario
     }
 }
 
-fn everything(machines: usize, cores: usize) -> impl Iterator<Item = Target> + Clone {
-    (0..cores)
+fn replicas_and_nodes(
+    machine_count: usize,
+    replica_count: usize,
+) -> impl Iterator<Item = Target> + Clone {
+    (0..replica_count)
         .map(Target::Replica)
-        .chain((0..machines).map(Target::Node))
+        .chain((0..machine_count).map(Target::Node))
 }
 
-pub(crate) fn named(name: &str, (machines, cores, zones): SiteSize, seed: u64) -> Option<Scenario> {
-    let (at, seat) = (seed as usize % machines, seed as usize % cores);
+pub(crate) fn named(
+    name: &str,
+    (machine_count, replica_count, zone_count): SiteSize,
+    seed: u64,
+) -> Option<Scenario> {
+    let (machine, replica) = (seed as usize % machine_count, seed as usize % replica_count);
     let found = match name {
         "reloaded" => {
-            let turns = (1..=4u64).flat_map(|turn| {
-                everything(machines, cores).map(move |who| (turn * 1_200, Step::Reload(who)))
+            let turns = (1..=4u64).flat_map(|round| {
+                replicas_and_nodes(machine_count, replica_count)
+                    .map(move |target| (round * 1_200, Step::Reload(target)))
             });
             Scenario {
                 planned_stops_only: true,
                 ..scenario("reloaded", 7_000, turns.collect())
             }
         }
-        // First under the same usher, then the address of another machine's under a third one.
+        // First at the same node, then the address of another machine's backend at a third node.
         "address-reused" => {
-            let (next, third) = ((at + 1) % machines, (at + 2) % machines);
+            let (next, third) = ((machine + 1) % machine_count, (machine + 2) % machine_count);
             let steps = vec![
-                (2_000, Step::Kill(Target::Backend(at))),
+                (2_000, Step::Kill(Target::Backend(machine))),
                 (
                     2_100,
                     Step::ReuseAddress {
-                        from: at,
-                        beside: at,
+                        from: machine,
+                        beside: machine,
                     },
                 ),
                 (4_000, Step::Kill(Target::Backend(next))),
@@ -62,7 +70,7 @@
             let adds = (0..3).map(|step| {
                 (
                     1_000 + step as u64 * 1_000,
-                    Step::AddBackend((at + step) % machines),
+                    Step::AddBackend((machine + step) % machine_count),
                 )
             });
             with_observations(
@@ -76,8 +84,11 @@
         }
         "back-end-gone-for-good" => {
             let steps = vec![
-                (2_000, Step::Kill(Target::Backend(at))),
-                (2_000, Step::Kill(Target::Node((at + 1) % machines))),
+                (2_000, Step::Kill(Target::Backend(machine))),
+                (
+                    2_000,
+                    Step::Kill(Target::Node((machine + 1) % machine_count)),
+                ),
                 (2_100, Step::HealNetwork),
             ];
             with_observations(
@@ -86,49 +97,56 @@
             )
         }
         "herd" => {
-            let struck: Vec<Target> = (0..3.min(machines - 1))
-                .map(|step| Target::Node((at + step) % machines))
-                .chain((0..cores / 2).map(|step| Target::Replica((seat + step) % cores)))
+            let targets: Vec<Target> = (0..3.min(machine_count - 1))
+                .map(|step| Target::Node((machine + step) % machine_count))
+                .chain(
+                    (0..replica_count / 2)
+                        .map(|step| Target::Replica((replica + step) % replica_count)),
+                )
                 .collect();
-            let kills = struck.iter().map(|who| (2_000, Step::Kill(*who)));
-            let starts = struck.iter().map(|who| (5_000, Step::Start(*who)));
+            let kills = targets.iter().map(|target| (2_000, Step::Kill(*target)));
+            let starts = targets.iter().map(|target| (5_000, Step::Start(*target)));
             with_observations(
                 scenario("herd", 14_000, kills.chain(starts).collect()),
                 &["a moved key", "not-run", "a second arrival"],
             )
         }
         "zone-lost" => {
-            // Zones are dealt round robin, to core seats and to machines alike.
-            let zone = seed as usize % zones;
-            let struck: Vec<Target> = (0..machines)
-                .filter(|at| at % zones == zone)
-                .flat_map(|at| [Target::Node(at), Target::Backend(at)])
+            // Replicas and machines are assigned to zones round robin.
+            let zone = seed as usize % zone_count;
+            let targets: Vec<Target> = (0..machine_count)
+                .filter(|machine| machine % zone_count == zone)
+                .flat_map(|machine| [Target::Node(machine), Target::Backend(machine)])
                 .chain(
-                    (0..cores)
-                        .filter(|seat| seat % zones == zone)
+                    (0..replica_count)
+                        .filter(|replica| replica % zone_count == zone)
                         .map(Target::Replica),
                 )
                 .collect();
-            let kills = struck.iter().map(|who| (2_000, Step::Kill(*who)));
-            let starts = struck.iter().map(|who| (6_000, Step::Start(*who)));
+            let kills = targets.iter().map(|target| (2_000, Step::Kill(*target)));
+            let starts = targets.iter().map(|target| (6_000, Step::Start(*target)));
             with_observations(
                 scenario("zone-lost", 16_000, kills.chain(starts).collect()),
                 &["not-run"],
             )
         }
         "acked-then-lost" => {
-            let others = (1..=(cores - 1) / 2)
-                .map(|step| (10_000, Step::Kill(Target::Replica((seat + step) % cores))));
-            let steps = [(2_000, Step::LoseAfterAccept(seat))]
+            let kills = (1..=(replica_count - 1) / 2).map(|step| {
+                (
+                    10_000,
+                    Step::Kill(Target::Replica((replica + step) % replica_count)),
+                )
+            });
+            let steps = [(2_000, Step::LoseAfterAccept(replica))]
                 .into_iter()
-                .chain(others)
+                .chain(kills)
                 .chain([(11_500, Step::RemoveRoute), (13_000, Step::RestoreRoute)]);
             scenario("acked-then-lost", 17_000, steps.collect())
         }
-        // The power goes soon after an empty disk was let in, when all know its turns only from each other.
+        // All replicas lose power soon after an empty disk was admitted, when they know its instances only from each other.
         "core-wiped-then-herd" => {
             let steps = vec![
-                (1_000, Step::Wipe(seat)),
+                (1_000, Step::Wipe(replica)),
                 (10_000, Step::KillAllReplicas),
                 (12_000, Step::StartAllReplicas),
                 (14_000, Step::RemoveRoute),
@@ -137,12 +155,14 @@
             scenario("core-wiped-then-herd", 22_000, steps)
         }
         "operators-race" => {
-            let few = (0..cores / 2).map(|step| (seat + step) % cores).collect();
+            let minority = (0..replica_count / 2)
+                .map(|step| (replica + step) % replica_count)
+                .collect();
             scenario(
                 "operators-race",
                 12_000,
                 vec![
-                    (2_000, Step::Partition(few)),
+                    (2_000, Step::Partition(minority)),
                     (6_000, Step::HealNetwork),
                     (7_000, Step::RemoveRoute),
                     (9_000, Step::RestoreRoute),
@@ -154,29 +174,49 @@
                 "forged",
                 8_000,
                 vec![
-                    (3_000, Step::Kill(Target::Backend(at))),
-                    (3_100, Step::Start(Target::Backend(at))),
+                    (3_000, Step::Kill(Target::Backend(machine))),
+                    (3_100, Step::Start(Target::Backend(machine))),
                 ],
             ),
             &["a forger refused"],
         ),
-        // One seat's disk, then with it as many more as the core can lose.
-        "disk-slow" => disk_scenario("disk-slow", crate::disk::DiskFault::Slow, cores, seat),
-        "disk-stalled" => {
-            disk_scenario("disk-stalled", crate::disk::DiskFault::Stalled, cores, seat)
-        }
-        "disk-full" => disk_scenario("disk-full", crate::disk::DiskFault::Full, cores, seat),
+        // The disk of one replica, then those of as many more as may be lost.
+        "disk-slow" => disk_scenario(
+            "disk-slow",
+            crate::disk::DiskFault::Slow,
+            replica_count,
+            replica,
+        ),
+        "disk-stalled" => disk_scenario(
+            "disk-stalled",
+            crate::disk::DiskFault::Stalled,
+            replica_count,
+            replica,
+        ),
+        "disk-full" => disk_scenario(
+            "disk-full",
+            crate::disk::DiskFault::Full,
+            replica_count,
+            replica,
+        ),
         "disk-torn" => {
-            let ill = [
-                (2_000, Step::SetDisk(seat, crate::disk::DiskFault::Torn)),
+            let disk_fault = [
+                (2_000, Step::SetDisk(replica, crate::disk::DiskFault::Torn)),
                 (2_500, Step::RemoveRoute),
             ];
-            let well = [
-                (6_000, Step::SetDisk(seat, crate::disk::DiskFault::Healthy)),
-                (6_000, Step::Start(Target::Replica(seat))),
+            let recoveries = [
+                (
+                    6_000,
+                    Step::SetDisk(replica, crate::disk::DiskFault::Healthy),
+                ),
+                (6_000, Step::Start(Target::Replica(replica))),
                 (9_000, Step::RestoreRoute),
             ];
-            scenario("disk-torn", 12_000, ill.into_iter().chain(well).collect())
+            scenario(
+                "disk-torn",
+                12_000,
+                disk_fault.into_iter().chain(recoveries).collect(),
+            )
         }
         _ => return None,
     };
@@ -185,86 +225,105 @@
 
 fn disk_scenario(
     name: &'static str,
-    ill: crate::disk::DiskFault,
-    cores: usize,
-    seat: usize,
+    disk_fault: crate::disk::DiskFault,
+    replica_count: usize,
+    replica: usize,
 ) -> Scenario {
-    let struck: Vec<usize> = (0..cores / 2).map(|step| (seat + step) % cores).collect();
-    let ills = struck
+    let targets: Vec<usize> = (0..replica_count / 2)
+        .map(|step| (replica + step) % replica_count)
+        .collect();
+    let faults = targets
         .iter()
         .zip(0u64..)
-        .map(|(seat, turn)| (2_000 + turn * 2_000, Step::SetDisk(*seat, ill)));
-    let wells = struck
-        .iter()
-        .map(|seat| (8_000, Step::SetDisk(*seat, crate::disk::DiskFault::Healthy)));
+        .map(|(replica, round)| (2_000 + round * 2_000, Step::SetDisk(*replica, disk_fault)));
+    let recoveries = targets.iter().map(|replica| {
+        (
+            8_000,
+            Step::SetDisk(*replica, crate::disk::DiskFault::Healthy),
+        )
+    });
     scenario(
         name,
         13_000,
-        ills.chain([(5_000, Step::RemoveRoute)])
-            .chain(wells)
+        faults
+            .chain([(5_000, Step::RemoveRoute)])
+            .chain(recoveries)
             .chain([(10_000, Step::RestoreRoute)])
             .collect(),
     )
 }
 
-/// Faults drawn from the seed over a day's minutes, at most one core seat and one machine at a time; then
-/// the power of everything, and the evening.
-pub(crate) fn day(machines: usize, cores: usize, seed: u64, seconds: u64) -> Scenario {
-    let mut random: rand::rngs::StdRng = rand::SeedableRng::seed_from_u64(seed);
+/// Random faults at most at one replica and one machine at a time. At the end all processes lose power, all replicas are
+/// killed, or a node is isolated.
+pub(crate) fn day(machine_count: usize, replica_count: usize, seed: u64, seconds: u64) -> Scenario {
+    let mut rng: rand::rngs::StdRng = rand::SeedableRng::seed_from_u64(seed);
     let end = seconds.max(30) * 1_000 - 20_000;
     let mut steps = Vec::new();
     (0..)
-        .map(|turn| 2_000 + turn * 5_000u64)
+        .map(|round| 2_000 + round * 5_000u64)
         .take_while(|time| time + 5_000 < end)
         .for_each(|time| {
-            let (at, seat) = (
-                rand::Rng::random_range(&mut random, 0..machines),
-                rand::Rng::random_range(&mut random, 0..cores),
+            let (machine, replica) = (
+                rand::Rng::random_range(&mut rng, 0..machine_count),
+                rand::Rng::random_range(&mut rng, 0..replica_count),
             );
-            let back = time + rand::Rng::random_range(&mut random, 700..3_500u64);
-            let pair = |fault, cure| vec![(time, fault), (back, cure)];
-            steps.extend(match rand::Rng::random_range(&mut random, 0..14u32) {
+            let healed_at = time + rand::Rng::random_range(&mut rng, 700..3_500u64);
+            let pair = |fault, recovery| vec![(time, fault), (healed_at, recovery)];
+            steps.extend(match rand::Rng::random_range(&mut rng, 0..14u32) {
                 0 => pair(
-                    Step::Kill(Target::Replica(seat)),
-                    Step::Start(Target::Replica(seat)),
+                    Step::Kill(Target::Replica(replica)),
+                    Step::Start(Target::Replica(replica)),
                 ),
                 1 => pair(
-                    Step::Freeze(Target::Replica(seat)),
-                    Step::Unfreeze(Target::Replica(seat)),
+                    Step::Freeze(Target::Replica(replica)),
+                    Step::Unfreeze(Target::Replica(replica)),
+                ),
+                2 => pair(
+                    Step::CutOutgoing(Target::Replica(replica)),
+                    Step::HealNetwork,
                 ),
-                2 => pair(Step::CutOutgoing(Target::Replica(seat)), Step::HealNetwork),
                 3 => pair(
-                    Step::Partition((0..cores / 2).map(|step| (seat + step) % cores).collect()),
+                    Step::Partition(
+                        (0..replica_count / 2)
+                            .map(|step| (replica + step) % replica_count)
+                            .collect(),
+                    ),
                     Step::HealNetwork,
                 ),
-                4 => vec![(time, Step::Wipe(seat))],
-                5 => pair(Step::Kill(Target::Node(at)), Step::Start(Target::Node(at))),
+                4 => vec![(time, Step::Wipe(replica))],
+                5 => pair(
+                    Step::Kill(Target::Node(machine)),
+                    Step::Start(Target::Node(machine)),
+                ),
                 6 => pair(
-                    Step::Freeze(Target::Node(at)),
-                    Step::Unfreeze(Target::Node(at)),
+                    Step::Freeze(Target::Node(machine)),
+                    Step::Unfreeze(Target::Node(machine)),
                 ),
-                7 => pair(Step::Isolate(Target::Node(at)), Step::HealNetwork),
+                7 => pair(Step::Isolate(Target::Node(machine)), Step::HealNetwork),
                 8 => pair(
-                    Step::Kill(Target::Backend(at)),
-                    Step::Start(Target::Backend(at)),
+                    Step::Kill(Target::Backend(machine)),
+                    Step::Start(Target::Backend(machine)),
                 ),
                 9 => pair(
-                    Step::Freeze(Target::Backend(at)),
-                    Step::Unfreeze(Target::Backend(at)),
+                    Step::Freeze(Target::Backend(machine)),
+                    Step::Unfreeze(Target::Backend(machine)),
                 ),
                 10 => pair(
-                    Step::Stop(Target::Backend(at)),
-                    Step::Start(Target::Backend(at)),
+                    Step::Stop(Target::Backend(machine)),
+                    Step::Start(Target::Backend(machine)),
+                ),
+                11 => pair(
+                    Step::Stop(Target::Node(machine)),
+                    Step::Start(Target::Node(machine)),
                 ),
-                11 => pair(Step::Stop(Target::Node(at)), Step::Start(Target::Node(at))),
                 12 => pair(Step::RemoveRoute, Step::RestoreRoute),
                 _ => vec![
-                    (time, Step::AddBackend(at)),
-                    (back, Step::DrainAddedBackends),
+                    (time, Step::AddBackend(machine)),
+                    (healed_at, Step::DrainAddedBackends),
                 ],
             });
         });
-    let last = match rand::Rng::random_range(&mut random, 0..3u32) {
+    let last = match rand::Rng::random_range(&mut rng, 0..3u32) {
         0 => [
             (end, Step::KillEverything),
             (end + 2_000, Step::StartEverything),
@@ -274,7 +333,10 @@
             (end + 3_000, Step::StartAllReplicas),
         ],
         _ => [
-            (end, Step::Isolate(Target::Node(seed as usize % machines))),
+            (
+                end,
+                Step::Isolate(Target::Node(seed as usize % machine_count)),
+            ),
             (end + 4_000, Step::HealNetwork),
         ],
     };
--- a/crates/simulator/src/sim/faults.rs
+++ b/crates/simulator/src/sim/faults.rs
@@ -55,29 +55,29 @@
                 chunk[2] as ReplicaId % replica_count,
             );
             let time = round * step;
-            let end = time + 50_000 + chunk[2] as u64 * 6_000;
+            let healed_at = time + 50_000 + chunk[2] as u64 * 6_000;
             let faults: Vec<(u64, Fault)> = match chunk[0] % 8 {
                 0 => vec![
                     (time, Fault::Crash(replica_id)),
-                    (end, Fault::Start(replica_id)),
+                    (healed_at, Fault::Start(replica_id)),
                 ],
                 1 => vec![
                     (time, Fault::Freeze(replica_id)),
-                    (end, Fault::Unfreeze(replica_id)),
+                    (healed_at, Fault::Unfreeze(replica_id)),
                 ],
                 2 if replica_id != peer => vec![
                     (time, Fault::CutLink(replica_id, peer)),
-                    (end, Fault::HealLinks),
+                    (healed_at, Fault::HealLinks),
                 ],
                 3 if replica_id != peer => vec![(time, Fault::CloseConnection(replica_id, peer))],
                 4 => (0..replica_count)
                     .filter(|peer| *peer != replica_id)
                     .map(|peer| (time, Fault::CutLink(replica_id, peer)))
-                    .chain([(end, Fault::HealLinks)])
+                    .chain([(healed_at, Fault::HealLinks)])
                     .collect(),
                 5 => vec![
                     (time, Fault::SlowDisk(replica_id, 600_000)),
-                    (end, Fault::SlowDisk(replica_id, 0)),
+                    (healed_at, Fault::SlowDisk(replica_id, 0)),
                 ],
                 _ => Vec::new(),
             };
--- a/crates/simulator/tests/cut.rs
+++ b/crates/simulator/tests/cut.rs
@@ -1,175 +1,183 @@
-//! A control machine that is cut off, frozen or restarted inside a cut for twenty seconds, with callers that still
-//! reach it (design 3.2, docs/control-plane.md, point 1).
+//! A replica is cut off, frozen, or restarted while it is cut off, for twenty seconds, while callers still reach it
+//! (design 3.2, docs/control-plane.md, point 1).
 
 use simulator::sim::{Fault, World, WorldPlan};
 use std::collections::BTreeSet;
 
 const SECOND: u64 = 1_000_000;
-/// A caller is told by then that its entry is not known to be taken.
-const PATIENCE: u64 = 900_000;
-/// Suspicion, and a revocation that another one gets in the way of.
-const DECIDED: u64 = 2 * SECOND;
-const BEGINS: u64 = 2 * SECOND;
-const HEALS: u64 = 22 * SECOND;
-/// Inside it a machine is to be a full member again.
+/// Time after which a caller is answered that the outcome of its entry is unknown, in microseconds.
+const CALLER_TIMEOUT: u64 = 900_000;
+/// Time for suspecting a replica, and for a revocation that collides with another one, in microseconds.
+const DECISION_TIME: u64 = 2 * SECOND;
+/// Begin and end of the fault, in microseconds.
+const FAULT_START: u64 = 2 * SECOND;
+const FAULT_END: u64 = 22 * SECOND;
+/// Time after the fault within which the replica participates fully again, in microseconds.
 const CATCH_UP: u64 = 4 * SECOND;
 const CUT_OFF: u16 = 0;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Trouble {
+enum LongFault {
     Cut,
-    HearsNobody,
-    IsHeardByNobody,
+    ReceivesNothing,
+    SendsNothing,
     Frozen,
-    RestartedInside,
+    RestartedWhileCut,
 }
 
-const TROUBLES: [Trouble; 5] = [
-    Trouble::Cut,
-    Trouble::HearsNobody,
-    Trouble::IsHeardByNobody,
-    Trouble::Frozen,
-    Trouble::RestartedInside,
+const LONG_FAULTS: [LongFault; 5] = [
+    LongFault::Cut,
+    LongFault::ReceivesNothing,
+    LongFault::SendsNothing,
+    LongFault::Frozen,
+    LongFault::RestartedWhileCut,
 ];
 
-fn strike(world: &mut World, trouble: Trouble) {
+fn schedule_long_fault(world: &mut World, fault: LongFault) {
     let others = 1..world.plan.replica_count;
-    match trouble {
-        Trouble::Frozen => {
-            world.schedule_fault(BEGINS, Fault::Freeze(CUT_OFF));
-            world.schedule_fault(HEALS, Fault::Unfreeze(CUT_OFF));
+    match fault {
+        LongFault::Frozen => {
+            world.schedule_fault(FAULT_START, Fault::Freeze(CUT_OFF));
+            world.schedule_fault(FAULT_END, Fault::Unfreeze(CUT_OFF));
         }
-        Trouble::HearsNobody => {
-            others.for_each(|mate| world.schedule_fault(BEGINS, Fault::CutLink(mate, CUT_OFF)))
+        LongFault::ReceivesNothing => {
+            others.for_each(|peer| world.schedule_fault(FAULT_START, Fault::CutLink(peer, CUT_OFF)))
         }
-        Trouble::IsHeardByNobody => {
-            others.for_each(|mate| world.schedule_fault(BEGINS, Fault::CutLink(CUT_OFF, mate)))
+        LongFault::SendsNothing => {
+            others.for_each(|peer| world.schedule_fault(FAULT_START, Fault::CutLink(CUT_OFF, peer)))
         }
-        Trouble::Cut | Trouble::RestartedInside => others.for_each(|mate| {
-            world.schedule_fault(BEGINS, Fault::CutLink(CUT_OFF, mate));
-            world.schedule_fault(BEGINS, Fault::CutLink(mate, CUT_OFF));
+        LongFault::Cut | LongFault::RestartedWhileCut => others.for_each(|peer| {
+            world.schedule_fault(FAULT_START, Fault::CutLink(CUT_OFF, peer));
+            world.schedule_fault(FAULT_START, Fault::CutLink(peer, CUT_OFF));
         }),
     }
-    if trouble == Trouble::RestartedInside {
+    if fault == LongFault::RestartedWhileCut {
         world.schedule_fault(9 * SECOND, Fault::Crash(CUT_OFF));
         world.schedule_fault(10 * SECOND, Fault::Start(CUT_OFF));
     }
-    world.schedule_fault(HEALS, Fault::HealLinks);
+    world.schedule_fault(FAULT_END, Fault::HealLinks);
 }
 
-/// Orders and reads at every seat in turn, the one that is cut off too, from the first second to the end.
-fn call(world: &mut World) {
-    let seats = u64::from(world.plan.replica_count);
+/// Schedules entries and reads at every replica in turn, also at the one that is cut off, from the first second to the
+/// end.
+fn schedule_calls(world: &mut World) {
+    let replica_count = u64::from(world.plan.replica_count);
     for number in 0..120 {
-        let (time, seat) = (SECOND + number * 250_000, (number % seats) as u16);
-        world.schedule_fault(time, Fault::Submit(seat, number.to_be_bytes().to_vec()));
-        world.schedule_fault(time + 40_000, Fault::Read(seat, number));
+        let (time, replica_id) = (SECOND + number * 250_000, (number % replica_count) as u16);
+        world.schedule_fault(
+            time,
+            Fault::Submit(replica_id, number.to_be_bytes().to_vec()),
+        );
+        world.schedule_fault(time + 40_000, Fault::Read(replica_id, number));
     }
 }
 
-fn played(seats: u16, seed: u64, trouble: Trouble, caller_timeout: u64) -> World {
+fn simulate(replica_count: u16, seed: u64, fault: LongFault, caller_timeout: u64) -> World {
     let mut world = World::new(WorldPlan {
         caller_timeout,
-        ..WorldPlan::new(seats, seed)
+        ..WorldPlan::new(replica_count, seed)
     });
-    strike(&mut world, trouble);
-    call(&mut world);
-    world.run_until(HEALS + CATCH_UP);
+    schedule_long_fault(&mut world, fault);
+    schedule_calls(&mut world);
+    world.run_until(FAULT_END + CATCH_UP);
     world
 }
 
 #[test]
-fn nothing_that_a_seat_kept_in_hand_takes_effect_long_after_its_caller_was_answered() {
-    for (seats, seed, trouble) in drawn() {
-        let world = played(seats, seed, trouble, PATIENCE);
+fn no_entry_takes_effect_long_after_its_caller_was_answered() {
+    for (replica_count, seed, fault) in cases() {
+        let world = simulate(replica_count, seed, fault, CALLER_TIMEOUT);
         assert_eq!(
             world.findings.violations,
             Vec::<String>::new(),
-            "{seats} seats, seed {seed}, {trouble:?}"
+            "{replica_count} replicas, seed {seed}, {fault:?}"
         );
-        let late = world.findings.late_entries(PATIENCE + DECIDED);
+        let late = world.findings.late_entries(CALLER_TIMEOUT + DECISION_TIME);
         assert!(
             late.is_empty(),
-            "{seats} seats, seed {seed}, {trouble:?}: {late:?} took effect late"
+            "{replica_count} replicas, seed {seed}, {fault:?}: {late:?} took effect late"
         );
     }
 }
 
 #[test]
-fn suggestions_that_are_made_again_for_nobody_are_caught() {
-    let late = drawn().any(|(seats, seed, trouble)| {
-        !played(seats, seed, trouble, u64::MAX)
+fn entries_that_are_submitted_again_without_a_waiting_caller_are_caught() {
+    let late = cases().any(|(replica_count, seed, fault)| {
+        !simulate(replica_count, seed, fault, u64::MAX)
             .findings
-            .late_entries(PATIENCE + DECIDED)
+            .late_entries(CALLER_TIMEOUT + DECISION_TIME)
             .is_empty()
     });
     assert!(
         late,
-        "no order took effect long after its caller was answered"
+        "no entry took effect long after its caller was answered"
     );
 }
 
 #[test]
-fn no_read_is_proved_at_a_seat_that_reaches_no_majority() {
-    for (seats, seed, trouble) in drawn() {
+fn no_read_is_proved_at_a_replica_that_reaches_no_majority() {
+    for (replica_count, seed, fault) in cases() {
         let mut world = World::new(WorldPlan {
-            caller_timeout: PATIENCE,
-            ..WorldPlan::new(seats, seed)
+            caller_timeout: CALLER_TIMEOUT,
+            ..WorldPlan::new(replica_count, seed)
         });
-        strike(&mut world, trouble);
-        call(&mut world);
-        world.run_until(BEGINS + SECOND);
+        schedule_long_fault(&mut world, fault);
+        schedule_calls(&mut world);
+        world.run_until(FAULT_START + SECOND);
         world.proved_reads.clear();
-        world.run_until(HEALS - 1);
+        world.run_until(FAULT_END - 1);
         let proved: Vec<u64> = world
             .proved_reads
             .iter()
-            .filter(|(_, seat)| *seat == CUT_OFF)
+            .filter(|(_, replica_id)| *replica_id == CUT_OFF)
             .map(|(token, _)| *token)
             .collect();
         assert!(
             proved.is_empty(),
-            "{seats} seats, seed {seed}, {trouble:?}: reads {proved:?} were proved"
+            "{replica_count} replicas, seed {seed}, {fault:?}: reads {proved:?} were proved"
+        );
+        assert!(
+            world.proved_reads.len() > 20,
+            "the other replicas prove reads"
         );
-        assert!(world.proved_reads.len() > 20, "the others prove");
     }
 }
 
 #[test]
-fn a_seat_is_a_full_member_again_soon_after_the_cut() {
-    for (seats, seed, trouble) in drawn() {
-        let mut world = played(seats, seed, trouble, PATIENCE);
-        // What it is given now it has chosen and applied, and so have all others.
+fn a_replica_participates_fully_soon_after_the_fault() {
+    for (replica_count, seed, fault) in cases() {
+        let mut world = simulate(replica_count, seed, fault, CALLER_TIMEOUT);
+        // An entry submitted now at the replica is chosen, and applied everywhere.
         let last = b"after the cut".to_vec();
         world.submit(CUT_OFF, last.clone());
-        world.run_until(HEALS + CATCH_UP + SECOND);
-        let holds = |node: &simulator::sim::SimulatedReplica| {
-            node.applied.iter().any(|(_, value)| *value == last)
+        world.run_until(FAULT_END + CATCH_UP + SECOND);
+        let has_applied = |replica: &simulator::sim::SimulatedReplica| {
+            replica.applied.iter().any(|(_, value)| *value == last)
         };
         assert!(
-            world.replicas.iter().all(holds),
-            "{seats} seats, seed {seed}, {trouble:?}"
+            world.replicas.iter().all(has_applied),
+            "{replica_count} replicas, seed {seed}, {fault:?}"
         );
         let lengths: BTreeSet<usize> = world
             .replicas
             .iter()
-            .map(|node| node.applied.len())
+            .map(|replica| replica.applied.len())
             .collect();
         assert_eq!(
             lengths.len(),
             1,
-            "{seats} seats, seed {seed}, {trouble:?}: {lengths:?} entries"
+            "{replica_count} replicas, seed {seed}, {fault:?}: {lengths:?} entries"
         );
     }
 }
 
-fn drawn() -> impl Iterator<Item = (u16, u64, Trouble)> {
-    let seats = [3u16, 4, 5, 7];
-    seats.into_iter().flat_map(|seats| {
+fn cases() -> impl Iterator<Item = (u16, u64, LongFault)> {
+    let replica_count = [3u16, 4, 5, 7];
+    replica_count.into_iter().flat_map(|replica_count| {
         (1..7u64).flat_map(move |seed| {
-            TROUBLES
+            LONG_FAULTS
                 .into_iter()
-                .map(move |trouble| (seats, seed, trouble))
+                .map(move |fault| (replica_count, seed, fault))
         })
     })
 }
