--- a/crates/simulator/tests/again.rs
+++ b/crates/simulator/tests/again.rs
@@ -63,7 +63,8 @@
 
 #[test]
 fn an_attempt_that_is_sent_again_neither_runs_again_nor_is_reported_as_not_run() {
-    let folder = std::env::temp_dir().join(format!("gradeford-again-{}", std::process::id()));
+    let folder =
+        std::env::temp_dir().join(format!("gradeford-resent-attempts-{}", std::process::id()));
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
     runtime.block_on(async {
         let deployment = simulator::deployment::named("small").expect("a site");
--- a/crates/simulator/tests/checker.rs
+++ b/crates/simulator/tests/checker.rs
@@ -1,4 +1,4 @@
-//! Each invariant of the history checker finds the violation that was planted for it, and a clean history has none
+//! Each invariant of the history checker finds the violation that was planted for it, and a valid history has none
 //! (design 9.5).
 
 use simulator::checker::{Rules, check};
@@ -6,13 +6,13 @@
 
 const SECOND: u64 = 1_000_000;
 
-fn began(run: &str, try_id: &str, at: u64, by: &str) -> Record {
+fn run_began(run: &str, attempt_id: &str, at: u64, backend: &str) -> Record {
     Record::RunBegan {
-        process: by.bytes().map(u32::from).sum(),
+        process: backend.bytes().map(u32::from).sum(),
         run: run.into(),
-        attempt_id: try_id.into(),
+        attempt_id: attempt_id.into(),
         at,
-        backend: by.into(),
+        backend: backend.into(),
         incarnation: 1,
         service: "seat".into(),
         intended_service: "seat".into(),
@@ -22,16 +22,22 @@
     }
 }
 
-fn ended(run: &str, at: u64) -> Record {
+fn run_ended(run: &str, at: u64) -> Record {
     Record::RunEnded {
         run: run.into(),
         at,
     }
 }
 
-fn told(try_id: &str, at: u64, verdict: Option<&str>, cause: Option<&str>, whole: bool) -> Record {
+fn client_answered(
+    attempt_id: &str,
+    at: u64,
+    execution_status: Option<&str>,
+    error_kind: Option<&str>,
+    complete: bool,
+) -> Record {
     Record::ClientAnswered {
-        attempt_id: try_id.into(),
+        attempt_id: attempt_id.into(),
         asked: at - 100,
         wait_us: 3 * SECOND,
         repeated: false,
@@ -43,31 +49,31 @@
         target: "seat".into(),
         path: "/take".into(),
         status: 200,
-        execution_status: verdict.map(str::to_string),
-        error_kind: cause.map(str::to_string),
-        complete: whole,
+        execution_status: execution_status.map(str::to_string),
+        error_kind: error_kind.map(str::to_string),
+        complete,
     }
 }
 
-fn clean() -> Vec<Record> {
+fn valid_history() -> Vec<Record> {
     vec![
-        began("r1", "desk/1", SECOND, "a"),
-        ended("r1", SECOND + 100),
-        told("desk/1", SECOND + 200, None, None, true),
-        told(
+        run_began("r1", "desk/1", SECOND, "a"),
+        run_ended("r1", SECOND + 100),
+        client_answered("desk/1", SECOND + 200, None, None, true),
+        client_answered(
             "desk/2",
             SECOND + 300,
             Some("not-run"),
             Some("overloaded"),
             false,
         ),
-        began("r3", "desk/3", 2 * SECOND, "b"),
-        ended("r3", 2 * SECOND + 100),
-        told("desk/3", 2 * SECOND + 200, None, None, true),
+        run_began("r3", "desk/3", 2 * SECOND, "b"),
+        run_ended("r3", 2 * SECOND + 100),
+        client_answered("desk/3", 2 * SECOND + 200, None, None, true),
     ]
 }
 
-fn broken(records: Vec<Record>) -> Vec<String> {
+fn violated_invariants(records: Vec<Record>) -> Vec<String> {
     let report = check(
         &records,
         &Rules {
@@ -86,87 +92,92 @@
         .collect()
 }
 
-fn with(extra: Vec<Record>) -> Vec<String> {
-    broken(clean().into_iter().chain(extra).collect())
+fn violated_with(extra: Vec<Record>) -> Vec<String> {
+    violated_invariants(valid_history().into_iter().chain(extra).collect())
 }
 
 #[test]
-fn a_clean_history_breaks_nothing() {
-    assert_eq!(broken(clean()), Vec::<String>::new());
+fn a_valid_history_violates_no_invariant() {
+    assert_eq!(violated_invariants(valid_history()), Vec::<String>::new());
 }
 
 #[test]
 fn each_planted_violation_is_found_under_its_own_name() {
     let late = 9 * SECOND;
-    let seen = |extra: Vec<Record>, name: &str| {
-        let found = with(extra);
+    let assert_found = |extra: Vec<Record>, name: &str| {
+        let found = violated_with(extra);
         assert!(
-            found.iter().any(|held| held == name),
+            found.iter().any(|invariant| invariant == name),
             "{name} was not found, but {found:?}"
         );
     };
-    seen(
-        vec![began("r4", "desk/1", late, "a"), ended("r4", late + 1)],
+    assert_found(
+        vec![
+            run_began("r4", "desk/1", late, "a"),
+            run_ended("r4", late + 1),
+        ],
         "nothing_runs_twice",
     );
-    seen(
-        vec![began("r4", "desk/2", late, "a"), ended("r4", late + 1)],
+    assert_found(
+        vec![
+            run_began("r4", "desk/2", late, "a"),
+            run_ended("r4", late + 1),
+        ],
         "not_run_did_not_run",
     );
-    seen(
-        vec![told("desk/1", late, None, None, false)],
+    assert_found(
+        vec![client_answered("desk/1", late, None, None, false)],
         "success_is_whole",
     );
-    seen(
-        vec![told("desk/9", late, None, None, true)],
+    assert_found(
+        vec![client_answered("desk/9", late, None, None, true)],
         "success_is_whole",
     );
-    let stray = |change: fn(&mut Record)| {
-        let mut record = began("r4", "desk/4", late, "a");
+    let invalid_run = |change: fn(&mut Record)| {
+        let mut record = run_began("r4", "desk/4", late, "a");
         change(&mut record);
         vec![record]
     };
-    let misled = stray(|record| {
+    let wrong_service = invalid_run(|record| {
         if let Record::RunBegan {
-            intended_service: meant_for,
-            ..
+            intended_service, ..
         } = record
         {
-            *meant_for = "other".into();
+            *intended_service = "other".into();
         }
     });
-    seen(misled, "routes_are_kept");
-    let false_name = stray(|record| {
-        if let Record::RunBegan { client: sender, .. } = record {
-            *sender = "vault".into();
+    assert_found(wrong_service, "routes_are_kept");
+    let wrong_client = invalid_run(|record| {
+        if let Record::RunBegan { client, .. } = record {
+            *client = "vault".into();
         }
     });
-    seen(false_name.clone(), "senders_are_told_truly");
-    seen(false_name, "routes_are_kept");
-    seen(
+    assert_found(wrong_client.clone(), "senders_are_told_truly");
+    assert_found(wrong_client, "routes_are_kept");
+    assert_found(
         vec![
-            began("r4", "desk/4", SECOND + 50, "b"),
-            ended("r4", SECOND + 150),
+            run_began("r4", "desk/4", SECOND + 50, "b"),
+            run_ended("r4", SECOND + 150),
         ],
         "one_holder_a_key",
     );
-    let mut namesake = began("r4", "desk/4", SECOND + 50, "a");
-    if let Record::RunBegan { process, .. } = &mut namesake {
+    let mut same_name = run_began("r4", "desk/4", SECOND + 50, "a");
+    if let Record::RunBegan { process, .. } = &mut same_name {
         *process = 77;
     }
-    seen(
-        vec![namesake, ended("r4", SECOND + 150)],
+    assert_found(
+        vec![same_name, run_ended("r4", SECOND + 150)],
         "one_holder_a_key",
     );
     let leaving = Record::BackendLeaving {
         backend: "a".into(),
         at: 2 * SECOND,
     };
-    seen(
-        vec![leaving, began("r4", "desk/4", 5 * SECOND, "a")],
+    assert_found(
+        vec![leaving, run_began("r4", "desk/4", 5 * SECOND, "a")],
         "drained_gets_nothing_new",
     );
-    let lane = |allowed, accepted, at| Record::RouteChange {
+    let route_change = |allowed, accepted, at| Record::RouteChange {
         client: "desk".into(),
         service: "seat".into(),
         path: "/take".into(),
@@ -174,24 +185,24 @@
         accepted,
         at,
     };
-    seen(
+    assert_found(
         vec![
-            lane(false, true, 3 * SECOND),
-            began("r4", "desk/4", 6 * SECOND, "a"),
+            route_change(false, true, 3 * SECOND),
+            run_began("r4", "desk/4", 6 * SECOND, "a"),
         ],
         "changes_are_in_force",
     );
     assert!(
-        !with(vec![
-            lane(false, true, 3 * SECOND),
-            lane(true, false, 4 * SECOND),
-            began("r4", "desk/4", 6 * SECOND, "a"),
-            ended("r4", 6 * SECOND + 1)
+        !violated_with(vec![
+            route_change(false, true, 3 * SECOND),
+            route_change(true, false, 4 * SECOND),
+            run_began("r4", "desk/4", 6 * SECOND, "a"),
+            run_ended("r4", 6 * SECOND + 1)
         ])
         .contains(&"changes_are_in_force".to_string())
     );
-    seen(
-        vec![told(
+    assert_found(
+        vec![client_answered(
             "desk/5",
             late,
             Some("not-run"),
@@ -200,8 +211,8 @@
         )],
         "service_is_back",
     );
-    seen(
-        vec![told(
+    assert_found(
+        vec![client_answered(
             "desk/1",
             late,
             Some("may-have-run"),
--- a/crates/simulator/tests/checker_operators.rs
+++ b/crates/simulator/tests/checker_operators.rs
@@ -1,12 +1,12 @@
-//! What operators and nodes are promised: each planted violation is found under its own name (design 9.5).
+//! Each planted violation of the invariants for operators and nodes is found under its own name (design 9.5).
 
 use simulator::checker::{Rules, check};
 use simulator::history::Record;
 
 const SECOND: u64 = 1_000_000;
 
-fn grouping(name: &str, turn: u64) -> serde_json::Value {
-    let labels = serde_json::json!({ "turn": turn.to_string() });
+fn grouping(name: &str, label: u64) -> serde_json::Value {
+    let labels = serde_json::json!({ "turn": label.to_string() });
     serde_json::json!({ "put_grouping": { "name": name, "grouping": { "service": "seat", "zone": "z0", "labels": labels } } })
 }
 
@@ -34,13 +34,13 @@
     }
 }
 
-fn read_back(asked: u64, version: u64, held: &[(&str, u64)]) -> Record {
-    let groupings: serde_json::Map<String, serde_json::Value> = held
+fn state_read(asked: u64, version: u64, groupings: &[(&str, u64)]) -> Record {
+    let groupings: serde_json::Map<String, serde_json::Value> = groupings
         .iter()
-        .map(|(name, turn)| {
+        .map(|(name, label)| {
             (
                 name.to_string(),
-                grouping(name, *turn)["put_grouping"]["grouping"].clone(),
+                grouping(name, *label)["put_grouping"]["grouping"].clone(),
             )
         })
         .collect();
@@ -51,28 +51,28 @@
     }
 }
 
-fn seen(node: &str, life: u64, asked: u64, position: u64, fresh: bool) -> Record {
+fn node_observed(node: &str, incarnation: u64, asked: u64, position: u64, fresh: bool) -> Record {
     Record::NodeObserved {
         node: node.into(),
-        incarnation: life,
+        incarnation,
         asked,
         position,
         fresh,
     }
 }
 
-fn told(
+fn client_answered(
     target: &str,
     asked: u64,
-    cause: Option<&str>,
+    error_kind: Option<&str>,
     status: u16,
-    come_back: bool,
-    took: u64,
+    has_retry_after: bool,
+    duration: u64,
 ) -> Record {
     Record::ClientAnswered {
         attempt_id: format!("desk-0.1.desk/{asked}"),
         asked,
-        at: asked + took,
+        at: asked + duration,
         wait_us: 3 * SECOND,
         repeated: false,
         client: "desk-0".into(),
@@ -81,31 +81,31 @@
         path: "/take".into(),
         key: None,
         status,
-        execution_status: cause.map(|_| "not-run".to_string()),
-        error_kind: cause.map(str::to_string),
-        has_retry_after: come_back,
-        complete: cause.is_none(),
+        execution_status: error_kind.map(|_| "not-run".to_string()),
+        error_kind: error_kind.map(str::to_string),
+        has_retry_after,
+        complete: error_kind.is_none(),
     }
 }
 
-fn clean() -> Vec<Record> {
+fn valid_history() -> Vec<Record> {
     vec![
         change("a", SECOND, Some(1), false, vec![grouping("one", 1)]),
         change("b", 2 * SECOND, None, true, vec![grouping("bad", 1)]),
-        // Its answer was lost, and it did take effect.
+        // Its answer was lost, but it took effect.
         change("c", 3 * SECOND, None, false, vec![grouping("two", 1)]),
         change("d", 4 * SECOND, Some(3), false, vec![grouping("one", 2)]),
-        read_back(5 * SECOND, 3, &[("one", 2), ("two", 1)]),
-        seen("n0", 1, 2 * SECOND, 10, true),
-        seen("n0", 2, 3 * SECOND, 0, false),
-        seen("n0", 2, 4 * SECOND, 10, true),
-        seen("n0", 2, 8 * SECOND, 30, true),
-        told("seat", 5 * SECOND, Some("overloaded"), 429, true, 1_000),
+        state_read(5 * SECOND, 3, &[("one", 2), ("two", 1)]),
+        node_observed("n0", 1, 2 * SECOND, 10, true),
+        node_observed("n0", 2, 3 * SECOND, 0, false),
+        node_observed("n0", 2, 4 * SECOND, 10, true),
+        node_observed("n0", 2, 8 * SECOND, 30, true),
+        client_answered("seat", 5 * SECOND, Some("overloaded"), 429, true, 1_000),
     ]
 }
 
-fn broken(extra: Vec<Record>, allowance: usize) -> Vec<String> {
-    let records: Vec<Record> = clean().into_iter().chain(extra).collect();
+fn violated_invariants(extra: Vec<Record>, allowance: usize) -> Vec<String> {
+    let records: Vec<Record> = valid_history().into_iter().chain(extra).collect();
     let rules = Rules {
         idempotent_paths: &[],
         allowed: &[("desk", "seat")],
@@ -124,32 +124,32 @@
 }
 
 #[test]
-fn a_clean_story_breaks_nothing() {
-    assert_eq!(broken(vec![], 0), Vec::<String>::new());
+fn a_valid_history_violates_no_invariant() {
+    assert_eq!(violated_invariants(vec![], 0), Vec::<String>::new());
 }
 
 #[test]
 fn each_planted_violation_is_found() {
-    let seen_in = |extra: Vec<Record>, name: &str| {
-        let found = broken(extra, 0);
+    let assert_found = |extra: Vec<Record>, name: &str| {
+        let found = violated_invariants(extra, 0);
         assert!(
-            found.iter().any(|held| held == name),
+            found.iter().any(|invariant| invariant == name),
             "{name} was not found, but {found:?}"
         );
     };
-    seen_in(
-        vec![read_back(
+    assert_found(
+        vec![state_read(
             6 * SECOND,
             3,
             &[("one", 2), ("two", 1), ("bad", 1)],
         )],
         "what_is_read_back_was_accepted",
     );
-    seen_in(
-        vec![read_back(6 * SECOND, 3, &[("one", 2)])],
+    assert_found(
+        vec![state_read(6 * SECOND, 3, &[("one", 2)])],
         "what_is_read_back_was_accepted",
     );
-    seen_in(
+    assert_found(
         vec![change(
             "e",
             6 * SECOND,
@@ -159,24 +159,24 @@
         )],
         "what_is_read_back_was_accepted",
     );
-    seen_in(
-        vec![read_back(6 * SECOND, 1, &[("one", 1)])],
+    assert_found(
+        vec![state_read(6 * SECOND, 1, &[("one", 1)])],
         "accepted_changes_stay",
     );
-    seen_in(
-        vec![seen("n0", 2, 9 * SECOND, 20, false)],
+    assert_found(
+        vec![node_observed("n0", 2, 9 * SECOND, 20, false)],
         "no_version_slides_back",
     );
-    seen_in(
-        vec![seen("n0", 3, 9 * SECOND, 20, true)],
+    assert_found(
+        vec![node_observed("n0", 3, 9 * SECOND, 20, true)],
         "no_version_slides_back",
     );
-    seen_in(
-        vec![seen("n1", 1, 7 * SECOND, 20, true)],
+    assert_found(
+        vec![node_observed("n1", 1, 7 * SECOND, 20, true)],
         "every_change_is_in_force_everywhere",
     );
-    seen_in(
-        vec![told(
+    assert_found(
+        vec![client_answered(
             "seat",
             6 * SECOND,
             Some("no_back_end"),
@@ -186,8 +186,8 @@
         )],
         "refusals_say_when_to_come_back",
     );
-    seen_in(
-        vec![told(
+    assert_found(
+        vec![client_answered(
             "seat",
             6 * SECOND,
             Some("no_back_end"),
@@ -197,7 +197,7 @@
         )],
         "given_up_means_answered_at_once",
     );
-    seen_in(
+    assert_found(
         vec![Record::Misrouted {
             backend: "b".into(),
             intended_service: "seat".into(),
@@ -208,81 +208,89 @@
 }
 
 #[test]
-fn extras_are_judged_in_every_ten_seconds_over_the_fleet() {
-    let asked = |from: u64| {
-        (0..10u64).map(move |step| told("seat", from + step * 1_000, None, 200, false, 100))
+fn retries_are_checked_in_every_ten_seconds_over_the_fleet() {
+    let requests = |from: u64| {
+        (0..10u64)
+            .map(move |step| client_answered("seat", from + step * 1_000, None, 200, false, 100))
     };
-    let extra = |node: &str, at: u64| Record::AttemptRepeated {
+    let retry = |node: &str, at: u64| Record::AttemptRepeated {
         node: node.into(),
         service: "seat".into(),
         at,
     };
-    let fine = asked(21 * SECOND)
-        .chain([extra("n0", 21 * SECOND), extra("n1", 22 * SECOND)])
+    let within_budget = requests(21 * SECOND)
+        .chain([retry("n0", 21 * SECOND), retry("n1", 22 * SECOND)])
         .collect();
-    assert!(!broken(fine, 1).contains(&"extras_keep_to_their_budget".to_string()));
-    // Earned long before, spent in a window that holds no request.
-    let saved = asked(20 * SECOND)
-        .chain([extra("n0", 40 * SECOND), extra("n1", 41 * SECOND)])
+    assert!(
+        !violated_invariants(within_budget, 1).contains(&"extras_keep_to_their_budget".to_string())
+    );
+    // The requests were long before; the window of the retries has none.
+    let over_budget = requests(20 * SECOND)
+        .chain([retry("n0", 40 * SECOND), retry("n1", 41 * SECOND)])
         .collect();
-    assert!(broken(saved, 1).contains(&"extras_keep_to_their_budget".to_string()));
+    assert!(
+        violated_invariants(over_budget, 1).contains(&"extras_keep_to_their_budget".to_string())
+    );
 }
 
 #[test]
-fn a_key_that_swamps_the_rest_and_a_service_that_stays_away_are_found() {
-    let keyed = |at: u64, fine: bool| match told(
+fn starved_keys_and_a_service_that_does_not_recover_are_found() {
+    let with_key = |at: u64, is_served: bool| match client_answered(
         "seat",
         at,
-        (!fine).then_some("key_crowded"),
+        (!is_served).then_some("key_crowded"),
         429,
         true,
         100,
     ) {
         Record::ClientAnswered {
-            attempt_id: try_id,
+            attempt_id,
             asked,
             at,
-            wait_us: wait,
-            repeated: again,
-            client: by,
+            wait_us,
+            repeated,
+            client,
             service,
             target,
             path,
             status,
-            execution_status: verdict,
-            error_kind: cause,
-            has_retry_after: come_back,
-            complete: whole,
+            execution_status,
+            error_kind,
+            has_retry_after,
+            complete,
             ..
         } => Record::ClientAnswered {
             key: Some("cool".into()),
-            attempt_id: try_id,
+            attempt_id,
             asked,
             at,
-            wait_us: wait,
-            repeated: again,
-            client: by,
+            wait_us,
+            repeated,
+            client,
             service,
             target,
             path,
             status,
-            execution_status: verdict,
-            error_kind: cause,
-            has_retry_after: come_back,
-            complete: whole,
+            execution_status,
+            error_kind,
+            has_retry_after,
+            complete,
         },
         other => other,
     };
-    let heated = vec![
-        keyed(10 * SECOND, true),
+    let hot_key_history = vec![
+        with_key(10 * SECOND, true),
         Record::HotKeyStarted { at: 11 * SECOND },
-        keyed(12 * SECOND, false),
+        with_key(12 * SECOND, false),
     ];
-    assert!(broken(heated, 0).contains(&"others_are_served_beside_a_hot_key".to_string()));
+    assert!(
+        violated_invariants(hot_key_history, 0)
+            .contains(&"others_are_served_beside_a_hot_key".to_string())
+    );
     let records = [
         Record::FaultHealed { at: 10 * SECOND },
-        keyed(11 * SECOND, false),
-        keyed(26 * SECOND, false),
+        with_key(11 * SECOND, false),
+        with_key(26 * SECOND, false),
     ];
     let rules = Rules {
         idempotent_paths: &[],
--- a/crates/simulator/tests/path.rs
+++ b/crates/simulator/tests/path.rs
@@ -1,4 +1,5 @@
-//! The whole path in separate processes: discovery, one change, requests, a kill of each kind (design 9.5).
+//! Runs a small site end to end in separate processes: discovery, a change, requests, and the kill of a replica and of a
+//! backend (design 9.5).
 
 use std::path::PathBuf;
 
@@ -11,7 +12,7 @@
 }
 
 #[test]
-fn a_small_site_serves_through_kills_and_keeps_every_promise() {
+fn a_small_site_serves_through_kills_and_violates_no_invariant() {
     let folder = folder("small");
     let plan = simulator::run::Plan {
         site: "small".into(),
@@ -25,13 +26,13 @@
     };
     let report = runtime()
         .block_on(simulator::run::run(plan))
-        .expect("the rehearsal runs");
-    // How soon service is back is a matter of the machine: that is for rehearsals, not for a verdict here.
-    let broken = report
+        .expect("the run completes");
+    // The time until recovery depends on the machine, so it is not asserted here.
+    let violated = report
         .invariants
         .iter()
         .filter(|(name, found)| *name != "service_is_back" && !found.is_empty());
-    assert_eq!(broken.count(), 0, "{report:#?}");
+    assert_eq!(violated.count(), 0, "{report:#?}");
     assert!(report.served > 0, "{report:#?}");
     std::fs::remove_dir_all(folder).expect("clean");
 }
