--- a/crates/simulator/src/checker/mod.rs
+++ b/crates/simulator/src/checker/mod.rs
@@ -1,7 +1,7 @@
 //! Checks the recorded history of a run against the invariants of the service mesh (design 9.5).
 
 mod desired_state;
-mod promises;
+mod runs;
 mod serving;
 
 use crate::history::{Record, Report};
@@ -112,16 +112,16 @@
     );
     add_violations(
         "addresses_change_hands_safely",
-        promises::misrouted_requests(records),
+        runs::misrouted_requests(records),
     );
-    add_violations("one_holder_a_key", promises::overlapping_runs(records));
+    add_violations("one_holder_a_key", runs::overlapping_runs(records));
     add_violations(
         "drained_gets_nothing_new",
-        promises::runs_after_leaving(records),
+        runs::runs_after_leaving(records),
     );
     add_violations(
         "changes_are_in_force",
-        promises::runs_on_removed_routes(records),
+        runs::runs_on_removed_routes(records),
     );
     add_violations(
         "every_change_is_in_force_everywhere",
@@ -158,16 +158,13 @@
     let (recovery_us, late) = serving::recovery_times(records);
     add_violations(
         "service_is_back",
-        promises::services_not_served_at_the_end(records)
+        runs::services_not_served_at_the_end(records)
             .into_iter()
             .chain(late)
             .collect(),
     );
     if rules.planned_stops_only {
-        add_violations(
-            "planned_ends_cut_nothing",
-            promises::interrupted_runs(records),
-        );
+        add_violations("planned_ends_cut_nothing", runs::interrupted_runs(records));
     }
     report.recovery_us = recovery_us;
     report.not_observed = rules
--- a/crates/simulator/src/checker/promises.rs
+++ b/crates/simulator/src/checker/runs.rs
@@ -1,4 +1,5 @@
-//! Invariants on the order of events: key ownership, draining, route changes and recovery (design 9.5).
+//! Invariants on runs of requests: key ownership, draining, removed routes, misrouting and interruption, and on the
+//! service at the end (design 9.5).
 
 use crate::history::Record;
 use std::collections::BTreeMap;
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -8,6 +8,7 @@
     Backend(usize),
 }
 
+/// A step of a scenario.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
     Kill(Target),
@@ -67,6 +68,7 @@
     }
 }
 
+/// A schedule of steps, and what a run of it must fulfil.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     pub name: &'static str,
@@ -89,6 +91,7 @@
     }
 }
 
+/// The names of all scenarios that [`named`] knows.
 pub const NAMES: &[&str] = &[
     "quiet",
     "core-killed",
--- a/crates/simulator/src/scenario_more.rs
+++ b/crates/simulator/src/scenario_more.rs
@@ -26,13 +26,13 @@
     let (machine, replica) = (seed as usize % machine_count, seed as usize % replica_count);
     let found = match name {
         "reloaded" => {
-            let turns = (1..=4u64).flat_map(|round| {
+            let reloads = (1..=4u64).flat_map(|round| {
                 replicas_and_nodes(machine_count, replica_count)
                     .map(move |target| (round * 1_200, Step::Reload(target)))
             });
             Scenario {
                 planned_stops_only: true,
-                ..scenario("reloaded", 7_000, turns.collect())
+                ..scenario("reloaded", 7_000, reloads.collect())
             }
         }
         // First at the same node, then the address of another machine's backend at a third node.
--- a/crates/simulator/src/sim/checks.rs
+++ b/crates/simulator/src/sim/checks.rs
@@ -13,6 +13,7 @@
     pub applied: Option<u64>,
 }
 
+/// The recorded submissions, reads and applied entries of a run, and the violations found.
 #[derive(Default)]
 pub struct Findings {
     pub submitted: BTreeMap<Vec<u8>, Submission>,
--- a/crates/simulator/src/sim/faults.rs
+++ b/crates/simulator/src/sim/faults.rs
@@ -2,6 +2,7 @@
 
 type ReplicaId = mencius::ReplicaId;
 
+/// A fault, an entry or a read that is scheduled at a simulated replica.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
     Crash(ReplicaId),
@@ -12,6 +13,7 @@
     CutLink(ReplicaId, ReplicaId),
     HealLinks,
     CloseConnection(ReplicaId, ReplicaId),
+    /// Every sync of the disk takes this many microseconds longer.
     SlowDisk(ReplicaId, u64),
     /// The disk is lost. An empty one replaces it by an entry that a peer submits.
     Replace(ReplicaId),
--- a/crates/simulator/src/sim/plan.rs
+++ b/crates/simulator/src/sim/plan.rs
@@ -5,10 +5,12 @@
 type Micros = mencius::Micros;
 type ReplicaId = mencius::ReplicaId;
 
+/// The parameters of a set of simulated replicas. Times are in microseconds.
 #[derive(Clone, Debug)]
 pub struct WorldPlan {
     pub replica_count: u16,
     pub seed: u64,
+    /// The shortest and the longest delay of a frame, and of a sync of a disk.
     pub network_delay: (Micros, Micros),
     pub sync_delay: (Micros, Micros),
     pub config: mencius::Config,
@@ -44,6 +46,7 @@
     }
 }
 
+/// Counters over a run and all replicas.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Counts {
     pub frames_by_kind: BTreeMap<&'static str, u64>,
--- a/crates/simulator/src/sim/site/attempts.rs
+++ b/crates/simulator/src/sim/site/attempts.rs
@@ -22,12 +22,12 @@
 
 impl Site {
     /// Sends a new attempt, or an earlier one again: later, possibly at a restarted node.
-    pub(super) fn send_attempt(&mut self, at: usize, number: u64) {
+    pub(super) fn send_attempt(&mut self, node_index: usize, number: u64) {
         let number = if number == u64::MAX {
             let pause = self.draw(20_000..60_000);
-            self.schedule(self.now + pause, Event::SendAttempt(at, u64::MAX));
+            self.schedule(self.now + pause, Event::SendAttempt(node_index, u64::MAX));
             let Some(process) = self
-                .main_process(at)
+                .main_process(node_index)
                 .filter(|process| !self.processes[*process].attempt_prefix.is_empty())
             else {
                 return;
@@ -57,7 +57,7 @@
             let number = self.attempts.len() as u64 - 1;
             if self.draw(0..8) == 0 {
                 let delay = self.draw(0..4_000_000);
-                self.schedule(self.now + delay, Event::SendAttempt(at, number));
+                self.schedule(self.now + delay, Event::SendAttempt(node_index, number));
             }
             number
         } else {
@@ -66,14 +66,14 @@
         let (now, attempt) = (self.now, &self.attempts[number as usize]);
         // The client uses the secret of its present registration, though the attempt id may be of an earlier one.
         let secret = self
-            .main_process(at)
+            .main_process(node_index)
             .filter(|process| *process == attempt.process)
             .map(|process| self.processes[process].secret.clone());
         let Some(secret) = secret else { return };
         let (attempt_id, route, key) = (attempt.id.clone(), attempt.route, attempt.key.clone());
-        let accepted = self.accept_attempt(at, &secret, &attempt_id);
+        let accepted = self.accept_attempt(node_index, &secret, &attempt_id);
         let started = accepted.and_then(|client| {
-            if self.nodes[at].stopping {
+            if self.nodes[node_index].stopping {
                 return Err(Error::new(ErrorKind::ShuttingDown, "the node is stopping"));
             }
             let request = legacy_proxy::Request {
@@ -88,7 +88,7 @@
                 timeout: Some(CLIENT_TIMEOUT_US),
             };
             legacy_proxy::attempt_loop::AttemptLoop::begin(
-                &self.nodes[at].view,
+                &self.nodes[node_index].view,
                 now,
                 client,
                 request,
@@ -96,27 +96,27 @@
         });
         match started {
             Ok(attempt_loop) => {
-                self.nodes[at].retry_budget.deposit(route.1);
+                self.nodes[node_index].retry_budget.deposit(route.1);
                 self.checks.first_attempt(now, route.1);
                 self.dispatch(PendingAttempt {
-                    node: at,
+                    node: node_index,
                     attempt_loop,
                     selected: String::new(),
                     attempt_id,
                 });
             }
-            Err(error) => self.answer(at, route.1, &attempt_id, Err(error)),
+            Err(error) => self.answer(node_index, route.1, &attempt_id, Err(error)),
         }
     }
 
     fn accept_attempt(
         &mut self,
-        at: usize,
+        node_index: usize,
         secret: &str,
         attempt_id: &str,
     ) -> Result<legacy_proxy::ClientId, Error> {
         let is_unchecked = self.plan.disabled.attempt_deduplication;
-        let node = &mut self.nodes[at];
+        let node = &mut self.nodes[node_index];
         let client = node
             .slot_owner
             .clients()
@@ -135,11 +135,17 @@
         node.accepted_attempts.accept(attempt_id).map(|()| client)
     }
 
-    fn answer(&mut self, at: usize, service: &str, attempt_id: &str, answer: Result<(), Error>) {
+    fn answer(
+        &mut self,
+        node_index: usize,
+        service: &str,
+        attempt_id: &str,
+        answer: Result<(), Error>,
+    ) {
         if let Err(error) = answer.as_ref().map_err(Clone::clone)
             && error.execution_status == ExecutionStatus::NotRun
         {
-            self.nodes[at]
+            self.nodes[node_index]
                 .accepted_attempts
                 .did_not_run(attempt_id, error);
         }
@@ -149,10 +155,10 @@
 
     /// Selects a backend and forwards the attempt to it, or answers with the final error.
     fn dispatch(&mut self, mut pending: PendingAttempt) {
-        let (at, now) = (pending.node, self.now);
-        let zone = super::plan::zone(at);
+        let (node_index, now) = (pending.node, self.now);
+        let zone = super::plan::zone(node_index);
         let sequence = self.last_number;
-        let node = &mut self.nodes[at];
+        let node = &mut self.nodes[node_index];
         let candidates = match pending.attempt_loop.candidates(&node.view, now, &zone) {
             Ok(candidates) => candidates,
             Err(error) => return self.answer_pending(pending, Err(error)),
@@ -165,7 +171,7 @@
             &node.view,
             now,
             &selected_backend,
-            &format!("n{at}"),
+            &format!("n{node_index}"),
         );
         pending.selected = selected_backend;
         self.last_number += 1;
@@ -174,7 +180,7 @@
         match next_attempt {
             Ok((request, None)) => self.schedule(
                 now,
-                Event::RequestArrives(number, at, Box::new(request), now),
+                Event::RequestArrives(number, node_index, Box::new(request), now),
             ),
             Ok((request, Some((address, incarnation)))) => {
                 let target: usize = address
--- a/crates/simulator/src/sim/site/backends.rs
+++ b/crates/simulator/src/sim/site/backends.rs
@@ -20,27 +20,29 @@
     pub(super) fn receive_request(
         &mut self,
         number: u64,
-        at: usize,
+        node_index: usize,
         mut request: transport::AttemptRequest,
         sent_at: Microseconds,
     ) {
         let now = self.now;
         let from = self.attempt_loops.get(&number).map(|pending| pending.node);
-        let is_cut = self.nodes[at].cut || from.is_some_and(|from| self.nodes[from].cut);
-        if is_cut && from != Some(at) {
+        let is_cut = self.nodes[node_index].cut || from.is_some_and(|from| self.nodes[from].cut);
+        if is_cut && from != Some(node_index) {
             return;
         }
         let age = (now - sent_at).saturating_sub(300_000);
         request.time_left = request.time_left.saturating_sub(age);
-        let view = self.nodes[at].view.clone();
+        let view = self.nodes[node_index].view.clone();
         self.queued_attempts.insert(number, request.clone());
-        let admissions = self.nodes[at].slot_owner.admit(now, &view, number, request);
-        self.handle_admissions(at, admissions);
+        let admissions = self.nodes[node_index]
+            .slot_owner
+            .admit(now, &view, number, request);
+        self.handle_admissions(node_index, admissions);
     }
 
     pub(super) fn handle_admissions(
         &mut self,
-        at: usize,
+        node_index: usize,
         admissions: legacy_proxy::slot_owner::Admissions,
     ) {
         admissions.into_iter().for_each(|(number, admission)| {
@@ -48,18 +50,22 @@
                 return;
             };
             match admission {
-                Ok(permit) => self.run(at, number, permit, request),
-                Err(error) => self.schedule_response(at, number, Err(error)),
+                Ok(permit) => self.run(node_index, number, permit, request),
+                Err(error) => self.schedule_response(node_index, number, Err(error)),
             }
         });
     }
 
-    fn schedule_response(&mut self, at: usize, number: u64, response: Result<(), Error>) {
+    fn schedule_response(&mut self, node_index: usize, number: u64, response: Result<(), Error>) {
         let Some(from) = self.attempt_loops.get(&number).map(|pending| pending.node) else {
             return;
         };
-        let wait = if from == at { 0 } else { self.draw_delay() };
-        if from == at || !(self.nodes[at].cut || self.nodes[from].cut) {
+        let wait = if from == node_index {
+            0
+        } else {
+            self.draw_delay()
+        };
+        if from == node_index || !(self.nodes[node_index].cut || self.nodes[from].cut) {
             self.schedule(self.now + wait, Event::ResponseArrives(number, response));
         }
     }
@@ -67,7 +73,7 @@
     /// Runs the request in the process that uses the address now, at most until its deadline.
     fn run(
         &mut self,
-        at: usize,
+        node_index: usize,
         number: u64,
         permit: legacy_proxy::slot_owner::Permit,
         request: transport::AttemptRequest,
@@ -85,9 +91,9 @@
             .copied()
             .filter(|process| self.processes[*process].alive);
         let Some(process) = process else {
-            self.nodes[at].slot_owner.finish(&permit, true);
+            self.nodes[node_index].slot_owner.finish(&permit, true);
             return self.schedule_response(
-                at,
+                node_index,
                 number,
                 Err(Error::new(ErrorKind::Unreachable, "no connection")),
             );
@@ -107,9 +113,9 @@
                     request.attempt_id, request.service, self.processes[process].name
                 ),
             );
-            self.nodes[at].slot_owner.finish(&permit, false);
+            self.nodes[node_index].slot_owner.finish(&permit, false);
             return self.schedule_response(
-                at,
+                node_index,
                 number,
                 Err(Error::new(
                     ErrorKind::BadSeal,
@@ -124,14 +130,14 @@
             now,
             &request,
             (process, drained_at),
-            self.nodes[at].view.slice.position,
+            self.nodes[node_index].view.slice.position,
             end,
         );
-        let incarnation = self.nodes[at].incarnation;
+        let incarnation = self.nodes[node_index].incarnation;
         self.runs.insert(
             number,
             Run {
-                node: at,
+                node: node_index,
                 number,
                 incarnation,
                 permit,
@@ -180,33 +186,34 @@
     }
 
     /// Whether no request from or to this node is under way.
-    pub(super) fn is_idle(&self, at: usize) -> bool {
-        self.nodes[at].slot_owner.running() == 0
+    pub(super) fn is_idle(&self, node_index: usize) -> bool {
+        self.nodes[node_index].slot_owner.running() == 0
             && !self
                 .attempt_loops
                 .values()
-                .any(|pending| pending.node == at)
+                .any(|pending| pending.node == node_index)
     }
 
     /// Reports the loss of a node to the nodes that wait for its responses.
-    pub(super) fn lose_node(&mut self, at: usize, planned: bool) {
+    pub(super) fn lose_node(&mut self, node_index: usize, planned: bool) {
         let waiting: Vec<u64> = self
             .runs
             .values()
-            .filter(|run| run.node == at && !run.orphaned)
+            .filter(|run| run.node == node_index && !run.orphaned)
             .map(|run| run.number)
             .collect();
         waiting.into_iter().for_each(|number| {
             if planned {
-                self.checks.interrupted(format!("run {number} at n{at}"));
+                self.checks
+                    .interrupted(format!("run {number} at n{node_index}"));
             }
             if self
                 .attempt_loops
                 .get(&number)
-                .is_some_and(|pending| pending.node != at)
+                .is_some_and(|pending| pending.node != node_index)
             {
                 self.schedule_response(
-                    at,
+                    node_index,
                     number,
                     Err(Error::new(ErrorKind::PeerLost, "the remote node was lost")),
                 );
--- a/crates/simulator/src/sim/site/checks.rs
+++ b/crates/simulator/src/sim/site/checks.rs
@@ -12,6 +12,7 @@
 /// Begin, end and process of a run.
 type RunSpan = (Microseconds, Microseconds, usize);
 
+/// The recorded events of a simulated site, and the violations found.
 #[derive(Default)]
 pub struct SiteChecks {
     pub violations: Vec<String>,
@@ -19,6 +20,7 @@
     pub served: usize,
     pub rejected: usize,
     pub retries: usize,
+    /// How often a key moved to another backend process.
     pub moves: usize,
     /// Maps each attempt id to the number of its runs.
     run_counts: BTreeMap<String, usize>,
--- a/crates/simulator/src/sim/site/events.rs
+++ b/crates/simulator/src/sim/site/events.rs
@@ -13,12 +13,14 @@
 impl Site {
     fn node_of(event: &Event) -> Option<usize> {
         match event {
-            Event::PumpSlots(at)
-            | Event::RequestProof(at)
-            | Event::ProofArrives(at, ..)
-            | Event::SendAttempt(at, _)
-            | Event::RequestArrives(_, at, ..) => Some(*at),
-            Event::RelayProofRequest(at, ..) | Event::ReportAnswered(at, ..) => Some(*at),
+            Event::PumpSlots(node_index)
+            | Event::RequestProof(node_index)
+            | Event::ProofArrives(node_index, ..)
+            | Event::SendAttempt(node_index, _)
+            | Event::RequestArrives(_, node_index, ..) => Some(*node_index),
+            Event::RelayProofRequest(node_index, ..) | Event::ReportAnswered(node_index, ..) => {
+                Some(*node_index)
+            }
             _ => None,
         }
     }
@@ -32,24 +34,25 @@
             Event::Heartbeat(process) => Some(self.processes[*process].node),
             other => Site::node_of(other),
         };
-        if let Some(at) = node.filter(|at| self.nodes[*at].frozen) {
-            return self.nodes[at].deferred.push(event);
+        if let Some(node_index) = node.filter(|node_index| self.nodes[*node_index].frozen) {
+            return self.nodes[node_index].deferred.push(event);
         }
         let now = self.now;
         match event {
             Event::Fault(fault) => self.apply_fault(fault),
-            Event::PumpSlots(at) => {
-                self.pump_slots(at);
-                self.schedule(now + 20_000, Event::PumpSlots(at));
+            Event::PumpSlots(node_index) => {
+                self.pump_slots(node_index);
+                self.schedule(now + 20_000, Event::PumpSlots(node_index));
             }
-            Event::RequestProof(at) => {
-                self.request_proof(at);
-                self.schedule(now + PROOF_INTERVAL_US, Event::RequestProof(at));
+            Event::RequestProof(node_index) => {
+                self.request_proof(node_index);
+                self.schedule(now + PROOF_INTERVAL_US, Event::RequestProof(node_index));
             }
-            Event::ReplicaProofRequest(at, replica_id, requested_at) => {
+            Event::ReplicaProofRequest(node_index, replica_id, requested_at) => {
                 if self.replicas.is_running(replica_id) {
                     self.last_number += 1;
-                    self.reads.insert(self.last_number, (at, requested_at));
+                    self.reads
+                        .insert(self.last_number, (node_index, requested_at));
                     let token = self.last_number;
                     self.replicas.world.read(replica_id, token);
                 }
@@ -63,29 +66,29 @@
                     self.request_proof(relay);
                 }
             }
-            Event::ProofArrives(at, requested_at, slice) => {
-                self.receive_proof(at, requested_at, *slice)
+            Event::ProofArrives(node_index, requested_at, slice) => {
+                self.receive_proof(node_index, requested_at, *slice)
             }
             Event::Heartbeat(process) => self.heartbeat(process),
-            Event::Report(at, incarnation, replica_id, entry) => {
-                let is_received = self.nodes[at].incarnation == incarnation
-                    && !self.nodes[at].cut
+            Event::Report(node_index, incarnation, replica_id, entry) => {
+                let is_received = self.nodes[node_index].incarnation == incarnation
+                    && !self.nodes[node_index].cut
                     && self.replicas.is_running(replica_id);
                 if is_received {
                     self.reports.insert(
                         (entry.origin.clone(), entry.incarnation, entry.sequence),
-                        at,
+                        node_index,
                     );
                     self.replicas.submit(replica_id, &entry);
                 }
             }
-            Event::ReportAnswered(at, incarnation, sequence, outcome) => {
-                self.report_answered(at, incarnation, sequence, outcome)
+            Event::ReportAnswered(node_index, incarnation, sequence, outcome) => {
+                self.report_answered(node_index, incarnation, sequence, outcome)
             }
             Event::OperatorChange => self.submit_operator_change(),
-            Event::SendAttempt(at, number) => self.send_attempt(at, number),
-            Event::RequestArrives(number, at, request, sent_at) => {
-                self.receive_request(number, at, *request, sent_at)
+            Event::SendAttempt(node_index, number) => self.send_attempt(node_index, number),
+            Event::RequestArrives(number, node_index, request, sent_at) => {
+                self.receive_request(number, node_index, *request, sent_at)
             }
             Event::ResponseArrives(number, response) => self.receive_response(number, response),
             Event::DeadlinePassed(number) => self.receive_response(
@@ -96,7 +99,7 @@
                 )),
             ),
             Event::RunEnds(number) => self.end_run(number),
-            Event::BackendStarts(at) => self.start_backend(at),
+            Event::BackendStarts(node_index) => self.start_backend(node_index),
         }
     }
 
@@ -104,11 +107,11 @@
     pub(super) fn collect_replica_events(&mut self) {
         let (applied, proofs) = self.replicas.advance(self.now);
         applied.into_iter().for_each(|(replica_id, key, outcome)| {
-            if let Some(at) = self.reports.get(&key).copied() {
+            if let Some(node_index) = self.reports.get(&key).copied() {
                 let time = self.now + self.draw_delay();
                 self.schedule(
                     time,
-                    Event::ReportAnswered(at, key.1, key.2, outcome.clone()),
+                    Event::ReportAnswered(node_index, key.1, key.2, outcome.clone()),
                 );
             }
             let is_own = key.0 == format!("core-{replica_id}");
@@ -120,32 +123,35 @@
             }
         });
         proofs.into_iter().for_each(|(token, replica_id)| {
-            let Some((at, requested_at)) = self.reads.remove(&token) else {
+            let Some((node_index, requested_at)) = self.reads.remove(&token) else {
                 return;
             };
             let slice = model::StateSlice::for_services(
                 self.replicas.state_machine(replica_id),
-                &self.nodes[at].slot_owner.services(),
+                &self.nodes[node_index].slot_owner.services(),
             );
             let time = self.now + self.draw_delay();
-            self.schedule(time, Event::ProofArrives(at, requested_at, Box::new(slice)));
+            self.schedule(
+                time,
+                Event::ProofArrives(node_index, requested_at, Box::new(slice)),
+            );
         });
     }
 
     /// Requests a freshness proof from the zone's relay, or from a replica if there is none. One that sends no proof in
     /// time is replaced by another.
-    fn request_proof(&mut self, at: usize) {
+    fn request_proof(&mut self, node_index: usize) {
         let (now, wait) = (self.now, self.draw_delay());
         let replica_count = self.plan.replica_count;
-        let node = &mut self.nodes[at];
+        let node = &mut self.nodes[node_index];
         let relay = control::updates::zone_relay::select_zone_relay(
             &node.view.slice,
-            &super::plan::zone(at),
+            &super::plan::zone(node_index),
             &node.slot_owner.services(),
         );
         let relay = relay
             .and_then(|(name, _)| name[1..].parse::<usize>().ok())
-            .filter(|relay| *relay != at);
+            .filter(|relay| *relay != node_index);
         if now > node.proved_at + PROOF_TIMEOUT_US {
             node.proved_at = now;
             node.replica_id = (node.replica_id + 1) % replica_count;
@@ -161,14 +167,19 @@
         }
         let replica_id = node.replica_id;
         match relay {
-            Some(relay) => self.schedule(now + wait, Event::RelayProofRequest(relay, at, now)),
-            None => self.schedule(now + wait, Event::ReplicaProofRequest(at, replica_id, now)),
+            Some(relay) => {
+                self.schedule(now + wait, Event::RelayProofRequest(relay, node_index, now))
+            }
+            None => self.schedule(
+                now + wait,
+                Event::ReplicaProofRequest(node_index, replica_id, now),
+            ),
         }
     }
 
     fn receive_proof(
         &mut self,
-        at: usize,
+        node_index: usize,
         requested_at: Microseconds,
         mut slice: model::StateSlice,
     ) {
@@ -177,7 +188,7 @@
         }
         let (now, validity, position) = (self.now, self.plan.proof_validity(), slice.position);
         let accepts_older = self.plan.disabled.update_order;
-        let node = &mut self.nodes[at];
+        let node = &mut self.nodes[node_index];
         if node.cut {
             return;
         }
@@ -206,7 +217,7 @@
             .partition(|(.., arrived)| *arrived <= requested_at);
         node.waiting_nodes = remaining;
         self.checks
-            .state_held(now, at, incarnation, state.position, fresh);
+            .state_held(now, node_index, incarnation, state.position, fresh);
         answerable.into_iter().for_each(|(from, requested_at, _)| {
             let services = self.nodes[from].slot_owner.services();
             if services.is_subset(&state.services)
@@ -221,9 +232,9 @@
         });
     }
 
-    fn pump_slots(&mut self, at: usize) {
+    fn pump_slots(&mut self, node_index: usize) {
         let now = self.now;
-        let node = &mut self.nodes[at];
+        let node = &mut self.nodes[node_index];
         let view = node.view.clone();
         let admissions = node.slot_owner.admit_queued(now, &view);
         let mut reports = node.slot_owner.take_reports();
@@ -239,24 +250,26 @@
             });
         }
         node.outbox.extend(reports);
-        self.handle_admissions(at, admissions);
-        if self.nodes[at].stopping && (self.is_idle(at) || self.plan.disabled.graceful_stop) {
-            self.lose_node(at, true);
-            self.restart(at);
+        self.handle_admissions(node_index, admissions);
+        if self.nodes[node_index].stopping
+            && (self.is_idle(node_index) || self.plan.disabled.graceful_stop)
+        {
+            self.lose_node(node_index, true);
+            self.restart(node_index);
         }
-        self.send_report(at);
+        self.send_report(node_index);
     }
 
     /// Sends one report at a time, to the next replica when one does not answer.
-    fn send_report(&mut self, at: usize) {
+    fn send_report(&mut self, node_index: usize) {
         let (now, wait, replica_count) = (self.now, self.draw_delay(), self.plan.replica_count);
-        let node = &mut self.nodes[at];
+        let node = &mut self.nodes[node_index];
         if node.entry.is_none()
             && let Some(report) = node.outbox.pop_front()
         {
             node.sequence += 1;
             let entry = Entry {
-                origin: format!("n{at}"),
+                origin: format!("n{node_index}"),
                 incarnation: node.incarnation,
                 sequence: node.sequence,
                 operation: Operation::EndpointReport(report),
@@ -279,15 +292,15 @@
         let replica_id = node.replica_id;
         self.schedule(
             now + wait,
-            Event::Report(at, incarnation, replica_id, entry),
+            Event::Report(node_index, incarnation, replica_id, entry),
         );
     }
 
     /// Handles a report that the log rejected because it knows another incarnation of the node: registers the node as the
     /// successor of the incarnation in its view, and sends the report again after the registration.
-    fn superseded(&mut self, at: usize, report: EndpointReport) {
-        let registration = self.registration(at);
-        let node = &mut self.nodes[at];
+    fn superseded(&mut self, node_index: usize, report: EndpointReport) {
+        let registration = self.registration(node_index);
+        let node = &mut self.nodes[node_index];
         match report {
             EndpointReport::NodeRegistered { .. } => {}
             // The backend registers again, with a higher incarnation than the one in the log.
@@ -300,8 +313,14 @@
         node.outbox.push_front(registration);
     }
 
-    fn report_answered(&mut self, at: usize, incarnation: u64, sequence: u64, outcome: Outcome) {
-        let node = &mut self.nodes[at];
+    fn report_answered(
+        &mut self,
+        node_index: usize,
+        incarnation: u64,
+        sequence: u64,
+        outcome: Outcome,
+    ) {
+        let node = &mut self.nodes[node_index];
         let is_own = node.incarnation == incarnation
             && node
                 .entry
@@ -313,9 +332,9 @@
         if let (Outcome::Superseded { .. }, Operation::EndpointReport(report)) =
             (&outcome, &entry.operation)
         {
-            return self.superseded(at, report.clone());
+            return self.superseded(node_index, report.clone());
         }
-        let node = &mut self.nodes[at];
+        let node = &mut self.nodes[node_index];
         if let Operation::EndpointReport(EndpointReport::BackendRegistered { name, backend }) =
             entry.operation
         {
@@ -326,6 +345,6 @@
             node.slot_owner
                 .confirm(self.now, &name, backend.incarnation, accepted);
         }
-        self.send_report(at);
+        self.send_report(node_index);
     }
 }
--- a/crates/simulator/src/sim/site/faults.rs
+++ b/crates/simulator/src/sim/site/faults.rs
@@ -7,7 +7,7 @@
 impl Site {
     pub(super) fn heartbeat(&mut self, process: usize) {
         let now = self.now;
-        let (alive, heartbeats, at) = (
+        let (alive, heartbeats, node_index) = (
             self.processes[process].alive,
             self.processes[process].heartbeats,
             self.processes[process].node,
@@ -20,7 +20,7 @@
             self.processes[process].drained_at.is_some() && !self.plan.disabled.draining,
         );
         let is_registered = !secret.is_empty()
-            && self.nodes[at]
+            && self.nodes[node_index]
                 .slot_owner
                 .heartbeat(now, &secret, draining, Some(4))
                 .is_some();
@@ -31,7 +31,7 @@
     }
 
     fn register(&mut self, process: usize) {
-        let (now, at) = (self.now, self.processes[process].node);
+        let (now, node_index) = (self.now, self.processes[process].node);
         let address = self
             .addresses
             .iter()
@@ -45,13 +45,13 @@
         let registration = legacy_proxy::slot_owner::Registration {
             name: name.clone(),
             service: service.into(),
-            zone: super::plan::zone(at),
+            zone: super::plan::zone(node_index),
             labels: Default::default(),
             slots: 4,
             address: format!("127.0.0.1:{address}"),
         };
         let secret = format!("secret {process} {now}");
-        let node = &mut self.nodes[at];
+        let node = &mut self.nodes[node_index];
         let registered_incarnation = node
             .view
             .slice
@@ -168,19 +168,19 @@
         let now = self.now;
         match fault {
             SiteFault::Replica(fault) => self.replicas.world.schedule_fault(now, fault),
-            SiteFault::Freeze(at) => self.nodes[at].frozen = true,
-            SiteFault::Unfreeze(at) => {
-                self.nodes[at].frozen = false;
-                std::mem::take(&mut self.nodes[at].deferred)
+            SiteFault::Freeze(node_index) => self.nodes[node_index].frozen = true,
+            SiteFault::Unfreeze(node_index) => {
+                self.nodes[node_index].frozen = false;
+                std::mem::take(&mut self.nodes[node_index].deferred)
                     .into_iter()
                     .for_each(|event| self.handle(event));
             }
-            SiteFault::Cut(at) => self.nodes[at].cut = true,
-            SiteFault::Heal(at) => self.nodes[at].cut = false,
-            SiteFault::Restart(at) => {
-                self.lose_node(at, false);
-                let deferred = std::mem::take(&mut self.nodes[at].deferred);
-                self.restart(at);
+            SiteFault::Cut(node_index) => self.nodes[node_index].cut = true,
+            SiteFault::Heal(node_index) => self.nodes[node_index].cut = false,
+            SiteFault::Restart(node_index) => {
+                self.lose_node(node_index, false);
+                let deferred = std::mem::take(&mut self.nodes[node_index].deferred);
+                self.restart(node_index);
                 // The timers of the simulation continue; what was queued in the dead process is lost.
                 deferred
                     .into_iter()
@@ -196,40 +196,43 @@
                     })
                     .for_each(|event| self.schedule(now, event));
             }
-            SiteFault::GracefulStop(at) => {
-                self.nodes[at].slot_owner.drain();
-                self.nodes[at].stopping = true;
+            SiteFault::GracefulStop(node_index) => {
+                self.nodes[node_index].slot_owner.drain();
+                self.nodes[node_index].stopping = true;
             }
-            SiteFault::KillBackend(at) => {
-                self.main_process(at)
+            SiteFault::KillBackend(node_index) => {
+                self.main_process(node_index)
                     .into_iter()
                     .for_each(|process| self.end_process(process));
-                self.schedule(now + 2_000_000, Event::BackendStarts(at));
+                self.schedule(now + 2_000_000, Event::BackendStarts(node_index));
             }
-            SiteFault::StopHeartbeats(at) => {
-                self.main_process(at)
+            SiteFault::StopHeartbeats(node_index) => {
+                self.main_process(node_index)
                     .into_iter()
                     .for_each(|process| self.processes[process].heartbeats = false);
-                self.schedule(now + 2_000_000, Event::BackendStarts(at));
+                self.schedule(now + 2_000_000, Event::BackendStarts(node_index));
             }
-            SiteFault::DrainBackend(at) => {
-                if let Some(process) = self.main_process(at).filter(|process| {
-                    self.processes[*process].drained_at.is_none() && !self.nodes[at].frozen
+            SiteFault::DrainBackend(node_index) => {
+                if let Some(process) = self.main_process(node_index).filter(|process| {
+                    self.processes[*process].drained_at.is_none() && !self.nodes[node_index].frozen
                 }) {
                     let secret = self.processes[process].secret.clone();
                     if self.plan.disabled.draining
-                        || self.nodes[at]
+                        || self.nodes[node_index]
                             .slot_owner
                             .heartbeat(now, &secret, true, None)
                             .is_some()
                     {
                         self.processes[process].drained_at = Some(now);
                     }
-                    self.schedule(now + 5_000_000, Event::Fault(SiteFault::KillBackend(at)));
+                    self.schedule(
+                        now + 5_000_000,
+                        Event::Fault(SiteFault::KillBackend(node_index)),
+                    );
                 }
             }
-            SiteFault::ReuseAddress(at) => {
-                let Some(process) = self.main_process(at) else {
+            SiteFault::ReuseAddress(node_index) => {
+                let Some(process) = self.main_process(node_index) else {
                     return;
                 };
                 let address = self
@@ -238,15 +241,17 @@
                     .find(|(_, owner)| **owner == process)
                     .map(|(address, _)| *address);
                 self.end_process(process);
-                let (other_node, name) =
-                    ((at + 2) % NODE_COUNT, format!("u{}", self.processes.len()));
+                let (other_node, name) = (
+                    (node_index + 2) % NODE_COUNT,
+                    format!("u{}", self.processes.len()),
+                );
                 let service = if self.processes[process].service == "seat" {
                     "desk"
                 } else {
                     "seat"
                 };
                 self.new_process(other_node, name, service, address);
-                self.schedule(now + 2_000_000, Event::BackendStarts(at));
+                self.schedule(now + 2_000_000, Event::BackendStarts(node_index));
             }
             SiteFault::SetRoute(route, allowed) => {
                 let base = (0..self.plan.replica_count)
--- a/crates/simulator/src/sim/site/mod.rs
+++ b/crates/simulator/src/sim/site/mod.rs
@@ -132,26 +132,26 @@
             plan,
         };
         site.schedule(300_000, Event::OperatorChange);
-        (0..NODE_COUNT).for_each(|at| {
-            let node = site.new_node(at);
+        (0..NODE_COUNT).for_each(|node_index| {
+            let node = site.new_node(node_index);
             site.nodes.push(node);
-            let offset = 400_000 + at as Microseconds * 7_000;
-            site.register_node(at);
+            let offset = 400_000 + node_index as Microseconds * 7_000;
+            site.register_node(node_index);
             [
-                Event::PumpSlots(at),
-                Event::RequestProof(at),
-                Event::BackendStarts(at),
+                Event::PumpSlots(node_index),
+                Event::RequestProof(node_index),
+                Event::BackendStarts(node_index),
             ]
             .into_iter()
             .for_each(|event| site.schedule(offset, event));
-            site.schedule(1_000_000 + offset, Event::SendAttempt(at, u64::MAX));
+            site.schedule(1_000_000 + offset, Event::SendAttempt(node_index, u64::MAX));
         });
         site
     }
 
-    fn new_node(&self, at: usize) -> Node {
+    fn new_node(&self, node_index: usize) -> Node {
         Node {
-            slot_owner: legacy_proxy::SlotOwner::new(self.plan.slot_owner_config(at)),
+            slot_owner: legacy_proxy::SlotOwner::new(self.plan.slot_owner_config(node_index)),
             view: Default::default(),
             accepted_attempts: Default::default(),
             selector: Default::default(),
@@ -163,7 +163,7 @@
                 },
             ),
             // Incarnations of a node have no order, as those of a real process.
-            incarnation: model::leases::stable_hash(&format!("{at} {}", self.now)),
+            incarnation: model::leases::stable_hash(&format!("{node_index} {}", self.now)),
             frozen: false,
             cut: false,
             stopping: false,
@@ -171,7 +171,7 @@
             outbox: Default::default(),
             sequence: 0,
             entry: None,
-            replica_id: at as u16 % self.plan.replica_count,
+            replica_id: node_index as u16 % self.plan.replica_count,
             proved_at: self.now,
             follows_replica: true,
             avoided_relay: None,
@@ -180,9 +180,9 @@
     }
 
     /// The registration of a node, as the successor of the incarnation in its view.
-    fn registration(&self, at: usize) -> EndpointReport {
-        let (node, incarnation) = (format!("n{at}"), self.nodes[at].incarnation);
-        let replaces = self.nodes[at]
+    fn registration(&self, node_index: usize) -> EndpointReport {
+        let (node, incarnation) = (format!("n{node_index}"), self.nodes[node_index].incarnation);
+        let replaces = self.nodes[node_index]
             .view
             .slice
             .nodes
@@ -190,32 +190,33 @@
             .map_or(0, |registered| registered.incarnation);
         EndpointReport::NodeRegistered {
             node,
-            zone: zone(at),
-            address: format!("127.0.0.1:{at}"),
+            zone: zone(node_index),
+            address: format!("127.0.0.1:{node_index}"),
             incarnation,
             replaces,
         }
     }
 
     /// Queues the registration of a node.
-    fn register_node(&mut self, at: usize) {
-        let report = self.registration(at);
-        self.nodes[at].outbox.push_back(report);
+    fn register_node(&mut self, node_index: usize) {
+        let report = self.registration(node_index);
+        self.nodes[node_index].outbox.push_back(report);
     }
 
     /// Replaces a node's process by a new one that has lost all state.
-    fn restart(&mut self, at: usize) {
-        let cut = self.nodes[at].cut;
-        self.nodes[at] = Node {
+    fn restart(&mut self, node_index: usize) {
+        let cut = self.nodes[node_index].cut;
+        self.nodes[node_index] = Node {
             cut,
-            ..self.new_node(at)
+            ..self.new_node(node_index)
         };
-        self.attempt_loops.retain(|_, pending| pending.node != at);
+        self.attempt_loops
+            .retain(|_, pending| pending.node != node_index);
         self.runs
             .values_mut()
-            .filter(|run| run.node == at)
+            .filter(|run| run.node == node_index)
             .for_each(|run| run.orphaned = true);
-        self.register_node(at);
+        self.register_node(node_index);
     }
 
     fn schedule(&mut self, time: Microseconds, event: Event) {
@@ -238,10 +239,10 @@
         rand::Rng::random_range(&mut self.rng, range)
     }
 
-    /// Starts a backend process beside node `at`, at the given address or at a new one.
+    /// Starts a backend process beside a node, at the given address or at a new one.
     fn new_process(
         &mut self,
-        at: usize,
+        node_index: usize,
         name: String,
         service: &'static str,
         address: Option<u64>,
@@ -253,7 +254,7 @@
         self.processes.push(BackendProcess {
             name,
             service,
-            node: at,
+            node: node_index,
             alive: true,
             heartbeats: true,
             drained_at: None,
@@ -264,16 +265,21 @@
         self.schedule(self.now, Event::Heartbeat(process));
     }
 
-    fn main_process(&self, at: usize) -> Option<usize> {
-        let name = format!("b{at}");
+    fn main_process(&self, node_index: usize) -> Option<usize> {
+        let name = format!("b{node_index}");
         self.processes
             .iter()
             .rposition(|process| process.name == name && process.alive && process.heartbeats)
     }
 
-    fn start_backend(&mut self, at: usize) {
-        if self.main_process(at).is_none() {
-            self.new_process(at, format!("b{at}"), service(at), None);
+    fn start_backend(&mut self, node_index: usize) {
+        if self.main_process(node_index).is_none() {
+            self.new_process(
+                node_index,
+                format!("b{node_index}"),
+                service(node_index),
+                None,
+            );
         }
     }
 
@@ -292,9 +298,9 @@
 
     /// Heals all faults, runs the site until it has recovered, and returns the violations.
     pub fn finish(&mut self, end: Microseconds) -> Vec<String> {
-        (0..NODE_COUNT).for_each(|at| {
-            self.schedule_fault(end, SiteFault::Unfreeze(at));
-            self.schedule_fault(end, SiteFault::Heal(at));
+        (0..NODE_COUNT).for_each(|node_index| {
+            self.schedule_fault(end, SiteFault::Unfreeze(node_index));
+            self.schedule_fault(end, SiteFault::Heal(node_index));
         });
         self.replicas.heal(end);
         self.run_until(end + 12_000_000);
--- a/crates/simulator/src/sim/site/plan.rs
+++ b/crates/simulator/src/sim/site/plan.rs
@@ -29,10 +29,12 @@
     pub disk_sync: bool,
 }
 
+/// The parameters of a simulated site.
 #[derive(Clone, Debug)]
 pub struct SitePlan {
     pub seed: u64,
     pub replica_count: u16,
+    /// The shortest and the longest network delay, in microseconds.
     pub network_delay: (Microseconds, Microseconds),
     pub disabled: DisabledGuards,
 }
@@ -151,6 +153,7 @@
     groupings.chain(ROUTES.iter().map(put_order)).collect()
 }
 
+/// A fault at a simulated site; the index is that of the node, with its backend.
 #[derive(Clone, Debug)]
 pub enum SiteFault {
     Replica(crate::sim::Fault),
@@ -186,7 +189,7 @@
         .chunks_exact(3)
         .zip(1u64..)
         .for_each(|(chunk, round)| {
-            let (at, replica_id) = (
+            let (node_index, replica_id) = (
                 chunk[1] as usize % NODE_COUNT,
                 chunk[1] as u16 % replica_count,
             );
@@ -195,16 +198,19 @@
             let replica_fault = |fault| SiteFault::Replica(fault);
             let faults: Vec<(u64, SiteFault)> = match chunk[0] % 20 {
                 0 => vec![
-                    (time, SiteFault::Freeze(at)),
-                    (end, SiteFault::Unfreeze(at)),
+                    (time, SiteFault::Freeze(node_index)),
+                    (end, SiteFault::Unfreeze(node_index)),
                 ],
-                1 | 2 => vec![(time, SiteFault::Cut(at)), (end, SiteFault::Heal(at))],
-                3 => vec![(time, SiteFault::Restart(at))],
-                4 => vec![(time, SiteFault::GracefulStop(at))],
-                5 => vec![(time, SiteFault::KillBackend(at))],
-                6 => vec![(time, SiteFault::StopHeartbeats(at))],
-                7 => vec![(time, SiteFault::DrainBackend(at))],
-                8 => vec![(time, SiteFault::ReuseAddress(at))],
+                1 | 2 => vec![
+                    (time, SiteFault::Cut(node_index)),
+                    (end, SiteFault::Heal(node_index)),
+                ],
+                3 => vec![(time, SiteFault::Restart(node_index))],
+                4 => vec![(time, SiteFault::GracefulStop(node_index))],
+                5 => vec![(time, SiteFault::KillBackend(node_index))],
+                6 => vec![(time, SiteFault::StopHeartbeats(node_index))],
+                7 => vec![(time, SiteFault::DrainBackend(node_index))],
+                8 => vec![(time, SiteFault::ReuseAddress(node_index))],
                 9 => vec![
                     (time, replica_fault(crate::sim::Fault::Crash(replica_id))),
                     (end, replica_fault(crate::sim::Fault::Start(replica_id))),
@@ -264,8 +270,11 @@
                     ),
                 ],
                 _ => vec![
-                    (time, SiteFault::Restart(at)),
-                    (time + 50_000, SiteFault::Restart((at + 1) % NODE_COUNT)),
+                    (time, SiteFault::Restart(node_index)),
+                    (
+                        time + 50_000,
+                        SiteFault::Restart((node_index + 1) % NODE_COUNT),
+                    ),
                 ],
             };
             faults
--- a/crates/simulator/src/sim/trial.rs
+++ b/crates/simulator/src/sim/trial.rs
@@ -36,12 +36,14 @@
         .flatten()
 }
 
+/// Totals over a number of simulated sites.
 #[derive(Debug, Default)]
 pub struct TrialSummary {
     pub sites: u64,
     pub runs: usize,
     pub served: usize,
     pub retries: usize,
+    /// How often a key moved to another backend process.
     pub moves: usize,
     /// The seed, the faults in hexadecimal, and the first violation.
     pub violations: Vec<(u64, String, String)>,
--- a/crates/simulator/src/state_sim/checks.rs
+++ b/crates/simulator/src/state_sim/checks.rs
@@ -58,8 +58,8 @@
 
 impl StateHarness {
     /// Checks that the state from which a node serves never goes back, is a state of the log, and is recent enough.
-    pub(super) fn check_served_state(&mut self, at: usize) {
-        let node = &mut self.nodes[at];
+    pub(super) fn check_served_state(&mut self, node_index: usize) {
+        let node = &mut self.nodes[node_index];
         let Some(served) = node.served_state(&self.plan.disabled) else {
             return;
         };
@@ -68,7 +68,7 @@
         node.highest_served = highest_served.max(served.position);
         if served.position < highest_served {
             self.violations.push(format!(
-                "back: node {at} serves {} at {}, it had served {highest_served}",
+                "back: node {node_index} serves {} at {}, it had served {highest_served}",
                 served.position, self.world.now
             ));
         }
@@ -77,16 +77,16 @@
             && recorded.is_none_or(|recorded| recorded.snapshot != *served)
         {
             self.violations.push(format!(
-                "other: what node {at} serves at {} is not the state at that position",
+                "other: what node {node_index} serves at {} is not the state at that position",
                 served.position
             ));
         }
-        self.check_in_force(at, served.position);
+        self.check_in_force(node_index, served.position);
     }
 
-    fn check_in_force(&mut self, at: usize, served: Position) {
+    fn check_in_force(&mut self, node_index: usize, served: Position) {
         let now = self.world.now;
-        let Some(allowed) = self.disturbances.allowed_lateness(at, now) else {
+        let Some(allowed) = self.disturbances.allowed_lateness(node_index, now) else {
             return;
         };
         let next = self.state_history.range(served + 1..).next();
@@ -97,7 +97,7 @@
         self.longest_lateness = self.longest_lateness.max(lateness);
         if lateness > allowed {
             self.violations.push(format!(
-                "late: node {at} serves {served} at {now}, {position} was applied {lateness} µs before"
+                "late: node {node_index} serves {served} at {now}, {position} was applied {lateness} µs before"
             ));
         }
     }
@@ -106,12 +106,12 @@
     pub(super) fn check_final_state(&mut self) {
         let newest = self.state_history.last_key_value();
         let newest = newest.map_or(0, |(position, _)| *position);
-        for (at, node) in self.nodes.iter().enumerate() {
+        for (node_index, node) in self.nodes.iter().enumerate() {
             let verified = node.follower.verified();
             let position = verified.map(|verified| verified.snapshot.position);
             if position != Some(newest) {
                 self.violations.push(format!(
-                    "behind: node {at} ends at {position:?} of {newest}"
+                    "behind: node {node_index} ends at {position:?} of {newest}"
                 ));
             }
         }
--- a/crates/simulator/src/state_sim/harness.rs
+++ b/crates/simulator/src/state_sim/harness.rs
@@ -121,8 +121,8 @@
                 }
             }
             Fault::RestartNodesInTurn => {
-                for (turn, node) in self.nodes.iter_mut().enumerate() {
-                    node.restart_at(at + RESTART_INTERVAL * turn as u64);
+                for (index, node) in self.nodes.iter_mut().enumerate() {
+                    node.restart_at(at + RESTART_INTERVAL * index as u64);
                 }
             }
             Fault::DelayUpdates => {
@@ -219,9 +219,9 @@
         self.note_lost_majority();
         self.publish();
         self.prove();
-        for at in 0..self.nodes.len() {
-            self.step_node(at);
-            self.check_served_state(at);
+        for node_index in 0..self.nodes.len() {
+            self.step_node(node_index);
+            self.check_served_state(node_index);
         }
     }
 
@@ -272,12 +272,12 @@
         }
     }
 
-    fn step_node(&mut self, at: usize) {
+    fn step_node(&mut self, node_index: usize) {
         let now = self.world.now;
-        if self.nodes[at].restart_is_due(now) {
-            self.crash_node(at, now + RESTART_INTERVAL / 2);
+        if self.nodes[node_index].restart_is_due(now) {
+            self.crash_node(node_index, now + RESTART_INTERVAL / 2);
         }
-        let node = &mut self.nodes[at];
+        let node = &mut self.nodes[node_index];
         if now >= node.down_until {
             node.step(&self.plan, &mut self.world, &mut self.replicas);
         }
--- a/crates/simulator/tests/state_sim.rs
+++ b/crates/simulator/tests/state_sim.rs
@@ -107,7 +107,7 @@
         violations.any(|violation| violation.starts_with("back"))
     };
     assert!(
-        (0..4u64).any(|turn| for_each_seed(turn * 8..turn * 8 + 8, is_violated).contains(&true)),
+        (0..4u64).any(|batch| for_each_seed(batch * 8..batch * 8 + 8, is_violated).contains(&true)),
         "{disabled:?}: no node went back"
     );
 }
