--- a/crates/simulator/src/state_sim/checks.rs
+++ b/crates/simulator/src/state_sim/checks.rs
@@ -1,63 +1,65 @@
-//! What is judged at each step of a run, and at its end.
+//! The checks at each step of a run and at its end.
 
 use model::{Microseconds, Position};
 
 use super::harness::StateHarness;
 
-/// A change is in force at calm nodes so long after it was applied anywhere.
+/// Time within which a change is in force at every undisturbed node after a replica first applied it, in
+/// microseconds.
 const IN_FORCE_WITHIN: Microseconds = 2_000_000;
-/// And so much longer while the core is not calm.
-const STRETCHED_BY: Microseconds = 5_000_000;
-/// A node, and the core, are calm so long after something happened to them.
-const CALM_AFTER: Microseconds = 3_000_000;
+/// Additional time that a change may take while the replicas are disturbed, in microseconds.
+const DISTURBED_CORE_ALLOWANCE: Microseconds = 5_000_000;
+/// Time after a fault for which a node, or the core, still counts as disturbed, in microseconds.
+const RECOVERY_TIME: Microseconds = 3_000_000;
 
-/// When something last happened that excuses a late change.
+/// The faults that excuse a late change.
 #[derive(Default)]
 pub(super) struct Disturbances {
-    /// Times at which a replica was touched.
+    /// Times of the faults at replicas.
     pub core: Vec<Microseconds>,
-    /// Times at which a node was touched, by node; a fault that lasts is there to its end.
+    /// The faults at each node, with their duration.
     pub nodes: Vec<Vec<Disturbance>>,
-    /// When less than a majority last ran and was connected.
+    /// The last time at which no majority of the replicas was running and connected.
     pub no_majority_at: Option<Microseconds>,
 }
 
-/// A time in which a node is not judged.
+/// A span of time in which a node is not checked for late changes.
 pub(super) struct Disturbance {
     pub from: Microseconds,
     pub until: Microseconds,
 }
 
 impl Disturbances {
-    fn core_is_calm(&self, now: Microseconds) -> bool {
+    fn core_is_undisturbed(&self, now: Microseconds) -> bool {
         let mut times = self.core.iter();
-        !times.any(|at| *at <= now && now < at + CALM_AFTER)
+        !times.any(|at| *at <= now && now < at + RECOVERY_TIME)
     }
 
-    fn node_is_calm(&self, node: usize, now: Microseconds) -> bool {
+    fn node_is_undisturbed(&self, node: usize, now: Microseconds) -> bool {
         let mut disturbances = self.nodes[node].iter();
-        !disturbances.any(|one| one.from <= now && now < one.until + CALM_AFTER)
+        !disturbances.any(|one| one.from <= now && now < one.until + RECOVERY_TIME)
     }
 
-    /// How late a change may be at a node; `None` where it is not judged.
+    /// The allowed delay of a change at a node, or `None` if the node is not checked.
     fn allowed_lateness(&self, node: usize, now: Microseconds) -> Option<Microseconds> {
-        let judged_after = self.no_majority_at.unwrap_or(0) + IN_FORCE_WITHIN + STRETCHED_BY;
-        if now < judged_after || !self.node_is_calm(node, now) {
+        let checked_from =
+            self.no_majority_at.unwrap_or(0) + IN_FORCE_WITHIN + DISTURBED_CORE_ALLOWANCE;
+        if now < checked_from || !self.node_is_undisturbed(node, now) {
             return None;
         }
-        let stretch = if self.core_is_calm(now) {
+        let allowance = if self.core_is_undisturbed(now) {
             0
         } else {
-            STRETCHED_BY
+            DISTURBED_CORE_ALLOWANCE
         };
-        Some(IN_FORCE_WITHIN + stretch)
+        Some(IN_FORCE_WITHIN + allowance)
     }
 }
 
 impl StateHarness {
-    /// What a node serves never goes back, stood there, and is new enough.
-    pub(super) fn check_served_state(&mut self, at: usize) {
-        let node = &mut self.nodes[at];
+    /// Checks that the state from which a node serves never goes back, is a state of the log, and is recent enough.
+    pub(super) fn check_served_state(&mut self, node_index: usize) {
+        let node = &mut self.nodes[node_index];
         let Some(served) = node.served_state(&self.plan.disabled) else {
             return;
         };
@@ -66,25 +68,25 @@
         node.highest_served = highest_served.max(served.position);
         if served.position < highest_served {
             self.violations.push(format!(
-                "back: node {at} serves {} at {}, it had {highest_served}",
+                "back: node {node_index} serves {} at {}, it had served {highest_served}",
                 served.position, self.world.now
             ));
         }
-        let stood_there = self.state_history.get(&served.position);
+        let recorded = self.state_history.get(&served.position);
         if served.position > highest_served
-            && stood_there.is_none_or(|stood| stood.snapshot != *served)
+            && recorded.is_none_or(|recorded| recorded.snapshot != *served)
         {
             self.violations.push(format!(
-                "other: what node {at} serves at {} never stood there",
+                "other: what node {node_index} serves at {} is not the state at that position",
                 served.position
             ));
         }
-        self.check_in_force(at, served.position);
+        self.check_in_force(node_index, served.position);
     }
 
-    fn check_in_force(&mut self, at: usize, served: Position) {
+    fn check_in_force(&mut self, node_index: usize, served: Position) {
         let now = self.world.now;
-        let Some(allowed) = self.disturbances.allowed_lateness(at, now) else {
+        let Some(allowed) = self.disturbances.allowed_lateness(node_index, now) else {
             return;
         };
         let next = self.state_history.range(served + 1..).next();
@@ -95,27 +97,27 @@
         self.longest_lateness = self.longest_lateness.max(lateness);
         if lateness > allowed {
             self.violations.push(format!(
-                "late: node {at} serves {served} at {now}, {position} was applied {lateness} µs before"
+                "late: node {node_index} serves {served} at {now}, {position} was applied {lateness} µs before"
             ));
         }
     }
 
-    /// Once all is mended every node is proved on the newest state.
+    /// Checks that every node holds a freshness proof for the newest state once all faults are over.
     pub(super) fn check_final_state(&mut self) {
         let newest = self.state_history.last_key_value();
         let newest = newest.map_or(0, |(position, _)| *position);
-        for (at, node) in self.nodes.iter().enumerate() {
+        for (node_index, node) in self.nodes.iter().enumerate() {
             let verified = node.follower.verified();
             let position = verified.map(|verified| verified.snapshot.position);
             if position != Some(newest) {
                 self.violations.push(format!(
-                    "behind: node {at} ends at {position:?} of {newest}"
+                    "behind: node {node_index} ends at {position:?} of {newest}"
                 ));
             }
         }
     }
 
-    /// How often a node that had restarted received less than it had held before.
+    /// How often a restarted node received an older state than the one it had held before.
     pub fn older_received(&self) -> usize {
         self.nodes.iter().map(|node| node.older_received).sum()
     }
