--- a/crates/simulator/src/sim/site/attempts.rs
+++ b/crates/simulator/src/sim/site/attempts.rs
@@ -164,7 +164,7 @@
             Err(error) => return self.answer_pending(pending, Err(error)),
         };
         let Some(selected_backend) = node.selector.select(now, &candidates, sequence) else {
-            let error = pending.attempt_loop.no_backend();
+            let error = pending.attempt_loop.no_backend_error();
             return self.answer_pending(pending, Err(error));
         };
         let next_attempt = pending.attempt_loop.next_attempt(
