--- a/crates/simulator/src/backend_stand_in.rs
+++ b/crates/simulator/src/backend_stand_in.rs
@@ -22,7 +22,7 @@
     pub history: PathBuf,
     pub work_us: u64,
     /// Out of a thousand replies, how many are spoilt in some way.
-    pub spoil_per_mille: u32,
+    pub corrupted_per_mille: u32,
     pub seed: u64,
     /// Requests per second, and what they are.
     pub requests_per_second: f64,
@@ -112,7 +112,7 @@
                 .into_bytes();
         let seal = backend_api::seal::seal(&attempt_id, 200, &body);
         // A spoilt reply ran all the same: half a body, no seal, or another's seal.
-        let spoilt = rand::random::<u32>() % 1_000 < backstage.config.spoil_per_mille;
+        let spoilt = rand::random::<u32>() % 1_000 < backstage.config.corrupted_per_mille;
         let (body, seal) = match (spoilt, number % 3) {
             (true, 0) => (body[..body.len() / 2].to_vec(), seal),
             (true, 1) => (body, String::new()),
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -160,7 +160,7 @@
             .unwrap_or_else(|| "midway".into()),
         seconds: usage(arguments.opt_value_from_str("--seconds")).unwrap_or(30),
         seed: usage(arguments.opt_value_from_str("--seed")).unwrap_or(1),
-        spoil_per_mille: usage(arguments.opt_value_from_str("--spoil")).unwrap_or(5),
+        corrupted_per_mille: usage(arguments.opt_value_from_str("--spoil")).unwrap_or(5),
         folder: folder.unwrap_or_else(|| {
             std::env::temp_dir().join(format!("gradeford-rehearsal-{}", std::process::id()))
         }),
@@ -352,7 +352,7 @@
         listen: usage(arguments.value_from_str("--listen")),
         history: usage(arguments.value_from_str("--history")),
         work_us: usage(arguments.value_from_str("--work")),
-        spoil_per_mille: usage(arguments.value_from_str("--spoil")),
+        corrupted_per_mille: usage(arguments.value_from_str("--spoil")),
         seed: usage(arguments.value_from_str("--seed")),
         requests_per_second: usage(arguments.value_from_str("--rate")),
         hot_key_per_mille: usage(arguments.value_from_str("--hot")),
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -8,7 +8,7 @@
     pub scenario: String,
     pub seconds: u64,
     pub seed: u64,
-    pub spoil_per_mille: u32,
+    pub corrupted_per_mille: u32,
     pub folder: PathBuf,
     /// Given to every node, for paired runs.
     pub node_flags: Vec<String>,
@@ -40,7 +40,7 @@
         deployment.clone(),
         plan.folder.clone(),
         plan.seed,
-        plan.spoil_per_mille,
+        plan.corrupted_per_mille,
         &plan.node_flags,
     )?;
     let fleet = crate::fleet::Fleet {
--- a/crates/simulator/tests/path.rs
+++ b/crates/simulator/tests/path.rs
@@ -18,7 +18,7 @@
         scenario: "midway".into(),
         seconds: 6,
         seed: 1,
-        spoil_per_mille: 50,
+        corrupted_per_mille: 50,
         folder: folder.clone(),
         node_flags: vec![],
         changes: 2,
