--- a/crates/simulator/src/backend_stand_in.rs
+++ b/crates/simulator/src/backend_stand_in.rs
@@ -1,4 +1,4 @@
-//! A stand-in back end: registers, beats, runs, seals, and sends on its own account (design 9.5).
+//! A stand-in backend: registers, sends heartbeats, runs and seals requests, and sends requests as a client (design 9.5).
 
 use std::fmt::Display;
 use std::fs::File;
@@ -11,6 +11,7 @@
 use std::sync::atomic::AtomicU64;
 use std::time::Duration;
 
+/// Settings of one stand-in backend.
 #[derive(Clone, Debug)]
 pub struct StandInConfig {
     pub name: String,
@@ -20,32 +21,34 @@
     pub node_address: String,
     pub listen: String,
     pub history: PathBuf,
+    /// Time that a request takes, in microseconds.
     pub work_us: u64,
-    /// Out of a thousand replies, how many are spoilt in some way.
+    /// Number of replies in a thousand that are corrupted.
     pub corrupted_per_mille: u32,
     pub seed: u64,
-    /// Requests per second, and what they are.
+    /// Rate at which this stand-in sends the kinds of requests in `requests`.
     pub requests_per_second: f64,
-    /// At first; SIGUSR1 makes it nine in ten.
+    /// Initial number of keyed requests in a thousand that use the hot key; SIGUSR1 raises it to 900.
     pub hot_key_per_mille: u32,
     pub requests: Vec<crate::deployment::RequestSpec>,
 }
 
+/// State that the request handler, the heartbeats and the load generator share.
 pub struct StandIn {
     pub config: StandInConfig,
     pub incarnation: AtomicU64,
     pub run_count: AtomicU64,
     pub history: Mutex<File>,
-    /// Out of a thousand keyed requests, how many name the one hot key.
+    /// Number of keyed requests in a thousand that use the hot key.
     pub hot_key_per_mille: AtomicU32,
 }
 
 impl StandIn {
-    /// One unbuffered write: what is written stays though the process is killed.
+    /// Writes one record without a buffer, so that it survives a kill of the process.
     pub fn record(&self, record: &crate::history::Record) {
         let line = serde_json::to_string(record).unwrap_or_default() + "\n";
-        if let Ok(mut book) = self.history.lock() {
-            Write::write_all(&mut *book, line.as_bytes()).unwrap_or_default();
+        if let Ok(mut file) = self.history.lock() {
+            Write::write_all(&mut *file, line.as_bytes()).unwrap_or_default();
         }
     }
 }
@@ -55,65 +58,65 @@
 #[salvo::handler]
 impl RequestHandler {
     async fn handle(&self, request: &mut salvo::Request, response: &mut salvo::Response) {
-        let backstage = &self.0;
+        let stand_in = &self.0;
         let header = |name: &str| http_util::header_text(request, name).unwrap_or_default();
-        let (intended_service, own) = (
+        let (intended_service, own_service) = (
             header(backend_api::SERVICE_HEADER),
-            backstage.config.service.clone(),
+            stand_in.config.service.clone(),
         );
-        if intended_service != own {
-            backstage.record(&crate::history::Record::Misrouted {
-                backend: backstage.config.name.clone(),
+        if intended_service != own_service {
+            stand_in.record(&crate::history::Record::Misrouted {
+                backend: stand_in.config.name.clone(),
                 intended_service,
                 at: model::now(),
             });
             response.status_code(salvo::http::StatusCode::MISDIRECTED_REQUEST);
             return;
         }
-        let began = model::now();
-        let number = backstage
+        let started = model::now();
+        let run_number = stand_in
             .run_count
             .fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-        let incarnation = backstage
+        let incarnation = stand_in
             .incarnation
             .load(std::sync::atomic::Ordering::Relaxed);
-        let run = format!("{}-{incarnation}-{number}", backstage.config.name);
+        let run = format!("{}-{incarnation}-{run_number}", stand_in.config.name);
         let attempt_id = header(backend_api::ATTEMPT_ID_HEADER);
-        backstage.record(&crate::history::Record::RunBegan {
+        stand_in.record(&crate::history::Record::RunBegan {
             process: std::process::id(),
             run: run.clone(),
             attempt_id: attempt_id.clone(),
-            at: began,
-            backend: backstage.config.name.clone(),
+            at: started,
+            backend: stand_in.config.name.clone(),
             incarnation,
-            service: backstage.config.service.clone(),
+            service: stand_in.config.service.clone(),
             intended_service,
             client: header(backend_api::CLIENT_HEADER),
             path: request.uri().path().to_string(),
             key: http_util::header_text(request, backend_api::SHARD_KEY_HEADER),
         });
-        tokio::time::sleep(Duration::from_micros(backstage.config.work_us)).await;
-        // Whoever slept beyond the wait does no work any more, as its contract says.
-        let until = began
+        tokio::time::sleep(Duration::from_micros(stand_in.config.work_us)).await;
+        // The contract of a backend forbids work after the request's deadline, also after the process was frozen.
+        let deadline = started
             + header(backend_api::TIME_LEFT_HEADER)
                 .parse::<u64>()
                 .unwrap_or(0);
-        backstage.record(&crate::history::Record::RunEnded {
+        stand_in.record(&crate::history::Record::RunEnded {
             run: run.clone(),
-            at: model::now().min(until),
+            at: model::now().min(deadline),
         });
-        if model::now() > until {
+        if model::now() > deadline {
             response.status_code(salvo::http::StatusCode::GATEWAY_TIMEOUT);
             return;
         }
         let body =
-            serde_json::json!({ "try": attempt_id, "run": run, "service": backstage.config.service })
+            serde_json::json!({ "try": attempt_id, "run": run, "service": stand_in.config.service })
                 .to_string()
                 .into_bytes();
         let seal = backend_api::seal::seal(&attempt_id, 200, &body);
-        // A spoilt reply ran all the same: half a body, no seal, or another's seal.
-        let spoilt = rand::random::<u32>() % 1_000 < backstage.config.corrupted_per_mille;
-        let (body, seal) = match (spoilt, number % 3) {
+        // The request of a corrupted reply has run: its body is cut in half, or its seal is missing or of another reply.
+        let corrupted = rand::random::<u32>() % 1_000 < stand_in.config.corrupted_per_mille;
+        let (body, seal) = match (corrupted, run_number % 3) {
             (true, 0) => (body[..body.len() / 2].to_vec(), seal),
             (true, 1) => (body, String::new()),
             (true, _) => (body, backend_api::seal::seal("another", 200, b"")),
@@ -128,87 +131,89 @@
     }
 }
 
-pub async fn run(part: StandInConfig) -> Result<(), String> {
-    let told = |error: &dyn Display| error.to_string();
-    let book = OpenOptions::new()
+/// Runs the stand-in until SIGTERM.
+pub async fn run(config: StandInConfig) -> Result<(), String> {
+    let to_message = |error: &dyn Display| error.to_string();
+    let file = OpenOptions::new()
         .create(true)
         .append(true)
-        .open(&part.history)
-        .map_err(|error| told(&error))?;
-    let hot_key_per_mille = part.hot_key_per_mille.into();
-    let backstage = Arc::new(StandIn {
+        .open(&config.history)
+        .map_err(|error| to_message(&error))?;
+    let hot_key_per_mille = config.hot_key_per_mille.into();
+    let stand_in = Arc::new(StandIn {
         hot_key_per_mille,
-        config: part,
+        config,
         incarnation: Default::default(),
         run_count: Default::default(),
-        history: Mutex::new(book),
+        history: Mutex::new(file),
     });
-    let router = salvo::Router::with_path("{**rest}").goal(RequestHandler(backstage.clone()));
-    let serving = http_util::HttpServer::start(&backstage.config.listen, router)
+    let router = salvo::Router::with_path("{**rest}").goal(RequestHandler(stand_in.clone()));
+    let server = http_util::HttpServer::start(&stand_in.config.listen, router)
         .await
-        .map_err(|error| told(&error))?;
-    let address = serving.address.to_string();
+        .map_err(|error| to_message(&error))?;
+    let address = server.address.to_string();
     let http = reqwest::Client::builder()
         .no_proxy()
         .timeout(Duration::from_secs(10))
         .build()
-        .map_err(|error| told(&error))?;
-    let (given, passes) =
+        .map_err(|error| to_message(&error))?;
+    let (registration_sender, registrations) =
         tokio::sync::watch::channel(crate::load_generator::Registration::default());
-    let beating = tokio::spawn(register_and_heartbeat(
-        backstage.clone(),
+    let heartbeat_task = tokio::spawn(register_and_heartbeat(
+        stand_in.clone(),
         http.clone(),
         address,
-        given,
+        registration_sender,
     ));
-    let sending = tokio::spawn(crate::load_generator::generate_load(
-        backstage.clone(),
+    let load_task = tokio::spawn(crate::load_generator::generate_load(
+        stand_in.clone(),
         http.clone(),
-        passes.clone(),
+        registrations.clone(),
     ));
     let mut stop = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
-        .map_err(|error| told(&error))?;
-    let mut heat = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::user_defined1())
-        .map_err(|error| told(&error))?;
-    while tokio::select! { _ = stop.recv() => false, _ = heat.recv() => true } {
-        backstage
+        .map_err(|error| to_message(&error))?;
+    let mut hot_key_signal =
+        tokio::signal::unix::signal(tokio::signal::unix::SignalKind::user_defined1())
+            .map_err(|error| to_message(&error))?;
+    while tokio::select! { _ = stop.recv() => false, _ = hot_key_signal.recv() => true } {
+        stand_in
             .hot_key_per_mille
             .store(900, std::sync::atomic::Ordering::Relaxed);
     }
-    // A planned end: no more sending, drain, let runs end, sign off.
-    sending.abort();
-    let usher = &backstage.config.node_address;
-    let say = |path: &str| {
-        http.post(format!("http://{usher}/back-end/{path}"))
-            .bearer_auth(passes.borrow().secret.clone())
+    // A planned end: stop sending, drain, let the running requests finish, deregister.
+    load_task.abort();
+    let node = &stand_in.config.node_address;
+    let post_to_node = |path: &str| {
+        http.post(format!("http://{node}/back-end/{path}"))
+            .bearer_auth(registrations.borrow().secret.clone())
             .send()
     };
-    backstage.record(&crate::history::Record::BackendLeaving {
-        backend: backstage.config.name.clone(),
+    stand_in.record(&crate::history::Record::BackendLeaving {
+        backend: stand_in.config.name.clone(),
         at: model::now(),
     });
-    drop(say("drain").await);
+    drop(post_to_node("drain").await);
     tokio::time::sleep(Duration::from_millis(500)).await;
-    drop(say("sign-off").await);
-    beating.abort();
-    serving.stop(Duration::from_secs(3)).await;
+    drop(post_to_node("sign-off").await);
+    heartbeat_task.abort();
+    server.stop(Duration::from_secs(3)).await;
     Ok(())
 }
 
-/// Registers until it is taken, beats until it is told to register again.
+/// Registers, then sends heartbeats until one fails, and registers again.
 async fn register_and_heartbeat(
-    backstage: Arc<StandIn>,
+    stand_in: Arc<StandIn>,
     http: reqwest::Client,
     address: String,
-    given: tokio::sync::watch::Sender<crate::load_generator::Registration>,
+    registration_sender: tokio::sync::watch::Sender<crate::load_generator::Registration>,
 ) {
-    let part = &backstage.config;
-    let usher = format!("http://{}/back-end", part.node_address);
+    let config = &stand_in.config;
+    let node_url = format!("http://{}/back-end", config.node_address);
     loop {
-        let ask = serde_json::json!({ "name": part.name, "service": part.service, "zone": part.zone, "slots": part.slots, "address": address });
+        let request = serde_json::json!({ "name": config.name, "service": config.service, "zone": config.zone, "slots": config.slots, "address": address });
         let answer: Option<serde_json::Value> = match http
-            .post(format!("{usher}/register"))
-            .json(&ask)
+            .post(format!("{node_url}/register"))
+            .json(&request)
             .send()
             .await
         {
@@ -217,37 +222,36 @@
         };
         if let Some(answer) = answer {
             let secret = answer["secret"].as_str().unwrap_or_default().to_string();
-            backstage.incarnation.store(
+            stand_in.incarnation.store(
                 answer["incarnation"].as_u64().unwrap_or(0),
                 std::sync::atomic::Ordering::Relaxed,
             );
-            let try_prefix = answer["try_prefix"]
+            let attempt_prefix = answer["try_prefix"]
                 .as_str()
                 .map(str::to_string)
-                .unwrap_or_else(|| format!("{}.{}.", part.name, answer["incarnation"]));
-            given.send_replace(crate::load_generator::Registration {
+                .unwrap_or_else(|| format!("{}.{}.", config.name, answer["incarnation"]));
+            registration_sender.send_replace(crate::load_generator::Registration {
                 secret: secret.clone(),
-                attempt_prefix: try_prefix,
+                attempt_prefix,
             });
-            let pause = Duration::from_micros(answer["beat_every_us"].as_u64().unwrap_or(300_000));
+            let interval =
+                Duration::from_micros(answer["beat_every_us"].as_u64().unwrap_or(300_000));
             let mut keys: Vec<serde_json::Value> = Vec::new();
             loop {
-                tokio::time::sleep(pause).await;
-                let beat = serde_json::json!({ "service": part.service, "zone": part.zone, "slots": part.slots, "state": "serving", "keys": keys });
-                let beaten = http
-                    .post(format!("{usher}/beat"))
+                tokio::time::sleep(interval).await;
+                let heartbeat = serde_json::json!({ "service": config.service, "zone": config.zone, "slots": config.slots, "state": "serving", "keys": keys });
+                let sent = http
+                    .post(format!("{node_url}/beat"))
                     .bearer_auth(&secret)
-                    .json(&beat)
+                    .json(&heartbeat)
                     .send()
                     .await;
-                let Some(told) = beaten
-                    .ok()
-                    .filter(|response| response.status().is_success())
+                let Some(response) = sent.ok().filter(|response| response.status().is_success())
                 else {
                     break;
                 };
-                let told: serde_json::Value = told.json().await.unwrap_or_default();
-                keys = told["terms"]
+                let answer: serde_json::Value = response.json().await.unwrap_or_default();
+                keys = answer["terms"]
                     .as_array()
                     .into_iter()
                     .flatten()
--- a/crates/simulator/src/deployment.rs
+++ b/crates/simulator/src/deployment.rs
@@ -1,35 +1,42 @@
-//! The two sites of the brief, and a small one for a quick look (design 9.5).
+//! The deployments that the simulator runs: two full sites and a small one for short tests (design 9.5).
 
+/// A kind of request that a stand-in client sends.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct RequestSpec {
     pub service: String,
     pub path: String,
+    /// Time within which an answer is useful, in microseconds.
     pub wait_us: u64,
     pub repeatable: bool,
     pub keyed: bool,
+    /// Share of the client's traffic, relative to the weights of its other requests.
     pub weight: u32,
 }
 
+/// A site: its machines, services, routes and load.
 #[derive(Clone, Debug)]
 pub struct Deployment {
     pub name: &'static str,
     pub zone_count: usize,
     pub replica_count: usize,
+    /// Requests per second of all clients together.
     pub rate: f64,
+    /// Concurrent requests per backend.
     pub slots: u32,
+    /// Time that a backend works on a request, in microseconds.
     pub work_us: u64,
-    /// So long that one key fills its back end, and all others still fit.
+    /// Work time, in microseconds, at which one hot key uses up its backend and the other backends still have capacity.
     pub slow_work_us: u64,
-    /// How long a sync of a core machine takes.
+    /// Duration of a disk sync of a replica, in microseconds.
     pub sync_us: u64,
-    /// One way between zones.
+    /// One-way delay between zones, in microseconds.
     pub zone_delay_us: u64,
-    /// Service and how many back ends it has.
+    /// Name of each service and the number of its backends.
     pub services: Vec<(&'static str, usize)>,
-    /// Sender, target, path, repeatable, keyed, importance, share of the sender's traffic.
     pub routes: Vec<RouteSpec>,
 }
 
+/// Client service, target service, path, repeatable, keyed, importance, share of the client's traffic.
 pub type RouteSpec = (
     &'static str,
     &'static str,
@@ -40,8 +47,10 @@
     u32,
 );
 
+/// Wait time of every request, in microseconds.
 pub const DEFAULT_WAIT_US: u64 = 3_000_000;
 
+/// The deployment of this name.
 pub fn named(name: &str) -> Option<Deployment> {
     match name {
         "swanreach" => Some(Deployment {
@@ -103,22 +112,23 @@
 }
 
 impl Deployment {
-    /// Machines with back ends: name, service, zone.
+    /// Name, service and zone of each backend; each runs on a machine of its own.
     pub fn backends(&self) -> Vec<(String, &'static str, usize)> {
         self.services
             .iter()
             .flat_map(|(service, count)| {
-                (0..*count).map(move |at| (format!("{service}-{at}"), *service))
+                (0..*count).map(move |index| (format!("{service}-{index}"), *service))
             })
             .enumerate()
-            .map(|(at, (name, service))| (name, service, at % self.zone_count))
+            .map(|(index, (name, service))| (name, service, index % self.zone_count))
             .collect()
     }
 
+    /// The kinds of requests that clients of this service send.
     pub fn client_requests(&self, service: &str) -> Vec<RequestSpec> {
         self.routes
             .iter()
-            .filter(|lane| lane.0 == service)
+            .filter(|route| route.0 == service)
             .map(
                 |(_, target, path, repeatable, keyed, _, weight)| RequestSpec {
                     service: target.to_string(),
@@ -132,7 +142,7 @@
             .collect()
     }
 
-    /// The groupings and standing orders of the site, as an operator would write them.
+    /// The edits by which an operator defines the site's groupings and routes.
     pub fn edits(&self) -> Vec<serde_json::Value> {
         let zones = 0..self.zone_count;
         let groupings = self.services.iter().flat_map(|(service, _)| {
--- a/crates/simulator/src/disk.rs
+++ b/crates/simulator/src/disk.rs
@@ -1,4 +1,5 @@
-//! A core seat's disk that is slow, stalls, fills up or tears, as a file in its folder says (design 9.4).
+//! A simulated disk of a replica with faults: slow, stalled, full or with torn writes. A file in its folder selects the
+//! fault (design 9.4).
 
 use std::fmt::Display;
 use std::fs::File;
@@ -11,20 +12,23 @@
 use std::sync::atomic::AtomicBool;
 use std::time::Duration;
 
-/// What the file `fault` in the seat's folder may say; nothing, or no file, is a sound disk.
+/// The faults that the file `fault` in the replica's folder can select. Without the file, or with any other content,
+/// the disk is healthy.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DiskFault {
     Healthy,
-    /// Each sync takes so much longer.
+    /// Each sync takes 100 times as long.
     Slow,
-    /// Nothing gets through until it is over.
+    /// Writes and syncs block until the fault is removed.
     Stalled,
+    /// Writes and syncs fail with `StorageFull`.
     Full,
-    /// The next write is torn in half, and the machine is gone.
+    /// The next write stores only its first half, and the process aborts.
     Torn,
 }
 
 impl DiskFault {
+    /// Content of the file `fault` that selects this fault.
     pub fn file_text(self) -> &'static str {
         match self {
             DiskFault::Healthy => "sound",
@@ -36,7 +40,7 @@
     }
 
     fn read(folder: &Path) -> DiskFault {
-        let told = std::fs::read_to_string(folder.join("fault")).unwrap_or_default();
+        let content = std::fs::read_to_string(folder.join("fault")).unwrap_or_default();
         [
             DiskFault::Slow,
             DiskFault::Stalled,
@@ -44,11 +48,12 @@
             DiskFault::Torn,
         ]
         .into_iter()
-        .find(|ill| ill.file_text() == told.trim())
+        .find(|fault| fault.file_text() == content.trim())
         .unwrap_or(DiskFault::Healthy)
     }
 }
 
+/// Storage backend of a replica that applies the selected fault to each operation.
 #[derive(Debug)]
 pub struct FaultyDisk {
     file: File,
@@ -57,6 +62,7 @@
 }
 
 impl FaultyDisk {
+    /// Opens the store in this folder; each sync is delayed by `sync_us` microseconds.
     pub fn open(folder: &Path, sync_us: u64) -> std::io::Result<FaultyDisk> {
         std::fs::create_dir_all(folder)?;
         let file = OpenOptions::new()
@@ -72,13 +78,13 @@
         })
     }
 
-    /// Before each operation that changes the file.
+    /// Applies the selected fault before an operation that changes or syncs the file.
     fn apply_fault(&self) -> std::io::Result<DiskFault> {
         loop {
             match DiskFault::read(&self.folder) {
                 DiskFault::Stalled => std::thread::sleep(Duration::from_millis(20)),
                 DiskFault::Full => return Err(ErrorKind::StorageFull.into()),
-                ill => return Ok(ill),
+                fault => return Ok(fault),
             }
         }
     }
@@ -99,12 +105,12 @@
     }
 
     fn sync_data(&self) -> std::io::Result<()> {
-        let longer = if self.apply_fault()? == DiskFault::Slow {
+        let delay_factor = if self.apply_fault()? == DiskFault::Slow {
             100
         } else {
             1
         };
-        std::thread::sleep(self.sync_delay * longer);
+        std::thread::sleep(self.sync_delay * delay_factor);
         self.file.sync_data()
     }
 
@@ -117,50 +123,50 @@
     }
 }
 
-/// A core seat as `gradeford-core` puts it together, over such a disk.
+/// Runs a replica as `gradeford-core` does, over a simulated disk.
 pub async fn run_replica(
-    env: control::ReplicaConfig,
-    mates: String,
-    operators: String,
+    config: control::ReplicaConfig,
+    peer_address: String,
+    operators_address: String,
     sync_us: u64,
 ) -> Result<(), String> {
-    let told = |error: &dyn Display| error.to_string();
-    let listener = tokio::net::TcpListener::bind(&mates)
+    let to_message = |error: &dyn Display| error.to_string();
+    let listener = tokio::net::TcpListener::bind(&peer_address)
         .await
-        .map_err(|error| told(&error))?;
-    let folder = env.folder.clone();
-    drop(FaultyDisk::open(&folder, sync_us).map_err(|error| told(&error))?);
-    // Opened again after a failure, as the vault does.
-    let opened = move || {
+        .map_err(|error| to_message(&error))?;
+    let folder = config.folder.clone();
+    drop(FaultyDisk::open(&folder, sync_us).map_err(|error| to_message(&error))?);
+    // The store reopens its backend after a failure.
+    let open_backend = move || {
         FaultyDisk::open(&folder, sync_us).unwrap_or_else(|error| {
-            eprintln!("the folder is gone: {error}");
+            eprintln!("the store cannot be reopened; the process exits: {error}");
             std::process::exit(1)
         })
     };
-    let storage::RecoveredStore {
-        store: shelf,
-        writes,
-    } = storage::ReplicaStore::open_with_backend(opened).map_err(|error| told(&error))?;
+    let storage::RecoveredStore { store, writes } =
+        storage::ReplicaStore::open_with_backend(open_backend)
+            .map_err(|error| to_message(&error))?;
     let (logger, _guard) = model::logging::start_logger(
         "seat",
-        &env.name,
+        &config.name,
         model::logging::LogLevelSwitch::new(slog::Level::Info),
     );
-    let core = control::ReplicaHandle::start_on(env, shelf, writes, logger)
-        .map_err(|error| told(&error))?;
-    let staying = Arc::new(AtomicBool::new(true));
-    let office = operator_api::OperatorApi {
-        replica: core.clone(),
-        accepting_work: staying.clone(),
+    let replica = control::ReplicaHandle::start_on(config, store, writes, logger)
+        .map_err(|error| to_message(&error))?;
+    let accepting_work = Arc::new(AtomicBool::new(true));
+    let operator_api = operator_api::OperatorApi {
+        replica: replica.clone(),
+        accepting_work: accepting_work.clone(),
     };
-    let serving = http_util::HttpServer::start(&operators, operator_api::router(office))
-        .await
-        .map_err(|error| told(&error))?;
-    tokio::spawn(control::updates::server::listen(core, listener));
+    let server =
+        http_util::HttpServer::start(&operators_address, operator_api::router(operator_api))
+            .await
+            .map_err(|error| to_message(&error))?;
+    tokio::spawn(control::updates::server::listen(replica, listener));
     let mut stop = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
-        .map_err(|error| told(&error))?;
+        .map_err(|error| to_message(&error))?;
     stop.recv().await;
-    staying.store(false, std::sync::atomic::Ordering::Relaxed);
-    serving.stop(Duration::from_secs(5)).await;
+    accepting_work.store(false, std::sync::atomic::Ordering::Relaxed);
+    server.stop(Duration::from_secs(5)).await;
     Ok(())
 }
--- a/crates/simulator/src/fleet/mod.rs
+++ b/crates/simulator/src/fleet/mod.rs
@@ -96,7 +96,7 @@
             .iter()
             .map(|core| core.operators_address.clone())
             .collect();
-        self.until_ready(&cores).await?;
+        self.wait_until_ready(&cores).await?;
         self.apply("site", 0, self.deployment.edits()).await?;
         (0..self.machines.len()).try_for_each(|at| self.start_node(at))?;
         let ushers: Vec<String> = self
@@ -104,9 +104,9 @@
             .iter()
             .map(|machine| machine.local_address.clone())
             .collect();
-        self.until_ready(&ushers).await?;
+        self.wait_until_ready(&ushers).await?;
         (0..self.machines.len()).try_for_each(|at| self.start_stand_in(at))?;
-        self.until_registered(self.machines.len()).await
+        self.wait_until_registered(self.machines.len()).await
     }
 
     pub async fn get(&self, address: &str, path: &str) -> Option<(u16, serde_json::Value)> {
@@ -199,7 +199,7 @@
     }
 
     /// Waits as long as it takes, up to a minute: a bound for broken runs, not a figure.
-    pub async fn until<F: Future<Output = bool>>(
+    pub async fn wait_until<F: Future<Output = bool>>(
         &self,
         what: &str,
         holds: impl Fn() -> F,
@@ -214,9 +214,9 @@
             .map_err(|_| format!("never came: {what}"))
     }
 
-    pub async fn until_ready(&self, addresses: &[String]) -> Result<(), String> {
+    pub async fn wait_until_ready(&self, addresses: &[String]) -> Result<(), String> {
         for address in addresses {
-            self.until(&format!("{address} ready"), || async {
+            self.wait_until(&format!("{address} ready"), || async {
                 matches!(self.get(address, "/ready").await, Some((200, _)))
             })
             .await?;
@@ -224,8 +224,8 @@
         Ok(())
     }
 
-    pub async fn until_registered(&self, count: usize) -> Result<(), String> {
-        self.until("back ends registered", || async {
+    pub async fn wait_until_registered(&self, count: usize) -> Result<(), String> {
+        self.wait_until("back ends registered", || async {
             let mut registered = 0;
             for core in &self.replicas {
                 if let Some((200, standing)) =
@@ -268,12 +268,15 @@
             group
                 .iter()
                 .for_each(|process| process.signal(rustix::process::Signal::TERM));
-            let ended = async {
-                while !group.iter_mut().all(|process| process.ended().is_some()) {
+            let exit_status = async {
+                while !group
+                    .iter_mut()
+                    .all(|process| process.exit_status().is_some())
+                {
                     tokio::time::sleep(Duration::from_millis(20)).await;
                 }
             };
-            tokio::time::timeout(Duration::from_secs(15), ended)
+            tokio::time::timeout(Duration::from_secs(15), exit_status)
                 .await
                 .unwrap_or_default();
         }
--- a/crates/simulator/src/forging_clients.rs
+++ b/crates/simulator/src/forging_clients.rs
@@ -1,13 +1,14 @@
-//! Stand-ins that lie: about their service, with old secrets, with another's secret and names (design 9.5).
+//! Clients that forge their identity: false headers, invalid and expired secrets, attempt ids of others (design 9.5).
 
 use crate::history::Record;
 use std::time::Duration;
 
+/// Registers with one node and sends forged requests to it.
 #[derive(Clone)]
 pub struct ForgingClient {
     node_address: String,
     zone: String,
-    /// What it is, and where it may not send.
+    /// Its own service, and service and path of a route that this service may not use.
     service: String,
     target: (String, String),
     history: crate::history_writer::HistoryWriter,
@@ -15,86 +16,90 @@
 }
 
 impl ForgingClient {
-    /// Beside the last machine, as a back end of the last service; at a site of one service it lies all the same.
+    /// A client of the last machine's node, registered for the last service. Where every route is allowed, as at a site
+    /// with one service, the target is the first route.
     pub fn beside(fleet: &crate::fleet::Fleet) -> ForgingClient {
         let deployment = &fleet.deployment;
         let last = fleet.machines.len() - 1;
         let (_, service, zone) = deployment.backends().pop().unwrap_or_default();
-        let forbidden = |lane: &&crate::deployment::RouteSpec| {
+        let forbidden = |route: &&crate::deployment::RouteSpec| {
             !deployment
                 .routes
                 .iter()
-                .any(|other| other.0 == service && other.1 == lane.1)
+                .any(|other| other.0 == service && other.1 == route.1)
         };
-        let lane = deployment
+        let route = deployment
             .routes
             .iter()
             .find(forbidden)
             .unwrap_or(&deployment.routes[0]);
-        let target = (lane.1.to_string(), lane.2.to_string());
-        let (usher, notebook, http) = (
+        let target = (route.1.to_string(), route.2.to_string());
+        let (node_address, history, http) = (
             fleet.machines[last].local_address.clone(),
             fleet.history_writer(),
             fleet.http.clone(),
         );
         ForgingClient {
-            node_address: usher,
+            node_address,
             zone: format!("z{zone}"),
             service: service.to_string(),
             target,
-            history: notebook,
+            history,
             http,
         }
     }
 
-    /// Registered with no slots: it only sends.
+    /// Registers without slots, so that the client receives no requests. Returns its secret and attempt id prefix.
     async fn register(&self, name: &str) -> Option<(String, String)> {
-        let ask = serde_json::json!({ "name": name, "service": self.service, "zone": self.zone, "slots": 0, "address": "127.0.0.1:9" });
+        let request = serde_json::json!({ "name": name, "service": self.service, "zone": self.zone, "slots": 0, "address": "127.0.0.1:9" });
         let answer = self
             .http
             .post(format!("http://{}/back-end/register", self.node_address))
-            .json(&ask)
+            .json(&request)
             .send()
             .await
             .ok()?;
-        let told: serde_json::Value = answer.json().await.ok()?;
+        let answer_body: serde_json::Value = answer.json().await.ok()?;
         Some((
-            told["secret"].as_str()?.to_string(),
-            told["try_prefix"].as_str()?.to_string(),
+            answer_body["secret"].as_str()?.to_string(),
+            answer_body["try_prefix"].as_str()?.to_string(),
         ))
     }
 
+    /// Sends one request with forged headers and records the answer.
     async fn send_forged(&self, secret: &str, prefix: &str, number: u64) -> Result<(), String> {
         let (service, path) = &self.target;
-        let (try_id, asked) = (format!("{prefix}{}/{number}", self.service), model::now());
+        let (attempt_id, asked) = (format!("{prefix}{}/{number}", self.service), model::now());
         let request = self
             .http
             .post(format!("http://{}/call/{service}{path}", self.node_address))
             .bearer_auth(secret);
-        let lies = [
+        let forged_headers = [
             (backend_api::CLIENT_HEADER, service.as_str()),
             (backend_api::SERVICE_HEADER, &self.service),
             (backend_api::INCARNATION_HEADER, "1"),
             (backend_api::FENCING_TOKEN_HEADER, "1"),
         ];
-        let request = lies.into_iter().fold(request, |request, (name, value)| {
-            request.header(name, value)
-        });
+        let request = forged_headers
+            .into_iter()
+            .fold(request, |request, (name, value)| {
+                request.header(name, value)
+            });
         let answer = request
-            .header(backend_api::ATTEMPT_ID_HEADER, &try_id)
+            .header(backend_api::ATTEMPT_ID_HEADER, &attempt_id)
             .header(backend_api::SHARD_KEY_HEADER, "hot")
             .send()
             .await;
         let Ok(response) = answer else { return Ok(()) };
         let status = response.status().as_u16();
-        let verdict = response
+        let execution_status = response
             .headers()
             .get("x-gradeford-verdict")
             .and_then(|value| value.to_str().ok())
             .map(str::to_string);
-        let told: serde_json::Value = response.json().await.unwrap_or_default();
+        let answer_body: serde_json::Value = response.json().await.unwrap_or_default();
         self.history.write(&Record::ClientAnswered {
-            attempt_id: try_id,
+            attempt_id,
             asked,
             at: model::now(),
             wait_us: crate::deployment::DEFAULT_WAIT_US,
@@ -105,33 +110,34 @@
             path: path.clone(),
             key: None,
             status,
-            complete: told["try"].is_string() && verdict.is_none(),
-            execution_status: verdict,
-            error_kind: told["cause"].as_str().map(str::to_string),
+            complete: answer_body["try"].is_string() && execution_status.is_none(),
+            execution_status,
+            error_kind: answer_body["cause"].as_str().map(str::to_string),
             has_retry_after: true,
         })
     }
 }
 
-/// In its own name with our headers set, with no secret at all, under another's names, and with an ended life's secret.
+/// Sends forged requests until `stop` is set: with internal headers set, with an invalid secret, with the attempt id
+/// prefix of another backend, and with the secret of an ended registration.
 pub async fn run(
-    forger: ForgingClient,
+    client: ForgingClient,
     mut stop: tokio::sync::watch::Receiver<bool>,
 ) -> Result<(), String> {
-    for turn in 0u64.. {
-        let name = format!("forger-{turn}");
-        if let Some((secret, prefix)) = forger.register(&name).await {
-            forger.send_forged(&secret, &prefix, 0).await?;
-            forger.send_forged("0123456789abcdef", &prefix, 1).await?;
-            forger.send_forged(&secret, "seat-0.1.", 2).await?;
-            let off = forger
+    for round in 0u64.. {
+        let name = format!("forger-{round}");
+        if let Some((secret, prefix)) = client.register(&name).await {
+            client.send_forged(&secret, &prefix, 0).await?;
+            client.send_forged("0123456789abcdef", &prefix, 1).await?;
+            client.send_forged(&secret, "seat-0.1.", 2).await?;
+            let sign_off = client
                 .http
-                .post(format!("http://{}/back-end/sign-off", forger.node_address))
+                .post(format!("http://{}/back-end/sign-off", client.node_address))
                 .bearer_auth(&secret)
                 .send()
                 .await;
-            drop(off);
-            forger.send_forged(&secret, &prefix, 3).await?;
+            drop(sign_off);
+            client.send_forged(&secret, &prefix, 3).await?;
         }
         if tokio::time::timeout(Duration::from_millis(200), stop.wait_for(|stop| *stop))
             .await
--- a/crates/simulator/src/history.rs
+++ b/crates/simulator/src/history.rs
@@ -1,12 +1,13 @@
-//! What stand-ins saw, one JSON line each, and what must hold over all of it (design 9.5).
+//! Records that the stand-ins write to history files, one JSON object per line, and the report of a run (design 9.5).
 
 use std::collections::BTreeMap;
 use std::path::Path;
 
+/// One line of a history file. Times are in microseconds of the clock `model::now`.
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum Record {
-    /// A back end began to run a request; written before anything else happens.
+    /// A backend started to run a request. Written before the backend does any work for the request.
     #[serde(rename = "began")]
     RunBegan {
         run: String,
@@ -17,7 +18,7 @@
         backend: String,
         #[serde(rename = "life")]
         incarnation: u64,
-        /// Two live back ends may bear one name: an old one that slept, and its successor.
+        /// Process id: two live backends may share one name, a frozen process and its successor.
         process: u32,
         service: String,
         #[serde(rename = "meant_for")]
@@ -29,7 +30,7 @@
     },
     #[serde(rename = "ended")]
     RunEnded { run: String, at: u64 },
-    /// A sender was told how its try ended; `again`: this was not its first arrival.
+    /// A client received the result of an attempt; `repeated` marks any but the first send of this attempt.
     #[serde(rename = "told")]
     ClientAnswered {
         #[serde(rename = "try_id")]
@@ -56,14 +57,14 @@
         #[serde(rename = "whole")]
         complete: bool,
     },
-    /// A back end asked to be drained, or was killed, at this time.
+    /// A backend requested its drain, or was killed, at this time.
     #[serde(rename = "leaving")]
     BackendLeaving {
         #[serde(rename = "by")]
         backend: String,
         at: u64,
     },
-    /// An operator's change of a lane: sent, and (`accepted`) answered.
+    /// An operator's change of a route: written when it is sent, and again with `accepted` when it is accepted.
     #[serde(rename = "lane")]
     RouteChange {
         #[serde(rename = "sender")]
@@ -74,7 +75,7 @@
         accepted: bool,
         at: u64,
     },
-    /// An operator's change: what was sent, and what came back. Without a version and not refused: nobody knows.
+    /// An operator's change and its answer. Without a version and with `refused` unset, the outcome is unknown.
     #[serde(rename = "change")]
     DesiredChange {
         id: String,
@@ -86,13 +87,14 @@
         position: Option<u64>,
         refused: bool,
     },
+    /// The desired state that a replica returned to an operator.
     #[serde(rename = "read_back")]
     StateRead {
         asked: u64,
         at: u64,
         desired: serde_json::Value,
     },
-    /// What a node said of itself.
+    /// The status that a node reported.
     #[serde(rename = "seen")]
     NodeObserved {
         node: String,
@@ -102,17 +104,17 @@
         position: u64,
         fresh: bool,
     },
-    /// A fault was taken away; the last of these is when recovery began.
+    /// A fault was removed; recovery is measured from the last of these records.
     #[serde(rename = "healed")]
     FaultHealed { at: u64 },
-    /// An usher dispatched a try again; from its log.
+    /// A node dispatched an attempt again; taken from the node's log.
     #[serde(rename = "extra")]
     AttemptRepeated {
         node: String,
         service: String,
         at: u64,
     },
-    /// A request meant for another service reached this back end, which refused it.
+    /// A request for another service reached this backend, which rejected it.
     Misrouted {
         #[serde(rename = "by")]
         backend: String,
@@ -120,7 +122,7 @@
         intended_service: String,
         at: u64,
     },
-    /// A machine's usher stood still: what it held it could not answer.
+    /// A node's process was frozen and could not answer the requests that it held.
     #[serde(rename = "stood")]
     NodeStalled {
         #[serde(rename = "by")]
@@ -128,15 +130,16 @@
         from: u64,
         to: u64,
     },
-    /// From here on one key swamps the rest.
+    /// From this time on most keyed requests use one hot key.
     #[serde(rename = "heated")]
     HotKeyStarted { at: u64 },
 }
 
+/// Counts, measurements and violated invariants of one run.
 #[derive(Debug, Default, serde::Serialize)]
 pub struct Report {
     pub asked: usize,
-    /// Second arrivals of the same tries.
+    /// Repeated sends of the same attempts.
     #[serde(rename = "again")]
     pub repeated: usize,
     pub served: usize,
@@ -145,27 +148,34 @@
     pub causes: BTreeMap<String, usize>,
     #[serde(rename = "figures")]
     pub measurements: crate::measurements::Measurements,
-    /// Service to how long after the last fault it was served again.
+    /// Time from the last fault until each service was served again, in microseconds.
     #[serde(rename = "back_us")]
     pub recovery_us: BTreeMap<String, u64>,
-    /// What the scenario was to bring about and did not: nothing was proved about it.
+    /// Events that the scenario must cause and that were not observed: the run tests nothing about them.
     #[serde(rename = "not_provoked")]
     pub not_observed: Vec<String>,
+    /// Violations per invariant.
     pub invariants: BTreeMap<String, Vec<String>>,
 }
 
 impl Report {
+    /// Whether no invariant was violated.
     pub fn holds(&self) -> bool {
         self.invariants.values().all(Vec::is_empty)
     }
 }
 
+/// Reads the records of all history files in a folder.
 pub fn read(folder: &Path) -> std::io::Result<Vec<Record>> {
     let files: Vec<_> = std::fs::read_dir(folder)?
         .filter_map(Result::ok)
-        .filter(|file| file.path().extension().is_some_and(|end| end == "history"))
+        .filter(|file| {
+            file.path()
+                .extension()
+                .is_some_and(|extension| extension == "history")
+        })
         .collect();
-    // A killed process may leave its last line unfinished.
+    // A killed process may leave its last line incomplete; such a line does not parse and is skipped.
     let lines = files
         .into_iter()
         .map(|file| std::fs::read_to_string(file.path()))
@@ -177,18 +187,18 @@
         .collect())
 }
 
-/// What ushers wrote down of extra dispatches, as their logs have it.
+/// Reads the repeated dispatches from the logs of the nodes in a folder.
 pub fn repeated_attempts(folder: &Path) -> std::io::Result<Vec<Record>> {
     let logs = std::fs::read_dir(folder)?
         .filter_map(Result::ok)
         .filter(|file| file.file_name().to_string_lossy().starts_with("node-"));
-    let of = |line: &str| {
-        let told: serde_json::Value = serde_json::from_str(line).ok()?;
-        let text = |name: &str| told[name].as_str().map(str::to_string);
+    let parse_entry = |line: &str| {
+        let entry: serde_json::Value = serde_json::from_str(line).ok()?;
+        let text = |name: &str| entry[name].as_str().map(str::to_string);
         Some(Record::AttemptRepeated {
             node: text("name")?,
             service: text("service")?,
-            at: told["at"].as_u64()?,
+            at: entry["at"].as_u64()?,
         })
     };
     let texts = logs
@@ -198,6 +208,6 @@
         .iter()
         .flat_map(|text| text.lines())
         .filter(|line| line.contains("\"dispatched again\""))
-        .filter_map(of)
+        .filter_map(parse_entry)
         .collect())
 }
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,4 +1,4 @@
-//! The test-only side: a simulator in virtual time, stand-ins, and a one-machine fleet (design 9).
+//! Test-only crate: simulators in virtual time, stand-in processes, and whole deployments on one machine (design 9).
 
 pub mod backend_stand_in;
 pub mod checker;
--- a/crates/simulator/src/load_generator.rs
+++ b/crates/simulator/src/load_generator.rs
@@ -1,20 +1,21 @@
-//! A stand-in sender: what it asked and what it was told (design 9.5).
+//! The client side of a stand-in: sends requests at a steady rate and records every answer (design 9.5).
 
 use std::sync::Arc;
 use std::time::Duration;
 
 type SharedStandIn = Arc<crate::backend_stand_in::StandIn>;
 
-/// What the latest registration gave: nothing is sent before the first.
+/// Secret and attempt id prefix of the latest registration. No request is sent before the first registration.
 #[derive(Clone, Debug, Default)]
 pub struct Registration {
     pub secret: String,
     pub attempt_prefix: String,
 }
 
+/// The latest registration of the stand-in.
 pub type Registrations = tokio::sync::watch::Receiver<Registration>;
 
-/// One try, however often it is sent.
+/// One attempt; every repeated send has the same id.
 #[derive(Clone)]
 struct PlannedAttempt {
     id: String,
@@ -22,37 +23,50 @@
     key: String,
 }
 
-/// Sends at a steady rate whatever comes back, as many callers would.
-pub async fn generate_load(backstage: SharedStandIn, http: reqwest::Client, passes: Registrations) {
-    let part = &backstage.config;
-    if part.requests.is_empty() || part.requests_per_second <= 0.0 {
+/// Starts attempts at a steady rate that does not depend on the answers, as many independent callers do.
+pub async fn generate_load(
+    stand_in: SharedStandIn,
+    http: reqwest::Client,
+    registrations: Registrations,
+) {
+    let config = &stand_in.config;
+    if config.requests.is_empty() || config.requests_per_second <= 0.0 {
         return;
     }
-    let mut random: rand::rngs::StdRng = rand::SeedableRng::seed_from_u64(part.seed);
-    let mut every = tokio::time::interval(Duration::from_secs_f64(1.0 / part.requests_per_second));
-    every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    for number in 0u64.. {
-        every.tick().await;
-        let pass = passes.borrow().clone();
-        if pass.secret.is_empty() {
+    let mut random: rand::rngs::StdRng = rand::SeedableRng::seed_from_u64(config.seed);
+    let mut interval =
+        tokio::time::interval(Duration::from_secs_f64(1.0 / config.requests_per_second));
+    interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    for sequence in 0u64.. {
+        interval.tick().await;
+        let registration = registrations.borrow().clone();
+        if registration.secret.is_empty() {
             continue;
         }
-        let whole: u32 = part.requests.iter().map(|sending| sending.weight).sum();
-        let drawn = rand::Rng::random_range(&mut random, 0..whole.max(1));
-        let sending = part.requests.iter().scan(0, |passed, sending| {
-            *passed += sending.weight;
-            Some((*passed, sending))
-        });
-        let Some(sending) = sending
+        let total_weight: u32 = config
+            .requests
+            .iter()
+            .map(|request_spec| request_spec.weight)
+            .sum();
+        let draw = rand::Rng::random_range(&mut random, 0..total_weight.max(1));
+        let by_cumulative_weight =
+            config
+                .requests
+                .iter()
+                .scan(0, |cumulative_weight, request_spec| {
+                    *cumulative_weight += request_spec.weight;
+                    Some((*cumulative_weight, request_spec))
+                });
+        let Some(request_spec) = by_cumulative_weight
             .into_iter()
-            .find(|(passed, _)| drawn < *passed)
-            .map(|(_, sending)| sending.clone())
+            .find(|(cumulative_weight, _)| draw < *cumulative_weight)
+            .map(|(_, request_spec)| request_spec.clone())
         else {
             continue;
         };
-        // So many keyed requests of a thousand name one key: one that swamps the rest.
+        // This fraction of the keyed requests uses the one hot key.
         let hot = rand::Rng::random_range(&mut random, 0..1_000)
-            < backstage
+            < stand_in
                 .hot_key_per_mille
                 .load(std::sync::atomic::Ordering::Relaxed);
         let key = if hot {
@@ -60,69 +74,81 @@
         } else {
             format!("key-{}", rand::Rng::random_range(&mut random, 0..500))
         };
-        let one = PlannedAttempt {
-            id: format!("{}{}/{number}", pass.attempt_prefix, part.service),
-            request: sending,
+        let attempt = PlannedAttempt {
+            id: format!(
+                "{}{}/{sequence}",
+                registration.attempt_prefix, config.service
+            ),
+            request: request_spec,
             key,
         };
         tokio::spawn(drive_attempt(
-            backstage.clone(),
+            stand_in.clone(),
             http.clone(),
-            passes.clone(),
-            one,
+            registrations.clone(),
+            attempt,
             rand::Rng::random_range(&mut random, 0..60),
         ));
     }
 }
 
-/// Most tries are sent once. Some are sent twice at once, some again later, and each whose conn broke
-/// again with whatever registration there is then: none may run twice for it.
+/// Sends one attempt. Most attempts are sent once. Some are sent twice concurrently, some again while the first may
+/// still run, and an attempt whose connection broke is sent again with the registration valid at that time. None of
+/// these may cause a second run.
 async fn drive_attempt(
-    backstage: SharedStandIn,
+    stand_in: SharedStandIn,
     http: reqwest::Client,
-    passes: Registrations,
-    one: PlannedAttempt,
-    habit: u32,
+    registrations: Registrations,
+    attempt: PlannedAttempt,
+    repeat_choice: u32,
 ) {
-    let again = |pause: u64| {
-        let (backstage, http, passes, one) =
-            (backstage.clone(), http.clone(), passes.clone(), one.clone());
+    let send_again = |pause: u64| {
+        let (stand_in, http, registrations, attempt) = (
+            stand_in.clone(),
+            http.clone(),
+            registrations.clone(),
+            attempt.clone(),
+        );
         async move {
             tokio::time::sleep(Duration::from_micros(pause)).await;
-            send_attempt(&backstage, &http, &passes, &one, true).await
+            send_attempt(&stand_in, &http, &registrations, &attempt, true).await
         }
     };
-    let first = send_attempt(&backstage, &http, &passes, &one, false);
-    match habit {
-        0 => drop(tokio::join!(first, again(0))),
-        1 => drop(tokio::join!(first, again(one.request.wait_us / 2))),
+    let first = send_attempt(&stand_in, &http, &registrations, &attempt, false);
+    match repeat_choice {
+        0 => drop(tokio::join!(first, send_again(0))),
+        1 => drop(tokio::join!(first, send_again(attempt.request.wait_us / 2))),
         _ => {
-            // Until the own usher is back and says something, or a quarter of a minute is over.
-            let mut unheard = first.await;
-            let mut patience = 20;
-            while unheard && patience > 0 {
-                unheard = again(700_000).await;
-                patience -= 1;
+            // Repeated until the node is back and answers, for at most 20 further sends, 700 ms apart.
+            let mut unanswered = first.await;
+            let mut remaining_sends = 20;
+            while unanswered && remaining_sends > 0 {
+                unanswered = send_again(700_000).await;
+                remaining_sends -= 1;
             }
         }
     }
 }
 
-/// Whether nobody told this sender anything of a try that may have run.
+/// Sends the attempt once and records the answer. Returns whether the attempt may have run and no answer arrived.
 async fn send_attempt(
-    backstage: &SharedStandIn,
+    stand_in: &SharedStandIn,
     http: &reqwest::Client,
-    passes: &Registrations,
-    one: &PlannedAttempt,
-    again: bool,
+    registrations: &Registrations,
+    attempt: &PlannedAttempt,
+    repeated: bool,
 ) -> bool {
-    let part = &backstage.config;
-    let (secret, sending, asked) = (passes.borrow().secret.clone(), &one.request, model::now());
+    let config = &stand_in.config;
+    let (secret, request_spec, sent_at) = (
+        registrations.borrow().secret.clone(),
+        &attempt.request,
+        model::now(),
+    );
     let url = format!(
         "http://{}/call/{}{}",
-        part.node_address, sending.service, sending.path
+        config.node_address, request_spec.service, request_spec.path
     );
-    let method = if sending.repeatable {
+    let method = if request_spec.repeatable {
         reqwest::Method::GET
     } else {
         reqwest::Method::POST
@@ -130,43 +156,43 @@
     let request = http
         .request(method, url)
         .bearer_auth(secret)
-        .header(backend_api::ATTEMPT_ID_HEADER, &one.id)
-        .header(backend_api::TIME_LEFT_HEADER, sending.wait_us);
-    let request = if sending.keyed {
-        request.header(backend_api::SHARD_KEY_HEADER, &one.key)
+        .header(backend_api::ATTEMPT_ID_HEADER, &attempt.id)
+        .header(backend_api::TIME_LEFT_HEADER, request_spec.wait_us);
+    let request = if request_spec.keyed {
+        request.header(backend_api::SHARD_KEY_HEADER, &attempt.key)
     } else {
         request
     };
     let answer = match request.send().await {
-        Ok(response) => read_answer(&one.id, response).await,
-        // This arrival certainly did not run; of an earlier one it says nothing.
+        Ok(response) => read_answer(&attempt.id, response).await,
+        // This send certainly did not run; an earlier send of the same attempt may have.
         Err(error) if error.is_connect() => ClientAnswer {
-            execution_status: Some(if again { "may-have-run" } else { "not-run" }.into()),
+            execution_status: Some(if repeated { "may-have-run" } else { "not-run" }.into()),
             error_kind: Some("own_usher_down".into()),
             ..ClientAnswer::default()
         },
         Err(_) => connection_lost(),
     };
-    let unheard = answer.error_kind.as_deref() == Some("own_usher_lost")
-        || again && answer.error_kind.as_deref() == Some("own_usher_down");
-    backstage.record(&crate::history::Record::ClientAnswered {
-        attempt_id: one.id.clone(),
-        asked,
+    let unanswered = answer.error_kind.as_deref() == Some("own_usher_lost")
+        || repeated && answer.error_kind.as_deref() == Some("own_usher_down");
+    stand_in.record(&crate::history::Record::ClientAnswered {
+        attempt_id: attempt.id.clone(),
+        asked: sent_at,
         at: model::now(),
-        wait_us: sending.wait_us,
-        repeated: again,
-        client: part.name.clone(),
-        service: part.service.clone(),
-        target: sending.service.clone(),
-        path: sending.path.clone(),
-        key: sending.keyed.then(|| one.key.clone()),
+        wait_us: request_spec.wait_us,
+        repeated,
+        client: config.name.clone(),
+        service: config.service.clone(),
+        target: request_spec.service.clone(),
+        path: request_spec.path.clone(),
+        key: request_spec.keyed.then(|| attempt.key.clone()),
         status: answer.status,
         execution_status: answer.execution_status,
         error_kind: answer.error_kind,
         has_retry_after: answer.has_retry_after,
         complete: answer.complete,
     });
-    unheard
+    unanswered
 }
 
 #[derive(Default)]
@@ -186,7 +212,7 @@
     }
 }
 
-async fn read_answer(try_id: &str, response: reqwest::Response) -> ClientAnswer {
+async fn read_answer(attempt_id: &str, response: reqwest::Response) -> ClientAnswer {
     let status = response.status().as_u16();
     let header = |name: &str| {
         response
@@ -195,7 +221,7 @@
             .and_then(|value| value.to_str().ok())
             .map(str::to_string)
     };
-    let (verdict, seal, come_back) = (
+    let (execution_status, seal, has_retry_after) = (
         header("x-gradeford-verdict"),
         header(backend_api::SEAL_HEADER),
         header("retry-after").is_some(),
@@ -207,14 +233,15 @@
         };
     };
     let parsed: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
-    let cause = parsed["cause"].as_str().map(str::to_string);
-    let whole = seal.as_deref() == Some(backend_api::seal::seal(try_id, status, &body).as_str())
-        && parsed["try"] == try_id;
+    let error_kind = parsed["cause"].as_str().map(str::to_string);
+    let complete = seal.as_deref()
+        == Some(backend_api::seal::seal(attempt_id, status, &body).as_str())
+        && parsed["try"] == attempt_id;
     ClientAnswer {
         status,
-        execution_status: verdict,
-        error_kind: cause,
-        has_retry_after: come_back,
-        complete: whole,
+        execution_status,
+        error_kind,
+        has_retry_after,
+        complete,
     }
 }
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -1,4 +1,5 @@
-//! Rehearsals for gradeford. Test-only: the one program here that starts others.
+//! Test-only command line for the simulators and for whole deployments on one machine. It is the only program here
+//! that starts other processes.
 
 use std::path::Path;
 use std::path::PathBuf;
@@ -29,107 +30,114 @@
         return print!("{HELP}{}", simulator::hollow::flags::HELP);
     }
     let runtime = tokio::runtime::Runtime::new();
-    let ended = runtime
+    let result = runtime
         .map_err(|error| error.to_string())
         .and_then(|runtime| match arguments.subcommand() {
-            Ok(Some(word)) if word == "run" => runtime.block_on(perform(arguments)),
-            Ok(Some(word)) if word == "all" => runtime.block_on(all(arguments)),
-            Ok(Some(word)) if word == "simulate" => simulate(arguments),
-            Ok(Some(word)) if word == "count" => {
-                count();
+            Ok(Some(name)) if name == "run" => runtime.block_on(run_scenario(arguments)),
+            Ok(Some(name)) if name == "all" => runtime.block_on(run_all(arguments)),
+            Ok(Some(name)) if name == "simulate" => simulate(arguments),
+            Ok(Some(name)) if name == "count" => {
+                print_entry_costs();
                 Ok(())
             }
-            Ok(Some(word)) if word == "hollow" => runtime.block_on(hollow(arguments)),
-            Ok(Some(word)) if word == "seat" => runtime.block_on(seat(arguments)),
-            Ok(Some(word)) if word == "understudy" => runtime.block_on(understudy(arguments)),
+            Ok(Some(name)) if name == "hollow" => runtime.block_on(run_hollow(arguments)),
+            Ok(Some(name)) if name == "seat" => runtime.block_on(run_replica(arguments)),
+            Ok(Some(name)) if name == "understudy" => runtime.block_on(run_stand_in(arguments)),
             _ => {
                 eprint!("{HELP}");
                 std::process::exit(2)
             }
         });
-    if let Err(trouble) = ended {
-        eprintln!("simulator: {trouble}");
+    if let Err(error) = result {
+        eprintln!("simulator: {error}");
         std::process::exit(1);
     }
 }
 
-/// Whole sites in virtual time: many seeds, or one with the blows named.
+/// Simulates whole sites in virtual time: a range of seeds, or one seed with the given faults.
 fn simulate(mut arguments: pico_args::Arguments) -> Result<(), String> {
-    let from: u64 = usage(arguments.opt_value_from_str("--from")).unwrap_or(1);
-    let count: u64 = usage(arguments.opt_value_from_str("--count")).unwrap_or(100);
-    let length: usize = usage(arguments.opt_value_from_str("--length")).unwrap_or(8);
-    let blows: Option<String> = usage(arguments.opt_value_from_str("--blows"));
-    nothing_left(arguments);
+    let from: u64 = parsed_or_exit(arguments.opt_value_from_str("--from")).unwrap_or(1);
+    let count: u64 = parsed_or_exit(arguments.opt_value_from_str("--count")).unwrap_or(100);
+    let length: usize = parsed_or_exit(arguments.opt_value_from_str("--length")).unwrap_or(8);
+    let faults: Option<String> = parsed_or_exit(arguments.opt_value_from_str("--blows"));
+    reject_unknown_arguments(arguments);
     if count == 0 || length == 0 || length > 1_000 || from.checked_add(count).is_none() {
-        wrong("--count is at least 1, --length from 1 to 1000");
+        exit_with_usage_error("--count must be at least 1, and --length from 1 to 1000");
     }
-    let bytes = blows.map(|text| {
-        simulator::sim::trial::parse_hexadecimal(&text)
-            .unwrap_or_else(|| wrong("--blows is hexadecimal, six digits a blow"))
+    let fault_bytes = faults.map(|digits| {
+        simulator::sim::trial::parse_hexadecimal(&digits).unwrap_or_else(|| {
+            exit_with_usage_error("--blows must be hexadecimal, with six digits per fault")
+        })
     });
-    let sum = match bytes {
-        Some(bytes) => simulator::sim::trial::run_one(from, &bytes),
+    let totals = match fault_bytes {
+        Some(fault_bytes) => simulator::sim::trial::run_one(from, &fault_bytes),
         None => simulator::sim::trial::run_many(from, count, length),
     };
     println!(
         "{} sites, {} runs, {} served, {} dispatched again, {} moves of keys",
-        sum.sites, sum.runs, sum.served, sum.retries, sum.moves
+        totals.sites, totals.runs, totals.served, totals.retries, totals.moves
     );
-    sum.violations
+    totals
+        .violations
         .iter()
-        .for_each(|(seed, blows, told)| println!("broken: --from {seed} --blows {blows}: {told}"));
-    if sum.violations.is_empty() {
+        .for_each(|(seed, faults, violation)| {
+            println!("broken: --from {seed} --blows {faults}: {violation}")
+        });
+    if totals.violations.is_empty() {
         Ok(())
     } else {
         Err(format!(
             "{} of {} sites broke a promise",
-            sum.violations.len(),
-            sum.sites
+            totals.violations.len(),
+            totals.sites
         ))
     }
 }
 
-fn wrong(told: &str) -> ! {
-    eprintln!("simulator: {told}");
+fn exit_with_usage_error(message: &str) -> ! {
+    eprintln!("simulator: {message}");
     std::process::exit(2)
 }
 
-fn nothing_left(arguments: pico_args::Arguments) {
+fn reject_unknown_arguments(arguments: pico_args::Arguments) {
     let left = arguments.finish();
     if !left.is_empty() {
-        wrong(&format!("not known here: {left:?}"));
+        exit_with_usage_error(&format!("unknown arguments: {left:?}"));
     }
 }
 
-/// An earlier run's disks and histories would be taken for this one's.
-fn unused(folder: &Path) {
+/// Rejects a folder that holds an earlier run, whose stores and histories would be read as those of this run.
+fn require_unused_folder(folder: &Path) {
     if folder.join("rehearsal.history").exists() {
-        wrong(&format!("{} holds an earlier run", folder.display()));
+        exit_with_usage_error(&format!(
+            "{} holds the files of an earlier run",
+            folder.display()
+        ));
     }
 }
 
-/// Names are checked before anything is started.
-fn checked(site: &str, scenario: &str, folder: &Path) {
+/// Checks the site, the scenario and the folder before any process starts.
+fn check_arguments(site: &str, scenario: &str, folder: &Path) {
     if simulator::deployment::named(site).is_none() {
-        wrong(&format!("there is no site {site:?}"));
+        exit_with_usage_error(&format!("there is no site {site:?}"));
     }
     if !simulator::scenario::NAMES.contains(&scenario) && !["midway", "day"].contains(&scenario) {
-        wrong(&format!("there is no scenario {scenario:?}"));
+        exit_with_usage_error(&format!("there is no scenario {scenario:?}"));
     }
     if let Err(error) = std::fs::create_dir_all(folder) {
-        wrong(&format!("{}: {error}", folder.display()));
+        exit_with_usage_error(&format!("{}: {error}", folder.display()));
     }
 }
 
-fn usage<T>(read: Result<T, pico_args::Error>) -> T {
+fn parsed_or_exit<T>(read: Result<T, pico_args::Error>) -> T {
     read.unwrap_or_else(|error| {
         eprintln!("simulator: {error}");
         std::process::exit(2)
     })
 }
 
-/// Costs of an entry under some settings of α and τ, with one or all seats suggesting, sparsely or in a burst.
-fn count() {
+/// Prints the costs of an entry for several values of α and τ, with one or all replicas suggesting, at low and high rate.
+fn print_entry_costs() {
     println!("{}", simulator::sim::entry_cost::TABLE_HEAD);
     let settings = [
         (20, 50_000),
@@ -150,35 +158,35 @@
     });
 }
 
-/// What `run` and `all` share: everything but the site and the scenario.
-fn plan(arguments: &mut pico_args::Arguments) -> simulator::run::Plan {
-    let folder: Option<PathBuf> = usage(arguments.opt_value_from_str("--folder"));
-    let usher_flags: Option<String> = usage(arguments.opt_value_from_str("--node-flags"));
+/// Reads the arguments that `run` and `all` share: everything but the site.
+fn read_plan(arguments: &mut pico_args::Arguments) -> simulator::run::Plan {
+    let folder: Option<PathBuf> = parsed_or_exit(arguments.opt_value_from_str("--folder"));
+    let node_flags: Option<String> = parsed_or_exit(arguments.opt_value_from_str("--node-flags"));
     simulator::run::Plan {
         site: String::new(),
-        scenario: usage(arguments.opt_value_from_str("--scenario"))
+        scenario: parsed_or_exit(arguments.opt_value_from_str("--scenario"))
             .unwrap_or_else(|| "midway".into()),
-        seconds: usage(arguments.opt_value_from_str("--seconds")).unwrap_or(30),
-        seed: usage(arguments.opt_value_from_str("--seed")).unwrap_or(1),
-        corrupted_per_mille: usage(arguments.opt_value_from_str("--spoil")).unwrap_or(5),
+        seconds: parsed_or_exit(arguments.opt_value_from_str("--seconds")).unwrap_or(30),
+        seed: parsed_or_exit(arguments.opt_value_from_str("--seed")).unwrap_or(1),
+        corrupted_per_mille: parsed_or_exit(arguments.opt_value_from_str("--spoil")).unwrap_or(5),
         folder: folder.unwrap_or_else(|| {
             std::env::temp_dir().join(format!("gradeford-rehearsal-{}", std::process::id()))
         }),
-        node_flags: usher_flags
+        node_flags: node_flags
             .unwrap_or_default()
             .split_whitespace()
             .map(str::to_string)
             .collect(),
-        changes: usage(arguments.opt_value_from_str("--changes")).unwrap_or(5),
+        changes: parsed_or_exit(arguments.opt_value_from_str("--changes")).unwrap_or(5),
     }
 }
 
-async fn perform(mut arguments: pico_args::Arguments) -> Result<(), String> {
-    let plan = plan(&mut arguments);
-    let site: String = usage(arguments.free_from_str());
-    nothing_left(arguments);
-    checked(&site, &plan.scenario, &plan.folder);
-    unused(&plan.folder);
+async fn run_scenario(mut arguments: pico_args::Arguments) -> Result<(), String> {
+    let plan = read_plan(&mut arguments);
+    let site: String = parsed_or_exit(arguments.free_from_str());
+    reject_unknown_arguments(arguments);
+    check_arguments(&site, &plan.scenario, &plan.folder);
+    require_unused_folder(&plan.folder);
     let report = simulator::run::run(simulator::run::Plan { site, ..plan }).await?;
     println!(
         "{}",
@@ -191,10 +199,10 @@
     }
 }
 
-/// Every scenario at every site named, one line each, and a table of what was broken.
-async fn all(mut arguments: pico_args::Arguments) -> Result<(), String> {
-    let plan = plan(&mut arguments);
-    let only: Option<String> = usage(arguments.opt_value_from_str("--only"));
+/// Runs the chosen scenarios at each given site and prints one line for each, with the violated invariants.
+async fn run_all(mut arguments: pico_args::Arguments) -> Result<(), String> {
+    let plan = read_plan(&mut arguments);
+    let only_names: Option<String> = parsed_or_exit(arguments.opt_value_from_str("--only"));
     let sites: Vec<String> = arguments
         .finish()
         .into_iter()
@@ -207,38 +215,39 @@
     };
     sites
         .iter()
-        .for_each(|site| checked(site, "quiet", &plan.folder));
-    let known = |word: &str| simulator::scenario::NAMES.contains(&word) || word == "day";
-    if let Some(word) = only
+        .for_each(|site| check_arguments(site, "quiet", &plan.folder));
+    let known = |name: &str| simulator::scenario::NAMES.contains(&name) || name == "day";
+    if let Some(name) = only_names
         .iter()
-        .flat_map(|only| only.split(','))
-        .find(|word| !known(word))
+        .flat_map(|only_names| only_names.split(','))
+        .find(|name| !known(name))
     {
-        wrong(&format!("there is no scenario {word:?}"));
+        exit_with_usage_error(&format!("there is no scenario {name:?}"));
     }
     let folders = sites.iter().flat_map(|site| {
         simulator::scenario::NAMES
             .iter()
             .map(move |name| format!("{site}-{name}"))
     });
-    folders.for_each(|name| unused(&plan.folder.join(name)));
-    let mut broken = 0;
+    folders.for_each(|name| require_unused_folder(&plan.folder.join(name)));
+    let mut failed_count = 0;
     println!(
         "{:<11} {:<20} {:>4} {:>7} {:>7} {:>7} {:>7}  invariants",
         "site", "scenario", "seed", "asked", "served", "not-run", "may"
     );
     for site in &sites {
-        let chosen = simulator::scenario::NAMES
+        let selected = simulator::scenario::NAMES
             .iter()
             .chain(&["day"])
             .filter(|name| {
-                only.as_deref()
-                    .is_none_or(|only| only.split(',').any(|word| word == **name))
-                    && (**name != "day" || only.is_some())
+                only_names
+                    .as_deref()
+                    .is_none_or(|only_names| only_names.split(',').any(|listed| listed == **name))
+                    && (**name != "day" || only_names.is_some())
             });
-        for name in chosen {
+        for name in selected {
             let folder = plan.folder.join(format!("{site}-{name}"));
-            let one = simulator::run::Plan {
+            let scenario_plan = simulator::run::Plan {
                 site: site.clone(),
                 scenario: name.to_string(),
                 folder,
@@ -246,36 +255,40 @@
                 node_flags: plan.node_flags.clone(),
                 ..plan
             };
-            let (report, verdict) = match simulator::run::run(one).await {
+            let (report, verdict) = match simulator::run::run(scenario_plan).await {
                 Ok(report) if report.holds() && report.not_observed.is_empty() => {
-                    let back = report
+                    let recovery = report
                         .recovery_us
                         .values()
                         .max()
-                        .map(|back| format!(", back after {} ms", back / 1_000))
+                        .map(|recovery| format!(", back after {} ms", recovery / 1_000))
                         .unwrap_or_default();
-                    (report, format!("held{back}"))
+                    (report, format!("held{recovery}"))
                 }
                 Ok(report) if report.holds() => {
-                    let told = format!("NOT PROVOKED: {}", report.not_observed.join(", "));
-                    (report, told)
+                    let summary = format!("NOT PROVOKED: {}", report.not_observed.join(", "));
+                    (report, summary)
                 }
                 Ok(report) => {
-                    let found = report
+                    let violations = report
                         .invariants
                         .iter()
-                        .filter(|(_, found)| !found.is_empty());
-                    let told = found
-                        .map(|(name, found)| {
-                            format!("{name} BROKEN {} times, first {}", found.len(), found[0])
+                        .filter(|(_, violations)| !violations.is_empty());
+                    let summary = violations
+                        .map(|(name, violations)| {
+                            format!(
+                                "{name} BROKEN {} times, first {}",
+                                violations.len(),
+                                violations[0]
+                            )
                         })
                         .collect::<Vec<_>>()
                         .join("; ");
-                    (report, told)
+                    (report, summary)
                 }
-                Err(trouble) => (Default::default(), format!("did not run: {trouble}")),
+                Err(error) => (Default::default(), format!("did not run: {error}")),
             };
-            broken += !verdict.starts_with("held") as usize;
+            failed_count += !verdict.starts_with("held") as usize;
             let counts = [
                 report.asked,
                 report.served,
@@ -288,17 +301,17 @@
             );
         }
     }
-    if broken == 0 {
+    if failed_count == 0 {
         Ok(())
     } else {
-        Err(format!("{broken} scenarios broke an invariant"))
+        Err(format!("{failed_count} scenarios broke an invariant"))
     }
 }
 
-/// Stdout: a table, then one line of JSON.
-async fn hollow(arguments: pico_args::Arguments) -> Result<(), String> {
-    let (plan, counted) =
-        simulator::hollow::flags::read(arguments).unwrap_or_else(|told| wrong(&told));
+/// Prints a table and then one line of JSON to standard output.
+async fn run_hollow(arguments: pico_args::Arguments) -> Result<(), String> {
+    let (plan, counted) = simulator::hollow::flags::read(arguments)
+        .unwrap_or_else(|message| exit_with_usage_error(&message));
     if counted {
         println!(
             "{}",
@@ -311,21 +324,22 @@
     Ok(())
 }
 
-/// Takes what `gradeford-core` takes, and how long a sync is.
-async fn seat(mut arguments: pico_args::Arguments) -> Result<(), String> {
-    let mut text = |flag: &'static str| usage(arguments.value_from_str::<_, String>(flag));
-    let (mates, operators, seeds) = (
-        text("--mates-address"),
-        text("--operators-address"),
-        text("--seeds"),
+/// Runs a replica over a simulated disk: takes the flags of `gradeford-core`, and the delay of a sync.
+async fn run_replica(mut arguments: pico_args::Arguments) -> Result<(), String> {
+    let mut required_text =
+        |flag: &'static str| parsed_or_exit(arguments.value_from_str::<_, String>(flag));
+    let (peer_address, operators_address, seeds) = (
+        required_text("--mates-address"),
+        required_text("--operators-address"),
+        required_text("--seeds"),
     );
-    let env = control::ReplicaConfig {
-        name: text("--name"),
-        zone: text("--zone"),
-        address: text("--advertised-address"),
-        folder: text("--folder").into(),
-        replica_id: usage(arguments.value_from_str("--seat")),
-        replica_count: usage(arguments.value_from_str("--seats")),
+    let config = control::ReplicaConfig {
+        name: required_text("--name"),
+        zone: required_text("--zone"),
+        address: required_text("--advertised-address"),
+        folder: required_text("--folder").into(),
+        replica_id: parsed_or_exit(arguments.value_from_str("--seat")),
+        replica_count: parsed_or_exit(arguments.value_from_str("--seats")),
         seeds: seeds
             .split(',')
             .filter(|seed| !seed.is_empty())
@@ -336,27 +350,28 @@
         replace_after: 3_000_000,
         membership: None,
     };
-    let sync_us: u64 = usage(arguments.value_from_str("--sync"));
-    nothing_left(arguments);
-    simulator::disk::run_replica(env, mates, operators, sync_us).await
+    let sync_us: u64 = parsed_or_exit(arguments.value_from_str("--sync"));
+    reject_unknown_arguments(arguments);
+    simulator::disk::run_replica(config, peer_address, operators_address, sync_us).await
 }
 
-async fn understudy(mut arguments: pico_args::Arguments) -> Result<(), String> {
-    let sends: String = usage(arguments.value_from_str("--sends"));
-    let part = simulator::backend_stand_in::StandInConfig {
-        name: usage(arguments.value_from_str("--name")),
-        service: usage(arguments.value_from_str("--service")),
-        zone: usage(arguments.value_from_str("--zone")),
-        slots: usage(arguments.value_from_str("--slots")),
-        node_address: usage(arguments.value_from_str("--node")),
-        listen: usage(arguments.value_from_str("--listen")),
-        history: usage(arguments.value_from_str("--history")),
-        work_us: usage(arguments.value_from_str("--work")),
-        corrupted_per_mille: usage(arguments.value_from_str("--spoil")),
-        seed: usage(arguments.value_from_str("--seed")),
-        requests_per_second: usage(arguments.value_from_str("--rate")),
-        hot_key_per_mille: usage(arguments.value_from_str("--hot")),
-        requests: serde_json::from_str(&sends).map_err(|error| error.to_string())?,
+/// Runs a stand-in backend.
+async fn run_stand_in(mut arguments: pico_args::Arguments) -> Result<(), String> {
+    let requests: String = parsed_or_exit(arguments.value_from_str("--sends"));
+    let config = simulator::backend_stand_in::StandInConfig {
+        name: parsed_or_exit(arguments.value_from_str("--name")),
+        service: parsed_or_exit(arguments.value_from_str("--service")),
+        zone: parsed_or_exit(arguments.value_from_str("--zone")),
+        slots: parsed_or_exit(arguments.value_from_str("--slots")),
+        node_address: parsed_or_exit(arguments.value_from_str("--node")),
+        listen: parsed_or_exit(arguments.value_from_str("--listen")),
+        history: parsed_or_exit(arguments.value_from_str("--history")),
+        work_us: parsed_or_exit(arguments.value_from_str("--work")),
+        corrupted_per_mille: parsed_or_exit(arguments.value_from_str("--spoil")),
+        seed: parsed_or_exit(arguments.value_from_str("--seed")),
+        requests_per_second: parsed_or_exit(arguments.value_from_str("--rate")),
+        hot_key_per_mille: parsed_or_exit(arguments.value_from_str("--hot")),
+        requests: serde_json::from_str(&requests).map_err(|error| error.to_string())?,
     };
-    simulator::backend_stand_in::run(part).await
+    simulator::backend_stand_in::run(config).await
 }
--- a/crates/simulator/src/network.rs
+++ b/crates/simulator/src/network.rs
@@ -1,4 +1,5 @@
-//! The network between machines of a rehearsal: delays between zones, and cuts that can be mended (design 9.6).
+//! The simulated network between the machines of a run: delays between zones, and links that are cut and healed
+//! (design 9.6).
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -8,10 +9,11 @@
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
+/// A machine, identified by its loopback address.
 pub type Host = IpAddr;
 type CutLinks = HashSet<(Host, Host)>;
 
-/// Shared by all relays; a cut stalls bytes as a lost network would, it resets nothing.
+/// State of the links, shared by all relays. A cut holds bytes back as a lost network does and resets no connection.
 #[derive(Clone)]
 pub struct Network {
     cuts: Arc<tokio::sync::watch::Sender<CutLinks>>,
@@ -20,36 +22,38 @@
 }
 
 impl Network {
-    pub fn new(zones: HashMap<Host, usize>, hop_us: u64) -> Network {
+    /// A network without cuts, with this one-way delay between zones, in microseconds.
+    pub fn new(zones: HashMap<Host, usize>, zone_delay_us: u64) -> Network {
         let cuts = Arc::new(tokio::sync::watch::Sender::new(CutLinks::new()));
         Network {
             cuts,
             zones: Arc::new(zones),
-            zone_delay: Duration::from_micros(hop_us),
+            zone_delay: Duration::from_micros(zone_delay_us),
         }
     }
 
-    /// Bytes from `from` to `to` go nowhere until mended.
+    /// Holds back all bytes from `from` to `to` until the network is healed.
     pub fn cut(&self, from: Host, to: Host) {
         self.cuts.send_modify(|cuts| {
             cuts.insert((from, to));
         });
     }
 
+    /// Removes all cuts.
     pub fn heal(&self) {
         self.cuts.send_modify(CutLinks::clear);
     }
 
-    fn delay(&self, one: Host, two: Host) -> Duration {
-        let same = self.zones.get(&one) == self.zones.get(&two);
-        if same {
+    fn delay(&self, from: Host, to: Host) -> Duration {
+        let same_zone = self.zones.get(&from) == self.zones.get(&to);
+        if same_zone {
             Duration::ZERO
         } else {
             self.zone_delay
         }
     }
 
-    /// Stands before one process: what is dialed here reaches it over the link.
+    /// Relays each connection accepted by the listener to the target process, over the link between their hosts.
     pub async fn relay(&self, listener: tokio::net::TcpListener, target: SocketAddr) {
         loop {
             if let Ok((stream, from)) = listener.accept().await {
@@ -58,34 +62,36 @@
         }
     }
 
-    async fn until_open(&self, from: Host, to: Host) {
+    async fn wait_until_open(&self, from: Host, to: Host) {
         let mut cuts = self.cuts.subscribe();
         drop(cuts.wait_for(|cuts| !cuts.contains(&(from, to))).await);
     }
 
-    async fn relay_connection(self, near: tokio::net::TcpStream, from: Host, target: SocketAddr) {
-        // A first packet needs both ways.
-        self.until_open(from, target.ip()).await;
-        self.until_open(target.ip(), from).await;
-        let Ok(far) = tokio::net::TcpStream::connect(target).await else {
+    async fn relay_connection(self, client: tokio::net::TcpStream, from: Host, target: SocketAddr) {
+        // A TCP handshake needs both directions.
+        self.wait_until_open(from, target.ip()).await;
+        self.wait_until_open(target.ip(), from).await;
+        let Ok(server) = tokio::net::TcpStream::connect(target).await else {
             return;
         };
-        [&near, &far]
+        [&client, &server]
             .into_iter()
             .for_each(|stream| stream.set_nodelay(true).unwrap_or_default());
-        let (near_reader, near_writer) = near.into_split();
-        let (far_reader, far_writer) = far.into_split();
-        let there =
-            tokio::spawn(
-                self.clone()
-                    .relay_one_way(near_reader, far_writer, from, target.ip()),
-            );
-        let back = tokio::spawn(self.relay_one_way(far_reader, near_writer, target.ip(), from));
-        // Either end closing closes the conn.
-        let (there_ends, back_ends) = (there.abort_handle(), back.abort_handle());
+        let (client_reader, client_writer) = client.into_split();
+        let (server_reader, server_writer) = server.into_split();
+        let forward = tokio::spawn(self.clone().relay_one_way(
+            client_reader,
+            server_writer,
+            from,
+            target.ip(),
+        ));
+        let backward =
+            tokio::spawn(self.relay_one_way(server_reader, client_writer, target.ip(), from));
+        // When one direction ends, the other one is aborted, which closes the connection.
+        let (abort_forward, abort_backward) = (forward.abort_handle(), backward.abort_handle());
         tokio::select! {
-            _ = there => back_ends.abort(),
-            _ = back => there_ends.abort(),
+            _ = forward => abort_backward.abort(),
+            _ = backward => abort_forward.abort(),
         }
     }
 
@@ -96,16 +102,16 @@
         from: Host,
         to: Host,
     ) {
-        let (sender, mut pieces) =
+        let (sender, mut chunks) =
             tokio::sync::mpsc::channel::<(tokio::time::Instant, Vec<u8>)>(256);
         let delay = self.delay(from, to);
-        let reading = async move {
-            let mut piece = vec![0; 64 * 1024];
-            while let Ok(length @ 1..) = reader.read(&mut piece).await {
+        let read_loop = async move {
+            let mut chunk = vec![0; 64 * 1024];
+            while let Ok(length @ 1..) = reader.read(&mut chunk).await {
                 if sender
                     .send((
                         tokio::time::Instant::now() + delay,
-                        piece[..length].to_vec(),
+                        chunk[..length].to_vec(),
                     ))
                     .await
                     .is_err()
@@ -114,15 +120,15 @@
                 }
             }
         };
-        let writing = async move {
-            while let Some((due, piece)) = pieces.recv().await {
+        let write_loop = async move {
+            while let Some((due, chunk)) = chunks.recv().await {
                 tokio::time::sleep_until(due).await;
-                self.until_open(from, to).await;
-                if writer.write_all(&piece).await.is_err() {
+                self.wait_until_open(from, to).await;
+                if writer.write_all(&chunk).await.is_err() {
                     return;
                 }
             }
         };
-        tokio::join!(reading, writing);
+        tokio::join!(read_loop, write_loop);
     }
 }
--- a/crates/simulator/src/operators.rs
+++ b/crates/simulator/src/operators.rs
@@ -1,37 +1,41 @@
-//! Stand-in operators: changes that are right, stale, broken, raced and sent twice, each with its answer (design 9.5).
+//! Stand-in operators: send valid, stale, invalid, concurrent and duplicate changes and record each answer (design 9.5).
 
 use crate::history::Record;
 use std::time::Duration;
 
+/// Current operator address of each replica, by replica id.
 pub type ReplicaAddresses = tokio::sync::watch::Receiver<Vec<String>>;
 
+/// A client of the operator interface that records what it sends and receives.
 #[derive(Clone)]
 pub struct Operator {
-    /// Where each core seat takes changes; replaced seats move.
+    /// Where each replica accepts changes; a replaced replica gets a new address.
     pub addresses: ReplicaAddresses,
     pub history: crate::history_writer::HistoryWriter,
     pub http: reqwest::Client,
 }
 
+/// Outcome of a change as the operator knows it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ChangeAnswer {
-    /// Version and position.
+    /// Version of the desired state and position in the log.
     Accepted(u64, u64),
+    /// HTTP status and body of the answer.
     Rejected(u16, String),
-    /// Nobody said whether it took effect.
+    /// No answer says whether the change took effect.
     Unknown,
 }
 
 impl Operator {
-    fn address_of(&self, seat: usize) -> String {
-        let places = self.addresses.borrow();
-        places[seat % places.len()].clone()
+    fn address_of(&self, replica_index: usize) -> String {
+        let addresses = self.addresses.borrow();
+        addresses[replica_index % addresses.len()].clone()
     }
 
-    /// One change to one seat, noted with whatever came back.
+    /// Sends one change to one replica and records the answer.
     pub async fn send(
         &self,
-        seat: usize,
+        replica_index: usize,
         id: &str,
         base: u64,
         edits: &[serde_json::Value],
@@ -40,11 +44,14 @@
         let body = serde_json::json!({ "id": id, "base": base, "edits": edits });
         let sent = self
             .http
-            .post(format!("http://{}/v1/changes", self.address_of(seat)))
+            .post(format!(
+                "http://{}/v1/changes",
+                self.address_of(replica_index)
+            ))
             .json(&body)
             .send()
             .await;
-        let (status, told) = match sent {
+        let (status, answer_body) = match sent {
             Ok(response) => (
                 response.status().as_u16(),
                 response
@@ -55,14 +62,14 @@
             Err(_) => (0, serde_json::Value::Null),
         };
         let (version, position) = (
-            told["accepted"]["version"].as_u64(),
-            told["accepted"]["position"].as_u64(),
+            answer_body["accepted"]["version"].as_u64(),
+            answer_body["accepted"]["position"].as_u64(),
         );
         let answer = match (version.zip(position), status) {
             (Some((version, position)), _) => ChangeAnswer::Accepted(version, position),
-            (None, 400..=499) => ChangeAnswer::Rejected(status, told.to_string()),
-            (None, 503) if told["verdict"] == "not-run" => {
-                ChangeAnswer::Rejected(status, told.to_string())
+            (None, 400..=499) => ChangeAnswer::Rejected(status, answer_body.to_string()),
+            (None, 503) if answer_body["verdict"] == "not-run" => {
+                ChangeAnswer::Rejected(status, answer_body.to_string())
             }
             _ => ChangeAnswer::Unknown,
         };
@@ -80,12 +87,15 @@
         Ok(answer)
     }
 
-    /// The whole desired state, as this seat proves it.
-    pub async fn read(&self, seat: usize) -> Result<Option<u64>, String> {
+    /// Reads and records the complete desired state from one replica and returns its version.
+    pub async fn read(&self, replica_index: usize) -> Result<Option<u64>, String> {
         let asked = model::now();
         let answer = self
             .http
-            .get(format!("http://{}/v1/desired", self.address_of(seat)))
+            .get(format!(
+                "http://{}/v1/desired",
+                self.address_of(replica_index)
+            ))
             .send()
             .await;
         let Some(response) = answer
@@ -106,15 +116,16 @@
         Ok(version)
     }
 
-    /// To every seat in turn until one says for certain; the same id, so that it takes effect once at most.
+    /// Sends the change to one replica after another until the outcome is known. The id stays the same, so that the
+    /// change takes effect at most once.
     pub async fn submit_until_answered(
         &self,
         id: &str,
         base: u64,
         edits: &[serde_json::Value],
     ) -> Result<ChangeAnswer, String> {
-        for turn in 0..200 {
-            match self.send(turn, id, base, edits).await? {
+        for round in 0..200 {
+            match self.send(round, id, base, edits).await? {
                 ChangeAnswer::Unknown | ChangeAnswer::Rejected(503, _) => {
                     tokio::time::sleep(Duration::from_millis(50)).await
                 }
@@ -124,27 +135,28 @@
         Ok(ChangeAnswer::Unknown)
     }
 
-    async fn version(&self, seat: usize) -> Result<u64, String> {
-        for turn in 0.. {
-            if let Some(version) = self.read(seat + turn).await? {
+    async fn version(&self, replica_index: usize) -> Result<u64, String> {
+        for round in 0.. {
+            if let Some(version) = self.read(replica_index + round).await? {
                 return Ok(version);
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
-        Err("no seat".into())
+        Err("no replica returned its version".into())
     }
 
-    /// Until a change made from the newest version is accepted: of two that race, one goes again.
+    /// Submits a change based on the newest version until it is accepted: of two concurrent changes one is stale and is
+    /// submitted again.
     pub async fn submit_until_accepted(
         &self,
         id: &str,
         edits: &[serde_json::Value],
     ) -> Result<u64, String> {
-        for turn in 0..100 {
-            let base = self.version(turn).await?;
-            // Another base makes another change, so it needs another id.
+        for round in 0..100 {
+            let base = self.version(round).await?;
+            // A change with another base is another change and needs another id.
             match self
-                .submit_until_answered(&format!("{id}-{turn}"), base, edits)
+                .submit_until_answered(&format!("{id}-{round}"), base, edits)
                 .await?
             {
                 ChangeAnswer::Accepted(version, _) => return Ok(version),
@@ -152,17 +164,19 @@
                 other => return Err(format!("the change {id} got {other:?}")),
             }
         }
-        Err(format!("the change {id} was stale a hundred times"))
+        Err(format!(
+            "the change {id} was rejected as stale a hundred times"
+        ))
     }
 }
 
-/// A grouping that no back end fits: it changes what stands and disturbs nobody.
-fn harmless_edit(service: &str, name: &str, turn: u64) -> serde_json::Value {
-    let labels = serde_json::json!({ "turn": turn.to_string() });
+/// Puts a grouping that matches no backend: the desired state changes without effect on traffic.
+fn harmless_edit(service: &str, name: &str, round: u64) -> serde_json::Value {
+    let labels = serde_json::json!({ "turn": round.to_string() });
     serde_json::json!({ "put_grouping": { "name": name, "grouping": { "service": service, "zone": "z0", "labels": labels } } })
 }
 
-/// Several operators through the whole run, until told to stop; then what was left open is settled.
+/// Sends changes until `stop` is set, and then resubmits those whose outcome is unknown.
 pub async fn run_operators(
     operator: Operator,
     service: &'static str,
@@ -170,43 +184,48 @@
     mut stop: tokio::sync::watch::Receiver<bool>,
 ) -> Result<(), String> {
     let mut random: rand::rngs::StdRng = rand::SeedableRng::seed_from_u64(seed);
-    let mut open: Vec<(String, u64, Vec<serde_json::Value>)> = Vec::new();
-    for turn in 0u64.. {
-        let seat = rand::Rng::random_range(&mut random, 0..9usize);
+    let mut unsettled: Vec<(String, u64, Vec<serde_json::Value>)> = Vec::new();
+    for round in 0u64.. {
+        let replica_index = rand::Rng::random_range(&mut random, 0..9usize);
         let base = tokio::select! {
-            base = operator.version(seat) => base?,
+            base = operator.version(replica_index) => base?,
             _ = stop.wait_for(|stop| *stop) => break,
         };
-        let (one, two) = (
-            vec![harmless_edit(service, "one", turn)],
-            vec![harmless_edit(service, "two", turn)],
+        let (first, second) = (
+            vec![harmless_edit(service, "one", round)],
+            vec![harmless_edit(service, "two", round)],
         );
-        let broken = vec![
-            harmless_edit(service, "broken", turn),
+        let invalid = vec![
+            harmless_edit(service, "broken", round),
             serde_json::json!({ "put_order": { "name": "broken", "order": {
             "selector": { "from": ["nobody"], "service": "nowhere" }, "wait_us": 1 } } }),
         ];
-        let name = |kind: &str| format!("{kind}-{turn}");
+        let change_id = |kind: &str| format!("{kind}-{round}");
         let sent: Vec<(String, u64, Vec<serde_json::Value>)> =
             match rand::Rng::random_range(&mut random, 0..6) {
-                0 => vec![(name("stale"), base.saturating_sub(1), one)],
-                1 => vec![(name("broken"), base, broken)],
+                0 => vec![(change_id("stale"), base.saturating_sub(1), first)],
+                1 => vec![(change_id("broken"), base, invalid)],
                 2 => vec![
-                    (name("twice"), base, one.clone()),
-                    (name("twice"), base, one),
+                    (change_id("twice"), base, first.clone()),
+                    (change_id("twice"), base, first),
+                ],
+                _ => vec![
+                    (change_id("one"), base, first),
+                    (change_id("two"), base, second),
                 ],
-                _ => vec![(name("one"), base, one), (name("two"), base, two)],
             };
-        let racing: Vec<_> = sent
+        let concurrent: Vec<_> = sent
             .iter()
-            .zip(seat..)
-            .map(|((id, base, edits), seat)| operator.send(seat, id, *base, edits))
+            .zip(replica_index..)
+            .map(|((id, base, edits), replica_index)| {
+                operator.send(replica_index, id, *base, edits)
+            })
             .collect();
         let mut answers = Vec::new();
-        for pending in await_all(racing).await {
+        for pending in await_all(concurrent).await {
             answers.push(pending?);
         }
-        open.extend(
+        unsettled.extend(
             sent.into_iter()
                 .zip(answers)
                 .filter(|(_, answer)| *answer == ChangeAnswer::Unknown)
@@ -220,54 +239,54 @@
             break;
         }
     }
-    // An operator who was told nothing asks again, with the same name.
-    for (id, base, edits) in open {
+    // A change with an unknown outcome is submitted again under the same id.
+    for (id, base, edits) in unsettled {
         operator.submit_until_answered(&id, base, &edits).await?;
     }
     operator.version(0).await.map(drop)
 }
 
 async fn await_all<F: Future<Output = Result<ChangeAnswer, String>>>(
-    racing: Vec<F>,
+    concurrent: Vec<F>,
 ) -> Vec<Result<ChangeAnswer, String>> {
-    let mut racing = racing.into_iter();
-    match (racing.next(), racing.next()) {
-        (Some(one), Some(two)) => {
-            let (one, two) = tokio::join!(one, two);
-            vec![one, two]
+    let mut concurrent = concurrent.into_iter();
+    match (concurrent.next(), concurrent.next()) {
+        (Some(first), Some(second)) => {
+            let (first, second) = tokio::join!(first, second);
+            vec![first, second]
         }
-        (Some(one), _) => vec![one.await],
+        (Some(first), _) => vec![first.await],
         _ => Vec::new(),
     }
 }
 
-/// What one node says of itself, five times a second.
+/// Records the status of one node every 200 ms.
 pub async fn observe_node(
     node: String,
     address: String,
     http: reqwest::Client,
-    notebook: crate::history_writer::HistoryWriter,
+    history: crate::history_writer::HistoryWriter,
 ) -> Result<(), String> {
-    let mut every = tokio::time::interval(Duration::from_millis(200));
-    every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let mut interval = tokio::time::interval(Duration::from_millis(200));
+    interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
-        every.tick().await;
+        interval.tick().await;
         let asked = model::now();
         let Ok(response) = http.get(format!("http://{address}/status")).send().await else {
             continue;
         };
-        let Ok(told) = response.json::<serde_json::Value>().await else {
+        let Ok(status) = response.json::<serde_json::Value>().await else {
             continue;
         };
-        let number = |name: &str| told[name].as_u64().unwrap_or(0);
-        let (life, position, fresh) = (
+        let number = |field: &str| status[field].as_u64().unwrap_or(0);
+        let (incarnation, position, fresh) = (
             number("life"),
             number("position"),
             number("fresh_for_us") > 0,
         );
-        notebook.write(&Record::NodeObserved {
+        history.write(&Record::NodeObserved {
             node: node.clone(),
-            incarnation: life,
+            incarnation,
             asked,
             position,
             fresh,
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -1,4 +1,4 @@
-//! Processes of a rehearsal. Only this program starts any; it ends those it started, by id.
+//! Child processes of a run. Only the simulator starts them, and it ends only those that it started, by process id.
 
 use std::fs::OpenOptions;
 use std::path::Path;
@@ -7,44 +7,45 @@
 use std::process::ExitStatus;
 use std::process::Stdio;
 
-/// The word behind a flag.
+/// The argument that follows a flag.
 pub fn flag_value<'a>(arguments: &'a [String], flag: &str) -> Option<&'a String> {
     arguments
         .iter()
-        .position(|held| held == flag)
-        .and_then(|place| arguments.get(place + 1))
+        .position(|argument| argument == flag)
+        .and_then(|index| arguments.get(index + 1))
 }
 
-/// The same words, but for these flags.
+/// The same arguments with the values of these flags replaced.
 pub fn with_flags(arguments: &[String], flags: &[(&str, String)]) -> Vec<String> {
     flags
         .iter()
         .fold(arguments.to_vec(), |mut arguments, (flag, value)| {
             arguments
                 .iter()
-                .position(|held| held == flag)
+                .position(|argument| argument == flag)
                 .into_iter()
-                .for_each(|place| arguments[place + 1] = value.clone());
+                .for_each(|index| arguments[index + 1] = value.clone());
             arguments
         })
 }
 
+/// A child process, killed when dropped.
 pub struct Process {
     pub name: String,
     child: Child,
 }
 
 impl Process {
-    /// `program` stands beside this one; its log goes to a file in the run's folder.
+    /// Starts `program`, which must be in the build folder of this program. Its log goes to a file in the run's folder.
     pub fn start(
         folder: &Path,
         name: &str,
         program: &str,
         arguments: &[String],
     ) -> Result<Process, String> {
-        let beside = std::env::current_exe().map_err(|error| error.to_string())?;
-        // Tests live one folder deeper than programs.
-        let folders = beside
+        let own_path = std::env::current_exe().map_err(|error| error.to_string())?;
+        // Test binaries are one folder deeper than programs.
+        let folders = own_path
             .ancestors()
             .skip(1)
             .take(2)
@@ -71,18 +72,21 @@
         })
     }
 
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: rustix::process::Signal) {
         if let Some(id) = rustix::process::Pid::from_raw(self.child.id() as i32) {
             rustix::process::kill_process(id, signal).unwrap_or_default();
         }
     }
 
+    /// Kills the process and waits for its exit.
     pub fn kill(&mut self) {
         self.child.kill().unwrap_or_default();
         drop(self.child.wait());
     }
 
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    /// The exit status, if the process has exited.
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 }
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -1,21 +1,24 @@
-//! A whole rehearsal: start a site, load it, break something, check what everyone saw (design 9.5).
+//! One run: starts a site, generates load, injects the faults of a scenario and checks the histories (design 9.5).
 
 use std::path::PathBuf;
 use std::time::Duration;
 
+/// Parameters of one run.
 pub struct Plan {
     pub site: String,
     pub scenario: String,
     pub seconds: u64,
     pub seed: u64,
+    /// Number of backend replies in a thousand that the stand-ins corrupt.
     pub corrupted_per_mille: u32,
     pub folder: PathBuf,
-    /// Given to every node, for paired runs.
+    /// Additional flags for every node, to compare two runs that differ in them.
     pub node_flags: Vec<String>,
-    /// Operators' changes to make and time before anything is broken.
+    /// Number of operator changes to submit and time before the first fault.
     pub changes: u64,
 }
 
+/// Runs a scenario and returns its report.
 pub async fn run(plan: Plan) -> Result<crate::history::Report, String> {
     let mut deployment = crate::deployment::named(&plan.site)
         .ok_or_else(|| format!("there is no site {:?}", plan.site))?;
@@ -30,7 +33,7 @@
         name => crate::scenario::named(name, size, plan.seed)
             .ok_or_else(|| format!("there is no scenario {name:?}"))?,
     };
-    // Work so long that one key can fill its back end.
+    // With the longer work time one hot key can use up the capacity of its backend.
     deployment.work_us = if scenario.name == "hot-key" {
         deployment.slow_work_us
     } else {
@@ -47,49 +50,54 @@
         simulated_disks: scenario.name.starts_with("disk-"),
         ..fleet
     };
-    let mut stage = crate::supervisor::Supervisor::new(fleet);
-    stage.fleet.start().await?;
-    let began = tokio::time::Instant::now();
-    let quiet = scenario
+    let mut supervisor = crate::supervisor::Supervisor::new(fleet);
+    supervisor.fleet.start().await?;
+    let started = tokio::time::Instant::now();
+    let first_fault_ms = scenario
         .steps
         .first()
-        .map(|(at, _)| *at)
+        .map(|(step_time, _)| *step_time)
         .unwrap_or(scenario.length);
-    let company = Participants::start(&stage.fleet, &plan, &deployment);
-    let figures = measure(&stage.fleet, &plan, Duration::from_millis(quiet)).await?;
-    for (at, step) in scenario.steps {
-        tokio::time::sleep_until(began + Duration::from_millis(at)).await;
-        let told = format!("{step:?}");
-        stage
+    let participants = Participants::start(&supervisor.fleet, &plan, &deployment);
+    let measurements = measure(
+        &supervisor.fleet,
+        &plan,
+        Duration::from_millis(first_fault_ms),
+    )
+    .await?;
+    for (step_time, step) in scenario.steps {
+        tokio::time::sleep_until(started + Duration::from_millis(step_time)).await;
+        let step_name = format!("{step:?}");
+        supervisor
             .perform(step)
             .await
-            .map_err(|error| format!("{told}: {error}"))?;
+            .map_err(|error| format!("{step_name}: {error}"))?;
     }
-    tokio::time::sleep_until(began + Duration::from_millis(scenario.length)).await;
-    stage.heal_all()?;
-    company.stop().await?;
-    let requests_and_extras = crate::measurements::requests_and_retries(&stage.fleet).await;
-    let nodes = stage.fleet.machines.len();
-    stage.fleet.stop().await;
-    let told = |error: std::io::Error| error.to_string();
+    tokio::time::sleep_until(started + Duration::from_millis(scenario.length)).await;
+    supervisor.heal_all()?;
+    participants.stop().await?;
+    let requests_and_retries = crate::measurements::requests_and_retries(&supervisor.fleet).await;
+    let nodes = supervisor.fleet.machines.len();
+    supervisor.fleet.stop().await;
+    let to_message = |error: std::io::Error| error.to_string();
     let records: Vec<_> = crate::history::read(&plan.folder)
-        .map_err(told)?
+        .map_err(to_message)?
         .into_iter()
-        .chain(crate::history::repeated_attempts(&plan.folder).map_err(told)?)
+        .chain(crate::history::repeated_attempts(&plan.folder).map_err(to_message)?)
         .collect();
     let repeatable: Vec<&str> = deployment
         .routes
         .iter()
-        .filter(|lane| lane.3)
-        .map(|lane| lane.2)
+        .filter(|route| route.3)
+        .map(|route| route.2)
         .collect();
     let allowed: Vec<(&str, &str)> = deployment
         .routes
         .iter()
-        .map(|lane| (lane.0, lane.1))
+        .map(|route| (route.0, route.1))
         .collect();
-    // Measured changes are made by one operator alone, so nothing is refused there.
-    let provokes = if plan.changes == 0 {
+    // Timed changes come from one operator alone, so none is rejected and that event cannot be required.
+    let must_observe = if plan.changes == 0 {
         scenario.must_observe
     } else {
         &[]
@@ -99,21 +107,21 @@
         allowed: &allowed,
         planned_ends_only: scenario.planned_ends_only,
         retry_allowance: nodes,
-        must_observe: provokes,
+        must_observe,
     };
     let report = crate::checker::check(&records, &rules);
     let requests_per_second = report.measurements.requests_per_second;
     Ok(crate::history::Report {
         measurements: crate::measurements::Measurements {
             requests_per_second,
-            requests_and_retries: requests_and_extras,
-            ..figures
+            requests_and_retries,
+            ..measurements
         },
         ..report
     })
 }
 
-/// Operators, watchers and forgers who are there through the whole run.
+/// Tasks that are active throughout the run: operators, node observers and forging clients.
 struct Participants {
     stop: tokio::sync::watch::Sender<bool>,
     workers: Vec<tokio::task::JoinHandle<Result<(), String>>>,
@@ -128,16 +136,16 @@
     ) -> Participants {
         let stop = tokio::sync::watch::Sender::new(false);
         let service = deployment.services[0].0;
-        let teams = match plan.scenario.as_str() {
+        let operator_count = match plan.scenario.as_str() {
             _ if plan.changes > 0 => 0,
             "operators-race" => 3,
             _ => 1,
         };
-        let operators = (0..teams).map(|team| {
+        let operators = (0..operator_count).map(|operator_index| {
             tokio::spawn(crate::operators::run_operators(
                 fleet.operator(),
                 service,
-                plan.seed * 10 + team,
+                plan.seed * 10 + operator_index,
                 stop.subscribe(),
             ))
         });
@@ -148,13 +156,13 @@
             ))
         });
         let watchers = fleet.machines.iter().map(|machine| {
-            let watched = crate::operators::observe_node(
+            let observer = crate::operators::observe_node(
                 machine.name.clone(),
                 machine.local_address.clone(),
                 fleet.http.clone(),
                 fleet.history_writer(),
             );
-            tokio::spawn(watched)
+            tokio::spawn(observer)
         });
         Participants {
             workers: operators.chain(forgers).collect(),
@@ -163,13 +171,13 @@
         }
     }
 
-    /// What was left open is settled first.
+    /// Stops the tasks; operators first resubmit the changes whose outcome they do not know.
     async fn stop(self) -> Result<(), String> {
         self.stop.send_replace(true);
         for worker in self.workers {
             let ended = tokio::time::timeout(Duration::from_secs(60), worker).await;
             ended
-                .map_err(|_| "an operator was never told what became of a change")?
+                .map_err(|_| "an operator could not settle its open changes within 60 seconds")?
                 .map_err(|error| error.to_string())??;
         }
         self.watchers
@@ -179,20 +187,20 @@
     }
 }
 
-/// A core seat dies without a word after a third, a back end after two.
+/// Kills a replica after a third of the run, and a backend after two thirds.
 fn midway_scenario(
     deployment: &crate::deployment::Deployment,
     plan: &Plan,
 ) -> crate::scenario::Scenario {
     use crate::scenario::{Step, Target};
     let length = plan.seconds * 1_000;
-    let (seat, at) = (
+    let (replica_index, backend_index) = (
         plan.seed as usize % deployment.replica_count,
         plan.seed as usize % deployment.backends().len(),
     );
     let steps = vec![
-        (length / 3, Step::Kill(Target::Replica(seat))),
-        (length * 2 / 3, Step::Kill(Target::Backend(at))),
+        (length / 3, Step::Kill(Target::Replica(replica_index))),
+        (length * 2 / 3, Step::Kill(Target::Backend(backend_index))),
     ];
     crate::scenario::Scenario {
         name: "midway",
@@ -203,33 +211,34 @@
     }
 }
 
-/// The quiet third: load, a few changes, nothing broken.
+/// Measures the time before the first fault: load and the requested number of changes.
 async fn measure(
     fleet: &crate::fleet::Fleet,
     plan: &Plan,
-    third: Duration,
+    quiet_time: Duration,
 ) -> Result<crate::measurements::Measurements, String> {
-    let (began, before, version) = (
+    let (started, before, version) = (
         model::now(),
         crate::measurements::counter_sums(fleet).await,
         fleet.version().await?,
     );
     let in_force_us = crate::measurements::measure_changes(fleet, plan.changes).await?;
-    tokio::time::sleep(third.saturating_sub(Duration::from_micros(model::now() - began))).await;
+    tokio::time::sleep(quiet_time.saturating_sub(Duration::from_micros(model::now() - started)))
+        .await;
     let after = crate::measurements::counter_sums(fleet).await;
-    let grown =
+    let increase =
         |name: &str| after.get(name).copied().unwrap_or(0) - before.get(name).copied().unwrap_or(0);
     Ok(crate::measurements::Measurements {
         requests_per_second: 0.0,
         in_force_us,
-        core_syncs: grown("syncs"),
-        core_frames: grown("frames"),
+        core_syncs: increase("syncs"),
+        core_frames: increase("frames"),
         entries: fleet.version().await? - version,
-        frames_within_zones: grown("within_frames"),
-        bytes_within_zones: grown("within_bytes"),
-        frames_across_zones: grown("across_frames"),
-        bytes_across_zones: grown("across_bytes"),
-        seconds: (model::now() - began) as f64 / 1e6,
+        frames_within_zones: increase("within_frames"),
+        bytes_within_zones: increase("within_bytes"),
+        frames_across_zones: increase("across_frames"),
+        bytes_across_zones: increase("across_bytes"),
+        seconds: (model::now() - started) as f64 / 1e6,
         requests_and_retries: Default::default(),
     })
 }
--- a/crates/simulator/src/supervisor.rs
+++ b/crates/simulator/src/supervisor.rs
@@ -7,10 +7,11 @@
 use std::path::Path;
 use std::time::Duration;
 
+/// Performs the steps of a scenario on a running fleet.
 pub struct Supervisor {
     pub fleet: Fleet,
     changes: u64,
-    /// Frozen processes, so that none stays so at the end.
+    /// Frozen processes and the time since which each is frozen; they are resumed at the end of the run.
     frozen: Vec<(Target, u64)>,
 }
 
@@ -25,24 +26,24 @@
 
     fn process_slot(&mut self, who: Target) -> &mut Option<Process> {
         match who {
-            Target::Replica(seat) => &mut self.fleet.replicas[seat].process,
-            Target::Node(at) => &mut self.fleet.machines[at].node,
-            Target::Backend(at) => &mut self.fleet.machines[at].stand_in,
+            Target::Replica(replica_index) => &mut self.fleet.replicas[replica_index].process,
+            Target::Node(index) => &mut self.fleet.machines[index].node,
+            Target::Backend(index) => &mut self.fleet.machines[index].stand_in,
         }
     }
 
     fn host(&self, who: Target) -> crate::network::Host {
         match who {
-            Target::Replica(seat) => self.fleet.replicas[seat].host,
-            Target::Node(at) | Target::Backend(at) => self.fleet.machines[at].host,
+            Target::Replica(replica_index) => self.fleet.replicas[replica_index].host,
+            Target::Node(index) | Target::Backend(index) => self.fleet.machines[index].host,
         }
     }
 
     fn start(&mut self, who: Target) -> Result<(), String> {
         match who {
-            Target::Replica(seat) => self.fleet.start_replica(seat),
-            Target::Node(at) => self.fleet.start_node(at),
-            Target::Backend(at) => self.fleet.start_stand_in(at),
+            Target::Replica(replica_index) => self.fleet.start_replica(replica_index),
+            Target::Node(index) => self.fleet.start_node(index),
+            Target::Backend(index) => self.fleet.start_stand_in(index),
         }
     }
 
@@ -53,90 +54,95 @@
             .map(|mut process| process.kill())
             .is_some();
         match who {
-            Target::Backend(at) if killed => self.fleet.record_leaving(at),
+            Target::Backend(index) if killed => self.fleet.record_leaving(index),
             _ => Ok(()),
         }
     }
 
-    /// A planned end: waits until the process has gone, as whoever restarts it would.
+    /// Ends a process by SIGTERM and waits up to 20 seconds for its exit, as an operator does before a restart.
     async fn stop(&mut self, who: Target) {
         if let Some(mut process) = self.process_slot(who).take() {
             process.signal(Signal::TERM);
-            let gone = async {
-                while process.ended().is_none() {
+            let exited = async {
+                while process.exit_status().is_none() {
                     tokio::time::sleep(Duration::from_millis(10)).await;
                 }
             };
-            tokio::time::timeout(Duration::from_secs(20), gone)
+            tokio::time::timeout(Duration::from_secs(20), exited)
                 .await
                 .unwrap_or_default();
         }
     }
 
     fn all_targets(&self) -> Vec<Target> {
-        let cores = (0..self.fleet.replicas.len()).map(Target::Replica);
-        let machines =
-            (0..self.fleet.machines.len()).flat_map(|at| [Target::Node(at), Target::Backend(at)]);
-        cores.chain(machines).collect()
+        let replicas = (0..self.fleet.replicas.len()).map(Target::Replica);
+        let machines = (0..self.fleet.machines.len())
+            .flat_map(|index| [Target::Node(index), Target::Backend(index)]);
+        replicas.chain(machines).collect()
     }
 
     fn hosts(&self) -> Vec<crate::network::Host> {
         self.fleet
             .replicas
             .iter()
-            .map(|core| core.host)
+            .map(|replica| replica.host)
             .chain(self.fleet.machines.iter().map(|machine| machine.host))
             .collect()
     }
 
+    /// Performs one step, and records that a fault was removed if the step does so.
     pub async fn perform(&mut self, step: Step) -> Result<(), String> {
         let heals = step.heals();
         match step {
             Step::Kill(who) => self.kill(who)?,
             Step::Stop(who) => self.stop(who).await,
             Step::Start(who) => self.start(who)?,
-            Step::Wipe(seat) => {
-                self.destroy(seat)?;
-                self.start(Target::Replica(seat))?;
+            Step::Wipe(replica_index) => {
+                self.destroy(replica_index)?;
+                self.start(Target::Replica(replica_index))?;
             }
-            Step::Replace(seat) => self.replace(seat).await?,
+            Step::Replace(replica_index) => self.replace(replica_index).await?,
             Step::Freeze(who) => {
                 self.frozen.push((who, model::now()));
                 self.process_slot(who)
                     .iter()
                     .for_each(|process| process.signal(Signal::STOP));
             }
-            Step::Wake(who) => self.wake(who)?,
+            Step::Wake(who) => self.resume(who)?,
             Step::Isolate(who) => {
-                let own = self.host(who);
+                let own_host = self.host(who);
                 self.hosts()
                     .into_iter()
-                    .filter(|host| *host != own)
+                    .filter(|host| *host != own_host)
                     .for_each(|host| {
-                        self.fleet.network.cut(own, host);
-                        self.fleet.network.cut(host, own);
+                        self.fleet.network.cut(own_host, host);
+                        self.fleet.network.cut(host, own_host);
                     });
             }
             Step::Mute(who) => {
-                let own = self.host(who);
+                let own_host = self.host(who);
                 self.hosts()
                     .into_iter()
-                    .filter(|host| *host != own)
-                    .for_each(|host| self.fleet.network.cut(own, host));
+                    .filter(|host| *host != own_host)
+                    .for_each(|host| self.fleet.network.cut(own_host, host));
             }
-            Step::Partition(few) => {
+            Step::Partition(minority) => {
                 let (inside, outside): (Vec<_>, Vec<_>) = self
                     .fleet
                     .replicas
                     .iter()
                     .enumerate()
-                    .partition(|(seat, _)| few.contains(seat));
+                    .partition(|(replica_index, _)| minority.contains(replica_index));
                 inside
                     .iter()
-                    .flat_map(|(_, one)| outside.iter().map(move |(_, two)| (one.host, two.host)))
-                    .for_each(|(one, two)| {
-                        self.fleet.network.cut(one, two);
-                        self.fleet.network.cut(two, one);
+                    .flat_map(|(_, first)| {
+                        outside
+                            .iter()
+                            .map(move |(_, second)| (first.host, second.host))
+                    })
+                    .for_each(|(first, second)| {
+                        self.fleet.network.cut(first, second);
+                        self.fleet.network.cut(second, first);
                     });
             }
             Step::HealNetwork => self.fleet.network.heal(),
@@ -149,9 +155,9 @@
                 .into_iter()
                 .try_for_each(|who| self.start(who))?,
             Step::KillAllReplicas => (0..self.fleet.replicas.len())
-                .try_for_each(|seat| self.kill(Target::Replica(seat)))?,
+                .try_for_each(|replica_index| self.kill(Target::Replica(replica_index)))?,
             Step::StartAllReplicas => (0..self.fleet.replicas.len())
-                .try_for_each(|seat| self.start(Target::Replica(seat)))?,
+                .try_for_each(|replica_index| self.start(Target::Replica(replica_index)))?,
             Step::RemoveRoute => self.toggle_route(false).await?,
             Step::RestoreRoute => self.toggle_route(true).await?,
             Step::Reload(who) => self
@@ -182,8 +188,10 @@
                     .flat_map(|machine| &machine.stand_in)
                     .for_each(|process| process.signal(Signal::USR1));
             }
-            Step::SetDisk(seat, ill) => self.set_disk_fault(seat, ill)?,
-            Step::LoseAfterAccept(seat) => self.lose_after_accept(seat).await?,
+            Step::SetDisk(replica_index, disk_fault) => {
+                self.set_disk_fault(replica_index, disk_fault)?
+            }
+            Step::LoseAfterAccept(replica_index) => self.lose_after_accept(replica_index).await?,
         }
         if heals {
             self.fleet.record_healed()?;
@@ -191,79 +199,87 @@
         Ok(())
     }
 
-    /// As an operator would: start it, read its disk's name, hand it the seat, wait until it is ready.
-    async fn replace(&mut self, seat: usize) -> Result<(), String> {
-        self.kill(Target::Replica(seat))?;
-        self.fleet.plan_replacement(seat)?;
-        self.start(Target::Replica(seat))?;
+    /// Replaces a replica as an operator does: starts an empty machine, reads its identity, assigns it the replica id
+    /// and waits until it is ready.
+    async fn replace(&mut self, replica_index: usize) -> Result<(), String> {
+        self.kill(Target::Replica(replica_index))?;
+        self.fleet.plan_replacement(replica_index)?;
+        self.start(Target::Replica(replica_index))?;
         let fleet = &self.fleet;
         let (new, other) = (
-            fleet.replicas[seat].operators_address.clone(),
-            fleet.replicas[(seat + 1) % fleet.replicas.len()]
+            fleet.replicas[replica_index].operators_address.clone(),
+            fleet.replicas[(replica_index + 1) % fleet.replicas.len()]
                 .operators_address
                 .clone(),
         );
         fleet
-            .until("the empty machine tells its disk", || async {
+            .wait_until("the empty replica returns its status", || async {
                 fleet.get(&new, "/v1/status").await.is_some()
             })
             .await?;
-        let told = |answer: Option<(u16, serde_json::Value)>| {
+        let status_of = |answer: Option<(u16, serde_json::Value)>| {
             answer
                 .map(|(_, status)| status)
-                .ok_or("no status".to_string())
+                .ok_or("a replica returned no status".to_string())
         };
-        let (fresh, held) = (
-            told(fleet.get(&new, "/v1/status").await)?,
-            told(fleet.get(&other, "/v1/status").await)?,
+        let (empty_status, other_status) = (
+            status_of(fleet.get(&new, "/v1/status").await)?,
+            status_of(fleet.get(&other, "/v1/status").await)?,
         );
-        let ask = serde_json::json!({ "seat": seat, "from": held["holders"][seat.to_string()], "to": fresh["identity"] });
+        let request = serde_json::json!({ "seat": replica_index, "from": other_status["holders"][replica_index.to_string()], "to": empty_status["identity"] });
         let answer = fleet
             .http
             .post(format!("http://{other}/v1/seats"))
-            .json(&ask)
+            .json(&request)
             .send()
             .await
             .map_err(|error| error.to_string())?;
         if !answer.status().is_success() {
             return Err(format!(
-                "the replacement got {}",
+                "the replacement was rejected: {}",
                 answer.text().await.unwrap_or_default()
             ));
         }
-        fleet.until_ready(&[new]).await
+        fleet.wait_until_ready(&[new]).await
     }
 
-    /// An operator is told "accepted"; that very moment the machine burns. An empty one comes at a new address.
-    async fn lose_after_accept(&mut self, seat: usize) -> Result<(), String> {
+    /// Destroys a replica right after it accepted a change; an empty replica at a new address takes its place.
+    async fn lose_after_accept(&mut self, replica_index: usize) -> Result<(), String> {
         let operator = self.fleet.operator();
-        let put = self.first_route()?;
+        let route_edit = self.first_route()?;
         let base = operator
-            .read(seat)
+            .read(replica_index)
             .await?
-            .ok_or("the seat told no version")?;
-        let answer = operator.send(seat, "acked-then-lost", base, &[put]).await?;
-        self.destroy(seat)?;
-        self.fleet.plan_replacement(seat)?;
-        self.start(Target::Replica(seat))?;
+            .ok_or("the replica returned no version")?;
+        let answer = operator
+            .send(replica_index, "acked-then-lost", base, &[route_edit])
+            .await?;
+        self.destroy(replica_index)?;
+        self.fleet.plan_replacement(replica_index)?;
+        self.start(Target::Replica(replica_index))?;
         match answer {
             crate::operators::ChangeAnswer::Rejected(412, _)
             | crate::operators::ChangeAnswer::Accepted(..) => Ok(()),
-            other => Err(format!("the change got {other:?}")),
+            other => Err(format!("the change had an unexpected outcome: {other:?}")),
         }
     }
 
-    /// Power and disk go together.
-    fn destroy(&mut self, seat: usize) -> Result<(), String> {
-        self.kill(Target::Replica(seat))?;
-        std::fs::remove_dir_all(self.fleet.folder.join(format!("core-{seat}")))
+    /// Kills a replica and deletes its folder.
+    fn destroy(&mut self, replica_index: usize) -> Result<(), String> {
+        self.kill(Target::Replica(replica_index))?;
+        std::fs::remove_dir_all(self.fleet.folder.join(format!("core-{replica_index}")))
             .map_err(|error| error.to_string())
     }
 
-    fn set_disk_fault(&mut self, seat: usize, ill: crate::disk::DiskFault) -> Result<(), String> {
-        let folder = crate::process::flag_value(&self.fleet.replicas[seat].arguments, "--folder")
-            .ok_or("the seat has no folder")?;
-        std::fs::write(Path::new(folder).join("fault"), ill.file_text())
+    fn set_disk_fault(
+        &mut self,
+        replica_index: usize,
+        disk_fault: crate::disk::DiskFault,
+    ) -> Result<(), String> {
+        let folder =
+            crate::process::flag_value(&self.fleet.replicas[replica_index].arguments, "--folder")
+                .ok_or("the replica has no --folder argument")?;
+        std::fs::write(Path::new(folder).join("fault"), disk_fault.file_text())
             .map_err(|error| error.to_string())
     }
 
@@ -273,11 +289,11 @@
             .edits()
             .into_iter()
             .find(|edit| edit.get("put_order").is_some())
-            .ok_or("the site has no order".into())
+            .ok_or("the site has no route".into())
     }
 
-    fn other_service(&self, at: usize) -> String {
-        let own = self.fleet.service_of(at);
+    fn other_service(&self, index: usize) -> String {
+        let own_service = self.fleet.service_of(index);
         let mut others = self
             .fleet
             .deployment
@@ -285,23 +301,24 @@
             .iter()
             .map(|(service, _)| service.to_string());
         others
-            .rfind(|service| *service != own)
-            .unwrap_or(own.clone())
+            .rfind(|service| *service != own_service)
+            .unwrap_or(own_service.clone())
     }
 
-    fn wake(&mut self, who: Target) -> Result<(), String> {
-        let since = self
+    fn resume(&mut self, who: Target) -> Result<(), String> {
+        let frozen_since = self
             .frozen
             .iter()
-            .find(|(held, _)| *held == who)
-            .map(|(_, since)| *since);
-        self.frozen.retain(|(held, _)| *held != who);
-        if let (Target::Node(at), Some(from)) = (who, since) {
-            let by = self.fleet.machines[at].name.clone();
+            .find(|(frozen_target, _)| *frozen_target == who)
+            .map(|(_, frozen_since)| *frozen_since);
+        self.frozen
+            .retain(|(frozen_target, _)| *frozen_target != who);
+        if let (Target::Node(index), Some(from)) = (who, frozen_since) {
+            let node = self.fleet.machines[index].name.clone();
             self.fleet
                 .history_writer()
                 .write(&crate::history::Record::NodeStalled {
-                    node: by,
+                    node,
                     from,
                     to: model::now(),
                 })?;
@@ -312,22 +329,22 @@
         Ok(())
     }
 
-    /// Nothing stays frozen or cut.
+    /// Heals the network and resumes every frozen process.
     pub fn heal_all(&mut self) -> Result<(), String> {
         self.fleet.network.heal();
         self.frozen
             .clone()
             .into_iter()
-            .try_for_each(|(who, _)| self.wake(who))
+            .try_for_each(|(who, _)| self.resume(who))
     }
 
-    /// The first lane goes or comes back, whoever else changes things meanwhile.
+    /// Removes or restores the first route, also when other operators change the desired state at the same time.
     async fn toggle_route(&mut self, allow: bool) -> Result<(), String> {
         self.changes += 1;
-        let put = self.first_route()?;
-        let name = put["put_order"]["name"].clone();
+        let route_edit = self.first_route()?;
+        let name = route_edit["put_order"]["name"].clone();
         let edit = if allow {
-            put
+            route_edit
         } else {
             serde_json::json!({ "drop_order": { "name": name } })
         };
--- a/crates/simulator/tests/programs.rs
+++ b/crates/simulator/tests/programs.rs
@@ -135,7 +135,7 @@
             .iter()
             .map(|core| core.operators_address.clone())
             .collect();
-        fleet.until_ready(&operators).await.expect("a core");
+        fleet.wait_until_ready(&operators).await.expect("a core");
         let all = operators.join(",");
         let file = |name: &str, text: serde_json::Value| {
             let path = folder.join(name);
@@ -210,7 +210,7 @@
             outcome("gradefordctl", &["compare", places.0, places.1]).0 == Some(0)
         };
         fleet
-            .until("two seats believe the same", alike)
+            .wait_until("two seats believe the same", alike)
             .await
             .expect("alike");
         fleet.stop().await;
@@ -233,7 +233,7 @@
     let until = |usher: &mut simulator::process::Process, word: &str| {
         while !log().contains(word) {
             assert!(
-                usher.ended().is_none() || log().contains(word),
+                usher.exit_status().is_none() || log().contains(word),
                 "it ended before it said {word:?}: {}",
                 log()
             );
@@ -251,7 +251,7 @@
     until(&mut usher, "settings read again");
     usher.signal(rustix::process::Signal::TERM);
     until(&mut usher, "stopped");
-    while usher.ended().is_none() {
+    while usher.exit_status().is_none() {
         std::thread::yield_now();
     }
     std::fs::remove_dir_all(folder).expect("clean");
