--- a/crates/simulator/src/fleet/mod.rs
+++ b/crates/simulator/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! All of a site's processes on one machine, on loopback (design 9.5).
+//! All processes of a site on one machine, on loopback addresses (design 9.5).
 
 mod plan;
 
@@ -8,6 +8,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
+/// A simulated core machine with its replica of the log.
 pub struct ReplicaMachine {
     pub process: Option<Process>,
     pub arguments: Vec<String>,
@@ -16,6 +17,7 @@
     pub host: crate::network::Host,
 }
 
+/// A simulated machine with a node and the stand-in backend beside it.
 pub struct Machine {
     pub node: Option<Process>,
     pub node_arguments: Vec<String>,
@@ -27,6 +29,7 @@
     pub host: crate::network::Host,
 }
 
+/// The processes of one site, the network between them and the folder of the run.
 pub struct Fleet {
     pub folder: PathBuf,
     pub deployment: Deployment,
@@ -34,40 +37,42 @@
     pub machines: Vec<Machine>,
     pub http: reqwest::Client,
     pub network: crate::network::Network,
-    /// Where operators find each core seat.
+    /// Current operator address of each replica.
     pub operator_addresses: tokio::sync::watch::Sender<Vec<String>>,
-    /// Back ends that came later than the site: heirs of addresses, added ones.
+    /// Backends started after the site: those that take over an address, and additional ones.
     pub added_backends: Vec<Process>,
-    /// Core seats run over disks that this rehearsal spoils.
+    /// Whether the replicas run over simulated disks, which the scenario can make faulty.
     pub simulated_disks: bool,
 }
 
 impl Fleet {
-    pub fn start_replica(&mut self, seat: usize) -> Result<(), String> {
-        let core = &mut self.replicas[seat];
-        // Over a made-up disk the seat is a stand-in, put together from the same library.
+    /// Starts the process of a replica.
+    pub fn start_replica(&mut self, replica_index: usize) -> Result<(), String> {
+        let replica = &mut self.replicas[replica_index];
+        // Over a simulated disk the replica runs in this program, built from the same library as `gradeford-core`.
         let stand_in = self.simulated_disks.then(|| {
             [
                 &["seat".to_string()][..],
-                &core.arguments,
+                &replica.arguments,
                 &["--sync".into(), self.deployment.sync_us.to_string()],
             ]
             .concat()
         });
         let (program, arguments) = stand_in
             .map(|arguments| ("simulator", arguments))
-            .unwrap_or_else(|| ("gradeford-core", core.arguments.clone()));
-        core.process = Some(Process::start(
+            .unwrap_or_else(|| ("gradeford-core", replica.arguments.clone()));
+        replica.process = Some(Process::start(
             &self.folder,
-            &format!("core-{seat}"),
+            &format!("core-{replica_index}"),
             program,
             &arguments,
         )?);
         Ok(())
     }
 
-    pub fn start_node(&mut self, at: usize) -> Result<(), String> {
-        let machine = &mut self.machines[at];
+    /// Starts the node of a machine.
+    pub fn start_node(&mut self, machine_index: usize) -> Result<(), String> {
+        let machine = &mut self.machines[machine_index];
         machine.node = Some(Process::start(
             &self.folder,
             &format!("node-{}", machine.name),
@@ -77,8 +82,9 @@
         Ok(())
     }
 
-    pub fn start_stand_in(&mut self, at: usize) -> Result<(), String> {
-        let machine = &mut self.machines[at];
+    /// Starts the stand-in backend of a machine.
+    pub fn start_stand_in(&mut self, machine_index: usize) -> Result<(), String> {
+        let machine = &mut self.machines[machine_index];
         machine.stand_in = Some(Process::start(
             &self.folder,
             &machine.name,
@@ -88,27 +94,29 @@
         Ok(())
     }
 
-    /// Everything up, the site's orders accepted, every back end registered.
+    /// Starts all processes, applies the site's routes, and waits until every backend is registered.
     pub async fn start(&mut self) -> Result<(), String> {
-        (0..self.replicas.len()).try_for_each(|seat| self.start_replica(seat))?;
-        let cores: Vec<String> = self
+        (0..self.replicas.len()).try_for_each(|replica_index| self.start_replica(replica_index))?;
+        let replica_addresses: Vec<String> = self
             .replicas
             .iter()
-            .map(|core| core.operators_address.clone())
+            .map(|replica| replica.operators_address.clone())
             .collect();
-        self.wait_until_ready(&cores).await?;
+        self.wait_until_ready(&replica_addresses).await?;
         self.apply("site", 0, self.deployment.edits()).await?;
-        (0..self.machines.len()).try_for_each(|at| self.start_node(at))?;
-        let ushers: Vec<String> = self
+        (0..self.machines.len()).try_for_each(|machine_index| self.start_node(machine_index))?;
+        let node_addresses: Vec<String> = self
             .machines
             .iter()
             .map(|machine| machine.local_address.clone())
             .collect();
-        self.wait_until_ready(&ushers).await?;
-        (0..self.machines.len()).try_for_each(|at| self.start_stand_in(at))?;
+        self.wait_until_ready(&node_addresses).await?;
+        (0..self.machines.len())
+            .try_for_each(|machine_index| self.start_stand_in(machine_index))?;
         self.wait_until_registered(self.machines.len()).await
     }
 
+    /// Status and JSON body of a GET request, or nothing if it fails.
     pub async fn get(&self, address: &str, path: &str) -> Option<(u16, serde_json::Value)> {
         let response = self
             .http
@@ -119,17 +127,23 @@
         Some((response.status().as_u16(), response.json().await.ok()?))
     }
 
-    pub fn service_of(&self, at: usize) -> String {
-        crate::process::flag_value(&self.machines[at].stand_in_arguments, "--service")
-            .cloned()
-            .unwrap_or_default()
+    /// Service of a machine's backend.
+    pub fn service_of(&self, machine_index: usize) -> String {
+        crate::process::flag_value(
+            &self.machines[machine_index].stand_in_arguments,
+            "--service",
+        )
+        .cloned()
+        .unwrap_or_default()
     }
 
-    /// Where a machine's back end takes requests.
-    pub fn backend_address(&self, at: usize) -> Option<String> {
-        crate::process::flag_value(&self.machines[at].stand_in_arguments, "--listen").cloned()
+    /// Address on which a machine's backend listens.
+    pub fn backend_address(&self, machine_index: usize) -> Option<String> {
+        crate::process::flag_value(&self.machines[machine_index].stand_in_arguments, "--listen")
+            .cloned()
     }
 
+    /// An operator that records into this run's history.
     pub fn operator(&self) -> crate::operators::Operator {
         crate::operators::Operator {
             addresses: self.operator_addresses.subscribe(),
@@ -138,29 +152,31 @@
         }
     }
 
-    /// One more back end beside a machine's usher; with the address of another, or one of its own.
+    /// Starts one more backend beside a machine's node, at the address of another backend or at a new one.
     pub fn add_backend(
         &mut self,
-        beside: usize,
+        machine_index: usize,
         service: &str,
         address: Option<String>,
     ) -> Result<(), String> {
         let name = format!("heir-{}", self.added_backends.len());
-        let own = format!("{}:0", self.machines[beside].host);
+        let own_address = format!("{}:0", self.machines[machine_index].host);
         let history = self
             .folder
             .join(format!("{name}.history"))
             .display()
             .to_string();
-        let changed = [
+        let changed_flags = [
             ("--name", name.clone()),
             ("--service", service.to_string()),
-            ("--listen", address.unwrap_or(own)),
+            ("--listen", address.unwrap_or(own_address)),
             ("--history", history),
             ("--rate", "0".into()),
         ];
-        let arguments =
-            crate::process::with_flags(&self.machines[beside].stand_in_arguments, &changed);
+        let arguments = crate::process::with_flags(
+            &self.machines[machine_index].stand_in_arguments,
+            &changed_flags,
+        );
         self.added_backends.push(Process::start(
             &self.folder,
             &name,
@@ -170,53 +186,59 @@
         Ok(())
     }
 
+    /// Version of the desired state, from the first replica that answers.
     pub async fn version(&self) -> Result<u64, String> {
-        for core in &self.replicas {
-            if let Some((200, state)) = self.get(&core.operators_address, "/v1/desired").await {
+        for replica in &self.replicas {
+            if let Some((200, state)) = self.get(&replica.operators_address, "/v1/desired").await {
                 return state["version"]
                     .as_u64()
-                    .ok_or_else(|| "no version".to_string());
+                    .ok_or_else(|| "a replica returned no version".to_string());
             }
         }
-        Err("no core seat told its version".into())
+        Err("no replica returned its version".into())
     }
 
-    /// One atomic change through the first core seat that says for certain; its version and position.
+    /// Applies one atomic change through the first replica whose answer is certain. Returns its version and position.
     pub async fn apply(
         &self,
         id: &str,
         base: u64,
         edits: Vec<serde_json::Value>,
     ) -> Result<(u64, u64), String> {
-        for seat in 0..self.replicas.len() {
-            match self.operator().send(seat, id, base, &edits).await? {
+        for replica_index in 0..self.replicas.len() {
+            match self
+                .operator()
+                .send(replica_index, id, base, &edits)
+                .await?
+            {
                 ChangeAnswer::Accepted(version, position) => return Ok((version, position)),
-                ChangeAnswer::Rejected(status, told) if status < 500 => return Err(told),
+                ChangeAnswer::Rejected(status, message) if status < 500 => return Err(message),
                 ChangeAnswer::Rejected(..) | ChangeAnswer::Unknown => {}
             }
         }
-        Err("no core seat took the change".into())
+        Err("no replica accepted the change".into())
     }
 
-    /// Waits as long as it takes, up to a minute: a bound for broken runs, not a figure.
+    /// Waits until the condition holds, for at most a minute; the limit only ends broken runs.
     pub async fn wait_until<F: Future<Output = bool>>(
         &self,
-        what: &str,
-        holds: impl Fn() -> F,
+        condition: &str,
+        is_met: impl Fn() -> F,
     ) -> Result<(), String> {
-        let waiting = async {
-            while !holds().await {
+        let polling = async {
+            while !is_met().await {
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
         };
-        tokio::time::timeout(Duration::from_secs(60), waiting)
+        tokio::time::timeout(Duration::from_secs(60), polling)
             .await
-            .map_err(|_| format!("never came: {what}"))
+            .map_err(|_| format!("not reached within 60 seconds: {condition}"))
     }
 
+    /// Waits until every process at these addresses reports that it is ready.
     pub async fn wait_until_ready(&self, addresses: &[String]) -> Result<(), String> {
         for address in addresses {
-            self.wait_until(&format!("{address} ready"), || async {
+            self.wait_until(&format!("{address} is ready"), || async {
                 matches!(self.get(address, "/ready").await, Some((200, _)))
             })
             .await?;
@@ -224,20 +246,21 @@
         Ok(())
     }
 
+    /// Waits until the log holds `count` registered backends.
     pub async fn wait_until_registered(&self, count: usize) -> Result<(), String> {
-        self.wait_until("back ends registered", || async {
+        self.wait_until("the backends are registered", || async {
             let mut registered = 0;
-            for core in &self.replicas {
-                if let Some((200, standing)) =
-                    self.get(&core.operators_address, "/v1/standing").await
+            for replica in &self.replicas {
+                if let Some((200, status)) =
+                    self.get(&replica.operators_address, "/v1/standing").await
                 {
-                    let back_ends = standing["standing"]["back_ends"]
+                    let backends = status["standing"]["back_ends"]
                         .as_object()
                         .cloned()
                         .unwrap_or_default();
-                    registered = back_ends
+                    registered = backends
                         .values()
-                        .filter(|held| held["phase"] == "registered")
+                        .filter(|backend| backend["phase"] == "registered")
                         .count();
                     break;
                 }
@@ -247,7 +270,8 @@
         .await
     }
 
-    /// Stand-ins first, each in good order, so that histories are whole; then nodes, then the core.
+    /// Stops all processes by SIGTERM: the stand-ins first, so that their histories are complete, then the nodes, then
+    /// the replicas.
     pub async fn stop(&mut self) {
         let all = [
             self.machines
@@ -261,15 +285,15 @@
                 .collect(),
             self.replicas
                 .iter_mut()
-                .filter_map(|core| core.process.take())
+                .filter_map(|replica| replica.process.take())
                 .collect(),
         ];
-        for mut group in all {
-            group
+        for mut processes in all {
+            processes
                 .iter()
                 .for_each(|process| process.signal(rustix::process::Signal::TERM));
             let exit_status = async {
-                while !group
+                while !processes
                     .iter_mut()
                     .all(|process| process.exit_status().is_some())
                 {
--- a/crates/simulator/src/fleet/plan.rs
+++ b/crates/simulator/src/fleet/plan.rs
@@ -1,4 +1,4 @@
-//! Who runs where: addresses, zones, settings of a rehearsal's processes (design 9.5).
+//! Plans a fleet: addresses, zones and flags of its processes (design 9.5).
 
 use crate::deployment::Deployment;
 use crate::fleet::{Fleet, Machine, ReplicaMachine};
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// A port that was free a moment ago, on a loopback address of this run's own.
+/// An address with a port that was free at the time of the call, on a loopback host of this run.
 fn free_address(host: &str) -> Result<String, String> {
     let listener = TcpListener::bind(format!("{host}:0")).map_err(|error| error.to_string())?;
     listener
@@ -16,17 +16,18 @@
 }
 
 fn parse_host(host: &str) -> Result<crate::network::Host, String> {
-    host.parse().map_err(|_| format!("{host} is no address"))
+    host.parse()
+        .map_err(|_| format!("{host} is not an IP address"))
 }
 
-/// Where the process listens, and where others find it: the link stands between.
+/// The address on which a process listens, and the relay's address at which other processes reach it.
 fn relayed_address(
-    links: &crate::network::Network,
+    network: &crate::network::Network,
     host: &str,
 ) -> Result<(String, String), String> {
-    let real = free_address(host)?;
+    let listen_address = free_address(host)?;
     let listener = TcpListener::bind(format!("{host}:0")).map_err(|error| error.to_string())?;
-    let known = listener
+    let advertised_address = listener
         .local_addr()
         .map_err(|error| error.to_string())?
         .to_string();
@@ -35,15 +36,18 @@
         .map_err(|error| error.to_string())?;
     let listener =
         tokio::net::TcpListener::from_std(listener).map_err(|error| error.to_string())?;
-    let (links, target) = (
-        links.clone(),
-        real.parse().map_err(|_| "no address".to_string())?,
+    let (network, target) = (
+        network.clone(),
+        listen_address
+            .parse()
+            .map_err(|_| "the listen address is not a socket address".to_string())?,
     );
-    tokio::spawn(async move { links.relay(listener, target).await });
-    Ok((real, known))
+    tokio::spawn(async move { network.relay(listener, target).await });
+    Ok((listen_address, advertised_address))
 }
 
-fn flag_words(pairs: &[(&str, String)]) -> Vec<String> {
+/// Command line arguments for pairs of flag and value.
+fn flag_arguments(pairs: &[(&str, String)]) -> Vec<String> {
     pairs
         .iter()
         .flat_map(|(flag, value)| [format!("--{flag}"), value.clone()])
@@ -51,130 +55,138 @@
 }
 
 impl Fleet {
-    /// An empty machine for a seat: the same place in the order, another address, another folder.
-    pub fn plan_replacement(&mut self, seat: usize) -> Result<(), String> {
-        let host = self.replicas[seat].host.to_string();
-        let ((mates, known), operators) =
+    /// Plans an empty machine for a replica: the same replica id with new addresses and a new folder.
+    pub fn plan_replacement(&mut self, replica_index: usize) -> Result<(), String> {
+        let host = self.replicas[replica_index].host.to_string();
+        let ((listen_address, advertised_address), operators_address) =
             (relayed_address(&self.network, &host)?, free_address(&host)?);
-        let folder = self.folder.join(format!("core-{seat}-{}", model::now()));
-        let moved = [
-            ("--mates-address", mates),
-            ("--advertised-address", known.clone()),
-            ("--operators-address", operators.clone()),
+        let folder = self
+            .folder
+            .join(format!("core-{replica_index}-{}", model::now()));
+        let changed_flags = [
+            ("--mates-address", listen_address),
+            ("--advertised-address", advertised_address.clone()),
+            ("--operators-address", operators_address.clone()),
             ("--folder", folder.display().to_string()),
         ];
-        let core = &mut self.replicas[seat];
-        core.arguments = crate::process::with_flags(&core.arguments, &moved);
-        (core.operators_address, core.peer_address) = (operators, known);
+        let replica = &mut self.replicas[replica_index];
+        replica.arguments = crate::process::with_flags(&replica.arguments, &changed_flags);
+        (replica.operators_address, replica.peer_address) = (operators_address, advertised_address);
         self.operator_addresses.send_replace(
             self.replicas
                 .iter()
-                .map(|core| core.operators_address.clone())
+                .map(|replica| replica.operators_address.clone())
                 .collect(),
         );
         Ok(())
     }
 
-    /// Must be called within a runtime: the links' relays are its tasks.
+    /// Plans all processes of a site. Must be called within a runtime, because the relays of the links are tasks.
     pub fn plan(
         deployment: Deployment,
         folder: PathBuf,
         seed: u64,
-        spoil: u32,
-        usher_flags: &[String],
+        corrupted_per_mille: u32,
+        node_flags: &[String],
     ) -> Result<Fleet, String> {
         std::fs::create_dir_all(&folder).map_err(|error| error.to_string())?;
         let id = std::process::id();
         let host =
             |machine: usize| format!("127.{}.{}.{}", 16 + id / 250 % 200, id % 250, machine + 1);
-        let back_ends = deployment.backends();
-        let core_zones = (0..deployment.replica_count).map(|seat| seat % deployment.zone_count);
-        let zones = core_zones
-            .chain(back_ends.iter().map(|(_, _, zone)| *zone))
+        let backends = deployment.backends();
+        let replica_zones = (0..deployment.replica_count)
+            .map(|replica_index| replica_index % deployment.zone_count);
+        let zones = replica_zones
+            .chain(backends.iter().map(|(_, _, zone)| *zone))
             .enumerate();
         let zones = zones
             .map(|(machine, zone)| Ok((parse_host(&host(machine))?, zone)))
             .collect::<Result<_, String>>()?;
-        let links = crate::network::Network::new(zones, deployment.zone_delay_us);
-        let places = (0..deployment.replica_count)
-            .map(|seat| {
+        let network = crate::network::Network::new(zones, deployment.zone_delay_us);
+        let addresses = (0..deployment.replica_count)
+            .map(|replica_index| {
                 Ok((
-                    relayed_address(&links, &host(seat))?,
-                    free_address(&host(seat))?,
+                    relayed_address(&network, &host(replica_index))?,
+                    free_address(&host(replica_index))?,
                 ))
             })
             .collect::<Result<Vec<_>, String>>()?;
-        let seeds = places
+        let seeds = addresses
             .iter()
             .take(3)
-            .map(|((_, known), _)| known.clone())
+            .map(|((_, advertised_address), _)| advertised_address.clone())
             .collect::<Vec<_>>()
             .join(",")
             + ",";
-        let cores = places
-            .iter()
-            .enumerate()
-            .map(|(seat, ((mates, known), operators))| {
-                let arguments = flag_words(&[
-                    ("name", format!("core-{seat}")),
-                    ("zone", format!("z{}", seat % deployment.zone_count)),
-                    ("seat", seat.to_string()),
+        let replicas = addresses.iter().enumerate().map(
+            |(replica_index, ((listen_address, advertised_address), operators_address))| {
+                let arguments = flag_arguments(&[
+                    ("name", format!("core-{replica_index}")),
+                    (
+                        "zone",
+                        format!("z{}", replica_index % deployment.zone_count),
+                    ),
+                    ("seat", replica_index.to_string()),
                     ("seats", deployment.replica_count.to_string()),
-                    ("mates-address", mates.clone()),
-                    ("advertised-address", known.clone()),
-                    ("operators-address", operators.clone()),
+                    ("mates-address", listen_address.clone()),
+                    ("advertised-address", advertised_address.clone()),
+                    ("operators-address", operators_address.clone()),
                     ("seeds", seeds.clone()),
                     (
                         "folder",
-                        folder.join(format!("core-{seat}")).display().to_string(),
+                        folder
+                            .join(format!("core-{replica_index}"))
+                            .display()
+                            .to_string(),
                     ),
                 ]);
                 Ok(ReplicaMachine {
                     process: None,
                     arguments,
-                    operators_address: operators.clone(),
-                    peer_address: known.clone(),
-                    host: parse_host(&host(seat))?,
+                    operators_address: operators_address.clone(),
+                    peer_address: advertised_address.clone(),
+                    host: parse_host(&host(replica_index))?,
                 })
-            });
-        let cores = cores.collect::<Result<Vec<_>, String>>()?;
-        let rate = deployment.rate / back_ends.len() as f64;
-        let machines = back_ends
+            },
+        );
+        let replicas = replicas.collect::<Result<Vec<_>, String>>()?;
+        let rate = deployment.rate / backends.len() as f64;
+        let machines = backends
             .iter()
             .enumerate()
-            .map(|(at, (name, service, zone))| {
-                let host = host(deployment.replica_count + at);
-                let ((mates, known), local, listen) = (
-                    relayed_address(&links, &host)?,
+            .map(|(index, (name, service, zone))| {
+                let host = host(deployment.replica_count + index);
+                let ((listen_address, advertised_address), local_address, listen) = (
+                    relayed_address(&network, &host)?,
                     free_address(&host)?,
                     free_address(&host)?,
                 );
-                let usher_arguments = flag_words(&[
+                let node_arguments = flag_arguments(&[
                     ("name", format!("node-{name}")),
                     ("zone", format!("z{zone}")),
-                    ("mates-address", mates.clone()),
-                    ("advertised-address", known.clone()),
-                    ("local-address", local.clone()),
+                    ("mates-address", listen_address.clone()),
+                    ("advertised-address", advertised_address.clone()),
+                    ("local-address", local_address.clone()),
                     ("seeds", seeds.clone()),
                 ]);
-                let usher_arguments = usher_arguments
+                let node_arguments = node_arguments
                     .into_iter()
-                    .chain(usher_flags.iter().cloned())
+                    .chain(node_flags.iter().cloned())
                     .collect();
-                let understudy_arguments = flag_words(&[
+                let stand_in_arguments = flag_arguments(&[
                     ("name", name.clone()),
                     ("service", service.to_string()),
                     ("zone", format!("z{zone}")),
                     ("slots", deployment.slots.to_string()),
-                    ("node", local.clone()),
+                    ("node", local_address.clone()),
                     ("listen", listen),
                     (
                         "history",
                         folder.join(format!("{name}.history")).display().to_string(),
                     ),
                     ("work", deployment.work_us.to_string()),
-                    ("spoil", spoil.to_string()),
-                    ("seed", (seed * 1_000 + at as u64).to_string()),
+                    ("spoil", corrupted_per_mille.to_string()),
+                    ("seed", (seed * 1_000 + index as u64).to_string()),
                     ("rate", rate.to_string()),
                     ("hot", "333".to_string()),
                     (
@@ -183,18 +195,18 @@
                             .unwrap_or_default(),
                     ),
                 ]);
-                let understudy_arguments = std::iter::once("understudy".to_string())
-                    .chain(understudy_arguments)
+                let stand_in_arguments = std::iter::once("understudy".to_string())
+                    .chain(stand_in_arguments)
                     .collect();
                 let host = parse_host(&host)?;
                 Ok(Machine {
                     node: None,
-                    node_arguments: usher_arguments,
+                    node_arguments,
                     stand_in: None,
-                    stand_in_arguments: understudy_arguments,
+                    stand_in_arguments,
                     name: name.clone(),
-                    local_address: local,
-                    peer_address: known,
+                    local_address,
+                    peer_address: advertised_address,
                     host,
                 })
             });
@@ -204,20 +216,20 @@
             .timeout(Duration::from_secs(10))
             .build()
             .map_err(|error| error.to_string())?;
-        let places = tokio::sync::watch::Sender::new(
-            cores
+        let addresses = tokio::sync::watch::Sender::new(
+            replicas
                 .iter()
-                .map(|core: &ReplicaMachine| core.operators_address.clone())
+                .map(|replica: &ReplicaMachine| replica.operators_address.clone())
                 .collect(),
         );
         Ok(Fleet {
             folder,
             deployment,
-            replicas: cores,
+            replicas,
             machines,
             http,
-            network: links,
-            operator_addresses: places,
+            network,
+            operator_addresses: addresses,
             added_backends: Vec::new(),
             simulated_disks: false,
         })
--- a/crates/simulator/src/lease_sim/backend.rs
+++ b/crates/simulator/src/lease_sim/backend.rs
@@ -1,5 +1,6 @@
-//! A back end as its contract says: it beats, holds for so long from when the beat was sent by a clock that may be
-//! slow, lets go of what an answer leaves out and says so within 100 ms (design 11.5).
+//! A backend that keeps its contract: it sends heartbeats, holds a lease for its duration from the time when the
+//! heartbeat was sent, by a clock that may be slow, releases the ranges that an answer leaves out and reports the
+//! release within 100 ms (design 11.5).
 
 use model::cluster_state::ShardKey;
 use model::{Microseconds, Position};
@@ -10,7 +11,7 @@
 pub(super) struct HeldRange {
     pub range: LeasedRange,
     pub until: Microseconds,
-    /// Left out by an answer; work on it may still be under way.
+    /// Number of the release, if an answer left the range out. Work on the range may still be running.
     pub releasing: Option<u64>,
 }
 
@@ -20,65 +21,80 @@
     pub(super) alive: bool,
     pub(super) frozen: bool,
     pub(super) deferred: Vec<super::harness::Event>,
-    /// Its beats get lost, though it lives.
+    /// Its heartbeats are lost, although the process is running.
     pub(super) heartbeats_lost: bool,
     pub(super) draining: bool,
-    /// How much of a hold's time its clock misses, in thousandths.
+    /// By how much its clock is slow, in thousandths of the lease duration.
     pub(super) clock_lag_per_mille: u64,
     pub(super) sequence: u64,
     pub(super) awaiting_answer_to: Option<u64>,
     pub(super) held: Vec<HeldRange>,
-    pub(super) latest_fences: Vec<LeasedRange>,
+    pub(super) latest_tokens: Vec<LeasedRange>,
     pub(super) released: Vec<(ShardKey, ShardKey, String)>,
-    /// How many of these the latest beat carried.
+    /// Number of the releases in `released` that the latest heartbeat carried.
     pub(super) releases_sent: usize,
     pub(super) last_release: u64,
 }
 
-/// What of a row lies outside all of `others`.
-fn outside(row: LeasedRange, others: &[(ShardKey, ShardKey)]) -> Vec<LeasedRange> {
-    others.iter().fold(vec![row], |rows, (from, to)| {
-        let cut = rows.into_iter().flat_map(|(start, end, fence)| {
-            let before = (start < *from).then(|| (start, end.min(from.saturating_sub(1)), fence));
-            let after = (end > *to).then(|| (start.max(to.saturating_add(1)), end, fence));
-            let apart = end < *from || start > *to;
-            if apart {
-                vec![(start, end, fence)]
-            } else {
-                before.into_iter().chain(after).collect()
-            }
-        });
-        cut.collect()
+/// The parts of a range that lie outside all of `others`.
+fn outside(range: LeasedRange, others: &[(ShardKey, ShardKey)]) -> Vec<LeasedRange> {
+    others.iter().fold(vec![range], |ranges, (from, to)| {
+        let remaining_ranges =
+            ranges
+                .into_iter()
+                .flat_map(|(range_start, range_end, fencing_token)| {
+                    let left_part = (range_start < *from).then(|| {
+                        (
+                            range_start,
+                            range_end.min(from.saturating_sub(1)),
+                            fencing_token,
+                        )
+                    });
+                    let right_part = (range_end > *to).then(|| {
+                        (
+                            range_start.max(to.saturating_add(1)),
+                            range_end,
+                            fencing_token,
+                        )
+                    });
+                    let disjoint = range_end < *from || range_start > *to;
+                    if disjoint {
+                        vec![(range_start, range_end, fencing_token)]
+                    } else {
+                        left_part.into_iter().chain(right_part).collect()
+                    }
+                });
+        remaining_ranges.collect()
     })
 }
 
 impl SimulatedBackend {
-    pub(super) fn new(node: usize, life: u64, slow: u64) -> SimulatedBackend {
+    pub(super) fn new(node: usize, incarnation: u64, clock_lag_per_mille: u64) -> SimulatedBackend {
         SimulatedBackend {
             node,
-            incarnation: life,
+            incarnation,
             alive: true,
             frozen: false,
             deferred: Vec::new(),
             heartbeats_lost: false,
             draining: false,
-            clock_lag_per_mille: slow,
+            clock_lag_per_mille,
             sequence: 0,
             awaiting_answer_to: None,
             held: Vec::new(),
-            latest_fences: Vec::new(),
+            latest_tokens: Vec::new(),
             released: Vec::new(),
             releases_sent: 0,
             last_release: 0,
         }
     }
 
-    /// One life, one name.
+    /// Every incarnation has a name of its own.
     pub(super) fn name(&self) -> String {
         format!("player-{}-{}", self.node, self.incarnation)
     }
 
-    /// What it may begin requests on; what it only still works on counts, too.
+    /// The ranges with a valid lease, including those on which only running work is finished.
     pub(super) fn held(&self, now: Microseconds) -> Vec<LeasedRange> {
         self.held
             .iter()
@@ -91,7 +107,7 @@
         self.sequence += 1;
         self.awaiting_answer_to = Some(self.sequence);
         self.releases_sent = self.released.len();
-        // A hold that ran out is not told as released.
+        // An expired lease is not reported as released.
         self.held.retain(|held| held.until > now);
         endpoints::Heartbeat {
             name: self.name(),
@@ -106,74 +122,81 @@
         }
     }
 
-    /// Takes what an answer tells it to hold. What it has to let go by number, and fences that went back.
+    /// Applies the ranges of an answer. Returns the numbers of the releases to finish, and the ranges whose fencing token
+    /// is lower than one seen before.
     pub(super) fn apply_answer(
         &mut self,
         now: Microseconds,
         sent: Microseconds,
-        rows: Vec<LeasedRange>,
-        hold: Microseconds,
+        ranges: Vec<LeasedRange>,
+        lease_duration: Microseconds,
     ) -> (Vec<u64>, Vec<LeasedRange>) {
-        let until = sent + hold + hold * self.clock_lag_per_mille / 1_000;
-        let newer = |row: &LeasedRange| {
-            self.latest_fences
+        let until = sent + lease_duration + lease_duration * self.clock_lag_per_mille / 1_000;
+        let has_newer_token = |range: &LeasedRange| {
+            self.latest_tokens
                 .iter()
-                .any(|seen| seen.0 <= row.1 && row.0 <= seen.1 && seen.2 > row.2)
+                .any(|latest| latest.0 <= range.1 && range.0 <= latest.1 && latest.2 > range.2)
         };
-        let (back, rows): (Vec<LeasedRange>, Vec<LeasedRange>) = rows.into_iter().partition(newer);
-        let taken: Vec<(ShardKey, ShardKey)> =
-            rows.iter().map(|(from, to, _)| (*from, *to)).collect();
-        let before = std::mem::take(&mut self.held);
-        let mut let_go = Vec::new();
-        let pieces = &mut self.last_release;
-        let left = before
+        let (regressed, ranges): (Vec<LeasedRange>, Vec<LeasedRange>) =
+            ranges.into_iter().partition(has_newer_token);
+        let granted: Vec<(ShardKey, ShardKey)> =
+            ranges.iter().map(|(from, to, _)| (*from, *to)).collect();
+        let held_before = std::mem::take(&mut self.held);
+        let mut to_release = Vec::new();
+        let last_release = &mut self.last_release;
+        let remaining = held_before
             .into_iter()
             .filter(|held| held.until > now)
             .flat_map(|held| {
-                let cut = outside(held.range, &taken).into_iter().map(|row| {
-                    *pieces += 1;
-                    let whole = held.releasing.filter(|_| row == held.range);
-                    let going = whole.unwrap_or(*pieces);
-                    if whole.is_none() {
-                        let_go.push(going);
+                let remaining_ranges = outside(held.range, &granted).into_iter().map(|range| {
+                    *last_release += 1;
+                    let current_release = held.releasing.filter(|_| range == held.range);
+                    let release_number = current_release.unwrap_or(*last_release);
+                    if current_release.is_none() {
+                        to_release.push(release_number);
                     }
                     HeldRange {
-                        range: row,
+                        range,
                         until: held.until,
-                        releasing: Some(going),
+                        releasing: Some(release_number),
                     }
                 });
-                cut.collect::<Vec<_>>()
+                remaining_ranges.collect::<Vec<_>>()
             });
-        self.held = left.collect();
-        self.held.extend(rows.iter().map(|row| HeldRange {
-            range: *row,
+        self.held = remaining.collect();
+        self.held.extend(ranges.iter().map(|range| HeldRange {
+            range: *range,
             until,
             releasing: None,
         }));
-        self.latest_fences = self
-            .latest_fences
+        self.latest_tokens = self
+            .latest_tokens
             .iter()
-            .flat_map(|seen| outside(*seen, &taken))
-            .chain(rows)
+            .flat_map(|latest| outside(*latest, &granted))
+            .chain(ranges)
             .collect();
-        (let_go, back)
+        (to_release, regressed)
     }
 
-    /// Work on what it was to let go is over.
-    pub(super) fn finish_release(&mut self, now: Microseconds, piece: u64, token: String) -> bool {
-        let Some(at) = self
+    /// Finishes a release after its work has ended. Returns whether the lease was still valid.
+    pub(super) fn finish_release(
+        &mut self,
+        now: Microseconds,
+        release_number: u64,
+        token: String,
+    ) -> bool {
+        let Some(index) = self
             .held
             .iter()
-            .position(|held| held.releasing == Some(piece))
+            .position(|held| held.releasing == Some(release_number))
         else {
             return false;
         };
-        let held = self.held.remove(at);
-        let in_time = held.until > now;
-        if in_time {
+        let held = self.held.remove(index);
+        let still_valid = held.until > now;
+        if still_valid {
             self.released.push((held.range.0, held.range.1, token));
         }
-        in_time
+        still_valid
     }
 }
--- a/crates/simulator/src/lease_sim/checks.rs
+++ b/crates/simulator/src/lease_sim/checks.rs
@@ -1,83 +1,96 @@
-//! What must hold: one holder at a time, fences that grow, all keys held again (design 11.4, 11.5).
+//! Invariants of the leases: at most one holder of a key at a time, fencing tokens that only grow, and all keys held
+//! again after the last fault (design 11.4, 11.5).
 
 use model::Microseconds;
 use model::cluster_state::ShardKey;
 
+/// Violations found so far, and counts that show how much the run tested.
 #[derive(Default)]
 pub struct LeaseChecks {
     pub violations: Vec<String>,
-    /// Rows taken up or renewed.
+    /// Number of ranges taken or renewed.
     pub ranges_taken: usize,
-    /// Of these the ones that came with what their last holder had handed over.
+    /// Number of those that came with the handover token of their previous holder.
     pub ranges_handed_over: usize,
 }
 
 impl LeaseChecks {
-    pub(super) fn violation(&mut self, now: Microseconds, promise: &str, told: String) {
+    pub(super) fn violation(&mut self, now: Microseconds, invariant: &str, message: String) {
         if self.violations.len() < 40 {
-            self.violations.push(format!("{promise}: at {now} {told}"));
+            self.violations
+                .push(format!("{invariant}: at {now} {message}"));
         }
     }
 
-    /// `taker` has just taken up or renewed what it holds.
+    /// Checks that no other backend holds a range of `taker`, which has just taken or renewed its ranges.
     pub(super) fn check_holders(
         &mut self,
         now: Microseconds,
-        players: &[super::backend::SimulatedBackend],
+        backends: &[super::backend::SimulatedBackend],
         taker: usize,
     ) {
-        let own = players[taker].held(now);
-        let others = players
+        let own = backends[taker].held(now);
+        let others = backends
             .iter()
             .zip(0..)
-            .filter(|(player, at)| *at != taker && player.alive);
-        let clash = others
-            .flat_map(|(player, _)| player.held(now).into_iter().map(|row| (player.name(), row)))
-            .find_map(|(name, (from, to, fence))| {
-                let met = own
+            .filter(|(backend, index)| *index != taker && backend.alive);
+        let conflict = others
+            .flat_map(|(backend, _)| {
+                backend
+                    .held(now)
+                    .into_iter()
+                    .map(|range| (backend.name(), range))
+            })
+            .find_map(|(name, (from, to, fencing_token))| {
+                let overlapping = own
                     .iter()
-                    .find(|(start, end, _)| *start <= to && from <= *end)?;
+                    .find(|(range_start, range_end, _)| *range_start <= to && from <= *range_end)?;
                 Some(format!(
-                    "{} holds {met:?}, {name} holds {:?}",
-                    players[taker].name(),
-                    (from, to, fence)
+                    "{} holds {overlapping:?}, {name} holds {:?}",
+                    backends[taker].name(),
+                    (from, to, fencing_token)
                 ))
             });
-        clash
+        conflict
             .into_iter()
-            .for_each(|told| self.violation(now, "owner", told));
+            .for_each(|message| self.violation(now, "owner", message));
     }
 
-    /// At the end, well after the last fault: every key has a holder, and everyone who is there holds some.
+    /// Checks the state at the end, after the time for recovery: every key has a holder, and every live backend holds a
+    /// range.
     pub(super) fn check_final_state(
         &mut self,
         now: Microseconds,
-        players: &[super::backend::SimulatedBackend],
+        backends: &[super::backend::SimulatedBackend],
     ) {
-        let mut held: Vec<(ShardKey, ShardKey)> = players
+        let mut held: Vec<(ShardKey, ShardKey)> = backends
             .iter()
-            .filter(|player| player.alive)
-            .flat_map(|player| player.held(now))
+            .filter(|backend| backend.alive)
+            .flat_map(|backend| backend.held(now))
             .map(|(from, to, _)| (from, to))
             .collect();
         held.sort();
-        let reach = held.iter().fold(0u32, |reach, (from, to)| {
-            if *from as u32 <= reach {
-                reach.max(*to as u32 + 1)
+        let next_key = held.iter().fold(0u32, |next_key, (from, to)| {
+            if *from as u32 <= next_key {
+                next_key.max(*to as u32 + 1)
             } else {
-                reach
+                next_key
             }
         });
-        if reach <= ShardKey::MAX as u32 {
-            self.violation(now, "unheld", format!("nobody holds key {reach}: {held:?}"));
+        if next_key <= ShardKey::MAX as u32 {
+            self.violation(
+                now,
+                "unheld",
+                format!("no backend holds key {next_key}; held: {held:?}"),
+            );
         }
-        let idle = players
+        let idle = backends
             .iter()
-            .filter(|player| player.alive && player.held(now).is_empty())
+            .filter(|backend| backend.alive && backend.held(now).is_empty())
             .map(super::backend::SimulatedBackend::name);
         let idle: Vec<String> = idle.collect();
         if !idle.is_empty() {
-            self.violation(now, "idle", format!("{idle:?} live and hold nothing"));
+            self.violation(now, "idle", format!("{idle:?} are live and hold no range"));
         }
     }
 }
--- a/crates/simulator/src/lease_sim/connection.rs
+++ b/crates/simulator/src/lease_sim/connection.rs
@@ -1,4 +1,4 @@
-//! How a node follows one seat after the other, as `control::following` does it (design 11.3).
+//! How a node follows one replica at a time, as `control::updates` does (design 11.3).
 
 use super::harness::{Event, LeaseHarness};
 use super::log::ReplicaUpdate;
@@ -6,165 +6,199 @@
 
 #[derive(Default)]
 pub(super) struct UpdateConnection {
-    /// The number of the conn, and the seat at its other end; a broken one carries nothing any more.
+    /// Number of the connection, the replica at its other end, and whether it is broken and carries no more messages.
     pub number: u64,
     pub replica: usize,
     pub broken: bool,
-    /// By the node's clock, like all that follows.
+    /// Time of the latest freshness proof, by the node's clock.
     proved_at: Microseconds,
-    pending_asks: Vec<(u64, Microseconds)>,
-    last_ask: u64,
-    /// What is on its way arrives in order.
+    pending_proof_requests: Vec<(u64, Microseconds)>,
+    last_proof_request: u64,
+    /// Arrival time of the latest update: updates arrive in the order in which they were sent.
     last_arrival: Microseconds,
 }
 
 impl LeaseHarness {
-    pub(super) fn start_node(&mut self, at: usize) {
+    pub(super) fn start_node(&mut self, index: usize) {
         let guard = if self.plan.disabled.slow_clock {
             0
         } else {
             self.plan.leases.clock_guard
         };
-        let env = endpoints::LeaseConfig {
+        let config = endpoints::LeaseConfig {
             clock_guard: guard,
             ..self.plan.leases
         };
-        let clock = self.clock(at);
-        self.nodes[at].restart(at, env, clock);
-        let life = self.nodes[at].start_number;
-        self.connect(at);
-        self.schedule_within((0, 120_000), Event::Tick(at, life));
-        self.schedule_within((5_000, 100_000), Event::AskForProof(at, life));
+        let clock = self.clock(index);
+        self.nodes[index].restart(index, config, clock);
+        let start_number = self.nodes[index].start_number;
+        self.connect(index);
+        self.schedule_within((0, 120_000), Event::Tick(index, start_number));
+        self.schedule_within((5_000, 100_000), Event::RequestProof(index, start_number));
     }
 
-    fn connect(&mut self, at: usize) {
-        let (clock, seats) = (self.clock(at), self.log.replicas.len());
-        let seat = self.draw((0, seats as u64 - 1)) as usize;
-        let node = &mut self.nodes[at];
+    fn connect(&mut self, index: usize) {
+        let (clock, replica_count) = (self.clock(index), self.log.replicas.len());
+        let replica = self.draw((0, replica_count as u64 - 1)) as usize;
+        let node = &mut self.nodes[index];
         node.connection = super::connection::UpdateConnection {
             number: node.connection.number + 1,
-            replica: seat,
+            replica,
             broken: node.cut_from_log,
             proved_at: clock,
             ..Default::default()
         };
-        let (conn, held) = (node.connection.number, node.state.position);
-        self.schedule_within((300, 5_000), Event::Follow(at, conn, held));
+        let (connection_number, held) = (node.connection.number, node.state.position);
+        self.schedule_within((300, 5_000), Event::Follow(index, connection_number, held));
     }
 
-    fn connection_carries(&self, at: usize, conn: u64) -> bool {
-        let node = &self.nodes[at];
-        node.up && node.connection.number == conn && !node.connection.broken && !node.cut_from_log
+    fn connection_carries(&self, index: usize, connection_number: u64) -> bool {
+        let node = &self.nodes[index];
+        node.up
+            && node.connection.number == connection_number
+            && !node.connection.broken
+            && !node.cut_from_log
     }
 
-    pub(super) fn ask_for_proof(&mut self, at: usize) {
-        let clock = self.clock(at);
-        if clock > self.nodes[at].connection.proved_at + 2 * self.plan.proof_interval {
-            self.connect(at);
+    pub(super) fn request_proof(&mut self, index: usize) {
+        let clock = self.clock(index);
+        if clock > self.nodes[index].connection.proved_at + 2 * self.plan.proof_interval {
+            self.connect(index);
         }
-        let line = &mut self.nodes[at].connection;
-        line.last_ask += 1;
-        line.pending_asks.push((line.last_ask, clock));
-        let (conn, number) = (line.number, line.last_ask);
-        // After the word that it follows, on the same conn.
-        self.schedule_within((5_001, 20_000), Event::AskArrives(at, conn, number));
+        let connection = &mut self.nodes[index].connection;
+        connection.last_proof_request += 1;
+        connection
+            .pending_proof_requests
+            .push((connection.last_proof_request, clock));
+        let (connection_number, request_number) =
+            (connection.number, connection.last_proof_request);
+        // Arrives after the `Follow` message of the same connection.
+        self.schedule_within(
+            (5_001, 20_000),
+            Event::ProofRequestArrives(index, connection_number, request_number),
+        );
     }
 
-    fn send_updates(&mut self, told: Vec<((usize, u64), ReplicaUpdate)>) {
-        told.into_iter().for_each(|((at, conn), told)| {
-            if self.connection_carries(at, conn) {
-                let slow = if self.draw((0, 19)) == 0 {
-                    700_000
-                } else {
-                    10_000
-                };
-                let time = self.now + self.draw((300, slow));
-                let latest = &mut self.nodes[at].connection.last_arrival;
-                *latest = time.max(*latest + 1);
-                let time = *latest;
-                self.schedule(time, Event::UpdateArrives(at, conn, told));
-            }
-        });
+    fn send_updates(&mut self, updates: Vec<((usize, u64), ReplicaUpdate)>) {
+        updates
+            .into_iter()
+            .for_each(|((index, connection_number), update)| {
+                if self.connection_carries(index, connection_number) {
+                    let longest_delay = if self.draw((0, 19)) == 0 {
+                        700_000
+                    } else {
+                        10_000
+                    };
+                    let time = self.now + self.draw((300, longest_delay));
+                    let latest = &mut self.nodes[index].connection.last_arrival;
+                    *latest = time.max(*latest + 1);
+                    let time = *latest;
+                    self.schedule(time, Event::UpdateArrives(index, connection_number, update));
+                }
+            });
     }
 
-    pub(super) fn follow(&mut self, at: usize, conn: u64, held: Position) {
-        if self.connection_carries(at, conn) {
-            let seat = self.nodes[at].connection.replica;
-            let told = self.log.replicas[seat].follow((at, conn), held);
-            self.send_updates(told);
+    pub(super) fn follow(&mut self, index: usize, connection_number: u64, held: Position) {
+        if self.connection_carries(index, connection_number) {
+            let replica = self.nodes[index].connection.replica;
+            let updates = self.log.replicas[replica].follow((index, connection_number), held);
+            self.send_updates(updates);
         }
     }
 
-    pub(super) fn receive_ask(&mut self, at: usize, conn: u64, number: u64) {
-        if self.connection_carries(at, conn) && self.log.unavailable_until <= self.now {
-            let (seat, ordered) = (self.nodes[at].connection.replica, self.log.entries.len());
-            let told = self.log.replicas[seat].ask((at, conn), number, ordered);
-            self.send_updates(told);
+    pub(super) fn receive_proof_request(
+        &mut self,
+        index: usize,
+        connection_number: u64,
+        request_number: u64,
+    ) {
+        if self.connection_carries(index, connection_number)
+            && self.log.unavailable_until <= self.now
+        {
+            let (replica, ordered_count) =
+                (self.nodes[index].connection.replica, self.log.entries.len());
+            let updates = self.log.replicas[replica].request_proof(
+                (index, connection_number),
+                request_number,
+                ordered_count,
+            );
+            self.send_updates(updates);
         }
     }
 
-    pub(super) fn apply_next_entry(&mut self, seat: usize) {
-        if self.log.replicas[seat].lagging_until > self.now {
-            let time = self.log.replicas[seat].lagging_until;
-            return self.schedule(time, Event::ReplicaApplies(seat));
+    pub(super) fn apply_next_entry(&mut self, replica: usize) {
+        if self.log.replicas[replica].lagging_until > self.now {
+            let time = self.log.replicas[replica].lagging_until;
+            return self.schedule(time, Event::ReplicaApplies(replica));
         }
         if let Some(entry) = self
             .log
             .entries
-            .get(self.log.replicas[seat].applied)
+            .get(self.log.replicas[replica].applied)
             .cloned()
         {
-            let told = self.log.replicas[seat].apply(entry);
-            self.send_updates(told);
+            let updates = self.log.replicas[replica].apply(entry);
+            self.send_updates(updates);
         }
     }
 
-    pub(super) fn receive_update(&mut self, at: usize, conn: u64, told: ReplicaUpdate) {
-        let clock = self.clock(at);
-        let node = &mut self.nodes[at];
-        if !node.up || node.connection.number != conn || node.connection.broken {
+    pub(super) fn receive_update(
+        &mut self,
+        index: usize,
+        connection_number: u64,
+        update: ReplicaUpdate,
+    ) {
+        let clock = self.clock(index);
+        let node = &mut self.nodes[index];
+        if !node.up || node.connection.number != connection_number || node.connection.broken {
             return;
         }
-        match told {
-            // Forward only.
+        match update {
+            // A state at or before the node's position is ignored.
             ReplicaUpdate::StateChanged { to, .. } if to <= node.state.position => {}
             ReplicaUpdate::StateChanged {
-                complete: afresh,
+                complete,
                 from,
                 to,
                 deltas,
-            } if afresh || from == node.state.position => {
-                node.state = node.state.updated(afresh, to, deltas);
+            } if complete || from == node.state.position => {
+                node.state = node.state.updated(complete, to, deltas);
                 node.observe(clock);
-                self.notify(at);
+                self.notify(index);
             }
-            ReplicaUpdate::StateChanged { .. } => self.connect(at),
-            ReplicaUpdate::Proof { number, position } => {
+            ReplicaUpdate::StateChanged { .. } => self.connect(index),
+            ReplicaUpdate::Proof {
+                request_number,
+                position,
+            } => {
                 let asked = node
                     .connection
-                    .pending_asks
+                    .pending_proof_requests
                     .iter()
-                    .find(|(asked, _)| *asked == number)
-                    .map(|(_, at)| *at);
+                    .find(|(asked, _)| *asked == request_number)
+                    .map(|(_, asked_at)| *asked_at);
                 node.connection
-                    .pending_asks
-                    .retain(|(asked, _)| *asked > number);
+                    .pending_proof_requests
+                    .retain(|(asked, _)| *asked > request_number);
                 if let Some(asked) = asked.filter(|_| position <= node.state.position) {
                     node.connection.proved_at = clock;
                     node.proved_at = node.proved_at.max(asked);
-                    self.notify(at);
+                    self.notify(index);
                 }
             }
         }
     }
 
-    pub(super) fn tick_node(&mut self, at: usize) {
-        let clock = self.clock(at);
-        if let Some(name) = self.nodes[at].check_silence(&self.plan, clock) {
-            let life = self.nodes[at].start_number;
-            self.schedule_within((200_000, 800_000), Event::ProbeAnswered(at, life, name));
+    pub(super) fn tick_node(&mut self, index: usize) {
+        let clock = self.clock(index);
+        if let Some(name) = self.nodes[index].check_silence(&self.plan, clock) {
+            let start_number = self.nodes[index].start_number;
+            self.schedule_within(
+                (200_000, 800_000),
+                Event::ProbeAnswered(index, start_number, name),
+            );
         }
-        self.notify(at);
-        self.consider_placement(at);
+        self.notify(index);
+        self.consider_placement(index);
     }
 }
--- a/crates/simulator/src/lease_sim/faults.rs
+++ b/crates/simulator/src/lease_sim/faults.rs
@@ -1,35 +1,39 @@
-//! What strikes: processes killed and frozen, cuts, outages, drains, other shares (design 11.5).
+//! The simulated faults and other events: killed and frozen processes, lost messages, outages, drains and changed
+//! shares (design 11.5).
 
 use super::backend::SimulatedBackend;
 use super::harness::{Event, LeaseHarness};
 use model::Microseconds;
 use model::cluster_state::ClusterReport;
 
+/// A fault or another event that the protocol has to handle.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// The node's process dies, and starts again without its memory.
+    /// The node's process is killed and later restarted without its state.
     KillNode,
     FreezeNode,
-    /// From the log, both ways.
+    /// The node loses its connection to the log in both directions.
     CutFromLog,
-    /// Only what it reports gets lost.
+    /// Only the node's reports to the log are lost.
     LoseReports,
-    /// The back end's process dies; another comes with another name.
+    /// The backend's process ends; a successor starts under another name.
     CrashBackend,
     FreezeBackend,
-    /// Beats get lost, though the back end lives and works.
+    /// The backend's heartbeats are lost, although its process is running.
     LoseHeartbeats,
+    /// The backend drains, deregisters and ends; a successor starts.
     DrainBackend,
-    /// Node and back end at once.
+    /// Node and backend are killed at the same time.
     PowerLoss,
-    /// Nothing is ordered nor proved.
+    /// The log orders nothing and gives no freshness proof.
     LogOutage,
-    /// One seat applies nothing for a while, and tells old news.
+    /// One replica applies nothing for a while and sends outdated state.
     LagReplica,
-    /// Other shares.
+    /// The placement is computed again with other shares.
     ChangeShares,
 }
 
+/// All faults.
 pub const FAULTS: [Fault; 12] = [
     Fault::KillNode,
     Fault::FreezeNode,
@@ -45,17 +49,17 @@
     Fault::ChangeShares,
 ];
 
-/// When, what, at which node, for how long.
+/// Start time, fault, index of the node, and duration. Times are in microseconds.
 pub type ScheduledFault = (Microseconds, Fault, usize, Microseconds);
 
-/// `bytes` decide what strikes, three a blow.
+/// Faults encoded in `bytes`, three bytes for each.
 pub fn decode_faults(kinds: &[Fault], bytes: &[u8]) -> Vec<ScheduledFault> {
     bytes
         .chunks_exact(3)
         .zip(0u64..)
-        .map(|(chunk, turn)| {
-            let time = 4_000_000 + turn * 1_300_000 + chunk[0] as u64 * 4_000;
-            // Most are short; some outlast every hold.
+        .map(|(chunk, position)| {
+            let time = 4_000_000 + position * 1_300_000 + chunk[0] as u64 * 4_000;
+            // Most faults are short; some last longer than every lease.
             let length = if chunk[2] < 160 {
                 50_000 + chunk[2] as u64 * 20_000
             } else {
@@ -71,7 +75,7 @@
         .collect()
 }
 
-/// The blows that a seed draws, `count` of them.
+/// Draws `count` faults from a seed.
 pub fn draw_faults(kinds: &[Fault], seed: u64, count: usize) -> Vec<ScheduledFault> {
     let mut random: rand::rngs::StdRng = rand::SeedableRng::seed_from_u64(seed + 1_000);
     let bytes: Vec<u8> = (0..count * 3)
@@ -81,144 +85,155 @@
 }
 
 impl LeaseHarness {
-    pub(super) fn begin_fault(&mut self, blow: Fault, at: usize, length: Microseconds) {
+    pub(super) fn begin_fault(&mut self, fault: Fault, index: usize, length: Microseconds) {
         let now = self.now;
-        match blow {
-            Fault::KillNode => self.kill_node(at, length),
-            Fault::FreezeNode => self.nodes[at].frozen = self.nodes[at].up,
+        match fault {
+            Fault::KillNode => self.kill_node(index, length),
+            Fault::FreezeNode => self.nodes[index].frozen = self.nodes[index].up,
             Fault::CutFromLog => {
                 (
-                    self.nodes[at].cut_from_log,
-                    self.nodes[at].connection.broken,
+                    self.nodes[index].cut_from_log,
+                    self.nodes[index].connection.broken,
                 ) = (true, true)
             }
-            Fault::LoseReports => self.nodes[at].reports_lost = true,
-            Fault::CrashBackend => self.backends[at].alive = false,
-            Fault::FreezeBackend => self.backends[at].frozen = self.backends[at].alive,
-            Fault::LoseHeartbeats => self.backends[at].heartbeats_lost = true,
-            Fault::DrainBackend => self.drain_backend(at),
+            Fault::LoseReports => self.nodes[index].reports_lost = true,
+            Fault::CrashBackend => self.backends[index].alive = false,
+            Fault::FreezeBackend => self.backends[index].frozen = self.backends[index].alive,
+            Fault::LoseHeartbeats => self.backends[index].heartbeats_lost = true,
+            Fault::DrainBackend => self.drain_backend(index),
             Fault::PowerLoss => {
-                self.backends[at].alive = false;
-                self.kill_node(at, length);
+                self.backends[index].alive = false;
+                self.kill_node(index, length);
             }
             Fault::LogOutage => {
                 self.log.unavailable_until = self.log.unavailable_until.max(now + length)
             }
             Fault::LagReplica => {
-                let seat = at % self.log.replicas.len();
-                self.log.replicas[seat].lagging_until = now + length;
+                let replica = index % self.log.replicas.len();
+                self.log.replicas[replica].lagging_until = now + length;
             }
-            Fault::ChangeShares => self.change_shares(at),
+            Fault::ChangeShares => self.change_shares(index),
         }
     }
 
-    pub(super) fn end_fault(&mut self, blow: Fault, at: usize) {
-        match blow {
-            Fault::KillNode => self.restart_node(at),
+    pub(super) fn end_fault(&mut self, fault: Fault, index: usize) {
+        match fault {
+            Fault::KillNode => self.restart_node(index),
             Fault::FreezeNode => {
-                self.nodes[at].frozen = false;
-                let late = std::mem::take(&mut self.nodes[at].deferred);
-                // What waits on several conns is read in any order.
-                let (mut beats, rest): (Vec<Event>, Vec<Event>) = late
+                self.nodes[index].frozen = false;
+                let deferred = std::mem::take(&mut self.nodes[index].deferred);
+                // Messages that arrived on several connections are read in any order.
+                let (mut heartbeats, rest): (Vec<Event>, Vec<Event>) = deferred
                     .into_iter()
                     .partition(|event| matches!(event, Event::HeartbeatArrives(..)));
                 if self.draw((0, 1)) == 0 {
-                    beats.reverse();
+                    heartbeats.reverse();
                 }
-                let (first, second) = if self.draw((0, 1)) == 0 {
-                    (beats, rest)
+                let (first_batch, second_batch) = if self.draw((0, 1)) == 0 {
+                    (heartbeats, rest)
                 } else {
-                    (rest, beats)
+                    (rest, heartbeats)
                 };
-                first
+                first_batch
                     .into_iter()
-                    .chain(second)
+                    .chain(second_batch)
                     .for_each(|event| self.handle(event));
             }
-            Fault::CutFromLog => self.nodes[at].cut_from_log = false,
-            Fault::LoseReports => self.nodes[at].reports_lost = false,
-            Fault::FreezeBackend => self.unfreeze_backend(at),
-            Fault::LoseHeartbeats => self.backends[at].heartbeats_lost = false,
-            Fault::CrashBackend => self.start_successor(at),
+            Fault::CutFromLog => self.nodes[index].cut_from_log = false,
+            Fault::LoseReports => self.nodes[index].reports_lost = false,
+            Fault::FreezeBackend => self.unfreeze_backend(index),
+            Fault::LoseHeartbeats => self.backends[index].heartbeats_lost = false,
+            Fault::CrashBackend => self.start_successor(index),
             Fault::PowerLoss => {
-                self.restart_node(at);
-                self.start_successor(at);
+                self.restart_node(index);
+                self.start_successor(index);
             }
             Fault::DrainBackend | Fault::LogOutage | Fault::LagReplica | Fault::ChangeShares => {}
         }
     }
 
-    fn unfreeze_backend(&mut self, at: usize) {
-        self.backends[at].frozen = false;
-        let late = std::mem::take(&mut self.backends[at].deferred);
-        late.into_iter().for_each(|event| self.handle(event));
+    fn unfreeze_backend(&mut self, index: usize) {
+        self.backends[index].frozen = false;
+        let deferred = std::mem::take(&mut self.backends[index].deferred);
+        deferred.into_iter().for_each(|event| self.handle(event));
     }
 
-    fn kill_node(&mut self, at: usize, length: Microseconds) {
-        let node = &mut self.nodes[at];
+    fn kill_node(&mut self, index: usize, length: Microseconds) {
+        let node = &mut self.nodes[index];
         (node.up, node.frozen) = (false, false);
         node.deferred.clear();
-        let life = node.incarnation();
-        // Two watchers miss it in time, as the ring of nodes has them do.
+        let incarnation = node.incarnation();
+        // Two monitoring nodes report it as suspected, as in the ring of the failure detector.
         if length > 3_000_000 && self.log.unavailable_until <= self.now {
-            let suspected = |by: usize| ClusterReport::NodeObserved {
-                observer: format!("node-{by}"),
-                node: format!("node-{at}"),
-                incarnation: life,
+            let suspicion = |observer: usize| ClusterReport::NodeObserved {
+                observer: format!("node-{observer}"),
+                node: format!("node-{index}"),
+                incarnation,
                 suspected: true,
             };
-            let watchers = [
-                (at + 1) % self.plan.node_count,
-                (at + 2) % self.plan.node_count,
+            let observers = [
+                (index + 1) % self.plan.node_count,
+                (index + 2) % self.plan.node_count,
             ];
             let now = self.now;
-            watchers.into_iter().zip(0u64..).for_each(|(by, turn)| {
-                self.schedule(
-                    now + 2_600_000 + turn * 100_000,
-                    Event::NodeMissed(by, now + turn, vec![suspected(by)]),
-                );
-            });
+            observers
+                .into_iter()
+                .zip(0u64..)
+                .for_each(|(observer, position)| {
+                    self.schedule(
+                        now + 2_600_000 + position * 100_000,
+                        Event::NodeSuspected(observer, now + position, vec![suspicion(observer)]),
+                    );
+                });
         }
     }
 
-    fn restart_node(&mut self, at: usize) {
-        if !self.nodes[at].up {
-            self.start_node(at);
+    fn restart_node(&mut self, index: usize) {
+        if !self.nodes[index].up {
+            self.start_node(index);
         }
     }
 
-    /// A new life with a new name, once the earlier process is gone.
-    fn start_successor(&mut self, at: usize) {
-        if self.backends[at].alive {
+    /// Starts the next incarnation under a new name, once the earlier process has ended.
+    fn start_successor(&mut self, index: usize) {
+        if self.backends[index].alive {
             return;
         }
-        let (life, slow) = (self.backends[at].incarnation + 1, self.draw((0, 20)));
-        self.backends[at] = SimulatedBackend::new(at, life, slow);
-        self.start_heartbeats(at, life);
+        let (incarnation, clock_lag_per_mille) =
+            (self.backends[index].incarnation + 1, self.draw((0, 20)));
+        self.backends[index] = SimulatedBackend::new(index, incarnation, clock_lag_per_mille);
+        self.start_heartbeats(index, incarnation);
     }
 
-    /// Says so in its beats, signs off after a while, ends, and another comes.
-    fn drain_backend(&mut self, at: usize) {
-        let (now, drain) = (self.now, self.plan.drain_time);
-        self.backends[at].draining = true;
-        let life = self.backends[at].incarnation;
-        self.schedule_within((0, 50_000), Event::Heartbeat(at, life, false));
-        self.schedule(now + drain + 300_000, Event::SignOff(at, life));
+    /// Announces the drain in a heartbeat and schedules the deregistration, after which the process ends and a successor
+    /// starts.
+    fn drain_backend(&mut self, index: usize) {
+        let (now, drain_time) = (self.now, self.plan.drain_time);
+        self.backends[index].draining = true;
+        let incarnation = self.backends[index].incarnation;
+        self.schedule_within((0, 50_000), Event::Heartbeat(index, incarnation, false));
+        self.schedule(
+            now + drain_time + 300_000,
+            Event::SignOff(index, incarnation),
+        );
     }
 
-    pub(super) fn sign_off(&mut self, at: usize, life: u64) {
-        if self.backends[at].incarnation != life || !self.backends[at].alive {
+    pub(super) fn sign_off(&mut self, index: usize, incarnation: u64) {
+        if self.backends[index].incarnation != incarnation || !self.backends[index].alive {
             return;
         }
-        let name = self.backends[at].name();
-        if self.nodes[at].up && !self.nodes[at].frozen && !self.backends[at].heartbeats_lost {
-            self.nodes[at].signed_off(&name);
-            self.notify(at);
+        let name = self.backends[index].name();
+        if self.nodes[index].up
+            && !self.nodes[index].frozen
+            && !self.backends[index].heartbeats_lost
+        {
+            self.nodes[index].signed_off(&name);
+            self.notify(index);
         }
-        self.backends[at].alive = false;
+        self.backends[index].alive = false;
         self.schedule_within(
             (300_000, 1_500_000),
-            Event::FaultEnds(Fault::CrashBackend, at),
+            Event::FaultEnds(Fault::CrashBackend, index),
         );
     }
 }
--- a/crates/simulator/src/lease_sim/harness.rs
+++ b/crates/simulator/src/lease_sim/harness.rs
@@ -1,4 +1,5 @@
-//! One queue of events ordered by virtual time (design 9.1, 11.5).
+//! The harness: nodes, backends and log of one service, driven by one queue of events in order of virtual time
+//! (design 9.1, 11.5).
 
 use super::backend::SimulatedBackend;
 use super::log::{Log, ReplicaUpdate};
@@ -10,10 +11,12 @@
 pub(super) const SERVICE: &str = "seat";
 const REPLICA_COUNT: usize = 3;
 
+/// Events name a node and its backend by their common index. An event of one process also carries the start number of
+/// that node or the incarnation of that backend, and is ignored after a restart.
 #[derive(Clone, Debug)]
 pub(super) enum Event {
     Tick(usize, u64),
-    AskForProof(usize, u64),
+    RequestProof(usize, u64),
     ProbeAnswered(usize, u64, String),
     Heartbeat(usize, u64, bool),
     HeartbeatArrives(usize, u64, Microseconds, Box<endpoints::Heartbeat>),
@@ -22,17 +25,18 @@
     ReleaseFinished(usize, u64, u64),
     SignOff(usize, u64),
     Follow(usize, u64, Position),
-    AskArrives(usize, u64, u64),
+    ProofRequestArrives(usize, u64, u64),
     UpdateArrives(usize, u64, ReplicaUpdate),
     EntryArrives(usize, u64, u64, Vec<ClusterReport>),
     EntryAnswered(usize, u64, u64, Outcome),
-    NodeMissed(usize, u64, Vec<ClusterReport>),
+    NodeSuspected(usize, u64, Vec<ClusterReport>),
     ResendEntry(usize, u64, u64),
     ReplicaApplies(usize),
     FaultBegins(super::Fault, usize, Microseconds),
     FaultEnds(super::Fault, usize),
 }
 
+/// Simulates one service with one backend beside each node.
 pub struct LeaseHarness {
     pub plan: super::LeasePlan,
     pub now: Microseconds,
@@ -54,37 +58,44 @@
             keyed: true,
             slow_start_us: 0,
         };
-        let put = model::cluster_state::items::ItemPut {
+        let service_put = model::cluster_state::items::ItemPut {
             name: SERVICE.into(),
             version: 1,
             body: model::cluster_state::ItemBody::Service(service),
             text: String::new(),
         };
         log.define_items(model::cluster_state::ItemCall {
-            puts: vec![put],
+            puts: vec![service_put],
             drops: Vec::new(),
         });
         let random = rand::SeedableRng::seed_from_u64(plan.seed);
-        let (nodes, players, events) = (Vec::new(), Vec::new(), Default::default());
-        let mut stage = LeaseHarness {
+        let (nodes, backends, events) = (Vec::new(), Vec::new(), Default::default());
+        let mut harness = LeaseHarness {
             now: 0,
             checks: Default::default(),
             log,
             nodes,
-            backends: players,
+            backends,
             events,
             last_event_number: 0,
             random,
             plan,
         };
-        (0..stage.plan.node_count).for_each(|at| {
-            let (rate, slow) = (stage.draw((0, 4_000)) as i64 - 2_000, stage.draw((0, 20)));
-            stage.nodes.push(Node::new(at, rate, stage.plan.leases));
-            stage.backends.push(SimulatedBackend::new(at, 0, slow));
-            stage.start_node(at);
-            stage.start_heartbeats(at, 0);
+        (0..harness.plan.node_count).for_each(|index| {
+            let (clock_rate_ppm, clock_lag_per_mille) = (
+                harness.draw((0, 4_000)) as i64 - 2_000,
+                harness.draw((0, 20)),
+            );
+            harness
+                .nodes
+                .push(Node::new(index, clock_rate_ppm, harness.plan.leases));
+            harness
+                .backends
+                .push(SimulatedBackend::new(index, 0, clock_lag_per_mille));
+            harness.start_node(index);
+            harness.start_heartbeats(index, 0);
         });
-        stage
+        harness
     }
 
     pub(super) fn draw(&mut self, range: (Microseconds, Microseconds)) -> Microseconds {
@@ -101,213 +112,256 @@
         self.schedule(time, event);
     }
 
-    pub fn schedule_fault(&mut self, (time, blow, at, length): (u64, super::Fault, usize, u64)) {
-        let at = at % self.plan.node_count;
-        self.schedule(time, Event::FaultBegins(blow, at, length));
-        self.schedule(time + length, Event::FaultEnds(blow, at));
+    pub fn schedule_fault(
+        &mut self,
+        (time, fault, index, length): (u64, super::Fault, usize, u64),
+    ) {
+        let index = index % self.plan.node_count;
+        self.schedule(time, Event::FaultBegins(fault, index, length));
+        self.schedule(time + length, Event::FaultEnds(fault, index));
     }
 
-    /// The node's clock: its own rate, and a start of its own.
-    pub(super) fn clock(&self, at: usize) -> Microseconds {
+    /// The time by a node's own clock, which has its own rate and start.
+    pub(super) fn clock(&self, index: usize) -> Microseconds {
         (self.now as i64
-            + self.now as i64 / 100_000 * self.nodes[at].clock_rate_ppm / 10
-            + 77_000_000 * (at as i64 + 1)) as Microseconds
+            + self.now as i64 / 100_000 * self.nodes[index].clock_rate_ppm / 10
+            + 77_000_000 * (index as i64 + 1)) as Microseconds
     }
 
-    pub(super) fn start_heartbeats(&mut self, at: usize, life: u64) {
-        self.schedule_within((10_000, 400_000), Event::Heartbeat(at, life, true));
+    pub(super) fn start_heartbeats(&mut self, index: usize, incarnation: u64) {
+        self.schedule_within(
+            (10_000, 400_000),
+            Event::Heartbeat(index, incarnation, true),
+        );
     }
 
-    /// Whose event it is, when that process has to run for it: a node's or a back end's.
-    fn paused_by(event: &Event) -> (Option<usize>, Option<usize>) {
+    /// The node or the backend whose process must run to handle the event: its event is deferred while it is frozen.
+    fn required_process(event: &Event) -> (Option<usize>, Option<usize>) {
         match event {
-            Event::Tick(at, _)
-            | Event::AskForProof(at, _)
-            | Event::ProbeAnswered(at, ..)
-            | Event::HeartbeatArrives(at, ..) => (Some(*at), None),
-            Event::UpdateArrives(at, ..)
-            | Event::EntryAnswered(at, ..)
-            | Event::ResendEntry(at, ..) => (Some(*at), None),
-            Event::Heartbeat(at, ..)
-            | Event::HeartbeatAnswer(at, ..)
-            | Event::AnswerTimeout(at, ..)
-            | Event::ReleaseFinished(at, ..)
-            | Event::SignOff(at, _) => (None, Some(*at)),
+            Event::Tick(index, _)
+            | Event::RequestProof(index, _)
+            | Event::ProbeAnswered(index, ..)
+            | Event::HeartbeatArrives(index, ..) => (Some(*index), None),
+            Event::UpdateArrives(index, ..)
+            | Event::EntryAnswered(index, ..)
+            | Event::ResendEntry(index, ..) => (Some(*index), None),
+            Event::Heartbeat(index, ..)
+            | Event::HeartbeatAnswer(index, ..)
+            | Event::AnswerTimeout(index, ..)
+            | Event::ReleaseFinished(index, ..)
+            | Event::SignOff(index, _) => (None, Some(*index)),
             _ => (None, None),
         }
     }
 
     pub(super) fn handle(&mut self, event: Event) {
-        match LeaseHarness::paused_by(&event) {
-            (Some(at), _) if self.nodes[at].frozen => return self.nodes[at].deferred.push(event),
-            (_, Some(at)) if self.backends[at].frozen => {
-                return self.backends[at].deferred.push(event);
+        match LeaseHarness::required_process(&event) {
+            (Some(index), _) if self.nodes[index].frozen => {
+                return self.nodes[index].deferred.push(event);
+            }
+            (_, Some(index)) if self.backends[index].frozen => {
+                return self.backends[index].deferred.push(event);
             }
             _ => {}
         }
         match event {
-            Event::Tick(at, life) if self.nodes[at].is_running(life) => {
-                self.tick_node(at);
-                self.schedule_within((120_000, 130_000), Event::Tick(at, life));
+            Event::Tick(index, start_number) if self.nodes[index].is_running(start_number) => {
+                self.tick_node(index);
+                self.schedule_within((120_000, 130_000), Event::Tick(index, start_number));
             }
-            Event::AskForProof(at, life) if self.nodes[at].is_running(life) => {
-                self.ask_for_proof(at);
-                let every = self.plan.proof_interval;
-                self.schedule_within((every, every), Event::AskForProof(at, life));
+            Event::RequestProof(index, start_number)
+                if self.nodes[index].is_running(start_number) =>
+            {
+                self.request_proof(index);
+                let interval = self.plan.proof_interval;
+                self.schedule_within(
+                    (interval, interval),
+                    Event::RequestProof(index, start_number),
+                );
             }
-            Event::ProbeAnswered(at, life, name) if self.nodes[at].is_running(life) => {
-                let refused = !self.backends[at].alive;
-                self.nodes[at].probe_answered(&name, refused);
+            Event::ProbeAnswered(index, start_number, name)
+                if self.nodes[index].is_running(start_number) =>
+            {
+                let refused = !self.backends[index].alive;
+                self.nodes[index].probe_answered(&name, refused);
             }
-            Event::Heartbeat(at, life, again)
-                if self.backends[at].incarnation == life && self.backends[at].alive =>
+            Event::Heartbeat(index, incarnation, periodic)
+                if self.backends[index].incarnation == incarnation
+                    && self.backends[index].alive =>
             {
-                self.send_heartbeat(at, life, again)
+                self.send_heartbeat(index, incarnation, periodic)
             }
-            Event::HeartbeatArrives(at, life, sent, beat) => {
-                self.heartbeat_arrives(at, life, sent, *beat)
+            Event::HeartbeatArrives(index, start_number, sent, heartbeat) => {
+                self.heartbeat_arrives(index, start_number, sent, *heartbeat)
             }
-            Event::HeartbeatAnswer(at, life, sent, number, answer)
-                if self.backends[at].incarnation == life && self.backends[at].alive =>
+            Event::HeartbeatAnswer(index, incarnation, sent, number, answer)
+                if self.backends[index].incarnation == incarnation
+                    && self.backends[index].alive =>
             {
-                self.heartbeat_answered(at, sent, number, answer)
+                self.heartbeat_answered(index, sent, number, answer)
             }
-            Event::AnswerTimeout(at, life, number) if self.backends[at].incarnation == life => {
-                self.backends[at]
+            Event::AnswerTimeout(index, incarnation, number)
+                if self.backends[index].incarnation == incarnation =>
+            {
+                self.backends[index]
                     .awaiting_answer_to
-                    .take_if(|waits| *waits == number);
+                    .take_if(|awaited| *awaited == number);
             }
-            Event::ReleaseFinished(at, life, piece)
-                if self.backends[at].incarnation == life && self.backends[at].alive =>
+            Event::ReleaseFinished(index, incarnation, release_number)
+                if self.backends[index].incarnation == incarnation
+                    && self.backends[index].alive =>
             {
                 let token = format!("token-{}", self.now);
-                if self.backends[at].finish_release(self.now, piece, token) {
-                    self.schedule_within((0, 100_000), Event::Heartbeat(at, life, false));
+                if self.backends[index].finish_release(self.now, release_number, token) {
+                    self.schedule_within((0, 100_000), Event::Heartbeat(index, incarnation, false));
                 }
             }
-            Event::SignOff(at, life) => self.sign_off(at, life),
-            Event::Follow(at, conn, held) => self.follow(at, conn, held),
-            Event::AskArrives(at, conn, number) => self.receive_ask(at, conn, number),
-            Event::UpdateArrives(at, conn, told) => self.receive_update(at, conn, told),
-            Event::EntryArrives(at, life, sequence, reports) => {
-                self.entry_arrives(at, life, sequence, reports)
+            Event::SignOff(index, incarnation) => self.sign_off(index, incarnation),
+            Event::Follow(index, connection_number, held_position) => {
+                self.follow(index, connection_number, held_position)
+            }
+            Event::ProofRequestArrives(index, connection_number, number) => {
+                self.receive_proof_request(index, connection_number, number)
+            }
+            Event::UpdateArrives(index, connection_number, update) => {
+                self.receive_update(index, connection_number, update)
             }
-            Event::NodeMissed(by, sequence, reports) => self
-                .append((format!("watch-{by}"), 1, sequence, reports))
+            Event::EntryArrives(index, start_number, sequence, reports) => {
+                self.entry_arrives(index, start_number, sequence, reports)
+            }
+            Event::NodeSuspected(observer, sequence, reports) => self
+                .append((format!("watch-{observer}"), 1, sequence, reports))
                 .map(drop)
                 .unwrap_or_default(),
-            Event::EntryAnswered(at, life, sequence, outcome)
-                if self.nodes[at].is_running(life) =>
+            Event::EntryAnswered(index, start_number, sequence, outcome)
+                if self.nodes[index].is_running(start_number) =>
             {
-                self.entry_answered(at, sequence, outcome)
+                self.entry_answered(index, sequence, outcome)
             }
-            Event::ResendEntry(at, life, sequence) if self.nodes[at].is_running(life) => {
-                self.send_entry(at, sequence)
+            Event::ResendEntry(index, start_number, sequence)
+                if self.nodes[index].is_running(start_number) =>
+            {
+                self.send_entry(index, sequence)
             }
-            Event::ReplicaApplies(seat) => self.apply_next_entry(seat),
-            Event::FaultBegins(blow, at, length) => self.begin_fault(blow, at, length),
-            Event::FaultEnds(blow, at) => self.end_fault(blow, at),
+            Event::ReplicaApplies(replica) => self.apply_next_entry(replica),
+            Event::FaultBegins(fault, index, length) => self.begin_fault(fault, index, length),
+            Event::FaultEnds(fault, index) => self.end_fault(fault, index),
             _ => {}
         }
     }
 
-    fn send_heartbeat(&mut self, at: usize, life: u64, again: bool) {
-        if again {
-            let every = self.plan.heartbeat_interval;
+    fn send_heartbeat(&mut self, index: usize, incarnation: u64, periodic: bool) {
+        if periodic {
+            let interval = self.plan.heartbeat_interval;
             self.schedule_within(
-                (every - 20_000, every + 20_000),
-                Event::Heartbeat(at, life, true),
+                (interval - 20_000, interval + 20_000),
+                Event::Heartbeat(index, incarnation, true),
             );
         }
-        if self.backends[at].awaiting_answer_to.is_some() {
-            // One at a time; what was let go is told soon after.
-            (!again)
-                .then(|| self.schedule_within((20_000, 40_000), Event::Heartbeat(at, life, false)));
+        if self.backends[index].awaiting_answer_to.is_some() {
+            // One heartbeat at a time; a release is reported by a heartbeat soon after.
+            (!periodic).then(|| {
+                self.schedule_within(
+                    (20_000, 40_000),
+                    Event::Heartbeat(index, incarnation, false),
+                )
+            });
             return;
         }
         let now = self.now;
-        let beat = self.backends[at].heartbeat(now);
-        let (number, node_life) = (beat.sequence, self.nodes[at].start_number);
-        self.schedule(now + 1_000_000, Event::AnswerTimeout(at, life, number));
-        if !self.backends[at].heartbeats_lost && self.nodes[at].up {
+        let heartbeat = self.backends[index].heartbeat(now);
+        let (number, start_number) = (heartbeat.sequence, self.nodes[index].start_number);
+        self.schedule(
+            now + 1_000_000,
+            Event::AnswerTimeout(index, incarnation, number),
+        );
+        if !self.backends[index].heartbeats_lost && self.nodes[index].up {
             self.schedule_within(
                 (100, 3_000),
-                Event::HeartbeatArrives(at, node_life, now, Box::new(beat)),
+                Event::HeartbeatArrives(index, start_number, now, Box::new(heartbeat)),
             );
         }
     }
 
     fn heartbeat_arrives(
         &mut self,
-        at: usize,
-        life: u64,
+        index: usize,
+        start_number: u64,
         sent: Microseconds,
-        beat: endpoints::Heartbeat,
+        heartbeat: endpoints::Heartbeat,
     ) {
-        if !self.nodes[at].is_running(life) {
+        if !self.nodes[index].is_running(start_number) {
             return;
         }
-        let (player, number) = (self.backends[at].incarnation, beat.sequence);
-        let own = beat.name == self.backends[at].name();
-        let now = self.clock(at);
-        let answer = self.nodes[at].receive_heartbeat(&self.plan, now, beat);
-        self.notify(at);
-        if own && !self.backends[at].heartbeats_lost {
+        let (incarnation, number) = (self.backends[index].incarnation, heartbeat.sequence);
+        let is_current = heartbeat.name == self.backends[index].name();
+        let now = self.clock(index);
+        let answer = self.nodes[index].receive_heartbeat(&self.plan, now, heartbeat);
+        self.notify(index);
+        if is_current && !self.backends[index].heartbeats_lost {
             self.schedule_within(
                 (100, 3_000),
-                Event::HeartbeatAnswer(at, player, sent, number, answer),
+                Event::HeartbeatAnswer(index, incarnation, sent, number, answer),
             );
         }
     }
 
     fn heartbeat_answered(
         &mut self,
-        at: usize,
+        index: usize,
         sent: Microseconds,
         number: u64,
         answer: endpoints::HeartbeatAnswer,
     ) {
-        let (now, life) = (self.now, self.backends[at].incarnation);
-        // One that comes too late may still be read, or not.
-        let late = now > sent + 1_000_000 && self.draw((0, 1)) == 0;
-        let player = &mut self.backends[at];
-        if player.awaiting_answer_to != Some(number) || late {
+        let (now, incarnation) = (self.now, self.backends[index].incarnation);
+        // An answer after the timeout may still be read, or not.
+        let too_late = now > sent + 1_000_000 && self.draw((0, 1)) == 0;
+        let backend = &mut self.backends[index];
+        if backend.awaiting_answer_to != Some(number) || too_late {
             return;
         }
-        player.awaiting_answer_to = None;
-        // What was let go since the beat was sent is told in the next.
-        player.released.drain(..player.releases_sent);
-        let Some((rows, hold)) = answer else { return };
-        self.checks.ranges_taken += rows.len();
-        self.checks.ranges_handed_over +=
-            rows.iter().filter(|(.., token)| !token.is_empty()).count();
-        let (let_go, back) = self.backends[at].apply_answer(
+        backend.awaiting_answer_to = None;
+        // Releases since the heartbeat was sent are reported by the next one.
+        backend.released.drain(..backend.releases_sent);
+        let Some((ranges, lease_duration)) = answer else {
+            return;
+        };
+        self.checks.ranges_taken += ranges.len();
+        self.checks.ranges_handed_over += ranges
+            .iter()
+            .filter(|(.., token)| !token.is_empty())
+            .count();
+        let (to_release, regressed) = self.backends[index].apply_answer(
             now,
             sent,
-            rows.into_iter()
-                .map(|(from, to, fence, _)| (from, to, fence))
+            ranges
+                .into_iter()
+                .map(|(from, to, fencing_token, _)| (from, to, fencing_token))
                 .collect(),
-            hold,
+            lease_duration,
         );
-        back.into_iter().for_each(|row| {
+        regressed.into_iter().for_each(|range| {
             self.checks.violation(
                 now,
                 "fence",
                 format!(
-                    "{} was told {row:?} after a higher one",
-                    self.backends[at].name()
+                    "{} was granted {range:?} after a higher fencing token",
+                    self.backends[index].name()
                 ),
             )
         });
-        let_go.into_iter().for_each(|piece| {
-            let work = if self.draw((0, 1)) == 0 {
+        to_release.into_iter().for_each(|release_number| {
+            let work_time = if self.draw((0, 1)) == 0 {
                 (0, 5_000)
             } else {
                 (0, 400_000)
             };
-            self.schedule_within(work, Event::ReleaseFinished(at, life, piece));
+            self.schedule_within(
+                work_time,
+                Event::ReleaseFinished(index, incarnation, release_number),
+            );
         });
-        self.checks.check_holders(now, &self.backends, at);
+        self.checks.check_holders(now, &self.backends, index);
     }
 
     pub fn run_until(&mut self, end: Microseconds) {
@@ -324,19 +378,19 @@
 
     pub fn finish(&mut self) -> Vec<String> {
         self.checks.check_final_state(self.now, &self.backends);
-        // All is said by then.
-        let late = self
+        // By then no report should be pending.
+        let recent = self
             .log
             .ordered_at
             .iter()
             .filter(|time| **time + 5_000_000 > self.now)
             .count();
-        if late > 0 {
+        if recent > 0 {
             let last = self.log.entries.last().map(|entry| format!("{entry:?}"));
             self.checks.violation(
                 self.now,
                 "restless",
-                format!("{late} entries in the last five seconds, {last:?}"),
+                format!("{recent} entries in the last five seconds, {last:?}"),
             );
         }
         self.checks.violations.clone()
--- a/crates/simulator/src/lease_sim/log.rs
+++ b/crates/simulator/src/lease_sim/log.rs
@@ -1,9 +1,11 @@
-//! One order of entries, and seats that apply it late, tell news and prove (design 11.3).
+//! The simulated log: one order of entries, and replicas that apply them with a delay, publish updates and answer
+//! freshness-proof requests (design 11.3).
 
 use model::cluster_state::{ClusterOperation, ClusterReport, Delta};
 use model::{ClusterState, Microseconds, Outcome, Position};
 
-/// What a seat says on a conn: news from one position to another, or a proof by number.
+/// A message of a replica to a follower: the state changes from one position to another, or a freshness proof for a
+/// numbered request.
 #[derive(Clone, Debug)]
 pub(super) enum ReplicaUpdate {
     StateChanged {
@@ -13,13 +15,14 @@
         deltas: Vec<Delta>,
     },
     Proof {
-        number: u64,
+        request_number: u64,
         position: Position,
     },
 }
 
+/// Origin, its incarnation, its sequence number, and the reports.
 pub(super) type LogEntry = (String, u64, u64, Vec<ClusterReport>);
-/// Node and the number of its conn.
+/// Node and the number of its connection.
 pub(super) type ConnectionId = (usize, u64);
 
 #[derive(Default)]
@@ -29,40 +32,40 @@
     pub lagging_until: Microseconds,
     history: Vec<(Position, Position, Vec<Delta>)>,
     followers: Vec<(ConnectionId, Position)>,
-    pending_asks: Vec<(ConnectionId, u64, usize)>,
+    pending_proof_requests: Vec<(ConnectionId, u64, usize)>,
 }
 
 pub(super) struct Log {
     pub entries: Vec<LogEntry>,
     pub cluster_state: ClusterState,
     pub replicas: Vec<LogReplica>,
-    /// When each entry was ordered.
+    /// Time when each entry was ordered.
     pub ordered_at: Vec<Microseconds>,
-    /// Nothing is ordered nor proved until then.
+    /// Until this time nothing is ordered and no freshness proof is given.
     pub unavailable_until: Microseconds,
 }
 
 impl Log {
-    pub(super) fn new(seats: usize) -> Log {
+    pub(super) fn new(replica_count: usize) -> Log {
         Log {
             entries: Vec::new(),
             cluster_state: ClusterState::default(),
-            replicas: (0..seats).map(|_| LogReplica::default()).collect(),
+            replicas: (0..replica_count).map(|_| LogReplica::default()).collect(),
             ordered_at: Vec::new(),
             unavailable_until: 0,
         }
     }
 
-    pub(super) fn define_items(&mut self, call: model::cluster_state::ItemCall) {
-        // Before anything else: all seats hold the items.
+    pub(super) fn define_items(&mut self, items: model::cluster_state::ItemCall) {
+        // Called before any other entry, so that all replicas hold the items.
         drop(
             self.cluster_state
-                .apply("operator", 1, 0, ClusterOperation::Items(call)),
+                .apply("operator", 1, 0, ClusterOperation::Items(items)),
         );
-        let bill = &self.cluster_state;
+        let cluster_state = &self.cluster_state;
         self.replicas
             .iter_mut()
-            .for_each(|seat| seat.cluster_state = bill.clone());
+            .for_each(|replica| replica.cluster_state = cluster_state.clone());
     }
 
     pub(super) fn order(&mut self, now: Microseconds, entry: LogEntry) -> Outcome {
@@ -80,29 +83,31 @@
 }
 
 impl LogReplica {
-    /// A seat that lags behind a follower tells it nothing until it has caught up.
+    /// The updates for followers that are behind. A replica that lags behind a follower sends nothing to it until it has
+    /// caught up.
     fn pending_updates(&mut self) -> Vec<(ConnectionId, ReplicaUpdate)> {
-        let (bill, history) = (&self.cluster_state, &self.history);
+        let (cluster_state, history) = (&self.cluster_state, &self.history);
         self.followers
             .iter_mut()
-            .filter(|(_, held)| *held < bill.position)
-            .flat_map(|(conn, held)| {
-                let since = history.iter().position(|(from, ..)| from == held);
-                let news = match since {
-                    Some(at) => history[at..]
+            .filter(|(_, held)| *held < cluster_state.position)
+            .flat_map(|(connection, held)| {
+                let first_missing = history.iter().position(|(from, ..)| from == held);
+                let updates = match first_missing {
+                    Some(index) => history[index..]
                         .iter()
                         .map(|(from, to, deltas)| (false, *from, *to, deltas.clone()))
                         .collect(),
-                    None => vec![(true, 0, bill.position, bill.full_deltas())],
+                    None => vec![(true, 0, cluster_state.position, cluster_state.full_deltas())],
                 };
-                *held = bill.position;
-                let conn = *conn;
-                news.into_iter()
-                    .map(move |(afresh, from, to, deltas)| {
+                *held = cluster_state.position;
+                let connection = *connection;
+                updates
+                    .into_iter()
+                    .map(move |(complete, from, to, deltas)| {
                         (
-                            conn,
+                            connection,
                             ReplicaUpdate::StateChanged {
-                                complete: afresh,
+                                complete,
                                 from,
                                 to,
                                 deltas,
@@ -116,14 +121,23 @@
 
     fn pending_proofs(&mut self) -> Vec<(ConnectionId, ReplicaUpdate)> {
         let (applied, position) = (self.applied, self.cluster_state.position);
-        let done = self
-            .pending_asks
-            .extract_if(.., |(_, _, needed)| *needed <= applied);
-        done.map(|(conn, number, _)| (conn, ReplicaUpdate::Proof { number, position }))
+        let answered = self
+            .pending_proof_requests
+            .extract_if(.., |(_, _, needed_entries)| *needed_entries <= applied);
+        answered
+            .map(|(connection, request_number, _)| {
+                (
+                    connection,
+                    ReplicaUpdate::Proof {
+                        request_number,
+                        position,
+                    },
+                )
+            })
             .collect()
     }
 
-    /// News goes before the proof that leans on it.
+    /// Applies an entry. The updates are sent before the freshness proofs that rely on them.
     pub(super) fn apply(&mut self, entry: LogEntry) -> Vec<(ConnectionId, ReplicaUpdate)> {
         let before = self.cluster_state.position;
         let (_, deltas) = self.cluster_state.apply(
@@ -138,28 +152,30 @@
                 .push((before, self.cluster_state.position, deltas));
             self.history.drain(..self.history.len().saturating_sub(12));
         }
-        let news = self.pending_updates();
-        news.into_iter().chain(self.pending_proofs()).collect()
+        let updates = self.pending_updates();
+        updates.into_iter().chain(self.pending_proofs()).collect()
     }
 
     pub(super) fn follow(
         &mut self,
-        conn: ConnectionId,
+        connection: ConnectionId,
         held: Position,
     ) -> Vec<(ConnectionId, ReplicaUpdate)> {
-        self.followers.retain(|((node, _), _)| *node != conn.0);
-        self.followers.push((conn, held));
+        self.followers
+            .retain(|((node, _), _)| *node != connection.0);
+        self.followers.push((connection, held));
         self.pending_updates()
     }
 
-    /// Proved once all that was ordered before the asking is applied here.
-    pub(super) fn ask(
+    /// Requests a freshness proof, given once all entries ordered before the request are applied here.
+    pub(super) fn request_proof(
         &mut self,
-        conn: ConnectionId,
-        number: u64,
-        ordered: usize,
+        connection: ConnectionId,
+        request_number: u64,
+        ordered_count: usize,
     ) -> Vec<(ConnectionId, ReplicaUpdate)> {
-        self.pending_asks.push((conn, number, ordered));
+        self.pending_proof_requests
+            .push((connection, request_number, ordered_count));
         self.pending_proofs()
     }
 }
--- a/crates/simulator/src/lease_sim/mod.rs
+++ b/crates/simulator/src/lease_sim/mod.rs
@@ -1,4 +1,5 @@
-//! Keys in virtual time: real grants, rows and placements; made-up nodes, back ends and news (design 11.4, 11.5).
+//! Simulator of leases in virtual time: the real grants, shard maps and placements, with simulated nodes, backends and
+//! updates (design 11.4, 11.5).
 
 mod backend;
 mod checks;
@@ -15,18 +16,21 @@
 pub use harness::LeaseHarness;
 pub use plan::{DisabledGuards, LeasePlan};
 
-/// One simulated service from its beginning through the blows to its recovery; what was broken, and the stage.
-pub fn play(plan: LeasePlan, struck: &[ScheduledFault]) -> (Vec<String>, LeaseHarness) {
-    let end = struck
+/// Simulates one service through the scheduled faults until it has had time to recover. Returns the violations and the
+/// harness.
+pub fn simulate(plan: LeasePlan, faults: &[ScheduledFault]) -> (Vec<String>, LeaseHarness) {
+    let end = faults
         .iter()
-        .map(|(at, _, _, length)| at + length)
+        .map(|(start, _, _, length)| start + length)
         .max()
         .unwrap_or(3_000_000)
         .max(3_000_000)
-        + plan.recovery();
-    let mut stage = LeaseHarness::new(plan);
-    struck.iter().for_each(|blow| stage.schedule_fault(*blow));
-    stage.run_until(end);
-    let broken = stage.finish();
-    (broken, stage)
+        + plan.recovery_time();
+    let mut harness = LeaseHarness::new(plan);
+    faults
+        .iter()
+        .for_each(|fault| harness.schedule_fault(*fault));
+    harness.run_until(end);
+    let violations = harness.finish();
+    (violations, harness)
 }
--- a/crates/simulator/src/lease_sim/node.rs
+++ b/crates/simulator/src/lease_sim/node.rs
@@ -1,66 +1,69 @@
-//! A node beside one back end, as `endpoints::desk` and `endpoints::facts` run it, over the real grants (design 11.2, 11.5).
+//! A simulated node beside one backend. It works as `endpoints::lease_table` does and uses the real lease granter
+//! (design 11.2, 11.5).
 
 use model::cluster_state::{ClusterReport, StateSnapshot};
 use model::{Microseconds, Position};
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
-/// A back end as it told of itself.
+/// The backend beside a node, as its latest heartbeat describes it.
 pub(super) struct LocalBackend {
     pub heartbeat: endpoints::Heartbeat,
     pub heard_at: Microseconds,
     pub drained: bool,
     pub held_until: Microseconds,
-    /// Until then it may hold what an earlier process of this node told it to.
+    /// Until this time it may hold ranges that an earlier process of this node granted.
     pub earlier_grant_until: Microseconds,
     pub silent: bool,
     pub probing: bool,
-    /// Heard more than once: no late beat of an earlier life.
+    /// More than one heartbeat has arrived, so this is no late heartbeat of an earlier incarnation.
     pub heard_repeatedly: bool,
 }
 
+/// A node. Its times are by its own clock.
 pub(super) struct Node {
     pub name: String,
     pub start_number: u64,
     pub up: bool,
     pub frozen: bool,
     pub deferred: Vec<super::harness::Event>,
-    /// Cut off from the log; its reports alone get lost.
+    /// Disconnected from the log in both directions. With `reports_lost`, only its reports are lost.
     pub cut_from_log: bool,
     pub reports_lost: bool,
-    /// What its clock gains, in millionths.
+    /// Rate error of its clock, in millionths.
     pub clock_rate_ppm: i64,
     pub lease_granter: endpoints::LeaseGranter,
     pub state: StateSnapshot,
     pub proved_at: Microseconds,
     pub backend: Option<LocalBackend>,
+    /// Ended backends, and whether the end of the process is confirmed.
     pub ended: BTreeMap<String, bool>,
     pub reported_ended: BTreeSet<String>,
     pub pending_reports: Vec<ClusterReport>,
     pub connection: super::connection::UpdateConnection,
     pub outbox: super::notification::Outbox,
-    pub placement: super::placement::PlacementDuty,
-    /// When this process began, by its clock.
+    pub placement: super::placement::PlacementState,
+    /// Start time of this process.
     pub started_at: Microseconds,
 }
 
-/// What the process of this name drew at its start of this number.
-pub(super) fn incarnation(name: &str, life: u64) -> model::Incarnation {
-    model::leases::stable_hash(&format!("{name} {life}"))
+/// The incarnation that the process of this name drew at this start.
+pub(super) fn incarnation(name: &str, start_number: u64) -> model::Incarnation {
+    model::leases::stable_hash(&format!("{name} {start_number}"))
 }
 
 impl Node {
-    pub(super) fn new(at: usize, rate: i64, env: endpoints::LeaseConfig) -> Node {
+    pub(super) fn new(index: usize, clock_rate_ppm: i64, config: endpoints::LeaseConfig) -> Node {
         Node {
-            name: format!("node-{at}"),
+            name: format!("node-{index}"),
             start_number: 0,
             up: false,
             frozen: false,
             deferred: Vec::new(),
             cut_from_log: false,
             reports_lost: false,
-            clock_rate_ppm: rate,
-            lease_granter: endpoints::LeaseGranter::new(env),
+            clock_rate_ppm,
+            lease_granter: endpoints::LeaseGranter::new(config),
             state: StateSnapshot::default(),
             proved_at: 0,
             backend: None,
@@ -74,18 +77,23 @@
         }
     }
 
-    /// What this process drew when it began: its order says nothing.
+    /// The incarnation of this process. Incarnations of a node have no order.
     pub(super) fn incarnation(&self) -> model::Incarnation {
         incarnation(&self.name, self.start_number)
     }
 
-    pub(super) fn is_running(&self, life: u64) -> bool {
-        self.up && self.start_number == life
+    pub(super) fn is_running(&self, start_number: u64) -> bool {
+        self.up && self.start_number == start_number
     }
 
-    /// A new process: all that was in memory is gone.
-    pub(super) fn restart(&mut self, at: usize, env: endpoints::LeaseConfig, began: Microseconds) {
-        let (life, rate, cut, dumb, conns) = (
+    /// Replaces the process by a new one without the state of the earlier one.
+    pub(super) fn restart(
+        &mut self,
+        index: usize,
+        config: endpoints::LeaseConfig,
+        started_at: Microseconds,
+    ) {
+        let (start_number, clock_rate_ppm, cut_from_log, reports_lost, connection_number) = (
             self.start_number + 1,
             self.clock_rate_ppm,
             self.cut_from_log,
@@ -93,15 +101,15 @@
             self.connection.number + 1,
         );
         *self = Node {
-            start_number: life,
-            clock_rate_ppm: rate,
-            cut_from_log: cut,
-            reports_lost: dumb,
-            started_at: began,
+            start_number,
+            clock_rate_ppm,
+            cut_from_log,
+            reports_lost,
+            started_at,
             up: true,
-            ..Node::new(at, rate, env)
+            ..Node::new(index, clock_rate_ppm, config)
         };
-        self.connection.number = conns;
+        self.connection.number = connection_number;
     }
 
     pub(super) fn shard_map(&self) -> model::cluster_state::ShardMap {
@@ -113,75 +121,81 @@
     }
 
     pub(super) fn observe(&mut self, now: Microseconds) {
-        let rows = self.shard_map();
+        let ranges = self.shard_map();
         if let Some(own) = &self.backend {
-            self.lease_granter.observe(now, &rows, &own.heartbeat.name);
+            self.lease_granter
+                .observe(now, &ranges, &own.heartbeat.name);
         }
     }
 
+    /// Handles a heartbeat and returns the grant, or nothing if the heartbeat is rejected or no grant is possible.
     pub(super) fn receive_heartbeat(
         &mut self,
         plan: &super::LeasePlan,
         now: Microseconds,
-        beat: endpoints::Heartbeat,
+        heartbeat: endpoints::Heartbeat,
     ) -> endpoints::HeartbeatAnswer {
-        let within = |span: Microseconds| {
-            self.backend
-                .as_ref()
-                .is_some_and(|own| own.heartbeat.name != beat.name && now < own.heard_at + span)
+        let heard_within = |duration: Microseconds| {
+            self.backend.as_ref().is_some_and(|own| {
+                own.heartbeat.name != heartbeat.name && now < own.heard_at + duration
+            })
         };
-        let known = self.state.backends.contains_key(&beat.name);
-        let earlier = !plan.disabled.late_heartbeats
-            && (within(plan.heartbeat_interval / 4)
-                || known && within(plan.heartbeat_interval * 2));
-        if earlier
-            || self.ended.contains_key(&beat.name)
-            || self.reported_ended.contains(&beat.name)
+        let in_log = self.state.backends.contains_key(&heartbeat.name);
+        let other_incarnation = !plan.disabled.late_heartbeats
+            && (heard_within(plan.heartbeat_interval / 4)
+                || in_log && heard_within(plan.heartbeat_interval * 2));
+        if other_incarnation
+            || self.ended.contains_key(&heartbeat.name)
+            || self.reported_ended.contains(&heartbeat.name)
         {
             return None;
         }
         if self.backend.as_ref().is_some_and(|own| {
-            own.heartbeat.name == beat.name && own.heartbeat.sequence >= beat.sequence
+            own.heartbeat.name == heartbeat.name && own.heartbeat.sequence >= heartbeat.sequence
         }) {
             return None;
         }
-        if let Some(earlier) = self.backend.take_if(|own| own.heartbeat.name != beat.name) {
+        if let Some(earlier) = self
+            .backend
+            .take_if(|own| own.heartbeat.name != heartbeat.name)
+        {
             self.ended.insert(earlier.heartbeat.name, true);
         }
-        if !beat.released_ranges.is_empty() {
-            let through = if plan.disabled.release_position {
+        if !heartbeat.released_ranges.is_empty() {
+            let known_through = if plan.disabled.release_position {
                 Position::MAX
             } else {
                 self.state.position
             };
             self.pending_reports.push(ClusterReport::ShardsReleased {
-                service: beat.service.clone(),
-                name: beat.name.clone(),
-                known_through: through,
-                ranges: beat.released_ranges.clone(),
+                service: heartbeat.service.clone(),
+                name: heartbeat.name.clone(),
+                known_through,
+                ranges: heartbeat.released_ranges.clone(),
             });
         }
-        let unknown = if plan.disabled.earlier_grants || beat.held_ranges.is_empty() {
-            0
-        } else {
-            now + plan.leases.max_duration
-        };
-        let (held_until, told_before) = self
+        let unknown_grant_until =
+            if plan.disabled.earlier_grants || heartbeat.held_ranges.is_empty() {
+                0
+            } else {
+                now + plan.leases.max_duration
+            };
+        let (held_until, earlier_grant_until) = self
             .backend
             .as_ref()
             .map(|own| (own.held_until, own.earlier_grant_until))
-            .unwrap_or((0, unknown));
-        let drained = self.backend.as_ref().is_some_and(|own| own.drained) || beat.draining;
-        let beats_on = self.backend.is_some();
+            .unwrap_or((0, unknown_grant_until));
+        let drained = self.backend.as_ref().is_some_and(|own| own.drained) || heartbeat.draining;
+        let heard_repeatedly = self.backend.is_some();
         let mut own = LocalBackend {
             heard_at: now,
             drained,
             held_until,
-            earlier_grant_until: told_before,
+            earlier_grant_until,
             silent: false,
             probing: false,
-            heard_repeatedly: beats_on,
-            heartbeat: beat,
+            heard_repeatedly,
+            heartbeat,
         };
         let answer = self.grant(plan, now, &mut own);
         self.backend = Some(own);
@@ -194,23 +208,25 @@
         now: Microseconds,
         own: &mut LocalBackend,
     ) -> endpoints::HeartbeatAnswer {
-        let mut rows = self.shard_map();
-        if plan.disabled.owed_ranges {
-            rows.iter_mut().for_each(|row| row.pending_releases.clear());
+        let mut ranges = self.shard_map();
+        if plan.disabled.pending_releases {
+            ranges
+                .iter_mut()
+                .for_each(|range| range.pending_releases.clear());
         }
-        let proved = if plan.disabled.proof && self.proved_at > 0 {
+        let proved_at = if plan.disabled.freshness_proof && self.proved_at > 0 {
             now
         } else {
             self.proved_at
         };
         let grant = self.lease_granter.grant(
             now,
-            proved,
-            &rows,
+            proved_at,
+            &ranges,
             &own.heartbeat.name,
             &own.heartbeat.held_ranges,
         )?;
-        let hold = if plan.disabled.slow_clock {
+        let lease_duration = if plan.disabled.slow_clock {
             (grant.duration * 103 / 100).min(plan.leases.max_duration)
         } else {
             grant.duration
@@ -221,23 +237,23 @@
                 ranges: grant.expired_releases,
             });
         }
-        own.held_until = now + hold;
+        own.held_until = now + lease_duration;
         own.heartbeat.held_ranges = grant
             .ranges
             .iter()
-            .map(|(from, to, fence, _)| (*from, *to, *fence))
+            .map(|(from, to, fencing_token, _)| (*from, *to, *fencing_token))
             .collect();
-        Some((grant.ranges, hold))
+        Some((grant.ranges, lease_duration))
     }
 
-    /// A back end that stopped beating; whether its process is to be probed.
+    /// Handles a backend whose heartbeats are missing. Returns its name if its process is to be probed.
     pub(super) fn check_silence(
         &mut self,
         plan: &super::LeasePlan,
         now: Microseconds,
     ) -> Option<String> {
         let position = self.state.position;
-        let rows = self.shard_map();
+        let ranges = self.shard_map();
         let own = self.backend.as_mut()?;
         if now < own.heard_at + plan.heartbeat_interval * 3 / 2 && !own.silent || own.probing {
             return None;
@@ -254,21 +270,24 @@
                 self.probe_answered(&name, true);
                 return None;
             }
-            // It may be heard again; what it owed it holds no more.
-            let owed = rows
-                .iter()
-                .filter(|row| row.pending_releases.iter().any(|(owing, _)| *owing == name));
-            let rows: Vec<(u16, u16, String)> = owed
-                .map(|row| (row.first_key, row.last_key, String::new()))
+            // It may send heartbeats again. Its leases have expired, so the releases that it owed are reported.
+            let pending = ranges.iter().filter(|range| {
+                range
+                    .pending_releases
+                    .iter()
+                    .any(|(owing, _)| *owing == name)
+            });
+            let ranges: Vec<(u16, u16, String)> = pending
+                .map(|range| (range.first_key, range.last_key, String::new()))
                 .collect();
-            let fact = ClusterReport::ShardsReleased {
+            let report = ClusterReport::ShardsReleased {
                 service: own.heartbeat.service.clone(),
                 name: name.clone(),
                 known_through: position,
-                ranges: rows.clone(),
+                ranges: ranges.clone(),
             };
-            if !rows.is_empty() && !self.pending_reports.contains(&fact) {
-                self.pending_reports.push(fact);
+            if !ranges.is_empty() && !self.pending_reports.contains(&report) {
+                self.pending_reports.push(report);
             }
         }
         own.probing = true;
--- a/crates/simulator/src/lease_sim/notification.rs
+++ b/crates/simulator/src/lease_sim/notification.rs
@@ -1,32 +1,35 @@
-//! What a node tells the log: one entry at a time, the same until it is answered (design 5.8, 11.2).
+//! How a node sends its reports to the log: one entry at a time, repeated unchanged until it is answered
+//! (design 5.8, 11.2).
 
 use super::harness::{Event, LeaseHarness};
 use model::cluster_state::{BackendRecord, ClusterReport};
 use model::{BackendPhase, Microseconds, Outcome, Position};
 use std::collections::VecDeque;
 
+/// The part of a node that a report comes from.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum ReportSource {
     LeaseTable,
     Placement,
 }
 
-/// Reports on their way: the one that is out, by number, and who waits for the log to have come so far.
+/// Reports to the log: the queue, and the entry in flight with its sequence number.
 #[derive(Default)]
 pub(super) struct Outbox {
     pub sequence: u64,
     pub queue: VecDeque<(ReportSource, Vec<ClusterReport>)>,
     pub in_flight: Option<(ReportSource, Vec<ClusterReport>)>,
     pub notifying: bool,
-    /// Until the news of it is here, or this long, the same would be wanted again.
+    /// Position and time until which the lease table sends nothing more: before the node has reached that position it
+    /// would derive the same reports again.
     pub resend_not_before: Option<(Position, Microseconds)>,
 }
 
 impl super::node::Node {
-    /// All that differs between what is so here and what the log says.
+    /// The reports for all differences between the state of this node and the log.
     fn wanted_reports(&self, plan: &super::LeasePlan, now: Microseconds) -> Vec<ClusterReport> {
-        let (held, life) = (self.state.nodes.get(&self.name), self.incarnation());
-        let place = held.is_some_and(|held| held.incarnation == life && held.present);
+        let (held, incarnation) = (self.state.nodes.get(&self.name), self.incarnation());
+        let registered = held.is_some_and(|held| held.incarnation == incarnation && held.present);
         let replaces = held
             .filter(|_| !plan.disabled.registration)
             .map_or(0, |held| held.incarnation);
@@ -34,7 +37,7 @@
             node: self.name.clone(),
             zone: "z0".into(),
             address: self.name.clone(),
-            incarnation: life,
+            incarnation,
             replaces,
         };
         let own = self
@@ -44,7 +47,7 @@
             .flat_map(|own| {
                 let name = own.heartbeat.name.clone();
                 let phase = self.state.backends.get(&name).map(|held| held.phase);
-                let player = BackendRecord {
+                let backend = BackendRecord {
                     service: own.heartbeat.service.clone(),
                     zone: "z0".into(),
                     node: self.name.clone(),
@@ -55,7 +58,7 @@
                 let joined =
                     (phase.is_none() && !own.silent).then(|| ClusterReport::BackendJoined {
                         name: name.clone(),
-                        backend: player,
+                        backend,
                     });
                 let silent = phase == Some(BackendPhase::Registered) && own.silent
                     || phase == Some(BackendPhase::PresumedGone) && !own.silent;
@@ -63,107 +66,118 @@
                     name: name.clone(),
                     silent: own.silent,
                 });
-                let drains = (own.drained
+                let draining = (own.drained
                     && phase.is_none_or(|phase| phase == BackendPhase::Registered))
                 .then_some(ClusterReport::BackendDraining { name });
-                [joined, silent, drains].into_iter().flatten()
+                [joined, silent, draining].into_iter().flatten()
             });
-        let stands = |name: &str, surely: bool| {
-            !surely && !plan.disabled.end_reported_once && !self.state.backends.contains_key(name)
+        let already_reported = |name: &str, confirmed: bool| {
+            !confirmed
+                && !plan.disabled.end_reported_once
+                && !self.state.backends.contains_key(name)
         };
         let ends = self
             .ended
             .iter()
-            .filter(|(name, surely)| !stands(name, **surely))
-            .map(|(name, surely)| ClusterReport::BackendEnded {
+            .filter(|(name, confirmed)| !already_reported(name, **confirmed))
+            .map(|(name, confirmed)| ClusterReport::BackendEnded {
                 name: name.clone(),
-                process_gone: *surely,
+                process_gone: *confirmed,
             });
-        let others = self
+        let unknown = self
             .unknown_backends(now > self.started_at + plan.heartbeat_interval * 3)
             .into_iter()
             .filter(|_| !plan.disabled.unknown_backends);
-        (!place)
+        (!registered)
             .then_some(node)
             .into_iter()
             .chain(self.pending_reports.clone())
             .chain(own)
             .chain(ends)
-            .chain(others)
+            .chain(unknown)
             .collect()
     }
 
-    /// One back end to a machine: whoever else the log has here is an earlier life, or is not heard.
-    fn unknown_backends(&self, patient: bool) -> Vec<ClusterReport> {
+    /// Reports about other backends that the log lists at this node. A machine has one backend, so each of them is an
+    /// earlier incarnation, or has not been heard yet.
+    fn unknown_backends(&self, grace_period_over: bool) -> Vec<ClusterReport> {
         let own = self.backend.as_ref().map(|own| own.heartbeat.name.as_str());
-        let here = self.state.backends.iter().filter(|(name, player)| {
-            player.node == self.name && own != Some(name) && !self.ended.contains_key(*name)
+        let listed_here = self.state.backends.iter().filter(|(name, backend)| {
+            backend.node == self.name && own != Some(name) && !self.ended.contains_key(*name)
         });
-        let sure = self.backend.as_ref().is_some_and(|own| {
+        let certain = self.backend.as_ref().is_some_and(|own| {
             own.heard_repeatedly || !self.state.backends.contains_key(&own.heartbeat.name)
         });
-        here.filter_map(|(name, player)| match own {
-            Some(_) => sure.then(|| ClusterReport::BackendEnded {
-                name: name.clone(),
-                process_gone: true,
-            }),
-            None => (patient && player.phase == BackendPhase::Registered).then(|| {
-                ClusterReport::BackendSilent {
+        listed_here
+            .filter_map(|(name, backend)| match own {
+                Some(_) => certain.then(|| ClusterReport::BackendEnded {
                     name: name.clone(),
-                    silent: true,
+                    process_gone: true,
+                }),
+                None => {
+                    (grace_period_over && backend.phase == BackendPhase::Registered).then(|| {
+                        ClusterReport::BackendSilent {
+                            name: name.clone(),
+                            silent: true,
+                        }
+                    })
                 }
-            }),
-        })
-        .collect()
+            })
+            .collect()
     }
 }
 
 impl LeaseHarness {
-    pub(super) fn notify(&mut self, at: usize) {
-        let (now, clock) = (self.now, self.clock(at));
-        let node = &mut self.nodes[at];
+    pub(super) fn notify(&mut self, index: usize) {
+        let (now, clock) = (self.now, self.clock(index));
+        let node = &mut self.nodes[index];
         node.outbox
             .resend_not_before
             .take_if(|(position, until)| node.state.position >= *position || now >= *until);
         if node.outbox.notifying || node.outbox.resend_not_before.is_some() || node.proved_at == 0 {
             return;
         }
-        let wanted = node.wanted_reports(&self.plan, clock);
-        if !wanted.is_empty() {
+        let reports = node.wanted_reports(&self.plan, clock);
+        if !reports.is_empty() {
             node.outbox.notifying = true;
             node.reported_ended
-                .extend(wanted.iter().filter_map(|wanted| {
-                    if let ClusterReport::BackendEnded { name, .. } = wanted {
+                .extend(reports.iter().filter_map(|report| {
+                    if let ClusterReport::BackendEnded { name, .. } = report {
                         Some(name.clone())
                     } else {
                         None
                     }
                 }));
-            self.enqueue(at, ReportSource::LeaseTable, wanted);
+            self.enqueue(index, ReportSource::LeaseTable, reports);
         }
     }
 
-    pub(super) fn enqueue(&mut self, at: usize, whose: ReportSource, reports: Vec<ClusterReport>) {
-        self.nodes[at].outbox.queue.push_back((whose, reports));
-        self.send_next(at);
+    pub(super) fn enqueue(
+        &mut self,
+        index: usize,
+        source: ReportSource,
+        reports: Vec<ClusterReport>,
+    ) {
+        self.nodes[index].outbox.queue.push_back((source, reports));
+        self.send_next(index);
     }
 
-    fn send_next(&mut self, at: usize) {
-        let post = &mut self.nodes[at].outbox;
-        if post.in_flight.is_some() {
+    fn send_next(&mut self, index: usize) {
+        let outbox = &mut self.nodes[index].outbox;
+        if outbox.in_flight.is_some() {
             return;
         }
-        post.in_flight = post.queue.pop_front();
-        if post.in_flight.is_some() {
-            post.sequence += 1;
-            let sequence = post.sequence;
-            self.send_entry(at, sequence);
+        outbox.in_flight = outbox.queue.pop_front();
+        if outbox.in_flight.is_some() {
+            outbox.sequence += 1;
+            let sequence = outbox.sequence;
+            self.send_entry(index, sequence);
         }
     }
 
-    /// The same entry, sequence and all, until it is answered.
-    pub(super) fn send_entry(&mut self, at: usize, sequence: u64) {
-        let node = &self.nodes[at];
+    /// Sends the entry in flight, and schedules the next send with the same sequence number.
+    pub(super) fn send_entry(&mut self, index: usize, sequence: u64) {
+        let node = &self.nodes[index];
         let Some((_, reports)) = node
             .outbox
             .in_flight
@@ -172,36 +186,42 @@
         else {
             return;
         };
-        let (life, lost) = (node.start_number, node.cut_from_log || node.reports_lost);
+        let (start_number, lost) = (node.start_number, node.cut_from_log || node.reports_lost);
         if !lost {
             self.schedule_within(
                 (500, 20_000),
-                Event::EntryArrives(at, life, sequence, reports),
+                Event::EntryArrives(index, start_number, sequence, reports),
             );
         }
-        self.schedule_within((700_000, 720_000), Event::ResendEntry(at, life, sequence));
+        self.schedule_within(
+            (700_000, 720_000),
+            Event::ResendEntry(index, start_number, sequence),
+        );
     }
 
     pub(super) fn entry_arrives(
         &mut self,
-        at: usize,
-        life: u64,
+        index: usize,
+        start_number: u64,
         sequence: u64,
         reports: Vec<ClusterReport>,
     ) {
         let outcome = self.append((
-            self.nodes[at].name.clone(),
-            super::node::incarnation(&self.nodes[at].name, life),
+            self.nodes[index].name.clone(),
+            super::node::incarnation(&self.nodes[index].name, start_number),
             sequence,
             reports,
         ));
-        let hears = !self.nodes[at].cut_from_log && !self.nodes[at].reports_lost;
-        outcome.filter(|_| hears).into_iter().for_each(|outcome| {
-            self.schedule_within(
-                (500, 20_000),
-                Event::EntryAnswered(at, life, sequence, outcome),
-            )
-        });
+        let answer_arrives = !self.nodes[index].cut_from_log && !self.nodes[index].reports_lost;
+        outcome
+            .filter(|_| answer_arrives)
+            .into_iter()
+            .for_each(|outcome| {
+                self.schedule_within(
+                    (500, 20_000),
+                    Event::EntryAnswered(index, start_number, sequence, outcome),
+                )
+            });
     }
 
     pub(super) fn append(&mut self, entry: super::log::LogEntry) -> Option<Outcome> {
@@ -214,33 +234,36 @@
         Some(outcome)
     }
 
-    pub(super) fn entry_answered(&mut self, at: usize, sequence: u64, outcome: Outcome) {
+    pub(super) fn entry_answered(&mut self, index: usize, sequence: u64, outcome: Outcome) {
         let now = self.now;
-        let post = &mut self.nodes[at].outbox;
-        let Some((whose, told)) = post.in_flight.take_if(|_| post.sequence == sequence) else {
+        let outbox = &mut self.nodes[index].outbox;
+        let Some((source, reports)) = outbox.in_flight.take_if(|_| outbox.sequence == sequence)
+        else {
             return;
         };
-        let here = match outcome {
+        let accepted_at = match outcome {
             Outcome::Accepted { position, .. } => Some(position),
             _ => None,
         };
-        let node = &mut self.nodes[at];
-        match whose {
+        let node = &mut self.nodes[index];
+        match source {
             ReportSource::LeaseTable => {
                 node.outbox.notifying = false;
-                node.outbox.resend_not_before = here.map(|position| (position, now + 500_000));
-                node.pending_reports.retain(|fact| !told.contains(fact));
-                node.ended.retain(|name, surely| {
-                    !(*surely
-                        && told.contains(&ClusterReport::BackendEnded {
+                node.outbox.resend_not_before =
+                    accepted_at.map(|position| (position, now + 500_000));
+                node.pending_reports
+                    .retain(|report| !reports.contains(report));
+                node.ended.retain(|name, confirmed| {
+                    !(*confirmed
+                        && reports.contains(&ClusterReport::BackendEnded {
                             name: name.clone(),
                             process_gone: true,
                         }))
                 });
             }
-            ReportSource::Placement => node.placement.answered(here, now),
+            ReportSource::Placement => node.placement.answered(accepted_at, now),
         }
-        self.send_next(at);
-        self.notify(at);
+        self.send_next(index);
+        self.notify(index);
     }
 }
--- a/crates/simulator/src/lease_sim/placement.rs
+++ b/crates/simulator/src/lease_sim/placement.rs
@@ -1,73 +1,82 @@
-//! Who places the service's keys and when, as `endpoints::duty` does it, over the real placements (design 11.4).
+//! Decides which node computes the placement of the service's keys and when, as `endpoints::placement` does, with the
+//! real placement algorithm (design 11.4).
 
 use super::harness::{LeaseHarness, SERVICE};
 use super::notification::ReportSource;
 use model::cluster_state::{ClusterReport, StateSnapshot};
 use model::{BackendName, Microseconds, Position};
 
+/// State of a node that may have to compute the placement.
 #[derive(Default)]
-pub(super) struct PlacementDuty {
+pub(super) struct PlacementState {
     backends: Vec<BackendName>,
     backends_since: Microseconds,
     in_flight: bool,
     resend_not_before: Option<(Position, Microseconds)>,
 }
 
-impl PlacementDuty {
-    pub(super) fn answered(&mut self, here: Option<Position>, now: Microseconds) {
+impl PlacementState {
+    pub(super) fn answered(&mut self, accepted_at: Option<Position>, now: Microseconds) {
         self.in_flight = false;
-        self.resend_not_before = here.map(|position| (position, now + 1_000_000));
+        self.resend_not_before = accepted_at.map(|position| (position, now + 1_000_000));
     }
 }
 
-fn rank(programme: &StateSnapshot, node: &str) -> u64 {
+/// Number of other nodes that come before this one in the order in which nodes compute a placement.
+fn rank(snapshot: &StateSnapshot, node: &str) -> u64 {
     let weight = |name: &str| model::leases::stable_hash(&format!("{SERVICE}\n{name}"));
-    programme
+    snapshot
         .available_backends(SERVICE)
         .iter()
-        .filter(|one| one.node != node && weight(&one.node) > weight(node))
+        .filter(|backend| backend.node != node && weight(&backend.node) > weight(node))
         .count() as u64
 }
 
-fn current_placement(programme: &StateSnapshot) -> (Position, model::cluster_state::ShardMap) {
-    programme
+fn current_placement(snapshot: &StateSnapshot) -> (Position, model::cluster_state::ShardMap) {
+    snapshot
         .placements
         .get(SERVICE)
-        .map(|held| (held.0, held.1.clone()))
+        .map(|placement| (placement.0, placement.1.clone()))
         .unwrap_or_else(|| (0, model::cluster_state::shard_map::unassigned()))
 }
 
-/// What is needed: someone who is gone holds keys, or someone who came holds none.
-fn needed_placement(programme: &StateSnapshot) -> Option<(ClusterReport, bool)> {
-    let cast = programme.available_backends(SERVICE);
-    let (base, rows) = current_placement(programme);
-    let held = |name: &str| rows.iter().any(|row| row.holder.as_deref() == Some(name));
-    let orphaned = rows.iter().any(|row| {
-        row.holder
+/// A new placement if one is needed, because a holder is not available or an available backend holds no range. The
+/// flag says that some range has no available holder.
+fn needed_placement(snapshot: &StateSnapshot) -> Option<(ClusterReport, bool)> {
+    let backends = snapshot.available_backends(SERVICE);
+    let (base, ranges) = current_placement(snapshot);
+    let holds = |name: &str| {
+        ranges
+            .iter()
+            .any(|range| range.holder.as_deref() == Some(name))
+    };
+    let orphaned = ranges.iter().any(|range| {
+        range
+            .holder
             .as_ref()
-            .is_none_or(|holder| !cast.iter().any(|one| one.name == *holder))
+            .is_none_or(|holder| !backends.iter().any(|backend| backend.name == *holder))
     });
-    if cast.is_empty() || !orphaned && cast.iter().all(|one| held(&one.name)) {
+    if backends.is_empty() || !orphaned && backends.iter().all(|backend| holds(&backend.name)) {
         return None;
     }
-    let parts: Vec<endpoints::BackendCapacity> = cast
+    let capacities: Vec<endpoints::BackendCapacity> = backends
         .iter()
-        .map(|one| (one.name.clone(), one.slots.max(1) as f64))
+        .map(|backend| (backend.name.clone(), backend.slots.max(1) as f64))
         .collect();
     Some((
         ClusterReport::ShardsReassigned {
             service: SERVICE.into(),
             base_placement: base,
-            ranges: endpoints::rebalance(&rows, &[], &parts, 0.0),
+            ranges: endpoints::rebalance(&ranges, &[], &capacities, 0.0),
         },
         orphaned,
     ))
 }
 
 impl LeaseHarness {
-    pub(super) fn consider_placement(&mut self, at: usize) {
+    pub(super) fn consider_placement(&mut self, index: usize) {
         let now = self.now;
-        let node = &mut self.nodes[at];
+        let node = &mut self.nodes[index];
         node.placement
             .resend_not_before
             .take_if(|(position, until)| node.state.position >= *position || now >= *until);
@@ -77,50 +86,57 @@
         {
             return;
         }
-        let cast: Vec<BackendName> = node
+        let backends: Vec<BackendName> = node
             .state
             .available_backends(SERVICE)
             .iter()
-            .map(|one| one.name.clone())
+            .map(|backend| backend.name.clone())
             .collect();
-        if node.placement.backends != cast {
-            (node.placement.backends, node.placement.backends_since) = (cast, now);
+        if node.placement.backends != backends {
+            (node.placement.backends, node.placement.backends_since) = (backends, now);
         }
-        let Some((recast, urgent)) = needed_placement(&node.state) else {
+        let Some((reassignment, urgent)) = needed_placement(&node.state) else {
             return;
         };
-        let first = current_placement(&node.state).0 == 0;
-        let quiet = if first {
+        let is_first = current_placement(&node.state).0 == 0;
+        let settling_time = if is_first {
             1_300_000
         } else {
             300_000 * !urgent as u64
         };
-        if now >= node.placement.backends_since + quiet + 700_000 * rank(&node.state, &node.name) {
+        if now
+            >= node.placement.backends_since
+                + settling_time
+                + 700_000 * rank(&node.state, &node.name)
+        {
             node.placement.in_flight = true;
-            self.enqueue(at, ReportSource::Placement, vec![recast]);
+            self.enqueue(index, ReportSource::Placement, vec![reassignment]);
         }
     }
 
-    /// Someone finds other shares better, as placements by load will.
-    pub(super) fn change_shares(&mut self, at: usize) {
-        if !self.nodes[at].up || self.nodes[at].frozen || self.nodes[at].placement.in_flight {
+    /// Places the keys with drawn shares, as a placement by load does.
+    pub(super) fn change_shares(&mut self, index: usize) {
+        if !self.nodes[index].up
+            || self.nodes[index].frozen
+            || self.nodes[index].placement.in_flight
+        {
             return;
         }
-        let cast = self.nodes[at].state.available_backends(SERVICE);
-        let parts: Vec<endpoints::BackendCapacity> = cast
+        let backends = self.nodes[index].state.available_backends(SERVICE);
+        let capacities: Vec<endpoints::BackendCapacity> = backends
             .iter()
-            .map(|one| (one.name.clone(), self.draw((1, 9)) as f64))
+            .map(|backend| (backend.name.clone(), self.draw((1, 9)) as f64))
             .collect();
-        let (base, rows) = current_placement(&self.nodes[at].state);
-        if base > 0 && !parts.is_empty() {
-            self.nodes[at].placement.in_flight = true;
+        let (base, ranges) = current_placement(&self.nodes[index].state);
+        if base > 0 && !capacities.is_empty() {
+            self.nodes[index].placement.in_flight = true;
             self.enqueue(
-                at,
+                index,
                 ReportSource::Placement,
                 vec![ClusterReport::ShardsReassigned {
                     service: SERVICE.into(),
                     base_placement: base,
-                    ranges: endpoints::rebalance(&rows, &[], &parts, 0.0),
+                    ranges: endpoints::rebalance(&ranges, &[], &capacities, 0.0),
                 }],
             );
         }
--- a/crates/simulator/src/lease_sim/plan.rs
+++ b/crates/simulator/src/lease_sim/plan.rs
@@ -1,34 +1,36 @@
-//! What a simulated service is told (design 11.5).
+//! Parameters of a simulated service (design 11.5).
 
 use model::Microseconds;
 
-/// One guard each, left out in the simulator only, so that its promise is seen broken.
+/// Guards of the lease protocol that the simulator can disable one at a time, to show that the checks detect what each
+/// of them prevents.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DisabledGuards {
-    /// The next holder waits for nobody.
-    pub owed_ranges: bool,
-    /// A hold lasts as long as the proof, by the back end's slow clock, and the next holder waits no longer.
+    /// The next holder of a range does not wait for pending releases.
+    pub pending_releases: bool,
+    /// A lease lasts as long as the freshness proof by the backend's slow clock, and the next holder waits no longer.
     pub slow_clock: bool,
-    /// Grants need no fresh proof.
-    pub proof: bool,
-    /// A release speaks of losses that come after it.
+    /// A grant needs no freshness proof.
+    pub freshness_proof: bool,
+    /// A release also covers ranges that the backend loses after it.
     pub release_position: bool,
-    /// Whoever is not heard is taken for gone with its process.
+    /// The process of a silent backend is presumed to have ended, without a probe.
     pub confirmed_ends: bool,
-    /// A node that starts again takes back ends for holding nothing until it has granted something itself.
+    /// A restarted node presumes that a backend holds nothing that an earlier process of the node granted.
     pub earlier_grants: bool,
-    /// A node looks only after the back end it has heard itself.
+    /// A node reports nothing about backends that the log lists beside it and that it has not heard.
     pub unknown_backends: bool,
-    /// Whoever was silent until its hold ran out has ended.
+    /// A backend that is silent until its lease expires is reported as ended.
     pub return_of_silent: bool,
-    /// The end of one that signed off is told until it is sure, though the log has it.
+    /// The end of a deregistered backend is reported until it is confirmed, although the log already has it.
     pub end_reported_once: bool,
-    /// Whoever's beat is read last is taken for the one that lives.
+    /// The backend whose heartbeat is read last is taken for the live one.
     pub late_heartbeats: bool,
-    /// A process that starts registers without asking which incarnation the log has.
+    /// A starting node registers without naming the incarnation that it replaces.
     pub registration: bool,
 }
 
+/// Seed, size and timing of one simulated service. Times are in microseconds.
 #[derive(Clone, Debug)]
 pub struct LeasePlan {
     pub seed: u64,
@@ -41,17 +43,18 @@
 }
 
 impl LeasePlan {
+    /// The default timing, with 3 to 8 nodes by seed.
     pub fn new(seed: u64) -> Self {
-        let keys = endpoints::LeaseConfig {
+        let leases = endpoints::LeaseConfig {
             proof_validity: 9_000_000,
             clock_guard: 200_000,
             max_duration: 10_000_000,
         };
-        let nodes = 3 + (seed % 6) as usize;
+        let node_count = 3 + (seed % 6) as usize;
         LeasePlan {
             seed,
-            node_count: nodes,
-            leases: keys,
+            node_count,
+            leases,
             heartbeat_interval: 1_500_000,
             drain_time: 2_000_000,
             proof_interval: 1_000_000,
@@ -59,8 +62,9 @@
         }
     }
 
-    /// Within it every key is held again: a node's watchers, a placement that found its base moved, the bound, beats.
-    pub fn recovery(&self) -> Microseconds {
+    /// Time within which every key is held again after the last fault. Covers failure detection, a placement that is
+    /// retried on a newer base, the longest lease and the heartbeats.
+    pub fn recovery_time(&self) -> Microseconds {
         self.leases.proof_validity + self.leases.clock_guard + 12_000_000
     }
 }
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -87,7 +87,7 @@
         Ok(())
     } else {
         Err(format!(
-            "{} of {} sites broke a promise",
+            "{} of {} sites violated an invariant",
             totals.violations.len(),
             totals.sites
         ))
--- a/crates/simulator/tests/lease_sim.rs
+++ b/crates/simulator/tests/lease_sim.rs
@@ -1,98 +1,106 @@
-//! Keys in virtual time under drawn blows, and variants that each lack one guard (design 11.4, 11.5).
+//! Leases in virtual time under drawn faults, and variants that each lack one guard of the protocol (design 11.4, 11.5).
 
 use simulator::lease_sim::{
-    DisabledGuards, FAULTS, Fault, LeaseHarness, LeasePlan, ScheduledFault, draw_faults, play,
+    DisabledGuards, FAULTS, Fault, LeaseHarness, LeasePlan, ScheduledFault, draw_faults, simulate,
 };
 use std::ops::Range;
 
-/// Seeds over the machine's cores, in the order of the seeds.
-fn over<T: Send>(seeds: Range<u64>, work: impl Fn(u64) -> T + Sync) -> Vec<T> {
-    let cores = std::thread::available_parallelism()
+/// Runs `work` for all seeds on the cores of the machine. The results are in the order of the seeds.
+fn map_seeds<T: Send>(seeds: Range<u64>, work: impl Fn(u64) -> T + Sync) -> Vec<T> {
+    let thread_count = std::thread::available_parallelism()
         .map(usize::from)
         .unwrap_or(1) as u64;
-    let mut done: Vec<(u64, T)> = std::thread::scope(|scope| {
+    let mut results: Vec<(u64, T)> = std::thread::scope(|scope| {
         let work = &work;
-        let turns = (0..cores).map(|core| {
-            let own = seeds.clone().filter(move |seed| seed % cores == core);
-            scope.spawn(move || own.map(|seed| (seed, work(seed))).collect::<Vec<_>>())
+        let threads = (0..thread_count).map(|thread_index| {
+            let own_seeds = seeds
+                .clone()
+                .filter(move |seed| seed % thread_count == thread_index);
+            scope.spawn(move || own_seeds.map(|seed| (seed, work(seed))).collect::<Vec<_>>())
         });
-        turns
+        threads
             .collect::<Vec<_>>()
             .into_iter()
-            .flat_map(|turn| turn.join().expect("a run"))
+            .flat_map(|thread| thread.join().expect("a run panicked"))
             .collect()
     });
-    done.sort_by_key(|(seed, _)| *seed);
-    done.into_iter().map(|(_, value)| value).collect()
+    results.sort_by_key(|(seed, _)| *seed);
+    results.into_iter().map(|(_, value)| value).collect()
 }
 
 #[test]
-fn drawn_blows_leave_one_holder_to_each_key_and_all_are_held_again() {
-    let played = over(0..300, |seed| {
-        let (broken, LeaseHarness { checks: judge, .. }) =
-            play(LeasePlan::new(seed), &draw_faults(&FAULTS, seed, 14));
-        assert_eq!(broken, Vec::<String>::new(), "seed {seed}");
-        (judge.ranges_taken, judge.ranges_handed_over)
+fn after_drawn_faults_each_key_has_one_holder_and_all_keys_are_held_again() {
+    let counts = map_seeds(0..300, |seed| {
+        let (violations, LeaseHarness { checks, .. }) =
+            simulate(LeasePlan::new(seed), &draw_faults(&FAULTS, seed, 14));
+        assert_eq!(violations, Vec::<String>::new(), "seed {seed}");
+        (checks.ranges_taken, checks.ranges_handed_over)
     });
-    let (taken, handed_over) = played
+    let (taken, handed_over) = counts
         .into_iter()
-        .fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
+        .fold((0, 0), |sum, count| (sum.0 + count.0, sum.1 + count.1));
     assert!(
         taken > 50_000 && handed_over > 1_000,
-        "{taken} rows taken, {handed_over} handed over"
+        "{taken} ranges taken, {handed_over} handed over"
     );
 }
 
-/// Seeds and blows alike: held with every guard, and without one the promise is seen broken.
-fn caught(
-    without: DisabledGuards,
+/// With the same seeds and faults, no invariant is violated with all guards, and the given one is violated without the
+/// guard.
+fn assert_detected(
+    disabled: DisabledGuards,
     plan: impl Fn(u64) -> LeasePlan + Sync,
-    blows: impl Fn(u64) -> Vec<ScheduledFault> + Sync,
-    promise: &str,
+    faults: impl Fn(u64) -> Vec<ScheduledFault> + Sync,
+    invariant: &str,
 ) {
-    let breaks = |seed: u64| {
-        let whole = play(plan(seed), &blows(seed)).0;
+    let is_violated = |seed: u64| {
+        let with_guards = simulate(plan(seed), &faults(seed)).0;
         assert_eq!(
-            whole,
+            with_guards,
             Vec::<String>::new(),
-            "seed {seed}: it holds with its guards"
+            "seed {seed}: violations with all guards"
         );
-        let broken = play(
+        let violations = simulate(
             LeasePlan {
-                disabled: without,
+                disabled,
                 ..plan(seed)
             },
-            &blows(seed),
+            &faults(seed),
         )
         .0;
-        broken.iter().any(|told| told.starts_with(promise))
+        violations
+            .iter()
+            .any(|violation| violation.starts_with(invariant))
     };
     assert!(
-        (0..6u64).any(|turn| over(turn * 8..turn * 8 + 8, breaks).contains(&true)),
-        "{without:?}: {promise} was not seen broken"
+        (0..6u64).any(|round| map_seeds(round * 8..round * 8 + 8, is_violated).contains(&true)),
+        "{disabled:?}: no violation of {invariant:?} was found"
     );
 }
 
-fn drawn(kinds: &'static [Fault]) -> impl Fn(u64) -> Vec<ScheduledFault> + Sync {
+fn drawn_faults(kinds: &'static [Fault]) -> impl Fn(u64) -> Vec<ScheduledFault> + Sync {
     move |seed| draw_faults(kinds, seed, 12)
 }
 
-/// Blows that come one after the other on purpose, three times; the first at node 0.
-fn rounds(every: u64, one: impl Fn(u64) -> Vec<ScheduledFault>) -> Vec<ScheduledFault> {
+/// Three rounds of the same sequence of faults, `interval` microseconds apart.
+fn repeat_rounds(
+    interval: u64,
+    single_round: impl Fn(u64) -> Vec<ScheduledFault>,
+) -> Vec<ScheduledFault> {
     (0..3)
-        .flat_map(|turn| one(5_000_000 + turn * every))
+        .flat_map(|round| single_round(5_000_000 + round * interval))
         .collect()
 }
 
 #[test]
-fn holders_that_do_not_wait_are_caught() {
-    caught(
+fn not_waiting_for_pending_releases_is_detected() {
+    assert_detected(
         DisabledGuards {
-            owed_ranges: true,
+            pending_releases: true,
             ..Default::default()
         },
         LeasePlan::new,
-        drawn(&[
+        drawn_faults(&[
             Fault::ChangeShares,
             Fault::CutFromLog,
             Fault::ChangeShares,
@@ -103,53 +111,53 @@
 }
 
 #[test]
-fn grants_without_a_proof_are_caught() {
-    caught(
+fn grants_without_a_freshness_proof_are_detected() {
+    assert_detected(
         DisabledGuards {
-            proof: true,
+            freshness_proof: true,
             ..Default::default()
         },
         LeasePlan::new,
-        drawn(&[Fault::ChangeShares, Fault::CutFromLog, Fault::CutFromLog]),
+        drawn_faults(&[Fault::ChangeShares, Fault::CutFromLog, Fault::CutFromLog]),
         "owner",
     );
 }
 
 #[test]
-fn ends_said_surely_of_back_ends_that_live_are_caught() {
-    caught(
+fn presuming_the_end_of_a_live_process_is_detected() {
+    assert_detected(
         DisabledGuards {
             confirmed_ends: true,
             ..Default::default()
         },
         LeasePlan::new,
-        drawn(&[Fault::LoseHeartbeats, Fault::CrashBackend]),
+        drawn_faults(&[Fault::LoseHeartbeats, Fault::CrashBackend]),
         "owner",
     );
 }
 
 #[test]
-fn earlier_lives_that_nobody_ends_are_caught() {
-    caught(
+fn earlier_incarnations_not_reported_as_ended_are_detected() {
+    assert_detected(
         DisabledGuards {
             unknown_backends: true,
             ..Default::default()
         },
         LeasePlan::new,
-        drawn(&[Fault::PowerLoss]),
+        drawn_faults(&[Fault::PowerLoss]),
         "unheld",
     );
 }
 
 #[test]
-fn silent_back_ends_taken_for_ended_are_caught() {
-    caught(
+fn silent_backends_reported_as_ended_are_detected() {
+    assert_detected(
         DisabledGuards {
             return_of_silent: true,
             ..Default::default()
         },
         LeasePlan::new,
-        drawn(&[
+        drawn_faults(&[
             Fault::LoseHeartbeats,
             Fault::FreezeBackend,
             Fault::FreezeNode,
@@ -159,36 +167,36 @@
 }
 
 #[test]
-fn ends_told_over_and_over_are_caught() {
-    caught(
+fn repeated_reports_of_the_same_end_are_detected() {
+    assert_detected(
         DisabledGuards {
             end_reported_once: true,
             ..Default::default()
         },
         LeasePlan::new,
-        drawn(&[Fault::DrainBackend, Fault::KillNode, Fault::DrainBackend]),
+        drawn_faults(&[Fault::DrainBackend, Fault::KillNode, Fault::DrainBackend]),
         "restless",
     );
 }
 
 #[test]
-fn registrations_that_do_not_ask_the_log_are_caught() {
-    caught(
+fn registrations_that_do_not_name_the_replaced_incarnation_are_detected() {
+    assert_detected(
         DisabledGuards {
             registration: true,
             ..Default::default()
         },
         LeasePlan::new,
-        drawn(&[Fault::PowerLoss, Fault::KillNode]),
+        drawn_faults(&[Fault::PowerLoss, Fault::KillNode]),
         "idle",
     );
 }
 
 #[test]
-fn late_beats_taken_for_the_latest_are_caught() {
-    // Two lives come and go while the node stands still; what they sent is read in any order.
-    let blows = |seed: u64| {
-        rounds(16_000_000, |at| {
+fn late_heartbeats_taken_for_the_latest_are_detected() {
+    // Two incarnations of the backend end while the node is frozen; the node then reads their heartbeats in any order.
+    let faults = |seed: u64| {
+        repeat_rounds(16_000_000, |at| {
             let crash = |after: u64, length: u64| (at + after, Fault::CrashBackend, 0, length);
             vec![
                 (at, Fault::FreezeNode, 0, 10_000_000),
@@ -197,27 +205,27 @@
             ]
         })
     };
-    caught(
+    assert_detected(
         DisabledGuards {
             late_heartbeats: true,
             ..Default::default()
         },
         LeasePlan::new,
-        blows,
+        faults,
         "idle",
     );
 }
 
 #[test]
-fn holds_that_trust_a_slow_clock_are_caught() {
-    // Often asked and often told, so that the last hold of one that hears no more reaches as far as it may.
+fn leases_that_rely_on_a_slow_clock_are_detected() {
+    // With frequent proofs and heartbeats the last lease before the disconnection lasts nearly as long as it may.
     let plan = |seed| LeasePlan {
         heartbeat_interval: 100_000,
         proof_interval: 50_000,
         ..LeasePlan::new(seed)
     };
-    let blows = |seed: u64| {
-        rounds(14_000_000, |at| {
+    let faults = |seed: u64| {
+        repeat_rounds(14_000_000, |at| {
             vec![
                 (at, Fault::CutFromLog, 0, 11_000_000),
                 (at, Fault::LoseHeartbeats, 0, 11_000_000),
@@ -225,22 +233,22 @@
             ]
         })
     };
-    caught(
+    assert_detected(
         DisabledGuards {
             slow_clock: true,
             ..Default::default()
         },
         plan,
-        blows,
+        faults,
         "owner",
     );
 }
 
 #[test]
-fn a_node_that_forgot_what_it_granted_is_caught() {
-    // The back end beats at the new process before that has a proof, and is not heard any more.
-    let blows = |seed: u64| {
-        let once = |at| {
+fn a_restarted_node_that_ignores_earlier_grants_is_detected() {
+    // The backend sends a heartbeat to the new process before that has a freshness proof, and none arrives afterwards.
+    let faults = |seed: u64| {
+        let single_round = |at| {
             vec![
                 (at + seed * 30_000, Fault::KillNode, 0, 100_000),
                 (at + seed * 30_000 + 50_000, Fault::LogOutage, 0, 2_000_000),
@@ -252,28 +260,28 @@
                 ),
             ]
         };
-        rounds(25_000_000, once)
+        repeat_rounds(25_000_000, single_round)
     };
-    caught(
+    assert_detected(
         DisabledGuards {
             earlier_grants: true,
             ..Default::default()
         },
         LeasePlan::new,
-        blows,
+        faults,
         "owner",
     );
 }
 
 #[test]
-fn releases_that_speak_of_later_losses_are_caught() {
-    // What it let go is told late: meanwhile it had the keys back, and lost them once more.
-    let blows = |seed: u64| {
-        rounds(14_000_000, |at| {
-            let told = at + 8_600_000 + seed * 20_000;
+fn releases_that_cover_later_losses_are_detected() {
+    // The report of a release arrives late: meanwhile the backend received the keys again and lost them once more.
+    let faults = |seed: u64| {
+        repeat_rounds(14_000_000, |at| {
+            let reports_restored_at = at + 8_600_000 + seed * 20_000;
             let crashes = (1..3).map(|node| (at + 3_000_000, Fault::CrashBackend, node, 2_000_000));
             let rest = [
-                (at, Fault::LoseReports, 0, told - at),
+                (at, Fault::LoseReports, 0, reports_restored_at - at),
                 (at + 100_000, Fault::ChangeShares, 1, 0),
                 (at + 8_500_000, Fault::ChangeShares, 1, 0),
             ];
@@ -284,13 +292,13 @@
         node_count: 3,
         ..LeasePlan::new(seed)
     };
-    caught(
+    assert_detected(
         DisabledGuards {
             release_position: true,
             ..Default::default()
         },
         plan,
-        blows,
+        faults,
         "owner",
     );
 }
