--- a/crates/simulator/src/lease_sim/harness.rs
+++ b/crates/simulator/src/lease_sim/harness.rs
@@ -18,6 +18,7 @@
     Tick(usize, u64),
     RequestProof(usize, u64),
     ProbeAnswered(usize, u64, String),
+    /// The flag marks the periodic heartbeat, as opposed to one that reports a change early.
     Heartbeat(usize, u64, bool),
     HeartbeatArrives(usize, u64, Microseconds, Box<endpoints::Heartbeat>),
     HeartbeatAnswer(usize, u64, Microseconds, u64, endpoints::HeartbeatAnswer),
@@ -29,6 +30,7 @@
     UpdateArrives(usize, u64, ReplicaUpdate),
     EntryArrives(usize, u64, u64, Vec<ClusterReport>),
     EntryAnswered(usize, u64, u64, Outcome),
+    /// The observing node reports that it suspects another one.
     NodeSuspected(usize, u64, Vec<ClusterReport>),
     ResendEntry(usize, u64, u64),
     ReplicaApplies(usize),
@@ -50,6 +52,7 @@
 }
 
 impl LeaseHarness {
+    /// A service whose nodes and backends are starting.
     pub fn new(plan: super::LeasePlan) -> LeaseHarness {
         let mut log = Log::new(REPLICA_COUNT);
         let service = model::cluster_state::Service {
@@ -112,6 +115,7 @@
         self.schedule(time, event);
     }
 
+    /// Schedules the beginning and the end of a fault.
     pub fn schedule_fault(
         &mut self,
         (time, fault, index, length): (u64, super::Fault, usize, u64),
@@ -364,6 +368,7 @@
         self.checks.check_holders(now, &self.backends, index);
     }
 
+    /// Handles all events up to this time.
     pub fn run_until(&mut self, end: Microseconds) {
         while let Some(((time, order), event)) = self.events.pop_first() {
             if time > end {
@@ -376,6 +381,7 @@
         self.now = end;
     }
 
+    /// Checks the final state and returns all violations.
     pub fn finish(&mut self) -> Vec<String> {
         self.checks.check_final_state(self.now, &self.backends);
         // By then no report should be pending.
--- a/crates/simulator/src/lease_sim/notification.rs
+++ b/crates/simulator/src/lease_sim/notification.rs
@@ -229,8 +229,9 @@
             return None;
         }
         let outcome = self.log.order(self.now, entry);
-        (0..self.log.replicas.len())
-            .for_each(|seat| self.schedule_within((200, 15_000), Event::ReplicaApplies(seat)));
+        (0..self.log.replicas.len()).for_each(|replica| {
+            self.schedule_within((200, 15_000), Event::ReplicaApplies(replica))
+        });
         Some(outcome)
     }
 
--- a/crates/simulator/tests/programs.rs
+++ b/crates/simulator/tests/programs.rs
@@ -1,16 +1,17 @@
-//! The programs as an operator meets them: flags, exit codes, reload, callboard (docs/operators).
+//! The programs as an operator uses them: flags, exit codes, reload, and the commands of `gradefordctl`
+//! (docs/operators).
 
 use std::process::Command;
 
 fn program(name: &str) -> Command {
-    let own = std::env::current_exe().expect("a path");
-    let folder = own.ancestors().nth(2).expect("the build's folder");
+    let own_path = std::env::current_exe().expect("a path");
+    let folder = own_path.ancestors().nth(2).expect("the build's folder");
     Command::new(folder.join(name))
 }
 
-/// Exit code, standard output, standard error.
-fn outcome(name: &str, words: &[&str]) -> (Option<i32>, String, String) {
-    let output = program(name).args(words).output().expect("it runs");
+/// Runs a program and returns its exit code, standard output and standard error.
+fn outcome(name: &str, arguments: &[&str]) -> (Option<i32>, String, String) {
+    let output = program(name).args(arguments).output().expect("it runs");
     let text = |bytes: Vec<u8>| String::from_utf8_lossy(&bytes).into_owned();
     (
         output.status.code(),
@@ -20,8 +21,8 @@
 }
 
 #[test]
-fn wrong_flags_and_settings_are_named_and_nothing_starts() {
-    let fine = [
+fn invalid_flags_and_settings_are_named_and_nothing_starts() {
+    let valid_arguments = [
         "--name",
         "c",
         "--zone",
@@ -40,15 +41,25 @@
         "/nonexistent/x",
         "--check",
     ];
-    assert_eq!(outcome("gradeford-core", &fine).0, Some(0));
-    let with = |flag: &str, value: &str| {
-        let place = fine.iter().position(|word| *word == flag).expect("a flag") + 1;
-        let words: Vec<&str> = fine
+    assert_eq!(outcome("gradeford-core", &valid_arguments).0, Some(0));
+    let with_value = |flag: &str, value: &str| {
+        let index = valid_arguments
+            .iter()
+            .position(|argument| *argument == flag)
+            .expect("a flag")
+            + 1;
+        let arguments: Vec<&str> = valid_arguments
             .iter()
             .enumerate()
-            .map(|(at, word)| if at == place { value } else { *word })
+            .map(|(argument_index, argument)| {
+                if argument_index == index {
+                    value
+                } else {
+                    *argument
+                }
+            })
             .collect();
-        outcome("gradeford-core", &words)
+        outcome("gradeford-core", &arguments)
     };
     [
         ("--seats", "4", "seats"),
@@ -57,24 +68,24 @@
         ("--seeds", "a,b", "seeds"),
     ]
     .iter()
-    .for_each(|(flag, value, named)| {
-        let (code, _, told) = with(flag, value);
+    .for_each(|(flag, value, field_name)| {
+        let (code, _, output) = with_value(flag, value);
         assert_eq!(code, Some(2), "{flag} {value}");
-        assert!(told.contains(named), "{told}");
+        assert!(output.contains(field_name), "{output}");
     });
-    let (code, _, told) = outcome("gradeford-node", &["--speed", "9"]);
-    assert!(code == Some(2) && told.contains("--speed"), "{told}");
-    let used = std::env::temp_dir().join(format!("gradeford-used-{}", std::process::id()));
-    std::fs::create_dir_all(&used).expect("a folder");
-    std::fs::write(used.join("rehearsal.history"), "").expect("a file");
-    let folder = used.display().to_string();
+    let (code, _, output) = outcome("gradeford-node", &["--speed", "9"]);
+    assert!(code == Some(2) && output.contains("--speed"), "{output}");
+    let used_folder = std::env::temp_dir().join(format!("gradeford-used-{}", std::process::id()));
+    std::fs::create_dir_all(&used_folder).expect("a folder");
+    std::fs::write(used_folder.join("rehearsal.history"), "").expect("a file");
+    let folder = used_folder.display().to_string();
     assert_eq!(
         outcome("simulator", &["run", "small", "--folder", &folder]).0,
         Some(2),
-        "an earlier run's folder"
+        "the folder of an earlier run is rejected"
     );
-    std::fs::remove_dir_all(used).expect("clean");
-    let wrong: [&[&str]; 7] = [
+    std::fs::remove_dir_all(used_folder).expect("clean");
+    let invalid_calls: [&[&str]; 7] = [
         &["run", "nowhere"],
         &["run", "small", "--scenario", "dance"],
         &["run", "small", "--seed", "none"],
@@ -83,9 +94,9 @@
         &["simulate", "--blows", "12"],
         &["simulate", "--strikes", "1"],
     ];
-    wrong
-        .iter()
-        .for_each(|words| assert_eq!(outcome("simulator", words).0, Some(2), "{words:?}"));
+    invalid_calls.iter().for_each(|arguments| {
+        assert_eq!(outcome("simulator", arguments).0, Some(2), "{arguments:?}")
+    });
     [
         "gradeford-core",
         "gradeford-node",
@@ -97,8 +108,8 @@
 }
 
 #[test]
-fn callboard_refuses_wrong_usage_and_tells_an_unreachable_core() {
-    let wrong: [&[&str]; 6] = [
+fn gradefordctl_rejects_wrong_usage_and_reports_an_unreachable_core() {
+    let invalid_calls: [&[&str]; 6] = [
         &["--core", "127.0.0.1:1"],
         &["--core", "127.0.0.1:1", "dance"],
         &["get"],
@@ -106,9 +117,13 @@
         &["--core", "127.0.0.1:1", "delete", "order", "Bad Name"],
         &["--core", "127.0.0.1:1", "apply", "/nonexistent"],
     ];
-    wrong
-        .iter()
-        .for_each(|words| assert_eq!(outcome("gradefordctl", words).0, Some(2), "{words:?}"));
+    invalid_calls.iter().for_each(|arguments| {
+        assert_eq!(
+            outcome("gradefordctl", arguments).0,
+            Some(2),
+            "{arguments:?}"
+        )
+    });
     assert_eq!(
         outcome("gradefordctl", &["--core", "127.0.0.1:1", "get"]).0,
         Some(3)
@@ -120,7 +135,7 @@
 }
 
 #[test]
-fn an_operators_day_with_callboard() {
+fn gradefordctl_applies_edits_and_reads_the_desired_state() {
     let folder = std::env::temp_dir().join(format!("gradeford-day-{}", std::process::id()));
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
     runtime.block_on(async {
@@ -128,44 +143,49 @@
         let mut fleet =
             simulator::fleet::Fleet::plan(deployment, folder.clone(), 1, 0, &[]).expect("a plan");
         (0..3)
-            .try_for_each(|seat| fleet.start_replica(seat))
-            .expect("core seats");
-        let operators: Vec<String> = fleet
+            .try_for_each(|replica_index| fleet.start_replica(replica_index))
+            .expect("replicas");
+        let operator_addresses: Vec<String> = fleet
             .replicas
             .iter()
-            .map(|core| core.operators_address.clone())
+            .map(|replica| replica.operators_address.clone())
             .collect();
-        fleet.wait_until_ready(&operators).await.expect("a core");
-        let all = operators.join(",");
-        let file = |name: &str, text: serde_json::Value| {
+        fleet
+            .wait_until_ready(&operator_addresses)
+            .await
+            .expect("a core");
+        let address_list = operator_addresses.join(",");
+        let write_file = |name: &str, text: serde_json::Value| {
             let path = folder.join(name);
             std::fs::write(&path, text.to_string()).expect("a file");
             path.display().to_string()
         };
-        let call = |words: &[&str]| {
-            let (code, told, _) =
-                outcome("gradefordctl", &[&["--core", all.as_str()], words].concat());
+        let run_command = |arguments: &[&str]| {
+            let (code, output, _) = outcome(
+                "gradefordctl",
+                &[&["--core", address_list.as_str()], arguments].concat(),
+            );
             (
                 code,
-                serde_json::from_str::<serde_json::Value>(&told).unwrap_or_default(),
+                serde_json::from_str::<serde_json::Value>(&output).unwrap_or_default(),
             )
         };
-        let site = file(
+        let site = write_file(
             "site.json",
             serde_json::json!({ "edits": fleet.deployment.edits() }),
         );
-        let (code, answer) = call(&["apply", &site, "--id", "site"]);
+        let (code, answer) = run_command(&["apply", &site, "--id", "site"]);
         assert_eq!(
             (code, answer["accepted"]["version"].as_u64()),
             (Some(0), Some(1))
         );
         assert_eq!(
-            call(&["apply", &site, "--id", "site", "--base", "0"]).0,
+            run_command(&["apply", &site, "--id", "site", "--base", "0"]).0,
             Some(0),
             "a repeat is harmless"
         );
         assert_eq!(
-            call(&["apply", &site, "--id", "again", "--base", "0"]).0,
+            run_command(&["apply", &site, "--id", "again", "--base", "0"]).0,
             Some(1),
             "stale"
         );
@@ -176,43 +196,50 @@
             .map(|edit| edit["put_order"]["order"].clone())
             .expect("an order");
         order["importance"] = 9.into();
-        let dear = file("dear.json", order.clone());
+        let changed_order = write_file("dear.json", order.clone());
         assert_eq!(
-            call(&["edit", "order", "seat-seat-checkout", &dear]).0,
+            run_command(&["edit", "order", "seat-seat-checkout", &changed_order]).0,
             Some(0)
         );
         assert_eq!(
-            call(&["get", "order", "seat-seat-checkout"]).1["importance"].as_u64(),
+            run_command(&["get", "order", "seat-seat-checkout"]).1["importance"].as_u64(),
             Some(9)
         );
         order["importance"] = 99.into();
-        let (code, answer) = call(&[
+        let (code, answer) = run_command(&[
             "edit",
             "order",
             "seat-seat-checkout",
-            &file("over.json", order),
+            &write_file("over.json", order),
         ]);
         assert_eq!(
             (code, answer["faults"][0]["path"].as_str()),
             (Some(1), Some("edits[0].order.importance"))
         );
-        assert_eq!(call(&["delete", "order", "seat-seat-check"]).0, Some(0));
-        assert_eq!(call(&["get", "order", "seat-seat-check"]).0, Some(1));
-        assert_eq!(call(&["get"]).1["version"].as_u64(), Some(3));
-        assert_eq!(call(&["standing"]).0, Some(0));
-        assert_eq!(call(&["replace-seat", "1", "nonsense"]).0, Some(1));
-        // Every seat comes to believe the same.
-        let alike = || async {
-            let places = (
+        assert_eq!(
+            run_command(&["delete", "order", "seat-seat-check"]).0,
+            Some(0)
+        );
+        assert_eq!(run_command(&["get", "order", "seat-seat-check"]).0, Some(1));
+        assert_eq!(run_command(&["get"]).1["version"].as_u64(), Some(3));
+        assert_eq!(run_command(&["standing"]).0, Some(0));
+        assert_eq!(run_command(&["replace-seat", "1", "nonsense"]).0, Some(1));
+        // The states of all replicas converge.
+        let states_equal = || async {
+            let peer_addresses = (
                 fleet.replicas[0].peer_address.as_str(),
                 fleet.replicas[2].peer_address.as_str(),
             );
-            outcome("gradefordctl", &["compare", places.0, places.1]).0 == Some(0)
+            outcome(
+                "gradefordctl",
+                &["compare", peer_addresses.0, peer_addresses.1],
+            )
+            .0 == Some(0)
         };
         fleet
-            .wait_until("two seats believe the same", alike)
+            .wait_until("two replicas hold the same state", states_equal)
             .await
-            .expect("alike");
+            .expect("equal states");
         fleet.stop().await;
     });
     std::fs::remove_dir_all(folder).expect("clean");
@@ -223,35 +250,39 @@
     let folder = std::env::temp_dir().join(format!("gradeford-reload-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let config = folder.join("node.toml");
-    let fine = "name = \"n\"\nzone = \"z\"\nmates_address = \"127.0.0.1:0\"\nlocal_address = \"127.0.0.1:0\"\nseeds = [\"127.0.0.1:1\"]\n";
-    std::fs::write(&config, fine).expect("a file");
-    let words = ["--config".to_string(), config.display().to_string()];
-    let mut usher =
-        simulator::process::Process::start(&folder, "gradeford-node", "gradeford-node", &words)
+    let valid_settings = "name = \"n\"\nzone = \"z\"\nmates_address = \"127.0.0.1:0\"\nlocal_address = \"127.0.0.1:0\"\nseeds = [\"127.0.0.1:1\"]\n";
+    std::fs::write(&config, valid_settings).expect("a file");
+    let arguments = ["--config".to_string(), config.display().to_string()];
+    let mut node =
+        simulator::process::Process::start(&folder, "gradeford-node", "gradeford-node", &arguments)
             .expect("a node");
     let log = || std::fs::read_to_string(folder.join("gradeford-node.log")).unwrap_or_default();
-    let until = |usher: &mut simulator::process::Process, word: &str| {
-        while !log().contains(word) {
+    let wait_for_log = |node: &mut simulator::process::Process, expected_text: &str| {
+        while !log().contains(expected_text) {
             assert!(
-                usher.exit_status().is_none() || log().contains(word),
-                "it ended before it said {word:?}: {}",
+                node.exit_status().is_none() || log().contains(expected_text),
+                "the process ended before it logged {expected_text:?}: {}",
                 log()
             );
             std::thread::yield_now();
         }
     };
-    until(&mut usher, "listening");
-    std::fs::write(&config, fine.replace("127.0.0.1:1", "nowhere")).expect("a file");
-    usher.signal(rustix::process::Signal::HUP);
-    until(&mut usher, "the old ones stay");
-    // The fault is named in the same line, which may still be on its way.
-    until(&mut usher, "seeds");
-    std::fs::write(&config, fine.to_string() + "log_level = \"debug\"\n").expect("a file");
-    usher.signal(rustix::process::Signal::HUP);
-    until(&mut usher, "settings read again");
-    usher.signal(rustix::process::Signal::TERM);
-    until(&mut usher, "stopped");
-    while usher.exit_status().is_none() {
+    wait_for_log(&mut node, "listening");
+    std::fs::write(&config, valid_settings.replace("127.0.0.1:1", "nowhere")).expect("a file");
+    node.signal(rustix::process::Signal::HUP);
+    wait_for_log(&mut node, "the old ones stay");
+    // The same log line names the fault; the rest of the line may not be written yet.
+    wait_for_log(&mut node, "seeds");
+    std::fs::write(
+        &config,
+        valid_settings.to_string() + "log_level = \"debug\"\n",
+    )
+    .expect("a file");
+    node.signal(rustix::process::Signal::HUP);
+    wait_for_log(&mut node, "settings read again");
+    node.signal(rustix::process::Signal::TERM);
+    wait_for_log(&mut node, "stopped");
+    while node.exit_status().is_none() {
         std::thread::yield_now();
     }
     std::fs::remove_dir_all(folder).expect("clean");
--- a/crates/simulator/tests/rolled/main.rs
+++ b/crates/simulator/tests/rolled/main.rs
@@ -1,100 +1,116 @@
-//! Real nodes beside made-up back ends, a real core and live senders over loopback: nodes are stopped in turn, killed
-//! together and stopped together while routes are added. Judged by try, never by time (design 11.6).
+//! Real nodes beside simulated backends, with a real core and continuous clients over loopback: nodes are restarted in
+//! turn, killed together and stopped together while routes are added. Every check is per attempt, none depends on
+//! timing (design 11.6).
 
 use std::collections::BTreeSet;
 
-mod back_end;
+mod backend;
+mod clients;
 mod node;
-mod senders;
 mod site;
 
-use senders::{Outcome, Try};
-use site::{NODES, Site};
+use clients::{Attempt, Outcome};
+use site::{NODE_COUNT, Site};
 
-/// Every try that ran was answered whole: nothing that was taken is dropped while nothing is killed.
-fn judge(site: &Site) {
-    let (tries, runs) = (site.tries(), site.runs.lock().expect("runs").clone());
-    let ran = |one: &Try| runs.get(&one.id).copied().unwrap_or(0);
-    let told = |what: &str, one: &Try| panic!("{what}: {one:?}, ran {} times", ran(one));
-    tries.iter().for_each(|one| match &one.outcome {
-        _ if one.effectful && ran(one) > 1 => told("a try ran twice", one),
-        Outcome::Whole if ran(one) == 0 => told("a success that nobody ran", one),
-        Outcome::Other => told("an answer to another try, or half of one", one),
-        Outcome::Status(503) if one.effectful && ran(one) > 0 => {
-            told("it was told not to have run", one)
-        }
-        Outcome::Status(404) if one.lane <= one.shown => {
-            told("a route it had served before is not known", one)
+/// Checks every attempt: effectful attempts run at most once, answers are true and complete, and no answer of a run
+/// is lost while no node is killed.
+fn check_attempts(site: &Site) {
+    let (attempts, runs) = (site.attempts(), site.runs.lock().expect("runs").clone());
+    let run_count = |attempt: &Attempt| runs.get(&attempt.id).copied().unwrap_or(0);
+    let fail = |label: &str, attempt: &Attempt| {
+        panic!("{label}: {attempt:?}, ran {} times", run_count(attempt))
+    };
+    attempts.iter().for_each(|attempt| match &attempt.outcome {
+        _ if attempt.effectful && run_count(attempt) > 1 => fail("an attempt ran twice", attempt),
+        Outcome::Complete if run_count(attempt) == 0 => fail("a success without a run", attempt),
+        Outcome::Invalid => fail(
+            "an answer of another attempt, or an incomplete one",
+            attempt,
+        ),
+        Outcome::Status(503) if attempt.effectful && run_count(attempt) > 0 => {
+            fail("an attempt that ran was answered as not run", attempt)
         }
-        Outcome::Whole | Outcome::Status(503 | 404) => {}
-        _ if one.clean && ran(one) > 0 => told(
-            "it ran, and its answer was dropped though nothing was killed",
-            one,
+        Outcome::Status(404) if attempt.route <= attempt.newest_served => fail(
+            "the node no longer knows a route that it had served",
+            attempt,
+        ),
+        Outcome::Complete | Outcome::Status(503 | 404) => {}
+        _ if attempt.undisturbed && run_count(attempt) > 0 => fail(
+            "an attempt ran and its answer was lost although no node was killed",
+            attempt,
         ),
         _ => {}
     });
-    let known: BTreeSet<&String> = tries.iter().map(|one| &one.id).collect();
-    let strange: Vec<&String> = runs.keys().filter(|id| !known.contains(id)).collect();
-    assert!(strange.is_empty(), "nobody sent these: {strange:?}");
-    let count = |what: &str, fits: &dyn Fn(&Try) -> bool| {
-        format!("{what} {}", tries.iter().filter(|one| fits(one)).count())
+    let known_ids: BTreeSet<&String> = attempts.iter().map(|attempt| &attempt.id).collect();
+    let unknown_ids: Vec<&String> = runs.keys().filter(|id| !known_ids.contains(id)).collect();
+    assert!(
+        unknown_ids.is_empty(),
+        "runs without a client's attempt: {unknown_ids:?}"
+    );
+    let count = |label: &str, matches: &dyn Fn(&Attempt) -> bool| {
+        format!(
+            "{label} {}",
+            attempts.iter().filter(|attempt| matches(attempt)).count()
+        )
     };
     let statuses = [404, 502, 503, 504].map(|status| {
-        count(&status.to_string(), &|one| {
-            one.outcome == Outcome::Status(status)
+        count(&status.to_string(), &|attempt| {
+            attempt.outcome == Outcome::Status(status)
         })
     });
-    let others = [
-        count("tries", &|_| true),
-        count("whole", &|one| one.outcome == Outcome::Whole),
-        count("broken", &|one| one.outcome == Outcome::Broken),
+    let counts = [
+        count("attempts", &|_| true),
+        count("complete", &|attempt| attempt.outcome == Outcome::Complete),
+        count("no answer", &|attempt| attempt.outcome == Outcome::NoAnswer),
     ];
-    eprintln!("{}, {}", others.join(", "), statuses.join(", "));
-    let whole = |clean: bool| {
-        tries
+    eprintln!("{}, {}", counts.join(", "), statuses.join(", "));
+    let complete_count = |undisturbed: bool| {
+        attempts
             .iter()
-            .filter(|one| one.clean == clean && one.outcome == Outcome::Whole)
+            .filter(|attempt| {
+                attempt.undisturbed == undisturbed && attempt.outcome == Outcome::Complete
+            })
             .count()
     };
-    // Each node served in each of its lives, or the site would not have come so far.
+    // Each node has served after each of its starts, or the test would not have reached this point.
     assert!(
-        whole(true) >= 4 * NODES && whole(false) > 0,
+        complete_count(true) >= 4 * NODE_COUNT && complete_count(false) > 0,
         "{} and {} served",
-        whole(true),
-        whole(false)
+        complete_count(true),
+        complete_count(false)
     );
 }
 
 #[test]
-fn nodes_restarted_in_turn_and_together_run_nothing_twice_and_drop_nothing() {
+fn restarted_nodes_run_no_attempt_twice_and_lose_no_answer() {
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
     runtime.block_on(async {
         let mut site = Site::start().await;
-        site.all_serve().await;
-        for at in 0..NODES {
-            site.stop(at).await;
-            site.begin(at);
-            site.serves(at).await;
+        site.wait_until_all_serving().await;
+        for index in 0..NODE_COUNT {
+            site.stop_node(index).await;
+            site.start_node(index);
+            site.wait_until_serving(index).await;
         }
-        // Together, and without a word.
-        site.killing(true);
-        (0..NODES).for_each(|at| site.kill(at));
-        for at in 0..NODES {
-            site.gone(at).await;
+        // All nodes are killed at the same time.
+        site.allow_kills(true);
+        (0..NODE_COUNT).for_each(|index| site.kill_node(index));
+        for index in 0..NODE_COUNT {
+            site.wait_until_ended(index).await;
         }
-        (0..NODES).for_each(|at| site.begin(at));
-        site.all_serve().await;
-        site.killing(false);
-        // Together, in good order.
-        (0..NODES).for_each(|at| site.leave(at));
-        for at in 0..NODES {
-            site.gone(at).await;
+        (0..NODE_COUNT).for_each(|index| site.start_node(index));
+        site.wait_until_all_serving().await;
+        site.allow_kills(false);
+        // All nodes shut down gracefully at the same time.
+        (0..NODE_COUNT).for_each(|index| site.shut_down(index));
+        for index in 0..NODE_COUNT {
+            site.wait_until_ended(index).await;
         }
-        (0..NODES).for_each(|at| site.begin(at));
-        site.all_serve().await;
-        site.end().await;
-        judge(&site);
+        (0..NODE_COUNT).for_each(|index| site.start_node(index));
+        site.wait_until_all_serving().await;
+        site.stop_all().await;
+        check_attempts(&site);
     });
-    // Threads of seats and senders end with it.
+    // Ends the tasks of the replicas and the clients.
     runtime.shutdown_background();
 }
--- a/crates/simulator/tests/rolled/node.rs
+++ b/crates/simulator/tests/rolled/node.rs
@@ -1,35 +1,40 @@
-//! One life of a node on a thread of its own, as its process runs; dropped with its thread.
+//! A node that runs on a thread of its own in place of a process. Everything it holds is dropped when the thread ends.
 
-use crate::site::Place;
+use crate::site::NodeAddresses;
 use std::thread::Builder;
 use std::time::Duration;
 
-pub(crate) struct Running {
-    /// True: in good order.
-    orders: tokio::sync::watch::Sender<Option<bool>>,
-    ended: tokio::sync::watch::Receiver<()>,
-    outlook: control::SharedVerifiedState,
+pub(crate) struct RunningNode {
+    /// True requests a graceful shutdown, false a kill.
+    stop_mode: tokio::sync::watch::Sender<Option<bool>>,
+    thread_ended: tokio::sync::watch::Receiver<()>,
+    verified_state: control::SharedVerifiedState,
 }
 
-fn env(at: usize, life: u64, mates: String, seeds: Vec<String>) -> endpoints::NodeConfig {
-    let keys = endpoints::LeaseConfig {
+fn config(
+    index: usize,
+    incarnation: u64,
+    peer_address: String,
+    seeds: Vec<String>,
+) -> endpoints::NodeConfig {
+    let leases = endpoints::LeaseConfig {
         proof_validity: 9_000_000,
         clock_guard: 200_000,
         max_duration: 10_000_000,
     };
-    let (node, zone) = (format!("n{at}"), format!("z{}", at % 2));
+    let (node, zone) = (format!("n{index}"), format!("z{}", index % 2));
     endpoints::NodeConfig {
         lease_table: endpoints::LeaseTableConfig {
             node,
             zone,
-            address: mates,
-            incarnation: life,
-            leases: keys,
+            address: peer_address,
+            incarnation,
+            leases,
             heartbeat_interval: 500_000,
             drain_timeout: 2_000_000,
             backend_address: None,
         },
-        service: crate::site::service(at),
+        service: crate::site::service(index),
         seeds,
         header_names: http_util::headers::DEFAULT_HEADER_NAMES,
         selection: outbound::SelectorConfig {
@@ -43,7 +48,7 @@
     }
 }
 
-/// The life before may have ended this very moment.
+/// Binds the address, repeatedly because the previous process of the node may still hold it.
 async fn bind(address: &str) -> tokio::net::TcpListener {
     loop {
         if let Ok(listener) = tokio::net::TcpListener::bind(address).await {
@@ -53,68 +58,73 @@
     }
 }
 
-impl Running {
-    pub(crate) fn start(at: usize, life: u64, place: &Place, seeds: Vec<String>) -> Running {
-        let (orders, mut ordered) = tokio::sync::watch::channel(None);
-        let (ends, ended) = tokio::sync::watch::channel(());
-        let (told, hears) = std::sync::mpsc::channel();
-        let (front, mates, beside) = (
-            place.front.clone(),
-            place.mates.clone(),
-            place.beside.clone(),
+impl RunningNode {
+    pub(crate) fn start(
+        index: usize,
+        incarnation: u64,
+        addresses: &NodeAddresses,
+        seeds: Vec<String>,
+    ) -> RunningNode {
+        let (stop_mode, mut stop_receiver) = tokio::sync::watch::channel(None);
+        let (end_sender, thread_ended) = tokio::sync::watch::channel(());
+        let (state_sender, state_receiver) = std::sync::mpsc::channel();
+        let (client_address, peer_address, lease_table) = (
+            addresses.client_address.clone(),
+            addresses.peer_address.clone(),
+            addresses.lease_table.clone(),
         );
-        let plays = move || {
-            let _ends = ends;
+        let run_node = move || {
+            let _end_sender = end_sender;
             let runtime = tokio::runtime::Builder::new_current_thread()
                 .enable_all()
                 .build()
                 .expect("a runtime");
             runtime.block_on(async {
-                let (listener, outbound) = (bind(&mates).await, bind(&front).await);
+                let (listener, outbound) = (bind(&peer_address).await, bind(&client_address).await);
                 let node = endpoints::Node::start(
-                    env(at, life, mates, seeds),
+                    config(index, incarnation, peer_address, seeds),
                     listener,
                     model::logging::discard_logger(),
                 );
                 node.serve(outbound);
-                beside.send_replace(Some(node.lease_table.clone()));
-                drop(told.send(node.follower.verified_state.clone()));
-                let in_order = ordered
+                lease_table.send_replace(Some(node.lease_table.clone()));
+                drop(state_sender.send(node.follower.verified_state.clone()));
+                let graceful = stop_receiver
                     .wait_for(Option::is_some)
                     .await
-                    .is_ok_and(|ordered| *ordered == Some(true));
-                if in_order {
+                    .is_ok_and(|stop_mode| *stop_mode == Some(true));
+                if graceful {
                     node.shut_down(Duration::ZERO, Duration::from_secs(120))
                         .await;
                 }
             });
         };
         Builder::new()
-            .name(format!("node-{at}.{life}"))
-            .spawn(plays)
+            .name(format!("node-{index}.{incarnation}"))
+            .spawn(run_node)
             .expect("a thread");
-        Running {
-            orders,
-            ended,
-            outlook: hears.recv().expect("it starts"),
+        RunningNode {
+            stop_mode,
+            thread_ended,
+            verified_state: state_receiver.recv().expect("it starts"),
         }
     }
 
-    pub(crate) fn leave(&self) {
-        self.orders.send_replace(Some(true));
+    pub(crate) fn shut_down(&self) {
+        self.stop_mode.send_replace(Some(true));
     }
 
     pub(crate) fn kill(&self) {
-        self.orders.send_replace(Some(false));
+        self.stop_mode.send_replace(Some(false));
     }
 
-    pub(crate) async fn gone(&self) {
-        let mut ended = self.ended.clone();
-        while ended.changed().await.is_ok() {}
+    pub(crate) async fn wait_until_ended(&self) {
+        let mut thread_ended = self.thread_ended.clone();
+        while thread_ended.changed().await.is_ok() {}
     }
 
-    /// Up to where it believes the bill.
+    /// Position of the state that the node holds.
     pub(crate) fn position(&self) -> u64 {
-        self.outlook.load().snapshot.position
+        self.verified_state.load().snapshot.position
     }
 }
--- a/crates/simulator/tests/rolled/site.rs
+++ b/crates/simulator/tests/rolled/site.rs
@@ -1,7 +1,7 @@
-//! The site of the test: three seats, nodes that come and go, an operator who adds routes.
+//! The site of the test: three replicas, nodes that are stopped and started, and an operator that adds routes.
 
-use crate::node::Running;
-use crate::senders::{Senders, Try};
+use crate::clients::{Attempt, Clients};
+use crate::node::RunningNode;
 use std::collections::HashMap;
 use std::net::TcpListener;
 use std::path::Path;
@@ -11,192 +11,220 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-pub(crate) const NODES: usize = 4;
-const SEATS: u16 = 3;
-const BOUND: Duration = Duration::from_secs(240);
+pub(crate) const NODE_COUNT: usize = 4;
+const REPLICA_COUNT: u16 = 3;
+const WAIT_LIMIT: Duration = Duration::from_secs(240);
 
-/// Try to how often it ran.
+/// Number of runs of each attempt.
 pub(crate) type Runs = Arc<Mutex<HashMap<String, usize>>>;
-/// A node as those beside it find it: a later life takes the place.
-pub(crate) type Beside = tokio::sync::watch::Sender<Option<endpoints::LeaseTableHandle>>;
-
-pub(crate) struct Place {
-    pub front: String,
-    pub mates: String,
-    pub beside: Beside,
+/// The lease table of the node's current process, as its backend reaches it.
+pub(crate) type LeaseTableSender = tokio::sync::watch::Sender<Option<endpoints::LeaseTableHandle>>;
+
+/// How clients, nodes and the backend reach a node.
+pub(crate) struct NodeAddresses {
+    pub client_address: String,
+    pub peer_address: String,
+    pub lease_table: LeaseTableSender,
 }
 
 pub(crate) struct Site {
     pub runs: Runs,
-    places: Arc<Vec<Place>>,
+    node_addresses: Arc<Vec<NodeAddresses>>,
     seeds: Vec<String>,
-    nodes: Vec<Running>,
-    lives: u64,
-    /// The newest bill each node was seen with, in any life.
-    had: Vec<u64>,
-    senders: Senders,
+    nodes: Vec<RunningNode>,
+    last_incarnation: u64,
+    /// The newest position at which each node was seen, over all of its processes.
+    last_positions: Vec<u64>,
+    clients: Clients,
     folder: PathBuf,
 }
 
-/// Even nodes stand beside a service that is divided by key.
-pub(crate) fn service(at: usize) -> String {
-    ["seat", "ledger"][at % 2].into()
+/// Nodes with an even index are beside the backends of the keyed service.
+pub(crate) fn service(index: usize) -> String {
+    ["seat", "ledger"][index % 2].into()
 }
 
-pub(crate) async fn until(what: &str, holds: impl Fn() -> bool) {
-    let turns = async {
-        while !holds() {
+pub(crate) async fn wait_until(condition: &str, is_met: impl Fn() -> bool) {
+    let polling = async {
+        while !is_met() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(BOUND, turns)
+    tokio::time::timeout(WAIT_LIMIT, polling)
         .await
-        .unwrap_or_else(|_| panic!("in vain: {what}"));
+        .unwrap_or_else(|_| panic!("condition not reached: {condition}"));
 }
 
-fn free(host: &str) -> String {
+fn free_address(host: &str) -> String {
     let listener = TcpListener::bind((host, 0)).expect("a port");
     listener.local_addr().expect("an address").to_string()
 }
 
-async fn seats(folder: &Path) -> (Vec<control::ReplicaHandle>, Vec<String>) {
-    let mut bound = Vec::new();
-    for _ in 0..SEATS {
-        bound.push(
+async fn start_replicas(folder: &Path) -> (Vec<control::ReplicaHandle>, Vec<String>) {
+    let mut listeners = Vec::new();
+    for _ in 0..REPLICA_COUNT {
+        listeners.push(
             tokio::net::TcpListener::bind("127.0.0.1:0")
                 .await
                 .expect("a port"),
         );
     }
-    let places: Vec<String> = bound
+    let replica_addresses: Vec<String> = listeners
         .iter()
         .map(|listener| listener.local_addr().expect("an address").to_string())
         .collect();
-    let started = bound.into_iter().zip(0u16..).map(|(listener, seat)| {
-        let env = control::ReplicaConfig {
-            name: format!("core-{seat}"),
-            zone: "z0".into(),
-            replica_id: seat,
-            replica_count: SEATS,
-            address: places[seat as usize].clone(),
-            seeds: places.clone(),
-            folder: folder.join(format!("core-{seat}")),
-            timing: Default::default(),
-            snapshot_every_entries: 100,
-            replace_after: 0,
-            membership: None,
-        };
-        let core = control::ReplicaHandle::start(env, model::logging::discard_logger())
-            .expect("a core seat");
-        tokio::spawn(control::updates::server::listen(core.clone(), listener));
-        core
-    });
-    let cores: Vec<control::ReplicaHandle> = started.collect();
-    until("every seat votes", || {
-        cores.iter().all(|core| core.status.load().voting)
+    let starting = listeners
+        .into_iter()
+        .zip(0u16..)
+        .map(|(listener, replica_index)| {
+            let config = control::ReplicaConfig {
+                name: format!("core-{replica_index}"),
+                zone: "z0".into(),
+                replica_id: replica_index,
+                replica_count: REPLICA_COUNT,
+                address: replica_addresses[replica_index as usize].clone(),
+                seeds: replica_addresses.clone(),
+                folder: folder.join(format!("core-{replica_index}")),
+                timing: Default::default(),
+                snapshot_every_entries: 100,
+                replace_after: 0,
+                membership: None,
+            };
+            let replica = control::ReplicaHandle::start(config, model::logging::discard_logger())
+                .expect("a replica");
+            tokio::spawn(control::updates::server::listen(replica.clone(), listener));
+            replica
+        });
+    let replicas: Vec<control::ReplicaHandle> = starting.collect();
+    wait_until("every replica votes", || {
+        replicas.iter().all(|replica| replica.status.load().voting)
     })
     .await;
-    (cores, places)
+    (replicas, replica_addresses)
 }
 
 impl Site {
     pub(crate) async fn start() -> Site {
         let folder = std::env::temp_dir().join(format!("gradeford-rolled-{}", std::process::id()));
         drop(std::fs::remove_dir_all(&folder));
-        let (cores, seeds) = seats(&folder).await;
-        // Addresses of their own, so that no conn of another process takes one while its node is away.
-        let place = |at: usize| {
-            let host = format!("127.61.7.{}", at + 1);
-            Place {
-                front: free(&host),
-                mates: free(&host),
-                beside: tokio::sync::watch::Sender::new(None),
+        let (replicas, seeds) = start_replicas(&folder).await;
+        // Addresses on hosts of this test alone, so that no other process takes a port while its node is stopped.
+        let addresses = |index: usize| {
+            let host = format!("127.61.7.{}", index + 1);
+            NodeAddresses {
+                client_address: free_address(&host),
+                peer_address: free_address(&host),
+                lease_table: tokio::sync::watch::Sender::new(None),
             }
         };
-        let places: Arc<Vec<Place>> = Arc::new((0..NODES).map(place).collect());
+        let node_addresses: Arc<Vec<NodeAddresses>> =
+            Arc::new((0..NODE_COUNT).map(addresses).collect());
         let runs = Runs::default();
-        (0..NODES).for_each(|at| crate::back_end::start(at, places.clone(), runs.clone()));
-        let senders = Senders::start(places.iter().map(|place| place.front.clone()).collect());
-        tokio::spawn(crate::senders::operate(cores, senders.shared.clone()));
+        (0..NODE_COUNT)
+            .for_each(|index| crate::backend::start(index, node_addresses.clone(), runs.clone()));
+        let clients = Clients::start(
+            node_addresses
+                .iter()
+                .map(|addresses| addresses.client_address.clone())
+                .collect(),
+        );
+        tokio::spawn(crate::clients::add_routes(replicas, clients.shared.clone()));
         let mut site = Site {
             runs,
-            places,
+            node_addresses,
             seeds,
             nodes: Vec::new(),
-            lives: 0,
-            had: vec![0; NODES],
-            senders,
+            last_incarnation: 0,
+            last_positions: vec![0; NODE_COUNT],
+            clients,
             folder,
         };
-        for at in 0..NODES {
-            site.lives += 1;
-            site.nodes.push(Running::start(
-                at,
-                site.lives,
-                &site.places[at],
+        for index in 0..NODE_COUNT {
+            site.last_incarnation += 1;
+            site.nodes.push(RunningNode::start(
+                index,
+                site.last_incarnation,
+                &site.node_addresses[index],
                 site.seeds.clone(),
             ));
         }
         site
     }
 
-    pub(crate) fn tries(&self) -> Vec<Try> {
-        self.senders.shared.tries.lock().expect("tries").clone()
+    pub(crate) fn attempts(&self) -> Vec<Attempt> {
+        self.clients
+            .shared
+            .attempts
+            .lock()
+            .expect("attempts")
+            .clone()
     }
 
-    pub(crate) fn killing(&self, killing: bool) {
-        self.senders.shared.killing.store(killing, Ordering::SeqCst);
-        self.senders.shared.phase.fetch_add(1, Ordering::SeqCst);
+    pub(crate) fn allow_kills(&self, kills_allowed: bool) {
+        self.clients
+            .shared
+            .kills_allowed
+            .store(kills_allowed, Ordering::SeqCst);
+        self.clients
+            .shared
+            .kill_phase
+            .fetch_add(1, Ordering::SeqCst);
     }
 
-    pub(crate) fn begin(&mut self, at: usize) {
-        self.lives += 1;
-        self.nodes[at] = Running::start(at, self.lives, &self.places[at], self.seeds.clone());
+    pub(crate) fn start_node(&mut self, index: usize) {
+        self.last_incarnation += 1;
+        self.nodes[index] = RunningNode::start(
+            index,
+            self.last_incarnation,
+            &self.node_addresses[index],
+            self.seeds.clone(),
+        );
     }
 
-    pub(crate) fn leave(&self, at: usize) {
-        self.nodes[at].leave();
+    pub(crate) fn shut_down(&self, index: usize) {
+        self.nodes[index].shut_down();
     }
 
-    pub(crate) fn kill(&self, at: usize) {
-        self.nodes[at].kill();
+    pub(crate) fn kill_node(&self, index: usize) {
+        self.nodes[index].kill();
     }
 
-    pub(crate) async fn gone(&mut self, at: usize) {
-        self.nodes[at].gone().await;
-        self.had[at] = self.had[at].max(self.nodes[at].position());
+    pub(crate) async fn wait_until_ended(&mut self, index: usize) {
+        self.nodes[index].wait_until_ended().await;
+        self.last_positions[index] = self.last_positions[index].max(self.nodes[index].position());
     }
 
-    pub(crate) async fn stop(&mut self, at: usize) {
-        self.leave(at);
-        self.gone(at).await;
+    pub(crate) async fn stop_node(&mut self, index: usize) {
+        self.shut_down(index);
+        self.wait_until_ended(index).await;
     }
 
-    /// This life of the node has served a sender; what it believes is no older than what it had.
-    pub(crate) async fn serves(&self, at: usize) {
-        let (node, shared) = (&self.nodes[at], &self.senders.shared);
-        until("a node believes something", || node.position() > 0).await;
+    /// Waits until this process of the node has served a client. Its state must not be older than that of the process
+    /// before.
+    pub(crate) async fn wait_until_serving(&self, index: usize) {
+        let (node, shared) = (&self.nodes[index], &self.clients.shared);
+        wait_until("a node holds a state", || node.position() > 0).await;
         assert!(
-            node.position() >= self.had[at],
-            "node {at} came back at {}, it had {}",
+            node.position() >= self.last_positions[index],
+            "node {index} restarted at position {}, it had {}",
             node.position(),
-            self.had[at]
+            self.last_positions[index]
         );
-        let before = shared.served[at].load(Ordering::SeqCst);
-        until("a node serves", || {
-            shared.served[at].load(Ordering::SeqCst) > before
+        let before = shared.served[index].load(Ordering::SeqCst);
+        wait_until("a node serves", || {
+            shared.served[index].load(Ordering::SeqCst) > before
         })
         .await;
     }
 
-    pub(crate) async fn all_serve(&self) {
-        for at in 0..NODES {
-            self.serves(at).await;
+    pub(crate) async fn wait_until_all_serving(&self) {
+        for index in 0..NODE_COUNT {
+            self.wait_until_serving(index).await;
         }
     }
 
-    pub(crate) async fn end(&self) {
-        self.senders.end().await;
+    pub(crate) async fn stop_all(&self) {
+        self.clients.stop().await;
         std::fs::remove_dir_all(&self.folder).unwrap_or_default();
     }
 }
