--- a/crates/simulator/src/forging_clients.rs
+++ b/crates/simulator/src/forging_clients.rs
@@ -69,7 +69,7 @@
     /// Sends one request with forged headers and records the answer.
     async fn send_forged(&self, secret: &str, prefix: &str, number: u64) -> Result<(), String> {
         let (service, path) = &self.target;
-        let (attempt_id, asked) = (format!("{prefix}{}/{number}", self.service), model::now());
+        let (attempt_id, sent_at) = (format!("{prefix}{}/{number}", self.service), model::now());
         let request = self
             .http
             .post(format!("http://{}/call/{service}{path}", self.node_address))
@@ -100,7 +100,7 @@
         let answer_body: serde_json::Value = response.json().await.unwrap_or_default();
         self.history.write(&Record::ClientAnswered {
             attempt_id,
-            asked,
+            asked: sent_at,
             at: model::now(),
             wait_us: crate::deployment::DEFAULT_WAIT_US,
             repeated: true,
--- a/crates/simulator/src/lease_sim/connection.rs
+++ b/crates/simulator/src/lease_sim/connection.rs
@@ -10,7 +10,7 @@
     pub number: u64,
     pub replica: usize,
     pub broken: bool,
-    /// Time of the latest freshness proof, by the node's clock.
+    /// Arrival time of the latest freshness proof, by the node's clock.
     proved_at: Microseconds,
     pending_proof_requests: Vec<(u64, Microseconds)>,
     last_proof_request: u64,
--- a/crates/simulator/src/lease_sim/node.rs
+++ b/crates/simulator/src/lease_sim/node.rs
@@ -30,7 +30,7 @@
     /// Disconnected from the log in both directions. With `reports_lost`, only its reports are lost.
     pub cut_from_log: bool,
     pub reports_lost: bool,
-    /// Rate error of its clock, in millionths.
+    /// By how much its clock is fast, in millionths; negative if the clock is slow.
     pub clock_rate_ppm: i64,
     pub lease_granter: endpoints::LeaseGranter,
     pub state: StateSnapshot,
@@ -122,9 +122,9 @@
 
     pub(super) fn observe(&mut self, now: Microseconds) {
         let ranges = self.shard_map();
-        if let Some(own) = &self.backend {
+        if let Some(local_backend) = &self.backend {
             self.lease_granter
-                .observe(now, &ranges, &own.heartbeat.name);
+                .observe(now, &ranges, &local_backend.heartbeat.name);
         }
     }
 
@@ -136,8 +136,9 @@
         heartbeat: endpoints::Heartbeat,
     ) -> endpoints::HeartbeatAnswer {
         let heard_within = |duration: Microseconds| {
-            self.backend.as_ref().is_some_and(|own| {
-                own.heartbeat.name != heartbeat.name && now < own.heard_at + duration
+            self.backend.as_ref().is_some_and(|local_backend| {
+                local_backend.heartbeat.name != heartbeat.name
+                    && now < local_backend.heard_at + duration
             })
         };
         let in_log = self.state.backends.contains_key(&heartbeat.name);
@@ -150,14 +151,15 @@
         {
             return None;
         }
-        if self.backend.as_ref().is_some_and(|own| {
-            own.heartbeat.name == heartbeat.name && own.heartbeat.sequence >= heartbeat.sequence
+        if self.backend.as_ref().is_some_and(|local_backend| {
+            local_backend.heartbeat.name == heartbeat.name
+                && local_backend.heartbeat.sequence >= heartbeat.sequence
         }) {
             return None;
         }
         if let Some(earlier) = self
             .backend
-            .take_if(|own| own.heartbeat.name != heartbeat.name)
+            .take_if(|local_backend| local_backend.heartbeat.name != heartbeat.name)
         {
             self.ended.insert(earlier.heartbeat.name, true);
         }
@@ -183,11 +185,15 @@
         let (held_until, earlier_grant_until) = self
             .backend
             .as_ref()
-            .map(|own| (own.held_until, own.earlier_grant_until))
+            .map(|local_backend| (local_backend.held_until, local_backend.earlier_grant_until))
             .unwrap_or((0, unknown_grant_until));
-        let drained = self.backend.as_ref().is_some_and(|own| own.drained) || heartbeat.draining;
+        let drained = self
+            .backend
+            .as_ref()
+            .is_some_and(|local_backend| local_backend.drained)
+            || heartbeat.draining;
         let heard_repeatedly = self.backend.is_some();
-        let mut own = LocalBackend {
+        let mut local_backend = LocalBackend {
             heard_at: now,
             drained,
             held_until,
@@ -197,8 +203,8 @@
             heard_repeatedly,
             heartbeat,
         };
-        let answer = self.grant(plan, now, &mut own);
-        self.backend = Some(own);
+        let answer = self.grant(plan, now, &mut local_backend);
+        self.backend = Some(local_backend);
         answer
     }
 
@@ -206,7 +212,7 @@
         &mut self,
         plan: &super::LeasePlan,
         now: Microseconds,
-        own: &mut LocalBackend,
+        local_backend: &mut LocalBackend,
     ) -> endpoints::HeartbeatAnswer {
         let mut ranges = self.shard_map();
         if plan.disabled.pending_releases {
@@ -223,8 +229,8 @@
             now,
             proved_at,
             &ranges,
-            &own.heartbeat.name,
-            &own.heartbeat.held_ranges,
+            &local_backend.heartbeat.name,
+            &local_backend.heartbeat.held_ranges,
         )?;
         let lease_duration = if plan.disabled.slow_clock {
             (grant.duration * 103 / 100).min(plan.leases.max_duration)
@@ -233,12 +239,12 @@
         };
         if !grant.expired_releases.is_empty() {
             self.pending_reports.push(ClusterReport::ReleasesExpired {
-                service: own.heartbeat.service.clone(),
+                service: local_backend.heartbeat.service.clone(),
                 ranges: grant.expired_releases,
             });
         }
-        own.held_until = now + lease_duration;
-        own.heartbeat.held_ranges = grant
+        local_backend.held_until = now + lease_duration;
+        local_backend.heartbeat.held_ranges = grant
             .ranges
             .iter()
             .map(|(from, to, fencing_token, _)| (*from, *to, *fencing_token))
@@ -254,17 +260,24 @@
     ) -> Option<String> {
         let position = self.state.position;
         let ranges = self.shard_map();
-        let own = self.backend.as_mut()?;
-        if now < own.heard_at + plan.heartbeat_interval * 3 / 2 && !own.silent || own.probing {
+        let local_backend = self.backend.as_mut()?;
+        if now < local_backend.heard_at + plan.heartbeat_interval * 3 / 2 && !local_backend.silent
+            || local_backend.probing
+        {
             return None;
         }
-        own.silent |= now > own.heard_at + plan.heartbeat_interval * 3;
-        let name = own.heartbeat.name.clone();
-        if own.silent && plan.disabled.confirmed_ends {
+        local_backend.silent |= now > local_backend.heard_at + plan.heartbeat_interval * 3;
+        let name = local_backend.heartbeat.name.clone();
+        if local_backend.silent && plan.disabled.confirmed_ends {
             self.probe_answered(&name, true);
             return None;
         }
-        if own.silent && now > own.held_until.max(own.earlier_grant_until) + plan.heartbeat_interval
+        if local_backend.silent
+            && now
+                > local_backend
+                    .held_until
+                    .max(local_backend.earlier_grant_until)
+                    + plan.heartbeat_interval
         {
             if plan.disabled.return_of_silent || self.ended.contains_key(&name) {
                 self.probe_answered(&name, true);
@@ -281,7 +294,7 @@
                 .map(|range| (range.first_key, range.last_key, String::new()))
                 .collect();
             let report = ClusterReport::ShardsReleased {
-                service: own.heartbeat.service.clone(),
+                service: local_backend.heartbeat.service.clone(),
                 name: name.clone(),
                 known_through: position,
                 ranges: ranges.clone(),
@@ -290,17 +303,17 @@
                 self.pending_reports.push(report);
             }
         }
-        own.probing = true;
+        local_backend.probing = true;
         Some(name)
     }
 
     pub(super) fn probe_answered(&mut self, name: &str, refused: bool) {
-        if let Some(own) = self
+        if let Some(local_backend) = self
             .backend
             .as_mut()
-            .filter(|own| own.heartbeat.name == name)
+            .filter(|local_backend| local_backend.heartbeat.name == name)
         {
-            own.probing = false;
+            local_backend.probing = false;
             if refused {
                 self.ended.insert(name.to_string(), true);
                 self.backend = None;
@@ -310,12 +323,12 @@
 
     pub(super) fn signed_off(&mut self, name: &str) {
         self.ended.entry(name.to_string()).or_insert(false);
-        if let Some(own) = self
+        if let Some(local_backend) = self
             .backend
             .as_mut()
-            .filter(|own| own.heartbeat.name == name)
+            .filter(|local_backend| local_backend.heartbeat.name == name)
         {
-            (own.drained, own.silent) = (true, true);
+            (local_backend.drained, local_backend.silent) = (true, true);
         }
     }
 }
--- a/crates/simulator/src/lease_sim/notification.rs
+++ b/crates/simulator/src/lease_sim/notification.rs
@@ -28,11 +28,12 @@
 impl super::node::Node {
     /// The reports for all differences between the state of this node and the log.
     fn wanted_reports(&self, plan: &super::LeasePlan, now: Microseconds) -> Vec<ClusterReport> {
-        let (held, incarnation) = (self.state.nodes.get(&self.name), self.incarnation());
-        let registered = held.is_some_and(|held| held.incarnation == incarnation && held.present);
-        let replaces = held
+        let (record, incarnation) = (self.state.nodes.get(&self.name), self.incarnation());
+        let registered =
+            record.is_some_and(|record| record.incarnation == incarnation && record.present);
+        let replaces = record
             .filter(|_| !plan.disabled.registration)
-            .map_or(0, |held| held.incarnation);
+            .map_or(0, |record| record.incarnation);
         let node = ClusterReport::NodeRegistered {
             node: self.name.clone(),
             zone: "z0".into(),
@@ -40,33 +41,34 @@
             incarnation,
             replaces,
         };
-        let own = self
+        let backend_reports = self
             .backend
             .iter()
-            .filter(|own| !self.ended.contains_key(&own.heartbeat.name))
-            .flat_map(|own| {
-                let name = own.heartbeat.name.clone();
-                let phase = self.state.backends.get(&name).map(|held| held.phase);
+            .filter(|local_backend| !self.ended.contains_key(&local_backend.heartbeat.name))
+            .flat_map(|local_backend| {
+                let name = local_backend.heartbeat.name.clone();
+                let phase = self.state.backends.get(&name).map(|record| record.phase);
                 let backend = BackendRecord {
-                    service: own.heartbeat.service.clone(),
+                    service: local_backend.heartbeat.service.clone(),
                     zone: "z0".into(),
                     node: self.name.clone(),
-                    slots: own.heartbeat.slots,
+                    slots: local_backend.heartbeat.slots,
                     phase: phase.unwrap_or(BackendPhase::Registered),
                     changed_at: 0,
                 };
-                let joined =
-                    (phase.is_none() && !own.silent).then(|| ClusterReport::BackendJoined {
+                let joined = (phase.is_none() && !local_backend.silent).then(|| {
+                    ClusterReport::BackendJoined {
                         name: name.clone(),
                         backend,
-                    });
-                let silent = phase == Some(BackendPhase::Registered) && own.silent
-                    || phase == Some(BackendPhase::PresumedGone) && !own.silent;
+                    }
+                });
+                let silent = phase == Some(BackendPhase::Registered) && local_backend.silent
+                    || phase == Some(BackendPhase::PresumedGone) && !local_backend.silent;
                 let silent = silent.then(|| ClusterReport::BackendSilent {
                     name: name.clone(),
-                    silent: own.silent,
+                    silent: local_backend.silent,
                 });
-                let draining = (own.drained
+                let draining = (local_backend.drained
                     && phase.is_none_or(|phase| phase == BackendPhase::Registered))
                 .then_some(ClusterReport::BackendDraining { name });
                 [joined, silent, draining].into_iter().flatten()
@@ -76,7 +78,7 @@
                 && !plan.disabled.end_reported_once
                 && !self.state.backends.contains_key(name)
         };
-        let ends = self
+        let end_reports = self
             .ended
             .iter()
             .filter(|(name, confirmed)| !already_reported(name, **confirmed))
@@ -84,7 +86,7 @@
                 name: name.clone(),
                 process_gone: *confirmed,
             });
-        let unknown = self
+        let unknown_reports = self
             .unknown_backends(now > self.started_at + plan.heartbeat_interval * 3)
             .into_iter()
             .filter(|_| !plan.disabled.unknown_backends);
@@ -92,24 +94,31 @@
             .then_some(node)
             .into_iter()
             .chain(self.pending_reports.clone())
-            .chain(own)
-            .chain(ends)
-            .chain(unknown)
+            .chain(backend_reports)
+            .chain(end_reports)
+            .chain(unknown_reports)
             .collect()
     }
 
     /// Reports about other backends that the log lists at this node. A machine has one backend, so each of them is an
     /// earlier incarnation, or has not been heard yet.
     fn unknown_backends(&self, grace_period_over: bool) -> Vec<ClusterReport> {
-        let own = self.backend.as_ref().map(|own| own.heartbeat.name.as_str());
+        let own_name = self
+            .backend
+            .as_ref()
+            .map(|local_backend| local_backend.heartbeat.name.as_str());
         let listed_here = self.state.backends.iter().filter(|(name, backend)| {
-            backend.node == self.name && own != Some(name) && !self.ended.contains_key(*name)
+            backend.node == self.name && own_name != Some(name) && !self.ended.contains_key(*name)
         });
-        let certain = self.backend.as_ref().is_some_and(|own| {
-            own.heard_repeatedly || !self.state.backends.contains_key(&own.heartbeat.name)
+        let certain = self.backend.as_ref().is_some_and(|local_backend| {
+            local_backend.heard_repeatedly
+                || !self
+                    .state
+                    .backends
+                    .contains_key(&local_backend.heartbeat.name)
         });
         listed_here
-            .filter_map(|(name, backend)| match own {
+            .filter_map(|(name, backend)| match own_name {
                 Some(_) => certain.then(|| ClusterReport::BackendEnded {
                     name: name.clone(),
                     process_gone: true,
--- a/crates/simulator/src/operators.rs
+++ b/crates/simulator/src/operators.rs
@@ -40,7 +40,7 @@
         base: u64,
         edits: &[serde_json::Value],
     ) -> Result<ChangeAnswer, String> {
-        let asked = model::now();
+        let sent_at = model::now();
         let body = serde_json::json!({ "id": id, "base": base, "edits": edits });
         let sent = self
             .http
@@ -77,7 +77,7 @@
         self.history.write(&Record::DesiredChange {
             id: id.into(),
             edits: edits.to_vec(),
-            asked,
+            asked: sent_at,
             at: model::now(),
             status,
             version,
@@ -89,7 +89,7 @@
 
     /// Reads and records the complete desired state from one replica and returns its version.
     pub async fn read(&self, replica_index: usize) -> Result<Option<u64>, String> {
-        let asked = model::now();
+        let sent_at = model::now();
         let answer = self
             .http
             .get(format!(
@@ -109,7 +109,7 @@
         };
         let version = desired["version"].as_u64();
         self.history.write(&Record::StateRead {
-            asked,
+            asked: sent_at,
             at: model::now(),
             desired,
         })?;
@@ -271,7 +271,7 @@
     interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         interval.tick().await;
-        let asked = model::now();
+        let sent_at = model::now();
         let Ok(response) = http.get(format!("http://{address}/status")).send().await else {
             continue;
         };
@@ -287,7 +287,7 @@
         history.write(&Record::NodeObserved {
             node: node.clone(),
             incarnation,
-            asked,
+            asked: sent_at,
             position,
             fresh,
         })?;
--- a/crates/simulator/src/supervisor.rs
+++ b/crates/simulator/src/supervisor.rs
@@ -24,44 +24,44 @@
         }
     }
 
-    fn process_slot(&mut self, who: Target) -> &mut Option<Process> {
-        match who {
+    fn process_slot(&mut self, target: Target) -> &mut Option<Process> {
+        match target {
             Target::Replica(replica_index) => &mut self.fleet.replicas[replica_index].process,
             Target::Node(index) => &mut self.fleet.machines[index].node,
             Target::Backend(index) => &mut self.fleet.machines[index].stand_in,
         }
     }
 
-    fn host(&self, who: Target) -> crate::network::Host {
-        match who {
+    fn host(&self, target: Target) -> crate::network::Host {
+        match target {
             Target::Replica(replica_index) => self.fleet.replicas[replica_index].host,
             Target::Node(index) | Target::Backend(index) => self.fleet.machines[index].host,
         }
     }
 
-    fn start(&mut self, who: Target) -> Result<(), String> {
-        match who {
+    fn start(&mut self, target: Target) -> Result<(), String> {
+        match target {
             Target::Replica(replica_index) => self.fleet.start_replica(replica_index),
             Target::Node(index) => self.fleet.start_node(index),
             Target::Backend(index) => self.fleet.start_stand_in(index),
         }
     }
 
-    fn kill(&mut self, who: Target) -> Result<(), String> {
+    fn kill(&mut self, target: Target) -> Result<(), String> {
         let killed = self
-            .process_slot(who)
+            .process_slot(target)
             .take()
             .map(|mut process| process.kill())
             .is_some();
-        match who {
+        match target {
             Target::Backend(index) if killed => self.fleet.record_leaving(index),
             _ => Ok(()),
         }
     }
 
     /// Ends a process by SIGTERM and waits up to 20 seconds for its exit, as an operator does before a restart.
-    async fn stop(&mut self, who: Target) {
-        if let Some(mut process) = self.process_slot(who).take() {
+    async fn stop(&mut self, target: Target) {
+        if let Some(mut process) = self.process_slot(target).take() {
             process.signal(Signal::TERM);
             let exited = async {
                 while process.exit_status().is_none() {
@@ -94,23 +94,23 @@
     pub async fn perform(&mut self, step: Step) -> Result<(), String> {
         let heals = step.heals();
         match step {
-            Step::Kill(who) => self.kill(who)?,
-            Step::Stop(who) => self.stop(who).await,
-            Step::Start(who) => self.start(who)?,
+            Step::Kill(target) => self.kill(target)?,
+            Step::Stop(target) => self.stop(target).await,
+            Step::Start(target) => self.start(target)?,
             Step::Wipe(replica_index) => {
                 self.destroy(replica_index)?;
                 self.start(Target::Replica(replica_index))?;
             }
             Step::Replace(replica_index) => self.replace(replica_index).await?,
-            Step::Freeze(who) => {
-                self.frozen.push((who, model::now()));
-                self.process_slot(who)
+            Step::Freeze(target) => {
+                self.frozen.push((target, model::now()));
+                self.process_slot(target)
                     .iter()
                     .for_each(|process| process.signal(Signal::STOP));
             }
-            Step::Wake(who) => self.resume(who)?,
-            Step::Isolate(who) => {
-                let own_host = self.host(who);
+            Step::Wake(target) => self.resume(target)?,
+            Step::Isolate(target) => {
+                let own_host = self.host(target);
                 self.hosts()
                     .into_iter()
                     .filter(|host| *host != own_host)
@@ -119,8 +119,8 @@
                         self.fleet.network.cut(host, own_host);
                     });
             }
-            Step::Mute(who) => {
-                let own_host = self.host(who);
+            Step::Mute(target) => {
+                let own_host = self.host(target);
                 self.hosts()
                     .into_iter()
                     .filter(|host| *host != own_host)
@@ -149,19 +149,19 @@
             Step::KillEverything => self
                 .all_targets()
                 .into_iter()
-                .try_for_each(|who| self.kill(who))?,
+                .try_for_each(|target| self.kill(target))?,
             Step::StartEverything => self
                 .all_targets()
                 .into_iter()
-                .try_for_each(|who| self.start(who))?,
+                .try_for_each(|target| self.start(target))?,
             Step::KillAllReplicas => (0..self.fleet.replicas.len())
                 .try_for_each(|replica_index| self.kill(Target::Replica(replica_index)))?,
             Step::StartAllReplicas => (0..self.fleet.replicas.len())
                 .try_for_each(|replica_index| self.start(Target::Replica(replica_index)))?,
             Step::RemoveRoute => self.toggle_route(false).await?,
             Step::RestoreRoute => self.toggle_route(true).await?,
-            Step::Reload(who) => self
-                .process_slot(who)
+            Step::Reload(target) => self
+                .process_slot(target)
                 .iter()
                 .for_each(|process| process.signal(Signal::HUP)),
             Step::ReuseAddress { from, beside } => {
@@ -305,15 +305,15 @@
             .unwrap_or(own_service.clone())
     }
 
-    fn resume(&mut self, who: Target) -> Result<(), String> {
+    fn resume(&mut self, target: Target) -> Result<(), String> {
         let frozen_since = self
             .frozen
             .iter()
-            .find(|(frozen_target, _)| *frozen_target == who)
+            .find(|(frozen_target, _)| *frozen_target == target)
             .map(|(_, frozen_since)| *frozen_since);
         self.frozen
-            .retain(|(frozen_target, _)| *frozen_target != who);
-        if let (Target::Node(index), Some(from)) = (who, frozen_since) {
+            .retain(|(frozen_target, _)| *frozen_target != target);
+        if let (Target::Node(index), Some(from)) = (target, frozen_since) {
             let node = self.fleet.machines[index].name.clone();
             self.fleet
                 .history_writer()
@@ -323,7 +323,7 @@
                     to: model::now(),
                 })?;
         }
-        self.process_slot(who)
+        self.process_slot(target)
             .iter()
             .for_each(|process| process.signal(Signal::CONT));
         Ok(())
@@ -335,7 +335,7 @@
         self.frozen
             .clone()
             .into_iter()
-            .try_for_each(|(who, _)| self.resume(who))
+            .try_for_each(|(target, _)| self.resume(target))
     }
 
     /// Removes or restores the first route, also when other operators change the desired state at the same time.
