--- a/crates/simulator/src/lease_sim/backend.rs
+++ b/crates/simulator/src/lease_sim/backend.rs
@@ -91,7 +91,7 @@
 
     /// Every incarnation has a name of its own.
     pub(super) fn name(&self) -> String {
-        format!("player-{}-{}", self.node, self.incarnation)
+        format!("backend-{}-{}", self.node, self.incarnation)
     }
 
     /// The ranges with a valid lease, including those on which only running work is finished.
@@ -112,7 +112,7 @@
         endpoints::Heartbeat {
             name: self.name(),
             service: super::harness::SERVICE.into(),
-            address: format!("player-{}", self.node),
+            address: format!("backend-{}", self.node),
             zone: "z0".into(),
             slots: 4,
             draining: self.draining,
