--- a/crates/simulator/src/lease_sim/node.rs
+++ b/crates/simulator/src/lease_sim/node.rs
@@ -1,66 +1,69 @@
-//! A node beside one back end, as `endpoints::desk` and `endpoints::facts` run it, over the real grants (design 11.2, 11.5).
+//! A simulated node beside one backend. It works as `endpoints::lease_table` does and uses the real lease granter
+//! (design 11.2, 11.5).
 
 use model::cluster_state::{ClusterReport, StateSnapshot};
 use model::{Microseconds, Position};
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
-/// A back end as it told of itself.
+/// The backend beside a node, as its latest heartbeat describes it.
 pub(super) struct LocalBackend {
     pub heartbeat: endpoints::Heartbeat,
     pub heard_at: Microseconds,
     pub drained: bool,
     pub held_until: Microseconds,
-    /// Until then it may hold what an earlier process of this node told it to.
+    /// Until this time it may hold ranges that an earlier process of this node granted.
     pub earlier_grant_until: Microseconds,
     pub silent: bool,
     pub probing: bool,
-    /// Heard more than once: no late beat of an earlier life.
+    /// More than one heartbeat has arrived, so this is no late heartbeat of an earlier incarnation.
     pub heard_repeatedly: bool,
 }
 
+/// A node. Its times are by its own clock.
 pub(super) struct Node {
     pub name: String,
     pub start_number: u64,
     pub up: bool,
     pub frozen: bool,
     pub deferred: Vec<super::harness::Event>,
-    /// Cut off from the log; its reports alone get lost.
+    /// Disconnected from the log in both directions. With `reports_lost`, only its reports are lost.
     pub cut_from_log: bool,
     pub reports_lost: bool,
-    /// What its clock gains, in millionths.
+    /// By how much its clock is fast, in millionths; negative if the clock is slow.
     pub clock_rate_ppm: i64,
     pub lease_granter: endpoints::LeaseGranter,
     pub state: StateSnapshot,
     pub proved_at: Microseconds,
     pub backend: Option<LocalBackend>,
+    /// Ended backends, and whether the end of the process is confirmed.
     pub ended: BTreeMap<String, bool>,
     pub reported_ended: BTreeSet<String>,
     pub pending_reports: Vec<ClusterReport>,
     pub connection: super::connection::UpdateConnection,
     pub outbox: super::notification::Outbox,
-    pub placement: super::placement::PlacementDuty,
-    /// When this process began, by its clock.
+    pub placement: super::placement::PlacementState,
+    /// Start time of this process.
     pub started_at: Microseconds,
 }
 
-/// What the process of this name drew at its start of this number.
-pub(super) fn incarnation(name: &str, life: u64) -> model::Incarnation {
-    model::leases::stable_hash(&format!("{name} {life}"))
+/// The incarnation that the process of this name drew at this start.
+pub(super) fn incarnation(name: &str, start_number: u64) -> model::Incarnation {
+    model::leases::stable_hash(&format!("{name} {start_number}"))
 }
 
 impl Node {
-    pub(super) fn new(at: usize, rate: i64, env: endpoints::LeaseConfig) -> Node {
+    pub(super) fn new(index: usize, clock_rate_ppm: i64, config: endpoints::LeaseConfig) -> Node {
         Node {
-            name: format!("node-{at}"),
+            name: format!("node-{index}"),
             start_number: 0,
             up: false,
             frozen: false,
             deferred: Vec::new(),
             cut_from_log: false,
             reports_lost: false,
-            clock_rate_ppm: rate,
-            lease_granter: endpoints::LeaseGranter::new(env),
+            clock_rate_ppm,
+            lease_granter: endpoints::LeaseGranter::new(config),
             state: StateSnapshot::default(),
             proved_at: 0,
             backend: None,
@@ -74,18 +77,23 @@
         }
     }
 
-    /// What this process drew when it began: its order says nothing.
+    /// The incarnation of this process. Incarnations of a node have no order.
     pub(super) fn incarnation(&self) -> model::Incarnation {
         incarnation(&self.name, self.start_number)
     }
 
-    pub(super) fn is_running(&self, life: u64) -> bool {
-        self.up && self.start_number == life
+    pub(super) fn is_running(&self, start_number: u64) -> bool {
+        self.up && self.start_number == start_number
     }
 
-    /// A new process: all that was in memory is gone.
-    pub(super) fn restart(&mut self, at: usize, env: endpoints::LeaseConfig, began: Microseconds) {
-        let (life, rate, cut, dumb, conns) = (
+    /// Replaces the process by a new one without the state of the earlier one.
+    pub(super) fn restart(
+        &mut self,
+        index: usize,
+        config: endpoints::LeaseConfig,
+        started_at: Microseconds,
+    ) {
+        let (start_number, clock_rate_ppm, cut_from_log, reports_lost, connection_number) = (
             self.start_number + 1,
             self.clock_rate_ppm,
             self.cut_from_log,
@@ -93,15 +101,15 @@
             self.connection.number + 1,
         );
         *self = Node {
-            start_number: life,
-            clock_rate_ppm: rate,
-            cut_from_log: cut,
-            reports_lost: dumb,
-            started_at: began,
+            start_number,
+            clock_rate_ppm,
+            cut_from_log,
+            reports_lost,
+            started_at,
             up: true,
-            ..Node::new(at, rate, env)
+            ..Node::new(index, clock_rate_ppm, config)
         };
-        self.connection.number = conns;
+        self.connection.number = connection_number;
     }
 
     pub(super) fn shard_map(&self) -> model::cluster_state::ShardMap {
@@ -113,78 +121,90 @@
     }
 
     pub(super) fn observe(&mut self, now: Microseconds) {
-        let rows = self.shard_map();
-        if let Some(own) = &self.backend {
-            self.lease_granter.observe(now, &rows, &own.heartbeat.name);
+        let ranges = self.shard_map();
+        if let Some(local_backend) = &self.backend {
+            self.lease_granter
+                .observe(now, &ranges, &local_backend.heartbeat.name);
         }
     }
 
+    /// Handles a heartbeat and returns the grant, or nothing if the heartbeat is rejected or no grant is possible.
     pub(super) fn receive_heartbeat(
         &mut self,
         plan: &super::LeasePlan,
         now: Microseconds,
-        beat: endpoints::Heartbeat,
+        heartbeat: endpoints::Heartbeat,
     ) -> endpoints::HeartbeatAnswer {
-        let within = |span: Microseconds| {
-            self.backend
-                .as_ref()
-                .is_some_and(|own| own.heartbeat.name != beat.name && now < own.heard_at + span)
+        let heard_within = |duration: Microseconds| {
+            self.backend.as_ref().is_some_and(|local_backend| {
+                local_backend.heartbeat.name != heartbeat.name
+                    && now < local_backend.heard_at + duration
+            })
         };
-        let known = self.state.backends.contains_key(&beat.name);
-        let earlier = !plan.disabled.late_heartbeats
-            && (within(plan.heartbeat_interval / 4)
-                || known && within(plan.heartbeat_interval * 2));
-        if earlier
-            || self.ended.contains_key(&beat.name)
-            || self.reported_ended.contains(&beat.name)
+        let in_log = self.state.backends.contains_key(&heartbeat.name);
+        let other_incarnation = !plan.disabled.late_heartbeats
+            && (heard_within(plan.heartbeat_interval / 4)
+                || in_log && heard_within(plan.heartbeat_interval * 2));
+        if other_incarnation
+            || self.ended.contains_key(&heartbeat.name)
+            || self.reported_ended.contains(&heartbeat.name)
         {
             return None;
         }
-        if self.backend.as_ref().is_some_and(|own| {
-            own.heartbeat.name == beat.name && own.heartbeat.sequence >= beat.sequence
+        if self.backend.as_ref().is_some_and(|local_backend| {
+            local_backend.heartbeat.name == heartbeat.name
+                && local_backend.heartbeat.sequence >= heartbeat.sequence
         }) {
             return None;
         }
-        if let Some(earlier) = self.backend.take_if(|own| own.heartbeat.name != beat.name) {
+        if let Some(earlier) = self
+            .backend
+            .take_if(|local_backend| local_backend.heartbeat.name != heartbeat.name)
+        {
             self.ended.insert(earlier.heartbeat.name, true);
         }
-        if !beat.released_ranges.is_empty() {
-            let through = if plan.disabled.release_position {
+        if !heartbeat.released_ranges.is_empty() {
+            let known_through = if plan.disabled.release_position {
                 Position::MAX
             } else {
                 self.state.position
             };
             self.pending_reports.push(ClusterReport::ShardsReleased {
-                service: beat.service.clone(),
-                name: beat.name.clone(),
-                known_through: through,
-                ranges: beat.released_ranges.clone(),
+                service: heartbeat.service.clone(),
+                name: heartbeat.name.clone(),
+                known_through,
+                ranges: heartbeat.released_ranges.clone(),
             });
         }
-        let unknown = if plan.disabled.earlier_grants || beat.held_ranges.is_empty() {
-            0
-        } else {
-            now + plan.leases.max_duration
-        };
-        let (held_until, told_before) = self
+        let unknown_grant_until =
+            if plan.disabled.earlier_grants || heartbeat.held_ranges.is_empty() {
+                0
+            } else {
+                now + plan.leases.max_duration
+            };
+        let (held_until, earlier_grant_until) = self
+            .backend
+            .as_ref()
+            .map(|local_backend| (local_backend.held_until, local_backend.earlier_grant_until))
+            .unwrap_or((0, unknown_grant_until));
+        let drained = self
             .backend
             .as_ref()
-            .map(|own| (own.held_until, own.earlier_grant_until))
-            .unwrap_or((0, unknown));
-        let drained = self.backend.as_ref().is_some_and(|own| own.drained) || beat.draining;
-        let beats_on = self.backend.is_some();
-        let mut own = LocalBackend {
+            .is_some_and(|local_backend| local_backend.drained)
+            || heartbeat.draining;
+        let heard_repeatedly = self.backend.is_some();
+        let mut local_backend = LocalBackend {
             heard_at: now,
             drained,
             held_until,
-            earlier_grant_until: told_before,
+            earlier_grant_until,
             silent: false,
             probing: false,
-            heard_repeatedly: beats_on,
-            heartbeat: beat,
+            heard_repeatedly,
+            heartbeat,
         };
-        let answer = self.grant(plan, now, &mut own);
-        self.backend = Some(own);
+        let answer = self.grant(plan, now, &mut local_backend);
+        self.backend = Some(local_backend);
         answer
     }
 
@@ -192,96 +212,108 @@
         &mut self,
         plan: &super::LeasePlan,
         now: Microseconds,
-        own: &mut LocalBackend,
+        local_backend: &mut LocalBackend,
     ) -> endpoints::HeartbeatAnswer {
-        let mut rows = self.shard_map();
-        if plan.disabled.owed_ranges {
-            rows.iter_mut().for_each(|row| row.pending_releases.clear());
+        let mut ranges = self.shard_map();
+        if plan.disabled.pending_releases {
+            ranges
+                .iter_mut()
+                .for_each(|range| range.pending_releases.clear());
         }
-        let proved = if plan.disabled.proof && self.proved_at > 0 {
+        let proved_at = if plan.disabled.freshness_proof && self.proved_at > 0 {
             now
         } else {
             self.proved_at
         };
         let grant = self.lease_granter.grant(
             now,
-            proved,
-            &rows,
-            &own.heartbeat.name,
-            &own.heartbeat.held_ranges,
+            proved_at,
+            &ranges,
+            &local_backend.heartbeat.name,
+            &local_backend.heartbeat.held_ranges,
         )?;
-        let hold = if plan.disabled.slow_clock {
+        let lease_duration = if plan.disabled.slow_clock {
             (grant.duration * 103 / 100).min(plan.leases.max_duration)
         } else {
             grant.duration
         };
         if !grant.expired_releases.is_empty() {
             self.pending_reports.push(ClusterReport::ReleasesExpired {
-                service: own.heartbeat.service.clone(),
+                service: local_backend.heartbeat.service.clone(),
                 ranges: grant.expired_releases,
             });
         }
-        own.held_until = now + hold;
-        own.heartbeat.held_ranges = grant
+        local_backend.held_until = now + lease_duration;
+        local_backend.heartbeat.held_ranges = grant
             .ranges
             .iter()
-            .map(|(from, to, fence, _)| (*from, *to, *fence))
+            .map(|(from, to, fencing_token, _)| (*from, *to, *fencing_token))
             .collect();
-        Some((grant.ranges, hold))
+        Some((grant.ranges, lease_duration))
     }
 
-    /// A back end that stopped beating; whether its process is to be probed.
+    /// Handles a backend whose heartbeats are missing. Returns its name if its process is to be probed.
     pub(super) fn check_silence(
         &mut self,
         plan: &super::LeasePlan,
         now: Microseconds,
     ) -> Option<String> {
         let position = self.state.position;
-        let rows = self.shard_map();
-        let own = self.backend.as_mut()?;
-        if now < own.heard_at + plan.heartbeat_interval * 3 / 2 && !own.silent || own.probing {
+        let ranges = self.shard_map();
+        let local_backend = self.backend.as_mut()?;
+        if now < local_backend.heard_at + plan.heartbeat_interval * 3 / 2 && !local_backend.silent
+            || local_backend.probing
+        {
             return None;
         }
-        own.silent |= now > own.heard_at + plan.heartbeat_interval * 3;
-        let name = own.heartbeat.name.clone();
-        if own.silent && plan.disabled.confirmed_ends {
+        local_backend.silent |= now > local_backend.heard_at + plan.heartbeat_interval * 3;
+        let name = local_backend.heartbeat.name.clone();
+        if local_backend.silent && plan.disabled.confirmed_ends {
             self.probe_answered(&name, true);
             return None;
         }
-        if own.silent && now > own.held_until.max(own.earlier_grant_until) + plan.heartbeat_interval
+        if local_backend.silent
+            && now
+                > local_backend
+                    .held_until
+                    .max(local_backend.earlier_grant_until)
+                    + plan.heartbeat_interval
         {
             if plan.disabled.return_of_silent || self.ended.contains_key(&name) {
                 self.probe_answered(&name, true);
                 return None;
             }
-            // It may be heard again; what it owed it holds no more.
-            let owed = rows
-                .iter()
-                .filter(|row| row.pending_releases.iter().any(|(owing, _)| *owing == name));
-            let rows: Vec<(u16, u16, String)> = owed
-                .map(|row| (row.first_key, row.last_key, String::new()))
+            // It may send heartbeats again. Its leases have expired, so the releases that it owed are reported.
+            let pending = ranges.iter().filter(|range| {
+                range
+                    .pending_releases
+                    .iter()
+                    .any(|(owing, _)| *owing == name)
+            });
+            let ranges: Vec<(u16, u16, String)> = pending
+                .map(|range| (range.first_key, range.last_key, String::new()))
                 .collect();
-            let fact = ClusterReport::ShardsReleased {
-                service: own.heartbeat.service.clone(),
+            let report = ClusterReport::ShardsReleased {
+                service: local_backend.heartbeat.service.clone(),
                 name: name.clone(),
                 known_through: position,
-                ranges: rows.clone(),
+                ranges: ranges.clone(),
             };
-            if !rows.is_empty() && !self.pending_reports.contains(&fact) {
-                self.pending_reports.push(fact);
+            if !ranges.is_empty() && !self.pending_reports.contains(&report) {
+                self.pending_reports.push(report);
             }
         }
-        own.probing = true;
+        local_backend.probing = true;
         Some(name)
     }
 
     pub(super) fn probe_answered(&mut self, name: &str, refused: bool) {
-        if let Some(own) = self
+        if let Some(local_backend) = self
             .backend
             .as_mut()
-            .filter(|own| own.heartbeat.name == name)
+            .filter(|local_backend| local_backend.heartbeat.name == name)
         {
-            own.probing = false;
+            local_backend.probing = false;
             if refused {
                 self.ended.insert(name.to_string(), true);
                 self.backend = None;
@@ -291,12 +323,12 @@
 
     pub(super) fn signed_off(&mut self, name: &str) {
         self.ended.entry(name.to_string()).or_insert(false);
-        if let Some(own) = self
+        if let Some(local_backend) = self
             .backend
             .as_mut()
-            .filter(|own| own.heartbeat.name == name)
+            .filter(|local_backend| local_backend.heartbeat.name == name)
         {
-            (own.drained, own.silent) = (true, true);
+            (local_backend.drained, local_backend.silent) = (true, true);
         }
     }
 }
