--- a/crates/legacy-proxy/src/attempt_loop.rs
+++ b/crates/legacy-proxy/src/attempt_loop.rs
@@ -177,10 +177,7 @@
         };
         self.final_error(Error::new(
             kind,
-            format!(
-                "no backend of {:?} is available for this request",
-                self.request.service
-            ),
+            format!("no back end of {:?} can take it now", self.request.service),
         ))
     }
 
