--- a/crates/control/tests/recorded_updates.rs
+++ b/crates/control/tests/recorded_updates.rs
@@ -79,7 +79,7 @@
 
 #[test]
 fn updates_sent_to_followers_have_the_recorded_bytes() {
-    let mut recorded = RecordedBytes::of("updates");
+    let mut recorded = RecordedBytes::for_family("updates");
     let mut publisher = UpdatePublisher::default();
     let mut follower = StateFollower::default();
     let held = follower.held_position();
--- a/crates/endpoints/tests/placement_algorithm.rs
+++ b/crates/endpoints/tests/placement_algorithm.rs
@@ -13,7 +13,7 @@
 
 #[test]
 fn a_placement_gives_all_keys_in_proportion_and_moves_as_few_as_it_can() {
-    test_support::drawn::<([u8; 8], [u16; 8], [(u16, u16, u8); 12])>(
+    test_support::check_generated::<([u8; 8], [u16; 8], [(u16, u16, u8); 12])>(
         400,
         |(shares, weights, before)| {
             let name = |number: u8| format!("backend-{}", number % 8);
@@ -254,7 +254,7 @@
 
 #[test]
 fn a_rebalance_covers_all_keys_whatever_the_demand() {
-    test_support::drawn::<(u8, Vec<(u16, u8, u8)>)>(200, |(count, demand)| {
+    test_support::check_generated::<(u8, Vec<(u16, u8, u8)>)>(200, |(count, demand)| {
         let capacities: Vec<BackendCapacity> = (0..count % 7 + 1)
             .map(|at| capacity(&format!("b{at}"), 1.0 + at as f64))
             .collect();
--- a/crates/endpoints/tests/registration.rs
+++ b/crates/endpoints/tests/registration.rs
@@ -57,7 +57,7 @@
 /// must be rejected from then on.
 #[test]
 fn the_process_that_started_last_is_registered_in_the_end() {
-    test_support::drawn::<[(u64, u8, u8); 12]>(400, |processes| {
+    test_support::check_generated::<[(u64, u8, u8); 12]>(400, |processes| {
         let mut state = ClusterState::default();
         let mut delayed: Vec<(u64, u64)> = Vec::new();
         let mut latest = 0;
--- a/crates/gradeford-core/tests/witness.rs
+++ b/crates/gradeford-core/tests/witness.rs
@@ -8,7 +8,7 @@
 mod program;
 
 use golden_files::{Volatile, compare};
-use program::{Program, Settings, told};
+use program::{Program, Settings, run_transcript};
 use std::fs;
 use std::path::{Path, PathBuf};
 
@@ -34,10 +34,10 @@
 
 #[test]
 fn the_help_page_and_the_version_stay() {
-    compare("help.txt", &told(&PROGRAM, &["--help"]), &[]);
+    compare("help.txt", &run_transcript(&PROGRAM, &["--help"]), &[]);
     compare(
         "version.txt",
-        &told(&PROGRAM, &["--version"]),
+        &run_transcript(&PROGRAM, &["--version"]),
         &[Volatile::Value(env!("CARGO_PKG_VERSION"), "version")],
     );
 }
@@ -53,15 +53,18 @@
         &["--name"],
         &["--check", "--name", "a", "--speed"],
     ];
-    let all: String = wrong.iter().map(|words| told(&PROGRAM, words)).collect();
+    let all: String = wrong
+        .iter()
+        .map(|words| run_transcript(&PROGRAM, words))
+        .collect();
     compare("wrong_flags.txt", &all, &[]);
 }
 
 #[test]
 fn every_setting_is_needed_or_has_a_default() {
-    let mut all = required().checked(&PROGRAM);
+    let mut all = required().check_transcript(&PROGRAM);
     for (name, _) in REQUIRED {
-        all.push_str(&required().without(name).checked(&PROGRAM));
+        all.push_str(&required().without(name).check_transcript(&PROGRAM));
     }
     compare("needed_settings.txt", &all, &[]);
 }
@@ -125,7 +128,7 @@
     let mut all = String::new();
     for (name, values) in values {
         for value in values {
-            all.push_str(&required().with(name, value).checked(&PROGRAM));
+            all.push_str(&required().with(name, value).check_transcript(&PROGRAM));
         }
     }
     // Several faults are told in any order.
@@ -133,7 +136,7 @@
         .with("seats", "2")
         .with("alpha", "0")
         .with("mates_address", "\"here\"")
-        .checked(&PROGRAM);
+        .check_transcript(&PROGRAM);
     let mut lines: Vec<&str> = several.lines().collect();
     lines.sort_unstable();
     all.push_str(&format!("{}\n", lines.join("\n")));
@@ -144,7 +147,7 @@
 
 #[test]
 fn a_flag_goes_before_the_file_and_keeps_its_reading() {
-    let with = |words: &[&str]| required().checked_with(&PROGRAM, words);
+    let with = |words: &[&str]| required().check_transcript_with(&PROGRAM, words);
     let all = [
         with(&["--seats", "4"]),
         with(&["--name", "1", "--zone", "2"]),
@@ -168,13 +171,13 @@
         "[table]\nx = 1",
         "\u{0}",
     ]
-    .map(|text| program::checked_text(&PROGRAM, text, &[]));
+    .map(|text| program::check_text_transcript(&PROGRAM, text, &[]));
     compare("wrong_files.txt", &all.concat(), &[]);
 }
 
 #[test]
 fn what_cannot_start_keeps_its_exit_code() {
-    let folder = program::folder("core-failed");
+    let folder = program::create_test_folder("core-failed");
     let file = folder.join("file");
     fs::write(&file, "").expect("a file");
     // 192.0.2.1 is kept for documents: no machine has it.
@@ -191,7 +194,7 @@
     ];
     let all: String = cases
         .into_iter()
-        .map(|settings| settings.run(&PROGRAM))
+        .map(|settings| settings.start_transcript(&PROGRAM))
         .collect();
     fs::remove_dir_all(&folder).expect("clean");
     compare(
@@ -203,7 +206,7 @@
 
 #[test]
 fn every_default_stays() {
-    let folder = program::folder("core-defaults");
+    let folder = program::create_test_folder("core-defaults");
     let settings = required().with("folder", &format!("{:?}", folder.join("disk")));
     // Each default, and a value beside it. A log level is taken up without a restart: `info` shows the lines read here.
     let defaults = [
@@ -213,7 +216,7 @@
         ("snapshot_every", "500", "501"),
         ("replace_after_us", "3000000", "3000001"),
     ];
-    let all = program::defaults(&PROGRAM, &folder, &settings, &defaults);
+    let all = program::defaults_report(&PROGRAM, &folder, &settings, &defaults);
     fs::remove_dir_all(&folder).expect("clean");
     compare("defaults.txt", &all, &[]);
 }
--- a/crates/legacy-proxy/src/retry_budget/tests.rs
+++ b/crates/legacy-proxy/src/retry_budget/tests.rs
@@ -24,7 +24,7 @@
 
 #[test]
 fn no_ten_seconds_hold_more_retries_than_their_requests_allow() {
-    test_support::drawn::<(u8, Vec<(u16, bool)>)>(300, |(restart, steps)| {
+    test_support::check_generated::<(u8, Vec<(u16, bool)>)>(300, |(restart, steps)| {
         let mut budget = RetryBudget::new(2);
         let (mut now, mut requests, mut retries) = (0u64, Vec::new(), Vec::new());
         steps.iter().enumerate().for_each(|(at, (gap, first))| {
--- a/crates/mencius/src/instance_ranges/tests.rs
+++ b/crates/mencius/src/instance_ranges/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn instance_ranges_match_a_table_of_single_instances() {
-    test_support::drawn::<Vec<(u8, u8, u8)>>(2_000, |steps| {
+    test_support::check_generated::<Vec<(u8, u8, u8)>>(2_000, |steps| {
         let mut ranges = InstanceRanges::default();
         let mut table = [None; 256];
         for (start, length, value) in steps {
--- a/crates/mencius/tests/recorded_bytes.rs
+++ b/crates/mencius/tests/recorded_bytes.rs
@@ -91,7 +91,7 @@
 
 #[test]
 fn every_message_between_replicas_has_the_recorded_bytes() {
-    let mut recorded = RecordedBytes::of("messages");
+    let mut recorded = RecordedBytes::for_family("messages");
     for (name, message) in messages() {
         check_archive!(
             recorded,
@@ -121,7 +121,7 @@
 
 #[test]
 fn every_write_to_a_disk_has_the_recorded_bytes() {
-    let mut recorded = RecordedBytes::of("writes");
+    let mut recorded = RecordedBytes::for_family("writes");
     for (name, write) in writes() {
         check_archive!(recorded, name, Vec<Write>, &vec![write]);
     }
--- a/crates/model/tests/cluster_state/call_order.rs
+++ b/crates/model/tests/cluster_state/call_order.rs
@@ -47,7 +47,7 @@
 
 #[test]
 fn calls_in_any_order_produce_the_same_items() {
-    test_support::drawn::<[([(u8, u8, u8); 3], u32, u32); 12]>(300, |drawn| {
+    test_support::check_generated::<[([(u8, u8, u8); 3], u32, u32); 12]>(300, |drawn| {
         let call = |parts: &[(u8, u8, u8); 3]| {
             parts
                 .iter()
--- a/crates/model/tests/cluster_state/conflicts.rs
+++ b/crates/model/tests/cluster_state/conflicts.rs
@@ -172,7 +172,7 @@
 /// of a version at most one is ever confirmed.
 #[test]
 fn random_races_and_repeats_confirm_one_content_per_version() {
-    test_support::drawn::<[(u8, u8, u8); 80]>(300, |steps| {
+    test_support::check_generated::<[(u8, u8, u8); 80]>(300, |steps| {
         let mut state = sample_state();
         let mut confirmed_content: BTreeMap<(String, u64), u8> = Default::default();
         for (name, version, content) in steps {
--- a/crates/model/tests/cluster_state/shard_map.rs
+++ b/crates/model/tests/cluster_state/shard_map.rs
@@ -124,7 +124,7 @@
 
 #[test]
 fn ranges_match_a_per_key_model_and_fencing_tokens_only_grow() {
-    test_support::drawn::<[(u8, u8, u8, u8); 48]>(400, |steps| {
+    test_support::check_generated::<[(u8, u8, u8, u8); 48]>(400, |steps| {
         let mut held = shard_map::unassigned();
         let mut key_states: BTreeMap<u16, KeyState> = keys()
             .into_iter()
--- a/crates/model/tests/cluster_state/snapshot.rs
+++ b/crates/model/tests/cluster_state/snapshot.rs
@@ -103,7 +103,7 @@
 
 #[test]
 fn applying_deltas_gives_the_same_snapshot_as_the_full_state() {
-    test_support::drawn::<[Drawn; 60]>(300, |steps| {
+    test_support::check_generated::<[Drawn; 60]>(300, |steps| {
         let mut state = ClusterState::default();
         // Three followers: one from the start, one that is resent the full state at times, and one
         // that gets the deltas of several entries at once.
--- a/crates/model/tests/lease_assignment.rs
+++ b/crates/model/tests/lease_assignment.rs
@@ -15,7 +15,7 @@
 
 #[test]
 fn assignment_is_balanced_and_moves_only_necessary_slots() {
-    test_support::drawn::<(u8, u8)>(500, |(count, leaving)| {
+    test_support::check_generated::<(u8, u8)>(500, |(count, leaving)| {
         let count = count % 12 + 2;
         let full = candidates_of(&(0..count).map(|name| (name, 9)).collect::<Vec<_>>());
         let leaving = (format!("b{}", leaving % count), 1);
--- a/crates/model/tests/recorded_bytes/main.rs
+++ b/crates/model/tests/recorded_bytes/main.rs
@@ -27,7 +27,7 @@
 
 #[test]
 fn every_log_entry_has_the_recorded_bytes() {
-    let mut recorded = RecordedBytes::of("entries");
+    let mut recorded = RecordedBytes::for_family("entries");
     for (name, entry) in entries() {
         let bytes = recorded.check(&name, &entry.to_bytes());
         assert_eq!(Entry::from_bytes(&bytes).ok(), Some(entry), "{name}");
@@ -37,7 +37,7 @@
 
 #[test]
 fn every_outcome_has_the_recorded_bytes() {
-    let mut recorded = RecordedBytes::of("outcomes");
+    let mut recorded = RecordedBytes::for_family("outcomes");
     for (name, outcome) in outcomes() {
         check_archive!(recorded, name, Outcome, &outcome);
     }
@@ -46,7 +46,7 @@
 
 #[test]
 fn every_delta_has_the_recorded_bytes() {
-    let mut recorded = RecordedBytes::of("deltas");
+    let mut recorded = RecordedBytes::for_family("deltas");
     for (name, delta) in deltas() {
         check_archive!(recorded, name, Vec<Delta>, &vec![delta]);
     }
@@ -82,7 +82,7 @@
 
 #[test]
 fn every_error_has_the_recorded_bytes() {
-    let mut recorded = RecordedBytes::of("troubles");
+    let mut recorded = RecordedBytes::for_family("troubles");
     for kind in ErrorKind::ALL {
         check_archive!(recorded, kind.code(), Error, &Error::new(*kind, "why"));
     }
@@ -101,7 +101,7 @@
 
 #[test]
 fn state_slices_and_patches_have_the_recorded_bytes() {
-    let mut recorded = RecordedBytes::of("news");
+    let mut recorded = RecordedBytes::for_family("news");
     check_archive!(recorded, "slice", StateSlice, &state_slice());
     check_archive!(recorded, "empty-slice", StateSlice, &StateSlice::default());
     check_archive!(recorded, "patch", StatePatch, &state_patch());
@@ -110,7 +110,7 @@
 
 #[test]
 fn snapshots_of_both_state_machines_have_the_recorded_bytes() {
-    let mut recorded = RecordedBytes::of("snapshots");
+    let mut recorded = RecordedBytes::for_family("snapshots");
     let state_machine = state_machine();
     assert!(
         [
@@ -138,7 +138,7 @@
 
 #[test]
 fn stored_parts_have_the_recorded_bytes() {
-    let mut recorded = RecordedBytes::of("parts");
+    let mut recorded = RecordedBytes::for_family("parts");
     for (name, phase) in phases() {
         check_archive!(
             recorded,
@@ -169,7 +169,7 @@
 
 #[test]
 fn long_bytes_are_compressed_to_the_recorded_bytes() {
-    let mut recorded = RecordedBytes::of("packed");
+    let mut recorded = RecordedBytes::for_family("packed");
     let plain: Vec<u8> = (0..3_000u32)
         .map(|index| (index * index % 251 / (1 + index % 7)) as u8)
         .collect();
--- a/crates/model/tests/state_machine.rs
+++ b/crates/model/tests/state_machine.rs
@@ -195,7 +195,7 @@
 
 #[test]
 fn a_patch_turns_the_earlier_slice_into_the_later_one() {
-    test_support::drawn::<[(u8, u8); 24]>(200, |steps| {
+    test_support::check_generated::<[(u8, u8); 24]>(200, |steps| {
         let mut state = sample_state();
         let services: model::state_slice::ServiceSet = ["seat".to_string()].into_iter().collect();
         let mut slice = model::StateSlice::for_services(&state, &services);
--- a/crates/outbound/tests/budget.rs
+++ b/crates/outbound/tests/budget.rs
@@ -127,17 +127,20 @@
 
 #[test]
 fn retries_of_any_fleet_stay_within_the_ratio_in_every_window() {
-    test_support::drawn::<RandomFleet>(400, |(nodes, rates, skew, retry_demand, restarts)| {
-        let fleet = Fleet {
-            nodes: *nodes,
-            rates: *rates,
-            skew: *skew,
-            retry_demand: *retry_demand,
-            restarts: restarts.clone(),
-        };
-        let max_excess = max_excess_retries(&simulate::<ExpiringBudget>(&fleet));
-        assert!(max_excess <= 0.0, "{max_excess}");
-    });
+    test_support::check_generated::<RandomFleet>(
+        400,
+        |(nodes, rates, skew, retry_demand, restarts)| {
+            let fleet = Fleet {
+                nodes: *nodes,
+                rates: *rates,
+                skew: *skew,
+                retry_demand: *retry_demand,
+                restarts: restarts.clone(),
+            };
+            let max_excess = max_excess_retries(&simulate::<ExpiringBudget>(&fleet));
+            assert!(max_excess <= 0.0, "{max_excess}");
+        },
+    );
 }
 
 #[test]
--- a/crates/simulator/tests/ordering.rs
+++ b/crates/simulator/tests/ordering.rs
@@ -25,7 +25,7 @@
 
 #[test]
 fn drawn_schedules_keep_one_log() {
-    test_support::drawn::<(u64, [u8; 36])>(150, |(seed, bytes)| {
+    test_support::check_generated::<(u64, [u8; 36])>(150, |(seed, bytes)| {
         let seats = if seed % 2 == 0 { 5 } else { 3 };
         let world = play(WorldPlan::new(seats, *seed), bytes, 6);
         assert!(
@@ -177,7 +177,7 @@
 
 #[test]
 fn a_replaced_seat_loses_nothing_whoever_fails_meanwhile() {
-    test_support::drawn::<(u64, [u8; 6])>(60, |(seed, bytes)| {
+    test_support::check_generated::<(u64, [u8; 6])>(60, |(seed, bytes)| {
         let seats = if seed % 2 == 0 { 5u16 } else { 3 };
         let mut world = World::new(WorldPlan {
             snapshot_every: 15,
--- a/crates/simulator/tests/repairs.rs
+++ b/crates/simulator/tests/repairs.rs
@@ -180,7 +180,7 @@
 
 #[test]
 fn drawn_losses_within_the_budget_lose_nothing_and_never_stop_the_core() {
-    test_support::drawn::<(u8, u64, [(u8, u8, u8); 6])>(120, |(core, seed, rounds)| {
+    test_support::check_generated::<(u8, u64, [(u8, u8, u8); 6])>(120, |(core, seed, rounds)| {
         let (seats, losses) = CORES[usize::from(*core) % CORES.len()];
         let plan = WorldPlan {
             snapshot_every: 10 + (*seed % 60) as usize,
--- a/crates/simulator/tests/site.rs
+++ b/crates/simulator/tests/site.rs
@@ -12,7 +12,7 @@
 
 #[test]
 fn drawn_faults_break_no_promise() {
-    test_support::drawn::<(u64, [u8; 24])>(100, |(seed, bytes)| {
+    test_support::check_generated::<(u64, [u8; 24])>(100, |(seed, bytes)| {
         let (broken, site) = play(SitePlan::new(*seed), bytes);
         assert!(
             broken.is_empty(),
--- a/crates/storage/tests/recorded_records.rs
+++ b/crates/storage/tests/recorded_records.rs
@@ -129,7 +129,7 @@
 
 #[test]
 fn every_stored_record_has_the_recorded_bytes() {
-    let mut recorded = RecordedBytes::of("records");
+    let mut recorded = RecordedBytes::for_family("records");
     for (name, write) in records() {
         let folder = Folder::new(name);
         let (mut store, _) = open(&folder.0);
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -8,7 +8,7 @@
 const SEED: u64 = 20_111;
 
 /// Calls `case` with `count` values; a failing case is named by its number and shown.
-pub fn drawn<T: bolero::generator::TypeGenerator + Debug>(count: u64, case: impl Fn(&T)) {
+pub fn check_generated<T: bolero::generator::TypeGenerator + Debug>(count: u64, case: impl Fn(&T)) {
     (0..count).for_each(|number| {
         let random: rand::rngs::StdRng = rand::SeedableRng::seed_from_u64(SEED + number);
         let mut driver = Rng::new(random, &Options::default());
@@ -29,7 +29,9 @@
     fn two_runs_draw_the_same_and_cases_differ() {
         let gather = || {
             let drawn = std::cell::RefCell::new(Vec::new());
-            super::drawn::<(u64, Vec<u8>)>(20, |value| drawn.borrow_mut().push(value.clone()));
+            super::check_generated::<(u64, Vec<u8>)>(20, |value| {
+                drawn.borrow_mut().push(value.clone())
+            });
             drawn.into_inner()
         };
         let first = gather();
--- a/crates/test-support/tests/golden_files/program.rs
+++ b/crates/test-support/tests/golden_files/program.rs
@@ -17,7 +17,7 @@
 }
 
 /// An empty folder of this test alone.
-pub(crate) fn folder(name: &str) -> PathBuf {
+pub(crate) fn create_test_folder(name: &str) -> PathBuf {
     static NEXT: AtomicU64 = AtomicU64::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
     let folder = env::temp_dir().join(format!(
@@ -29,7 +29,7 @@
 }
 
 /// Flags, exit code and both outputs; the lines of the log, which are JSON, are left out.
-pub(crate) fn told(program: &Program, words: &[&str]) -> String {
+pub(crate) fn run_transcript(program: &Program, words: &[&str]) -> String {
     let output = Command::new(program.path)
         .args(words)
         .output()
@@ -89,41 +89,42 @@
     }
 
     /// What `--check` says of these settings.
-    pub(crate) fn checked(&self, program: &Program) -> String {
-        self.checked_with(program, &[])
+    pub(crate) fn check_transcript(&self, program: &Program) -> String {
+        self.check_transcript_with(program, &[])
     }
 
-    pub(crate) fn checked_with(&self, program: &Program, words: &[&str]) -> String {
+    pub(crate) fn check_transcript_with(&self, program: &Program, words: &[&str]) -> String {
         format!(
             "{}{}",
             self.changed,
-            checked_text(program, &self.text(), words)
+            check_text_transcript(program, &self.text(), words)
         )
     }
 
     /// What the program says that cannot start with these settings.
-    pub(crate) fn run(&self, program: &Program) -> String {
+    pub(crate) fn start_transcript(&self, program: &Program) -> String {
         format!("{}{}", self.changed, with_file(program, &self.text(), &[]))
     }
 }
 
 /// What `--check` says of a settings file of this text.
-pub(crate) fn checked_text(program: &Program, text: &str, words: &[&str]) -> String {
+pub(crate) fn check_text_transcript(program: &Program, text: &str, words: &[&str]) -> String {
     with_file(program, text, &[&["--check"], words].concat())
 }
 
 fn with_file(program: &Program, text: &str, words: &[&str]) -> String {
-    let folder = folder("settings");
+    let folder = create_test_folder("settings");
     let file = folder.join("settings.toml").display().to_string();
     fs::write(&file, text).expect("a settings file");
-    let told = told(program, &[&["--config", &file], words].concat()).replace(&file, "<file>");
+    let told =
+        run_transcript(program, &[&["--config", &file], words].concat()).replace(&file, "<file>");
     fs::remove_dir_all(folder).expect("clean");
     told
 }
 
 /// Runs the program with each setting left out and says whether it takes a reload with the supposed default, and one
 /// with the value beside it, for a change.
-pub(crate) fn defaults(
+pub(crate) fn defaults_report(
     program: &Program,
     folder: &Path,
     settings: &Settings,
--- a/crates/test-support/tests/recorded/mod.rs
+++ b/crates/test-support/tests/recorded/mod.rs
@@ -22,7 +22,7 @@
 }
 
 impl RecordedBytes {
-    pub(crate) fn of(family: &str) -> RecordedBytes {
+    pub(crate) fn for_family(family: &str) -> RecordedBytes {
         RecordedBytes {
             folder: Path::new(env!("CARGO_MANIFEST_DIR"))
                 .join("tests/fixtures")
--- a/crates/transport/tests/recorded_frames/main.rs
+++ b/crates/transport/tests/recorded_frames/main.rs
@@ -89,7 +89,7 @@
 
 #[tokio::test]
 async fn every_frame_has_the_recorded_bytes_in_both_directions() {
-    let mut recorded = RecordedBytes::of("frames");
+    let mut recorded = RecordedBytes::for_family("frames");
     let opening_frame = recorded.check("greeting-to-open", &opening_frame());
     let mut connection = open_connection(&mut recorded, &opening_frame).await;
     let all = frames()
@@ -104,7 +104,7 @@
 /// The same headers are sent as literals, then with new indices, then by these indices.
 #[tokio::test]
 async fn repeated_headers_have_the_recorded_bytes() {
-    let mut recorded = RecordedBytes::of("said-again");
+    let mut recorded = RecordedBytes::for_family("said-again");
     let opening_frame = opening_frame();
     let mut connection = open_connection(&mut recorded, &opening_frame).await;
     let (mut encoder, mut decoder) = (HeaderEncoder::default(), HeaderDecoder::default());
