--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,23 +1,27 @@
-//! Test-only: values drawn by bolero's generators from a fixed seed, so that every run draws the same.
-//! Bolero's own engine seeds all but its first case from the machine (design 9.9).
+//! Property tests with a fixed seed: bolero's generators produce the same values in every run.
+//!
+//! Bolero's own test engine can't be used for this, as it seeds all cases but the first from the
+//! operating system's randomness (design 9.9).
 
 use bolero::generator::bolero_generator::driver::{Options, Rng};
 use std::fmt::Debug;
 use std::panic::AssertUnwindSafe;
 
+/// Seed of the first case; each following case uses the next number.
 const SEED: u64 = 20_111;
 
-/// Calls `case` with `count` values; a failing case is named by its number and shown.
+/// Calls `case` with `count` generated values. If a case panics, its number and its value are printed
+/// before the panic is passed on.
 pub fn check_generated<T: bolero::generator::TypeGenerator + Debug>(count: u64, case: impl Fn(&T)) {
-    (0..count).for_each(|number| {
-        let random: rand::rngs::StdRng = rand::SeedableRng::seed_from_u64(SEED + number);
-        let mut driver = Rng::new(random, &Options::default());
+    (0..count).for_each(|case_number| {
+        let rng: rand::rngs::StdRng = rand::SeedableRng::seed_from_u64(SEED + case_number);
+        let mut driver = Rng::new(rng, &Options::default());
         let Some(value) = T::generate(&mut driver) else {
             return;
         };
-        let passed = std::panic::catch_unwind(AssertUnwindSafe(|| case(&value)));
-        if let Err(failure) = passed {
-            eprintln!("drawn case {number} failed: {value:?}");
+        let result = std::panic::catch_unwind(AssertUnwindSafe(|| case(&value)));
+        if let Err(failure) = result {
+            eprintln!("generated case {case_number} failed: {value:?}");
             std::panic::resume_unwind(failure);
         }
     });
@@ -26,16 +30,16 @@
 #[cfg(test)]
 mod tests {
     #[test]
-    fn two_runs_draw_the_same_and_cases_differ() {
-        let gather = || {
-            let drawn = std::cell::RefCell::new(Vec::new());
+    fn two_runs_generate_the_same_values_and_cases_differ() {
+        let collect_values = || {
+            let values = std::cell::RefCell::new(Vec::new());
             super::check_generated::<(u64, Vec<u8>)>(20, |value| {
-                drawn.borrow_mut().push(value.clone())
+                values.borrow_mut().push(value.clone())
             });
-            drawn.into_inner()
+            values.into_inner()
         };
-        let first = gather();
-        assert_eq!(first, gather());
-        assert!(first.windows(2).all(|pair| pair[0] != pair[1]));
+        let first_run = collect_values();
+        assert_eq!(first_run, collect_values());
+        assert!(first_run.windows(2).all(|pair| pair[0] != pair[1]));
     }
 }
--- a/crates/test-support/tests/golden_files/mod.rs
+++ b/crates/test-support/tests/golden_files/mod.rs
@@ -1,52 +1,52 @@
-//! Golden files: what the product writes outwards, compared byte for byte.
+//! Golden files: expected external output of the programs, compared byte for byte.
 //!
-//! A file stands in `tests/golden/` of the crate whose test compares it. `GRADEFORD_WRITE_GOLDEN=1 cargo test -p CRATE`
-//! writes the files in place of comparing them; the change of a golden file is then read and committed like code.
-//! Any other crate takes this module by its path, so that it needs no dependency.
+//! A golden file is in `tests/golden/` of the crate whose test compares it. `GRADEFORD_WRITE_GOLDEN=1 cargo test -p
+//! CRATE` writes the files instead of comparing them; review and commit a changed golden file like code.
+//! Other crates include this module with `#[path]`, so that they need no dependency on this crate.
 
 use std::path::Path;
 
-/// A part of a text that differs from run to run.
-#[allow(dead_code, reason = "a test file may need one of them only")]
+/// A part of an output that differs from run to run and is replaced by a placeholder.
+#[allow(dead_code, reason = "a test file may use only one of the variants")]
 pub(crate) enum Volatile<'a> {
-    /// This very text, wherever it stands, becomes `<NAME>`: the value, then the name.
+    /// Replaces every occurrence of a text by `<NAME>`: the text, then the name.
     Value(&'a str, &'a str),
-    /// The JSON value of each field of this name becomes `<NAME>`, as in `"position":<position>`.
+    /// Replaces the JSON value of every field of this name by `<NAME>`, as in `"position":<position>`.
     Field(&'a str),
 }
 
-/// Compares `text` with the golden file `name`, after its volatile parts were replaced by placeholders.
+/// Compares `text` with the golden file `name`, after replacing the volatile parts by placeholders.
 pub(crate) fn compare(name: &str, text: &str, volatile: &[Volatile]) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/golden")
         .join(name);
-    let found = with_placeholders(text, volatile);
+    let actual = with_placeholders(text, volatile);
     if std::env::var_os("GRADEFORD_WRITE_GOLDEN").is_some_and(|value| value == "1") {
-        std::fs::create_dir_all(path.parent().expect("a folder"))
-            .expect("the folder of golden files");
-        std::fs::write(&path, &found).expect("a golden file");
+        std::fs::create_dir_all(path.parent().expect("the path has a parent folder"))
+            .expect("the folder of golden files can be created");
+        std::fs::write(&path, &actual).expect("the golden file can be written");
         return;
     }
     let golden = std::fs::read_to_string(&path)
         .unwrap_or_else(|error| panic!("{}: {error}", path.display()));
     assert!(
-        golden == found,
-        "{} differs.\n--- golden\n{golden}\n--- found\n{found}",
+        golden == actual,
+        "{} differs.\n--- golden\n{golden}\n--- found\n{actual}",
         path.display()
     );
 }
 
-/// Replaces each volatile part, in the order given.
+/// Replaces the volatile parts by placeholders, in the given order.
 pub(crate) fn with_placeholders(text: &str, volatile: &[Volatile]) -> String {
     volatile
         .iter()
         .fold(text.to_string(), |text, part| match part {
             Volatile::Value(value, name) => text.replace(value, &format!("<{name}>")),
-            Volatile::Field(field) => field_replaced(&text, field),
+            Volatile::Field(field) => replace_field(&text, field),
         })
 }
 
-fn field_replaced(text: &str, field: &str) -> String {
+fn replace_field(text: &str, field: &str) -> String {
     let key = format!("\"{field}\":");
     let mut pieces = text.split(&key);
     let mut replaced = pieces.next().unwrap_or_default().to_string();
@@ -56,7 +56,7 @@
     replaced
 }
 
-/// The bytes of the JSON value at the beginning of `text`.
+/// Returns the length of the JSON value at the beginning of `text`, in bytes.
 fn value_length(text: &str) -> usize {
     let (mut depth, mut quoted, mut escaped) = (0, false, false);
     for (index, byte) in text.bytes().enumerate() {
--- a/crates/test-support/tests/golden_files/program.rs
+++ b/crates/test-support/tests/golden_files/program.rs
@@ -1,4 +1,5 @@
-//! A daemon as its operator meets it: its outputs for a settings file and flags, and what it takes for its defaults.
+//! Runs a daemon's program for golden files: its outputs for flags and settings files, and the default values of its
+//! settings.
 
 use std::io::{BufRead, BufReader};
 use std::path::{Path, PathBuf};
@@ -8,52 +9,55 @@
 use std::time::Duration;
 use std::{env, fs, process, thread};
 
-/// A daemon that says nothing for so long has failed the test.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Maximum time to wait for the next line of a daemon's log.
+const LOG_LINE_TIMEOUT: Duration = Duration::from_secs(60);
 
+/// The program under test: its name in transcripts and the path of its executable.
 pub(crate) struct Program {
     pub name: &'static str,
     pub path: &'static str,
 }
 
-/// An empty folder of this test alone.
+/// Creates an empty temporary folder that no other test uses.
 pub(crate) fn create_test_folder(name: &str) -> PathBuf {
-    static NEXT: AtomicU64 = AtomicU64::new(0);
-    let number = NEXT.fetch_add(1, Ordering::Relaxed);
+    static NEXT_NUMBER: AtomicU64 = AtomicU64::new(0);
+    let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
     let folder = env::temp_dir().join(format!(
-        "gradeford-witness-{name}-{}-{number}",
+        "gradeford-golden-{name}-{}-{number}",
         process::id()
     ));
-    fs::create_dir_all(&folder).expect("a folder");
+    fs::create_dir_all(&folder).expect("the test folder can be created");
     folder
 }
 
-/// Flags, exit code and both outputs; the lines of the log, which are JSON, are left out.
-pub(crate) fn run_transcript(program: &Program, words: &[&str]) -> String {
+/// Runs the program and returns its arguments, its exit code and both outputs as text. Log lines, which are JSON, are
+/// left out.
+pub(crate) fn run_transcript(program: &Program, arguments: &[&str]) -> String {
     let output = Command::new(program.path)
-        .args(words)
+        .args(arguments)
         .output()
-        .expect("it runs");
-    let [out, err] =
-        [output.stdout, output.stderr].map(|bytes| String::from_utf8(bytes).expect("text"));
-    let err: String = err
+        .expect("the program can be run");
+    let [stdout, stderr] = [output.stdout, output.stderr]
+        .map(|bytes| String::from_utf8(bytes).expect("the output is UTF-8"));
+    let stderr: String = stderr
         .lines()
         .filter(|line| !line.starts_with('{'))
         .map(|line| format!("{line}\n"))
         .collect();
     format!(
-        "$ {} {}\nexit code {:?}\n--- out\n{out}--- err\n{err}\n",
+        "$ {} {}\nexit code {:?}\n--- out\n{stdout}--- err\n{stderr}\n",
         program.name,
-        words.join(" "),
+        arguments.join(" "),
         output.status.code()
     )
 }
 
-/// A settings file of one line a setting.
+/// The content of a settings file, with one line for each setting.
 #[derive(Clone)]
 pub(crate) struct Settings {
     lines: Vec<(String, String)>,
-    changed: String,
+    /// What differs from the settings at the start, for the transcript.
+    changes: String,
 }
 
 impl Settings {
@@ -64,20 +68,22 @@
             .collect();
         Settings {
             lines,
-            changed: String::new(),
+            changes: String::new(),
         }
     }
 
+    /// Sets a setting.
     pub(crate) fn with(mut self, name: &str, value: &str) -> Settings {
-        self.lines.retain(|(held, _)| held != name);
+        self.lines.retain(|(existing, _)| existing != name);
         self.lines.push((name.to_string(), value.to_string()));
-        self.changed.push_str(&format!("{name} = {value}\n"));
+        self.changes.push_str(&format!("{name} = {value}\n"));
         self
     }
 
+    /// Removes a setting.
     pub(crate) fn without(mut self, name: &str) -> Settings {
-        self.lines.retain(|(held, _)| held != name);
-        self.changed.push_str(&format!("no {name}\n"));
+        self.lines.retain(|(existing, _)| existing != name);
+        self.changes.push_str(&format!("no {name}\n"));
         self
     }
 
@@ -88,57 +94,63 @@
             .collect()
     }
 
-    /// What `--check` says of these settings.
+    /// Returns the transcript of `--check` with these settings.
     pub(crate) fn check_transcript(&self, program: &Program) -> String {
         self.check_transcript_with(program, &[])
     }
 
-    pub(crate) fn check_transcript_with(&self, program: &Program, words: &[&str]) -> String {
+    /// Returns the transcript of `--check` with these settings and further arguments.
+    pub(crate) fn check_transcript_with(&self, program: &Program, arguments: &[&str]) -> String {
         format!(
             "{}{}",
-            self.changed,
-            check_text_transcript(program, &self.text(), words)
+            self.changes,
+            check_text_transcript(program, &self.text(), arguments)
         )
     }
 
-    /// What the program says that cannot start with these settings.
+    /// Returns the transcript of a program that fails to start with these settings.
     pub(crate) fn start_transcript(&self, program: &Program) -> String {
-        format!("{}{}", self.changed, with_file(program, &self.text(), &[]))
+        format!(
+            "{}{}",
+            self.changes,
+            transcript_with_file(program, &self.text(), &[])
+        )
     }
 }
 
-/// What `--check` says of a settings file of this text.
-pub(crate) fn check_text_transcript(program: &Program, text: &str, words: &[&str]) -> String {
-    with_file(program, text, &[&["--check"], words].concat())
+/// Returns the transcript of `--check` with a settings file of this content and further arguments.
+pub(crate) fn check_text_transcript(program: &Program, text: &str, arguments: &[&str]) -> String {
+    transcript_with_file(program, text, &[&["--check"], arguments].concat())
 }
 
-fn with_file(program: &Program, text: &str, words: &[&str]) -> String {
+fn transcript_with_file(program: &Program, text: &str, arguments: &[&str]) -> String {
     let folder = create_test_folder("settings");
     let file = folder.join("settings.toml").display().to_string();
-    fs::write(&file, text).expect("a settings file");
-    let told =
-        run_transcript(program, &[&["--config", &file], words].concat()).replace(&file, "<file>");
-    fs::remove_dir_all(folder).expect("clean");
-    told
+    fs::write(&file, text).expect("the settings file can be written");
+    let transcript = run_transcript(program, &[&["--config", &file], arguments].concat())
+        .replace(&file, "<file>");
+    fs::remove_dir_all(folder).expect("the test folder can be removed");
+    transcript
 }
 
-/// Runs the program with each setting left out and says whether it takes a reload with the supposed default, and one
-/// with the value beside it, for a change.
+/// Checks the expected defaults of settings. The daemon runs without them; for each one, the report says whether a
+/// reload that sets the expected default needs a restart, and whether one that sets another value does. `expected`
+/// holds the name, the default and another value of each setting.
 pub(crate) fn defaults_report(
     program: &Program,
     folder: &Path,
     settings: &Settings,
-    supposed: &[(&str, &str, &str)],
+    expected: &[(&str, &str, &str)],
 ) -> String {
     let file = folder.join("settings.toml");
     let daemon = Daemon::start(program, &file, settings);
-    let mut told = String::new();
-    for (name, default, beside) in supposed {
-        for value in [default, beside] {
-            let changes = daemon.reload(&settings.clone().with(name, value));
-            told.push_str(&format!(
+    let mut report = String::new();
+    for (name, default, other) in expected {
+        for value in [default, other] {
+            let needs_restart = daemon.reload(&settings.clone().with(name, value));
+            report.push_str(&format!(
                 "{name} = {value}: {}\n",
-                if changes {
+                if needs_restart {
                     "needs a restart"
                 } else {
                     "as it was"
@@ -146,15 +158,15 @@
             ));
             assert!(
                 !daemon.reload(settings),
-                "{name}: the first settings are as they were"
+                "{name}: a reload with the first settings needs no restart"
             );
         }
     }
     let code = daemon.stop();
-    format!("{told}exit code after SIGTERM {code:?}\n")
+    format!("{report}exit code after SIGTERM {code:?}\n")
 }
 
-/// A running daemon, ended with its owner.
+/// A running daemon; it is killed when this is dropped.
 struct Daemon {
     child: Child,
     lines: Receiver<String>,
@@ -163,16 +175,16 @@
 
 impl Daemon {
     fn start(program: &Program, file: &Path, settings: &Settings) -> Daemon {
-        fs::write(file, settings.text()).expect("a settings file");
+        fs::write(file, settings.text()).expect("the settings file can be written");
         let mut child = Command::new(program.path)
             .arg("--config")
             .arg(file)
             .stderr(Stdio::piped())
             .spawn()
-            .expect("it starts");
-        let log = BufReader::new(child.stderr.take().expect("a pipe")).lines();
+            .expect("the daemon can be started");
+        let log = BufReader::new(child.stderr.take().expect("standard error is a pipe")).lines();
         let (sender, lines) = channel();
-        // Reads to the end of the pipe, also when nobody listens any more: the program never waits for its reader.
+        // Reads the pipe to its end even after the receiver is dropped, so that the daemon never blocks on a full pipe.
         thread::spawn(move || {
             log.map_while(Result::ok)
                 .for_each(|line| drop(sender.send(line)))
@@ -182,17 +194,17 @@
             lines,
             file: file.to_path_buf(),
         };
-        daemon.line("\"listening\"");
+        daemon.next_line_with("\"listening\"");
         daemon
     }
 
-    /// The next line of the log that holds the word; none comes after the program ended.
-    fn line(&self, word: &str) -> String {
+    /// Returns the next line of the log that contains `word`; panics if the daemon ends or the timeout passes first.
+    fn next_line_with(&self, word: &str) -> String {
         loop {
             let line = self
                 .lines
-                .recv_timeout(PATIENCE)
-                .unwrap_or_else(|error| panic!("no line with {word}: {error}"));
+                .recv_timeout(LOG_LINE_TIMEOUT)
+                .unwrap_or_else(|error| panic!("no log line with {word}: {error}"));
             if line.contains(word) {
                 return line;
             }
@@ -203,27 +215,28 @@
         let sent = Command::new("kill")
             .args([name, &self.child.id().to_string()])
             .status()
-            .expect("kill runs");
-        assert!(sent.success(), "the daemon is there");
+            .expect("kill can be run");
+        assert!(sent.success(), "the signal is delivered");
     }
 
-    /// Whether the program says that these settings need a restart.
+    /// Reloads the settings and returns whether the daemon reports that they need a restart.
     fn reload(&self, settings: &Settings) -> bool {
-        fs::write(&self.file, settings.text()).expect("a settings file");
+        fs::write(&self.file, settings.text()).expect("the settings file can be written");
         self.signal("-HUP");
-        let line = self.line("settings read again");
+        let line = self.next_line_with("settings read again");
         line.contains("\"restart_needed\":true")
     }
 
+    /// Sends SIGTERM and returns the exit code.
     fn stop(mut self) -> Option<i32> {
         self.signal("-TERM");
-        self.child.wait().expect("it ends").code()
+        self.child.wait().expect("the daemon ends").code()
     }
 }
 
 impl Drop for Daemon {
     fn drop(&mut self) {
-        // Ended already, or a failed test leaves it behind.
+        // Fails if the daemon has ended already; after a failed test it is still running.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/crates/test-support/tests/placeholders.rs
+++ b/crates/test-support/tests/placeholders.rs
@@ -1,11 +1,11 @@
-//! The placeholders of golden files replace what is volatile and nothing else.
+//! Placeholders of golden files replace the volatile parts and nothing else.
 
 mod golden_files;
 
 use golden_files::{Volatile, compare, with_placeholders};
 
 #[test]
-fn a_volatile_field_is_replaced_whole_whatever_its_value() {
+fn a_volatile_field_is_replaced_whole_for_any_kind_of_value() {
     let text = r#"{"a":1,"life":"x,\"}","b":{"life":{"c":[1,2]},"d":3},"life":[4]}"#;
     let found = with_placeholders(text, &[Volatile::Field("life")]);
     assert_eq!(
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_volatile_value_is_replaced_wherever_it_stands() {
+fn a_volatile_value_is_replaced_at_every_occurrence() {
     let found = with_placeholders(
         "127.0.0.1:4312 and 127.0.0.1:43",
         &[Volatile::Value("127.0.0.1:4312", "address")],
@@ -25,9 +25,9 @@
 
 #[test]
 #[should_panic(expected = "No such file")]
-fn a_golden_file_that_is_missing_fails_the_test() {
+fn a_missing_golden_file_fails_the_test() {
     if std::env::var_os("GRADEFORD_WRITE_GOLDEN").is_some() {
-        panic!("No such file is looked for while golden files are written");
+        panic!("No such file: golden files are written, not compared");
     }
     compare("absent.txt", "", &[]);
 }
--- a/crates/test-support/tests/recorded/mod.rs
+++ b/crates/test-support/tests/recorded/mod.rs
@@ -1,23 +1,26 @@
-//! Bytes that an earlier build wrote, kept in files, against what this build writes.
+//! Compares the bytes that this build encodes with bytes recorded by an earlier build.
 //!
-//! Included with `#[path]` by the byte tests of several crates; the files are below `tests/fixtures`
-//! of the crate that includes it, one a variant, as hexadecimal digits.
+//! Included with `#[path]` by the encoding tests of several crates. The recorded bytes are below
+//! `tests/fixtures` of the including crate, as one file of hexadecimal digits for each variant.
 //!
-//! A format that changes on purpose is recorded anew with
-//! `GRADEFORD_WRITE_FIXTURES=1 cargo test -p <crate> --test <file>`, which writes the files instead
-//! of comparing them; the difference belongs into the commit that changes the format, with its reason.
+//! After an intended change of a format, `GRADEFORD_WRITE_FIXTURES=1 cargo test -p <crate> --test <file>`
+//! writes the files instead of comparing them. Commit the changed files together with the change of the
+//! format and its reason.
 
 use std::collections::BTreeSet;
 use std::env;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-const DIGITS_A_LINE: usize = 64;
+/// Hexadecimal digits in each line of a fixture.
+const DIGITS_PER_LINE: usize = 64;
 
-/// The files of one family of values, such as all frames.
+/// The recorded bytes of one family of values, such as all frames.
 pub(crate) struct RecordedBytes {
     folder: PathBuf,
+    /// Names of the files that were compared.
     checked: BTreeSet<String>,
+    /// Whether the files are written instead of only compared.
     writes: bool,
 }
 
@@ -32,45 +35,45 @@
         }
     }
 
-    /// Asserts that `encoded` is what was recorded under this name, and returns the recorded bytes
+    /// Asserts that `encoded` equals the bytes recorded under this name, and returns the recorded bytes
     /// for decoding.
     pub(crate) fn check(&mut self, name: &str, encoded: &[u8]) -> Vec<u8> {
         let file = format!("{name}.hex");
         let path = self.folder.join(&file);
         assert!(
             self.checked.insert(file),
-            "two values under the name {name}"
+            "two values are checked under the name {name}"
         );
         if self.writes {
-            fs::create_dir_all(&self.folder).expect("the folder of fixtures");
-            fs::write(&path, to_hex(encoded)).expect("a fixture is written");
+            fs::create_dir_all(&self.folder).expect("the folder of fixtures can be created");
+            fs::write(&path, to_hex(encoded)).expect("the fixture can be written");
         }
         let recorded = fs::read_to_string(&path)
             .unwrap_or_else(|error| panic!("no recorded bytes in {}: {error}", path.display()));
         assert_eq!(
             to_hex(encoded),
             recorded,
-            "{name} is encoded otherwise than it was recorded"
+            "{name} is not encoded to the recorded bytes"
         );
         from_hex(&recorded)
     }
 
-    /// Asserts that no recorded value was left out.
+    /// Asserts that every recorded file was compared; while writing, removes the files that were not.
     pub(crate) fn finish(self) {
-        let entries = fs::read_dir(&self.folder).expect("the folder of fixtures");
+        let entries = fs::read_dir(&self.folder).expect("the folder of fixtures can be read");
         for entry in entries {
             let file = entry
-                .expect("an entry")
+                .expect("the folder entry can be read")
                 .file_name()
                 .into_string()
-                .expect("a plain name");
+                .expect("the file name is UTF-8");
             if self.writes && !self.checked.contains(&file) {
-                fs::remove_file(self.folder.join(&file)).expect("a stale fixture is removed");
+                fs::remove_file(self.folder.join(&file)).expect("the stale fixture can be removed");
                 continue;
             }
             assert!(
                 self.checked.contains(&file),
-                "{file} is recorded and no value is left for it"
+                "{file} is recorded but no value was checked against it"
             );
         }
     }
@@ -78,7 +81,7 @@
 
 pub(crate) fn to_hex(bytes: &[u8]) -> String {
     let digits: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
-    let lines = digits.as_bytes().chunks(DIGITS_A_LINE);
+    let lines = digits.as_bytes().chunks(DIGITS_PER_LINE);
     lines
         .map(|line| format!("{}\n", String::from_utf8_lossy(line)))
         .collect()
@@ -88,6 +91,6 @@
     let digits: String = text.split_whitespace().collect();
     let pairs = (0..digits.len()).step_by(2);
     pairs
-        .map(|at| u8::from_str_radix(&digits[at..at + 2], 16).expect("two digits"))
+        .map(|at| u8::from_str_radix(&digits[at..at + 2], 16).expect("two hexadecimal digits"))
         .collect()
 }
--- a/crates/test-support/tests/recorded/variants.rs
+++ b/crates/test-support/tests/recorded/variants.rs
@@ -1,7 +1,7 @@
-//! Samples of all variants of an enum; included beside `recorded` by the tests that need them.
+//! Samples of all variants of an enum. Included with `#[path]` next to `recorded` by the tests that need them.
 
-/// One named sample of each variant. The patterns stand in a `match` without a wildcard, so that a
-/// variant without a sample does not compile.
+/// Lists one named sample of each variant. The patterns are used in a `match` without a wildcard, so that
+/// a variant without a sample doesn't compile.
 macro_rules! every_variant {
     ($type:ty { $($name:literal: $pattern:pat => $sample:expr,)* }) => {{
         let samples: Vec<(&'static str, $type)> = vec![$(($name, $sample)),*];
@@ -9,7 +9,7 @@
             let variant = match sample {
                 $($pattern => $name,)*
             };
-            assert_eq!(*name, variant, "a sample stands beside another variant's name");
+            assert_eq!(*name, variant, "a sample is listed under the name of another variant");
         }
         samples
     }};
