--- a/crates/soak/src/backend.rs
+++ b/crates/soak/src/backend.rs
@@ -30,20 +30,20 @@
 /// Until keys that are to be let go are said to be so.
 const RELEASE_INTERVAL: Duration = Duration::from_millis(60);
 /// A heartbeat counts if it is answered within a second.
-const HEARTBEAT_PATIENCE: Duration = Duration::from_secs(1);
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long a draining backend serves on: `drain` and a little more.
-const DRAIN_TIME: Duration = Duration::from_millis(2_300);
+const DRAIN_DURATION: Duration = Duration::from_millis(2_300);
 /// Between two backends at one address.
-const REPLACEMENT_PAUSE: Duration = Duration::from_millis(600);
+const REPLACEMENT_DELAY: Duration = Duration::from_millis(600);
 /// Requests run for so long at the most, in milliseconds.
-const MAX_WORK_MS: u64 = 8;
-const SLOTS: u32 = 32;
-const ACCEPT_QUEUE: u32 = 1_024;
-const MISDIRECTED: u16 = 421;
+const MAX_PROCESSING_MS: u64 = 8;
+const CAPACITY: u32 = 32;
+const ACCEPT_BACKLOG: u32 = 1_024;
+const MISDIRECTED_REQUEST: u16 = 421;
 
 /// What a backend is told to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BackendOrder {
+pub enum BackendCommand {
     /// Drain, sign off and end; another one follows.
     Replace,
     /// End without a word; another one follows.
@@ -52,19 +52,19 @@
 
 /// A range of keys that is held.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct HeldRange {
+struct LeasedRange {
     first: u16,
     last: u16,
-    fence: u64,
+    fencing_token: u64,
 }
 
 /// Keys of one incarnation of a backend.
 #[derive(Default)]
-struct Keys {
-    held: Vec<HeldRange>,
+struct ShardLeases {
+    held: Vec<LeasedRange>,
     /// Ranges let go and not said to be yet, each with its hand-over.
     released: Vec<(u16, u16, String)>,
-    held_until: Micros,
+    expires_at: Micros,
 }
 
 /// One incarnation of a backend.
@@ -72,11 +72,16 @@
     id: String,
     service: usize,
     clock: Clock,
-    keys: Mutex<Keys>,
+    leases: Mutex<ShardLeases>,
 }
 
 /// Runs the backends beside a node, one incarnation after the other, for as long as the run.
-pub async fn run(site: Arc<Site>, node: usize, clock: Clock, orders: mpsc::Receiver<BackendOrder>) {
+pub async fn run(
+    site: Arc<Site>,
+    node: usize,
+    clock: Clock,
+    commands: mpsc::Receiver<BackendCommand>,
+) {
     let machine = Machine::Node(node);
     let service = site.service_of(node);
     let service = SERVICES.iter().position(|name| *name == service);
@@ -87,12 +92,12 @@
         service: service.unwrap_or_default(),
         node,
         clock,
-        orders,
+        commands,
     };
     let mut generation = 0;
     while machine.run_incarnation(generation).await.is_some() {
         generation += 1;
-        sleep(REPLACEMENT_PAUSE).await;
+        sleep(REPLACEMENT_DELAY).await;
     }
 }
 
@@ -103,7 +108,7 @@
     service: usize,
     node: usize,
     clock: Clock,
-    orders: mpsc::Receiver<BackendOrder>,
+    commands: mpsc::Receiver<BackendCommand>,
 }
 
 impl BackendMachine {
@@ -113,7 +118,7 @@
             id: format!("i-{}-{generation}", self.node),
             service: self.service,
             clock: self.clock,
-            keys: Mutex::default(),
+            leases: Mutex::default(),
         });
         let Ok(listener) = listen(self.address) else {
             return Some(());
@@ -122,32 +127,32 @@
         let mut tasks = JoinSet::new();
         tasks.spawn(serve(incarnation.clone(), listener));
         let mut sequence = 0;
-        let order = self
-            .heartbeat_until_order(&incarnation, &mut sequence)
+        let command = self
+            .heartbeat_until_command(&incarnation, &mut sequence)
             .await?;
-        if order == BackendOrder::Replace {
+        if command == BackendCommand::Replace {
             let drained = self.heartbeat_while_draining(&incarnation, &mut sequence);
-            drop(timeout(DRAIN_TIME, drained).await);
+            drop(timeout(DRAIN_DURATION, drained).await);
             let path = format!("/Instances.Deregister/{}", incarnation.id);
             let request = http::post_json(&path, "{}".into());
             // Without an answer it ends all the same.
-            drop(http::call_once(self.control, request, HEARTBEAT_PATIENCE).await);
+            drop(http::call_once(self.control, request, HEARTBEAT_TIMEOUT).await);
         }
         Some(())
     }
 
-    async fn heartbeat_until_order(
+    async fn heartbeat_until_command(
         &mut self,
         incarnation: &Incarnation,
         sequence: &mut u64,
-    ) -> Option<BackendOrder> {
+    ) -> Option<BackendCommand> {
         let mut connection = None;
         loop {
             *sequence += 1;
             let heartbeat = self.heartbeat(incarnation, false);
             let pause = heartbeat.send(&mut connection, *sequence).await;
             tokio::select! {
-                order = self.orders.recv() => return order,
+                command = self.commands.recv() => return command,
                 () = sleep(pause) => {}
             }
         }
@@ -183,7 +188,7 @@
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(ACCEPT_QUEUE)
+    socket.listen(ACCEPT_BACKLOG)
 }
 
 /// One heartbeat and what it takes from its answer.
@@ -208,10 +213,10 @@
         let Some(open) = connection.as_mut() else {
             return HEARTBEAT_INTERVAL / 4;
         };
-        match open.call(request, HEARTBEAT_PATIENCE).await {
+        match open.call(request, HEARTBEAT_TIMEOUT).await {
             Ok(response) if response.status().is_success() => {
                 let answer = serde_json::from_slice(response.body()).unwrap_or(Value::Null);
-                self.incarnation.take_keys(sent_at, &answer, released)
+                self.incarnation.apply_grants(sent_at, &answer, released)
             }
             _ => {
                 *connection = None;
@@ -223,63 +228,68 @@
     /// The body, and how many releases it tells.
     fn body(&self, sequence: u64) -> (Value, usize) {
         let now = self.incarnation.clock.now();
-        let mut keys = self.incarnation.keys();
-        if now > keys.held_until {
+        let mut leases = self.incarnation.leases();
+        if now > leases.expires_at {
             // What has run out is not told under the releases.
-            keys.held.clear();
+            leases.held.clear();
         }
-        let ranges = keys.held.iter();
-        let held: Vec<_> = ranges.map(|r| (r.first, r.last, r.fence)).collect();
+        let ranges = leases.held.iter();
+        let held: Vec<_> = ranges.map(|r| (r.first, r.last, r.fencing_token)).collect();
         let body = json!({
             "address": self.address.to_string(),
             "summary": {
                 "service_ref": SERVICES[self.incarnation.service],
-                "version": "v1", "zone": self.zone, "capacity": SLOTS,
+                "version": "v1", "zone": self.zone, "capacity": CAPACITY,
             },
             "condition": {
                 "state": if self.draining { "draining" } else { "ready" },
                 "call_seq": sequence, "cold_left": "0ms",
             },
             "hold_list": held,
-            "released": keys.released,
+            "released": leases.released,
         });
-        (body, keys.released.len())
+        (body, leases.released.len())
     }
 }
 
 impl Incarnation {
-    fn keys(&self) -> MutexGuard<'_, Keys> {
-        self.keys.lock().unwrap_or_else(PoisonError::into_inner)
+    fn leases(&self) -> MutexGuard<'_, ShardLeases> {
+        self.leases.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn holds(&self, key: u16) -> bool {
-        let keys = self.keys();
-        let mut held = keys.held.iter();
-        self.clock.now() <= keys.held_until
+        let leases = self.leases();
+        let mut held = leases.held.iter();
+        self.clock.now() <= leases.expires_at
             && held.any(|range| (range.first..=range.last).contains(&key))
     }
 
     /// Takes over the answer's ranges and lets go of all others; returns when to say so.
-    fn take_keys(&self, sent_at: Micros, answer: &Value, told: usize) -> Duration {
-        let mut keys = self.keys();
-        keys.released.drain(..told);
+    fn apply_grants(&self, sent_at: Micros, answer: &Value, reported_releases: usize) -> Duration {
+        let mut leases = self.leases();
+        leases.released.drain(..reported_releases);
         let Some(rows) = answer["hold_list"].as_array() else {
             return HEARTBEAT_INTERVAL;
         };
-        let granted: Vec<HeldRange> = rows.iter().filter_map(parse_range).collect();
-        let covered = |range: &HeldRange| {
+        let granted: Vec<LeasedRange> = rows.iter().filter_map(parse_range).collect();
+        let covered = |range: &LeasedRange| {
             granted
                 .iter()
                 .any(|new| new.first <= range.first && range.last <= new.last)
         };
-        let gone: Vec<HeldRange> = keys.held.iter().filter(|r| !covered(r)).copied().collect();
-        for range in &gone {
+        let withdrawn: Vec<LeasedRange> = leases
+            .held
+            .iter()
+            .filter(|r| !covered(r))
+            .copied()
+            .collect();
+        for range in &withdrawn {
             let handover = format!("{:016x}", rand::rng().random::<u64>());
-            keys.released.push((range.first, range.last, handover));
+            leases.released.push((range.first, range.last, handover));
         }
-        keys.held = granted;
-        keys.held_until = sent_at + answer["hold"].as_str().map_or(0, parse_milliseconds);
-        if gone.is_empty() {
+        leases.held = granted;
+        leases.expires_at = sent_at + answer["hold"].as_str().map_or(0, parse_milliseconds);
+        if withdrawn.is_empty() {
             HEARTBEAT_INTERVAL
         } else {
             RELEASE_INTERVAL
@@ -298,19 +308,19 @@
             return response.body(Full::default()).unwrap_or_default();
         }
         let attempt_id = header("gradeford-attempt-id").unwrap_or_default();
-        let for_another =
+        let for_other_instance =
             header("gradeford-target-instance").is_some_and(|target| target != self.id);
         let key = header("gradeford-shard-key").and_then(|key| key.parse().ok());
         let not_held = self.service == 0 && !key.is_some_and(|key| self.holds(key));
-        if for_another || not_held {
+        if for_other_instance || not_held {
             let response = Response::builder()
-                .status(MISDIRECTED)
+                .status(MISDIRECTED_REQUEST)
                 .header("gradeford-attempt-id", attempt_id)
                 .header("gradeford-not-run", "1");
             return response.body(Full::default()).unwrap_or_default();
         }
-        let work = rand::rng().random_range(0..=MAX_WORK_MS);
-        sleep(Duration::from_millis(work)).await;
+        let processing_ms = rand::rng().random_range(0..=MAX_PROCESSING_MS);
+        sleep(Duration::from_millis(processing_ms)).await;
         let response = Response::builder()
             .header("gradeford-attempt-id", attempt_id)
             .header("gradeford-server-seal", &self.id)
@@ -320,11 +330,11 @@
     }
 }
 
-fn parse_range(row: &Value) -> Option<HeldRange> {
-    Some(HeldRange {
+fn parse_range(row: &Value) -> Option<LeasedRange> {
+    Some(LeasedRange {
         first: u16::try_from(row[0].as_u64()?).ok()?,
         last: u16::try_from(row[1].as_u64()?).ok()?,
-        fence: row[2].as_u64()?,
+        fencing_token: row[2].as_u64()?,
     })
 }
 
--- a/crates/soak/src/checker.rs
+++ b/crates/soak/src/checker.rs
@@ -22,7 +22,7 @@
         lateness: Micros,
     },
     /// A process showed a newer version before.
-    WentBack {
+    Reverted {
         /// The request.
         probe: Probe,
         /// The version that it showed before.
@@ -34,7 +34,7 @@
         probe: Probe,
     },
     /// A read answered with an older version than was acknowledged before it was sent.
-    OlderRead {
+    StaleRead {
         /// The core machine that answered.
         core: usize,
         /// When it was asked.
@@ -54,7 +54,7 @@
         waited: Micros,
     },
     /// Seen while the run was on.
-    Found(Finding),
+    Recorded(Finding),
 }
 
 /// What the records of a run come to.
@@ -63,7 +63,7 @@
     /// Broken rules.
     pub violations: Vec<Violation>,
     /// Requests that were late by the same measure at machines that were not in touch.
-    pub late_out_of_touch: usize,
+    pub late_at_disturbed_nodes: usize,
     /// The longest time after an acknowledgement at which a request at a machine in touch was still
     /// answered by an overtaken version.
     pub longest_lateness: Micros,
@@ -75,22 +75,22 @@
 
 /// Judges a run.
 pub fn check(records: &Records, bounds: &Bounds, core_count: usize) -> Verdict {
-    let calm = CalmTimes::of(&records.events, bounds, core_count);
+    let disturbances = Disturbances::from_events(&records.events, bounds, core_count);
     let mut verdict = Verdict {
         probes: records.probes.len(),
         reads: records.reads.len(),
         ..Verdict::default()
     };
-    let findings = records.findings.iter().cloned().map(Violation::Found);
+    let findings = records.findings.iter().cloned().map(Violation::Recorded);
     verdict.violations.extend(findings);
     for probe in &records.probes {
         if let Some(route) = records.routes.get(&probe.route) {
-            check_probe(&mut verdict, probe, route, bounds, &calm);
+            check_probe(&mut verdict, probe, route, bounds, &disturbances);
         }
     }
-    check_no_way_back(&mut verdict, records, bounds);
+    check_reversions(&mut verdict, records, bounds);
     for call in &records.calls {
-        check_call(&mut verdict, *call, bounds, &calm, records.ended_at);
+        check_call(&mut verdict, *call, bounds, &disturbances, records.ended_at);
     }
     for read in &records.reads {
         check_read(&mut verdict, read, &records.routes);
@@ -103,7 +103,7 @@
     probe: &Probe,
     route: &RouteHistory,
     bounds: &Bounds,
-    calm: &CalmTimes,
+    disturbances: &Disturbances,
 ) {
     if route.is_stable && probe.effect == Effect::Absent {
         let probe = probe.clone();
@@ -112,19 +112,19 @@
             .push(Violation::StableRouteRefused { probe });
         return;
     }
-    let Some(overtaken) = overtaken_by(probe, route) else {
+    let Some(superseding) = find_superseding_version(probe, route) else {
         return;
     };
-    let lateness = probe.sent_at - overtaken.acknowledged_at.unwrap_or(probe.sent_at);
-    let Some(allowed) = calm.allowed_lateness(probe, bounds) else {
-        verdict.late_out_of_touch += usize::from(lateness > bounds.apply);
+    let lateness = probe.sent_at - superseding.acknowledged_at.unwrap_or(probe.sent_at);
+    let Some(allowed) = disturbances.allowed_lateness(probe, bounds) else {
+        verdict.late_at_disturbed_nodes += usize::from(lateness > bounds.apply);
         return;
     };
     verdict.longest_lateness = verdict.longest_lateness.max(lateness);
     if lateness > allowed {
         verdict.violations.push(Violation::NotInForce {
             probe: probe.clone(),
-            version: overtaken.version,
+            version: superseding.version,
             lateness,
         });
     }
@@ -132,8 +132,8 @@
 
 /// The oldest acknowledged version that the answer shows not to be in force: every version from it
 /// on that may have been in force allows another effect only.
-fn overtaken_by(probe: &Probe, route: &RouteHistory) -> Option<RouteVersion> {
-    let may_show = |from: usize| {
+fn find_superseding_version(probe: &Probe, route: &RouteHistory) -> Option<RouteVersion> {
+    let may_have_effect = |from: usize| {
         let versions = route.versions[from..].iter();
         let sent = versions.take_while(|version| version.sent_at <= probe.answered_at);
         sent.into_iter()
@@ -145,7 +145,7 @@
             .is_some_and(|at| at <= probe.sent_at)
     };
     let newest = route.versions.iter().rposition(acknowledged_before)?;
-    if may_show(newest) {
+    if may_have_effect(newest) {
         return None;
     }
     // The first acknowledged version after the latest one that shows this effect.
@@ -153,8 +153,8 @@
         .iter()
         .rposition(|version| version.effect == probe.effect);
     let first = shown.map_or(0, |shown| shown + 1);
-    let mut overtaking = route.versions[first..=newest].iter();
-    overtaking
+    let mut candidates = route.versions[first..=newest].iter();
+    candidates
         .find(|version| acknowledged_before(version))
         .copied()
 }
@@ -163,11 +163,11 @@
     verdict: &mut Verdict,
     call: CallRecord,
     bounds: &Bounds,
-    calm: &CalmTimes,
+    disturbances: &Disturbances,
     run_ended_at: Micros,
 ) {
     let until = call.acknowledged_at.unwrap_or(run_ended_at);
-    let waited = calm.longest_calm_stretch(call.sent_at, until);
+    let waited = disturbances.longest_settled_period(call.sent_at, until);
     let allowed = bounds.acknowledge + bounds.acknowledge_per_route * call.routes as Micros;
     if waited > allowed {
         verdict
@@ -176,7 +176,7 @@
     }
 }
 
-fn check_no_way_back(verdict: &mut Verdict, records: &Records, bounds: &Bounds) {
+fn check_reversions(verdict: &mut Verdict, records: &Records, bounds: &Bounds) {
     let mut by_process: BTreeMap<(usize, usize, &str), Vec<&Probe>> = BTreeMap::new();
     for probe in &records.probes {
         let incarnation = incarnation_at(&records.events, probe.node, probe.sent_at);
@@ -188,7 +188,7 @@
             continue;
         };
         probes.sort_by_key(|probe| probe.answered_at);
-        check_one_process(verdict, &probes, route, bounds);
+        check_process_reversions(verdict, &probes, route, bounds);
     }
 }
 
@@ -200,7 +200,7 @@
     starts.count()
 }
 
-fn check_one_process(
+fn check_process_reversions(
     verdict: &mut Verdict,
     probes: &[&Probe],
     route: &RouteHistory,
@@ -209,12 +209,12 @@
     // The oldest version that the process can hold after each answer, in the order of answers.
     let mut shown: Vec<(Micros, usize)> = Vec::new();
     for probe in probes {
-        let settled = shown
+        let established = shown
             .iter()
             .rev()
             .find(|(answered_at, _)| answered_at + bounds.revert_slack < probe.sent_at);
-        let least = settled.map_or(0, |(_, index)| *index);
-        let possible = (least..route.versions.len()).find(|index| {
+        let minimum = established.map_or(0, |(_, index)| *index);
+        let possible = (minimum..route.versions.len()).find(|index| {
             let version = &route.versions[*index];
             version.effect == probe.effect && version.sent_at <= probe.answered_at
         });
@@ -223,9 +223,9 @@
                 let highest = shown.last().map_or(index, |(_, last)| index.max(*last));
                 shown.push((probe.answered_at, highest));
             }
-            None if settled.is_some() => verdict.violations.push(Violation::WentBack {
+            None if established.is_some() => verdict.violations.push(Violation::Reverted {
                 probe: (*probe).clone(),
-                shown: route.versions[least].version,
+                shown: route.versions[minimum].version,
             }),
             None => {}
         }
@@ -259,7 +259,7 @@
             None => dropped_later(),
         };
         if !is_fine {
-            verdict.violations.push(Violation::OlderRead {
+            verdict.violations.push(Violation::StaleRead {
                 core: read.core,
                 sent_at: read.sent_at,
                 route: name.clone(),
@@ -274,11 +274,11 @@
 struct NodeEvent {
     at: Micros,
     /// Whether the process runs from then on.
-    runs: bool,
+    is_running: bool,
 }
 
 /// When machines were left alone for long enough.
-struct CalmTimes {
+struct Disturbances {
     quiet: Micros,
     node_events: BTreeMap<usize, Vec<NodeEvent>>,
     core_events: Vec<Micros>,
@@ -287,9 +287,9 @@
     core_count: usize,
 }
 
-impl CalmTimes {
-    fn of(events: &[MachineEvent], bounds: &Bounds, core_count: usize) -> CalmTimes {
-        let mut calm = CalmTimes {
+impl Disturbances {
+    fn from_events(events: &[MachineEvent], bounds: &Bounds, core_count: usize) -> Disturbances {
+        let mut disturbances = Disturbances {
             quiet: bounds.quiet,
             node_events: BTreeMap::new(),
             core_events: Vec::new(),
@@ -299,52 +299,56 @@
         let mut stopped: BTreeMap<usize, bool> = BTreeMap::new();
         for event in events {
             // A process that ends by itself counts as running, and its start is its own doing.
-            if event.kind == EventKind::EndedByItself {
+            if event.kind == EventKind::Exited {
                 continue;
             }
             match event.machine {
                 // SIGHUP does not take a machine out of touch.
                 Machine::Node(_) if event.kind == EventKind::Reloaded => {}
                 Machine::Node(node) => {
-                    let stands_still = matches!(event.kind, EventKind::Frozen | EventKind::Killed);
-                    calm.node_events.entry(node).or_default().push(NodeEvent {
-                        at: event.at,
-                        runs: !stands_still,
-                    });
+                    let is_down = matches!(event.kind, EventKind::Frozen | EventKind::Killed);
+                    disturbances
+                        .node_events
+                        .entry(node)
+                        .or_default()
+                        .push(NodeEvent {
+                            at: event.at,
+                            is_running: !is_down,
+                        });
                 }
                 Machine::Core(core) => {
                     if event.kind != EventKind::Reloaded {
-                        calm.core_events.push(event.at);
+                        disturbances.core_events.push(event.at);
                     }
                     match event.kind {
                         EventKind::Killed | EventKind::Terminated | EventKind::Frozen => {
                             stopped.insert(core, true);
                         }
-                        EventKind::Started | EventKind::Thawed => {
+                        EventKind::Started | EventKind::Resumed => {
                             stopped.insert(core, false);
                         }
                         _ => {}
                     }
-                    let away = stopped.values().filter(|stopped| **stopped).count();
-                    let running = core_count.saturating_sub(away);
-                    calm.running_cores.push((event.at, running));
+                    let down = stopped.values().filter(|stopped| **stopped).count();
+                    let running = core_count.saturating_sub(down);
+                    disturbances.running_cores.push((event.at, running));
                 }
             }
         }
-        calm
+        disturbances
     }
 
     /// How late a request may be answered by an overtaken version; `None` for machines that are not
     /// in touch.
     fn allowed_lateness(&self, probe: &Probe, bounds: &Bounds) -> Option<Micros> {
-        if !self.node_is_calm(probe.node, probe.sent_at) {
+        if !self.node_is_settled(probe.node, probe.sent_at) {
             return None;
         }
         let since = probe
             .sent_at
             .saturating_sub(bounds.apply + bounds.stretch_max);
-        let majority_ran = self.most_cores_ran(since, probe.sent_at);
-        let settled = self.core_is_calm(probe.sent_at);
+        let majority_ran = self.majority_ran(since, probe.sent_at);
+        let settled = self.core_is_settled(probe.sent_at);
         match (settled, majority_ran) {
             (true, true) => Some(bounds.apply),
             (false, true) => Some(bounds.apply + bounds.stretch_max),
@@ -353,32 +357,33 @@
     }
 
     /// A node that stands still is not in touch, however long ago it was stopped.
-    fn node_is_calm(&self, node: usize, at: Micros) -> bool {
+    fn node_is_settled(&self, node: usize, at: Micros) -> bool {
         let events = self.node_events.get(&node);
         let last = events.and_then(|events| events.iter().rfind(|event| event.at <= at));
-        last.is_none_or(|event| event.runs && event.at + self.quiet <= at)
+        last.is_none_or(|event| event.is_running && event.at + self.quiet <= at)
     }
 
-    fn core_is_calm(&self, at: Micros) -> bool {
+    fn core_is_settled(&self, at: Micros) -> bool {
         let last = self.core_events.iter().rfind(|event| **event <= at);
         last.is_none_or(|event| event + self.quiet <= at)
     }
 
     /// The longest time within these in which the core was calm and a majority of it ran.
-    fn longest_calm_stretch(&self, from: Micros, to: Micros) -> Micros {
+    fn longest_settled_period(&self, from: Micros, to: Micros) -> Micros {
         let within = self.core_events.iter().filter(|at| **at <= to);
-        let begins = within.map(|at| at + self.quiet);
-        let stretches = std::iter::once(from).chain(begins).map(|begin| {
+        let starts = within.map(|at| at + self.quiet);
+        let periods = std::iter::once(from).chain(starts).map(|begin| {
             let begin = begin.max(from);
             let next_event = self.core_events.iter().find(|at| **at > begin);
             let end = next_event.map_or(to, |at| (*at).min(to));
-            let calm = end > begin && self.core_is_calm(begin) && self.most_cores_ran(begin, end);
-            if calm { end - begin } else { 0 }
+            let settled =
+                end > begin && self.core_is_settled(begin) && self.majority_ran(begin, end);
+            if settled { end - begin } else { 0 }
         });
-        stretches.max().unwrap_or(0)
+        periods.max().unwrap_or(0)
     }
 
-    fn most_cores_ran(&self, from: Micros, to: Micros) -> bool {
+    fn majority_ran(&self, from: Micros, to: Micros) -> bool {
         let before = self.running_cores.iter().rfind(|(at, _)| *at <= from);
         let within = self
             .running_cores
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -19,11 +19,11 @@
 use crate::site::{Machine, OUTBOUND_PORT, Site};
 
 /// How long a client waits for an answer.
-const PATIENCE: Duration = Duration::from_millis(1_500);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Before a client opens a connection again.
-const RECONNECT_PAUSE: Duration = Duration::from_millis(30);
+const RECONNECT_DELAY: Duration = Duration::from_millis(30);
 /// Routes that changed so lately are asked for more often.
-const RECENT: Micros = 6 * SECOND;
+const RECENT_PERIOD: Micros = 6 * SECOND;
 /// The share of requests that go to such routes.
 const RECENT_SHARE: f64 = 0.8;
 const NOT_FOUND: u16 = 404;
@@ -58,32 +58,37 @@
     pub async fn run(mut self) {
         let address = self.site.address(Machine::Node(self.node), OUTBOUND_PORT);
         let mut connection = None;
-        let mut sent = 0u64;
+        let mut request_number = 0u64;
         loop {
             let pause = self.rng.random_range(0..=self.max_pause_ms);
             sleep(Duration::from_millis(pause)).await;
-            let Some(target) = self.draw_target() else {
+            let Some(target) = self.choose_target() else {
                 continue;
             };
             if connection.is_none() {
                 connection = HttpConnection::open(address).await.ok();
             }
             let Some(open) = connection.as_mut() else {
-                sleep(RECONNECT_PAUSE).await;
+                sleep(RECONNECT_DELAY).await;
                 continue;
             };
-            sent += 1;
-            if !self.ask(open, target, sent).await {
+            request_number += 1;
+            if !self.send_request(open, target, request_number).await {
                 connection = None;
             }
         }
     }
 
     /// Whether the connection is still of use.
-    async fn ask(&mut self, connection: &mut HttpConnection, target: Target, sent: u64) -> bool {
-        let request = self.request(&target, sent);
+    async fn send_request(
+        &mut self,
+        connection: &mut HttpConnection,
+        target: Target,
+        request_number: u64,
+    ) -> bool {
+        let request = self.request(&target, request_number);
         let sent_at = self.clock.now();
-        let answer = connection.call(request, PATIENCE).await;
+        let answer = connection.call(request, ANSWER_TIMEOUT).await;
         let answered_at = self.clock.now();
         let status = answer.as_ref().map_or(0, |answer| answer.status().as_u16());
         let mut records = self.history.lock();
@@ -109,14 +114,17 @@
         true
     }
 
-    fn request(&mut self, target: &Target, sent: u64) -> HttpRequest {
+    fn request(&mut self, target: &Target, request_number: u64) -> HttpRequest {
         let request = Request::get(&target.path)
             .header("host", &target.host)
             .header(
                 "gradeford-attempt-id",
-                format!("a-{}-{}-{sent}", self.node, self.number),
+                format!("a-{}-{}-{request_number}", self.node, self.number),
+            )
+            .header(
+                "gradeford-time-left-ms",
+                ANSWER_TIMEOUT.as_millis().to_string(),
             )
-            .header("gradeford-time-left-ms", PATIENCE.as_millis().to_string())
             .header(
                 "gradeford-shard-key",
                 self.rng.random_range(0..=u16::MAX).to_string(),
@@ -124,9 +132,9 @@
         request.body(Full::new(Bytes::new())).unwrap_or_default()
     }
 
-    fn draw_target(&mut self) -> Option<Target> {
+    fn choose_target(&mut self) -> Option<Target> {
         let records = self.history.lock();
-        let since = self.clock.now().saturating_sub(RECENT);
+        let since = self.clock.now().saturating_sub(RECENT_PERIOD);
         let recent: Vec<&String> = records
             .routes
             .iter()
--- a/crates/soak/src/clock.rs
+++ b/crates/soak/src/clock.rs
@@ -13,25 +13,25 @@
 /// The steady clock of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    began: Instant,
+    started_at: Instant,
 }
 
 impl Clock {
     /// A clock that begins now.
     pub fn start() -> Clock {
         Clock {
-            began: Instant::now(),
+            started_at: Instant::now(),
         }
     }
 
     /// The time since the start.
     pub fn now(&self) -> Micros {
-        self.began.elapsed().as_micros() as Micros
+        self.started_at.elapsed().as_micros() as Micros
     }
 
     /// Waits until a time of the run; returns at once if it has passed.
     pub async fn sleep_until(&self, at: Micros) {
-        let deadline = self.began + Duration::from_micros(at);
+        let deadline = self.started_at + Duration::from_micros(at);
         tokio::time::sleep_until(deadline.into()).await;
     }
 }
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -96,35 +96,35 @@
     /// It was frozen.
     Frozen,
     /// It runs again after a freeze.
-    Thawed,
+    Resumed,
     /// The process ended though nobody had asked it to.
-    EndedByItself,
+    Exited,
 }
 
 /// Something that no rule allows, seen while the run was on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Finding {
     /// An invalid call was acknowledged.
-    InvalidAcknowledged {
+    InvalidCallAcknowledged {
         /// What was wrong with it.
         fault: String,
     },
     /// A valid call was refused.
-    ValidRefused {
+    ValidCallRefused {
         /// The route, or one of the routes, that it carried.
         route: String,
         /// The status of the answer.
         status: u16,
     },
     /// A process ended by itself.
-    ProcessEnded {
+    ProcessFailed {
         /// Which one.
         machine: Machine,
         /// How, in the system's words.
         status: String,
     },
     /// A process still ran when its time for a graceful shutdown was over.
-    StopTookTooLong {
+    GracefulStopTimedOut {
         /// Which one.
         machine: Machine,
     },
@@ -187,7 +187,7 @@
     }
 
     /// Records that a version was acknowledged.
-    pub fn acknowledged(&self, route: &str, version: u64, at: Micros) {
+    pub fn record_acknowledgement(&self, route: &str, version: u64, at: Micros) {
         let mut records = self.lock();
         let Some(route) = records.routes.get_mut(route) else {
             return;
@@ -199,7 +199,7 @@
     }
 
     /// Records something done to a machine.
-    pub fn machine_event(&self, at: Micros, machine: Machine, kind: EventKind) {
+    pub fn record_machine_event(&self, at: Micros, machine: Machine, kind: EventKind) {
         self.lock().events.push(MachineEvent { at, machine, kind });
     }
 }
--- a/crates/soak/src/http.rs
+++ b/crates/soak/src/http.rs
@@ -51,7 +51,7 @@
     pub async fn call(
         &mut self,
         request: HttpRequest,
-        patience: Duration,
+        answer_timeout: Duration,
     ) -> Result<Response<Bytes>, NoAnswer> {
         let exchange = async {
             self.sender.ready().await.map_err(|_| NoAnswer)?;
@@ -60,7 +60,9 @@
             let body = body.collect().await.map_err(|_| NoAnswer)?;
             Ok(Response::from_parts(head, body.to_bytes()))
         };
-        timeout(patience, exchange).await.unwrap_or(Err(NoAnswer))
+        timeout(answer_timeout, exchange)
+            .await
+            .unwrap_or(Err(NoAnswer))
     }
 }
 
@@ -72,13 +74,15 @@
 pub async fn call_once(
     address: SocketAddr,
     request: HttpRequest,
-    patience: Duration,
+    answer_timeout: Duration,
 ) -> Result<Response<Bytes>, NoAnswer> {
     let exchange = async {
         let mut connection = HttpConnection::open(address).await?;
-        connection.call(request, patience).await
+        connection.call(request, answer_timeout).await
     };
-    timeout(patience, exchange).await.unwrap_or(Err(NoAnswer))
+    timeout(answer_timeout, exchange)
+        .await
+        .unwrap_or(Err(NoAnswer))
 }
 
 /// A `POST` of JSON; paths of a run need no encoding, so building it does not fail.
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -56,8 +56,8 @@
         print!("{HELP}");
         return ExitCode::SUCCESS;
     }
-    let played = parse(arguments).and_then(play);
-    match played {
+    let failed_runs = parse(arguments).and_then(run_all);
+    match failed_runs {
         Ok(0) => ExitCode::SUCCESS,
         Ok(_) => ExitCode::FAILURE,
         Err(error) => {
@@ -122,9 +122,9 @@
 }
 
 /// How many runs broke a rule.
-fn play(flags: Flags) -> Result<u64, Error> {
+fn run_all(flags: Flags) -> Result<u64, Error> {
     let runtime = Runtime::new().map_err(Error::io("runtime"))?;
-    let mut broken = 0;
+    let mut failed_runs = 0;
     for run in 0..flags.runs {
         let mut config = flags.config.clone();
         config.seed += run;
@@ -132,21 +132,21 @@
         let folder = config.folder.clone();
         let seed = config.seed;
         let outcome = runtime.block_on(run_unless_stopped(config))?;
-        let is_broken = !outcome.verdict.violations.is_empty();
-        report(seed, &outcome);
-        if is_broken {
-            broken += 1;
+        let has_violations = !outcome.verdict.violations.is_empty();
+        print_report(seed, &outcome);
+        if has_violations {
+            failed_runs += 1;
             print_violations(&outcome);
             println!("  logs: {}", folder.display());
         } else if !flags.keep {
             drop(fs::remove_dir_all(folder));
         }
     }
-    println!("{} runs, {broken} with a rule broken", flags.runs);
-    Ok(broken)
+    println!("{} runs, {failed_runs} with a rule broken", flags.runs);
+    Ok(failed_runs)
 }
 
-fn report(seed: u64, outcome: &Outcome) {
+fn print_report(seed: u64, outcome: &Outcome) {
     let verdict = &outcome.verdict;
     let records = &outcome.records;
     let acknowledgement_times = records.acknowledgement_times();
@@ -157,7 +157,7 @@
          answers {:?}",
         verdict.violations.len(),
         verdict.longest_lateness / 1_000,
-        verdict.late_out_of_touch,
+        verdict.late_at_disturbed_nodes,
         verdict.probes,
         verdict.reads,
         records.routes.len(),
@@ -173,18 +173,18 @@
     for violation in outcome.verdict.violations.iter().take(MAX_PRINTED) {
         println!("  {violation:?}");
         let probe = match violation {
-            Violation::NotInForce { probe, .. } | Violation::WentBack { probe, .. } => probe,
+            Violation::NotInForce { probe, .. } | Violation::Reverted { probe, .. } => probe,
             _ => continue,
         };
-        let near = outcome.records.events.iter().filter(|event| {
+        let nearby = outcome.records.events.iter().filter(|event| {
             event.at <= probe.answered_at && event.at + 15 * SECOND >= probe.sent_at
         });
-        let near: Vec<String> = near
+        let nearby: Vec<String> = nearby
             .map(|event| {
                 let name = outcome.site.name(event.machine);
                 format!("{:.2} {name} {:?}", event.at as f64 / 1e6, event.kind)
             })
             .collect();
-        println!("    events: {}", near.join(", "));
+        println!("    events: {}", nearby.join(", "));
     }
 }
--- a/crates/soak/src/operator.rs
+++ b/crates/soak/src/operator.rs
@@ -26,18 +26,18 @@
 const AMEND_PATH: &str = "/Config.Amend";
 const READ_PATH: &str = "/Config.Read";
 /// An operator moves on to another machine after a second of silence.
-const PATIENCE: Duration = Duration::from_secs(1);
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// And after so much more for each route of a call.
-const PATIENCE_PER_ROUTE: Duration = Duration::from_millis(3);
+const CALL_TIMEOUT_PER_ROUTE: Duration = Duration::from_millis(3);
 /// The pause before a call is sent again; it doubles up to the longest.
-const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(50);
-const LONGEST_RETRY_PAUSE: Duration = Duration::from_millis(400);
+const FIRST_RETRY_DELAY: Duration = Duration::from_millis(50);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(400);
 /// Calls of one operator that are under way at once.
-const MAX_CALLS_UNDER_WAY: usize = 8;
+const MAX_CONCURRENT_CALLS: usize = 8;
 /// Routes that stand from the start and never change.
-const STABLE_ROUTES: usize = 8;
+const STABLE_ROUTE_COUNT: usize = 8;
 /// Hosts of the site.
-const HOSTS: usize = 6;
+const HOST_COUNT: usize = 6;
 /// How often the configuration is read back.
 const READ_INTERVAL: Duration = Duration::from_millis(250);
 const OK: u16 = 200;
@@ -58,7 +58,7 @@
 
 /// What the tasks of operators share.
 #[derive(Clone)]
-pub struct Console {
+pub struct ConfigurationClient {
     /// The site of the run.
     pub site: Arc<Site>,
     /// The clock of the run.
@@ -90,7 +90,7 @@
     at: Micros,
 }
 
-impl Console {
+impl ConfigurationClient {
     /// Sends the first configuration until it is taken.
     pub async fn send_first_configuration(&self) {
         let services = SERVICES.iter().enumerate().map(|(index, name)| {
@@ -111,7 +111,7 @@
                 "header_timeout": "3000ms", "idle_timeout": "15000ms",
             },
         });
-        let routes: Vec<(String, RouteVersion)> = (0..STABLE_ROUTES)
+        let routes: Vec<(String, RouteVersion)> = (0..STABLE_ROUTE_COUNT)
             .map(|index| {
                 let effect = Effect::Service(index % SERVICES.len());
                 (format!("stable-{index}"), self.version(1, effect))
@@ -122,20 +122,20 @@
         items.extend(self.record(&mut change, true));
         let body = json!({ "upserts": { "resource_list": items } }).to_string();
         let answer = self.call(&body, change.routes.len(), 0).await;
-        self.conclude(&change, answer);
+        self.record_result(&change, answer);
     }
 
     /// Reads the configuration back again and again, for as long as the run.
-    pub async fn read_back(self, seed: u64) {
+    pub async fn poll_configuration(self, seed: u64) {
         let mut rng = StdRng::seed_from_u64(seed);
         loop {
             sleep(READ_INTERVAL).await;
-            let Some(core) = self.draw_core(&mut rng) else {
+            let Some(core) = self.choose_core(&mut rng) else {
                 continue;
             };
             let address = self.site.address(Machine::Core(core), CONTROL_PORT);
             let sent_at = self.clock.now();
-            let answer = http::call_once(address, read_request(), PATIENCE).await;
+            let answer = http::call_once(address, read_request(), CALL_TIMEOUT).await;
             let Ok(answer) = answer else { continue };
             if answer.status().as_u16() == OK {
                 let read = ConfigurationRead {
@@ -171,7 +171,7 @@
             });
         }
         for (name, version) in &change.routes {
-            let host = format!("host-{}.example", name.len() * 7 % HOSTS);
+            let host = format!("host-{}.example", name.len() * 7 % HOST_COUNT);
             let prefix = format!("/{name}/");
             let entry = records.routes.entry(name.clone());
             let route = entry.or_insert_with(|| RouteHistory {
@@ -189,40 +189,41 @@
     /// Sends a call, unchanged, to one machine after the other until an answer ends it.
     async fn call(&self, body: &str, routes: usize, seed: u64) -> FinalAnswer {
         let mut rng = StdRng::seed_from_u64(seed);
-        let patience = PATIENCE + PATIENCE_PER_ROUTE * routes as u32;
-        let mut pause = FIRST_RETRY_PAUSE;
-        let mut turn = rng.random_range(0..self.site.cores);
+        let call_timeout = CALL_TIMEOUT + CALL_TIMEOUT_PER_ROUTE * routes as u32;
+        let mut pause = FIRST_RETRY_DELAY;
+        let mut attempt = rng.random_range(0..self.site.cores);
         loop {
-            if let Some(core) = self.core_in_turn(turn) {
+            if let Some(core) = self.core_for_attempt(attempt) {
                 let address = self.site.address(Machine::Core(core), CONTROL_PORT);
                 let request = http::post_json(AMEND_PATH, body.to_string());
-                let answer = http::call_once(address, request, patience).await;
+                let answer = http::call_once(address, request, call_timeout).await;
                 let status = answer.map_or(0, |answer| answer.status().as_u16());
                 if status == OK || FINAL_REFUSALS.contains(&status) {
                     let at = self.clock.now();
                     return FinalAnswer { status, at };
                 }
             }
-            turn += 1;
+            attempt += 1;
             sleep(pause).await;
-            pause = (pause * 2).min(LONGEST_RETRY_PAUSE);
+            pause = (pause * 2).min(MAX_RETRY_DELAY);
         }
     }
 
-    fn draw_core(&self, rng: &mut StdRng) -> Option<usize> {
+    fn choose_core(&self, rng: &mut StdRng) -> Option<usize> {
         self.cores.borrow().choose(rng).copied()
     }
 
     /// A call that got no clear answer goes to the next machine.
-    fn core_in_turn(&self, turn: usize) -> Option<usize> {
+    fn core_for_attempt(&self, attempt: usize) -> Option<usize> {
         let cores = self.cores.borrow();
-        cores.get(turn % cores.len().max(1)).copied()
+        cores.get(attempt % cores.len().max(1)).copied()
     }
 
-    fn conclude(&self, change: &Change, answer: FinalAnswer) {
+    fn record_result(&self, change: &Change, answer: FinalAnswer) {
         for (route, version) in &change.routes {
             if answer.status == OK {
-                self.history.acknowledged(route, version.version, answer.at);
+                self.history
+                    .record_acknowledgement(route, version.version, answer.at);
             }
         }
         let mut records = self.history.lock();
@@ -232,7 +233,7 @@
             }
         } else {
             let route = change.routes.first().map(|(route, _)| route.clone());
-            records.findings.push(Finding::ValidRefused {
+            records.findings.push(Finding::ValidCallRefused {
                 route: route.unwrap_or_default(),
                 status: answer.status,
             });
@@ -242,7 +243,7 @@
 
 /// One operator, who changes routes of its own.
 pub struct Operator {
-    console: Console,
+    config_client: ConfigurationClient,
     /// In the names of its routes.
     number: usize,
     pace: OperatorPace,
@@ -255,13 +256,18 @@
 }
 
 /// A call that has ended, and the change it carried; `None` for calls that change nothing.
-type Ended = Option<Change>;
+type FinishedCall = Option<Change>;
 
 impl Operator {
     /// An operator, drawn from a seed.
-    pub fn new(console: Console, number: usize, pace: OperatorPace, seed: u64) -> Operator {
+    pub fn new(
+        config_client: ConfigurationClient,
+        number: usize,
+        pace: OperatorPace,
+        seed: u64,
+    ) -> Operator {
         Operator {
-            console,
+            config_client,
             number,
             pace,
             rng: StdRng::seed_from_u64(seed),
@@ -273,14 +279,14 @@
 
     /// Sends one call after the other, several at once, for as long as the run.
     pub async fn run(mut self) {
-        let mut calls: JoinSet<Ended> = JoinSet::new();
+        let mut calls: JoinSet<FinishedCall> = JoinSet::new();
         loop {
-            while let Some(ended) = calls.try_join_next() {
-                self.finish(ended.ok().flatten());
+            while let Some(finished) = calls.try_join_next() {
+                self.finish(finished.ok().flatten());
             }
-            if calls.len() >= MAX_CALLS_UNDER_WAY {
-                if let Some(ended) = calls.join_next().await {
-                    self.finish(ended.ok().flatten());
+            if calls.len() >= MAX_CONCURRENT_CALLS {
+                if let Some(finished) = calls.join_next().await {
+                    self.finish(finished.ok().flatten());
                 }
                 continue;
             }
@@ -294,13 +300,13 @@
         }
     }
 
-    fn finish(&mut self, ended: Ended) {
-        for (route, _) in ended.into_iter().flat_map(|change| change.routes) {
+    fn finish(&mut self, finished: FinishedCall) {
+        for (route, _) in finished.into_iter().flat_map(|change| change.routes) {
             self.busy.remove(&route);
         }
     }
 
-    fn start_call(&mut self, calls: &mut JoinSet<Ended>) {
+    fn start_call(&mut self, calls: &mut JoinSet<FinishedCall>) {
         match self.rng.random_range(0..100) {
             0..8 => self.send_invalid(calls),
             8..12 => {
@@ -315,19 +321,19 @@
         }
     }
 
-    fn add_routes(&mut self, calls: &mut JoinSet<Ended>, count: usize) {
+    fn add_routes(&mut self, calls: &mut JoinSet<FinishedCall>, count: usize) {
         let routes = (0..count)
             .map(|_| {
                 self.added += 1;
                 let name = format!("op{}-{}", self.number, self.added);
                 let effect = Effect::Service(self.rng.random_range(0..SERVICES.len()));
-                (name, self.console.version(1, effect))
+                (name, self.config_client.version(1, effect))
             })
             .collect();
         self.send(calls, Change::new(routes));
     }
 
-    fn change_routes(&mut self, calls: &mut JoinSet<Ended>) {
+    fn change_routes(&mut self, calls: &mut JoinSet<FinishedCall>) {
         let free: Vec<String> = self
             .routes
             .keys()
@@ -343,7 +349,7 @@
                 let before = self.routes[&name];
                 let version = before.version + self.rng.random_range(1..=5);
                 let effect = self.other_effect(before.effect);
-                (name, self.console.version(version, effect))
+                (name, self.config_client.version(version, effect))
             })
             .collect();
         self.send(calls, Change::new(routes));
@@ -357,7 +363,7 @@
         }
     }
 
-    fn send(&mut self, calls: &mut JoinSet<Ended>, mut change: Change) {
+    fn send(&mut self, calls: &mut JoinSet<FinishedCall>, mut change: Change) {
         if change.routes.is_empty() {
             return;
         }
@@ -365,8 +371,8 @@
             self.busy.insert(name.clone());
             self.routes.insert(name.clone(), *version);
         }
-        let console = self.console.clone();
-        let items = console.record(&mut change, false);
+        let config_client = self.config_client.clone();
+        let items = config_client.record(&mut change, false);
         let dropped: Vec<Value> = change
             .routes
             .iter()
@@ -381,21 +387,21 @@
         let seed = self.rng.random();
         let repeats = usize::from(self.rng.random_bool(0.1));
         calls.spawn(async move {
-            let answer = console.call(&body, change.routes.len(), seed).await;
-            console.conclude(&change, answer);
+            let answer = config_client.call(&body, change.routes.len(), seed).await;
+            config_client.record_result(&change, answer);
             for repeat in 0..repeats {
                 // What was taken is confirmed again.
                 let seed = seed.wrapping_add(repeat as u64 + 1);
-                let answer = console.call(&body, change.routes.len(), seed).await;
+                let answer = config_client.call(&body, change.routes.len(), seed).await;
                 if answer.status != OK {
-                    console.conclude(&change, answer);
+                    config_client.record_result(&change, answer);
                 }
             }
             Some(change)
         });
     }
 
-    fn send_invalid(&mut self, calls: &mut JoinSet<Ended>) {
+    fn send_invalid(&mut self, calls: &mut JoinSet<FinishedCall>) {
         let mut definition = route_definition("invalid.example", "/invalid/", 0);
         let fault = match self.rng.random_range(0..4) {
             0 => {
@@ -421,15 +427,15 @@
             "definition": definition,
         });
         let body = json!({ "upserts": { "resource_list": [item] } }).to_string();
-        let console = self.console.clone();
+        let config_client = self.config_client.clone();
         let seed = self.rng.random();
         calls.spawn(async move {
-            let answer = console.call(&body, 1, seed).await;
+            let answer = config_client.call(&body, 1, seed).await;
             if answer.status == OK {
-                let finding = Finding::InvalidAcknowledged {
+                let finding = Finding::InvalidCallAcknowledged {
                     fault: fault.into(),
                 };
-                console.history.lock().findings.push(finding);
+                config_client.history.lock().findings.push(finding);
             }
             None
         });
--- a/crates/soak/src/process.rs
+++ b/crates/soak/src/process.rs
@@ -12,7 +12,7 @@
 const PROGRAM: &str = "gradeford-platform";
 const SETTINGS_VARIABLE: &str = "GRADEFORD_NODE_FILE";
 /// Before the mask of caught signals in the status of a process.
-const CAUGHT_SIGNALS: &str = "SigCgt:";
+const CAUGHT_SIGNALS_FIELD: &str = "SigCgt:";
 
 /// A running process; it is killed when this is dropped.
 pub struct Process {
@@ -24,7 +24,7 @@
 /// # Errors
 ///
 /// [`Error::NotBuilt`] if it is in neither place.
-pub fn program() -> Result<PathBuf, Error> {
+pub fn find_program() -> Result<PathBuf, Error> {
     let own = env::current_exe().map_err(Error::io("own path"))?;
     let folders = own.ancestors().skip(1).take(2);
     folders
@@ -64,18 +64,18 @@
     }
 
     /// Whether it catches a signal, as the system shows it: before that one ends it at once.
-    pub fn catches(&self, signal: Signal) -> bool {
+    pub fn has_handler(&self, signal: Signal) -> bool {
         let status = fs::read_to_string(format!("/proc/{}/status", self.child.id()));
         let status = status.unwrap_or_default();
         let mask = status
             .lines()
-            .find_map(|line| line.strip_prefix(CAUGHT_SIGNALS));
+            .find_map(|line| line.strip_prefix(CAUGHT_SIGNALS_FIELD));
         let mask = mask.and_then(|mask| u64::from_str_radix(mask.trim(), 16).ok());
         mask.is_some_and(|mask| mask & (1 << (signal.as_raw() - 1)) != 0)
     }
 
     /// How it ended, if it did.
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -18,7 +18,7 @@
 use crate::client::Client;
 use crate::clock::{Clock, Micros, SECOND};
 use crate::history::{History, Records};
-use crate::operator::{Console, Operator, OperatorPace};
+use crate::operator::{ConfigurationClient, Operator, OperatorPace};
 use crate::plan::{self, Profile};
 use crate::process;
 use crate::site::{Bounds, Site};
@@ -28,7 +28,7 @@
 const FIRST_CONFIGURATION_TIMEOUT_S: u64 = 30;
 const OPERATORS: usize = 2;
 /// Orders that a backend may not have taken up yet.
-const ORDER_QUEUE: usize = 1;
+const COMMAND_QUEUE_CAPACITY: usize = 1;
 
 /// What a run is made of.
 #[derive(Clone, Debug)]
@@ -77,7 +77,7 @@
 pub async fn run(config: RunConfig) -> Result<Outcome, Error> {
     let mut run = Run::prepare(&config)?;
     run.supervisor.start_all().await?;
-    run.tasks.spawn(run.supervisor.clone().watch());
+    run.tasks.spawn(run.supervisor.clone().restart_exited());
     run.send_first_configuration().await?;
     run.start_clients(&config);
     run.start_operators(&config);
@@ -92,7 +92,7 @@
     clock: Clock,
     history: Arc<History>,
     supervisor: Arc<Supervisor>,
-    console: Console,
+    config_client: ConfigurationClient,
     /// Draws the seeds of clients and operators.
     rng: StdRng,
     tasks: JoinSet<()>,
@@ -101,8 +101,8 @@
 impl Run {
     /// Backends run, and nothing else yet.
     fn prepare(config: &RunConfig) -> Result<Run, Error> {
-        let program = process::program()?;
-        let site = Arc::new(site_of(config));
+        let program = process::find_program()?;
+        let site = Arc::new(site_from(config));
         // A disk of an earlier run would be taken for this one's.
         if site.folder.exists() {
             return Err(Error::FolderInUse(site.folder.clone()));
@@ -111,15 +111,15 @@
         let clock = Clock::start();
         let history = Arc::new(History::default());
         let mut tasks = JoinSet::new();
-        let mut orders = BTreeMap::new();
+        let mut commands = BTreeMap::new();
         for node in 0..site.nodes {
-            let (sender, receiver) = mpsc::channel(ORDER_QUEUE);
-            orders.insert(node, sender);
+            let (sender, receiver) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
+            commands.insert(node, sender);
             tasks.spawn(backend::run(site.clone(), node, clock, receiver));
         }
-        let supervisor = Supervisor::new(site.clone(), clock, history.clone(), program, orders);
+        let supervisor = Supervisor::new(site.clone(), clock, history.clone(), program, commands);
         let supervisor = Arc::new(supervisor);
-        let console = Console {
+        let config_client = ConfigurationClient {
             site: site.clone(),
             clock,
             history: history.clone(),
@@ -130,14 +130,14 @@
             clock,
             history,
             supervisor,
-            console,
+            config_client,
             rng: StdRng::seed_from_u64(config.seed),
             tasks,
         })
     }
 
     async fn send_first_configuration(&self) -> Result<(), Error> {
-        let first = self.console.send_first_configuration();
+        let first = self.config_client.send_first_configuration();
         let first = timeout(Duration::from_secs(FIRST_CONFIGURATION_TIMEOUT_S), first).await;
         first.map_err(|_| Error::NoFirstConfiguration(FIRST_CONFIGURATION_TIMEOUT_S))
     }
@@ -162,16 +162,18 @@
     fn start_operators(&mut self, config: &RunConfig) {
         for number in 0..OPERATORS {
             let seed = self.rng.random();
-            let operator = Operator::new(self.console.clone(), number, config.pace, seed);
+            let operator = Operator::new(self.config_client.clone(), number, config.pace, seed);
             self.tasks.spawn(operator.run());
         }
         let seed = self.rng.random();
-        self.tasks.spawn(self.console.clone().read_back(seed));
+        self.tasks
+            .spawn(self.config_client.clone().poll_configuration(seed));
     }
 
     fn start_faults(&mut self, config: &RunConfig) {
-        let faults = plan::draw(config.seed, &self.site, config.profile, config.duration);
-        self.tasks.spawn(self.supervisor.clone().perform(faults));
+        let faults = plan::generate(config.seed, &self.site, config.profile, config.duration);
+        self.tasks
+            .spawn(self.supervisor.clone().inject_faults(faults));
     }
 
     async fn finish(mut self, config: &RunConfig) -> Outcome {
@@ -188,7 +190,7 @@
     }
 }
 
-fn site_of(config: &RunConfig) -> Site {
+fn site_from(config: &RunConfig) -> Site {
     Site {
         cores: config.cores,
         spare_cores: (config.duration / (20 * SECOND)) as usize,
--- a/crates/soak/src/site.rs
+++ b/crates/soak/src/site.rs
@@ -22,7 +22,7 @@
 /// Machines for each third number of an address.
 const MACHINES_PER_BLOCK: usize = 200;
 /// Of so many backends, one is of the service that is not divided by key.
-const PLAIN_SERVICE_STRIDE: usize = 4;
+const UNSHARDED_SERVICE_STRIDE: usize = 4;
 
 /// Services of the site; the first is divided by key.
 pub const SERVICES: [&str; 2] = ["catalogue", "orders"];
@@ -124,7 +124,7 @@
 
     /// The service of the backend beside a node.
     pub fn service_of(&self, node: usize) -> &'static str {
-        SERVICES[usize::from(node % PLAIN_SERVICE_STRIDE == PLAIN_SERVICE_STRIDE - 1)]
+        SERVICES[usize::from(node % UNSHARDED_SERVICE_STRIDE == UNSHARDED_SERVICE_STRIDE - 1)]
     }
 
     /// The folder of a core machine's disk.
--- a/crates/soak/src/supervisor.rs
+++ b/crates/soak/src/supervisor.rs
@@ -14,7 +14,7 @@
 use tokio::time::sleep;
 
 use crate::Error;
-use crate::backend::BackendOrder;
+use crate::backend::BackendCommand;
 use crate::clock::{Clock, Micros};
 use crate::history::{EventKind, Finding, History};
 use crate::plan::{Fault, PlannedFault};
@@ -22,13 +22,13 @@
 use crate::site::{Machine, Site};
 
 /// Between two looks at whether processes still run.
-const WATCH_INTERVAL: Duration = Duration::from_millis(50);
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// A process that ended by itself is started again after so long.
 const RESTART_DELAY: Duration = Duration::from_millis(300);
 /// The time for a graceful shutdown, as the settings name it; SIGKILL follows.
-const GRACE: Duration = Duration::from_secs(6);
+const GRACEFUL_STOP_TIMEOUT: Duration = Duration::from_secs(6);
 /// Signals of a series come so far apart.
-const SERIES_PAUSE: Duration = Duration::from_millis(120);
+const SERIES_INTERVAL: Duration = Duration::from_millis(120);
 /// How many core machines a settings file names.
 const SEED_COUNT: usize = 3;
 
@@ -48,7 +48,7 @@
     history: Arc<History>,
     program: PathBuf,
     slots: BTreeMap<Machine, Mutex<MachineSlot>>,
-    backends: BTreeMap<usize, mpsc::Sender<BackendOrder>>,
+    backends: BTreeMap<usize, mpsc::Sender<BackendCommand>>,
     /// Core machines that operators may call.
     cores: watch::Sender<Vec<usize>>,
 }
@@ -60,7 +60,7 @@
         clock: Clock,
         history: Arc<History>,
         program: PathBuf,
-        backends: BTreeMap<usize, mpsc::Sender<BackendOrder>>,
+        backends: BTreeMap<usize, mpsc::Sender<BackendCommand>>,
     ) -> Supervisor {
         let cores = (0..site.cores + site.spare_cores).map(Machine::Core);
         let machines = cores.chain((0..site.nodes).map(Machine::Node));
@@ -105,7 +105,12 @@
         Ok(())
     }
 
-    fn start(&self, machine: Machine, slot: &mut MachineSlot, first: bool) -> Result<(), Error> {
+    fn start(
+        &self,
+        machine: Machine,
+        slot: &mut MachineSlot,
+        first_boot: bool,
+    ) -> Result<(), Error> {
         let seeds: Vec<usize> = self
             .cores
             .borrow()
@@ -113,7 +118,7 @@
             .take(SEED_COUNT)
             .copied()
             .collect();
-        let settings = self.site.settings(machine, &seeds, first);
+        let settings = self.site.settings(machine, &seeds, first_boot);
         let path = self.site.settings_path(machine);
         fs::write(&path, settings.to_string()).map_err(Error::io("settings file"))?;
         let role = match machine {
@@ -132,22 +137,23 @@
     }
 
     fn record(&self, machine: Machine, kind: EventKind) {
-        self.history.machine_event(self.clock.now(), machine, kind);
+        self.history
+            .record_machine_event(self.clock.now(), machine, kind);
     }
 
     /// Starts again, for as long as the run, what ended by itself.
-    pub async fn watch(self: Arc<Self>) {
+    pub async fn restart_exited(self: Arc<Self>) {
         loop {
-            sleep(WATCH_INTERVAL).await;
+            sleep(EXIT_POLL_INTERVAL).await;
             for (machine, slot) in &self.slots {
                 // A machine whose fault is under way is looked at later.
                 let Ok(mut slot) = slot.try_lock() else {
                     continue;
                 };
-                let ended = slot.process.as_mut().and_then(Process::ended);
-                let Some(status) = ended else { continue };
-                self.record(*machine, EventKind::EndedByItself);
-                self.judge_end(*machine, &slot, status);
+                let exit_status = slot.process.as_mut().and_then(Process::exit_status);
+                let Some(status) = exit_status else { continue };
+                self.record(*machine, EventKind::Exited);
+                self.check_exit_status(*machine, &slot, status);
                 sleep(RESTART_DELAY).await;
                 // A failure shows as a machine that stays away.
                 drop(self.start(*machine, &mut slot, false));
@@ -157,7 +163,7 @@
 
     /// One that finds its place taken empties its disk and ends with success, as one does that was
     /// told to stop.
-    fn judge_end(&self, machine: Machine, slot: &MachineSlot, status: ExitStatus) {
+    fn check_exit_status(&self, machine: Machine, slot: &MachineSlot, status: ExitStatus) {
         if status.success() {
             return;
         }
@@ -167,25 +173,25 @@
             return;
         }
         let status = status.to_string();
-        let finding = Finding::ProcessEnded { machine, status };
+        let finding = Finding::ProcessFailed { machine, status };
         records.findings.push(finding);
     }
 
     /// Carries out all faults at their times, and returns once the last one is over.
-    pub async fn perform(self: Arc<Self>, faults: Vec<PlannedFault>) {
-        let mut under_way = JoinSet::new();
+    pub async fn inject_faults(self: Arc<Self>, faults: Vec<PlannedFault>) {
+        let mut active_faults = JoinSet::new();
         for planned in faults {
             self.clock.sleep_until(planned.at).await;
-            under_way.spawn(self.clone().perform_one(planned));
+            active_faults.spawn(self.clone().inject_fault(planned));
         }
-        under_way.join_all().await;
+        active_faults.join_all().await;
     }
 
-    async fn perform_one(self: Arc<Self>, planned: PlannedFault) {
+    async fn inject_fault(self: Arc<Self>, planned: PlannedFault) {
         let machine = planned.machine;
         match planned.fault {
-            Fault::ReplaceBackend => return self.order_backend(machine, BackendOrder::Replace),
-            Fault::CrashBackend => return self.order_backend(machine, BackendOrder::Crash),
+            Fault::ReplaceBackend => return self.command_backend(machine, BackendCommand::Replace),
+            Fault::CrashBackend => return self.command_backend(machine, BackendCommand::Crash),
             _ => {}
         }
         let Some(slot) = self.slots.get(&machine) else {
@@ -197,36 +203,36 @@
         }
         match planned.fault {
             Fault::Freeze(length) => self.freeze(machine, &mut slot, length).await,
-            Fault::Kill(away) => {
+            Fault::Kill(downtime) => {
                 self.kill(machine, &mut slot);
-                self.restart_after(machine, &mut slot, away).await;
+                self.restart_after(machine, &mut slot, downtime).await;
             }
-            Fault::Stop(away) => {
-                self.stop(machine, &mut slot, GRACE).await;
-                self.restart_after(machine, &mut slot, away).await;
+            Fault::Stop(downtime) => {
+                self.stop(machine, &mut slot, GRACEFUL_STOP_TIMEOUT).await;
+                self.restart_after(machine, &mut slot, downtime).await;
             }
-            Fault::StopCutShort(after) => {
+            Fault::StopThenKill(after) => {
                 self.stop(machine, &mut slot, Duration::from_micros(after))
                     .await;
                 self.restart_after(machine, &mut slot, 0).await;
             }
-            Fault::Reload(times) => {
-                for _ in 0..times {
+            Fault::Reload(count) => {
+                for _ in 0..count {
                     self.signal(machine, &mut slot, Signal::HUP, EventKind::Reloaded);
-                    sleep(SERIES_PAUSE).await;
+                    sleep(SERIES_INTERVAL).await;
                 }
             }
-            Fault::RestartSeries(times) => {
-                for _ in 0..times {
+            Fault::RestartSeries(count) => {
+                for _ in 0..count {
                     self.kill(machine, &mut slot);
                     self.restart_after(machine, &mut slot, 0).await;
-                    sleep(SERIES_PAUSE).await;
+                    sleep(SERIES_INTERVAL).await;
                 }
             }
-            Fault::LoseDisk(away) => {
+            Fault::LoseDisk(downtime) => {
                 self.kill(machine, &mut slot);
                 self.empty_disk(machine);
-                self.restart_after(machine, &mut slot, away).await;
+                self.restart_after(machine, &mut slot, downtime).await;
             }
             Fault::Replace { spare } => {
                 self.kill(machine, &mut slot);
@@ -238,12 +244,12 @@
         }
     }
 
-    fn order_backend(&self, machine: Machine, order: BackendOrder) {
+    fn command_backend(&self, machine: Machine, command: BackendCommand) {
         if let Machine::Node(node) = machine
             && let Some(backend) = self.backends.get(&node)
         {
             // One that is busy with an earlier order drops this one.
-            let _ = backend.try_send(order);
+            let _ = backend.try_send(command);
         }
     }
 
@@ -251,7 +257,7 @@
         if let Some(process) = &slot.process {
             self.record(machine, kind);
             let is_caught = [Signal::HUP, Signal::TERM].contains(&signal);
-            slot.signalled_while_loading |= is_caught && !process.catches(signal);
+            slot.signalled_while_loading |= is_caught && !process.has_handler(signal);
             process.signal(signal);
         }
     }
@@ -259,7 +265,7 @@
     async fn freeze(&self, machine: Machine, slot: &mut MachineSlot, length: Micros) {
         self.signal(machine, slot, Signal::STOP, EventKind::Frozen);
         sleep(Duration::from_micros(length)).await;
-        self.signal(machine, slot, Signal::CONT, EventKind::Thawed);
+        self.signal(machine, slot, Signal::CONT, EventKind::Resumed);
     }
 
     fn kill(&self, machine: Machine, slot: &mut MachineSlot) {
@@ -273,19 +279,19 @@
         let Some(process) = slot.process.as_mut() else {
             return;
         };
-        let ended = async {
+        let exit_status = async {
             loop {
-                if let Some(status) = process.ended() {
+                if let Some(status) = process.exit_status() {
                     return status;
                 }
-                sleep(WATCH_INTERVAL / 5).await;
+                sleep(EXIT_POLL_INTERVAL / 5).await;
             }
         };
-        let ended = tokio::time::timeout(grace, ended).await;
-        match ended {
-            Ok(status) => self.judge_end(machine, slot, status),
-            Err(_) if grace == GRACE => {
-                let finding = Finding::StopTookTooLong { machine };
+        let exit_status = tokio::time::timeout(grace, exit_status).await;
+        match exit_status {
+            Ok(status) => self.check_exit_status(machine, slot, status),
+            Err(_) if grace == GRACEFUL_STOP_TIMEOUT => {
+                let finding = Finding::GracefulStopTimedOut { machine };
                 self.history.lock().findings.push(finding);
             }
             // It was cut short on purpose.
@@ -294,8 +300,8 @@
         self.kill(machine, slot);
     }
 
-    async fn restart_after(&self, machine: Machine, slot: &mut MachineSlot, away: Micros) {
-        sleep(Duration::from_micros(away)).await;
+    async fn restart_after(&self, machine: Machine, slot: &mut MachineSlot, downtime: Micros) {
+        sleep(Duration::from_micros(downtime)).await;
         // A failure shows as a machine that stays away.
         drop(self.start(machine, slot, false));
     }
@@ -309,9 +315,9 @@
     }
 
     /// A new machine takes the place of one that is gone; operators learn of it.
-    async fn add_core(&self, gone: Machine, spare: usize) {
+    async fn add_core(&self, replaced: Machine, spare: usize) {
         self.cores.send_modify(|cores| {
-            cores.retain(|core| Machine::Core(*core) != gone);
+            cores.retain(|core| Machine::Core(*core) != replaced);
             cores.push(spare);
         });
         let machine = Machine::Core(spare);
--- a/crates/soak/tests/checker.rs
+++ b/crates/soak/tests/checker.rs
@@ -104,7 +104,7 @@
     assert!(
         matches!(
             verdict.violations[..],
-            [Violation::WentBack { shown: 4, .. }]
+            [Violation::Reverted { shown: 4, .. }]
         ),
         "{verdict:?}"
     );
@@ -132,7 +132,7 @@
     let late = probe(20 * SECOND, Effect::Service(0));
     let excused = [
         (18 * SECOND, EventKind::Terminated),
-        (18 * SECOND, EventKind::Thawed),
+        (18 * SECOND, EventKind::Resumed),
         (11 * SECOND, EventKind::Frozen),
         (11 * SECOND, EventKind::Killed),
     ];
@@ -142,12 +142,12 @@
         records.events = vec![event(at, Machine::Node(0), kind)];
         let verdict = judge(&records);
         assert_eq!(verdict.violations, [], "{kind:?}");
-        assert_eq!(verdict.late_out_of_touch, 1, "{kind:?}");
+        assert_eq!(verdict.late_at_disturbed_nodes, 1, "{kind:?}");
     }
     for (at, kind) in [
-        (16 * SECOND, EventKind::Thawed),
+        (16 * SECOND, EventKind::Resumed),
         (19 * SECOND, EventKind::Reloaded),
-        (19 * SECOND, EventKind::EndedByItself),
+        (19 * SECOND, EventKind::Exited),
     ] {
         let mut records = records();
         records.probes = vec![late.clone()];
@@ -215,8 +215,8 @@
         matches!(
             verdict.violations[..],
             [
-                Violation::OlderRead { read: Some(1), .. },
-                Violation::OlderRead { read: None, .. }
+                Violation::StaleRead { read: Some(1), .. },
+                Violation::StaleRead { read: None, .. }
             ]
         ),
         "{verdict:?}"
@@ -245,7 +245,7 @@
         "{late:?}"
     );
     assert_eq!(judged(call(None), Vec::new()).len(), 1);
-    let disturbed = |at: Micros| event(at, Machine::Core(0), EventKind::Thawed);
+    let disturbed = |at: Micros| event(at, Machine::Core(0), EventKind::Resumed);
     let events = vec![disturbed(22 * SECOND), disturbed(26 * SECOND)];
     assert_eq!(judged(call(Some(33 * SECOND)), events.clone()), []);
     assert_eq!(judged(call(Some(34 * SECOND)), events).len(), 1);
