--- a/crates/soak/src/backend.rs
+++ b/crates/soak/src/backend.rs
@@ -1,4 +1,4 @@
-//! Backends of a run: they take requests, say that they live, and hold the keys they are given.
+//! Backends of a run: they serve requests, send heartbeats and hold the shard ranges granted to them.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -23,34 +23,38 @@
 use crate::http::{self, HttpConnection};
 use crate::site::{BACKEND_PORT, CONTROL_PORT, Machine, SERVICES, Site};
 
-/// Header of an answer: the number of the service that ran the request.
+/// Response header with the index of the service that processed the request.
 pub const SERVICE_HEADER: &str = "x-soak-service";
 
+/// Interval between two heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(780);
-/// Until keys that are to be let go are said to be so.
-const RELEASE_INTERVAL: Duration = Duration::from_millis(60);
-/// A heartbeat counts if it is answered within a second.
+/// Delay before the heartbeat that reports released shard ranges.
+const RELEASE_DELAY: Duration = Duration::from_millis(60);
+/// Timeout for the answer to a heartbeat.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a draining backend serves on: `drain` and a little more.
+/// Time for which a draining backend continues to serve, slightly longer than `drain` in the settings.
 const DRAIN_DURATION: Duration = Duration::from_millis(2_300);
-/// Between two backends at one address.
+/// Delay before the next incarnation of a backend starts.
 const REPLACEMENT_DELAY: Duration = Duration::from_millis(600);
-/// Requests run for so long at the most, in milliseconds.
+/// Maximum processing time of a request, in milliseconds.
 const MAX_PROCESSING_MS: u64 = 8;
-const CAPACITY: u32 = 32;
+/// Capacity that a backend reports in its heartbeats.
+const CAPACITY_SLOTS: u32 = 32;
 const ACCEPT_BACKLOG: u32 = 1_024;
+/// Status of an answer to a request that the backend didn't run, as it was sent to another incarnation
+/// or for a key that the backend doesn't hold.
 const MISDIRECTED_REQUEST: u16 = 421;
 
-/// What a backend is told to do.
+/// A command to a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendCommand {
-    /// Drain, sign off and end; another one follows.
+    /// Drain, deregister and end; a new incarnation follows.
     Replace,
-    /// End without a word; another one follows.
+    /// End without draining or deregistering; a new incarnation follows.
     Crash,
 }
 
-/// A range of keys that is held.
+/// A shard range under lease, with inclusive bounds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct LeasedRange {
     first: u16,
@@ -58,12 +62,14 @@
     fencing_token: u64,
 }
 
-/// Keys of one incarnation of a backend.
+/// Shard ranges that one incarnation of a backend holds or has released.
 #[derive(Default)]
 struct ShardLeases {
     held: Vec<LeasedRange>,
-    /// Ranges let go and not said to be yet, each with its hand-over.
+    /// Released ranges that no heartbeat has reported yet: the first key, the last key and an identifier
+    /// of the handover.
     released: Vec<(u16, u16, String)>,
+    /// When the leases of all held ranges expire.
     expires_at: Micros,
 }
 
@@ -75,7 +81,7 @@
     leases: Mutex<ShardLeases>,
 }
 
-/// Runs the backends beside a node, one incarnation after the other, for as long as the run.
+/// Runs the backend beside a node, one incarnation after the other, until the run ends.
 pub async fn run(
     site: Arc<Site>,
     node: usize,
@@ -112,7 +118,7 @@
 }
 
 impl BackendMachine {
-    /// `None` once no more orders can come.
+    /// Runs one incarnation until a command ends it. Returns `None` once no more commands can come.
     async fn run_incarnation(&mut self, generation: u64) -> Option<()> {
         let incarnation = Arc::new(Incarnation {
             id: format!("i-{}-{generation}", self.node),
@@ -123,7 +129,7 @@
         let Ok(listener) = listen(self.address) else {
             return Some(());
         };
-        // Dropped at the end, and with it every connection.
+        // Dropping the set at the end closes all connections.
         let mut tasks = JoinSet::new();
         tasks.spawn(serve(incarnation.clone(), listener));
         let mut sequence = 0;
@@ -135,7 +141,7 @@
             drop(timeout(DRAIN_DURATION, drained).await);
             let path = format!("/Instances.Deregister/{}", incarnation.id);
             let request = http::post_json(&path, "{}".into());
-            // Without an answer it ends all the same.
+            // The incarnation ends even without an answer.
             drop(http::call_once(self.control, request, HEARTBEAT_TIMEOUT).await);
         }
         Some(())
@@ -183,7 +189,8 @@
     }
 }
 
-/// Binds again at once where an earlier incarnation has just ended.
+/// Listens with `SO_REUSEADDR`, so that the address can be bound right after an earlier incarnation
+/// has ended.
 fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -191,7 +198,7 @@
     socket.listen(ACCEPT_BACKLOG)
 }
 
-/// One heartbeat and what it takes from its answer.
+/// One heartbeat; its answer updates the leases of the incarnation.
 struct Heartbeat<'run> {
     control: SocketAddr,
     address: SocketAddr,
@@ -201,7 +208,7 @@
 }
 
 impl Heartbeat<'_> {
-    /// Sends it, and returns how long to wait before the next.
+    /// Sends the heartbeat, applies the answer and returns the delay before the next heartbeat.
     async fn send(&self, connection: &mut Option<HttpConnection>, sequence: u64) -> Duration {
         let sent_at = self.incarnation.clock.now();
         let (body, released) = self.body(sequence);
@@ -225,12 +232,12 @@
         }
     }
 
-    /// The body, and how many releases it tells.
+    /// Returns the body and the number of released ranges that it reports.
     fn body(&self, sequence: u64) -> (Value, usize) {
         let now = self.incarnation.clock.now();
         let mut leases = self.incarnation.leases();
         if now > leases.expires_at {
-            // What has run out is not told under the releases.
+            // Expired ranges are not reported as released.
             leases.held.clear();
         }
         let ranges = leases.held.iter();
@@ -239,7 +246,7 @@
             "address": self.address.to_string(),
             "summary": {
                 "service_ref": SERVICES[self.incarnation.service],
-                "version": "v1", "zone": self.zone, "capacity": CAPACITY,
+                "version": "v1", "zone": self.zone, "capacity": CAPACITY_SLOTS,
             },
             "condition": {
                 "state": if self.draining { "draining" } else { "ready" },
@@ -264,7 +271,8 @@
             && held.any(|range| (range.first..=range.last).contains(&key))
     }
 
-    /// Takes over the answer's ranges and lets go of all others; returns when to say so.
+    /// Holds the ranges granted by the answer and releases all others. Returns the delay before the next
+    /// heartbeat, which is shorter if it has releases to report.
     fn apply_grants(&self, sent_at: Micros, answer: &Value, reported_releases: usize) -> Duration {
         let mut leases = self.leases();
         leases.released.drain(..reported_releases);
@@ -292,7 +300,7 @@
         if withdrawn.is_empty() {
             HEARTBEAT_INTERVAL
         } else {
-            RELEASE_INTERVAL
+            RELEASE_DELAY
         }
     }
 
@@ -338,7 +346,7 @@
     })
 }
 
-/// `4000ms` or `4s`, in microseconds.
+/// Parses a duration such as `4000ms` or `4s`, in microseconds.
 fn parse_milliseconds(text: &str) -> Micros {
     let whole = |number: &str| number.parse::<f64>().unwrap_or_default();
     match text.strip_suffix("ms") {
--- a/crates/soak/src/checker.rs
+++ b/crates/soak/src/checker.rs
@@ -1,4 +1,8 @@
-//! Judges the records of a run: is a confirmed change in force in time, and does nothing go back?
+//! Checks the records of a run: acknowledged changes must be in force in time and must not be reverted.
+//!
+//! A machine, or the core as a whole, counts as settled once it has been undisturbed for
+//! [`Bounds::quiet`]. Late changes are violations only at nodes that are settled and while a majority
+//! of the core machines runs.
 
 use std::collections::BTreeMap;
 
@@ -9,71 +13,72 @@
 };
 use crate::site::{Bounds, Machine};
 
-/// A rule that was broken, with what shows it.
+/// A violation of a rule, with the observation that shows it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Violation {
-    /// A machine in touch answered as only an overtaken version allows.
+    /// A settled node gave an answer that only a superseded version allows.
     NotInForce {
         /// The request.
         probe: Probe,
-        /// The newest version that had to be in force.
+        /// The oldest acknowledged version that should have been in force and wasn't.
         version: u64,
-        /// How long after its acknowledgement the request was sent.
+        /// Time from the acknowledgement of that version until the request was sent.
         lateness: Micros,
     },
-    /// A process showed a newer version before.
+    /// A process showed an older version after a newer one.
     Reverted {
         /// The request.
         probe: Probe,
-        /// The version that it showed before.
+        /// The version that the process had shown before.
         shown: u64,
     },
-    /// A route that all configurations of the run have was refused with 404.
+    /// A route that is in every configuration of the run was answered with 404.
     StableRouteRefused {
         /// The request.
         probe: Probe,
     },
-    /// A read answered with an older version than was acknowledged before it was sent.
+    /// A read returned an older version than had been acknowledged before the read was sent.
     StaleRead {
         /// The core machine that answered.
         core: usize,
-        /// When it was asked.
+        /// When the read was sent.
         sent_at: Micros,
-        /// The route.
+        /// Name of the route.
         route: String,
-        /// The version that was answered, if any.
+        /// The version in the answer, if the route is in it.
         read: Option<u64>,
-        /// The version that had been acknowledged.
+        /// The latest version that had been acknowledged.
         acknowledged: u64,
     },
-    /// A valid call was not acknowledged in time, though the core was calm.
+    /// A valid call was not acknowledged in time although the core was settled.
     NotAcknowledged {
         /// The call.
         call: CallRecord,
-        /// How long it waited in one calm stretch.
+        /// Longest continuous time for which the call waited while the core was settled.
         waited: Micros,
     },
-    /// Seen while the run was on.
+    /// A violation detected during the run.
     Recorded(Finding),
 }
 
-/// What the records of a run come to.
+/// The result of checking a run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Verdict {
-    /// Broken rules.
+    /// All violations.
     pub violations: Vec<Violation>,
-    /// Requests that were late by the same measure at machines that were not in touch.
-    pub late_at_disturbed_nodes: usize,
-    /// The longest time after an acknowledgement at which a request at a machine in touch was still
-    /// answered by an overtaken version.
+    /// Number of requests that showed a superseded version later than [`Bounds::apply`] allows while no
+    /// bound was in effect: the node was not settled, or no majority of the core machines ran.
+    pub late_without_bound: usize,
+    /// Longest time after an acknowledgement at which a request was still answered by a superseded
+    /// version, counting only requests for which a bound was in effect.
     pub longest_lateness: Micros,
-    /// Requests that were judged.
+    /// Number of requests that were checked.
     pub probes: usize,
-    /// Reads that were judged.
+    /// Number of reads that were checked.
     pub reads: usize,
 }
 
-/// Judges a run.
+/// Checks the records of a run against the bounds.
 pub fn check(records: &Records, bounds: &Bounds, core_count: usize) -> Verdict {
     let disturbances = Disturbances::from_events(&records.events, bounds, core_count);
     let mut verdict = Verdict {
@@ -117,7 +122,7 @@
     };
     let lateness = probe.sent_at - superseding.acknowledged_at.unwrap_or(probe.sent_at);
     let Some(allowed) = disturbances.allowed_lateness(probe, bounds) else {
-        verdict.late_at_disturbed_nodes += usize::from(lateness > bounds.apply);
+        verdict.late_without_bound += usize::from(lateness > bounds.apply);
         return;
     };
     verdict.longest_lateness = verdict.longest_lateness.max(lateness);
@@ -130,8 +135,8 @@
     }
 }
 
-/// The oldest acknowledged version that the answer shows not to be in force: every version from it
-/// on that may have been in force allows another effect only.
+/// Returns the oldest acknowledged version that the answer shows not to be in force, if there is one:
+/// neither it nor any later version that may have been in force has the effect that the answer shows.
 fn find_superseding_version(probe: &Probe, route: &RouteHistory) -> Option<RouteVersion> {
     let may_have_effect = |from: usize| {
         let versions = route.versions[from..].iter();
@@ -148,7 +153,7 @@
     if may_have_effect(newest) {
         return None;
     }
-    // The first acknowledged version after the latest one that shows this effect.
+    // The first acknowledged version after the latest one that has this effect.
     let shown = route.versions[..newest]
         .iter()
         .rposition(|version| version.effect == probe.effect);
@@ -192,7 +197,7 @@
     }
 }
 
-/// How often a node was started before a time.
+/// Counts the starts of a node up to a time.
 fn incarnation_at(events: &[MachineEvent], node: usize, at: Micros) -> usize {
     let starts = events.iter().filter(|event| {
         event.machine == Machine::Node(node) && event.kind == EventKind::Started && event.at <= at
@@ -206,7 +211,7 @@
     route: &RouteHistory,
     bounds: &Bounds,
 ) {
-    // The oldest version that the process can hold after each answer, in the order of answers.
+    // Index of the oldest version that the process can hold after each answer, in order of answers.
     let mut shown: Vec<(Micros, usize)> = Vec::new();
     for probe in probes {
         let established = shown
@@ -270,19 +275,19 @@
     }
 }
 
-/// Something that takes a node out of touch.
+/// A disturbance of a node.
 struct NodeEvent {
     at: Micros,
-    /// Whether the process runs from then on.
+    /// Whether the process runs after the event.
     is_running: bool,
 }
 
-/// When machines were left alone for long enough.
+/// Disturbances of machines during the run, which determine when nodes and the core were settled.
 struct Disturbances {
     quiet: Micros,
     node_events: BTreeMap<usize, Vec<NodeEvent>>,
     core_events: Vec<Micros>,
-    /// From when on how many core machines ran.
+    /// Number of core machines that run from a time on, in order of time.
     running_cores: Vec<(Micros, usize)>,
     core_count: usize,
 }
@@ -298,12 +303,13 @@
         };
         let mut stopped: BTreeMap<usize, bool> = BTreeMap::new();
         for event in events {
-            // A process that ends by itself counts as running, and its start is its own doing.
+            // A process that exits on its own counts as running until its restart, which is an event of its
+            // own.
             if event.kind == EventKind::Exited {
                 continue;
             }
             match event.machine {
-                // SIGHUP does not take a machine out of touch.
+                // SIGHUP doesn't disturb a machine.
                 Machine::Node(_) if event.kind == EventKind::Reloaded => {}
                 Machine::Node(node) => {
                     let is_down = matches!(event.kind, EventKind::Frozen | EventKind::Killed);
@@ -338,8 +344,8 @@
         disturbances
     }
 
-    /// How late a request may be answered by an overtaken version; `None` for machines that are not
-    /// in touch.
+    /// Returns how long after an acknowledgement the request may still be answered by a superseded
+    /// version; `None` if the node wasn't settled or no majority of the core machines ran.
     fn allowed_lateness(&self, probe: &Probe, bounds: &Bounds) -> Option<Micros> {
         if !self.node_is_settled(probe.node, probe.sent_at) {
             return None;
@@ -356,7 +362,8 @@
         }
     }
 
-    /// A node that stands still is not in touch, however long ago it was stopped.
+    /// Returns whether a node is settled. A node whose process is stopped or killed is not, however long
+    /// ago that was.
     fn node_is_settled(&self, node: usize, at: Micros) -> bool {
         let events = self.node_events.get(&node);
         let last = events.and_then(|events| events.iter().rfind(|event| event.at <= at));
@@ -368,7 +375,8 @@
         last.is_none_or(|event| event + self.quiet <= at)
     }
 
-    /// The longest time within these in which the core was calm and a majority of it ran.
+    /// Returns the longest continuous time between `from` and `to` in which the core was settled and a
+    /// majority of its machines ran.
     fn longest_settled_period(&self, from: Micros, to: Micros) -> Micros {
         let within = self.core_events.iter().filter(|at| **at <= to);
         let starts = within.map(|at| at + self.quiet);
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -1,5 +1,5 @@
-//! Clients of a run. Each keeps its connection to one node and uses it until the process is gone,
-//! whether the node says that it is ready or not.
+//! Clients of a run. Each client sends requests to one node over a persistent connection, regardless of
+//! the node's readiness, and reconnects only after an exchange has failed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,35 +18,35 @@
 use crate::http::{HttpConnection, HttpRequest};
 use crate::site::{Machine, OUTBOUND_PORT, Site};
 
-/// How long a client waits for an answer.
+/// Timeout for the answer to a request.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Before a client opens a connection again.
+/// Delay before a client reconnects after a failed attempt to connect.
 const RECONNECT_DELAY: Duration = Duration::from_millis(30);
-/// Routes that changed so lately are asked for more often.
+/// Routes that changed within this time are requested more often.
 const RECENT_PERIOD: Micros = 6 * SECOND;
-/// The share of requests that go to such routes.
+/// Share of the requests that go to recently changed routes.
 const RECENT_SHARE: f64 = 0.8;
 const NOT_FOUND: u16 = 404;
 
-/// One client.
+/// A client of one node.
 pub struct Client {
     /// The site of the run.
     pub site: Arc<Site>,
-    /// The node that it sends to.
+    /// Number of the node that receives the requests.
     pub node: usize,
-    /// The number of the client at that node.
+    /// Number of the client at that node.
     pub number: usize,
     /// The clock of the run.
     pub clock: Clock,
-    /// Where answers are recorded.
+    /// Records of the run.
     pub history: Arc<History>,
-    /// Draws routes and pauses.
+    /// Random choices of routes, shard keys and pauses.
     pub rng: StdRng,
-    /// The longest pause between two requests, in milliseconds.
+    /// Longest pause between two requests, in milliseconds.
     pub max_pause_ms: u64,
 }
 
-/// A route to ask for.
+/// The host and path of a request, and the name of the route that they match.
 struct Target {
     route: String,
     host: String,
@@ -54,7 +54,7 @@
 }
 
 impl Client {
-    /// Sends one request after the other, for as long as the run.
+    /// Sends requests sequentially until the run ends.
     pub async fn run(mut self) {
         let address = self.site.address(Machine::Node(self.node), OUTBOUND_PORT);
         let mut connection = None;
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Whether the connection is still of use.
+    /// Sends one request and records the answer. Returns whether the connection can be used again.
     async fn send_request(
         &mut self,
         connection: &mut HttpConnection,
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -1,4 +1,4 @@
-//! What clients and operators of a run saw, and what was done to the machines.
+//! Records of a run: what clients and operators observed, and the faults injected into machines.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -6,166 +6,166 @@
 use crate::clock::Micros;
 use crate::site::Machine;
 
-/// What a version of a route makes of a request.
+/// How a version of a route handles a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// No such route: 404.
+    /// The route doesn't exist; requests get status 404.
     Absent,
-    /// It goes to this service, by its number in [`SERVICES`](crate::site::SERVICES).
+    /// Requests go to the service with this index in [`SERVICES`](crate::site::SERVICES).
     Service(usize),
 }
 
-/// One version of a route as an operator sent it.
+/// One version of a route, as sent by an operator.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RouteVersion {
-    /// The number of the version.
+    /// The version number.
     pub version: u64,
-    /// What it makes of requests.
+    /// How this version handles requests.
     pub effect: Effect,
-    /// When it was first sent.
+    /// When the version was first sent.
     pub sent_at: Micros,
-    /// When a call that carried it was acknowledged.
+    /// When a call that contained the version was first acknowledged.
     pub acknowledged_at: Option<Micros>,
 }
 
-/// A route, by its name: where it is reached, and its versions in the order of their numbers.
+/// A route with its host, its path prefix and its versions in ascending order.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteHistory {
-    /// Host of its requests.
+    /// Host of the requests that match the route.
     pub host: String,
-    /// Path prefix of its requests.
+    /// Path prefix of the requests that match the route.
     pub prefix: String,
-    /// Its versions so far.
+    /// The versions sent so far.
     pub versions: Vec<RouteVersion>,
-    /// Whether it is never changed during the run.
+    /// Whether the route is never changed during the run.
     pub is_stable: bool,
 }
 
-/// A request of a client at one node, and what came of it.
+/// A client's request to a node, and the effect that its answer shows.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Probe {
-    /// The node that it was sent to.
+    /// The node that received the request.
     pub node: usize,
-    /// The route that it asked for, by its name.
+    /// Name of the requested route.
     pub route: String,
-    /// When it was sent.
+    /// When the request was sent.
     pub sent_at: Micros,
-    /// When the answer was whole.
+    /// When the answer was complete.
     pub answered_at: Micros,
-    /// What the answer shows to be in force.
+    /// The effect that the answer shows to be in force.
     pub effect: Effect,
 }
 
-/// What a read of the configuration answered.
+/// The answer to a read of the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfigurationRead {
     /// The core machine that answered.
     pub core: usize,
-    /// When it was asked.
+    /// When the read was sent.
     pub sent_at: Micros,
-    /// When the answer was whole.
+    /// When the answer was complete.
     pub answered_at: Micros,
-    /// Versions by route.
+    /// Version number of each route in the answer.
     pub versions: BTreeMap<String, u64>,
 }
 
-/// Something was done to a machine.
+/// A fault injected into a machine, or the start or end of its process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MachineEvent {
-    /// When.
+    /// When it happened.
     pub at: Micros,
-    /// To which machine.
+    /// The machine.
     pub machine: Machine,
-    /// What.
+    /// What happened.
     pub kind: EventKind,
 }
 
-/// What is done to machines.
+/// A kind of machine event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventKind {
-    /// The process was started; a new incarnation begins.
+    /// A process was started, which begins a new incarnation.
     Started,
     /// SIGTERM was sent.
     Terminated,
     /// SIGHUP was sent.
     Reloaded,
-    /// It was killed.
+    /// The process was killed.
     Killed,
-    /// Its disk was emptied.
+    /// The machine's disk was emptied.
     DiskLost,
-    /// It was frozen.
+    /// The process was stopped by SIGSTOP.
     Frozen,
-    /// It runs again after a freeze.
+    /// The process was continued by SIGCONT.
     Resumed,
-    /// The process ended though nobody had asked it to.
+    /// The process exited without being stopped or killed by the supervisor.
     Exited,
 }
 
-/// Something that no rule allows, seen while the run was on.
+/// A violation detected during the run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Finding {
     /// An invalid call was acknowledged.
     InvalidCallAcknowledged {
-        /// What was wrong with it.
+        /// What was invalid.
         fault: String,
     },
     /// A valid call was refused.
     ValidCallRefused {
-        /// The route, or one of the routes, that it carried.
+        /// One of the routes in the call.
         route: String,
         /// The status of the answer.
         status: u16,
     },
-    /// A process ended by itself.
+    /// A process exited with a failure.
     ProcessFailed {
-        /// Which one.
+        /// The machine of the process.
         machine: Machine,
-        /// How, in the system's words.
+        /// The exit status, as text.
         status: String,
     },
-    /// A process still ran when its time for a graceful shutdown was over.
+    /// A process still ran when the timeout of its graceful shutdown had passed.
     GracefulStopTimedOut {
-        /// Which one.
+        /// The machine of the process.
         machine: Machine,
     },
 }
 
-/// A valid call of an operator.
+/// A valid call by an operator.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallRecord {
-    /// When it was first sent.
+    /// When the call was first sent.
     pub sent_at: Micros,
-    /// How many routes it carried.
+    /// Number of routes in the call.
     pub routes: usize,
-    /// When it was acknowledged, if it was.
+    /// When the call was acknowledged, if it was.
     pub acknowledged_at: Option<Micros>,
 }
 
-/// Everything recorded in a run.
+/// Everything recorded during a run.
 #[derive(Clone, Debug, Default)]
 pub struct Records {
     /// Routes by name.
     pub routes: BTreeMap<String, RouteHistory>,
-    /// Requests whose answer shows what is in force.
+    /// Requests whose answers show which version of a route is in force.
     pub probes: Vec<Probe>,
-    /// Answered reads of the configuration.
+    /// Reads of the configuration that were answered.
     pub reads: Vec<ConfigurationRead>,
-    /// What was done to machines, in the order of time.
+    /// Machine events, in order of time.
     pub events: Vec<MachineEvent>,
-    /// Valid calls, acknowledged or not.
+    /// Valid calls, whether acknowledged or not.
     pub calls: Vec<CallRecord>,
     /// When the run ended.
     pub ended_at: Micros,
-    /// Violations seen at once.
+    /// Violations detected during the run.
     pub findings: Vec<Finding>,
-    /// Answers by status; 0 for none.
+    /// Number of client requests by answer status; status 0 means no answer.
     pub statuses: BTreeMap<u16, u64>,
-    /// Processes that ended by a signal while the system was still loading them.
+    /// Number of processes that were terminated by a signal before they had installed a handler for it.
     pub ended_while_loading: usize,
 }
 
 impl Records {
-    /// How long acknowledged calls took.
+    /// Returns the time that each acknowledged call took.
     pub fn acknowledgement_times(&self) -> Vec<Micros> {
         let calls = self.calls.iter();
         let times = calls.filter_map(|call| Some(call.acknowledged_at? - call.sent_at));
@@ -173,32 +173,32 @@
     }
 }
 
-/// The records of a run that is on, shared by its tasks.
+/// The records of the current run, shared by its tasks.
 #[derive(Debug, Default)]
 pub struct History {
     records: Mutex<Records>,
 }
 
 impl History {
-    /// The records; nothing is awaited while they are held.
+    /// Locks the records. Callers must not await while they hold the lock.
     pub fn lock(&self) -> MutexGuard<'_, Records> {
-        // A task that panicked leaves records that are whole: each is one push.
+        // A task that panicked leaves consistent records, as each is added by a single push.
         self.records.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records that a version was acknowledged.
+    /// Records that a version was acknowledged; a later acknowledgement doesn't replace the first.
     pub fn record_acknowledgement(&self, route: &str, version: u64, at: Micros) {
         let mut records = self.lock();
         let Some(route) = records.routes.get_mut(route) else {
             return;
         };
         let mut versions = route.versions.iter_mut();
-        if let Some(held) = versions.find(|held| held.version == version) {
-            held.acknowledged_at.get_or_insert(at);
+        if let Some(existing) = versions.find(|existing| existing.version == version) {
+            existing.acknowledged_at.get_or_insert(at);
         }
     }
 
-    /// Records something done to a machine.
+    /// Records a machine event.
     pub fn record_machine_event(&self, at: Micros, machine: Machine, kind: EventKind) {
         self.lock().events.push(MachineEvent { at, machine, kind });
     }
--- a/crates/soak/src/http.rs
+++ b/crates/soak/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 as clients, operators and backends of a run speak it.
+//! The HTTP/1.1 client that clients, operators and backends of a run use.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,10 +11,10 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// A request with its whole body.
+/// A request with its complete body.
 pub type HttpRequest = Request<Full<Bytes>>;
 
-/// How long a connection may take to open.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// An open connection to one address.
@@ -22,16 +22,16 @@
     sender: SendRequest<Full<Bytes>>,
 }
 
-/// Nothing or no whole answer came.
+/// The connection couldn't be opened, or no complete answer was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NoAnswer;
 
 impl HttpConnection {
-    /// Opens a connection.
+    /// Opens a connection to `address`.
     ///
     /// # Errors
     ///
-    /// [`NoAnswer`] if none is open within a second.
+    /// [`NoAnswer`] if the connection isn't open within a second.
     pub async fn open(address: SocketAddr) -> Result<HttpConnection, NoAnswer> {
         let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         let stream = stream.map_err(|_| NoAnswer)?.map_err(|_| NoAnswer)?;
@@ -43,11 +43,12 @@
         Ok(HttpConnection { sender })
     }
 
-    /// Sends a request and waits for its whole answer.
+    /// Sends a request and waits for the complete answer.
     ///
     /// # Errors
     ///
-    /// [`NoAnswer`] if there is none within `patience`; the connection is of no use then.
+    /// [`NoAnswer`] if no complete answer arrives within `answer_timeout`. The connection must not be
+    /// used again then.
     pub async fn call(
         &mut self,
         request: HttpRequest,
@@ -66,7 +67,7 @@
     }
 }
 
-/// One call on a connection of its own.
+/// Sends one request on a new connection and waits for the complete answer.
 ///
 /// # Errors
 ///
@@ -85,7 +86,8 @@
         .unwrap_or(Err(NoAnswer))
 }
 
-/// A `POST` of JSON; paths of a run need no encoding, so building it does not fail.
+/// Builds a `POST` request with a JSON body. Building can't fail, as the paths used in a run need no
+/// encoding.
 pub fn post_json(path: &str, body: String) -> HttpRequest {
     let request = Request::post(path)
         .header("host", "gradeford")
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,9 +1,11 @@
-//! A soak of `gradeford-platform`: core machines and nodes as real processes on the loopback, with
-//! backends, clients and operators that speak the platform's wire, under drawn faults. A checker
-//! judges afterwards whether every confirmed change was in force in time.
+//! Soak test of `gradeford-platform`: core machines and nodes run as real processes on the loopback
+//! interface under randomly generated faults, with backends, clients and operators that use the
+//! platform's wire protocol. After the run, a checker verifies that every acknowledged change was in
+//! force in time.
 //!
-//! A run is drawn from its seed ([`plan`]) and carried out by a [`supervisor`]. Everything that
-//! clients and operators see goes to a [`history`]; the [`checker`] reads nothing else.
+//! [`plan`] generates the faults of a run from its seed and a [`supervisor`] injects them. Everything
+//! that clients and operators observe is recorded in a [`history`], which is the [`checker`]'s only
+//! input.
 
 #![deny(missing_docs)]
 
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! Plays runs of the soak by hand: `soak --help`.
+//! Command-line program that executes soak runs; see `soak --help`.
 
 use std::env;
 use std::ffi::OsString;
@@ -41,7 +41,7 @@
 exit codes: 0 no rule broken, 1 a rule broken, 2 flags or the harness at fault
 ";
 
-/// Violations that are printed of one run.
+/// Maximum number of violations printed for one run.
 const MAX_PRINTED: usize = 12;
 
 struct Flags {
@@ -68,10 +68,12 @@
 }
 
 fn parse(mut arguments: Arguments) -> Result<Flags, Error> {
-    let flags = |error: pico_args::Error| Error::Flags(error.to_string());
+    let to_flags_error = |error: pico_args::Error| Error::Flags(error.to_string());
     let mut number = |name: &'static str, default: u64| {
         let value = arguments.opt_value_from_str::<_, u64>(name);
-        value.map(|value| value.unwrap_or(default)).map_err(flags)
+        value
+            .map(|value| value.unwrap_or(default))
+            .map_err(to_flags_error)
     };
     let pace = OperatorPace {
         max_pause_ms: number("--pause", 400)?,
@@ -93,25 +95,25 @@
         folder: env::temp_dir().join(format!("gradeford-soak-{}", std::process::id())),
     };
     let profile = arguments.opt_value_from_str::<_, String>("--profile");
-    if let Some(name) = profile.map_err(flags)? {
-        let unknown = || Error::Flags(format!("no profile {name}"));
+    if let Some(name) = profile.map_err(to_flags_error)? {
+        let unknown = || Error::Flags(format!("unknown profile {name}"));
         config.profile = Profile::parse(&name).ok_or_else(unknown)?;
     }
     let folder = arguments.opt_value_from_os_str("--folder", |path| {
         Ok::<_, std::convert::Infallible>(PathBuf::from(path))
     });
-    if let Some(folder) = folder.map_err(flags)? {
+    if let Some(folder) = folder.map_err(to_flags_error)? {
         config.folder = folder;
     }
     let keep = arguments.contains("--keep");
     let rest: Vec<OsString> = arguments.finish();
     match rest.first() {
-        Some(unknown) => Err(Error::Flags(format!("unknown {unknown:?}"))),
+        Some(unknown) => Err(Error::Flags(format!("unknown argument {unknown:?}"))),
         None => Ok(Flags { config, runs, keep }),
     }
 }
 
-/// A run that is ended by a signal ends the processes that it started.
+/// Executes a run. SIGTERM or SIGINT aborts it, which kills the processes that it started.
 async fn run_unless_stopped(config: RunConfig) -> Result<Outcome, Error> {
     let mut terminate = signal(SignalKind::terminate()).map_err(Error::io("signals"))?;
     tokio::select! {
@@ -121,7 +123,7 @@
     }
 }
 
-/// How many runs broke a rule.
+/// Executes all runs and returns the number of runs with violations.
 fn run_all(flags: Flags) -> Result<u64, Error> {
     let runtime = Runtime::new().map_err(Error::io("runtime"))?;
     let mut failed_runs = 0;
@@ -157,7 +159,7 @@
          answers {:?}",
         verdict.violations.len(),
         verdict.longest_lateness / 1_000,
-        verdict.late_at_disturbed_nodes,
+        verdict.late_without_bound,
         verdict.probes,
         verdict.reads,
         records.routes.len(),
@@ -176,15 +178,15 @@
             Violation::NotInForce { probe, .. } | Violation::Reverted { probe, .. } => probe,
             _ => continue,
         };
-        let nearby = outcome.records.events.iter().filter(|event| {
+        let nearby_events = outcome.records.events.iter().filter(|event| {
             event.at <= probe.answered_at && event.at + 15 * SECOND >= probe.sent_at
         });
-        let nearby: Vec<String> = nearby
+        let nearby_events: Vec<String> = nearby_events
             .map(|event| {
                 let name = outcome.site.name(event.machine);
                 format!("{:.2} {name} {:?}", event.at as f64 / 1e6, event.kind)
             })
             .collect();
-        println!("    events: {}", nearby.join(", "));
+        println!("    events: {}", nearby_events.join(", "));
     }
 }
--- a/crates/soak/src/operator.rs
+++ b/crates/soak/src/operator.rs
@@ -1,5 +1,5 @@
-//! Operators of a run: they change routes, one and many at a time, send invalid calls, repeat calls
-//! and read the configuration back.
+//! Operators of a run: they change single or many routes in a call, send invalid calls, repeat
+//! acknowledged calls and read the configuration back.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -25,55 +25,56 @@
 
 const AMEND_PATH: &str = "/Config.Amend";
 const READ_PATH: &str = "/Config.Read";
-/// An operator moves on to another machine after a second of silence.
+/// Timeout of a call, after which an operator tries another core machine.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// And after so much more for each route of a call.
+/// Added to the timeout for each route in the call.
 const CALL_TIMEOUT_PER_ROUTE: Duration = Duration::from_millis(3);
-/// The pause before a call is sent again; it doubles up to the longest.
+/// Delay before the first retry of a call; it doubles with each retry up to the maximum.
 const FIRST_RETRY_DELAY: Duration = Duration::from_millis(50);
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(400);
-/// Calls of one operator that are under way at once.
+/// Maximum number of concurrent calls of one operator.
 const MAX_CONCURRENT_CALLS: usize = 8;
-/// Routes that stand from the start and never change.
+/// Number of routes that are in the first configuration and never change.
 const STABLE_ROUTE_COUNT: usize = 8;
-/// Hosts of the site.
+/// Number of hosts over which the routes are spread.
 const HOST_COUNT: usize = 6;
-/// How often the configuration is read back.
+/// Interval between two reads of the configuration.
 const READ_INTERVAL: Duration = Duration::from_millis(250);
 const OK: u16 = 200;
-/// Answers after which a call is not sent again.
+/// Statuses of refusals after which a call is not retried.
 const FINAL_REFUSALS: [u16; 5] = [400, 409, 412, 413, 422];
 
-/// The core machines that operators call, by number; they change when one is replaced.
+/// The core machines that operators can call, by number; updated when one is replaced.
 pub type CallableCores = watch::Receiver<Vec<usize>>;
 
-/// How an operator's time is spent.
+/// Rate and size of an operator's calls.
 #[derive(Clone, Copy, Debug)]
 pub struct OperatorPace {
-    /// The longest pause between two calls, in milliseconds.
+    /// Longest pause between two calls, in milliseconds.
     pub max_pause_ms: u64,
-    /// Routes that the largest calls add at once.
+    /// Number of routes that the largest calls add.
     pub largest_addition: usize,
 }
 
-/// What the tasks of operators share.
+/// Sends calls and reads to the core machines and records their results; shared by the tasks of all
+/// operators.
 #[derive(Clone)]
 pub struct ConfigurationClient {
     /// The site of the run.
     pub site: Arc<Site>,
     /// The clock of the run.
     pub clock: Clock,
-    /// Where all is recorded.
+    /// Records of the run.
     pub history: Arc<History>,
-    /// Whom to call.
+    /// The core machines to call.
     pub cores: CallableCores,
 }
 
-/// New versions of routes that go in one call.
+/// New versions of routes that are sent in one call.
 #[derive(Clone, Debug)]
 struct Change {
     routes: Vec<(String, RouteVersion)>,
-    /// Its place among the recorded calls, once it is recorded.
+    /// Index of the call in the records, once it is recorded.
     call: usize,
 }
 
@@ -83,7 +84,7 @@
     }
 }
 
-/// The answer that ended a call.
+/// The answer that ended a call: an acknowledgement or a final refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct FinalAnswer {
     status: u16,
@@ -91,7 +92,7 @@
 }
 
 impl ConfigurationClient {
-    /// Sends the first configuration until it is taken.
+    /// Sends the first configuration, with retries, until a core machine accepts or refuses it.
     pub async fn send_first_configuration(&self) {
         let services = SERVICES.iter().enumerate().map(|(index, name)| {
             json!({
@@ -125,7 +126,7 @@
         self.record_result(&change, answer);
     }
 
-    /// Reads the configuration back again and again, for as long as the run.
+    /// Reads the configuration at regular intervals until the run ends.
     pub async fn poll_configuration(self, seed: u64) {
         let mut rng = StdRng::seed_from_u64(seed);
         loop {
@@ -158,7 +159,8 @@
         }
     }
 
-    /// Records the versions of a change as sent now, and returns those that are set as items.
+    /// Records the call and the versions of a change as sent, and returns the items of those versions
+    /// that set a route.
     fn record(&self, change: &mut Change, is_stable: bool) -> Vec<Value> {
         let mut records = self.history.lock();
         let mut items = Vec::new();
@@ -186,7 +188,7 @@
         items
     }
 
-    /// Sends a call, unchanged, to one machine after the other until an answer ends it.
+    /// Sends the same call to one core machine after the other until a final answer arrives.
     async fn call(&self, body: &str, routes: usize, seed: u64) -> FinalAnswer {
         let mut rng = StdRng::seed_from_u64(seed);
         let call_timeout = CALL_TIMEOUT + CALL_TIMEOUT_PER_ROUTE * routes as u32;
@@ -213,7 +215,7 @@
         self.cores.borrow().choose(rng).copied()
     }
 
-    /// A call that got no clear answer goes to the next machine.
+    /// Returns the core machine for an attempt: each retry goes to the next machine.
     fn core_for_attempt(&self, attempt: usize) -> Option<usize> {
         let cores = self.cores.borrow();
         cores.get(attempt % cores.len().max(1)).copied()
@@ -241,25 +243,25 @@
     }
 }
 
-/// One operator, who changes routes of its own.
+/// An operator that changes its own set of routes.
 pub struct Operator {
     config_client: ConfigurationClient,
-    /// In the names of its routes.
+    /// Number of the operator, which is part of the names of its routes.
     number: usize,
     pace: OperatorPace,
     rng: StdRng,
-    /// Its routes with their latest versions.
+    /// The operator's routes with their latest versions.
     routes: BTreeMap<String, RouteVersion>,
-    /// Routes with a call under way.
-    busy: BTreeSet<String>,
+    /// Routes with a call in progress.
+    routes_in_progress: BTreeSet<String>,
     added: usize,
 }
 
-/// A call that has ended, and the change it carried; `None` for calls that change nothing.
+/// The change of a finished call; `None` for an invalid call, which changes nothing.
 type FinishedCall = Option<Change>;
 
 impl Operator {
-    /// An operator, drawn from a seed.
+    /// Creates an operator; the seed determines its calls and pauses.
     pub fn new(
         config_client: ConfigurationClient,
         number: usize,
@@ -272,12 +274,12 @@
             pace,
             rng: StdRng::seed_from_u64(seed),
             routes: BTreeMap::new(),
-            busy: BTreeSet::new(),
+            routes_in_progress: BTreeSet::new(),
             added: 0,
         }
     }
 
-    /// Sends one call after the other, several at once, for as long as the run.
+    /// Sends calls, several of them concurrently, until the run ends.
     pub async fn run(mut self) {
         let mut calls: JoinSet<FinishedCall> = JoinSet::new();
         loop {
@@ -290,7 +292,7 @@
                 }
                 continue;
             }
-            // A burst is several calls without a pause.
+            // A burst starts several calls without a pause between them.
             let burst = if self.rng.random_bool(0.1) { 8 } else { 1 };
             for _ in 0..burst {
                 self.start_call(&mut calls);
@@ -302,7 +304,7 @@
 
     fn finish(&mut self, finished: FinishedCall) {
         for (route, _) in finished.into_iter().flat_map(|change| change.routes) {
-            self.busy.remove(&route);
+            self.routes_in_progress.remove(&route);
         }
     }
 
@@ -337,7 +339,7 @@
         let free: Vec<String> = self
             .routes
             .keys()
-            .filter(|name| !self.busy.contains(*name))
+            .filter(|name| !self.routes_in_progress.contains(*name))
             .cloned()
             .collect();
         let count = self.rng.random_range(1..=4);
@@ -368,7 +370,7 @@
             return;
         }
         for (name, version) in &change.routes {
-            self.busy.insert(name.clone());
+            self.routes_in_progress.insert(name.clone());
             self.routes.insert(name.clone(), *version);
         }
         let config_client = self.config_client.clone();
@@ -390,7 +392,7 @@
             let answer = config_client.call(&body, change.routes.len(), seed).await;
             config_client.record_result(&change, answer);
             for repeat in 0..repeats {
-                // What was taken is confirmed again.
+                // A repeated call that was accepted before must be acknowledged again.
                 let seed = seed.wrapping_add(repeat as u64 + 1);
                 let answer = config_client.call(&body, change.routes.len(), seed).await;
                 if answer.status != OK {
@@ -454,7 +456,7 @@
     })
 }
 
-/// The item of a version that sets its route; `None` for one that drops it.
+/// Returns the item of a version that sets its route, or `None` if the version removes the route.
 fn route_item(name: &str, route: &RouteHistory, version: &RouteVersion) -> Option<Value> {
     let Effect::Service(service) = version.effect else {
         return None;
@@ -471,7 +473,7 @@
     request.body(Full::new(Bytes::new())).unwrap_or_default()
 }
 
-/// The versions of all routes in an answer; a route that cannot be read is missing.
+/// Returns the versions of all routes in an answer; routes that can't be parsed are left out.
 fn route_versions(body: &[u8]) -> BTreeMap<String, u64> {
     let body: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
     let items = body["upserts"]["resource_list"]
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! What happens to the machines of a run, drawn from its seed.
+//! Generates the faults of a run from its seed.
 
 use rand::rngs::StdRng;
 use rand::seq::{IndexedRandom as _, SliceRandom as _};
@@ -7,79 +7,82 @@
 use crate::clock::{MILLISECOND, Micros, SECOND};
 use crate::site::{Machine, Site};
 
-/// Faults begin after so long, when the first configuration is in force.
+/// Time of the first fault, by which the first configuration is in force.
 pub const FIRST_FAULT_AT: Micros = 6 * SECOND;
-/// Nothing new begins so long before the end.
+/// No fault begins within this time before the end of the run.
 const LAST_FAULT_BEFORE_END: Micros = 8 * SECOND;
-/// The closing fault strikes so long before the end: service may rest for fifteen seconds.
+/// Time from the closing fault to the end of the run; service may be interrupted for 15 seconds after
+/// the fault.
 const CLOSING_BEFORE_END: Micros = 18 * SECOND;
-/// By then every machine that was lost is back for long enough not to count as lost.
+/// No fault begins within this time before the closing fault, so that every lost machine is back for
+/// long enough not to count as lost any more.
 const LAST_FAULT_BEFORE_CLOSING: Micros = 22 * SECOND;
-/// The shortest and the longest pause between the beginnings of two faults.
+/// Shortest and longest time between the beginnings of two faults.
 const FAULT_INTERVAL: (Micros, Micros) = (100 * MILLISECOND, 2_500 * MILLISECOND);
-/// How long a freeze lasts: some are over before anyone suspects, some last past the time in which
-/// the core counts as calm again.
+/// Shortest and longest duration of a freeze: from freezes that end before the failure is suspected
+/// to ones that last longer than the core needs to count as settled again.
 const FREEZE_DURATION: (Micros, Micros) = (200 * MILLISECOND, 12 * SECOND);
-/// How long a process stays away before it is started again.
+/// Shortest and longest downtime of a process before its restart.
 const DOWNTIME: (Micros, Micros) = (50 * MILLISECOND, 4 * SECOND);
-/// Signals of a series come so far apart.
+/// Shortest and longest time between two restarts of a series; also the range of offsets at which the
+/// faults of several nodes begin.
 const SERIES_INTERVAL: (Micros, Micros) = (MILLISECOND, 300 * MILLISECOND);
 
-/// What is done to one machine.
+/// A fault of one machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// SIGSTOP, and SIGCONT after a time.
+    /// SIGSTOP, then SIGCONT after this duration.
     Freeze(Micros),
-    /// SIGKILL, and a start after a time.
+    /// SIGKILL, then a restart after this downtime.
     Kill(Micros),
-    /// SIGTERM, and a start a time after the process has ended.
+    /// SIGTERM, then a restart this long after the process has ended.
     Stop(Micros),
-    /// SIGTERM, SIGKILL a time after it, and a start at once.
+    /// SIGTERM, then SIGKILL after this time, followed by an immediate restart.
     StopThenKill(Micros),
-    /// So many SIGHUPs.
+    /// This number of SIGHUPs.
     Reload(u8),
-    /// So many restarts by SIGKILL, one right after the other.
+    /// This number of SIGKILLs, each followed by an immediate restart.
     RestartSeries(u8),
-    /// SIGKILL, the disk is emptied, and a start after a time.
+    /// SIGKILL, then a restart with an empty disk after this downtime.
     LoseDisk(Micros),
-    /// SIGKILL for good; another machine, number `spare`, takes its place with an empty disk.
+    /// SIGKILL without a restart; the new machine `spare` replaces this one with an empty disk.
     Replace {
-        /// The number of the machine that is added.
+        /// Number of the replacement.
         spare: usize,
     },
-    /// The backend says that it drains, ends, and another one comes.
+    /// The backend reports that it is draining, deregisters and ends; a new incarnation follows.
     ReplaceBackend,
-    /// The backend ends without a word, and another one comes.
+    /// The backend ends without deregistering; a new incarnation follows.
     CrashBackend,
 }
 
-/// A fault with its time.
+/// A fault with its machine and the time at which it begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlannedFault {
-    /// When it begins.
+    /// When the fault begins.
     pub at: Micros,
-    /// Where.
+    /// The affected machine.
     pub machine: Machine,
-    /// What.
+    /// The fault.
     pub fault: Fault,
 }
 
-/// Which faults a run draws from.
+/// The kinds of faults in a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Profile {
-    /// None: changes and traffic alone.
+    /// No faults, only changes and traffic.
     Calm,
-    /// Everything.
+    /// All kinds of faults.
     Mixed,
-    /// Core machines of one zone are frozen together, for long.
+    /// Long freezes of several core machines of one zone together.
     ZoneFreeze,
-    /// Everything, and near the end as many disks as may be lost while all other processes are
-    /// killed.
+    /// All kinds of faults; near the end, all processes are killed together and the maximum number of
+    /// core machines lose their disks.
     Closing,
 }
 
 impl Profile {
-    /// The profile of a name on the command line.
+    /// Parses the name of a profile, as used on the command line.
     pub fn parse(name: &str) -> Option<Profile> {
         match name {
             "calm" => Some(Profile::Calm),
@@ -91,7 +94,7 @@
     }
 }
 
-/// Draws the faults of a run, in the order of their times.
+/// Generates the faults of a run, in order of time.
 pub fn generate(seed: u64, site: &Site, profile: Profile, duration: Micros) -> Vec<PlannedFault> {
     let mut planner = Planner {
         rng: StdRng::seed_from_u64(seed),
@@ -116,7 +119,7 @@
     planner.faults
 }
 
-/// A core machine counts as lost in this time.
+/// The period in which a core machine counts as lost.
 struct LostCore {
     core: usize,
     from: Micros,
@@ -127,7 +130,9 @@
     rng: StdRng,
     site: &'site Site,
     lost_cores: Vec<LostCore>,
+    /// Number of the next core machine to add.
     next_spare: usize,
+    /// Core machines that were replaced.
     replaced: Vec<usize>,
     faults: Vec<PlannedFault>,
 }
@@ -165,8 +170,8 @@
         }
     }
 
-    /// Core machines that stand, and may be lost in this time without more being lost than the site
-    /// bears at once.
+    /// Returns the core machines that can be lost in this period without exceeding the number of
+    /// machines that may be lost at the same time; replaced machines are excluded.
     fn expendable_cores(&self, from: Micros, until: Micros) -> Vec<usize> {
         let overlapping = self
             .lost_cores
@@ -180,6 +185,7 @@
         remaining.filter(|core| !lost.contains(core)).collect()
     }
 
+    /// Records that a core machine counts as lost until it has caught up after its restart.
     fn mark_lost(&mut self, core: usize, from: Micros, until: Micros) {
         let until = until + self.site.bounds.catch_up;
         self.lost_cores.push(LostCore { core, from, until });
@@ -214,7 +220,7 @@
         self.push(at, Machine::Core(core), fault);
     }
 
-    /// As many core machines of one zone as may be lost stand still together.
+    /// Freezes as many core machines of one zone as may be lost at the same time.
     fn plan_zone_freeze(&mut self, at: Micros) {
         let zone = self.rng.random_range(0..self.site.zones);
         let length = self.random_duration((FREEZE_DURATION.1 / 2, FREEZE_DURATION.1));
@@ -268,7 +274,7 @@
         self.push(at, Machine::Node(node), fault);
     }
 
-    /// Every process is killed at one moment, and as many disks are lost as the site bears.
+    /// Kills every process at the same time; the maximum number of core machines lose their disks.
     fn plan_closing(&mut self, at: Micros) {
         let remaining = (0..self.next_spare).filter(|core| !self.replaced.contains(core));
         let mut cores: Vec<usize> = remaining.collect();
@@ -287,7 +293,7 @@
         }
     }
 
-    /// Every process is killed at one moment; the disks remain.
+    /// Kills every process at the same time; the disks remain.
     fn plan_everything_killed(&mut self, at: Micros) {
         self.plan_all_cores_killed(at);
         for node in 0..self.site.nodes {
@@ -296,7 +302,7 @@
         }
     }
 
-    /// All core machines are killed at one moment and come back with their disks.
+    /// Kills the processes of all core machines at the same time; the disks remain.
     fn plan_all_cores_killed(&mut self, at: Micros) {
         let downtime = self.random_duration((50 * MILLISECOND, SECOND));
         let remaining = (0..self.next_spare).filter(|core| !self.replaced.contains(core));
--- a/crates/soak/src/process.rs
+++ b/crates/soak/src/process.rs
@@ -1,4 +1,5 @@
-//! A process under test. Only this module starts and signals any, each by the id it was given.
+//! A process under test. Only this module starts processes and signals them, always by the id of a
+//! process that it started.
 
 use std::env;
 use std::fs::{self, OpenOptions};
@@ -11,19 +12,20 @@
 
 const PROGRAM: &str = "gradeford-platform";
 const SETTINGS_VARIABLE: &str = "GRADEFORD_NODE_FILE";
-/// Before the mask of caught signals in the status of a process.
+/// Field of `/proc/PID/status` that holds the mask of caught signals.
 const CAUGHT_SIGNALS_FIELD: &str = "SigCgt:";
 
-/// A running process; it is killed when this is dropped.
+/// A child process, killed on drop.
 pub struct Process {
     child: Child,
 }
 
-/// The program under test: beside this one, or one folder above it, as tests are one deeper.
+/// Finds the program under test: in the folder of the current executable, or in its parent, as test
+/// executables are one folder deeper.
 ///
 /// # Errors
 ///
-/// [`Error::NotBuilt`] if it is in neither place.
+/// [`Error::NotBuilt`] if the program is in neither folder.
 pub fn find_program() -> Result<PathBuf, Error> {
     let own = env::current_exe().map_err(Error::io("own path"))?;
     let folders = own.ancestors().skip(1).take(2);
@@ -34,7 +36,8 @@
 }
 
 impl Process {
-    /// Starts a role with its settings file; its log is appended to `log`.
+    /// Starts the program in a role (`core` or `node`) with its settings file, and appends its log to the
+    /// file `log`.
     ///
     /// # Errors
     ///
@@ -55,15 +58,16 @@
         Ok(Process { child })
     }
 
-    /// Sends a signal; one that has ended already gets none.
+    /// Sends a signal; does nothing if the process has ended.
     pub fn signal(&self, signal: Signal) {
         if let Some(id) = Pid::from_raw(self.child.id() as i32) {
-            // It may have ended meanwhile.
+            // Fails if the process has ended meanwhile.
             let _ = kill_process(id, signal);
         }
     }
 
-    /// Whether it catches a signal, as the system shows it: before that one ends it at once.
+    /// Returns whether the process has a handler for `signal`, according to `/proc`. Until it has
+    /// installed one, the signal's default action terminates it at once.
     pub fn has_handler(&self, signal: Signal) -> bool {
         let status = fs::read_to_string(format!("/proc/{}/status", self.child.id()));
         let status = status.unwrap_or_default();
@@ -74,7 +78,7 @@
         mask.is_some_and(|mask| mask & (1 << (signal.as_raw() - 1)) != 0)
     }
 
-    /// How it ended, if it did.
+    /// Returns the exit status, or `None` if the process still runs.
     pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
@@ -82,7 +86,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // Both fail only if it has ended already.
+        // Both fail only if the process has ended already.
         drop(self.child.kill());
         drop(self.child.wait());
     }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One run from its seed to its verdict.
+//! Executes one run, from the seed to the checker's verdict.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -24,56 +24,56 @@
 use crate::site::{Bounds, Site};
 use crate::supervisor::Supervisor;
 
-/// The first configuration is acknowledged within this, or the run is given up.
+/// The run is aborted if the first configuration isn't acknowledged within this time, in seconds.
 const FIRST_CONFIGURATION_TIMEOUT_S: u64 = 30;
 const OPERATORS: usize = 2;
-/// Orders that a backend may not have taken up yet.
+/// Number of pending commands for a backend; further ones are dropped.
 const COMMAND_QUEUE_CAPACITY: usize = 1;
 
-/// What a run is made of.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct RunConfig {
-    /// Draws everything.
+    /// Seed of all random choices in the plan, the clients and the operators.
     pub seed: u64,
-    /// Core machines.
+    /// Number of core machines at the start.
     pub cores: usize,
-    /// Nodes, each with a backend.
+    /// Number of nodes, each with a backend.
     pub nodes: usize,
-    /// Zones.
+    /// Number of zones.
     pub zones: usize,
-    /// Core machines that may be lost at once.
+    /// Maximum number of core machines that may be lost at the same time.
     pub machine_losses: usize,
-    /// How long it lasts, in microseconds.
+    /// Duration of the run, in microseconds.
     pub duration: Micros,
-    /// Which faults.
+    /// Selection of the faults.
     pub profile: Profile,
-    /// Clients at each node.
+    /// Number of clients at each node.
     pub clients_per_node: usize,
-    /// The longest pause of a client between two requests, in milliseconds.
+    /// Longest pause of a client between two requests, in milliseconds.
     pub client_pause_ms: u64,
-    /// How fast operators send changes.
+    /// Rate and size of the operators' changes.
     pub pace: OperatorPace,
-    /// The second number of all addresses.
+    /// Second number of all addresses.
     pub network: u8,
     /// Folder for settings, disks and logs.
     pub folder: PathBuf,
 }
 
-/// What came of a run.
+/// The result of a run.
 pub struct Outcome {
-    /// What the checker says.
+    /// The checker's verdict.
     pub verdict: Verdict,
-    /// All that it read.
+    /// The records that the checker examined.
     pub records: Records,
-    /// The site, with the places of the logs.
+    /// The site, which holds the folder of the logs.
     pub site: Site,
 }
 
-/// Carries a run out.
+/// Executes a run.
 ///
 /// # Errors
 ///
-/// If the harness itself fails, or no configuration is ever taken.
+/// If the harness itself fails, or the first configuration isn't acknowledged in time.
 pub async fn run(config: RunConfig) -> Result<Outcome, Error> {
     let mut run = Run::prepare(&config)?;
     run.supervisor.start_all().await?;
@@ -86,24 +86,24 @@
     Ok(run.finish(&config).await)
 }
 
-/// A run that is on.
+/// A run in progress.
 struct Run {
     site: Arc<Site>,
     clock: Clock,
     history: Arc<History>,
     supervisor: Arc<Supervisor>,
     config_client: ConfigurationClient,
-    /// Draws the seeds of clients and operators.
+    /// Generates the seeds of clients and operators.
     rng: StdRng,
     tasks: JoinSet<()>,
 }
 
 impl Run {
-    /// Backends run, and nothing else yet.
+    /// Prepares the run and starts the backends; the processes under test are not started yet.
     fn prepare(config: &RunConfig) -> Result<Run, Error> {
         let program = process::find_program()?;
         let site = Arc::new(site_from(config));
-        // A disk of an earlier run would be taken for this one's.
+        // The processes would load the disks of an earlier run.
         if site.folder.exists() {
             return Err(Error::FolderInUse(site.folder.clone()));
         }
@@ -177,7 +177,7 @@
     }
 
     async fn finish(mut self, config: &RunConfig) -> Outcome {
-        // With the tasks go the supervisor and all processes.
+        // Dropping the tasks drops the supervisor, which kills all processes.
         self.tasks.shutdown().await;
         let mut records = self.history.lock().clone();
         records.ended_at = config.duration;
--- a/crates/soak/src/site.rs
+++ b/crates/soak/src/site.rs
@@ -1,4 +1,4 @@
-//! The machines of a run: how many, where, and the settings file of each.
+//! The machines of a run: their number, addresses, zones and settings files.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -7,42 +7,43 @@
 
 use crate::clock::{MILLISECOND, Micros, SECOND};
 
-/// Port at which a node takes its clients' requests.
+/// Port of a node for requests of its clients.
 pub const OUTBOUND_PORT: u16 = 8147;
-/// Port at which a node says whether it is ready.
+/// Port of a node for readiness checks.
 pub const READY_PORT: u16 = 8141;
-/// Port of operators' calls at a core machine and of heartbeats at a node.
+/// Port of a core machine for calls of operators, and of a node for heartbeats of its backend.
 pub const CONTROL_PORT: u16 = 8144;
 /// Port of the backend beside a node.
 pub const BACKEND_PORT: u16 = 8145;
-/// Ports kept free for gradeford's own connections.
+/// Range of ports reserved for connections between the processes under test.
 const PEER_PORTS: (u16, u16) = (7380, 7395);
-/// How many core machines a settings file names.
+/// Maximum number of core machines listed in a settings file.
 const SEED_COUNT: usize = 3;
-/// Machines for each third number of an address.
+/// Number of machines that share the third number of their addresses.
 const MACHINES_PER_BLOCK: usize = 200;
-/// Of so many backends, one is of the service that is not divided by key.
+/// One in this many backends runs the unsharded service.
 const UNSHARDED_SERVICE_STRIDE: usize = 4;
 
-/// Services of the site; the first is divided by key.
+/// Services of the site; the first one is sharded by key.
 pub const SERVICES: [&str; 2] = ["catalogue", "orders"];
 
-/// The rules' bounds that a run is judged by.
+/// Time bounds against which the checker verifies a run, in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// A change is in force at calm machines so long after its acknowledgement.
+    /// Maximum time from the acknowledgement of a change until it is in force at settled machines.
     pub apply: Micros,
-    /// A valid call is acknowledged within this, counted in one stretch in which the core is calm.
+    /// Maximum time until a valid call is acknowledged, within one continuous period in which the core is
+    /// settled.
     pub acknowledge: Micros,
-    /// And so much later for each route in it.
+    /// Added to `acknowledge` for each route in the call.
     pub acknowledge_per_route: Micros,
-    /// A machine is calm so long after something happened to it, or to the core.
+    /// Time without a fault after which a machine, or the core as a whole, counts as settled.
     pub quiet: Micros,
-    /// Added to `apply` while the core is not calm.
+    /// Added to `apply` while the core isn't settled.
     pub stretch_max: Micros,
-    /// After so long an effect that a machine has shown stays.
+    /// Time after which an effect that a process has shown must not be reverted.
     pub revert_slack: Micros,
-    /// A machine that was lost counts as lost for so long after it is back.
+    /// Time for which a lost machine still counts as lost after its restart.
     pub catch_up: Micros,
 }
 
@@ -60,45 +61,45 @@
     }
 }
 
-/// One machine, by its class and number.
+/// A machine, identified by its role and number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Machine {
     /// A core machine.
     Core(usize),
-    /// A machine with a backend.
+    /// A node: a machine with a proxy and a backend.
     Node(usize),
 }
 
-/// The shape of a site.
+/// The machines of a run and its bounds.
 #[derive(Clone, Debug)]
 pub struct Site {
-    /// Core machines at the start.
+    /// Number of core machines at the start.
     pub cores: usize,
-    /// Core machines that may be added; they follow the others in number.
+    /// Number of core machines that can be added later; they are numbered after the initial ones.
     pub spare_cores: usize,
-    /// Machines with a backend.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Zones; machines go to them by their number.
+    /// Number of zones; a machine's number modulo this is its zone.
     pub zones: usize,
-    /// Core machines that may be lost at once.
+    /// Maximum number of core machines that may be lost at the same time.
     pub machine_losses: usize,
-    /// The second number of all addresses: runs beside each other have different ones.
+    /// Second number of all addresses; concurrent runs need different ones.
     pub network: u8,
-    /// Folder of the run's settings files, disks and logs.
+    /// Folder for the run's settings files, disks and logs.
     pub folder: PathBuf,
-    /// The bounds of the rules.
+    /// Time bounds for the checker.
     pub bounds: Bounds,
 }
 
 impl Site {
-    /// The zone of a machine. Core machines fill the zones evenly, as nodes do.
+    /// Returns the zone of a machine. Core machines and nodes are each spread evenly over the zones.
     pub fn zone(&self, machine: Machine) -> usize {
         match machine {
             Machine::Core(index) | Machine::Node(index) => index % self.zones,
         }
     }
 
-    /// The name of a machine, also of its log file.
+    /// Returns the name of a machine, which its settings and log files carry too.
     pub fn name(&self, machine: Machine) -> String {
         match machine {
             Machine::Core(index) => format!("core-{index}"),
@@ -106,7 +107,7 @@
         }
     }
 
-    /// The address of a machine.
+    /// Returns the IP address of a machine.
     pub fn ip(&self, machine: Machine) -> IpAddr {
         let index = match machine {
             Machine::Core(index) => index,
@@ -117,32 +118,32 @@
         IpAddr::V4(Ipv4Addr::new(127, self.network, block, host))
     }
 
-    /// A listener of a machine.
+    /// Returns the socket address of a listener of a machine.
     pub fn address(&self, machine: Machine, port: u16) -> SocketAddr {
         SocketAddr::new(self.ip(machine), port)
     }
 
-    /// The service of the backend beside a node.
+    /// Returns the service of the backend beside a node.
     pub fn service_of(&self, node: usize) -> &'static str {
         SERVICES[usize::from(node % UNSHARDED_SERVICE_STRIDE == UNSHARDED_SERVICE_STRIDE - 1)]
     }
 
-    /// The folder of a core machine's disk.
+    /// Returns the folder that serves as a core machine's disk.
     pub fn disk(&self, core: usize) -> PathBuf {
         self.folder.join(format!("core-{core}.disk"))
     }
 
-    /// The settings file of a machine.
+    /// Returns the path of a machine's settings file.
     pub fn settings_path(&self, machine: Machine) -> PathBuf {
         self.folder.join(format!("{}.json", self.name(machine)))
     }
 
-    /// The log file of a machine.
+    /// Returns the path of a machine's log file.
     pub fn log_path(&self, machine: Machine) -> PathBuf {
         self.folder.join(format!("{}.log", self.name(machine)))
     }
 
-    /// The content of the settings file. `seeds` are the core machines that it names.
+    /// Returns the content of a machine's settings file. `seeds` are the core machines listed in it.
     pub fn settings(&self, machine: Machine, seeds: &[usize], first_boot: bool) -> Value {
         let seed_list: Vec<String> = seeds
             .iter()
--- a/crates/soak/src/supervisor.rs
+++ b/crates/soak/src/supervisor.rs
@@ -1,5 +1,5 @@
-//! Carries out the planned faults on the processes of a run. Faults of different machines overlap;
-//! those of one machine come one after the other.
+//! Injects the planned faults into the processes of a run. Faults of different machines can overlap;
+//! those of one machine are injected sequentially.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -21,27 +21,28 @@
 use crate::process::Process;
 use crate::site::{Machine, Site};
 
-/// Between two looks at whether processes still run.
+/// Interval between two checks for exited processes.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// A process that ended by itself is started again after so long.
+/// Delay before a process that exited is restarted.
 const RESTART_DELAY: Duration = Duration::from_millis(300);
-/// The time for a graceful shutdown, as the settings name it; SIGKILL follows.
+/// Timeout of a graceful shutdown, equal to `grace` in the settings file; SIGKILL follows.
 const GRACEFUL_STOP_TIMEOUT: Duration = Duration::from_secs(6);
-/// Signals of a series come so far apart.
+/// Interval between the signals or restarts of a series.
 const SERIES_INTERVAL: Duration = Duration::from_millis(120);
-/// How many core machines a settings file names.
+/// Maximum number of core machines listed in a settings file.
 const SEED_COUNT: usize = 3;
 
-/// A machine and the process on it, if one runs.
+/// State of a machine, with its process if one runs.
 struct MachineSlot {
     process: Option<Process>,
-    /// The process was sent a signal before it caught it: the system was still loading it.
+    /// Whether the process was sent SIGHUP or SIGTERM before it had installed a handler, while it was
+    /// still being loaded.
     signalled_while_loading: bool,
-    /// Nothing runs here any more, or not yet.
+    /// Whether the machine has been replaced or not been added yet.
     is_vacant: bool,
 }
 
-/// Starts, signals and ends the processes of a run.
+/// Starts, signals and kills the processes of a run.
 pub struct Supervisor {
     site: Arc<Site>,
     clock: Clock,
@@ -49,12 +50,12 @@
     program: PathBuf,
     slots: BTreeMap<Machine, Mutex<MachineSlot>>,
     backends: BTreeMap<usize, mpsc::Sender<BackendCommand>>,
-    /// Core machines that operators may call.
+    /// Core machines that operators can call, by number.
     cores: watch::Sender<Vec<usize>>,
 }
 
 impl Supervisor {
-    /// A supervisor of machines on which nothing runs yet.
+    /// Creates a supervisor; no process is started yet.
     pub fn new(
         site: Arc<Site>,
         clock: Clock,
@@ -83,12 +84,12 @@
         }
     }
 
-    /// The core machines that stand, as operators know them.
+    /// Returns the core machines that operators can call.
     pub fn callable_cores(&self) -> watch::Receiver<Vec<usize>> {
         self.cores.subscribe()
     }
 
-    /// Starts every machine of the first start, cores and nodes mixed.
+    /// Starts the processes of all nodes and initial core machines.
     ///
     /// # Errors
     ///
@@ -141,12 +142,12 @@
             .record_machine_event(self.clock.now(), machine, kind);
     }
 
-    /// Starts again, for as long as the run, what ended by itself.
+    /// Restarts processes that exited without being stopped or killed, until the run ends.
     pub async fn restart_exited(self: Arc<Self>) {
         loop {
             sleep(EXIT_POLL_INTERVAL).await;
             for (machine, slot) in &self.slots {
-                // A machine whose fault is under way is looked at later.
+                // A fault is being injected into the machine; its process is checked in a later round.
                 let Ok(mut slot) = slot.try_lock() else {
                     continue;
                 };
@@ -155,14 +156,14 @@
                 self.record(*machine, EventKind::Exited);
                 self.check_exit_status(*machine, &slot, status);
                 sleep(RESTART_DELAY).await;
-                // A failure shows as a machine that stays away.
+                // A failed start shows up as a machine that stays down.
                 drop(self.start(*machine, &mut slot, false));
             }
         }
     }
 
-    /// One that finds its place taken empties its disk and ends with success, as one does that was
-    /// told to stop.
+    /// Records a finding if a process exited with a failure. Both a stopped process and a replica that
+    /// finds itself replaced, which empties its disk, exit with success.
     fn check_exit_status(&self, machine: Machine, slot: &MachineSlot, status: ExitStatus) {
         if status.success() {
             return;
@@ -177,7 +178,7 @@
         records.findings.push(finding);
     }
 
-    /// Carries out all faults at their times, and returns once the last one is over.
+    /// Injects all faults at their times, and returns once the last one is over.
     pub async fn inject_faults(self: Arc<Self>, faults: Vec<PlannedFault>) {
         let mut active_faults = JoinSet::new();
         for planned in faults {
@@ -248,7 +249,7 @@
         if let Machine::Node(node) = machine
             && let Some(backend) = self.backends.get(&node)
         {
-            // One that is busy with an earlier order drops this one.
+            // The command is dropped if an earlier one is still pending.
             let _ = backend.try_send(command);
         }
     }
@@ -273,7 +274,7 @@
         slot.process = None;
     }
 
-    /// SIGTERM, and SIGKILL if it still runs after `grace`.
+    /// Sends SIGTERM, and SIGKILL if the process still runs after `grace`.
     async fn stop(&self, machine: Machine, slot: &mut MachineSlot, grace: Duration) {
         self.signal(machine, slot, Signal::TERM, EventKind::Terminated);
         let Some(process) = slot.process.as_mut() else {
@@ -294,7 +295,7 @@
                 let finding = Finding::GracefulStopTimedOut { machine };
                 self.history.lock().findings.push(finding);
             }
-            // It was cut short on purpose.
+            // The fault kills the process before its graceful shutdown is over.
             Err(_) => {}
         }
         self.kill(machine, slot);
@@ -302,19 +303,19 @@
 
     async fn restart_after(&self, machine: Machine, slot: &mut MachineSlot, downtime: Micros) {
         sleep(Duration::from_micros(downtime)).await;
-        // A failure shows as a machine that stays away.
+        // A failed start shows up as a machine that stays down.
         drop(self.start(machine, slot, false));
     }
 
     fn empty_disk(&self, machine: Machine) {
         if let Machine::Core(core) = machine {
             self.record(machine, EventKind::DiskLost);
-            // It is made anew with the next start.
+            // The next start creates the folder again.
             drop(fs::remove_dir_all(self.site.disk(core)));
         }
     }
 
-    /// A new machine takes the place of one that is gone; operators learn of it.
+    /// Starts a new core machine in place of a replaced one, and updates the list that operators use.
     async fn add_core(&self, replaced: Machine, spare: usize) {
         self.cores.send_modify(|cores| {
             cores.retain(|core| Machine::Core(*core) != replaced);
--- a/crates/soak/tests/short_soak.rs
+++ b/crates/soak/tests/short_soak.rs
@@ -1,5 +1,5 @@
-//! A short soak for CI: a small site of real processes under the faults of a fixed seed. Long ones
-//! are started by hand, see `soak --help`.
+//! Short soak test for CI: a small site of real processes under the faults of fixed seeds. Longer runs
+//! are started manually with the `soak` program; see `soak --help`.
 
 use std::{env, fs, process};
 
@@ -9,9 +9,9 @@
 use soak::run::{self, Outcome, RunConfig};
 
 const RUN_TIME: u64 = 30 * SECOND;
-/// A run that saw less says nothing.
-const LEAST_PROBES: usize = 1_000;
-const LEAST_ACKNOWLEDGED: usize = 50;
+/// A run with fewer checked requests or acknowledged calls is not conclusive.
+const MIN_PROBES: usize = 1_000;
+const MIN_ACKNOWLEDGED: usize = 50;
 
 fn config(seed: u64, profile: Profile) -> RunConfig {
     let folder = format!("gradeford-short-soak-{}-{seed}", process::id());
@@ -34,7 +34,7 @@
     }
 }
 
-fn assert_nothing_broken(outcome: &Outcome) {
+fn assert_no_violations(outcome: &Outcome) {
     let verdict = &outcome.verdict;
     let shown: Vec<String> = verdict
         .violations
@@ -50,20 +50,20 @@
         shown.join("\n"),
         outcome.records.events
     );
-    assert!(verdict.probes >= LEAST_PROBES, "{} probes", verdict.probes);
+    assert!(verdict.probes >= MIN_PROBES, "{} probes", verdict.probes);
     let acknowledged = outcome.records.acknowledgement_times().len();
     assert!(
-        acknowledged >= LEAST_ACKNOWLEDGED,
+        acknowledged >= MIN_ACKNOWLEDGED,
         "{acknowledged} acknowledged"
     );
-    // The logs are kept only where something is to be looked up in them.
+    // The logs are kept only after a failure.
     drop(fs::remove_dir_all(&outcome.site.folder));
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn confirmed_changes_are_in_force_in_time_while_processes_fail() {
+async fn acknowledged_changes_are_in_force_in_time_despite_process_failures() {
     for (seed, profile) in [(1, Profile::Mixed), (2, Profile::ZoneFreeze)] {
         let outcome = run::run(config(seed, profile)).await;
-        assert_nothing_broken(&outcome.expect("the run is carried out"));
+        assert_no_violations(&outcome.expect("the run completes"));
     }
 }
