--- a/crates/gradeford-node/tests/witness.rs
+++ b/crates/gradeford-node/tests/witness.rs
@@ -8,7 +8,7 @@
 mod program;
 
 use golden_files::{Volatile, compare};
-use program::{Program, Settings, told};
+use program::{Program, Settings, run_transcript};
 use std::fs;
 
 const PROGRAM: Program = Program {
@@ -30,10 +30,10 @@
 
 #[test]
 fn help_and_version_output_is_unchanged() {
-    compare("help.txt", &told(&PROGRAM, &["--help"]), &[]);
+    compare("help.txt", &run_transcript(&PROGRAM, &["--help"]), &[]);
     compare(
         "version.txt",
-        &told(&PROGRAM, &["--version"]),
+        &run_transcript(&PROGRAM, &["--version"]),
         &[Volatile::Value(env!("CARGO_PKG_VERSION"), "version")],
     );
 }
@@ -51,16 +51,16 @@
     ];
     let transcript: String = invalid
         .iter()
-        .map(|arguments| told(&PROGRAM, arguments))
+        .map(|arguments| run_transcript(&PROGRAM, arguments))
         .collect();
     compare("wrong_flags.txt", &transcript, &[]);
 }
 
 #[test]
 fn every_setting_is_required_or_has_a_default() {
-    let mut transcript = required().checked(&PROGRAM);
+    let mut transcript = required().check_transcript(&PROGRAM);
     for (name, _) in REQUIRED {
-        transcript.push_str(&required().without(name).checked(&PROGRAM));
+        transcript.push_str(&required().without(name).check_transcript(&PROGRAM));
     }
     compare("needed_settings.txt", &transcript, &[]);
 }
@@ -136,7 +136,7 @@
     let mut transcript = String::new();
     for (name, values) in values {
         for value in values {
-            transcript.push_str(&required().with(name, value).checked(&PROGRAM));
+            transcript.push_str(&required().with(name, value).check_transcript(&PROGRAM));
         }
     }
     // The order in which several faults are reported is not fixed.
@@ -144,7 +144,7 @@
         .with("beat_every_us", "2")
         .with("guard_us", "0")
         .with("mates_address", "\"here\"")
-        .checked(&PROGRAM);
+        .check_transcript(&PROGRAM);
     let mut lines: Vec<&str> = several_faults.lines().collect();
     lines.sort_unstable();
     transcript.push_str(&format!("{}\n", lines.join("\n")));
@@ -155,7 +155,7 @@
 
 #[test]
 fn flags_override_the_file_and_are_parsed_as_before() {
-    let with = |arguments: &[&str]| required().checked_with(&PROGRAM, arguments);
+    let with = |arguments: &[&str]| required().check_transcript_with(&PROGRAM, arguments);
     let transcript = [
         with(&["--beat-every-us", "4"]),
         with(&["--name", "1", "--zone", "2"]),
@@ -179,7 +179,7 @@
         "[table]\nx = 1",
         "\u{0}",
     ]
-    .map(|text| program::checked_text(&PROGRAM, text, &[]));
+    .map(|text| program::check_text_transcript(&PROGRAM, text, &[]));
     compare("wrong_files.txt", &transcript.concat(), &[]);
 }
 
@@ -188,14 +188,18 @@
     // 192.0.2.1 is reserved for documentation, so binding to it fails on every machine.
     let foreign_address = "\"192.0.2.1:1\"";
     let transcript: String = ["mates_address", "local_address"]
-        .map(|name| required().with(name, foreign_address).run(&PROGRAM))
+        .map(|name| {
+            required()
+                .with(name, foreign_address)
+                .start_transcript(&PROGRAM)
+        })
         .concat();
     compare("failed.txt", &transcript, &[]);
 }
 
 #[test]
 fn defaults_are_unchanged() {
-    let folder = program::folder("node-defaults");
+    let folder = program::create_test_folder("node-defaults");
     // Each default with a neighbouring value. `log_level` is left out: it needs no restart, and the
     // test reads log lines of level `info`.
     let defaults = [
@@ -210,7 +214,7 @@
         ("watch_patience_us", "1000000", "999999"),
         ("homes", "true", "false"),
     ];
-    let transcript = program::defaults(&PROGRAM, &folder, &required(), &defaults);
+    let transcript = program::defaults_report(&PROGRAM, &folder, &required(), &defaults);
     fs::remove_dir_all(&folder).expect("the directory can be removed");
     compare("defaults.txt", &transcript, &[]);
 }
--- a/crates/legacy-proxy/src/retry_budget/tests.rs
+++ b/crates/legacy-proxy/src/retry_budget/tests.rs
@@ -33,7 +33,7 @@
 
 #[test]
 fn retries_in_any_ten_seconds_are_bounded_by_the_requests() {
-    test_support::drawn::<(u8, Vec<(u16, bool)>)>(300, |(restart_at, steps)| {
+    test_support::check_generated::<(u8, Vec<(u16, bool)>)>(300, |(restart_at, steps)| {
         let mut budget = RetryBudget::new(2);
         let (mut now, mut requests, mut retries) = (0u64, Vec::new(), Vec::new());
         steps
--- a/crates/simulator/tests/ordering.rs
+++ b/crates/simulator/tests/ordering.rs
@@ -26,7 +26,7 @@
 
 #[test]
 fn random_faults_keep_one_log() {
-    test_support::drawn::<(u64, [u8; 36])>(150, |(seed, bytes)| {
+    test_support::check_generated::<(u64, [u8; 36])>(150, |(seed, bytes)| {
         let replica_count = if seed % 2 == 0 { 5 } else { 3 };
         let world = simulate(WorldPlan::new(replica_count, *seed), bytes, 6);
         assert!(
@@ -185,7 +185,7 @@
 
 #[test]
 fn a_replacement_loses_nothing_whichever_replica_fails_meanwhile() {
-    test_support::drawn::<(u64, [u8; 6])>(60, |(seed, bytes)| {
+    test_support::check_generated::<(u64, [u8; 6])>(60, |(seed, bytes)| {
         let replica_count = if seed % 2 == 0 { 5u16 } else { 3 };
         let mut world = World::new(WorldPlan {
             snapshot_every: 15,
--- a/crates/simulator/tests/repairs.rs
+++ b/crates/simulator/tests/repairs.rs
@@ -196,39 +196,42 @@
 
 #[test]
 fn random_losses_that_are_tolerated_lose_nothing_and_never_stop_the_log() {
-    test_support::drawn::<(u8, u64, [(u8, u8, u8); 6])>(120, |(configuration, seed, rounds)| {
-        let (replica_count, losses) =
-            CONFIGURATIONS[usize::from(*configuration) % CONFIGURATIONS.len()];
-        let plan = WorldPlan {
-            snapshot_every: 10 + (*seed % 60) as usize,
-            caller_timeout: 900_000,
-            ..WorldPlan::new(replica_count, *seed)
-        };
-        let mut world = World::new(plan);
-        let mut time = 2 * SECOND;
-        for round in rounds {
-            schedule_random_round(&mut world, time, losses, *round);
-            time += 4 * SECOND + CATCH_UP;
-        }
-        schedule_calls(&mut world, time);
-        for replica_id in 0..replica_count {
-            world.schedule_fault(time, Fault::Unfreeze(replica_id));
-            world.schedule_fault(time, Fault::Start(replica_id));
-        }
-        (0..replica_count).for_each(|replica_id| {
-            world.schedule_fault(
-                time + CATCH_UP,
-                Fault::Submit(replica_id, format!("last {replica_id}").into_bytes()),
-            )
-        });
-        world.run_until(time + CATCH_UP + 2 * SECOND);
-        let replicas = std::mem::take(&mut world.replicas);
-        world.findings.check_final_state(&replicas);
-        let violations = &world.findings.violations;
-        assert!(
-            violations.is_empty(),
-            "{replica_count} replicas, {losses} lost at once, seed {seed}, {rounds:?}: {:#?}",
-            violations.iter().take(6).collect::<Vec<_>>()
-        );
-    });
+    test_support::check_generated::<(u8, u64, [(u8, u8, u8); 6])>(
+        120,
+        |(configuration, seed, rounds)| {
+            let (replica_count, losses) =
+                CONFIGURATIONS[usize::from(*configuration) % CONFIGURATIONS.len()];
+            let plan = WorldPlan {
+                snapshot_every: 10 + (*seed % 60) as usize,
+                caller_timeout: 900_000,
+                ..WorldPlan::new(replica_count, *seed)
+            };
+            let mut world = World::new(plan);
+            let mut time = 2 * SECOND;
+            for round in rounds {
+                schedule_random_round(&mut world, time, losses, *round);
+                time += 4 * SECOND + CATCH_UP;
+            }
+            schedule_calls(&mut world, time);
+            for replica_id in 0..replica_count {
+                world.schedule_fault(time, Fault::Unfreeze(replica_id));
+                world.schedule_fault(time, Fault::Start(replica_id));
+            }
+            (0..replica_count).for_each(|replica_id| {
+                world.schedule_fault(
+                    time + CATCH_UP,
+                    Fault::Submit(replica_id, format!("last {replica_id}").into_bytes()),
+                )
+            });
+            world.run_until(time + CATCH_UP + 2 * SECOND);
+            let replicas = std::mem::take(&mut world.replicas);
+            world.findings.check_final_state(&replicas);
+            let violations = &world.findings.violations;
+            assert!(
+                violations.is_empty(),
+                "{replica_count} replicas, {losses} lost at once, seed {seed}, {rounds:?}: {:#?}",
+                violations.iter().take(6).collect::<Vec<_>>()
+            );
+        },
+    );
 }
--- a/crates/simulator/tests/site.rs
+++ b/crates/simulator/tests/site.rs
@@ -13,7 +13,7 @@
 
 #[test]
 fn random_faults_violate_no_invariant() {
-    test_support::drawn::<(u64, [u8; 24])>(100, |(seed, bytes)| {
+    test_support::check_generated::<(u64, [u8; 24])>(100, |(seed, bytes)| {
         let (violations, site) = simulate(SitePlan::new(*seed), bytes);
         assert!(
             violations.is_empty(),
--- a/crates/soak/src/backend.rs
+++ b/crates/soak/src/backend.rs
@@ -1,4 +1,4 @@
-//! Backends of a run: they take requests, say that they live, and hold the keys they are given.
+//! Backends of a run: they serve requests, send heartbeats and hold the shard ranges granted to them.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -23,48 +23,54 @@
 use crate::http::{self, HttpConnection};
 use crate::site::{BACKEND_PORT, CONTROL_PORT, Machine, SERVICES, Site};
 
-/// Header of an answer: the number of the service that ran the request.
+/// Response header with the index of the service that processed the request.
 pub const SERVICE_HEADER: &str = "x-soak-service";
 
+/// Interval between two heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(780);
-/// Until keys that are to be let go are said to be so.
-const RELEASE_INTERVAL: Duration = Duration::from_millis(60);
-/// A heartbeat counts if it is answered within a second.
-const HEARTBEAT_PATIENCE: Duration = Duration::from_secs(1);
-/// How long a draining backend serves on: `drain` and a little more.
-const DRAIN_TIME: Duration = Duration::from_millis(2_300);
-/// Between two backends at one address.
-const REPLACEMENT_PAUSE: Duration = Duration::from_millis(600);
-/// Requests run for so long at the most, in milliseconds.
-const MAX_WORK_MS: u64 = 8;
-const SLOTS: u32 = 32;
-const ACCEPT_QUEUE: u32 = 1_024;
-const MISDIRECTED: u16 = 421;
+/// Delay before the heartbeat that reports released shard ranges.
+const RELEASE_DELAY: Duration = Duration::from_millis(60);
+/// Timeout for the answer to a heartbeat.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time for which a draining backend continues to serve, slightly longer than `drain` in the settings.
+const DRAIN_DURATION: Duration = Duration::from_millis(2_300);
+/// Delay before the next incarnation of a backend starts.
+const REPLACEMENT_DELAY: Duration = Duration::from_millis(600);
+/// Maximum processing time of a request, in milliseconds.
+const MAX_PROCESSING_MS: u64 = 8;
+/// Capacity that a backend reports in its heartbeats.
+const CAPACITY_SLOTS: u32 = 32;
+const ACCEPT_BACKLOG: u32 = 1_024;
+/// Status of an answer to a request that the backend didn't run, as it was sent to another incarnation
+/// or for a key that the backend doesn't hold.
+const MISDIRECTED_REQUEST: u16 = 421;
 
-/// What a backend is told to do.
+/// A command to a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BackendOrder {
-    /// Drain, sign off and end; another one follows.
+pub enum BackendCommand {
+    /// Drain, deregister and end; a new incarnation follows.
     Replace,
-    /// End without a word; another one follows.
+    /// End without draining or deregistering; a new incarnation follows.
     Crash,
 }
 
-/// A range of keys that is held.
+/// A shard range under lease, with inclusive bounds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct HeldRange {
+struct LeasedRange {
     first: u16,
     last: u16,
-    fence: u64,
+    fencing_token: u64,
 }
 
-/// Keys of one incarnation of a backend.
+/// Shard ranges that one incarnation of a backend holds or has released.
 #[derive(Default)]
-struct Keys {
-    held: Vec<HeldRange>,
-    /// Ranges let go and not said to be yet, each with its hand-over.
+struct ShardLeases {
+    held: Vec<LeasedRange>,
+    /// Released ranges that no heartbeat has reported yet: the first key, the last key and an identifier
+    /// of the handover.
     released: Vec<(u16, u16, String)>,
-    held_until: Micros,
+    /// When the leases of all held ranges expire.
+    expires_at: Micros,
 }
 
 /// One incarnation of a backend.
@@ -72,11 +78,16 @@
     id: String,
     service: usize,
     clock: Clock,
-    keys: Mutex<Keys>,
+    leases: Mutex<ShardLeases>,
 }
 
-/// Runs the backends beside a node, one incarnation after the other, for as long as the run.
-pub async fn run(site: Arc<Site>, node: usize, clock: Clock, orders: mpsc::Receiver<BackendOrder>) {
+/// Runs the backend beside a node, one incarnation after the other, until the run ends.
+pub async fn run(
+    site: Arc<Site>,
+    node: usize,
+    clock: Clock,
+    commands: mpsc::Receiver<BackendCommand>,
+) {
     let machine = Machine::Node(node);
     let service = site.service_of(node);
     let service = SERVICES.iter().position(|name| *name == service);
@@ -87,12 +98,12 @@
         service: service.unwrap_or_default(),
         node,
         clock,
-        orders,
+        commands,
     };
     let mut generation = 0;
     while machine.run_incarnation(generation).await.is_some() {
         generation += 1;
-        sleep(REPLACEMENT_PAUSE).await;
+        sleep(REPLACEMENT_DELAY).await;
     }
 }
 
@@ -103,51 +114,51 @@
     service: usize,
     node: usize,
     clock: Clock,
-    orders: mpsc::Receiver<BackendOrder>,
+    commands: mpsc::Receiver<BackendCommand>,
 }
 
 impl BackendMachine {
-    /// `None` once no more orders can come.
+    /// Runs one incarnation until a command ends it. Returns `None` once no more commands can come.
     async fn run_incarnation(&mut self, generation: u64) -> Option<()> {
         let incarnation = Arc::new(Incarnation {
             id: format!("i-{}-{generation}", self.node),
             service: self.service,
             clock: self.clock,
-            keys: Mutex::default(),
+            leases: Mutex::default(),
         });
         let Ok(listener) = listen(self.address) else {
             return Some(());
         };
-        // Dropped at the end, and with it every connection.
+        // Dropping the set at the end closes all connections.
         let mut tasks = JoinSet::new();
         tasks.spawn(serve(incarnation.clone(), listener));
         let mut sequence = 0;
-        let order = self
-            .heartbeat_until_order(&incarnation, &mut sequence)
+        let command = self
+            .heartbeat_until_command(&incarnation, &mut sequence)
             .await?;
-        if order == BackendOrder::Replace {
+        if command == BackendCommand::Replace {
             let drained = self.heartbeat_while_draining(&incarnation, &mut sequence);
-            drop(timeout(DRAIN_TIME, drained).await);
+            drop(timeout(DRAIN_DURATION, drained).await);
             let path = format!("/Instances.Deregister/{}", incarnation.id);
             let request = http::post_json(&path, "{}".into());
-            // Without an answer it ends all the same.
-            drop(http::call_once(self.control, request, HEARTBEAT_PATIENCE).await);
+            // The incarnation ends even without an answer.
+            drop(http::call_once(self.control, request, HEARTBEAT_TIMEOUT).await);
         }
         Some(())
     }
 
-    async fn heartbeat_until_order(
+    async fn heartbeat_until_command(
         &mut self,
         incarnation: &Incarnation,
         sequence: &mut u64,
-    ) -> Option<BackendOrder> {
+    ) -> Option<BackendCommand> {
         let mut connection = None;
         loop {
             *sequence += 1;
             let heartbeat = self.heartbeat(incarnation, false);
             let pause = heartbeat.send(&mut connection, *sequence).await;
             tokio::select! {
-                order = self.orders.recv() => return order,
+                command = self.commands.recv() => return command,
                 () = sleep(pause) => {}
             }
         }
@@ -178,15 +189,16 @@
     }
 }
 
-/// Binds again at once where an earlier incarnation has just ended.
+/// Listens with `SO_REUSEADDR`, so that the address can be bound right after an earlier incarnation
+/// has ended.
 fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(ACCEPT_QUEUE)
+    socket.listen(ACCEPT_BACKLOG)
 }
 
-/// One heartbeat and what it takes from its answer.
+/// One heartbeat; its answer updates the leases of the incarnation.
 struct Heartbeat<'run> {
     control: SocketAddr,
     address: SocketAddr,
@@ -196,7 +208,7 @@
 }
 
 impl Heartbeat<'_> {
-    /// Sends it, and returns how long to wait before the next.
+    /// Sends the heartbeat, applies the answer and returns the delay before the next heartbeat.
     async fn send(&self, connection: &mut Option<HttpConnection>, sequence: u64) -> Duration {
         let sent_at = self.incarnation.clock.now();
         let (body, released) = self.body(sequence);
@@ -208,10 +220,10 @@
         let Some(open) = connection.as_mut() else {
             return HEARTBEAT_INTERVAL / 4;
         };
-        match open.call(request, HEARTBEAT_PATIENCE).await {
+        match open.call(request, HEARTBEAT_TIMEOUT).await {
             Ok(response) if response.status().is_success() => {
                 let answer = serde_json::from_slice(response.body()).unwrap_or(Value::Null);
-                self.incarnation.take_keys(sent_at, &answer, released)
+                self.incarnation.apply_grants(sent_at, &answer, released)
             }
             _ => {
                 *connection = None;
@@ -220,69 +232,75 @@
         }
     }
 
-    /// The body, and how many releases it tells.
+    /// Returns the body and the number of released ranges that it reports.
     fn body(&self, sequence: u64) -> (Value, usize) {
         let now = self.incarnation.clock.now();
-        let mut keys = self.incarnation.keys();
-        if now > keys.held_until {
-            // What has run out is not told under the releases.
-            keys.held.clear();
+        let mut leases = self.incarnation.leases();
+        if now > leases.expires_at {
+            // Expired ranges are not reported as released.
+            leases.held.clear();
         }
-        let ranges = keys.held.iter();
-        let held: Vec<_> = ranges.map(|r| (r.first, r.last, r.fence)).collect();
+        let ranges = leases.held.iter();
+        let held: Vec<_> = ranges.map(|r| (r.first, r.last, r.fencing_token)).collect();
         let body = json!({
             "address": self.address.to_string(),
             "summary": {
                 "service_ref": SERVICES[self.incarnation.service],
-                "version": "v1", "zone": self.zone, "capacity": SLOTS,
+                "version": "v1", "zone": self.zone, "capacity": CAPACITY_SLOTS,
             },
             "condition": {
                 "state": if self.draining { "draining" } else { "ready" },
                 "call_seq": sequence, "cold_left": "0ms",
             },
             "hold_list": held,
-            "released": keys.released,
+            "released": leases.released,
         });
-        (body, keys.released.len())
+        (body, leases.released.len())
     }
 }
 
 impl Incarnation {
-    fn keys(&self) -> MutexGuard<'_, Keys> {
-        self.keys.lock().unwrap_or_else(PoisonError::into_inner)
+    fn leases(&self) -> MutexGuard<'_, ShardLeases> {
+        self.leases.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn holds(&self, key: u16) -> bool {
-        let keys = self.keys();
-        let mut held = keys.held.iter();
-        self.clock.now() <= keys.held_until
+        let leases = self.leases();
+        let mut held = leases.held.iter();
+        self.clock.now() <= leases.expires_at
             && held.any(|range| (range.first..=range.last).contains(&key))
     }
 
-    /// Takes over the answer's ranges and lets go of all others; returns when to say so.
-    fn take_keys(&self, sent_at: Micros, answer: &Value, told: usize) -> Duration {
-        let mut keys = self.keys();
-        keys.released.drain(..told);
+    /// Holds the ranges granted by the answer and releases all others. Returns the delay before the next
+    /// heartbeat, which is shorter if it has releases to report.
+    fn apply_grants(&self, sent_at: Micros, answer: &Value, reported_releases: usize) -> Duration {
+        let mut leases = self.leases();
+        leases.released.drain(..reported_releases);
         let Some(rows) = answer["hold_list"].as_array() else {
             return HEARTBEAT_INTERVAL;
         };
-        let granted: Vec<HeldRange> = rows.iter().filter_map(parse_range).collect();
-        let covered = |range: &HeldRange| {
+        let granted: Vec<LeasedRange> = rows.iter().filter_map(parse_range).collect();
+        let covered = |range: &LeasedRange| {
             granted
                 .iter()
                 .any(|new| new.first <= range.first && range.last <= new.last)
         };
-        let gone: Vec<HeldRange> = keys.held.iter().filter(|r| !covered(r)).copied().collect();
-        for range in &gone {
+        let withdrawn: Vec<LeasedRange> = leases
+            .held
+            .iter()
+            .filter(|r| !covered(r))
+            .copied()
+            .collect();
+        for range in &withdrawn {
             let handover = format!("{:016x}", rand::rng().random::<u64>());
-            keys.released.push((range.first, range.last, handover));
+            leases.released.push((range.first, range.last, handover));
         }
-        keys.held = granted;
-        keys.held_until = sent_at + answer["hold"].as_str().map_or(0, parse_milliseconds);
-        if gone.is_empty() {
+        leases.held = granted;
+        leases.expires_at = sent_at + answer["hold"].as_str().map_or(0, parse_milliseconds);
+        if withdrawn.is_empty() {
             HEARTBEAT_INTERVAL
         } else {
-            RELEASE_INTERVAL
+            RELEASE_DELAY
         }
     }
 
@@ -298,19 +316,19 @@
             return response.body(Full::default()).unwrap_or_default();
         }
         let attempt_id = header("gradeford-attempt-id").unwrap_or_default();
-        let for_another =
+        let for_other_instance =
             header("gradeford-target-instance").is_some_and(|target| target != self.id);
         let key = header("gradeford-shard-key").and_then(|key| key.parse().ok());
         let not_held = self.service == 0 && !key.is_some_and(|key| self.holds(key));
-        if for_another || not_held {
+        if for_other_instance || not_held {
             let response = Response::builder()
-                .status(MISDIRECTED)
+                .status(MISDIRECTED_REQUEST)
                 .header("gradeford-attempt-id", attempt_id)
                 .header("gradeford-not-run", "1");
             return response.body(Full::default()).unwrap_or_default();
         }
-        let work = rand::rng().random_range(0..=MAX_WORK_MS);
-        sleep(Duration::from_millis(work)).await;
+        let processing_ms = rand::rng().random_range(0..=MAX_PROCESSING_MS);
+        sleep(Duration::from_millis(processing_ms)).await;
         let response = Response::builder()
             .header("gradeford-attempt-id", attempt_id)
             .header("gradeford-server-seal", &self.id)
@@ -320,15 +338,15 @@
     }
 }
 
-fn parse_range(row: &Value) -> Option<HeldRange> {
-    Some(HeldRange {
+fn parse_range(row: &Value) -> Option<LeasedRange> {
+    Some(LeasedRange {
         first: u16::try_from(row[0].as_u64()?).ok()?,
         last: u16::try_from(row[1].as_u64()?).ok()?,
-        fence: row[2].as_u64()?,
+        fencing_token: row[2].as_u64()?,
     })
 }
 
-/// `4000ms` or `4s`, in microseconds.
+/// Parses a duration such as `4000ms` or `4s`, in microseconds.
 fn parse_milliseconds(text: &str) -> Micros {
     let whole = |number: &str| number.parse::<f64>().unwrap_or_default();
     match text.strip_suffix("ms") {
--- a/crates/soak/src/checker.rs
+++ b/crates/soak/src/checker.rs
@@ -1,4 +1,8 @@
-//! Judges the records of a run: is a confirmed change in force in time, and does nothing go back?
+//! Checks the records of a run: acknowledged changes must be in force in time and must not be reverted.
+//!
+//! A machine, or the core as a whole, counts as settled once it has been undisturbed for
+//! [`Bounds::quiet`]. Late changes are violations only at nodes that are settled and while a majority
+//! of the core machines runs.
 
 use std::collections::BTreeMap;
 
@@ -9,88 +13,89 @@
 };
 use crate::site::{Bounds, Machine};
 
-/// A rule that was broken, with what shows it.
+/// A violation of a rule, with the observation that shows it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Violation {
-    /// A machine in touch answered as only an overtaken version allows.
+    /// A settled node gave an answer that only a superseded version allows.
     NotInForce {
         /// The request.
         probe: Probe,
-        /// The newest version that had to be in force.
+        /// The oldest acknowledged version that should have been in force and wasn't.
         version: u64,
-        /// How long after its acknowledgement the request was sent.
+        /// Time from the acknowledgement of that version until the request was sent.
         lateness: Micros,
     },
-    /// A process showed a newer version before.
-    WentBack {
+    /// A process showed an older version after a newer one.
+    Reverted {
         /// The request.
         probe: Probe,
-        /// The version that it showed before.
+        /// The version that the process had shown before.
         shown: u64,
     },
-    /// A route that all configurations of the run have was refused with 404.
+    /// A route that is in every configuration of the run was answered with 404.
     StableRouteRefused {
         /// The request.
         probe: Probe,
     },
-    /// A read answered with an older version than was acknowledged before it was sent.
-    OlderRead {
+    /// A read returned an older version than had been acknowledged before the read was sent.
+    StaleRead {
         /// The core machine that answered.
         core: usize,
-        /// When it was asked.
+        /// When the read was sent.
         sent_at: Micros,
-        /// The route.
+        /// Name of the route.
         route: String,
-        /// The version that was answered, if any.
+        /// The version in the answer, if the route is in it.
         read: Option<u64>,
-        /// The version that had been acknowledged.
+        /// The latest version that had been acknowledged.
         acknowledged: u64,
     },
-    /// A valid call was not acknowledged in time, though the core was calm.
+    /// A valid call was not acknowledged in time although the core was settled.
     NotAcknowledged {
         /// The call.
         call: CallRecord,
-        /// How long it waited in one calm stretch.
+        /// Longest continuous time for which the call waited while the core was settled.
         waited: Micros,
     },
-    /// Seen while the run was on.
-    Found(Finding),
+    /// A violation detected during the run.
+    Recorded(Finding),
 }
 
-/// What the records of a run come to.
+/// The result of checking a run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Verdict {
-    /// Broken rules.
+    /// All violations.
     pub violations: Vec<Violation>,
-    /// Requests that were late by the same measure at machines that were not in touch.
-    pub late_out_of_touch: usize,
-    /// The longest time after an acknowledgement at which a request at a machine in touch was still
-    /// answered by an overtaken version.
+    /// Number of requests that showed a superseded version later than [`Bounds::apply`] allows while no
+    /// bound was in effect: the node was not settled, or no majority of the core machines ran.
+    pub late_without_bound: usize,
+    /// Longest time after an acknowledgement at which a request was still answered by a superseded
+    /// version, counting only requests for which a bound was in effect.
     pub longest_lateness: Micros,
-    /// Requests that were judged.
+    /// Number of requests that were checked.
     pub probes: usize,
-    /// Reads that were judged.
+    /// Number of reads that were checked.
     pub reads: usize,
 }
 
-/// Judges a run.
+/// Checks the records of a run against the bounds.
 pub fn check(records: &Records, bounds: &Bounds, core_count: usize) -> Verdict {
-    let calm = CalmTimes::of(&records.events, bounds, core_count);
+    let disturbances = Disturbances::from_events(&records.events, bounds, core_count);
     let mut verdict = Verdict {
         probes: records.probes.len(),
         reads: records.reads.len(),
         ..Verdict::default()
     };
-    let findings = records.findings.iter().cloned().map(Violation::Found);
+    let findings = records.findings.iter().cloned().map(Violation::Recorded);
     verdict.violations.extend(findings);
     for probe in &records.probes {
         if let Some(route) = records.routes.get(&probe.route) {
-            check_probe(&mut verdict, probe, route, bounds, &calm);
+            check_probe(&mut verdict, probe, route, bounds, &disturbances);
         }
     }
-    check_no_way_back(&mut verdict, records, bounds);
+    check_reversions(&mut verdict, records, bounds);
     for call in &records.calls {
-        check_call(&mut verdict, *call, bounds, &calm, records.ended_at);
+        check_call(&mut verdict, *call, bounds, &disturbances, records.ended_at);
     }
     for read in &records.reads {
         check_read(&mut verdict, read, &records.routes);
@@ -103,7 +108,7 @@
     probe: &Probe,
     route: &RouteHistory,
     bounds: &Bounds,
-    calm: &CalmTimes,
+    disturbances: &Disturbances,
 ) {
     if route.is_stable && probe.effect == Effect::Absent {
         let probe = probe.clone();
@@ -112,28 +117,28 @@
             .push(Violation::StableRouteRefused { probe });
         return;
     }
-    let Some(overtaken) = overtaken_by(probe, route) else {
+    let Some(superseding) = find_superseding_version(probe, route) else {
         return;
     };
-    let lateness = probe.sent_at - overtaken.acknowledged_at.unwrap_or(probe.sent_at);
-    let Some(allowed) = calm.allowed_lateness(probe, bounds) else {
-        verdict.late_out_of_touch += usize::from(lateness > bounds.apply);
+    let lateness = probe.sent_at - superseding.acknowledged_at.unwrap_or(probe.sent_at);
+    let Some(allowed) = disturbances.allowed_lateness(probe, bounds) else {
+        verdict.late_without_bound += usize::from(lateness > bounds.apply);
         return;
     };
     verdict.longest_lateness = verdict.longest_lateness.max(lateness);
     if lateness > allowed {
         verdict.violations.push(Violation::NotInForce {
             probe: probe.clone(),
-            version: overtaken.version,
+            version: superseding.version,
             lateness,
         });
     }
 }
 
-/// The oldest acknowledged version that the answer shows not to be in force: every version from it
-/// on that may have been in force allows another effect only.
-fn overtaken_by(probe: &Probe, route: &RouteHistory) -> Option<RouteVersion> {
-    let may_show = |from: usize| {
+/// Returns the oldest acknowledged version that the answer shows not to be in force, if there is one:
+/// neither it nor any later version that may have been in force has the effect that the answer shows.
+fn find_superseding_version(probe: &Probe, route: &RouteHistory) -> Option<RouteVersion> {
+    let may_have_effect = |from: usize| {
         let versions = route.versions[from..].iter();
         let sent = versions.take_while(|version| version.sent_at <= probe.answered_at);
         sent.into_iter()
@@ -145,16 +150,16 @@
             .is_some_and(|at| at <= probe.sent_at)
     };
     let newest = route.versions.iter().rposition(acknowledged_before)?;
-    if may_show(newest) {
+    if may_have_effect(newest) {
         return None;
     }
-    // The first acknowledged version after the latest one that shows this effect.
+    // The first acknowledged version after the latest one that has this effect.
     let shown = route.versions[..newest]
         .iter()
         .rposition(|version| version.effect == probe.effect);
     let first = shown.map_or(0, |shown| shown + 1);
-    let mut overtaking = route.versions[first..=newest].iter();
-    overtaking
+    let mut candidates = route.versions[first..=newest].iter();
+    candidates
         .find(|version| acknowledged_before(version))
         .copied()
 }
@@ -163,11 +168,11 @@
     verdict: &mut Verdict,
     call: CallRecord,
     bounds: &Bounds,
-    calm: &CalmTimes,
+    disturbances: &Disturbances,
     run_ended_at: Micros,
 ) {
     let until = call.acknowledged_at.unwrap_or(run_ended_at);
-    let waited = calm.longest_calm_stretch(call.sent_at, until);
+    let waited = disturbances.longest_settled_period(call.sent_at, until);
     let allowed = bounds.acknowledge + bounds.acknowledge_per_route * call.routes as Micros;
     if waited > allowed {
         verdict
@@ -176,7 +181,7 @@
     }
 }
 
-fn check_no_way_back(verdict: &mut Verdict, records: &Records, bounds: &Bounds) {
+fn check_reversions(verdict: &mut Verdict, records: &Records, bounds: &Bounds) {
     let mut by_process: BTreeMap<(usize, usize, &str), Vec<&Probe>> = BTreeMap::new();
     for probe in &records.probes {
         let incarnation = incarnation_at(&records.events, probe.node, probe.sent_at);
@@ -188,11 +193,11 @@
             continue;
         };
         probes.sort_by_key(|probe| probe.answered_at);
-        check_one_process(verdict, &probes, route, bounds);
+        check_process_reversions(verdict, &probes, route, bounds);
     }
 }
 
-/// How often a node was started before a time.
+/// Counts the starts of a node up to a time.
 fn incarnation_at(events: &[MachineEvent], node: usize, at: Micros) -> usize {
     let starts = events.iter().filter(|event| {
         event.machine == Machine::Node(node) && event.kind == EventKind::Started && event.at <= at
@@ -200,21 +205,21 @@
     starts.count()
 }
 
-fn check_one_process(
+fn check_process_reversions(
     verdict: &mut Verdict,
     probes: &[&Probe],
     route: &RouteHistory,
     bounds: &Bounds,
 ) {
-    // The oldest version that the process can hold after each answer, in the order of answers.
+    // Index of the oldest version that the process can hold after each answer, in order of answers.
     let mut shown: Vec<(Micros, usize)> = Vec::new();
     for probe in probes {
-        let settled = shown
+        let established = shown
             .iter()
             .rev()
             .find(|(answered_at, _)| answered_at + bounds.revert_slack < probe.sent_at);
-        let least = settled.map_or(0, |(_, index)| *index);
-        let possible = (least..route.versions.len()).find(|index| {
+        let minimum = established.map_or(0, |(_, index)| *index);
+        let possible = (minimum..route.versions.len()).find(|index| {
             let version = &route.versions[*index];
             version.effect == probe.effect && version.sent_at <= probe.answered_at
         });
@@ -223,9 +228,9 @@
                 let highest = shown.last().map_or(index, |(_, last)| index.max(*last));
                 shown.push((probe.answered_at, highest));
             }
-            None if settled.is_some() => verdict.violations.push(Violation::WentBack {
+            None if established.is_some() => verdict.violations.push(Violation::Reverted {
                 probe: (*probe).clone(),
-                shown: route.versions[least].version,
+                shown: route.versions[minimum].version,
             }),
             None => {}
         }
@@ -259,7 +264,7 @@
             None => dropped_later(),
         };
         if !is_fine {
-            verdict.violations.push(Violation::OlderRead {
+            verdict.violations.push(Violation::StaleRead {
                 core: read.core,
                 sent_at: read.sent_at,
                 route: name.clone(),
@@ -270,26 +275,26 @@
     }
 }
 
-/// Something that takes a node out of touch.
+/// A disturbance of a node.
 struct NodeEvent {
     at: Micros,
-    /// Whether the process runs from then on.
-    runs: bool,
+    /// Whether the process runs after the event.
+    is_running: bool,
 }
 
-/// When machines were left alone for long enough.
-struct CalmTimes {
+/// Disturbances of machines during the run, which determine when nodes and the core were settled.
+struct Disturbances {
     quiet: Micros,
     node_events: BTreeMap<usize, Vec<NodeEvent>>,
     core_events: Vec<Micros>,
-    /// From when on how many core machines ran.
+    /// Number of core machines that run from a time on, in order of time.
     running_cores: Vec<(Micros, usize)>,
     core_count: usize,
 }
 
-impl CalmTimes {
-    fn of(events: &[MachineEvent], bounds: &Bounds, core_count: usize) -> CalmTimes {
-        let mut calm = CalmTimes {
+impl Disturbances {
+    fn from_events(events: &[MachineEvent], bounds: &Bounds, core_count: usize) -> Disturbances {
+        let mut disturbances = Disturbances {
             quiet: bounds.quiet,
             node_events: BTreeMap::new(),
             core_events: Vec::new(),
@@ -298,53 +303,58 @@
         };
         let mut stopped: BTreeMap<usize, bool> = BTreeMap::new();
         for event in events {
-            // A process that ends by itself counts as running, and its start is its own doing.
-            if event.kind == EventKind::EndedByItself {
+            // A process that exits on its own counts as running until its restart, which is an event of its
+            // own.
+            if event.kind == EventKind::Exited {
                 continue;
             }
             match event.machine {
-                // SIGHUP does not take a machine out of touch.
+                // SIGHUP doesn't disturb a machine.
                 Machine::Node(_) if event.kind == EventKind::Reloaded => {}
                 Machine::Node(node) => {
-                    let stands_still = matches!(event.kind, EventKind::Frozen | EventKind::Killed);
-                    calm.node_events.entry(node).or_default().push(NodeEvent {
-                        at: event.at,
-                        runs: !stands_still,
-                    });
+                    let is_down = matches!(event.kind, EventKind::Frozen | EventKind::Killed);
+                    disturbances
+                        .node_events
+                        .entry(node)
+                        .or_default()
+                        .push(NodeEvent {
+                            at: event.at,
+                            is_running: !is_down,
+                        });
                 }
                 Machine::Core(core) => {
                     if event.kind != EventKind::Reloaded {
-                        calm.core_events.push(event.at);
+                        disturbances.core_events.push(event.at);
                     }
                     match event.kind {
                         EventKind::Killed | EventKind::Terminated | EventKind::Frozen => {
                             stopped.insert(core, true);
                         }
-                        EventKind::Started | EventKind::Thawed => {
+                        EventKind::Started | EventKind::Resumed => {
                             stopped.insert(core, false);
                         }
                         _ => {}
                     }
-                    let away = stopped.values().filter(|stopped| **stopped).count();
-                    let running = core_count.saturating_sub(away);
-                    calm.running_cores.push((event.at, running));
+                    let down = stopped.values().filter(|stopped| **stopped).count();
+                    let running = core_count.saturating_sub(down);
+                    disturbances.running_cores.push((event.at, running));
                 }
             }
         }
-        calm
+        disturbances
     }
 
-    /// How late a request may be answered by an overtaken version; `None` for machines that are not
-    /// in touch.
+    /// Returns how long after an acknowledgement the request may still be answered by a superseded
+    /// version; `None` if the node wasn't settled or no majority of the core machines ran.
     fn allowed_lateness(&self, probe: &Probe, bounds: &Bounds) -> Option<Micros> {
-        if !self.node_is_calm(probe.node, probe.sent_at) {
+        if !self.node_is_settled(probe.node, probe.sent_at) {
             return None;
         }
         let since = probe
             .sent_at
             .saturating_sub(bounds.apply + bounds.stretch_max);
-        let majority_ran = self.most_cores_ran(since, probe.sent_at);
-        let settled = self.core_is_calm(probe.sent_at);
+        let majority_ran = self.majority_ran(since, probe.sent_at);
+        let settled = self.core_is_settled(probe.sent_at);
         match (settled, majority_ran) {
             (true, true) => Some(bounds.apply),
             (false, true) => Some(bounds.apply + bounds.stretch_max),
@@ -352,33 +362,36 @@
         }
     }
 
-    /// A node that stands still is not in touch, however long ago it was stopped.
-    fn node_is_calm(&self, node: usize, at: Micros) -> bool {
+    /// Returns whether a node is settled. A node whose process is stopped or killed is not, however long
+    /// ago that was.
+    fn node_is_settled(&self, node: usize, at: Micros) -> bool {
         let events = self.node_events.get(&node);
         let last = events.and_then(|events| events.iter().rfind(|event| event.at <= at));
-        last.is_none_or(|event| event.runs && event.at + self.quiet <= at)
+        last.is_none_or(|event| event.is_running && event.at + self.quiet <= at)
     }
 
-    fn core_is_calm(&self, at: Micros) -> bool {
+    fn core_is_settled(&self, at: Micros) -> bool {
         let last = self.core_events.iter().rfind(|event| **event <= at);
         last.is_none_or(|event| event + self.quiet <= at)
     }
 
-    /// The longest time within these in which the core was calm and a majority of it ran.
-    fn longest_calm_stretch(&self, from: Micros, to: Micros) -> Micros {
+    /// Returns the longest continuous time between `from` and `to` in which the core was settled and a
+    /// majority of its machines ran.
+    fn longest_settled_period(&self, from: Micros, to: Micros) -> Micros {
         let within = self.core_events.iter().filter(|at| **at <= to);
-        let begins = within.map(|at| at + self.quiet);
-        let stretches = std::iter::once(from).chain(begins).map(|begin| {
+        let starts = within.map(|at| at + self.quiet);
+        let periods = std::iter::once(from).chain(starts).map(|begin| {
             let begin = begin.max(from);
             let next_event = self.core_events.iter().find(|at| **at > begin);
             let end = next_event.map_or(to, |at| (*at).min(to));
-            let calm = end > begin && self.core_is_calm(begin) && self.most_cores_ran(begin, end);
-            if calm { end - begin } else { 0 }
+            let settled =
+                end > begin && self.core_is_settled(begin) && self.majority_ran(begin, end);
+            if settled { end - begin } else { 0 }
         });
-        stretches.max().unwrap_or(0)
+        periods.max().unwrap_or(0)
     }
 
-    fn most_cores_ran(&self, from: Micros, to: Micros) -> bool {
+    fn majority_ran(&self, from: Micros, to: Micros) -> bool {
         let before = self.running_cores.iter().rfind(|(at, _)| *at <= from);
         let within = self
             .running_cores
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -1,5 +1,5 @@
-//! Clients of a run. Each keeps its connection to one node and uses it until the process is gone,
-//! whether the node says that it is ready or not.
+//! Clients of a run. Each client sends requests to one node over a persistent connection, regardless of
+//! the node's readiness, and reconnects only after an exchange has failed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,35 +18,35 @@
 use crate::http::{HttpConnection, HttpRequest};
 use crate::site::{Machine, OUTBOUND_PORT, Site};
 
-/// How long a client waits for an answer.
-const PATIENCE: Duration = Duration::from_millis(1_500);
-/// Before a client opens a connection again.
-const RECONNECT_PAUSE: Duration = Duration::from_millis(30);
-/// Routes that changed so lately are asked for more often.
-const RECENT: Micros = 6 * SECOND;
-/// The share of requests that go to such routes.
+/// Timeout for the answer to a request.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Delay before a client reconnects after a failed attempt to connect.
+const RECONNECT_DELAY: Duration = Duration::from_millis(30);
+/// Routes that changed within this time are requested more often.
+const RECENT_PERIOD: Micros = 6 * SECOND;
+/// Share of the requests that go to recently changed routes.
 const RECENT_SHARE: f64 = 0.8;
 const NOT_FOUND: u16 = 404;
 
-/// One client.
+/// A client of one node.
 pub struct Client {
     /// The site of the run.
     pub site: Arc<Site>,
-    /// The node that it sends to.
+    /// Number of the node that receives the requests.
     pub node: usize,
-    /// The number of the client at that node.
+    /// Number of the client at that node.
     pub number: usize,
     /// The clock of the run.
     pub clock: Clock,
-    /// Where answers are recorded.
+    /// Records of the run.
     pub history: Arc<History>,
-    /// Draws routes and pauses.
+    /// Random choices of routes, shard keys and pauses.
     pub rng: StdRng,
-    /// The longest pause between two requests, in milliseconds.
+    /// Longest pause between two requests, in milliseconds.
     pub max_pause_ms: u64,
 }
 
-/// A route to ask for.
+/// The host and path of a request, and the name of the route that they match.
 struct Target {
     route: String,
     host: String,
@@ -54,36 +54,41 @@
 }
 
 impl Client {
-    /// Sends one request after the other, for as long as the run.
+    /// Sends requests sequentially until the run ends.
     pub async fn run(mut self) {
         let address = self.site.address(Machine::Node(self.node), OUTBOUND_PORT);
         let mut connection = None;
-        let mut sent = 0u64;
+        let mut request_number = 0u64;
         loop {
             let pause = self.rng.random_range(0..=self.max_pause_ms);
             sleep(Duration::from_millis(pause)).await;
-            let Some(target) = self.draw_target() else {
+            let Some(target) = self.choose_target() else {
                 continue;
             };
             if connection.is_none() {
                 connection = HttpConnection::open(address).await.ok();
             }
             let Some(open) = connection.as_mut() else {
-                sleep(RECONNECT_PAUSE).await;
+                sleep(RECONNECT_DELAY).await;
                 continue;
             };
-            sent += 1;
-            if !self.ask(open, target, sent).await {
+            request_number += 1;
+            if !self.send_request(open, target, request_number).await {
                 connection = None;
             }
         }
     }
 
-    /// Whether the connection is still of use.
-    async fn ask(&mut self, connection: &mut HttpConnection, target: Target, sent: u64) -> bool {
-        let request = self.request(&target, sent);
+    /// Sends one request and records the answer. Returns whether the connection can be used again.
+    async fn send_request(
+        &mut self,
+        connection: &mut HttpConnection,
+        target: Target,
+        request_number: u64,
+    ) -> bool {
+        let request = self.request(&target, request_number);
         let sent_at = self.clock.now();
-        let answer = connection.call(request, PATIENCE).await;
+        let answer = connection.call(request, ANSWER_TIMEOUT).await;
         let answered_at = self.clock.now();
         let status = answer.as_ref().map_or(0, |answer| answer.status().as_u16());
         let mut records = self.history.lock();
@@ -109,14 +114,17 @@
         true
     }
 
-    fn request(&mut self, target: &Target, sent: u64) -> HttpRequest {
+    fn request(&mut self, target: &Target, request_number: u64) -> HttpRequest {
         let request = Request::get(&target.path)
             .header("host", &target.host)
             .header(
                 "gradeford-attempt-id",
-                format!("a-{}-{}-{sent}", self.node, self.number),
+                format!("a-{}-{}-{request_number}", self.node, self.number),
+            )
+            .header(
+                "gradeford-time-left-ms",
+                ANSWER_TIMEOUT.as_millis().to_string(),
             )
-            .header("gradeford-time-left-ms", PATIENCE.as_millis().to_string())
             .header(
                 "gradeford-shard-key",
                 self.rng.random_range(0..=u16::MAX).to_string(),
@@ -124,9 +132,9 @@
         request.body(Full::new(Bytes::new())).unwrap_or_default()
     }
 
-    fn draw_target(&mut self) -> Option<Target> {
+    fn choose_target(&mut self) -> Option<Target> {
         let records = self.history.lock();
-        let since = self.clock.now().saturating_sub(RECENT);
+        let since = self.clock.now().saturating_sub(RECENT_PERIOD);
         let recent: Vec<&String> = records
             .routes
             .iter()
--- a/crates/soak/src/operator.rs
+++ b/crates/soak/src/operator.rs
@@ -1,5 +1,5 @@
-//! Operators of a run: they change routes, one and many at a time, send invalid calls, repeat calls
-//! and read the configuration back.
+//! Operators of a run: they change single or many routes in a call, send invalid calls, repeat
+//! acknowledged calls and read the configuration back.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -25,55 +25,56 @@
 
 const AMEND_PATH: &str = "/Config.Amend";
 const READ_PATH: &str = "/Config.Read";
-/// An operator moves on to another machine after a second of silence.
-const PATIENCE: Duration = Duration::from_secs(1);
-/// And after so much more for each route of a call.
-const PATIENCE_PER_ROUTE: Duration = Duration::from_millis(3);
-/// The pause before a call is sent again; it doubles up to the longest.
-const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(50);
-const LONGEST_RETRY_PAUSE: Duration = Duration::from_millis(400);
-/// Calls of one operator that are under way at once.
-const MAX_CALLS_UNDER_WAY: usize = 8;
-/// Routes that stand from the start and never change.
-const STABLE_ROUTES: usize = 8;
-/// Hosts of the site.
-const HOSTS: usize = 6;
-/// How often the configuration is read back.
+/// Timeout of a call, after which an operator tries another core machine.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Added to the timeout for each route in the call.
+const CALL_TIMEOUT_PER_ROUTE: Duration = Duration::from_millis(3);
+/// Delay before the first retry of a call; it doubles with each retry up to the maximum.
+const FIRST_RETRY_DELAY: Duration = Duration::from_millis(50);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(400);
+/// Maximum number of concurrent calls of one operator.
+const MAX_CONCURRENT_CALLS: usize = 8;
+/// Number of routes that are in the first configuration and never change.
+const STABLE_ROUTE_COUNT: usize = 8;
+/// Number of hosts over which the routes are spread.
+const HOST_COUNT: usize = 6;
+/// Interval between two reads of the configuration.
 const READ_INTERVAL: Duration = Duration::from_millis(250);
 const OK: u16 = 200;
-/// Answers after which a call is not sent again.
+/// Statuses of refusals after which a call is not retried.
 const FINAL_REFUSALS: [u16; 5] = [400, 409, 412, 413, 422];
 
-/// The core machines that operators call, by number; they change when one is replaced.
+/// The core machines that operators can call, by number; updated when one is replaced.
 pub type CallableCores = watch::Receiver<Vec<usize>>;
 
-/// How an operator's time is spent.
+/// Rate and size of an operator's calls.
 #[derive(Clone, Copy, Debug)]
 pub struct OperatorPace {
-    /// The longest pause between two calls, in milliseconds.
+    /// Longest pause between two calls, in milliseconds.
     pub max_pause_ms: u64,
-    /// Routes that the largest calls add at once.
+    /// Number of routes that the largest calls add.
     pub largest_addition: usize,
 }
 
-/// What the tasks of operators share.
+/// Sends calls and reads to the core machines and records their results; shared by the tasks of all
+/// operators.
 #[derive(Clone)]
-pub struct Console {
+pub struct ConfigurationClient {
     /// The site of the run.
     pub site: Arc<Site>,
     /// The clock of the run.
     pub clock: Clock,
-    /// Where all is recorded.
+    /// Records of the run.
     pub history: Arc<History>,
-    /// Whom to call.
+    /// The core machines to call.
     pub cores: CallableCores,
 }
 
-/// New versions of routes that go in one call.
+/// New versions of routes that are sent in one call.
 #[derive(Clone, Debug)]
 struct Change {
     routes: Vec<(String, RouteVersion)>,
-    /// Its place among the recorded calls, once it is recorded.
+    /// Index of the call in the records, once it is recorded.
     call: usize,
 }
 
@@ -83,15 +84,15 @@
     }
 }
 
-/// The answer that ended a call.
+/// The answer that ended a call: an acknowledgement or a final refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct FinalAnswer {
     status: u16,
     at: Micros,
 }
 
-impl Console {
-    /// Sends the first configuration until it is taken.
+impl ConfigurationClient {
+    /// Sends the first configuration, with retries, until a core machine accepts or refuses it.
     pub async fn send_first_configuration(&self) {
         let services = SERVICES.iter().enumerate().map(|(index, name)| {
             json!({
@@ -111,7 +112,7 @@
                 "header_timeout": "3000ms", "idle_timeout": "15000ms",
             },
         });
-        let routes: Vec<(String, RouteVersion)> = (0..STABLE_ROUTES)
+        let routes: Vec<(String, RouteVersion)> = (0..STABLE_ROUTE_COUNT)
             .map(|index| {
                 let effect = Effect::Service(index % SERVICES.len());
                 (format!("stable-{index}"), self.version(1, effect))
@@ -122,20 +123,20 @@
         items.extend(self.record(&mut change, true));
         let body = json!({ "upserts": { "resource_list": items } }).to_string();
         let answer = self.call(&body, change.routes.len(), 0).await;
-        self.conclude(&change, answer);
+        self.record_result(&change, answer);
     }
 
-    /// Reads the configuration back again and again, for as long as the run.
-    pub async fn read_back(self, seed: u64) {
+    /// Reads the configuration at regular intervals until the run ends.
+    pub async fn poll_configuration(self, seed: u64) {
         let mut rng = StdRng::seed_from_u64(seed);
         loop {
             sleep(READ_INTERVAL).await;
-            let Some(core) = self.draw_core(&mut rng) else {
+            let Some(core) = self.choose_core(&mut rng) else {
                 continue;
             };
             let address = self.site.address(Machine::Core(core), CONTROL_PORT);
             let sent_at = self.clock.now();
-            let answer = http::call_once(address, read_request(), PATIENCE).await;
+            let answer = http::call_once(address, read_request(), CALL_TIMEOUT).await;
             let Ok(answer) = answer else { continue };
             if answer.status().as_u16() == OK {
                 let read = ConfigurationRead {
@@ -158,7 +159,8 @@
         }
     }
 
-    /// Records the versions of a change as sent now, and returns those that are set as items.
+    /// Records the call and the versions of a change as sent, and returns the items of those versions
+    /// that set a route.
     fn record(&self, change: &mut Change, is_stable: bool) -> Vec<Value> {
         let mut records = self.history.lock();
         let mut items = Vec::new();
@@ -171,7 +173,7 @@
             });
         }
         for (name, version) in &change.routes {
-            let host = format!("host-{}.example", name.len() * 7 % HOSTS);
+            let host = format!("host-{}.example", name.len() * 7 % HOST_COUNT);
             let prefix = format!("/{name}/");
             let entry = records.routes.entry(name.clone());
             let route = entry.or_insert_with(|| RouteHistory {
@@ -186,43 +188,44 @@
         items
     }
 
-    /// Sends a call, unchanged, to one machine after the other until an answer ends it.
+    /// Sends the same call to one core machine after the other until a final answer arrives.
     async fn call(&self, body: &str, routes: usize, seed: u64) -> FinalAnswer {
         let mut rng = StdRng::seed_from_u64(seed);
-        let patience = PATIENCE + PATIENCE_PER_ROUTE * routes as u32;
-        let mut pause = FIRST_RETRY_PAUSE;
-        let mut turn = rng.random_range(0..self.site.cores);
+        let call_timeout = CALL_TIMEOUT + CALL_TIMEOUT_PER_ROUTE * routes as u32;
+        let mut pause = FIRST_RETRY_DELAY;
+        let mut attempt = rng.random_range(0..self.site.cores);
         loop {
-            if let Some(core) = self.core_in_turn(turn) {
+            if let Some(core) = self.core_for_attempt(attempt) {
                 let address = self.site.address(Machine::Core(core), CONTROL_PORT);
                 let request = http::post_json(AMEND_PATH, body.to_string());
-                let answer = http::call_once(address, request, patience).await;
+                let answer = http::call_once(address, request, call_timeout).await;
                 let status = answer.map_or(0, |answer| answer.status().as_u16());
                 if status == OK || FINAL_REFUSALS.contains(&status) {
                     let at = self.clock.now();
                     return FinalAnswer { status, at };
                 }
             }
-            turn += 1;
+            attempt += 1;
             sleep(pause).await;
-            pause = (pause * 2).min(LONGEST_RETRY_PAUSE);
+            pause = (pause * 2).min(MAX_RETRY_DELAY);
         }
     }
 
-    fn draw_core(&self, rng: &mut StdRng) -> Option<usize> {
+    fn choose_core(&self, rng: &mut StdRng) -> Option<usize> {
         self.cores.borrow().choose(rng).copied()
     }
 
-    /// A call that got no clear answer goes to the next machine.
-    fn core_in_turn(&self, turn: usize) -> Option<usize> {
+    /// Returns the core machine for an attempt: each retry goes to the next machine.
+    fn core_for_attempt(&self, attempt: usize) -> Option<usize> {
         let cores = self.cores.borrow();
-        cores.get(turn % cores.len().max(1)).copied()
+        cores.get(attempt % cores.len().max(1)).copied()
     }
 
-    fn conclude(&self, change: &Change, answer: FinalAnswer) {
+    fn record_result(&self, change: &Change, answer: FinalAnswer) {
         for (route, version) in &change.routes {
             if answer.status == OK {
-                self.history.acknowledged(route, version.version, answer.at);
+                self.history
+                    .record_acknowledgement(route, version.version, answer.at);
             }
         }
         let mut records = self.history.lock();
@@ -232,7 +235,7 @@
             }
         } else {
             let route = change.routes.first().map(|(route, _)| route.clone());
-            records.findings.push(Finding::ValidRefused {
+            records.findings.push(Finding::ValidCallRefused {
                 route: route.unwrap_or_default(),
                 status: answer.status,
             });
@@ -240,51 +243,56 @@
     }
 }
 
-/// One operator, who changes routes of its own.
+/// An operator that changes its own set of routes.
 pub struct Operator {
-    console: Console,
-    /// In the names of its routes.
+    config_client: ConfigurationClient,
+    /// Number of the operator, which is part of the names of its routes.
     number: usize,
     pace: OperatorPace,
     rng: StdRng,
-    /// Its routes with their latest versions.
+    /// The operator's routes with their latest versions.
     routes: BTreeMap<String, RouteVersion>,
-    /// Routes with a call under way.
-    busy: BTreeSet<String>,
+    /// Routes with a call in progress.
+    routes_in_progress: BTreeSet<String>,
     added: usize,
 }
 
-/// A call that has ended, and the change it carried; `None` for calls that change nothing.
-type Ended = Option<Change>;
+/// The change of a finished call; `None` for an invalid call, which changes nothing.
+type FinishedCall = Option<Change>;
 
 impl Operator {
-    /// An operator, drawn from a seed.
-    pub fn new(console: Console, number: usize, pace: OperatorPace, seed: u64) -> Operator {
+    /// Creates an operator; the seed determines its calls and pauses.
+    pub fn new(
+        config_client: ConfigurationClient,
+        number: usize,
+        pace: OperatorPace,
+        seed: u64,
+    ) -> Operator {
         Operator {
-            console,
+            config_client,
             number,
             pace,
             rng: StdRng::seed_from_u64(seed),
             routes: BTreeMap::new(),
-            busy: BTreeSet::new(),
+            routes_in_progress: BTreeSet::new(),
             added: 0,
         }
     }
 
-    /// Sends one call after the other, several at once, for as long as the run.
+    /// Sends calls, several of them concurrently, until the run ends.
     pub async fn run(mut self) {
-        let mut calls: JoinSet<Ended> = JoinSet::new();
+        let mut calls: JoinSet<FinishedCall> = JoinSet::new();
         loop {
-            while let Some(ended) = calls.try_join_next() {
-                self.finish(ended.ok().flatten());
+            while let Some(finished) = calls.try_join_next() {
+                self.finish(finished.ok().flatten());
             }
-            if calls.len() >= MAX_CALLS_UNDER_WAY {
-                if let Some(ended) = calls.join_next().await {
-                    self.finish(ended.ok().flatten());
+            if calls.len() >= MAX_CONCURRENT_CALLS {
+                if let Some(finished) = calls.join_next().await {
+                    self.finish(finished.ok().flatten());
                 }
                 continue;
             }
-            // A burst is several calls without a pause.
+            // A burst starts several calls without a pause between them.
             let burst = if self.rng.random_bool(0.1) { 8 } else { 1 };
             for _ in 0..burst {
                 self.start_call(&mut calls);
@@ -294,13 +302,13 @@
         }
     }
 
-    fn finish(&mut self, ended: Ended) {
-        for (route, _) in ended.into_iter().flat_map(|change| change.routes) {
-            self.busy.remove(&route);
+    fn finish(&mut self, finished: FinishedCall) {
+        for (route, _) in finished.into_iter().flat_map(|change| change.routes) {
+            self.routes_in_progress.remove(&route);
         }
     }
 
-    fn start_call(&mut self, calls: &mut JoinSet<Ended>) {
+    fn start_call(&mut self, calls: &mut JoinSet<FinishedCall>) {
         match self.rng.random_range(0..100) {
             0..8 => self.send_invalid(calls),
             8..12 => {
@@ -315,23 +323,23 @@
         }
     }
 
-    fn add_routes(&mut self, calls: &mut JoinSet<Ended>, count: usize) {
+    fn add_routes(&mut self, calls: &mut JoinSet<FinishedCall>, count: usize) {
         let routes = (0..count)
             .map(|_| {
                 self.added += 1;
                 let name = format!("op{}-{}", self.number, self.added);
                 let effect = Effect::Service(self.rng.random_range(0..SERVICES.len()));
-                (name, self.console.version(1, effect))
+                (name, self.config_client.version(1, effect))
             })
             .collect();
         self.send(calls, Change::new(routes));
     }
 
-    fn change_routes(&mut self, calls: &mut JoinSet<Ended>) {
+    fn change_routes(&mut self, calls: &mut JoinSet<FinishedCall>) {
         let free: Vec<String> = self
             .routes
             .keys()
-            .filter(|name| !self.busy.contains(*name))
+            .filter(|name| !self.routes_in_progress.contains(*name))
             .cloned()
             .collect();
         let count = self.rng.random_range(1..=4);
@@ -343,7 +351,7 @@
                 let before = self.routes[&name];
                 let version = before.version + self.rng.random_range(1..=5);
                 let effect = self.other_effect(before.effect);
-                (name, self.console.version(version, effect))
+                (name, self.config_client.version(version, effect))
             })
             .collect();
         self.send(calls, Change::new(routes));
@@ -357,16 +365,16 @@
         }
     }
 
-    fn send(&mut self, calls: &mut JoinSet<Ended>, mut change: Change) {
+    fn send(&mut self, calls: &mut JoinSet<FinishedCall>, mut change: Change) {
         if change.routes.is_empty() {
             return;
         }
         for (name, version) in &change.routes {
-            self.busy.insert(name.clone());
+            self.routes_in_progress.insert(name.clone());
             self.routes.insert(name.clone(), *version);
         }
-        let console = self.console.clone();
-        let items = console.record(&mut change, false);
+        let config_client = self.config_client.clone();
+        let items = config_client.record(&mut change, false);
         let dropped: Vec<Value> = change
             .routes
             .iter()
@@ -381,21 +389,21 @@
         let seed = self.rng.random();
         let repeats = usize::from(self.rng.random_bool(0.1));
         calls.spawn(async move {
-            let answer = console.call(&body, change.routes.len(), seed).await;
-            console.conclude(&change, answer);
+            let answer = config_client.call(&body, change.routes.len(), seed).await;
+            config_client.record_result(&change, answer);
             for repeat in 0..repeats {
-                // What was taken is confirmed again.
+                // A repeated call that was accepted before must be acknowledged again.
                 let seed = seed.wrapping_add(repeat as u64 + 1);
-                let answer = console.call(&body, change.routes.len(), seed).await;
+                let answer = config_client.call(&body, change.routes.len(), seed).await;
                 if answer.status != OK {
-                    console.conclude(&change, answer);
+                    config_client.record_result(&change, answer);
                 }
             }
             Some(change)
         });
     }
 
-    fn send_invalid(&mut self, calls: &mut JoinSet<Ended>) {
+    fn send_invalid(&mut self, calls: &mut JoinSet<FinishedCall>) {
         let mut definition = route_definition("invalid.example", "/invalid/", 0);
         let fault = match self.rng.random_range(0..4) {
             0 => {
@@ -421,15 +429,15 @@
             "definition": definition,
         });
         let body = json!({ "upserts": { "resource_list": [item] } }).to_string();
-        let console = self.console.clone();
+        let config_client = self.config_client.clone();
         let seed = self.rng.random();
         calls.spawn(async move {
-            let answer = console.call(&body, 1, seed).await;
+            let answer = config_client.call(&body, 1, seed).await;
             if answer.status == OK {
-                let finding = Finding::InvalidAcknowledged {
+                let finding = Finding::InvalidCallAcknowledged {
                     fault: fault.into(),
                 };
-                console.history.lock().findings.push(finding);
+                config_client.history.lock().findings.push(finding);
             }
             None
         });
@@ -448,7 +456,7 @@
     })
 }
 
-/// The item of a version that sets its route; `None` for one that drops it.
+/// Returns the item of a version that sets its route, or `None` if the version removes the route.
 fn route_item(name: &str, route: &RouteHistory, version: &RouteVersion) -> Option<Value> {
     let Effect::Service(service) = version.effect else {
         return None;
@@ -465,7 +473,7 @@
     request.body(Full::new(Bytes::new())).unwrap_or_default()
 }
 
-/// The versions of all routes in an answer; a route that cannot be read is missing.
+/// Returns the versions of all routes in an answer; routes that can't be parsed are left out.
 fn route_versions(body: &[u8]) -> BTreeMap<String, u64> {
     let body: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
     let items = body["upserts"]["resource_list"]
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! What happens to the machines of a run, drawn from its seed.
+//! Generates the faults of a run from its seed.
 
 use rand::rngs::StdRng;
 use rand::seq::{IndexedRandom as _, SliceRandom as _};
@@ -7,79 +7,82 @@
 use crate::clock::{MILLISECOND, Micros, SECOND};
 use crate::site::{Machine, Site};
 
-/// Faults begin after so long, when the first configuration is in force.
+/// Time of the first fault, by which the first configuration is in force.
 pub const FIRST_FAULT_AT: Micros = 6 * SECOND;
-/// Nothing new begins so long before the end.
+/// No fault begins within this time before the end of the run.
 const LAST_FAULT_BEFORE_END: Micros = 8 * SECOND;
-/// The closing fault strikes so long before the end: service may rest for fifteen seconds.
+/// Time from the closing fault to the end of the run; service may be interrupted for 15 seconds after
+/// the fault.
 const CLOSING_BEFORE_END: Micros = 18 * SECOND;
-/// By then every machine that was lost is back for long enough not to count as lost.
+/// No fault begins within this time before the closing fault, so that every lost machine is back for
+/// long enough not to count as lost any more.
 const LAST_FAULT_BEFORE_CLOSING: Micros = 22 * SECOND;
-/// The shortest and the longest pause between the beginnings of two faults.
-const FAULT_PAUSE: (Micros, Micros) = (100 * MILLISECOND, 2_500 * MILLISECOND);
-/// How long a freeze lasts: some are over before anyone suspects, some last past the time in which
-/// the core counts as calm again.
-const FREEZE: (Micros, Micros) = (200 * MILLISECOND, 12 * SECOND);
-/// How long a process stays away before it is started again.
-const AWAY: (Micros, Micros) = (50 * MILLISECOND, 4 * SECOND);
-/// Signals of a series come so far apart.
-const SERIES_PAUSE: (Micros, Micros) = (MILLISECOND, 300 * MILLISECOND);
+/// Shortest and longest time between the beginnings of two faults.
+const FAULT_INTERVAL: (Micros, Micros) = (100 * MILLISECOND, 2_500 * MILLISECOND);
+/// Shortest and longest duration of a freeze: from freezes that end before the failure is suspected
+/// to ones that last longer than the core needs to count as settled again.
+const FREEZE_DURATION: (Micros, Micros) = (200 * MILLISECOND, 12 * SECOND);
+/// Shortest and longest downtime of a process before its restart.
+const DOWNTIME: (Micros, Micros) = (50 * MILLISECOND, 4 * SECOND);
+/// Shortest and longest time between two restarts of a series; also the range of offsets at which the
+/// faults of several nodes begin.
+const SERIES_INTERVAL: (Micros, Micros) = (MILLISECOND, 300 * MILLISECOND);
 
-/// What is done to one machine.
+/// A fault of one machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// SIGSTOP, and SIGCONT after a time.
+    /// SIGSTOP, then SIGCONT after this duration.
     Freeze(Micros),
-    /// SIGKILL, and a start after a time.
+    /// SIGKILL, then a restart after this downtime.
     Kill(Micros),
-    /// SIGTERM, and a start a time after the process has ended.
+    /// SIGTERM, then a restart this long after the process has ended.
     Stop(Micros),
-    /// SIGTERM, SIGKILL a time after it, and a start at once.
-    StopCutShort(Micros),
-    /// So many SIGHUPs.
+    /// SIGTERM, then SIGKILL after this time, followed by an immediate restart.
+    StopThenKill(Micros),
+    /// This number of SIGHUPs.
     Reload(u8),
-    /// So many restarts by SIGKILL, one right after the other.
+    /// This number of SIGKILLs, each followed by an immediate restart.
     RestartSeries(u8),
-    /// SIGKILL, the disk is emptied, and a start after a time.
+    /// SIGKILL, then a restart with an empty disk after this downtime.
     LoseDisk(Micros),
-    /// SIGKILL for good; another machine, number `spare`, takes its place with an empty disk.
+    /// SIGKILL without a restart; the new machine `spare` replaces this one with an empty disk.
     Replace {
-        /// The number of the machine that is added.
+        /// Number of the replacement.
         spare: usize,
     },
-    /// The backend says that it drains, ends, and another one comes.
+    /// The backend reports that it is draining, deregisters and ends; a new incarnation follows.
     ReplaceBackend,
-    /// The backend ends without a word, and another one comes.
+    /// The backend ends without deregistering; a new incarnation follows.
     CrashBackend,
 }
 
-/// A fault with its time.
+/// A fault with its machine and the time at which it begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlannedFault {
-    /// When it begins.
+    /// When the fault begins.
     pub at: Micros,
-    /// Where.
+    /// The affected machine.
     pub machine: Machine,
-    /// What.
+    /// The fault.
     pub fault: Fault,
 }
 
-/// Which faults a run draws from.
+/// The kinds of faults in a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Profile {
-    /// None: changes and traffic alone.
+    /// No faults, only changes and traffic.
     Calm,
-    /// Everything.
+    /// All kinds of faults.
     Mixed,
-    /// Core machines of one zone are frozen together, for long.
+    /// Long freezes of several core machines of one zone together.
     ZoneFreeze,
-    /// Everything, and near the end as many disks as may be lost while all other processes are
-    /// killed.
+    /// All kinds of faults; near the end, all processes are killed together and the maximum number of
+    /// core machines lose their disks.
     Closing,
 }
 
 impl Profile {
-    /// The profile of a name on the command line.
+    /// Parses the name of a profile, as used on the command line.
     pub fn parse(name: &str) -> Option<Profile> {
         match name {
             "calm" => Some(Profile::Calm),
@@ -91,8 +94,8 @@
     }
 }
 
-/// Draws the faults of a run, in the order of their times.
-pub fn draw(seed: u64, site: &Site, profile: Profile, duration: Micros) -> Vec<PlannedFault> {
+/// Generates the faults of a run, in order of time.
+pub fn generate(seed: u64, site: &Site, profile: Profile, duration: Micros) -> Vec<PlannedFault> {
     let mut planner = Planner {
         rng: StdRng::seed_from_u64(seed),
         site,
@@ -104,19 +107,19 @@
     let end = duration.saturating_sub(LAST_FAULT_BEFORE_END);
     match profile {
         Profile::Calm => {}
-        Profile::Mixed => planner.draw_mixed(end),
-        Profile::ZoneFreeze => planner.draw_zone_freezes(end),
+        Profile::Mixed => planner.plan_mixed(end),
+        Profile::ZoneFreeze => planner.plan_zone_freezes(end),
         Profile::Closing => {
             let at = duration.saturating_sub(CLOSING_BEFORE_END);
-            planner.draw_mixed(at.saturating_sub(LAST_FAULT_BEFORE_CLOSING));
-            planner.draw_closing(at);
+            planner.plan_mixed(at.saturating_sub(LAST_FAULT_BEFORE_CLOSING));
+            planner.plan_closing(at);
         }
     }
     planner.faults.sort_by_key(|planned| planned.at);
     planner.faults
 }
 
-/// A core machine counts as lost in this time.
+/// The period in which a core machine counts as lost.
 struct LostCore {
     core: usize,
     from: Micros,
@@ -127,47 +130,49 @@
     rng: StdRng,
     site: &'site Site,
     lost_cores: Vec<LostCore>,
+    /// Number of the next core machine to add.
     next_spare: usize,
+    /// Core machines that were replaced.
     replaced: Vec<usize>,
     faults: Vec<PlannedFault>,
 }
 
 impl Planner<'_> {
-    fn between(&mut self, (least, most): (Micros, Micros)) -> Micros {
-        self.rng.random_range(least..=most)
+    fn random_duration(&mut self, (shortest, longest): (Micros, Micros)) -> Micros {
+        self.rng.random_range(shortest..=longest)
     }
 
     fn push(&mut self, at: Micros, machine: Machine, fault: Fault) {
         self.faults.push(PlannedFault { at, machine, fault });
     }
 
-    fn draw_mixed(&mut self, end: Micros) {
+    fn plan_mixed(&mut self, end: Micros) {
         let mut at = FIRST_FAULT_AT;
         while at < end {
             match self.rng.random_range(0..100) {
-                0..35 => self.draw_core_fault(at),
-                35..70 => self.draw_node_fault(at),
-                70..78 => self.draw_third_of_nodes(at),
-                78..84 => self.draw_zone_freeze(at),
-                84..94 => self.draw_backend_fault(at),
-                94..98 => self.draw_all_cores_killed(at),
-                _ => self.draw_everything_killed(at),
+                0..35 => self.plan_core_fault(at),
+                35..70 => self.plan_node_fault(at),
+                70..78 => self.plan_third_of_nodes(at),
+                78..84 => self.plan_zone_freeze(at),
+                84..94 => self.plan_backend_fault(at),
+                94..98 => self.plan_all_cores_killed(at),
+                _ => self.plan_everything_killed(at),
             }
-            at += self.between(FAULT_PAUSE);
+            at += self.random_duration(FAULT_INTERVAL);
         }
     }
 
-    fn draw_zone_freezes(&mut self, end: Micros) {
+    fn plan_zone_freezes(&mut self, end: Micros) {
         let mut at = FIRST_FAULT_AT;
         while at < end {
-            self.draw_zone_freeze(at);
-            at += self.between((2 * SECOND, 4 * SECOND));
+            self.plan_zone_freeze(at);
+            at += self.random_duration((2 * SECOND, 4 * SECOND));
         }
     }
 
-    /// Core machines that stand, and may be lost in this time without more being lost than the site
-    /// bears at once.
-    fn cores_to_lose(&self, from: Micros, until: Micros) -> Vec<usize> {
+    /// Returns the core machines that can be lost in this period without exceeding the number of
+    /// machines that may be lost at the same time; replaced machines are excluded.
+    fn expendable_cores(&self, from: Micros, until: Micros) -> Vec<usize> {
         let overlapping = self
             .lost_cores
             .iter()
@@ -176,33 +181,34 @@
         if lost.len() >= self.site.machine_losses {
             return Vec::new();
         }
-        let standing = (0..self.next_spare).filter(|core| !self.replaced.contains(core));
-        standing.filter(|core| !lost.contains(core)).collect()
+        let remaining = (0..self.next_spare).filter(|core| !self.replaced.contains(core));
+        remaining.filter(|core| !lost.contains(core)).collect()
     }
 
-    fn lose(&mut self, core: usize, from: Micros, until: Micros) {
+    /// Records that a core machine counts as lost until it has caught up after its restart.
+    fn mark_lost(&mut self, core: usize, from: Micros, until: Micros) {
         let until = until + self.site.bounds.catch_up;
         self.lost_cores.push(LostCore { core, from, until });
     }
 
-    fn draw_core_fault(&mut self, at: Micros) {
-        let away = self.between(AWAY);
-        let freeze = self.between(FREEZE);
+    fn plan_core_fault(&mut self, at: Micros) {
+        let downtime = self.random_duration(DOWNTIME);
+        let freeze = self.random_duration(FREEZE_DURATION);
         let (fault, length) = match self.rng.random_range(0..10) {
             0..3 => (Fault::Freeze(freeze), freeze),
-            3..5 => (Fault::Kill(away), away),
-            5 => (Fault::Stop(away), away + 2 * SECOND),
-            6 => (Fault::StopCutShort(away / 8), away / 8),
-            7 => (Fault::RestartSeries(4), 4 * SERIES_PAUSE.1),
-            8 => (Fault::LoseDisk(away), away),
+            3..5 => (Fault::Kill(downtime), downtime),
+            5 => (Fault::Stop(downtime), downtime + 2 * SECOND),
+            6 => (Fault::StopThenKill(downtime / 8), downtime / 8),
+            7 => (Fault::RestartSeries(4), 4 * SERIES_INTERVAL.1),
+            8 => (Fault::LoseDisk(downtime), downtime),
             _ if self.next_spare < self.site.cores + self.site.spare_cores => {
                 let spare = self.next_spare;
-                (Fault::Replace { spare }, away)
+                (Fault::Replace { spare }, downtime)
             }
             _ => (Fault::Reload(3), 0),
         };
         let until = at + length + self.site.bounds.catch_up;
-        let cores = self.cores_to_lose(at, until);
+        let cores = self.expendable_cores(at, until);
         let Some(core) = cores.choose(&mut self.rng).copied() else {
             return;
         };
@@ -210,56 +216,56 @@
             self.replaced.push(core);
             self.next_spare += 1;
         }
-        self.lose(core, at, at + length);
+        self.mark_lost(core, at, at + length);
         self.push(at, Machine::Core(core), fault);
     }
 
-    /// As many core machines of one zone as may be lost stand still together.
-    fn draw_zone_freeze(&mut self, at: Micros) {
+    /// Freezes as many core machines of one zone as may be lost at the same time.
+    fn plan_zone_freeze(&mut self, at: Micros) {
         let zone = self.rng.random_range(0..self.site.zones);
-        let length = self.between((FREEZE.1 / 2, FREEZE.1));
+        let length = self.random_duration((FREEZE_DURATION.1 / 2, FREEZE_DURATION.1));
         for _ in 0..self.site.machine_losses {
             let until = at + length + self.site.bounds.catch_up;
-            let cores = self.cores_to_lose(at, until);
+            let cores = self.expendable_cores(at, until);
             let in_zone = |core: &usize| self.site.zone(Machine::Core(*core)) == zone;
             let Some(core) = cores.into_iter().find(in_zone) else {
                 return;
             };
-            self.lose(core, at, at + length);
+            self.mark_lost(core, at, at + length);
             self.push(at, Machine::Core(core), Fault::Freeze(length));
         }
     }
 
-    fn draw_node_fault(&mut self, at: Micros) {
+    fn plan_node_fault(&mut self, at: Micros) {
         let node = self.rng.random_range(0..self.site.nodes);
-        let fault = self.node_fault();
+        let fault = self.random_node_fault();
         self.push(at, Machine::Node(node), fault);
     }
 
-    fn node_fault(&mut self) -> Fault {
-        let away = self.between(AWAY);
+    fn random_node_fault(&mut self) -> Fault {
+        let downtime = self.random_duration(DOWNTIME);
         match self.rng.random_range(0..7) {
-            0 => Fault::Freeze(self.between(FREEZE) / 2),
-            1 => Fault::Kill(away),
-            2 | 3 => Fault::Stop(away),
-            4 => Fault::StopCutShort(away),
+            0 => Fault::Freeze(self.random_duration(FREEZE_DURATION) / 2),
+            1 => Fault::Kill(downtime),
+            2 | 3 => Fault::Stop(downtime),
+            4 => Fault::StopThenKill(downtime),
             5 => Fault::Reload(5),
             _ => Fault::RestartSeries(3),
         }
     }
 
-    fn draw_third_of_nodes(&mut self, at: Micros) {
+    fn plan_third_of_nodes(&mut self, at: Micros) {
         let mut nodes: Vec<usize> = (0..self.site.nodes).collect();
         nodes.shuffle(&mut self.rng);
         nodes.truncate(self.site.nodes / 3);
-        let fault = self.node_fault();
+        let fault = self.random_node_fault();
         for node in nodes {
-            let after = self.between(SERIES_PAUSE);
-            self.push(at + after, Machine::Node(node), fault);
+            let delay = self.random_duration(SERIES_INTERVAL);
+            self.push(at + delay, Machine::Node(node), fault);
         }
     }
 
-    fn draw_backend_fault(&mut self, at: Micros) {
+    fn plan_backend_fault(&mut self, at: Micros) {
         let node = self.rng.random_range(0..self.site.nodes);
         let fault = match self.rng.random_bool(0.5) {
             true => Fault::ReplaceBackend,
@@ -268,40 +274,40 @@
         self.push(at, Machine::Node(node), fault);
     }
 
-    /// Every process is killed at one moment, and as many disks are lost as the site bears.
-    fn draw_closing(&mut self, at: Micros) {
-        let standing = (0..self.next_spare).filter(|core| !self.replaced.contains(core));
-        let mut cores: Vec<usize> = standing.collect();
+    /// Kills every process at the same time; the maximum number of core machines lose their disks.
+    fn plan_closing(&mut self, at: Micros) {
+        let remaining = (0..self.next_spare).filter(|core| !self.replaced.contains(core));
+        let mut cores: Vec<usize> = remaining.collect();
         cores.shuffle(&mut self.rng);
-        for (turn, core) in cores.into_iter().enumerate() {
-            let away = self.between((50 * MILLISECOND, SECOND));
-            let fault = match turn < self.site.machine_losses {
-                true => Fault::LoseDisk(away),
-                false => Fault::Kill(away),
+        for (position, core) in cores.into_iter().enumerate() {
+            let downtime = self.random_duration((50 * MILLISECOND, SECOND));
+            let fault = match position < self.site.machine_losses {
+                true => Fault::LoseDisk(downtime),
+                false => Fault::Kill(downtime),
             };
             self.push(at, Machine::Core(core), fault);
         }
         for node in 0..self.site.nodes {
-            let away = self.between((50 * MILLISECOND, SECOND));
-            self.push(at, Machine::Node(node), Fault::Kill(away));
+            let downtime = self.random_duration((50 * MILLISECOND, SECOND));
+            self.push(at, Machine::Node(node), Fault::Kill(downtime));
         }
     }
 
-    /// Every process is killed at one moment; the disks remain.
-    fn draw_everything_killed(&mut self, at: Micros) {
-        self.draw_all_cores_killed(at);
+    /// Kills every process at the same time; the disks remain.
+    fn plan_everything_killed(&mut self, at: Micros) {
+        self.plan_all_cores_killed(at);
         for node in 0..self.site.nodes {
-            let away = self.between((50 * MILLISECOND, SECOND));
-            self.push(at, Machine::Node(node), Fault::Kill(away));
+            let downtime = self.random_duration((50 * MILLISECOND, SECOND));
+            self.push(at, Machine::Node(node), Fault::Kill(downtime));
         }
     }
 
-    /// All core machines are killed at one moment and come back with their disks.
-    fn draw_all_cores_killed(&mut self, at: Micros) {
-        let away = self.between((50 * MILLISECOND, SECOND));
-        let standing = (0..self.next_spare).filter(|core| !self.replaced.contains(core));
-        for core in standing.collect::<Vec<_>>() {
-            self.push(at, Machine::Core(core), Fault::Kill(away));
+    /// Kills the processes of all core machines at the same time; the disks remain.
+    fn plan_all_cores_killed(&mut self, at: Micros) {
+        let downtime = self.random_duration((50 * MILLISECOND, SECOND));
+        let remaining = (0..self.next_spare).filter(|core| !self.replaced.contains(core));
+        for core in remaining.collect::<Vec<_>>() {
+            self.push(at, Machine::Core(core), Fault::Kill(downtime));
         }
     }
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One run from its seed to its verdict.
+//! Executes one run, from the seed to the checker's verdict.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -18,66 +18,66 @@
 use crate::client::Client;
 use crate::clock::{Clock, Micros, SECOND};
 use crate::history::{History, Records};
-use crate::operator::{Console, Operator, OperatorPace};
+use crate::operator::{ConfigurationClient, Operator, OperatorPace};
 use crate::plan::{self, Profile};
 use crate::process;
 use crate::site::{Bounds, Site};
 use crate::supervisor::Supervisor;
 
-/// The first configuration is acknowledged within this, or the run is given up.
+/// The run is aborted if the first configuration isn't acknowledged within this time, in seconds.
 const FIRST_CONFIGURATION_TIMEOUT_S: u64 = 30;
 const OPERATORS: usize = 2;
-/// Orders that a backend may not have taken up yet.
-const ORDER_QUEUE: usize = 1;
+/// Number of pending commands for a backend; further ones are dropped.
+const COMMAND_QUEUE_CAPACITY: usize = 1;
 
-/// What a run is made of.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct RunConfig {
-    /// Draws everything.
+    /// Seed of all random choices in the plan, the clients and the operators.
     pub seed: u64,
-    /// Core machines.
+    /// Number of core machines at the start.
     pub cores: usize,
-    /// Nodes, each with a backend.
+    /// Number of nodes, each with a backend.
     pub nodes: usize,
-    /// Zones.
+    /// Number of zones.
     pub zones: usize,
-    /// Core machines that may be lost at once.
+    /// Maximum number of core machines that may be lost at the same time.
     pub machine_losses: usize,
-    /// How long it lasts, in microseconds.
+    /// Duration of the run, in microseconds.
     pub duration: Micros,
-    /// Which faults.
+    /// Selection of the faults.
     pub profile: Profile,
-    /// Clients at each node.
+    /// Number of clients at each node.
     pub clients_per_node: usize,
-    /// The longest pause of a client between two requests, in milliseconds.
+    /// Longest pause of a client between two requests, in milliseconds.
     pub client_pause_ms: u64,
-    /// How fast operators send changes.
+    /// Rate and size of the operators' changes.
     pub pace: OperatorPace,
-    /// The second number of all addresses.
+    /// Second number of all addresses.
     pub network: u8,
     /// Folder for settings, disks and logs.
     pub folder: PathBuf,
 }
 
-/// What came of a run.
+/// The result of a run.
 pub struct Outcome {
-    /// What the checker says.
+    /// The checker's verdict.
     pub verdict: Verdict,
-    /// All that it read.
+    /// The records that the checker examined.
     pub records: Records,
-    /// The site, with the places of the logs.
+    /// The site, which holds the folder of the logs.
     pub site: Site,
 }
 
-/// Carries a run out.
+/// Executes a run.
 ///
 /// # Errors
 ///
-/// If the harness itself fails, or no configuration is ever taken.
+/// If the harness itself fails, or the first configuration isn't acknowledged in time.
 pub async fn run(config: RunConfig) -> Result<Outcome, Error> {
     let mut run = Run::prepare(&config)?;
     run.supervisor.start_all().await?;
-    run.tasks.spawn(run.supervisor.clone().watch());
+    run.tasks.spawn(run.supervisor.clone().restart_exited());
     run.send_first_configuration().await?;
     run.start_clients(&config);
     run.start_operators(&config);
@@ -86,24 +86,24 @@
     Ok(run.finish(&config).await)
 }
 
-/// A run that is on.
+/// A run in progress.
 struct Run {
     site: Arc<Site>,
     clock: Clock,
     history: Arc<History>,
     supervisor: Arc<Supervisor>,
-    console: Console,
-    /// Draws the seeds of clients and operators.
+    config_client: ConfigurationClient,
+    /// Generates the seeds of clients and operators.
     rng: StdRng,
     tasks: JoinSet<()>,
 }
 
 impl Run {
-    /// Backends run, and nothing else yet.
+    /// Prepares the run and starts the backends; the processes under test are not started yet.
     fn prepare(config: &RunConfig) -> Result<Run, Error> {
-        let program = process::program()?;
-        let site = Arc::new(site_of(config));
-        // A disk of an earlier run would be taken for this one's.
+        let program = process::find_program()?;
+        let site = Arc::new(site_from(config));
+        // The processes would load the disks of an earlier run.
         if site.folder.exists() {
             return Err(Error::FolderInUse(site.folder.clone()));
         }
@@ -111,15 +111,15 @@
         let clock = Clock::start();
         let history = Arc::new(History::default());
         let mut tasks = JoinSet::new();
-        let mut orders = BTreeMap::new();
+        let mut commands = BTreeMap::new();
         for node in 0..site.nodes {
-            let (sender, receiver) = mpsc::channel(ORDER_QUEUE);
-            orders.insert(node, sender);
+            let (sender, receiver) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
+            commands.insert(node, sender);
             tasks.spawn(backend::run(site.clone(), node, clock, receiver));
         }
-        let supervisor = Supervisor::new(site.clone(), clock, history.clone(), program, orders);
+        let supervisor = Supervisor::new(site.clone(), clock, history.clone(), program, commands);
         let supervisor = Arc::new(supervisor);
-        let console = Console {
+        let config_client = ConfigurationClient {
             site: site.clone(),
             clock,
             history: history.clone(),
@@ -130,14 +130,14 @@
             clock,
             history,
             supervisor,
-            console,
+            config_client,
             rng: StdRng::seed_from_u64(config.seed),
             tasks,
         })
     }
 
     async fn send_first_configuration(&self) -> Result<(), Error> {
-        let first = self.console.send_first_configuration();
+        let first = self.config_client.send_first_configuration();
         let first = timeout(Duration::from_secs(FIRST_CONFIGURATION_TIMEOUT_S), first).await;
         first.map_err(|_| Error::NoFirstConfiguration(FIRST_CONFIGURATION_TIMEOUT_S))
     }
@@ -162,20 +162,22 @@
     fn start_operators(&mut self, config: &RunConfig) {
         for number in 0..OPERATORS {
             let seed = self.rng.random();
-            let operator = Operator::new(self.console.clone(), number, config.pace, seed);
+            let operator = Operator::new(self.config_client.clone(), number, config.pace, seed);
             self.tasks.spawn(operator.run());
         }
         let seed = self.rng.random();
-        self.tasks.spawn(self.console.clone().read_back(seed));
+        self.tasks
+            .spawn(self.config_client.clone().poll_configuration(seed));
     }
 
     fn start_faults(&mut self, config: &RunConfig) {
-        let faults = plan::draw(config.seed, &self.site, config.profile, config.duration);
-        self.tasks.spawn(self.supervisor.clone().perform(faults));
+        let faults = plan::generate(config.seed, &self.site, config.profile, config.duration);
+        self.tasks
+            .spawn(self.supervisor.clone().inject_faults(faults));
     }
 
     async fn finish(mut self, config: &RunConfig) -> Outcome {
-        // With the tasks go the supervisor and all processes.
+        // Dropping the tasks drops the supervisor, which kills all processes.
         self.tasks.shutdown().await;
         let mut records = self.history.lock().clone();
         records.ended_at = config.duration;
@@ -188,7 +190,7 @@
     }
 }
 
-fn site_of(config: &RunConfig) -> Site {
+fn site_from(config: &RunConfig) -> Site {
     Site {
         cores: config.cores,
         spare_cores: (config.duration / (20 * SECOND)) as usize,
