--- a/crates/simulator/src/hollow/counted.rs
+++ b/crates/simulator/src/hollow/counted.rs
@@ -1,162 +1,185 @@
-//! Counts from the code alone, at any size: what the bill becomes, what followers are told of it and how long the
-//! pure parts take, without conns (docs/CAPACITY.md).
+//! Costs computed without connections, for fleets of any size: the size of the cluster state, the updates that
+//! followers receive, and the processor time of the pure functions (docs/CAPACITY.md).
 
 use model::cluster_state::{ClusterOperation, ClusterReport, ClusterState, Delta};
 use std::collections::BTreeMap;
 
-/// Of one event: entries offered to the log, those that changed the bill, and what one follower hears of them.
+/// Costs of one event.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize)]
 pub struct Cost {
+    /// Entries submitted to the log.
     pub offered: u64,
+    /// Entries that changed the cluster state.
     pub entries: u64,
     pub entry_bytes: u64,
-    pub told_frames: u64,
-    pub told_bytes: u64,
+    /// Update frames that one follower receives.
+    #[serde(rename = "told_frames")]
+    pub update_frames: u64,
+    #[serde(rename = "told_bytes")]
+    pub update_bytes: u64,
     pub placements: u64,
     pub keys_moved: u64,
 }
 
+/// Costs of a fleet of one size.
 #[derive(Debug, Default, serde::Serialize)]
-pub struct Counted {
+pub struct CountedCosts {
     pub nodes: usize,
     pub services: usize,
-    pub lanes: usize,
-    pub bill_bytes: usize,
-    pub whole_bytes: usize,
+    #[serde(rename = "lanes")]
+    pub routes: usize,
+    /// Size of the encoded cluster state, in bytes.
+    #[serde(rename = "bill_bytes")]
+    pub state_bytes: usize,
+    /// Size of the frame that sends a follower the whole cluster state, in bytes.
+    #[serde(rename = "whole_bytes")]
+    pub snapshot_bytes: usize,
+    /// Costs by event.
     pub costs: BTreeMap<&'static str, Cost>,
-    /// Of a region cut off: how often silence is looked at until all are missed, and who is missed wrongly at the join.
-    pub region_rounds: usize,
-    pub region_wrongly: usize,
-    /// Processor time of one call, in microseconds.
-    pub took: BTreeMap<&'static str, f64>,
+    /// Detection rounds until the log holds all nodes of a partitioned region as absent.
+    #[serde(rename = "region_rounds")]
+    pub region_detection_rounds: usize,
+    /// Nodes outside a partitioned region that its monitors would wrongly report once it is connected again.
+    #[serde(rename = "region_wrongly")]
+    pub region_false_suspicions: usize,
+    /// Mean processor time of one call, in microseconds.
+    #[serde(rename = "took")]
+    pub call_us: BTreeMap<&'static str, f64>,
 }
 
-pub(super) struct Log<'a> {
+/// The log's state machine without replicas, with the costs of what was submitted to it.
+pub(super) struct LogModel<'a> {
     pub plan: &'a super::Plan,
-    pub bill: ClusterState,
+    pub state: ClusterState,
     sequence: u64,
     pub cost: Cost,
 }
 
-pub(super) fn length(frame: &transport::Frame) -> u64 {
-    // The length and the version go before a frame.
+/// Returns the size of a frame on a connection, in bytes.
+pub(super) fn encoded_length(frame: &transport::Frame) -> u64 {
+    // Six bytes precede a frame: its length and the protocol version.
     rkyv::to_bytes::<rkyv::rancor::Error>(frame)
         .map(|bytes| bytes.len() as u64 + 6)
         .unwrap_or(0)
 }
 
-pub(super) fn bulletin(afresh: bool, deltas: Vec<Delta>) -> transport::Frame {
+/// Returns the frame that sends deltas, or the whole cluster state, to a follower.
+pub(super) fn update_frame(is_snapshot: bool, deltas: Vec<Delta>) -> transport::Frame {
     let deltas = rkyv::to_bytes::<rkyv::rancor::Error>(&deltas)
         .map(|bytes| bytes.to_vec())
         .unwrap_or_default();
     transport::Frame::ClusterStateUpdate {
-        is_snapshot: afresh,
+        is_snapshot,
         from: 0,
         to: 1,
         deltas,
     }
 }
 
-impl Log<'_> {
-    pub(super) fn put(&mut self, origin: &str, act: ClusterOperation) {
+impl LogModel<'_> {
+    /// Applies an operation and counts its costs.
+    pub(super) fn submit(&mut self, origin: &str, operation: ClusterOperation) {
         self.sequence += 1;
         let entry = model::Entry {
             origin: origin.into(),
             incarnation: 1,
             sequence: self.sequence,
-            operation: model::Operation::ClusterState(act.clone()),
+            operation: model::Operation::ClusterState(operation.clone()),
         };
-        let length_of_entry = length(&transport::Frame::ForwardEntry {
+        let entry_bytes = encoded_length(&transport::Frame::ForwardEntry {
             request_id: self.sequence,
             entry: Box::new(entry),
         });
-        let before = self.bill.placements.clone();
-        let (_, deltas) = self.bill.apply(origin, 1, self.sequence, act);
+        let before = self.state.placements.clone();
+        let (_, deltas) = self.state.apply(origin, 1, self.sequence, operation);
         self.cost.offered += 1;
-        self.cost.entry_bytes += length_of_entry;
+        self.cost.entry_bytes += entry_bytes;
         if deltas.is_empty() {
             return;
         }
         let empty = (0, model::cluster_state::shard_map::unassigned());
-        let moves = self.bill.placements.iter().map(|(service, held)| {
-            super::witness::moved(&before.get(service).unwrap_or(&empty).1, &held.1).1
+        let moves = self.state.placements.iter().map(|(service, placement)| {
+            super::witness::count_moved(&before.get(service).unwrap_or(&empty).1, &placement.1).1
         });
         self.cost.keys_moved += moves.sum::<u64>();
         self.cost.entries += 1;
-        self.cost.told_frames += 1;
-        self.cost.told_bytes += length(&bulletin(false, deltas));
+        self.cost.update_frames += 1;
+        self.cost.update_bytes += encoded_length(&update_frame(false, deltas));
     }
 
-    pub(super) fn report(&mut self, at: usize, reports: Vec<ClusterReport>) {
-        self.put(&format!("n{at}"), ClusterOperation::Reports(reports));
+    /// Submits reports of a node.
+    pub(super) fn report(&mut self, index: usize, reports: Vec<ClusterReport>) {
+        self.submit(&format!("n{index}"), ClusterOperation::Reports(reports));
     }
 
-    /// One place for the costs of what was done since.
-    pub(super) fn taken(&mut self) -> Cost {
+    /// Returns the costs since the previous call and resets them.
+    pub(super) fn take_cost(&mut self) -> Cost {
         std::mem::take(&mut self.cost)
     }
 
-    pub(super) fn node(&self, at: usize, life: u64) -> ClusterReport {
+    /// Returns the report with which a node registers.
+    pub(super) fn node_registered(&self, index: usize, incarnation: u64) -> ClusterReport {
         let replaces = self
-            .bill
+            .state
             .nodes
-            .get(&format!("n{at}"))
-            .map_or(0, |place| place.incarnation);
+            .get(&format!("n{index}"))
+            .map_or(0, |node| node.incarnation);
         ClusterReport::NodeRegistered {
-            node: format!("n{at}"),
-            zone: self.plan.zone(at),
-            address: format!("127.64.{}.{}:40123", at / 250 + 1, at % 250 + 1),
-            incarnation: life,
+            node: format!("n{index}"),
+            zone: self.plan.zone(index),
+            address: format!("127.64.{}.{}:40123", index / 250 + 1, index % 250 + 1),
+            incarnation,
             replaces,
         }
     }
 
-    pub(super) fn joined(&self, at: usize, life: u64) -> ClusterReport {
+    /// Returns the report with which a node's backend joins.
+    pub(super) fn backend_joined(&self, index: usize, incarnation: u64) -> ClusterReport {
         let phase = model::BackendPhase::Registered;
-        let player = model::cluster_state::BackendRecord {
-            service: self.plan.service(at),
-            zone: self.plan.zone(at),
-            node: format!("n{at}"),
+        let record = model::cluster_state::BackendRecord {
+            service: self.plan.service(index),
+            zone: self.plan.zone(index),
+            node: format!("n{index}"),
             slots: 8,
             phase,
             changed_at: 0,
         };
         ClusterReport::BackendJoined {
-            name: super::node::back_end(at, life),
-            backend: player,
+            name: super::node::backend_name(index, incarnation),
+            backend: record,
         }
     }
 
-    /// As the duty does it: among back ends that take new work.
-    pub(super) fn place(&mut self, service: usize) {
+    /// Assigns a service's keys to the backends that accept new work, as the rebalancer does.
+    pub(super) fn rebalance_service(&mut self, service: usize) {
         if !self.plan.keyed(service) {
             return;
         }
         let name = format!("s{service}");
-        let working = |player: &model::cluster_state::BackendRecord| {
-            player.phase == model::BackendPhase::Registered
+        let accepts_work = |backend: &model::cluster_state::BackendRecord| {
+            backend.phase == model::BackendPhase::Registered
                 && self
-                    .bill
+                    .state
                     .nodes
-                    .get(&player.node)
-                    .is_some_and(|place| place.present)
+                    .get(&backend.node)
+                    .is_some_and(|node| node.present)
         };
-        let cast = self
-            .bill
+        let available = self
+            .state
             .backends
             .iter()
-            .filter(|(_, player)| player.service == name && working(player));
-        let parts: Vec<endpoints::BackendCapacity> = cast
-            .map(|(name, player)| (name.clone(), player.slots as f64))
+            .filter(|(_, backend)| backend.service == name && accepts_work(backend));
+        let capacities: Vec<endpoints::BackendCapacity> = available
+            .map(|(name, backend)| (name.clone(), backend.slots as f64))
             .collect();
         let (base, rows) = self
-            .bill
+            .state
             .placements
             .get(&name)
             .cloned()
             .unwrap_or((0, model::cluster_state::shard_map::unassigned()));
-        if !parts.is_empty() {
-            let rows = endpoints::rebalance(&rows, &[], &parts, 0.0);
+        if !capacities.is_empty() {
+            let rows = endpoints::rebalance(&rows, &[], &capacities, 0.0);
             self.cost.placements += 1;
             self.report(
                 service,
@@ -169,45 +192,51 @@
         }
     }
 
-    /// Whoever lost rows lets them go; those that nobody can let go are waited out and settled by the new holders.
-    pub(super) fn let_go(&mut self, service: usize, gone: &[String]) {
-        let (name, through) = (format!("s{service}"), self.bill.position);
-        let Some((_, rows)) = self.bill.placements.get(&name).cloned() else {
+    /// Releases the ranges that their previous holders still owe. Ranges owed by a backend in `lost` cannot be
+    /// released; their new holders report that the wait for the release has expired.
+    pub(super) fn release_ranges(&mut self, service: usize, lost: &[String]) {
+        let (name, through) = (format!("s{service}"), self.state.position);
+        let Some((_, rows)) = self.state.placements.get(&name).cloned() else {
             return;
         };
-        let owed = rows.iter().flat_map(|row| {
+        let pending = rows.iter().flat_map(|row| {
             row.pending_releases
                 .iter()
-                .map(move |(owing, _)| (owing.clone(), row.first_key, row.last_key))
+                .map(move |(previous_holder, _)| {
+                    (previous_holder.clone(), row.first_key, row.last_key)
+                })
         });
-        let by_owing = owed.fold(
+        let by_previous_holder = pending.fold(
             BTreeMap::<String, Vec<(u16, u16, String)>>::new(),
-            |mut held, (owing, from, to)| {
-                held.entry(owing).or_default().push((from, to, "t".into()));
-                held
+            |mut ranges, (previous_holder, from, to)| {
+                ranges
+                    .entry(previous_holder)
+                    .or_default()
+                    .push((from, to, "t".into()));
+                ranges
             },
         );
-        by_owing
+        by_previous_holder
             .into_iter()
-            .filter(|(owing, _)| !gone.contains(owing))
-            .for_each(|(owing, rows)| {
+            .filter(|(previous_holder, _)| !lost.contains(previous_holder))
+            .for_each(|(previous_holder, rows)| {
                 self.report(
                     service,
                     vec![ClusterReport::ShardsReleased {
                         service: name.clone(),
-                        name: owing,
+                        name: previous_holder,
                         known_through: through,
                         ranges: rows,
                     }],
                 );
             });
         let rows = self
-            .bill
+            .state
             .placements
             .get(&name)
-            .map(|held| held.1.clone())
+            .map(|placement| placement.1.clone())
             .unwrap_or_default();
-        let settled = rows
+        let unreleased = rows
             .iter()
             .filter(|row| !row.pending_releases.is_empty())
             .filter_map(|row| {
@@ -215,11 +244,11 @@
                     .clone()
                     .map(|holder| (holder, (row.first_key, row.last_key, row.fencing_token)))
             });
-        let by_holder = settled.fold(
+        let by_holder = unreleased.fold(
             BTreeMap::<String, Vec<_>>::new(),
-            |mut held, (holder, row)| {
-                held.entry(holder).or_default().push(row);
-                held
+            |mut ranges, (holder, row)| {
+                ranges.entry(holder).or_default().push(row);
+                ranges
             },
         );
         by_holder.into_values().for_each(|rows| {
@@ -234,41 +263,44 @@
     }
 }
 
-/// The whole site as the log holds it once all is placed.
-pub(super) fn gathered(plan: &super::Plan) -> Log<'_> {
-    let mut log = Log {
+/// Returns the log once all services, routes, nodes and backends are registered and all keys are placed.
+pub(super) fn initial_log(plan: &super::Plan) -> LogModel<'_> {
+    let mut log = LogModel {
         plan,
-        bill: ClusterState::default(),
+        state: ClusterState::default(),
         sequence: 0,
         cost: Cost::default(),
     };
-    log.put("operator", ClusterOperation::Items(plan.first_call()));
-    (0..plan.nodes).for_each(|at| {
-        let reports = vec![log.node(at, 1), log.joined(at, 1)];
-        log.report(at, reports);
+    log.submit("operator", ClusterOperation::Items(plan.initial_items()));
+    (0..plan.nodes).for_each(|index| {
+        let reports = vec![log.node_registered(index, 1), log.backend_joined(index, 1)];
+        log.report(index, reports);
     });
-    (0..plan.services).for_each(|service| log.place(service));
+    (0..plan.services).for_each(|service| log.rebalance_service(service));
     log
 }
 
-pub fn count(plan: &super::Plan) -> Counted {
-    let mut log = gathered(plan);
-    let mut counted = Counted {
+/// Computes the costs of a fleet of the plan's size.
+pub fn count(plan: &super::Plan) -> CountedCosts {
+    let mut log = initial_log(plan);
+    let mut counted = CountedCosts {
         nodes: plan.nodes,
         services: plan.services,
-        lanes: plan.lanes,
+        routes: plan.routes,
         ..Default::default()
     };
-    counted.bill_bytes = log.bill.to_bytes().len();
-    counted.whole_bytes = length(&bulletin(true, log.bill.full_deltas())) as usize;
-    counted.costs.insert("gather", log.taken());
-    log.put("operator", ClusterOperation::Items(plan.change(0)));
-    counted.costs.insert("change", log.taken());
+    counted.state_bytes = log.state.to_bytes().len();
+    counted.snapshot_bytes = encoded_length(&update_frame(true, log.state.full_deltas())) as usize;
+    counted.costs.insert("gather", log.take_cost());
+    log.submit("operator", ClusterOperation::Items(plan.route_change(0)));
+    counted.costs.insert("change", log.take_cost());
     super::events::restart(&mut log, 0);
-    counted.costs.insert("restart", log.taken());
-    let zone: Vec<usize> = (0..plan.nodes).filter(|at| at % plan.zones == 0).collect();
+    counted.costs.insert("restart", log.take_cost());
+    let zone: Vec<usize> = (0..plan.nodes)
+        .filter(|index| index % plan.zones == 0)
+        .collect();
     let region: Vec<usize> = (0..plan.nodes)
-        .filter(|at| plan.region(*at) == plan.regions - 1)
+        .filter(|index| plan.region(*index) == plan.regions - 1)
         .collect();
     let rack: Vec<usize> = zone.iter().copied().take(16).collect();
     [
@@ -278,16 +310,19 @@
         ("region", "region back", region.clone()),
     ]
     .into_iter()
-    .filter(|(.., gone)| gone.len() < plan.nodes)
-    .for_each(|(lost, back, gone)| {
-        super::events::lost(&mut log, &gone);
-        counted.costs.insert(lost, log.taken());
-        super::events::back(&mut log, &gone, lost == "region");
-        counted.costs.insert(back, log.taken());
+    .filter(|(.., nodes)| nodes.len() < plan.nodes)
+    .for_each(|(lost, back, nodes)| {
+        super::events::lose_nodes(&mut log, &nodes);
+        counted.costs.insert(lost, log.take_cost());
+        super::events::return_nodes(&mut log, &nodes, lost == "region");
+        counted.costs.insert(back, log.take_cost());
     });
     if plan.regions > 1 {
-        (counted.region_rounds, counted.region_wrongly) = super::events::rounds(&log, &region);
+        (
+            counted.region_detection_rounds,
+            counted.region_false_suspicions,
+        ) = super::events::partition_region(&log, &region);
     }
-    counted.took = super::events::took(&log);
+    counted.call_us = super::events::measure_calls(&log);
     counted
 }
--- a/crates/simulator/src/hollow/events.rs
+++ b/crates/simulator/src/hollow/events.rs
@@ -1,35 +1,37 @@
-//! Events as the nodes put them in the log, and how long the pure parts of it take a processor.
+//! Events as the nodes report them to the log, and the processor time of the pure functions that handle them.
 
-use super::counted::{Log, bulletin};
+use super::counted::{LogModel, update_frame};
 use model::cluster_state::{ClusterReport, StateSnapshot};
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-fn services(log: &Log, gone: &[usize]) -> BTreeSet<usize> {
-    gone.iter().map(|at| at % log.plan.services).collect()
+/// Returns the services whose backends run beside the given nodes.
+fn services(log: &LogModel, lost: &[usize]) -> BTreeSet<usize> {
+    lost.iter().map(|index| index % log.plan.services).collect()
 }
 
-fn watched(log: &Log, at: usize) -> Vec<(usize, ClusterReport)> {
-    let node = format!("n{at}");
-    let life = log
-        .bill
+/// Returns the reports with which a node's monitors suspect it, with the index of each monitor.
+fn suspicions(log: &LogModel, index: usize) -> Vec<(usize, ClusterReport)> {
+    let node = format!("n{index}");
+    let incarnation = log
+        .state
         .nodes
         .get(&node)
-        .map(|place| place.incarnation)
+        .map(|node| node.incarnation)
         .unwrap_or(0);
-    // Who they are does not matter to the count.
-    let watchers = (1..=control::failure_detection::ring::MONITORS_PER_NODE
+    // The costs do not depend on which nodes are the monitors.
+    let monitors = (1..=control::failure_detection::ring::MONITORS_PER_NODE
         .min(log.plan.nodes - 1))
-        .map(|step| (at + step) % log.plan.nodes);
-    watchers
-        .map(|watcher| {
+        .map(|step| (index + step) % log.plan.nodes);
+    monitors
+        .map(|monitor| {
             (
-                watcher,
+                monitor,
                 ClusterReport::NodeObserved {
-                    observer: format!("n{watcher}"),
+                    observer: format!("n{monitor}"),
                     node: node.clone(),
-                    incarnation: life,
+                    incarnation,
                     suspected: true,
                 },
             )
@@ -37,130 +39,139 @@
         .collect()
 }
 
-/// Drains, its keys go and are let go, it signs off; then it comes back under a new life and gets keys again.
-pub(super) fn restart(log: &mut Log, at: usize) {
-    let (service, name) = (at % log.plan.services, super::node::back_end(at, 1));
+/// A planned restart: the backend drains, its ranges are reassigned and released, and it ends. Then the node and a
+/// new backend register under a new incarnation and receive ranges again.
+pub(super) fn restart(log: &mut LogModel, index: usize) {
+    let (service, name) = (
+        index % log.plan.services,
+        super::node::backend_name(index, 1),
+    );
     log.report(
-        at,
+        index,
         vec![ClusterReport::BackendDraining { name: name.clone() }],
     );
-    log.place(service);
-    log.let_go(service, &[]);
+    log.rebalance_service(service);
+    log.release_ranges(service, &[]);
     log.report(
-        at,
+        index,
         vec![ClusterReport::BackendEnded {
             name: name.clone(),
             process_gone: false,
         }],
     );
     log.report(
-        at,
+        index,
         vec![ClusterReport::BackendEnded {
             name,
             process_gone: true,
         }],
     );
-    let reports = vec![log.node(at, 2), log.joined(at, 2)];
-    log.report(at, reports);
-    log.place(service);
-    log.let_go(service, &[]);
+    let reports = vec![log.node_registered(index, 2), log.backend_joined(index, 2)];
+    log.report(index, reports);
+    log.rebalance_service(service);
+    log.release_ranges(service, &[]);
 }
 
-pub(super) fn lost(log: &mut Log, gone: &[usize]) {
-    let watched: Vec<_> = gone.iter().flat_map(|at| watched(log, *at)).collect();
-    watched
+/// The given nodes fail at the same time without notice.
+pub(super) fn lose_nodes(log: &mut LogModel, lost: &[usize]) {
+    let reports: Vec<_> = lost
+        .iter()
+        .flat_map(|index| suspicions(log, *index))
+        .collect();
+    reports
         .into_iter()
-        .for_each(|(watcher, report)| log.report(watcher, vec![report]));
+        .for_each(|(monitor, report)| log.report(monitor, vec![report]));
     let names: Vec<String> = log
-        .bill
+        .state
         .backends
         .iter()
-        .filter(|(_, player)| gone.contains(&number(&player.node)))
+        .filter(|(_, backend)| lost.contains(&node_index(&backend.node)))
         .map(|(name, _)| name.clone())
         .collect();
-    services(log, gone).into_iter().for_each(|service| {
-        log.place(service);
-        log.let_go(service, &names);
+    services(log, lost).into_iter().for_each(|service| {
+        log.rebalance_service(service);
+        log.release_ranges(service, &names);
     });
 }
 
-fn number(node: &str) -> usize {
+/// Returns the index in a node's name.
+fn node_index(node: &str) -> usize {
     node[1..].parse().unwrap_or(usize::MAX)
 }
 
-/// As new machines, or as the same that were only cut off.
-pub(super) fn back(log: &mut Log, gone: &[usize], same: bool) {
-    gone.iter().for_each(|at| {
-        let life = log
-            .bill
+/// The given nodes register again: as new processes, or as the same ones after a partition.
+pub(super) fn return_nodes(log: &mut LogModel, returning: &[usize], same_process: bool) {
+    returning.iter().for_each(|index| {
+        let incarnation = log
+            .state
             .nodes
-            .get(&format!("n{at}"))
-            .map(|place| place.incarnation)
+            .get(&format!("n{index}"))
+            .map(|node| node.incarnation)
             .unwrap_or(1)
-            + !same as u64;
-        let old: Vec<String> = log
-            .bill
+            + !same_process as u64;
+        let previous: Vec<String> = log
+            .state
             .backends
             .iter()
-            .filter(|(_, player)| number(&player.node) == *at)
+            .filter(|(_, backend)| node_index(&backend.node) == *index)
             .map(|(name, _)| name.clone())
             .collect();
-        let ended = old
-            .into_iter()
-            .filter(|_| !same)
-            .map(|name| ClusterReport::BackendEnded {
+        let ended = previous.into_iter().filter(|_| !same_process).map(|name| {
+            ClusterReport::BackendEnded {
                 name,
                 process_gone: true,
-            });
-        let joined = (!same).then(|| log.joined(*at, life));
-        let reports = std::iter::once(log.node(*at, life))
+            }
+        });
+        let joined = (!same_process).then(|| log.backend_joined(*index, incarnation));
+        let reports = std::iter::once(log.node_registered(*index, incarnation))
             .chain(joined)
             .chain(ended)
             .collect();
-        log.report(*at, reports);
+        log.report(*index, reports);
     });
-    services(log, gone).into_iter().for_each(|service| {
-        log.place(service);
-        log.let_go(service, &[]);
+    services(log, returning).into_iter().for_each(|service| {
+        log.rebalance_service(service);
+        log.release_ranges(service, &[]);
     });
 }
 
 type Nodes = BTreeMap<String, model::Node>;
 
-fn ring(places: &model::cluster_state::endpoints::NodeRecords) -> Nodes {
-    let node = |place: &model::cluster_state::NodeRecord| model::Node {
-        zone: place.zone.clone(),
-        address: place.address.clone(),
-        incarnation: place.incarnation,
-        present: place.present,
+/// Converts the followers' node records to those of the cluster state, which the ring functions take.
+fn ring_nodes(records: &model::cluster_state::endpoints::NodeRecords) -> Nodes {
+    let convert = |record: &model::cluster_state::NodeRecord| model::Node {
+        zone: record.zone.clone(),
+        address: record.address.clone(),
+        incarnation: record.incarnation,
+        present: record.present,
         suspected_by: Default::default(),
-        changed_at: place.changed_at,
+        changed_at: record.changed_at,
     };
-    places
+    records
         .iter()
-        .map(|(name, place)| (name.clone(), node(place)))
+        .map(|(name, record)| (name.clone(), convert(record)))
         .collect()
 }
 
-/// A region that is cut off: looks at the silence until the other side misses all of it, and how many of the other
-/// side two watchers inside will have missed by the time they are heard again.
-pub(super) fn rounds(log: &Log, region: &[usize]) -> (usize, usize) {
-    let mut nodes = ring(&log.bill.nodes);
-    let inside: BTreeSet<String> = region.iter().map(|at| format!("n{at}")).collect();
-    let by = |nodes: &Nodes, name: &String, of: bool| {
+/// Simulates the partition of a region. Returns the detection rounds until the nodes outside hold all of the region
+/// as absent, and the number of nodes outside that at least two monitors inside suspect when the partition ends.
+pub(super) fn partition_region(log: &LogModel, region: &[usize]) -> (usize, usize) {
+    let mut nodes = ring_nodes(&log.state.nodes);
+    let inside: BTreeSet<String> = region.iter().map(|index| format!("n{index}")).collect();
+    let monitor_count = |nodes: &Nodes, name: &String, from_inside: bool| {
         control::failure_detection::ring::monitors_of(nodes, name)
             .iter()
-            .filter(|watcher| inside.contains(*watcher) == of)
+            .filter(|monitor| inside.contains(*monitor) == from_inside)
             .count()
     };
-    let wrongly = nodes
+    let falsely_suspected = nodes
         .keys()
-        .filter(|name| !inside.contains(*name) && by(&nodes, name, true) >= 2)
+        .filter(|name| !inside.contains(*name) && monitor_count(&nodes, name, true) >= 2)
         .count();
     let rounds = (1..=20).find(|_| {
         let suspected: Vec<String> = inside
             .iter()
-            .filter(|name| nodes[*name].present && by(&nodes, name, false) >= 2)
+            .filter(|name| nodes[*name].present && monitor_count(&nodes, name, false) >= 2)
             .cloned()
             .collect();
         suspected.iter().for_each(|name| {
@@ -171,130 +182,137 @@
         });
         inside.iter().all(|name| !nodes[name].present) || suspected.is_empty()
     });
-    (rounds.unwrap_or(20), wrongly)
+    (rounds.unwrap_or(20), falsely_suspected)
 }
 
-/// Mean processor time of this thread, in microseconds.
-fn timed(times: u32, mut work: impl FnMut()) -> f64 {
-    let ran = || {
+/// Returns the mean processor time of `call` on this thread, in microseconds.
+fn mean_cpu_us(times: u32, mut call: impl FnMut()) -> f64 {
+    let cpu_us = || {
         let time = rustix::time::clock_gettime(rustix::time::ClockId::ThreadCPUTime);
         time.tv_sec as f64 * 1e6 + time.tv_nsec as f64 / 1e3
     };
-    let before = ran();
-    (0..times).for_each(|_| work());
-    (ran() - before) / times as f64
+    let before = cpu_us();
+    (0..times).for_each(|_| call());
+    (cpu_us() - before) / times as f64
 }
 
-pub(super) fn took(log: &Log) -> BTreeMap<&'static str, f64> {
-    let (bill, plan) = (&log.bill, log.plan);
-    let whole = StateSnapshot::default().updated(true, bill.position, bill.full_deltas());
-    let place =
-        bill.nodes.iter().next().map(|(name, place)| {
-            model::cluster_state::Delta::Node(name.clone(), Some(place.clone()))
+/// Measures the pure functions on the log's state. The names of the measurements stand in the output.
+pub(super) fn measure_calls(log: &LogModel) -> BTreeMap<&'static str, f64> {
+    let (state, plan) = (&log.state, log.plan);
+    let snapshot = StateSnapshot::default().updated(true, state.position, state.full_deltas());
+    let node_delta =
+        state.nodes.iter().next().map(|(name, node)| {
+            model::cluster_state::Delta::Node(name.clone(), Some(node.clone()))
         });
-    let lane = model::cluster_state::Delta::Item(
+    let route_delta = model::cluster_state::Delta::Item(
         model::cluster_state::ItemKind::Route,
         "l0".into(),
         9,
-        plan.change(0).puts.pop().map(|put| put.body),
+        plan.route_change(0).puts.pop().map(|put| put.body),
     );
-    let rows = bill
+    let rows = state
         .placements
         .values()
         .next()
-        .map(|held| held.1.clone())
+        .map(|placement| placement.1.clone())
         .unwrap_or_default();
-    let parts: Vec<endpoints::BackendCapacity> = rows
+    let capacities: Vec<endpoints::BackendCapacity> = rows
         .iter()
         .filter_map(|row| row.holder.clone())
         .map(|name| (name, 8.0))
         .collect();
-    let away = bill.nodes.iter().map(|(name, place)| {
+    let absent = state.nodes.iter().map(|(name, node)| {
         (
             format!("{name}.old"),
             model::cluster_state::NodeRecord {
                 present: false,
-                ..place.clone()
+                ..node.clone()
             },
         )
     });
-    let twice = Arc::new(bill.nodes.clone().into_iter().chain(away).collect());
-    let (places, mut stand) = (
-        Arc::new(bill.nodes.clone()),
+    let doubled = Arc::new(state.nodes.clone().into_iter().chain(absent).collect());
+    let (nodes, mut ring) = (
+        Arc::new(state.nodes.clone()),
         control::failure_detection::ring::RingPosition::default(),
     );
     let times = (20_000 / plan.nodes as u32).max(5);
     BTreeMap::from([
-        // What a node does twice a second (crates/troupe/src/watch.rs).
-        ("ring tick", timed(20_000, || stand.update(&places, "n0"))),
+        // A node does this twice a second (crates/endpoints/src/monitor.rs).
+        (
+            "ring tick",
+            mean_cpu_us(20_000, || ring.update(&nodes, "n0")),
+        ),
         (
             "ring made",
-            timed(times, || {
-                control::failure_detection::ring::RingPosition::default().update(&places, "n0")
+            mean_cpu_us(times, || {
+                control::failure_detection::ring::RingPosition::default().update(&nodes, "n0")
             }),
         ),
         (
             "ring made, twice the names",
-            timed(times, || {
-                control::failure_detection::ring::RingPosition::default().update(&twice, "n0")
+            mean_cpu_us(times, || {
+                control::failure_detection::ring::RingPosition::default().update(&doubled, "n0")
             }),
         ),
         (
             "told of a place",
-            timed(times, || {
-                drop(std::hint::black_box(whole.updated(
+            mean_cpu_us(times, || {
+                drop(std::hint::black_box(snapshot.updated(
                     false,
                     9,
-                    place.iter().cloned().collect(),
+                    node_delta.iter().cloned().collect(),
                 )))
             }),
         ),
         (
             "told of a lane",
-            timed(times, || {
-                drop(std::hint::black_box(whole.updated(
+            mean_cpu_us(times, || {
+                drop(std::hint::black_box(snapshot.updated(
                     false,
                     9,
-                    vec![lane.clone()],
+                    vec![route_delta.clone()],
                 )))
             }),
         ),
         (
             "told the whole",
-            timed(5, || {
+            mean_cpu_us(5, || {
                 drop(std::hint::black_box(StateSnapshot::default().updated(
                     true,
                     9,
-                    bill.full_deltas(),
+                    state.full_deltas(),
                 )))
             }),
         ),
         (
             "whole as bytes",
-            timed(5, || {
-                drop(std::hint::black_box(bulletin(true, bill.full_deltas())))
+            mean_cpu_us(5, || {
+                drop(std::hint::black_box(update_frame(
+                    true,
+                    state.full_deltas(),
+                )))
             }),
         ),
         (
             "snapshot",
-            timed(5, || drop(std::hint::black_box(bill.to_bytes()))),
+            mean_cpu_us(5, || drop(std::hint::black_box(state.to_bytes()))),
         ),
         (
             "items judged",
-            timed(5, || {
+            mean_cpu_us(5, || {
                 drop(std::hint::black_box(model::cluster_state::items::faults(
-                    &bill.items,
-                    &plan.change(0),
+                    &state.items,
+                    &plan.route_change(0),
                 )))
             }),
         ),
         (
             "cast of a service",
-            timed(50, || {
+            mean_cpu_us(50, || {
                 drop(std::hint::black_box(endpoints::rebalance(
                     &rows,
                     &[],
-                    &parts,
+                    &capacities,
                     0.0,
                 )))
             }),
--- a/crates/simulator/src/hollow/flags.rs
+++ b/crates/simulator/src/hollow/flags.rs
@@ -1,6 +1,6 @@
-//! The command's flags: every fault is named, and nothing starts before.
+//! Flags of the command. All invalid flags are reported together, and nothing starts unless all are valid.
 
-use super::{Parts, Plan};
+use super::{NodeParts, Plan};
 use std::fmt::Display;
 use std::str::FromStr;
 
@@ -18,99 +18,103 @@
 stdout: a table, then one line of JSON
 ";
 
-type Faults = Vec<String>;
+type FlagErrors = Vec<String>;
 
-/// A flag that must be there, or one with a default.
-fn number<T: FromStr>(
+/// Parses a flag. Without a default the flag is required.
+fn parse_flag<T: FromStr>(
     arguments: &mut pico_args::Arguments,
-    faults: &mut Faults,
+    errors: &mut FlagErrors,
     flag: &'static str,
-    otherwise: Option<T>,
+    default: Option<T>,
 ) -> Option<T>
 where
     T::Err: Display,
 {
     match arguments.opt_value_from_str(flag) {
-        Ok(None) if otherwise.is_none() => faults.push(format!("{flag}: is missing")),
-        Ok(held) => return held.or(otherwise),
-        Err(error) => faults.push(format!("{flag}: {error}")),
+        Ok(None) if default.is_none() => errors.push(format!("{flag}: is missing")),
+        Ok(value) => return value.or(default),
+        Err(error) => errors.push(format!("{flag}: {error}")),
     }
     None
 }
 
-/// The plan, and whether it is only to be counted.
+/// Returns the plan and whether it is only counted.
 pub fn read(mut arguments: pico_args::Arguments) -> Result<(Plan, bool), String> {
-    let mut faults = Faults::new();
-    let counted = arguments.contains("--counted");
-    let mut size = |flag, otherwise| {
-        number::<usize>(&mut arguments, &mut faults, flag, otherwise).unwrap_or(1)
+    let mut errors = FlagErrors::new();
+    let count_only = arguments.contains("--counted");
+    let mut count_flag = |flag, default| {
+        parse_flag::<usize>(&mut arguments, &mut errors, flag, default).unwrap_or(1)
     };
     let (nodes, services, zones, regions) = (
-        size("--nodes", None),
-        size("--services", None),
-        size("--zones", None),
-        size("--regions", None),
+        count_flag("--nodes", None),
+        count_flag("--services", None),
+        count_flag("--zones", None),
+        count_flag("--regions", None),
     );
-    let (seats, lanes) = (
-        size("--seats", Some(5)),
-        size("--lanes", Some(services.saturating_mul(3))),
+    let (replicas, routes) = (
+        count_flag("--seats", Some(5)),
+        count_flag("--lanes", Some(services.saturating_mul(3))),
     );
     let (changes, restarts, lost) = (
-        size("--changes", Some(0)),
-        size("--restarts", Some(0)),
-        size("--lost", Some(0)),
+        count_flag("--changes", Some(0)),
+        count_flag("--restarts", Some(0)),
+        count_flag("--lost", Some(0)),
     );
-    let mut time = |flag, otherwise| {
-        number::<u64>(&mut arguments, &mut faults, flag, Some(otherwise)).unwrap_or(otherwise)
+    let mut time_flag = |flag, default| {
+        parse_flag::<u64>(&mut arguments, &mut errors, flag, Some(default)).unwrap_or(default)
     };
-    let (seconds, hop, cut) = (time("--seconds", 20), time("--hop", 0), time("--cut", 0));
-    let parts = number(
+    let (seconds, hop_us, cut) = (
+        time_flag("--seconds", 20),
+        time_flag("--hop", 0),
+        time_flag("--cut", 0),
+    );
+    let parts = parse_flag(
         &mut arguments,
-        &mut faults,
+        &mut errors,
         "--parts",
         Some("whole".to_string()),
     )
     .unwrap_or_default();
     let folder = std::env::temp_dir().join(format!("gradeford-hollow-{}", std::process::id()));
-    faults.extend(
-        arguments
-            .finish()
-            .into_iter()
-            .map(|left| format!("{}: is not a flag of this command", left.to_string_lossy())),
-    );
-    let named = Parts::named(&parts);
-    faults.extend(
-        named
+    errors.extend(arguments.finish().into_iter().map(|argument| {
+        format!(
+            "{}: is not a flag of this command",
+            argument.to_string_lossy()
+        )
+    }));
+    let known_parts = NodeParts::named(&parts);
+    errors.extend(
+        known_parts
             .is_none()
-            .then(|| format!("--parts: there is no {parts:?}")),
+            .then(|| format!("--parts: unknown value {parts:?}")),
     );
-    let parts = named.unwrap_or(Parts::Whole);
+    let parts = known_parts.unwrap_or(NodeParts::Full);
     let plan = Plan {
         nodes,
         services,
         zones,
         regions,
-        seats,
-        lanes,
+        replicas,
+        routes,
         seconds,
         changes,
         restarts,
         lost,
-        hop,
+        hop_us,
         cut,
         parts,
         folder,
     };
-    if faults.is_empty() {
-        faults.extend(
-            plan.faults(!counted)
+    if errors.is_empty() {
+        errors.extend(
+            plan.flag_errors(!count_only)
                 .into_iter()
-                .map(|(flag, told)| format!("{flag}: {told}")),
+                .map(|(flag, reason)| format!("{flag}: {reason}")),
         );
     }
-    if faults.is_empty() {
-        Ok((plan, counted))
+    if errors.is_empty() {
+        Ok((plan, count_only))
     } else {
-        Err(faults.join("; "))
+        Err(errors.join("; "))
     }
 }
--- a/crates/simulator/src/hollow/meter.rs
+++ b/crates/simulator/src/hollow/meter.rs
@@ -1,45 +1,53 @@
-//! What a hollow site has used so far, by role: every node, every core seat and every disk has a thread of its
-//! own, and the kernel says how long each ran.
+//! Resource usage of a run by thread role. Every node, every replica and every disk has a thread of its own, and
+//! the kernel reports the processor time of each.
 
 use std::collections::BTreeMap;
 
+/// Totals of the process at one moment.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Reading {
-    pub at: model::Microseconds,
-    /// Thread to nanoseconds on a processor.
-    pub ran: BTreeMap<(&'static str, u32), u64>,
+pub(super) struct UsageReading {
+    pub read_at: model::Microseconds,
+    /// Processor time in nanoseconds, by thread role and thread id.
+    pub cpu_ns: BTreeMap<(&'static str, u32), u64>,
+    /// Resident memory, in bytes.
     pub memory: u64,
     pub descriptors: u64,
     /// Frames and bytes, in the order of `transport::traffic::KINDS`.
-    pub said: [(u64, u64); transport::traffic::KINDS.len()],
+    pub traffic: [(u64, u64); transport::traffic::KINDS.len()],
     pub syncs: u64,
-    /// Instances applied at the first seat, and where its bill stands.
+    /// Number of log instances that the first replica has applied.
     pub applied: u64,
 }
 
-pub(super) const ROLES: [&str; 5] = ["node", "core", "vault", "links", "acting"];
+/// Thread-name prefixes. A thread that matches none of them counts as "acting".
+pub(super) const THREAD_ROLES: [&str; 5] = ["node", "core", "vault", "links", "acting"];
 
-fn role(thread: &str) -> &'static str {
-    ROLES
+fn thread_role(name: &str) -> &'static str {
+    THREAD_ROLES
         .into_iter()
-        .find(|role| thread.starts_with(role))
+        .find(|role| name.starts_with(role))
         .unwrap_or("acting")
 }
 
-pub(super) fn reading(cores: &[control::ReplicaHandle]) -> Reading {
+/// Reads the current totals from /proc and from the replicas.
+pub(super) fn read_usage(replicas: &[control::ReplicaHandle]) -> UsageReading {
     let threads = std::fs::read_dir("/proc/self/task")
         .into_iter()
         .flatten()
         .flatten();
-    let ran = threads.filter_map(|thread| {
-        let word = |name: &str| std::fs::read_to_string(thread.path().join(name)).ok();
-        let ran = word("schedstat")?.split_whitespace().next()?.parse().ok()?;
+    let cpu_ns = threads.filter_map(|thread| {
+        let read_file = |name: &str| std::fs::read_to_string(thread.path().join(name)).ok();
+        let cpu_ns = read_file("schedstat")?
+            .split_whitespace()
+            .next()?
+            .parse()
+            .ok()?;
         Some((
             (
-                role(word("comm")?.trim()),
+                thread_role(read_file("comm")?.trim()),
                 thread.file_name().to_str()?.parse().ok()?,
             ),
-            ran,
+            cpu_ns,
         ))
     });
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
@@ -47,67 +55,83 @@
     let memory = line
         .and_then(|line| line.split_whitespace().nth(1))
         .and_then(|kilobytes| kilobytes.parse::<u64>().ok());
-    Reading {
-        at: model::now(),
-        ran: ran.collect(),
+    UsageReading {
+        read_at: model::now(),
+        cpu_ns: cpu_ns.collect(),
         memory: memory.unwrap_or(0) * 1_024,
         descriptors: std::fs::read_dir("/proc/self/fd")
-            .map(|held| held.count() as u64)
+            .map(|entries| entries.count() as u64)
             .unwrap_or(0),
-        said: transport::traffic::by_kind(),
-        syncs: cores.iter().map(|core| core.status.load().disk_syncs).sum(),
-        applied: cores
+        traffic: transport::traffic::by_kind(),
+        syncs: replicas
+            .iter()
+            .map(|replica| replica.status.load().disk_syncs)
+            .sum(),
+        applied: replicas
             .first()
-            .map(|core| core.status.load().applied_below)
+            .map(|replica| replica.status.load().applied_below)
             .unwrap_or(0),
     }
 }
 
-/// What a role's threads used in a stage: in thousandths of a core, the middle one and the busiest.
+/// Processor use of a role's threads in one stage. The median and the busiest thread are in thousandths of a core.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize)]
-pub struct Used {
+pub struct CpuUse {
     pub threads: usize,
     pub sum_us: u64,
-    pub middle_of_1000: f64,
-    pub most_of_1000: f64,
+    #[serde(rename = "middle_of_1000")]
+    pub median_millicores: f64,
+    #[serde(rename = "most_of_1000")]
+    pub max_millicores: f64,
 }
 
-/// Threads that ended in between are not seen: what they used is lost.
-pub(super) fn used(before: &Reading, after: &Reading) -> BTreeMap<&'static str, Used> {
-    let span = (after.at - before.at).max(1) as f64;
-    let of = |role: &'static str| {
-        let held = after.ran.iter().filter(|((held, _), _)| *held == role);
-        let mut grown: Vec<u64> = held
-            .map(|(thread, ran)| {
-                ran.saturating_sub(before.ran.get(thread).copied().unwrap_or(0)) / 1_000
+/// Returns the processor use between two readings. Threads that ended in between are not counted.
+pub(super) fn cpu(before: &UsageReading, after: &UsageReading) -> BTreeMap<&'static str, CpuUse> {
+    let elapsed_us = (after.read_at - before.read_at).max(1) as f64;
+    let role_use = |role: &'static str| {
+        let threads = after
+            .cpu_ns
+            .iter()
+            .filter(|((thread_role, _), _)| *thread_role == role);
+        let mut cpu_us: Vec<u64> = threads
+            .map(|(thread, cpu_ns)| {
+                cpu_ns.saturating_sub(before.cpu_ns.get(thread).copied().unwrap_or(0)) / 1_000
             })
             .collect();
-        grown.sort();
-        let part = |ran: Option<&u64>| ran.map(|ran| *ran as f64 / span * 1_000.0).unwrap_or(0.0);
-        let middle_of_1000 = part(grown.get(grown.len() / 2));
+        cpu_us.sort();
+        let millicores = |cpu_ns: Option<&u64>| {
+            cpu_ns
+                .map(|cpu_ns| *cpu_ns as f64 / elapsed_us * 1_000.0)
+                .unwrap_or(0.0)
+        };
+        let median_millicores = millicores(cpu_us.get(cpu_us.len() / 2));
         (
             role,
-            Used {
-                threads: grown.len(),
-                sum_us: grown.iter().sum(),
-                middle_of_1000,
-                most_of_1000: part(grown.last()),
+            CpuUse {
+                threads: cpu_us.len(),
+                sum_us: cpu_us.iter().sum(),
+                median_millicores,
+                max_millicores: millicores(cpu_us.last()),
             },
         )
     };
-    ROLES
+    THREAD_ROLES
         .into_iter()
-        .map(of)
-        .filter(|(_, used)| used.threads > 0)
+        .map(role_use)
+        .filter(|(_, cpu)| cpu.threads > 0)
         .collect()
 }
 
-pub(super) fn said(before: &Reading, after: &Reading) -> BTreeMap<&'static str, (u64, u64)> {
-    let pairs = before.said.iter().zip(after.said);
-    let grown = pairs.map(|(before, after)| (after.0 - before.0, after.1 - before.1));
+/// Returns the frames and bytes sent between two readings, by frame kind.
+pub(super) fn traffic(
+    before: &UsageReading,
+    after: &UsageReading,
+) -> BTreeMap<&'static str, (u64, u64)> {
+    let pairs = before.traffic.iter().zip(after.traffic);
+    let differences = pairs.map(|(before, after)| (after.0 - before.0, after.1 - before.1));
     transport::traffic::KINDS
         .into_iter()
-        .zip(grown)
+        .zip(differences)
         .filter(|(_, (frames, _))| *frames > 0)
         .collect()
 }
--- a/crates/simulator/src/hollow/mod.rs
+++ b/crates/simulator/src/hollow/mod.rs
@@ -1,5 +1,5 @@
-//! The control side of many nodes in one process: real conns over the loopback to real core seats, no requests
-//! (docs/CAPACITY.md).
+//! Runs the control plane of many nodes in one process: real replicas of the log and real connections
+//! over the loopback interface, but no client requests (docs/CAPACITY.md).
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -18,68 +18,71 @@
 mod stages;
 mod witness;
 
-pub use plan::{Fault, Parts, Plan};
+pub use plan::{FlagError, NodeParts, Plan};
 pub use report::{Report, Stage};
 
-/// Links between regions, and the threads that carry them.
-pub(crate) type Linked = (crate::network::Network, Arc<tokio::runtime::Runtime>);
+/// Simulated links between regions, with the runtime that relays their connections.
+pub(crate) type NetworkLinks = (crate::network::Network, Arc<tokio::runtime::Runtime>);
 
-/// Only a broken run meets this.
-const PATIENCE: Duration = Duration::from_secs(300);
+/// Limit for one wait. Only a broken run reaches it.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(300);
 
-pub(crate) async fn until(
-    what: &str,
-    holds: impl Fn() -> bool,
+/// Polls `condition` until it holds and returns the time waited, in microseconds. `description` completes
+/// the error message "timed out waiting until ...".
+pub(crate) async fn wait_until(
+    description: &str,
+    condition: impl Fn() -> bool,
 ) -> Result<model::Microseconds, String> {
-    let began = model::now();
-    let waits = async {
-        while !holds() {
+    let started_at = model::now();
+    let poll = async {
+        while !condition() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, waits)
+    tokio::time::timeout(WAIT_TIMEOUT, poll)
         .await
-        .map_err(|_| format!("in vain: {what}"))?;
-    Ok(model::now() - began)
+        .map_err(|_| format!("timed out waiting until {description}"))?;
+    Ok(model::now() - started_at)
 }
 
-fn links(plan: &Plan) -> Result<Option<Linked>, String> {
+/// Creates the simulated links if the plan has a delay or a partition between regions.
+fn start_links(plan: &Plan) -> Result<Option<NetworkLinks>, String> {
     if !plan.linked() {
         return Ok(None);
     }
-    let hosts = (0..plan.seats).map(|seat| (plan.host(seat), plan.region(seat)));
-    let hosts =
-        hosts.chain((0..plan.nodes).map(|at| (plan.host(plan.seats + at), plan.region(at))));
-    let links = crate::network::Network::new(hosts.collect(), plan.hop);
-    let threads = tokio::runtime::Builder::new_multi_thread()
+    let hosts = (0..plan.replicas).map(|replica| (plan.host(replica), plan.region(replica)));
+    let hosts = hosts
+        .chain((0..plan.nodes).map(|node| (plan.host(plan.replicas + node), plan.region(node))));
+    let links = crate::network::Network::new(hosts.collect(), plan.hop_us);
+    let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
         .thread_name("links")
         .enable_all()
         .build();
-    let threads = Arc::new(threads.map_err(|error| error.to_string())?);
-    Ok(Some((links, threads)))
+    let runtime = Arc::new(runtime.map_err(|error| error.to_string())?);
+    Ok(Some((links, runtime)))
 }
 
-/// Plays the stages the plan names, one after the other. With `progress` a line a second says where it is.
+/// Runs the stages of the plan in order. With `progress`, prints the current stage to stderr once a second.
 pub async fn run(plan: Plan, progress: bool) -> Result<Report, String> {
-    let (links, folder) = (links(&plan)?, plan.folder.clone());
-    let told = Arc::new(Mutex::new(String::new()));
-    let shown = told.clone();
-    let line = progress.then(|| {
+    let (links, folder) = (start_links(&plan)?, plan.folder.clone());
+    let progress_line = Arc::new(Mutex::new(String::new()));
+    let printed_line = progress_line.clone();
+    let printer = progress.then(|| {
         tokio::spawn(async move {
             loop {
                 eprintln!(
                     "hollow: {}",
-                    shown.lock().unwrap_or_else(PoisonError::into_inner)
+                    printed_line.lock().unwrap_or_else(PoisonError::into_inner)
                 );
                 tokio::time::sleep(Duration::from_secs(1)).await;
             }
         })
     });
-    let played = stages::all(plan, links.clone(), told).await;
-    line.into_iter().for_each(|line| line.abort());
-    // Threads of a runtime may not be ended from within another.
+    let report = stages::run_stages(plan, links.clone(), progress_line).await;
+    printer.into_iter().for_each(|printer| printer.abort());
+    // A runtime must not be dropped from within another runtime.
     drop(tokio::task::spawn_blocking(move || drop(links)).await);
     std::fs::remove_dir_all(folder).unwrap_or_default();
-    played
+    report
 }
--- a/crates/simulator/src/hollow/node.rs
+++ b/crates/simulator/src/hollow/node.rs
@@ -1,72 +1,77 @@
-//! One node of a hollow site: the product's own on a thread of its own, and beside it a made-up back end that
-//! beats, holds the keys it is told to, lets go of those it lost, drains and ends.
+//! One stand-in node: the product's own node code on a separate thread, with a simulated backend beside it. The
+//! backend sends heartbeats, holds the ranges that the node assigns to it, releases those it lost, drains and
+//! deregisters.
 
-use super::{Parts, Plan};
+use super::{NodeParts, Plan};
 use std::net::TcpListener;
 use std::sync::Arc;
 use std::thread::Builder;
 use std::time::Duration;
 
-pub(super) enum Order {
-    /// In good order: the back end drains and signs off, the node stops.
-    Leave,
-    /// Without a word, as a machine without power.
-    Vanish,
+/// How a stand-in node is stopped.
+pub(super) enum StopMode {
+    /// The backend drains and deregisters, then the node shuts down.
+    Graceful,
+    /// The node stops without notice, like a machine that loses power.
+    Abrupt,
 }
 
-pub(super) struct Hollow {
-    pub at: usize,
-    pub back_end: String,
-    pub life: u64,
-    pub following: control::FollowerHandle,
-    orders: tokio::sync::mpsc::UnboundedSender<Order>,
-    /// Closed once all its tasks are gone.
+/// Handle of a running stand-in node.
+pub(super) struct StandInNode {
+    pub index: usize,
+    pub backend_name: String,
+    pub incarnation: u64,
+    pub follower: control::FollowerHandle,
+    stop_sender: tokio::sync::mpsc::UnboundedSender<StopMode>,
+    /// Closes once all tasks of the node have ended.
     ended: tokio::sync::watch::Receiver<()>,
 }
 
-/// What a node is made of; its place in the site says the rest.
+/// Settings shared by all nodes. Everything else follows from a node's index.
 #[derive(Clone)]
-pub(super) struct Making {
+pub(super) struct NodeSetup {
     pub plan: Arc<Plan>,
-    pub places: Vec<String>,
-    pub links: Option<super::Linked>,
+    pub addresses: Vec<String>,
+    pub links: Option<super::NetworkLinks>,
     pub known: control::KnownReplicas,
 }
 
-const BEAT_EVERY: model::Microseconds = 1_500_000;
-const SLOTS: u32 = 8;
-type Rows = Vec<(u16, u16, model::Position)>;
+const HEARTBEAT_INTERVAL: model::Microseconds = 1_500_000;
+const BACKEND_SLOTS: u32 = 8;
+/// First key, last key and fencing token of each held range.
+type HeldRanges = Vec<(u16, u16, model::Position)>;
 
-pub(super) fn back_end(at: usize, life: u64) -> String {
-    format!("b{at}.{life}")
+/// Returns the backend name of a node in one incarnation.
+pub(super) fn backend_name(index: usize, incarnation: u64) -> String {
+    format!("b{index}.{incarnation}")
 }
 
-/// As `tour usher` is set (platform/src/usher.rs).
-fn env(
+/// Uses the settings of the node daemon (platform/src/node.rs).
+fn config(
     plan: &Plan,
-    places: &[String],
-    at: usize,
-    life: u64,
+    addresses: &[String],
+    index: usize,
+    incarnation: u64,
     address: String,
 ) -> endpoints::NodeConfig {
-    let most = 10_000_000;
+    let max_duration = 10_000_000;
     endpoints::NodeConfig {
         lease_table: endpoints::LeaseTableConfig {
-            node: format!("n{at}"),
-            zone: plan.zone(at),
+            node: format!("n{index}"),
+            zone: plan.zone(index),
             address,
-            incarnation: life,
+            incarnation,
             leases: endpoints::LeaseConfig {
-                proof_validity: most * 9 / 10,
+                proof_validity: max_duration * 9 / 10,
                 clock_guard: 200_000,
-                max_duration: most,
+                max_duration,
             },
-            heartbeat_interval: BEAT_EVERY,
+            heartbeat_interval: HEARTBEAT_INTERVAL,
             backend_address: None,
             drain_timeout: 2_000_000,
         },
-        service: plan.service(at),
-        seeds: places.to_vec(),
+        service: plan.service(index),
+        seeds: addresses.to_vec(),
         header_names: http_util::headers::DEFAULT_HEADER_NAMES,
         selection: outbound::SelectorConfig {
             zone_crossing_cost: 15_000,
@@ -79,18 +84,23 @@
     }
 }
 
-pub(super) fn start(making: &Making, at: usize, life: u64) -> Result<Hollow, String> {
-    let plan = making.plan.clone();
+/// Starts a node on a thread of its own and returns once its follower runs.
+pub(super) fn start(
+    node_setup: &NodeSetup,
+    index: usize,
+    incarnation: u64,
+) -> Result<StandInNode, String> {
+    let plan = node_setup.plan.clone();
     let (listener, address) =
-        super::seats::bind(plan.host(plan.seats + at), making.links.as_ref())?;
-    let env = env(&plan, &making.places, at, life, address);
-    let (orders, mut ordered) = tokio::sync::mpsc::unbounded_channel();
-    let (ends, ended) = tokio::sync::watch::channel(());
-    let (told, hears) = std::sync::mpsc::channel();
-    let (known, back_end) = (making.known.clone(), back_end(at, life));
-    let name = back_end.clone();
-    let plays = move || {
-        let _ends = ends;
+        super::seats::bind(plan.host(plan.replicas + index), node_setup.links.as_ref())?;
+    let config = config(&plan, &node_setup.addresses, index, incarnation, address);
+    let (stop_sender, mut stop_receiver) = tokio::sync::mpsc::unbounded_channel();
+    let (ended_sender, ended) = tokio::sync::watch::channel(());
+    let (follower_sender, follower_receiver) = std::sync::mpsc::channel();
+    let (known, backend_name) = (node_setup.known.clone(), backend_name(index, incarnation));
+    let name = backend_name.clone();
+    let run_node = move || {
+        let _ended_sender = ended_sender;
         let Ok(runtime) = super::seats::runtime() else {
             return;
         };
@@ -98,222 +108,245 @@
             let Ok(listener) = tokio::net::TcpListener::from_std(listener) else {
                 return;
             };
-            let part = Part::start(&plan, env.clone(), known, listener);
-            drop(told.send(part.following()));
-            let acts = async {
-                match part.troupe() {
-                    Some(troupe) => act(troupe, &env, name, &mut ordered).await,
-                    None => ordered.recv().await.map(|_| ()).unwrap_or_default(),
+            let node = NodeRuntime::start(&plan, config.clone(), known, listener);
+            drop(follower_sender.send(node.follower()));
+            let run = async {
+                match node.lease_table() {
+                    Some(lease_table) => {
+                        run_backend(lease_table, &config, name, &mut stop_receiver).await
+                    }
+                    None => stop_receiver.recv().await.map(|_| ()).unwrap_or_default(),
                 }
             };
-            acts.await;
-            if let Part::Whole(node, ..) = &part {
+            run.await;
+            if let NodeRuntime::Full(node, ..) = &node {
                 node.shut_down(Duration::ZERO, Duration::from_millis(500))
                     .await;
             }
         });
     };
     Builder::new()
-        .name(format!("node-{at}"))
-        .spawn(plays)
+        .name(format!("node-{index}"))
+        .spawn(run_node)
         .map_err(|error| error.to_string())?;
-    let following = hears.recv().map_err(|error| error.to_string())?;
-    Ok(Hollow {
-        at,
-        back_end,
-        life,
-        following,
-        orders,
+    let follower = follower_receiver
+        .recv()
+        .map_err(|error| error.to_string())?;
+    Ok(StandInNode {
+        index,
+        backend_name,
+        incarnation,
+        follower,
+        stop_sender,
         ended,
     })
 }
 
-impl Hollow {
-    pub(super) fn order(&self, order: Order) {
-        drop(self.orders.send(order));
+impl StandInNode {
+    /// Tells the node to stop, without waiting until it has.
+    pub(super) fn stop(&self, mode: StopMode) {
+        drop(self.stop_sender.send(mode));
     }
 
-    pub(super) async fn gone(&self) {
+    /// Waits until all tasks of the node have ended.
+    pub(super) async fn wait_stopped(&self) {
         let mut ended = self.ended.clone();
         while ended.changed().await.is_ok() {}
     }
 }
 
-enum Part {
-    Following(control::FollowerHandle),
-    Troupe(control::FollowerHandle, endpoints::LeaseTableHandle),
-    Whole(Box<endpoints::Node>),
+/// The running parts of a node, as the plan's `parts` selects them.
+enum NodeRuntime {
+    Follower(control::FollowerHandle),
+    LeaseTable(control::FollowerHandle, endpoints::LeaseTableHandle),
+    Full(Box<endpoints::Node>),
 }
 
-impl Part {
+impl NodeRuntime {
     fn start(
         plan: &Plan,
-        env: endpoints::NodeConfig,
+        config: endpoints::NodeConfig,
         known: control::KnownReplicas,
         listener: tokio::net::TcpListener,
-    ) -> Part {
+    ) -> NodeRuntime {
         let logger = model::logging::discard_logger();
-        if plan.parts == Parts::Whole {
-            return Part::Whole(Box::new(endpoints::Node::start(env, listener, logger)));
+        if plan.parts == NodeParts::Full {
+            return NodeRuntime::Full(Box::new(endpoints::Node::start(config, listener, logger)));
         }
-        let own = env.lease_table.clone();
-        // Each node's own, as it would be: nobody shares a table with another process.
-        let mine = control::membership::discovery::empty();
-        control::membership::discovery::merge(&mine, control::membership::discovery::list(&known));
-        let (place, table) = (own.clone(), mine.clone());
-        let greeting = |purpose| {
-            let (own, mine) = (place.clone(), table.clone());
+        let lease_config = config.lease_table.clone();
+        // Every node gets a table of its own, since processes share none in production.
+        let known_replicas = control::membership::discovery::empty();
+        control::membership::discovery::merge(
+            &known_replicas,
+            control::membership::discovery::list(&known),
+        );
+        let (own_config, own_replicas) = (lease_config.clone(), known_replicas.clone());
+        let handshake = |purpose| {
+            let (config, replicas) = (own_config.clone(), own_replicas.clone());
             move || transport::Handshake {
                 purpose,
-                node_name: own.node.clone(),
-                zone: own.zone.clone(),
-                address: own.address.clone(),
-                incarnation: own.incarnation,
+                node_name: config.node.clone(),
+                zone: config.zone.clone(),
+                address: config.address.clone(),
+                incarnation: config.incarnation,
                 replica: None,
                 has_empty_disk: false,
                 expected_disk: None,
-                known_replicas: control::membership::discovery::list(&mine),
+                known_replicas: control::membership::discovery::list(&replicas),
             }
         };
-        let line = control::FollowerConfig {
-            node: own.node.clone(),
-            zone: own.zone.clone(),
-            proof_interval: env.proof_interval,
-            proof_timeout: env.proof_interval * 2,
+        let follower_config = control::FollowerConfig {
+            node: lease_config.node.clone(),
+            zone: lease_config.zone.clone(),
+            proof_interval: config.proof_interval,
+            proof_timeout: config.proof_interval * 2,
         };
-        let following = control::updates::follower::start(
-            line,
-            mine.clone(),
-            greeting(transport::Purpose::Subscribe),
+        let follower = control::updates::follower::start(
+            follower_config,
+            known_replicas.clone(),
+            handshake(transport::Purpose::Subscribe),
             logger.clone(),
         );
         tokio::spawn(control::membership::discovery::run(
-            mine.clone(),
-            env.seeds.clone(),
-            greeting(transport::Purpose::Discover),
+            known_replicas.clone(),
+            config.seeds.clone(),
+            handshake(transport::Purpose::Discover),
             || 3,
         ));
-        if plan.parts == Parts::Following {
-            return Part::Following(following);
+        if plan.parts == NodeParts::Follower {
+            return NodeRuntime::Follower(follower);
         }
-        let reporting = control::StatusReporterConfig {
-            node: own.node.clone(),
-            incarnation: own.incarnation,
+        let reporter_config = control::StatusReporterConfig {
+            node: lease_config.node.clone(),
+            incarnation: lease_config.incarnation,
             logger: logger.clone(),
         };
-        let reports = control::StatusReporter::start(
-            reporting,
-            mine,
-            following.followed_address.clone(),
-            greeting(transport::Purpose::Subscribe),
+        let reporter = control::StatusReporter::start(
+            reporter_config,
+            known_replicas,
+            follower.followed_address.clone(),
+            handshake(transport::Purpose::Subscribe),
         );
-        let pit = inbound::ConcurrencyLimiter::start(inbound::ConcurrencyLimiterConfig {
-            header_names: env.header_names.clone(),
-            extra_runs: env.queued_ahead,
+        let limiter = inbound::ConcurrencyLimiter::start(inbound::ConcurrencyLimiterConfig {
+            header_names: config.header_names.clone(),
+            extra_runs: config.queued_ahead,
         });
-        let troupe =
-            endpoints::LeaseTableHandle::start(own, following.clone(), pit, reports, logger);
-        Part::Troupe(following, troupe)
+        let lease_table = endpoints::LeaseTableHandle::start(
+            lease_config,
+            follower.clone(),
+            limiter,
+            reporter,
+            logger,
+        );
+        NodeRuntime::LeaseTable(follower, lease_table)
     }
 
-    fn following(&self) -> control::FollowerHandle {
+    fn follower(&self) -> control::FollowerHandle {
         match self {
-            Part::Following(following) | Part::Troupe(following, _) => following.clone(),
-            Part::Whole(node) => node.follower.clone(),
+            NodeRuntime::Follower(follower) | NodeRuntime::LeaseTable(follower, _) => {
+                follower.clone()
+            }
+            NodeRuntime::Full(node) => node.follower.clone(),
         }
     }
 
-    fn troupe(&self) -> Option<&endpoints::LeaseTableHandle> {
+    fn lease_table(&self) -> Option<&endpoints::LeaseTableHandle> {
         match self {
-            Part::Following(_) => None,
-            Part::Troupe(_, troupe) => Some(troupe),
-            Part::Whole(node) => Some(&node.lease_table),
+            NodeRuntime::Follower(_) => None,
+            NodeRuntime::LeaseTable(_, lease_table) => Some(lease_table),
+            NodeRuntime::Full(node) => Some(&node.lease_table),
         }
     }
 }
 
-/// Beats until it is ordered to go; in good order only once it has drained, and nobody beats for it any more.
-async fn act(
-    troupe: &endpoints::LeaseTableHandle,
-    env: &endpoints::NodeConfig,
+/// Sends the backend's heartbeats until the node is stopped. A graceful stop ends only after the drain and the
+/// backend's deregistration; no heartbeat follows.
+async fn run_backend(
+    lease_table: &endpoints::LeaseTableHandle,
+    config: &endpoints::NodeConfig,
     name: String,
-    orders: &mut tokio::sync::mpsc::UnboundedReceiver<Order>,
+    stop_receiver: &mut tokio::sync::mpsc::UnboundedReceiver<StopMode>,
 ) {
-    // The process is found alive by whoever dials it.
-    let Ok(process) = TcpListener::bind("127.0.0.1:0") else {
+    // The node checks whether the backend process lives by connecting to this listener.
+    let Ok(listener) = TcpListener::bind("127.0.0.1:0") else {
         return;
     };
-    let address = process
+    let address = listener
         .local_addr()
         .map(|address| address.to_string())
         .unwrap_or_default();
-    let mut every =
-        tokio::time::interval(Duration::from_micros(env.lease_table.heartbeat_interval));
-    every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let (mut sequence, mut held, mut lost): (u64, Rows, Vec<(u16, u16)>) = Default::default();
-    let mut drains: Option<model::Microseconds> = None;
+    let mut heartbeat_timer =
+        tokio::time::interval(Duration::from_micros(config.lease_table.heartbeat_interval));
+    heartbeat_timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let (mut sequence, mut held, mut released): (u64, HeldRanges, Vec<(u16, u16)>) =
+        Default::default();
+    let mut drain_deadline: Option<model::Microseconds> = None;
     loop {
         tokio::select! {
-            _ = every.tick() => {}
-            order = orders.recv() => match order {
-                Some(Order::Leave) => {
-                    drains = Some(model::now() + env.lease_table.drain_timeout);
-                    every.reset_immediately();
+            _ = heartbeat_timer.tick() => {}
+            mode = stop_receiver.recv() => match mode {
+                Some(StopMode::Graceful) => {
+                    drain_deadline = Some(model::now() + config.lease_table.drain_timeout);
+                    heartbeat_timer.reset_immediately();
                     continue;
                 }
                 _ => return,
             },
         }
         sequence += 1;
-        let beat = endpoints::Heartbeat {
+        let heartbeat = endpoints::Heartbeat {
             name: name.clone(),
-            service: env.service.clone(),
+            service: config.service.clone(),
             address: address.clone(),
-            zone: env.lease_table.zone.clone(),
-            slots: SLOTS,
-            draining: drains.is_some(),
+            zone: config.lease_table.zone.clone(),
+            slots: BACKEND_SLOTS,
+            draining: drain_deadline.is_some(),
             sequence,
             held_ranges: held.clone(),
-            released_ranges: std::mem::take(&mut lost)
+            released_ranges: std::mem::take(&mut released)
                 .into_iter()
                 .map(|(from, to)| (from, to, format!("t{sequence}")))
                 .collect(),
         };
-        if let Ok(Some((rows, _))) = troupe.heartbeat(beat).await {
-            let kept: Rows = rows
+        if let Ok(Some((ranges, _))) = lease_table.heartbeat(heartbeat).await {
+            let kept: HeldRanges = ranges
                 .into_iter()
-                .map(|(from, to, fence, _)| (from, to, fence))
+                .map(|(from, to, token, _)| (from, to, token))
                 .collect();
-            lost = less(&held, &kept);
+            released = subtract_ranges(&held, &kept);
             held = kept;
         }
-        // Drained, and told so with what it let go.
-        if drains.is_some_and(|until| model::now() >= until && lost.is_empty()) {
-            troupe.deregister(name.clone()).await.unwrap_or_default();
-            // Its process ends a moment later, and the node with the next look at it.
+        // Ends only after the drain, and after a heartbeat has reported the last released ranges.
+        if drain_deadline.is_some_and(|deadline| model::now() >= deadline && released.is_empty()) {
+            lease_table
+                .deregister(name.clone())
+                .await
+                .unwrap_or_default();
+            // The backend process ends shortly after its deregistration, and the node after its next check of it.
             tokio::time::sleep(Duration::from_millis(50)).await;
-            drop(process);
+            drop(listener);
             return tokio::time::sleep(Duration::from_millis(700)).await;
         }
     }
 }
 
-/// The keys of `held` that are not in `kept`.
-fn less(held: &Rows, kept: &Rows) -> Vec<(u16, u16)> {
-    let whole = held
+/// Returns the key ranges of `held` that are not in `kept`.
+fn subtract_ranges(held: &HeldRanges, kept: &HeldRanges) -> Vec<(u16, u16)> {
+    let held_keys = held
         .iter()
         .map(|(from, to, _)| (*from as u32, *to as u32))
         .collect::<Vec<_>>();
-    let left = kept.iter().fold(whole, |left, (from, to, _)| {
+    let remaining = kept.iter().fold(held_keys, |remaining, (from, to, _)| {
         let (from, to) = (*from as u32, *to as u32);
         let cut = |(low, high): (u32, u32)| {
             let below = (low < from).then(|| (low, high.min(from - 1)));
             let above = (high > to).then(|| (low.max(to + 1), high));
             below.into_iter().chain(above)
         };
-        left.into_iter().flat_map(cut).collect()
+        remaining.into_iter().flat_map(cut).collect()
     });
-    left.into_iter()
+    remaining
+        .into_iter()
         .map(|(from, to)| (from as u16, to as u16))
         .collect()
 }
@@ -321,13 +354,16 @@
 #[cfg(test)]
 mod tests {
     #[test]
-    fn what_is_lost_is_what_was_held_and_is_no_more() {
+    fn subtract_ranges_returns_what_is_no_longer_held() {
         let held = vec![(0, 99, 3), (200, u16::MAX, 3)];
-        assert_eq!(super::less(&held, &held), vec![]);
+        assert_eq!(super::subtract_ranges(&held, &held), vec![]);
         assert_eq!(
-            super::less(&held, &vec![(0, 49, 3), (300, 399, 9)]),
+            super::subtract_ranges(&held, &vec![(0, 49, 3), (300, 399, 9)]),
             vec![(50, 99), (200, 299), (400, u16::MAX)]
         );
-        assert_eq!(super::less(&held, &vec![]), vec![(0, 99), (200, u16::MAX)]);
+        assert_eq!(
+            super::subtract_ranges(&held, &vec![]),
+            vec![(0, 99), (200, u16::MAX)]
+        );
     }
 }
--- a/crates/simulator/src/hollow/plan.rs
+++ b/crates/simulator/src/hollow/plan.rs
@@ -1,99 +1,113 @@
-//! How many of what a hollow site has, what befalls it, and what of that does not fit this machine.
+//! Sizes and faults of a run, and the checks that they are valid and fit this machine.
 
 use std::net::IpAddr;
 use std::net::Ipv4Addr;
 use std::path::PathBuf;
 
-/// What of a node is played: all of it, or less, so that the difference of two runs is one part's cost.
+/// Parts of a node that run. The difference between two runs with different parts is the cost of one part.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Parts {
-    /// Only the line to a core seat; what it is told of others is made up.
-    Following,
-    /// And the owner of the back end beside it, with its reports.
-    Troupe,
-    /// All that the daemon starts: also the ring and the duty of placing keys.
-    Whole,
+pub enum NodeParts {
+    /// Only the follower of the log. The records of other nodes are synthetic.
+    #[serde(rename = "following")]
+    Follower,
+    /// The follower, and the lease table for the local backend with its status reports.
+    #[serde(rename = "troupe")]
+    LeaseTable,
+    /// Everything that the daemon starts, including the monitoring ring and the rebalancing of shards.
+    #[serde(rename = "whole")]
+    Full,
 }
 
-impl Parts {
-    pub fn named(name: &str) -> Option<Parts> {
+impl NodeParts {
+    /// Returns the parts that a value of `--parts` names.
+    pub fn named(name: &str) -> Option<NodeParts> {
         [
-            ("following", Parts::Following),
-            ("troupe", Parts::Troupe),
-            ("whole", Parts::Whole),
+            ("following", NodeParts::Follower),
+            ("troupe", NodeParts::LeaseTable),
+            ("whole", NodeParts::Full),
         ]
         .into_iter()
-        .find(|(held, _)| *held == name)
+        .find(|(known, _)| *known == name)
         .map(|(_, parts)| parts)
     }
 }
 
+/// Sizes, stages and faults of a run.
 #[derive(Clone, Debug, serde::Serialize)]
 pub struct Plan {
     pub nodes: usize,
     pub services: usize,
     pub zones: usize,
     pub regions: usize,
-    pub seats: usize,
-    pub lanes: usize,
-    /// How long it rests, and over how long changes and restarts are spread.
+    /// Replicas of the log.
+    #[serde(rename = "seats")]
+    pub replicas: usize,
+    #[serde(rename = "lanes")]
+    pub routes: usize,
+    /// Length of the stage without events, and the time over which changes and restarts are spread, in seconds.
     pub seconds: u64,
+    /// Route changes, one after the other.
     pub changes: usize,
+    /// Planned restarts of nodes.
     pub restarts: usize,
-    /// Machines that go at once and without a word.
+    /// Machines that fail at the same time without notice.
     pub lost: usize,
-    /// One way between regions, in microseconds; above 0 links stand before every process.
-    pub hop: u64,
-    /// For how many seconds the last region is cut off.
+    /// One-way delay between regions, in microseconds. Above 0, every process is reached through a simulated link.
+    #[serde(rename = "hop")]
+    pub hop_us: u64,
+    /// Time for which the last region is partitioned from the others, in seconds.
     pub cut: u64,
-    pub parts: Parts,
+    pub parts: NodeParts,
+    /// Folder of the replicas' files. It is deleted after the run.
     #[serde(skip)]
     pub folder: PathBuf,
 }
 
-/// A flag and what is wrong with it.
-pub type Fault = (&'static str, String);
+/// A flag and the reason why its value is invalid.
+pub type FlagError = (&'static str, String);
 
-/// As far as a hollow site may go with this machine's memory: somewhat less than half of it.
-const MEMORY_PART: u64 = 45;
-/// Bytes a node was seen to need, whatever the site, and for each other back end it knows (docs/CAPACITY.md).
+/// Share of this machine's memory that a run may use, in percent: somewhat less than half.
+const MEMORY_PERCENT: u64 = 45;
+/// Memory of a node without the records of other nodes, in bytes (docs/CAPACITY.md).
 const NODE_BYTES: u64 = 1_400_000;
-const KNOWN_BYTES: u64 = 1_300;
+/// Memory of a node for each other backend that it knows, in bytes (docs/CAPACITY.md).
+const KNOWN_BACKEND_BYTES: u64 = 1_300;
 
 impl Plan {
-    /// `conns`: it is to be played, not only counted.
-    pub fn faults(&self, conns: bool) -> Vec<Fault> {
-        let range = |flag: &'static str, held: usize, least: usize, most: usize| {
-            (held < least || held > most)
-                .then(|| (flag, format!("{held} is not from {least} to {most}")))
+    /// Returns the invalid flags. `is_run` is false if the plan is only counted, which needs no descriptors and
+    /// little memory.
+    pub fn flag_errors(&self, is_run: bool) -> Vec<FlagError> {
+        let check_range = |flag: &'static str, value: usize, min: usize, max: usize| {
+            (value < min || value > max)
+                .then(|| (flag, format!("{value} is not from {min} to {max}")))
         };
         let ranges = [
-            range("--nodes", self.nodes, 1, 4_096),
-            range("--services", self.services, 1, self.nodes),
-            range("--zones", self.zones, 1, self.nodes.min(200)),
-            range("--regions", self.regions, 1, self.zones),
-            range("--seats", self.seats, 1, 15),
-            range("--lanes", self.lanes, 1, 100_000),
-            range("--seconds", self.seconds as usize, 1, 3_600),
-            range("--changes", self.changes, 0, 100_000),
-            range("--restarts", self.restarts, 0, self.nodes),
-            range("--lost", self.lost, 0, self.nodes.saturating_sub(1)),
-            range("--hop", self.hop as usize, 0, 1_000_000),
-            range("--cut", self.cut as usize, 0, 3_600),
+            check_range("--nodes", self.nodes, 1, 4_096),
+            check_range("--services", self.services, 1, self.nodes),
+            check_range("--zones", self.zones, 1, self.nodes.min(200)),
+            check_range("--regions", self.regions, 1, self.zones),
+            check_range("--seats", self.replicas, 1, 15),
+            check_range("--lanes", self.routes, 1, 100_000),
+            check_range("--seconds", self.seconds as usize, 1, 3_600),
+            check_range("--changes", self.changes, 0, 100_000),
+            check_range("--restarts", self.restarts, 0, self.nodes),
+            check_range("--lost", self.lost, 0, self.nodes.saturating_sub(1)),
+            check_range("--hop", self.hop_us as usize, 0, 1_000_000),
+            check_range("--cut", self.cut as usize, 0, 3_600),
         ];
-        let alone = (self.cut > 0 && self.regions < 2)
+        let cut_error = (self.cut > 0 && self.regions < 2)
             .then(|| ("--cut", "there is only one region".to_string()));
-        let partly = (self.parts != Parts::Whole
+        let parts_error = (self.parts != NodeParts::Full
             && (self.restarts + self.lost) as u64 + self.cut > 0)
             .then(|| {
                 (
                     "--parts",
-                    "restarts, lost machines and cuts are for whole nodes".to_string(),
+                    "restarts, lost machines and cuts need whole nodes".to_string(),
                 )
             });
-        let (needed, allowed) = (self.descriptors(), descriptors_allowed());
-        let files = (conns && needed > allowed).then(|| {
+        let (needed, allowed) = (self.descriptors(), descriptor_limit());
+        let descriptor_error = (is_run && needed > allowed).then(|| {
             (
                 "--nodes",
                 format!(
@@ -104,9 +118,9 @@
         });
         let (needed, allowed) = (
             self.memory() >> 20,
-            (memory_of_machine() / 100 * MEMORY_PART) >> 20,
+            (machine_memory() / 100 * MEMORY_PERCENT) >> 20,
         );
-        let memory = (conns && needed > allowed).then(|| {
+        let memory_error = (is_run && needed > allowed).then(|| {
             (
                 "--nodes",
                 format!(
@@ -118,119 +132,129 @@
         ranges
             .into_iter()
             .flatten()
-            .chain(alone)
-            .chain(partly)
-            .chain(files)
-            .chain(memory)
+            .chain(cut_error)
+            .chain(parts_error)
+            .chain(descriptor_error)
+            .chain(memory_error)
             .collect()
     }
 
-    /// Both ends of every conn are in this process; a link makes four of two.
+    /// Returns an estimate of the file descriptors needed. Both ends of every connection are in this process, and
+    /// with links the relay's two ends come in addition.
     pub fn descriptors(&self) -> u64 {
-        let own = match self.parts {
-            Parts::Following => 8,
-            Parts::Troupe => 11,
-            Parts::Whole => 17,
+        let per_node = match self.parts {
+            NodeParts::Follower => 8,
+            NodeParts::LeaseTable => 11,
+            NodeParts::Full => 17,
         };
-        self.nodes as u64 * if self.linked() { own * 2 } else { own } + 500
+        self.nodes as u64
+            * if self.linked() {
+                per_node * 2
+            } else {
+                per_node
+            }
+            + 500
     }
 
+    /// Returns an estimate of the memory needed, in bytes.
     pub fn memory(&self) -> u64 {
         let nodes = self.nodes as u64;
-        nodes * (NODE_BYTES * if self.linked() { 2 } else { 1 } + nodes * KNOWN_BYTES)
+        nodes * (NODE_BYTES * if self.linked() { 2 } else { 1 } + nodes * KNOWN_BACKEND_BYTES)
     }
 
+    /// Returns whether the processes are connected through simulated links.
     pub fn linked(&self) -> bool {
-        self.hop > 0 || self.cut > 0
+        self.hop_us > 0 || self.cut > 0
     }
 
-    pub fn zone(&self, at: usize) -> String {
-        format!("z{}", at % self.zones)
+    pub fn zone(&self, index: usize) -> String {
+        format!("z{}", index % self.zones)
     }
 
-    pub fn region(&self, at: usize) -> usize {
-        at % self.zones % self.regions
+    pub fn region(&self, index: usize) -> usize {
+        index % self.zones % self.regions
     }
 
-    pub fn service(&self, at: usize) -> String {
-        format!("s{}", at % self.services)
+    pub fn service(&self, index: usize) -> String {
+        format!("s{}", index % self.services)
     }
 
-    /// Every other service is divided by key.
+    /// Returns whether a service is sharded by key, as every second one is.
     pub fn keyed(&self, service: usize) -> bool {
         service.is_multiple_of(2)
     }
 
-    fn lane(&self, at: usize, version: u64) -> model::cluster_state::items::ItemPut {
+    fn route_put(&self, index: usize, version: u64) -> model::cluster_state::items::ItemPut {
         let body = model::cluster_state::ItemBody::Route(model::cluster_state::Route {
-            host: format!("h{}.site", at % self.services),
-            prefix: format!("/p{at}/"),
+            host: format!("h{}.site", index % self.services),
+            prefix: format!("/p{index}/"),
             idempotent: true,
             wait_us: 3_000_000,
             latency_target_us: 400_000 + version,
-            rank: (at % 4) as u8,
+            rank: (index % 4) as u8,
             dispatches: 2,
-            shares: vec![(self.service(at), 1)],
+            shares: vec![(self.service(index), 1)],
         });
         model::cluster_state::items::ItemPut {
-            name: format!("l{at}"),
+            name: format!("l{index}"),
             version,
             text: serde_json::to_string(&body).unwrap_or_default(),
             body,
         }
     }
 
-    /// All services and lanes, as the operators first write them.
-    pub fn first_call(&self) -> model::cluster_state::ItemCall {
-        let services = (0..self.services).map(|at| {
+    /// Returns the change that creates all services and routes.
+    pub fn initial_items(&self) -> model::cluster_state::ItemCall {
+        let services = (0..self.services).map(|index| {
             let service = model::cluster_state::Service {
                 health_path: "/health".into(),
                 max_connections: 0,
-                keyed: self.keyed(at),
+                keyed: self.keyed(index),
                 slow_start_us: 0,
             };
             let body = model::cluster_state::ItemBody::Service(service);
             model::cluster_state::items::ItemPut {
-                name: self.service(at),
+                name: self.service(index),
                 version: 1,
                 text: serde_json::to_string(&body).unwrap_or_default(),
                 body,
             }
         });
-        let lanes = (0..self.lanes).map(|at| self.lane(at, 1));
+        let routes = (0..self.routes).map(|index| self.route_put(index, 1));
         model::cluster_state::ItemCall {
-            puts: services.chain(lanes).collect(),
+            puts: services.chain(routes).collect(),
             drops: Vec::new(),
         }
     }
 
-    /// One lane is written anew.
-    pub fn change(&self, number: usize) -> model::cluster_state::ItemCall {
+    /// Returns the change of the given number, which rewrites one route.
+    pub fn route_change(&self, number: usize) -> model::cluster_state::ItemCall {
         model::cluster_state::ItemCall {
-            puts: vec![self.lane(number % self.lanes, number as u64 + 2)],
+            puts: vec![self.route_put(number % self.routes, number as u64 + 2)],
             drops: Vec::new(),
         }
     }
 
-    /// An address of the loopback for each process; other sites on this machine have others.
-    pub fn host(&self, at: usize) -> crate::network::Host {
-        let site = 64 + std::process::id() % 128;
+    /// Returns a loopback address for each process. Other runs on this machine use other addresses.
+    pub fn host(&self, index: usize) -> crate::network::Host {
+        let run = 64 + std::process::id() % 128;
         IpAddr::V4(Ipv4Addr::new(
             127,
-            site as u8,
-            (at / 250) as u8 + 1,
-            (at % 250) as u8 + 1,
+            run as u8,
+            (index / 250) as u8 + 1,
+            (index % 250) as u8 + 1,
         ))
     }
 }
 
-fn descriptors_allowed() -> u64 {
+fn descriptor_limit() -> u64 {
     rustix::process::getrlimit(rustix::process::Resource::Nofile)
         .current
         .unwrap_or(u64::MAX)
 }
 
-fn memory_of_machine() -> u64 {
+/// Returns the machine's memory in bytes, or 0 if it is unknown.
+fn machine_memory() -> u64 {
     let text = std::fs::read_to_string("/proc/meminfo").unwrap_or_default();
     let line = text.lines().find(|line| line.starts_with("MemTotal:"));
     line.and_then(|line| line.split_whitespace().nth(1))
--- a/crates/simulator/src/hollow/seats.rs
+++ b/crates/simulator/src/hollow/seats.rs
@@ -1,22 +1,25 @@
-//! Core seats of a hollow site: the product's own, each on one thread as its daemon runs, over a real disk.
+//! The replicas of a run: the product's own, each on a single thread as in its daemon, with its files on a
+//! real disk.
 
 use super::Plan;
 use std::net::TcpListener;
 use std::thread::Builder;
 
-pub(super) struct Seats {
-    pub cores: Vec<control::ReplicaHandle>,
-    pub places: Vec<String>,
-    /// Dropped, the seat's thread ends.
-    _running: Vec<tokio::sync::oneshot::Sender<()>>,
+/// The running replicas, by replica id.
+pub(super) struct Replicas {
+    pub handles: Vec<control::ReplicaHandle>,
+    pub addresses: Vec<String>,
+    /// Dropping a sender ends the replica's thread.
+    _stop_senders: Vec<tokio::sync::oneshot::Sender<()>>,
 }
 
-/// A listener and where it is found: with links, a relay stands before it.
+/// Binds a listener and returns it with the address to advertise. With links, that address is the one of a
+/// relay in front of the listener.
 pub(super) fn bind(
     host: crate::network::Host,
-    links: Option<&super::Linked>,
+    links: Option<&super::NetworkLinks>,
 ) -> Result<(TcpListener, String), String> {
-    let bound = || {
+    let bind_any_port = || {
         let listener = TcpListener::bind((host, 0)).map_err(|error| error.to_string())?;
         listener
             .set_nonblocking(true)
@@ -24,20 +27,21 @@
         let address = listener.local_addr().map_err(|error| error.to_string())?;
         Ok::<_, String>((listener, address))
     };
-    let (own, target) = bound()?;
-    let Some((links, relays)) = links else {
-        return Ok((own, target.to_string()));
+    let (listener, target) = bind_any_port()?;
+    let Some((links, relay_runtime)) = links else {
+        return Ok((listener, target.to_string()));
     };
-    let (before, known) = bound()?;
+    let (relay_listener, relay_address) = bind_any_port()?;
     let links = links.clone();
-    relays.spawn(async move {
-        if let Ok(before) = tokio::net::TcpListener::from_std(before) {
-            links.relay(before, target).await;
+    relay_runtime.spawn(async move {
+        if let Ok(relay_listener) = tokio::net::TcpListener::from_std(relay_listener) {
+            links.relay(relay_listener, target).await;
         }
     });
-    Ok((own, known.to_string()))
+    Ok((listener, relay_address.to_string()))
 }
 
+/// Builds a single-threaded runtime.
 pub(super) fn runtime() -> Result<tokio::runtime::Runtime, String> {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -45,80 +49,100 @@
         .map_err(|error| error.to_string())
 }
 
-/// Seats come first of the site's hosts. Returns once every seat votes.
-pub(super) async fn start(plan: &Plan, links: Option<&super::Linked>) -> Result<Seats, String> {
-    let bound = (0..plan.seats)
-        .map(|seat| bind(plan.host(seat), links))
+/// Starts the replicas on the first hosts of the plan and returns once every one of them votes.
+pub(super) async fn start(
+    plan: &Plan,
+    links: Option<&super::NetworkLinks>,
+) -> Result<Replicas, String> {
+    let bound = (0..plan.replicas)
+        .map(|replica| bind(plan.host(replica), links))
         .collect::<Result<Vec<_>, String>>()?;
-    let places: Vec<String> = bound.iter().map(|(_, address)| address.clone()).collect();
+    let addresses: Vec<String> = bound.iter().map(|(_, address)| address.clone()).collect();
     let started = bound
         .into_iter()
         .enumerate()
-        .map(|(seat, (listener, address))| {
-            let env = control::ReplicaConfig {
-                name: format!("core-{seat}"),
-                zone: plan.zone(seat),
-                replica_id: seat as u16,
-                replica_count: plan.seats as u16,
+        .map(|(replica, (listener, address))| {
+            let config = control::ReplicaConfig {
+                name: format!("core-{replica}"),
+                zone: plan.zone(replica),
+                replica_id: replica as u16,
+                replica_count: plan.replicas as u16,
                 address,
-                seeds: places.clone(),
-                folder: plan.folder.join(format!("core-{seat}")),
+                seeds: addresses.clone(),
+                folder: plan.folder.join(format!("core-{replica}")),
                 timing: Default::default(),
                 snapshot_every_entries: 500,
                 replace_after: 0,
                 membership: None,
             };
-            let (running, ends) = tokio::sync::oneshot::channel();
-            let (told, hears) = std::sync::mpsc::channel();
-            let thread = Builder::new().name(env.name.clone());
-            let sits = move || {
+            let (stop_sender, stopped) = tokio::sync::oneshot::channel();
+            let (handle_sender, handle_receiver) = std::sync::mpsc::channel();
+            let builder = Builder::new().name(config.name.clone());
+            let run_replica = move || {
                 let Ok(runtime) = runtime() else { return };
                 runtime.block_on(async {
-                    let core = control::ReplicaHandle::start(env, model::logging::discard_logger())
-                        .map_err(|error| error.to_string());
+                    let handle =
+                        control::ReplicaHandle::start(config, model::logging::discard_logger())
+                            .map_err(|error| error.to_string());
                     let listener = tokio::net::TcpListener::from_std(listener)
                         .map_err(|error| error.to_string());
-                    drop(told.send(core.clone()));
-                    if let (Ok(core), Ok(listener)) = (core, listener) {
+                    drop(handle_sender.send(handle.clone()));
+                    if let (Ok(handle), Ok(listener)) = (handle, listener) {
                         tokio::select! {
-                            _ = control::updates::server::listen(core, listener) => {}
-                            _ = ends => {}
+                            _ = control::updates::server::listen(handle, listener) => {}
+                            _ = stopped => {}
                         }
                     }
                 });
             };
-            thread.spawn(sits).map_err(|error| error.to_string())?;
-            Ok((hears.recv().map_err(|error| error.to_string())??, running))
+            builder
+                .spawn(run_replica)
+                .map_err(|error| error.to_string())?;
+            Ok((
+                handle_receiver
+                    .recv()
+                    .map_err(|error| error.to_string())??,
+                stop_sender,
+            ))
         });
-    let (cores, running) = started
+    let (handles, stop_senders) = started
         .collect::<Result<Vec<(control::ReplicaHandle, _)>, String>>()?
         .into_iter()
         .unzip();
-    let seats = Seats {
-        cores,
-        places,
-        _running: running,
+    let replicas = Replicas {
+        handles,
+        addresses,
+        _stop_senders: stop_senders,
+    };
+    let all_vote = || {
+        replicas
+            .handles
+            .iter()
+            .all(|replica| replica.status.load().voting)
     };
-    let voting = || seats.cores.iter().all(|core| core.status.load().voting);
-    super::until("every seat votes", voting).await?;
-    Ok(seats)
+    super::wait_until("every replica votes", all_vote).await?;
+    Ok(replicas)
 }
 
-impl Seats {
-    /// For processes that need not ask around.
-    pub(super) fn known(&self, plan: &Plan) -> control::KnownReplicas {
-        let known = control::membership::discovery::empty();
-        let told = self.cores.iter().zip(&self.places).map(|(core, address)| {
-            let (seat, identity) = (core.replica_id(), core.disk_id());
-            transport::KnownReplica {
-                replica_id: seat,
-                disk_id: identity,
-                address: address.clone(),
-                zone: plan.zone(seat as usize),
-                start_count: 1,
-            }
-        });
-        control::membership::discovery::merge(&known, told.collect());
-        known
+impl Replicas {
+    /// Returns the table of known replicas, for processes that skip discovery.
+    pub(super) fn known_replicas(&self, plan: &Plan) -> control::KnownReplicas {
+        let known_replicas = control::membership::discovery::empty();
+        let entries = self
+            .handles
+            .iter()
+            .zip(&self.addresses)
+            .map(|(handle, address)| {
+                let (replica_id, disk_id) = (handle.replica_id(), handle.disk_id());
+                transport::KnownReplica {
+                    replica_id,
+                    disk_id,
+                    address: address.clone(),
+                    zone: plan.zone(replica_id as usize),
+                    start_count: 1,
+                }
+            });
+        control::membership::discovery::merge(&known_replicas, entries.collect());
+        known_replicas
     }
 }
--- a/crates/simulator/src/hollow/witness.rs
+++ b/crates/simulator/src/hollow/witness.rs
@@ -1,34 +1,35 @@
-//! One more follower, which counts what the log says as it hears it.
+//! An additional follower that counts what the log changes, as its updates arrive.
 
 use model::cluster_state::{ShardMap, StateSnapshot};
 use std::sync::Arc;
 use std::sync::Mutex;
 use std::sync::PoisonError;
 
-/// Sums from the beginning; a stage is the difference of two.
+/// Counts since the start of the run. A stage reports the difference of two readings.
 #[derive(Clone, Debug, Default, serde::Serialize)]
-pub struct Tally {
-    /// Entries that changed the bill.
+pub struct LogCounts {
+    /// Entries that changed the cluster state.
     pub entries: u64,
     pub placements: u64,
     pub keys_moved: u64,
     pub rows_moved: u64,
-    /// Nodes that the log takes for absent: now, and at most since it was last asked, by region.
+    /// Nodes that the log currently holds as absent, by region.
     #[serde(skip)]
     pub absent: Vec<usize>,
+    /// Highest value of `absent` since the last call of `take_max_absent`, by region.
     #[serde(skip)]
-    pub absent_most: Vec<usize>,
+    pub max_absent: Vec<usize>,
 }
 
-pub(super) struct Witness {
-    pub following: control::FollowerHandle,
-    tally: Arc<Mutex<Tally>>,
+pub(super) struct CountingFollower {
+    pub follower: control::FollowerHandle,
+    log_counts: Arc<Mutex<LogCounts>>,
 }
 
-impl Witness {
-    pub(super) fn start(plan: Arc<super::Plan>, known: control::KnownReplicas) -> Witness {
+impl CountingFollower {
+    pub(super) fn start(plan: Arc<super::Plan>, known: control::KnownReplicas) -> CountingFollower {
         let (name, zone) = ("witness".to_string(), plan.zone(0));
-        let own = transport::Handshake {
+        let handshake = transport::Handshake {
             purpose: transport::Purpose::Subscribe,
             node_name: name.clone(),
             zone: zone.clone(),
@@ -39,102 +40,115 @@
             expected_disk: None,
             known_replicas: Vec::new(),
         };
-        let env = control::FollowerConfig {
+        let config = control::FollowerConfig {
             node: name,
             zone,
             proof_interval: 1_000_000,
             proof_timeout: 2_000_000,
         };
-        let following = control::updates::follower::start(
-            env,
+        let follower = control::updates::follower::start(
+            config,
             known,
-            move || own.clone(),
+            move || handshake.clone(),
             model::logging::discard_logger(),
         );
-        let tally = Arc::new(Mutex::new(Tally::default()));
-        let (counts, line) = (tally.clone(), following.clone());
+        let log_counts = Arc::new(Mutex::new(LogCounts::default()));
+        let (counts, source) = (log_counts.clone(), follower.clone());
         tokio::spawn(async move {
-            let mut moved = line.changes.clone();
-            let mut last = Arc::new(StateSnapshot::default());
-            while moved.changed().await.is_ok() {
-                let next = line.verified_state.load().snapshot.clone();
-                if next.position != last.position {
+            let mut changes = source.changes.clone();
+            let mut previous_snapshot = Arc::new(StateSnapshot::default());
+            while changes.changed().await.is_ok() {
+                let snapshot = source.verified_state.load().snapshot.clone();
+                if snapshot.position != previous_snapshot.position {
                     let mut counts = counts.lock().unwrap_or_else(PoisonError::into_inner);
-                    counts.add(&plan, &last, &next);
-                    last = next;
+                    counts.add(&plan, &previous_snapshot, &snapshot);
+                    previous_snapshot = snapshot;
                 }
             }
         });
-        Witness { following, tally }
+        CountingFollower {
+            follower,
+            log_counts,
+        }
     }
 
-    pub(super) fn programme(&self) -> Arc<StateSnapshot> {
-        self.following.verified_state.load().snapshot.clone()
+    pub(super) fn snapshot(&self) -> Arc<StateSnapshot> {
+        self.follower.verified_state.load().snapshot.clone()
     }
 
-    pub(super) fn tally(&self) -> Tally {
-        self.tally
+    pub(super) fn log_counts(&self) -> LogCounts {
+        self.log_counts
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .clone()
     }
 
-    /// The most that were absent since the last time.
-    pub(super) fn absent_most(&self) -> Vec<usize> {
-        let mut tally = self.tally.lock().unwrap_or_else(PoisonError::into_inner);
-        let now = tally.absent.clone();
-        std::mem::replace(&mut tally.absent_most, now)
+    /// Returns the highest number of absent nodes since the previous call, by region, and starts a new period.
+    pub(super) fn take_max_absent(&self) -> Vec<usize> {
+        let mut log_counts = self
+            .log_counts
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let current = log_counts.absent.clone();
+        std::mem::replace(&mut log_counts.max_absent, current)
     }
 }
 
-impl Tally {
-    fn add(&mut self, plan: &super::Plan, last: &StateSnapshot, next: &StateSnapshot) {
-        self.entries += next.position - last.position;
+impl LogCounts {
+    /// Adds the difference between two consecutive snapshots.
+    fn add(
+        &mut self,
+        plan: &super::Plan,
+        previous_snapshot: &StateSnapshot,
+        snapshot: &StateSnapshot,
+    ) {
+        self.entries += snapshot.position - previous_snapshot.position;
         let empty = Arc::new((0, model::cluster_state::shard_map::unassigned()));
-        next.placements.iter().for_each(|(service, held)| {
-            let before = last.placements.get(service).unwrap_or(&empty);
-            if !Arc::ptr_eq(before, held) {
-                self.placements += (before.0 != held.0) as u64;
-                let (rows, keys) = moved(&before.1, &held.1);
+        snapshot.placements.iter().for_each(|(service, placement)| {
+            let previous = previous_snapshot.placements.get(service).unwrap_or(&empty);
+            if !Arc::ptr_eq(previous, placement) {
+                self.placements += (previous.0 != placement.0) as u64;
+                let (rows, keys) = count_moved(&previous.1, &placement.1);
                 (self.rows_moved, self.keys_moved) =
                     (self.rows_moved + rows, self.keys_moved + keys);
             }
         });
-        if !Arc::ptr_eq(&last.nodes, &next.nodes) {
-            let gone = next
+        if !Arc::ptr_eq(&previous_snapshot.nodes, &snapshot.nodes) {
+            let absent_nodes = snapshot
                 .nodes
                 .iter()
-                .filter(|(_, place)| !place.present)
+                .filter(|(_, node)| !node.present)
                 .filter_map(|(name, _)| name[1..].parse::<usize>().ok());
-            self.absent = gone.fold(vec![0; plan.regions], |mut absent, at| {
-                absent[plan.region(at)] += 1;
+            self.absent = absent_nodes.fold(vec![0; plan.regions], |mut absent, index| {
+                absent[plan.region(index)] += 1;
                 absent
             });
-            self.absent_most.resize(plan.regions, 0);
-            self.absent_most
+            self.max_absent.resize(plan.regions, 0);
+            self.max_absent
                 .iter_mut()
                 .zip(&self.absent)
-                .for_each(|(most, now)| *most = (*most).max(*now));
+                .for_each(|(max, current)| *max = (*max).max(*current));
         }
     }
 }
 
-/// Rows and keys of `new` that another holder has than in `old`.
-pub(super) fn moved(old: &ShardMap, new: &ShardMap) -> (u64, u64) {
-    let pieces = new
+/// Counts the ranges and keys of `new` whose holder differs from the one in `old`.
+pub(super) fn count_moved(old: &ShardMap, new: &ShardMap) -> (u64, u64) {
+    let moved_sizes = new
         .iter()
         .filter(|row| row.holder.is_some())
         .flat_map(|row| {
-            let others = old.iter().filter(|held| {
-                held.first_key <= row.last_key
-                    && row.first_key <= held.last_key
-                    && held.holder != row.holder
+            let overlapping = old.iter().filter(|old_row| {
+                old_row.first_key <= row.last_key
+                    && row.first_key <= old_row.last_key
+                    && old_row.holder != row.holder
             });
-            others.map(|held| {
-                (held.last_key.min(row.last_key) - held.first_key.max(row.first_key)) as u64 + 1
+            overlapping.map(|old_row| {
+                (old_row.last_key.min(row.last_key) - old_row.first_key.max(row.first_key)) as u64
+                    + 1
             })
         });
-    pieces.fold((0, 0), |(rows, keys), size| (rows + 1, keys + size))
+    moved_sizes.fold((0, 0), |(rows, keys), size| (rows + 1, keys + size))
 }
 
 #[cfg(test)]
@@ -142,8 +156,8 @@
     use model::cluster_state::shard_map;
 
     #[test]
-    fn keys_that_change_hands_are_counted_once() {
-        let cast = |parts: &[(u16, u16, &str)]| -> Vec<(u16, u16, String)> {
+    fn moved_counts_each_key_with_a_new_holder_once() {
+        let owned = |parts: &[(u16, u16, &str)]| -> Vec<(u16, u16, String)> {
             parts
                 .iter()
                 .map(|(from, to, name)| (*from, *to, name.to_string()))
@@ -151,12 +165,15 @@
         };
         let first = shard_map::reassign(
             shard_map::unassigned(),
-            &cast(&[(0, 9_999, "a"), (10_000, u16::MAX, "b")]),
+            &owned(&[(0, 9_999, "a"), (10_000, u16::MAX, "b")]),
             1,
         );
-        let second = shard_map::reassign(first.clone(), &cast(&[(5_000, 14_999, "c")]), 2);
-        assert_eq!(super::moved(&shard_map::unassigned(), &first), (2, 65_536));
-        assert_eq!(super::moved(&first, &second), (2, 10_000));
-        assert_eq!(super::moved(&second, &second), (0, 0));
+        let second = shard_map::reassign(first.clone(), &owned(&[(5_000, 14_999, "c")]), 2);
+        assert_eq!(
+            super::count_moved(&shard_map::unassigned(), &first),
+            (2, 65_536)
+        );
+        assert_eq!(super::count_moved(&first, &second), (2, 10_000));
+        assert_eq!(super::count_moved(&second, &second), (0, 0));
     }
 }
--- a/crates/simulator/tests/hollow.rs
+++ b/crates/simulator/tests/hollow.rs
@@ -1,4 +1,4 @@
-//! The smallest hollow site, judged by what it counted and not by how long it took (docs/CAPACITY.md).
+//! Runs the smallest fleet of stand-in nodes and checks its counts, not its times (docs/CAPACITY.md).
 
 use std::process::Command;
 use std::sync::Mutex;
@@ -10,40 +10,40 @@
         services: 2,
         zones: 2,
         regions: 2,
-        seats: 3,
-        lanes: 4,
+        replicas: 3,
+        routes: 4,
         seconds: 2,
         changes: 3,
         restarts: 0,
         lost: 0,
-        hop: 0,
+        hop_us: 0,
         cut: 0,
-        parts: simulator::hollow::Parts::Whole,
+        parts: simulator::hollow::NodeParts::Full,
         folder: std::env::temp_dir().join(format!("gradeford-{name}-{}", std::process::id())),
     }
 }
 
-/// Frames are counted for the whole process: one site at a time.
-static ALONE: Mutex<()> = Mutex::new(());
+/// Lets one run at a time into the process, since frames are counted per process.
+static RUN_LOCK: Mutex<()> = Mutex::new(());
 
-fn played(plan: simulator::hollow::Plan) -> simulator::hollow::Report {
-    let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
-    let runtime = tokio::runtime::Runtime::new().expect("a runtime");
+fn run(plan: simulator::hollow::Plan) -> simulator::hollow::Report {
+    let _guard = RUN_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
+    let runtime = tokio::runtime::Runtime::new().expect("a runtime starts");
     runtime
         .block_on(simulator::hollow::run(plan, false))
-        .expect("it is played")
+        .expect("the run completes")
 }
 
 #[test]
-fn a_change_is_told_once_to_every_follower_and_rest_puts_nothing_in_the_log() {
-    let report = played(plan("hollow-changes"));
+fn each_follower_receives_a_change_once_and_an_idle_fleet_appends_nothing_to_the_log() {
+    let report = run(plan("hollow-changes"));
     let (rest, changes) = (
-        report.stage("rest").expect("a rest"),
-        report.stage("changes").expect("changes"),
+        report.stage("rest").expect("the rest stage"),
+        report.stage("changes").expect("the changes stage"),
     );
     assert_eq!(
         (
-            rest.tally.entries,
+            rest.log_counts.entries,
             rest.syncs,
             rest.frames("forward"),
             rest.frames("bulletin")
@@ -51,7 +51,7 @@
         (0, 0, 0, 0),
         "{rest:?}"
     );
-    // Six nodes, each beating to three others and following one seat.
+    // Each of the six nodes sends heartbeats to three others and follows one replica.
     assert!(
         rest.frames("beat") > rest.frames("ask") && rest.frames("proof") + 10 > rest.frames("ask"),
         "{rest:?}"
@@ -59,52 +59,53 @@
     let followers = 7;
     assert_eq!(
         (
-            changes.tally.entries,
+            changes.log_counts.entries,
             changes.frames("bulletin"),
             changes.frames("forward")
         ),
         (3, 3 * followers, 0),
         "{changes:?}"
     );
-    let bytes = changes.said["bulletin"].1;
+    let bytes = changes.traffic["bulletin"].1;
     let counted = simulator::hollow::counted::count(&plan("hollow-counted"));
-    // What the code says of one change is what went over the conns.
+    // The bytes computed for one change equal the bytes sent over the connections.
     assert_eq!(
         bytes,
-        3 * followers * counted.costs["change"].told_bytes,
+        3 * followers * counted.costs["change"].update_bytes,
         "{changes:?}"
     );
 }
 
 #[test]
-fn a_restart_is_told_once_and_a_lost_machines_back_end_stays_gone() {
+fn a_restart_is_reported_once_and_the_backend_of_a_lost_machine_stays_removed() {
     let plan = simulator::hollow::Plan {
         changes: 0,
         restarts: 2,
         lost: 1,
         ..plan("hollow-restarts")
     };
-    let report = played(plan);
+    let report = run(plan);
     let (restarts, lost, back) = (
         report.stage("restarts"),
         report.stage("lost"),
         report.stage("back"),
     );
     let (restarts, lost, back) = (
-        restarts.expect("restarts"),
-        lost.expect("a loss"),
-        back.expect("a return"),
+        restarts.expect("the restarts stage"),
+        lost.expect("the lost stage"),
+        back.expect("the back stage"),
     );
-    // Of one restart: drains, keys go, are let go and waited for, ends twice, comes, keys come; some fall together.
+    // One restart reports the drain, the reassignment of the ranges, their release and its expiry, the two reports
+    // of the backend's end, the registration and the ranges assigned again. Some reports share an entry.
     assert!(
         (2 * 5..=2 * 20).contains(&restarts.frames("forward")),
         "{restarts:?}"
     );
     assert!(
-        restarts.tally.entries <= restarts.frames("forward"),
+        restarts.log_counts.entries <= restarts.frames("forward"),
         "{restarts:?}"
     );
-    // Three watchers, a placement, what is waited out.
+    // Three monitors report the loss; then come a placement and the expired releases.
     assert!((3..=16).contains(&lost.frames("forward")), "{lost:?}");
     assert!(
         [restarts, lost, back]
@@ -115,20 +116,20 @@
 }
 
 #[test]
-fn a_region_that_was_cut_off_blames_nobody_when_it_is_joined() {
-    let cut = simulator::hollow::Plan {
+fn a_region_reports_no_outside_node_as_absent_when_its_partition_heals() {
+    let cut_plan = simulator::hollow::Plan {
         nodes: 10,
-        seats: 5,
+        replicas: 5,
         changes: 0,
         cut: 7,
         ..plan("hollow-cut")
     };
-    // So many nodes outside have two watchers inside, who hear nothing of them meanwhile.
-    assert!(simulator::hollow::counted::count(&cut).region_wrongly > 0);
-    let report = played(cut);
+    // Some nodes outside have two monitors inside, which receive no heartbeats from them during the partition.
+    assert!(simulator::hollow::counted::count(&cut_plan).region_false_suspicions > 0);
+    let report = run(cut_plan);
     let (cut, joined) = (
-        report.stage("cut").expect("a cut"),
-        report.stage("joined").expect("a join"),
+        report.stage("cut").expect("the cut stage"),
+        report.stage("joined").expect("the joined stage"),
     );
     assert_eq!(
         (cut.extra["absent_outside"], joined.extra["absent_outside"]),
@@ -138,25 +139,25 @@
 }
 
 #[test]
-fn wrong_flags_are_named_and_nothing_starts() {
-    let own = std::env::current_exe().expect("a path");
+fn invalid_flags_are_named_and_nothing_starts() {
+    let own = std::env::current_exe().expect("the path of the test binary");
     let program = own
         .ancestors()
         .nth(2)
-        .expect("the build's folder")
+        .expect("the build folder")
         .join("simulator");
-    let told = |words: &[&str]| {
+    let run_with = |flags: &[&str]| {
         let output = Command::new(&program)
             .arg("hollow")
-            .args(words)
+            .args(flags)
             .output()
-            .expect("it runs");
+            .expect("the simulator starts");
         (
             output.status.code(),
             String::from_utf8_lossy(&output.stderr).into_owned(),
         )
     };
-    let fine = [
+    let valid = [
         "--nodes",
         "4",
         "--services",
@@ -166,7 +167,7 @@
         "--regions",
         "1",
     ];
-    let wrong: [(&[&str], &str); 9] = [
+    let invalid: [(&[&str], &str); 9] = [
         (&["--nodes", "4"], "--services: is missing"),
         (
             &[
@@ -208,19 +209,19 @@
             "--regions: 3",
         ),
         (
-            &[&fine[..], &["--cut", "3"]].concat(),
+            &[&valid[..], &["--cut", "3"]].concat(),
             "--cut: there is only one region",
         ),
         (
-            &[&fine[..], &["--parts", "half"]].concat(),
-            "--parts: there is no",
+            &[&valid[..], &["--parts", "half"]].concat(),
+            "--parts: unknown value",
         ),
         (
-            &[&fine[..], &["--parts", "following", "--lost", "1"]].concat(),
+            &[&valid[..], &["--parts", "following", "--lost", "1"]].concat(),
             "--parts: restarts",
         ),
         (
-            &[&fine[..], &["--speed", "9"]].concat(),
+            &[&valid[..], &["--speed", "9"]].concat(),
             "--speed: is not a flag",
         ),
         (
@@ -237,11 +238,11 @@
             "--nodes: 4000 nodes need",
         ),
     ];
-    wrong.iter().for_each(|(words, named)| {
-        let (code, told) = told(words);
+    invalid.iter().for_each(|(flags, message)| {
+        let (code, stderr) = run_with(flags);
         assert!(
-            code == Some(2) && told.contains(named),
-            "{words:?}: {code:?} {told}"
+            code == Some(2) && stderr.contains(message),
+            "{flags:?}: {code:?} {stderr}"
         );
     });
 }
