--- a/crates/simulator/src/hollow/flags.rs
+++ b/crates/simulator/src/hollow/flags.rs
@@ -55,7 +55,7 @@
         count_flag("--seats", Some(5)),
         count_flag("--lanes", Some(services.saturating_mul(3))),
     );
-    let (changes, restarts, lost) = (
+    let (changes, restarts, lost_machines) = (
         count_flag("--changes", Some(0)),
         count_flag("--restarts", Some(0)),
         count_flag("--lost", Some(0)),
@@ -63,7 +63,7 @@
     let mut time_flag = |flag, default| {
         parse_flag::<u64>(&mut arguments, &mut errors, flag, Some(default)).unwrap_or(default)
     };
-    let (seconds, hop_us, cut) = (
+    let (seconds, hop_us, cut_seconds) = (
         time_flag("--seconds", 20),
         time_flag("--hop", 0),
         time_flag("--cut", 0),
@@ -99,9 +99,9 @@
         seconds,
         changes,
         restarts,
-        lost,
+        lost_machines,
         hop_us,
-        cut,
+        cut_seconds,
         parts,
         folder,
     };
--- a/crates/simulator/src/hollow/mod.rs
+++ b/crates/simulator/src/hollow/mod.rs
@@ -47,7 +47,7 @@
 
 /// Creates the simulated links if the plan has a delay or a partition between regions.
 fn start_links(plan: &Plan) -> Result<Option<NetworkLinks>, String> {
-    if !plan.linked() {
+    if !plan.has_links() {
         return Ok(None);
     }
     let hosts = (0..plan.replicas).map(|replica| (plan.host(replica), plan.region(replica)));
--- a/crates/simulator/src/hollow/node.rs
+++ b/crates/simulator/src/hollow/node.rs
@@ -31,9 +31,9 @@
 #[derive(Clone)]
 pub(super) struct NodeSetup {
     pub plan: Arc<Plan>,
-    pub addresses: Vec<String>,
+    pub replica_addresses: Vec<String>,
     pub links: Option<super::NetworkLinks>,
-    pub known: control::KnownReplicas,
+    pub known_replicas: control::KnownReplicas,
 }
 
 const HEARTBEAT_INTERVAL: model::Microseconds = 1_500_000;
@@ -46,10 +46,10 @@
     format!("b{index}.{incarnation}")
 }
 
-/// Uses the settings of the node daemon (platform/src/node.rs).
+/// Returns a node's settings, as the node daemon builds them (platform/src/node.rs).
 fn config(
     plan: &Plan,
-    addresses: &[String],
+    replica_addresses: &[String],
     index: usize,
     incarnation: u64,
     address: String,
@@ -71,7 +71,7 @@
             drain_timeout: 2_000_000,
         },
         service: plan.service(index),
-        seeds: addresses.to_vec(),
+        seeds: replica_addresses.to_vec(),
         header_names: http_util::headers::DEFAULT_HEADER_NAMES,
         selection: outbound::SelectorConfig {
             zone_crossing_cost: 15_000,
@@ -93,11 +93,20 @@
     let plan = node_setup.plan.clone();
     let (listener, address) =
         super::seats::bind(plan.host(plan.replicas + index), node_setup.links.as_ref())?;
-    let config = config(&plan, &node_setup.addresses, index, incarnation, address);
+    let config = config(
+        &plan,
+        &node_setup.replica_addresses,
+        index,
+        incarnation,
+        address,
+    );
     let (stop_sender, mut stop_receiver) = tokio::sync::mpsc::unbounded_channel();
     let (ended_sender, ended) = tokio::sync::watch::channel(());
     let (follower_sender, follower_receiver) = std::sync::mpsc::channel();
-    let (known, backend_name) = (node_setup.known.clone(), backend_name(index, incarnation));
+    let (known_replicas, backend_name) = (
+        node_setup.known_replicas.clone(),
+        backend_name(index, incarnation),
+    );
     let name = backend_name.clone();
     let run_node = move || {
         let _ended_sender = ended_sender;
@@ -108,7 +117,7 @@
             let Ok(listener) = tokio::net::TcpListener::from_std(listener) else {
                 return;
             };
-            let node = NodeRuntime::start(&plan, config.clone(), known, listener);
+            let node = NodeRuntime::start(&plan, config.clone(), known_replicas, listener);
             drop(follower_sender.send(node.follower()));
             let run = async {
                 match node.lease_table() {
--- a/crates/simulator/src/hollow/plan.rs
+++ b/crates/simulator/src/hollow/plan.rs
@@ -52,12 +52,14 @@
     /// Planned restarts of nodes.
     pub restarts: usize,
     /// Machines that fail at the same time without notice.
-    pub lost: usize,
+    #[serde(rename = "lost")]
+    pub lost_machines: usize,
     /// One-way delay between regions, in microseconds. Above 0, every process is reached through a simulated link.
     #[serde(rename = "hop")]
     pub hop_us: u64,
     /// Time for which the last region is partitioned from the others, in seconds.
-    pub cut: u64,
+    #[serde(rename = "cut")]
+    pub cut_seconds: u64,
     pub parts: NodeParts,
     /// Folder of the replicas' files. It is deleted after the run.
     #[serde(skip)]
@@ -92,14 +94,19 @@
             check_range("--seconds", self.seconds as usize, 1, 3_600),
             check_range("--changes", self.changes, 0, 100_000),
             check_range("--restarts", self.restarts, 0, self.nodes),
-            check_range("--lost", self.lost, 0, self.nodes.saturating_sub(1)),
+            check_range(
+                "--lost",
+                self.lost_machines,
+                0,
+                self.nodes.saturating_sub(1),
+            ),
             check_range("--hop", self.hop_us as usize, 0, 1_000_000),
-            check_range("--cut", self.cut as usize, 0, 3_600),
+            check_range("--cut", self.cut_seconds as usize, 0, 3_600),
         ];
-        let cut_error = (self.cut > 0 && self.regions < 2)
+        let cut_error = (self.cut_seconds > 0 && self.regions < 2)
             .then(|| ("--cut", "there is only one region".to_string()));
         let parts_error = (self.parts != NodeParts::Full
-            && (self.restarts + self.lost) as u64 + self.cut > 0)
+            && (self.restarts + self.lost_machines) as u64 + self.cut_seconds > 0)
             .then(|| {
                 (
                     "--parts",
@@ -148,7 +155,7 @@
             NodeParts::Full => 17,
         };
         self.nodes as u64
-            * if self.linked() {
+            * if self.has_links() {
                 per_node * 2
             } else {
                 per_node
@@ -159,12 +166,12 @@
     /// Returns an estimate of the memory needed, in bytes.
     pub fn memory(&self) -> u64 {
         let nodes = self.nodes as u64;
-        nodes * (NODE_BYTES * if self.linked() { 2 } else { 1 } + nodes * KNOWN_BACKEND_BYTES)
+        nodes * (NODE_BYTES * if self.has_links() { 2 } else { 1 } + nodes * KNOWN_BACKEND_BYTES)
     }
 
     /// Returns whether the processes are connected through simulated links.
-    pub fn linked(&self) -> bool {
-        self.hop_us > 0 || self.cut > 0
+    pub fn has_links(&self) -> bool {
+        self.hop_us > 0 || self.cut_seconds > 0
     }
 
     pub fn zone(&self, index: usize) -> String {
--- a/crates/simulator/src/hollow/site.rs
+++ b/crates/simulator/src/hollow/site.rs
@@ -23,14 +23,14 @@
     ) -> Result<Site, String> {
         let replicas = super::seats::start(&plan, links.as_ref()).await?;
         let plan = Arc::new(plan);
-        let known = replicas.known_replicas(&plan);
+        let known_replicas = replicas.known_replicas(&plan);
         let counting_follower =
-            super::witness::CountingFollower::start(plan.clone(), known.clone());
+            super::witness::CountingFollower::start(plan.clone(), known_replicas.clone());
         let node_setup = NodeSetup {
             plan: plan.clone(),
-            addresses: replicas.addresses.clone(),
+            replica_addresses: replicas.addresses.clone(),
             links,
-            known,
+            known_replicas,
         };
         let outcome = replicas.handles[0].change_items(plan.initial_items()).await;
         if !matches!(outcome, Some(model::Outcome::Accepted { .. })) {
--- a/crates/simulator/src/hollow/stages.rs
+++ b/crates/simulator/src/hollow/stages.rs
@@ -45,10 +45,10 @@
     if run.site.plan.restarts > 0 {
         run.restarts().await?;
     }
-    if run.site.plan.lost > 0 {
+    if run.site.plan.lost_machines > 0 {
         run.lose_nodes().await?;
     }
-    if let Some(links) = network.filter(|_| run.site.plan.cut > 0) {
+    if let Some(links) = network.filter(|_| run.site.plan.cut_seconds > 0) {
         run.partition_region(&links).await?;
     }
     Ok(Report {
@@ -229,7 +229,7 @@
         let (plan, stage_start) = (self.site.plan.clone(), self.begin_stage("lost"));
         let mut by_zone: Vec<usize> = (0..plan.nodes).collect();
         by_zone.sort_by_key(|index| index % plan.zones);
-        let lost: Vec<usize> = by_zone.into_iter().take(plan.lost).collect();
+        let lost: Vec<usize> = by_zone.into_iter().take(plan.lost_machines).collect();
         let started_at = model::now();
         let stopping: Vec<_> = lost
             .iter()
@@ -294,7 +294,7 @@
                 links.cut(outer, inner);
             });
         self.site.counting_follower.take_max_absent();
-        tokio::time::sleep(Duration::from_secs(plan.cut)).await;
+        tokio::time::sleep(Duration::from_secs(plan.cut_seconds)).await;
         let absent = self.site.counting_follower.take_max_absent();
         let absent_count = |absent: &[usize], inside: bool| {
             absent
--- a/crates/simulator/tests/hollow.rs
+++ b/crates/simulator/tests/hollow.rs
@@ -15,9 +15,9 @@
         seconds: 2,
         changes: 3,
         restarts: 0,
-        lost: 0,
+        lost_machines: 0,
         hop_us: 0,
-        cut: 0,
+        cut_seconds: 0,
         parts: simulator::hollow::NodeParts::Full,
         folder: std::env::temp_dir().join(format!("gradeford-{name}-{}", std::process::id())),
     }
@@ -81,7 +81,7 @@
     let plan = simulator::hollow::Plan {
         changes: 0,
         restarts: 2,
-        lost: 1,
+        lost_machines: 1,
         ..plan("hollow-restarts")
     };
     let report = run(plan);
@@ -121,7 +121,7 @@
         nodes: 10,
         replicas: 5,
         changes: 0,
-        cut: 7,
+        cut_seconds: 7,
         ..plan("hollow-cut")
     };
     // Some nodes outside have two monitors inside, which receive no heartbeats from them during the partition.
