--- a/crates/control/src/failure_detection/ring.rs
+++ b/crates/control/src/failure_detection/ring.rs
@@ -75,7 +75,7 @@
 /// The neighbours of one node on the ring of the cluster state. They are recomputed only when the
 /// nodes change.
 #[derive(Default)]
-pub struct RingPosition {
+pub struct RingNeighbours {
     computed_from: Option<Arc<NodeRecords>>,
     /// The addresses of the monitors of the node, to which it sends heartbeats.
     pub monitor_addresses: BTreeSet<String>,
@@ -85,7 +85,7 @@
     pub rebuild_count: u64,
 }
 
-impl RingPosition {
+impl RingNeighbours {
     /// Recomputes the neighbours of the node `name`, unless they were computed from the same
     /// records.
     pub fn update(&mut self, nodes: &Arc<NodeRecords>, name: &str) {
--- a/crates/control/src/failure_detection/ring/tests.rs
+++ b/crates/control/src/failure_detection/ring/tests.rs
@@ -58,7 +58,7 @@
             .collect();
         let records = Arc::new(records);
         records.keys().for_each(|name| {
-            let mut position = RingPosition::default();
+            let mut position = RingNeighbours::default();
             (0..100).for_each(|_| position.update(&records, name));
             assert_eq!(
                 position.rebuild_count, 1,
@@ -76,7 +76,7 @@
                 monitored_by(&nodes, name).into_iter().collect()
             );
         });
-        let mut position = RingPosition::default();
+        let mut position = RingNeighbours::default();
         let copy = Arc::new(NodeRecords::clone(&records));
         [&records, &copy, &records]
             .into_iter()
--- a/crates/endpoints/src/monitor.rs
+++ b/crates/endpoints/src/monitor.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use control::failure_detection::ring::{FailureDetector, RingPosition};
+use control::failure_detection::ring::{FailureDetector, RingNeighbours};
 use control::{SharedVerifiedState, StatusReporter};
 use model::cluster_state::ClusterReport;
 use model::endpoint_status::EndpointReport;
@@ -52,7 +52,7 @@
         reporter,
         handshake,
         detector: FailureDetector::default(),
-        ring: RingPosition::default(),
+        ring: RingNeighbours::default(),
         connections: BTreeMap::new(),
     };
     tokio::spawn(monitor.run(received));
@@ -65,7 +65,7 @@
     reporter: StatusReporter,
     handshake: HandshakeFactory,
     detector: FailureDetector,
-    ring: RingPosition,
+    ring: RingNeighbours,
     /// Senders of heartbeats to the monitors of this node, by the monitor's address.
     connections: BTreeMap<String, mpsc::Sender<Frame>>,
 }
--- a/crates/simulator/src/hollow/events.rs
+++ b/crates/simulator/src/hollow/events.rs
@@ -221,7 +221,7 @@
     let twice = Arc::new(bill.nodes.clone().into_iter().chain(away).collect());
     let (places, mut stand) = (
         Arc::new(bill.nodes.clone()),
-        control::failure_detection::ring::RingPosition::default(),
+        control::failure_detection::ring::RingNeighbours::default(),
     );
     let times = (20_000 / plan.nodes as u32).max(5);
     BTreeMap::from([
@@ -230,13 +230,13 @@
         (
             "ring made",
             timed(times, || {
-                control::failure_detection::ring::RingPosition::default().update(&places, "n0")
+                control::failure_detection::ring::RingNeighbours::default().update(&places, "n0")
             }),
         ),
         (
             "ring made, twice the names",
             timed(times, || {
-                control::failure_detection::ring::RingPosition::default().update(&twice, "n0")
+                control::failure_detection::ring::RingNeighbours::default().update(&twice, "n0")
             }),
         ),
         (
--- a/crates/simulator/src/sim/site/attempts.rs
+++ b/crates/simulator/src/sim/site/attempts.rs
@@ -176,7 +176,7 @@
         pending.selected = selected_backend;
         self.last_number += 1;
         let (number, deadline) = (self.last_number, pending.attempt_loop.deadline());
-        self.attempt_loops.insert(number, pending);
+        self.pending_attempts.insert(number, pending);
         match next_attempt {
             Ok((request, None)) => self.schedule(
                 now,
@@ -217,7 +217,7 @@
     /// Handles the response to a forwarded attempt, or its timeout, at the client's node.
     pub(super) fn receive_response(&mut self, number: u64, answer: Result<(), Error>) {
         let now = self.now;
-        let Some(mut pending) = self.attempt_loops.remove(&number) else {
+        let Some(mut pending) = self.pending_attempts.remove(&number) else {
             return;
         };
         let node = &mut self.nodes[pending.node];
--- a/crates/simulator/src/sim/site/backends.rs
+++ b/crates/simulator/src/sim/site/backends.rs
@@ -25,8 +25,12 @@
         sent_at: Microseconds,
     ) {
         let now = self.now;
-        let from = self.attempt_loops.get(&number).map(|pending| pending.node);
-        let is_cut = self.nodes[node_index].cut || from.is_some_and(|from| self.nodes[from].cut);
+        let from = self
+            .pending_attempts
+            .get(&number)
+            .map(|pending| pending.node);
+        let is_cut =
+            self.nodes[node_index].cut_off || from.is_some_and(|from| self.nodes[from].cut_off);
         if is_cut && from != Some(node_index) {
             return;
         }
@@ -57,7 +61,11 @@
     }
 
     fn schedule_response(&mut self, node_index: usize, number: u64, response: Result<(), Error>) {
-        let Some(from) = self.attempt_loops.get(&number).map(|pending| pending.node) else {
+        let Some(from) = self
+            .pending_attempts
+            .get(&number)
+            .map(|pending| pending.node)
+        else {
             return;
         };
         let wait = if from == node_index {
@@ -65,7 +73,7 @@
         } else {
             self.draw_delay()
         };
-        if from == node_index || !(self.nodes[node_index].cut || self.nodes[from].cut) {
+        if from == node_index || !(self.nodes[node_index].cut_off || self.nodes[from].cut_off) {
             self.schedule(self.now + wait, Event::ResponseArrives(number, response));
         }
     }
@@ -189,7 +197,7 @@
     pub(super) fn is_idle(&self, node_index: usize) -> bool {
         self.nodes[node_index].slot_owner.running() == 0
             && !self
-                .attempt_loops
+                .pending_attempts
                 .values()
                 .any(|pending| pending.node == node_index)
     }
@@ -208,7 +216,7 @@
                     .interrupted(format!("run {number} at n{node_index}"));
             }
             if self
-                .attempt_loops
+                .pending_attempts
                 .get(&number)
                 .is_some_and(|pending| pending.node != node_index)
             {
--- a/crates/simulator/src/sim/site/events.rs
+++ b/crates/simulator/src/sim/site/events.rs
@@ -13,7 +13,7 @@
 impl Site {
     fn node_of(event: &Event) -> Option<usize> {
         match event {
-            Event::PumpSlots(node_index)
+            Event::NodeTick(node_index)
             | Event::RequestProof(node_index)
             | Event::ProofArrives(node_index, ..)
             | Event::SendAttempt(node_index, _)
@@ -27,9 +27,10 @@
 
     pub(super) fn handle(&mut self, event: Event) {
         let node = match &event {
-            Event::ResponseArrives(number, _) | Event::DeadlinePassed(number) => {
-                self.attempt_loops.get(number).map(|pending| pending.node)
-            }
+            Event::ResponseArrives(number, _) | Event::DeadlinePassed(number) => self
+                .pending_attempts
+                .get(number)
+                .map(|pending| pending.node),
             Event::RunEnds(number) => self.runs.get(number).map(|run| run.node),
             Event::Heartbeat(process) => Some(self.processes[*process].node),
             other => Site::node_of(other),
@@ -40,9 +41,9 @@
         let now = self.now;
         match event {
             Event::Fault(fault) => self.apply_fault(fault),
-            Event::PumpSlots(node_index) => {
+            Event::NodeTick(node_index) => {
                 self.pump_slots(node_index);
-                self.schedule(now + 20_000, Event::PumpSlots(node_index));
+                self.schedule(now + 20_000, Event::NodeTick(node_index));
             }
             Event::RequestProof(node_index) => {
                 self.request_proof(node_index);
@@ -51,7 +52,7 @@
             Event::ReplicaProofRequest(node_index, replica_id, requested_at) => {
                 if self.replicas.is_running(replica_id) {
                     self.last_number += 1;
-                    self.reads
+                    self.pending_reads
                         .insert(self.last_number, (node_index, requested_at));
                     let token = self.last_number;
                     self.replicas.world.read(replica_id, token);
@@ -59,7 +60,7 @@
             }
             Event::RelayProofRequest(relay, from, requested_at) => {
                 let follows_replica = self.nodes[relay].follows_replica;
-                if follows_replica && !self.nodes[relay].cut {
+                if follows_replica && !self.nodes[relay].cut_off {
                     self.nodes[relay]
                         .waiting_nodes
                         .push((from, requested_at, now));
@@ -72,7 +73,7 @@
             Event::Heartbeat(process) => self.heartbeat(process),
             Event::Report(node_index, incarnation, replica_id, entry) => {
                 let is_received = self.nodes[node_index].incarnation == incarnation
-                    && !self.nodes[node_index].cut
+                    && !self.nodes[node_index].cut_off
                     && self.replicas.is_running(replica_id);
                 if is_received {
                     self.reports.insert(
@@ -123,7 +124,7 @@
             }
         });
         proofs.into_iter().for_each(|(token, replica_id)| {
-            let Some((node_index, requested_at)) = self.reads.remove(&token) else {
+            let Some((node_index, requested_at)) = self.pending_reads.remove(&token) else {
                 return;
             };
             let slice = model::StateSlice::for_services(
@@ -162,7 +163,7 @@
                 .is_none_or(|(avoided, until)| avoided != *relay || now >= until)
         });
         node.follows_replica = relay.is_none();
-        if node.cut {
+        if node.cut_off {
             return;
         }
         let replica_id = node.replica_id;
@@ -189,7 +190,7 @@
         let (now, validity, position) = (self.now, self.plan.proof_validity(), slice.position);
         let accepts_older = self.plan.disabled.update_order;
         let node = &mut self.nodes[node_index];
-        if node.cut {
+        if node.cut_off {
             return;
         }
         node.proved_at = now;
@@ -326,7 +327,7 @@
                 .entry
                 .as_ref()
                 .is_some_and(|(entry, _)| entry.sequence == sequence);
-        let Some((entry, _)) = node.entry.take_if(|_| is_own && !node.cut) else {
+        let Some((entry, _)) = node.entry.take_if(|_| is_own && !node.cut_off) else {
             return;
         };
         if let (Outcome::Superseded { .. }, Operation::EndpointReport(report)) =
--- a/crates/simulator/src/sim/site/faults.rs
+++ b/crates/simulator/src/sim/site/faults.rs
@@ -7,12 +7,12 @@
 impl Site {
     pub(super) fn heartbeat(&mut self, process: usize) {
         let now = self.now;
-        let (alive, heartbeats, node_index) = (
+        let (alive, sends_heartbeats, node_index) = (
             self.processes[process].alive,
-            self.processes[process].heartbeats,
+            self.processes[process].sends_heartbeats,
             self.processes[process].node,
         );
-        if !alive || !heartbeats {
+        if !alive || !sends_heartbeats {
             return;
         }
         let (secret, draining) = (
@@ -175,8 +175,8 @@
                     .into_iter()
                     .for_each(|event| self.handle(event));
             }
-            SiteFault::Cut(node_index) => self.nodes[node_index].cut = true,
-            SiteFault::Heal(node_index) => self.nodes[node_index].cut = false,
+            SiteFault::Cut(node_index) => self.nodes[node_index].cut_off = true,
+            SiteFault::Heal(node_index) => self.nodes[node_index].cut_off = false,
             SiteFault::Restart(node_index) => {
                 self.lose_node(node_index, false);
                 let deferred = std::mem::take(&mut self.nodes[node_index].deferred);
@@ -187,7 +187,7 @@
                     .filter(|event| {
                         matches!(
                             event,
-                            Event::PumpSlots(_)
+                            Event::NodeTick(_)
                                 | Event::RequestProof(_)
                                 | Event::Heartbeat(_)
                                 | Event::SendAttempt(_, u64::MAX)
@@ -209,7 +209,7 @@
             SiteFault::StopHeartbeats(node_index) => {
                 self.main_process(node_index)
                     .into_iter()
-                    .for_each(|process| self.processes[process].heartbeats = false);
+                    .for_each(|process| self.processes[process].sends_heartbeats = false);
                 self.schedule(now + 2_000_000, Event::BackendStarts(node_index));
             }
             SiteFault::DrainBackend(node_index) => {
--- a/crates/simulator/src/sim/site/mod.rs
+++ b/crates/simulator/src/sim/site/mod.rs
@@ -19,7 +19,7 @@
 
 enum Event {
     Fault(SiteFault),
-    PumpSlots(usize),
+    NodeTick(usize),
     RequestProof(usize),
     /// A node's proof request arrives at a replica: the node, the replica and the time of the request.
     ReplicaProofRequest(usize, u16, Microseconds),
@@ -49,7 +49,7 @@
     pub retry_budget: legacy_proxy::retry_budget::RetryBudget,
     pub incarnation: u64,
     pub frozen: bool,
-    pub cut: bool,
+    pub cut_off: bool,
     pub stopping: bool,
     pub deferred: Vec<Event>,
     /// The queued reports, the number of the last one sent, the one in flight, and the replica to which reports and proof
@@ -74,7 +74,7 @@
     pub service: &'static str,
     pub node: usize,
     pub alive: bool,
-    pub heartbeats: bool,
+    pub sends_heartbeats: bool,
     pub drained_at: Option<Microseconds>,
     pub died_at: Option<Microseconds>,
     pub secret: String,
@@ -90,14 +90,14 @@
     processes: Vec<BackendProcess>,
     /// Maps each address to the process that uses it now.
     addresses: BTreeMap<u64, usize>,
-    attempt_loops: BTreeMap<u64, attempts::PendingAttempt>,
+    pending_attempts: BTreeMap<u64, attempts::PendingAttempt>,
     attempts: Vec<attempts::ClientAttempt>,
     /// Requests that wait for a slot.
     queued_attempts: BTreeMap<u64, transport::AttemptRequest>,
     runs: BTreeMap<u64, backends::Run>,
     last_number: u64,
     /// Maps the token of each read to the node that requested the proof and the time of its request.
-    reads: BTreeMap<u64, (usize, Microseconds)>,
+    pending_reads: BTreeMap<u64, (usize, Microseconds)>,
     reports: BTreeMap<(String, u64, u64), usize>,
     changes: BTreeMap<(String, u64, u64), String>,
     operator_change_count: u64,
@@ -117,12 +117,12 @@
             nodes: Vec::new(),
             processes: Vec::new(),
             addresses: Default::default(),
-            attempt_loops: Default::default(),
+            pending_attempts: Default::default(),
             attempts: Vec::new(),
             queued_attempts: Default::default(),
             runs: Default::default(),
             last_number: 0,
-            reads: Default::default(),
+            pending_reads: Default::default(),
             reports: Default::default(),
             changes: Default::default(),
             operator_change_count: 0,
@@ -138,7 +138,7 @@
             let offset = 400_000 + node_index as Microseconds * 7_000;
             site.register_node(node_index);
             [
-                Event::PumpSlots(node_index),
+                Event::NodeTick(node_index),
                 Event::RequestProof(node_index),
                 Event::BackendStarts(node_index),
             ]
@@ -165,7 +165,7 @@
             // Incarnations of a node have no order, as those of a real process.
             incarnation: model::leases::stable_hash(&format!("{node_index} {}", self.now)),
             frozen: false,
-            cut: false,
+            cut_off: false,
             stopping: false,
             deferred: Vec::new(),
             outbox: Default::default(),
@@ -205,12 +205,12 @@
 
     /// Replaces a node's process by a new one that has lost all state.
     fn restart(&mut self, node_index: usize) {
-        let cut = self.nodes[node_index].cut;
+        let cut_off = self.nodes[node_index].cut_off;
         self.nodes[node_index] = Node {
-            cut,
+            cut_off,
             ..self.new_node(node_index)
         };
-        self.attempt_loops
+        self.pending_attempts
             .retain(|_, pending| pending.node != node_index);
         self.runs
             .values_mut()
@@ -256,7 +256,7 @@
             service,
             node: node_index,
             alive: true,
-            heartbeats: true,
+            sends_heartbeats: true,
             drained_at: None,
             died_at: None,
             secret: empty.0,
@@ -269,7 +269,7 @@
         let name = format!("b{node_index}");
         self.processes
             .iter()
-            .rposition(|process| process.name == name && process.alive && process.heartbeats)
+            .rposition(|process| process.name == name && process.alive && process.sends_heartbeats)
     }
 
     fn start_backend(&mut self, node_index: usize) {
