--- a/crates/model/src/archive.rs
+++ b/crates/model/src/archive.rs
@@ -10,10 +10,11 @@
 use rkyv::util::AlignedVec;
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// The error of reading bytes that are not an archive of the expected type.
+/// The reason why bytes could not be decoded to a value.
 #[derive(Debug, thiserror::Error)]
 pub enum DecodeError {
-    /// The compressed form is damaged or claims an uncompressed length above the limit.
+    /// The bytes cannot be decompressed, or claim an uncompressed length above the limit of
+    /// [`decompress`](crate::compression::decompress).
     #[error("the compressed bytes are damaged")]
     Compression,
     /// The bytes are not an archive of the expected type.
@@ -23,7 +24,8 @@
 
 /// Serializes a value to its archive.
 ///
-/// Writing to memory does not fail. If it did, the result would be empty and could not be decoded.
+/// Serialization to memory does not fail. If it did, the result would be empty, and decoding it
+/// would fail.
 pub(crate) fn to_bytes<T>(value: &T) -> Vec<u8>
 where
     T: for<'a> Serialize<HighSerializer<AlignedVec, ArenaHandle<'a>, rancor::Error>>,
@@ -33,7 +35,8 @@
         .unwrap_or_default()
 }
 
-/// Deserializes an archive of any alignment after validating all of it.
+/// Deserializes a value from its archive, after validating the whole archive. The bytes need no
+/// particular alignment: they are copied to an aligned buffer.
 ///
 /// # Errors
 ///
--- a/crates/model/src/error.rs
+++ b/crates/model/src/error.rs
@@ -1,14 +1,14 @@
 //! Errors of requests that got no response from a backend, and whether the request may have run.
 //!
-//! Every error states either that the request certainly did not run or that it may have run;
-//! clients decide by this whether a retry is safe (design 5.4). `docs/verdicts.md` gives the reason
-//! for each kind.
+//! Every error states either that the request certainly did not run or that it may have run, so that
+//! clients can decide whether a retry is safe (design 5.4). For each kind of error,
+//! `docs/verdicts.md` gives the reason why it states one or the other.
 
 use std::fmt::Display;
 
 use crate::Microseconds;
 
-/// Whether a request may have reached a backend.
+/// Whether a failed request may have run at a backend.
 #[derive(
     Clone,
     Copy,
@@ -28,7 +28,8 @@
     MayHaveRun,
 }
 
-/// Defines [`ErrorKind`] from one table: variant, public code, execution status, HTTP status.
+/// Defines [`ErrorKind`] and its methods from one table with the variant, public code, execution
+/// status and HTTP status of each kind.
 macro_rules! error_kinds {
     ($($(#[$doc:meta])* $name:ident = $code:literal, $execution:ident, $http_status:literal;)*) => {
         /// The reason why a request failed.
@@ -74,7 +75,8 @@
     UnknownClient = "unknown_sender", MayHaveRun, 401;
     /// The request is malformed.
     BadRequest = "bad_request", NotRun, 400;
-    /// No route or standing order covers the request.
+    /// No route, or for the older state machine no [`StandingOrder`](crate::StandingOrder), covers
+    /// the request.
     NoRoute = "no_lane", NotRun, 403;
     /// The node has no current freshness proof for its state.
     StaleState = "not_fresh", NotRun, 503;
@@ -86,9 +88,10 @@
     Overloaded = "overloaded", NotRun, 429;
     /// The backend's own node has ejected the backend because of its failures.
     BackendEjected = "passed_over", NotRun, 503;
-    /// The requests of this key already fill its share of the queue.
+    /// The waiting requests with this shard key already fill the part of the queue that one key may
+    /// use.
     KeyOverloaded = "key_crowded", NotRun, 429;
-    /// No backend holds the key, or an earlier holder may still serve it.
+    /// No backend holds the shard key, or an earlier holder may still serve it.
     KeyWithoutHolder = "key_unheld", NotRun, 503;
     /// The deadline passed before the request was forwarded.
     ExpiredBeforeRun = "too_late", NotRun, 504;
@@ -100,13 +103,14 @@
     WrongIncarnation = "wrong_incarnation", NotRun, 503;
     /// The backend reports that it did not run the request.
     Refused = "refused", NotRun, 503;
-    /// The key moved to another holder between backend selection and the final check.
+    /// The shard key moved to another holder after the backend was selected and before its node
+    /// admitted the request.
     StaleFencingToken = "stale_fence", NotRun, 503;
     /// The request body exceeds the limit or ended prematurely.
     RequestTooLarge = "too_large", NotRun, 413;
-    /// An attempt with this identity was already accepted.
+    /// An attempt with this id was already accepted.
     DuplicateAttempt = "duplicate_try", MayHaveRun, 409;
-    /// The attempt identity was created under an earlier registration of the client.
+    /// The attempt id was created under an earlier registration of the client.
     EarlierIncarnation = "earlier_life", MayHaveRun, 409;
     /// The connection to the remote node broke after the attempt may have been sent.
     PeerLost = "mate_lost", MayHaveRun, 502;
@@ -114,7 +118,8 @@
     BackendLost = "back_end_lost", MayHaveRun, 502;
     /// A reused keep-alive connection to the backend broke before a response began.
     ReusedConnectionLost = "conn_forgotten", MayHaveRun, 502;
-    /// The response is not the backend's complete, sealed response to this attempt.
+    /// The response is malformed or incomplete, or the seal header does not confirm that the backend
+    /// made it for this attempt.
     BadSeal = "bad_seal", MayHaveRun, 502;
     /// The response exceeds the size limit.
     ResponseTooLarge = "reply_too_large", MayHaveRun, 502;
@@ -126,7 +131,8 @@
 const DEFAULT_RETRY_AFTER: Microseconds = 500_000;
 
 impl ErrorKind {
-    /// Whether the failure is temporary (429, 503). Every such response carries a retry delay.
+    /// Whether the failure is temporary (HTTP status 429 or 503). Every such error carries a retry
+    /// delay.
     pub fn may_retry_later(self) -> bool {
         matches!(self.http_status(), 429 | 503)
     }
@@ -149,8 +155,8 @@
 )]
 #[error("{execution_status:?}: {} ({detail})", kind.code())]
 pub struct Error {
-    /// Whether the request may have run. An earlier attempt that may have run takes precedence over
-    /// the kind.
+    /// Whether the request may have run. This is also so if only an earlier attempt of it may have
+    /// run, whatever the kind says.
     #[serde(rename = "verdict")]
     pub execution_status: ExecutionStatus,
     /// The reason for the failure.
@@ -179,15 +185,15 @@
         Error::new(kind, source.to_string())
     }
 
-    /// Sets the retry delay, in microseconds from now.
-    pub fn with_retry_after(self, wait: Microseconds) -> Self {
+    /// Sets the retry delay, in microseconds.
+    pub fn with_retry_after(self, delay: Microseconds) -> Self {
         Error {
-            retry_after: Some(wait),
+            retry_after: Some(delay),
             ..self
         }
     }
 
-    /// Whether another attempt is safe: this one did not run, or the request is idempotent.
+    /// Whether another attempt is safe: the request did not run, or it is idempotent.
     pub fn allows_retry(&self, idempotent: bool) -> bool {
         idempotent || self.execution_status == ExecutionStatus::NotRun
     }
--- a/crates/simulator/src/lease_sim/harness.rs
+++ b/crates/simulator/src/lease_sim/harness.rs
@@ -1,5 +1,5 @@
-//! The harness: nodes, backends and log of one service, driven by one queue of events in order of virtual time
-//! (design 9.1, 11.5).
+//! The simulation of one service: its nodes, their backends and the log, driven by a queue of events that are handled
+//! in the order of virtual time (design 9.1, 11.5).
 
 use super::backend::SimulatedBackend;
 use super::log::{Log, ReplicaUpdate};
@@ -8,32 +8,56 @@
 use model::{Microseconds, Outcome, Position};
 use std::collections::BTreeMap;
 
+/// Name of the simulated service.
 pub(super) const SERVICE: &str = "seat";
+/// Number of replicas of the simulated log.
 const REPLICA_COUNT: usize = 3;
 
-/// Events name a node and its backend by their common index. An event of one process also carries the start number of
-/// that node or the incarnation of that backend, and is ignored after a restart.
+/// An event of the simulation. Its `usize` is the common index of a node and of the backend beside it, unless the variant
+/// says otherwise. The number after it identifies the process or the connection to which the event belongs: the start
+/// number of the node, the incarnation of the backend, or the number of the node's update connection. An event whose
+/// process was restarted or whose connection was replaced is ignored.
 #[derive(Clone, Debug)]
 pub(super) enum Event {
+    /// The node does its periodic work. Has the start number.
     Tick(usize, u64),
+    /// The node requests a freshness proof, which it does periodically. Has the start number.
     RequestProof(usize, u64),
+    /// The node's probe of the process of the named backend ends. Has the start number.
     ProbeAnswered(usize, u64, String),
-    /// The flag marks the periodic heartbeat, as opposed to one that reports a change early.
+    /// The backend sends a heartbeat. Has the incarnation; the flag marks the periodic heartbeat, as opposed to one that
+    /// reports a change early.
     Heartbeat(usize, u64, bool),
+    /// A heartbeat arrives at the node. Has the start number and the time when the heartbeat was sent.
     HeartbeatArrives(usize, u64, Microseconds, Box<endpoints::Heartbeat>),
+    /// The answer to a heartbeat arrives at the backend. Has the incarnation, and the send time and the sequence number of
+    /// the heartbeat.
     HeartbeatAnswer(usize, u64, Microseconds, u64, endpoints::HeartbeatAnswer),
+    /// The backend stops waiting for an answer. Has the incarnation and the sequence number of the heartbeat.
     AnswerTimeout(usize, u64, u64),
+    /// The work on a range that the backend is to release has ended. Has the incarnation and the number of the release.
     ReleaseFinished(usize, u64, u64),
+    /// The drained backend deregisters and ends. Has the incarnation.
     SignOff(usize, u64),
+    /// The node's request to follow a replica arrives there. Has the connection number and the position of the node.
     Follow(usize, u64, Position),
+    /// The node's freshness-proof request arrives at the replica. Has the connection number and the request number.
     ProofRequestArrives(usize, u64, u64),
+    /// An update arrives at the node. Has the connection number.
     UpdateArrives(usize, u64, ReplicaUpdate),
+    /// An entry of the node arrives at the log, even if the node was restarted meanwhile. Has the start number and the
+    /// sequence number of the entry.
     EntryArrives(usize, u64, u64, Vec<ClusterReport>),
+    /// The outcome of an entry arrives at the node. Has the start number and the sequence number of the entry.
     EntryAnswered(usize, u64, u64, Outcome),
-    /// The observing node reports that it suspects another one.
+    /// The report of a monitoring node that suspects another node arrives at the log. Has the index of the monitoring
+    /// node and the sequence number of the entry.
     NodeSuspected(usize, u64, Vec<ClusterReport>),
+    /// The node sends an entry again if it is still unanswered. Has the start number and the sequence number of the entry.
     ResendEntry(usize, u64, u64),
+    /// The replica with this index applies the next entry of the log.
     ReplicaApplies(usize),
+    /// A fault begins. Has the duration, in microseconds.
     FaultBegins(super::Fault, usize, Microseconds),
     FaultEnds(super::Fault, usize),
 }
@@ -41,18 +65,20 @@
 /// Simulates one service with one backend beside each node.
 pub struct LeaseHarness {
     pub plan: super::LeasePlan,
+    /// The virtual time, in microseconds.
     pub now: Microseconds,
     pub checks: super::checks::LeaseChecks,
     pub(super) log: Log,
     pub(super) nodes: Vec<Node>,
     pub(super) backends: Vec<SimulatedBackend>,
+    /// The pending events by time. Events of the same time are ordered by their numbers, that is, as they were scheduled.
     events: BTreeMap<(Microseconds, u64), Event>,
     last_event_number: u64,
     random: rand::rngs::StdRng,
 }
 
 impl LeaseHarness {
-    /// A service whose nodes and backends are starting.
+    /// Creates a service whose nodes and backends are about to start.
     pub fn new(plan: super::LeasePlan) -> LeaseHarness {
         let mut log = Log::new(REPLICA_COUNT);
         let service = model::cluster_state::Service {
@@ -101,6 +127,7 @@
         harness
     }
 
+    /// Draws a number from a range that includes both ends.
     pub(super) fn draw(&mut self, range: (Microseconds, Microseconds)) -> Microseconds {
         rand::Rng::random_range(&mut self.random, range.0..=range.1)
     }
@@ -110,12 +137,13 @@
         self.events.insert((time, self.last_event_number), event);
     }
 
+    /// Schedules an event after a delay that is drawn from a range, in microseconds.
     pub(super) fn schedule_within(&mut self, range: (Microseconds, Microseconds), event: Event) {
         let time = self.now + self.draw(range);
         self.schedule(time, event);
     }
 
-    /// Schedules the beginning and the end of a fault.
+    /// Schedules the beginning and the end of a fault. The index is taken modulo the number of nodes.
     pub fn schedule_fault(
         &mut self,
         (time, fault, index, length): (u64, super::Fault, usize, u64),
@@ -125,13 +153,15 @@
         self.schedule(time + length, Event::FaultEnds(fault, index));
     }
 
-    /// The time by a node's own clock, which has its own rate and start.
+    /// The time by a node's own clock, which drifts from virtual time at the node's own rate and starts at the node's own
+    /// offset. The drift advances in steps of 100 ms of virtual time.
     pub(super) fn clock(&self, index: usize) -> Microseconds {
         (self.now as i64
             + self.now as i64 / 100_000 * self.nodes[index].clock_rate_ppm / 10
             + 77_000_000 * (index as i64 + 1)) as Microseconds
     }
 
+    /// Schedules the first heartbeat of a backend's incarnation, from which the others follow periodically.
     pub(super) fn start_heartbeats(&mut self, index: usize, incarnation: u64) {
         self.schedule_within(
             (10_000, 400_000),
@@ -139,7 +169,8 @@
         );
     }
 
-    /// The node or the backend whose process must run to handle the event: its event is deferred while it is frozen.
+    /// The index of the node, or else of the backend, whose process handles the event. While that process is frozen, the
+    /// event is deferred.
     fn required_process(event: &Event) -> (Option<usize>, Option<usize>) {
         match event {
             Event::Tick(index, _)
@@ -158,6 +189,7 @@
         }
     }
 
+    /// Handles an event, or defers it while its process is frozen.
     pub(super) fn handle(&mut self, event: Event) {
         match LeaseHarness::required_process(&event) {
             (Some(index), _) if self.nodes[index].frozen => {
@@ -195,14 +227,14 @@
             {
                 self.send_heartbeat(index, incarnation, periodic)
             }
-            Event::HeartbeatArrives(index, start_number, sent, heartbeat) => {
-                self.heartbeat_arrives(index, start_number, sent, *heartbeat)
+            Event::HeartbeatArrives(index, start_number, sent_at, heartbeat) => {
+                self.heartbeat_arrives(index, start_number, sent_at, *heartbeat)
             }
-            Event::HeartbeatAnswer(index, incarnation, sent, number, answer)
+            Event::HeartbeatAnswer(index, incarnation, sent_at, number, answer)
                 if self.backends[index].incarnation == incarnation
                     && self.backends[index].alive =>
             {
-                self.heartbeat_answered(index, sent, number, answer)
+                self.heartbeat_answered(index, sent_at, number, answer)
             }
             Event::AnswerTimeout(index, incarnation, number)
                 if self.backends[index].incarnation == incarnation =>
@@ -215,8 +247,8 @@
                 if self.backends[index].incarnation == incarnation
                     && self.backends[index].alive =>
             {
-                let token = format!("token-{}", self.now);
-                if self.backends[index].finish_release(self.now, release_number, token) {
+                let handover_token = format!("token-{}", self.now);
+                if self.backends[index].finish_release(self.now, release_number, handover_token) {
                     self.schedule_within((0, 100_000), Event::Heartbeat(index, incarnation, false));
                 }
             }
@@ -233,6 +265,7 @@
             Event::EntryArrives(index, start_number, sequence, reports) => {
                 self.entry_arrives(index, start_number, sequence, reports)
             }
+            // An origin apart from the node's own, because the sequence numbers of these entries are not the node's.
             Event::NodeSuspected(observer, sequence, reports) => self
                 .append((format!("watch-{observer}"), 1, sequence, reports))
                 .map(drop)
@@ -250,6 +283,7 @@
             Event::ReplicaApplies(replica) => self.apply_next_entry(replica),
             Event::FaultBegins(fault, index, length) => self.begin_fault(fault, index, length),
             Event::FaultEnds(fault, index) => self.end_fault(fault, index),
+            // The process to which the event belongs has ended.
             _ => {}
         }
     }
@@ -263,7 +297,7 @@
             );
         }
         if self.backends[index].awaiting_answer_to.is_some() {
-            // One heartbeat at a time; a release is reported by a heartbeat soon after.
+            // Only one heartbeat may be unanswered. An early heartbeat is postponed, a periodic one is skipped.
             (!periodic).then(|| {
                 self.schedule_within(
                     (20_000, 40_000),
@@ -291,21 +325,21 @@
         &mut self,
         index: usize,
         start_number: u64,
-        sent: Microseconds,
+        sent_at: Microseconds,
         heartbeat: endpoints::Heartbeat,
     ) {
         if !self.nodes[index].is_running(start_number) {
             return;
         }
         let (incarnation, number) = (self.backends[index].incarnation, heartbeat.sequence);
-        let is_current = heartbeat.name == self.backends[index].name();
+        let is_current_incarnation = heartbeat.name == self.backends[index].name();
         let now = self.clock(index);
         let answer = self.nodes[index].receive_heartbeat(&self.plan, now, heartbeat);
         self.notify(index);
-        if is_current && !self.backends[index].heartbeats_lost {
+        if is_current_incarnation && !self.backends[index].heartbeats_lost {
             self.schedule_within(
                 (100, 3_000),
-                Event::HeartbeatAnswer(index, incarnation, sent, number, answer),
+                Event::HeartbeatAnswer(index, incarnation, sent_at, number, answer),
             );
         }
     }
@@ -313,19 +347,19 @@
     fn heartbeat_answered(
         &mut self,
         index: usize,
-        sent: Microseconds,
+        sent_at: Microseconds,
         number: u64,
         answer: endpoints::HeartbeatAnswer,
     ) {
         let (now, incarnation) = (self.now, self.backends[index].incarnation);
-        // An answer after the timeout may still be read, or not.
-        let too_late = now > sent + 1_000_000 && self.draw((0, 1)) == 0;
+        // An answer that is handled after its timeout is either used or discarded, at random.
+        let is_discarded = now > sent_at + 1_000_000 && self.draw((0, 1)) == 0;
         let backend = &mut self.backends[index];
-        if backend.awaiting_answer_to != Some(number) || too_late {
+        if backend.awaiting_answer_to != Some(number) || is_discarded {
             return;
         }
         backend.awaiting_answer_to = None;
-        // Releases since the heartbeat was sent are reported by the next one.
+        // Only the releases that the answered heartbeat carried are removed; the next one reports the later ones.
         backend.released.drain(..backend.releases_sent);
         let Some((ranges, lease_duration)) = answer else {
             return;
@@ -333,11 +367,11 @@
         self.checks.ranges_taken += ranges.len();
         self.checks.ranges_handed_over += ranges
             .iter()
-            .filter(|(.., token)| !token.is_empty())
+            .filter(|(.., handover_token)| !handover_token.is_empty())
             .count();
         let (to_release, regressed) = self.backends[index].apply_answer(
             now,
-            sent,
+            sent_at,
             ranges
                 .into_iter()
                 .map(|(from, to, fencing_token, _)| (from, to, fencing_token))
@@ -355,20 +389,20 @@
             )
         });
         to_release.into_iter().for_each(|release_number| {
-            let work_time = if self.draw((0, 1)) == 0 {
+            let work_duration = if self.draw((0, 1)) == 0 {
                 (0, 5_000)
             } else {
                 (0, 400_000)
             };
             self.schedule_within(
-                work_time,
+                work_duration,
                 Event::ReleaseFinished(index, incarnation, release_number),
             );
         });
         self.checks.check_holders(now, &self.backends, index);
     }
 
-    /// Handles all events up to this time.
+    /// Handles all events up to the time `end`, in microseconds.
     pub fn run_until(&mut self, end: Microseconds) {
         while let Some(((time, order), event)) = self.events.pop_first() {
             if time > end {
@@ -384,19 +418,19 @@
     /// Checks the final state and returns all violations.
     pub fn finish(&mut self) -> Vec<String> {
         self.checks.check_final_state(self.now, &self.backends);
-        // By then no report should be pending.
-        let recent = self
+        // After the time for recovery the nodes should have nothing left to report.
+        let recent_entry_count = self
             .log
             .ordered_at
             .iter()
             .filter(|time| **time + 5_000_000 > self.now)
             .count();
-        if recent > 0 {
-            let last = self.log.entries.last().map(|entry| format!("{entry:?}"));
+        if recent_entry_count > 0 {
+            let last_entry = self.log.entries.last().map(|entry| format!("{entry:?}"));
             self.checks.violation(
                 self.now,
-                "restless",
-                format!("{recent} entries in the last five seconds, {last:?}"),
+                "continued-reports",
+                format!("{recent_entry_count} entries in the last five seconds, the last: {last_entry:?}"),
             );
         }
         self.checks.violations.clone()
--- a/crates/simulator/tests/lease_sim.rs
+++ b/crates/simulator/tests/lease_sim.rs
@@ -175,7 +175,7 @@
         },
         LeasePlan::new,
         drawn_faults(&[Fault::DrainBackend, Fault::KillNode, Fault::DrainBackend]),
-        "restless",
+        "continued-reports",
     );
 }
 
