--- a/crates/control/src/failure_detection/ring.rs
+++ b/crates/control/src/failure_detection/ring.rs
@@ -1,6 +1,10 @@
-//! The ring that determines which nodes send heartbeats to which, and the detection of nodes whose
-//! heartbeats stop (design 5.10). The module does no I/O and reads no clock; the caller passes the
-//! time.
+//! The ring of nodes, which determines the monitors to which each node sends heartbeats, and the
+//! detection of nodes whose heartbeats stop (design 5.10). The module does no I/O and reads no
+//! clock; the caller passes the time.
+//!
+//! Nodes are recorded in two states, with the same ring: [`Node`] is the record of the older state
+//! machine, [`NodeRecord`] that of the cluster state. A node is *present* unless it has left or is
+//! presumed gone.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::mem;
@@ -14,28 +18,31 @@
 #[cfg(test)]
 mod tests;
 
-/// The number of monitors of each node: the nodes that follow it on the ring of present nodes.
+/// The number of monitors of each node. They are the next nodes after it on the ring of present
+/// nodes.
 pub const MONITORS_PER_NODE: usize = 3;
 
+/// The nodes of the older state machine.
 type Nodes = BTreeMap<NodeName, Node>;
 
-/// A monitored node, identified by its name and its current process.
+/// One process of a monitored node. A restarted node is a different peer.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MonitoredPeer {
     /// The name of the node.
     pub node: NodeName,
-    /// The incarnation of the process of the node.
+    /// The incarnation of the process.
     pub incarnation: Incarnation,
 }
 
-/// The present nodes in the order of the ring, which depends only on their names.
+/// The given present nodes in the order of the ring, which depends only on their names.
 fn ring_order<'a>(present: impl Iterator<Item = &'a NodeName>) -> Vec<&'a NodeName> {
     let mut ring: Vec<&NodeName> = present.collect();
     ring.sort_by_cached_key(|name| (model::leases::stable_hash(name), *name));
     ring
 }
 
-/// The nodes that follow `name` on the ring, and the nodes that precede it.
+/// The nodes that follow the node `name` on the ring, and those that precede it: in each direction
+/// at most [`MONITORS_PER_NODE`], the nearest first. Both are empty if the node is not on the ring.
 fn neighbours<'a>(ring: &[&'a NodeName], name: &str) -> (Vec<&'a NodeName>, Vec<&'a NodeName>) {
     let Some(index) = ring.iter().position(|other| *other == name) else {
         return (Vec::new(), Vec::new());
@@ -72,16 +79,17 @@
     preceding.into_iter().filter_map(peer).collect()
 }
 
-/// The neighbours of one node on the ring of the cluster state. They are recomputed only when the
-/// nodes change.
+/// The neighbours of one node on the ring, computed from the cluster state and recomputed only when
+/// its node records change.
 #[derive(Default)]
 pub struct RingNeighbours {
+    /// The node records from which the neighbours were computed.
     computed_from: Option<Arc<NodeRecords>>,
     /// The addresses of the monitors of the node, to which it sends heartbeats.
     pub monitor_addresses: BTreeSet<String>,
     /// The nodes that the node monitors, which send heartbeats to it.
     pub monitored_peers: BTreeSet<MonitoredPeer>,
-    /// The number of times the ring was computed.
+    /// The number of times the neighbours were computed.
     pub rebuild_count: u64,
 }
 
@@ -112,9 +120,12 @@
     }
 }
 
-/// When the last heartbeat of a peer arrived, and whether the peer is reported as suspected.
+/// The record of a monitored peer.
 struct PeerContact {
+    /// The time of the last heartbeat, in microseconds. Until the first one, the time when the
+    /// monitoring began.
     last_heartbeat_at: Microseconds,
+    /// Whether the last report about the peer said that it is suspected.
     is_reported_suspected: bool,
 }
 
@@ -122,6 +133,7 @@
 #[derive(Default)]
 pub struct FailureDetector {
     peers: BTreeMap<MonitoredPeer, PeerContact>,
+    /// The time of the last call of [`Self::check`], in microseconds.
     last_check_at: Microseconds,
 }
 
@@ -137,28 +149,29 @@
         }
     }
 
-    /// Does the same as [`Self::check`] for the peers that result from the nodes of the state
+    /// Like [`Self::check`], but determines the monitored peers from the nodes of the older state
     /// machine.
     pub fn check_nodes(
         &mut self,
         now: Microseconds,
         nodes: &Nodes,
-        name: &str,
+        observer: &str,
         timeout: Microseconds,
     ) -> Vec<EndpointReport> {
-        let monitored = monitored_by(nodes, name).into_iter().collect();
-        self.check(now, &monitored, name, timeout)
+        let monitored = monitored_by(nodes, observer).into_iter().collect();
+        self.check(now, &monitored, observer, timeout)
     }
 
-    /// Returns the reports of the observer `name`: one for each monitored peer that has sent no
-    /// heartbeat for `timeout`, and one for each such peer that sends heartbeats again. The
-    /// interval between calls must not exceed half of `timeout`. If more time has passed, this node
-    /// itself was suspended, and every peer is given the whole timeout again.
+    /// Returns the reports of the node `observer`: one for each monitored peer that has sent no
+    /// heartbeat for more than `timeout` microseconds, and one for each suspected peer that sends
+    /// heartbeats again. The caller must call this at least once per half of `timeout`. If more time
+    /// has passed since the last call, this node itself is taken to have been suspended, and every
+    /// peer is given the whole timeout again.
     pub fn check(
         &mut self,
         now: Microseconds,
         monitored: &BTreeSet<MonitoredPeer>,
-        name: &str,
+        observer: &str,
         timeout: Microseconds,
     ) -> Vec<EndpointReport> {
         let since_last_check = now.saturating_sub(mem::replace(&mut self.last_check_at, now));
@@ -174,7 +187,7 @@
             if suspected != contact.is_reported_suspected {
                 contact.is_reported_suspected = suspected;
                 reports.push(EndpointReport::NodeObserved {
-                    observer: name.to_string(),
+                    observer: observer.to_string(),
                     node: peer.node.clone(),
                     incarnation: peer.incarnation,
                     suspected,
@@ -184,8 +197,8 @@
         reports
     }
 
-    /// Removes peers that are no longer monitored, and adds new ones as if a heartbeat had just
-    /// arrived.
+    /// Removes peers that are no longer monitored. Adds new ones as if their heartbeats had just
+    /// arrived, so that they get the whole timeout for their first heartbeat.
     fn update_peers(&mut self, now: Microseconds, monitored: &BTreeSet<MonitoredPeer>) {
         self.peers.retain(|peer, _| monitored.contains(peer));
         for peer in monitored {
--- a/crates/control/src/failure_detection/ring/tests.rs
+++ b/crates/control/src/failure_detection/ring/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 
+/// Present nodes `n0`, `n1` and so on. The incarnation of each is its index.
 fn nodes(count: u64) -> Nodes {
     let node = |index| Node {
         zone: "z".into(),
@@ -15,7 +16,7 @@
 }
 
 #[test]
-fn every_node_has_and_monitors_the_same_number_of_peers() {
+fn each_node_has_as_many_monitors_as_monitored_peers() {
     let nodes = nodes(64);
     nodes.keys().for_each(|name| {
         assert_eq!(monitors_of(&nodes, name).len(), MONITORS_PER_NODE);
@@ -30,8 +31,10 @@
     });
 }
 
+/// `RingNeighbours` recomputes the neighbours only for other node records, and finds the same ones
+/// as `monitors_of` and `monitored_by`.
 #[test]
-fn the_ring_is_computed_only_for_changed_nodes_and_agrees_in_both_directions() {
+fn neighbours_are_recomputed_only_for_changed_node_records() {
     let record = |index: u64| NodeRecord {
         zone: "z".into(),
         address: format!("a{index}"),
@@ -58,35 +61,38 @@
             .collect();
         let records = Arc::new(records);
         records.keys().for_each(|name| {
-            let mut position = RingNeighbours::default();
-            (0..100).for_each(|_| position.update(&records, name));
+            let mut neighbours = RingNeighbours::default();
+            (0..100).for_each(|_| neighbours.update(&records, name));
             assert_eq!(
-                position.rebuild_count, 1,
-                "the ring was recomputed for unchanged records"
+                neighbours.rebuild_count, 1,
+                "the neighbours were recomputed for unchanged records"
             );
             assert_eq!(
-                position.monitor_addresses,
+                neighbours.monitor_addresses,
                 monitors_of(&nodes, name)
                     .into_iter()
                     .map(|monitor| records[&monitor].address.clone())
                     .collect()
             );
             assert_eq!(
-                position.monitored_peers,
+                neighbours.monitored_peers,
                 monitored_by(&nodes, name).into_iter().collect()
             );
         });
-        let mut position = RingNeighbours::default();
+        let mut neighbours = RingNeighbours::default();
+        // Equal records in another allocation count as changed, because only pointers are compared.
         let copy = Arc::new(NodeRecords::clone(&records));
         [&records, &copy, &records]
             .into_iter()
-            .for_each(|records| position.update(records, "n0"));
-        assert_eq!(position.rebuild_count, 3);
+            .for_each(|records| neighbours.update(records, "n0"));
+        assert_eq!(neighbours.rebuild_count, 3);
     });
 }
 
+/// A silent node is reported as suspected once, and as not suspected when its heartbeats resume. A
+/// monitor that was itself suspended for longer than the timeout reports nothing.
 #[test]
-fn a_suspected_node_is_reported_once_and_withdrawn_but_not_after_a_pause_of_the_monitor() {
+fn suspicions_are_reported_once_and_withdrawn_and_a_suspended_monitor_suspects_nobody() {
     let nodes = nodes(2);
     let mut detector = FailureDetector::default();
     let check = |detector: &mut FailureDetector, from: u64, to: u64| -> Vec<EndpointReport> {
@@ -110,11 +116,12 @@
         "{reports:?}"
     );
     detector.heartbeat_received(3_500, "n1", 1);
+    // The monitor makes no check between 3,400 and 9,000.
     assert_eq!(detector.check_nodes(9_000, &nodes, "n0", 1_000), vec![]);
 }
 
-/// The neighbours of a node in one direction of the ring, found by walking it node by node.
-fn walk<'a>(
+/// The nodes after `name` in the order of `ring`, found by walking the ring node by node.
+fn walk_ring<'a>(
     ring: impl DoubleEndedIterator<Item = &'a NodeName> + ExactSizeIterator + Clone,
     name: &str,
 ) -> Vec<NodeName> {
@@ -137,10 +144,13 @@
         let mut ring: Vec<&NodeName> = present.map(|(name, _)| name).collect();
         ring.sort_by_key(|name| (model::leases::stable_hash(name), *name));
         for name in nodes.keys() {
-            assert_eq!(monitors_of(&nodes, name), walk(ring.iter().copied(), name));
+            assert_eq!(
+                monitors_of(&nodes, name),
+                walk_ring(ring.iter().copied(), name)
+            );
             let monitored = monitored_by(&nodes, name);
             let monitored: Vec<NodeName> = monitored.into_iter().map(|peer| peer.node).collect();
-            assert_eq!(monitored, walk(ring.iter().copied().rev(), name));
+            assert_eq!(monitored, walk_ring(ring.iter().copied().rev(), name));
         }
     }
 }
--- a/crates/control/src/updates/mod.rs
+++ b/crates/control/src/updates/mod.rs
@@ -1,11 +1,14 @@
-//! Distribution of the state to the nodes: replicas publish updates, and nodes follow a replica and
-//! verify what they receive (design 5.9, 6, 11.3).
+//! Distribution of the replicated state to the nodes: replicas publish updates, and nodes receive
+//! them and verify that they are current (design 5.9, 6, 11.3).
 //!
-//! Two states are distributed, each in its own way. Every node follows the whole *cluster state*
-//! ([`publisher`], [`follower`], [`upstreams`], [`verification`]). Of the older *state machine* a
-//! node subscribes to the slice that its services need, at a replica or through a relay in its zone
-//! ([`subscriber`], [`relay`], [`zone_relay`], [`view`]). [`server`] accepts the connections of
-//! both kinds at a replica.
+//! Two states are distributed, each in its own way:
+//!
+//! - Every node *follows* a replica to receive the whole *cluster state* ([`publisher`],
+//!   [`follower`], [`upstreams`], [`verification`]).
+//! - A node *subscribes* to the slice of the older *state machine* that its services need, at a
+//!   replica or through a relay in its zone ([`subscriber`], [`relay`], [`zone_relay`], [`view`]).
+//!
+//! [`server`] accepts the connections of both kinds at a replica.
 
 pub mod follower;
 pub mod publisher;
--- a/crates/model/src/cluster_state/items.rs
+++ b/crates/model/src/cluster_state/items.rs
@@ -1,21 +1,24 @@
-//! Items that operators write, each with its own version; the highest version wins (design 11.1).
+//! Items that operators write: routes, services and limits. Each item has its own version, and the
+//! highest version wins (design 11.1).
 //!
-//! Where a type or field has a different public name, a `serde` attribute states it. Paths and
-//! texts of faults are part of the public interface.
+//! Where a type or field has a different public name, a `serde` attribute states it. An item that
+//! breaks a rule is rejected with a [`Fault`], whose path and message are part of the public
+//! interface.
 
 use std::collections::BTreeMap;
 
-// `nested` and the derive need the trait in scope.
+// The calls of `validate` need the trait in scope.
 use validator::Validate as _;
 
 use crate::validation::{self, Fault};
 use crate::{Microseconds, ServiceName};
 
-/// The version that the operator gives an item. It only grows.
+/// The version that the operator gives an item. An item is changed only by a higher version.
 pub type ItemVersion = u64;
-/// The name that the operator gives an item; empty for the limits.
+/// The name that the operator gives an item. The limits, of which there is one item, have an empty
+/// name.
 pub type ItemName = String;
-/// The key that identifies an item.
+/// The kind and the name of an item, which identify it.
 pub type ItemKey = (ItemKind, ItemName);
 
 /// The kind of an item.
@@ -46,7 +49,7 @@
 }
 
 impl ItemKind {
-    /// The name of this kind in the operator API, in fault paths and in JSON.
+    /// The name of this kind in the operator API: in fault paths and in JSON.
     pub fn public_name(self) -> &'static str {
         match self {
             ItemKind::Route => "lane",
@@ -56,8 +59,7 @@
     }
 }
 
-/// The route of requests with a host and path prefix: their target services, their timeout and
-/// their priority.
+/// A route: where requests with a host and a path prefix are sent, and how.
 #[derive(
     Clone,
     Debug,
@@ -87,16 +89,17 @@
         message = "is from 1 microsecond to ten minutes"
     ))]
     pub wait_us: Microseconds,
-    /// The target latency, in microseconds: a response within it has its full value. 0 if not set.
+    /// The latency target, in microseconds: requests that can still be answered within it are served
+    /// before the others. 0 selects the default target.
     #[serde(default, rename = "aim_us")]
     pub latency_target_us: Microseconds,
     /// The priority of the requests; 0 is the highest.
     #[serde(default)]
     pub rank: u8,
-    /// The maximum number of backends that one attempt may be sent to.
+    /// The maximum number of backends to which a request may be sent, one after the other.
     #[validate(range(min = 1, max = 16, message = "is from 1 to 16"))]
     pub dispatches: u8,
-    /// The services that receive the requests, with their weights.
+    /// The services that receive the requests, with their relative weights.
     #[validate(
         length(min = 1, max = 32, message = "names 1 to 32 services"),
         custom(function = "crate::validation::validate_shares")
@@ -121,10 +124,10 @@
     /// The path of the health check; empty if there is none.
     #[serde(default)]
     pub health_path: String,
-    /// The maximum number of connections to one of its backends, over all clients; 0 if not set.
+    /// The maximum number of connections to each backend, over all clients; 0 if not set.
     #[serde(default, rename = "conns")]
     pub max_connections: u32,
-    /// Whether the service is sharded by key: one backend at a time holds each key.
+    /// Whether the service is sharded by key: at any time at most one backend holds a shard key.
     #[serde(default)]
     pub keyed: bool,
     /// The duration of a new backend's slow start, in microseconds.
@@ -200,6 +203,7 @@
         }
     }
 
+    /// The faults of the content itself, with their paths below `path`.
     fn faults(&self, path: &str) -> Vec<Fault> {
         let validated = match self {
             ItemBody::Route(route) => route.validate(),
@@ -225,19 +229,20 @@
     rkyv::Deserialize,
 )]
 pub struct Item {
-    /// Its version.
+    /// The version that wrote or dropped the item.
     pub version: ItemVersion,
-    /// Its content; `None` if the item was dropped.
+    /// The content; `None` if the item was dropped.
     pub body: Option<ItemBody>,
-    /// The operator's original text, kept to be returned unchanged.
+    /// The operator's original text, which queries return unchanged.
     pub text: String,
 }
 
-/// Items by kind and name. Dropped items remain, because their versions must stay known.
+/// Items by kind and name. Dropped items remain without content, so that a late call with a lower
+/// version cannot restore them.
 pub type Items = BTreeMap<ItemKey, Item>;
 
-/// A call of an operator. It is accepted as a whole or not at all, although each of its items has
-/// its own version.
+/// An operator's request to add, replace and drop items. It is accepted as a whole or not at all,
+/// although each item has its own version.
 #[derive(
     Clone,
     Debug,
@@ -272,18 +277,18 @@
 )]
 #[serde(deny_unknown_fields)]
 pub struct ItemPut {
-    /// Its name.
+    /// The name of the item.
     pub name: ItemName,
-    /// Its new version.
+    /// The new version.
     pub version: ItemVersion,
-    /// Its new content.
+    /// The new content.
     pub body: ItemBody,
     /// The operator's original text.
     #[serde(default)]
     pub text: String,
 }
 
-/// All items of a call, in the order of the call.
+/// All items of a call: those to put, then those to drop, each as it would be stored.
 pub(crate) fn items_of_call(call: &ItemCall) -> impl Iterator<Item = (ItemKey, Item)> {
     let puts = call.puts.iter().map(|put| {
         let body = Some(put.body.clone());
@@ -307,22 +312,23 @@
     puts.chain(drops)
 }
 
-/// The items of the call that are newer than the stored ones.
+/// The items of the call whose versions are higher than the stored ones.
 pub fn newer_items(items: &Items, call: &ItemCall) -> Items {
     let mut newer = Items::new();
     for (key, item) in items_of_call(call) {
-        // If a call contains one item twice, the higher version wins, as everywhere else.
-        let present = newer.get(&key).or_else(|| items.get(&key));
-        if present.is_none_or(|present| present.version < item.version) {
+        // If the call contains an item twice, the higher version wins here too.
+        let current = newer.get(&key).or_else(|| items.get(&key));
+        if current.is_none_or(|current| current.version < item.version) {
             newer.insert(key, item);
         }
     }
     newer
 }
 
-/// All faults of the call, judged by the items that would exist after it.
+/// All faults of the call. References between items are checked among the items that would exist
+/// after the call.
 pub fn faults(items: &Items, call: &ItemCall) -> Vec<Fault> {
-    let after = ItemsAfter {
+    let after = ItemsAfterCall {
         items,
         newer: newer_items(items, call),
     };
@@ -356,13 +362,15 @@
         .collect()
 }
 
-/// The items that would exist after a call, and which of them are new.
-struct ItemsAfter<'a> {
+/// The items that would exist after a call.
+struct ItemsAfterCall<'a> {
+    /// The stored items.
     items: &'a Items,
+    /// The items of the call that would replace stored ones or be added.
     newer: Items,
 }
 
-impl ItemsAfter<'_> {
+impl ItemsAfterCall<'_> {
     fn has_service(&self, name: &str) -> bool {
         let key = (ItemKind::Service, name.to_string());
         let item = self.newer.get(&key).or_else(|| self.items.get(&key));
@@ -374,6 +382,7 @@
         newer.any(|((kind, _), item)| *kind == ItemKind::Service && item.body.is_none())
     }
 
+    /// All routes that would exist after the call.
     fn routes(&self) -> impl Iterator<Item = (&ItemName, &Route)> {
         let unchanged = self
             .items
@@ -386,7 +395,8 @@
         self.newer.iter().filter_map(route_of_item)
     }
 
-    /// Unchanged routes were valid before, and still are unless a service is dropped.
+    /// The faults of routes to services that would not exist. Unchanged routes are checked only if
+    /// the call drops a service; otherwise they are as valid as before.
     fn faults_of_unknown_services(&self) -> Vec<Fault> {
         if self.drops_a_service() {
             self.unknown_services_of(self.routes())
@@ -411,6 +421,7 @@
         faults
     }
 
+    /// The faults of routes that have the same host and prefix as a new route.
     fn faults_of_duplicate_routes(&self) -> Vec<Fault> {
         let new_routes: BTreeMap<(&str, &str), &ItemName> = self
             .new_routes()
--- a/crates/model/src/error.rs
+++ b/crates/model/src/error.rs
@@ -155,8 +155,8 @@
 )]
 #[error("{execution_status:?}: {} ({detail})", kind.code())]
 pub struct Error {
-    /// Whether the request may have run. This is also so if only an earlier attempt of it may have
-    /// run, whatever the kind says.
+    /// Whether the request may have run, in this attempt or in an earlier one. It differs from the
+    /// status of the kind if only an earlier attempt may have run.
     #[serde(rename = "verdict")]
     pub execution_status: ExecutionStatus,
     /// The reason for the failure.
