--- a/crates/model/src/cluster_state/items.rs
+++ b/crates/model/src/cluster_state/items.rs
@@ -96,7 +96,7 @@
     /// The priority of the requests; 0 is the highest.
     #[serde(default)]
     pub rank: u8,
-    /// The maximum number of backends to which a request may be sent, one after the other.
+    /// The maximum number of attempts of one request that may reach a backend.
     #[validate(range(min = 1, max = 16, message = "is from 1 to 16"))]
     pub dispatches: u8,
     /// The services that receive the requests, with their relative weights.
--- a/crates/model/tests/cluster_state/snapshot.rs
+++ b/crates/model/tests/cluster_state/snapshot.rs
@@ -1,4 +1,5 @@
-//! Snapshots of followers: deltas and the full state give the same result (design 11.3).
+//! The snapshots that followers hold: applying deltas gives the same snapshot as the full state, and
+//! routes and available backends are looked up in it (design 11.3).
 
 use std::mem;
 use std::sync::Arc;
@@ -7,24 +8,32 @@
 use model::ClusterState;
 use model::cluster_state::{ClusterOperation, ClusterReport, Delta, ItemKind, StateSnapshot};
 
-type Drawn = (u8, u8, u8, u8);
+/// Random bytes that determine one step: the kind of the operation, its subject, and two parameters
+/// whose meaning depends on the kind.
+type StepBytes = (u8, u8, u8, u8);
 
-fn drawn_call(kind: u8, name: u8, version: u64, other: u8) -> model::cluster_state::ItemCall {
+/// A call to put or drop one item, out of few names so that calls often concern the same item.
+fn call_from_bytes(
+    kind: u8,
+    name: u8,
+    version: u64,
+    parameter: u8,
+) -> model::cluster_state::ItemCall {
     let (name, target) = (
         format!("route-{}", name % 4),
-        format!("service-{}", other % 3),
+        format!("service-{}", parameter % 3),
     );
     match kind % 6 {
-        0 => put(&target, version, service(other > 100)),
+        0 => put(&target, version, service(parameter > 100)),
         1 => drop_of(ItemKind::Service, &target, version),
         2 => drop_of(ItemKind::Route, &name, version),
-        3 if other > 128 => drop_of(ItemKind::Limits, "", version),
+        3 if parameter > 128 => drop_of(ItemKind::Limits, "", version),
         3 => put("", version, limits(1_000 + version)),
         _ => put(
             &name,
             version,
             route_body(
-                &format!("host-{}", other % 2),
+                &format!("host-{}", parameter % 2),
                 &format!("/{}", "long/".repeat(version as usize % 3)),
                 &target,
             ),
@@ -32,17 +41,24 @@
     }
 }
 
-fn drawn_report(state: &ClusterState, kind: u8, who: u8, one: u8, other: u8) -> ClusterReport {
+/// A report about one of few nodes, backends and ranges, so that reports often concern the same one.
+fn report_from_bytes(
+    state: &ClusterState,
+    kind: u8,
+    subject: u8,
+    byte_a: u8,
+    byte_b: u8,
+) -> ClusterReport {
     let (name, node, incarnation) = (
-        format!("backend-{}", who % 5),
-        format!("node-{}", who % 3),
-        1 + (one / 128) as u64,
+        format!("backend-{}", subject % 5),
+        format!("node-{}", subject % 3),
+        1 + (byte_a / 128) as u64,
     );
     let (from, to) = (
-        one.min(other) as u16 * 256,
-        one.max(other) as u16 * 256 + 255,
+        byte_a.min(byte_b) as u16 * 256,
+        byte_a.max(byte_b) as u16 * 256 + 255,
     );
-    let (base, at) = state
+    let (base_placement, fencing_token) = state
         .placements
         .get("service-0")
         .map(|current| (current.0, current.1[0].fencing_token))
@@ -52,46 +68,47 @@
         0 => ClusterReport::NodeRegistered {
             node,
             zone: "z0".into(),
-            address: format!("address-{}", other % 2),
+            address: format!("address-{}", byte_b % 2),
             incarnation,
             replaces: 3 - incarnation,
         },
         1 => ClusterReport::NodeLeft { node, incarnation },
         2 => ClusterReport::NodeObserved {
-            observer: format!("node-{}", other % 3),
+            observer: format!("node-{}", byte_b % 3),
             node,
             incarnation,
-            suspected: other < 200,
+            suspected: byte_b < 200,
         },
         3 | 4 => ClusterReport::BackendJoined {
             name,
             backend: model::cluster_state::BackendRecord {
-                slots: 1 + (other % 2) as u32,
+                slots: 1 + (byte_b % 2) as u32,
                 ..backend_record("service-0", &node)
             },
         },
         5 => ClusterReport::BackendDraining { name },
         6 => ClusterReport::BackendSilent {
             name,
-            silent: other < 128,
+            silent: byte_b < 128,
         },
-        7 if other > 200 => ClusterReport::BackendEnded {
+        7 if byte_b > 200 => ClusterReport::BackendEnded {
             name,
-            process_gone: one < 128,
+            process_gone: byte_a < 128,
         },
         8 => ClusterReport::ShardsReleased {
             service: service(),
             name,
             known_through: state.position,
-            ranges: vec![(from, to, format!("token-{other}"))],
+            ranges: vec![(from, to, format!("token-{byte_b}"))],
         },
         9 => ClusterReport::ReleasesExpired {
             service: service(),
-            ranges: vec![(0, to, at)],
+            ranges: vec![(0, to, fencing_token)],
         },
         _ => ClusterReport::ShardsReassigned {
             service: service(),
-            base_placement: base - (other == 7) as u64 * base,
+            // For one value of the byte, the report is based on no placement and thus outdated.
+            base_placement: base_placement - (byte_b == 7) as u64 * base_placement,
             ranges: vec![(from, to, name)],
         },
     }
@@ -103,11 +120,11 @@
 
 #[test]
 fn applying_deltas_gives_the_same_snapshot_as_the_full_state() {
-    test_support::check_generated::<[Drawn; 60]>(300, |steps| {
+    test_support::check_generated::<[StepBytes; 60]>(300, |steps| {
         let mut state = ClusterState::default();
-        // Three followers: one from the start, one that is resent the full state at times, and one
-        // that gets the deltas of several entries at once.
-        let (mut first, mut later, mut batched) = (
+        // The snapshots of three followers: one that gets the deltas of each entry, one that gets
+        // the full state at times instead, and one that gets the deltas of several entries at once.
+        let (mut incremental, mut resynced, mut batched) = (
             StateSnapshot::default(),
             StateSnapshot::default(),
             (StateSnapshot::default(), Vec::<Delta>::new()),
@@ -115,48 +132,59 @@
         steps
             .iter()
             .zip(1u64..)
-            .for_each(|((kind, who, one, other), turn)| {
+            .for_each(|((kind, subject, byte_a, byte_b), step_number)| {
                 let operation = match kind % 3 {
-                    0 => ClusterOperation::Items(drawn_call(kind / 3, *who, turn, *other)),
+                    0 => ClusterOperation::Items(call_from_bytes(
+                        kind / 3,
+                        *subject,
+                        step_number,
+                        *byte_b,
+                    )),
                     _ => ClusterOperation::Reports(vec![
-                        drawn_report(&state, kind / 3, *who, *one, *other),
-                        drawn_report(&state, *other, *one, *who, *kind),
+                        report_from_bytes(&state, kind / 3, *subject, *byte_a, *byte_b),
+                        report_from_bytes(&state, *byte_b, *byte_a, *subject, *kind),
                     ]),
                 };
                 let before = state.position;
-                let (_, deltas) = state.apply(&format!("origin-{}", who % 2), 1, turn, operation);
+                let (_, deltas) = state.apply(
+                    &format!("origin-{}", subject % 2),
+                    1,
+                    step_number,
+                    operation,
+                );
                 assert_eq!(
                     state.position > before,
                     !deltas.is_empty(),
-                    "every new position has deltas"
+                    "the position advances exactly when there are deltas"
                 );
-                first = first.updated(false, state.position, deltas.clone());
+                incremental = incremental.updated(false, state.position, deltas.clone());
                 batched.1.extend(deltas.clone());
-                later = if turn % 17 == 5 {
-                    later.updated(true, state.position, state.full_deltas())
+                resynced = if step_number % 17 == 5 {
+                    resynced.updated(true, state.position, state.full_deltas())
                 } else {
-                    later.updated(false, state.position, deltas)
+                    resynced.updated(false, state.position, deltas)
                 };
-                if turn.is_multiple_of(7) {
+                if step_number.is_multiple_of(7) {
                     batched.0 = batched
                         .0
                         .updated(false, state.position, mem::take(&mut batched.1));
                     assert_eq!(batched.0, full_snapshot(&state));
                 }
                 assert_eq!(
-                    first,
+                    incremental,
                     full_snapshot(&state),
-                    "after {kind} {who} {one} {other}"
+                    "after the step ({kind}, {subject}, {byte_a}, {byte_b})"
                 );
-                assert!(turn < 5 || later == first);
-                let restored = ClusterState::from_bytes(&state.to_bytes()).expect("a snapshot");
+                assert!(step_number < 5 || resynced == incremental);
+                let restored = ClusterState::from_bytes(&state.to_bytes())
+                    .expect("the archive of a state is valid");
                 assert_eq!(restored, state);
             });
     });
 }
 
 #[test]
-fn the_longest_prefix_wins_and_dropping_its_route_exposes_the_next() {
+fn the_longest_prefix_wins_and_the_next_longest_after_its_route_is_dropped() {
     let mut state = sample_state();
     apply_call(
         &mut state,
@@ -165,16 +193,16 @@
             put("narrow", 1, route_body("shop", "/book/now/", "seat")),
         ),
     );
-    let finds = |state: &ClusterState, path: &str| {
+    let route_name = |state: &ClusterState, path: &str| {
         full_snapshot(state)
             .route("shop", path)
             .map(|item| item.name.clone())
     };
-    assert_eq!(finds(&state, "/book/now/1").as_deref(), Some("narrow"));
-    assert_eq!(finds(&state, "/book/never").as_deref(), Some("book"));
-    assert_eq!(finds(&state, "/else").as_deref(), Some("wide"));
+    assert_eq!(route_name(&state, "/book/now/1").as_deref(), Some("narrow"));
+    assert_eq!(route_name(&state, "/book/never").as_deref(), Some("book"));
+    assert_eq!(route_name(&state, "/else").as_deref(), Some("wide"));
     apply_call(&mut state, drop_of(ItemKind::Route, "narrow", 2));
-    assert_eq!(finds(&state, "/book/now/1").as_deref(), Some("book"));
+    assert_eq!(route_name(&state, "/book/now/1").as_deref(), Some("book"));
     assert_eq!(
         full_snapshot(&state)
             .route("fair", "/book/")
@@ -183,36 +211,46 @@
     );
 }
 
+/// A new snapshot shares the lists of available backends of all services that an update does not
+/// affect. Backend `i` runs beside node `i` and serves service `i % service_count`.
 #[test]
 fn available_backends_are_rebuilt_only_for_changed_services() {
-    let services = 20;
-    let name = |at: usize| format!("backend-{at}");
-    let node = |at: usize, incarnation: u64| ClusterReport::NodeRegistered {
-        node: format!("node-{at}"),
+    let service_count = 20;
+    let name = |index: usize| format!("backend-{index}");
+    let node = |index: usize, incarnation: u64| ClusterReport::NodeRegistered {
+        node: format!("node-{index}"),
         zone: "z0".into(),
-        address: format!("address-{at}"),
+        address: format!("address-{index}"),
         incarnation,
         replaces: incarnation - 1,
     };
-    let joined = |at: usize| ClusterReport::BackendJoined {
-        name: name(at),
-        backend: backend_record(&format!("service-{}", at % services), &format!("node-{at}")),
+    let joined = |index: usize| ClusterReport::BackendJoined {
+        name: name(index),
+        backend: backend_record(
+            &format!("service-{}", index % service_count),
+            &format!("node-{index}"),
+        ),
     };
     let mut state = ClusterState::default();
-    (0..100).for_each(|at| drop(apply_reports(&mut state, vec![node(at, 1), joined(at)])));
+    (0..100).for_each(|index| {
+        drop(apply_reports(
+            &mut state,
+            vec![node(index, 1), joined(index)],
+        ))
+    });
     let mut current = full_snapshot(&state);
     let mut rebuilt_by = |report: ClusterReport| {
         let deltas = apply_reports(&mut state, vec![report]);
         let next = current.updated(false, state.position, deltas);
         let before = mem::replace(&mut current, next);
         assert_eq!(current, full_snapshot(&state));
-        let is_rebuilt = |at: &usize| {
+        let is_rebuilt = |index: &usize| {
             !Arc::ptr_eq(
-                &before.available_backends(&format!("service-{at}")),
-                &current.available_backends(&format!("service-{at}")),
+                &before.available_backends(&format!("service-{index}")),
+                &current.available_backends(&format!("service-{index}")),
             )
         };
-        (0..services).filter(is_rebuilt).collect::<Vec<_>>()
+        (0..service_count).filter(is_rebuilt).collect::<Vec<_>>()
     };
     assert_eq!(rebuilt_by(node(7, 2)), [7], "a node that registered again");
     assert_eq!(
@@ -261,7 +299,7 @@
         full_snapshot(state)
             .available_backends("seat")
             .iter()
-            .map(|one| one.name.clone())
+            .map(|backend| backend.name.clone())
             .collect::<Vec<_>>()
     };
     apply_reports(
--- a/crates/simulator/src/sim/site/mod.rs
+++ b/crates/simulator/src/sim/site/mod.rs
@@ -1,5 +1,6 @@
-//! Simulates a whole site in virtual time. The log, the state machines, the nodes' views, slots and attempt loops are the
-//! product's; only network, disks, backends, clients and operators are simulated (design 9.8).
+//! Simulates a whole site in virtual time: the replicas of the log, and the nodes with their backends and clients. The
+//! log, the state machines, and the nodes' views, slots and attempt loops are the product's; only the network, the disks,
+//! the backends, the clients and the operators are simulated (design 9.8).
 
 mod attempts;
 mod backends;
@@ -17,30 +18,45 @@
 use std::collections::VecDeque;
 use std::ops::Range;
 
+/// An event of the simulation. Nodes and backend processes are given by their indexes, and forwarded attempts by the
+/// numbers of [`Site::pending_attempts`].
 enum Event {
     Fault(SiteFault),
+    /// The node does its periodic work: it admits queued requests and sends its next report.
     NodeTick(usize),
+    /// The node requests a freshness proof, which it does periodically.
     RequestProof(usize),
     /// A node's proof request arrives at a replica: the node, the replica and the time of the request.
     ReplicaProofRequest(usize, u16, Microseconds),
     /// A node's proof request arrives at its zone's relay: the relay, the node and the time of the request.
     RelayProofRequest(usize, usize, Microseconds),
+    /// A proof arrives at a node: the node, the time of its request, and the slice of the state that is proved.
     ProofArrives(usize, Microseconds, Box<model::StateSlice>),
+    /// A backend process sends a heartbeat: the process.
     Heartbeat(usize),
-    /// A node's report arrives at a replica as an entry.
+    /// A node's report arrives at a replica as an entry: the node, its incarnation, the replica and the entry.
     Report(usize, u64, u16, Box<model::Entry>),
-    /// The outcome of a report arrives at its node.
+    /// The outcome of a report arrives at its node: the node, its incarnation, the sequence number and the outcome.
     ReportAnswered(usize, u64, u64, model::Outcome),
+    /// Operators submit changes, which they do periodically.
     OperatorChange,
-    /// A client beside the node sends the attempt of this number, or a new one for `u64::MAX`.
+    /// The client beside a node sends an attempt: the node, and the index in [`Site::attempts`], or `u64::MAX` for a new
+    /// attempt.
     SendAttempt(usize, u64),
+    /// A forwarded attempt arrives at the node beside the backend: its number, the node, the request and the time when it
+    /// was sent.
     RequestArrives(u64, usize, Box<transport::AttemptRequest>, Microseconds),
+    /// The response to a forwarded attempt arrives at the client's node.
     ResponseArrives(u64, Result<(), model::Error>),
+    /// The deadline of a forwarded attempt passes at the client's node.
     DeadlinePassed(u64),
+    /// A backend finishes the run of a forwarded attempt.
     RunEnds(u64),
+    /// The backend beside a node starts, unless it is running.
     BackendStarts(usize),
 }
 
+/// A process of a node.
 struct Node {
     pub slot_owner: legacy_proxy::SlotOwner,
     pub view: control::View,
@@ -48,17 +64,23 @@
     pub selector: legacy_proxy::selector::Selector,
     pub retry_budget: legacy_proxy::retry_budget::RetryBudget,
     pub incarnation: u64,
+    /// Whether the process is suspended. Its events are deferred meanwhile.
     pub frozen: bool,
+    /// Whether the node is disconnected from all replicas and all other nodes.
     pub cut_off: bool,
+    /// Whether the node has received SIGTERM.
     pub stopping: bool,
+    /// The events that arrived while the process was suspended.
     pub deferred: Vec<Event>,
-    /// The queued reports, the number of the last one sent, the one in flight, and the replica to which reports and proof
-    /// requests go.
+    /// The reports to be sent after the one in `entry`.
     pub outbox: VecDeque<EndpointReport>,
+    /// The sequence number of the latest entry.
     pub sequence: u64,
+    /// The report that is not answered yet, as an entry, and the time when it was last sent; 0 before that.
     pub entry: Option<(model::Entry, Microseconds)>,
+    /// The replica to which reports and proof requests are sent.
     pub replica_id: u16,
-    /// The time of the last proof, or of the last change of its source.
+    /// The time of the last proof or, if later, the time when the node turned to another replica for lack of proofs.
     pub proved_at: Microseconds,
     /// Whether the node requests proofs from a replica, not from a relay.
     pub follows_replica: bool,
@@ -68,21 +90,27 @@
     pub waiting_nodes: Vec<(usize, Microseconds, Microseconds)>,
 }
 
-/// A process of a backend. `Site::addresses` maps its address to it.
+/// A process of a backend. [`Site::addresses`] maps its address to it.
 struct BackendProcess {
     pub name: String,
     pub service: &'static str,
+    /// The index of the node beside it.
     pub node: usize,
     pub alive: bool,
     pub sends_heartbeats: bool,
+    /// The time when it announced that it is draining.
     pub drained_at: Option<Microseconds>,
     pub died_at: Option<Microseconds>,
+    /// The secret of its registration; empty before that.
     pub secret: String,
+    /// The prefix of the attempt ids that it creates as a client; empty before its registration.
     pub attempt_prefix: String,
 }
 
+/// A simulated site.
 pub struct Site {
     pub plan: SitePlan,
+    /// The virtual time, in microseconds.
     pub now: Microseconds,
     pub replicas: replicas::SiteReplicas,
     pub checks: checks::SiteChecks,
@@ -90,23 +118,30 @@
     processes: Vec<BackendProcess>,
     /// Maps each address to the process that uses it now.
     addresses: BTreeMap<u64, usize>,
+    /// The forwarded attempts without a response, by number.
     pending_attempts: BTreeMap<u64, attempts::PendingAttempt>,
+    /// All attempts that clients have created.
     attempts: Vec<attempts::ClientAttempt>,
-    /// Requests that wait for a slot.
+    /// Forwarded attempts that wait for a slot of the backend, by number.
     queued_attempts: BTreeMap<u64, transport::AttemptRequest>,
     runs: BTreeMap<u64, backends::Run>,
+    /// The last number assigned to a forwarded attempt, a read, or an entry with an operator's change.
     last_number: u64,
-    /// Maps the token of each read to the node that requested the proof and the time of its request.
+    /// Maps the token of each read at a replica to the node that requested the proof and the time of its request.
     pending_reads: BTreeMap<u64, (usize, Microseconds)>,
+    /// Maps the key of each entry with a report (origin, incarnation and sequence number) to the node that sent it.
     reports: BTreeMap<(String, u64, u64), usize>,
+    /// Maps the key of each entry with an operator's change that is not accepted yet to the id of the change.
     changes: BTreeMap<(String, u64, u64), String>,
     operator_change_count: u64,
     rng: rand::rngs::StdRng,
+    /// The pending events by time. Events of the same time are ordered by their numbers, that is, as they were scheduled.
     events: BTreeMap<(Microseconds, u64), Event>,
     last_event_number: u64,
 }
 
 impl Site {
+    /// Creates a site whose nodes, backends, clients and operators are about to start.
     pub fn new(plan: SitePlan) -> Site {
         let replicas =
             replicas::SiteReplicas::new(plan.replica_count, plan.seed, plan.disabled.disk_sync);
@@ -149,6 +184,7 @@
         site
     }
 
+    /// A new process of a node, without any state.
     fn new_node(&self, node_index: usize) -> Node {
         Node {
             slot_owner: legacy_proxy::SlotOwner::new(self.plan.slot_owner_config(node_index)),
@@ -162,7 +198,7 @@
                     1
                 },
             ),
-            // Incarnations of a node have no order, as those of a real process.
+            // As in the product, the incarnations of a node have no order.
             incarnation: model::leases::stable_hash(&format!("{node_index} {}", self.now)),
             frozen: false,
             cut_off: false,
@@ -179,7 +215,7 @@
         }
     }
 
-    /// The registration of a node, as the successor of the incarnation in its view.
+    /// The report that registers a node. It names the incarnation that the node replaces, which is the one in its view.
     fn registration(&self, node_index: usize) -> EndpointReport {
         let (node, incarnation) = (format!("n{node_index}"), self.nodes[node_index].incarnation);
         let replaces = self.nodes[node_index]
@@ -203,7 +239,7 @@
         self.nodes[node_index].outbox.push_back(report);
     }
 
-    /// Replaces a node's process by a new one that has lost all state.
+    /// Replaces a node's process by a new one without any state. The network faults of the node remain.
     fn restart(&mut self, node_index: usize) {
         let cut_off = self.nodes[node_index].cut_off;
         self.nodes[node_index] = Node {
@@ -228,6 +264,7 @@
         self.schedule(time, Event::Fault(fault));
     }
 
+    /// Draws a network delay, in microseconds.
     fn draw_delay(&mut self) -> Microseconds {
         rand::Rng::random_range(
             &mut self.rng,
@@ -265,6 +302,8 @@
         self.schedule(self.now, Event::Heartbeat(process));
     }
 
+    /// The index of the live process of the node's own backend that sends heartbeats. Backends that were started at the
+    /// address of another one have other names.
     fn main_process(&self, node_index: usize) -> Option<usize> {
         let name = format!("b{node_index}");
         self.processes
@@ -272,6 +311,7 @@
             .rposition(|process| process.name == name && process.alive && process.sends_heartbeats)
     }
 
+    /// Starts the node's own backend unless it is running.
     fn start_backend(&mut self, node_index: usize) {
         if self.main_process(node_index).is_none() {
             self.new_process(
@@ -283,6 +323,7 @@
         }
     }
 
+    /// Handles all events up to the time `end`, in microseconds.
     pub fn run_until(&mut self, end: Microseconds) {
         while let Some(((time, order), event)) = self.events.pop_first() {
             if time > end {
@@ -296,7 +337,8 @@
         self.now = end;
     }
 
-    /// Heals all faults, runs the site until it has recovered, and returns the violations.
+    /// Heals all faults at the time `end`, runs the site for the time of recovery, and returns all violations. Every
+    /// service must be served again in the second half of that time.
     pub fn finish(&mut self, end: Microseconds) -> Vec<String> {
         (0..NODE_COUNT).for_each(|node_index| {
             self.schedule_fault(end, SiteFault::Unfreeze(node_index));
