--- a/crates/simulator/src/hollow/events.rs
+++ b/crates/simulator/src/hollow/events.rs
@@ -233,7 +233,7 @@
     let doubled = Arc::new(state.nodes.clone().into_iter().chain(absent).collect());
     let (nodes, mut ring) = (
         Arc::new(state.nodes.clone()),
-        control::failure_detection::ring::RingPosition::default(),
+        control::failure_detection::ring::RingNeighbours::default(),
     );
     let times = (20_000 / plan.nodes as u32).max(5);
     BTreeMap::from([
@@ -245,13 +245,13 @@
         (
             "ring made",
             mean_cpu_us(times, || {
-                control::failure_detection::ring::RingPosition::default().update(&nodes, "n0")
+                control::failure_detection::ring::RingNeighbours::default().update(&nodes, "n0")
             }),
         ),
         (
             "ring made, twice the names",
             mean_cpu_us(times, || {
-                control::failure_detection::ring::RingPosition::default().update(&doubled, "n0")
+                control::failure_detection::ring::RingNeighbours::default().update(&doubled, "n0")
             }),
         ),
         (
