--- a/crates/backend-api/tests/golden_requests.rs
+++ b/crates/backend-api/tests/golden_requests.rs
@@ -1,5 +1,5 @@
-//! Compares requests to backends, headers and seals with golden files (`tests/golden/`). With
-//! `GRADEFORD_WRITE_GOLDEN=1` the files are written anew; see
+//! Golden-file tests (`tests/golden/`) for the requests to backends, the header names and the seals of
+//! responses. `GRADEFORD_WRITE_GOLDEN=1` regenerates the files, see
 //! `crates/test-support/tests/golden_files/mod.rs`.
 
 #[path = "../../test-support/tests/golden_files/mod.rs"]
@@ -43,11 +43,11 @@
     }
 }
 
-/// Forwards the attempt to a backend. Returns the request that the backend received, with its
-/// headers sorted by name, and the response that was passed on.
-async fn exchange(attempt_request: AttemptRequest) -> String {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address").to_string();
+/// Forwards the attempt to a stub backend. Returns the request that the backend received, with its
+/// headers sorted by name, and the response that the client returned.
+async fn forward_to_stub(attempt_request: AttemptRequest) -> String {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = listener.local_addr().expect("a bound address").to_string();
     let attempt_id = attempt_request.attempt_id.clone();
     let backend = thread::spawn(move || {
         let (stream, _) = listener.accept().expect("a connection");
@@ -55,7 +55,7 @@
         let mut lines: Vec<String> = reader
             .by_ref()
             .lines()
-            .map(|line| line.expect("text"))
+            .map(|line| line.expect("valid UTF-8"))
             .take_while(|line| !line.is_empty())
             .collect();
         let length = lines
@@ -74,7 +74,7 @@
         format!(
             "{}\n\n{}\n",
             lines.join("\n"),
-            String::from_utf8(body).expect("text")
+            String::from_utf8(body).expect("valid UTF-8")
         )
     });
     let response = BackendClient::new()
@@ -89,7 +89,7 @@
         .collect();
     let received = backend
         .join()
-        .expect("the backend thread")
+        .expect("the backend thread ends")
         .replace(&address, "<back end>");
     format!(
         "{received}---\n{}\n{headers}seal: {}\n{}\n\n",
@@ -101,11 +101,11 @@
 
 #[tokio::test]
 async fn requests_to_backends_match_the_golden_file() {
-    let all = [
-        exchange(attempt_request(None, None, "")).await,
-        exchange(attempt_request(Some("k-1"), Some(7), "body")).await,
+    let transcripts = [
+        forward_to_stub(attempt_request(None, None, "")).await,
+        forward_to_stub(attempt_request(Some("k-1"), Some(7), "body")).await,
     ];
-    compare("dispatches.txt", &all.concat(), &[]);
+    compare("dispatches.txt", &transcripts.concat(), &[]);
 }
 
 #[test]
--- a/crates/gradeford-core/tests/golden_program.rs
+++ b/crates/gradeford-core/tests/golden_program.rs
@@ -64,7 +64,7 @@
 fn every_setting_is_required_or_has_a_default() {
     let mut transcript = required().check_transcript(&PROGRAM);
     for (name, _) in REQUIRED {
-        transcript.push_str(&required().without(name).check_transcript(&PROGRAM));
+        transcript.push_str(&required().without_setting(name).check_transcript(&PROGRAM));
     }
     compare("needed_settings.txt", &transcript, &[]);
 }
@@ -128,14 +128,18 @@
     let mut transcript = String::new();
     for (name, values) in values {
         for value in values {
-            transcript.push_str(&required().with(name, value).check_transcript(&PROGRAM));
+            transcript.push_str(
+                &required()
+                    .with_setting(name, value)
+                    .check_transcript(&PROGRAM),
+            );
         }
     }
     // The order in which several faults are reported is not fixed.
     let several_faults = required()
-        .with("seats", "2")
-        .with("alpha", "0")
-        .with("mates_address", "\"here\"")
+        .with_setting("seats", "2")
+        .with_setting("alpha", "0")
+        .with_setting("mates_address", "\"here\"")
         .check_transcript(&PROGRAM);
     let mut lines: Vec<&str> = several_faults.lines().collect();
     lines.sort_unstable();
@@ -147,17 +151,18 @@
 
 #[test]
 fn flags_override_the_file_and_are_parsed_as_before() {
-    let with = |arguments: &[&str]| required().check_transcript_with(&PROGRAM, arguments);
+    let check_with_flags =
+        |arguments: &[&str]| required().check_transcript_with(&PROGRAM, arguments);
     let transcript = [
-        with(&["--seats", "4"]),
-        with(&["--name", "1", "--zone", "2"]),
-        with(&["--seeds", "127.0.0.1:1,127.0.0.1:2,"]),
-        with(&["--seeds", ""]),
-        with(&["--seat", "true"]),
-        with(&["--alpha", "many"]),
-        with(&["--replace-after-us", "1"]),
-        with(&["--replace_after_us", "1"]),
-        with(&["--log-level", "loud"]),
+        check_with_flags(&["--seats", "4"]),
+        check_with_flags(&["--name", "1", "--zone", "2"]),
+        check_with_flags(&["--seeds", "127.0.0.1:1,127.0.0.1:2,"]),
+        check_with_flags(&["--seeds", ""]),
+        check_with_flags(&["--seat", "true"]),
+        check_with_flags(&["--alpha", "many"]),
+        check_with_flags(&["--replace-after-us", "1"]),
+        check_with_flags(&["--replace_after_us", "1"]),
+        check_with_flags(&["--log-level", "loud"]),
     ];
     compare("flags.txt", &transcript.concat(), &[]);
 }
@@ -177,37 +182,37 @@
 
 #[test]
 fn failures_at_start_keep_their_exit_code() {
-    let folder = program::create_test_folder("core-failed");
-    let file = folder.join("file");
+    let temp_dir = program::create_temp_dir("core-failed");
+    let file = temp_dir.join("file");
     fs::write(&file, "").expect("the file can be written");
     // 192.0.2.1 is reserved for documentation, so binding to it fails on every machine.
     let foreign_address = "\"192.0.2.1:1\"";
-    let disk_in = |path: &Path| format!("{:?}", path.join("disk"));
+    let disk_setting_in = |path: &Path| format!("{:?}", path.join("disk"));
     let cases = [
         required()
-            .with("mates_address", foreign_address)
-            .with("folder", &disk_in(&folder)),
+            .with_setting("mates_address", foreign_address)
+            .with_setting("folder", &disk_setting_in(&temp_dir)),
         required()
-            .with("operators_address", foreign_address)
-            .with("folder", &disk_in(&folder)),
-        required().with("folder", &disk_in(&file)),
+            .with_setting("operators_address", foreign_address)
+            .with_setting("folder", &disk_setting_in(&temp_dir)),
+        required().with_setting("folder", &disk_setting_in(&file)),
     ];
     let transcript: String = cases
         .into_iter()
         .map(|settings| settings.start_transcript(&PROGRAM))
         .collect();
-    fs::remove_dir_all(&folder).expect("the directory can be removed");
+    fs::remove_dir_all(&temp_dir).expect("the directory can be removed");
     compare(
         "failed.txt",
         &transcript,
-        &[Volatile::Value(&folder.display().to_string(), "folder")],
+        &[Volatile::Value(&temp_dir.display().to_string(), "folder")],
     );
 }
 
 #[test]
 fn defaults_are_unchanged() {
-    let folder = program::create_test_folder("core-defaults");
-    let settings = required().with("folder", &format!("{:?}", folder.join("disk")));
+    let temp_dir = program::create_temp_dir("core-defaults");
+    let settings = required().with_setting("folder", &format!("{:?}", temp_dir.join("disk")));
     // Each default with a neighbouring value. `log_level` is left out: it needs no restart, and the
     // test reads log lines of level `info`.
     let defaults = [
@@ -217,17 +222,17 @@
         ("snapshot_every", "500", "501"),
         ("replace_after_us", "3000000", "3000001"),
     ];
-    let transcript = program::defaults_report(&PROGRAM, &folder, &settings, &defaults);
-    fs::remove_dir_all(&folder).expect("the directory can be removed");
+    let transcript = program::defaults_report(&PROGRAM, &temp_dir, &settings, &defaults);
+    fs::remove_dir_all(&temp_dir).expect("the directory can be removed");
     compare("defaults.txt", &transcript, &[]);
 }
 
-/// Formats a TOML value as one `path = value` line for each leaf.
-fn flattened(path: &str, value: &toml::Value) -> String {
+/// Formats a TOML value as one `path = value` line for each value that is not a table.
+fn flatten(path: &str, value: &toml::Value) -> String {
     match value {
         toml::Value::Table(table) => table
             .iter()
-            .map(|(key, value)| flattened(&format!("{path}.{key}"), value))
+            .map(|(key, value)| flatten(&format!("{path}.{key}"), value))
             .collect(),
         value => format!("{} = {value}\n", path.trim_start_matches('.')),
     }
@@ -238,9 +243,5 @@
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../deploy/system.toml");
     let text = fs::read_to_string(path).expect("deploy/system.toml");
     let table: toml::Table = text.parse().expect("valid TOML");
-    compare(
-        "system.txt",
-        &flattened("", &toml::Value::Table(table)),
-        &[],
-    );
+    compare("system.txt", &flatten("", &toml::Value::Table(table)), &[]);
 }
--- a/crates/gradeford-node/tests/golden_answers.rs
+++ b/crates/gradeford-node/tests/golden_answers.rs
@@ -30,7 +30,10 @@
 /// address.
 async fn start_core(temp_dir: &Path) -> (ReplicaHandle, String) {
     let peer_listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let address = peer_listener.local_addr().expect("an address").to_string();
+    let address = peer_listener
+        .local_addr()
+        .expect("a bound address")
+        .to_string();
     let config = ReplicaConfig {
         name: "core-0".into(),
         zone: "z".into(),
@@ -114,7 +117,13 @@
         }
     }
 
-    fn request(&self, method: &str, path: &str, headers: &[(&str, &str)], body: &str) -> String {
+    fn send_request(
+        &self,
+        method: &str,
+        path: &str,
+        headers: &[(&str, &str)],
+        body: &str,
+    ) -> String {
         let mut stream = TcpStream::connect(&self.address).expect("a connection");
         stream
             .set_read_timeout(Some(TIMEOUT))
@@ -150,13 +159,13 @@
 
     /// Sends a request and appends the request and its answer to the transcript.
     fn call(&mut self, method: &str, path: &str, headers: &[(&str, &str)], body: &str) -> String {
-        let answer = self.request(method, path, headers, body);
-        let sent: String = headers
+        let answer = self.send_request(method, path, headers, body);
+        let header_lines: String = headers
             .iter()
             .map(|(name, value)| format!("{name}: {value}\n"))
             .collect();
         self.transcript
-            .push_str(&format!("{method} {path}\n{sent}{body}\n{answer}"));
+            .push_str(&format!("{method} {path}\n{header_lines}{body}\n{answer}"));
         answer
     }
 
@@ -164,7 +173,7 @@
     fn wait_until_ready(&mut self) {
         let started_at = Instant::now();
         let ready = loop {
-            let answer = self.request("GET", "/ready", &[], "");
+            let answer = self.send_request("GET", "/ready", &[], "");
             if answer.contains(" 200 ") {
                 break answer;
             }
@@ -191,20 +200,20 @@
         ("address", json!("here")),
         ("speed", json!(1)),
     ];
-    let with = |(key, value): (&str, Value)| {
+    let with_field = |(key, value): (&str, Value)| {
         let mut request = registration();
         request[key] = value;
         request
     };
-    let without = |key: &str| {
+    let without_field = |key: &str| {
         let mut request = registration();
         request.as_object_mut().expect("an object").remove(key);
         request
     };
     invalid
         .into_iter()
-        .map(with)
-        .chain(["name", "service", "zone", "slots", "address"].map(without))
+        .map(with_field)
+        .chain(["name", "service", "zone", "slots", "address"].map(without_field))
         .collect()
 }
 
@@ -244,11 +253,11 @@
         &[("x-gradeford-try", "nameless")],
         "",
     );
-    let named = [
+    let attempt_headers = [
         ("x-gradeford-try", "n/seat-0/1/one"),
         ("authorization", "Bearer none"),
     ];
-    node.call("GET", "/call/desk/x", &named, "");
+    node.call("GET", "/call/desk/x", &attempt_headers, "");
     compare(
         "node_without_a_core.txt",
         &node.transcript,
@@ -275,8 +284,8 @@
         .expect("JSON");
     let body: Value = serde_json::from_str(body).expect("JSON");
     let secret = body["secret"].as_str().expect("a secret").to_string();
-    let bearer = format!("Bearer {secret}");
-    let bearer = [("authorization", bearer.as_str())];
+    let authorization = format!("Bearer {secret}");
+    let bearer = [("authorization", authorization.as_str())];
     node.call("POST", "/back-end/beat", &bearer, HEARTBEAT);
     node.call(
         "POST",
@@ -297,23 +306,28 @@
         &HEARTBEAT.replace("\"z\"", "\"y\""),
     );
     let prefix = body["try_prefix"].as_str().expect("a prefix").to_string();
-    let calls = [
+    let attempts = [
         ("/call/seat/x", "one"),
         ("/call/none/x", "two"),
         ("/call/desk/a/../b", "three"),
         ("/call/desk/x", "four"),
         ("/call/desk/x", "four"),
     ];
-    for (path, name) in calls {
-        let try_id = format!("{prefix}{name}");
-        node.call("GET", path, &[("x-gradeford-try", &try_id), bearer[0]], "");
+    for (path, name) in attempts {
+        let attempt_id = format!("{prefix}{name}");
+        node.call(
+            "GET",
+            path,
+            &[("x-gradeford-try", &attempt_id), bearer[0]],
+            "",
+        );
     }
-    let try_id = format!("{prefix}five");
+    let attempt_id = format!("{prefix}five");
     node.call(
         "GET",
         "/call/desk/x",
         &[
-            ("x-gradeford-try", &try_id),
+            ("x-gradeford-try", &attempt_id),
             ("x-gradeford-wait", "soon"),
             bearer[0],
         ],
@@ -326,7 +340,7 @@
     if started_at.elapsed() > Duration::from_millis(900) || node.transcript.contains("not_fresh") {
         return None;
     }
-    let volatile = [
+    let volatile_fields = [
         "life",
         "traffic",
         "known",
@@ -336,13 +350,16 @@
         "left_us",
     ]
     .map(Volatile::Field);
-    let values = [
+    let volatile_values = [
         Volatile::Value(&secret, "secret"),
         Volatile::Value(&prefix, "prefix"),
     ];
     Some(with_placeholders(
         &node.transcript,
-        &volatile.into_iter().chain(values).collect::<Vec<_>>(),
+        &volatile_fields
+            .into_iter()
+            .chain(volatile_values)
+            .collect::<Vec<_>>(),
     ))
 }
 
--- a/crates/gradeford-node/tests/golden_program.rs
+++ b/crates/gradeford-node/tests/golden_program.rs
@@ -60,7 +60,7 @@
 fn every_setting_is_required_or_has_a_default() {
     let mut transcript = required().check_transcript(&PROGRAM);
     for (name, _) in REQUIRED {
-        transcript.push_str(&required().without(name).check_transcript(&PROGRAM));
+        transcript.push_str(&required().without_setting(name).check_transcript(&PROGRAM));
     }
     compare("needed_settings.txt", &transcript, &[]);
 }
@@ -136,14 +136,18 @@
     let mut transcript = String::new();
     for (name, values) in values {
         for value in values {
-            transcript.push_str(&required().with(name, value).check_transcript(&PROGRAM));
+            transcript.push_str(
+                &required()
+                    .with_setting(name, value)
+                    .check_transcript(&PROGRAM),
+            );
         }
     }
     // The order in which several faults are reported is not fixed.
     let several_faults = required()
-        .with("beat_every_us", "2")
-        .with("guard_us", "0")
-        .with("mates_address", "\"here\"")
+        .with_setting("beat_every_us", "2")
+        .with_setting("guard_us", "0")
+        .with_setting("mates_address", "\"here\"")
         .check_transcript(&PROGRAM);
     let mut lines: Vec<&str> = several_faults.lines().collect();
     lines.sort_unstable();
@@ -155,17 +159,18 @@
 
 #[test]
 fn flags_override_the_file_and_are_parsed_as_before() {
-    let with = |arguments: &[&str]| required().check_transcript_with(&PROGRAM, arguments);
+    let check_with_flags =
+        |arguments: &[&str]| required().check_transcript_with(&PROGRAM, arguments);
     let transcript = [
-        with(&["--beat-every-us", "4"]),
-        with(&["--name", "1", "--zone", "2"]),
-        with(&["--seeds", "127.0.0.1:1,127.0.0.1:2,"]),
-        with(&["--seeds", ""]),
-        with(&["--homes", "false"]),
-        with(&["--homes", "no"]),
-        with(&["--guard-us", "many"]),
-        with(&["--guard_us", "50000"]),
-        with(&["--log-level", "loud"]),
+        check_with_flags(&["--beat-every-us", "4"]),
+        check_with_flags(&["--name", "1", "--zone", "2"]),
+        check_with_flags(&["--seeds", "127.0.0.1:1,127.0.0.1:2,"]),
+        check_with_flags(&["--seeds", ""]),
+        check_with_flags(&["--homes", "false"]),
+        check_with_flags(&["--homes", "no"]),
+        check_with_flags(&["--guard-us", "many"]),
+        check_with_flags(&["--guard_us", "50000"]),
+        check_with_flags(&["--log-level", "loud"]),
     ];
     compare("flags.txt", &transcript.concat(), &[]);
 }
@@ -190,7 +195,7 @@
     let transcript: String = ["mates_address", "local_address"]
         .map(|name| {
             required()
-                .with(name, foreign_address)
+                .with_setting(name, foreign_address)
                 .start_transcript(&PROGRAM)
         })
         .concat();
@@ -199,7 +204,7 @@
 
 #[test]
 fn defaults_are_unchanged() {
-    let folder = program::create_test_folder("node-defaults");
+    let temp_dir = program::create_temp_dir("node-defaults");
     // Each default with a neighbouring value. `log_level` is left out: it needs no restart, and the
     // test reads log lines of level `info`.
     let defaults = [
@@ -214,7 +219,7 @@
         ("watch_patience_us", "1000000", "999999"),
         ("homes", "true", "false"),
     ];
-    let transcript = program::defaults_report(&PROGRAM, &folder, &required(), &defaults);
-    fs::remove_dir_all(&folder).expect("the directory can be removed");
+    let transcript = program::defaults_report(&PROGRAM, &temp_dir, &required(), &defaults);
+    fs::remove_dir_all(&temp_dir).expect("the directory can be removed");
     compare("defaults.txt", &transcript, &[]);
 }
--- a/crates/gradefordctl/tests/golden_compare.rs
+++ b/crates/gradefordctl/tests/golden_compare.rs
@@ -58,29 +58,29 @@
 
 /// Runs the command for two states and returns its output and exit code. Retries after a timeout of
 /// the command, which a stall of the machine can cause.
-fn compare_states(one: Option<Value>, two: Option<Value>) -> String {
+fn compare_states(first: Option<Value>, second: Option<Value>) -> String {
     let timeout_message = Error::TimedOut.to_string();
-    let mut attempts = (0..60).map(|_| compare_states_once(one.clone(), two.clone()));
+    let mut attempts = (0..60).map(|_| compare_states_once(first.clone(), second.clone()));
     attempts
         .find(|output| !output.contains("no answer in time") && !output.contains(&timeout_message))
         .expect("one attempt ends without a timeout")
 }
 
-fn compare_states_once(one: Option<Value>, two: Option<Value>) -> String {
+fn compare_states_once(first: Option<Value>, second: Option<Value>) -> String {
     let runtime = Runtime::new().expect("a runtime");
-    let [one, two] = [one, two].map(|state| runtime.block_on(start_stub_peer(state)));
+    let [first, second] = [first, second].map(|state| runtime.block_on(start_stub_peer(state)));
     let output = Command::new(env!("CARGO_BIN_EXE_gradefordctl"))
-        .args(["compare", &one, &two])
+        .args(["compare", &first, &second])
         .output()
         .expect("the program can be started");
-    let [out, err] =
+    let [stdout, stderr] =
         [output.stdout, output.stderr].map(|bytes| String::from_utf8(bytes).expect("valid UTF-8"));
     format!(
-        "exit code {:?}\n--- out\n{out}--- err\n{err}\n",
+        "exit code {:?}\n--- out\n{stdout}--- err\n{stderr}\n",
         output.status.code()
     )
-    .replace(&one, "<first>")
-    .replace(&two, "<second>")
+    .replace(&first, "<first>")
+    .replace(&second, "<second>")
 }
 
 fn node_state() -> Value {
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_core_and_a_node_are_compared_in_one_form() {
+fn states_of_a_core_and_a_node_are_compared_in_the_same_form() {
     let node = node_state();
     let core = json!({
         "position": 5, "desired": { "version": 2, "groupings": node["groupings"], "orders": { "o": { "wait_us": 2 } } },
--- a/crates/gradefordctl/tests/golden_program.rs
+++ b/crates/gradefordctl/tests/golden_program.rs
@@ -28,10 +28,10 @@
         .expect("a pipe")
         .write_all(input.as_bytes());
     let process_output = child.wait_with_output().expect("the program ends");
-    let [out, err] = [process_output.stdout, process_output.stderr]
+    let [stdout, stderr] = [process_output.stdout, process_output.stderr]
         .map(|bytes| String::from_utf8(bytes).expect("valid UTF-8"));
     format!(
-        "$ gradefordctl {}\nexit code {:?}\n--- out\n{out}--- err\n{err}\n",
+        "$ gradefordctl {}\nexit code {:?}\n--- out\n{stdout}--- err\n{stderr}\n",
         arguments.join(" "),
         process_output.status.code()
     )
@@ -148,7 +148,7 @@
         r#"{"holders":{"0":"00000000000000aa","1":"00000000000000bb"}}"#,
     );
     let change = r#"{"edits":[{"drop_order":{"name":"a"}}]}"#;
-    let whole = r#"{"id":"own","base":3,"edits":[]}"#;
+    let complete_change = r#"{"id":"own","base":3,"edits":[]}"#;
     let transcript = [
         run_against_stub(&["get"], "", &[desired]),
         run_against_stub(&["get", "grouping", "a"], "", &[desired]),
@@ -159,10 +159,10 @@
             &run_against_stub(&["apply", "-"], change, &[desired, accepted]),
             &[Volatile::Field("id")],
         ),
-        run_against_stub(&["apply", "-"], whole, &[accepted]),
+        run_against_stub(&["apply", "-"], complete_change, &[accepted]),
         run_against_stub(
             &["apply", "-", "--id", "given", "--base", "5"],
-            whole,
+            complete_change,
             &[accepted],
         ),
         run_against_stub(
@@ -247,18 +247,25 @@
 
 #[test]
 fn the_next_core_is_tried_after_one_without_a_majority() {
-    let (first, one) = start_stub_core(vec![(503, "{}")]);
-    let (second, two) = start_stub_core(vec![(200, r#"{"version":7}"#)]);
-    let output = run_program(&["--core", &format!("{first},{second}"), "get"], "");
-    let requests = [one, two]
+    let (first_address, first_stub) = start_stub_core(vec![(503, "{}")]);
+    let (second_address, second_stub) = start_stub_core(vec![(200, r#"{"version":7}"#)]);
+    let output = run_program(
+        &[
+            "--core",
+            &format!("{first_address},{second_address}"),
+            "get",
+        ],
+        "",
+    );
+    let requests = [first_stub, second_stub]
         .map(|stub| stub.join().expect("the stub core ends"))
         .concat();
     compare(
         "next_core.txt",
         &format!("{output}{requests}"),
         &[
-            Volatile::Value(&first, "first"),
-            Volatile::Value(&second, "second"),
+            Volatile::Value(&first_address, "first"),
+            Volatile::Value(&second_address, "second"),
         ],
     );
 }
@@ -266,15 +273,16 @@
 #[test]
 fn an_unreachable_core_keeps_its_exit_code() {
     // No process listens on port 1 of the loopback address.
-    let run_and_filter_output = |arguments: &[&str]| {
+    // Omits the line that holds the text of the connection error.
+    let output_without_error_text = |arguments: &[&str]| {
         run_program(arguments, "")
             .lines()
             .filter(|line| !line.contains("127.0.0.1:1: "))
             .collect::<Vec<_>>()
             .join("\n")
     };
-    let get_output = run_and_filter_output(&["--core", "127.0.0.1:1", "get"]);
-    let compare_output = run_and_filter_output(&["compare", "127.0.0.1:1", "127.0.0.1:1"]);
+    let get_output = output_without_error_text(&["--core", "127.0.0.1:1", "get"]);
+    let compare_output = output_without_error_text(&["compare", "127.0.0.1:1", "127.0.0.1:1"]);
     compare(
         "unreachable.txt",
         &format!("{get_output}\n{compare_output}\n"),
--- a/crates/http-util/tests/golden_answers.rs
+++ b/crates/http-util/tests/golden_answers.rs
@@ -41,7 +41,7 @@
     async fn handle(&self, request: &mut Request, response: &mut Response) {
         match http_util::read_json::<Change>(request).await {
             Ok(change) => http_util::write_json(response, 200, &change),
-            Err(fault) => http_util::write_json(response, 400, &fault),
+            Err(error) => http_util::write_json(response, 400, &error),
         }
     }
 }
@@ -78,7 +78,7 @@
     let http_server =
         HttpServer::start("127.0.0.1:0", Router::with_path("{code}").get(ErrorHandler))
             .await
-            .expect("http");
+            .expect("the HTTP server starts");
     let mut transcript = String::new();
     for kind in ErrorKind::ALL {
         for query in ["", "?later"] {
@@ -88,7 +88,7 @@
                 "GET {path}\n{}",
                 send_request(&http_server, "GET", &path, "").await
             )
-            .expect("text");
+            .expect("writing to a string succeeds");
         }
     }
     compare("troubles.txt", &transcript, &[]);
@@ -98,7 +98,7 @@
 async fn invalid_bodies_keep_their_faults() {
     let http_server = HttpServer::start("127.0.0.1:0", Router::new().post(EchoHandler))
         .await
-        .expect("http");
+        .expect("the HTTP server starts");
     let bodies = [
         r#"{"id":"a","base":1,"edits":[]}"#,
         "",
@@ -117,7 +117,7 @@
             "POST {body}\n{}",
             send_request(&http_server, "POST", "/", body).await
         )
-        .expect("text");
+        .expect("writing to a string succeeds");
     }
     let large = " ".repeat(http_util::MAX_BODY_BYTES + 1);
     writeln!(
@@ -125,7 +125,7 @@
         "POST one byte over the limit\n{}",
         send_request(&http_server, "POST", "/", &large).await
     )
-    .expect("text");
+    .expect("writing to a string succeeds");
     compare("bodies.txt", &transcript, &[]);
 }
 
--- a/crates/operator-api/tests/golden_answers.rs
+++ b/crates/operator-api/tests/golden_answers.rs
@@ -83,26 +83,28 @@
         });
         let response = request.send().await.expect("an answer");
         let status = response.status().as_u16();
-        let header = |name: &str| {
+        let header_line = |name: &str| {
             response
                 .headers()
                 .get(name)
                 .map(|value| format!("{name}: {}\n", value.to_str().expect("text")))
                 .unwrap_or_default()
         };
-        let own_headers = ["content-type", "etag", "retry-after"].map(header).concat();
+        let relevant_headers = ["content-type", "etag", "retry-after"]
+            .map(header_line)
+            .concat();
         let answer = response.text().await.expect("text");
         let shown_answer = if answer.starts_with("<!DOCTYPE") {
             "(a page of the HTTP library)"
         } else {
             &answer
         };
-        let sent: String = headers
+        let header_lines: String = headers
             .iter()
             .map(|(name, value)| format!("{name}: {value}\n"))
             .collect();
         self.transcript.push_str(&format!(
-            "{method} {path}\n{sent}{body}\n{status}\n{own_headers}{shown_answer}\n\n"
+            "{method} {path}\n{header_lines}{body}\n{status}\n{relevant_headers}{shown_answer}\n\n"
         ));
     }
 
@@ -163,25 +165,30 @@
     ] {
         server.call("GET", path, &[], "").await;
     }
-    let own_headers = |base, id| [("if-match", base), ("x-change-id", id)];
+    let change_headers = |base, id| [("if-match", base), ("x-change-id", id)];
     let grouping = r#"{"service":"seat","zone":"z2"}"#;
     let order = r#"{"selector":{"from":["seat"],"service":"seat"},"wait_us":5000}"#;
     server
         .call(
             "PUT",
             "/v1/groupings/more",
-            &own_headers("\"1\"", "more"),
+            &change_headers("\"1\"", "more"),
             grouping,
         )
         .await;
     server
-        .call("PUT", "/v1/orders/more", &own_headers("2", "order"), order)
+        .call(
+            "PUT",
+            "/v1/orders/more",
+            &change_headers("2", "order"),
+            order,
+        )
         .await;
     server
         .call(
             "PUT",
             "/v1/orders/more",
-            &own_headers("\"1\"", "stale"),
+            &change_headers("\"1\"", "stale"),
             order,
         )
         .await;
@@ -190,13 +197,18 @@
         .call("PUT", "/v1/orders/more", &[("if-match", "\"3\"")], order)
         .await;
     server
-        .call("PUT", "/v1/orders/more", &own_headers("\"3\"", "bad"), "{}")
+        .call(
+            "PUT",
+            "/v1/orders/more",
+            &change_headers("\"3\"", "bad"),
+            "{}",
+        )
         .await;
     server
         .call(
             "DELETE",
             "/v1/orders/more",
-            &own_headers("\"3\"", "drop"),
+            &change_headers("\"3\"", "drop"),
             "",
         )
         .await;
@@ -204,7 +216,7 @@
         .call(
             "DELETE",
             "/v1/orders/more",
-            &own_headers("\"4\"", "absent"),
+            &change_headers("\"4\"", "absent"),
             "",
         )
         .await;
@@ -213,7 +225,7 @@
         .call(
             "DELETE",
             "/v1/groupings/more",
-            &own_headers("\"4\"", "away"),
+            &change_headers("\"4\"", "away"),
             "",
         )
         .await;
@@ -302,9 +314,9 @@
     let temp_dir = temp_dir("status");
     let mut server = TestServer::start(&temp_dir, 1).await;
     wait_until_voting(&server.replica).await;
-    let identity = format!("{:016x}", server.replica.disk_id());
+    let disk_id = format!("{:016x}", server.replica.disk_id());
     server.call("GET", "/v1/status", &[], "").await;
-    let seat = KnownReplica {
+    let known_replica = KnownReplica {
         replica_id: 1,
         disk_id: 2,
         address: "127.0.0.1:3".into(),
@@ -313,9 +325,9 @@
     };
     server.transcript.push_str(&format!(
         "a known seat: {}\n",
-        serde_json::to_string(&seat).expect("JSON")
+        serde_json::to_string(&known_replica).expect("JSON")
     ));
-    let counts = [
+    let volatile_fields = [
         "applied",
         "floor",
         "frames",
@@ -329,10 +341,10 @@
         "in_touch",
         "met",
     ];
-    let volatile: Vec<Volatile> = counts
+    let volatile: Vec<Volatile> = volatile_fields
         .map(Volatile::Field)
         .into_iter()
-        .chain([Volatile::Value(&identity, "identity")])
+        .chain([Volatile::Value(&disk_id, "identity")])
         .collect();
     compare("status.txt", &server.transcript, &volatile);
     fs::remove_dir_all(temp_dir).expect("the directory can be removed");
@@ -343,7 +355,7 @@
     let temp_dir = temp_dir("ready");
     let mut server = TestServer::start(&temp_dir, 1).await;
     wait_until_voting(&server.replica).await;
-    let identity = format!("{:016x}", server.replica.disk_id());
+    let disk_id = format!("{:016x}", server.replica.disk_id());
     server.call("GET", "/live", &[], "").await;
     server.call("GET", "/ready", &[], "").await;
     server.call("GET", "/v1/none", &[], "").await;
@@ -356,15 +368,15 @@
     ] {
         server.call("POST", "/v1/seats", &[], body).await;
     }
-    let zero = json!({ "seat": 0, "from": identity, "to": identity }).to_string();
-    server.call("POST", "/v1/seats", &[], &zero).await;
+    let replacement = json!({ "seat": 0, "from": disk_id, "to": disk_id }).to_string();
+    server.call("POST", "/v1/seats", &[], &replacement).await;
     server.accepting_work.store(false, Ordering::Relaxed);
     server.call("GET", "/ready", &[], "").await;
-    let own = [
-        Volatile::Value(&identity, "identity"),
+    let volatile = [
+        Volatile::Value(&disk_id, "identity"),
         Volatile::Field("position"),
     ];
-    compare("ready_and_seats.txt", &server.transcript, &own);
+    compare("ready_and_seats.txt", &server.transcript, &volatile);
     fs::remove_dir_all(temp_dir).expect("the directory can be removed");
 }
 
@@ -372,16 +384,16 @@
 async fn a_replica_without_a_majority_keeps_its_answers() {
     let temp_dir = temp_dir("no-majority");
     let mut server = TestServer::start(&temp_dir, 3).await;
-    let identity = format!("{:016x}", server.replica.disk_id());
+    let disk_id = format!("{:016x}", server.replica.disk_id());
     server.change("early", 0, initial_edits()).await;
-    let body = json!({ "seat": 0, "from": identity, "to": "1" }).to_string();
+    let body = json!({ "seat": 0, "from": disk_id, "to": "1" }).to_string();
     server.call("POST", "/v1/seats", &[], &body).await;
     server.call("GET", "/ready", &[], "").await;
     server.call("GET", "/live", &[], "").await;
     compare(
         "no_majority.txt",
         &server.transcript,
-        &[Volatile::Value(&identity, "identity")],
+        &[Volatile::Value(&disk_id, "identity")],
     );
     fs::remove_dir_all(temp_dir).expect("the directory can be removed");
 }
--- a/crates/test-support/tests/golden_files/mod.rs
+++ b/crates/test-support/tests/golden_files/mod.rs
@@ -31,7 +31,7 @@
         .unwrap_or_else(|error| panic!("{}: {error}", path.display()));
     assert!(
         golden == actual,
-        "{} differs.\n--- golden\n{golden}\n--- found\n{actual}",
+        "{} differs.\n--- golden\n{golden}\n--- actual\n{actual}",
         path.display()
     );
 }
--- a/crates/test-support/tests/golden_files/program.rs
+++ b/crates/test-support/tests/golden_files/program.rs
@@ -18,16 +18,16 @@
     pub path: &'static str,
 }
 
-/// Creates an empty temporary folder that no other test uses.
-pub(crate) fn create_test_folder(name: &str) -> PathBuf {
+/// Creates an empty temporary directory that no other test uses.
+pub(crate) fn create_temp_dir(name: &str) -> PathBuf {
     static NEXT_NUMBER: AtomicU64 = AtomicU64::new(0);
     let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
-    let folder = env::temp_dir().join(format!(
+    let temp_dir = env::temp_dir().join(format!(
         "gradeford-golden-{name}-{}-{number}",
         process::id()
     ));
-    fs::create_dir_all(&folder).expect("the test folder can be created");
-    folder
+    fs::create_dir_all(&temp_dir).expect("the temporary directory can be created");
+    temp_dir
 }
 
 /// Runs the program and returns its arguments, its exit code and both outputs as text. Log lines, which are JSON, are
@@ -56,7 +56,7 @@
 #[derive(Clone)]
 pub(crate) struct Settings {
     lines: Vec<(String, String)>,
-    /// What differs from the settings at the start, for the transcript.
+    /// The settings that were set or removed since `new`, one line each; transcripts begin with them.
     changes: String,
 }
 
@@ -72,22 +72,21 @@
         }
     }
 
-    /// Sets a setting.
-    pub(crate) fn with(mut self, name: &str, value: &str) -> Settings {
+    /// Adds a setting or replaces its value.
+    pub(crate) fn with_setting(mut self, name: &str, value: &str) -> Settings {
         self.lines.retain(|(existing, _)| existing != name);
         self.lines.push((name.to_string(), value.to_string()));
         self.changes.push_str(&format!("{name} = {value}\n"));
         self
     }
 
-    /// Removes a setting.
-    pub(crate) fn without(mut self, name: &str) -> Settings {
+    pub(crate) fn without_setting(mut self, name: &str) -> Settings {
         self.lines.retain(|(existing, _)| existing != name);
         self.changes.push_str(&format!("no {name}\n"));
         self
     }
 
-    fn text(&self) -> String {
+    fn to_toml(&self) -> String {
         self.lines
             .iter()
             .map(|(name, value)| format!("{name} = {value}\n"))
@@ -104,7 +103,7 @@
         format!(
             "{}{}",
             self.changes,
-            check_text_transcript(program, &self.text(), arguments)
+            check_text_transcript(program, &self.to_toml(), arguments)
         )
     }
 
@@ -113,7 +112,7 @@
         format!(
             "{}{}",
             self.changes,
-            transcript_with_file(program, &self.text(), &[])
+            transcript_with_file(program, &self.to_toml(), &[])
         )
     }
 }
@@ -124,12 +123,12 @@
 }
 
 fn transcript_with_file(program: &Program, text: &str, arguments: &[&str]) -> String {
-    let folder = create_test_folder("settings");
-    let file = folder.join("settings.toml").display().to_string();
+    let temp_dir = create_temp_dir("settings");
+    let file = temp_dir.join("settings.toml").display().to_string();
     fs::write(&file, text).expect("the settings file can be written");
     let transcript = run_transcript(program, &[&["--config", &file], arguments].concat())
         .replace(&file, "<file>");
-    fs::remove_dir_all(folder).expect("the test folder can be removed");
+    fs::remove_dir_all(temp_dir).expect("the temporary directory can be removed");
     transcript
 }
 
@@ -138,16 +137,16 @@
 /// holds the name, the default and another value of each setting.
 pub(crate) fn defaults_report(
     program: &Program,
-    folder: &Path,
+    temp_dir: &Path,
     settings: &Settings,
     expected: &[(&str, &str, &str)],
 ) -> String {
-    let file = folder.join("settings.toml");
+    let file = temp_dir.join("settings.toml");
     let daemon = Daemon::start(program, &file, settings);
     let mut report = String::new();
     for (name, default, other) in expected {
         for value in [default, other] {
-            let needs_restart = daemon.reload(&settings.clone().with(name, value));
+            let needs_restart = daemon.reload(&settings.clone().with_setting(name, value));
             report.push_str(&format!(
                 "{name} = {value}: {}\n",
                 if needs_restart {
@@ -162,20 +161,20 @@
             );
         }
     }
-    let code = daemon.stop();
-    format!("{report}exit code after SIGTERM {code:?}\n")
+    let exit_code = daemon.stop();
+    format!("{report}exit code after SIGTERM {exit_code:?}\n")
 }
 
-/// A running daemon; it is killed when this is dropped.
+/// A running daemon that is killed on drop.
 struct Daemon {
     child: Child,
-    lines: Receiver<String>,
-    file: PathBuf,
+    log_lines: Receiver<String>,
+    settings_file: PathBuf,
 }
 
 impl Daemon {
     fn start(program: &Program, file: &Path, settings: &Settings) -> Daemon {
-        fs::write(file, settings.text()).expect("the settings file can be written");
+        fs::write(file, settings.to_toml()).expect("the settings file can be written");
         let mut child = Command::new(program.path)
             .arg("--config")
             .arg(file)
@@ -183,7 +182,7 @@
             .spawn()
             .expect("the daemon can be started");
         let log = BufReader::new(child.stderr.take().expect("standard error is a pipe")).lines();
-        let (sender, lines) = channel();
+        let (sender, log_lines) = channel();
         // Reads the pipe to its end even after the receiver is dropped, so that the daemon never blocks on a full pipe.
         thread::spawn(move || {
             log.map_while(Result::ok)
@@ -191,39 +190,40 @@
         });
         let daemon = Daemon {
             child,
-            lines,
-            file: file.to_path_buf(),
+            log_lines,
+            settings_file: file.to_path_buf(),
         };
-        daemon.next_line_with("\"listening\"");
+        daemon.wait_for_log_line("\"listening\"");
         daemon
     }
 
-    /// Returns the next line of the log that contains `word`; panics if the daemon ends or the timeout passes first.
-    fn next_line_with(&self, word: &str) -> String {
+    /// Returns the next line of the log that contains `text`; panics if the daemon ends or the timeout passes first.
+    fn wait_for_log_line(&self, text: &str) -> String {
         loop {
             let line = self
-                .lines
+                .log_lines
                 .recv_timeout(LOG_LINE_TIMEOUT)
-                .unwrap_or_else(|error| panic!("no log line with {word}: {error}"));
-            if line.contains(word) {
+                .unwrap_or_else(|error| panic!("no log line with {text}: {error}"));
+            if line.contains(text) {
                 return line;
             }
         }
     }
 
     fn signal(&self, name: &str) {
-        let sent = Command::new("kill")
+        let kill_status = Command::new("kill")
             .args([name, &self.child.id().to_string()])
             .status()
             .expect("kill can be run");
-        assert!(sent.success(), "the signal is delivered");
+        assert!(kill_status.success(), "the signal is delivered");
     }
 
     /// Reloads the settings and returns whether the daemon reports that they need a restart.
     fn reload(&self, settings: &Settings) -> bool {
-        fs::write(&self.file, settings.text()).expect("the settings file can be written");
+        fs::write(&self.settings_file, settings.to_toml())
+            .expect("the settings file can be written");
         self.signal("-HUP");
-        let line = self.next_line_with("settings read again");
+        let line = self.wait_for_log_line("settings read again");
         line.contains("\"restart_needed\":true")
     }
 
--- a/crates/test-support/tests/recorded/mod.rs
+++ b/crates/test-support/tests/recorded/mod.rs
@@ -20,8 +20,8 @@
     folder: PathBuf,
     /// Names of the files that were compared.
     checked: BTreeSet<String>,
-    /// Whether the files are written instead of only compared.
-    writes: bool,
+    /// Whether the files are written before they are compared.
+    write_mode: bool,
 }
 
 impl RecordedBytes {
@@ -31,7 +31,7 @@
                 .join("tests/fixtures")
                 .join(family),
             checked: BTreeSet::new(),
-            writes: env::var_os("GRADEFORD_WRITE_FIXTURES").is_some(),
+            write_mode: env::var_os("GRADEFORD_WRITE_FIXTURES").is_some(),
         }
     }
 
@@ -44,7 +44,7 @@
             self.checked.insert(file),
             "two values are checked under the name {name}"
         );
-        if self.writes {
+        if self.write_mode {
             fs::create_dir_all(&self.folder).expect("the folder of fixtures can be created");
             fs::write(&path, to_hex(encoded)).expect("the fixture can be written");
         }
@@ -67,7 +67,7 @@
                 .file_name()
                 .into_string()
                 .expect("the file name is UTF-8");
-            if self.writes && !self.checked.contains(&file) {
+            if self.write_mode && !self.checked.contains(&file) {
                 fs::remove_file(self.folder.join(&file)).expect("the stale fixture can be removed");
                 continue;
             }
@@ -91,6 +91,8 @@
     let digits: String = text.split_whitespace().collect();
     let pairs = (0..digits.len()).step_by(2);
     pairs
-        .map(|at| u8::from_str_radix(&digits[at..at + 2], 16).expect("two hexadecimal digits"))
+        .map(|index| {
+            u8::from_str_radix(&digits[index..index + 2], 16).expect("two hexadecimal digits")
+        })
         .collect()
 }
