--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -37,12 +37,12 @@
     RestoreRoute,
     /// Sends SIGHUP.
     Reload(Target),
-    /// A backend of the other service beside some node takes over the address of backend `from`.
+    /// Starts a backend of the other service at the address of `backend`, registered through `node`.
     ReuseAddress {
-        from: usize,
-        beside: usize,
+        backend: usize,
+        node: usize,
     },
-    /// Starts one more backend of the machine's service.
+    /// Starts one more backend of the same service on the machine with this index.
     AddBackend(usize),
     DrainAddedBackends,
     /// From here on most requests are for one key.
--- a/crates/simulator/src/scenario_more.rs
+++ b/crates/simulator/src/scenario_more.rs
@@ -43,16 +43,16 @@
                 (
                     2_100,
                     Step::ReuseAddress {
-                        from: machine,
-                        beside: machine,
+                        backend: machine,
+                        node: machine,
                     },
                 ),
                 (4_000, Step::Kill(Target::Backend(next))),
                 (
                     4_100,
                     Step::ReuseAddress {
-                        from: next,
-                        beside: third,
+                        backend: next,
+                        node: third,
                     },
                 ),
                 (9_000, Step::HealNetwork),
--- a/crates/simulator/src/supervisor.rs
+++ b/crates/simulator/src/supervisor.rs
@@ -164,14 +164,14 @@
                 .process_slot(target)
                 .iter()
                 .for_each(|process| process.signal(Signal::HUP)),
-            Step::ReuseAddress { from, beside } => {
-                let other = self.other_service(from);
-                let address = self.fleet.backend_address(from);
-                self.fleet.add_backend(beside, &other, address)?;
+            Step::ReuseAddress { backend, node } => {
+                let other = self.other_service(backend);
+                let address = self.fleet.backend_address(backend);
+                self.fleet.add_backend(node, &other, address)?;
             }
-            Step::AddBackend(beside) => {
-                let service = self.fleet.service_of(beside);
-                self.fleet.add_backend(beside, &service, None)?;
+            Step::AddBackend(node) => {
+                let service = self.fleet.service_of(node);
+                self.fleet.add_backend(node, &service, None)?;
             }
             Step::DrainAddedBackends => self
                 .fleet
