--- a/crates/simulator/src/checker/desired_state.rs
+++ b/crates/simulator/src/checker/desired_state.rs
@@ -86,11 +86,11 @@
         .collect();
     let last_version = accepted_changes.keys().max().copied().unwrap_or(0);
     let reads = records.iter().filter_map(|record| match record {
-        Record::StateRead { asked, desired, .. } => {
-            serde_json::from_value::<model::DesiredState>(desired.clone())
-                .ok()
-                .map(|state| (*asked, state))
-        }
+        Record::StateRead {
+            sent_at, desired, ..
+        } => serde_json::from_value::<model::DesiredState>(desired.clone())
+            .ok()
+            .map(|state| (*sent_at, state)),
         _ => None,
     });
     let reads: Vec<(u64, model::DesiredState)> = reads.collect();
@@ -130,9 +130,9 @@
         reads
             .iter()
             .filter(|(_, state)| !states_by_version[state.version as usize].contains(state))
-            .map(|(asked, state)| {
+            .map(|(sent_at, state)| {
                 format!(
-                    "read back at {asked}: version {} is not what the accepted changes make of it",
+                    "read back at {sent_at}: version {} is not what the accepted changes make of it",
                     state.version
                 )
             }),
@@ -148,22 +148,22 @@
         .filter_map(|change| change.version.map(|version| (change.at, version)))
         .collect();
     let reads = records.iter().filter_map(|record| match record {
-        Record::StateRead { asked, desired, .. } => {
-            Some((*asked, desired["version"].as_u64().unwrap_or(0)))
-        }
+        Record::StateRead {
+            sent_at, desired, ..
+        } => Some((*sent_at, desired["version"].as_u64().unwrap_or(0))),
         _ => None,
     });
     reads
-        .filter_map(|(asked, version)| {
+        .filter_map(|(sent_at, version)| {
             let expected = accepted
                 .iter()
-                .filter(|(at, _)| *at < asked)
+                .filter(|(at, _)| *at < sent_at)
                 .map(|(_, version)| *version)
                 .max()
                 .unwrap_or(0);
             (version < expected).then(|| {
                 format!(
-                    "read back at {asked}: version {version}, though {expected} had been accepted"
+                    "read back at {sent_at}: version {version}, though {expected} had been accepted"
                 )
             })
         })
@@ -177,14 +177,14 @@
         &Record::NodeObserved {
             ref node,
             incarnation,
-            asked,
+            sent_at,
             position,
             fresh,
-        } => Some((node.as_str(), incarnation, asked, position, fresh)),
+        } => Some((node.as_str(), incarnation, sent_at, position, fresh)),
         _ => None,
     };
     let mut observations: Vec<NodeObservation> = records.iter().filter_map(of).collect();
-    observations.sort_by_key(|(node, _, asked, ..)| (*node, *asked));
+    observations.sort_by_key(|(node, _, sent_at, ..)| (*node, *sent_at));
     observations
 }
 
@@ -194,7 +194,7 @@
     let mut positions: BTreeMap<&str, (u64, u64, u64)> = Default::default();
     node_observations(records)
         .into_iter()
-        .filter_map(|(node, incarnation, asked, position, fresh)| {
+        .filter_map(|(node, incarnation, sent_at, position, fresh)| {
             let (last_incarnation, last, proved) = positions.get(node).copied().unwrap_or_default();
             let is_regression =
                 incarnation == last_incarnation && position < last || fresh && position < proved;
@@ -207,7 +207,7 @@
                 ),
             );
             is_regression.then(|| {
-                format!("{node} at {asked}: position {position} after {last}, {proved} proved")
+                format!("{node} at {sent_at}: position {position} after {last}, {proved} proved")
             })
         })
         .collect()
@@ -224,15 +224,15 @@
     node_observations(records)
         .into_iter()
         .filter(|(.., fresh)| *fresh)
-        .filter_map(|(node, _, asked, position, _)| {
+        .filter_map(|(node, _, sent_at, position, _)| {
             let expected = accepted
                 .iter()
-                .take_while(|(at, _)| at + IN_FORCE_WITHIN_US <= asked)
+                .take_while(|(at, _)| at + IN_FORCE_WITHIN_US <= sent_at)
                 .map(|(_, position)| *position)
                 .max()
                 .unwrap_or(0);
             (position < expected).then(|| {
-                format!("{node} at {asked} serves by {position}, {expected} was accepted before")
+                format!("{node} at {sent_at} serves by {position}, {expected} was accepted before")
             })
         })
         .collect()
--- a/crates/simulator/src/checker/mod.rs
+++ b/crates/simulator/src/checker/mod.rs
@@ -198,15 +198,15 @@
         .unwrap_or(0)
         .max(1);
     report.measurements.requests_per_second = answer_times.len() as f64 * 1e6 / span as f64;
-    report.asked = first_answers().count();
-    report.repeated = answers(records).count() - report.asked;
+    report.attempts = first_answers().count();
+    report.repeated = answers(records).count() - report.attempts;
     report.served = first_answers()
         .filter(|(_, execution_status, ..)| execution_status.is_none())
         .count();
     report.not_run = first_answers()
         .filter(|(_, execution_status, ..)| *execution_status == Some("not-run"))
         .count();
-    report.may_have_run = report.asked - report.served - report.not_run;
+    report.may_have_run = report.attempts - report.served - report.not_run;
     answers(records)
         .filter_map(|(.., error_kind)| error_kind)
         .for_each(|error_kind| *report.causes.entry(error_kind.to_string()).or_default() += 1);
--- a/crates/simulator/src/checker/serving.rs
+++ b/crates/simulator/src/checker/serving.rs
@@ -12,7 +12,7 @@
 
 struct FirstAnswer<'a> {
     service: &'a str,
-    asked: u64,
+    sent_at: u64,
     at: u64,
     wait_us: u64,
     status: u16,
@@ -27,7 +27,7 @@
     records.iter().filter_map(|record| match record {
         Record::ClientAnswered {
             target,
-            asked,
+            sent_at,
             at,
             wait_us,
             status,
@@ -39,7 +39,7 @@
             ..
         } => Some(FirstAnswer {
             service: target,
-            asked: *asked,
+            sent_at: *sent_at,
             at: *at,
             wait_us: *wait_us,
             status: *status,
@@ -65,7 +65,7 @@
     };
     let mut retries = retries.fold(Default::default(), group_by_service);
     let mut request_times = first_answers(records)
-        .map(|answer| (answer.service, answer.asked))
+        .map(|answer| (answer.service, answer.sent_at))
         .fold(Default::default(), group_by_service);
     retries
         .values_mut()
@@ -111,7 +111,7 @@
     const QUEUED_ERROR_KINDS: [&str; 2] = ["too_late", "overloaded"];
     let late = first_answers(records).filter(|answer| {
         answer.execution_status == Some("not-run")
-            && answer.at - answer.asked > answer.wait_us * 9 / 10
+            && answer.at - answer.sent_at > answer.wait_us * 9 / 10
     });
     // A stalled node answers nothing, at either end, so a request that overlaps a stall is not counted.
     let stall = |record: &Record| {
@@ -125,7 +125,7 @@
     let late = late.filter(|answer| {
         !stalls
             .iter()
-            .any(|(from, to)| answer.asked < *to && answer.at > *from)
+            .any(|(from, to)| answer.sent_at < *to && answer.at > *from)
     });
     let late = late.filter(|answer| {
         !answer
@@ -137,7 +137,7 @@
             "{}: {} after {} of {}",
             answer.service,
             answer.error_kind.unwrap_or("?"),
-            answer.at - answer.asked,
+            answer.at - answer.sent_at,
             answer.wait_us
         )
     })
@@ -163,7 +163,7 @@
     let served_per_mille = |hot: bool| {
         let outcomes: Vec<bool> = first_answers(records)
             .filter(|answer| {
-                answer.key.is_some_and(|key| key != "hot") && (answer.asked > hot_since) == hot
+                answer.key.is_some_and(|key| key != "hot") && (answer.sent_at > hot_since) == hot
             })
             .map(|answer| answer.execution_status.is_none())
             .collect();
@@ -194,7 +194,7 @@
         .map(|answer| answer.at)
         .max()
         .unwrap_or(0);
-    let after = || first_answers(records).filter(move |answer| answer.asked >= healed_at);
+    let after = || first_answers(records).filter(move |answer| answer.sent_at >= healed_at);
     let services: BTreeSet<String> = first_answers(records)
         .map(|answer| answer.service.to_string())
         .collect();
@@ -230,7 +230,7 @@
         "a refused change" => records.iter().any(|record| matches!(record, Record::DesiredChange { refused: true, .. })),
         "an address reused" => records.iter().any(|record| matches!(record, Record::RunBegan { backend, .. } if backend.starts_with("heir-"))),
         "a hot key" => {
-            hot_key_start(records).is_some_and(|hot_since| first_answers(records).any(|answer| answer.key == Some("hot") && answer.asked > hot_since && answer.execution_status == Some("not-run")))
+            hot_key_start(records).is_some_and(|hot_since| first_answers(records).any(|answer| answer.key == Some("hot") && answer.sent_at > hot_since && answer.execution_status == Some("not-run")))
         }
         "a forger refused" => records.iter().any(|record| matches!(record, Record::ClientAnswered { client, status: 401 | 409 | 403, .. } if client.starts_with("forger"))),
         "a moved key" => {
--- a/crates/simulator/src/forging_clients.rs
+++ b/crates/simulator/src/forging_clients.rs
@@ -100,7 +100,7 @@
         let answer_body: serde_json::Value = response.json().await.unwrap_or_default();
         self.history.write(&Record::ClientAnswered {
             attempt_id,
-            asked: sent_at,
+            sent_at,
             at: model::now(),
             wait_us: crate::deployment::DEFAULT_WAIT_US,
             repeated: true,
--- a/crates/simulator/src/history.rs
+++ b/crates/simulator/src/history.rs
@@ -35,7 +35,9 @@
     ClientAnswered {
         #[serde(rename = "try_id")]
         attempt_id: String,
-        asked: u64,
+        /// Time at which the request was sent.
+        #[serde(rename = "asked")]
+        sent_at: u64,
         at: u64,
         #[serde(rename = "wait")]
         wait_us: u64,
@@ -80,7 +82,9 @@
     DesiredChange {
         id: String,
         edits: Vec<serde_json::Value>,
-        asked: u64,
+        /// Time at which the request was sent.
+        #[serde(rename = "asked")]
+        sent_at: u64,
         at: u64,
         status: u16,
         version: Option<u64>,
@@ -90,7 +94,9 @@
     /// The desired state that a replica returned to an operator.
     #[serde(rename = "read_back")]
     StateRead {
-        asked: u64,
+        /// Time at which the request was sent.
+        #[serde(rename = "asked")]
+        sent_at: u64,
         at: u64,
         desired: serde_json::Value,
     },
@@ -100,7 +106,9 @@
         node: String,
         #[serde(rename = "life")]
         incarnation: u64,
-        asked: u64,
+        /// Time at which the request was sent.
+        #[serde(rename = "asked")]
+        sent_at: u64,
         position: u64,
         fresh: bool,
     },
@@ -138,7 +146,9 @@
 /// Counts, measurements and violated invariants of one run.
 #[derive(Debug, Default, serde::Serialize)]
 pub struct Report {
-    pub asked: usize,
+    /// Attempts that clients sent, each counted once.
+    #[serde(rename = "asked")]
+    pub attempts: usize,
     /// Repeated sends of the same attempts.
     #[serde(rename = "again")]
     pub repeated: usize,
--- a/crates/simulator/src/load_generator.rs
+++ b/crates/simulator/src/load_generator.rs
@@ -177,7 +177,7 @@
         || repeated && answer.error_kind.as_deref() == Some("own_usher_down");
     stand_in.record(&crate::history::Record::ClientAnswered {
         attempt_id: attempt.id.clone(),
-        asked: sent_at,
+        sent_at,
         at: model::now(),
         wait_us: request_spec.wait_us,
         repeated,
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -290,7 +290,7 @@
             };
             failed_count += !verdict.starts_with("held") as usize;
             let counts = [
-                report.asked,
+                report.attempts,
                 report.served,
                 report.not_run,
                 report.may_have_run,
--- a/crates/simulator/src/operators.rs
+++ b/crates/simulator/src/operators.rs
@@ -77,7 +77,7 @@
         self.history.write(&Record::DesiredChange {
             id: id.into(),
             edits: edits.to_vec(),
-            asked: sent_at,
+            sent_at,
             at: model::now(),
             status,
             version,
@@ -109,7 +109,7 @@
         };
         let version = desired["version"].as_u64();
         self.history.write(&Record::StateRead {
-            asked: sent_at,
+            sent_at,
             at: model::now(),
             desired,
         })?;
@@ -287,7 +287,7 @@
         history.write(&Record::NodeObserved {
             node: node.clone(),
             incarnation,
-            asked: sent_at,
+            sent_at,
             position,
             fresh,
         })?;
--- a/crates/simulator/tests/checker.rs
+++ b/crates/simulator/tests/checker.rs
@@ -38,7 +38,7 @@
 ) -> Record {
     Record::ClientAnswered {
         attempt_id: attempt_id.into(),
-        asked: at - 100,
+        sent_at: at - 100,
         wait_us: 3 * SECOND,
         repeated: false,
         key: None,
--- a/crates/simulator/tests/checker_operators.rs
+++ b/crates/simulator/tests/checker_operators.rs
@@ -25,7 +25,7 @@
     Record::DesiredChange {
         id: id.into(),
         edits,
-        asked: at - 100,
+        sent_at: at - 100,
         at,
         status,
         version,
@@ -34,7 +34,7 @@
     }
 }
 
-fn state_read(asked: u64, version: u64, groupings: &[(&str, u64)]) -> Record {
+fn state_read(sent_at: u64, version: u64, groupings: &[(&str, u64)]) -> Record {
     let groupings: serde_json::Map<String, serde_json::Value> = groupings
         .iter()
         .map(|(name, label)| {
@@ -45,17 +45,17 @@
         })
         .collect();
     Record::StateRead {
-        asked,
-        at: asked + 100,
+        sent_at,
+        at: sent_at + 100,
         desired: serde_json::json!({ "version": version, "groupings": groupings, "orders": {} }),
     }
 }
 
-fn node_observed(node: &str, incarnation: u64, asked: u64, position: u64, fresh: bool) -> Record {
+fn node_observed(node: &str, incarnation: u64, sent_at: u64, position: u64, fresh: bool) -> Record {
     Record::NodeObserved {
         node: node.into(),
         incarnation,
-        asked,
+        sent_at,
         position,
         fresh,
     }
@@ -63,16 +63,16 @@
 
 fn client_answered(
     target: &str,
-    asked: u64,
+    sent_at: u64,
     error_kind: Option<&str>,
     status: u16,
     has_retry_after: bool,
     duration: u64,
 ) -> Record {
     Record::ClientAnswered {
-        attempt_id: format!("desk-0.1.desk/{asked}"),
-        asked,
-        at: asked + duration,
+        attempt_id: format!("desk-0.1.desk/{sent_at}"),
+        sent_at,
+        at: sent_at + duration,
         wait_us: 3 * SECOND,
         repeated: false,
         client: "desk-0".into(),
@@ -245,7 +245,7 @@
     ) {
         Record::ClientAnswered {
             attempt_id,
-            asked,
+            sent_at,
             at,
             wait_us,
             repeated,
@@ -262,7 +262,7 @@
         } => Record::ClientAnswered {
             key: Some("cool".into()),
             attempt_id,
-            asked,
+            sent_at,
             at,
             wait_us,
             repeated,
