--- a/crates/simulator/src/forging_clients.rs
+++ b/crates/simulator/src/forging_clients.rs
@@ -18,7 +18,7 @@
 impl ForgingClient {
     /// A client of the last machine's node, registered for the last service. Where every route is allowed, as at a site
     /// with one service, the target is the first route.
-    pub fn beside(fleet: &crate::fleet::Fleet) -> ForgingClient {
+    pub fn for_fleet(fleet: &crate::fleet::Fleet) -> ForgingClient {
         let deployment = &fleet.deployment;
         let last = fleet.machines.len() - 1;
         let (_, service, zone) = deployment.backends().pop().unwrap_or_default();
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -151,7 +151,7 @@
         });
         let forgers = (plan.scenario == "forged").then(|| {
             tokio::spawn(crate::forging_clients::run(
-                crate::forging_clients::ForgingClient::beside(fleet),
+                crate::forging_clients::ForgingClient::for_fleet(fleet),
                 stop.subscribe(),
             ))
         });
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -55,7 +55,7 @@
 
 impl Step {
     /// Whether the step ends a fault.
-    pub fn heals(&self) -> bool {
+    pub fn ends_fault(&self) -> bool {
         matches!(
             self,
             Step::Start(_)
--- a/crates/simulator/src/sim/checks.rs
+++ b/crates/simulator/src/sim/checks.rs
@@ -6,11 +6,12 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Submission {
     pub replica_id: u16,
-    pub at: u64,
-    /// Whether the replica crashed, and with it the caller that waited.
-    pub caller_gone: bool,
-    /// The time at which a replica first applied the entry.
-    pub applied: Option<u64>,
+    /// Time at which the entry was submitted, in microseconds.
+    pub submitted_at: u64,
+    /// Whether the caller stopped waiting because the replica crashed.
+    pub caller_lost: bool,
+    /// Time at which a replica first applied the entry, in microseconds.
+    pub applied_at: Option<u64>,
 }
 
 /// The recorded submissions, reads and applied entries of a run, and the violations found.
@@ -29,62 +30,66 @@
 }
 
 impl Findings {
-    pub fn applied(
+    /// Records an entry that a replica applied, and checks it against the submitted and the chosen entries.
+    pub fn record_applied(
         &mut self,
         now: u64,
         replica_id: u16,
-        at: u64,
+        instance: u64,
         value: &[u8],
         replica_count: u16,
     ) {
         let submitted = self.submitted.get(value).copied();
         if let Some(submission) = self.submitted.get_mut(value) {
-            submission.applied.get_or_insert(now);
+            submission.applied_at.get_or_insert(now);
         } else {
             self.violations.push(format!(
-                "replica {replica_id} applied an entry at {at} that nobody submitted"
+                "replica {replica_id} applied an entry at {instance} that was never submitted"
             ));
         }
-        let chosen = self.chosen.entry(at).or_insert_with(|| value.to_vec());
+        let chosen = self
+            .chosen
+            .entry(instance)
+            .or_insert_with(|| value.to_vec());
         if chosen != value {
             self.violations.push(format!(
-                "instance {at} has two values, the second at replica {replica_id}"
+                "instance {instance} has two values, the second at replica {replica_id}"
             ));
         }
-        if at % replica_count as u64 == replica_id as u64 {
+        if instance % replica_count as u64 == replica_id as u64 {
             let waited = submitted
-                .filter(|submission| !submission.caller_gone)
-                .map_or(0, |submission| now.saturating_sub(submission.at));
+                .filter(|submission| !submission.caller_lost)
+                .map_or(0, |submission| now.saturating_sub(submission.submitted_at));
             self.slowest_entry_us = self.slowest_entry_us.max(waited);
-            self.answered.insert(at, value.to_vec());
+            self.answered.insert(instance, value.to_vec());
         }
     }
 
-    pub fn record_submitted(&mut self, value: Vec<u8>, replica_id: u16, at: u64) {
+    pub fn record_submission(&mut self, value: Vec<u8>, replica_id: u16, submitted_at: u64) {
         self.submitted.insert(
             value,
             Submission {
                 replica_id,
-                at,
-                caller_gone: false,
-                applied: None,
+                submitted_at,
+                caller_lost: false,
+                applied_at: None,
             },
         );
     }
 
     /// Marks the callers that waited at a crashed replica as gone.
-    pub fn caller_lost(&mut self, replica_id: u16) {
+    pub fn mark_callers_lost(&mut self, replica_id: u16) {
         self.submitted
             .values_mut()
             .filter(|submission| submission.replica_id == replica_id)
-            .for_each(|submission| submission.caller_gone = true);
+            .for_each(|submission| submission.caller_lost = true);
     }
 
     /// Whether the caller of an entry still waits for its answer.
-    pub fn caller_waits(&self, value: &[u8], now: u64, timeout: u64) -> bool {
+    pub fn is_caller_waiting(&self, value: &[u8], now: u64, timeout: u64) -> bool {
         let waits = |submission: &Submission| {
             timeout == u64::MAX
-                || !submission.caller_gone && now <= submission.at.saturating_add(timeout)
+                || !submission.caller_lost && now <= submission.submitted_at.saturating_add(timeout)
         };
         self.submitted.get(value).is_some_and(waits)
     }
@@ -93,8 +98,8 @@
     pub fn late_entries(&self, after: u64) -> Vec<&[u8]> {
         let is_late = |submission: &Submission| {
             submission
-                .applied
-                .is_some_and(|applied| applied > submission.at + after)
+                .applied_at
+                .is_some_and(|applied_at| applied_at > submission.submitted_at + after)
         };
         self.submitted
             .iter()
@@ -105,12 +110,14 @@
 
     /// Records a read. It must see at least what any replica had applied when it was requested, because that may have been
     /// answered already (design 11.6).
-    pub fn read_requested(&mut self, token: u64) {
-        self.reads_requested
-            .insert(token, self.chosen.last_key_value().map(|(at, _)| *at));
+    pub fn record_read_request(&mut self, token: u64) {
+        self.reads_requested.insert(
+            token,
+            self.chosen.last_key_value().map(|(instance, _)| *instance),
+        );
     }
 
-    pub fn read_proved(&mut self, token: u64, applied: u64) {
+    pub fn record_read_proof(&mut self, token: u64, applied: u64) {
         self.reads_proved += 1;
         if let Some(Some(required)) = self.reads_requested.remove(&token)
             && applied <= required
@@ -148,8 +155,8 @@
         let lost: Vec<u64> = self
             .answered
             .iter()
-            .filter(|(at, value)| applied.get(at) != Some(value))
-            .map(|(at, _)| *at)
+            .filter(|(instance, value)| applied.get(instance) != Some(value))
+            .map(|(instance, _)| *instance)
             .collect();
         if !lost.is_empty() {
             self.violations
--- a/crates/simulator/src/sim/effects.rs
+++ b/crates/simulator/src/sim/effects.rs
@@ -20,7 +20,7 @@
             && !self.replicas[replica_id as usize].frozen
         {
             self.findings
-                .record_submitted(value.clone(), replica_id, self.now);
+                .record_submission(value.clone(), replica_id, self.now);
             self.step_replica(replica_id, mencius::Input::Submit(value));
         }
     }
@@ -29,7 +29,7 @@
         if self.replicas[replica_id as usize].running.is_some()
             && !self.replicas[replica_id as usize].frozen
         {
-            self.findings.read_requested(token);
+            self.findings.record_read_request(token);
             self.step_replica(replica_id, mencius::Input::ReadIndex(token));
         }
     }
@@ -116,18 +116,23 @@
                     },
                 );
             }
-            mencius::Effect::Apply(at, value) => {
+            mencius::Effect::Apply(instance, value) => {
                 self.replicas[replica_id as usize]
                     .applied
-                    .push((at, value.clone()));
-                self.observe_replacement(replica_id, at, &value);
-                self.findings
-                    .applied(self.now, replica_id, at, &value, self.plan.replica_count);
-                self.snapshot_when_due(replica_id, at + 1);
+                    .push((instance, value.clone()));
+                self.observe_replacement(replica_id, instance, &value);
+                self.findings.record_applied(
+                    self.now,
+                    replica_id,
+                    instance,
+                    &value,
+                    self.plan.replica_count,
+                );
+                self.snapshot_when_due(replica_id, instance + 1);
             }
             mencius::Effect::NotChosen(value) => {
                 let timeout = self.plan.caller_timeout;
-                if self.findings.caller_waits(&value, self.now, timeout) {
+                if self.findings.is_caller_waiting(&value, self.now, timeout) {
                     self.step_replica(replica_id, mencius::Input::Submit(value));
                 }
             }
@@ -138,9 +143,9 @@
                 // The state of the snapshot includes the replacements, so they are applied again.
                 self.replicas[replica_id as usize].state_machine = Default::default();
                 let history = self.replicas[replica_id as usize].applied.clone();
-                history
-                    .into_iter()
-                    .for_each(|(at, value)| self.observe_replacement(replica_id, at, &value));
+                history.into_iter().for_each(|(instance, value)| {
+                    self.observe_replacement(replica_id, instance, &value)
+                });
             }
             mencius::Effect::ReadReady(token) => {
                 let replica = &mut self.replicas[replica_id as usize];
@@ -149,7 +154,7 @@
                     .as_ref()
                     .map(mencius::Replica::applied)
                     .unwrap_or(0);
-                self.findings.read_proved(token, applied);
+                self.findings.record_read_proof(token, applied);
                 self.proved_reads.push((token, replica_id));
             }
         }
--- a/crates/simulator/src/sim/replacement.rs
+++ b/crates/simulator/src/sim/replacement.rs
@@ -174,7 +174,7 @@
         self.start(replica_id);
     }
 
-    pub(super) fn know_each_other(&self, a: ReplicaId, b: ReplicaId) -> bool {
+    pub(super) fn accept_each_other(&self, a: ReplicaId, b: ReplicaId) -> bool {
         let (one, two) = (&self.replicas[a as usize], &self.replicas[b as usize]);
         one.pinned_disks[b as usize] == two.disk_id && two.pinned_disks[a as usize] == one.disk_id
     }
--- a/crates/simulator/src/sim/world.rs
+++ b/crates/simulator/src/sim/world.rs
@@ -164,7 +164,7 @@
     }
 
     pub fn crash(&mut self, replica_id: ReplicaId) {
-        self.findings.caller_lost(replica_id);
+        self.findings.mark_callers_lost(replica_id);
         let replica = &mut self.replicas[replica_id as usize];
         replica.running = None;
         replica.unsynced = None;
@@ -221,7 +221,7 @@
         }
         self.admit(a, b);
         self.admit(b, a);
-        if !both || self.cut_links[x][y] || self.cut_links[y][x] || !self.know_each_other(a, b) {
+        if !both || self.cut_links[x][y] || self.cut_links[y][x] || !self.accept_each_other(a, b) {
             return self.schedule_reopen(a, b);
         }
         self.connected[x][y] = true;
--- a/crates/simulator/src/state_sim/checks.rs
+++ b/crates/simulator/src/state_sim/checks.rs
@@ -63,7 +63,7 @@
         let Some(served) = node.served_state(&self.plan.disabled) else {
             return;
         };
-        self.checked += 1;
+        self.states_checked += 1;
         let highest_served = node.highest_served;
         node.highest_served = highest_served.max(served.position);
         if served.position < highest_served {
@@ -118,7 +118,10 @@
     }
 
     /// How often a restarted node received an older state than the one it had held before.
-    pub fn older_received(&self) -> usize {
-        self.nodes.iter().map(|node| node.older_received).sum()
+    pub fn older_updates_received(&self) -> usize {
+        self.nodes
+            .iter()
+            .map(|node| node.older_updates_received)
+            .sum()
     }
 }
--- a/crates/simulator/src/state_sim/harness.rs
+++ b/crates/simulator/src/state_sim/harness.rs
@@ -42,9 +42,9 @@
     /// Descriptions of the violated invariants.
     pub violations: Vec<String>,
     /// How often a served state was checked.
-    pub checked: usize,
+    pub states_checked: usize,
     /// How often a node was restarted.
-    pub restarts: usize,
+    pub node_restarts: usize,
     /// The longest time for which a node that was checked lacked an applied change, in microseconds.
     pub longest_lateness: Microseconds,
 }
@@ -56,13 +56,13 @@
     let restarts_in_turn = RESTART_INTERVAL * harness.nodes.len() as u64;
     let ends = faults
         .iter()
-        .map(|fault| fault.at + fault.length + restarts_in_turn);
+        .map(|fault| fault.starts_at + fault.duration + restarts_in_turn);
     let end = ends.max().unwrap_or(0);
     let mut faults = faults.to_vec();
-    faults.sort_by_key(|fault| fault.at);
+    faults.sort_by_key(|fault| fault.starts_at);
     let mut faults = faults.into_iter().peekable();
     while harness.world.now < end {
-        while let Some(fault) = faults.next_if(|fault| fault.at <= harness.world.now) {
+        while let Some(fault) = faults.next_if(|fault| fault.starts_at <= harness.world.now) {
             harness.apply_fault(fault);
         }
         harness.step(true);
@@ -96,8 +96,8 @@
             change_count: 0,
             next_change_at: 0,
             violations: Vec::new(),
-            checked: 0,
-            restarts: 0,
+            states_checked: 0,
+            node_restarts: 0,
             longest_lateness: 0,
             plan,
         }
@@ -105,80 +105,80 @@
 
     fn apply_fault(&mut self, fault: ScheduledFault) {
         let ScheduledFault {
-            at,
+            starts_at,
             kind,
             target,
-            length,
+            duration,
         } = fault;
-        let end = at + length;
+        let end = starts_at + duration;
         let replica = (target % usize::from(self.plan.replica_count)) as u16;
         let node = target % self.nodes.len();
         match kind {
-            Fault::RestartNode => self.crash_node(node, at + length / 8),
+            Fault::RestartNode => self.crash_node(node, starts_at + duration / 8),
             Fault::RestartAllNodes => {
                 for node in 0..self.nodes.len() {
-                    self.crash_node(node, at + length / 8);
+                    self.crash_node(node, starts_at + duration / 8);
                 }
             }
             Fault::RestartNodesInTurn => {
                 for (index, node) in self.nodes.iter_mut().enumerate() {
-                    node.restart_at(at + RESTART_INTERVAL * index as u64);
+                    node.restart_at(starts_at + RESTART_INTERVAL * index as u64);
                 }
             }
             Fault::DelayUpdates => {
                 self.nodes[node].stalled_until = end;
-                self.disturb_node(node, at, end);
+                self.disturb_node(node, starts_at, end);
             }
             Fault::CutNode => {
                 self.nodes[node].cut_until = end;
-                self.disturb_node(node, at, end);
+                self.disturb_node(node, starts_at, end);
             }
-            Fault::CrashReplica => self.crash_replica(replica, at, end),
+            Fault::CrashReplica => self.crash_replica(replica, starts_at, end),
             Fault::CrashAllReplicas => {
                 for replica in 0..self.plan.replica_count {
-                    self.crash_replica(replica, at, at + length / 4);
+                    self.crash_replica(replica, starts_at, starts_at + duration / 4);
                 }
             }
-            Fault::FreezeReplica => self.freeze_replica(replica, at, end),
-            Fault::FreezeZone => self.freeze_zone(target % self.plan.zone_count, at, end),
-            Fault::CutReplica => self.cut_replica(replica, at, end),
-            Fault::ReplaceReplica => self.schedule(at, WorldFault::Replace(replica)),
+            Fault::FreezeReplica => self.freeze_replica(replica, starts_at, end),
+            Fault::FreezeZone => self.freeze_zone(target % self.plan.zone_count, starts_at, end),
+            Fault::CutReplica => self.cut_replica(replica, starts_at, end),
+            Fault::ReplaceReplica => self.schedule(starts_at, WorldFault::Replace(replica)),
         }
     }
 
     /// Schedules a fault at a replica.
-    fn schedule(&mut self, at: Microseconds, fault: WorldFault) {
-        self.disturbances.core.push(at);
-        self.world.schedule_fault(at, fault);
+    fn schedule(&mut self, time: Microseconds, fault: WorldFault) {
+        self.disturbances.core.push(time);
+        self.world.schedule_fault(time, fault);
     }
 
     fn disturb_node(&mut self, node: usize, from: Microseconds, until: Microseconds) {
         self.disturbances.nodes[node].push(Disturbance { from, until });
     }
 
-    fn crash_replica(&mut self, replica: u16, at: Microseconds, end: Microseconds) {
-        self.schedule(at, WorldFault::Crash(replica));
+    fn crash_replica(&mut self, replica: u16, starts_at: Microseconds, end: Microseconds) {
+        self.schedule(starts_at, WorldFault::Crash(replica));
         self.schedule(end, WorldFault::Start(replica));
     }
 
-    fn freeze_replica(&mut self, replica: u16, at: Microseconds, end: Microseconds) {
-        self.schedule(at, WorldFault::Freeze(replica));
+    fn freeze_replica(&mut self, replica: u16, starts_at: Microseconds, end: Microseconds) {
+        self.schedule(starts_at, WorldFault::Freeze(replica));
         self.schedule(end, WorldFault::Unfreeze(replica));
     }
 
-    fn freeze_zone(&mut self, zone: usize, at: Microseconds, end: Microseconds) {
+    fn freeze_zone(&mut self, zone: usize, starts_at: Microseconds, end: Microseconds) {
         let minority = (usize::from(self.plan.replica_count) - 1) / 2;
         let in_zone = |replica: &u16| usize::from(*replica) % self.plan.zone_count == zone;
         let replicas = (0..self.plan.replica_count).filter(in_zone).take(minority);
         for replica in replicas.collect::<Vec<_>>() {
-            self.freeze_replica(replica, at, end);
+            self.freeze_replica(replica, starts_at, end);
         }
     }
 
-    fn cut_replica(&mut self, replica: u16, at: Microseconds, end: Microseconds) {
+    fn cut_replica(&mut self, replica: u16, starts_at: Microseconds, end: Microseconds) {
         for peer in (0..self.plan.replica_count).filter(|peer| *peer != replica) {
-            self.schedule(at, WorldFault::CutLink(replica, peer));
-            self.schedule(at, WorldFault::CutLink(peer, replica));
+            self.schedule(starts_at, WorldFault::CutLink(replica, peer));
+            self.schedule(starts_at, WorldFault::CutLink(peer, replica));
         }
         // Healing has no finer scope: it also ends the cuts of other replicas.
         self.schedule(end, WorldFault::HealLinks);
@@ -186,7 +186,7 @@
     }
 
     fn crash_node(&mut self, node: usize, until: Microseconds) {
-        self.restarts += 1;
+        self.node_restarts += 1;
         let last_replica = u64::from(self.plan.replica_count) - 1;
         let seed_replica = self.world.draw((0, last_replica)) as usize;
         self.nodes[node].crash(&self.plan, until, seed_replica);
--- a/crates/simulator/src/state_sim/node.rs
+++ b/crates/simulator/src/state_sim/node.rs
@@ -45,7 +45,7 @@
     /// Whether the present incarnation has verified a state.
     has_verified: bool,
     /// How often an incarnation received an older state than an earlier incarnation had, before its first freshness proof.
-    pub older_received: usize,
+    pub older_updates_received: usize,
 }
 
 fn new_upstreams(plan: &StatePlan, seed: u64) -> Upstreams {
@@ -76,7 +76,7 @@
             highest_served: 0,
             highest_received: 0,
             has_verified: false,
-            older_received: 0,
+            older_updates_received: 0,
         }
     }
 
@@ -296,7 +296,7 @@
             && !self.has_verified
             && *to < self.highest_received
         {
-            self.older_received += 1;
+            self.older_updates_received += 1;
         }
         let Some(requests) = self.upstreams.proof_requests_mut(id) else {
             return;
--- a/crates/simulator/src/state_sim/plan.rs
+++ b/crates/simulator/src/state_sim/plan.rs
@@ -109,14 +109,14 @@
 /// A fault with its time and target.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScheduledFault {
-    /// The time at which the fault begins.
-    pub at: Microseconds,
+    /// Time at which the fault begins, in microseconds.
+    pub starts_at: Microseconds,
     /// The kind of fault.
     pub kind: Fault,
     /// The affected replica, node or zone, modulo their number.
     pub target: usize,
-    /// How long the fault lasts.
-    pub length: Microseconds,
+    /// Duration of the fault, in microseconds.
+    pub duration: Microseconds,
 }
 
 const SECOND: Microseconds = 1_000_000;
@@ -126,10 +126,10 @@
     let mut rng = StdRng::seed_from_u64(seed);
     let longest = interval * SECOND * 5 / 2;
     let drawn = (0..count).map(|round| ScheduledFault {
-        at: (round * interval + 1) * SECOND + rng.random_range(0..SECOND),
+        starts_at: (round * interval + 1) * SECOND + rng.random_range(0..SECOND),
         kind: kinds[rng.random_range(0..kinds.len())],
         target: rng.random_range(0..60),
-        length: rng.random_range(50_000..longest),
+        duration: rng.random_range(50_000..longest),
     });
     let drawn: Vec<ScheduledFault> = drawn.collect();
     let is_replacement = |fault: &ScheduledFault| fault.kind == Fault::ReplaceReplica;
--- a/crates/simulator/src/supervisor.rs
+++ b/crates/simulator/src/supervisor.rs
@@ -92,7 +92,7 @@
 
     /// Performs one step, and records that a fault was removed if the step does so.
     pub async fn perform(&mut self, step: Step) -> Result<(), String> {
-        let heals = step.heals();
+        let ends_fault = step.ends_fault();
         match step {
             Step::Kill(target) => self.kill(target)?,
             Step::Stop(target) => self.stop(target).await,
@@ -193,7 +193,7 @@
             }
             Step::LoseAfterAccept(replica_index) => self.lose_after_accept(replica_index).await?,
         }
-        if heals {
+        if ends_fault {
             self.fleet.record_healed()?;
         }
         Ok(())
--- a/crates/simulator/tests/state_sim.rs
+++ b/crates/simulator/tests/state_sim.rs
@@ -32,16 +32,20 @@
     let runs = for_each_seed(0..160, |seed| {
         let harness = simulate(StatePlan::new(seed), &draw_faults(&FAULTS, seed, 10, 1));
         assert_eq!(harness.violations, Vec::<String>::new(), "seed {seed}");
-        (harness.checked, harness.restarts, harness.older_received())
+        (
+            harness.states_checked,
+            harness.node_restarts,
+            harness.older_updates_received(),
+        )
     });
     let sum = runs.into_iter().fold((0, 0, 0), |sum, run| {
         (sum.0 + run.0, sum.1 + run.1, sum.2 + run.2)
     });
-    let (checked, restarts, older) = sum;
+    let (states_checked, node_restarts, older) = sum;
     // Restarted nodes received older states than they had held, and did not serve them.
     assert!(
-        checked > 1_000_000 && restarts > 1_000 && older > 50,
-        "{checked} checked, {restarts} restarts, {older} older updates"
+        states_checked > 1_000_000 && node_restarts > 1_000 && older > 50,
+        "{states_checked} checked, {node_restarts} restarts, {older} older updates"
     );
 }
 
