--- a/crates/simulator/src/checker/desired_state.rs
+++ b/crates/simulator/src/checker/desired_state.rs
@@ -4,7 +4,7 @@
 use crate::history::Record;
 use std::collections::BTreeMap;
 
-/// Time after which every node that holds a valid proof serves by an accepted change.
+/// Time after which every node that holds a valid freshness proof serves by an accepted change, in microseconds.
 const IN_FORCE_WITHIN_US: u64 = 2_500_000;
 
 struct SentChange<'a> {
@@ -17,7 +17,7 @@
 }
 
 fn sent_changes(records: &[Record]) -> Vec<SentChange<'_>> {
-    let of = |record| match record {
+    let to_change = |record| match record {
         &Record::DesiredChange {
             ref id,
             ref edits,
@@ -36,7 +36,7 @@
         }),
         _ => None,
     };
-    records.iter().filter_map(of).collect()
+    records.iter().filter_map(to_change).collect()
 }
 
 type ChangesByVersion<'a> = BTreeMap<u64, &'a SentChange<'a>>;
@@ -75,8 +75,7 @@
         .collect()
 }
 
-/// States read by operators that are not the result of applying all accepted changes up to their version, and nothing
-/// else.
+/// States read by operators that differ from the result of applying exactly the accepted changes up to their version.
 pub(crate) fn inconsistent_reads(records: &[Record]) -> Vec<String> {
     let sent = sent_changes(records);
     let (accepted_changes, mut violations) = changes_by_version(&sent);
@@ -170,10 +169,11 @@
         .collect()
 }
 
+/// Node, incarnation, time of the status request, position, and whether the node held a valid freshness proof.
 type NodeObservation<'a> = (&'a str, u64, u64, u64, bool);
 
 fn node_observations(records: &[Record]) -> Vec<NodeObservation<'_>> {
-    let of = |record| match record {
+    let to_observation = |record| match record {
         &Record::NodeObserved {
             ref node,
             incarnation,
@@ -183,13 +183,14 @@
         } => Some((node.as_str(), incarnation, sent_at, position, fresh)),
         _ => None,
     };
-    let mut observations: Vec<NodeObservation> = records.iter().filter_map(of).collect();
+    let mut observations: Vec<NodeObservation> =
+        records.iter().filter_map(to_observation).collect();
     observations.sort_by_key(|(node, _, sent_at, ..)| (*node, *sent_at));
     observations
 }
 
-/// Observations of a node whose position went back: within an incarnation at all, or over a restart below a position
-/// that it had proved.
+/// Observations of a node whose position went back: within one incarnation, or, with a valid freshness proof, below a
+/// position that an earlier proof had covered.
 pub(crate) fn regressed_positions(records: &[Record]) -> Vec<String> {
     let mut positions: BTreeMap<&str, (u64, u64, u64)> = Default::default();
     node_observations(records)
@@ -213,7 +214,7 @@
         .collect()
 }
 
-/// Nodes with a valid proof that lack a change two and a half seconds after it was accepted.
+/// Nodes with a valid freshness proof that lack a change two and a half seconds after it was accepted.
 pub(crate) fn late_changes(records: &[Record]) -> Vec<String> {
     let sent = sent_changes(records);
     let mut accepted: Vec<(u64, u64)> = sent
--- a/crates/simulator/src/checker/mod.rs
+++ b/crates/simulator/src/checker/mod.rs
@@ -7,20 +7,21 @@
 use crate::history::{Record, Report};
 use std::collections::HashMap;
 
-/// What the deployment and the scenario allow, and what the scenario must produce.
+/// Rules of the deployment and the scenario: the allowed behaviour, and the situations that the scenario must produce.
 pub struct Rules<'a> {
-    /// Prefixes of paths whose requests may run more than once; all other requests must not.
+    /// Prefixes of the paths whose requests may run more than once.
     pub idempotent_paths: &'a [&'a str],
-    /// The allowed pairs of client and service.
+    /// Pairs of a client service and a service that it may call.
     pub allowed: &'a [(&'a str, &'a str)],
     /// Whether processes are only stopped gracefully, so that no forwarded request may be interrupted.
     pub planned_stops_only: bool,
-    /// Retries of one service over the whole fleet that are allowed beside one for every five requests.
+    /// Number of retries of one service over the whole fleet that are allowed in addition to one for every five requests.
     pub retry_allowance: usize,
     /// Situations that must occur in the run, because without them the scenario tests nothing.
     pub must_observe: &'a [&'a str],
 }
 
+/// Checks the records against all invariants, and counts the outcomes.
 pub fn check(records: &[Record], rules: &Rules) -> Report {
     let mut report = Report::default();
     let begun_runs: Vec<&Record> = records
@@ -47,7 +48,7 @@
                 } if !rules
                     .idempotent_paths
                     .iter()
-                    .any(|start| path.starts_with(start))
+                    .any(|prefix| path.starts_with(prefix))
                     && runs[attempt_id.as_str()] > 1 =>
                 {
                     Some(format!("{attempt_id} {path}"))
@@ -59,7 +60,7 @@
     add_violations(
         "not_run_did_not_run",
         answers(records)
-            // A request that could not reach its own node was rejected by nobody.
+            // The client itself records `own_usher_down` when it cannot connect to its node. No node rejected the request.
             .filter(|(_, _, _, error_kind)| *error_kind != Some("own_usher_down"))
             .filter(|(attempt_id, execution_status, _, _)| {
                 *execution_status == Some("not-run") && runs.contains_key(attempt_id)
@@ -170,8 +171,8 @@
     report.not_observed = rules
         .must_observe
         .iter()
-        .filter(|what| !serving::observed(records, what))
-        .map(|what| what.to_string())
+        .filter(|situation| !serving::is_observed(records, situation))
+        .map(|situation| situation.to_string())
         .collect();
     let first_answers = || {
         answers(
--- a/crates/simulator/src/checker/runs.rs
+++ b/crates/simulator/src/checker/runs.rs
@@ -1,5 +1,5 @@
-//! Invariants on runs of requests: key ownership, draining, removed routes, misrouting and interruption, and on the
-//! service at the end (design 9.5).
+//! Invariants on runs of requests: key ownership, draining, removed routes, misrouting and interruption. Also checks that
+//! requests are served at the end of the run (design 9.5).
 
 use crate::history::Record;
 use std::collections::BTreeMap;
@@ -7,11 +7,11 @@
 use std::collections::HashMap;
 use std::collections::HashSet;
 
-/// Time after which an accepted change or a drain is in force: the promised two seconds and half a second of
-/// tolerance.
+/// Time after which an accepted change or a drain is in force, in microseconds: the promised two seconds and half a second
+/// of tolerance.
 const IN_FORCE_WITHIN_US: u64 = 2_500_000;
 
-/// Begin, end and process of a run. Two processes of the same name are two live backends.
+/// Begin, end and process of a run. Processes are told apart by id, because two live backends may have the same name.
 type RunSpan = (u64, u64, u32);
 
 /// Runs of two backends on the same key of a service at the same time.
@@ -34,7 +34,7 @@
             ..
         } = record
         {
-            // A run without an end was killed together with its backend; it did nothing after its beginning, so its
+            // A run without a recorded end was killed together with its backend. It did no work after its beginning, so its
             // span is empty.
             spans.entry((service, key)).or_default().push((
                 *at,
@@ -82,7 +82,7 @@
                 } if backend == leaving_backend => Some((attempt_id, *process, *at)),
                 _ => None,
             });
-            // Only the process that left is checked; its successor of the same name may begin runs.
+            // Only the process that left is checked, because its successor has the same name and may begin runs.
             let left_process = began
                 .clone()
                 .filter(|(_, _, at)| *at <= left_at)
@@ -162,7 +162,7 @@
         .collect()
 }
 
-/// Client services none of whose requests were served in the last two and a half seconds of the run.
+/// Client services without a served request in the last two and a half seconds of the run.
 pub(crate) fn services_not_served_at_the_end(records: &[Record]) -> Vec<String> {
     let answers = records.iter().filter_map(|record| match record {
         Record::ClientAnswered {
--- a/crates/simulator/src/checker/serving.rs
+++ b/crates/simulator/src/checker/serving.rs
@@ -1,4 +1,4 @@
-//! Invariants on what clients are promised beside the execution status: retry budgets, rejections and recovery
+//! Invariants on the service that clients receive: retry budgets, rejections, keys beside a hot key, and recovery
 //! (design 5.4, 5.6).
 
 use crate::history::Record;
@@ -6,10 +6,11 @@
 use std::collections::BTreeSet;
 
 const BUDGET_WINDOW_US: u64 = 10_000_000;
-/// Longest time between a client's sending a request and the node's adding it to the retry budget, in microseconds.
+/// Longest time from the sending of a request until the node adds it to the retry budget, in microseconds.
 const COUNTING_DELAY_US: u64 = 50_000;
 const RECOVERY_LIMIT_US: u64 = 15_000_000;
 
+/// The answer to the first send of an attempt.
 struct FirstAnswer<'a> {
     service: &'a str,
     sent_at: u64,
@@ -22,7 +23,7 @@
     key: Option<&'a str>,
 }
 
-/// Answers to requests that were not resent, by the service they were meant for.
+/// Answers to the first send of each attempt, with the service that the attempt was meant for.
 fn first_answers(records: &[Record]) -> impl Iterator<Item = FirstAnswer<'_>> {
     records.iter().filter_map(|record| match record {
         Record::ClientAnswered {
@@ -52,8 +53,8 @@
     })
 }
 
-/// Retries of one service over the whole fleet that exceed the budget in some window of ten seconds. Each window that
-/// can exceed it most begins with a retry, so only those windows are checked.
+/// Retries of one service over the whole fleet that exceed the budget in some window of ten seconds. Only windows that
+/// begin with a retry are checked, because the largest excess always occurs in one of them.
 pub(crate) fn retry_budget_overruns(records: &[Record], allowance: usize) -> Vec<String> {
     let retries = records.iter().filter_map(|record| match record {
         Record::AttemptRepeated { service, at, .. } => Some((service.as_str(), *at)),
@@ -105,15 +106,16 @@
         .collect()
 }
 
-/// Requests that were rejected only shortly before their deadline, though there was nothing left to wait for. A request
-/// that waited in a queue until its time was over, or until a more important one displaced it, is not counted.
+/// Requests that were rejected only shortly before their deadline, although an earlier rejection was possible. A request
+/// that waited in a queue until its deadline, or until a more important request displaced it, is not counted.
 pub(crate) fn late_rejections(records: &[Record]) -> Vec<String> {
     const QUEUED_ERROR_KINDS: [&str; 2] = ["too_late", "overloaded"];
-    let late = first_answers(records).filter(|answer| {
+    let rejections = first_answers(records).filter(|answer| {
         answer.execution_status == Some("not-run")
             && answer.at - answer.sent_at > answer.wait_us * 9 / 10
     });
-    // A stalled node answers nothing, at either end, so a request that overlaps a stall is not counted.
+    // A stalled node sends no answers, be it the client's or the backend's, so a request that overlaps a stall is not
+    // counted.
     let stall = |record: &Record| {
         if let Record::NodeStalled { from, to, .. } = record {
             Some((*from, *to))
@@ -122,26 +124,27 @@
         }
     };
     let stalls: Vec<(u64, u64)> = records.iter().filter_map(stall).collect();
-    let late = late.filter(|answer| {
+    let rejections = rejections.filter(|answer| {
         !stalls
             .iter()
             .any(|(from, to)| answer.sent_at < *to && answer.at > *from)
     });
-    let late = late.filter(|answer| {
+    let rejections = rejections.filter(|answer| {
         !answer
             .error_kind
             .is_some_and(|error_kind| QUEUED_ERROR_KINDS.contains(&error_kind))
     });
-    late.map(|answer| {
-        format!(
-            "{}: {} after {} of {}",
-            answer.service,
-            answer.error_kind.unwrap_or("?"),
-            answer.at - answer.sent_at,
-            answer.wait_us
-        )
-    })
-    .collect()
+    rejections
+        .map(|answer| {
+            format!(
+                "{}: {} after {} of {}",
+                answer.service,
+                answer.error_kind.unwrap_or("?"),
+                answer.at - answer.sent_at,
+                answer.wait_us
+            )
+        })
+        .collect()
 }
 
 fn hot_key_start(records: &[Record]) -> Option<u64> {
@@ -221,9 +224,9 @@
     (served, late)
 }
 
-/// Whether the run produced the situation that its scenario is meant to test.
-pub(crate) fn observed(records: &[Record], what: &str) -> bool {
-    match what {
+/// Returns whether a situation that a scenario must produce occurred in the run.
+pub(crate) fn is_observed(records: &[Record], situation: &str) -> bool {
+    match situation {
         "not-run" => first_answers(records).any(|answer| answer.execution_status == Some("not-run") && answer.error_kind != Some("own_usher_down")),
         "a second arrival" => records.iter().any(|record| matches!(record, Record::ClientAnswered { repeated: true, status: 409, .. })),
         "an accepted change" => records.iter().filter(|record| matches!(record, Record::DesiredChange { version: Some(_), .. })).count() > 1,
--- a/crates/simulator/src/history.rs
+++ b/crates/simulator/src/history.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum Record {
-    /// A backend started to run a request. Written before the backend does any work for the request.
+    /// A backend began to run a request. Written before the backend does any work for the request.
     #[serde(rename = "began")]
     RunBegan {
         run: String,
@@ -18,7 +18,7 @@
         backend: String,
         #[serde(rename = "life")]
         incarnation: u64,
-        /// Process id: two live backends may share one name, a frozen process and its successor.
+        /// Process id. A frozen process and its successor are two live backends with the same name.
         process: u32,
         service: String,
         #[serde(rename = "meant_for")]
@@ -30,7 +30,7 @@
     },
     #[serde(rename = "ended")]
     RunEnded { run: String, at: u64 },
-    /// A client received the result of an attempt; `repeated` marks any but the first send of this attempt.
+    /// A client received the result of an attempt. `repeated` is set for every send of the attempt but the first.
     #[serde(rename = "told")]
     ClientAnswered {
         #[serde(rename = "try_id")]
@@ -59,14 +59,14 @@
         #[serde(rename = "whole")]
         complete: bool,
     },
-    /// A backend requested its drain, or was killed, at this time.
+    /// A backend announced that it is draining, or was killed.
     #[serde(rename = "leaving")]
     BackendLeaving {
         #[serde(rename = "by")]
         backend: String,
         at: u64,
     },
-    /// An operator's change of a route: written when it is sent, and again with `accepted` when it is accepted.
+    /// An operator's change of a route. Written when the change is sent, and again with `accepted` set when it is accepted.
     #[serde(rename = "lane")]
     RouteChange {
         #[serde(rename = "sender")]
@@ -115,7 +115,7 @@
     /// A fault was removed; recovery is measured from the last of these records.
     #[serde(rename = "healed")]
     FaultHealed { at: u64 },
-    /// A node dispatched an attempt again; taken from the node's log.
+    /// A node dispatched an attempt again. Read from the node's log.
     #[serde(rename = "extra")]
     AttemptRepeated {
         node: String,
@@ -138,7 +138,7 @@
         from: u64,
         to: u64,
     },
-    /// From this time on most keyed requests use one hot key.
+    /// Clients began to send most keyed requests with one hot key.
     #[serde(rename = "heated")]
     HotKeyStarted { at: u64 },
 }
@@ -161,7 +161,7 @@
     /// Time from the last fault until each service was served again, in microseconds.
     #[serde(rename = "back_us")]
     pub recovery_us: BTreeMap<String, u64>,
-    /// Events that the scenario must cause and that were not observed: the run tests nothing about them.
+    /// Situations that the scenario must produce and that were not observed, so that the run did not test them.
     #[serde(rename = "not_provoked")]
     pub not_observed: Vec<String>,
     /// Violations per invariant.
@@ -169,7 +169,7 @@
 }
 
 impl Report {
-    /// Whether no invariant was violated.
+    /// Returns whether no invariant was violated.
     pub fn holds(&self) -> bool {
         self.invariants.values().all(Vec::is_empty)
     }
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -100,13 +100,13 @@
 }
 
 fn reject_unknown_arguments(arguments: pico_args::Arguments) {
-    let left = arguments.finish();
-    if !left.is_empty() {
-        exit_with_usage_error(&format!("unknown arguments: {left:?}"));
+    let remaining = arguments.finish();
+    if !remaining.is_empty() {
+        exit_with_usage_error(&format!("unknown arguments: {remaining:?}"));
     }
 }
 
-/// Rejects a folder that holds an earlier run, whose stores and histories would be read as those of this run.
+/// Rejects a folder that holds the files of an earlier run, whose stores and histories would be read as those of this run.
 fn require_unused_folder(folder: &Path) {
     if folder.join("rehearsal.history").exists() {
         exit_with_usage_error(&format!(
@@ -136,7 +136,8 @@
     })
 }
 
-/// Prints the costs of an entry for several values of α and τ, with one or all replicas suggesting, at low and high rate.
+/// Prints the costs of an entry for several values of α and τ, with one or all replicas suggesting, at a low and a high
+/// rate.
 fn print_entry_costs() {
     println!("{}", simulator::sim::entry_cost::TABLE_HEAD);
     let settings = [
@@ -149,10 +150,17 @@
     settings.iter().for_each(|(alpha, tau)| {
         [(20_000, true), (20_000, false), (200, true), (200, false)]
             .iter()
-            .for_each(|(gap, one_seat)| {
+            .for_each(|(gap, single_proposer)| {
                 println!(
                     "{}",
-                    simulator::sim::entry_cost::table_line(5, *alpha, *tau, *gap, 400, *one_seat)
+                    simulator::sim::entry_cost::table_line(
+                        5,
+                        *alpha,
+                        *tau,
+                        *gap,
+                        400,
+                        *single_proposer
+                    )
                 );
             });
     });
@@ -216,11 +224,11 @@
     sites
         .iter()
         .for_each(|site| check_arguments(site, "quiet", &plan.folder));
-    let known = |name: &str| simulator::scenario::NAMES.contains(&name) || name == "day";
+    let is_known = |name: &str| simulator::scenario::NAMES.contains(&name) || name == "day";
     if let Some(name) = only_names
         .iter()
         .flat_map(|only_names| only_names.split(','))
-        .find(|name| !known(name))
+        .find(|name| !is_known(name))
     {
         exit_with_usage_error(&format!("there is no scenario {name:?}"));
     }
@@ -308,11 +316,11 @@
     }
 }
 
-/// Prints a table and then one line of JSON to standard output.
+/// Runs the fleet of hollow nodes, and prints a table and then one line of JSON to standard output.
 async fn run_hollow(arguments: pico_args::Arguments) -> Result<(), String> {
-    let (plan, counted) = simulator::hollow::flags::read(arguments)
+    let (plan, is_count_only) = simulator::hollow::flags::read(arguments)
         .unwrap_or_else(|message| exit_with_usage_error(&message));
-    if counted {
+    if is_count_only {
         println!(
             "{}",
             serde_json::to_string(&simulator::hollow::counted::count(&plan)).unwrap_or_default()
@@ -324,7 +332,7 @@
     Ok(())
 }
 
-/// Runs a replica over a simulated disk: takes the flags of `gradeford-core`, and the delay of a sync.
+/// Runs a replica over a simulated disk. Takes the flags of `gradeford-core`, and the delay of each sync as `--sync`.
 async fn run_replica(mut arguments: pico_args::Arguments) -> Result<(), String> {
     let mut required_text =
         |flag: &'static str| parsed_or_exit(arguments.value_from_str::<_, String>(flag));
--- a/crates/simulator/src/measurements.rs
+++ b/crates/simulator/src/measurements.rs
@@ -46,7 +46,7 @@
 
 /// Sums the requests and repeated dispatches of each service over the nodes that answer.
 pub async fn requests_and_retries(fleet: &Fleet) -> BTreeMap<String, (u64, u64)> {
-    let mut sum = BTreeMap::<String, (u64, u64)>::new();
+    let mut totals = BTreeMap::<String, (u64, u64)>::new();
     for machine in &fleet.machines {
         if let Some((200, status)) = fleet.get(&machine.local_address, "/status").await {
             status["requests_and_extras"]
@@ -54,13 +54,13 @@
                 .into_iter()
                 .flatten()
                 .for_each(|(service, counts)| {
-                    let total = sum.entry(service.clone()).or_default();
+                    let total = totals.entry(service.clone()).or_default();
                     total.0 += counts[0].as_u64().unwrap_or(0);
                     total.1 += counts[1].as_u64().unwrap_or(0);
                 });
         }
     }
-    sum
+    totals
 }
 
 fn add_traffic(add: &mut impl FnMut(&'static str, u64), status: &serde_json::Value) {
@@ -96,12 +96,12 @@
             .await?;
         let started = model::now();
         base_version = version;
-        let everywhere = async {
+        let all_nodes = async {
             for machine in &fleet.machines {
                 wait_until_held(fleet, &machine.local_address, position).await;
             }
         };
-        tokio::time::timeout(Duration::from_secs(60), everywhere)
+        tokio::time::timeout(Duration::from_secs(60), all_nodes)
             .await
             .map_err(|_| "a change was not in force on every node within 60 seconds")?;
         times.push(model::now() - started);
@@ -109,8 +109,8 @@
     Ok(times)
 }
 
-/// Waits until the node's position reaches that of the change. A freshness proof advances the position also where the
-/// change affects nothing that the node subscribes to.
+/// Waits until the node's position reaches that of the change. A freshness proof advances the position even if the change
+/// affects nothing that the node subscribes to.
 async fn wait_until_held(fleet: &Fleet, address: &str, position: u64) {
     loop {
         match fleet.get(address, "/status").await {
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -7,6 +7,7 @@
 pub struct Plan {
     pub site: String,
     pub scenario: String,
+    /// Duration of the scenarios `midway` and `day`, in seconds; the other scenarios have a fixed duration.
     pub seconds: u64,
     pub seed: u64,
     /// Number of backend replies in a thousand that the stand-ins corrupt.
@@ -14,7 +15,7 @@
     pub folder: PathBuf,
     /// Additional flags for every node, to compare two runs that differ in them.
     pub node_flags: Vec<String>,
-    /// Number of operator changes to submit and time before the first fault.
+    /// Number of operator changes that are submitted and timed before the first fault.
     pub changes: u64,
 }
 
@@ -33,7 +34,7 @@
         name => crate::scenario::named(name, size, plan.seed)
             .ok_or_else(|| format!("there is no scenario {name:?}"))?,
     };
-    // With the longer work time one hot key can use up the capacity of its backend.
+    // Only with the longer work time does one hot key exhaust the capacity of its backend.
     deployment.work_us = if scenario.name == "hot-key" {
         deployment.slow_work_us
     } else {
@@ -96,7 +97,7 @@
         .iter()
         .map(|route| (route.0, route.1))
         .collect();
-    // Timed changes come from one operator alone, so none is rejected and that event cannot be required.
+    // With timed changes no other operator runs, so no change is rejected and a rejection cannot be required.
     let must_observe = if plan.changes == 0 {
         scenario.must_observe
     } else {
@@ -187,7 +188,7 @@
     }
 }
 
-/// Kills a replica after a third of the run, and a backend after two thirds.
+/// A scenario that kills a replica after a third of the run, and a backend after two thirds.
 fn midway_scenario(
     deployment: &crate::deployment::Deployment,
     plan: &Plan,
@@ -211,7 +212,7 @@
     }
 }
 
-/// Measures the time before the first fault: load and the requested number of changes.
+/// Measures the load and the requested number of changes during the time before the first fault.
 async fn measure(
     fleet: &crate::fleet::Fleet,
     plan: &Plan,
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -15,7 +15,7 @@
     /// Sends SIGTERM for a graceful stop.
     Stop(Target),
     Start(Target),
-    /// Kills the replica, empties its folder and starts it again.
+    /// Kills the replica, deletes its folder and starts it again.
     Wipe(usize),
     /// Replaces the replica by an empty one at a new address, by an operator's change.
     Replace(usize),
@@ -45,16 +45,17 @@
     /// Starts one more backend of the same service on the machine with this index.
     AddBackend(usize),
     DrainAddedBackends,
-    /// From here on most requests are for one key.
+    /// Sends most requests from this time on with the same key.
     StartHotKey,
-    /// A change is accepted at this replica, which loses power and disk at once. An empty replica replaces it.
+    /// Submits a change at this replica, and destroys its process and disk as soon as it has accepted the change. An empty
+    /// replica replaces it.
     LoseAfterAccept(usize),
-    /// Sets how a replica's disk behaves from here on.
+    /// Sets the fault of a replica's disk.
     SetDisk(usize, crate::disk::DiskFault),
 }
 
 impl Step {
-    /// Whether the step ends a fault.
+    /// Returns whether the step ends a fault.
     pub fn ends_fault(&self) -> bool {
         matches!(
             self,
@@ -68,12 +69,13 @@
     }
 }
 
-/// A schedule of steps, and what a run of it must fulfil.
+/// A schedule of steps, and the conditions that a run of it must meet.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     pub name: &'static str,
     /// The steps, with their times in milliseconds after the start of the load.
     pub steps: Vec<(u64, Step)>,
+    /// Duration of the run, in milliseconds.
     pub length: u64,
     /// Whether processes are only stopped gracefully, so that no forwarded request may be interrupted.
     pub planned_stops_only: bool,
@@ -152,7 +154,7 @@
                 (6_000, Step::Start(Target::Replica(replica))),
             ],
         ),
-        // The wiped replica recovers without an operator. Then others are killed until its vote is needed.
+        // The wiped replica recovers without an operator. Then so many others are killed that a majority needs its vote.
         "core-wiped" => {
             let kills = (1..=(replica_count - 1) / 2).map(|step| {
                 (
@@ -166,7 +168,7 @@
                 .chain([(12_000, Step::RestoreRoute)]);
             scenario("core-wiped", 15_000, steps.collect())
         }
-        // After the replacement others are killed, so that the vote of the new disk is needed.
+        // After the replacement so many others are killed that a majority needs the vote of the new disk.
         "core-replaced" => {
             let kills = (1..=(replica_count - 1) / 2).map(|step| {
                 (
@@ -287,11 +289,12 @@
         }
         "service-slow" => {
             let targets = machine_count * 2 / 3..machine_count;
-            let stops = targets
+            let freezes = targets
                 .clone()
                 .map(|machine| (2_000, Step::Freeze(Target::Backend(machine))));
-            let wakes = targets.map(|machine| (2_900, Step::Unfreeze(Target::Backend(machine))));
-            scenario("service-slow", 9_000, stops.chain(wakes).collect())
+            let unfreezes =
+                targets.map(|machine| (2_900, Step::Unfreeze(Target::Backend(machine))));
+            scenario("service-slow", 9_000, freezes.chain(unfreezes).collect())
         }
         "nodes-rolled" => {
             let steps = (0..3).flat_map(|round| {
--- a/crates/simulator/src/scenario_more.rs
+++ b/crates/simulator/src/scenario_more.rs
@@ -35,7 +35,8 @@
                 ..scenario("reloaded", 7_000, reloads.collect())
             }
         }
-        // First at the same node, then the address of another machine's backend at a third node.
+        // First a backend beside the same node takes over the address, then a backend beside a third node takes over the
+        // address of another machine's backend.
         "address-reused" => {
             let (next, third) = ((machine + 1) % machine_count, (machine + 2) % machine_count);
             let steps = vec![
@@ -143,7 +144,8 @@
                 .chain([(11_500, Step::RemoveRoute), (13_000, Step::RestoreRoute)]);
             scenario("acked-then-lost", 17_000, steps.collect())
         }
-        // All replicas lose power soon after an empty disk was admitted, when they know its instances only from each other.
+        // All replicas lose power soon after an empty disk was admitted, when the values of the instances that the lost disk
+        // coordinated are stored by the other replicas only.
         "core-wiped-then-herd" => {
             let steps = vec![
                 (1_000, Step::Wipe(replica)),
@@ -180,7 +182,7 @@
             ),
             &["a forger refused"],
         ),
-        // The disk of one replica, then those of as many more as may be lost.
+        // The fault occurs at the disk of one replica, and then at those of as many more as a majority can do without.
         "disk-slow" => disk_scenario(
             "disk-slow",
             crate::disk::DiskFault::Slow,
@@ -253,8 +255,8 @@
     )
 }
 
-/// Random faults at most at one replica and one machine at a time. At the end all processes lose power, all replicas are
-/// killed, or a node is isolated.
+/// A scenario of random faults at one replica or one machine at a time. At the end all processes are killed, all replicas
+/// are killed, or a node is isolated.
 pub(crate) fn day(machine_count: usize, replica_count: usize, seed: u64, seconds: u64) -> Scenario {
     let mut rng: rand::rngs::StdRng = rand::SeedableRng::seed_from_u64(seed);
     let end = seconds.max(30) * 1_000 - 20_000;
