--- a/crates/simulator/src/lease_sim/backend.rs
+++ b/crates/simulator/src/lease_sim/backend.rs
@@ -1,17 +1,19 @@
-//! A backend that keeps its contract: it sends heartbeats, holds a lease for its duration from the time when the
-//! heartbeat was sent, by a clock that may be slow, releases the ranges that an answer leaves out and reports the
-//! release within 100 ms (design 11.5).
+//! A simulated backend that fulfils the contract of the lease protocol. It sends heartbeats and holds a lease, by a clock
+//! that may be slow, for its duration from the time when the heartbeat was sent. It releases the ranges that an answer
+//! leaves out, and reports the release within 100 ms (design 11.5).
 
 use model::cluster_state::ShardKey;
 use model::{Microseconds, Position};
 
+/// First key, last key and fencing token of a range.
 pub(super) type LeasedRange = (ShardKey, ShardKey, Position);
 
+/// A range that a backend holds.
 #[derive(Clone, Debug)]
 pub(super) struct HeldRange {
     pub range: LeasedRange,
     pub until: Microseconds,
-    /// Number of the release, if an answer left the range out. Work on the range may still be running.
+    /// Number of the release, if an answer left the range out. Requests for the range may still be running.
     pub releasing: Option<u64>,
 }
 
@@ -21,10 +23,10 @@
     pub(super) alive: bool,
     pub(super) frozen: bool,
     pub(super) deferred: Vec<super::harness::Event>,
-    /// Its heartbeats are lost, although the process is running.
+    /// Whether the backend's heartbeats are lost although its process is running.
     pub(super) heartbeats_lost: bool,
     pub(super) draining: bool,
-    /// By how much its clock is slow, in thousandths of the lease duration.
+    /// Lag of the backend's clock over the duration of a lease, in thousandths of that duration.
     pub(super) clock_lag_per_mille: u64,
     pub(super) sequence: u64,
     pub(super) awaiting_answer_to: Option<u64>,
@@ -36,8 +38,8 @@
     pub(super) last_release: u64,
 }
 
-/// The parts of a range that lie outside all of `others`.
-fn outside(range: LeasedRange, others: &[(ShardKey, ShardKey)]) -> Vec<LeasedRange> {
+/// Returns the parts of a range that lie outside all of `others`.
+fn subtract_ranges(range: LeasedRange, others: &[(ShardKey, ShardKey)]) -> Vec<LeasedRange> {
     others.iter().fold(vec![range], |ranges, (from, to)| {
         let remaining_ranges =
             ranges
@@ -89,12 +91,12 @@
         }
     }
 
-    /// Every incarnation has a name of its own.
+    /// Returns the name of this incarnation. Every incarnation has its own name.
     pub(super) fn name(&self) -> String {
         format!("backend-{}-{}", self.node, self.incarnation)
     }
 
-    /// The ranges with a valid lease, including those on which only running work is finished.
+    /// Returns the ranges with a valid lease, including those that are being released.
     pub(super) fn held(&self, now: Microseconds) -> Vec<LeasedRange> {
         self.held
             .iter()
@@ -148,19 +150,22 @@
             .into_iter()
             .filter(|held| held.until > now)
             .flat_map(|held| {
-                let remaining_ranges = outside(held.range, &granted).into_iter().map(|range| {
-                    *last_release += 1;
-                    let current_release = held.releasing.filter(|_| range == held.range);
-                    let release_number = current_release.unwrap_or(*last_release);
-                    if current_release.is_none() {
-                        to_release.push(release_number);
-                    }
-                    HeldRange {
-                        range,
-                        until: held.until,
-                        releasing: Some(release_number),
-                    }
-                });
+                let remaining_ranges =
+                    subtract_ranges(held.range, &granted)
+                        .into_iter()
+                        .map(|range| {
+                            *last_release += 1;
+                            let current_release = held.releasing.filter(|_| range == held.range);
+                            let release_number = current_release.unwrap_or(*last_release);
+                            if current_release.is_none() {
+                                to_release.push(release_number);
+                            }
+                            HeldRange {
+                                range,
+                                until: held.until,
+                                releasing: Some(release_number),
+                            }
+                        });
                 remaining_ranges.collect::<Vec<_>>()
             });
         self.held = remaining.collect();
@@ -172,13 +177,13 @@
         self.latest_tokens = self
             .latest_tokens
             .iter()
-            .flat_map(|latest| outside(*latest, &granted))
+            .flat_map(|latest| subtract_ranges(*latest, &granted))
             .chain(ranges)
             .collect();
         (to_release, regressed)
     }
 
-    /// Finishes a release after its work has ended. Returns whether the lease was still valid.
+    /// Finishes a release after the requests for its range have ended. Returns whether the lease was still valid.
     pub(super) fn finish_release(
         &mut self,
         now: Microseconds,
--- a/crates/simulator/src/lease_sim/checks.rs
+++ b/crates/simulator/src/lease_sim/checks.rs
@@ -1,4 +1,4 @@
-//! Invariants of the leases: at most one holder of a key at a time, fencing tokens that only grow, and all keys held
+//! Invariants of the leases: a key has at most one holder at a time, fencing tokens only grow, and all keys have a holder
 //! again after the last fault (design 11.4, 11.5).
 
 use model::Microseconds;
@@ -8,9 +8,9 @@
 #[derive(Default)]
 pub struct LeaseChecks {
     pub violations: Vec<String>,
-    /// Number of ranges taken or renewed.
+    /// Number of times that a backend acquired or renewed a range.
     pub ranges_taken: usize,
-    /// Number of those that came with the handover token of their previous holder.
+    /// Number of acquired ranges that came with the handover token of their previous holder.
     pub ranges_handed_over: usize,
 }
 
@@ -22,18 +22,18 @@
         }
     }
 
-    /// Checks that no other backend holds a range of `taker`, which has just taken or renewed its ranges.
+    /// Checks that no other backend holds a range of the backend `holder`, which has just acquired or renewed its ranges.
     pub(super) fn check_holders(
         &mut self,
         now: Microseconds,
         backends: &[super::backend::SimulatedBackend],
-        taker: usize,
+        holder: usize,
     ) {
-        let own = backends[taker].held(now);
+        let own = backends[holder].held(now);
         let others = backends
             .iter()
             .zip(0..)
-            .filter(|(backend, index)| *index != taker && backend.alive);
+            .filter(|(backend, index)| *index != holder && backend.alive);
         let conflict = others
             .flat_map(|(backend, _)| {
                 backend
@@ -47,7 +47,7 @@
                     .find(|(range_start, range_end, _)| *range_start <= to && from <= *range_end)?;
                 Some(format!(
                     "{} holds {overlapping:?}, {name} holds {:?}",
-                    backends[taker].name(),
+                    backends[holder].name(),
                     (from, to, fencing_token)
                 ))
             });
--- a/crates/simulator/src/lease_sim/connection.rs
+++ b/crates/simulator/src/lease_sim/connection.rs
@@ -1,4 +1,4 @@
-//! How a node follows one replica at a time, as `control::updates` does (design 11.3).
+//! The connection over which a node follows one replica at a time, as `control::updates` does (design 11.3).
 
 use super::harness::{Event, LeaseHarness};
 use super::log::ReplicaUpdate;
@@ -6,15 +6,18 @@
 
 #[derive(Default)]
 pub(super) struct UpdateConnection {
-    /// Number of the connection, the replica at its other end, and whether it is broken and carries no more messages.
+    /// Number of the connection among those that the node has opened.
     pub number: u64,
+    /// The replica at the other end.
     pub replica: usize,
+    /// Whether the connection is broken and carries no more messages.
     pub broken: bool,
     /// Arrival time of the latest freshness proof, by the node's clock.
     proved_at: Microseconds,
     pending_proof_requests: Vec<(u64, Microseconds)>,
     last_proof_request: u64,
-    /// Arrival time of the latest update: updates arrive in the order in which they were sent.
+    /// Arrival time of the latest update. Later updates arrive after it, because updates arrive in the order in which they
+    /// were sent.
     last_arrival: Microseconds,
 }
 
@@ -52,7 +55,7 @@
         self.schedule_within((300, 5_000), Event::Follow(index, connection_number, held));
     }
 
-    fn connection_carries(&self, index: usize, connection_number: u64) -> bool {
+    fn is_connected(&self, index: usize, connection_number: u64) -> bool {
         let node = &self.nodes[index];
         node.up
             && node.connection.number == connection_number
@@ -83,7 +86,7 @@
         updates
             .into_iter()
             .for_each(|((index, connection_number), update)| {
-                if self.connection_carries(index, connection_number) {
+                if self.is_connected(index, connection_number) {
                     let longest_delay = if self.draw((0, 19)) == 0 {
                         700_000
                     } else {
@@ -99,7 +102,7 @@
     }
 
     pub(super) fn follow(&mut self, index: usize, connection_number: u64, held: Position) {
-        if self.connection_carries(index, connection_number) {
+        if self.is_connected(index, connection_number) {
             let replica = self.nodes[index].connection.replica;
             let updates = self.log.replicas[replica].follow((index, connection_number), held);
             self.send_updates(updates);
@@ -112,9 +115,7 @@
         connection_number: u64,
         request_number: u64,
     ) {
-        if self.connection_carries(index, connection_number)
-            && self.log.unavailable_until <= self.now
-        {
+        if self.is_connected(index, connection_number) && self.log.unavailable_until <= self.now {
             let (replica, ordered_count) =
                 (self.nodes[index].connection.replica, self.log.entries.len());
             let updates = self.log.replicas[replica].request_proof(
@@ -171,18 +172,19 @@
                 request_number,
                 position,
             } => {
-                let asked = node
+                let requested_at = node
                     .connection
                     .pending_proof_requests
                     .iter()
-                    .find(|(asked, _)| *asked == request_number)
-                    .map(|(_, asked_at)| *asked_at);
+                    .find(|(number, _)| *number == request_number)
+                    .map(|(_, requested_at)| *requested_at);
                 node.connection
                     .pending_proof_requests
-                    .retain(|(asked, _)| *asked > request_number);
-                if let Some(asked) = asked.filter(|_| position <= node.state.position) {
+                    .retain(|(number, _)| *number > request_number);
+                if let Some(requested_at) = requested_at.filter(|_| position <= node.state.position)
+                {
                     node.connection.proved_at = clock;
-                    node.proved_at = node.proved_at.max(asked);
+                    node.proved_at = node.proved_at.max(requested_at);
                     self.notify(index);
                 }
             }
--- a/crates/simulator/src/lease_sim/faults.rs
+++ b/crates/simulator/src/lease_sim/faults.rs
@@ -1,5 +1,5 @@
-//! The simulated faults and other events: killed and frozen processes, lost messages, outages, drains and changed
-//! shares (design 11.5).
+//! Simulated faults and other events that the lease protocol has to handle: killed and frozen processes, lost messages,
+//! outages, drains and changed shares (design 11.5).
 
 use super::backend::SimulatedBackend;
 use super::harness::{Event, LeaseHarness};
@@ -25,15 +25,15 @@
     DrainBackend,
     /// Node and backend are killed at the same time.
     PowerLoss,
-    /// The log orders nothing and gives no freshness proof.
+    /// The log orders no entries, and replicas send no freshness proofs.
     LogOutage,
-    /// One replica applies nothing for a while and sends outdated state.
+    /// One replica applies no entries for a while and sends outdated state.
     LagReplica,
     /// The placement is computed again with other shares.
     ChangeShares,
 }
 
-/// All faults.
+/// All kinds of faults.
 pub const FAULTS: [Fault; 12] = [
     Fault::KillNode,
     Fault::FreezeNode,
@@ -52,7 +52,7 @@
 /// Start time, fault, index of the node, and duration. Times are in microseconds.
 pub type ScheduledFault = (Microseconds, Fault, usize, Microseconds);
 
-/// Faults encoded in `bytes`, three bytes for each.
+/// Decodes faults from `bytes`, three bytes for each.
 pub fn decode_faults(kinds: &[Fault], bytes: &[u8]) -> Vec<ScheduledFault> {
     bytes
         .chunks_exact(3)
@@ -163,7 +163,7 @@
         (node.up, node.frozen) = (false, false);
         node.deferred.clear();
         let incarnation = node.incarnation();
-        // Two monitoring nodes report it as suspected, as in the ring of the failure detector.
+        // Two monitoring nodes report the node as suspected, as in the ring of the failure detector.
         if length > 3_000_000 && self.log.unavailable_until <= self.now {
             let suspicion = |observer: usize| ClusterReport::NodeObserved {
                 observer: format!("node-{observer}"),
@@ -194,7 +194,7 @@
         }
     }
 
-    /// Starts the next incarnation under a new name, once the earlier process has ended.
+    /// Starts the next incarnation of a backend under a new name, unless the earlier process is still running.
     fn start_successor(&mut self, index: usize) {
         if self.backends[index].alive {
             return;
@@ -227,7 +227,7 @@
             && !self.nodes[index].frozen
             && !self.backends[index].heartbeats_lost
         {
-            self.nodes[index].signed_off(&name);
+            self.nodes[index].record_sign_off(&name);
             self.notify(index);
         }
         self.backends[index].alive = false;
--- a/crates/simulator/src/lease_sim/log.rs
+++ b/crates/simulator/src/lease_sim/log.rs
@@ -1,4 +1,4 @@
-//! The simulated log: one order of entries, and replicas that apply them with a delay, publish updates and answer
+//! The simulated log. It orders entries, and its replicas apply them with a delay, publish updates and answer
 //! freshness-proof requests (design 11.3).
 
 use model::cluster_state::{ClusterOperation, ClusterReport, Delta};
@@ -20,9 +20,9 @@
     },
 }
 
-/// Origin, its incarnation, its sequence number, and the reports.
+/// Origin of the entry, incarnation of the origin, sequence number, and the reports.
 pub(super) type LogEntry = (String, u64, u64, Vec<ClusterReport>);
-/// Node and the number of its connection.
+/// Index of a node and number of its connection.
 pub(super) type ConnectionId = (usize, u64);
 
 #[derive(Default)]
@@ -41,7 +41,7 @@
     pub replicas: Vec<LogReplica>,
     /// Time when each entry was ordered.
     pub ordered_at: Vec<Microseconds>,
-    /// Until this time nothing is ordered and no freshness proof is given.
+    /// Time until which the log orders no entries and replicas send no freshness proofs.
     pub unavailable_until: Microseconds,
 }
 
@@ -83,8 +83,8 @@
 }
 
 impl LogReplica {
-    /// The updates for followers that are behind. A replica that lags behind a follower sends nothing to it until it has
-    /// caught up.
+    /// Returns the updates for the followers that lag behind this replica. A replica that itself lags behind a follower
+    /// sends it no update until the replica has caught up.
     fn pending_updates(&mut self) -> Vec<(ConnectionId, ReplicaUpdate)> {
         let (cluster_state, history) = (&self.cluster_state, &self.history);
         self.followers
@@ -137,7 +137,7 @@
             .collect()
     }
 
-    /// Applies an entry. The updates are sent before the freshness proofs that rely on them.
+    /// Applies an entry, and returns the resulting updates followed by the freshness proofs that rely on them.
     pub(super) fn apply(&mut self, entry: LogEntry) -> Vec<(ConnectionId, ReplicaUpdate)> {
         let before = self.cluster_state.position;
         let (_, deltas) = self.cluster_state.apply(
@@ -167,7 +167,7 @@
         self.pending_updates()
     }
 
-    /// Requests a freshness proof, given once all entries ordered before the request are applied here.
+    /// Requests a freshness proof, which this replica sends once it has applied all entries ordered before the request.
     pub(super) fn request_proof(
         &mut self,
         connection: ConnectionId,
--- a/crates/simulator/src/lease_sim/mod.rs
+++ b/crates/simulator/src/lease_sim/mod.rs
@@ -1,5 +1,5 @@
-//! Simulator of leases in virtual time: the real grants, shard maps and placements, with simulated nodes, backends and
-//! updates (design 11.4, 11.5).
+//! Simulates leases in virtual time. Grants, shard maps and placements are the product's; nodes, backends and updates are
+//! simulated (design 11.4, 11.5).
 
 mod backend;
 mod checks;
--- a/crates/simulator/src/lease_sim/node.rs
+++ b/crates/simulator/src/lease_sim/node.rs
@@ -9,34 +9,35 @@
 /// The backend beside a node, as its latest heartbeat describes it.
 pub(super) struct LocalBackend {
     pub heartbeat: endpoints::Heartbeat,
-    pub heard_at: Microseconds,
+    pub last_heartbeat_at: Microseconds,
     pub drained: bool,
     pub held_until: Microseconds,
-    /// Until this time it may hold ranges that an earlier process of this node granted.
+    /// Time until which the backend may hold ranges that an earlier process of this node granted.
     pub earlier_grant_until: Microseconds,
     pub silent: bool,
     pub probing: bool,
-    /// More than one heartbeat has arrived, so this is no late heartbeat of an earlier incarnation.
-    pub heard_repeatedly: bool,
+    /// Whether more than one heartbeat has arrived, so that they are not one delayed heartbeat of an earlier incarnation.
+    pub has_repeated_heartbeats: bool,
 }
 
-/// A node. Its times are by its own clock.
+/// A node. All its times are readings of its own clock.
 pub(super) struct Node {
     pub name: String,
     pub start_number: u64,
     pub up: bool,
     pub frozen: bool,
     pub deferred: Vec<super::harness::Event>,
-    /// Disconnected from the log in both directions. With `reports_lost`, only its reports are lost.
+    /// Whether the node is disconnected from the log in both directions.
     pub cut_from_log: bool,
+    /// Whether only the node's reports to the log are lost.
     pub reports_lost: bool,
-    /// By how much its clock is fast, in millionths; negative if the clock is slow.
+    /// Rate error of the node's clock, in millionths; negative if the clock is slow.
     pub clock_rate_ppm: i64,
     pub lease_granter: endpoints::LeaseGranter,
     pub state: StateSnapshot,
     pub proved_at: Microseconds,
     pub backend: Option<LocalBackend>,
-    /// Ended backends, and whether the end of the process is confirmed.
+    /// Maps each ended backend to whether the end of its process is confirmed.
     pub ended: BTreeMap<String, bool>,
     pub reported_ended: BTreeSet<String>,
     pub pending_reports: Vec<ClusterReport>,
@@ -47,7 +48,7 @@
     pub started_at: Microseconds,
 }
 
-/// The incarnation that the process of this name drew at this start.
+/// Returns the incarnation that the process of this name draws at this start.
 pub(super) fn incarnation(name: &str, start_number: u64) -> model::Incarnation {
     model::leases::stable_hash(&format!("{name} {start_number}"))
 }
@@ -77,7 +78,7 @@
         }
     }
 
-    /// The incarnation of this process. Incarnations of a node have no order.
+    /// Returns the incarnation of this process. The incarnations of a node are not ordered.
     pub(super) fn incarnation(&self) -> model::Incarnation {
         incarnation(&self.name, self.start_number)
     }
@@ -135,16 +136,16 @@
         now: Microseconds,
         heartbeat: endpoints::Heartbeat,
     ) -> endpoints::HeartbeatAnswer {
-        let heard_within = |duration: Microseconds| {
+        let heartbeat_within = |duration: Microseconds| {
             self.backend.as_ref().is_some_and(|local_backend| {
                 local_backend.heartbeat.name != heartbeat.name
-                    && now < local_backend.heard_at + duration
+                    && now < local_backend.last_heartbeat_at + duration
             })
         };
         let in_log = self.state.backends.contains_key(&heartbeat.name);
         let other_incarnation = !plan.disabled.late_heartbeats
-            && (heard_within(plan.heartbeat_interval / 4)
-                || in_log && heard_within(plan.heartbeat_interval * 2));
+            && (heartbeat_within(plan.heartbeat_interval / 4)
+                || in_log && heartbeat_within(plan.heartbeat_interval * 2));
         if other_incarnation
             || self.ended.contains_key(&heartbeat.name)
             || self.reported_ended.contains(&heartbeat.name)
@@ -192,15 +193,15 @@
             .as_ref()
             .is_some_and(|local_backend| local_backend.drained)
             || heartbeat.draining;
-        let heard_repeatedly = self.backend.is_some();
+        let has_repeated_heartbeats = self.backend.is_some();
         let mut local_backend = LocalBackend {
-            heard_at: now,
+            last_heartbeat_at: now,
             drained,
             held_until,
             earlier_grant_until,
             silent: false,
             probing: false,
-            heard_repeatedly,
+            has_repeated_heartbeats,
             heartbeat,
         };
         let answer = self.grant(plan, now, &mut local_backend);
@@ -261,12 +262,13 @@
         let position = self.state.position;
         let ranges = self.shard_map();
         let local_backend = self.backend.as_mut()?;
-        if now < local_backend.heard_at + plan.heartbeat_interval * 3 / 2 && !local_backend.silent
+        if now < local_backend.last_heartbeat_at + plan.heartbeat_interval * 3 / 2
+            && !local_backend.silent
             || local_backend.probing
         {
             return None;
         }
-        local_backend.silent |= now > local_backend.heard_at + plan.heartbeat_interval * 3;
+        local_backend.silent |= now > local_backend.last_heartbeat_at + plan.heartbeat_interval * 3;
         let name = local_backend.heartbeat.name.clone();
         if local_backend.silent && plan.disabled.confirmed_ends {
             self.probe_answered(&name, true);
@@ -283,7 +285,8 @@
                 self.probe_answered(&name, true);
                 return None;
             }
-            // It may send heartbeats again. Its leases have expired, so the releases that it owed are reported.
+            // The leases of the backend have expired, so the releases that it owes are reported in its place. The backend is
+            // not reported as ended, because it may send heartbeats again.
             let pending = ranges.iter().filter(|range| {
                 range
                     .pending_releases
@@ -321,7 +324,7 @@
         }
     }
 
-    pub(super) fn signed_off(&mut self, name: &str) {
+    pub(super) fn record_sign_off(&mut self, name: &str) {
         self.ended.entry(name.to_string()).or_insert(false);
         if let Some(local_backend) = self
             .backend
--- a/crates/simulator/src/lease_sim/notification.rs
+++ b/crates/simulator/src/lease_sim/notification.rs
@@ -1,4 +1,4 @@
-//! How a node sends its reports to the log: one entry at a time, repeated unchanged until it is answered
+//! Sends a node's reports to the log: one entry at a time, which is resent unchanged until it is answered
 //! (design 5.8, 11.2).
 
 use super::harness::{Event, LeaseHarness};
@@ -6,7 +6,7 @@
 use model::{BackendPhase, Microseconds, Outcome, Position};
 use std::collections::VecDeque;
 
-/// The part of a node that a report comes from.
+/// The part of a node that issued a report.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum ReportSource {
     LeaseTable,
@@ -20,14 +20,14 @@
     pub queue: VecDeque<(ReportSource, Vec<ClusterReport>)>,
     pub in_flight: Option<(ReportSource, Vec<ClusterReport>)>,
     pub notifying: bool,
-    /// Position and time until which the lease table sends nothing more: before the node has reached that position it
-    /// would derive the same reports again.
+    /// Position and time before which the lease table sends no more reports. Until the node reaches that position, it would
+    /// derive the same reports again.
     pub resend_not_before: Option<(Position, Microseconds)>,
 }
 
 impl super::node::Node {
-    /// The reports for all differences between the state of this node and the log.
-    fn wanted_reports(&self, plan: &super::LeasePlan, now: Microseconds) -> Vec<ClusterReport> {
+    /// Returns the reports for all differences between the state of this node and the log.
+    fn needed_reports(&self, plan: &super::LeasePlan, now: Microseconds) -> Vec<ClusterReport> {
         let (record, incarnation) = (self.state.nodes.get(&self.name), self.incarnation());
         let registered =
             record.is_some_and(|record| record.incarnation == incarnation && record.present);
@@ -100,8 +100,8 @@
             .collect()
     }
 
-    /// Reports about other backends that the log lists at this node. A machine has one backend, so each of them is an
-    /// earlier incarnation, or has not been heard yet.
+    /// Returns reports on other backends that the log lists at this node. A machine has one backend, so each of them is
+    /// either an earlier incarnation or one that has not sent a heartbeat yet.
     fn unknown_backends(&self, grace_period_over: bool) -> Vec<ClusterReport> {
         let own_name = self
             .backend
@@ -111,7 +111,7 @@
             backend.node == self.name && own_name != Some(name) && !self.ended.contains_key(*name)
         });
         let certain = self.backend.as_ref().is_some_and(|local_backend| {
-            local_backend.heard_repeatedly
+            local_backend.has_repeated_heartbeats
                 || !self
                     .state
                     .backends
@@ -146,7 +146,7 @@
         if node.outbox.notifying || node.outbox.resend_not_before.is_some() || node.proved_at == 0 {
             return;
         }
-        let reports = node.wanted_reports(&self.plan, clock);
+        let reports = node.needed_reports(&self.plan, clock);
         if !reports.is_empty() {
             node.outbox.notifying = true;
             node.reported_ended
--- a/crates/simulator/src/lease_sim/placement.rs
+++ b/crates/simulator/src/lease_sim/placement.rs
@@ -22,7 +22,7 @@
     }
 }
 
-/// Number of other nodes that come before this one in the order in which nodes compute a placement.
+/// Returns the number of nodes that come before this one in the order in which nodes compute a placement.
 fn rank(snapshot: &StateSnapshot, node: &str) -> u64 {
     let weight = |name: &str| model::leases::stable_hash(&format!("{SERVICE}\n{name}"));
     snapshot
@@ -40,8 +40,8 @@
         .unwrap_or_else(|| (0, model::cluster_state::shard_map::unassigned()))
 }
 
-/// A new placement if one is needed, because a holder is not available or an available backend holds no range. The
-/// flag says that some range has no available holder.
+/// Returns a new placement if a holder is not available or an available backend holds no range. The flag is set if some
+/// range has no available holder.
 fn needed_placement(snapshot: &StateSnapshot) -> Option<(ClusterReport, bool)> {
     let backends = snapshot.available_backends(SERVICE);
     let (base, ranges) = current_placement(snapshot);
@@ -50,13 +50,15 @@
             .iter()
             .any(|range| range.holder.as_deref() == Some(name))
     };
-    let orphaned = ranges.iter().any(|range| {
+    let has_unheld_range = ranges.iter().any(|range| {
         range
             .holder
             .as_ref()
             .is_none_or(|holder| !backends.iter().any(|backend| backend.name == *holder))
     });
-    if backends.is_empty() || !orphaned && backends.iter().all(|backend| holds(&backend.name)) {
+    if backends.is_empty()
+        || !has_unheld_range && backends.iter().all(|backend| holds(&backend.name))
+    {
         return None;
     }
     let capacities: Vec<endpoints::BackendCapacity> = backends
@@ -69,7 +71,7 @@
             base_placement: base,
             ranges: endpoints::rebalance(&ranges, &[], &capacities, 0.0),
         },
-        orphaned,
+        has_unheld_range,
     ))
 }
 
@@ -114,7 +116,7 @@
         }
     }
 
-    /// Places the keys with drawn shares, as a placement by load does.
+    /// Computes a placement with random shares, as a placement by load does.
     pub(super) fn change_shares(&mut self, index: usize) {
         if !self.nodes[index].up
             || self.nodes[index].frozen
--- a/crates/simulator/src/lease_sim/plan.rs
+++ b/crates/simulator/src/lease_sim/plan.rs
@@ -2,29 +2,30 @@
 
 use model::Microseconds;
 
-/// Guards of the lease protocol that the simulator can disable one at a time, to show that the checks detect what each
-/// of them prevents.
+/// Guards of the lease protocol that the simulator can disable one at a time, to show that the checks detect the violation
+/// that each of them prevents. Each field describes the behaviour without the guard.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DisabledGuards {
     /// The next holder of a range does not wait for pending releases.
     pub pending_releases: bool,
-    /// A lease lasts as long as the freshness proof by the backend's slow clock, and the next holder waits no longer.
+    /// The margin for slow clocks is left out: a lease may last until the freshness proof expires by the backend's slow
+    /// clock, and the next holder waits no longer than that proof.
     pub slow_clock: bool,
     /// A grant needs no freshness proof.
     pub freshness_proof: bool,
-    /// A release also covers ranges that the backend loses after it.
+    /// The report of a release also covers ranges that the backend lost after the release.
     pub release_position: bool,
     /// The process of a silent backend is presumed to have ended, without a probe.
     pub confirmed_ends: bool,
     /// A restarted node presumes that a backend holds nothing that an earlier process of the node granted.
     pub earlier_grants: bool,
-    /// A node reports nothing about backends that the log lists beside it and that it has not heard.
+    /// A node does not report on backends that the log lists at it and that have sent it no heartbeat.
     pub unknown_backends: bool,
     /// A backend that is silent until its lease expires is reported as ended.
     pub return_of_silent: bool,
     /// The end of a deregistered backend is reported until it is confirmed, although the log already has it.
     pub end_reported_once: bool,
-    /// The backend whose heartbeat is read last is taken for the live one.
+    /// A node regards the backend whose heartbeat it reads last as the live one, even if that heartbeat was delayed.
     pub late_heartbeats: bool,
     /// A starting node registers without naming the incarnation that it replaces.
     pub registration: bool,
@@ -62,8 +63,8 @@
         }
     }
 
-    /// Time within which every key is held again after the last fault. Covers failure detection, a placement that is
-    /// retried on a newer base, the longest lease and the heartbeats.
+    /// Returns the time within which every key has a holder again after the last fault. It covers failure detection, a
+    /// placement that is retried on a newer base, the longest lease and the heartbeats.
     pub fn recovery_time(&self) -> Microseconds {
         self.leases.proof_validity + self.leases.clock_guard + 12_000_000
     }
--- a/crates/simulator/src/state_sim/checks.rs
+++ b/crates/simulator/src/state_sim/checks.rs
@@ -1,4 +1,4 @@
-//! The checks at each step of a run and at its end.
+//! Checks the states that nodes serve, at each step of a run and at its end.
 
 use model::{Microseconds, Position};
 
@@ -12,7 +12,7 @@
 /// Time after a fault for which a node, or the core, still counts as disturbed, in microseconds.
 const RECOVERY_TIME: Microseconds = 3_000_000;
 
-/// The faults that excuse a late change.
+/// The faults during which a change may take effect late.
 #[derive(Default)]
 pub(super) struct Disturbances {
     /// Times of the faults at replicas.
@@ -32,12 +32,13 @@
 impl Disturbances {
     fn core_is_undisturbed(&self, now: Microseconds) -> bool {
         let mut times = self.core.iter();
-        !times.any(|at| *at <= now && now < at + RECOVERY_TIME)
+        !times.any(|time| *time <= now && now < time + RECOVERY_TIME)
     }
 
     fn node_is_undisturbed(&self, node: usize, now: Microseconds) -> bool {
         let mut disturbances = self.nodes[node].iter();
-        !disturbances.any(|one| one.from <= now && now < one.until + RECOVERY_TIME)
+        !disturbances
+            .any(|disturbance| disturbance.from <= now && now < disturbance.until + RECOVERY_TIME)
     }
 
     /// The allowed delay of a change at a node, or `None` if the node is not checked.
@@ -57,7 +58,8 @@
 }
 
 impl StateHarness {
-    /// Checks that the state from which a node serves never goes back, is a state of the log, and is recent enough.
+    /// Checks that the state from which a node serves is never older than an earlier one, is a state of the log, and is
+    /// recent enough.
     pub(super) fn check_served_state(&mut self, node_index: usize) {
         let node = &mut self.nodes[node_index];
         let Some(served) = node.served_state(&self.plan.disabled) else {
@@ -117,7 +119,7 @@
         }
     }
 
-    /// How often a restarted node received an older state than the one it had held before.
+    /// Returns the number of updates by which a restarted node received an older state than it had held before.
     pub fn older_updates_received(&self) -> usize {
         self.nodes
             .iter()
--- a/crates/simulator/src/state_sim/connection.rs
+++ b/crates/simulator/src/state_sim/connection.rs
@@ -47,15 +47,15 @@
         }
     }
 
-    /// Sends a frame from the node, which arrives at `at` but never before an earlier frame.
-    pub(super) fn send_to_replica(&mut self, at: Microseconds, frame: Frame) {
-        push_in_order(&mut self.to_replica, at, frame);
+    /// Sends a frame from the node, which arrives at `arrives_at` but never before an earlier frame.
+    pub(super) fn send_to_replica(&mut self, arrives_at: Microseconds, frame: Frame) {
+        push_in_order(&mut self.to_replica, arrives_at, frame);
     }
 
-    /// Schedules the frames that the replica has sent, which arrive at `at` but never before an earlier frame.
-    pub(super) fn send_to_node(&mut self, at: Microseconds) {
+    /// Schedules the frames that the replica has sent, which arrive at `arrives_at` but never before an earlier frame.
+    pub(super) fn send_to_node(&mut self, arrives_at: Microseconds) {
         while let Ok(frame) = self.outgoing.try_recv() {
-            push_in_order(&mut self.to_node, at, frame);
+            push_in_order(&mut self.to_node, arrives_at, frame);
         }
     }
 
@@ -70,12 +70,12 @@
     }
 }
 
-fn push_in_order(frames: &mut FramesInFlight, at: Microseconds, frame: Frame) {
-    let after = frames.back().map_or(0, |(before, _)| *before);
-    frames.push_back((at.max(after), frame));
+fn push_in_order(frames: &mut FramesInFlight, arrives_at: Microseconds, frame: Frame) {
+    let previous = frames.back().map_or(0, |(arrives_at, _)| *arrives_at);
+    frames.push_back((arrives_at.max(previous), frame));
 }
 
 fn pop_due(frames: &mut FramesInFlight, now: Microseconds) -> Option<Frame> {
-    let due = frames.pop_front_if(|(at, _)| *at <= now);
+    let due = frames.pop_front_if(|(arrives_at, _)| *arrives_at <= now);
     due.map(|(_, frame)| frame)
 }
--- a/crates/simulator/src/state_sim/harness.rs
+++ b/crates/simulator/src/state_sim/harness.rs
@@ -13,18 +13,18 @@
 use crate::sim::{Fault as WorldFault, World, WorldPlan};
 
 /// Virtual time of one step, in microseconds.
-const STEP: Microseconds = 2_000;
+const STEP_DURATION: Microseconds = 2_000;
 /// Time after the end of all faults within which every node has a freshness proof for the newest state, in
 /// microseconds. It covers revocations, a round of connection attempts to all replicas and two proof requests.
-const RECOVERY: Microseconds = 8_000_000;
+const RECOVERY_TIME: Microseconds = 8_000_000;
 /// Interval between the restarts of two nodes that are restarted in turn, in microseconds.
 const RESTART_INTERVAL: Microseconds = 300_000;
 /// Number of routes that operators change in turn.
-const ROUTE_NAMES: u64 = 7;
-/// Operators submit a burst whenever the number of changes so far is a multiple of this.
-const BURST_EVERY: u64 = 5;
+const ROUTE_COUNT: u64 = 7;
+/// Operators submit a burst of changes whenever the number of changes so far is a multiple of this value.
+const BURST_PERIOD_CHANGES: u64 = 5;
 /// Number of changes in a burst.
-const BURST: u64 = 4;
+const BURST_CHANGES: u64 = 4;
 
 /// A run and its results.
 pub struct StateHarness {
@@ -41,11 +41,11 @@
     next_change_at: Microseconds,
     /// Descriptions of the violated invariants.
     pub violations: Vec<String>,
-    /// How often a served state was checked.
+    /// Number of checks of a served state.
     pub states_checked: usize,
-    /// How often a node was restarted.
+    /// Number of restarts of nodes.
     pub node_restarts: usize,
-    /// The longest time for which a node that was checked lacked an applied change, in microseconds.
+    /// The longest time for which a checked node lacked an applied change, in microseconds.
     pub longest_lateness: Microseconds,
 }
 
@@ -68,7 +68,7 @@
         harness.step(true);
     }
     harness.heal();
-    let end = harness.world.now + RECOVERY;
+    let end = harness.world.now + RECOVERY_TIME;
     while harness.world.now < end {
         harness.step(false);
     }
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Schedules a fault at a replica.
+    /// Schedules a fault at a replica, and records the disturbance.
     fn schedule(&mut self, time: Microseconds, fault: WorldFault) {
         self.disturbances.core.push(time);
         self.world.schedule_fault(time, fault);
@@ -180,7 +180,7 @@
             self.schedule(starts_at, WorldFault::CutLink(replica, peer));
             self.schedule(starts_at, WorldFault::CutLink(peer, replica));
         }
-        // Healing has no finer scope: it also ends the cuts of other replicas.
+        // `HealLinks` heals all links, so it also ends the cuts of other replicas.
         self.schedule(end, WorldFault::HealLinks);
         self.cut_replicas[usize::from(replica)] = end;
     }
@@ -207,16 +207,16 @@
     }
 
     fn step(&mut self, with_changes: bool) {
-        let now = self.world.now + STEP;
+        let now = self.world.now + STEP_DURATION;
         self.world.run_until(now);
         if with_changes && now >= self.next_change_at {
             self.next_change_at = now + self.plan.change_interval;
-            let is_burst = self.change_count.is_multiple_of(BURST_EVERY);
-            for _ in 0..if is_burst { BURST } else { 1 } {
+            let is_burst = self.change_count.is_multiple_of(BURST_PERIOD_CHANGES);
+            for _ in 0..if is_burst { BURST_CHANGES } else { 1 } {
                 self.submit_change();
             }
         }
-        self.note_lost_majority();
+        self.record_lost_majority();
         self.publish();
         self.prove();
         for node_index in 0..self.nodes.len() {
@@ -225,7 +225,7 @@
         }
     }
 
-    fn note_lost_majority(&mut self) {
+    fn record_lost_majority(&mut self) {
         let now = self.world.now;
         let is_working =
             |replica: &usize| self.world.is_running(*replica) && now >= self.cut_replicas[*replica];
@@ -283,10 +283,11 @@
         }
     }
 
+    /// Submits a change of one route at a random replica.
     fn submit_change(&mut self) {
         self.change_count += 1;
         let number = self.change_count;
-        let name = format!("route-{}", number % ROUTE_NAMES);
+        let name = format!("route-{}", number % ROUTE_COUNT);
         let route = Route {
             host: "a.example".into(),
             prefix: format!("/{name}/"),
--- a/crates/simulator/src/state_sim/node.rs
+++ b/crates/simulator/src/state_sim/node.rs
@@ -18,21 +18,21 @@
 
 /// Timeout for opening a connection, in microseconds.
 const HANDSHAKE_TIMEOUT: Microseconds = 1_000_000;
-/// Time after a start until which a process knows only its seed replica, in microseconds. Afterwards it knows all.
+/// Time after a start for which a process knows only its seed replica, in microseconds. Afterwards it knows all replicas.
 const DISCOVERY_TIME: Microseconds = 200_000;
 
-/// A node over all its incarnations.
+/// A node, with its state over all incarnations.
 pub(super) struct FollowerNode {
     is_own_zone: Vec<bool>,
     upstreams: Upstreams,
     pub follower: StateFollower,
     connections: BTreeMap<UpstreamId, UpdateConnection>,
     next_poll_at: Microseconds,
-    /// The only replica that the present incarnation knows at its start.
+    /// The only replica that the current incarnation knows at its start.
     seed_replica: usize,
     /// The time until which the process is not running.
     pub down_until: Microseconds,
-    /// The time until which the node reaches no replica.
+    /// The time until which the node is cut off from all replicas.
     pub cut_until: Microseconds,
     /// The time until which received frames are held back.
     pub stalled_until: Microseconds,
@@ -42,9 +42,10 @@
     pub highest_served: Position,
     /// The newest position that any of its incarnations received.
     highest_received: Position,
-    /// Whether the present incarnation has verified a state.
+    /// Whether the current incarnation has verified a state.
     has_verified: bool,
-    /// How often an incarnation received an older state than an earlier incarnation had, before its first freshness proof.
+    /// Number of updates with an older state than an earlier incarnation had received, which arrived before the
+    /// incarnation's first freshness proof.
     pub older_updates_received: usize,
 }
 
@@ -90,12 +91,12 @@
         self.down_until = self.down_until.max(until);
     }
 
-    pub(super) fn restart_at(&mut self, at: Microseconds) {
-        self.restarts_at = Some(at);
+    pub(super) fn restart_at(&mut self, time: Microseconds) {
+        self.restarts_at = Some(time);
     }
 
     pub(super) fn restart_is_due(&mut self, now: Microseconds) -> bool {
-        self.restarts_at.take_if(|at| now >= *at).is_some()
+        self.restarts_at.take_if(|time| now >= *time).is_some()
     }
 
     /// Runs one step of the node while its process is running.
@@ -164,7 +165,8 @@
         }
     }
 
-    /// Closes all connections but one, as a node does that keeps no replica until another one has proved its state.
+    /// Closes all connections but one, as a node would that does not keep its replica until another one has proved its
+    /// state.
     fn close_others(&mut self, kept: UpstreamId, now: Microseconds) {
         for id in self.connection_ids() {
             if id != kept {
@@ -199,7 +201,7 @@
         }
     }
 
-    /// Opens or ends a connection, or carries its frames in both directions.
+    /// Opens or ends a connection, or delivers its frames in both directions.
     fn exchange(
         &mut self,
         id: UpstreamId,
--- a/crates/simulator/src/state_sim/plan.rs
+++ b/crates/simulator/src/state_sim/plan.rs
@@ -4,7 +4,8 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// Guards that a run leaves out, to show that the checks notice the missing guard. They exist in the simulator only.
+/// Guards that a run leaves out, to show that the checks detect the violation that each of them prevents. Each field
+/// describes the guard, which is left out if the field is set. These switches exist in the simulator only.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DisabledGuards {
     /// A node waits for a freshness proof before it serves a state that it received.
@@ -39,7 +40,7 @@
 }
 
 impl StatePlan {
-    /// A site of five replicas for an even seed, otherwise of three.
+    /// Returns the plan of a site with five replicas for an even seed, and with three for an odd one.
     pub fn new(seed: u64) -> Self {
         let replica_count = if seed.is_multiple_of(2) { 5 } else { 3 };
         StatePlan {
@@ -106,7 +107,7 @@
     Fault::CutReplica,
 ];
 
-/// A fault with its time and target.
+/// A fault with its time, target and duration.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScheduledFault {
     /// Time at which the fault begins, in microseconds.
@@ -121,7 +122,7 @@
 
 const SECOND: Microseconds = 1_000_000;
 
-/// Draws `count` faults, one for each `interval` seconds. Each lasts at most two and a half intervals.
+/// Draws `count` faults, one in each interval of `interval` seconds. Each lasts at most two and a half intervals.
 pub fn draw_faults(kinds: &[Fault], seed: u64, count: u64, interval: u64) -> Vec<ScheduledFault> {
     let mut rng = StdRng::seed_from_u64(seed);
     let longest = interval * SECOND * 5 / 2;
--- a/crates/simulator/src/state_sim/replica.rs
+++ b/crates/simulator/src/state_sim/replica.rs
@@ -13,7 +13,7 @@
     pub applied_at: Microseconds,
 }
 
-/// The state that followers may hold at each position.
+/// Maps each position to the state that followers may hold at it.
 pub(super) type StateHistory = BTreeMap<Position, AppliedState>;
 
 /// One incarnation of a replica.
@@ -32,7 +32,7 @@
 }
 
 impl ClusterEntry {
-    /// Decodes a log entry; `None` for entries of the other state machine.
+    /// Decodes a log entry. Returns `None` for entries of the other state machine.
     fn decode((_, value): &(Instance, Value)) -> Option<ClusterEntry> {
         let entry = Entry::from_bytes(value).ok()?;
         let id = EntryId::of(&entry);
@@ -82,7 +82,7 @@
         self.last_instance = applied.last().map_or(0, |(instance, _)| *instance);
     }
 
-    /// Whether `applied` begins with the entries that were published before.
+    /// Returns whether `applied` begins with the entries that were published before.
     fn continues(&self, applied: &[(Instance, Value)]) -> bool {
         let last = self.applied_count.checked_sub(1);
         last.is_none_or(|last| {
