--- a/crates/simulator/src/sim/checks.rs
+++ b/crates/simulator/src/sim/checks.rs
@@ -1,4 +1,4 @@
-//! The invariants of every run, checked while it runs and at its end (design 9.3).
+//! Checks the invariants of the log during a run and at its end (design 9.3).
 
 use std::collections::BTreeMap;
 
@@ -22,7 +22,7 @@
     pub slowest_entry_us: u64,
     /// The value of each instance, as the first replica applied it.
     chosen: BTreeMap<u64, Vec<u8>>,
-    /// The entries applied by the replicas that proposed them: an operator may have received "accepted" for them.
+    /// The entries that were applied by the replicas that proposed them. An operator may have received "accepted" for them.
     answered: BTreeMap<u64, Vec<u8>>,
     reads_requested: BTreeMap<u64, Option<u64>>,
     pub reads_proved: u64,
@@ -57,10 +57,10 @@
             ));
         }
         if instance % replica_count as u64 == replica_id as u64 {
-            let waited = submitted
+            let waiting_time = submitted
                 .filter(|submission| !submission.caller_lost)
                 .map_or(0, |submission| now.saturating_sub(submission.submitted_at));
-            self.slowest_entry_us = self.slowest_entry_us.max(waited);
+            self.slowest_entry_us = self.slowest_entry_us.max(waiting_time);
             self.answered.insert(instance, value.to_vec());
         }
     }
@@ -77,7 +77,7 @@
         );
     }
 
-    /// Marks the callers that waited at a crashed replica as gone.
+    /// Records that callers no longer wait for the entries that they submitted at a crashed replica.
     pub fn mark_callers_lost(&mut self, replica_id: u16) {
         self.submitted
             .values_mut()
@@ -85,7 +85,7 @@
             .for_each(|submission| submission.caller_lost = true);
     }
 
-    /// Whether the caller of an entry still waits for its answer.
+    /// Returns whether the caller of an entry still waits for its answer.
     pub fn is_caller_waiting(&self, value: &[u8], now: u64, timeout: u64) -> bool {
         let waits = |submission: &Submission| {
             timeout == u64::MAX
@@ -94,7 +94,7 @@
         self.submitted.get(value).is_some_and(waits)
     }
 
-    /// The entries that were first applied more than `after` microseconds after their submission.
+    /// Returns the entries that were first applied more than `after` microseconds after their submission.
     pub fn late_entries(&self, after: u64) -> Vec<&[u8]> {
         let is_late = |submission: &Submission| {
             submission
@@ -108,8 +108,8 @@
             .collect()
     }
 
-    /// Records a read. It must see at least what any replica had applied when it was requested, because that may have been
-    /// answered already (design 11.6).
+    /// Records a read. It must see at least the entries that any replica had applied when the read was requested, because
+    /// these entries may have been answered already (design 11.6).
     pub fn record_read_request(&mut self, token: u64) {
         self.reads_requested.insert(
             token,
@@ -117,6 +117,7 @@
         );
     }
 
+    /// Checks that a proved read sees all entries that had been applied when the read was requested.
     pub fn record_read_proof(&mut self, token: u64, applied: u64) {
         self.reads_proved += 1;
         if let Some(Some(required)) = self.reads_requested.remove(&token)
@@ -128,12 +129,13 @@
         }
     }
 
+    /// Returns the number of entries that were applied by the replicas that proposed them.
     pub fn answered(&self) -> usize {
         self.answered.len()
     }
 
-    /// Checks at the end, with all faults healed, that all replicas applied the same entries and that none is missing that
-    /// was answered.
+    /// Checks, after all faults were healed, that all replicas applied the same entries and that no answered entry is
+    /// missing.
     pub fn check_final_state(&mut self, replicas: &[super::world::SimulatedReplica]) {
         let longest = replicas
             .iter()
--- a/crates/simulator/src/sim/effects.rs
+++ b/crates/simulator/src/sim/effects.rs
@@ -1,11 +1,12 @@
-//! Performs the effects that a replica requests; each effect is a numbered point for a crash (design 9.2).
+//! Performs the effects that a replica requests. The plan can crash a replica before any effect, by its number
+//! (design 9.2).
 
 use super::world::Event;
 
 type ReplicaId = mencius::ReplicaId;
 
 impl super::world::SimulatedReplica {
-    /// The number of records on the disk that are not a snapshot.
+    /// Returns the number of records on the disk other than snapshots.
     pub fn records_beside_snapshot(&self) -> usize {
         self.disk
             .iter()
@@ -15,6 +16,7 @@
 }
 
 impl super::World {
+    /// Submits an entry at a replica, unless its process is down or frozen.
     pub fn submit(&mut self, replica_id: ReplicaId, value: mencius::Value) {
         if self.replicas[replica_id as usize].running.is_some()
             && !self.replicas[replica_id as usize].frozen
@@ -25,6 +27,7 @@
         }
     }
 
+    /// Requests a read at a replica, unless its process is down or frozen.
     pub fn read(&mut self, replica_id: ReplicaId, token: u64) {
         if self.replicas[replica_id as usize].running.is_some()
             && !self.replicas[replica_id as usize].frozen
@@ -140,7 +143,7 @@
                 self.replicas[replica_id as usize].applied =
                     rkyv::from_bytes::<Vec<(u64, Vec<u8>)>, rkyv::rancor::Error>(&state)
                         .unwrap_or_default();
-                // The state of the snapshot includes the replacements, so they are applied again.
+                // The snapshot includes the replacements of replicas, so they are applied to the new state machine.
                 self.replicas[replica_id as usize].state_machine = Default::default();
                 let history = self.replicas[replica_id as usize].applied.clone();
                 history.into_iter().for_each(|(instance, value)| {
@@ -163,17 +166,17 @@
     fn snapshot_when_due(&mut self, replica_id: ReplicaId, through: mencius::Instance) {
         let replica = &mut self.replicas[replica_id as usize];
         replica.applied_since_snapshot += 1;
-        let due = self.plan.snapshot_every > 0
+        let is_due = self.plan.snapshot_every > 0
             && replica.applied_since_snapshot >= self.plan.snapshot_every;
-        // As in the daemon's driver: instances before a replacement can be finished only by the disks of that time, so a
-        // snapshot is taken once the log is past it.
-        let replacement_passed = self.plan.snapshot_after_replacement
+        // Instances before the replacement of a replica can be finished only by the disks that voted at that time. The replica
+        // therefore takes a snapshot once the log is past the replacement, as the daemon's driver does.
+        let is_past_replacement = self.plan.snapshot_after_replacement
             && replica
                 .state_machine
                 .replica_holders
                 .values()
                 .any(|(_, after)| (replica.snapshot_through..through).contains(after));
-        if due || replacement_passed {
+        if is_due || is_past_replacement {
             (replica.applied_since_snapshot, replica.snapshot_through) = (0, through);
             let state = rkyv::to_bytes::<rkyv::rancor::Error>(&replica.applied)
                 .map(|bytes| bytes.to_vec())
--- a/crates/simulator/src/sim/entry_cost.rs
+++ b/crates/simulator/src/sim/entry_cost.rs
@@ -1,5 +1,7 @@
-//! Counts the frames, by kind, and the syncs for each entry under different settings (docs/measurements.md).
+//! Measures the cost of a log entry in frames of each kind and in syncs, under different settings
+//! (docs/measurements.md).
 
+/// Returns the kind under which a message is counted.
 pub(super) fn frame_kind(message: &mencius::Message) -> &'static str {
     match message {
         mencius::Message::Suggest { .. } => "suggest",
@@ -23,8 +25,8 @@
     }
 }
 
-/// Submits `entries` entries, `gap` microseconds apart, at one replica or at all in turn, and returns a table line with
-/// the counts per entry.
+/// Submits `entries` entries, `gap` microseconds apart, at one replica or at all replicas round-robin. Returns a table line
+/// with the counts per entry.
 pub fn table_line(
     replica_count: u16,
     alpha: u64,
@@ -58,23 +60,23 @@
     });
     let end = 1_000_000 + entries * gap;
     world.run_until(end);
-    let each = |kind: &str| {
+    let frames_per_entry = |kind: &str| {
         let increase = world.counts.frames_by_kind.get(kind).copied().unwrap_or(0)
             - before.frames_by_kind.get(kind).copied().unwrap_or(0);
         increase as f64 / entries as f64
     };
-    let syncs = (world.counts.syncs - before.syncs) as f64 / entries as f64;
+    let syncs_per_entry = (world.counts.syncs - before.syncs) as f64 / entries as f64;
     let columns: Vec<String> = ["suggest", "accept", "learn", "skip", "beat", "revoke"]
         .iter()
-        .map(|kind| format!("{:>8.2}", each(kind)))
+        .map(|kind| format!("{:>8.2}", frames_per_entry(kind)))
         .collect();
     format!(
-        "{replica_count:>5} {alpha:>6} {tau:>7} {gap:>7} {:>6} {} {syncs:>8.2} {:>9}",
+        "{replica_count:>5} {alpha:>6} {tau:>7} {gap:>7} {:>6} {} {syncs_per_entry:>8.2} {:>9}",
         if single_proposer { "one" } else { "all" },
         columns.join(" "),
         world.findings.slowest_entry_us
     )
 }
 
-/// The head of the table whose lines [`table_line`] returns.
+/// Header of the table whose lines [`table_line`] returns.
 pub const TABLE_HEAD: &str = "seats  alpha     tau     gap  whose  suggest   accept    learn     skip     beat   revoke    syncs   slowest";
--- a/crates/simulator/src/sim/faults.rs
+++ b/crates/simulator/src/sim/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of the simulator, and schedules of faults derived from random bytes (design 9.2).
+//! Faults of the simulated log, and schedules of faults that are decoded from random bytes (design 9.2).
 
 type ReplicaId = mencius::ReplicaId;
 
@@ -9,13 +9,13 @@
     Start(ReplicaId),
     Freeze(ReplicaId),
     Unfreeze(ReplicaId),
-    /// Frames from the first replica to the second are lost.
+    /// Loses the frames from the first replica to the second.
     CutLink(ReplicaId, ReplicaId),
     HealLinks,
     CloseConnection(ReplicaId, ReplicaId),
-    /// Every sync of the disk takes this many microseconds longer.
+    /// Delays every sync of the disk by this number of microseconds.
     SlowDisk(ReplicaId, u64),
-    /// The disk is lost. An empty one replaces it by an entry that a peer submits.
+    /// Destroys the disk. An empty disk replaces it by an entry that a peer submits.
     Replace(ReplicaId),
     Submit(ReplicaId, Vec<u8>),
     Read(ReplicaId, u64),
@@ -43,8 +43,8 @@
     }
 }
 
-/// Schedules entries, reads and faults for `seconds` seconds; three of the `bytes` determine each fault. At the end all
-/// faults are healed.
+/// Schedules entries, reads and faults for `seconds` seconds. Each fault is decoded from three of the `bytes`. At the end
+/// all faults are healed.
 pub fn schedule_faults(world: &mut super::World, bytes: &[u8], seconds: u64) {
     let replica_count = world.plan.replica_count;
     let step = seconds * 1_000_000 / (bytes.len() as u64 / 3 + 1).max(1);
--- a/crates/simulator/src/sim/mod.rs
+++ b/crates/simulator/src/sim/mod.rs
@@ -1,4 +1,4 @@
-//! Simulates the replicas of the log in virtual time: the replicas are the product's, network and disks are simulated
+//! Simulates the replicated log in virtual time. The replicas are the product's; network and disks are simulated
 //! (design 9.1).
 
 mod checks;
--- a/crates/simulator/src/sim/plan.rs
+++ b/crates/simulator/src/sim/plan.rs
@@ -10,20 +10,22 @@
 pub struct WorldPlan {
     pub replica_count: u16,
     pub seed: u64,
-    /// The shortest and the longest delay of a frame, and of a sync of a disk.
+    /// The shortest and the longest delay of a frame.
     pub network_delay: (Micros, Micros),
+    /// The shortest and the longest duration of a sync of a disk.
     pub sync_delay: (Micros, Micros),
     pub config: mencius::Config,
     /// Number of applied entries between two snapshots; 0 disables snapshots.
     pub snapshot_every: usize,
-    /// Whether a replica takes a snapshot as soon as the log is past the replacement of a replica (design 4.4). Without
-    /// that snapshot the loss of a second disk stops the log.
+    /// Whether replicas take a snapshot as soon as the log is past the replacement of a replica (design 4.4). Without that
+    /// snapshot the loss of a second disk stops the log.
     pub snapshot_after_replacement: bool,
-    /// Whether disks report a sync before anything is written. Used to show that the checks notice it.
+    /// Whether disks report a sync before they have written the data. Tests use it to show that the checks detect the
+    /// loss of entries.
     pub acknowledges_unwritten: bool,
-    /// How long a caller waits for its entry. For that time the driver submits an entry again that was not chosen.
+    /// Time for which a caller waits for its entry. During that time the driver resubmits an entry that was not chosen.
     pub caller_timeout: Micros,
-    /// Crashes the replica before its effect of this number (design 9.2).
+    /// Replica to crash, and the number of its effect before which it crashes (design 9.2).
     pub crash_at: Option<(ReplicaId, u64)>,
 }
 
--- a/crates/simulator/src/sim/replacement.rs
+++ b/crates/simulator/src/sim/replacement.rs
@@ -8,6 +8,7 @@
 const ADMISSION_RETRY_US: u64 = 500_000;
 
 impl super::World {
+    /// Destroys the disk of a replica and requests the admission of an empty one.
     pub(super) fn replace(&mut self, replica_id: ReplicaId) {
         self.crash(replica_id);
         let disk_id = 1_000 + self.now;
@@ -24,8 +25,8 @@
         );
     }
 
-    /// A replica with an empty disk asks one peer after the other to submit the replacement, until it is admitted. The log
-    /// decides.
+    /// Requests the admission of a replica with an empty disk: asks one peer after the other to submit the replacement, until
+    /// the replica is admitted. Of several submitted replacements the log selects one.
     pub(super) fn request_admission(
         &mut self,
         replica_id: ReplicaId,
@@ -72,6 +73,8 @@
         self.submit(helper, entry.to_bytes());
     }
 
+    /// Applies an entry that replaces a replica. A replica whose disk was replaced stops voting after the instance that the
+    /// entry determines.
     pub(super) fn observe_replacement(
         &mut self,
         replica_id: ReplicaId,
@@ -99,8 +102,7 @@
         }
     }
 
-    /// Advances the log past pending replacements, and accepts the new disk of a replica once the log is past its
-    /// replacement.
+    /// Advances the log past pending replacements. Accepts the new disk of a replica once the log is past its replacement.
     pub(super) fn complete_replacement(&mut self, replica_id: ReplicaId) {
         let replica = &mut self.replicas[replica_id as usize];
         let Some(applied) = replica.running.as_ref().map(mencius::Replica::applied) else {
@@ -144,7 +146,7 @@
         }
     }
 
-    /// Starts a replica with an empty disk once a peer accepts that disk and states after which instance it may vote.
+    /// Starts a replica with an empty disk, if the peer accepts that disk and knows after which instance the disk may vote.
     pub(super) fn admit(&mut self, peer: ReplicaId, replica_id: ReplicaId) {
         let (helper, replica) = (
             &self.replicas[peer as usize],
@@ -174,6 +176,7 @@
         self.start(replica_id);
     }
 
+    /// Returns whether each of two replicas accepts the disk of the other one.
     pub(super) fn accept_each_other(&self, a: ReplicaId, b: ReplicaId) -> bool {
         let (one, two) = (&self.replicas[a as usize], &self.replicas[b as usize]);
         one.pinned_disks[b as usize] == two.disk_id && two.pinned_disks[a as usize] == one.disk_id
--- a/crates/simulator/src/sim/site/attempts.rs
+++ b/crates/simulator/src/sim/site/attempts.rs
@@ -1,4 +1,4 @@
-//! Clients, and the attempt loops of their requests at the client's node (design 9.8).
+//! Simulated clients, and the attempt loops of their requests at the client's node (design 9.8).
 
 use super::plan::{CLIENT_TIMEOUT_US, ROUTES, SiteRoute};
 use super::{Event, Site};
@@ -12,7 +12,7 @@
     pub process: usize,
 }
 
-/// A forwarded attempt whose response the client's node awaits.
+/// A forwarded attempt whose response the client's node is waiting for.
 pub(super) struct PendingAttempt {
     pub node: usize,
     attempt_loop: legacy_proxy::attempt_loop::AttemptLoop,
@@ -21,7 +21,7 @@
 }
 
 impl Site {
-    /// Sends a new attempt, or an earlier one again: later, possibly at a restarted node.
+    /// Sends a new attempt if `number` is `u64::MAX`. Otherwise resends an earlier attempt, possibly to a restarted node.
     pub(super) fn send_attempt(&mut self, node_index: usize, number: u64) {
         let number = if number == u64::MAX {
             let pause = self.draw(20_000..60_000);
@@ -64,7 +64,7 @@
             number
         };
         let (now, attempt) = (self.now, &self.attempts[number as usize]);
-        // The client uses the secret of its present registration, though the attempt id may be of an earlier one.
+        // The client uses the secret of its current registration, although the attempt id may be of an earlier one.
         let secret = self
             .main_process(node_index)
             .filter(|process| *process == attempt.process)
@@ -97,7 +97,7 @@
         match started {
             Ok(attempt_loop) => {
                 self.nodes[node_index].retry_budget.deposit(route.1);
-                self.checks.first_attempt(now, route.1);
+                self.checks.record_first_attempt(now, route.1);
                 self.dispatch(PendingAttempt {
                     node: node_index,
                     attempt_loop,
@@ -115,7 +115,7 @@
         secret: &str,
         attempt_id: &str,
     ) -> Result<legacy_proxy::ClientId, Error> {
-        let is_unchecked = self.plan.disabled.attempt_deduplication;
+        let skips_deduplication = self.plan.disabled.attempt_deduplication;
         let node = &mut self.nodes[node_index];
         let client = node
             .slot_owner
@@ -123,7 +123,7 @@
             .get(secret)
             .cloned()
             .ok_or_else(|| Error::new(ErrorKind::UnknownClient, "no such secret"))?;
-        if is_unchecked {
+        if skips_deduplication {
             return Ok(client);
         }
         if !attempt_id.starts_with(&client.attempt_prefix) {
@@ -150,7 +150,7 @@
                 .record_not_run(attempt_id, error);
         }
         self.checks
-            .answered(self.now, service, attempt_id, answer.as_ref().err());
+            .record_answer(self.now, service, attempt_id, answer.as_ref().err());
     }
 
     /// Selects a backend and forwards the attempt to it, or answers with the final error.
@@ -221,9 +221,9 @@
             return;
         };
         let node = &mut self.nodes[pending.node];
-        let has_failed = matches!(&answer, Err(error) if error.kind != ErrorKind::DuplicateAttempt);
+        let is_failure = matches!(&answer, Err(error) if error.kind != ErrorKind::DuplicateAttempt);
         node.selector
-            .attempt_finished(now, &pending.selected, has_failed);
+            .attempt_finished(now, &pending.selected, is_failure);
         let Err(mut error) = answer else {
             return self.answer_pending(pending, Ok(()));
         };
@@ -237,7 +237,7 @@
         if pending.attempt_loop.may_retry(&selected_backend, &error)
             && self.nodes[pending.node].retry_budget.withdraw(&service)
         {
-            self.checks.retry(now, &service);
+            self.checks.record_retry(now, &service);
             return self.dispatch(pending);
         }
         let final_error = pending.attempt_loop.final_error(error);
--- a/crates/simulator/src/sim/site/backends.rs
+++ b/crates/simulator/src/sim/site/backends.rs
@@ -1,9 +1,10 @@
-//! Forwarded requests at the node beside the backend, and their runs in backends (design 9.8).
+//! Forwarded requests at the backend's node, and their runs in backends (design 9.8).
 
 use super::plan::CLIENT_TIMEOUT_US;
 use super::{Event, Site};
 use model::{Error, ErrorKind, Microseconds};
 
+/// A request that a backend is running.
 pub(super) struct Run {
     pub node: usize,
     number: u64,
@@ -11,12 +12,13 @@
     permit: legacy_proxy::slot_owner::Permit,
     request: transport::AttemptRequest,
     process: usize,
-    /// Whether the node died. The backend continues, but nobody receives its response.
+    /// Whether the backend's node was lost. The backend continues the run, but its response is discarded.
     pub orphaned: bool,
 }
 
 impl Site {
-    /// Handles a forwarded request that arrives at the node beside the backend, with the time left until its deadline.
+    /// Handles a forwarded request that arrives at the backend's node. Reduces the time left until its deadline by the age
+    /// of the request.
     pub(super) fn receive_request(
         &mut self,
         number: u64,
@@ -70,7 +72,7 @@
         }
     }
 
-    /// Runs the request in the process that uses the address now, at most until its deadline.
+    /// Runs the request in the process that listens on the permit's address at present, at most until the deadline.
     fn run(
         &mut self,
         node_index: usize,
@@ -105,7 +107,7 @@
                 .filter(|process| process.name == request.backend)
                 .filter_map(|process| process.died_at)
                 .max();
-            self.checks.misrouted(
+            self.checks.check_misrouted(
                 now,
                 died_at,
                 format!(
@@ -126,7 +128,7 @@
         let length = self.draw(1_000..CLIENT_TIMEOUT_US / 3);
         let end = (now + length).min(permit.deadline);
         let drained_at = self.processes[process].drained_at;
-        self.checks.run_began(
+        self.checks.check_run_start(
             now,
             &request,
             (process, drained_at),
@@ -153,13 +155,13 @@
         let Some(run) = self.runs.remove(&number) else {
             return;
         };
-        let is_dead = !self.processes[run.process].alive;
+        let has_ended = !self.processes[run.process].alive;
         if run.orphaned || self.nodes[run.node].incarnation != run.incarnation {
             return;
         }
         let loses_response = self.draw(0..50) == 0;
         self.nodes[run.node].slot_owner.finish(&run.permit, false);
-        let response = if is_dead || loses_response {
+        let response = if has_ended || loses_response {
             Err(Error::new(ErrorKind::BackendLost, "no response"))
         } else {
             Ok(())
@@ -167,7 +169,7 @@
         self.schedule_response(run.node, run.number, response);
     }
 
-    /// Ends a process together with its runs.
+    /// Ends a backend process and its runs.
     pub(super) fn end_process(&mut self, process: usize) {
         let now = self.now;
         (
@@ -182,10 +184,10 @@
             .collect();
         requests
             .iter()
-            .for_each(|request| self.checks.run_ended(now, request, process));
+            .for_each(|request| self.checks.record_run_end(now, request, process));
     }
 
-    /// Whether no request from or to this node is under way.
+    /// Returns whether no request from or to this node is under way.
     pub(super) fn is_idle(&self, node_index: usize) -> bool {
         self.nodes[node_index].slot_owner.running() == 0
             && !self
@@ -194,7 +196,8 @@
                 .any(|pending| pending.node == node_index)
     }
 
-    /// Reports the loss of a node to the nodes that wait for its responses.
+    /// Reports the loss of a node to the nodes that wait for its responses. In a planned loss, each running request is a
+    /// violation.
     pub(super) fn lose_node(&mut self, node_index: usize, planned: bool) {
         let waiting: Vec<u64> = self
             .runs
@@ -205,7 +208,7 @@
         waiting.into_iter().for_each(|number| {
             if planned {
                 self.checks
-                    .interrupted(format!("run {number} at n{node_index}"));
+                    .record_interruption(format!("run {number} at n{node_index}"));
             }
             if self
                 .attempt_loops
--- a/crates/simulator/src/sim/site/checks.rs
+++ b/crates/simulator/src/sim/site/checks.rs
@@ -1,4 +1,4 @@
-//! The invariants of a simulated site, checked while it runs and at its end (design 9.8).
+//! Checks the invariants of a simulated site during a run and at its end (design 9.8).
 
 use model::{Error, ExecutionStatus, Microseconds, Position};
 use std::collections::BTreeMap;
@@ -20,7 +20,7 @@
     pub served: usize,
     pub rejected: usize,
     pub retries: usize,
-    /// How often a key moved to another backend process.
+    /// Number of moves of a key to another backend process.
     pub moves: usize,
     /// Maps each attempt id to the number of its runs.
     run_counts: BTreeMap<String, usize>,
@@ -41,8 +41,9 @@
         self.violations.push(format!("{name}: {description}"));
     }
 
-    /// Checks a run that begins in `process` (its number, and when it began to drain) at a node that holds `position`.
-    pub(super) fn run_began(
+    /// Checks and records a run that begins at a node that holds `position`. `process` is the number of the backend process
+    /// and the time at which it began to drain.
+    pub(super) fn check_run_start(
         &mut self,
         now: Microseconds,
         request: &transport::AttemptRequest,
@@ -75,7 +76,7 @@
         let required = self
             .accepted
             .iter()
-            .filter(|(at, ..)| at + IN_FORCE_WITHIN_US < now)
+            .filter(|(accepted_at, ..)| accepted_at + IN_FORCE_WITHIN_US < now)
             .map(|(_, position, ..)| *position)
             .max()
             .unwrap_or(0);
@@ -102,8 +103,8 @@
         }
     }
 
-    /// Ends the run of a process that died before the planned end of the run.
-    pub(super) fn run_ended(
+    /// Records that a run ended before its planned end, because its process ended.
+    pub(super) fn record_run_end(
         &mut self,
         now: Microseconds,
         request: &transport::AttemptRequest,
@@ -123,7 +124,8 @@
         }
     }
 
-    pub(super) fn answered(
+    /// Checks and records the answer to an attempt.
+    pub(super) fn record_answer(
         &mut self,
         now: Microseconds,
         service: &str,
@@ -135,7 +137,10 @@
                 self.served += 1;
                 self.served_at.insert(service.to_string(), now);
                 if !self.run_counts.contains_key(attempt_id) {
-                    self.violation("whole", format!("{attempt_id} was answered and never ran"));
+                    self.violation(
+                        "answered-without-run",
+                        format!("{attempt_id} was answered and never ran"),
+                    );
                 }
             }
             Some(error) => {
@@ -162,14 +167,14 @@
         }
     }
 
-    pub(super) fn first_attempt(&mut self, now: Microseconds, service: &str) {
+    pub(super) fn record_first_attempt(&mut self, now: Microseconds, service: &str) {
         self.first_attempts
             .entry(service.to_string())
             .or_default()
             .push(now);
     }
 
-    pub(super) fn retry(&mut self, now: Microseconds, service: &str) {
+    pub(super) fn record_retry(&mut self, now: Microseconds, service: &str) {
         self.retries += 1;
         self.retry_times
             .entry(service.to_string())
@@ -177,7 +182,8 @@
             .push(now);
     }
 
-    pub(super) fn accepted(
+    /// Records a change for which an operator received "accepted".
+    pub(super) fn record_accepted_change(
         &mut self,
         now: Microseconds,
         position: Position,
@@ -187,8 +193,8 @@
         self.accepted.push((now, position, version, id.to_string()));
     }
 
-    /// Checks the position that a node holds. `fresh` says whether the node has a valid proof for it.
-    pub(super) fn state_held(
+    /// Checks the position that a node holds. `fresh` is set if the node has a valid freshness proof for it.
+    pub(super) fn check_held_position(
         &mut self,
         now: Microseconds,
         node: usize,
@@ -212,7 +218,7 @@
         }
     }
 
-    pub(super) fn misrouted(
+    pub(super) fn check_misrouted(
         &mut self,
         now: Microseconds,
         died_at: Option<Microseconds>,
@@ -223,7 +229,7 @@
         }
     }
 
-    pub(super) fn interrupted(&mut self, description: String) {
+    pub(super) fn record_interruption(&mut self, description: String) {
         self.violation("interrupted", description);
     }
 
@@ -254,7 +260,7 @@
             .filter(|service| {
                 self.served_at
                     .get(**service)
-                    .is_none_or(|at| *at < served_after)
+                    .is_none_or(|last_served_at| *last_served_at < served_after)
             })
             .map(|service| service.to_string())
             .collect();
--- a/crates/simulator/src/sim/site/events.rs
+++ b/crates/simulator/src/sim/site/events.rs
@@ -1,4 +1,4 @@
-//! Handles the events at a simulated site: proofs with updates of the state, reports of nodes, heartbeats, operators'
+//! Handles the events of a simulated site: freshness proofs with state updates, nodes' reports, heartbeats, operators'
 //! changes and faults (design 9.8).
 
 use super::{Event, Site};
@@ -7,7 +7,7 @@
 
 /// Interval between two freshness-proof requests of a node, in microseconds.
 const PROOF_INTERVAL_US: Microseconds = 250_000;
-/// Time without a proof after which a node turns to another replica and avoids its relay, in microseconds.
+/// Time without a freshness proof after which a node switches to another replica and avoids its relay, in microseconds.
 const PROOF_TIMEOUT_US: Microseconds = 750_000;
 
 impl Site {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Handles the entries that the replicas applied and the reads that they proved since the last event.
+    /// Handles the entries that replicas have applied, and the reads that they have proved, since the last event.
     pub(super) fn collect_replica_events(&mut self) {
         let (applied, proofs) = self.replicas.advance(self.now);
         applied.into_iter().for_each(|(replica_id, key, outcome)| {
@@ -119,7 +119,8 @@
                 && let Outcome::Accepted { position, version } = outcome
             {
                 self.changes.remove(&key);
-                self.checks.accepted(self.now, position, version, &id);
+                self.checks
+                    .record_accepted_change(self.now, position, version, &id);
             }
         });
         proofs.into_iter().for_each(|(token, replica_id)| {
@@ -138,8 +139,8 @@
         });
     }
 
-    /// Requests a freshness proof from the zone's relay, or from a replica if there is none. One that sends no proof in
-    /// time is replaced by another.
+    /// Requests a freshness proof from the zone's relay, or from a replica if there is no relay. A relay or replica that has
+    /// sent no proof in time is replaced by another one.
     fn request_proof(&mut self, node_index: usize) {
         let (now, wait) = (self.now, self.draw_delay());
         let replica_count = self.plan.replica_count;
@@ -217,7 +218,7 @@
             .partition(|(.., arrived)| *arrived <= requested_at);
         node.waiting_nodes = remaining;
         self.checks
-            .state_held(now, node_index, incarnation, state.position, fresh);
+            .check_held_position(now, node_index, incarnation, state.position, fresh);
         answerable.into_iter().for_each(|(from, requested_at, _)| {
             let services = self.nodes[from].slot_owner.services();
             if services.is_subset(&state.services)
@@ -260,7 +261,7 @@
         self.send_report(node_index);
     }
 
-    /// Sends one report at a time, to the next replica when one does not answer.
+    /// Sends one report at a time. If a replica does not answer, the report is resent to the next one.
     fn send_report(&mut self, node_index: usize) {
         let (now, wait, replica_count) = (self.now, self.draw_delay(), self.plan.replica_count);
         let node = &mut self.nodes[node_index];
@@ -296,9 +297,9 @@
         );
     }
 
-    /// Handles a report that the log rejected because it knows another incarnation of the node: registers the node as the
-    /// successor of the incarnation in its view, and sends the report again after the registration.
-    fn superseded(&mut self, node_index: usize, report: EndpointReport) {
+    /// Handles a report that the log rejected because it holds another incarnation of the node. Registers the node as the
+    /// successor of the incarnation in its view, and resends the report after the registration.
+    fn register_again(&mut self, node_index: usize, report: EndpointReport) {
         let registration = self.registration(node_index);
         let node = &mut self.nodes[node_index];
         match report {
@@ -332,7 +333,7 @@
         if let (Outcome::Superseded { .. }, Operation::EndpointReport(report)) =
             (&outcome, &entry.operation)
         {
-            return self.superseded(node_index, report.clone());
+            return self.register_again(node_index, report.clone());
         }
         let node = &mut self.nodes[node_index];
         if let Operation::EndpointReport(EndpointReport::BackendRegistered { name, backend }) =
--- a/crates/simulator/src/sim/site/faults.rs
+++ b/crates/simulator/src/sim/site/faults.rs
@@ -1,4 +1,4 @@
-//! Backends' heartbeats, operators' changes, and faults (design 9.8).
+//! Heartbeats of backends, changes by operators, and faults of a simulated site (design 9.8).
 
 use super::plan::{NODE_COUNT, ROUTES, SiteFault, initial_edits, put_grouping, put_order};
 use super::{Event, Site};
@@ -79,8 +79,8 @@
         );
     }
 
-    /// Submits changes of operators at random replicas: the initial edits first, afterwards a stale change, an invalid one,
-    /// the same one at two replicas, or two competing ones.
+    /// Submits the initial edits at a random replica, and once they are accepted one of these at random: a stale change, an
+    /// invalid change, the same change at two replicas, or two competing changes.
     pub(super) fn submit_operator_change(&mut self) {
         let (now, replica_id) = (
             self.now,
@@ -155,7 +155,7 @@
         );
         self.changes.insert((origin, 1, sequence), id.clone());
         if self.plan.disabled.commit_wait {
-            self.checks.accepted(
+            self.checks.record_accepted_change(
                 self.now,
                 self.replicas.state_machine(replica_id).position + 1,
                 base + 1,
@@ -181,7 +181,7 @@
                 self.lose_node(node_index, false);
                 let deferred = std::mem::take(&mut self.nodes[node_index].deferred);
                 self.restart(node_index);
-                // The timers of the simulation continue; what was queued in the dead process is lost.
+                // Timers continue after the restart. Messages that waited in the killed process are lost.
                 deferred
                     .into_iter()
                     .filter(|event| {
--- a/crates/simulator/src/sim/site/plan.rs
+++ b/crates/simulator/src/sim/site/plan.rs
@@ -1,17 +1,18 @@
-//! The parameters and the faults of a simulated site (design 9.8).
+//! Parameters and faults of a simulated site (design 9.8).
 
 use model::Microseconds;
 
-/// Guards that a run leaves out, to show that the checks notice the missing guard.
+/// Guards that a run leaves out, to show that the checks detect the violation that each of them prevents. Each field
+/// describes the behaviour without the guard.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DisabledGuards {
-    /// The node of the client accepts an attempt id more than once.
+    /// The client's node accepts an attempt id more than once.
     pub attempt_deduplication: bool,
     /// A lost peer or backend counts as "not run" instead of "may have run".
     pub unknown_execution: bool,
     /// Retries are not limited.
     pub retry_budget: bool,
-    /// The next owner of a key does not wait until the requests of the previous one are over.
+    /// The next owner of a key does not wait until the requests at the previous owner have ended.
     pub key_handover_wait: bool,
     /// Freshness proofs practically never expire.
     pub proof_expiry: bool,
@@ -25,7 +26,7 @@
     pub heartbeat_timeout: bool,
     /// A backend's announcement that it is draining is ignored.
     pub draining: bool,
-    /// Disks report a sync before anything is written.
+    /// Disks report a sync before they have written the data.
     pub disk_sync: bool,
 }
 
@@ -90,7 +91,7 @@
     if node < 3 { "seat" } else { "desk" }
 }
 
-/// Client, service, path, whether requests have a key, and whether they are idempotent.
+/// Client service, target service, path, whether requests have a key, and whether they are idempotent.
 pub(super) type SiteRoute = (&'static str, &'static str, &'static str, bool, bool);
 
 pub(super) const ROUTES: [SiteRoute; 5] = [
@@ -153,7 +154,7 @@
     groupings.chain(ROUTES.iter().map(put_order)).collect()
 }
 
-/// A fault at a simulated site; the index is that of the node, with its backend.
+/// A fault of a simulated site. An index selects a node, or the backend beside it, unless stated otherwise.
 #[derive(Clone, Debug)]
 pub enum SiteFault {
     Replica(crate::sim::Fault),
@@ -167,20 +168,20 @@
     GracefulStop(usize),
     /// The backend is killed; another process of its name starts two seconds later.
     KillBackend(usize),
-    /// The backend goes on with its work but sends no more heartbeats; another process of its name starts.
+    /// The backend continues its work but sends no more heartbeats; another process of its name starts.
     StopHeartbeats(usize),
     DrainBackend(usize),
     /// The backend is killed, and a backend of the other service beside another node takes over its address.
     ReuseAddress(usize),
-    /// A route is removed, or restored.
+    /// The route with this index is removed, or restored if the flag is set.
     SetRoute(usize, bool),
 }
 
 /// Schedules the faults that `bytes` encode, three bytes each.
 pub fn schedule_site_faults(site: &mut super::Site, bytes: &[u8]) {
     let replica_count = site.plan.replica_count;
-    // At most one replacement of a replica: the state machine rejects a second one at the same time, which the simulated
-    // replicas do not.
+    // At most one replica is replaced: the state machine would reject a second replacement at the same time, which the
+    // simulated replicas do not.
     let replacement_round = bytes
         .chunks_exact(3)
         .position(|chunk| chunk[0] % 20 == 13)
--- a/crates/simulator/src/sim/site/replicas.rs
+++ b/crates/simulator/src/sim/site/replicas.rs
@@ -1,4 +1,4 @@
-//! The replicas of a simulated site: the simulated log, and the state machine of each replica (design 9.8).
+//! Replicas of a simulated site: the simulated log, and the state machine of each replica (design 9.8).
 
 use model::{Entry, Outcome, Position, StateMachine};
 use std::collections::BTreeMap;
@@ -12,6 +12,7 @@
     incarnation: u64,
 }
 
+/// Decodes the log entries of a history of applied values, and skips other values.
 fn entries(
     history: &[(mencius::Instance, mencius::Value)],
 ) -> impl Iterator<Item = (mencius::Instance, Entry)> + '_ {
@@ -26,6 +27,7 @@
 /// the outcome.
 pub(super) type AppliedEntry = (u16, (String, u64, u64), Outcome);
 
+/// The simulated log with the state machines of its replicas.
 pub struct SiteReplicas {
     pub world: crate::sim::World,
     states: Vec<ReplicaState>,
@@ -60,7 +62,7 @@
         self.world.submit(replica_id, entry.to_bytes());
     }
 
-    /// Runs the replicas until `now`. Returns the entries that they applied meanwhile and the reads that were proved.
+    /// Runs the replicas until `now`. Returns the entries that they applied and the reads that they proved meanwhile.
     pub fn advance(&mut self, now: model::Microseconds) -> (Vec<AppliedEntry>, Vec<(u64, u16)>) {
         self.world.run_until(now);
         let applied = (0..self.states.len())
@@ -79,15 +81,15 @@
                 || replica
                     .applied
                     .get(state.entry_count - 1)
-                    .is_some_and(|(at, _)| *at == state.last_instance));
+                    .is_some_and(|(instance, _)| *instance == state.last_instance));
         if !continues {
             *state = ReplicaState {
                 incarnation: replica.incarnation,
                 ..ReplicaState::default()
             };
         }
-        let new = entries(&replica.applied[state.entry_count..]);
-        let applied: Vec<AppliedEntry> = new
+        let new_entries = entries(&replica.applied[state.entry_count..]);
+        let applied: Vec<AppliedEntry> = new_entries
             .map(|(instance, entry)| {
                 let key = (entry.origin.clone(), entry.incarnation, entry.sequence);
                 (
@@ -100,11 +102,15 @@
             })
             .collect();
         state.entry_count = replica.applied.len();
-        state.last_instance = replica.applied.last().map(|(at, _)| *at).unwrap_or(0);
+        state.last_instance = replica
+            .applied
+            .last()
+            .map(|(instance, _)| *instance)
+            .unwrap_or(0);
         applied
     }
 
-    /// Every accepted change in the longest log at the end of the run, by version, with its id and position.
+    /// Returns the accepted changes in the longest log: the id and the position of each, by version.
     pub fn accepted_changes(&self) -> BTreeMap<Position, (String, Position)> {
         let longest = self
             .world
@@ -150,6 +156,7 @@
         });
     }
 
+    /// Checks the log at the end of the run and returns all its violations.
     pub fn close(&mut self) -> Vec<String> {
         let replicas = std::mem::take(&mut self.world.replicas);
         self.world.findings.check_final_state(&replicas);
--- a/crates/simulator/src/sim/trial.rs
+++ b/crates/simulator/src/sim/trial.rs
@@ -2,7 +2,7 @@
 
 const SECOND: u64 = 1_000_000;
 
-/// Runs a site through the faults that `bytes` encode until it has recovered. Returns the violations and the site.
+/// Simulates a site through the faults that `bytes` encode until it has recovered. Returns the violations and the site.
 pub fn simulate(plan: super::SitePlan, bytes: &[u8]) -> (Vec<String>, super::Site) {
     let mut site = super::Site::new(plan);
     super::schedule_site_faults(&mut site, bytes);
@@ -20,6 +20,7 @@
         .collect()
 }
 
+/// Formats the encoding of faults as hexadecimal digits.
 pub fn to_hexadecimal(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
@@ -30,7 +31,7 @@
     is_valid
         .then(|| {
             (0..text.len() / 2)
-                .map(|at| u8::from_str_radix(&text[at * 2..at * 2 + 2], 16).ok())
+                .map(|index| u8::from_str_radix(&text[index * 2..index * 2 + 2], 16).ok())
                 .collect()
         })
         .flatten()
@@ -43,13 +44,13 @@
     pub runs: usize,
     pub served: usize,
     pub retries: usize,
-    /// How often a key moved to another backend process.
+    /// Number of moves of a key to another backend process.
     pub moves: usize,
     /// The seed, the faults in hexadecimal, and the first violation.
     pub violations: Vec<(u64, String, String)>,
 }
 
-/// Runs the sites of the `count` seeds from `first` on, in parallel on all processors.
+/// Simulates a site for each of the `count` seeds from `first` on, in parallel on all processors.
 pub fn run_many(first: u64, count: u64, length: usize) -> TrialSummary {
     let threads = std::thread::available_parallelism()
         .map(usize::from)
@@ -82,6 +83,7 @@
         })
 }
 
+/// Simulates the site of one seed through the faults that `bytes` encode.
 pub fn run_one(seed: u64, bytes: &[u8]) -> TrialSummary {
     let (violations, site) = simulate(super::SitePlan::new(seed), bytes);
     let checks = &site.checks;
--- a/crates/simulator/src/sim/world.rs
+++ b/crates/simulator/src/sim/world.rs
@@ -5,6 +5,7 @@
 type Micros = mencius::Micros;
 type ReplicaId = mencius::ReplicaId;
 
+/// An event in the queue of a world.
 #[derive(Debug)]
 pub(super) enum Event {
     Deliver {
@@ -34,9 +35,9 @@
     Fault(super::Fault),
 }
 
-/// A replica with its disk, over all its incarnations.
+/// A replica and its disk, with their state over all incarnations.
 pub struct SimulatedReplica {
-    /// The replica of the log, while its process is up.
+    /// The running replica, or `None` while its process is down.
     pub running: Option<mencius::Replica>,
     pub applied: Vec<(mencius::Instance, mencius::Value)>,
     pub(super) disk: Vec<mencius::Write>,
@@ -51,7 +52,7 @@
     pub(super) disk_id: u64,
     /// Whether the disk is empty and the replica waits for its admission.
     pub(super) awaiting_admission: bool,
-    /// The disk that this replica accepts for each replica id.
+    /// Disk id that this replica accepts for each replica id.
     pub(super) pinned_disks: Vec<u64>,
     pub(super) state_machine: model::StateMachine,
     pub(super) last_advance: Micros,
@@ -212,7 +213,7 @@
 
     fn reopen(&mut self, a: ReplicaId, b: ReplicaId) {
         let (x, y) = (a as usize, b as usize);
-        let both = [a, b].iter().all(|replica_id| {
+        let both_running = [a, b].iter().all(|replica_id| {
             self.replicas[*replica_id as usize].running.is_some()
                 && !self.replicas[*replica_id as usize].frozen
         });
@@ -221,7 +222,11 @@
         }
         self.admit(a, b);
         self.admit(b, a);
-        if !both || self.cut_links[x][y] || self.cut_links[y][x] || !self.accept_each_other(a, b) {
+        if !both_running
+            || self.cut_links[x][y]
+            || self.cut_links[y][x]
+            || !self.accept_each_other(a, b)
+        {
             return self.schedule_reopen(a, b);
         }
         self.connected[x][y] = true;
@@ -259,7 +264,7 @@
                 {
                     self.step_replica(to, mencius::Input::Frame(from, frame));
                 } else if self.connection_epochs[from as usize][to as usize] == epoch {
-                    // The link is cut in this direction only. The lost frame breaks the connection, as TCP would in time.
+                    // The link is cut in this direction only. The lost frame closes the connection, as the timeout of TCP would.
                     self.close(from, to);
                 }
             }
