--- a/crates/simulator/src/backend_stand_in.rs
+++ b/crates/simulator/src/backend_stand_in.rs
@@ -1,4 +1,5 @@
-//! A stand-in backend: registers, sends heartbeats, runs and seals requests, and sends requests as a client (design 9.5).
+//! A stand-in backend, which registers, sends heartbeats, runs requests and seals the responses, and sends requests as a
+//! client (design 9.5).
 
 use std::fmt::Display;
 use std::fs::File;
@@ -21,15 +22,16 @@
     pub node_address: String,
     pub listen: String,
     pub history: PathBuf,
-    /// Time that a request takes, in microseconds.
+    /// Time for which the stand-in works on a request, in microseconds.
     pub work_us: u64,
     /// Number of replies in a thousand that are corrupted.
     pub corrupted_per_mille: u32,
     pub seed: u64,
-    /// Rate at which this stand-in sends the kinds of requests in `requests`.
+    /// Rate at which this stand-in sends requests.
     pub requests_per_second: f64,
     /// Initial number of keyed requests in a thousand that use the hot key; SIGUSR1 raises it to 900.
     pub hot_key_per_mille: u32,
+    /// Kinds of requests to send.
     pub requests: Vec<crate::deployment::RequestSpec>,
 }
 
@@ -44,7 +46,7 @@
 }
 
 impl StandIn {
-    /// Writes one record without a buffer, so that it survives a kill of the process.
+    /// Writes one record without buffering, so that the record survives a kill of the process.
     pub fn record(&self, record: &crate::history::Record) {
         let line = serde_json::to_string(record).unwrap_or_default() + "\n";
         if let Ok(mut file) = self.history.lock() {
@@ -96,7 +98,7 @@
             key: http_util::header_text(request, backend_api::SHARD_KEY_HEADER),
         });
         tokio::time::sleep(Duration::from_micros(stand_in.config.work_us)).await;
-        // The contract of a backend forbids work after the request's deadline, also after the process was frozen.
+        // The contract of a backend forbids work after the request's deadline, even if the process was frozen meanwhile.
         let deadline = started
             + header(backend_api::TIME_LEFT_HEADER)
                 .parse::<u64>()
@@ -114,7 +116,8 @@
                 .to_string()
                 .into_bytes();
         let seal = backend_api::seal::seal(&attempt_id, 200, &body);
-        // The request of a corrupted reply has run: its body is cut in half, or its seal is missing or of another reply.
+        // A corrupted reply is one whose request has run, but with half of the body, without a seal, or with the seal of
+        // another reply.
         let corrupted = rand::random::<u32>() % 1_000 < stand_in.config.corrupted_per_mille;
         let (body, seal) = match (corrupted, run_number % 3) {
             (true, 0) => (body[..body.len() / 2].to_vec(), seal),
@@ -180,7 +183,7 @@
             .hot_key_per_mille
             .store(900, std::sync::atomic::Ordering::Relaxed);
     }
-    // A planned end: stop sending, drain, let the running requests finish, deregister.
+    // A planned end stops the client, drains, lets the running requests finish, and deregisters.
     load_task.abort();
     let node = &stand_in.config.node_address;
     let post_to_node = |path: &str| {
--- a/crates/simulator/src/deployment.rs
+++ b/crates/simulator/src/deployment.rs
@@ -1,15 +1,15 @@
 //! The deployments that the simulator runs: two full sites and a small one for short tests (design 9.5).
 
-/// A kind of request that a stand-in client sends.
+/// A kind of request that clients of a service send.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct RequestSpec {
     pub service: String,
     pub path: String,
-    /// Time within which an answer is useful, in microseconds.
+    /// Time that the client allows for an answer, in microseconds.
     pub wait_us: u64,
     pub repeatable: bool,
     pub keyed: bool,
-    /// Share of the client's traffic, relative to the weights of its other requests.
+    /// Share of the service's client traffic, relative to the weights of its other kinds of requests.
     pub weight: u32,
 }
 
@@ -25,7 +25,7 @@
     pub slots: u32,
     /// Time that a backend works on a request, in microseconds.
     pub work_us: u64,
-    /// Work time, in microseconds, at which one hot key uses up its backend and the other backends still have capacity.
+    /// Work time, in microseconds, at which one hot key exhausts its backend while the other backends still have capacity.
     pub slow_work_us: u64,
     /// Duration of a disk sync of a replica, in microseconds.
     pub sync_us: u64,
@@ -47,10 +47,10 @@
     u32,
 );
 
-/// Wait time of every request, in microseconds.
+/// Time that a client allows for an answer to any request, in microseconds.
 pub const DEFAULT_WAIT_US: u64 = 3_000_000;
 
-/// The deployment of this name.
+/// Returns the deployment of this name.
 pub fn named(name: &str) -> Option<Deployment> {
     match name {
         "swanreach" => Some(Deployment {
@@ -112,7 +112,7 @@
 }
 
 impl Deployment {
-    /// Name, service and zone of each backend; each runs on a machine of its own.
+    /// Returns the name, service and zone of each backend. Each backend runs on a machine of its own.
     pub fn backends(&self) -> Vec<(String, &'static str, usize)> {
         self.services
             .iter()
@@ -124,7 +124,7 @@
             .collect()
     }
 
-    /// The kinds of requests that clients of this service send.
+    /// Returns the kinds of requests that clients of this service send.
     pub fn client_requests(&self, service: &str) -> Vec<RequestSpec> {
         self.routes
             .iter()
@@ -142,7 +142,7 @@
             .collect()
     }
 
-    /// The edits by which an operator defines the site's groupings and routes.
+    /// Returns the edits by which an operator defines the site's groupings and routes.
     pub fn edits(&self) -> Vec<serde_json::Value> {
         let zones = 0..self.zone_count;
         let groupings = self.services.iter().flat_map(|(service, _)| {
@@ -150,9 +150,9 @@
                 serde_json::json!({ "put_grouping": { "name": format!("{service}-z{zone}"), "grouping": { "service": service, "zone": format!("z{zone}") } } })
             })
         });
-        let orders = self.routes.iter().map(|(from, service, path, repeatable, keyed, importance, _)| {
-            serde_json::json!({ "put_order": { "name": format!("{from}-{service}-{}", &path[1..]), "order": {
-                "selector": { "from": [from], "service": service, "path_prefix": path },
+        let orders = self.routes.iter().map(|(client, service, path, repeatable, keyed, importance, _)| {
+            serde_json::json!({ "put_order": { "name": format!("{client}-{service}-{}", &path[1..]), "order": {
+                "selector": { "from": [client], "service": service, "path_prefix": path },
                 "wait_us": DEFAULT_WAIT_US, "importance": importance, "repeatable": repeatable, "keyed": keyed } } })
         });
         groupings.chain(orders).collect()
--- a/crates/simulator/src/disk.rs
+++ b/crates/simulator/src/disk.rs
@@ -1,5 +1,5 @@
-//! A simulated disk of a replica with faults: slow, stalled, full or with torn writes. A file in its folder selects the
-//! fault (design 9.4).
+//! A replica's simulated disk, which can be slow, stalled or full, or tear a write. A file in the replica's folder selects
+//! the fault (design 9.4).
 
 use std::fmt::Display;
 use std::fs::File;
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DiskFault {
     Healthy,
-    /// Each sync takes 100 times as long.
+    /// Syncs take 100 times as long.
     Slow,
     /// Writes and syncs block until the fault is removed.
     Stalled,
@@ -28,7 +28,7 @@
 }
 
 impl DiskFault {
-    /// Content of the file `fault` that selects this fault.
+    /// Returns the content of the file `fault` that selects this fault.
     pub fn file_text(self) -> &'static str {
         match self {
             DiskFault::Healthy => "sound",
@@ -53,7 +53,7 @@
     }
 }
 
-/// Storage backend of a replica that applies the selected fault to each operation.
+/// Storage backend that applies the selected fault to each operation.
 #[derive(Debug)]
 pub struct FaultyDisk {
     file: File,
@@ -78,7 +78,7 @@
         })
     }
 
-    /// Applies the selected fault before an operation that changes or syncs the file.
+    /// Applies the selected fault before an operation that changes or syncs the file. Blocks while the disk is stalled.
     fn apply_fault(&self) -> std::io::Result<DiskFault> {
         loop {
             match DiskFault::read(&self.folder) {
@@ -136,7 +136,7 @@
         .map_err(|error| to_message(&error))?;
     let folder = config.folder.clone();
     drop(FaultyDisk::open(&folder, sync_us).map_err(|error| to_message(&error))?);
-    // The store reopens its backend after a failure.
+    // The store reopens its storage backend after a failure.
     let open_backend = move || {
         FaultyDisk::open(&folder, sync_us).unwrap_or_else(|error| {
             eprintln!("the store cannot be reopened; the process exits: {error}");
--- a/crates/simulator/src/fleet/mod.rs
+++ b/crates/simulator/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! All processes of a site on one machine, on loopback addresses (design 9.5).
+//! Runs all processes of a site on one machine, at loopback addresses (design 9.5).
 
 mod plan;
 
@@ -39,7 +39,7 @@
     pub network: crate::network::Network,
     /// Current operator address of each replica.
     pub operator_addresses: tokio::sync::watch::Sender<Vec<String>>,
-    /// Backends started after the site: those that take over an address, and additional ones.
+    /// Backends that steps of the scenario added: those that take over an address, and additional ones.
     pub added_backends: Vec<Process>,
     /// Whether the replicas run over simulated disks, which the scenario can make faulty.
     pub simulated_disks: bool,
@@ -49,7 +49,8 @@
     /// Starts the process of a replica.
     pub fn start_replica(&mut self, replica_index: usize) -> Result<(), String> {
         let replica = &mut self.replicas[replica_index];
-        // Over a simulated disk the replica runs in this program, built from the same library as `gradeford-core`.
+        // With a simulated disk the replica runs in the `simulator` program, which uses the same library as
+        // `gradeford-core`.
         let stand_in = self.simulated_disks.then(|| {
             [
                 &["seat".to_string()][..],
@@ -116,7 +117,7 @@
         self.wait_until_registered(self.machines.len()).await
     }
 
-    /// Status and JSON body of a GET request, or nothing if it fails.
+    /// Sends a GET request. Returns the status and the JSON body, or `None` if the request fails.
     pub async fn get(&self, address: &str, path: &str) -> Option<(u16, serde_json::Value)> {
         let response = self
             .http
@@ -127,7 +128,7 @@
         Some((response.status().as_u16(), response.json().await.ok()?))
     }
 
-    /// Service of a machine's backend.
+    /// Returns the service of a machine's backend.
     pub fn service_of(&self, machine_index: usize) -> String {
         crate::process::flag_value(
             &self.machines[machine_index].stand_in_arguments,
@@ -137,13 +138,13 @@
         .unwrap_or_default()
     }
 
-    /// Address on which a machine's backend listens.
+    /// Returns the address on which a machine's backend listens.
     pub fn backend_address(&self, machine_index: usize) -> Option<String> {
         crate::process::flag_value(&self.machines[machine_index].stand_in_arguments, "--listen")
             .cloned()
     }
 
-    /// An operator that records into this run's history.
+    /// Returns an operator that records into this run's history.
     pub fn operator(&self) -> crate::operators::Operator {
         crate::operators::Operator {
             addresses: self.operator_addresses.subscribe(),
@@ -152,7 +153,8 @@
         }
     }
 
-    /// Starts one more backend beside a machine's node, at the address of another backend or at a new one.
+    /// Starts one more backend beside a machine's node, at the address of another backend or at a new one. The checker
+    /// recognises added backends by the prefix of their name.
     pub fn add_backend(
         &mut self,
         machine_index: usize,
@@ -186,7 +188,7 @@
         Ok(())
     }
 
-    /// Version of the desired state, from the first replica that answers.
+    /// Returns the version of the desired state from the first replica that answers.
     pub async fn version(&self) -> Result<u64, String> {
         for replica in &self.replicas {
             if let Some((200, state)) = self.get(&replica.operators_address, "/v1/desired").await {
@@ -198,7 +200,8 @@
         Err("no replica returned its version".into())
     }
 
-    /// Applies one atomic change through the first replica whose answer is certain. Returns its version and position.
+    /// Applies one atomic change through the first replica that answers with a definite outcome. Returns the version and the
+    /// position of the change.
     pub async fn apply(
         &self,
         id: &str,
@@ -219,7 +222,7 @@
         Err("no replica accepted the change".into())
     }
 
-    /// Waits until the condition holds, for at most a minute; the limit only ends broken runs.
+    /// Waits until the condition holds, for at most a minute. Only failed runs reach that limit.
     pub async fn wait_until<F: Future<Output = bool>>(
         &self,
         condition: &str,
@@ -292,7 +295,7 @@
             processes
                 .iter()
                 .for_each(|process| process.signal(rustix::process::Signal::TERM));
-            let exit_status = async {
+            let all_exited = async {
                 while !processes
                     .iter_mut()
                     .all(|process| process.exit_status().is_some())
@@ -300,7 +303,7 @@
                     tokio::time::sleep(Duration::from_millis(20)).await;
                 }
             };
-            tokio::time::timeout(Duration::from_secs(15), exit_status)
+            tokio::time::timeout(Duration::from_secs(15), all_exited)
                 .await
                 .unwrap_or_default();
         }
--- a/crates/simulator/src/fleet/plan.rs
+++ b/crates/simulator/src/fleet/plan.rs
@@ -1,4 +1,4 @@
-//! Plans a fleet: addresses, zones and flags of its processes (design 9.5).
+//! Plans the addresses, zones and flags of the processes of a fleet (design 9.5).
 
 use crate::deployment::Deployment;
 use crate::fleet::{Fleet, Machine, ReplicaMachine};
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// An address with a port that was free at the time of the call, on a loopback host of this run.
+/// Returns an address on a loopback host of this run, with a port that is free at the time of the call.
 fn free_address(host: &str) -> Result<String, String> {
     let listener = TcpListener::bind(format!("{host}:0")).map_err(|error| error.to_string())?;
     listener
@@ -20,7 +20,8 @@
         .map_err(|_| format!("{host} is not an IP address"))
 }
 
-/// The address on which a process listens, and the relay's address at which other processes reach it.
+/// Starts a relay in front of a process. Returns the address on which the process is to listen, and the relay's address, at
+/// which other processes reach the process.
 fn relayed_address(
     network: &crate::network::Network,
     host: &str,
@@ -46,7 +47,7 @@
     Ok((listen_address, advertised_address))
 }
 
-/// Command line arguments for pairs of flag and value.
+/// Returns the command line arguments for pairs of flag and value.
 fn flag_arguments(pairs: &[(&str, String)]) -> Vec<String> {
     pairs
         .iter()
@@ -55,7 +56,7 @@
 }
 
 impl Fleet {
-    /// Plans an empty machine for a replica: the same replica id with new addresses and a new folder.
+    /// Plans an empty machine for a replica. The replica keeps its id, and gets new addresses and a new folder.
     pub fn plan_replacement(&mut self, replica_index: usize) -> Result<(), String> {
         let host = self.replicas[replica_index].host.to_string();
         let ((listen_address, advertised_address), operators_address) =
@@ -81,7 +82,7 @@
         Ok(())
     }
 
-    /// Plans all processes of a site. Must be called within a runtime, because the relays of the links are tasks.
+    /// Plans all processes of a site. Must be called within a runtime, because the relays between the machines are tasks.
     pub fn plan(
         deployment: Deployment,
         folder: PathBuf,
--- a/crates/simulator/src/forging_clients.rs
+++ b/crates/simulator/src/forging_clients.rs
@@ -1,4 +1,5 @@
-//! Clients that forge their identity: false headers, invalid and expired secrets, attempt ids of others (design 9.5).
+//! Clients that forge their identity by internal headers, invalid and expired secrets, and attempt ids of other clients
+//! (design 9.5).
 
 use crate::history::Record;
 use std::time::Duration;
@@ -8,16 +9,17 @@
 pub struct ForgingClient {
     node_address: String,
     zone: String,
-    /// Its own service, and service and path of a route that this service may not use.
+    /// Service of the client.
     service: String,
+    /// Service and path of a route that the client's service may not use.
     target: (String, String),
     history: crate::history_writer::HistoryWriter,
     http: reqwest::Client,
 }
 
 impl ForgingClient {
-    /// A client of the last machine's node, registered for the last service. Where every route is allowed, as at a site
-    /// with one service, the target is the first route.
+    /// Creates a client of the last machine's node, which registers for the last service. If that service may use every
+    /// route, as at a site with one service, the target is the first route.
     pub fn for_fleet(fleet: &crate::fleet::Fleet) -> ForgingClient {
         let deployment = &fleet.deployment;
         let last = fleet.machines.len() - 1;
@@ -49,7 +51,7 @@
         }
     }
 
-    /// Registers without slots, so that the client receives no requests. Returns its secret and attempt id prefix.
+    /// Registers without slots, so that the client receives no requests. Returns the secret and the attempt id prefix.
     async fn register(&self, name: &str) -> Option<(String, String)> {
         let request = serde_json::json!({ "name": name, "service": self.service, "zone": self.zone, "slots": 0, "address": "127.0.0.1:9" });
         let answer = self
@@ -118,7 +120,7 @@
     }
 }
 
-/// Sends forged requests until `stop` is set: with internal headers set, with an invalid secret, with the attempt id
+/// Sends forged requests until `stop` is set: with forged internal headers, with an invalid secret, with the attempt id
 /// prefix of another backend, and with the secret of an ended registration.
 pub async fn run(
     client: ForgingClient,
--- a/crates/simulator/src/history_writer.rs
+++ b/crates/simulator/src/history_writer.rs
@@ -1,4 +1,4 @@
-//! History records that the simulator process itself writes (design 9.5).
+//! Writes the history records of the simulator process itself (design 9.5).
 
 use crate::history::Record;
 use std::fs::OpenOptions;
@@ -20,25 +20,27 @@
 }
 
 impl crate::fleet::Fleet {
+    /// Returns a writer for the history of the simulator process.
     pub fn history_writer(&self) -> HistoryWriter {
         HistoryWriter(self.folder.join("rehearsal.history"))
     }
 
-    /// Records that a backend was killed: it receives no requests after this time.
-    pub fn record_leaving(&self, index: usize) -> Result<(), String> {
+    /// Records that a backend was killed, after which it must receive no requests.
+    pub fn record_leaving(&self, machine_index: usize) -> Result<(), String> {
         self.history_writer().write(&Record::BackendLeaving {
-            backend: self.machines[index].name.clone(),
+            backend: self.machines[machine_index].name.clone(),
             at: model::now(),
         })
     }
 
-    /// Records that a fault was removed: the time limit for recovery starts here.
+    /// Records that a fault was removed, which starts the time limit for recovery.
     pub fn record_healed(&self) -> Result<(), String> {
         self.history_writer()
             .write(&Record::FaultHealed { at: model::now() })
     }
 
-    /// Records a route change when it is sent and when it is accepted; between the two either state is valid.
+    /// Records a route change, once when it is sent and once when it is accepted. Between the two the route may be served or
+    /// not.
     pub fn record_route_change(
         &self,
         route: crate::deployment::RouteSpec,
--- a/crates/simulator/src/load_generator.rs
+++ b/crates/simulator/src/load_generator.rs
@@ -15,7 +15,7 @@
 /// The latest registration of the stand-in.
 pub type Registrations = tokio::sync::watch::Receiver<Registration>;
 
-/// One attempt; every repeated send has the same id.
+/// An attempt to send. Every repeated send has the same id.
 #[derive(Clone)]
 struct PlannedAttempt {
     id: String,
@@ -64,7 +64,7 @@
         else {
             continue;
         };
-        // This fraction of the keyed requests uses the one hot key.
+        // A configured fraction of the keyed requests uses one hot key.
         let hot = rand::Rng::random_range(&mut random, 0..1_000)
             < stand_in
                 .hot_key_per_mille
@@ -92,9 +92,9 @@
     }
 }
 
-/// Sends one attempt. Most attempts are sent once. Some are sent twice concurrently, some again while the first may
-/// still run, and an attempt whose connection broke is sent again with the registration valid at that time. None of
-/// these may cause a second run.
+/// Sends an attempt, in most cases once. Some attempts are sent twice concurrently, some again while the first send may
+/// still be running. An attempt whose connection broke is sent again with the secret that is valid at that time. None of
+/// these sends may cause a second run.
 async fn drive_attempt(
     stand_in: SharedStandIn,
     http: reqwest::Client,
@@ -102,7 +102,7 @@
     attempt: PlannedAttempt,
     repeat_choice: u32,
 ) {
-    let send_again = |pause: u64| {
+    let resend = |pause: u64| {
         let (stand_in, http, registrations, attempt) = (
             stand_in.clone(),
             http.clone(),
@@ -116,14 +116,14 @@
     };
     let first = send_attempt(&stand_in, &http, &registrations, &attempt, false);
     match repeat_choice {
-        0 => drop(tokio::join!(first, send_again(0))),
-        1 => drop(tokio::join!(first, send_again(attempt.request.wait_us / 2))),
+        0 => drop(tokio::join!(first, resend(0))),
+        1 => drop(tokio::join!(first, resend(attempt.request.wait_us / 2))),
         _ => {
-            // Repeated until the node is back and answers, for at most 20 further sends, 700 ms apart.
+            // Resends every 700 ms until the node runs again and answers, at most 20 times.
             let mut unanswered = first.await;
             let mut remaining_sends = 20;
             while unanswered && remaining_sends > 0 {
-                unanswered = send_again(700_000).await;
+                unanswered = resend(700_000).await;
                 remaining_sends -= 1;
             }
         }
@@ -165,7 +165,7 @@
     };
     let answer = match request.send().await {
         Ok(response) => read_answer(&attempt.id, response).await,
-        // This send certainly did not run; an earlier send of the same attempt may have.
+        // Without a connection this send cannot have run, but an earlier send of the same attempt may have.
         Err(error) if error.is_connect() => ClientAnswer {
             execution_status: Some(if repeated { "may-have-run" } else { "not-run" }.into()),
             error_kind: Some("own_usher_down".into()),
--- a/crates/simulator/src/network.rs
+++ b/crates/simulator/src/network.rs
@@ -1,4 +1,4 @@
-//! The simulated network between the machines of a run: delays between zones, and links that are cut and healed
+//! Simulates the network between the machines of a run by relays that delay traffic between zones and cut links
 //! (design 9.6).
 
 use std::collections::HashMap;
@@ -13,7 +13,8 @@
 pub type Host = IpAddr;
 type CutLinks = HashSet<(Host, Host)>;
 
-/// State of the links, shared by all relays. A cut holds bytes back as a lost network does and resets no connection.
+/// State of the links, shared by all relays. A cut link holds bytes back and resets no connection, as in a network that
+/// loses all packets.
 #[derive(Clone)]
 pub struct Network {
     cuts: Arc<tokio::sync::watch::Sender<CutLinks>>,
@@ -22,7 +23,7 @@
 }
 
 impl Network {
-    /// A network without cuts, with this one-way delay between zones, in microseconds.
+    /// Creates a network without cuts. `zone_delay_us` is the one-way delay between zones, in microseconds.
     pub fn new(zones: HashMap<Host, usize>, zone_delay_us: u64) -> Network {
         let cuts = Arc::new(tokio::sync::watch::Sender::new(CutLinks::new()));
         Network {
@@ -87,7 +88,7 @@
         ));
         let backward =
             tokio::spawn(self.relay_one_way(server_reader, client_writer, target.ip(), from));
-        // When one direction ends, the other one is aborted, which closes the connection.
+        // When one direction ends, the other one is aborted, so that both connections are closed.
         let (abort_forward, abort_backward) = (forward.abort_handle(), backward.abort_handle());
         tokio::select! {
             _ = forward => abort_backward.abort(),
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -1,4 +1,4 @@
-//! Child processes of a run. Only the simulator starts them, and it ends only those that it started, by process id.
+//! Child processes of a run. The simulator ends only processes that it started itself, by their process id.
 
 use std::fs::OpenOptions;
 use std::path::Path;
@@ -7,7 +7,7 @@
 use std::process::ExitStatus;
 use std::process::Stdio;
 
-/// The argument that follows a flag.
+/// Returns the argument that follows a flag.
 pub fn flag_value<'a>(arguments: &'a [String], flag: &str) -> Option<&'a String> {
     arguments
         .iter()
@@ -15,7 +15,7 @@
         .and_then(|index| arguments.get(index + 1))
 }
 
-/// The same arguments with the values of these flags replaced.
+/// Returns the arguments with the values of these flags replaced.
 pub fn with_flags(arguments: &[String], flags: &[(&str, String)]) -> Vec<String> {
     flags
         .iter()
@@ -85,7 +85,7 @@
         drop(self.child.wait());
     }
 
-    /// The exit status, if the process has exited.
+    /// Returns the exit status, if the process has exited.
     pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
--- a/crates/simulator/tests/checker.rs
+++ b/crates/simulator/tests/checker.rs
@@ -1,5 +1,5 @@
-//! Each invariant of the history checker finds the violation that was planted for it, and a valid history has none
-//! (design 9.5).
+//! Each invariant of the history checker detects a violation that the test planted for it, and a valid history violates no
+//! invariant (design 9.5).
 
 use simulator::checker::{Rules, check};
 use simulator::history::Record;
--- a/crates/simulator/tests/checker_operators.rs
+++ b/crates/simulator/tests/checker_operators.rs
@@ -1,4 +1,5 @@
-//! Each planted violation of the invariants for operators and nodes is found under its own name (design 9.5).
+//! The history checker reports each planted violation of the invariants for operators and nodes under its own name
+//! (design 9.5).
 
 use simulator::checker::{Rules, check};
 use simulator::history::Record;
@@ -92,7 +93,7 @@
     vec![
         change("a", SECOND, Some(1), false, vec![grouping("one", 1)]),
         change("b", 2 * SECOND, None, true, vec![grouping("bad", 1)]),
-        // Its answer was lost, but it took effect.
+        // The answer to this change was lost, but the change took effect.
         change("c", 3 * SECOND, None, false, vec![grouping("two", 1)]),
         change("d", 4 * SECOND, Some(3), false, vec![grouping("one", 2)]),
         state_read(5 * SECOND, 3, &[("one", 2), ("two", 1)]),
@@ -224,7 +225,7 @@
     assert!(
         !violated_invariants(within_budget, 1).contains(&"extras_keep_to_their_budget".to_string())
     );
-    // The requests were long before; the window of the retries has none.
+    // The requests were sent long before, so the window of the retries contains none.
     let over_budget = requests(20 * SECOND)
         .chain([retry("n0", 40 * SECOND), retry("n1", 41 * SECOND)])
         .collect();
--- a/crates/simulator/tests/cut.rs
+++ b/crates/simulator/tests/cut.rs
@@ -1,19 +1,21 @@
-//! A replica is cut off, frozen, or restarted while it is cut off, for twenty seconds, while callers still reach it
-//! (design 3.2, docs/control-plane.md, point 1).
+//! A replica is cut off from its peers, frozen, or restarted while it is cut off, for twenty seconds, while callers still
+//! reach it (design 3.2, docs/control-plane.md, point 1).
 
 use simulator::sim::{Fault, World, WorldPlan};
 use std::collections::BTreeSet;
 
 const SECOND: u64 = 1_000_000;
-/// Time after which a caller is answered that the outcome of its entry is unknown, in microseconds.
+/// Time after which a caller receives the answer that the outcome of its entry is unknown, in microseconds.
 const CALLER_TIMEOUT: u64 = 900_000;
-/// Time for suspecting a replica, and for a revocation that collides with another one, in microseconds.
+/// Time for the suspicion of a replica and for a revocation that competes with another one, in microseconds.
 const DECISION_TIME: u64 = 2 * SECOND;
-/// Begin and end of the fault, in microseconds.
+/// Time at which the fault begins, in microseconds.
 const FAULT_START: u64 = 2 * SECOND;
+/// Time at which the fault ends, in microseconds.
 const FAULT_END: u64 = 22 * SECOND;
 /// Time after the fault within which the replica participates fully again, in microseconds.
 const CATCH_UP: u64 = 4 * SECOND;
+/// Replica at which the fault occurs.
 const CUT_OFF: u16 = 0;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -58,8 +60,7 @@
     world.schedule_fault(FAULT_END, Fault::HealLinks);
 }
 
-/// Schedules entries and reads at every replica in turn, also at the one that is cut off, from the first second to the
-/// end.
+/// Schedules entries and reads at the replicas round-robin, including the one that is cut off, from the first second on.
 fn schedule_calls(world: &mut World) {
     let replica_count = u64::from(world.plan.replica_count);
     for number in 0..120 {
--- a/crates/simulator/tests/ordering.rs
+++ b/crates/simulator/tests/ordering.rs
@@ -1,5 +1,5 @@
-//! The replicated log under random faults, crashes at numbered effects, and a disk that reports syncs too early
-//! (design 9).
+//! Simulates the replicated log under random faults, under crashes before each numbered effect, and with a disk that
+//! reports syncs too early (design 9).
 
 use simulator::sim::{Fault, World, WorldPlan, schedule_faults};
 
@@ -128,7 +128,7 @@
 #[test]
 fn a_falsely_revoked_coordinator_suggests_again() {
     let mut world = World::new(WorldPlan::new(3, 11));
-    // Its frames are lost while it runs, so the others revoke what it suggested meanwhile.
+    // The frames of the coordinator are lost while it runs, so the others revoke the entries that it suggests meanwhile.
     [(0, 1), (0, 2)]
         .into_iter()
         .for_each(|(from, to)| world.schedule_fault(1_000_000, Fault::CutLink(from, to)));
@@ -218,7 +218,7 @@
                     world.schedule_fault(time + 900_000, Fault::Start(replica_id));
                 }
             });
-        // So many others crash that a majority needs the vote of the new disk.
+        // So many other replicas crash that a majority needs the vote of the new disk.
         (1..=replica_count / 2).for_each(|step| {
             world.schedule_fault(9_000_000, Fault::Crash((replaced + step) % replica_count))
         });
@@ -251,8 +251,8 @@
 #[test]
 fn the_log_continues_after_a_power_loss_soon_after_a_replacement() {
     (0..24u64).for_each(|round| {
-        // Only the lost disk had recorded that its unused instances are no-ops. After the power loss the others have to
-        // finish these instances, far below the position to which the replacement advanced the log.
+        // Only the lost disk had recorded that its unused instances are no-ops. After the power loss the other replicas have to
+        // finish these instances, which lie far below the position to which the replacement advanced the log.
         let mut world = World::new(WorldPlan {
             snapshot_every: 0,
             ..WorldPlan::new(3, 40 + round)
@@ -266,7 +266,8 @@
             );
         });
         world.schedule_fault(1_500_000, Fault::Replace(replaced));
-        // All replicas lose power at once, from before the admission of the new disk until well after it.
+        // All replicas lose power at once. Over the rounds this happens from before the admission of the new disk until well
+        // after it.
         let power_loss = 1_600_000 + round * 150_000;
         (0..3).for_each(|replica_id| {
             world.schedule_fault(power_loss, Fault::Crash(replica_id));
--- a/crates/simulator/tests/repairs.rs
+++ b/crates/simulator/tests/repairs.rs
@@ -1,12 +1,12 @@
-//! Replicas are lost one after the other, each as soon as the one before is tolerated again. Every answered entry is
-//! kept, and the log continues (design 4.4, docs/control-plane.md, point 3).
+//! Replicas lose their disks one after the other, each as soon as the log tolerates a loss again. Every answered entry must
+//! be kept, and the log must continue (design 4.4, docs/control-plane.md, point 3).
 
 use simulator::sim::{Fault, World, WorldPlan};
 
 const SECOND: u64 = 1_000_000;
-/// Time after its return for which a replica still counts as lost, in microseconds.
+/// Time after its restart for which a replica still counts as lost, in microseconds.
 const CATCH_UP: u64 = 4 * SECOND;
-/// Time between the loss of a replica and its return, in microseconds.
+/// Time between the loss of a replica and its restart, in microseconds.
 const ABSENCE: u64 = 600_000;
 /// Number of rounds of losses.
 const ROUNDS: u64 = 6;
@@ -14,7 +14,7 @@
 /// Numbers of replicas, each with the number of losses at once that is tolerated.
 const CONFIGURATIONS: [(u16, u16); 6] = [(3, 1), (4, 1), (5, 1), (5, 2), (7, 2), (11, 2)];
 
-/// Selects the first replica that is lost in a round; further ones follow it in the order of their ids.
+/// Selects the first replica that is lost in a round. Further ones follow it in the order of their ids.
 type Victims = fn(round: u64, replica_count: u16, seed: u64) -> u16;
 
 fn just_replaced(_: u64, replica_count: u16, seed: u64) -> u16 {
@@ -26,8 +26,8 @@
     ((seed + round) % u64::from(replica_count)) as u16
 }
 
-/// Steps around the ring by three. One of three steps always hits a disk that was never replaced, as long as there is
-/// one.
+/// Selects replicas in steps of three ids. One of three steps always selects a disk that was never replaced, as long as
+/// there is one.
 fn oldest_disk(round: u64, replica_count: u16, seed: u64) -> u16 {
     ((seed + round * 3 + round / u64::from(replica_count)) % u64::from(replica_count)) as u16
 }
@@ -61,7 +61,7 @@
             .collect();
         lost.iter()
             .for_each(|replica_id| world.schedule_fault(time, Fault::Replace(*replica_id)));
-        // In every second round the others lose power at the same time.
+        // In every second round the other replicas lose power at the same time.
         if with_power_loss && round % 2 == 1 {
             for replica_id in (0..replica_count).filter(|replica_id| !lost.contains(replica_id)) {
                 world.schedule_fault(time + 1, Fault::Crash(replica_id));
--- a/crates/simulator/tests/resent_attempts.rs
+++ b/crates/simulator/tests/resent_attempts.rs
@@ -1,5 +1,5 @@
 //! Sends the same attempt more than once: concurrently, after its response, and after a restart of the node with the old
-//! secret and with a new one. It must run once and must not be reported as not run (design 5.5).
+//! secret and with a new one. The attempt must run once and must not be reported as not run (design 5.5).
 
 use simulator::history::Record;
 use std::path::Path;
@@ -93,7 +93,7 @@
         assert_eq!(statuses, [200, 409], "{responses:?}");
         let resent = send(&fleet, &first["secret"], &completed).await;
         assert_eq!((resent.0, resent.1.as_deref()), (409, Some("may-have-run")));
-        // The node is killed and restarted; its record of accepted attempts is lost.
+        // The node is killed and restarted, and loses its record of accepted attempts.
         fleet.machines[0]
             .node
             .take()
--- a/crates/simulator/tests/rolled/backend.rs
+++ b/crates/simulator/tests/rolled/backend.rs
@@ -1,5 +1,5 @@
-//! A simulated backend: sends heartbeats to the current process of its node, runs the requests it receives and counts
-//! the runs of each attempt.
+//! A simulated backend, which sends heartbeats to the current process of its node, runs the requests that it receives and
+//! counts the runs of each attempt.
 
 use crate::site::{NodeAddresses, Runs, service};
 use std::sync::Arc;
--- a/crates/simulator/tests/rolled/clients.rs
+++ b/crates/simulator/tests/rolled/clients.rs
@@ -8,9 +8,9 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Outcome {
-    /// The complete answer of this attempt.
+    /// The complete answer to this attempt.
     Complete,
-    /// An answer of another attempt, or one that cannot be parsed.
+    /// An answer to another attempt, or one that cannot be parsed.
     Invalid,
     Status(u16),
     /// No connection, or one that ended without an answer.
@@ -21,10 +21,11 @@
 pub(crate) struct Attempt {
     pub id: String,
     pub effectful: bool,
-    /// The number of its route, and of the newest route that its node had served when it was sent.
+    /// Number of the attempt's route.
     pub route: u64,
+    /// Number of the newest route that the node had served when the attempt was sent.
     pub newest_served: u64,
-    /// Whether no node was killed between its start and its end.
+    /// Whether no node may have been killed between the start and the end of the attempt.
     pub undisturbed: bool,
     pub outcome: Outcome,
 }
@@ -37,7 +38,7 @@
     newest_served: Vec<AtomicU64>,
     /// Number of the newest accepted route.
     accepted: AtomicU64,
-    /// Whether nodes may be killed at this time.
+    /// Whether the test may kill nodes at present.
     pub kills_allowed: AtomicBool,
     /// Changes whenever `kills_allowed` is set.
     pub kill_phase: AtomicU64,
--- a/crates/simulator/tests/rolled/main.rs
+++ b/crates/simulator/tests/rolled/main.rs
@@ -1,5 +1,5 @@
-//! Real nodes beside simulated backends, with a real core and continuous clients over loopback: nodes are restarted in
-//! turn, killed together and stopped together while routes are added. Every check is per attempt, none depends on
+//! Runs nodes and replicas of the product with simulated backends and clients over loopback. Nodes are restarted one after
+//! the other, killed together and stopped together while routes are added. Every check is per attempt, and none depends on
 //! timing (design 11.6).
 
 use std::collections::BTreeSet;
@@ -12,8 +12,8 @@
 use clients::{Attempt, Outcome};
 use site::{NODE_COUNT, Site};
 
-/// Checks every attempt: effectful attempts run at most once, answers are true and complete, and no answer of a run
-/// is lost while no node is killed.
+/// Checks that effectful attempts run at most once, that answers are correct and complete, and that no answer to an
+/// attempt that ran is lost while no node is killed.
 fn check_attempts(site: &Site) {
     let (attempts, runs) = (site.attempts(), site.runs.lock().expect("runs").clone());
     let run_count = |attempt: &Attempt| runs.get(&attempt.id).copied().unwrap_or(0);
@@ -72,7 +72,7 @@
             })
             .count()
     };
-    // Each node has served after each of its starts, or the test would not have reached this point.
+    // The test waited after each start of a node until the node had served.
     assert!(
         complete_count(true) >= 4 * NODE_COUNT && complete_count(false) > 0,
         "{} and {} served",
--- a/crates/simulator/tests/rolled/node.rs
+++ b/crates/simulator/tests/rolled/node.rs
@@ -1,11 +1,11 @@
-//! A node that runs on a thread of its own in place of a process. Everything it holds is dropped when the thread ends.
+//! A node that runs on a thread of its own in place of a process. All its state is dropped when the thread ends.
 
 use crate::site::NodeAddresses;
 use std::thread::Builder;
 use std::time::Duration;
 
 pub(crate) struct RunningNode {
-    /// True requests a graceful shutdown, false a kill.
+    /// `true` requests a graceful shutdown, `false` a kill.
     stop_mode: tokio::sync::watch::Sender<Option<bool>>,
     thread_ended: tokio::sync::watch::Receiver<()>,
     verified_state: control::SharedVerifiedState,
@@ -48,7 +48,7 @@
     }
 }
 
-/// Binds the address, repeatedly because the previous process of the node may still hold it.
+/// Binds the address. Retries, because the previous process of the node may still hold the address.
 async fn bind(address: &str) -> tokio::net::TcpListener {
     loop {
         if let Ok(listener) = tokio::net::TcpListener::bind(address).await {
@@ -123,7 +123,7 @@
         while thread_ended.changed().await.is_ok() {}
     }
 
-    /// Position of the state that the node holds.
+    /// Returns the position of the state that the node holds.
     pub(crate) fn position(&self) -> u64 {
         self.verified_state.load().snapshot.position
     }
--- a/crates/simulator/tests/rolled/site.rs
+++ b/crates/simulator/tests/rolled/site.rs
@@ -1,4 +1,4 @@
-//! The site of the test: three replicas, nodes that are stopped and started, and an operator that adds routes.
+//! The site of the test, with three replicas, nodes that are stopped and started, and an operator that adds routes.
 
 use crate::clients::{Attempt, Clients};
 use crate::node::RunningNode;
@@ -20,7 +20,7 @@
 /// The lease table of the node's current process, as its backend reaches it.
 pub(crate) type LeaseTableSender = tokio::sync::watch::Sender<Option<endpoints::LeaseTableHandle>>;
 
-/// How clients, nodes and the backend reach a node.
+/// Addresses at which clients, other nodes and the backend reach a node.
 pub(crate) struct NodeAddresses {
     pub client_address: String,
     pub peer_address: String,
@@ -33,13 +33,13 @@
     seeds: Vec<String>,
     nodes: Vec<RunningNode>,
     last_incarnation: u64,
-    /// The newest position at which each node was seen, over all of its processes.
+    /// The newest position that was observed at each node, over all of its processes.
     last_positions: Vec<u64>,
     clients: Clients,
     folder: PathBuf,
 }
 
-/// Nodes with an even index are beside the backends of the keyed service.
+/// Returns the service of the backend beside a node. The service of nodes with an even index is keyed.
 pub(crate) fn service(index: usize) -> String {
     ["seat", "ledger"][index % 2].into()
 }
@@ -108,7 +108,7 @@
         let folder = std::env::temp_dir().join(format!("gradeford-rolled-{}", std::process::id()));
         drop(std::fs::remove_dir_all(&folder));
         let (replicas, seeds) = start_replicas(&folder).await;
-        // Addresses on hosts of this test alone, so that no other process takes a port while its node is stopped.
+        // The hosts are used by this test alone, so that no other process binds the port of a stopped node.
         let addresses = |index: usize| {
             let host = format!("127.61.7.{}", index + 1);
             NodeAddresses {
@@ -199,8 +199,8 @@
         self.wait_until_ended(index).await;
     }
 
-    /// Waits until this process of the node has served a client. Its state must not be older than that of the process
-    /// before.
+    /// Waits until the current process of the node has served a client. Its state must not be older than that of the previous
+    /// process.
     pub(crate) async fn wait_until_serving(&self, index: usize) {
         let (node, shared) = (&self.nodes[index], &self.clients.shared);
         wait_until("a node holds a state", || node.position() > 0).await;
--- a/crates/simulator/tests/site.rs
+++ b/crates/simulator/tests/site.rs
@@ -24,8 +24,8 @@
     });
 }
 
-/// Asserts that these faults violate no invariant with all guards, and that some seed violates one of `invariants` with
-/// `disabled` left out.
+/// Asserts that these faults violate no invariant with all guards, and that some seed violates one of `invariants` without
+/// the guards in `disabled`.
 fn assert_caught(disabled: DisabledGuards, faults: [u8; 6], invariants: &[&str]) {
     let is_violated = |seed: u64| {
         let bytes: Vec<u8> = (0..6u8)
