--- a/crates/simulator/src/checker/desired_state.rs
+++ b/crates/simulator/src/checker/desired_state.rs
@@ -10,10 +10,10 @@
 struct SentChange<'a> {
     id: &'a str,
     edits: &'a [serde_json::Value],
-    at: u64,
+    answered_at: u64,
     version: Option<u64>,
     position: Option<u64>,
-    refused: bool,
+    rejected: bool,
 }
 
 fn sent_changes(records: &[Record]) -> Vec<SentChange<'_>> {
@@ -24,15 +24,15 @@
             at,
             version,
             position,
-            refused,
+            rejected,
             ..
         } => Some(SentChange {
             id,
             edits,
-            at,
+            answered_at: at,
             version,
             position,
-            refused,
+            rejected,
         }),
         _ => None,
     };
@@ -81,7 +81,7 @@
     let (accepted_changes, mut violations) = changes_by_version(&sent);
     let unanswered: Vec<&SentChange> = sent
         .iter()
-        .filter(|change| change.version.is_none() && !change.refused)
+        .filter(|change| change.version.is_none() && !change.rejected)
         .collect();
     let last_version = accepted_changes.keys().max().copied().unwrap_or(0);
     let reads = records.iter().filter_map(|record| match record {
@@ -144,7 +144,7 @@
     let sent = sent_changes(records);
     let accepted: Vec<(u64, u64)> = sent
         .iter()
-        .filter_map(|change| change.version.map(|version| (change.at, version)))
+        .filter_map(|change| change.version.map(|version| (change.answered_at, version)))
         .collect();
     let reads = records.iter().filter_map(|record| match record {
         Record::StateRead {
@@ -156,7 +156,7 @@
         .filter_map(|(sent_at, version)| {
             let expected = accepted
                 .iter()
-                .filter(|(at, _)| *at < sent_at)
+                .filter(|(answered_at, _)| *answered_at < sent_at)
                 .map(|(_, version)| *version)
                 .max()
                 .unwrap_or(0);
@@ -219,7 +219,11 @@
     let sent = sent_changes(records);
     let mut accepted: Vec<(u64, u64)> = sent
         .iter()
-        .filter_map(|change| change.position.map(|position| (change.at, position)))
+        .filter_map(|change| {
+            change
+                .position
+                .map(|position| (change.answered_at, position))
+        })
         .collect();
     accepted.sort();
     node_observations(records)
@@ -228,7 +232,7 @@
         .filter_map(|(node, _, sent_at, position, _)| {
             let expected = accepted
                 .iter()
-                .take_while(|(at, _)| at + IN_FORCE_WITHIN_US <= sent_at)
+                .take_while(|(answered_at, _)| answered_at + IN_FORCE_WITHIN_US <= sent_at)
                 .map(|(_, position)| *position)
                 .max()
                 .unwrap_or(0);
--- a/crates/simulator/src/checker/mod.rs
+++ b/crates/simulator/src/checker/mod.rs
@@ -178,13 +178,13 @@
         answers(
             records
                 .iter()
-                .filter(|record| !matches!(record, Record::ClientAnswered { repeated: true, .. })),
+                .filter(|record| !matches!(record, Record::AnswerReceived { repeated: true, .. })),
         )
     };
     let answer_times: Vec<u64> = records
         .iter()
         .filter_map(|record| {
-            if let Record::ClientAnswered { at, .. } = record {
+            if let Record::AnswerReceived { at, .. } = record {
                 Some(*at)
             } else {
                 None
@@ -229,7 +229,7 @@
     records: impl IntoIterator<Item = &'a Record>,
 ) -> impl Iterator<Item = AnswerSummary<'a>> {
     records.into_iter().filter_map(|record| match record {
-        Record::ClientAnswered {
+        Record::AnswerReceived {
             attempt_id,
             execution_status,
             complete,
--- a/crates/simulator/src/checker/runs.rs
+++ b/crates/simulator/src/checker/runs.rs
@@ -165,7 +165,7 @@
 /// Client services without a served request in the last two and a half seconds of the run.
 pub(crate) fn services_not_served_at_the_end(records: &[Record]) -> Vec<String> {
     let answers = records.iter().filter_map(|record| match record {
-        Record::ClientAnswered {
+        Record::AnswerReceived {
             service,
             at,
             execution_status,
@@ -236,7 +236,7 @@
     records
         .iter()
         .filter_map(|record| match record {
-            Record::ClientAnswered {
+            Record::AnswerReceived {
                 attempt_id,
                 error_kind: Some(error_kind),
                 ..
--- a/crates/simulator/src/checker/serving.rs
+++ b/crates/simulator/src/checker/serving.rs
@@ -14,7 +14,7 @@
 struct FirstAnswer<'a> {
     service: &'a str,
     sent_at: u64,
-    at: u64,
+    received_at: u64,
     wait_us: u64,
     status: u16,
     execution_status: Option<&'a str>,
@@ -26,7 +26,7 @@
 /// Answers to the first send of each attempt, with the service that the attempt was meant for.
 fn first_answers(records: &[Record]) -> impl Iterator<Item = FirstAnswer<'_>> {
     records.iter().filter_map(|record| match record {
-        Record::ClientAnswered {
+        Record::AnswerReceived {
             target,
             sent_at,
             at,
@@ -41,7 +41,7 @@
         } => Some(FirstAnswer {
             service: target,
             sent_at: *sent_at,
-            at: *at,
+            received_at: *at,
             wait_us: *wait_us,
             status: *status,
             execution_status: execution_status.as_deref(),
@@ -99,7 +99,7 @@
             format!(
                 "{} at {}: {} has no Retry-After",
                 answer.service,
-                answer.at,
+                answer.received_at,
                 answer.error_kind.unwrap_or("?")
             )
         })
@@ -112,7 +112,7 @@
     const QUEUED_ERROR_KINDS: [&str; 2] = ["too_late", "overloaded"];
     let rejections = first_answers(records).filter(|answer| {
         answer.execution_status == Some("not-run")
-            && answer.at - answer.sent_at > answer.wait_us * 9 / 10
+            && answer.received_at - answer.sent_at > answer.wait_us * 9 / 10
     });
     // A stalled node sends no answers, be it the client's or the backend's, so a request that overlaps a stall is not
     // counted.
@@ -127,7 +127,7 @@
     let rejections = rejections.filter(|answer| {
         !stalls
             .iter()
-            .any(|(from, to)| answer.sent_at < *to && answer.at > *from)
+            .any(|(from, to)| answer.sent_at < *to && answer.received_at > *from)
     });
     let rejections = rejections.filter(|answer| {
         !answer
@@ -140,7 +140,7 @@
                 "{}: {} after {} of {}",
                 answer.service,
                 answer.error_kind.unwrap_or("?"),
-                answer.at - answer.sent_at,
+                answer.received_at - answer.sent_at,
                 answer.wait_us
             )
         })
@@ -194,7 +194,7 @@
         return Default::default();
     };
     let end = first_answers(records)
-        .map(|answer| answer.at)
+        .map(|answer| answer.received_at)
         .max()
         .unwrap_or(0);
     let after = || first_answers(records).filter(move |answer| answer.sent_at >= healed_at);
@@ -204,7 +204,7 @@
     let served = after()
         .filter(|answer| answer.execution_status.is_none())
         .fold(BTreeMap::<String, u64>::new(), |mut served, answer| {
-            let since = answer.at - healed_at;
+            let since = answer.received_at - healed_at;
             served
                 .entry(answer.service.to_string())
                 .and_modify(|earliest| *earliest = since.min(*earliest))
@@ -228,14 +228,14 @@
 pub(crate) fn is_observed(records: &[Record], situation: &str) -> bool {
     match situation {
         "not-run" => first_answers(records).any(|answer| answer.execution_status == Some("not-run") && answer.error_kind != Some("own_usher_down")),
-        "a second arrival" => records.iter().any(|record| matches!(record, Record::ClientAnswered { repeated: true, status: 409, .. })),
+        "a second arrival" => records.iter().any(|record| matches!(record, Record::AnswerReceived { repeated: true, status: 409, .. })),
         "an accepted change" => records.iter().filter(|record| matches!(record, Record::DesiredChange { version: Some(_), .. })).count() > 1,
-        "a refused change" => records.iter().any(|record| matches!(record, Record::DesiredChange { refused: true, .. })),
+        "a refused change" => records.iter().any(|record| matches!(record, Record::DesiredChange { rejected: true, .. })),
         "an address reused" => records.iter().any(|record| matches!(record, Record::RunBegan { backend, .. } if backend.starts_with("heir-"))),
         "a hot key" => {
             hot_key_start(records).is_some_and(|hot_since| first_answers(records).any(|answer| answer.key == Some("hot") && answer.sent_at > hot_since && answer.execution_status == Some("not-run")))
         }
-        "a forger refused" => records.iter().any(|record| matches!(record, Record::ClientAnswered { client, status: 401 | 409 | 403, .. } if client.starts_with("forger"))),
+        "a forger refused" => records.iter().any(|record| matches!(record, Record::AnswerReceived { client, status: 401 | 409 | 403, .. } if client.starts_with("forger"))),
         "a moved key" => {
             let began = records.iter().filter_map(|record| match record {
                 Record::RunBegan { service, key: Some(key), process, .. } => Some(((service, key), *process)),
--- a/crates/simulator/src/forging_clients.rs
+++ b/crates/simulator/src/forging_clients.rs
@@ -100,7 +100,7 @@
             .and_then(|value| value.to_str().ok())
             .map(str::to_string);
         let answer_body: serde_json::Value = response.json().await.unwrap_or_default();
-        self.history.write(&Record::ClientAnswered {
+        self.history.write(&Record::AnswerReceived {
             attempt_id,
             sent_at,
             at: model::now(),
--- a/crates/simulator/src/history.rs
+++ b/crates/simulator/src/history.rs
@@ -32,12 +32,13 @@
     RunEnded { run: String, at: u64 },
     /// A client received the result of an attempt. `repeated` is set for every send of the attempt but the first.
     #[serde(rename = "told")]
-    ClientAnswered {
+    AnswerReceived {
         #[serde(rename = "try_id")]
         attempt_id: String,
         /// Time at which the request was sent.
         #[serde(rename = "asked")]
         sent_at: u64,
+        /// Time at which the answer arrived.
         at: u64,
         #[serde(rename = "wait")]
         wait_us: u64,
@@ -77,7 +78,7 @@
         accepted: bool,
         at: u64,
     },
-    /// An operator's change and its answer. Without a version and with `refused` unset, the outcome is unknown.
+    /// An operator's change and its answer. Without a version and with `rejected` unset, the outcome is unknown.
     #[serde(rename = "change")]
     DesiredChange {
         id: String,
@@ -85,11 +86,13 @@
         /// Time at which the request was sent.
         #[serde(rename = "asked")]
         sent_at: u64,
+        /// Time at which the answer arrived.
         at: u64,
         status: u16,
         version: Option<u64>,
         position: Option<u64>,
-        refused: bool,
+        #[serde(rename = "refused")]
+        rejected: bool,
     },
     /// The desired state that a replica returned to an operator.
     #[serde(rename = "read_back")]
@@ -97,6 +100,7 @@
         /// Time at which the request was sent.
         #[serde(rename = "asked")]
         sent_at: u64,
+        /// Time at which the answer arrived.
         at: u64,
         desired: serde_json::Value,
     },
@@ -170,7 +174,7 @@
 
 impl Report {
     /// Returns whether no invariant was violated.
-    pub fn holds(&self) -> bool {
+    pub fn has_no_violations(&self) -> bool {
         self.invariants.values().all(Vec::is_empty)
     }
 }
--- a/crates/simulator/src/load_generator.rs
+++ b/crates/simulator/src/load_generator.rs
@@ -175,7 +175,7 @@
     };
     let unanswered = answer.error_kind.as_deref() == Some("own_usher_lost")
         || repeated && answer.error_kind.as_deref() == Some("own_usher_down");
-    stand_in.record(&crate::history::Record::ClientAnswered {
+    stand_in.record(&crate::history::Record::AnswerReceived {
         attempt_id: attempt.id.clone(),
         sent_at,
         at: model::now(),
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -200,7 +200,7 @@
         "{}",
         serde_json::to_string_pretty(&report).unwrap_or_default()
     );
-    if report.holds() {
+    if report.has_no_violations() {
         Ok(())
     } else {
         Err("an invariant was broken".into())
@@ -264,7 +264,7 @@
                 ..plan
             };
             let (report, verdict) = match simulator::run::run(scenario_plan).await {
-                Ok(report) if report.holds() && report.not_observed.is_empty() => {
+                Ok(report) if report.has_no_violations() && report.not_observed.is_empty() => {
                     let recovery = report
                         .recovery_us
                         .values()
@@ -273,7 +273,7 @@
                         .unwrap_or_default();
                     (report, format!("held{recovery}"))
                 }
-                Ok(report) if report.holds() => {
+                Ok(report) if report.has_no_violations() => {
                     let summary = format!("NOT PROVOKED: {}", report.not_observed.join(", "));
                     (report, summary)
                 }
--- a/crates/simulator/src/operators.rs
+++ b/crates/simulator/src/operators.rs
@@ -74,7 +74,7 @@
             }
             _ => ChangeAnswer::Unknown,
         };
-        let refused = matches!(answer, ChangeAnswer::Rejected(..));
+        let rejected = matches!(answer, ChangeAnswer::Rejected(..));
         self.history.write(&Record::DesiredChange {
             id: id.into(),
             edits: edits.to_vec(),
@@ -83,7 +83,7 @@
             status,
             version,
             position,
-            refused,
+            rejected,
         })?;
         Ok(answer)
     }
--- a/crates/simulator/tests/checker.rs
+++ b/crates/simulator/tests/checker.rs
@@ -29,14 +29,14 @@
     }
 }
 
-fn client_answered(
+fn answer_received(
     attempt_id: &str,
     at: u64,
     execution_status: Option<&str>,
     error_kind: Option<&str>,
     complete: bool,
 ) -> Record {
-    Record::ClientAnswered {
+    Record::AnswerReceived {
         attempt_id: attempt_id.into(),
         sent_at: at - 100,
         wait_us: 3 * SECOND,
@@ -59,8 +59,8 @@
     vec![
         run_began("r1", "desk/1", SECOND, "a"),
         run_ended("r1", SECOND + 100),
-        client_answered("desk/1", SECOND + 200, None, None, true),
-        client_answered(
+        answer_received("desk/1", SECOND + 200, None, None, true),
+        answer_received(
             "desk/2",
             SECOND + 300,
             Some("not-run"),
@@ -69,7 +69,7 @@
         ),
         run_began("r3", "desk/3", 2 * SECOND, "b"),
         run_ended("r3", 2 * SECOND + 100),
-        client_answered("desk/3", 2 * SECOND + 200, None, None, true),
+        answer_received("desk/3", 2 * SECOND + 200, None, None, true),
     ]
 }
 
@@ -126,11 +126,11 @@
         "not_run_did_not_run",
     );
     assert_found(
-        vec![client_answered("desk/1", late, None, None, false)],
+        vec![answer_received("desk/1", late, None, None, false)],
         "success_is_whole",
     );
     assert_found(
-        vec![client_answered("desk/9", late, None, None, true)],
+        vec![answer_received("desk/9", late, None, None, true)],
         "success_is_whole",
     );
     let invalid_run = |change: fn(&mut Record)| {
@@ -202,7 +202,7 @@
         .contains(&"changes_are_in_force".to_string())
     );
     assert_found(
-        vec![client_answered(
+        vec![answer_received(
             "desk/5",
             late,
             Some("not-run"),
@@ -212,7 +212,7 @@
         "service_is_back",
     );
     assert_found(
-        vec![client_answered(
+        vec![answer_received(
             "desk/1",
             late,
             Some("may-have-run"),
--- a/crates/simulator/tests/checker_operators.rs
+++ b/crates/simulator/tests/checker_operators.rs
@@ -15,10 +15,10 @@
     id: &str,
     at: u64,
     version: Option<u64>,
-    refused: bool,
+    rejected: bool,
     edits: Vec<serde_json::Value>,
 ) -> Record {
-    let status = if refused {
+    let status = if rejected {
         422
     } else {
         version.map(|_| 200).unwrap_or(0)
@@ -31,7 +31,7 @@
         status,
         version,
         position: version.map(|version| version * 10),
-        refused,
+        rejected,
     }
 }
 
@@ -62,7 +62,7 @@
     }
 }
 
-fn client_answered(
+fn answer_received(
     target: &str,
     sent_at: u64,
     error_kind: Option<&str>,
@@ -70,7 +70,7 @@
     has_retry_after: bool,
     duration: u64,
 ) -> Record {
-    Record::ClientAnswered {
+    Record::AnswerReceived {
         attempt_id: format!("desk-0.1.desk/{sent_at}"),
         sent_at,
         at: sent_at + duration,
@@ -101,7 +101,7 @@
         node_observed("n0", 2, 3 * SECOND, 0, false),
         node_observed("n0", 2, 4 * SECOND, 10, true),
         node_observed("n0", 2, 8 * SECOND, 30, true),
-        client_answered("seat", 5 * SECOND, Some("overloaded"), 429, true, 1_000),
+        answer_received("seat", 5 * SECOND, Some("overloaded"), 429, true, 1_000),
     ]
 }
 
@@ -177,7 +177,7 @@
         "every_change_is_in_force_everywhere",
     );
     assert_found(
-        vec![client_answered(
+        vec![answer_received(
             "seat",
             6 * SECOND,
             Some("no_back_end"),
@@ -188,7 +188,7 @@
         "refusals_say_when_to_come_back",
     );
     assert_found(
-        vec![client_answered(
+        vec![answer_received(
             "seat",
             6 * SECOND,
             Some("no_back_end"),
@@ -212,7 +212,7 @@
 fn retries_are_checked_in_every_ten_seconds_over_the_fleet() {
     let requests = |from: u64| {
         (0..10u64)
-            .map(move |step| client_answered("seat", from + step * 1_000, None, 200, false, 100))
+            .map(move |step| answer_received("seat", from + step * 1_000, None, 200, false, 100))
     };
     let retry = |node: &str, at: u64| Record::AttemptRepeated {
         node: node.into(),
@@ -236,7 +236,7 @@
 
 #[test]
 fn starved_keys_and_a_service_that_does_not_recover_are_found() {
-    let with_key = |at: u64, is_served: bool| match client_answered(
+    let with_key = |at: u64, is_served: bool| match answer_received(
         "seat",
         at,
         (!is_served).then_some("key_crowded"),
@@ -244,7 +244,7 @@
         true,
         100,
     ) {
-        Record::ClientAnswered {
+        Record::AnswerReceived {
             attempt_id,
             sent_at,
             at,
@@ -260,7 +260,7 @@
             has_retry_after,
             complete,
             ..
-        } => Record::ClientAnswered {
+        } => Record::AnswerReceived {
             key: Some("cool".into()),
             attempt_id,
             sent_at,
