--- a/crates/simulator/src/checker/desired_state.rs
+++ b/crates/simulator/src/checker/desired_state.rs
@@ -101,8 +101,8 @@
         .max(last_version);
     let mut states_by_version = vec![vec![model::DesiredState::default()]];
     (1..=last_version).for_each(|version| {
-        // The possible states at this version: one if its change is known, otherwise one for each change whose answer
-        // was lost.
+        // If the change of this version is known, there is one possible state. Otherwise there is one for each change whose
+        // answer was lost.
         let candidates: Vec<&&SentChange> = unanswered
             .iter()
             .filter(|_| !accepted_changes.contains_key(&version))
--- a/crates/simulator/src/checker/mod.rs
+++ b/crates/simulator/src/checker/mod.rs
@@ -214,7 +214,7 @@
     report
 }
 
-/// The client's service, which a backend stand-in writes into its attempt ids after the prefix of its registration.
+/// Returns the client's service, which a stand-in writes into its attempt ids after the prefix of its registration.
 fn client_service(attempt_id: &str) -> Option<&str> {
     attempt_id
         .rsplit('.')
--- a/crates/simulator/src/lease_sim/log.rs
+++ b/crates/simulator/src/lease_sim/log.rs
@@ -4,7 +4,7 @@
 use model::cluster_state::{ClusterOperation, ClusterReport, Delta};
 use model::{ClusterState, Microseconds, Outcome, Position};
 
-/// A message of a replica to a follower: the state changes from one position to another, or a freshness proof for a
+/// A message from a replica to a follower: the state changes from one position to another, or a freshness proof for a
 /// numbered request.
 #[derive(Clone, Debug)]
 pub(super) enum ReplicaUpdate {
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -136,7 +136,7 @@
 /// The numbers of machines with a node and a backend, of replicas, and of zones.
 pub type SiteSize = (usize, usize, usize);
 
-/// The scenario of this name; the seed selects the processes that fail.
+/// Returns the scenario of this name. The seed selects the processes that fail.
 pub fn named(
     name: &str,
     (machine_count, replica_count, zone_count): SiteSize,
--- a/crates/simulator/src/sim/site/plan.rs
+++ b/crates/simulator/src/sim/site/plan.rs
@@ -86,7 +86,7 @@
     format!("z{}", node % 2)
 }
 
-/// The service of the backend beside a node: "seat" at the first three nodes, "desk" at the other two.
+/// Returns the service of the backend beside a node: "seat" at the first three nodes, "desk" at the other two.
 pub(super) fn service(node: usize) -> &'static str {
     if node < 3 { "seat" } else { "desk" }
 }
--- a/crates/simulator/src/state_sim/checks.rs
+++ b/crates/simulator/src/state_sim/checks.rs
@@ -41,7 +41,7 @@
             .any(|disturbance| disturbance.from <= now && now < disturbance.until + RECOVERY_TIME)
     }
 
-    /// The allowed delay of a change at a node, or `None` if the node is not checked.
+    /// Returns the allowed delay of a change at a node, or `None` if the node is not checked.
     fn allowed_lateness(&self, node: usize, now: Microseconds) -> Option<Microseconds> {
         let checked_from =
             self.no_majority_at.unwrap_or(0) + IN_FORCE_WITHIN + DISTURBED_CORE_ALLOWANCE;
--- a/crates/simulator/src/state_sim/node.rs
+++ b/crates/simulator/src/state_sim/node.rs
@@ -318,7 +318,7 @@
         }
     }
 
-    /// The state from which the node serves its routes.
+    /// Returns the state from which the node serves its routes.
     pub(super) fn served_state(&self, disabled: &DisabledGuards) -> Option<Arc<StateSnapshot>> {
         if disabled.proof || disabled.forward_only && self.has_verified {
             let received = self.follower.received().clone();
--- a/crates/simulator/src/supervisor.rs
+++ b/crates/simulator/src/supervisor.rs
@@ -293,6 +293,7 @@
             .ok_or("the site has no route".into())
     }
 
+    /// Returns a service other than that of the backend with this index, if the site has one.
     fn other_service(&self, index: usize) -> String {
         let own_service = self.fleet.service_of(index);
         let mut others = self
--- a/crates/simulator/tests/lease_sim.rs
+++ b/crates/simulator/tests/lease_sim.rs
@@ -37,12 +37,12 @@
         assert_eq!(violations, Vec::<String>::new(), "seed {seed}");
         (checks.ranges_taken, checks.ranges_handed_over)
     });
-    let (taken, handed_over) = counts.into_iter().fold((0, 0), |totals, count| {
+    let (acquired, handed_over) = counts.into_iter().fold((0, 0), |totals, count| {
         (totals.0 + count.0, totals.1 + count.1)
     });
     assert!(
-        taken > 50_000 && handed_over > 1_000,
-        "{taken} ranges taken, {handed_over} handed over"
+        acquired > 50_000 && handed_over > 1_000,
+        "{acquired} ranges acquired, {handed_over} handed over"
     );
 }
 
--- a/crates/simulator/tests/repairs.rs
+++ b/crates/simulator/tests/repairs.rs
@@ -15,7 +15,7 @@
 const CONFIGURATIONS: [(u16, u16); 6] = [(3, 1), (4, 1), (5, 1), (5, 2), (7, 2), (11, 2)];
 
 /// Selects the first replica that is lost in a round. Further ones follow it in the order of their ids.
-type Victims = fn(round: u64, replica_count: u16, seed: u64) -> u16;
+type SelectLost = fn(round: u64, replica_count: u16, seed: u64) -> u16;
 
 fn just_replaced(_: u64, replica_count: u16, seed: u64) -> u16 {
     (seed % u64::from(replica_count)) as u16
@@ -50,12 +50,12 @@
     }
 }
 
-fn simulate(plan: WorldPlan, losses: u16, victims: Victims, with_power_loss: bool) -> World {
+fn simulate(plan: WorldPlan, losses: u16, select_lost: SelectLost, with_power_loss: bool) -> World {
     let (replica_count, seed) = (plan.replica_count, plan.seed);
     let mut world = World::new(plan);
     let mut time = 2 * SECOND;
     for round in 0..ROUNDS {
-        let first = victims(round, replica_count, seed);
+        let first = select_lost(round, replica_count, seed);
         let lost: Vec<u16> = (0..losses)
             .map(|offset| (first + offset) % replica_count)
             .collect();
@@ -84,14 +84,14 @@
     world
 }
 
-fn assert_no_violations(victims: Victims, with_power_loss: bool) {
+fn assert_no_violations(select_lost: SelectLost, with_power_loss: bool) {
     for (replica_count, losses) in CONFIGURATIONS {
         for seed in 0..8 {
             let plan = WorldPlan {
                 snapshot_every: 25,
                 ..WorldPlan::new(replica_count, seed)
             };
-            let world = simulate(plan, losses, victims, with_power_loss);
+            let world = simulate(plan, losses, select_lost, with_power_loss);
             let violations = &world.findings.violations;
             assert!(
                 violations.is_empty(),
