--- a/crates/simulator/src/backend_stand_in.rs
+++ b/crates/simulator/src/backend_stand_in.rs
@@ -173,12 +173,12 @@
         http.clone(),
         registrations.clone(),
     ));
-    let mut stop = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
+    let mut stop_signal = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
         .map_err(|error| to_message(&error))?;
     let mut hot_key_signal =
         tokio::signal::unix::signal(tokio::signal::unix::SignalKind::user_defined1())
             .map_err(|error| to_message(&error))?;
-    while tokio::select! { _ = stop.recv() => false, _ = hot_key_signal.recv() => true } {
+    while tokio::select! { _ = stop_signal.recv() => false, _ = hot_key_signal.recv() => true } {
         stand_in
             .hot_key_per_mille
             .store(900, std::sync::atomic::Ordering::Relaxed);
--- a/crates/simulator/src/disk.rs
+++ b/crates/simulator/src/disk.rs
@@ -163,9 +163,9 @@
             .await
             .map_err(|error| to_message(&error))?;
     tokio::spawn(control::updates::server::listen(replica, listener));
-    let mut stop = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
+    let mut stop_signal = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
         .map_err(|error| to_message(&error))?;
-    stop.recv().await;
+    stop_signal.recv().await;
     accepting_work.store(false, std::sync::atomic::Ordering::Relaxed);
     server.stop(Duration::from_secs(5)).await;
     Ok(())
--- a/crates/simulator/src/fleet/mod.rs
+++ b/crates/simulator/src/fleet/mod.rs
@@ -276,7 +276,7 @@
     /// Stops all processes by SIGTERM: the stand-ins first, so that their histories are complete, then the nodes, then
     /// the replicas.
     pub async fn stop(&mut self) {
-        let all = [
+        let groups = [
             self.machines
                 .iter_mut()
                 .filter_map(|machine| machine.stand_in.take())
@@ -291,7 +291,7 @@
                 .filter_map(|replica| replica.process.take())
                 .collect(),
         ];
-        for mut processes in all {
+        for mut processes in groups {
             processes
                 .iter()
                 .for_each(|process| process.signal(rustix::process::Signal::TERM));
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -126,7 +126,7 @@
 struct Participants {
     stop: tokio::sync::watch::Sender<bool>,
     workers: Vec<tokio::task::JoinHandle<Result<(), String>>>,
-    watchers: Vec<tokio::task::JoinHandle<Result<(), String>>>,
+    observers: Vec<tokio::task::JoinHandle<Result<(), String>>>,
 }
 
 impl Participants {
@@ -156,7 +156,7 @@
                 stop.subscribe(),
             ))
         });
-        let watchers = fleet.machines.iter().map(|machine| {
+        let observers = fleet.machines.iter().map(|machine| {
             let observer = crate::operators::observe_node(
                 machine.name.clone(),
                 machine.local_address.clone(),
@@ -167,7 +167,7 @@
         });
         Participants {
             workers: operators.chain(forgers).collect(),
-            watchers: watchers.collect(),
+            observers: observers.collect(),
             stop,
         }
     }
@@ -176,14 +176,14 @@
     async fn stop(self) -> Result<(), String> {
         self.stop.send_replace(true);
         for worker in self.workers {
-            let ended = tokio::time::timeout(Duration::from_secs(60), worker).await;
-            ended
+            let joined = tokio::time::timeout(Duration::from_secs(60), worker).await;
+            joined
                 .map_err(|_| "an operator could not settle its open changes within 60 seconds")?
                 .map_err(|error| error.to_string())??;
         }
-        self.watchers
+        self.observers
             .into_iter()
-            .for_each(|watcher| watcher.abort());
+            .for_each(|observer_task| observer_task.abort());
         Ok(())
     }
 }
