--- a/crates/simulator/src/checker/desired_state.rs
+++ b/crates/simulator/src/checker/desired_state.rs
@@ -4,39 +4,39 @@
 use crate::history::Record;
 use std::collections::BTreeMap;
 
-/// Time after which every node that holds a valid proof serves by an accepted change.
+/// Time after which every node that holds a valid freshness proof serves by an accepted change, in microseconds.
 const IN_FORCE_WITHIN_US: u64 = 2_500_000;
 
 struct SentChange<'a> {
     id: &'a str,
     edits: &'a [serde_json::Value],
-    at: u64,
+    answered_at: u64,
     version: Option<u64>,
     position: Option<u64>,
-    refused: bool,
+    rejected: bool,
 }
 
 fn sent_changes(records: &[Record]) -> Vec<SentChange<'_>> {
-    let of = |record| match record {
+    let to_change = |record| match record {
         &Record::DesiredChange {
             ref id,
             ref edits,
             at,
             version,
             position,
-            refused,
+            rejected,
             ..
         } => Some(SentChange {
             id,
             edits,
-            at,
+            answered_at: at,
             version,
             position,
-            refused,
+            rejected,
         }),
         _ => None,
     };
-    records.iter().filter_map(of).collect()
+    records.iter().filter_map(to_change).collect()
 }
 
 type ChangesByVersion<'a> = BTreeMap<u64, &'a SentChange<'a>>;
@@ -75,22 +75,21 @@
         .collect()
 }
 
-/// States read by operators that are not the result of applying all accepted changes up to their version, and nothing
-/// else.
+/// States read by operators that differ from the result of applying exactly the accepted changes up to their version.
 pub(crate) fn inconsistent_reads(records: &[Record]) -> Vec<String> {
     let sent = sent_changes(records);
     let (accepted_changes, mut violations) = changes_by_version(&sent);
     let unanswered: Vec<&SentChange> = sent
         .iter()
-        .filter(|change| change.version.is_none() && !change.refused)
+        .filter(|change| change.version.is_none() && !change.rejected)
         .collect();
     let last_version = accepted_changes.keys().max().copied().unwrap_or(0);
     let reads = records.iter().filter_map(|record| match record {
-        Record::StateRead { asked, desired, .. } => {
-            serde_json::from_value::<model::DesiredState>(desired.clone())
-                .ok()
-                .map(|state| (*asked, state))
-        }
+        Record::StateRead {
+            sent_at, desired, ..
+        } => serde_json::from_value::<model::DesiredState>(desired.clone())
+            .ok()
+            .map(|state| (*sent_at, state)),
         _ => None,
     });
     let reads: Vec<(u64, model::DesiredState)> = reads.collect();
@@ -102,8 +101,8 @@
         .max(last_version);
     let mut states_by_version = vec![vec![model::DesiredState::default()]];
     (1..=last_version).for_each(|version| {
-        // The possible states at this version: one if its change is known, otherwise one for each change whose answer
-        // was lost.
+        // If the change of this version is known, there is one possible state. Otherwise there is one for each change whose
+        // answer was lost.
         let candidates: Vec<&&SentChange> = unanswered
             .iter()
             .filter(|_| !accepted_changes.contains_key(&version))
@@ -130,9 +129,9 @@
         reads
             .iter()
             .filter(|(_, state)| !states_by_version[state.version as usize].contains(state))
-            .map(|(asked, state)| {
+            .map(|(sent_at, state)| {
                 format!(
-                    "read back at {asked}: version {} is not what the accepted changes make of it",
+                    "read back at {sent_at}: version {} is not what the accepted changes make of it",
                     state.version
                 )
             }),
@@ -145,56 +144,58 @@
     let sent = sent_changes(records);
     let accepted: Vec<(u64, u64)> = sent
         .iter()
-        .filter_map(|change| change.version.map(|version| (change.at, version)))
+        .filter_map(|change| change.version.map(|version| (change.answered_at, version)))
         .collect();
     let reads = records.iter().filter_map(|record| match record {
-        Record::StateRead { asked, desired, .. } => {
-            Some((*asked, desired["version"].as_u64().unwrap_or(0)))
-        }
+        Record::StateRead {
+            sent_at, desired, ..
+        } => Some((*sent_at, desired["version"].as_u64().unwrap_or(0))),
         _ => None,
     });
     reads
-        .filter_map(|(asked, version)| {
+        .filter_map(|(sent_at, version)| {
             let expected = accepted
                 .iter()
-                .filter(|(at, _)| *at < asked)
+                .filter(|(answered_at, _)| *answered_at < sent_at)
                 .map(|(_, version)| *version)
                 .max()
                 .unwrap_or(0);
             (version < expected).then(|| {
                 format!(
-                    "read back at {asked}: version {version}, though {expected} had been accepted"
+                    "read back at {sent_at}: version {version}, though {expected} had been accepted"
                 )
             })
         })
         .collect()
 }
 
+/// Node, incarnation, time of the status request, position, and whether the node held a valid freshness proof.
 type NodeObservation<'a> = (&'a str, u64, u64, u64, bool);
 
 fn node_observations(records: &[Record]) -> Vec<NodeObservation<'_>> {
-    let of = |record| match record {
+    let to_observation = |record| match record {
         &Record::NodeObserved {
             ref node,
             incarnation,
-            asked,
+            sent_at,
             position,
             fresh,
-        } => Some((node.as_str(), incarnation, asked, position, fresh)),
+        } => Some((node.as_str(), incarnation, sent_at, position, fresh)),
         _ => None,
     };
-    let mut observations: Vec<NodeObservation> = records.iter().filter_map(of).collect();
-    observations.sort_by_key(|(node, _, asked, ..)| (*node, *asked));
+    let mut observations: Vec<NodeObservation> =
+        records.iter().filter_map(to_observation).collect();
+    observations.sort_by_key(|(node, _, sent_at, ..)| (*node, *sent_at));
     observations
 }
 
-/// Observations of a node whose position went back: within an incarnation at all, or over a restart below a position
-/// that it had proved.
+/// Observations of a node whose position went back: within one incarnation, or, with a valid freshness proof, below a
+/// position that an earlier proof had covered.
 pub(crate) fn regressed_positions(records: &[Record]) -> Vec<String> {
     let mut positions: BTreeMap<&str, (u64, u64, u64)> = Default::default();
     node_observations(records)
         .into_iter()
-        .filter_map(|(node, incarnation, asked, position, fresh)| {
+        .filter_map(|(node, incarnation, sent_at, position, fresh)| {
             let (last_incarnation, last, proved) = positions.get(node).copied().unwrap_or_default();
             let is_regression =
                 incarnation == last_incarnation && position < last || fresh && position < proved;
@@ -207,32 +208,36 @@
                 ),
             );
             is_regression.then(|| {
-                format!("{node} at {asked}: position {position} after {last}, {proved} proved")
+                format!("{node} at {sent_at}: position {position} after {last}, {proved} proved")
             })
         })
         .collect()
 }
 
-/// Nodes with a valid proof that lack a change two and a half seconds after it was accepted.
+/// Nodes with a valid freshness proof that lack a change two and a half seconds after it was accepted.
 pub(crate) fn late_changes(records: &[Record]) -> Vec<String> {
     let sent = sent_changes(records);
     let mut accepted: Vec<(u64, u64)> = sent
         .iter()
-        .filter_map(|change| change.position.map(|position| (change.at, position)))
+        .filter_map(|change| {
+            change
+                .position
+                .map(|position| (change.answered_at, position))
+        })
         .collect();
     accepted.sort();
     node_observations(records)
         .into_iter()
         .filter(|(.., fresh)| *fresh)
-        .filter_map(|(node, _, asked, position, _)| {
+        .filter_map(|(node, _, sent_at, position, _)| {
             let expected = accepted
                 .iter()
-                .take_while(|(at, _)| at + IN_FORCE_WITHIN_US <= asked)
+                .take_while(|(answered_at, _)| answered_at + IN_FORCE_WITHIN_US <= sent_at)
                 .map(|(_, position)| *position)
                 .max()
                 .unwrap_or(0);
             (position < expected).then(|| {
-                format!("{node} at {asked} serves by {position}, {expected} was accepted before")
+                format!("{node} at {sent_at} serves by {position}, {expected} was accepted before")
             })
         })
         .collect()
--- a/crates/simulator/src/checker/serving.rs
+++ b/crates/simulator/src/checker/serving.rs
@@ -1,4 +1,4 @@
-//! Invariants on what clients are promised beside the execution status: retry budgets, rejections and recovery
+//! Invariants on the service that clients receive: retry budgets, rejections, keys beside a hot key, and recovery
 //! (design 5.4, 5.6).
 
 use crate::history::Record;
@@ -6,14 +6,15 @@
 use std::collections::BTreeSet;
 
 const BUDGET_WINDOW_US: u64 = 10_000_000;
-/// Longest time between a client's sending a request and the node's adding it to the retry budget, in microseconds.
+/// Longest time from the sending of a request until the node adds it to the retry budget, in microseconds.
 const COUNTING_DELAY_US: u64 = 50_000;
 const RECOVERY_LIMIT_US: u64 = 15_000_000;
 
+/// The answer to the first send of an attempt.
 struct FirstAnswer<'a> {
     service: &'a str,
-    asked: u64,
-    at: u64,
+    sent_at: u64,
+    received_at: u64,
     wait_us: u64,
     status: u16,
     execution_status: Option<&'a str>,
@@ -22,12 +23,12 @@
     key: Option<&'a str>,
 }
 
-/// Answers to requests that were not resent, by the service they were meant for.
+/// Answers to the first send of each attempt, with the service that the attempt was meant for.
 fn first_answers(records: &[Record]) -> impl Iterator<Item = FirstAnswer<'_>> {
     records.iter().filter_map(|record| match record {
-        Record::ClientAnswered {
+        Record::AnswerReceived {
             target,
-            asked,
+            sent_at,
             at,
             wait_us,
             status,
@@ -39,8 +40,8 @@
             ..
         } => Some(FirstAnswer {
             service: target,
-            asked: *asked,
-            at: *at,
+            sent_at: *sent_at,
+            received_at: *at,
             wait_us: *wait_us,
             status: *status,
             execution_status: execution_status.as_deref(),
@@ -52,8 +53,8 @@
     })
 }
 
-/// Retries of one service over the whole fleet that exceed the budget in some window of ten seconds. Each window that
-/// can exceed it most begins with a retry, so only those windows are checked.
+/// Retries of one service over the whole fleet that exceed the budget in some window of ten seconds. Only windows that
+/// begin with a retry are checked, because the largest excess always occurs in one of them.
 pub(crate) fn retry_budget_overruns(records: &[Record], allowance: usize) -> Vec<String> {
     let retries = records.iter().filter_map(|record| match record {
         Record::AttemptRepeated { service, at, .. } => Some((service.as_str(), *at)),
@@ -65,7 +66,7 @@
     };
     let mut retries = retries.fold(Default::default(), group_by_service);
     let mut request_times = first_answers(records)
-        .map(|answer| (answer.service, answer.asked))
+        .map(|answer| (answer.service, answer.sent_at))
         .fold(Default::default(), group_by_service);
     retries
         .values_mut()
@@ -98,22 +99,23 @@
             format!(
                 "{} at {}: {} has no Retry-After",
                 answer.service,
-                answer.at,
+                answer.received_at,
                 answer.error_kind.unwrap_or("?")
             )
         })
         .collect()
 }
 
-/// Requests that were rejected only shortly before their deadline, though there was nothing left to wait for. A request
-/// that waited in a queue until its time was over, or until a more important one displaced it, is not counted.
+/// Requests that were rejected only shortly before their deadline, although an earlier rejection was possible. A request
+/// that waited in a queue until its deadline, or until a more important request displaced it, is not counted.
 pub(crate) fn late_rejections(records: &[Record]) -> Vec<String> {
     const QUEUED_ERROR_KINDS: [&str; 2] = ["too_late", "overloaded"];
-    let late = first_answers(records).filter(|answer| {
+    let rejections = first_answers(records).filter(|answer| {
         answer.execution_status == Some("not-run")
-            && answer.at - answer.asked > answer.wait_us * 9 / 10
+            && answer.received_at - answer.sent_at > answer.wait_us * 9 / 10
     });
-    // A stalled node answers nothing, at either end, so a request that overlaps a stall is not counted.
+    // A stalled node sends no answers, be it the client's or the backend's, so a request that overlaps a stall is not
+    // counted.
     let stall = |record: &Record| {
         if let Record::NodeStalled { from, to, .. } = record {
             Some((*from, *to))
@@ -122,26 +124,27 @@
         }
     };
     let stalls: Vec<(u64, u64)> = records.iter().filter_map(stall).collect();
-    let late = late.filter(|answer| {
+    let rejections = rejections.filter(|answer| {
         !stalls
             .iter()
-            .any(|(from, to)| answer.asked < *to && answer.at > *from)
+            .any(|(from, to)| answer.sent_at < *to && answer.received_at > *from)
     });
-    let late = late.filter(|answer| {
+    let rejections = rejections.filter(|answer| {
         !answer
             .error_kind
             .is_some_and(|error_kind| QUEUED_ERROR_KINDS.contains(&error_kind))
     });
-    late.map(|answer| {
-        format!(
-            "{}: {} after {} of {}",
-            answer.service,
-            answer.error_kind.unwrap_or("?"),
-            answer.at - answer.asked,
-            answer.wait_us
-        )
-    })
-    .collect()
+    rejections
+        .map(|answer| {
+            format!(
+                "{}: {} after {} of {}",
+                answer.service,
+                answer.error_kind.unwrap_or("?"),
+                answer.received_at - answer.sent_at,
+                answer.wait_us
+            )
+        })
+        .collect()
 }
 
 fn hot_key_start(records: &[Record]) -> Option<u64> {
@@ -163,7 +166,7 @@
     let served_per_mille = |hot: bool| {
         let outcomes: Vec<bool> = first_answers(records)
             .filter(|answer| {
-                answer.key.is_some_and(|key| key != "hot") && (answer.asked > hot_since) == hot
+                answer.key.is_some_and(|key| key != "hot") && (answer.sent_at > hot_since) == hot
             })
             .map(|answer| answer.execution_status.is_none())
             .collect();
@@ -191,17 +194,17 @@
         return Default::default();
     };
     let end = first_answers(records)
-        .map(|answer| answer.at)
+        .map(|answer| answer.received_at)
         .max()
         .unwrap_or(0);
-    let after = || first_answers(records).filter(move |answer| answer.asked >= healed_at);
+    let after = || first_answers(records).filter(move |answer| answer.sent_at >= healed_at);
     let services: BTreeSet<String> = first_answers(records)
         .map(|answer| answer.service.to_string())
         .collect();
     let served = after()
         .filter(|answer| answer.execution_status.is_none())
         .fold(BTreeMap::<String, u64>::new(), |mut served, answer| {
-            let since = answer.at - healed_at;
+            let since = answer.received_at - healed_at;
             served
                 .entry(answer.service.to_string())
                 .and_modify(|earliest| *earliest = since.min(*earliest))
@@ -221,18 +224,18 @@
     (served, late)
 }
 
-/// Whether the run produced the situation that its scenario is meant to test.
-pub(crate) fn observed(records: &[Record], what: &str) -> bool {
-    match what {
+/// Returns whether a situation that a scenario must produce occurred in the run.
+pub(crate) fn is_observed(records: &[Record], situation: &str) -> bool {
+    match situation {
         "not-run" => first_answers(records).any(|answer| answer.execution_status == Some("not-run") && answer.error_kind != Some("own_usher_down")),
-        "a second arrival" => records.iter().any(|record| matches!(record, Record::ClientAnswered { repeated: true, status: 409, .. })),
+        "a second arrival" => records.iter().any(|record| matches!(record, Record::AnswerReceived { repeated: true, status: 409, .. })),
         "an accepted change" => records.iter().filter(|record| matches!(record, Record::DesiredChange { version: Some(_), .. })).count() > 1,
-        "a refused change" => records.iter().any(|record| matches!(record, Record::DesiredChange { refused: true, .. })),
+        "a refused change" => records.iter().any(|record| matches!(record, Record::DesiredChange { rejected: true, .. })),
         "an address reused" => records.iter().any(|record| matches!(record, Record::RunBegan { backend, .. } if backend.starts_with("heir-"))),
         "a hot key" => {
-            hot_key_start(records).is_some_and(|hot_since| first_answers(records).any(|answer| answer.key == Some("hot") && answer.asked > hot_since && answer.execution_status == Some("not-run")))
+            hot_key_start(records).is_some_and(|hot_since| first_answers(records).any(|answer| answer.key == Some("hot") && answer.sent_at > hot_since && answer.execution_status == Some("not-run")))
         }
-        "a forger refused" => records.iter().any(|record| matches!(record, Record::ClientAnswered { client, status: 401 | 409 | 403, .. } if client.starts_with("forger"))),
+        "a forger refused" => records.iter().any(|record| matches!(record, Record::AnswerReceived { client, status: 401 | 409 | 403, .. } if client.starts_with("forger"))),
         "a moved key" => {
             let began = records.iter().filter_map(|record| match record {
                 Record::RunBegan { service, key: Some(key), process, .. } => Some(((service, key), *process)),
--- a/crates/simulator/src/history.rs
+++ b/crates/simulator/src/history.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum Record {
-    /// A backend started to run a request. Written before the backend does any work for the request.
+    /// A backend began to run a request. Written before the backend does any work for the request.
     #[serde(rename = "began")]
     RunBegan {
         run: String,
@@ -18,7 +18,7 @@
         backend: String,
         #[serde(rename = "life")]
         incarnation: u64,
-        /// Process id: two live backends may share one name, a frozen process and its successor.
+        /// Process id. A frozen process and its successor are two live backends with the same name.
         process: u32,
         service: String,
         #[serde(rename = "meant_for")]
@@ -30,12 +30,15 @@
     },
     #[serde(rename = "ended")]
     RunEnded { run: String, at: u64 },
-    /// A client received the result of an attempt; `repeated` marks any but the first send of this attempt.
+    /// A client received the result of an attempt. `repeated` is set for every send of the attempt but the first.
     #[serde(rename = "told")]
-    ClientAnswered {
+    AnswerReceived {
         #[serde(rename = "try_id")]
         attempt_id: String,
-        asked: u64,
+        /// Time at which the request was sent.
+        #[serde(rename = "asked")]
+        sent_at: u64,
+        /// Time at which the answer arrived.
         at: u64,
         #[serde(rename = "wait")]
         wait_us: u64,
@@ -57,14 +60,14 @@
         #[serde(rename = "whole")]
         complete: bool,
     },
-    /// A backend requested its drain, or was killed, at this time.
+    /// A backend announced that it is draining, or was killed.
     #[serde(rename = "leaving")]
     BackendLeaving {
         #[serde(rename = "by")]
         backend: String,
         at: u64,
     },
-    /// An operator's change of a route: written when it is sent, and again with `accepted` when it is accepted.
+    /// An operator's change of a route. Written when the change is sent, and again with `accepted` set when it is accepted.
     #[serde(rename = "lane")]
     RouteChange {
         #[serde(rename = "sender")]
@@ -75,22 +78,29 @@
         accepted: bool,
         at: u64,
     },
-    /// An operator's change and its answer. Without a version and with `refused` unset, the outcome is unknown.
+    /// An operator's change and its answer. Without a version and with `rejected` unset, the outcome is unknown.
     #[serde(rename = "change")]
     DesiredChange {
         id: String,
         edits: Vec<serde_json::Value>,
-        asked: u64,
+        /// Time at which the request was sent.
+        #[serde(rename = "asked")]
+        sent_at: u64,
+        /// Time at which the answer arrived.
         at: u64,
         status: u16,
         version: Option<u64>,
         position: Option<u64>,
-        refused: bool,
+        #[serde(rename = "refused")]
+        rejected: bool,
     },
     /// The desired state that a replica returned to an operator.
     #[serde(rename = "read_back")]
     StateRead {
-        asked: u64,
+        /// Time at which the request was sent.
+        #[serde(rename = "asked")]
+        sent_at: u64,
+        /// Time at which the answer arrived.
         at: u64,
         desired: serde_json::Value,
     },
@@ -100,14 +110,16 @@
         node: String,
         #[serde(rename = "life")]
         incarnation: u64,
-        asked: u64,
+        /// Time at which the request was sent.
+        #[serde(rename = "asked")]
+        sent_at: u64,
         position: u64,
         fresh: bool,
     },
     /// A fault was removed; recovery is measured from the last of these records.
     #[serde(rename = "healed")]
     FaultHealed { at: u64 },
-    /// A node dispatched an attempt again; taken from the node's log.
+    /// A node dispatched an attempt again. Read from the node's log.
     #[serde(rename = "extra")]
     AttemptRepeated {
         node: String,
@@ -130,7 +142,7 @@
         from: u64,
         to: u64,
     },
-    /// From this time on most keyed requests use one hot key.
+    /// Clients began to send most keyed requests with one hot key.
     #[serde(rename = "heated")]
     HotKeyStarted { at: u64 },
 }
@@ -138,7 +150,9 @@
 /// Counts, measurements and violated invariants of one run.
 #[derive(Debug, Default, serde::Serialize)]
 pub struct Report {
-    pub asked: usize,
+    /// Attempts that clients sent, each counted once.
+    #[serde(rename = "asked")]
+    pub attempts: usize,
     /// Repeated sends of the same attempts.
     #[serde(rename = "again")]
     pub repeated: usize,
@@ -151,7 +165,7 @@
     /// Time from the last fault until each service was served again, in microseconds.
     #[serde(rename = "back_us")]
     pub recovery_us: BTreeMap<String, u64>,
-    /// Events that the scenario must cause and that were not observed: the run tests nothing about them.
+    /// Situations that the scenario must produce and that were not observed, so that the run did not test them.
     #[serde(rename = "not_provoked")]
     pub not_observed: Vec<String>,
     /// Violations per invariant.
@@ -159,8 +173,8 @@
 }
 
 impl Report {
-    /// Whether no invariant was violated.
-    pub fn holds(&self) -> bool {
+    /// Returns whether no invariant was violated.
+    pub fn has_no_violations(&self) -> bool {
         self.invariants.values().all(Vec::is_empty)
     }
 }
--- a/crates/simulator/src/state_sim/harness.rs
+++ b/crates/simulator/src/state_sim/harness.rs
@@ -13,18 +13,18 @@
 use crate::sim::{Fault as WorldFault, World, WorldPlan};
 
 /// Virtual time of one step, in microseconds.
-const STEP: Microseconds = 2_000;
+const STEP_DURATION: Microseconds = 2_000;
 /// Time after the end of all faults within which every node has a freshness proof for the newest state, in
 /// microseconds. It covers revocations, a round of connection attempts to all replicas and two proof requests.
-const RECOVERY: Microseconds = 8_000_000;
+const RECOVERY_TIME: Microseconds = 8_000_000;
 /// Interval between the restarts of two nodes that are restarted in turn, in microseconds.
 const RESTART_INTERVAL: Microseconds = 300_000;
 /// Number of routes that operators change in turn.
-const ROUTE_NAMES: u64 = 7;
-/// Operators submit a burst whenever the number of changes so far is a multiple of this.
-const BURST_EVERY: u64 = 5;
+const ROUTE_COUNT: u64 = 7;
+/// Operators submit a burst of changes whenever the number of changes so far is a multiple of this value.
+const BURST_PERIOD_CHANGES: u64 = 5;
 /// Number of changes in a burst.
-const BURST: u64 = 4;
+const BURST_CHANGES: u64 = 4;
 
 /// A run and its results.
 pub struct StateHarness {
@@ -41,11 +41,11 @@
     next_change_at: Microseconds,
     /// Descriptions of the violated invariants.
     pub violations: Vec<String>,
-    /// How often a served state was checked.
-    pub checked: usize,
-    /// How often a node was restarted.
-    pub restarts: usize,
-    /// The longest time for which a node that was checked lacked an applied change, in microseconds.
+    /// Number of checks of a served state.
+    pub states_checked: usize,
+    /// Number of restarts of nodes.
+    pub node_restarts: usize,
+    /// The longest time for which a checked node lacked an applied change, in microseconds.
     pub longest_lateness: Microseconds,
 }
 
@@ -56,19 +56,19 @@
     let restarts_in_turn = RESTART_INTERVAL * harness.nodes.len() as u64;
     let ends = faults
         .iter()
-        .map(|fault| fault.at + fault.length + restarts_in_turn);
+        .map(|fault| fault.starts_at + fault.duration + restarts_in_turn);
     let end = ends.max().unwrap_or(0);
     let mut faults = faults.to_vec();
-    faults.sort_by_key(|fault| fault.at);
+    faults.sort_by_key(|fault| fault.starts_at);
     let mut faults = faults.into_iter().peekable();
     while harness.world.now < end {
-        while let Some(fault) = faults.next_if(|fault| fault.at <= harness.world.now) {
+        while let Some(fault) = faults.next_if(|fault| fault.starts_at <= harness.world.now) {
             harness.apply_fault(fault);
         }
         harness.step(true);
     }
     harness.heal();
-    let end = harness.world.now + RECOVERY;
+    let end = harness.world.now + RECOVERY_TIME;
     while harness.world.now < end {
         harness.step(false);
     }
@@ -96,8 +96,8 @@
             change_count: 0,
             next_change_at: 0,
             violations: Vec::new(),
-            checked: 0,
-            restarts: 0,
+            states_checked: 0,
+            node_restarts: 0,
             longest_lateness: 0,
             plan,
         }
@@ -105,88 +105,88 @@
 
     fn apply_fault(&mut self, fault: ScheduledFault) {
         let ScheduledFault {
-            at,
+            starts_at,
             kind,
             target,
-            length,
+            duration,
         } = fault;
-        let end = at + length;
+        let end = starts_at + duration;
         let replica = (target % usize::from(self.plan.replica_count)) as u16;
         let node = target % self.nodes.len();
         match kind {
-            Fault::RestartNode => self.crash_node(node, at + length / 8),
+            Fault::RestartNode => self.crash_node(node, starts_at + duration / 8),
             Fault::RestartAllNodes => {
                 for node in 0..self.nodes.len() {
-                    self.crash_node(node, at + length / 8);
+                    self.crash_node(node, starts_at + duration / 8);
                 }
             }
             Fault::RestartNodesInTurn => {
                 for (index, node) in self.nodes.iter_mut().enumerate() {
-                    node.restart_at(at + RESTART_INTERVAL * index as u64);
+                    node.restart_at(starts_at + RESTART_INTERVAL * index as u64);
                 }
             }
             Fault::DelayUpdates => {
                 self.nodes[node].stalled_until = end;
-                self.disturb_node(node, at, end);
+                self.disturb_node(node, starts_at, end);
             }
             Fault::CutNode => {
                 self.nodes[node].cut_until = end;
-                self.disturb_node(node, at, end);
+                self.disturb_node(node, starts_at, end);
             }
-            Fault::CrashReplica => self.crash_replica(replica, at, end),
+            Fault::CrashReplica => self.crash_replica(replica, starts_at, end),
             Fault::CrashAllReplicas => {
                 for replica in 0..self.plan.replica_count {
-                    self.crash_replica(replica, at, at + length / 4);
+                    self.crash_replica(replica, starts_at, starts_at + duration / 4);
                 }
             }
-            Fault::FreezeReplica => self.freeze_replica(replica, at, end),
-            Fault::FreezeZone => self.freeze_zone(target % self.plan.zone_count, at, end),
-            Fault::CutReplica => self.cut_replica(replica, at, end),
-            Fault::ReplaceReplica => self.schedule(at, WorldFault::Replace(replica)),
+            Fault::FreezeReplica => self.freeze_replica(replica, starts_at, end),
+            Fault::FreezeZone => self.freeze_zone(target % self.plan.zone_count, starts_at, end),
+            Fault::CutReplica => self.cut_replica(replica, starts_at, end),
+            Fault::ReplaceReplica => self.schedule(starts_at, WorldFault::Replace(replica)),
         }
     }
 
-    /// Schedules a fault at a replica.
-    fn schedule(&mut self, at: Microseconds, fault: WorldFault) {
-        self.disturbances.core.push(at);
-        self.world.schedule_fault(at, fault);
+    /// Schedules a fault at a replica, and records the disturbance.
+    fn schedule(&mut self, time: Microseconds, fault: WorldFault) {
+        self.disturbances.core.push(time);
+        self.world.schedule_fault(time, fault);
     }
 
     fn disturb_node(&mut self, node: usize, from: Microseconds, until: Microseconds) {
         self.disturbances.nodes[node].push(Disturbance { from, until });
     }
 
-    fn crash_replica(&mut self, replica: u16, at: Microseconds, end: Microseconds) {
-        self.schedule(at, WorldFault::Crash(replica));
+    fn crash_replica(&mut self, replica: u16, starts_at: Microseconds, end: Microseconds) {
+        self.schedule(starts_at, WorldFault::Crash(replica));
         self.schedule(end, WorldFault::Start(replica));
     }
 
-    fn freeze_replica(&mut self, replica: u16, at: Microseconds, end: Microseconds) {
-        self.schedule(at, WorldFault::Freeze(replica));
+    fn freeze_replica(&mut self, replica: u16, starts_at: Microseconds, end: Microseconds) {
+        self.schedule(starts_at, WorldFault::Freeze(replica));
         self.schedule(end, WorldFault::Unfreeze(replica));
     }
 
-    fn freeze_zone(&mut self, zone: usize, at: Microseconds, end: Microseconds) {
+    fn freeze_zone(&mut self, zone: usize, starts_at: Microseconds, end: Microseconds) {
         let minority = (usize::from(self.plan.replica_count) - 1) / 2;
         let in_zone = |replica: &u16| usize::from(*replica) % self.plan.zone_count == zone;
         let replicas = (0..self.plan.replica_count).filter(in_zone).take(minority);
         for replica in replicas.collect::<Vec<_>>() {
-            self.freeze_replica(replica, at, end);
+            self.freeze_replica(replica, starts_at, end);
         }
     }
 
-    fn cut_replica(&mut self, replica: u16, at: Microseconds, end: Microseconds) {
+    fn cut_replica(&mut self, replica: u16, starts_at: Microseconds, end: Microseconds) {
         for peer in (0..self.plan.replica_count).filter(|peer| *peer != replica) {
-            self.schedule(at, WorldFault::CutLink(replica, peer));
-            self.schedule(at, WorldFault::CutLink(peer, replica));
+            self.schedule(starts_at, WorldFault::CutLink(replica, peer));
+            self.schedule(starts_at, WorldFault::CutLink(peer, replica));
         }
-        // Healing has no finer scope: it also ends the cuts of other replicas.
+        // `HealLinks` heals all links, so it also ends the cuts of other replicas.
         self.schedule(end, WorldFault::HealLinks);
         self.cut_replicas[usize::from(replica)] = end;
     }
 
     fn crash_node(&mut self, node: usize, until: Microseconds) {
-        self.restarts += 1;
+        self.node_restarts += 1;
         let last_replica = u64::from(self.plan.replica_count) - 1;
         let seed_replica = self.world.draw((0, last_replica)) as usize;
         self.nodes[node].crash(&self.plan, until, seed_replica);
@@ -207,16 +207,16 @@
     }
 
     fn step(&mut self, with_changes: bool) {
-        let now = self.world.now + STEP;
+        let now = self.world.now + STEP_DURATION;
         self.world.run_until(now);
         if with_changes && now >= self.next_change_at {
             self.next_change_at = now + self.plan.change_interval;
-            let is_burst = self.change_count.is_multiple_of(BURST_EVERY);
-            for _ in 0..if is_burst { BURST } else { 1 } {
+            let is_burst = self.change_count.is_multiple_of(BURST_PERIOD_CHANGES);
+            for _ in 0..if is_burst { BURST_CHANGES } else { 1 } {
                 self.submit_change();
             }
         }
-        self.note_lost_majority();
+        self.record_lost_majority();
         self.publish();
         self.prove();
         for node_index in 0..self.nodes.len() {
@@ -225,7 +225,7 @@
         }
     }
 
-    fn note_lost_majority(&mut self) {
+    fn record_lost_majority(&mut self) {
         let now = self.world.now;
         let is_working =
             |replica: &usize| self.world.is_running(*replica) && now >= self.cut_replicas[*replica];
@@ -283,10 +283,11 @@
         }
     }
 
+    /// Submits a change of one route at a random replica.
     fn submit_change(&mut self) {
         self.change_count += 1;
         let number = self.change_count;
-        let name = format!("route-{}", number % ROUTE_NAMES);
+        let name = format!("route-{}", number % ROUTE_COUNT);
         let route = Route {
             host: "a.example".into(),
             prefix: format!("/{name}/"),
--- a/crates/simulator/tests/checker_operators.rs
+++ b/crates/simulator/tests/checker_operators.rs
@@ -1,4 +1,5 @@
-//! Each planted violation of the invariants for operators and nodes is found under its own name (design 9.5).
+//! The history checker reports each planted violation of the invariants for operators and nodes under its own name
+//! (design 9.5).
 
 use simulator::checker::{Rules, check};
 use simulator::history::Record;
@@ -14,10 +15,10 @@
     id: &str,
     at: u64,
     version: Option<u64>,
-    refused: bool,
+    rejected: bool,
     edits: Vec<serde_json::Value>,
 ) -> Record {
-    let status = if refused {
+    let status = if rejected {
         422
     } else {
         version.map(|_| 200).unwrap_or(0)
@@ -25,16 +26,16 @@
     Record::DesiredChange {
         id: id.into(),
         edits,
-        asked: at - 100,
+        sent_at: at - 100,
         at,
         status,
         version,
         position: version.map(|version| version * 10),
-        refused,
+        rejected,
     }
 }
 
-fn state_read(asked: u64, version: u64, groupings: &[(&str, u64)]) -> Record {
+fn state_read(sent_at: u64, version: u64, groupings: &[(&str, u64)]) -> Record {
     let groupings: serde_json::Map<String, serde_json::Value> = groupings
         .iter()
         .map(|(name, label)| {
@@ -45,34 +46,34 @@
         })
         .collect();
     Record::StateRead {
-        asked,
-        at: asked + 100,
+        sent_at,
+        at: sent_at + 100,
         desired: serde_json::json!({ "version": version, "groupings": groupings, "orders": {} }),
     }
 }
 
-fn node_observed(node: &str, incarnation: u64, asked: u64, position: u64, fresh: bool) -> Record {
+fn node_observed(node: &str, incarnation: u64, sent_at: u64, position: u64, fresh: bool) -> Record {
     Record::NodeObserved {
         node: node.into(),
         incarnation,
-        asked,
+        sent_at,
         position,
         fresh,
     }
 }
 
-fn client_answered(
+fn answer_received(
     target: &str,
-    asked: u64,
+    sent_at: u64,
     error_kind: Option<&str>,
     status: u16,
     has_retry_after: bool,
     duration: u64,
 ) -> Record {
-    Record::ClientAnswered {
-        attempt_id: format!("desk-0.1.desk/{asked}"),
-        asked,
-        at: asked + duration,
+    Record::AnswerReceived {
+        attempt_id: format!("desk-0.1.desk/{sent_at}"),
+        sent_at,
+        at: sent_at + duration,
         wait_us: 3 * SECOND,
         repeated: false,
         client: "desk-0".into(),
@@ -92,7 +93,7 @@
     vec![
         change("a", SECOND, Some(1), false, vec![grouping("one", 1)]),
         change("b", 2 * SECOND, None, true, vec![grouping("bad", 1)]),
-        // Its answer was lost, but it took effect.
+        // The answer to this change was lost, but the change took effect.
         change("c", 3 * SECOND, None, false, vec![grouping("two", 1)]),
         change("d", 4 * SECOND, Some(3), false, vec![grouping("one", 2)]),
         state_read(5 * SECOND, 3, &[("one", 2), ("two", 1)]),
@@ -100,7 +101,7 @@
         node_observed("n0", 2, 3 * SECOND, 0, false),
         node_observed("n0", 2, 4 * SECOND, 10, true),
         node_observed("n0", 2, 8 * SECOND, 30, true),
-        client_answered("seat", 5 * SECOND, Some("overloaded"), 429, true, 1_000),
+        answer_received("seat", 5 * SECOND, Some("overloaded"), 429, true, 1_000),
     ]
 }
 
@@ -176,7 +177,7 @@
         "every_change_is_in_force_everywhere",
     );
     assert_found(
-        vec![client_answered(
+        vec![answer_received(
             "seat",
             6 * SECOND,
             Some("no_back_end"),
@@ -187,7 +188,7 @@
         "refusals_say_when_to_come_back",
     );
     assert_found(
-        vec![client_answered(
+        vec![answer_received(
             "seat",
             6 * SECOND,
             Some("no_back_end"),
@@ -211,7 +212,7 @@
 fn retries_are_checked_in_every_ten_seconds_over_the_fleet() {
     let requests = |from: u64| {
         (0..10u64)
-            .map(move |step| client_answered("seat", from + step * 1_000, None, 200, false, 100))
+            .map(move |step| answer_received("seat", from + step * 1_000, None, 200, false, 100))
     };
     let retry = |node: &str, at: u64| Record::AttemptRepeated {
         node: node.into(),
@@ -224,7 +225,7 @@
     assert!(
         !violated_invariants(within_budget, 1).contains(&"extras_keep_to_their_budget".to_string())
     );
-    // The requests were long before; the window of the retries has none.
+    // The requests were sent long before, so the window of the retries contains none.
     let over_budget = requests(20 * SECOND)
         .chain([retry("n0", 40 * SECOND), retry("n1", 41 * SECOND)])
         .collect();
@@ -235,7 +236,7 @@
 
 #[test]
 fn starved_keys_and_a_service_that_does_not_recover_are_found() {
-    let with_key = |at: u64, is_served: bool| match client_answered(
+    let with_key = |at: u64, is_served: bool| match answer_received(
         "seat",
         at,
         (!is_served).then_some("key_crowded"),
@@ -243,9 +244,9 @@
         true,
         100,
     ) {
-        Record::ClientAnswered {
+        Record::AnswerReceived {
             attempt_id,
-            asked,
+            sent_at,
             at,
             wait_us,
             repeated,
@@ -259,10 +260,10 @@
             has_retry_after,
             complete,
             ..
-        } => Record::ClientAnswered {
+        } => Record::AnswerReceived {
             key: Some("cool".into()),
             attempt_id,
-            asked,
+            sent_at,
             at,
             wait_us,
             repeated,
