--- a/crates/gradeford-node/src/start.rs
+++ b/crates/gradeford-node/src/start.rs
@@ -137,7 +137,7 @@
             node: self.settings.name.clone(),
             zone: self.settings.zone.clone(),
             heartbeat_timeout: self.settings.beat_patience_us,
-            proof_lifetime: self.settings.freshness_us,
+            proof_validity: self.settings.freshness_us,
             clock_margin: self.settings.guard_us,
         };
         SlotOwnerHandle::start(
--- a/crates/legacy-proxy/src/slot_owner.rs
+++ b/crates/legacy-proxy/src/slot_owner.rs
@@ -33,7 +33,7 @@
     pub heartbeat_timeout: Microseconds,
     /// Lifetime of a freshness proof, in microseconds. The next holder of a key waits until it has
     /// passed, because the previous holder may serve the key until then.
-    pub proof_lifetime: Microseconds,
+    pub proof_validity: Microseconds,
     /// Allowance for differences between clocks, in microseconds, which the next holder of a key
     /// waits in addition.
     pub clock_margin: Microseconds,
--- a/crates/legacy-proxy/src/slot_owner/admission_check.rs
+++ b/crates/legacy-proxy/src/slot_owner/admission_check.rs
@@ -165,7 +165,7 @@
             .copied()
             .unwrap_or(0);
         let free_at = observed.map(|(_, observed_at)| {
-            observed_at + self.config.proof_lifetime + self.config.clock_margin + longest_request
+            observed_at + self.config.proof_validity + self.config.clock_margin + longest_request
         });
         match free_at {
             Some(free_at) if now >= free_at => Ok(()),
--- a/crates/simulator/src/sim/site/plan.rs
+++ b/crates/simulator/src/sim/site/plan.rs
@@ -58,7 +58,7 @@
     }
 
     pub(super) fn slot_owner_config(&self, node: usize) -> legacy_proxy::SlotOwnerConfig {
-        let (proof_lifetime, clock_margin) = if self.disabled.key_handover_wait {
+        let (proof_validity, clock_margin) = if self.disabled.key_handover_wait {
             (0, 0)
         } else {
             (1_500_000, 250_000)
@@ -72,7 +72,7 @@
             node: format!("n{node}"),
             zone: zone(node),
             heartbeat_timeout,
-            proof_lifetime,
+            proof_validity,
             clock_margin,
         }
     }
