--- a/crates/endpoints/src/lease_table/granter.rs
+++ b/crates/endpoints/src/lease_table/granter.rs
@@ -16,7 +16,7 @@
     pub proof_validity: Microseconds,
     /// Margin for clock differences, in microseconds: added to `proof_validity` when a node waits for the expiry of
     /// leases that another node granted.
-    pub clock_guard: Microseconds,
+    pub clock_margin: Microseconds,
     /// Maximum duration of a lease, in microseconds.
     pub max_duration: Microseconds,
 }
@@ -136,7 +136,7 @@
 
     /// Whether all leases that other nodes granted before the ranges got this fencing token have expired.
     fn earlier_leases_expired(&self, now: Microseconds, token: Position) -> bool {
-        let wait = self.config.proof_validity + self.config.clock_guard;
+        let wait = self.config.proof_validity + self.config.clock_margin;
         self.first_seen
             .get(&token)
             .is_some_and(|first_seen_at| now >= first_seen_at + wait)
--- a/crates/endpoints/tests/harness/mod.rs
+++ b/crates/endpoints/tests/harness/mod.rs
@@ -192,7 +192,7 @@
     let process = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let leases = LeaseConfig {
         proof_validity: 1_000_000,
-        clock_guard: 0,
+        clock_margin: 0,
         max_duration: MAX_LEASE,
     };
     let backend_address = process
--- a/crates/endpoints/tests/lease_granter.rs
+++ b/crates/endpoints/tests/lease_granter.rs
@@ -5,7 +5,7 @@
 
 const CONFIG: LeaseConfig = LeaseConfig {
     proof_validity: 9_000_000,
-    clock_guard: 300_000,
+    clock_margin: 300_000,
     max_duration: 10_000_000,
 };
 
--- a/crates/endpoints/tests/shutdown.rs
+++ b/crates/endpoints/tests/shutdown.rs
@@ -18,7 +18,7 @@
 async fn node() -> (Node, String) {
     let leases = LeaseConfig {
         proof_validity: 9_000_000,
-        clock_guard: 200_000,
+        clock_margin: 200_000,
         max_duration: 10_000_000,
     };
     let own = (
--- a/crates/endpoints/tests/unverified_state.rs
+++ b/crates/endpoints/tests/unverified_state.rs
@@ -36,7 +36,7 @@
 fn config(address: &str) -> NodeConfig {
     let leases = LeaseConfig {
         proof_validity: 9_000_000,
-        clock_guard: 200_000,
+        clock_margin: 200_000,
         max_duration: 10_000_000,
     };
     let (node, zone) = ("n0".to_string(), "z0".to_string());
--- a/crates/simulator/src/hollow/node.rs
+++ b/crates/simulator/src/hollow/node.rs
@@ -58,7 +58,7 @@
             incarnation: life,
             leases: endpoints::LeaseConfig {
                 proof_validity: most * 9 / 10,
-                clock_guard: 200_000,
+                clock_margin: 200_000,
                 max_duration: most,
             },
             heartbeat_interval: BEAT_EVERY,
--- a/crates/simulator/src/lease_sim/connection.rs
+++ b/crates/simulator/src/lease_sim/connection.rs
@@ -23,10 +23,10 @@
         let guard = if self.plan.disabled.slow_clock {
             0
         } else {
-            self.plan.leases.clock_guard
+            self.plan.leases.clock_margin
         };
         let config = endpoints::LeaseConfig {
-            clock_guard: guard,
+            clock_margin: guard,
             ..self.plan.leases
         };
         let clock = self.clock(index);
--- a/crates/simulator/src/lease_sim/plan.rs
+++ b/crates/simulator/src/lease_sim/plan.rs
@@ -47,7 +47,7 @@
     pub fn new(seed: u64) -> Self {
         let leases = endpoints::LeaseConfig {
             proof_validity: 9_000_000,
-            clock_guard: 200_000,
+            clock_margin: 200_000,
             max_duration: 10_000_000,
         };
         let node_count = 3 + (seed % 6) as usize;
@@ -65,6 +65,6 @@
     /// Time within which every key is held again after the last fault. Covers failure detection, a placement that is
     /// retried on a newer base, the longest lease and the heartbeats.
     pub fn recovery_time(&self) -> Microseconds {
-        self.leases.proof_validity + self.leases.clock_guard + 12_000_000
+        self.leases.proof_validity + self.leases.clock_margin + 12_000_000
     }
 }
--- a/crates/simulator/tests/rolled/node.rs
+++ b/crates/simulator/tests/rolled/node.rs
@@ -19,7 +19,7 @@
 ) -> endpoints::NodeConfig {
     let leases = endpoints::LeaseConfig {
         proof_validity: 9_000_000,
-        clock_guard: 200_000,
+        clock_margin: 200_000,
         max_duration: 10_000_000,
     };
     let (node, zone) = (format!("n{index}"), format!("z{}", index % 2));
