--- a/crates/endpoints/src/node.rs
+++ b/crates/endpoints/src/node.rs
@@ -47,7 +47,7 @@
     /// Settings of the backend selection.
     pub selection: SelectorConfig,
     /// Number of requests sent to the backend beyond its slots, so that no slot is idle between two requests.
-    pub queued_ahead: u32,
+    pub extra_runs: u32,
     /// Interval between two freshness-proof requests, in microseconds.
     pub proof_interval: Microseconds,
     /// Interval between two heartbeats to the nodes that monitor this one, in microseconds.
@@ -181,7 +181,7 @@
         );
         let limiter = ConcurrencyLimiter::start(ConcurrencyLimiterConfig {
             header_names: config.header_names.clone(),
-            extra_runs: config.queued_ahead,
+            extra_runs: config.extra_runs,
         });
         Shared {
             known_replicas,
--- a/crates/endpoints/tests/shutdown.rs
+++ b/crates/endpoints/tests/shutdown.rs
@@ -44,7 +44,7 @@
             zone_crossing_cost: 15_000,
             retry_deposit: 8,
         },
-        queued_ahead: 1,
+        extra_runs: 1,
         proof_interval: 1_000_000,
         monitor_interval: 500_000,
         monitor_timeout: 3_000_000,
--- a/crates/endpoints/tests/unverified_state.rs
+++ b/crates/endpoints/tests/unverified_state.rs
@@ -58,7 +58,7 @@
             zone_crossing_cost: 0,
             retry_deposit: 8,
         },
-        queued_ahead: 1,
+        extra_runs: 1,
         proof_interval: 50_000,
         monitor_interval: 1_000_000,
         monitor_timeout: 3_500_000,
--- a/crates/simulator/src/hollow/node.rs
+++ b/crates/simulator/src/hollow/node.rs
@@ -72,7 +72,7 @@
             zone_crossing_cost: 15_000,
             retry_deposit: 8,
         },
-        queued_ahead: 1,
+        extra_runs: 1,
         proof_interval: 1_000_000,
         monitor_interval: 500_000,
         monitor_timeout: 3_000_000,
@@ -209,7 +209,7 @@
         );
         let pit = inbound::ConcurrencyLimiter::start(inbound::ConcurrencyLimiterConfig {
             header_names: env.header_names.clone(),
-            extra_runs: env.queued_ahead,
+            extra_runs: env.extra_runs,
         });
         let troupe =
             endpoints::LeaseTableHandle::start(own, following.clone(), pit, reports, logger);
