--- a/crates/endpoints/src/heartbeat.rs
+++ b/crates/endpoints/src/heartbeat.rs
@@ -38,4 +38,4 @@
 
 /// All ranges that the backend is to hold, and the duration of their leases in microseconds, counted from when the
 /// heartbeat was sent. `None` renews no lease: the leases that the backend has expire as granted before.
-pub type HeartbeatAnswer = Option<(Vec<LeasedRange>, Microseconds)>;
+pub type HeartbeatResponse = Option<(Vec<LeasedRange>, Microseconds)>;
--- a/crates/endpoints/src/lease_table/command.rs
+++ b/crates/endpoints/src/lease_table/command.rs
@@ -4,10 +4,10 @@
 use model::{BackendName, Outcome};
 use tokio::sync::oneshot;
 
-use crate::heartbeat::{Heartbeat, HeartbeatAnswer};
+use crate::heartbeat::{Heartbeat, HeartbeatResponse};
 
 /// Sends the answer to one heartbeat.
-pub(super) type AnswerSender = oneshot::Sender<HeartbeatAnswer>;
+pub(super) type AnswerSender = oneshot::Sender<HeartbeatResponse>;
 
 pub(super) enum Command {
     /// The backend beside this node sent a heartbeat.
--- a/crates/endpoints/src/lease_table/mod.rs
+++ b/crates/endpoints/src/lease_table/mod.rs
@@ -21,7 +21,7 @@
 use slog::Logger;
 use tokio::sync::{mpsc, oneshot, watch};
 
-use crate::heartbeat::{Heartbeat, HeartbeatAnswer};
+use crate::heartbeat::{Heartbeat, HeartbeatResponse};
 use crate::registration::Registration;
 use command::Command;
 use state::LeaseTableTask;
@@ -87,7 +87,7 @@
 
     /// Processes a heartbeat and waits for the answer, which may be delayed by up to 650 ms until there are changes to
     /// send.
-    pub async fn heartbeat(&self, heartbeat: Heartbeat) -> Result<HeartbeatAnswer, Error> {
+    pub async fn heartbeat(&self, heartbeat: Heartbeat) -> Result<HeartbeatResponse, Error> {
         let (answer, answered) = oneshot::channel();
         self.send(Command::Heartbeat {
             heartbeat: Box::new(heartbeat),
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -14,7 +14,7 @@
 mod registration;
 mod restored_backend;
 
-pub use heartbeat::{Heartbeat, HeartbeatAnswer, HeldRange, LeasedRange, ReleasedRange};
+pub use heartbeat::{Heartbeat, HeartbeatResponse, HeldRange, LeasedRange, ReleasedRange};
 pub use lease_table::{
     Error, LeaseConfig, LeaseGrant, LeaseGranter, LeaseTableConfig, LeaseTableHandle,
 };
--- a/crates/simulator/src/lease_sim/harness.rs
+++ b/crates/simulator/src/lease_sim/harness.rs
@@ -21,7 +21,7 @@
     /// The flag marks the periodic heartbeat, as opposed to one that reports a change early.
     Heartbeat(usize, u64, bool),
     HeartbeatArrives(usize, u64, Microseconds, Box<endpoints::Heartbeat>),
-    HeartbeatAnswer(usize, u64, Microseconds, u64, endpoints::HeartbeatAnswer),
+    HeartbeatResponse(usize, u64, Microseconds, u64, endpoints::HeartbeatResponse),
     AnswerTimeout(usize, u64, u64),
     ReleaseFinished(usize, u64, u64),
     SignOff(usize, u64),
@@ -150,7 +150,7 @@
             | Event::EntryAnswered(index, ..)
             | Event::ResendEntry(index, ..) => (Some(*index), None),
             Event::Heartbeat(index, ..)
-            | Event::HeartbeatAnswer(index, ..)
+            | Event::HeartbeatResponse(index, ..)
             | Event::AnswerTimeout(index, ..)
             | Event::ReleaseFinished(index, ..)
             | Event::SignOff(index, _) => (None, Some(*index)),
@@ -198,7 +198,7 @@
             Event::HeartbeatArrives(index, start_number, sent, heartbeat) => {
                 self.heartbeat_arrives(index, start_number, sent, *heartbeat)
             }
-            Event::HeartbeatAnswer(index, incarnation, sent, number, answer)
+            Event::HeartbeatResponse(index, incarnation, sent, number, answer)
                 if self.backends[index].incarnation == incarnation
                     && self.backends[index].alive =>
             {
@@ -305,7 +305,7 @@
         if is_current && !self.backends[index].heartbeats_lost {
             self.schedule_within(
                 (100, 3_000),
-                Event::HeartbeatAnswer(index, incarnation, sent, number, answer),
+                Event::HeartbeatResponse(index, incarnation, sent, number, answer),
             );
         }
     }
@@ -315,7 +315,7 @@
         index: usize,
         sent: Microseconds,
         number: u64,
-        answer: endpoints::HeartbeatAnswer,
+        answer: endpoints::HeartbeatResponse,
     ) {
         let (now, incarnation) = (self.now, self.backends[index].incarnation);
         // An answer after the timeout may still be read, or not.
--- a/crates/simulator/src/lease_sim/node.rs
+++ b/crates/simulator/src/lease_sim/node.rs
@@ -134,7 +134,7 @@
         plan: &super::LeasePlan,
         now: Microseconds,
         heartbeat: endpoints::Heartbeat,
-    ) -> endpoints::HeartbeatAnswer {
+    ) -> endpoints::HeartbeatResponse {
         let heard_within = |duration: Microseconds| {
             self.backend.as_ref().is_some_and(|local_backend| {
                 local_backend.heartbeat.name != heartbeat.name
@@ -213,7 +213,7 @@
         plan: &super::LeasePlan,
         now: Microseconds,
         local_backend: &mut LocalBackend,
-    ) -> endpoints::HeartbeatAnswer {
+    ) -> endpoints::HeartbeatResponse {
         let mut ranges = self.shard_map();
         if plan.disabled.pending_releases {
             ranges
