--- a/crates/gradeford-node/src/presence.rs
+++ b/crates/gradeford-node/src/presence.rs
@@ -70,7 +70,7 @@
         if registered_before && registered != 0 && registered != own.incarnation {
             slog::error!(
                 logger,
-                "another process registered under this node's name; this node stops serving";
+                "another process was registered under this node's name; this process stops serving requests";
                 "node" => &own.name,
             );
             return accepting_work.store(false, Relaxed);
--- a/crates/legacy-proxy/src/server.rs
+++ b/crates/legacy-proxy/src/server.rs
@@ -34,7 +34,7 @@
                 let accepted = transport::accept(stream, |peer| async move {
                     discovery::merge(&known_replicas, peer.known_replicas);
                     match peer.purpose {
-                        Purpose::Consensus => Err("this node is not a replica of the log".into()),
+                        Purpose::Consensus => Err("this node is not a core replica".into()),
                         _ => Ok((handshake)()),
                     }
                 })
