--- a/crates/endpoints/tests/lease_table.rs
+++ b/crates/endpoints/tests/lease_table.rs
@@ -266,7 +266,7 @@
         latency_target: 60_000_000,
         priority: 0,
         idempotent: true,
-        force: false,
+        ignore_ejection: false,
     };
     let requests_sent = async {
         loop {
--- a/crates/endpoints/tests/unverified_state.rs
+++ b/crates/endpoints/tests/unverified_state.rs
@@ -296,7 +296,7 @@
         latency_target: 400_000,
         priority: 0,
         idempotent: false,
-        force: false,
+        ignore_ejection: false,
     };
     // The concurrency limiter does not know the backend until the lease table has passed it on.
     let error_kind = async {
--- a/crates/inbound/src/concurrency_limiter.rs
+++ b/crates/inbound/src/concurrency_limiter.rs
@@ -314,7 +314,7 @@
         let retry_after = self
             .outliers
             .ejection_retry_after(now, request.idempotent)?;
-        (request.shard_key.is_none() && !request.force).then_some(retry_after)
+        (request.shard_key.is_none() && !request.ignore_ejection).then_some(retry_after)
     }
 
     /// Refuses queued requests that have waited too long for a slot.
--- a/crates/inbound/tests/refusals.rs
+++ b/crates/inbound/tests/refusals.rs
@@ -62,7 +62,7 @@
         latency_target: 30_000_000,
         priority: 0,
         idempotent: false,
-        force: false,
+        ignore_ejection: false,
     };
     let outcome = inbound::BackendClient::new(http_util::headers::DEFAULT_HEADER_NAMES)
         .forward(address, &request, 30_000_000)
--- a/crates/inbound/tests/stale_connections.rs
+++ b/crates/inbound/tests/stale_connections.rs
@@ -75,7 +75,7 @@
         latency_target: 30_000_000,
         priority: 0,
         idempotent,
-        force: false,
+        ignore_ejection: false,
     }
 }
 
--- a/crates/outbound/src/proxy/routing.rs
+++ b/crates/outbound/src/proxy/routing.rs
@@ -59,7 +59,7 @@
                 latency_target: 0,
                 priority: route.rank,
                 idempotent: route.idempotent,
-                force: false,
+                ignore_ejection: false,
             }),
         }
     }
@@ -90,7 +90,7 @@
         }
         self.forwarded.time_left = self.deadline - now;
         self.forwarded.latency_target = self.respond_by.saturating_sub(now);
-        self.forwarded.force = history.must_ignore_ejection();
+        self.forwarded.ignore_ejection = history.must_ignore_ejection();
         Ok(())
     }
 
--- a/crates/outbound/tests/forwarding.rs
+++ b/crates/outbound/tests/forwarding.rs
@@ -109,7 +109,7 @@
         latency_target: TEN_MINUTES,
         priority: 0,
         idempotent,
-        force: true,
+        ignore_ejection: true,
     })
 }
 
--- a/crates/transport/src/forwarding.rs
+++ b/crates/transport/src/forwarding.rs
@@ -32,9 +32,9 @@
     pub priority: u8,
     /// Whether the request may be run more than once.
     pub idempotent: bool,
-    /// Whether the backend has to accept the request even while it is ejected, because other ejected
+    /// Whether the backend accepts the request even while it is ejected, because other ejected
     /// backends declined the request (design 13.8).
-    pub force: bool,
+    pub ignore_ejection: bool,
 }
 
 /// A [`ForwardedRequest`] as encoded for a connection.
@@ -48,7 +48,7 @@
     latency_target: u32,
     priority: u8,
     idempotent: bool,
-    force: bool,
+    ignore_ejection: bool,
 }
 
 /// A backend's response, unchanged.
@@ -99,7 +99,7 @@
             latency_target: bounded_micros(self.latency_target),
             priority: self.priority,
             idempotent: self.idempotent,
-            force: self.force,
+            ignore_ejection: self.ignore_ejection,
         }
     }
 }
@@ -128,7 +128,7 @@
             latency_target: Microseconds::from(self.latency_target),
             priority: self.priority,
             idempotent: self.idempotent,
-            force: self.force,
+            ignore_ejection: self.ignore_ejection,
         })
     }
 }
--- a/crates/transport/tests/recorded_frames/samples.rs
+++ b/crates/transport/tests/recorded_frames/samples.rs
@@ -74,7 +74,7 @@
         latency_target: 150_000,
         priority: 3,
         idempotent: true,
-        force: false,
+        ignore_ejection: false,
     }
 }
 
