--- a/crates/backend-api/src/config.rs
+++ b/crates/backend-api/src/config.rs
@@ -20,7 +20,7 @@
     /// Interval at which backends have to send heartbeats, in microseconds.
     pub heartbeat_interval: Microseconds,
     /// Time for which the node's state counts as current after a freshness proof, in microseconds.
-    pub freshness_bound: Microseconds,
+    pub proof_validity: Microseconds,
     /// Manages registrations and slots.
     pub slot_owner: SlotOwnerHandle,
     /// Sends reports to the log.
--- a/crates/client-api/src/call.rs
+++ b/crates/client-api/src/call.rs
@@ -156,7 +156,7 @@
     response.write_body(reply.body).unwrap_or_default();
 }
 
-/// Whether a client's header is not forwarded; `name` is in lower case.
+/// Returns whether a client's header is not forwarded; `name` is in lower case.
 fn is_reserved_header(name: &str) -> bool {
     RESERVED_HEADERS.contains(&name)
         || name.starts_with("x-gradeford-")
--- a/crates/control/src/membership/bootstrap.rs
+++ b/crates/control/src/membership/bootstrap.rs
@@ -18,7 +18,7 @@
 /// The replica number in the handshake of a machine without a replica.
 const NO_REPLICA: ReplicaId = ReplicaId::MAX;
 
-/// How long to wait for the answer of a machine to a request for a replica.
+/// Timeout for the answer of a machine to a request for a replica.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Interval between two requests while only the founder is asked.
@@ -26,7 +26,7 @@
 /// Interval between two requests once other machines are asked, too.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(120);
 
-/// How long the founder keeps its connections open, so that its answers are written.
+/// Time for which the founder keeps its connections open, so that its answers are written.
 const ANSWER_LINGER: Duration = Duration::from_millis(500);
 
 /// Capacity of the queue of accepted connections that the founder has not handled yet.
@@ -48,7 +48,7 @@
     pub quiet_period: Microseconds,
     /// The minimum time that the founder waits for further machines, in microseconds.
     pub minimum_wait: Microseconds,
-    /// How long only the founder is asked at the first start, in microseconds. After that any
+    /// Time for which only the founder is asked at the first start, in microseconds. After that any
     /// machine that has a replica is asked, because the founder may be lost. The period must be
     /// long enough that the replica of a machine that only starts slowly does not become vacant.
     pub founder_only_period: Microseconds,
@@ -396,7 +396,7 @@
     }
 }
 
-/// Whether the disk of this replica has not been replaced since the cluster was founded.
+/// Returns whether the disk of this replica has not been replaced since the cluster was founded.
 fn is_held_by_founding_member(handle: &ReplicaHandle, replica_id: ReplicaId) -> bool {
     let membership = handle.config.membership;
     let founded = membership.is_some_and(|membership| membership.founded);
--- a/crates/control/src/membership/discovery.rs
+++ b/crates/control/src/membership/discovery.rs
@@ -15,7 +15,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Interval between two rounds while fewer locations are known than wanted.
+/// Interval between two rounds while fewer locations are known than the target count.
 const SEARCH_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Interval between two rounds once enough locations are known.
@@ -59,18 +59,18 @@
 }
 
 /// Exchanges known locations with the seeds and the known replicas as long as the process runs.
-/// Until `wanted` locations are known all of them are contacted at a short interval, after that one
-/// at a time at a long interval.
+/// While fewer than `target_count` locations are known, all of them are contacted at a short
+/// interval; after that, one at a time at a long interval.
 pub async fn run(
     known_replicas: KnownReplicas,
     seeds: Vec<String>,
     handshake: impl Fn() -> Handshake + Send + 'static,
-    wanted: impl Fn() -> usize + Send,
+    target_count: impl Fn() -> usize + Send,
 ) {
     let mut round = 0usize;
     loop {
         let addresses = addresses_to_contact(&known_replicas, &seeds);
-        let is_complete = known_replicas.borrow().len() >= wanted();
+        let is_complete = known_replicas.borrow().len() >= target_count();
         let contacted = if is_complete {
             let next = addresses.get(round % addresses.len().max(1));
             next.cloned().into_iter().collect()
--- a/crates/control/src/membership/replacement/tests.rs
+++ b/crates/control/src/membership/replacement/tests.rs
@@ -8,7 +8,7 @@
 use crate::replica::command::Command;
 use crate::{ReplicaConfig, ReplicaHandle};
 
-/// Whether the replica votes after it has handled all commands sent so far.
+/// Returns whether the replica votes after it has handled all commands sent so far.
 async fn votes(handle: &ReplicaHandle) -> bool {
     // Earlier commands are handled once these ticks have left the queue.
     for _ in 0..50 {
--- a/crates/control/src/membership/retirement.rs
+++ b/crates/control/src/membership/retirement.rs
@@ -19,7 +19,7 @@
 /// Interval between two rounds of requests to the other replicas.
 const ROUND_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long to wait for the answer of a replica before it is left out of the count.
+/// Timeout for the answer of a replica, after which the replica is left out of the count.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The answers of the other replicas about this disk.
@@ -33,9 +33,9 @@
 }
 
 impl PeerAnswers {
-    /// Whether this disk is to be emptied. A single answer that names another holder would suffice,
-    /// because a replica gives it only after it has applied the replacement. Answers from half of
-    /// the replicas are required so that a misconfigured machine does not empty a disk.
+    /// Returns whether this disk is to be emptied. A single answer that names another holder would
+    /// suffice, because a replica gives it only after it has applied the replacement. Answers from
+    /// half of the replicas are required so that a misconfigured machine does not empty a disk.
     fn should_retire(self, replica_count: u16) -> bool {
         let required = usize::from(replica_count / 2).max(1);
         self.still_member == 0 && self.superseded >= required
@@ -102,8 +102,8 @@
     Some((replica_of(&answer.peer_handshake)?, still_member))
 }
 
-/// Whether the answer confirms that this disk holds its replica. Only a member is sent the disks of
-/// all members; any other disk is offered a replica without them, like an empty disk.
+/// Returns whether the answer confirms that this disk holds its replica. Only a member is sent the
+/// disks of all members; any other disk is offered a replica without them, like an empty disk.
 fn confirms_membership(handle: &ReplicaHandle, answer: &AssignmentAnswer) -> bool {
     match &answer.assignment {
         Assignment::Replica {
--- a/crates/control/src/replica/effects.rs
+++ b/crates/control/src/replica/effects.rs
@@ -9,7 +9,7 @@
 use super::event_loop::{Progress, ReplicaEventLoop};
 use crate::updates::publisher::{self, EntryId};
 
-/// How long callers wait without any entry being applied before a warning is logged, in
+/// Time without an applied entry, while callers wait, after which a warning is logged, in
 /// microseconds. The warning repeats at the same interval.
 const STALL_WARNING_INTERVAL: Microseconds = 2_000_000;
 
--- a/crates/control/src/replica/event_loop.rs
+++ b/crates/control/src/replica/event_loop.rs
@@ -57,15 +57,15 @@
     /// The first instance that the latest snapshot of this replica does not cover.
     pub(super) snapshot_end: Instance,
     pub(crate) status: ReplicaStatus,
-    /// When the log was last advanced towards a pending replacement.
+    /// Time at which the log was last advanced towards a pending replacement.
     pub(crate) replacement_advanced_at: Microseconds,
     pub(super) last_progress: Progress,
     /// Peers that confirmed that no other disk held this replica before.
     first_holder_confirmed_by: BTreeSet<ReplicaId>,
-    /// When the connection to each unreachable replica was lost, or when the process started if
-    /// there was none.
+    /// Time at which the connection to each unreachable replica was lost, or of the process start
+    /// if there was none.
     pub(crate) unreachable_since: BTreeMap<ReplicaId, Microseconds>,
-    /// When a replacement was last submitted for an empty disk.
+    /// Time at which a replacement was last submitted for an empty disk.
     pub(crate) replacement_requested_at: Microseconds,
 }
 
@@ -156,7 +156,7 @@
         self.run_effects();
     }
 
-    /// Whether the instance from which this disk may vote is known.
+    /// Returns whether the instance from which this disk may vote is known.
     fn knows_voting_range(&self, peer_count: usize) -> bool {
         if !self.restored_writes.is_empty() {
             return true;
--- a/crates/control/src/replica/handle.rs
+++ b/crates/control/src/replica/handle.rs
@@ -23,7 +23,7 @@
 use super::command::{Command, ConnectionToken, Members};
 use crate::membership::discovery::{self, KnownReplicas};
 
-/// How long a caller waits for an answer that needs a majority. After the timeout it is unknown
+/// Timeout of a caller for an answer that needs a majority. After the timeout it is unknown
 /// whether a change took effect.
 pub const MAJORITY_TIMEOUT: Duration = Duration::from_millis(4_000);
 
@@ -47,8 +47,8 @@
     pub timing: mencius::Config,
     /// The number of applied entries after which a snapshot is taken.
     pub snapshot_every_entries: u64,
-    /// How long a member must be unreachable before an empty disk that asks for its replica may
-    /// replace it, in microseconds; 0 disables automatic replacement.
+    /// Time for which a member must be unreachable before an empty disk that asks for its replica
+    /// may replace it, in microseconds; 0 disables automatic replacement.
     pub replace_after: Microseconds,
     /// The record of how this disk was assigned its replica; `None` if the settings name the
     /// replica (design 12.1).
@@ -116,7 +116,7 @@
     pub(super) started_with_empty_disk: bool,
     /// Distinguishes the entries of this process from those of its earlier runs.
     pub(super) incarnation: Incarnation,
-    /// How often a process was started on this disk, including this one.
+    /// The number of processes started on this disk, including this one.
     pub(super) start_count: u64,
     pub(super) next_sequence: Arc<AtomicU64>,
     pub(crate) logger: Logger,
@@ -195,15 +195,15 @@
         }
     }
 
-    /// Whether this replica votes and currently receives messages from a majority.
+    /// Returns whether this replica votes and currently receives messages from a majority.
     pub fn reaches_majority(&self) -> bool {
         let status = self.status.load();
         status.voting && status.connected_replicas > usize::from(self.replica_count()) / 2
     }
 
-    /// Whether this replica reached a majority before and does not now. It can then neither confirm
-    /// a change nor read, so callers are referred to another replica at once. A process that has
-    /// just started does not count, since its connections are still being opened.
+    /// Returns whether this replica reached a majority before and does not now. It can then neither
+    /// confirm a change nor read, so callers are referred to another replica at once. A process
+    /// that has just started does not count, since its connections are still being opened.
     pub fn lost_majority(&self) -> bool {
         self.status.load().had_majority && !self.reaches_majority()
     }
--- a/crates/control/src/replica/peer_link.rs
+++ b/crates/control/src/replica/peer_link.rs
@@ -55,14 +55,19 @@
     // replica through these discovery connections, and each replica it contacts may submit the
     // replacement of the lost disk.
     let (handshake_handle, status_handle) = (handle.clone(), handle.clone());
-    let wanted = move || match status_handle.status.load().voting {
+    let target_count = move || match status_handle.status.load().voting {
         true => usize::from(status_handle.replica_count()),
         false => usize::MAX,
     };
     let handshake = move || handshake_handle.handshake(Purpose::Discover);
     let known_replicas = handle.known_replicas.clone();
     let seeds = handle.config.seeds.clone();
-    tokio::spawn(discovery::run(known_replicas, seeds, handshake, wanted));
+    tokio::spawn(discovery::run(
+        known_replicas,
+        seeds,
+        handshake,
+        target_count,
+    ));
 }
 
 async fn keep_connected(handle: ReplicaHandle, peer_id: ReplicaId) {
@@ -133,8 +138,9 @@
     }
 }
 
-/// Whether the caller expects this disk or no particular one. A caller that expects another disk is
-/// sent the handshake, so that it learns which disk it reached, and the connection is then closed.
+/// Returns whether the caller expects this disk or no particular one. A caller that expects another
+/// disk is sent the handshake, so that it learns which disk it reached, and the connection is then
+/// closed.
 pub(crate) fn is_expected_disk(handle: &ReplicaHandle, handshake: &Handshake) -> bool {
     let expected_disk = handshake.expected_disk;
     expected_disk.is_none_or(|expected| expected == handle.disk_id())
--- a/crates/control/src/status_reports.rs
+++ b/crates/control/src/status_reports.rs
@@ -13,11 +13,11 @@
 
 use crate::membership::discovery::{self, KnownReplicas};
 
-/// How long to wait for the answer of a replica before the same entry is sent to another replica,
+/// Timeout for the answer of a replica, after which the same entry is sent to another replica,
 /// because the first may be cut off from the majority.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// How long a connection without reports is kept open.
+/// Time for which a connection without reports is kept open.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Pause before the next attempt if no replica could be reached.
--- a/crates/control/src/updates/follower.rs
+++ b/crates/control/src/updates/follower.rs
@@ -34,7 +34,7 @@
     pub zone: String,
     /// Interval between two freshness-proof requests, in microseconds.
     pub proof_interval: Microseconds,
-    /// How long a replica may leave a request for a freshness proof unanswered before the node
+    /// Time for which a replica may leave a freshness-proof request unanswered before the node
     /// tries other replicas, in microseconds.
     pub proof_timeout: Microseconds,
 }
--- a/crates/control/src/updates/publisher.rs
+++ b/crates/control/src/updates/publisher.rs
@@ -186,7 +186,7 @@
         true
     }
 
-    /// Whether a round is pending because its read is not done.
+    /// Returns whether a round is pending because its read is not done.
     pub fn has_open_rounds(&self) -> bool {
         !self.proof_rounds.is_empty()
     }
--- a/crates/control/src/updates/relay.rs
+++ b/crates/control/src/updates/relay.rs
@@ -19,8 +19,8 @@
 pub struct Relay {
     /// The view of the node's own subscription.
     pub view: SharedView,
-    /// When the latest proof from a replica was requested, in microseconds; updated with every
-    /// proof.
+    /// Time at which the latest proof from a replica was requested, in microseconds; updated with
+    /// every proof.
     pub verified_at: watch::Receiver<Microseconds>,
     /// Makes the subscription request a proof now instead of after its regular interval.
     pub proof_needed: Arc<Notify>,
--- a/crates/control/src/updates/server.rs
+++ b/crates/control/src/updates/server.rs
@@ -14,8 +14,8 @@
 use crate::membership::{bootstrap, discovery};
 use crate::replica::{ReplicaHandle, peer_link};
 
-/// How long the connection stays open after a replica assignment was sent, if the machine that
-/// requested it does not close it earlier.
+/// Time for which the connection stays open after a replica assignment was sent, if the machine
+/// that requested it does not close it earlier.
 const ASSIGNMENT_LINGER: Duration = Duration::from_secs(2);
 
 /// Capacity of the queue of completed reads of one subscriber, whose proofs are to be sent.
--- a/crates/control/src/updates/subscriber.rs
+++ b/crates/control/src/updates/subscriber.rs
@@ -18,11 +18,11 @@
 use super::zone_relay::select_zone_relay;
 use crate::membership::discovery::{self, KnownReplicas};
 
-/// How long proof requests outside the regular interval are collected before one is sent for all of
-/// them, in microseconds.
+/// Time for which proof requests outside the regular interval are collected before one is sent for
+/// all of them, in microseconds.
 const PROOF_BATCH_WINDOW: Microseconds = 20_000;
 
-/// How long a failed relay is avoided, in microseconds.
+/// Time for which a failed relay is avoided, in microseconds.
 const RELAY_RETRY_AFTER: Microseconds = 3_000_000;
 
 /// Minimum pause between two connections, in milliseconds.
@@ -36,11 +36,11 @@
     pub node: String,
     /// The zone of this node.
     pub zone: String,
-    /// How long a freshness proof is valid after its request, in microseconds.
-    pub freshness_bound: Microseconds,
+    /// Validity of a freshness proof, counted from its request, in microseconds.
+    pub proof_validity: Microseconds,
     /// Interval between two freshness-proof requests, in microseconds.
     pub proof_interval: Microseconds,
-    /// How long the node stays connected to an upstream that sends no proof, in microseconds.
+    /// Time for which the node stays connected to an upstream that sends no proof, in microseconds.
     pub proof_timeout: Microseconds,
     /// Whether the node subscribes through the relay of its zone instead of at a replica.
     pub use_zone_relays: bool,
@@ -241,9 +241,9 @@
         }
     }
 
-    /// Whether the upstream is still the selected one. The connection ends when another relay is
-    /// selected for the zone, or when this node becomes the relay or ceases to be it. A new
-    /// connection is kept for [`PROOF_BATCH_WINDOW`] in any case.
+    /// Returns whether the upstream is still the selected one. The connection ends when another
+    /// relay is selected for the zone, or when this node becomes the relay or ceases to be it. A
+    /// new connection is kept for [`PROOF_BATCH_WINDOW`] in any case.
     fn is_still_selected(&self, began_at: Microseconds, relay: Option<&String>) -> bool {
         model::now() < began_at + PROOF_BATCH_WINDOW || relay == self.zone_relay().as_ref()
     }
@@ -315,8 +315,11 @@
         let Some(requested_at) = requested_at.filter(|_| self.has_base) else {
             return false;
         };
-        let bound = self.config.freshness_bound;
-        let proved = self.view.load().with_proof(requested_at, position, bound);
+        let validity = self.config.proof_validity;
+        let proved = self
+            .view
+            .load()
+            .with_proof(requested_at, position, validity);
         let Some(view) = proved else {
             return false;
         };
--- a/crates/control/src/updates/upstreams.rs
+++ b/crates/control/src/updates/upstreams.rs
@@ -28,10 +28,10 @@
 const MAX_STAGGER_DOUBLINGS: usize = 2;
 /// The maximum number of concurrent attempts, beside the current upstream.
 const MAX_ATTEMPTS: usize = 3;
-/// How long an attempt may go without a proof before it is closed, in microseconds.
+/// Time without a proof after which a connection attempt is closed, in microseconds.
 const ATTEMPT_TIMEOUT: Microseconds = 2_000_000;
-/// How long the current upstream is kept after a proof became overdue if no other replica sends
-/// one, in microseconds.
+/// Time for which the current upstream is kept after a proof became overdue if no other replica
+/// sends one, in microseconds.
 const OVERDUE_GRACE_PERIOD: Microseconds = 3_000_000;
 /// Minimum pause before the next attempt after a replica could not be reached or a connection was
 /// lost, in microseconds. A random part of up to the pause plus [`RECONNECT_JITTER`] is added.
@@ -42,13 +42,13 @@
 /// microseconds, for at most [`MAX_PAUSED_ROUNDS`] rounds.
 const PAUSE_PER_ROUND: Microseconds = 150_000;
 const MAX_PAUSED_ROUNDS: usize = 4;
-/// How long a replica that sent no proof is tried only after all others, in microseconds. The time
+/// Time for which a replica that sent no proof is tried only after all others, in microseconds. It
 /// doubles with each successive failure, at most [`MAX_AVOID_DOUBLINGS`] times.
 const AVOID_FOR: Microseconds = 1_000_000;
 const MAX_AVOID_DOUBLINGS: u32 = 4;
-/// How long after a replica was last avoided its failures are forgotten, in microseconds.
+/// Time since a replica was last avoided after which its failures are forgotten, in microseconds.
 const FAILURES_FORGOTTEN_AFTER: Microseconds = 16_000_000;
-/// How long a node relies on a replica of another zone before it tries the replicas of its own zone
+/// Time for which a node relies on a replica of another zone before it tries those of its own zone
 /// again, in microseconds. The time doubles with each such recheck, at most
 /// [`MAX_RECHECK_DOUBLINGS`] times.
 const OWN_ZONE_RECHECK_AFTER: Microseconds = 2_000_000;
@@ -124,7 +124,7 @@
 pub struct UpstreamTiming {
     /// Interval between two freshness-proof requests on one connection, in microseconds.
     pub proof_interval: Microseconds,
-    /// How long a request may remain unanswered before the node tries other replicas, in
+    /// Time for which a request may remain unanswered before the node tries other replicas, in
     /// microseconds.
     pub proof_timeout: Microseconds,
 }
@@ -134,13 +134,14 @@
     key: ReplicaKey,
     is_own_zone: bool,
     opened_at: Microseconds,
-    /// When the next proof is to be requested; `None` until the connection is open.
+    /// Time at which the next proof is to be requested; `None` until the connection is open.
     next_request_at: Option<Microseconds>,
     requests: ProofRequests,
 }
 
 impl Upstream {
-    /// When the oldest pending proof becomes overdue; `None` if no proof is pending.
+    /// Returns the time at which the oldest pending proof becomes overdue; `None` if no proof is
+    /// pending.
     fn overdue_at(&self, timing: UpstreamTiming) -> Option<Microseconds> {
         let oldest = self.requests.oldest_pending();
         oldest.map(|requested_at| requested_at + timing.proof_timeout)
@@ -173,14 +174,14 @@
     /// Whether every known replica is connected to or being tried.
     is_out_of_candidates: bool,
     avoided: BTreeMap<ReplicaKey, AvoidedReplica>,
-    /// When each replica was last tried.
+    /// Time at which each replica was last tried.
     tried_at: BTreeMap<ReplicaKey, Microseconds>,
-    /// When the node, while it relies on a replica of another zone, tries the replicas of its own
-    /// zone again.
+    /// Time at which the node, while it relies on a replica of another zone, tries the replicas
+    /// of its own zone again.
     recheck_at: Microseconds,
     /// The number of these rechecks.
     rechecks: u32,
-    /// When the current recheck began; `None` if none is in progress.
+    /// Time at which the current recheck began; `None` if none is in progress.
     recheck_began_at: Option<Microseconds>,
 }
 
@@ -307,7 +308,7 @@
         }
     }
 
-    /// Whether a connection is the current upstream, which the node relies on.
+    /// Returns whether a connection is the current upstream, which the node relies on.
     pub fn is_current(&self, id: UpstreamId) -> bool {
         self.current == Some(id)
     }
@@ -337,7 +338,7 @@
         closed.collect()
     }
 
-    /// When a connection or attempt is closed if no proof arrives.
+    /// Returns the time at which a connection or attempt is closed if no proof arrives.
     fn closes_at(&self, id: UpstreamId, upstream: &Upstream) -> Microseconds {
         if self.current == Some(id) {
             let overdue_at = upstream.overdue_at(self.timing);
@@ -352,8 +353,8 @@
         current.and_then(|current| current.overdue_at(self.timing))
     }
 
-    /// Whether another replica is needed, because there is no current upstream or its proof is
-    /// overdue.
+    /// Returns whether another replica is needed, because there is no current upstream or its proof
+    /// is overdue.
     fn needs_upstream(&self, now: Microseconds) -> bool {
         self.current.is_none() || self.current_overdue_at().is_some_and(|at| now >= at)
     }
@@ -492,7 +493,7 @@
         })
     }
 
-    /// Until when a replica is avoided; `None` if it is not avoided now.
+    /// Returns the time until which a replica is avoided; `None` if it is not avoided now.
     fn avoided_until(&self, now: Microseconds, key: ReplicaKey) -> Option<Microseconds> {
         let avoided = self.avoided.get(&key);
         let until = avoided.map(|avoided| avoided.until);
--- a/crates/control/src/updates/verification.rs
+++ b/crates/control/src/updates/verification.rs
@@ -23,7 +23,7 @@
 pub struct VerifiedState {
     /// The newest cluster state received.
     pub snapshot: Arc<StateSnapshot>,
-    /// When the latest proof was requested, in microseconds; 0 before the first proof.
+    /// Time at which the latest proof was requested, in microseconds; 0 before the first proof.
     pub verified_at: Microseconds,
 }
 
@@ -57,7 +57,7 @@
         }
     }
 
-    /// When the oldest pending proof was requested.
+    /// Returns the time at which the oldest pending proof was requested.
     pub fn oldest_pending(&self) -> Option<Microseconds> {
         let oldest = self.pending.front();
         oldest.map(|request| request.requested_at)
--- a/crates/control/src/updates/view.rs
+++ b/crates/control/src/updates/view.rs
@@ -23,7 +23,7 @@
 pub type SharedView = Arc<ArcSwap<View>>;
 
 impl View {
-    /// Whether the node may act on the slice now.
+    /// Returns whether the node may act on the slice now.
     pub fn is_fresh(&self, now: Microseconds) -> bool {
         now < self.fresh_until
     }
--- a/crates/control/tests/disks/writing.rs
+++ b/crates/control/tests/disks/writing.rs
@@ -19,9 +19,9 @@
 /// The number of entries between two snapshots. Replica 2 takes its first after ten entries,
 /// because the replicas are staggered; all replicas take one at the replacement.
 const SNAPSHOT_EVERY_ENTRIES: u64 = 30;
-/// How long a disk must be unreachable before a new one may replace it, in microseconds.
+/// Time for which a disk must be unreachable before a new one may replace it, in microseconds.
 const REPLACE_AFTER: u64 = 2_000_000;
-/// How long to wait for the tasks of a stopped replica to end.
+/// Timeout for the tasks of a stopped replica to end.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A replica with its own runtime, so that it can be stopped without the others.
--- a/crates/control/tests/following/silent_zone.rs
+++ b/crates/control/tests/following/silent_zone.rs
@@ -18,7 +18,8 @@
 
 /// Interval between two changes.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(20);
-/// How long the node is observed; longer than it waits before its first recheck of its own zone.
+/// Time for which the node is observed; longer than the node waits before its first recheck of its
+/// own zone.
 const OBSERVATION_TIME: Duration = Duration::from_secs(6);
 /// Upper bound of the time between two updates while the replicas of the zone do not answer.
 const MAX_UPDATE_GAP: Duration = Duration::from_millis(1_000);
--- a/crates/control/tests/following/upstreams.rs
+++ b/crates/control/tests/following/upstreams.rs
@@ -15,14 +15,14 @@
 const STEP: u64 = 1_000;
 /// Microseconds per second.
 const SECOND: u64 = 1_000_000;
-/// How long a connection to a silent replica takes to fail, in microseconds.
+/// Time after which a connection to a silent replica fails, in microseconds.
 const HANDSHAKE_TIMEOUT: u64 = SECOND;
 const TIMING: UpstreamTiming = UpstreamTiming {
     proof_interval: 500_000,
     proof_timeout: 500_000,
 };
 
-/// How a replica behaves towards a node.
+/// The behaviour of a replica towards a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Behaviour {
     /// The replica answers after this time, in microseconds.
@@ -37,7 +37,7 @@
 
 struct Connection {
     replica: usize,
-    /// When the attempt succeeds or fails.
+    /// Time at which the attempt succeeds or fails.
     connects_at: u64,
     is_open: bool,
     /// The arrival time and the request id of each proof on its way to the node.
--- a/crates/control/tests/membership/machines.rs
+++ b/crates/control/tests/membership/machines.rs
@@ -11,7 +11,7 @@
 
 pub(crate) type Started = (storage::MembershipRecord, control::ReplicaHandle);
 
-/// How long a test waits for an event; reached only if the test fails.
+/// Time for which a test waits for an event; reached only if the test fails.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Awaits a future, and panics with the description if it does not complete in time.
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -55,7 +55,8 @@
     runtime.block_on(serve_until_stopped::<D>(command_line, settings, signals))
 }
 
-/// If the outcome is an error, prints it to standard error and ends the process with exit code 1.
+/// Prints an error to standard error and ends the process with exit code 1; does nothing on
+/// success.
 pub fn exit_on_error<E: Display>(program: &str, outcome: Result<(), E>) {
     if let Err(error) = outcome {
         eprintln!("{program}: {error}");
--- a/crates/endpoints/src/heartbeat.rs
+++ b/crates/endpoints/src/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of a backend and their answers (design sections 11.2 and 11.5).
+//! Heartbeats of a backend and the responses to them (design sections 11.2 and 11.5).
 
 use model::cluster_state::ShardKey;
 use model::{BackendName, Microseconds, Position, ServiceName, ZoneName};
--- a/crates/endpoints/src/lease_table/command.rs
+++ b/crates/endpoints/src/lease_table/command.rs
@@ -6,17 +6,17 @@
 
 use crate::heartbeat::{Heartbeat, HeartbeatResponse};
 
-/// Sends the answer to one heartbeat.
-pub(super) type AnswerSender = oneshot::Sender<HeartbeatResponse>;
+/// Sends the response to one heartbeat.
+pub(super) type ResponseSender = oneshot::Sender<HeartbeatResponse>;
 
 pub(super) enum Command {
     /// The backend beside this node sent a heartbeat.
     Heartbeat {
         heartbeat: Box<Heartbeat>,
-        answer: AnswerSender,
+        response: ResponseSender,
     },
-    /// The answer to the backend's heartbeat with this sequence number was delayed for the maximum time.
-    AnswerDue { name: BackendName, sequence: u64 },
+    /// The response to the backend's heartbeat with this sequence number was delayed for the maximum time.
+    ResponseDue { name: BackendName, sequence: u64 },
     /// The backend of this name deregisters.
     Deregister {
         name: BackendName,
--- a/crates/endpoints/src/lease_table/config.rs
+++ b/crates/endpoints/src/lease_table/config.rs
@@ -19,7 +19,7 @@
     pub leases: LeaseConfig,
     /// Interval between two heartbeats of the backend, in microseconds.
     pub heartbeat_interval: Microseconds,
-    /// How long a draining backend still accepts requests that were already sent to it, in microseconds.
+    /// Time for which a draining backend still accepts requests that were already sent, in microseconds.
     pub drain_timeout: Microseconds,
     /// Address of the one backend of this machine, as `host:port`, if the settings contain it. With this address, a
     /// restarted node forwards requests to the backend that is registered in the log, and probes that backend.
--- a/crates/endpoints/src/lease_table/event_loop.rs
+++ b/crates/endpoints/src/lease_table/event_loop.rs
@@ -45,8 +45,11 @@
 impl LeaseTableTask {
     async fn handle(&mut self, command: Command) {
         match command {
-            Command::Heartbeat { heartbeat, answer } => self.receive_heartbeat(*heartbeat, answer),
-            Command::AnswerDue { name, sequence } => self.answer_due(&name, sequence),
+            Command::Heartbeat {
+                heartbeat,
+                response,
+            } => self.receive_heartbeat(*heartbeat, response),
+            Command::ResponseDue { name, sequence } => self.send_due_response(&name, sequence),
             Command::Deregister { name, done } => self.deregister(name, done),
             Command::StateChanged => self.state_changed(),
             Command::Tick => self.check_silence(),
@@ -57,8 +60,8 @@
         self.limiter.set_backend(self.backend_for_limiter()).await;
     }
 
-    /// Sends the delayed answer if `sequence` is the latest heartbeat; earlier heartbeats are already answered.
-    fn answer_due(&mut self, name: &str, sequence: u64) {
+    /// Sends the delayed response if `sequence` is the latest heartbeat; earlier heartbeats are already answered.
+    fn send_due_response(&mut self, name: &str, sequence: u64) {
         let is_latest = self.backend.as_ref().is_some_and(|backend| {
             backend.heartbeat.name == name && backend.heartbeat.sequence == sequence
         });
@@ -124,7 +127,7 @@
         })
     }
 
-    /// Returns the backend that the log has beside this node, until the time by which a heartbeat of a running backend
+    /// Returns the backend that the log records beside this node. Returns `None` once a heartbeat of a running backend
     /// would have arrived.
     fn backend_from_log(&self, snapshot: &StateSnapshot) -> Option<LocalBackend> {
         let until = self.started_at + self.config.heartbeat_interval * MAX_MISSED_HEARTBEATS;
--- a/crates/endpoints/src/lease_table/granter.rs
+++ b/crates/endpoints/src/lease_table/granter.rs
@@ -12,7 +12,7 @@
 /// Durations of leases. All nodes have to use the same values.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseConfig {
-    /// How long a freshness proof permits leases, counted from the request for the proof, in microseconds.
+    /// Validity of a freshness proof for granting leases, counted from its request, in microseconds.
     pub proof_validity: Microseconds,
     /// Margin for clock differences, in microseconds: added to `proof_validity` when a node waits for the expiry of
     /// leases that another node granted.
@@ -134,7 +134,7 @@
             .push((first_key, last_key, token, handover_token));
     }
 
-    /// Whether all leases that other nodes granted before the ranges got this fencing token have expired.
+    /// Returns whether all leases that other nodes granted before the ranges got this fencing token have expired.
     fn earlier_leases_expired(&self, now: Microseconds, token: Position) -> bool {
         let wait = self.config.proof_validity + self.config.clock_margin;
         self.first_seen
--- a/crates/endpoints/src/lease_table/heartbeats.rs
+++ b/crates/endpoints/src/lease_table/heartbeats.rs
@@ -6,20 +6,20 @@
 use model::Microseconds;
 use model::cluster_state::ClusterReport;
 
-use super::command::{AnswerSender, Command};
+use super::command::{Command, ResponseSender};
 use super::granter::LeaseGrant;
 use super::state::{LeaseTableTask, LocalBackend, is_keyed, shard_map_of};
 use crate::heartbeat::{Heartbeat, HeldRange, LeasedRange};
 
-/// Maximum delay of an answer; backends wait one second for it.
-const MAX_ANSWER_DELAY: Duration = Duration::from_millis(650);
+/// Maximum delay of a response; backends wait one second for it.
+const MAX_RESPONSE_DELAY: Duration = Duration::from_millis(650);
 
 impl LeaseTableTask {
-    pub(super) fn receive_heartbeat(&mut self, heartbeat: Heartbeat, answer: AnswerSender) {
+    pub(super) fn receive_heartbeat(&mut self, heartbeat: Heartbeat, response: ResponseSender) {
         let now = model::now();
         if self.is_stale(&heartbeat, now) {
             // Fails if the backend no longer waits.
-            drop(answer.send(None));
+            drop(response.send(None));
             return;
         }
         self.end_replaced_backend(&heartbeat.name);
@@ -27,24 +27,24 @@
         let is_first = self.backend.is_none();
         let is_urgent = is_first || self.is_release_or_drain(&heartbeat);
         let (name, sequence) = (heartbeat.name.clone(), heartbeat.sequence);
-        self.backend = Some(self.updated_backend(heartbeat, answer, now));
+        self.backend = Some(self.updated_backend(heartbeat, response, now));
         self.answer_heartbeat(is_urgent);
         if self
             .backend
             .as_ref()
-            .is_some_and(|backend| backend.pending_answer.is_some())
+            .is_some_and(|backend| backend.response_sender.is_some())
         {
             let commands = self.commands.clone();
             tokio::spawn(async move {
-                tokio::time::sleep(MAX_ANSWER_DELAY).await;
-                // Fails if the lease table's task has ended; then no answer is sent.
-                drop(commands.send(Command::AnswerDue { name, sequence }).await);
+                tokio::time::sleep(MAX_RESPONSE_DELAY).await;
+                // Fails if the lease table's task has ended; then no response is sent.
+                drop(commands.send(Command::ResponseDue { name, sequence }).await);
             });
         }
     }
 
-    /// Whether a heartbeat is from an earlier incarnation of the backend or from a backend that has ended, or repeats
-    /// an earlier heartbeat.
+    /// Returns whether a heartbeat is from an earlier incarnation of the backend or from a backend that has ended, or
+    /// repeats an earlier heartbeat.
     fn is_stale(&self, heartbeat: &Heartbeat, now: Microseconds) -> bool {
         let is_repeated = self.backend.as_ref().is_some_and(|backend| {
             backend.heartbeat.name == heartbeat.name
@@ -55,20 +55,20 @@
             || self.has_ended(&heartbeat.name)
     }
 
-    /// Whether a heartbeat is a late one of an earlier incarnation.
+    /// Returns whether a heartbeat is a late one of an earlier incarnation.
     ///
     /// While heartbeats of another backend arrive, a backend that the log already had here is the earlier incarnation.
     /// If heartbeats of two backends arrive almost at the same time, as after a pause of this node, the first one is
     /// kept until the running backend sends its next heartbeat.
     fn is_of_earlier_incarnation(&self, heartbeat: &Heartbeat, now: Microseconds) -> bool {
-        let heard_another_within = |span: Microseconds| {
+        let other_heartbeat_within = |span: Microseconds| {
             self.backend.as_ref().is_some_and(|backend| {
-                backend.heartbeat.name != heartbeat.name && now < backend.last_heard + span
+                backend.heartbeat.name != heartbeat.name && now < backend.last_heartbeat_at + span
             })
         };
         let interval = self.config.heartbeat_interval;
         let is_known = || self.snapshot().backends.contains_key(&heartbeat.name);
-        heard_another_within(interval / 4) || is_known() && heard_another_within(interval * 2)
+        other_heartbeat_within(interval / 4) || is_known() && other_heartbeat_within(interval * 2)
     }
 
     /// Ends the current backend if the heartbeat has another name: a machine has one backend, so the earlier backend's
@@ -94,7 +94,7 @@
         });
     }
 
-    /// Whether the backend starts to drain or has released ranges with this heartbeat.
+    /// Returns whether the backend starts to drain or has released ranges with this heartbeat.
     fn is_release_or_drain(&self, heartbeat: &Heartbeat) -> bool {
         let is_draining = self
             .backend
@@ -106,7 +106,7 @@
     fn updated_backend(
         &self,
         heartbeat: Heartbeat,
-        answer: AnswerSender,
+        response: ResponseSender,
         now: Microseconds,
     ) -> LocalBackend {
         let previous = self.backend.as_ref();
@@ -117,7 +117,7 @@
             false => now + self.config.leases.max_duration,
         };
         LocalBackend {
-            last_heard: now,
+            last_heartbeat_at: now,
             draining_since: previous
                 .and_then(|backend| backend.draining_since)
                 .or(heartbeat.draining.then_some(now)),
@@ -127,33 +127,33 @@
             }),
             silent: false,
             probing: false,
-            pending_answer: Some(answer),
-            heard_repeatedly: previous.is_some(),
+            response_sender: Some(response),
+            received_repeatedly: previous.is_some(),
             rejected: previous.is_some_and(|backend| backend.rejected),
             heartbeat,
         }
     }
 
-    /// Answers the latest heartbeat if the answer changes the backend's ranges, or if the answer is due. This way the
-    /// backends that release or receive a range are told as soon as the change is in the log instead of at their next
-    /// heartbeat (design section 11.5).
+    /// Answers the latest heartbeat if the response changes the backend's ranges, or if the response is due. This way
+    /// the backends that release or receive a range are notified as soon as the change is in the log instead of at
+    /// their next heartbeat (design section 11.5).
     pub(super) fn answer_heartbeat(&mut self, due: bool) {
         let Some(mut backend) = self.backend.take() else {
             return;
         };
-        if let Some(answer) = backend.pending_answer.take() {
-            backend.pending_answer = self.answer_or_keep(&mut backend, answer, due);
+        if let Some(response) = backend.response_sender.take() {
+            backend.response_sender = self.respond_or_delay(&mut backend, response, due);
         }
         self.backend = Some(backend);
     }
 
-    /// Sends the answer, or returns the sender if the answer is delayed further.
-    fn answer_or_keep(
+    /// Sends the response, or returns the sender if the response is delayed further.
+    fn respond_or_delay(
         &mut self,
         backend: &mut LocalBackend,
-        answer: AnswerSender,
+        response: ResponseSender,
         due: bool,
-    ) -> Option<AnswerSender> {
+    ) -> Option<ResponseSender> {
         let now = model::now();
         let verified = self.verified_state.load_full();
         let heartbeat = &backend.heartbeat;
@@ -172,17 +172,17 @@
         let ranges_changed = grant
             .as_ref()
             .is_some_and(|grant| held_ranges(grant) != heartbeat.held_ranges);
-        // Answers of an unkeyed service are never delayed, as no ranges can change.
+        // Responses to backends of an unkeyed service are never delayed, because no ranges can change.
         if !due && !ranges_changed && keyed {
-            return Some(answer);
+            return Some(response);
         }
         let renewal = grant.map(|grant| self.record_grant(now, backend, grant));
         // Fails if the backend no longer waits.
-        drop(answer.send(renewal));
+        drop(response.send(renewal));
         None
     }
 
-    /// Records the granted ranges and their expiry, and returns the answer for the backend.
+    /// Records the granted ranges and their expiry, and returns the response for the backend.
     fn record_grant(
         &mut self,
         now: Microseconds,
--- a/crates/endpoints/src/lease_table/mod.rs
+++ b/crates/endpoints/src/lease_table/mod.rs
@@ -69,7 +69,7 @@
             ended_names: BTreeSet::new(),
             pending_reports: Vec::new(),
             started_at: model::now(),
-            unheard_probed_at: 0,
+            unconfirmed_probed_at: 0,
             report_in_flight: false,
             superseded: superseded_sender,
             logger,
@@ -88,13 +88,13 @@
     /// Processes a heartbeat and waits for the answer, which may be delayed by up to 650 ms until there are changes to
     /// send.
     pub async fn heartbeat(&self, heartbeat: Heartbeat) -> Result<HeartbeatResponse, Error> {
-        let (answer, answered) = oneshot::channel();
+        let (response, received) = oneshot::channel();
         self.send(Command::Heartbeat {
             heartbeat: Box::new(heartbeat),
-            answer,
+            response,
         })
         .await?;
-        answered.await.map_err(|_| Error::Stopped)
+        received.await.map_err(|_| Error::Stopped)
     }
 
     /// Deregisters the backend `name`: the backend drains, and its end is reported to the log.
@@ -104,7 +104,8 @@
         is_done.await.map_err(|_| Error::Stopped)
     }
 
-    /// Whether another process was registered under this node's name after this process, which then has to stop.
+    /// Returns whether another process was registered under this node's name after this process, which then has to
+    /// stop.
     pub fn is_superseded(&self) -> bool {
         *self.superseded.borrow()
     }
--- a/crates/endpoints/src/lease_table/reports.rs
+++ b/crates/endpoints/src/lease_table/reports.rs
@@ -13,7 +13,7 @@
 
 /// Delay before the next reports if the last ones changed nothing or were not accepted.
 const REPORT_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// How long to wait until an accepted report is visible in the local state.
+/// Timeout for an accepted report to become visible in the local state.
 const VISIBLE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Interval at which the local state is checked during that wait.
 const VISIBLE_POLL_INTERVAL: Duration = Duration::from_millis(5);
@@ -153,7 +153,7 @@
             .map(|backend| backend.heartbeat.name.as_str());
         // If the log has both, the running backend is the one that continues to send heartbeats.
         let is_confirmed = self.backend.as_ref().is_some_and(|backend| {
-            backend.heard_repeatedly || !snapshot.backends.contains_key(&backend.heartbeat.name)
+            backend.received_repeatedly || !snapshot.backends.contains_key(&backend.heartbeat.name)
         });
         let silence_timeout = self.config.heartbeat_interval * MAX_MISSED_HEARTBEATS;
         let is_overdue = model::now() > self.started_at + silence_timeout;
--- a/crates/endpoints/src/lease_table/silence.rs
+++ b/crates/endpoints/src/lease_table/silence.rs
@@ -26,13 +26,15 @@
         let now = model::now();
         let silence_timeout = self.config.heartbeat_interval * MAX_MISSED_HEARTBEATS;
         let Some(backend) = self.backend.as_mut() else {
-            self.check_unheard_backend(now);
+            self.check_unconfirmed_backend(now);
             return;
         };
-        if now < backend.last_heard + silence_timeout / 2 && !backend.silent || backend.probing {
+        if now < backend.last_heartbeat_at + silence_timeout / 2 && !backend.silent
+            || backend.probing
+        {
             return;
         }
-        backend.silent |= now > backend.last_heard + silence_timeout;
+        backend.silent |= now > backend.last_heartbeat_at + silence_timeout;
         // The leases of a silent backend are not renewed: once they have expired the backend holds no ranges.
         let last_lease = backend.lease_expires.max(backend.earlier_lease_expires);
         let leases_expired = backend.silent && now > last_lease + self.config.heartbeat_interval;
@@ -55,8 +57,8 @@
 
     /// Probes a backend that the log has beside this node but that sent no heartbeat to this process: the backend's
     /// process may be gone.
-    fn check_unheard_backend(&mut self, now: Microseconds) {
-        let last_checked = self.started_at.max(self.unheard_probed_at);
+    fn check_unconfirmed_backend(&mut self, now: Microseconds) {
+        let last_checked = self.started_at.max(self.unconfirmed_probed_at);
         if now <= last_checked + self.config.heartbeat_interval * 2 {
             return;
         }
@@ -65,7 +67,7 @@
             backend.node == self.config.node && !self.pending_ends.contains_key(*name)
         });
         if let Some((address, (name, _))) = self.config.backend_address.clone().zip(earlier) {
-            self.unheard_probed_at = now;
+            self.unconfirmed_probed_at = now;
             self.probe(address, name.clone());
         }
     }
--- a/crates/endpoints/src/lease_table/state.rs
+++ b/crates/endpoints/src/lease_table/state.rs
@@ -10,7 +10,7 @@
 use slog::Logger;
 use tokio::sync::{mpsc, watch};
 
-use super::command::{AnswerSender, Command};
+use super::command::{Command, ResponseSender};
 use super::config::LeaseTableConfig;
 use super::granter::LeaseGranter;
 use crate::heartbeat::Heartbeat;
@@ -23,22 +23,22 @@
 pub(super) struct LocalBackend {
     /// The latest heartbeat. Its held ranges are replaced by those of the latest grant.
     pub(super) heartbeat: Heartbeat,
-    /// When the latest heartbeat was received.
-    pub(super) last_heard: Microseconds,
-    /// When the backend started to drain.
+    /// Time at which the latest heartbeat was received.
+    pub(super) last_heartbeat_at: Microseconds,
+    /// Time at which the backend started to drain; `None` if it does not drain.
     pub(super) draining_since: Option<Microseconds>,
-    /// When the latest granted leases expire.
+    /// Expiry of the latest granted leases.
     pub(super) lease_expires: Microseconds,
-    /// When all leases granted by an earlier process of this node have certainly expired.
+    /// Time by which all leases granted by an earlier process of this node have certainly expired.
     pub(super) earlier_lease_expires: Microseconds,
     /// Whether more than [`MAX_MISSED_HEARTBEATS`] were missed or the backend has deregistered.
     pub(super) silent: bool,
     /// Whether a probe of the backend's process is in progress.
     pub(super) probing: bool,
-    /// Sends the answer to the latest heartbeat, which is delayed while there are no changes.
-    pub(super) pending_answer: Option<AnswerSender>,
-    /// Whether more than one heartbeat was received, which excludes a late one of an earlier incarnation.
-    pub(super) heard_repeatedly: bool,
+    /// Sends the response to the latest heartbeat, which is delayed while there are no changes; `None` once it is sent.
+    pub(super) response_sender: Option<ResponseSender>,
+    /// Whether more than one heartbeat was received. A single one may be a late heartbeat of an earlier incarnation.
+    pub(super) received_repeatedly: bool,
     /// Whether the log rejected the registration because the backend of this name has already ended.
     pub(super) rejected: bool,
 }
@@ -60,10 +60,10 @@
     pub(super) ended_names: BTreeSet<BackendName>,
     /// Reports of events, sent again until the log has answered them.
     pub(super) pending_reports: Vec<ClusterReport>,
-    /// When this process started, in microseconds.
+    /// Start time of this process, in microseconds.
     pub(super) started_at: Microseconds,
-    /// When a backend without a heartbeat to this process was last probed, in microseconds.
-    pub(super) unheard_probed_at: Microseconds,
+    /// Time of the last probe of a backend that is in the log but has sent this process no heartbeat, in microseconds.
+    pub(super) unconfirmed_probed_at: Microseconds,
     /// Whether reports were sent and are not answered yet.
     pub(super) report_in_flight: bool,
     pub(super) registration: Registration,
@@ -77,7 +77,7 @@
         self.verified_state.load().snapshot.clone()
     }
 
-    /// Whether this process has reported, or is about to report, the end of the backend `name`.
+    /// Returns whether this process has reported, or is about to report, the end of the backend `name`.
     pub(super) fn has_ended(&self, name: &str) -> bool {
         self.pending_ends.contains_key(name) || self.ended_names.contains(name)
     }
@@ -110,7 +110,7 @@
         .unwrap_or_default()
 }
 
-/// Whether requests to this service are routed to the holder of their key.
+/// Returns whether requests to this service are routed to the holder of their key.
 pub(super) fn is_keyed(snapshot: &StateSnapshot, service: &str) -> bool {
     snapshot
         .services
--- a/crates/endpoints/src/node.rs
+++ b/crates/endpoints/src/node.rs
@@ -124,7 +124,8 @@
         );
     }
 
-    /// Whether clients may send requests here: the node knows routes, is not superseded and is not shutting down.
+    /// Returns whether clients may send requests here: the node knows routes, is not superseded and is not shutting
+    /// down.
     pub fn is_ready(&self) -> bool {
         let verified = self.follower.verified_state.load();
         let knows_routes = verified.verified_at > 0 && verified.snapshot.has_routes();
--- a/crates/endpoints/src/placement/algorithm.rs
+++ b/crates/endpoints/src/placement/algorithm.rs
@@ -15,7 +15,7 @@
 /// First key, last key and holder of each range, in key order and without gaps.
 pub type ShardPlacement = Vec<(ShardKey, ShardKey, BackendName)>;
 
-/// How far a placement is from a balanced one.
+/// The distance of a placement from a balanced one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Imbalance {
     /// Excess of the busiest backend over its share, as a fraction of the share: 0.5 at one and a half times the share.
@@ -40,7 +40,7 @@
     weight: f64,
     /// Index of the holder in the list of capacities.
     holder: Option<usize>,
-    /// Not released by all earlier holders yet; such a range is not moved again.
+    /// Whether some earlier holder has not released the range yet; such a range is not moved again.
     in_transit: bool,
 }
 
--- a/crates/endpoints/src/placement/coordinator.rs
+++ b/crates/endpoints/src/placement/coordinator.rs
@@ -33,7 +33,7 @@
 const BUSY_LOAD_REPORT_INTERVAL: Microseconds = 200_000;
 /// Maximum number of shard ranges in one load report.
 const MAX_REPORTED_RANGES: usize = 24;
-/// How long the coordinator waits until an accepted placement is visible in the local state.
+/// Timeout for an accepted placement to become visible in the local state of the coordinator.
 const VISIBLE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The placement coordinator of a node, with the parts that it uses.
--- a/crates/endpoints/src/placement/load.rs
+++ b/crates/endpoints/src/placement/load.rs
@@ -8,7 +8,7 @@
 
 use super::algorithm::{BackendCapacity, RangeDemand};
 
-/// How long a load report is used, in microseconds.
+/// Time for which a load report is used, in microseconds.
 const REPORT_LIFETIME: Microseconds = 3_500_000;
 /// Weight of the mean run time of all backends in the estimate of one backend, in runs of that backend.
 const MEAN_RUN_TIME_WEIGHT: f64 = 12.0;
--- a/crates/endpoints/src/placement/outliers.rs
+++ b/crates/endpoints/src/placement/outliers.rs
@@ -15,14 +15,14 @@
 const CONFIRMATION_DELAY: Microseconds = 300_000;
 /// At most one in this number of backends may be ejected.
 const MAX_EJECTED_DIVISOR: usize = 3;
-/// How long a common cause is assumed to last after many backends were unhealthy, in microseconds.
+/// Time for which a common cause is assumed after many backends were unhealthy, in microseconds.
 const COMMON_CAUSE_DURATION: Microseconds = 5_000_000;
 
 /// Decides which unhealthy backends are ejected, from the time since which each is unhealthy.
 #[derive(Default)]
 pub(super) struct EjectionPolicy {
     unhealthy_since: BTreeMap<BackendName, Microseconds>,
-    /// Until when a common cause is assumed because many backends were unhealthy at the same time.
+    /// Time until which a common cause is assumed because many backends were unhealthy at the same time.
     common_cause_until: Microseconds,
 }
 
--- a/crates/endpoints/src/placement/plan.rs
+++ b/crates/endpoints/src/placement/plan.rs
@@ -13,13 +13,13 @@
 
 /// Minimum time between a placement and one that only balances the load, in microseconds.
 const REBALANCE_INTERVAL: Microseconds = 1_000_000;
-/// As [`REBALANCE_INTERVAL`], while the excess is above [`URGENT_IMBALANCE`].
+/// Like [`REBALANCE_INTERVAL`], while the excess of the busiest backend is above [`URGENT_IMBALANCE`].
 const URGENT_REBALANCE_INTERVAL: Microseconds = 800_000;
 /// Excess of the busiest backend over its share above which rebalancing is urgent, as a fraction of the share.
 const URGENT_IMBALANCE: f64 = 1.0;
 /// Excess of the busiest backend over its share that is tolerated at a busy backend, as a fraction of the share.
 const MAX_BUSY_IMBALANCE: f64 = 0.18;
-/// As [`MAX_BUSY_IMBALANCE`], if the backend has free slots.
+/// Like [`MAX_BUSY_IMBALANCE`], for a backend that is not busy.
 const MAX_IDLE_IMBALANCE: f64 = 1.0;
 /// Utilization above which a backend counts as busy, as a fraction of its capacity.
 const BUSY_UTILIZATION: f64 = 0.6;
@@ -105,7 +105,7 @@
     })
 }
 
-/// Whether keys have no holder that accepts requests, or a backend has no keys.
+/// Returns whether keys have no holder that accepts requests, or a backend has no keys.
 fn missing_coverage(
     shard_map: &ShardMap,
     backends: &[AvailableBackend],
@@ -126,8 +126,8 @@
     some_without_keys.then_some(RebalanceReason::WithoutKeys)
 }
 
-/// Whether the busiest backend exceeds its share so far that keys have to move, `since_last` microseconds after the
-/// last placement. An excess up to `sampling_error` may be a random effect of the observed requests.
+/// Returns whether the busiest backend exceeds its share so far that keys have to move, `since_last` microseconds after
+/// the last placement. An excess up to `sampling_error` may be a random effect of the observed requests.
 fn is_imbalanced(
     shard_map: &ShardMap,
     demand: &[RangeDemand],
--- a/crates/endpoints/src/placement/tests.rs
+++ b/crates/endpoints/src/placement/tests.rs
@@ -52,7 +52,7 @@
 struct Scenario {
     outage: Outage,
     /// Whether failing runs get no response until the request times out, instead of failing at once.
-    hang: bool,
+    failing_runs_hang: bool,
     /// Whether backends are reported as unhealthy.
     outlier_detection: bool,
     duration: Microseconds,
@@ -96,8 +96,8 @@
     was_unhealthy: bool,
 }
 
-fn name(at: usize) -> String {
-    format!("b{at:02}")
+fn backend_name(index: usize) -> String {
+    format!("b{index:02}")
 }
 
 /// The cluster state, which all nodes see without delay.
@@ -128,7 +128,8 @@
             drops: Vec::new(),
         };
         state.apply("operator", 1, 0, ClusterOperation::Items(call));
-        let reports = (0..BACKENDS).flat_map(|at| [node_registered(at), backend_joined(at)]);
+        let reports =
+            (0..BACKENDS).flat_map(|index| [node_registered(index), backend_joined(index)]);
         state.apply("nodes", 1, 1, ClusterOperation::Reports(reports.collect()));
         let snapshot = snapshot_of(&state);
         Cluster {
@@ -155,7 +156,7 @@
     /// Returns the number of keys that the first `count` backends hold.
     fn keys_held_by_first(&self, count: usize) -> u32 {
         let shard_map = self.shard_map();
-        let is_among_first = |holder: &str| holder < name(count).as_str();
+        let is_among_first = |holder: &str| holder < backend_name(count).as_str();
         let held = shard_map
             .iter()
             .filter(|range| range.holder.as_deref().is_some_and(is_among_first));
@@ -168,27 +169,27 @@
     StateSnapshot::default().updated(true, state.position, state.full_deltas())
 }
 
-fn node_registered(at: usize) -> ClusterReport {
+fn node_registered(index: usize) -> ClusterReport {
     ClusterReport::NodeRegistered {
-        node: format!("n{at}"),
+        node: format!("n{index}"),
         zone: "z".into(),
-        address: format!("n{at}"),
+        address: format!("n{index}"),
         incarnation: 1,
         replaces: 0,
     }
 }
 
-fn backend_joined(at: usize) -> ClusterReport {
+fn backend_joined(index: usize) -> ClusterReport {
     let backend = BackendRecord {
         service: SERVICE.into(),
         zone: "z".into(),
-        node: format!("n{at}"),
+        node: format!("n{index}"),
         slots: SLOTS,
         phase: BackendPhase::Registered,
         changed_at: 0,
     };
     ClusterReport::BackendJoined {
-        name: name(at),
+        name: backend_name(index),
         backend,
     }
 }
@@ -238,8 +239,8 @@
         self.complete_runs(now);
         self.start_requests(now);
         if now.is_multiple_of(CHECK_INTERVAL) {
-            for at in 0..BACKENDS {
-                self.report_load(now, at);
+            for index in 0..BACKENDS {
+                self.report_load(now, index);
             }
             self.release_ranges(now);
             self.place_keys(now);
@@ -253,18 +254,18 @@
             .first_entry()
             .filter(|end| end.key().0 <= now)
         {
-            let (at, _) = *first.key();
+            let (ended_at, _) = *first.key();
             let completion = first.remove();
             let backend = &mut self.backends[completion.backend];
             backend
                 .outliers
-                .run_ended(at, completion.run_id, completion.result);
+                .run_ended(ended_at, completion.run_id, completion.result);
             if let Some(run_time) = completion.run_time {
                 backend.queue.record_run_duration(run_time);
             }
             backend
                 .outliers
-                .check_overdue(at, backend.queue.mean_run_duration());
+                .check_overdue(ended_at, backend.queue.mean_run_duration());
         }
     }
 
@@ -284,16 +285,17 @@
             return;
         };
         let holder = (0..BACKENDS)
-            .find(|at| range.holder.as_ref() == Some(&name(*at)))
+            .find(|index| range.holder.as_ref() == Some(&backend_name(*index)))
             .filter(|_| range.pending_releases.is_empty());
-        let free = holder.filter(|at| self.backends[*at].outliers.running() < 2 * SLOTS as usize);
-        let Some(at) = free else {
+        let free =
+            holder.filter(|index| self.backends[*index].outliers.running() < 2 * SLOTS as usize);
+        let Some(index) = free else {
             self.measurements.rejected_in_transit += 1;
             return;
         };
-        let (result, run_time) = self.draw_run(now, at);
+        let (result, run_time) = self.draw_run(now, index);
         self.started += 1;
-        let backend = &mut self.backends[at];
+        let backend = &mut self.backends[index];
         backend.demand.record(now, key);
         let run_id = backend.outliers.run_started(now);
         backend
@@ -301,7 +303,7 @@
             .check_overdue(now, backend.queue.mean_run_duration());
         let answered = result != RunResult::Inconclusive;
         let completion = Completion {
-            backend: at,
+            backend: index,
             run_id,
             result,
             run_time: answered.then_some(run_time),
@@ -311,18 +313,19 @@
     }
 
     /// Draws the result and the duration of a run that starts now.
-    fn draw_run(&mut self, now: Microseconds, at: usize) -> (RunResult, Microseconds) {
+    fn draw_run(&mut self, now: Microseconds, index: usize) -> (RunResult, Microseconds) {
         let Outage {
             backends,
             from,
             until,
             failure_share,
         } = self.scenario.outage;
-        let fails =
-            at < backends && (from..until).contains(&now) && self.random.random_bool(failure_share);
+        let fails = index < backends
+            && (from..until).contains(&now)
+            && self.random.random_bool(failure_share);
         let run_time = (-MEAN_RUN_TIME * (1.0 - self.random.random::<f64>()).ln()) as Microseconds;
         self.measurements.failed += fails as u32;
-        match (fails, self.scenario.hang) {
+        match (fails, self.scenario.failing_runs_hang) {
             (true, true) => (RunResult::Inconclusive, REQUEST_TIMEOUT),
             (true, false) => (RunResult::Failure, FAST_FAILURE_TIME),
             _ if self.random.random_bool(HEALTHY_FAILURE_SHARE) => (RunResult::Failure, run_time),
@@ -330,15 +333,15 @@
         }
     }
 
-    fn report_load(&mut self, now: Microseconds, at: usize) {
+    fn report_load(&mut self, now: Microseconds, index: usize) {
         let Outage {
             backends,
             from,
             until,
             ..
         } = self.scenario.outage;
-        let in_outage = at < backends && now > from && now < until + 2 * SECOND;
-        let backend = &mut self.backends[at];
+        let in_outage = index < backends && now > from && now < until + 2 * SECOND;
+        let backend = &mut self.backends[index];
         let unhealthy = backend.outliers.is_ejected();
         self.measurements.false_positives +=
             (unhealthy && !backend.was_unhealthy && !in_outage) as u32;
@@ -355,14 +358,14 @@
             .cluster
             .shard_map()
             .iter()
-            .filter(|range| range.holder == Some(name(at)))
+            .filter(|range| range.holder == Some(backend_name(index)))
             .map(|range| (range.first_key, range.last_key))
             .collect();
         let (demand, demand_samples) = backend.demand.report(now, &own, MAX_REPORTED_RANGES);
         let (mean_run_time, run_count) = backend.queue.mean_run_duration();
         let report = LoadReport {
             service: SERVICE.into(),
-            backend: name(at),
+            backend: backend_name(index),
             slots: SLOTS,
             mean_run_time,
             run_count,
@@ -376,7 +379,7 @@
 
     fn release_ranges(&mut self, now: Microseconds) {
         let all = mem::take(&mut self.releases);
-        let (due, waiting) = all.into_iter().partition(|(at, _)| now >= *at);
+        let (due, waiting) = all.into_iter().partition(|(send_at, _)| now >= *send_at);
         self.releases = waiting;
         for (_, report) in due {
             self.cluster.apply(report);
@@ -438,7 +441,7 @@
         until: 16 * SECOND,
         failure_share: 0.45,
     },
-    hang: true,
+    failing_runs_hang: true,
     outlier_detection: true,
     duration: 24 * SECOND,
 };
@@ -468,7 +471,7 @@
 #[test]
 fn keys_leave_a_backend_that_looks_fast_because_its_runs_fail_at_once() {
     let scenario = Scenario {
-        hang: false,
+        failing_runs_hang: false,
         ..HANGING
     };
     let (enabled, disabled) = (simulate(scenario), without_detection(scenario));
@@ -512,7 +515,7 @@
     };
     let all_unhealthy = Scenario {
         outage,
-        hang: false,
+        failing_runs_hang: false,
         ..HANGING
     };
     let (enabled, disabled) = (simulate(all_unhealthy), without_detection(all_unhealthy));
--- a/crates/endpoints/src/registration.rs
+++ b/crates/endpoints/src/registration.rs
@@ -22,7 +22,8 @@
     Superseded,
 }
 
-/// Whether the log's record `node` is that of this `incarnation`. The log accepts reports from no other incarnation.
+/// Returns whether the log's record `node` is that of this `incarnation`. The log accepts reports from no other
+/// incarnation.
 pub(crate) fn is_registered(node: Option<&NodeRecord>, incarnation: Incarnation) -> bool {
     node.is_some_and(|node| node.incarnation == incarnation)
 }
--- a/crates/endpoints/tests/harness/mod.rs
+++ b/crates/endpoints/tests/harness/mod.rs
@@ -271,7 +271,7 @@
     /// Waits for the first report that satisfies `matches_report`, and returns it with the time of its receipt.
     pub(crate) async fn wait_for_report(
         &mut self,
-        what: &str,
+        description: &str,
         matches_report: impl Fn(&ClusterReport) -> bool,
     ) -> ReceivedReport {
         let found = |received: &Vec<ReceivedReport>| {
@@ -287,7 +287,7 @@
         )
         .await;
         let received = waited
-            .unwrap_or_else(|_| panic!("no report before the timeout: {what}"))
+            .unwrap_or_else(|_| panic!("no report before the timeout: {description}"))
             .expect("the log is running");
         found(&received).expect("a matching report")
     }
--- a/crates/endpoints/tests/unverified_state.rs
+++ b/crates/endpoints/tests/unverified_state.rs
@@ -166,10 +166,10 @@
     String::from_utf8_lossy(&response).to_ascii_lowercase()
 }
 
-async fn within_timeout<T>(what: &str, work: impl Future<Output = T>) -> T {
+async fn within_timeout<T>(description: &str, work: impl Future<Output = T>) -> T {
     tokio::time::timeout(TIMEOUT, work)
         .await
-        .unwrap_or_else(|_| panic!("timed out waiting for {what}"))
+        .unwrap_or_else(|_| panic!("timed out waiting for {description}"))
 }
 
 struct Harness {
--- a/crates/gradeford-core/src/settings.rs
+++ b/crates/gradeford-core/src/settings.rs
@@ -65,8 +65,9 @@
     #[serde(default = "default_snapshot_every")]
     #[validate(range(min = 10, max = 1_000_000, message = "is from 10 to 1000000 entries"))]
     pub snapshot_every: u64,
-    /// How long a member must be unreachable before an empty disk replaces it, in microseconds: 0,
-    /// which leaves the replacement to operators, or from 500000 to 3600000000; 3000000 by default.
+    /// Time for which a member must be unreachable before an empty disk replaces it, in
+    /// microseconds: 0, which leaves the replacement to operators, or from 500000 to 3600000000;
+    /// 3000000 by default.
     #[serde(default = "default_replace_after_us")]
     #[validate(custom(function = "is_replacement_delay"))]
     pub replace_after_us: u64,
--- a/crates/gradeford-node/src/node.rs
+++ b/crates/gradeford-node/src/node.rs
@@ -37,7 +37,7 @@
 exit codes: 0 stopped as asked, 1 failed, 2 settings or flags at fault
 ";
 
-/// How long a stopping node waits until the log has accepted the report that the node left.
+/// Time for which a stopping node waits until the log has accepted the report that the node left.
 const NODE_LEFT_REPORT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Maximum time for pending HTTP responses to be sent during shutdown.
 const HTTP_SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
--- a/crates/gradeford-node/src/settings.rs
+++ b/crates/gradeford-node/src/settings.rs
@@ -49,7 +49,7 @@
         message = "is from 200000 to 2000000 microseconds"
     ))]
     pub beat_patience_us: Microseconds,
-    /// How long a freshness proof is valid, in microseconds, from 300000 to 1500000; 1500000 by
+    /// Validity of a freshness proof, in microseconds, from 300000 to 1500000; 1500000 by
     /// default. A longer time would break the promise to operators that a change is in force
     /// everywhere within two seconds.
     #[serde(default = "default_freshness_us")]
--- a/crates/gradeford-node/src/start.rs
+++ b/crates/gradeford-node/src/start.rs
@@ -84,7 +84,7 @@
         let config = SubscriptionConfig {
             node: settings.name.clone(),
             zone: settings.zone.clone(),
-            freshness_bound: settings.freshness_us,
+            proof_validity: settings.freshness_us,
             proof_interval: settings.ask_every_us,
             proof_timeout: settings.freshness_us / 2,
             use_zone_relays: settings.homes,
@@ -218,7 +218,7 @@
             node: self.settings.name.clone(),
             zone: self.settings.zone.clone(),
             heartbeat_interval: self.settings.beat_every_us,
-            freshness_bound: self.settings.freshness_us,
+            proof_validity: self.settings.freshness_us,
             slot_owner: slot_owner.clone(),
             status_reports: state.status_reports.clone(),
             view: state.subscription.view.clone(),
--- a/crates/http-util/src/headers.rs
+++ b/crates/http-util/src/headers.rs
@@ -31,8 +31,8 @@
     shard_key: "x-gradeford-key",
 };
 
-/// Whether a header, given by its name in lower case, applies to a single connection and must not be
-/// forwarded. `content-length` is included because each hop sets it again.
+/// Returns whether a header, given by its name in lower case, applies to a single connection and
+/// must not be forwarded. `content-length` is included because each hop sets it again.
 pub fn is_hop_by_hop(name: &str) -> bool {
     matches!(
         name,
--- a/crates/inbound/src/outlier_detection.rs
+++ b/crates/inbound/src/outlier_detection.rs
@@ -11,7 +11,7 @@
 
 use crate::backend_client::MISDIRECTED_DETAIL;
 
-/// What the result of a run says about the health of the backend.
+/// The health information that the result of a run gives about the backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RunResult {
     /// The backend answered with a status below 500.
--- a/crates/legacy-proxy/src/attempt_loop.rs
+++ b/crates/legacy-proxy/src/attempt_loop.rs
@@ -255,7 +255,8 @@
     }
 }
 
-/// Whether an attempt on another backend, or later on the same one, can succeed after this error.
+/// Returns whether an attempt on another backend, or later on the same one, can succeed after this
+/// error.
 fn is_retryable(error: &Error) -> bool {
     !matches!(
         error.kind,
--- a/crates/legacy-proxy/src/forwarded_attempts.rs
+++ b/crates/legacy-proxy/src/forwarded_attempts.rs
@@ -11,7 +11,7 @@
     format!("{name}.{registered}.")
 }
 
-/// Whether the text is a well-formed attempt id of any registration, current or earlier.
+/// Returns whether the text is a well-formed attempt id of any registration, current or earlier.
 pub fn is_attempt_id(attempt_id: &str) -> bool {
     let mut parts = attempt_id.splitn(3, '.');
     let has_name = parts.next().is_some_and(validation::is_valid_name);
@@ -32,7 +32,7 @@
 pub const RETENTION: Microseconds = 180_000_000;
 
 impl ForwardedAttempts {
-    /// Whether the attempt has been forwarded.
+    /// Returns whether the attempt has been forwarded.
     pub fn contains(&self, service: &str, attempt_id: &str) -> bool {
         self.seen
             .contains(&(service.to_string(), attempt_id.to_string()))
@@ -70,7 +70,7 @@
         self.seen.len()
     }
 
-    /// Whether no attempt is remembered.
+    /// Returns whether no attempt is remembered.
     pub fn is_empty(&self) -> bool {
         self.seen.is_empty()
     }
--- a/crates/legacy-proxy/src/outbound_proxy.rs
+++ b/crates/legacy-proxy/src/outbound_proxy.rs
@@ -33,7 +33,8 @@
     pub body: Vec<u8>,
     /// The shard key, which keyed routes require.
     pub shard_key: Option<String>,
-    /// How long the client waits, in microseconds; `None` uses the timeout of the standing order.
+    /// Time for which the client waits, in microseconds; `None` uses the timeout of the standing
+    /// order.
     pub timeout: Option<Microseconds>,
 }
 
--- a/crates/legacy-proxy/src/peer_connections.rs
+++ b/crates/legacy-proxy/src/peer_connections.rs
@@ -50,7 +50,8 @@
 }
 
 enum Connection {
-    /// When dialing began, and the calls that wait for the connection; none of them has been sent.
+    /// The time at which dialing began, and the calls that wait for the connection and are not sent
+    /// yet.
     Dialing(Microseconds, Vec<Call>),
     Open(OpenConnection),
 }
--- a/crates/mencius/src/acceptor.rs
+++ b/crates/mencius/src/acceptor.rs
@@ -103,8 +103,8 @@
         );
     }
 
-    /// Whether this replica may vote in the whole block. A proposer whose block starts below the
-    /// compaction point is sent the outcomes instead.
+    /// Returns whether this replica may vote in the whole block. A proposer whose block starts
+    /// below the compaction point is sent the outcomes instead.
     fn may_answer(&mut self, from: ReplicaId, (start, end): Block) -> bool {
         if start < self.compaction_point {
             self.send_outcomes(from, start);
--- a/crates/mencius/src/catch_up.rs
+++ b/crates/mencius/src/catch_up.rs
@@ -157,9 +157,9 @@
         });
     }
 
-    /// Whether the outcomes from `from` on were sent so recently that they may still be in transit.
-    /// A peer on a narrow link repeats its request often and must not be sent the same outcomes
-    /// each time.
+    /// Returns whether the outcomes from `from` on were sent so recently that they may still be in
+    /// transit. A peer on a narrow link repeats its request often and must not be sent the same
+    /// outcomes each time.
     fn sent_recently(&self, to: ReplicaId, from: Instance) -> bool {
         self.peer(to)
             .sent_outcomes
--- a/crates/mencius/src/state.rs
+++ b/crates/mencius/src/state.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Peer {
     pub connected: bool,
-    pub last_heard: Micros,
+    pub last_received_at: Micros,
     /// The peer is suspected after a silence longer than this; grows with each false suspicion.
     pub suspicion_timeout: Micros,
     pub suspected: bool,
@@ -32,7 +32,7 @@
     pub(crate) fn new(now: Micros, suspicion_timeout: Micros) -> Self {
         Peer {
             connected: false,
-            last_heard: now,
+            last_received_at: now,
             suspicion_timeout,
             suspected: false,
             announced_cursor: 0,
--- a/crates/mencius/src/timers.rs
+++ b/crates/mencius/src/timers.rs
@@ -27,7 +27,7 @@
         let now = self.now;
         let max_timeout = self.config.max_suspicion_timeout;
         let peer = self.peer_mut(from);
-        peer.last_heard = now;
+        peer.last_received_at = now;
         if take(&mut peer.suspected) {
             // The suspicion was false or the peer has recovered: wait longer before suspecting it
             // again (paper 4.1, unreliable failure detector).
@@ -60,9 +60,9 @@
         let pause = self.now - self.last_tick;
         self.last_tick = self.now;
         if pause > self.config.initial_suspicion_timeout {
-            let last_heard_at_least = self.now.saturating_sub(self.config.heartbeat_interval);
+            let last_received_at_least = self.now.saturating_sub(self.config.heartbeat_interval);
             for peer in &mut self.peers {
-                peer.last_heard = peer.last_heard.max(last_heard_at_least);
+                peer.last_received_at = peer.last_received_at.max(last_received_at_least);
             }
         }
     }
@@ -95,7 +95,7 @@
     fn check_suspicion(&mut self, peer: ReplicaId) {
         let now = self.now;
         let peer = self.peer_mut(peer);
-        if now > peer.last_heard + peer.suspicion_timeout {
+        if now > peer.last_received_at + peer.suspicion_timeout {
             peer.suspected = true;
         }
     }
@@ -130,8 +130,8 @@
         }
     }
 
-    /// Whether `waited` lies within `window` after a multiple of the interval between fetches. The
-    /// interval grows, as the requested outcomes may be in transit.
+    /// Returns whether `waited` lies within `window` after a multiple of the interval between
+    /// fetches. The interval grows, as the requested outcomes may be in transit.
     fn is_fetch_due(&self, waited: Micros, window: Micros) -> bool {
         let base = self.config.stall_fetch_after;
         let doublings = (waited / (FETCHES_PER_DOUBLING * base)).min(MAX_FETCH_DOUBLINGS);
--- a/crates/mencius/src/voting_range.rs
+++ b/crates/mencius/src/voting_range.rs
@@ -13,8 +13,9 @@
 use crate::replica::Replica;
 
 impl Replica {
-    /// Whether this disk may vote in an instance: not where an earlier or later disk of this
-    /// replica votes, and not so far ahead that it could have missed the replacement of a disk.
+    /// Returns whether this disk may vote in an instance: not where an earlier or later disk of
+    /// this replica votes, and not so far ahead that it could have missed the replacement of a
+    /// disk.
     pub(crate) fn may_vote(&self, instance: Instance) -> bool {
         instance >= self.voting_range_start
             && instance <= self.voting_range_end
@@ -52,8 +53,8 @@
         (self.voting_range_end < Instance::MAX).then_some(self.voting_range_end)
     }
 
-    /// Whether all instances in which an earlier disk of this replica may have accepted a command
-    /// are applied here. Until then, this replica must not take part in read-index rounds.
+    /// Returns whether all instances in which an earlier disk of this replica may have accepted a
+    /// command are applied here. Until then, this replica must not take part in read-index rounds.
     pub(crate) fn has_caught_up(&self) -> bool {
         self.applied >= self.voting_range_start
     }
--- a/crates/model/src/cluster_state/endpoints.rs
+++ b/crates/model/src/cluster_state/endpoints.rs
@@ -17,13 +17,13 @@
     rkyv::Deserialize,
 )]
 pub struct BackendRecord {
-    /// The service that it serves.
+    /// The service that the backend serves.
     pub service: ServiceName,
-    /// The zone that it is in.
+    /// The zone of the backend.
     pub zone: ZoneName,
-    /// The node beside it.
+    /// The node beside the backend.
     pub node: NodeName,
-    /// The number of requests that it runs concurrently.
+    /// The number of requests that the backend runs concurrently.
     pub slots: u32,
     /// The lifecycle phase.
     pub phase: BackendPhase,
@@ -44,7 +44,7 @@
     rkyv::Deserialize,
 )]
 pub struct NodeRecord {
-    /// The zone that it is in.
+    /// The zone of the node.
     pub zone: ZoneName,
     /// The address at which other nodes reach it: an IP address and port.
     pub address: String,
--- a/crates/model/src/cluster_state/mod.rs
+++ b/crates/model/src/cluster_state/mod.rs
@@ -327,8 +327,9 @@
         Some(self.backend_delta(&name))
     }
 
-    /// Only a registered backend becomes unresponsive, and only an unresponsive one becomes
-    /// registered again: a draining backend stays draining.
+    /// Records that heartbeats of a backend are missing or have resumed. Only a registered backend
+    /// becomes unresponsive, and only an unresponsive one becomes registered again: a draining
+    /// backend stays draining.
     fn backend_silent(&mut self, name: &str, silent: bool, next: Position) -> Option<Delta> {
         let (registered, unresponsive) = (BackendPhase::Registered, BackendPhase::PresumedGone);
         if silent {
--- a/crates/model/src/cluster_state/snapshot.rs
+++ b/crates/model/src/cluster_state/snapshot.rs
@@ -50,15 +50,15 @@
 /// A backend with the address of the node beside it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AvailableBackend {
-    /// Its name.
+    /// The name of the backend.
     pub name: BackendName,
-    /// The node beside it.
+    /// The node beside the backend.
     pub node: NodeName,
-    /// The zone that it is in.
+    /// The zone of the backend.
     pub zone: ZoneName,
     /// The address at which other nodes reach its node.
     pub address: String,
-    /// The number of requests that it runs concurrently.
+    /// The number of requests that the backend runs concurrently.
     pub slots: u32,
 }
 
@@ -110,7 +110,7 @@
             .find_map(|(slash, _)| routes.get(&path[..=slash]))
     }
 
-    /// Whether any route exists.
+    /// Returns whether any route exists.
     pub fn has_routes(&self) -> bool {
         !self.routes_by_host.is_empty()
     }
@@ -120,7 +120,7 @@
         self.routes_by_name.len()
     }
 
-    /// Whether a backend accepts new requests: it is registered, and its node is present.
+    /// Returns whether a backend accepts new requests: it is registered, and its node is present.
     pub fn accepts_work(&self, backend: &BackendRecord) -> bool {
         backend.phase == BackendPhase::Registered
             && self
--- a/crates/model/src/endpoint_status.rs
+++ b/crates/model/src/endpoint_status.rs
@@ -50,15 +50,15 @@
     rkyv::Deserialize,
 )]
 pub struct Backend {
-    /// The service that it serves.
+    /// The service that the backend serves.
     pub service: ServiceName,
-    /// The zone that it is in.
+    /// The zone of the backend.
     pub zone: ZoneName,
     /// The labels that it carries.
     pub labels: Labels,
-    /// The number of requests that it runs concurrently.
+    /// The number of requests that the backend runs concurrently.
     pub slots: u32,
-    /// The node beside it.
+    /// The node beside the backend.
     pub node: NodeName,
     /// The incarnation of this registration of the name; later registrations have higher ones.
     pub incarnation: Incarnation,
@@ -70,7 +70,7 @@
 }
 
 impl Backend {
-    /// Whether the backend may receive new requests.
+    /// Returns whether the backend may receive new requests.
     pub fn accepts_work(&self) -> bool {
         self.phase == BackendPhase::Registered
     }
@@ -88,7 +88,7 @@
     rkyv::Deserialize,
 )]
 pub struct Node {
-    /// The zone that it is in.
+    /// The zone of the node.
     pub zone: ZoneName,
     /// The address at which other nodes reach it: an IP address and port.
     pub address: String,
--- a/crates/model/src/endpoint_status/report.rs
+++ b/crates/model/src/endpoint_status/report.rs
@@ -74,7 +74,7 @@
         name: BackendName,
         /// The incarnation of the registration.
         incarnation: Incarnation,
-        /// The number of requests that it runs concurrently.
+        /// The number of requests that the backend runs concurrently.
         slots: u32,
     },
 }
--- a/crates/model/src/leases.rs
+++ b/crates/model/src/leases.rs
@@ -53,8 +53,8 @@
 pub struct Candidate {
     /// The backend.
     pub holder: LeaseHolder,
-    /// The number of requests that it runs concurrently; key slots are assigned in proportion to
-    /// it.
+    /// The number of requests that the backend runs concurrently; key slots are assigned in
+    /// proportion to it.
     pub slots: u32,
 }
 
--- a/crates/model/src/registration.rs
+++ b/crates/model/src/registration.rs
@@ -3,7 +3,7 @@
 
 use crate::Incarnation;
 
-/// Whether an incarnation may be registered under a name.
+/// Returns whether an incarnation may be registered under a name.
 ///
 /// This is a compare-and-set: a registration takes effect only if `replaces`, the incarnation that
 /// its sender found in the log, is still the registered one. A late registration of an earlier
@@ -17,8 +17,9 @@
     registered.is_none_or(|current| current == sender || current == replaces)
 }
 
-/// Whether the reports of an entry are accepted: they come from the registered incarnation of their
-/// origin, or they register the sender in place of the incarnation given in `registration`.
+/// Returns whether the reports of an entry are accepted: they come from the registered incarnation
+/// of their origin, or they register the sender in place of the incarnation given in
+/// `registration`.
 ///
 /// `last_seen` is the incarnation whose reports were accepted last; it decides for an origin
 /// without a registration. Incarnations are random and compared only for equality: their order is
--- a/crates/model/src/state_machine.rs
+++ b/crates/model/src/state_machine.rs
@@ -301,7 +301,7 @@
         })
     }
 
-    /// Whether the backend matches any grouping.
+    /// Returns whether the backend matches any grouping.
     pub fn matches_grouping(&self, backend: &Backend) -> bool {
         self.desired.groupings.values().any(|grouping| {
             grouping.service == backend.service
--- a/crates/model/src/state_slice.rs
+++ b/crates/model/src/state_slice.rs
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Whether two slices differ only in the position and version that they were made from. If so,
-    /// no update needs to be sent.
+    /// Returns whether two slices differ only in the position and version that they were made from.
+    /// If so, no update needs to be sent.
     pub fn same_content(&self, other: &StateSlice) -> bool {
         let content = |slice: &StateSlice| StateSlice {
             position: 0,
@@ -134,7 +134,8 @@
     }
 }
 
-/// Whether the path has this prefix. A prefix ends at a path segment: `/seats` does not match
+/// Returns whether the path has this prefix. A prefix ends at a path segment: `/seats` does not
+/// match
 /// `/seatsold`.
 fn path_has_prefix(path: &str, prefix: &str) -> bool {
     let prefix = prefix.trim_end_matches('/');
--- a/crates/model/src/validation.rs
+++ b/crates/model/src/validation.rs
@@ -73,7 +73,8 @@
     }
 }
 
-/// Whether a text is a valid name: 1 to 63 characters of `a-z`, `0-9` and `-`, not starting with
+/// Returns whether a text is a valid name: 1 to 63 characters of `a-z`, `0-9` and `-`, not starting
+/// with
 /// `-`.
 pub fn is_valid_name(text: &str) -> bool {
     let allowed = |character: char| {
@@ -336,7 +337,8 @@
     faults
 }
 
-/// Whether two selectors conflict: one request can match both, and neither is more specific.
+/// Returns whether two selectors conflict: one request can match both, and neither is more
+/// specific.
 fn selectors_conflict(one: &Selector, other: &Selector) -> bool {
     let overlap = |own: &[String], theirs: &[String]| {
         own.is_empty() || theirs.is_empty() || own.iter().any(|item| theirs.contains(item))
@@ -348,7 +350,7 @@
         && overlap(&one.methods, &other.methods)
 }
 
-/// Whether two orders have the same service and path but only one of them is keyed.
+/// Returns whether two orders have the same service and path but only one of them is keyed.
 fn keyed_settings_differ(one: &StandingOrder, other: &StandingOrder) -> bool {
     one.selector.service == other.selector.service
         && one.selector.path_prefix == other.selector.path_prefix
--- a/crates/model/tests/golden_json.rs
+++ b/crates/model/tests/golden_json.rs
@@ -22,7 +22,7 @@
 use serde::de::DeserializeOwned;
 use std::fmt::Debug;
 
-/// One line: a label and the JSON of a value.
+/// Formats one line: a label and the JSON of a value.
 fn line<T: Serialize>(label: &str, value: &T) -> String {
     format!("{label}: {}\n", serde_json::to_string(value).expect("JSON"))
 }
--- a/crates/outbound/tests/budget.rs
+++ b/crates/outbound/tests/budget.rs
@@ -19,7 +19,7 @@
     nodes: u8,
     /// Half of the requests per step of the whole fleet, in each tenth of the simulated time.
     rates: [u8; 10],
-    /// If above 128, the first three nodes receive all requests.
+    /// Selects the distribution of requests: above 128, the first three nodes receive all of them.
     skew: u8,
     /// Whether nodes retry, in each tenth of the simulated time.
     retry_demand: [bool; 10],
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -280,7 +280,7 @@
     start_count: u64,
 }
 
-/// Whether the folder contains a store. An empty file does not count as a store.
+/// Returns whether the folder contains a store. An empty file does not count as a store.
 fn has_store(folder: &Path) -> Result<bool, Error> {
     match fs::metadata(folder.join(FILE_NAME)) {
         Ok(metadata) => Ok(metadata.len() > 0),
--- a/crates/transport/src/compact_encoding.rs
+++ b/crates/transport/src/compact_encoding.rs
@@ -79,7 +79,7 @@
         encoded
     }
 
-    /// Whether the connection should be replaced by a new one with empty tables.
+    /// Returns whether the connection should be replaced by a new one with empty tables.
     pub fn is_full(&self) -> bool {
         self.name_indices.len() > MAX_NAMES
     }
--- a/crates/transport/src/handshake.rs
+++ b/crates/transport/src/handshake.rs
@@ -16,8 +16,8 @@
 
 /// Timeout for connecting and both handshakes together.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long sent bytes may stay unacknowledged before the connection is closed. A machine that has
-/// lost power does not close its connections.
+/// Time for which sent bytes may stay unacknowledged before the connection is closed. A machine
+/// that has lost power does not close its connections.
 const TCP_USER_TIMEOUT: Duration = Duration::from_secs(3);
 /// Size of the read buffer of a socket, in bytes.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
@@ -25,7 +25,7 @@
 /// The purpose of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub enum Purpose {
-    /// Only to learn which replicas the peer knows.
+    /// The connection only serves to learn which replicas the peer knows.
     Discover,
     /// From replica to replica: consensus messages.
     Consensus,
