--- a/crates/backend-api/src/backend_client.rs
+++ b/crates/backend-api/src/backend_client.rs
@@ -128,7 +128,7 @@
     seal.unwrap_or_default().to_string()
 }
 
-/// The response headers that are passed to the client.
+/// Returns the response headers that are passed to the client.
 fn client_headers(response: &Response) -> Headers {
     response
         .headers()
--- a/crates/backend-api/src/heartbeat.rs
+++ b/crates/backend-api/src/heartbeat.rs
@@ -102,8 +102,8 @@
             .await
     }
 
-    /// The status of the backend in the log: its phase, or `ungrouped` if it no longer belongs to a
-    /// grouping.
+    /// Returns the status of the backend in the log: its phase, or `ungrouped` if it no longer
+    /// belongs to a grouping.
     fn endpoint_status(&self, name: &str) -> Value {
         let view = self.config.view.load();
         match view.slice.backends.get(name) {
@@ -138,7 +138,7 @@
         unleased
     }
 
-    /// The key slots whose leases this incarnation of the backend holds.
+    /// Returns the key slots whose leases this incarnation of the backend holds.
     fn held_leases(&self, name: &str, service: &str) -> Vec<HeldLease> {
         let view = self.config.view.load();
         let left_us = view.fresh_until.saturating_sub(model::now());
--- a/crates/control/src/membership/bootstrap.rs
+++ b/crates/control/src/membership/bootstrap.rs
@@ -323,7 +323,8 @@
     }
 }
 
-/// The handshake with which a running replica asks which replica its disk would be assigned.
+/// Returns the handshake with which a running replica asks which replica its disk would be
+/// assigned.
 pub(crate) fn handshake_of_replica(handle: &ReplicaHandle) -> Handshake {
     Handshake {
         replica: Some((NO_REPLICA, 0, handle.disk_id())),
@@ -368,7 +369,7 @@
     }
 }
 
-/// The answer of a replica to a machine that requests a replica.
+/// Returns the answer of a replica to a machine that requests a replica.
 pub(crate) fn assignment_answer(handle: &ReplicaHandle, handshake: &Handshake) -> Frame {
     let Some((_, _, disk_id)) = handshake.replica else {
         return Frame::NoReplicaAvailable;
@@ -404,8 +405,8 @@
     founded && !state_machine.replica_holders.contains_key(&replica_id)
 }
 
-/// The replica whose disk was last known at this address. A machine with an empty disk at this
-/// address has lost that disk.
+/// Returns the replica whose disk was last known at this address. A machine with an empty disk at
+/// this address has lost that disk.
 fn replica_at(
     handle: &ReplicaHandle,
     members: &[(ReplicaId, DiskId)],
--- a/crates/control/src/membership/discovery.rs
+++ b/crates/control/src/membership/discovery.rs
@@ -30,7 +30,7 @@
     Arc::new(watch::Sender::new(BTreeMap::new()))
 }
 
-/// All known locations, ordered by replica.
+/// Returns all known locations, ordered by replica.
 pub fn list(known_replicas: &KnownReplicas) -> Vec<KnownReplica> {
     known_replicas.borrow().values().cloned().collect()
 }
@@ -95,7 +95,7 @@
     }
 }
 
-/// The addresses of the seeds, followed by those of the known replicas that are not seeds.
+/// Returns the addresses of the seeds, followed by those of the known replicas that are not seeds.
 fn addresses_to_contact(known_replicas: &KnownReplicas, seeds: &[String]) -> Vec<String> {
     let mut addresses = seeds.to_vec();
     for location in list(known_replicas) {
--- a/crates/control/src/replica/handle.rs
+++ b/crates/control/src/replica/handle.rs
@@ -90,7 +90,7 @@
     pub frames_sent: u64,
     /// The error of the current disk write while the write is being retried.
     pub disk_error: Option<String>,
-    /// Why this disk may not take part, as stated by the peer that refused it.
+    /// The reason for which this disk may not take part, as stated by the peer that refused it.
     pub refusal: Option<String>,
 }
 
@@ -122,7 +122,7 @@
     pub(crate) logger: Logger,
 }
 
-/// Why the disk of a peer could not be recorded.
+/// The reason for which the disk of a peer could not be recorded.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum PinError {
     /// The thread that writes the disk has ended. The text is sent to peers and is part of the
@@ -140,22 +140,22 @@
 pub(crate) struct Stopped;
 
 impl ReplicaHandle {
-    /// The number of replicas of the log.
+    /// Returns the number of replicas of the log.
     pub fn replica_count(&self) -> u16 {
         self.config.replica_count
     }
 
-    /// The number of this replica.
+    /// Returns the number of this replica.
     pub fn replica_id(&self) -> ReplicaId {
         self.config.replica_id
     }
 
-    /// The identity of the disk of this replica.
+    /// Returns the identity of the disk of this replica.
     pub fn disk_id(&self) -> DiskId {
         self.disk_id
     }
 
-    /// Every replica whose disk is on record here, followed by this replica.
+    /// Returns every replica whose disk is on record here, followed by this replica.
     pub fn members(&self) -> Vec<(ReplicaId, DiskId)> {
         let mut members: Members = Vec::new();
         for (peer_id, disk_id) in self.pinned_disks.load().iter() {
@@ -165,7 +165,7 @@
         members
     }
 
-    /// The location of this replica, as discovery distributes it.
+    /// Returns the location of this replica, as discovery distributes it.
     pub(crate) fn own_location(&self) -> KnownReplica {
         KnownReplica {
             replica_id: self.config.replica_id,
@@ -176,7 +176,7 @@
         }
     }
 
-    /// The handshake with which this replica identifies itself on a new connection.
+    /// Returns the handshake with which this replica identifies itself on a new connection.
     pub fn handshake(&self, purpose: Purpose) -> Handshake {
         Handshake {
             purpose,
--- a/crates/control/src/replica/peer_link.rs
+++ b/crates/control/src/replica/peer_link.rs
@@ -24,8 +24,8 @@
 
 static NEXT_CONNECTION_TOKEN: AtomicU64 = AtomicU64::new(1);
 
-/// Why a connection between replicas is refused. The texts are sent to the peer, which reports them
-/// as the reason of the refusal, and are part of the protocol.
+/// The reason for which a connection between replicas is refused. The texts are sent to the peer,
+/// which reports them as the reason of the refusal, and are part of the protocol.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum PeerRefused {
     #[error("only core seats may open this channel")]
@@ -86,8 +86,8 @@
     }
 }
 
-/// The location of a peer. Until the disk of the peer is on record, several disks may claim to hold
-/// the replica; successive attempts go through them in turn.
+/// Returns the location of a peer. Until the disk of the peer is on record, several disks may claim
+/// to hold the replica; successive attempts go through them in turn.
 fn location_of(
     handle: &ReplicaHandle,
     peer_id: ReplicaId,
@@ -130,7 +130,7 @@
                 serve_peer(handle, connection).await;
             }
         }
-        // The command is lost if the event loop has ended; the status is not read any more then.
+        // The command is lost if the event loop has ended; the status is no longer read then.
         Err(transport::Error::Refused(reason)) => drop(handle.refused_by_peer(reason).await),
         Err(error) => slog::debug!(handle.logger, "could not connect to a peer; will retry";
             "peer_id" => peer_id,
@@ -247,8 +247,9 @@
     Ok(())
 }
 
-/// The first frame on a connection to a peer: the voting range of its disk, if the log says that
-/// the disk replaced another one; otherwise the confirmation that no disk held the replica before.
+/// Returns the first frame on a connection to a peer: the voting range of its disk, if the log says
+/// that the disk replaced another one; otherwise the confirmation that no disk held the replica
+/// before.
 fn first_frame(handle: &ReplicaHandle, peer_id: ReplicaId, disk_id: DiskId) -> Frame {
     let state_machine = handle.state_machine.load();
     match state_machine.replica_holders.get(&peer_id) {
--- a/crates/control/src/status_reports.rs
+++ b/crates/control/src/status_reports.rs
@@ -157,7 +157,7 @@
         transport::dial(&address, (self.handshake)()).await.ok()
     }
 
-    /// The address of the replica that the node relies on, unless that one has just failed;
+    /// Returns the address of the replica that the node relies on, unless that one has just failed;
     /// otherwise the next known replica in turn.
     fn next_address(&mut self) -> Option<String> {
         let followed_address = self.followed_address.borrow().clone();
--- a/crates/control/src/updates/follower.rs
+++ b/crates/control/src/updates/follower.rs
@@ -129,8 +129,9 @@
     }
 }
 
-/// The known replicas in order of preference: those of the node's zone first. Within and outside
-/// the zone, the order depends on the name of the node, which spreads the nodes over the replicas.
+/// Returns the known replicas in order of preference: those of the node's zone first. Within and
+/// outside the zone, the order depends on the name of the node, which spreads the nodes over the
+/// replicas.
 fn candidates(config: &FollowerConfig, known_replicas: &KnownReplicas) -> Vec<Candidate> {
     let rank = |replica_id: ReplicaId| {
         let node_and_replica = format!("{}{replica_id}", config.node);
@@ -170,7 +171,7 @@
                 changed = known_replicas.changed() => if changed.is_ok() {
                     candidates = self::candidates(&self.config, &self.known_replicas);
                 },
-                () = sleep(upstreams::until(now, next_poll_at)) => {}
+                () = sleep(upstreams::duration_until(now, next_poll_at)) => {}
             }
         }
     }
--- a/crates/control/src/updates/publisher.rs
+++ b/crates/control/src/updates/publisher.rs
@@ -42,7 +42,7 @@
 }
 
 impl EntryId {
-    /// The id of an entry.
+    /// Returns the id of an entry.
     pub fn of(entry: &Entry) -> EntryId {
         EntryId {
             origin: entry.origin.clone(),
@@ -145,7 +145,7 @@
         self.send_updates();
     }
 
-    /// All items that are not dropped.
+    /// Returns all items that are not dropped.
     pub fn items(&self) -> Items {
         let items = self.cluster_state.items.iter();
         let present = items.filter(|(_, item)| item.body.is_some());
@@ -245,8 +245,8 @@
         frames.all(|frame| follower.sender.try_send(frame).is_ok())
     }
 
-    /// The frames that bring a follower from the position `held` to the current one: either the
-    /// updates since `held`, or a snapshot with the updates since that, whichever is shorter.
+    /// Returns the frames that bring a follower from the position `held` to the current one: either
+    /// the updates since `held`, or a snapshot with the updates since that, whichever is shorter.
     fn frames_since(&mut self, held: Position) -> Vec<Frame> {
         let since_held = self.history_index(held);
         let update_bytes = since_held.map(|first| self.history_bytes_from(first));
@@ -265,9 +265,9 @@
         }
     }
 
-    /// The index in the history at which the updates after a position begin, or `None` if the
-    /// history does not reach back to it. A follower that comes from another replica may be at a
-    /// position within an update, because replicas group entries differently; it is sent that
+    /// Returns the index in the history at which the updates after a position begin, or `None` if
+    /// the history does not reach back to it. A follower that comes from another replica may be at
+    /// a position within an update, because replicas group entries differently; it is sent that
     /// update whole.
     fn history_index(&self, position: Position) -> Option<usize> {
         let mut history = self.history.iter();
--- a/crates/control/src/updates/server.rs
+++ b/crates/control/src/updates/server.rs
@@ -21,7 +21,8 @@
 /// Capacity of the queue of completed reads of one subscriber, whose proofs are to be sent.
 const PROOF_QUEUE_CAPACITY: usize = 64;
 
-/// The frame that brings a subscriber from `last_sent` to `slice`: the whole slice, a patch, or
+/// Returns the frame that brings a subscriber from `last_sent` to `slice`: the whole slice, a
+/// patch, or
 /// `None` if the content is the same. Also updates `last_sent`.
 pub(crate) fn update_frame(last_sent: &mut Option<StateSlice>, slice: StateSlice) -> Option<Frame> {
     let frame = match last_sent.as_ref() {
--- a/crates/control/src/updates/subscriber.rs
+++ b/crates/control/src/updates/subscriber.rs
@@ -151,8 +151,8 @@
         }
     }
 
-    /// The address of the relay of the zone. `None` if this node is the relay, if there is no
-    /// relay, or if the relay is avoided after a failure.
+    /// Returns the address of the relay of the zone. `None` if this node is the relay, if there is
+    /// no relay, or if the relay is avoided after a failure.
     fn zone_relay(&self) -> Option<String> {
         let view = self.view.load();
         let services = self.services.borrow();
--- a/crates/control/src/updates/upstreams.rs
+++ b/crates/control/src/updates/upstreams.rs
@@ -78,7 +78,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct UpstreamId(u64);
 
-/// Why a connection or an attempt was closed.
+/// The reason for which a connection or an attempt was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
     /// The replica could not be reached.
@@ -114,7 +114,7 @@
     Close {
         /// The connection to close.
         upstream: UpstreamId,
-        /// Why the connection is closed.
+        /// The reason for closing it.
         reason: CloseReason,
     },
 }
@@ -216,7 +216,7 @@
         actions
     }
 
-    /// The time of the next call of [`Self::poll`], unless an event occurs earlier.
+    /// Returns the time of the next call of [`Self::poll`], unless an event occurs earlier.
     pub fn next_poll_at(&self, now: Microseconds) -> Microseconds {
         let requests = self.upstreams.values().filter_map(|up| up.next_request_at);
         let timeouts = self
@@ -241,7 +241,8 @@
     pub fn on_connected(&mut self, now: Microseconds, id: UpstreamId, is_own_zone: bool) {
         if self.consecutive_unreachable >= self.candidate_count {
             // A whole round of attempts reached no replica and now one is reachable, so the node's
-            // own network was down and the recorded failures say nothing about the replicas.
+            // own network was down and the recorded failures give no information about the
+            // replicas.
             self.avoided.clear();
         }
         self.consecutive_unreachable = 0;
@@ -251,7 +252,7 @@
         }
     }
 
-    /// The freshness proofs requested on a connection; `None` if the connection is closed.
+    /// Returns the freshness proofs requested on a connection; `None` if the connection is closed.
     pub fn proof_requests_mut(&mut self, id: UpstreamId) -> Option<&mut ProofRequests> {
         let upstream = self.upstreams.get_mut(&id);
         upstream.map(|upstream| &mut upstream.requests)
@@ -398,8 +399,8 @@
         None
     }
 
-    /// The next replica of the node's own zone to try while the node relies on a working replica of
-    /// another zone.
+    /// Returns the next replica of the node's own zone to try while the node relies on a working
+    /// replica of another zone.
     fn recheck<'known>(
         &mut self,
         now: Microseconds,
@@ -427,10 +428,10 @@
         untried
     }
 
-    /// The first candidate without a connection or attempt. Avoided candidates come last, in the
-    /// order in which they may be tried again. While a replica of the node's own zone is being
-    /// tried, replicas of other zones come first, because the failure of one machine often affects
-    /// its whole zone.
+    /// Returns the first candidate without a connection or attempt. Avoided candidates come last,
+    /// in the order in which they may be tried again. While a replica of the node's own zone is
+    /// being tried, replicas of other zones come first, because the failure of one machine often
+    /// affects its whole zone.
     fn best_candidate<'known>(
         &self,
         now: Microseconds,
@@ -509,8 +510,8 @@
         self.avoided.insert(key, avoided);
     }
 
-    /// The pause between two attempts. It grows while no replica sends a proof, because connecting
-    /// to all of them faster does not help then.
+    /// Returns the pause between two attempts. It grows while no replica sends a proof, because
+    /// connecting to all of them faster does not help then.
     fn stagger(&self) -> Microseconds {
         let rounds = self.consecutive_failures / self.candidate_count.max(1);
         ATTEMPT_STAGGER << rounds.min(MAX_STAGGER_DOUBLINGS)
@@ -524,7 +525,7 @@
     }
 }
 
-/// The duration from `now` until `at`, for timers.
-pub(super) fn until(now: Microseconds, at: Microseconds) -> Duration {
+/// Returns the duration from `now` until `at`, for timers.
+pub(super) fn duration_until(now: Microseconds, at: Microseconds) -> Duration {
     Duration::from_micros(at.saturating_sub(now))
 }
--- a/crates/control/src/updates/verification.rs
+++ b/crates/control/src/updates/verification.rs
@@ -97,7 +97,7 @@
 }
 
 impl StateFollower {
-    /// The position of the received cluster state, for the first frame on a connection.
+    /// Returns the position of the received cluster state, for the first frame on a connection.
     pub fn held_position(&self) -> Position {
         self.received.position
     }
@@ -143,7 +143,7 @@
 
     /// Applies a proof. A replica sends updates before the proof that covers them, so if the
     /// position of the proof was received, the received state is verified. Otherwise the replica no
-    /// longer sends updates on this connection, and waiting for them would be in vain.
+    /// longer sends updates on this connection, and waiting for them would be useless.
     fn on_proof(
         &mut self,
         requested_at: Option<Microseconds>,
@@ -159,15 +159,15 @@
         UpdateOutcome::Verified
     }
 
-    /// The received cluster state, whether verified or not.
+    /// Returns the received cluster state, whether verified or not.
     pub fn received(&self) -> &Arc<StateSnapshot> {
         &self.received
     }
 
-    /// The state that this incarnation may act on, or `None` before its first proof. An earlier
-    /// incarnation of the node may have received a newer state than a single replica sends. A proof
-    /// excludes that: a majority confirmed its position, and a replica sends only changes that a
-    /// majority has chosen.
+    /// Returns the state that this incarnation may act on, or `None` before its first proof. An
+    /// earlier incarnation of the node may have received a newer state than a single replica sends.
+    /// A proof excludes that: a majority confirmed its position, and a replica sends only changes
+    /// that a majority has chosen.
     pub fn verified(&self) -> Option<VerifiedState> {
         (self.verified_at > 0).then(|| VerifiedState {
             snapshot: self.received.clone(),
--- a/crates/control/src/updates/verification/tests.rs
+++ b/crates/control/src/updates/verification/tests.rs
@@ -5,7 +5,7 @@
 use super::*;
 use crate::updates::publisher::{EntryId, UpdatePublisher};
 
-/// An update of one service that ends at the position `to`.
+/// Returns an update of one service that ends at the position `to`.
 fn update(to: Position) -> Frame {
     let put = ItemPut {
         name: "s".into(),
--- a/crates/control/src/updates/zone_relay.rs
+++ b/crates/control/src/updates/zone_relay.rs
@@ -39,8 +39,8 @@
     selected.map(|(name, node)| (name.clone(), node.address.clone()))
 }
 
-/// The rendezvous hash of a node. It does not depend on the other nodes, so the loss of a node
-/// moves few relays.
+/// Returns the rendezvous hash of a node. It does not depend on the other nodes, so the loss of a
+/// node moves few relays.
 fn rank(node: &str, incarnation: Incarnation, zone: &str, services: &ServiceSet) -> u64 {
     let mut text = format!("{zone}\n{node}\n{incarnation}");
     for service in services {
--- a/crates/control/tests/disks/entries.rs
+++ b/crates/control/tests/disks/entries.rs
@@ -46,7 +46,7 @@
     }
 }
 
-/// A change that the recorded disks do not contain.
+/// Returns a change that the recorded disks do not contain.
 pub(crate) fn next_change(base: u64) -> Change {
     let grouping = Grouping {
         service: text("web"),
--- a/crates/control/tests/disks/held.rs
+++ b/crates/control/tests/disks/held.rs
@@ -27,7 +27,7 @@
         .into_owned()
 }
 
-/// The first 64 bits of the SHA-256 of the bytes in hexadecimal notation.
+/// Returns the first 64 bits of the SHA-256 of the bytes in hexadecimal notation.
 pub(crate) fn digest(bytes: &[u8]) -> String {
     let digits: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
     format!("{:016x}", leases::stable_hash(&digits))
--- a/crates/control/tests/following/upstreams.rs
+++ b/crates/control/tests/following/upstreams.rs
@@ -204,7 +204,7 @@
         self.longest_gap = self.longest_gap.max(self.now - self.last_proof_at);
     }
 
-    /// The index of the replica that the node relies on.
+    /// Returns the index of the replica that the node relies on.
     fn current_replica(&self) -> Option<usize> {
         let mut connections = self.connections.iter();
         let current = connections.find(|(id, _)| self.upstreams.is_current(**id));
--- a/crates/control/tests/membership/bootstrap.rs
+++ b/crates/control/tests/membership/bootstrap.rs
@@ -17,7 +17,7 @@
         .collect()
 }
 
-/// A call that puts one service.
+/// Returns a call that puts one service.
 fn put_service(name: &str) -> model::cluster_state::ItemCall {
     let body = model::cluster_state::ItemBody::Service(model::cluster_state::Service {
         health_path: String::new(),
--- a/crates/control/tests/membership/machines.rs
+++ b/crates/control/tests/membership/machines.rs
@@ -150,7 +150,7 @@
     }
 }
 
-/// The handshake of a machine without a replica that requests one.
+/// Returns the handshake of a machine without a replica that requests one.
 pub(crate) fn assignment_handshake(address: &str, disk_id: u64) -> transport::Handshake {
     handshake(
         transport::Purpose::RequestAssignment,
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -13,7 +13,7 @@
 /// Exit code of a program that ended with an error.
 const FAILURE_EXIT_CODE: i32 = 1;
 
-/// A program that runs until it is told to stop.
+/// A program that runs until it receives a signal to stop.
 pub trait Daemon: Sized {
     /// Settings of the program.
     type Settings: DaemonSettings;
--- a/crates/endpoints/src/lease_table/granter.rs
+++ b/crates/endpoints/src/lease_table/granter.rs
@@ -37,8 +37,8 @@
 /// Grants the leases of one backend.
 pub struct LeaseGranter {
     config: LeaseConfig,
-    /// For each fencing token, when this node first saw the backend's ranges with this token: their earlier holder
-    /// may have been granted a lease that ends up to `proof_validity` after that.
+    /// For each fencing token, the time at which this node first observed the backend's ranges with it: their earlier
+    /// holder may have been granted a lease that ends up to `proof_validity` after that.
     first_seen: BTreeMap<Position, Microseconds>,
 }
 
@@ -53,7 +53,7 @@
 }
 
 impl LeaseGranter {
-    /// Creates a granter that has seen no ranges yet.
+    /// Creates a granter that has observed no ranges yet.
     pub fn new(config: LeaseConfig) -> LeaseGranter {
         LeaseGranter {
             config,
@@ -113,7 +113,7 @@
             .iter()
             .any(|(earlier, _)| earlier != name);
         let earlier_expired = self.earlier_leases_expired(now, token);
-        // The backend may keep a range that it already holds: nobody else was granted the range since.
+        // The backend may keep a range that it already holds: no other backend was granted the range since.
         let is_held = held
             .iter()
             .any(|(from, to, held)| *held == token && *from <= first_key && last_key <= *to);
--- a/crates/endpoints/src/lease_table/mod.rs
+++ b/crates/endpoints/src/lease_table/mod.rs
@@ -29,7 +29,7 @@
 /// Capacity of the task's command channel; senders wait while the channel is full.
 const COMMAND_CAPACITY: usize = 1_024;
 
-/// Why the lease table did not answer.
+/// The reason for which the lease table did not answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     /// The task that owns the lease table has ended, as happens when the runtime shuts down.
--- a/crates/endpoints/src/monitor.rs
+++ b/crates/endpoints/src/monitor.rs
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Reports the monitored nodes that became missed or were heard again since the last check.
+    /// Reports the monitored nodes whose heartbeats are missing or have resumed since the last check.
     fn report_changes(&mut self) {
         let reports: Vec<ClusterReport> = self
             .check()
--- a/crates/endpoints/src/node.rs
+++ b/crates/endpoints/src/node.rs
@@ -26,7 +26,7 @@
 
 /// Capacity of the channel of load reports from other nodes to the placement coordinator.
 const LOAD_REPORT_CAPACITY: usize = 1_024;
-/// Number of replicas that a node tries to know.
+/// Number of replicas whose locations a node tries to discover.
 const WANTED_REPLICAS: usize = 3;
 /// Interval between two checks for running requests during shutdown.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
@@ -64,7 +64,7 @@
     pub listener: Listener,
     /// Follows and verifies the cluster state.
     pub follower: FollowerHandle,
-    /// Replicas of the log that the node knows.
+    /// Locations of the replicas of the log that the node has discovered.
     pub known_replicas: KnownReplicas,
     limiter: ConcurrencyLimiter,
     in_flight: InFlightRequests,
--- a/crates/endpoints/src/placement/load.rs
+++ b/crates/endpoints/src/placement/load.rs
@@ -113,8 +113,8 @@
 }
 
 /// Returns the requests per second that each backend can run: its slots divided by its mean run time. The fewer runs of
-/// a backend were reported, the closer its run time is taken to the mean of all backends. The capacity of an ejected
-/// backend is reduced (design section 13.8).
+/// a backend were reported, the closer its estimated run time is to the mean of all backends. The capacity of an
+/// ejected backend is reduced (design section 13.8).
 pub(super) fn backend_capacities(
     backends: &[AvailableBackend],
     load_reports: &LoadReports,
--- a/crates/endpoints/src/placement/plan.rs
+++ b/crates/endpoints/src/placement/plan.rs
@@ -35,7 +35,7 @@
 /// Number of stripes of the first placement.
 const INITIAL_STRIPES: u32 = 8;
 
-/// Why keys have to move.
+/// The reason for which keys have to move.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum RebalanceReason {
     /// Keys are held by a backend that is gone or shutting down, or by no backend.
--- a/crates/endpoints/src/registration.rs
+++ b/crates/endpoints/src/registration.rs
@@ -36,7 +36,7 @@
 }
 
 impl Registration {
-    /// Creates the state of a process whose incarnation has not been seen in the log yet.
+    /// Creates the state of a process whose incarnation has not been observed in the log yet.
     pub fn new(incarnation: Incarnation) -> Registration {
         Registration {
             incarnation,
@@ -46,8 +46,8 @@
 
     /// Updates the status with the log's record of the node, `None` if there is none, and returns the new status.
     ///
-    /// The observed state only moves forward, so an incarnation that is seen after that of this process was registered
-    /// after this process.
+    /// The observed state only moves forward, so an incarnation that is observed after that of this process was
+    /// registered after this process.
     pub fn observe(&mut self, registered: Option<&NodeRecord>) -> RegistrationStatus {
         let Some(node) = registered else {
             return RegistrationStatus::Unregistered { replaces: 0 };
--- a/crates/gradeford-node/src/health.rs
+++ b/crates/gradeford-node/src/health.rs
@@ -21,7 +21,7 @@
     pub name: String,
     /// The node's view of the cluster state.
     pub view: SharedView,
-    /// Replicas that the node knows.
+    /// Locations of the replicas that the node has discovered.
     pub known_replicas: KnownReplicas,
     /// Source of the numbers of running and queued requests.
     pub slot_owner: SlotOwnerHandle,
--- a/crates/gradeford-node/src/start.rs
+++ b/crates/gradeford-node/src/start.rs
@@ -38,7 +38,7 @@
     pub logger: &'a Logger,
     /// Identity of this process.
     pub identity: NodeIdentity,
-    /// Replicas that the node knows.
+    /// Locations of the replicas that the node has discovered.
     pub known_replicas: KnownReplicas,
     /// Tasks that are cancelled when the process stops.
     pub tasks: JoinSet<()>,
--- a/crates/inbound/src/backend_client.rs
+++ b/crates/inbound/src/backend_client.rs
@@ -30,7 +30,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Error detail of a refusal with status 421: the request reached another backend, or one that does
-/// not hold the shard key. This says nothing about the backend's health.
+/// not hold the shard key. This is no sign of bad health of the backend.
 pub(crate) const MISDIRECTED_DETAIL: &str = "the backend refused the request with status 421";
 const MISDIRECTED_STATUS: u16 = 421;
 /// Clients take these statuses as a promise that the request did not run. That is certain only if
--- a/crates/inbound/src/concurrency_limiter.rs
+++ b/crates/inbound/src/concurrency_limiter.rs
@@ -85,7 +85,7 @@
         ConcurrencyLimiter { commands }
     }
 
-    /// Runs a request and waits for its outcome: the response, or an error that says whether the
+    /// Runs a request and waits for its outcome: the response, or an error that states whether the
     /// request may have run. Dropping the future removes a queued request from the queue. It
     /// cancels a run that has started only if the request is idempotent.
     pub async fn perform(&self, request: Box<ForwardedRequest>) -> ForwardOutcome {
@@ -230,13 +230,15 @@
         });
         for queued in refused {
             let (request, outcome_sender) = queued.payload;
-            let reason = refusal_reason(self.backend.as_ref(), now, &request)
-                .unwrap_or_else(|| Error::new(ErrorKind::NoBackend, "gone"));
+            let reason =
+                refusal_reason(self.backend.as_ref(), now, &request).unwrap_or_else(|| {
+                    Error::new(ErrorKind::NoBackend, "the backend is no longer available")
+                });
             self.respond(outcome_sender, Err(reason));
         }
     }
 
-    /// The number of requests that may run concurrently.
+    /// Returns the number of requests that may run concurrently.
     fn max_concurrent_runs(&self) -> usize {
         let backend = self.backend.as_ref();
         backend
@@ -250,8 +252,9 @@
             .expected_wait(model::now(), priority, running, self.max_concurrent_runs())
     }
 
-    /// The time that is reported to selecting nodes: the expected wait and half of a mean run. Only
-    /// half of a run is counted, so that a slow backend is avoided only if a faster one is nearby.
+    /// Returns the time that is reported to selecting nodes: the expected wait and half of a mean
+    /// run. Only half of a run is counted, so that a slow backend is avoided only if a faster one
+    /// is nearby.
     fn reported_wait(&self) -> Microseconds {
         let (mean_run_duration, _) = self.queue.mean_run_duration();
         self.expected_wait(u8::MAX) + mean_run_duration / 2
@@ -385,7 +388,7 @@
     }
 }
 
-/// Name and address, which distinguish a backend from a successor beside the same node.
+/// Returns the name and address, which distinguish a backend from a successor beside the same node.
 fn backend_identity(backend: Option<&LocalBackend>) -> Option<(&str, &str)> {
     backend.map(|backend| (backend.name.as_str(), backend.address.as_str()))
 }
--- a/crates/inbound/src/outlier_detection.rs
+++ b/crates/inbound/src/outlier_detection.rs
@@ -19,7 +19,7 @@
     /// The backend failed, refused the request, closed the connection, or sent the response of
     /// another request.
     Failure,
-    /// The result says nothing about the backend's health.
+    /// The result gives no information about the backend's health.
     Inconclusive,
 }
 
@@ -90,7 +90,7 @@
 /// The lowest HTTP status that counts as a failure.
 const FIRST_FAILURE_STATUS: u16 = 500;
 
-/// Classifies the result of a run by what it says about the backend's health.
+/// Classifies the result of a run by the information that it gives about the backend's health.
 pub(crate) fn classify_run(result: &Result<ForwardedResponse, Error>) -> RunResult {
     match result {
         Ok(response) if response.status < FIRST_FAILURE_STATUS => RunResult::Success,
--- a/crates/legacy-proxy/src/accepted_attempts.rs
+++ b/crates/legacy-proxy/src/accepted_attempts.rs
@@ -11,12 +11,12 @@
 
 /// Capacity of the task's command channel.
 const QUEUE_CAPACITY: usize = 1_024;
-/// Number of attempts that are remembered. The table is bounded by count and not by time, so that
+/// Maximum number of attempts in the table. The table is bounded by count and not by time, so that
 /// an attempt is still known to a client that was suspended for an hour.
 pub const MAX_ATTEMPTS: usize = 65_536;
 
 /// The attempts that one node accepted. Attempt ids begin with the prefix of their client's
-/// registration, so the id alone identifies an attempt. Pure.
+/// registration, so the id alone identifies an attempt.
 #[derive(Default)]
 pub struct AcceptedAttempts {
     /// The error of an attempt that certainly did not run; `None` for one that is in flight or may
@@ -27,7 +27,7 @@
 }
 
 impl AcceptedAttempts {
-    /// Accepts an attempt that has not been seen before.
+    /// Accepts an attempt that has not arrived before.
     ///
     /// # Errors
     ///
--- a/crates/legacy-proxy/src/age_marks.rs
+++ b/crates/legacy-proxy/src/age_marks.rs
@@ -1,5 +1,5 @@
 //! An upper bound on the age of a request, without comparing the clocks of two machines
-//! (design 5.11). Pure, with the time passed in.
+//! (design 5.11). The module performs no I/O and reads no clock: the caller passes the time in.
 
 #[cfg(test)]
 mod tests;
@@ -13,7 +13,7 @@
 /// Greatest age of the watermark that a request names if it was not delayed: one interval, and the
 /// round trip.
 const MAX_UNDELAYED_AGE: Microseconds = 3 * WATERMARK_INTERVAL;
-/// Number of watermarks that are remembered. A request that names an older one has no time left.
+/// Number of watermarks kept per connection. A request that names an older one has no time left.
 const MAX_WATERMARKS: usize = 64;
 
 /// The watermarks sent on one connection. The inbound side sends numbered watermarks; a request
@@ -25,7 +25,7 @@
 }
 
 impl AgeWatermarks {
-    /// Watermarks of a connection that opens at `now`; the first has the number 0.
+    /// Creates the watermarks of a connection that opens at `now`; the first has the number 0.
     pub fn new(now: Microseconds) -> Self {
         AgeWatermarks {
             sent: [(0, now)].into_iter().collect(),
@@ -42,8 +42,8 @@
         number
     }
 
-    /// Time left for a request that stated `time_left` and named `watermark`, less the time that it
-    /// may have spent in transit; in microseconds.
+    /// Returns the time left for a request that stated `time_left` and named `watermark`, less the
+    /// time that it may have spent in transit; in microseconds.
     pub fn time_left(
         &self,
         now: Microseconds,
--- a/crates/legacy-proxy/src/attempt_loop.rs
+++ b/crates/legacy-proxy/src/attempt_loop.rs
@@ -1,5 +1,5 @@
-//! The decisions made for one request between its I/O operations (design 5.2). Pure, with the view
-//! and the time passed in.
+//! The decisions made for one request between its I/O operations (design 5.2). The module performs
+//! no I/O and reads no clock: the caller passes the view and the time in.
 
 use control::View;
 use model::leases::Lease;
@@ -12,7 +12,7 @@
 /// Address and incarnation of the node beside the selected backend; `None` if that is this node.
 pub type PeerLocation = Option<(String, u64)>;
 
-/// One request with its route and the outcomes of its attempts so far.
+/// A request with its route and the outcomes of its attempts so far.
 pub struct AttemptLoop {
     client: ClientId,
     request: Request,
@@ -98,17 +98,17 @@
         })
     }
 
-    /// The service that the request is for.
+    /// Returns the service that the request is for.
     pub fn service(&self) -> &str {
         &self.request.service
     }
 
-    /// The time at which the client stops waiting.
+    /// Returns the time at which the client stops waiting.
     pub fn deadline(&self) -> Microseconds {
         self.deadline
     }
 
-    /// The lease on the request's shard key, if the route is keyed.
+    /// Returns the lease on the request's shard key, if the route is keyed.
     fn lease<'a>(&self, view: &'a View) -> Option<&'a Lease> {
         let key = self
             .request
@@ -118,7 +118,7 @@
         view.slice.lease(&self.request.service, key)
     }
 
-    /// The backends that are eligible for the next attempt.
+    /// Returns the backends that are eligible for the next attempt.
     ///
     /// # Errors
     ///
@@ -168,7 +168,7 @@
             .collect())
     }
 
-    /// The error of a request for which no backend is eligible.
+    /// Returns the error of a request for which no backend is eligible.
     pub fn no_backend_error(&self) -> Error {
         let kind = if self.order.keyed {
             ErrorKind::KeyWithoutHolder
@@ -181,7 +181,8 @@
         ))
     }
 
-    /// The request to forward to the selected backend, and the location of the node beside it.
+    /// Returns the request to forward to the selected backend, and the location of the node beside
+    /// it.
     ///
     /// # Errors
     ///
@@ -248,7 +249,8 @@
         is_retryable(error) && error.allows_retry(self.order.idempotent)
     }
 
-    /// The error for the client. Once an attempt may have run, its error is returned instead of
+    /// Returns the error for the client. Once an attempt may have run, its error is returned
+    /// instead of
     /// `error`, so that the execution status covers all attempts.
     pub fn final_error(&self, error: Error) -> Error {
         self.may_have_run.clone().unwrap_or(error)
--- a/crates/legacy-proxy/src/lib.rs
+++ b/crates/legacy-proxy/src/lib.rs
@@ -5,15 +5,15 @@
 //!
 //! 1. [`OutboundProxy`] rejects duplicate attempt ids, finds the route, selects backends and
 //!    retries. Its decisions between I/O operations are made by [`attempt_loop::AttemptLoop`],
-//!    which is pure.
+//!    which performs no I/O.
 //! 2. [`peer_connections`] and [`server`] are the two ends of the connections between nodes.
 //! 3. [`InboundProxy`] runs the request in the backend, in a separate task.
 //! 4. [`SlotOwner`] makes the admission check, assigns slots, keeps the bounded queues and detects
 //!    duplicates.
 //!
 //! `outbound` and `inbound` are the data plane that routes by the cluster state. The code common to
-//! both data planes is in `proxy-core`; the modules [`selector`] and [`retry_budget`] say how they
-//! differ.
+//! both data planes is in `proxy-core`; the modules [`selector`] and [`retry_budget`] describe how
+//! they differ.
 #![deny(missing_docs)]
 
 pub mod accepted_attempts;
--- a/crates/legacy-proxy/src/retry_budget.rs
+++ b/crates/legacy-proxy/src/retry_budget.rs
@@ -20,9 +20,9 @@
 /// Cost of one retry, in fifths.
 const RETRY_COST: Fifths = 5;
 
-/// One bucket for each service. Each request deposits a fifth of a retry and each retry withdraws a
-/// whole one. A new bucket is empty and is not refilled over time. So the number of retries in any
-/// time span is at most a fifth of the requests in that span plus the allowance. Pure.
+/// A token bucket for each service. Each request deposits a fifth of a retry and each retry
+/// withdraws a whole one. A new bucket is empty and is not refilled over time. So the number of
+/// retries in any time span is at most a fifth of the requests in that span plus the allowance.
 #[derive(Default)]
 pub struct RetryBudget {
     allowance: Fifths,
--- a/crates/legacy-proxy/src/retry_budget/tests.rs
+++ b/crates/legacy-proxy/src/retry_budget/tests.rs
@@ -6,8 +6,8 @@
 
 const WINDOW: Microseconds = 10_000_000;
 
-/// The window that exceeds the bound by the most retries, if any: time, retries and requests. A
-/// window begins at each retry, so windows without any request are covered.
+/// Returns the window that exceeds the bound by the most retries, if any: time, retries and
+/// requests. A window begins at each retry, so windows without any request are covered.
 fn worst_window(
     requests: &[u64],
     retries: &[u64],
--- a/crates/legacy-proxy/src/selector.rs
+++ b/crates/legacy-proxy/src/selector.rs
@@ -29,7 +29,7 @@
     avoid_until: Microseconds,
 }
 
-/// The state of selection. Pure, with the time passed in.
+/// The state of selection. Performs no I/O and reads no clock: the caller passes the time in.
 #[derive(Default)]
 pub struct Selector {
     backends: HashMap<String, BackendLoad>,
--- a/crates/legacy-proxy/src/slot_owner.rs
+++ b/crates/legacy-proxy/src/slot_owner.rs
@@ -1,6 +1,6 @@
 //! The slot owner manages the registrations, slots and queues of the backends beside this node and
-//! detects duplicate attempts (design 5.3). [`SlotOwner`] is pure, with the time passed in;
-//! [`SlotOwnerHandle`] is the handle on the task that owns one.
+//! detects duplicate attempts (design 5.3). [`SlotOwner`] performs no I/O and reads no clock: the
+//! caller passes the time in. [`SlotOwnerHandle`] is the handle on the task that owns one.
 
 mod admission_check;
 mod queue;
@@ -31,11 +31,11 @@
     pub zone: String,
     /// Time without a heartbeat, in microseconds, after which a backend is presumed gone.
     pub heartbeat_timeout: Microseconds,
-    /// Lifetime of a freshness proof, in microseconds. The next holder of a key waits until it has
-    /// passed, because the previous holder may serve the key until then.
+    /// Validity of a freshness proof, in microseconds. The next holder of a key waits for this
+    /// time, because the previous holder may serve the key until then.
     pub proof_validity: Microseconds,
     /// Allowance for differences between clocks, in microseconds, which the next holder of a key
-    /// waits in addition.
+    /// waits in addition to `proof_validity`.
     pub clock_margin: Microseconds,
 }
 
@@ -44,9 +44,9 @@
 pub enum RegistrationState {
     /// The log has not accepted the registration yet.
     Pending,
-    /// Accepted by the log; the backend takes requests.
+    /// The log has accepted the registration, and the backend accepts requests.
     Live,
-    /// The backend takes no new requests.
+    /// The backend accepts no new requests.
     Draining,
     /// The registration has ended.
     Gone,
@@ -120,13 +120,14 @@
 /// Tickets of requests that were admitted or rejected, with their permits or errors.
 pub type Admissions = Vec<(u64, Result<Permit, Error>)>;
 
-/// The registrations, slots and queues of the backends beside this node. Pure, with the time passed
-/// in.
+/// The registrations, slots and queues of the backends beside this node. Performs no I/O and reads
+/// no clock: the caller passes the time in.
 pub struct SlotOwner {
     pub(crate) config: SlotOwnerConfig,
     pub(crate) backends: BTreeMap<String, RegisteredBackend>,
     pub(crate) forwarded_attempts: ForwardedAttempts,
-    /// The fencing token of each lease, by service and key slot, and when it was first observed.
+    /// The fencing token of each lease, by service and key slot, and the time of its first
+    /// observation.
     pub(crate) fencing_tokens: BTreeMap<(String, u16), (Position, Microseconds)>,
     /// The slice from which `fencing_tokens` was last updated.
     pub(crate) fenced_slice: Arc<StateSlice>,
@@ -308,7 +309,7 @@
         self.draining = true;
     }
 
-    /// Number of running requests.
+    /// Returns the number of running requests.
     pub fn running(&self) -> usize {
         self.backends
             .values()
@@ -316,7 +317,7 @@
             .sum()
     }
 
-    /// Number of requests that wait for a slot.
+    /// Returns the number of requests that wait for a slot.
     pub fn queued(&self) -> usize {
         self.backends
             .values()
@@ -324,7 +325,7 @@
             .sum()
     }
 
-    /// The services of all backends whose registration has not ended.
+    /// Returns the services of all backends whose registration has not ended.
     pub fn services(&self) -> ServiceSet {
         self.backends
             .values()
@@ -333,7 +334,7 @@
             .collect()
     }
 
-    /// The clients that may send requests, by the secrets of their registrations.
+    /// Returns the clients that may send requests, by the secrets of their registrations.
     pub fn clients(&self) -> HashMap<String, ClientId> {
         self.backends
             .values()
@@ -365,7 +366,7 @@
         mem::take(&mut self.pending_reports)
     }
 
-    /// The entry for the backend that the log is to record.
+    /// Returns the entry for the backend that the log is to record.
     pub fn backend(&self, name: &str) -> Option<Backend> {
         self.backends
             .get(name)
--- a/crates/legacy-proxy/src/slot_owner/admission_check.rs
+++ b/crates/legacy-proxy/src/slot_owner/admission_check.rs
@@ -182,14 +182,14 @@
         }
     }
 
-    /// The identity of an attempt on a backend. It contains the ordinal, so that a retry after an
-    /// attempt that may have run is not taken for a duplicate.
+    /// Returns the identity of an attempt on a backend. It contains the ordinal, so that a retry
+    /// after an attempt that may have run is not taken for a duplicate.
     pub(crate) fn attempt_identity(request: &AttemptRequest) -> String {
         format!("{} {}", request.ordinal, request.attempt_id)
     }
 
-    /// Number of slots that one shard key may occupy: three quarters of the backend's slots,
-    /// rounded down, but at least one. A key thus leaves slots to other keys.
+    /// Returns the number of slots that one shard key may occupy: three quarters of the backend's
+    /// slots, rounded down, but at least one. A key thus leaves slots to other keys.
     pub(crate) fn max_slots_per_key(slots: u32) -> usize {
         (slots as usize - (slots as usize).div_ceil(4)).max(1)
     }
--- a/crates/legacy-proxy/src/slot_owner/queue.rs
+++ b/crates/legacy-proxy/src/slot_owner/queue.rs
@@ -146,8 +146,8 @@
         shed
     }
 
-    /// Releases the slot of a run that ended. `unsent` says that the attempt certainly was not sent
-    /// to the backend; it may then be forwarded again.
+    /// Releases the slot of a run that ended. `unsent` states that the attempt certainly was not
+    /// sent to the backend; it may then be forwarded again.
     pub fn finish(&mut self, permit: &Permit, unsent: bool) {
         if let Some(backend) = self.backends.get_mut(&permit.backend_name) {
             backend.running.remove(&permit.run_id);
--- a/crates/legacy-proxy/src/slot_owner/task.rs
+++ b/crates/legacy-proxy/src/slot_owner/task.rs
@@ -107,7 +107,7 @@
         replied.await.ok()
     }
 
-    /// The client whose registration has this secret.
+    /// Returns the client whose registration has this secret.
     pub fn client(&self, secret: &str) -> Option<ClientId> {
         self.clients.load().get(secret).cloned()
     }
@@ -131,7 +131,7 @@
             .unwrap_or_default();
     }
 
-    /// The entry for the backend that the log is to record.
+    /// Returns the entry for the backend that the log is to record.
     pub async fn backend(&self, name: &str) -> Option<Backend> {
         self.request(|reply| Command::Backend(name.to_string(), reply))
             .await
@@ -165,8 +165,8 @@
             .unwrap_or_else(|| Err(stopping_error()))
     }
 
-    /// Releases the slot of a run that ended. `unsent` says that the attempt certainly was not sent
-    /// to the backend.
+    /// Releases the slot of a run that ended. `unsent` states that the attempt certainly was not
+    /// sent to the backend.
     pub(crate) async fn finish(&self, permit: Permit, unsent: bool) {
         self.commands
             .send(Command::Finish(permit, unsent))
--- a/crates/mencius/src/apply.rs
+++ b/crates/mencius/src/apply.rs
@@ -27,7 +27,8 @@
         self.return_deferred();
     }
 
-    /// The first instance from `applied` on, of any coordinator, that is not known to be a no-op.
+    /// Returns the first instance from `applied` on, of any coordinator, that is not known to be a
+    /// no-op.
     fn first_not_skipped(&self) -> Instance {
         let firsts = self.replica_ids().map(|coordinator| {
             let from = self.first_coordinated_from(coordinator, self.applied);
@@ -93,7 +94,7 @@
             .retain(|_, revocation| revocation.block.0 >= end);
     }
 
-    /// The complete state as writes, to replace the journal after a compaction.
+    /// Returns the complete state as writes, to replace the journal after a compaction.
     pub(crate) fn full_state_writes(&self) -> Vec<Write> {
         let mut writes = Vec::new();
         if let Some(Snapshot {
--- a/crates/mencius/src/catch_up.rs
+++ b/crates/mencius/src/catch_up.rs
@@ -2,7 +2,8 @@
 //! 3.5).
 //!
 //! Implicit skips are sound only on an unbroken FIFO channel (paper 4.1, 4.4). Each new connection
-//! therefore begins with a `Hello` that tells what the sender knows. The peer responds with a
+//! therefore begins with a `Hello` that states which outcomes the sender knows. The peer responds
+//! with a
 //! `Resync` and everything that the sender may have missed. Cursors received before the `Resync`
 //! are ignored.
 
@@ -179,7 +180,7 @@
         }
     }
 
-    /// The size of the snapshot in bytes if it ends at `instance`, otherwise 0.
+    /// Returns the size of the snapshot in bytes if it ends at `instance`, otherwise 0.
     fn snapshot_bytes_at(&self, instance: Instance) -> usize {
         let snapshot = self.snapshot.as_ref();
         let snapshot = snapshot.filter(|snapshot| snapshot.next_instance == instance);
--- a/crates/mencius/src/coordinator_log.rs
+++ b/crates/mencius/src/coordinator_log.rs
@@ -49,7 +49,7 @@
 }
 
 impl CoordinatorLog {
-    /// The outcome of an instance; `None` if it is not known here.
+    /// Returns the outcome of an instance; `None` if it is not known here.
     pub(crate) fn outcome(&self, instance: Instance) -> Option<Outcome<'_>> {
         match self.chosen.get(&instance) {
             Some(value) => Some(Outcome::Command(value)),
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The highest number promised anywhere in a block.
+    /// Returns the highest number promised anywhere in a block.
     pub(crate) fn highest_promised(&self, (start, end): Block) -> ProposalNumber {
         let promises = self.promised.overlapping(start, end).into_iter();
         promises
@@ -116,8 +116,9 @@
         self.chosen.insert(instance, value);
     }
 
-    /// The first instance of the coordinator, from `from` on, whose outcome is unknown. `from` is
-    /// an instance of the coordinator; `replica_count` is the distance to its next instance.
+    /// Returns the first instance of the coordinator, from `from` on, whose outcome is unknown.
+    /// `from` is an instance of the coordinator; `replica_count` is the distance to its next
+    /// instance.
     pub(crate) fn first_unknown(&self, from: Instance, replica_count: u64) -> Instance {
         let mut instance = from;
         loop {
@@ -131,7 +132,8 @@
         }
     }
 
-    /// The first instance of the coordinator, from `from` on, that is not known to be a no-op.
+    /// Returns the first instance of the coordinator, from `from` on, that is not known to be a
+    /// no-op.
     /// `from` is an instance of the coordinator.
     pub(crate) fn first_not_skipped(&self, from: Instance, replica_count: u64) -> Instance {
         let mut instance = from;
@@ -141,8 +143,8 @@
         instance
     }
 
-    /// The report that a promise must carry for a block. Known outcomes are reported as accepted
-    /// with [`ProposalNumber::CHOSEN`].
+    /// Returns the report that a promise must carry for a block. Known outcomes are reported as
+    /// accepted with [`ProposalNumber::CHOSEN`].
     pub(crate) fn promise_report(&self, (start, end): Block) -> PromiseReport {
         let chosen = self.chosen.range(start..end);
         let chosen =
@@ -163,7 +165,7 @@
         }
     }
 
-    /// The commands known to be chosen in a block.
+    /// Returns the commands known to be chosen in a block.
     pub(crate) fn chosen_commands(&self, (start, end): Block) -> Commands {
         self.chosen
             .range(start..end)
@@ -171,7 +173,7 @@
             .collect()
     }
 
-    /// The highest instance with an accepted or chosen command.
+    /// Returns the highest instance with an accepted or chosen command.
     pub(crate) fn highest_command_instance(&self) -> Option<Instance> {
         let accepted = self
             .accepted
--- a/crates/mencius/src/instance_ranges.rs
+++ b/crates/mencius/src/instance_ranges.rs
@@ -35,7 +35,7 @@
 }
 
 impl<V: Copy + PartialEq> InstanceRanges<V> {
-    /// The whole range that contains `instance`.
+    /// Returns the whole range that contains `instance`.
     pub(crate) fn range_at(&self, instance: Instance) -> Option<ValuedRange<V>> {
         let (&start, &RangeEnd { end, value }) = self.by_start.range(..=instance).next_back()?;
         (instance < end).then_some(ValuedRange { start, end, value })
@@ -45,8 +45,8 @@
         self.range_at(instance).is_some()
     }
 
-    /// The ranges that have a value between `start` and below `end`, clipped to these bounds, in
-    /// order.
+    /// Returns the ranges that have a value between `start` and below `end`, clipped to these
+    /// bounds, in order.
     pub(crate) fn overlapping(&self, start: Instance, end: Instance) -> Vec<ValuedRange<V>> {
         self.touching(start, end)
             .map(|range| ValuedRange {
@@ -97,14 +97,14 @@
         }
     }
 
-    /// All ranges, in order.
+    /// Returns all ranges, in order.
     pub(crate) fn iter(&self) -> impl Iterator<Item = ValuedRange<V>> + '_ {
         self.by_start
             .iter()
             .map(|(&start, &RangeEnd { end, value })| ValuedRange { start, end, value })
     }
 
-    /// The whole ranges that contain an instance from `start` to below `end`.
+    /// Returns the whole ranges that contain an instance from `start` to below `end`.
     fn touching(
         &self,
         start: Instance,
--- a/crates/mencius/src/messages.rs
+++ b/crates/mencius/src/messages.rs
@@ -23,7 +23,7 @@
 /// Commands, each with its instance.
 pub type Commands = Vec<(Instance, Value)>;
 /// A half-open range of instances: the first number is included, the second is not. Where a block
-/// is given together with a coordinator, it stands for that coordinator's instances only.
+/// is given together with a coordinator, it covers that coordinator's instances only.
 pub type Block = (Instance, Instance);
 /// A command in a promise, with the number of the highest proposal in which it was accepted.
 pub type ReportedCommand = (Instance, ProposalNumber, Value);
@@ -49,7 +49,7 @@
     rkyv::Deserialize,
 )]
 pub struct ProposalNumber {
-    /// Chosen by the proposer above every counter that it has seen.
+    /// Chosen by the proposer above every counter that the proposer has received.
     pub counter: u64,
     /// The identity of the proposer's disk; 0 in the coordinator's initial number.
     pub disk_id: u64,
@@ -71,7 +71,7 @@
 /// A message between two replicas.
 #[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub enum Message {
-    /// The first message on a connection: what the sender already knows (design 3.5).
+    /// The first message on a connection: the outcomes that the sender already knows (design 3.5).
     Hello {
         /// The sender knows the outcome of all of the receiver's own instances below this one.
         learned_below: Instance,
@@ -104,7 +104,7 @@
     /// Announces skips through the cursor of its frame; has no content of its own (paper 4.4,
     /// Accelerator 1).
     Skip,
-    /// Shows that the sender is alive when it has no other message to send.
+    /// Shows that the sender is running when it has no other message to send.
     Heartbeat {
         /// The sender has applied all instances below this one.
         applied: Instance,
@@ -220,7 +220,7 @@
 pub enum Write {
     /// The next own instance to suggest in (I_p of paper 4.3); never decreases.
     Index(Instance),
-    /// The highest proposal counter used or seen; never decreases.
+    /// The highest proposal counter used or received; never decreases.
     ProposalCounter(u64),
     /// A promise made in response to `Prepare` or `Propose`.
     Promise {
--- a/crates/mencius/src/propose.rs
+++ b/crates/mencius/src/propose.rs
@@ -139,7 +139,7 @@
 
     /// Rule 4, left to the driver: returns a command that lost to no-op, which the driver submits
     /// again only if a caller still waits. Without a waiting caller, the command could take effect
-    /// long after its caller was told that it was not accepted (design 3.2).
+    /// long after its caller was informed that it was not accepted (design 3.2).
     pub(crate) fn return_unchosen(&mut self, instance: Instance) {
         self.rejected.remove(&instance);
         if let Some(suggestion) = self.own_suggestions.remove(&instance) {
--- a/crates/mencius/src/read_index.rs
+++ b/crates/mencius/src/read_index.rs
@@ -123,7 +123,7 @@
         self.effects.extend(tokens.map(Effect::ReadReady));
     }
 
-    /// The reads that are not answered yet, for status reports.
+    /// Returns the reads that are not answered yet, for status reports.
     pub fn pending_reads(&self) -> PendingReads {
         let round = self.reads.current_round.as_ref();
         PendingReads {
@@ -133,8 +133,8 @@
         }
     }
 
-    /// The highest instance that a read waits for or that is known to hold a command. If it is
-    /// below `applied`, nothing is waiting to be applied.
+    /// Returns the highest instance that a read waits for or that is known to hold a command. If it
+    /// is below `applied`, nothing is waiting to be applied.
     pub(crate) fn awaited_instance(&self) -> Option<Instance> {
         self.read_indexes()
             .max()
--- a/crates/mencius/src/replica.rs
+++ b/crates/mencius/src/replica.rs
@@ -36,7 +36,7 @@
     // Durable state, changed by the writes in `Write`.
     /// The next own instance to suggest in: I_p (paper 4.3).
     pub(crate) index: Instance,
-    /// The highest counter of a proposal number used or seen.
+    /// The highest counter of a proposal number used or received.
     pub(crate) proposal_counter: u64,
     /// The log of each coordinator's instances, indexed by replica id.
     pub(crate) coordinator_logs: Vec<CoordinatorLog>,
@@ -264,14 +264,14 @@
         }
     }
 
-    /// All replicas except this one.
+    /// Returns all replicas except this one.
     pub(crate) fn peer_ids(&self) -> impl Iterator<Item = ReplicaId> + use<> {
         let own = self.replica_id;
         self.replica_ids()
             .filter(move |replica_id| *replica_id != own)
     }
 
-    /// All replicas, including this one.
+    /// Returns all replicas, including this one.
     pub(crate) fn replica_ids(&self) -> impl Iterator<Item = ReplicaId> + use<> {
         0..self.replica_count as ReplicaId
     }
@@ -284,7 +284,7 @@
         &mut self.peers[usize::from(replica_id)]
     }
 
-    /// The replica that coordinates an instance: instance cn + p belongs to p (paper 4.2).
+    /// Returns the replica that coordinates an instance: instance cn + p belongs to p (paper 4.2).
     pub(crate) fn coordinator(&self, instance: Instance) -> ReplicaId {
         (instance % self.replica_count) as ReplicaId
     }
@@ -297,7 +297,7 @@
         &mut self.coordinator_logs[usize::from(coordinator)]
     }
 
-    /// The log that contains an instance: that of its coordinator.
+    /// Returns the log that contains an instance: that of its coordinator.
     pub(crate) fn log_at(&self, instance: Instance) -> &CoordinatorLog {
         self.log_of(self.coordinator(instance))
     }
@@ -306,7 +306,7 @@
         self.log_of_mut(self.coordinator(instance))
     }
 
-    /// The smallest instance of `coordinator` that is not below `from`.
+    /// Returns the smallest instance of `coordinator` that is not below `from`.
     pub(crate) fn first_coordinated_from(
         &self,
         coordinator: ReplicaId,
@@ -315,43 +315,45 @@
         first_instance_of(from, coordinator, self.replica_count as u16)
     }
 
-    /// The first instance of `coordinator`, not below `from`, whose outcome is unknown here.
+    /// Returns the first instance of `coordinator`, not below `from`, whose outcome is unknown
+    /// here.
     pub(crate) fn first_unknown_of(&self, coordinator: ReplicaId, from: Instance) -> Instance {
         let first = self.first_coordinated_from(coordinator, from);
         self.log_of(coordinator)
             .first_unknown(first, self.replica_count)
     }
 
-    /// The number of replicas in a quorum (paper 4.4: f + 1 of 2f + 1).
+    /// Returns the number of replicas in a quorum (paper 4.4: f + 1 of 2f + 1).
     pub(crate) fn majority(&self) -> usize {
         self.replica_count as usize / 2 + 1
     }
 
-    /// The first instance that is not applied. All instances below were emitted as
+    /// Returns the first instance that is not applied. All instances below were emitted as
     /// [`Effect::Apply`], are contained in a snapshot, or are no-ops.
     pub fn applied(&self) -> Instance {
         self.applied
     }
 
-    /// All instances below this one are compacted away and contained in the latest snapshot only.
+    /// Returns the first instance that is not compacted away. All instances below are contained in
+    /// the latest snapshot only.
     pub fn compaction_point(&self) -> Instance {
         self.compaction_point
     }
 
-    /// The next instance in which this replica suggests a command: I_p (paper 4.3).
+    /// Returns the next instance in which this replica suggests a command: I_p (paper 4.3).
     pub fn index(&self) -> Instance {
         self.index
     }
 
-    /// The peers that are suspected to have failed.
+    /// Returns the peers that are suspected to have failed.
     pub fn suspected_peers(&self) -> Vec<ReplicaId> {
         self.peer_ids()
             .filter(|peer| self.peer(*peer).suspected)
             .collect()
     }
 
-    /// The highest instance known to hold a command. Revoked blocks far ahead of it, which hold
-    /// no-ops, do not count.
+    /// Returns the highest instance known to hold a command. Revoked blocks far ahead of it, which
+    /// hold no-ops, do not count.
     pub fn highest_command_instance(&self) -> Option<Instance> {
         let commands = self
             .coordinator_logs
@@ -360,7 +362,7 @@
         commands.max().max(self.compaction_point.checked_sub(1))
     }
 
-    /// The number of replicas that are connected and not suspected, including this one.
+    /// Returns the number of replicas that are connected and not suspected, including this one.
     pub fn reachable_replica_count(&self) -> usize {
         let reachable = |peer: &Peer| peer.connected && !peer.suspected;
         1 + self
--- a/crates/mencius/src/revocation.rs
+++ b/crates/mencius/src/revocation.rs
@@ -218,8 +218,8 @@
     }
 }
 
-/// The commands that may have been chosen: for each instance, the command accepted in the highest
-/// proposal, unless a higher proposal had no-op there (paper 4.2).
+/// Returns the commands that may have been chosen: for each instance, the command accepted in the
+/// highest proposal, unless a higher proposal had no-op there (paper 4.2).
 fn commands_to_propose(promises: &BTreeMap<ReplicaId, PromiseReport>) -> Commands {
     let mut highest = BTreeMap::<Instance, (ProposalNumber, &Value)>::new();
     for (instance, proposal_number, value) in promises.values().flat_map(|report| &report.commands)
@@ -242,7 +242,8 @@
         .collect()
 }
 
-/// The number of the highest proposal in which no-op is reported as accepted in an instance.
+/// Returns the number of the highest proposal in which no-op is reported as accepted in an
+/// instance.
 fn highest_noop(
     promises: &BTreeMap<ReplicaId, PromiseReport>,
     instance: Instance,
--- a/crates/mencius/src/timers.rs
+++ b/crates/mencius/src/timers.rs
@@ -19,7 +19,7 @@
 const MAX_FETCH_DOUBLINGS: u64 = 3;
 
 impl Replica {
-    /// Records that a peer sent something, which shows that it is alive.
+    /// Records that a peer sent something, which shows that the peer is running.
     pub(crate) fn record_contact(&mut self, from: ReplicaId) {
         if from == self.replica_id {
             return;
@@ -180,8 +180,8 @@
         self.start_revocation(coordinator, end);
     }
 
-    /// The number of replicas between the coordinator and this one, in cyclic order, that are not
-    /// suspected.
+    /// Returns the number of replicas between the coordinator and this one, in cyclic order, that
+    /// are not suspected.
     fn live_replicas_between(&self, coordinator: ReplicaId) -> u64 {
         let count = self.replica_count as ReplicaId;
         (1..count)
--- a/crates/mencius/src/voting_range.rs
+++ b/crates/mencius/src/voting_range.rs
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The last instance in which this disk may vote, if another disk takes over after it.
+    /// Returns the last instance in which this disk may vote, if another disk takes over after it.
     pub fn replaced_after(&self) -> Option<Instance> {
         (self.voting_range_end < Instance::MAX).then_some(self.voting_range_end)
     }
--- a/crates/mencius/tests/replica/read_index.rs
+++ b/crates/mencius/tests/replica/read_index.rs
@@ -2,7 +2,7 @@
 
 use mencius::{Config, Effect, Input, Message, Replica, ReplicaId};
 
-/// The number of read-index requests sent to the peers that `selects` matches.
+/// Returns the number of read-index requests sent to the peers that `selects` matches.
 fn requests(replica: &mut Replica, selects: impl Fn(ReplicaId) -> bool) -> usize {
     let is_request = |effect: &Effect| match effect {
         Effect::Send(to, frame) => {
--- a/crates/model/src/cluster_state/endpoints.rs
+++ b/crates/model/src/cluster_state/endpoints.rs
@@ -63,7 +63,7 @@
 }
 
 impl NodeRecord {
-    /// A node that registers at position `next` and is suspected by no observer.
+    /// Returns a node that registers at position `next` and is suspected by no observer.
     pub(crate) fn present(
         zone: ZoneName,
         address: String,
@@ -128,7 +128,7 @@
     pub(crate) nodes: BTreeSet<NodeName>,
 }
 
-/// The backends and nodes that were absent long enough to be removed (design 11.7).
+/// Returns the backends and nodes that were absent long enough to be removed (design 11.7).
 pub(crate) fn long_absent(
     backends: &BackendRecords,
     nodes: &NodeRecords,
--- a/crates/model/src/cluster_state/mod.rs
+++ b/crates/model/src/cluster_state/mod.rs
@@ -29,10 +29,10 @@
 use placement::{Placements, Reassignment};
 use version_history::{CallDigests, VersionHistory};
 
-/// Number of positions for which the names of ended backends are remembered, so that a late report
+/// Number of positions for which the names of ended backends are kept, so that a late report
 /// does not restore one.
 const ENDED_BACKEND_RETENTION_POSITIONS: Position = 20_000;
-/// Number of origins whose last sequence number is remembered.
+/// Number of origins whose last sequence number is kept.
 const MAX_REMEMBERED_ORIGINS: usize = 4_096;
 /// Positions between two cleanups of old names.
 const CLEANUP_INTERVAL_POSITIONS: Position = 256;
@@ -300,7 +300,8 @@
         (is_present(self) != before).then(|| self.node_delta(name))
     }
 
-    /// A late report neither restores an ended backend nor changes a phase back.
+    /// Records a backend that has joined. A late report neither restores an ended backend nor
+    /// changes a phase back.
     fn backend_joined(
         &mut self,
         name: BackendName,
@@ -439,7 +440,7 @@
         names.collect()
     }
 
-    /// The complete state, as deltas from the empty state.
+    /// Returns the complete state, as deltas from the empty state.
     pub fn full_deltas(&self) -> Vec<Delta> {
         let items = self
             .items
--- a/crates/model/src/cluster_state/placement.rs
+++ b/crates/model/src/cluster_state/placement.rs
@@ -25,8 +25,9 @@
 }
 
 impl Reassignment {
-    /// A reassignment is valid only if it is based on the latest placement and names only known
-    /// backends of the service. Of two concurrent reassignments one is therefore ignored.
+    /// Returns whether a reassignment is valid: it must be based on the latest placement and name
+    /// only known backends of the service. Of two concurrent reassignments one is therefore
+    /// ignored.
     fn is_valid(&self, placements: &Placements, backends: &BackendRecords) -> bool {
         let latest = placements
             .get(&self.service)
--- a/crates/model/src/cluster_state/report.rs
+++ b/crates/model/src/cluster_state/report.rs
@@ -30,7 +30,7 @@
         /// The incarnation of the node.
         incarnation: Incarnation,
     },
-    /// An observer suspects a node to be gone, or has heard from it again.
+    /// An observer suspects a node to be gone, or receives its heartbeats again.
     NodeObserved {
         /// The node that observes.
         observer: NodeName,
@@ -38,7 +38,7 @@
         node: NodeName,
         /// The incarnation of the node.
         incarnation: Incarnation,
-        /// Whether the node is suspected; otherwise the observer has heard from it again.
+        /// Whether the node is suspected; otherwise the observer receives its heartbeats again.
         suspected: bool,
     },
     /// A backend started, or changed the data that it announces.
--- a/crates/model/src/cluster_state/shard_map.rs
+++ b/crates/model/src/cluster_state/shard_map.rs
@@ -58,7 +58,7 @@
 /// The ranges of a service, ordered and without gaps over all keys.
 pub type ShardMap = Vec<ShardRange>;
 
-/// The shard map of a service whose keys are all unassigned.
+/// Returns the shard map of a service whose keys are all unassigned.
 pub fn unassigned() -> ShardMap {
     vec![ShardRange {
         first_key: 0,
@@ -70,7 +70,7 @@
     }]
 }
 
-/// The range that contains a key; `None` only if the map is empty.
+/// Returns the range that contains a key; `None` only if the map is empty.
 pub fn range_of(ranges: &ShardMap, key: ShardKey) -> Option<&ShardRange> {
     ranges.get(ranges.partition_point(|range| range.last_key < key))
 }
@@ -157,7 +157,7 @@
     merge_neighbours(ranges)
 }
 
-/// The ranges of `new` that are not in `old`, for followers that have `old`.
+/// Returns the ranges of `new` that are not in `old`, for followers that have `old`.
 pub fn diff(old: &ShardMap, new: &ShardMap) -> ShardMap {
     let old: HashMap<ShardKey, &ShardRange> =
         old.iter().map(|range| (range.first_key, range)).collect();
--- a/crates/model/src/cluster_state/snapshot.rs
+++ b/crates/model/src/cluster_state/snapshot.rs
@@ -88,8 +88,8 @@
         self.backends.is_empty() && self.nodes.is_empty()
     }
 
-    /// The services that the changed backends, and those beside the changed nodes, serve in a
-    /// snapshot.
+    /// Returns the services that the changed backends, and those beside the changed nodes, serve in
+    /// a snapshot.
     fn services(&self, snapshot: &StateSnapshot) -> Vec<ServiceName> {
         let changed = snapshot.backends.iter().filter(|(name, backend)| {
             self.backends.contains(*name) || self.nodes.contains(&backend.node)
@@ -101,7 +101,7 @@
 }
 
 impl StateSnapshot {
-    /// The route of this host with the longest prefix that matches the path.
+    /// Returns the route of this host with the longest prefix that matches the path.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<RouteItem>> {
         let routes = self.routes_by_host.get(host)?;
         // Prefixes end with a slash, so candidates are the path's parts up to each slash, longest
@@ -115,7 +115,7 @@
         !self.routes_by_host.is_empty()
     }
 
-    /// The number of routes.
+    /// Returns the number of routes.
     pub fn route_count(&self) -> usize {
         self.routes_by_name.len()
     }
@@ -129,8 +129,8 @@
                 .is_some_and(|node| node.present)
     }
 
-    /// The snapshot at `position` after applying deltas to this snapshot or, with `from_empty`, to
-    /// an empty one.
+    /// Returns the snapshot at `position` after applying deltas to this snapshot or, with
+    /// `from_empty`, to an empty one.
     pub fn updated(
         &self,
         from_empty: bool,
@@ -197,12 +197,12 @@
         })
     }
 
-    /// The backends of a service that accept new requests, ordered by name.
+    /// Returns the backends of a service that accept new requests, ordered by name.
     pub fn available_backends(&self, service: &str) -> Arc<Vec<AvailableBackend>> {
         self.available.get(service).cloned().unwrap_or_default()
     }
 
-    /// The location of a backend, even if it accepts no new requests.
+    /// Returns the location of a backend, even if it accepts no new requests.
     pub fn find_backend(&self, name: &str) -> Option<AvailableBackend> {
         self.backends
             .get(name)
--- a/crates/model/src/cluster_state/version_history.rs
+++ b/crates/model/src/cluster_state/version_history.rs
@@ -9,7 +9,7 @@
 use super::items::{self, Item, ItemCall, ItemKey, ItemVersion, Items};
 use crate::VersionConflict;
 
-/// Number of versions per item whose contents are remembered. Operators repeat a call for seconds,
+/// Number of versions per item whose contents are kept. Operators repeat a call for seconds,
 /// and an item changes a few times a day; an older version counts as a repeat, because it was
 /// confirmed or superseded long ago.
 const MAX_REMEMBERED_VERSIONS_PER_ITEM: usize = 16;
@@ -65,8 +65,8 @@
         }
     }
 
-    /// All items of the call whose content differs from the content accepted under their version,
-    /// or that occur twice in the call with different contents under one version.
+    /// Returns all items of the call whose content differs from the content accepted under their
+    /// version, or that occur twice in the call with different contents under one version.
     pub(crate) fn conflicts(&self, items: &Items, digests: &CallDigests) -> Vec<VersionConflict> {
         let mut sent: BTreeMap<(&ItemKey, ItemVersion), ContentDigest> = BTreeMap::new();
         let mut conflicts = Vec::new();
@@ -95,7 +95,8 @@
     }
 }
 
-/// The digest is the same for contents that differ only in white space and in the order of fields.
+/// Returns a digest that is the same for contents that differ only in white space and in the order
+/// of fields.
 ///
 /// The digest is stored, so the JSON of an item's body must stay the same.
 fn content_digest(item: &Item) -> ContentDigest {
--- a/crates/model/src/desired_state.rs
+++ b/crates/model/src/desired_state.rs
@@ -185,7 +185,7 @@
 pub struct Change {
     /// The operator's id for the change. Sending the same change again has no further effect.
     pub id: String,
-    /// The version of the desired state that the operator saw.
+    /// The version of the desired state on which the operator based the change.
     #[serde(rename = "base")]
     pub base_version: Position,
     /// The edits, in the order in which they are applied.
@@ -193,7 +193,7 @@
 }
 
 impl DesiredState {
-    /// The state after the edits, with the same version and not yet validated.
+    /// Returns the state after the edits, with the same version and not yet validated.
     pub fn with_edits(&self, edits: &[Edit]) -> DesiredState {
         let mut state = self.clone();
         for edit in edits.iter().cloned() {
@@ -215,7 +215,7 @@
         state
     }
 
-    /// The services of all groupings.
+    /// Returns the services of all groupings.
     pub fn services(&self) -> BTreeSet<&str> {
         self.groupings
             .values()
--- a/crates/model/src/endpoint_status.rs
+++ b/crates/model/src/endpoint_status.rs
@@ -105,7 +105,7 @@
 }
 
 impl Node {
-    /// A node that registers at position `next` and is suspected by no observer.
+    /// Returns a node that registers at position `next` and is suspected by no observer.
     pub(crate) fn present(
         zone: ZoneName,
         address: String,
--- a/crates/model/src/endpoint_status/report.rs
+++ b/crates/model/src/endpoint_status/report.rs
@@ -29,7 +29,7 @@
         /// Whether all requests beside the node had ended and the node forwards no more.
         clean: bool,
     },
-    /// An observer suspects a node to be gone, or has heard from it again.
+    /// An observer suspects a node to be gone, or receives its heartbeats again.
     NodeObserved {
         /// The node that observes.
         observer: NodeName,
@@ -37,7 +37,7 @@
         node: NodeName,
         /// The incarnation of the node.
         incarnation: Incarnation,
-        /// Whether the node is suspected; otherwise the observer has heard from it again.
+        /// Whether the node is suspected; otherwise the observer receives its heartbeats again.
         suspected: bool,
     },
     /// A backend registers.
--- a/crates/model/src/endpoint_status_rules.rs
+++ b/crates/model/src/endpoint_status_rules.rs
@@ -211,7 +211,7 @@
     Ok(())
 }
 
-/// The node, if this incarnation is registered and present.
+/// Returns the node, if this incarnation is registered and present.
 fn present_node<'a>(
     state: &'a mut StateMachine,
     name: &str,
@@ -221,7 +221,7 @@
     node.filter(|node| node.incarnation == incarnation && node.present)
 }
 
-/// The backend, if this incarnation is registered.
+/// Returns the backend, if this incarnation is registered.
 fn registered_backend<'a>(
     state: &'a mut StateMachine,
     name: &str,
--- a/crates/model/src/leases.rs
+++ b/crates/model/src/leases.rs
@@ -58,12 +58,12 @@
     pub slots: u32,
 }
 
-/// The slot of a key.
+/// Returns the slot of a key.
 pub fn key_slot(key: &str) -> KeySlot {
     (stable_hash(key) % u64::from(KEY_SLOTS)) as KeySlot
 }
 
-/// The first eight bytes of the SHA-256 of a text.
+/// Returns the first eight bytes of the SHA-256 of a text.
 ///
 /// The hash is the same on every node and in every version: it assigns keys to slots and selects
 /// the placement coordinator.
@@ -75,7 +75,7 @@
         .fold(0, |hash, byte| hash << 8 | u64::from(*byte))
 }
 
-/// The backends that accept new requests, as candidates for [`assign`].
+/// Returns the backends that accept new requests, as candidates for [`assign`].
 pub fn candidates<'a>(
     backends: impl Iterator<Item = (&'a BackendName, &'a Backend)>,
 ) -> Vec<Candidate> {
@@ -108,7 +108,7 @@
     with_lease.collect()
 }
 
-/// The current holder, if its quota still has room for the slot.
+/// Returns the current holder, if its quota still has room for the slot.
 fn keep_holder(
     lease: &Lease,
     remaining_quotas: &mut BTreeMap<LeaseHolder, usize>,
@@ -121,7 +121,7 @@
     Some(holder.clone())
 }
 
-/// The candidate that is furthest below its quota; ties go to the first by name.
+/// Returns the candidate that is furthest below its quota; ties go to the first by name.
 fn take_furthest_below_quota(
     remaining_quotas: &mut BTreeMap<LeaseHolder, usize>,
 ) -> Option<LeaseHolder> {
@@ -146,8 +146,8 @@
     }
 }
 
-/// The number of key slots of each candidate, in proportion to the candidates' slots. The slots
-/// left over by rounding down go to the largest remainders.
+/// Returns the number of key slots of each candidate, in proportion to the candidates' slots. The
+/// slots left over by rounding down go to the largest remainders.
 fn slot_quotas(candidates: &[Candidate]) -> BTreeMap<LeaseHolder, usize> {
     let total: u64 = candidates
         .iter()
@@ -178,8 +178,8 @@
     quotas.filter(|(_, quota)| *quota > 0).collect()
 }
 
-/// The leases after `holder` has reported that it knows the log up to `known_through` and runs no
-/// request on slots that it no longer holds at that position.
+/// Returns the leases after `holder` has reported that it knows the log up to `known_through` and
+/// runs no request on slots that it no longer holds at that position.
 pub fn release(leases: &[Lease], holder: &LeaseHolder, known_through: Position) -> Vec<Lease> {
     let mut leases = leases.to_vec();
     for lease in &mut leases {
--- a/crates/model/src/logging.rs
+++ b/crates/model/src/logging.rs
@@ -56,7 +56,7 @@
     (Logger::root(Fuse::new(drain), context), guard)
 }
 
-/// A logger that discards all lines, for tests and simulators.
+/// Returns a logger that discards all lines, for tests and simulators.
 pub fn discard_logger() -> Logger {
     Logger::root(Discard, o!())
 }
--- a/crates/model/src/registration.rs
+++ b/crates/model/src/registration.rs
@@ -38,8 +38,8 @@
     }
 }
 
-/// The number of observers that must suspect a node before it is presumed gone: two, or one if
-/// there is only one other node (design 2.4).
+/// Returns the number of observers that must suspect a node before it is presumed gone: two, or one
+/// if there is only one other node (design 2.4).
 pub(crate) fn required_observers(other_present_nodes: usize) -> usize {
     other_present_nodes.clamp(1, 2)
 }
--- a/crates/model/src/state_machine.rs
+++ b/crates/model/src/state_machine.rs
@@ -14,10 +14,10 @@
 };
 use crate::{archive, registration, validation};
 
-/// Number of decided changes whose outcome is remembered, so that a repeated change gets the same
+/// Number of decided changes whose outcome is kept, so that a repeated change gets the same
 /// answer.
 const MAX_REMEMBERED_CHANGES: usize = 1_024;
-/// Number of origins whose last report is remembered, to detect repeated reports.
+/// Number of origins whose last report is kept, to detect repeated reports.
 const MAX_REMEMBERED_ORIGINS: usize = 1_024;
 
 /// The state produced by the log entries for groupings, standing orders, endpoint reports and
@@ -187,7 +187,7 @@
             }
             None => {}
         }
-        // The two outcomes below are not remembered: the operator may correct the change and send
+        // The two outcomes below are not kept: the operator may correct the change and send
         // it again under the same id.
         if change.base_version != self.desired.version {
             return Outcome::Stale {
@@ -258,7 +258,7 @@
         }
     }
 
-    /// The longest request duration that the keyed orders of each service permit now, in
+    /// Returns the longest request duration that the keyed orders of each service permit now, in
     /// microseconds.
     fn longest_keyed_requests(&self) -> BTreeMap<ServiceName, Microseconds> {
         let mut longest = BTreeMap::new();
@@ -290,7 +290,7 @@
         self.position -= 1;
     }
 
-    /// The backends of a service that match one of its groupings.
+    /// Returns the backends of a service that match one of its groupings.
     pub fn backends_of<'a>(
         &'a self,
         service: &'a str,
@@ -327,7 +327,7 @@
         archive::from_bytes(bytes)
     }
 
-    /// The number of backends in a phase.
+    /// Returns the number of backends in a phase.
     pub fn count_in_phase(&self, phase: BackendPhase) -> usize {
         self.endpoint_status
             .backends
@@ -356,7 +356,7 @@
     }
 }
 
-/// SHA-256 of the change's JSON. The digest is stored, so the JSON must stay the same.
+/// Returns the SHA-256 of the change's JSON. The digest is stored, so the JSON must stay the same.
 fn change_digest(change: &Change) -> Vec<u8> {
     let bytes = serde_json::to_vec(change).unwrap_or_default();
     Sha256::digest(&bytes).to_vec()
--- a/crates/model/src/state_patch.rs
+++ b/crates/model/src/state_patch.rs
@@ -58,7 +58,7 @@
 }
 
 impl StateSlice {
-    /// The patch that turns this slice into `next`.
+    /// Returns the patch that turns this slice into `next`.
     pub fn diff_to(&self, next: &StateSlice) -> StatePatch {
         StatePatch {
             services: next.services.clone(),
--- a/crates/model/src/state_slice.rs
+++ b/crates/model/src/state_slice.rs
@@ -49,7 +49,7 @@
 pub type ServiceSet = BTreeSet<ServiceName>;
 
 impl StateSlice {
-    /// The slice for a node that has backends of `services`.
+    /// Returns the slice for a node that has backends of `services`.
     pub fn for_services(state: &StateMachine, services: &ServiceSet) -> StateSlice {
         let backends = &state.endpoint_status.backends;
         let full_slice = StateSlice {
@@ -66,7 +66,7 @@
         full_slice.narrowed_to(services)
     }
 
-    /// The part of this slice for a node that has backends of `services` only.
+    /// Returns the part of this slice for a node that has backends of `services` only.
     pub fn narrowed_to(&self, services: &ServiceSet) -> StateSlice {
         let orders = filter_table(&self.orders, |order| selects_any(order, services));
         let relevant = relevant_services(&orders, services);
@@ -98,8 +98,8 @@
         content(self) == content(other)
     }
 
-    /// The most specific order that allows `from` to send this request: the one with the longest
-    /// path prefix, then one that names methods.
+    /// Returns the most specific order that allows `from` to send this request: the one with the
+    /// longest path prefix, then one that names methods.
     pub fn route(
         &self,
         from: &str,
@@ -126,7 +126,7 @@
             })
     }
 
-    /// The lease on the slot of a key; `None` if the service has no keys.
+    /// Returns the lease on the slot of a key; `None` if the service has no keys.
     pub fn lease(&self, service: &str, key: &str) -> Option<&Lease> {
         self.leases
             .get(service)?
--- a/crates/model/src/validation.rs
+++ b/crates/model/src/validation.rs
@@ -154,7 +154,7 @@
     faults
 }
 
-/// The faults of a change that can be detected without the current state.
+/// Returns the faults of a change that can be detected without the current state.
 pub fn faults_of_edits(edits: &[Edit]) -> Vec<Fault> {
     let mut faults = faults_of_edit_count(edits.len());
     faults.extend(faults_of_names(edits));
@@ -171,7 +171,7 @@
     }
 }
 
-/// Invalid names, then names that are edited twice.
+/// Returns the faults of invalid names, then names that are edited twice.
 fn faults_of_names(edits: &[Edit]) -> Vec<Fault> {
     let edited: Vec<(&str, &String)> = edits
         .iter()
@@ -242,8 +242,8 @@
     faults
 }
 
-/// The faults of a change against a state, in a fixed order: every replica that applies the entry
-/// gets the same result.
+/// Returns the faults of a change against a state, in a fixed order: every replica that applies the
+/// entry gets the same result.
 pub fn faults_against(state: &DesiredState, edits: &[Edit]) -> Vec<Fault> {
     let mut faults = BTreeSet::from_iter(faults_of_edits(edits));
     faults.extend(faults_of_absent_names(state, edits));
--- a/crates/model/tests/cluster_state/call_order.rs
+++ b/crates/model/tests/cluster_state/call_order.rs
@@ -4,8 +4,8 @@
 use model::ClusterState;
 use model::cluster_state::{ItemBody, ItemCall, ItemKind};
 
-/// A call with one item. Each version of an item always has the same content, and no call is
-/// invalid.
+/// Returns a call with one item. Each version of an item always has the same content, and no call
+/// is invalid.
 fn drawn_call(kind: u8, name: u8, version: u8) -> ItemCall {
     let (name, number, version) = (
         format!("item-{}", name % 3),
--- a/crates/model/tests/cluster_state/conflicts.rs
+++ b/crates/model/tests/cluster_state/conflicts.rs
@@ -8,7 +8,7 @@
 use model::cluster_state::{ClusterOperation, ClusterReport, ItemCall, ItemKind};
 use model::{ClusterState, Outcome};
 
-/// A route call whose content depends on the prefix, as different operators write it.
+/// Returns a route call whose content depends on the prefix, as different operators write it.
 fn route_call(name: &str, version: u64, prefix: &str) -> ItemCall {
     let mut call = put(name, version, route_body("shop", prefix, "seat"));
     call.puts[0].text = format!(r#"{{"path_prefix":"{prefix}","timeout":"1s"}}"#);
--- a/crates/model/tests/cluster_state/fixtures.rs
+++ b/crates/model/tests/cluster_state/fixtures.rs
@@ -77,7 +77,7 @@
         .0
 }
 
-/// The fault paths of the call; empty if it was accepted or changed nothing.
+/// Returns the fault paths of the call; empty if it was accepted or changed nothing.
 pub(crate) fn faults(state: &mut ClusterState, call: ItemCall) -> Vec<String> {
     let before = state.clone();
     match apply_call(state, call) {
@@ -135,7 +135,7 @@
     }
 }
 
-/// A state with one keyed service and one route to it.
+/// Returns a state with one keyed service and one route to it.
 pub(crate) fn sample_state() -> ClusterState {
     let mut state = ClusterState::default();
     let call = combined(
--- a/crates/model/tests/golden_json.rs
+++ b/crates/model/tests/golden_json.rs
@@ -27,7 +27,8 @@
     format!("{label}: {}\n", serde_json::to_string(value).expect("JSON"))
 }
 
-/// The input and its JSON after parsing, after checking that this JSON parses to the same value.
+/// Returns the input and its JSON after parsing, after checking that this JSON parses to the same
+/// value.
 fn round_trip<T: Serialize + DeserializeOwned + PartialEq + Debug>(text: &str) -> String {
     match serde_json::from_str::<T>(text) {
         Ok(value) => {
--- a/crates/model/tests/recorded_bytes/entries.rs
+++ b/crates/model/tests/recorded_bytes/entries.rs
@@ -66,8 +66,8 @@
     }
 }
 
-/// One entry for each operation and, for operations that carry one of several values, one entry for
-/// each of these values.
+/// Returns one entry for each operation and, for operations that carry one of several values, one
+/// entry for each of these values.
 pub(crate) fn entries() -> Vec<(String, Entry)> {
     let operations = operations()
         .into_iter()
--- a/crates/model/tests/recorded_bytes/states.rs
+++ b/crates/model/tests/recorded_bytes/states.rs
@@ -51,7 +51,7 @@
     previous.diff_to(&next)
 }
 
-/// A cluster state after entries that change its items, backends, nodes and shard ranges.
+/// Returns a cluster state after entries that change its items, backends, nodes and shard ranges.
 pub(crate) fn cluster_state() -> ClusterState {
     let mut cluster_state = ClusterState::default();
     let mut sequence = 0;
@@ -127,8 +127,8 @@
     cluster_state
 }
 
-/// A state machine after entries that change its desired state, backends, nodes, leases and a
-/// replica's disk.
+/// Returns a state machine after entries that change its desired state, backends, nodes, leases and
+/// a replica's disk.
 pub(crate) fn state_machine() -> StateMachine {
     let mut state_machine = StateMachine::default();
     let mut apply = |instance: u64, origin: &str, operation: Operation| {
--- a/crates/operator-api/src/api.rs
+++ b/crates/operator-api/src/api.rs
@@ -13,7 +13,8 @@
 pub struct OperatorApi {
     /// The replica of this process.
     pub replica: ReplicaHandle,
-    /// False once the process was told to stop; the replica then reports that it is not ready.
+    /// False once the process has received a request to stop; the replica then reports that it is
+    /// not ready.
     pub accepting_work: Arc<AtomicBool>,
 }
 
@@ -31,7 +32,7 @@
 }
 
 impl Answer {
-    /// Answer for an invalid request, which had no effect.
+    /// Returns the answer for an invalid request, which had no effect.
     pub(crate) fn invalid(status: u16, faults: Vec<Fault>) -> Answer {
         Answer {
             status,
@@ -39,7 +40,8 @@
         }
     }
 
-    /// Answer for a change that was not proposed to the log, so that it certainly has no effect.
+    /// Returns the answer for a change that was not proposed to the log, so that it certainly has
+    /// no effect.
     pub(crate) fn no_majority() -> Answer {
         let detail = "this core seat is not in touch with a majority";
         let body = json!({ "verdict": "not-run", "cause": "no_majority", "detail": detail });
--- a/crates/outbound/src/proxy.rs
+++ b/crates/outbound/src/proxy.rs
@@ -103,8 +103,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the error of the last phase that failed. Its execution status says whether any
-    /// attempt may have run; its `retry_after` says when the client may retry.
+    /// Returns the error of the last phase that failed. Its execution status states whether any
+    /// attempt may have run; its `retry_after` states when the client may retry.
     pub async fn perform(&self, request: Request) -> Result<ForwardedResponse, Error> {
         let _in_flight = self.admit()?;
         let mut routed = self.resolve_route(request)?;
--- a/crates/storage/tests/store/disk_faults.rs
+++ b/crates/storage/tests/store/disk_faults.rs
@@ -25,7 +25,7 @@
     operation.wrapping_mul(0x9E37_79B9_7F4A_7C15)
 }
 
-/// The disk operations needed to append all records.
+/// Returns the disk operations needed to append all records.
 fn append_operations() -> RangeInclusive<u64> {
     let disk = FaultyDisk::new();
     let mut store = disk.open_store().expect("open the store").store;
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -108,7 +108,8 @@
 /// Forwards received frames to the connection's owner until the stream ends, a frame is invalid or
 /// the receiver is dropped.
 ///
-/// `_reader_alive` is dropped with this task, which tells the writer that the connection has ended.
+/// `_reader_alive` is dropped with this task, which notifies the writer that the connection has
+/// ended.
 async fn read_frames(
     mut reader: SocketReader,
     incoming: mpsc::Sender<Frame>,
@@ -132,7 +133,7 @@
     loop {
         let first = tokio::select! {
             frame = outgoing.recv() => frame,
-            // The peer is gone; the closed channel tells this to the holders of senders.
+            // The peer is gone; the closed channel shows this to the holders of senders.
             _ = &mut reader_ended => None,
         };
         let Some(first) = first else { return };
@@ -151,7 +152,7 @@
 }
 
 /// Writes all bytes, with a timeout for each chunk: a peer on a slow link may need long for many
-/// bytes, while a peer that accepts no bytes within the timeout is taken for gone.
+/// bytes, while a peer that accepts no bytes within the timeout is considered gone.
 async fn write_in_chunks(writer: &mut SocketWriter, bytes: &[u8]) -> Result<(), Error> {
     for chunk in bytes.chunks(WRITE_CHUNK_BYTES) {
         timeout(WRITE_TIMEOUT, writer.write_all(chunk))
--- a/crates/transport/src/error.rs
+++ b/crates/transport/src/error.rs
@@ -6,7 +6,7 @@
 
 use crate::PROTOCOL_VERSION;
 
-/// Why a connection could not be opened or has ended.
+/// The reason for which a connection could not be opened or has ended.
 ///
 /// The texts are part of the interface: they reach operators (in `/ready` and on the command line)
 /// and peers (as the reason for a refused handshake).
--- a/crates/transport/src/frame.rs
+++ b/crates/transport/src/frame.rs
@@ -70,7 +70,7 @@
     /// The sender is alive.
     Heartbeat,
     /// A number that increases with the sender's clock. Attempts return the latest one, from which
-    /// the sender of watermarks tells their age.
+    /// the sender of watermarks determines their age.
     Watermark(u64),
     /// An attempt of a request.
     Attempt(Box<AttemptRequest>),
--- a/crates/transport/src/handshake.rs
+++ b/crates/transport/src/handshake.rs
@@ -86,7 +86,8 @@
     pub known_replicas: Vec<KnownReplica>,
 }
 
-/// Why a handshake is refused; the text reaches the opener of the connection and its operators.
+/// The reason for which a handshake is refused; the text reaches the opener of the connection and
+/// its operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rejection {
     /// Reason as text.
--- a/crates/transport/tests/recorded_frames/samples.rs
+++ b/crates/transport/tests/recorded_frames/samples.rs
@@ -217,7 +217,7 @@
     })
 }
 
-/// Further samples of variants with optional or enum fields.
+/// Returns further samples of variants with optional or enum fields.
 pub(crate) fn additional_frames() -> Vec<(String, Frame)> {
     let handshakes = purposes().into_iter().map(|(name, purpose)| {
         (
