--- a/crates/control/src/membership/bootstrap.rs
+++ b/crates/control/src/membership/bootstrap.rs
@@ -43,8 +43,8 @@
     pub seeds: Vec<String>,
     /// Whether the cluster starts for the first time.
     pub first_start: bool,
-    /// The founder waits for further machines until none has connected for this long, in
-    /// microseconds.
+    /// Time without a new connection after which the founder stops waiting for further machines,
+    /// in microseconds.
     pub quiet_period: Microseconds,
     /// The minimum time that the founder waits for further machines, in microseconds.
     pub minimum_wait: Microseconds,
--- a/crates/control/src/replica/event_loop.rs
+++ b/crates/control/src/replica/event_loop.rs
@@ -29,7 +29,8 @@
     pub(super) sender: FrameSender,
 }
 
-/// The progress of the log: the first instance that was not applied, and when it last changed.
+/// The progress of the log: the first instance that was not applied, and the time of its last
+/// change.
 #[derive(Default)]
 pub(super) struct Progress {
     pub(super) applied_below: Instance,
--- a/crates/control/src/replica/peer_link.rs
+++ b/crates/control/src/replica/peer_link.rs
@@ -14,8 +14,7 @@
 use super::handle::{PinError, ReplicaHandle, Stopped};
 use crate::membership::discovery;
 
-/// A connection on which no frame arrives for this long is closed; peers send heartbeats far more
-/// often.
+/// Time without a frame after which a connection is closed; peers send heartbeats far more often.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Minimum pause between two attempts to connect, in milliseconds. A random pause of up to the same
@@ -117,9 +116,10 @@
     };
     match transport::dial(address, own_handshake).await {
         Ok(connection) => {
-            let found = connection.peer_handshake.replica;
-            let found = found.map(|(replica_id, replica_count, _)| (replica_id, replica_count));
-            if found != Some((peer_id, handle.replica_count())) {
+            let peer_replica = connection.peer_handshake.replica;
+            let peer_replica =
+                peer_replica.map(|(replica_id, replica_count, _)| (replica_id, replica_count));
+            if peer_replica != Some((peer_id, handle.replica_count())) {
                 slog::warn!(handle.logger,
                     "a different process answered at the address of a peer; disconnecting";
                     "address" => address,
--- a/crates/control/src/updates/subscriber.rs
+++ b/crates/control/src/updates/subscriber.rs
@@ -62,7 +62,7 @@
     requested_at: Microseconds,
 }
 
-/// A relay that failed, and until when it is avoided.
+/// A relay that failed, and the time until which it is avoided.
 struct AvoidedRelay {
     address: String,
     until: Microseconds,
--- a/crates/control/src/updates/upstreams.rs
+++ b/crates/control/src/updates/upstreams.rs
@@ -148,8 +148,7 @@
     }
 }
 
-/// A replica that sent no proof when it was tried, and until when it is tried only after all
-/// others.
+/// A replica that sent no proof when it was tried. For some time it is tried only after all others.
 struct AvoidedReplica {
     failures: u32,
     until: Microseconds,
@@ -227,13 +226,13 @@
         let attempt =
             (self.needs_upstream(now) && self.may_attempt()).then_some(self.next_attempt_at);
         let recheck = self.relies_on_another_zone().then_some(self.recheck_at);
-        let further = [overdue, attempt, recheck];
-        let all = requests
+        let other_times = [overdue, attempt, recheck];
+        let poll_times = requests
             .chain(timeouts)
-            .chain(further.into_iter().flatten());
+            .chain(other_times.into_iter().flatten());
         // An attempt that is due but has no candidate is polled again after a pause.
         let earliest = now + RECONNECT_PAUSE;
-        let next = all.map(|at| at.max(earliest)).min();
+        let next = poll_times.map(|time| time.max(earliest)).min();
         next.unwrap_or(now + self.timing.proof_interval)
     }
 
@@ -438,12 +437,12 @@
         candidates: &'known [Candidate],
     ) -> Option<&'known Candidate> {
         let is_open = |candidate: &&Candidate| {
-            let mut open = self.upstreams.values();
-            open.any(|upstream| upstream.key == candidate.key)
+            let mut upstreams = self.upstreams.values();
+            upstreams.any(|upstream| upstream.key == candidate.key)
         };
         let tries_own_zone = self.attempts().any(|upstream| upstream.is_own_zone);
-        let open = candidates.iter().filter(|candidate| !is_open(candidate));
-        open.min_by_key(|candidate| {
+        let unconnected = candidates.iter().filter(|candidate| !is_open(candidate));
+        unconnected.min_by_key(|candidate| {
             let avoided_until = self.avoided_until(now, candidate.key);
             (avoided_until, tries_own_zone && candidate.is_own_zone)
         })
--- a/crates/endpoints/src/lease_table/granter.rs
+++ b/crates/endpoints/src/lease_table/granter.rs
@@ -74,8 +74,8 @@
 
     /// Returns the leases of the backend `name`, or `None` if the freshness proof is too old to renew any lease.
     ///
-    /// `verified_at` is when the latest successful freshness proof was requested (0 if never). `held` are the ranges
-    /// that the backend reports as held, with their fencing tokens.
+    /// `verified_at` is the time at which the latest successful freshness proof was requested (0 if never). `held` are
+    /// the ranges that the backend reports as held, with their fencing tokens.
     pub fn grant(
         &mut self,
         now: Microseconds,
--- a/crates/endpoints/src/lease_table/reports.rs
+++ b/crates/endpoints/src/lease_table/reports.rs
@@ -135,10 +135,10 @@
     fn end_reports(&self, snapshot: &StateSnapshot) -> Vec<ClusterReport> {
         self.pending_ends
             .iter()
-            .filter(|(name, gone)| **gone || snapshot.backends.contains_key(*name))
-            .map(|(name, gone)| ClusterReport::BackendEnded {
+            .filter(|(name, process_gone)| **process_gone || snapshot.backends.contains_key(*name))
+            .map(|(name, process_gone)| ClusterReport::BackendEnded {
                 name: name.clone(),
-                process_gone: *gone,
+                process_gone: *process_gone,
             })
             .collect()
     }
@@ -147,7 +147,7 @@
     /// incarnations whose processes are gone, even if this process never received their heartbeats. While no backend
     /// sends heartbeats here, they are reported as silent only.
     fn other_backend_reports(&self, snapshot: &StateSnapshot) -> Vec<ClusterReport> {
-        let own = self
+        let local_name = self
             .backend
             .as_ref()
             .map(|backend| backend.heartbeat.name.as_str());
@@ -160,12 +160,12 @@
         let others = snapshot.backends.iter().filter(|(name, backend)| {
             backend.node == self.config.node
                 && !self.pending_ends.contains_key(*name)
-                && own != Some(name.as_str())
+                && local_name != Some(name.as_str())
         });
         others
             .filter_map(|(name, backend)| {
                 let name = name.clone();
-                if own.is_some() {
+                if local_name.is_some() {
                     return is_confirmed.then_some(ClusterReport::BackendEnded {
                         name,
                         process_gone: true,
@@ -208,12 +208,12 @@
         self.pending_reports
             .retain(|report| !reports.contains(report));
         // An entry whose process may still run is kept until the process is known to be gone.
-        self.pending_ends.retain(|name, gone| {
+        self.pending_ends.retain(|name, process_gone| {
             let end = ClusterReport::BackendEnded {
                 name: name.clone(),
-                process_gone: *gone,
+                process_gone: *process_gone,
             };
-            !*gone || !reports.contains(&end)
+            !*process_gone || !reports.contains(&end)
         });
     }
 
@@ -221,8 +221,8 @@
         let Some(backend) = &mut self.backend else {
             return;
         };
-        let own = &backend.heartbeat.name;
-        let is_own_join = |report: &ClusterReport| matches!(report, ClusterReport::BackendJoined { name, .. } if name == own);
+        let local_name = &backend.heartbeat.name;
+        let is_own_join = |report: &ClusterReport| matches!(report, ClusterReport::BackendJoined { name, .. } if name == local_name);
         if reports.iter().any(is_own_join) {
             backend.rejected = true;
         }
--- a/crates/endpoints/src/node.rs
+++ b/crates/endpoints/src/node.rs
@@ -156,13 +156,13 @@
 
 impl Shared {
     fn start(config: &NodeConfig, logger: Logger) -> Shared {
-        let own = &config.lease_table;
+        let table_config = &config.lease_table;
         let known_replicas = discovery::empty();
         let handshake = handshake_factory(config, known_replicas.clone());
         let follower = follower::start(
             FollowerConfig {
-                node: own.node.clone(),
-                zone: own.zone.clone(),
+                node: table_config.node.clone(),
+                zone: table_config.zone.clone(),
                 proof_interval: config.proof_interval,
                 proof_timeout: config.proof_interval,
             },
@@ -172,8 +172,8 @@
         );
         let reporter = StatusReporter::start(
             StatusReporterConfig {
-                node: own.node.clone(),
-                incarnation: own.incarnation,
+                node: table_config.node.clone(),
+                incarnation: table_config.incarnation,
                 logger: logger.clone(),
             },
             known_replicas.clone(),
@@ -201,11 +201,11 @@
         config: &NodeConfig,
         peer_listener: TcpListener,
     ) -> mpsc::Receiver<LoadReport> {
-        let own = &config.lease_table;
+        let table_config = &config.lease_table;
         let heartbeats = monitor::start(
             MonitorConfig {
-                node: own.node.clone(),
-                incarnation: own.incarnation,
+                node: table_config.node.clone(),
+                incarnation: table_config.incarnation,
                 heartbeat_interval: config.monitor_interval,
                 detection_timeout: config.monitor_timeout,
             },
@@ -254,11 +254,11 @@
         peers: PeerConnections,
         in_flight: InFlightRequests,
     ) -> Listener {
-        let own = config.lease_table;
+        let table_config = config.lease_table;
         let verified_state = self.follower.verified_state.clone();
         let proxy = OutboundProxy {
-            node: own.node,
-            zone: own.zone,
+            node: table_config.node,
+            zone: table_config.zone,
             service: config.service,
             verified_state: verified_state.clone(),
             limiter: self.limiter.clone(),
@@ -278,13 +278,13 @@
 
 /// Returns a function that creates this node's handshake for a connection.
 fn handshake_factory(config: &NodeConfig, known_replicas: KnownReplicas) -> HandshakeFactory {
-    let own = config.lease_table.clone();
+    let table_config = config.lease_table.clone();
     Arc::new(move |purpose| Handshake {
         purpose,
-        node_name: own.node.clone(),
-        zone: own.zone.clone(),
-        address: own.address.clone(),
-        incarnation: own.incarnation,
+        node_name: table_config.node.clone(),
+        zone: table_config.zone.clone(),
+        address: table_config.address.clone(),
+        incarnation: table_config.incarnation,
         replica: None,
         has_empty_disk: false,
         expected_disk: None,
--- a/crates/endpoints/src/placement/coordinator.rs
+++ b/crates/endpoints/src/placement/coordinator.rs
@@ -58,7 +58,7 @@
 struct CoordinatorState {
     load_reports: LoadReports,
     ejections: EjectionPolicy,
-    /// The backends that accept requests, and when this set last changed.
+    /// The backends that accept requests, and the time of the last change of this set.
     available: Vec<BackendName>,
     available_since: Microseconds,
     load_reported_at: Microseconds,
@@ -174,11 +174,13 @@
         let Some(coordinator) = coordinator else {
             return;
         };
-        let own = snapshot
+        let local_backend = snapshot
             .backends
             .iter()
             .find(|(_, backend)| backend.node == self.node && backend.service == self.service);
-        let Some((name, _)) = own else { return };
+        let Some((name, _)) = local_backend else {
+            return;
+        };
         let demand = self.limiter.demand(MAX_REPORTED_RANGES).await;
         let Some((slots, (mean_run_time, run_count), demand, demand_samples, unhealthy)) = demand
         else {
@@ -216,7 +218,7 @@
     }
 }
 
-/// Returns how long the set of backends has to be unchanged before this placement, in microseconds.
+/// Returns the time for which the set of backends has to be unchanged before this placement, in microseconds.
 fn quiet_period(planned: &PlannedPlacement) -> Microseconds {
     match planned.reason {
         _ if planned.base_placement == 0 => INITIAL_QUIET_PERIOD,
@@ -232,9 +234,9 @@
 
 /// Returns the number of nodes that precede this node in the coordinator order.
 fn coordinator_rank(snapshot: &StateSnapshot, service: &str, node: &str) -> u64 {
-    let own = coordinator_weight(service, node);
+    let own_weight = coordinator_weight(service, node);
     let backends = snapshot.available_backends(service);
-    let precedes = |other: &str| other != node && coordinator_weight(service, other) > own;
+    let precedes = |other: &str| other != node && coordinator_weight(service, other) > own_weight;
     backends
         .iter()
         .filter(|backend| precedes(&backend.node))
--- a/crates/endpoints/src/placement/load.rs
+++ b/crates/endpoints/src/placement/load.rs
@@ -100,9 +100,9 @@
     fn mean_run_time(&self, backends: &[AvailableBackend]) -> f64 {
         let (mut sum, mut count) = (0.0, 0.0);
         for backend in backends {
-            let own = self.run_times(&backend.name);
-            sum += own.mean * own.count;
-            count += own.count;
+            let run_times = self.run_times(&backend.name);
+            sum += run_times.mean * run_times.count;
+            count += run_times.count;
         }
         if count > 0.0 {
             sum / count
@@ -122,9 +122,9 @@
 ) -> Vec<BackendCapacity> {
     let mean = load_reports.mean_run_time(backends);
     let capacity = |backend: &AvailableBackend| {
-        let own = load_reports.run_times(&backend.name);
-        let run_time = (own.mean * own.count + mean * MEAN_RUN_TIME_WEIGHT)
-            / (own.count + MEAN_RUN_TIME_WEIGHT);
+        let run_times = load_reports.run_times(&backend.name);
+        let run_time = (run_times.mean * run_times.count + mean * MEAN_RUN_TIME_WEIGHT)
+            / (run_times.count + MEAN_RUN_TIME_WEIGHT);
         let share = if ejected.contains(&backend.name) {
             EJECTED_CAPACITY_SHARE
         } else {
--- a/crates/endpoints/src/placement/tests.rs
+++ b/crates/endpoints/src/placement/tests.rs
@@ -354,14 +354,17 @@
         if now < backend.reported_at + interval {
             return;
         }
-        let own: Vec<(u16, u16)> = self
+        let held_ranges: Vec<(u16, u16)> = self
             .cluster
             .shard_map()
             .iter()
             .filter(|range| range.holder == Some(backend_name(index)))
             .map(|range| (range.first_key, range.last_key))
             .collect();
-        let (demand, demand_samples) = backend.demand.report(now, &own, MAX_REPORTED_RANGES);
+        let (demand, demand_samples) =
+            backend
+                .demand
+                .report(now, &held_ranges, MAX_REPORTED_RANGES);
         let (mean_run_time, run_count) = backend.queue.mean_run_duration();
         let report = LoadReport {
             service: SERVICE.into(),
--- a/crates/endpoints/src/registration.rs
+++ b/crates/endpoints/src/registration.rs
@@ -1,4 +1,4 @@
-//! Tells whether this process is the incarnation that the log has registered under its node's name (design section
+//! Determines whether this process is the incarnation that the log has registered under its node's name (design section
 //! 11.2).
 //!
 //! Incarnations are random, so the greater one of two is not necessarily the later one. A process registers as the
--- a/crates/endpoints/tests/shutdown.rs
+++ b/crates/endpoints/tests/shutdown.rs
@@ -21,16 +21,16 @@
         clock_margin: 200_000,
         max_duration: 10_000_000,
     };
-    let own = (
+    let identity = (
         "n0".to_string(),
         "z0".to_string(),
         "127.0.0.1:1".to_string(),
     );
     let config = NodeConfig {
         lease_table: LeaseTableConfig {
-            node: own.0,
-            zone: own.1,
-            address: own.2,
+            node: identity.0,
+            zone: identity.1,
+            address: identity.2,
             incarnation: 1,
             leases,
             heartbeat_interval: 1_500_000,
--- a/crates/inbound/src/admission_queue.rs
+++ b/crates/inbound/src/admission_queue.rs
@@ -152,9 +152,9 @@
         now: Microseconds,
         respond_by: Microseconds,
     ) -> Microseconds {
-        let left = respond_by.saturating_sub(now);
+        let time_left = respond_by.saturating_sub(now);
         let run = (self.mean_run_us * ADMISSION_RUN_FRACTION) as Microseconds;
-        left.saturating_sub(run).max(left / 8)
+        time_left.saturating_sub(run).max(time_left / 8)
     }
 
     /// Queues a request and counts its arrival.
--- a/crates/legacy-proxy/src/slot_owner.rs
+++ b/crates/legacy-proxy/src/slot_owner.rs
@@ -165,18 +165,18 @@
         registration: Registration,
         secret: String,
     ) -> Result<Incarnation, Error> {
-        let known = self.backends.get(&registration.name);
+        let existing = self.backends.get(&registration.name);
         if self.draining {
             return Err(Error::new(
                 ErrorKind::ShuttingDown,
                 "this node is shutting down",
             ));
         }
-        if known.is_some_and(|known| {
+        if existing.is_some_and(|existing| {
             matches!(
-                known.state,
+                existing.state,
                 RegistrationState::Live | RegistrationState::Draining
-            ) && now < known.last_heartbeat + self.config.heartbeat_timeout
+            ) && now < existing.last_heartbeat + self.config.heartbeat_timeout
         }) {
             return Err(Error::new(
                 ErrorKind::BadRequest,
@@ -184,24 +184,26 @@
             ));
         }
         // The previous backends at this address can no longer be reached.
-        let displaced = self.backends.values_mut().filter(|known| {
-            known.registration.address == registration.address
-                && known.registration.name != registration.name
+        let displaced = self.backends.values_mut().filter(|existing| {
+            existing.registration.address == registration.address
+                && existing.registration.name != registration.name
         });
         displaced
-            .filter(|known| known.state != RegistrationState::Gone)
-            .for_each(|known| {
-                known.state = RegistrationState::Gone;
-                let (name, incarnation) = (known.registration.name.clone(), known.incarnation);
+            .filter(|existing| existing.state != RegistrationState::Gone)
+            .for_each(|existing| {
+                existing.state = RegistrationState::Gone;
+                let (name, incarnation) =
+                    (existing.registration.name.clone(), existing.incarnation);
                 self.pending_reports.push(EndpointReport::PhaseChanged {
                     name,
                     incarnation,
                     phase: BackendPhase::PresumedGone,
                 });
             });
-        let known = self.backends.get(&registration.name);
-        let incarnation =
-            incarnations::successor(logged.max(known.map_or(0, |known| known.incarnation)));
+        let existing = self.backends.get(&registration.name);
+        let incarnation = incarnations::successor(
+            logged.max(existing.map_or(0, |existing| existing.incarnation)),
+        );
         let reported_slots = registration.slots;
         let backend = RegisteredBackend {
             registration,
--- a/crates/legacy-proxy/src/slot_owner/queue.rs
+++ b/crates/legacy-proxy/src/slot_owner/queue.rs
@@ -210,8 +210,8 @@
         admissions
     }
 
-    /// Updates the backends by the time and the view: heartbeat timeouts, live backends that the
-    /// log presumed gone, changed numbers of slots, and moved leases.
+    /// Updates the backends according to the time and the view: heartbeat timeouts, running
+    /// backends that the log presumed gone, changed numbers of slots, and moved leases.
     fn observe(&mut self, now: Microseconds, view: &View) {
         for backend in self.backends.values_mut() {
             if matches!(
@@ -260,8 +260,8 @@
 }
 
 impl RegisteredBackend {
-    /// Updates a registered backend by the time and the view. Returns the report to the log, if one
-    /// is due.
+    /// Updates a registered backend according to the time and the view. Returns the report to the
+    /// log, if one is due.
     fn observe(
         &mut self,
         now: Microseconds,
--- a/crates/mencius/src/apply.rs
+++ b/crates/mencius/src/apply.rs
@@ -171,11 +171,11 @@
     /// Completes the recovery after all writes are replayed: skips the own unused instances below
     /// the stored index and resumes suggestions without a known outcome in their instances.
     pub(crate) fn resume(&mut self) {
-        let own = self.log_of(self.replica_id);
-        let undecided = own
+        let own_log = self.log_of(self.replica_id);
+        let undecided = own_log
             .accepted
             .iter()
-            .filter(|(instance, _)| own.outcome(**instance).is_none());
+            .filter(|(instance, _)| own_log.outcome(**instance).is_none());
         let undecided: Vec<(Instance, Value)> = undecided
             .map(|(instance, accepted)| (*instance, accepted.value.clone()))
             .collect();
--- a/crates/mencius/src/timers.rs
+++ b/crates/mencius/src/timers.rs
@@ -117,14 +117,14 @@
         }
         let waited = self.now - self.stall.since;
         let coordinator = self.coordinator(self.applied);
-        let own = coordinator == self.replica_id;
+        let is_own = coordinator == self.replica_id;
         if self.is_fetch_due(waited, 2 * self.config.heartbeat_interval) {
             self.fetch_from_next_peer(waited);
         }
-        if own && self.is_fetch_due(waited, self.config.heartbeat_interval) {
+        if is_own && self.is_fetch_due(waited, self.config.heartbeat_interval) {
             self.resend_suggestion(self.applied);
         }
-        let may_revoke = !own || self.rejected.contains(&self.applied);
+        let may_revoke = !is_own || self.rejected.contains(&self.applied);
         if waited >= self.config.stall_revoke_after && may_revoke {
             self.schedule_revocation(coordinator, self.index.max(self.applied + 1));
         }
--- a/crates/model/src/cluster_state/endpoints.rs
+++ b/crates/model/src/cluster_state/endpoints.rs
@@ -27,7 +27,7 @@
     pub slots: u32,
     /// The lifecycle phase.
     pub phase: BackendPhase,
-    /// The position at which it entered its phase.
+    /// The position at which the backend entered its phase.
     #[serde(rename = "since")]
     pub changed_at: Position,
 }
--- a/crates/model/src/cluster_state/report.rs
+++ b/crates/model/src/cluster_state/report.rs
@@ -5,7 +5,7 @@
 
 /// A node's report about itself, its backends, its peers or the keys of its services.
 ///
-/// [`EndpointReport`](crate::endpoint_status::EndpointReport) is its counterpart for the other
+/// [`EndpointReport`](crate::endpoint_status::EndpointReport) is the counterpart for the other
 /// state machine. Both are stored in the log under different rules, so they cannot be merged.
 #[derive(Clone, Debug, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub enum ClusterReport {
@@ -13,9 +13,9 @@
     NodeRegistered {
         /// The name of the node.
         node: NodeName,
-        /// The zone that the node is in.
+        /// The zone of the node.
         zone: ZoneName,
-        /// The address at which other nodes reach it.
+        /// The address at which other nodes reach the node.
         address: String,
         /// The incarnation that registers.
         incarnation: Incarnation,
@@ -23,7 +23,7 @@
         /// effect only while that incarnation is still the registered one.
         replaces: Incarnation,
     },
-    /// A node left permanently: it has no backends any more.
+    /// A node left permanently: it no longer has backends.
     NodeLeft {
         /// The name of the node.
         node: NodeName,
@@ -45,16 +45,16 @@
     BackendJoined {
         /// The name of the backend.
         name: BackendName,
-        /// The data that it announces.
+        /// The data that the backend announces.
         backend: BackendRecord,
     },
-    /// A backend accepts no new requests any more.
+    /// A backend no longer accepts new requests.
     BackendDraining {
         /// The name of the backend.
         name: BackendName,
     },
     /// A backend sends no heartbeats although its process may still run, or sends heartbeats again.
-    /// It receives no new requests in between.
+    /// The backend receives no new requests in between.
     BackendSilent {
         /// The name of the backend.
         name: BackendName,
@@ -65,8 +65,8 @@
     BackendEnded {
         /// The name of the backend.
         name: BackendName,
-        /// Whether its process has ended, so that it holds no keys. Otherwise it only stopped
-        /// sending heartbeats.
+        /// Whether the backend's process has ended, so that it holds no keys. Otherwise it only
+        /// stopped sending heartbeats.
         process_gone: bool,
     },
     /// A placement: the assignment of keys to holders (design 11.4).
@@ -83,10 +83,10 @@
     ShardsReleased {
         /// The service of the keys.
         service: ServiceName,
-        /// The backend that held them.
+        /// The backend that held the keys.
         name: BackendName,
-        /// The position up to which its node knew the log. Keys that were lost later are not
-        /// released.
+        /// The position up to which the backend's node had received the log. Keys that were lost
+        /// later are not released.
         known_through: Position,
         /// First key, last key and handover token of each key span.
         ranges: Vec<(u16, u16, String)>,
--- a/crates/model/src/cluster_state/shard_map.rs
+++ b/crates/model/src/cluster_state/shard_map.rs
@@ -78,7 +78,7 @@
 /// Assigns key spans (first key, last key, holder) to the holders that a placement names.
 ///
 /// A holder that keeps a range keeps its fencing token. A backend that gets a range back has no
-/// release of the range pending any more, because it holds the range again.
+/// release of the range pending, because it holds the range again.
 pub fn reassign(
     ranges: ShardMap,
     assignments: &[(ShardKey, ShardKey, BackendName)],
--- a/crates/model/src/endpoint_status.rs
+++ b/crates/model/src/endpoint_status.rs
@@ -27,14 +27,14 @@
 )]
 #[serde(rename_all = "snake_case")]
 pub enum BackendPhase {
-    /// Accepts new requests.
+    /// The backend accepts new requests.
     Registered,
-    /// Finishes its current requests and accepts no new ones.
+    /// The backend finishes its current requests and accepts no new ones.
     Draining,
-    /// Has deregistered itself.
+    /// The backend has deregistered itself.
     #[serde(rename = "signed_off")]
     Deregistered,
-    /// Sent no heartbeat for too long, or its node was lost.
+    /// The backend sent no heartbeat within the timeout, or its node was lost.
     PresumedGone,
 }
 
@@ -54,7 +54,7 @@
     pub service: ServiceName,
     /// The zone of the backend.
     pub zone: ZoneName,
-    /// The labels that it carries.
+    /// The labels of the backend.
     pub labels: Labels,
     /// The number of requests that the backend runs concurrently.
     pub slots: u32,
@@ -64,7 +64,7 @@
     pub incarnation: Incarnation,
     /// The lifecycle phase.
     pub phase: BackendPhase,
-    /// The position at which it entered its phase.
+    /// The position at which the backend entered its phase.
     #[serde(rename = "since")]
     pub changed_at: Position,
 }
@@ -90,7 +90,7 @@
 pub struct Node {
     /// The zone of the node.
     pub zone: ZoneName,
-    /// The address at which other nodes reach it: an IP address and port.
+    /// The address at which other nodes reach the node: an IP address and port.
     pub address: String,
     /// The registered incarnation.
     pub incarnation: Incarnation,
@@ -99,7 +99,7 @@
     /// The observers that suspect this incarnation to be gone.
     #[serde(rename = "reporters")]
     pub suspected_by: BTreeSet<NodeName>,
-    /// The position at which it became present or absent.
+    /// The position at which the node became present or absent.
     #[serde(rename = "since")]
     pub changed_at: Position,
 }
--- a/crates/model/src/endpoint_status/report.rs
+++ b/crates/model/src/endpoint_status/report.rs
@@ -10,9 +10,9 @@
     NodeRegistered {
         /// The name of the node.
         node: NodeName,
-        /// The zone that the node is in.
+        /// The zone of the node.
         zone: ZoneName,
-        /// The address at which other nodes reach it.
+        /// The address at which other nodes reach the node.
         address: String,
         /// The incarnation that registers.
         incarnation: Incarnation,
@@ -26,7 +26,7 @@
         node: NodeName,
         /// The incarnation of the node.
         incarnation: Incarnation,
-        /// Whether all requests beside the node had ended and the node forwards no more.
+        /// Whether all requests beside the node had ended and the node no longer forwards any.
         clean: bool,
     },
     /// An observer suspects a node to be gone, or receives its heartbeats again.
@@ -44,7 +44,7 @@
     BackendRegistered {
         /// The name of the backend.
         name: BackendName,
-        /// The data that it announces.
+        /// The data that the backend announces.
         backend: Backend,
     },
     /// A backend enters a phase.
@@ -53,19 +53,19 @@
         name: BackendName,
         /// The incarnation of the registration.
         incarnation: Incarnation,
-        /// The phase it enters.
+        /// The phase that the backend enters.
         phase: BackendPhase,
     },
-    /// The former holder of moved key slots has no requests running on them any more (design 7.3).
+    /// The former holder of moved key slots no longer runs requests on them (design 7.3).
     LeasesReleased {
         /// The service of the keys.
         service: ServiceName,
-        /// The backend that held them.
+        /// The backend that held the keys.
         name: BackendName,
         /// The incarnation of the registration.
         incarnation: Incarnation,
-        /// The position up to which its node knew the log. Slots that were lost later are not
-        /// released.
+        /// The position up to which the backend's node had received the log. Slots that were lost
+        /// later are not released.
         known_through: Position,
     },
     /// A heartbeat announced a different number of slots.
--- a/crates/model/src/leases.rs
+++ b/crates/model/src/leases.rs
@@ -32,7 +32,7 @@
     /// The current holder; `None` if no backend accepts requests.
     pub holder: Option<LeaseHolder>,
     /// The position of the entry that moved the slot to this holder. Every request on the slot
-    /// carries it.
+    /// carries this token.
     #[serde(rename = "fence")]
     pub fencing_token: Position,
     /// Earlier holders that have not yet released the slot, each with the position at which it lost
@@ -45,7 +45,7 @@
 pub type LeaseTable = BTreeMap<ServiceName, Vec<Lease>>;
 
 /// The longest request duration ever permitted on a service's keys, in microseconds. A new holder
-/// waits this long for an earlier holder that cannot be asked.
+/// waits this long for an earlier holder that cannot report its release.
 pub type LongestRequests = BTreeMap<ServiceName, Microseconds>;
 
 /// A backend that may hold key slots.
