--- a/crates/backend-api/src/heartbeat.rs
+++ b/crates/backend-api/src/heartbeat.rs
@@ -131,7 +131,7 @@
                 .claims_without_lease
                 .fetch_add(unleased.len() as u64, Relaxed);
             slog::warn!(
-                self.config.logger, "backend claims key slots without holding their leases; told it to release them";
+                self.config.logger, "backend claims key slots without holding their leases; asked it to release them";
                 "backend" => name, "slices" => ?unleased,
             );
         }
--- a/crates/control/src/updates/server.rs
+++ b/crates/control/src/updates/server.rs
@@ -22,8 +22,7 @@
 const PROOF_QUEUE_CAPACITY: usize = 64;
 
 /// Returns the frame that brings a subscriber from `last_sent` to `slice`: the whole slice, a
-/// patch, or
-/// `None` if the content is the same. Also updates `last_sent`.
+/// patch, or `None` if the content is the same. Also updates `last_sent`.
 pub(crate) fn update_frame(last_sent: &mut Option<StateSlice>, slice: StateSlice) -> Option<Frame> {
     let frame = match last_sent.as_ref() {
         Some(sent) if sent.same_content(&slice) => return None,
--- a/crates/gradeford-node/src/presence.rs
+++ b/crates/gradeford-node/src/presence.rs
@@ -52,7 +52,7 @@
     }
 }
 
-/// Registers this node in the log, and again whenever the log holds it to be absent.
+/// Registers this node in the log, and again whenever the log records it as absent.
 ///
 /// Returns and makes the node not ready once another process has registered under its name.
 pub(crate) async fn announce_presence(
--- a/crates/gradeford-node/src/settings.rs
+++ b/crates/gradeford-node/src/settings.rs
@@ -50,7 +50,7 @@
     ))]
     pub beat_patience_us: Microseconds,
     /// Validity of a freshness proof, in microseconds, from 300000 to 1500000; 1500000 by
-    /// default. A longer time would break the promise to operators that a change is in force
+    /// default. A longer time would break the guarantee to operators that a change is in force
     /// everywhere within two seconds.
     #[serde(default = "default_freshness_us")]
     #[validate(range(
--- a/crates/legacy-proxy/src/age_marks.rs
+++ b/crates/legacy-proxy/src/age_marks.rs
@@ -56,14 +56,14 @@
             .find(|(number, _)| *number >= watermark)
             .map(|(_, sent_at)| *sent_at)
             .unwrap_or(now);
-        let is_remembered = self
+        let is_stored = self
             .sent
             .front()
             .is_some_and(|(first, _)| watermark >= *first);
         let age = now
             .saturating_sub(sent_at)
             .saturating_sub(MAX_UNDELAYED_AGE);
-        if is_remembered {
+        if is_stored {
             time_left.saturating_sub(age)
         } else {
             0
--- a/crates/legacy-proxy/src/age_marks/tests.rs
+++ b/crates/legacy-proxy/src/age_marks/tests.rs
@@ -22,6 +22,6 @@
     assert_eq!(
         watermarks.time_left(300_000, watermark, 3_000_000),
         0,
-        "the watermark is no longer remembered"
+        "the watermark is no longer stored"
     );
 }
--- a/crates/legacy-proxy/src/attempt_loop.rs
+++ b/crates/legacy-proxy/src/attempt_loop.rs
@@ -250,8 +250,7 @@
     }
 
     /// Returns the error for the client. Once an attempt may have run, its error is returned
-    /// instead of
-    /// `error`, so that the execution status covers all attempts.
+    /// instead of `error`, so that the execution status covers all attempts.
     pub fn final_error(&self, error: Error) -> Error {
         self.may_have_run.clone().unwrap_or(error)
     }
--- a/crates/legacy-proxy/src/slot_owner/admission_check.rs
+++ b/crates/legacy-proxy/src/slot_owner/admission_check.rs
@@ -183,7 +183,7 @@
     }
 
     /// Returns the identity of an attempt on a backend. It contains the ordinal, so that a retry
-    /// after an attempt that may have run is not taken for a duplicate.
+    /// after an attempt that may have run is not mistaken for a duplicate.
     pub(crate) fn attempt_identity(request: &AttemptRequest) -> String {
         format!("{} {}", request.ordinal, request.attempt_id)
     }
--- a/crates/legacy-proxy/src/slot_owner/task.rs
+++ b/crates/legacy-proxy/src/slot_owner/task.rs
@@ -43,8 +43,8 @@
     Load(ReplySender<(usize, usize)>),
 }
 
-/// Identity of a client: the registered backend whose secret a request carries. Its requests are
-/// made in the name of its service.
+/// Identity of a client: the registered backend whose secret a request carries. The client's
+/// requests are made in the name of its service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientId {
     /// Name of the backend.
--- a/crates/mencius/src/catch_up.rs
+++ b/crates/mencius/src/catch_up.rs
@@ -3,9 +3,8 @@
 //!
 //! Implicit skips are sound only on an unbroken FIFO channel (paper 4.1, 4.4). Each new connection
 //! therefore begins with a `Hello` that states which outcomes the sender knows. The peer responds
-//! with a
-//! `Resync` and everything that the sender may have missed. Cursors received before the `Resync`
-//! are ignored.
+//! with a `Resync` and everything that the sender may have missed. Cursors received before the
+//! `Resync` are ignored.
 
 use crate::coordinator_log::Outcome;
 use crate::messages::{Commands, Effect, Instance, Message, Micros, ReplicaId, Value};
--- a/crates/mencius/src/coordinator_log.rs
+++ b/crates/mencius/src/coordinator_log.rs
@@ -133,8 +133,7 @@
     }
 
     /// Returns the first instance of the coordinator, from `from` on, that is not known to be a
-    /// no-op.
-    /// `from` is an instance of the coordinator.
+    /// no-op. `from` is an instance of the coordinator.
     pub(crate) fn first_not_skipped(&self, from: Instance, replica_count: u64) -> Instance {
         let mut instance = from;
         while let Some(range) = self.skipped.range_at(instance) {
--- a/crates/mencius/tests/replica/connections.rs
+++ b/crates/mencius/tests/replica/connections.rs
@@ -1,4 +1,4 @@
-//! Connection loss, reconnection and restart: a lost suggestion must not be taken for a skip
+//! Connection loss, reconnection and restart: a lost suggestion must not be mistaken for a skip
 //! (design 3.5).
 
 use mencius::{Effect, Frame, Input, Message, ProposalNumber, Replica};
--- a/crates/model/src/clock.rs
+++ b/crates/model/src/clock.rs
@@ -7,7 +7,7 @@
 /// A duration, or a point in time on the clock of [`now`], in microseconds.
 pub type Microseconds = u64;
 
-/// Microseconds since the machine booted (`CLOCK_BOOTTIME`).
+/// Returns the time since the machine booted, in microseconds (`CLOCK_BOOTTIME`).
 ///
 /// Unlike `CLOCK_MONOTONIC` it includes the time that the machine is suspended: a lease must not
 /// outlive its bound because its holder was suspended (design 6.1).
@@ -16,7 +16,7 @@
     time.tv_sec as u64 * 1_000_000 + time.tv_nsec as u64 / 1_000
 }
 
-/// Microseconds since the Unix epoch, for log lines.
+/// Returns the time since the Unix epoch, in microseconds, for log lines.
 ///
 /// No decision depends on this clock, because it can be set forward and back.
 pub fn wall_clock_now() -> Microseconds {
--- a/crates/model/src/cluster_state/mod.rs
+++ b/crates/model/src/cluster_state/mod.rs
@@ -2,8 +2,8 @@
 //! entry also returns the deltas it caused, so that followers receive changes instead of whole
 //! states (design 11).
 //!
-//! It is driven by the same log as [`StateMachine`](crate::StateMachine); each entry is for one of
-//! the two.
+//! Both this state machine and [`StateMachine`](crate::StateMachine) are driven by the same log;
+//! each entry is for one of the two.
 
 mod delta;
 pub mod endpoints;
@@ -29,12 +29,12 @@
 use placement::{Placements, Reassignment};
 use version_history::{CallDigests, VersionHistory};
 
-/// Number of positions for which the names of ended backends are kept, so that a late report
-/// does not restore one.
+/// Number of positions for which the names of ended backends are kept, so that a late report does
+/// not restore one.
 const ENDED_BACKEND_RETENTION_POSITIONS: Position = 20_000;
 /// Number of origins whose last sequence number is kept.
-const MAX_REMEMBERED_ORIGINS: usize = 4_096;
-/// Positions between two cleanups of old names.
+const MAX_STORED_ORIGINS: usize = 4_096;
+/// Number of positions between two removals of old backends and origins.
 const CLEANUP_INTERVAL_POSITIONS: Position = 256;
 
 /// An operation on the cluster state, as stored in the log.
@@ -144,7 +144,7 @@
         }
         self.origins
             .insert(origin.to_string(), (incarnation, sequence, next));
-        self.forget_old_entries(next);
+        self.remove_old_entries(next);
         if deltas.is_empty() {
             return self.unchanged();
         }
@@ -394,12 +394,12 @@
         Delta::Backend(name.to_string(), self.backends.get(name).cloned())
     }
 
-    fn forget_old_entries(&mut self, next: Position) {
+    fn remove_old_entries(&mut self, next: Position) {
         if next.is_multiple_of(CLEANUP_INTERVAL_POSITIONS) {
             self.ended_backends
                 .retain(|_, ended_at| *ended_at + ENDED_BACKEND_RETENTION_POSITIONS > next);
         }
-        if self.origins.len() > MAX_REMEMBERED_ORIGINS {
+        if self.origins.len() > MAX_STORED_ORIGINS {
             let oldest = self
                 .origins
                 .iter()
@@ -410,7 +410,7 @@
         }
     }
 
-    /// Removes backends and nodes that were absent for long (design 11.7).
+    /// Removes backends and nodes that were absent for a long time (design 11.7).
     fn remove_long_absent(&mut self, next: Position) -> Vec<Delta> {
         if !next.is_multiple_of(CLEANUP_INTERVAL_POSITIONS) {
             return Vec::new();
@@ -430,7 +430,7 @@
             .collect()
     }
 
-    /// Backends that hold keys or may still hold some.
+    /// Returns the backends that hold keys or may still hold some.
     fn backends_in_shard_maps(&self) -> HashSet<&BackendName> {
         let ranges = self.placements.values().flat_map(|(_, ranges)| ranges);
         let names = ranges.flat_map(|range| {
--- a/crates/model/src/cluster_state/shard_map.rs
+++ b/crates/model/src/cluster_state/shard_map.rs
@@ -28,14 +28,14 @@
     pub last_key: ShardKey,
     /// The backend that the keys are assigned to.
     pub holder: Option<BackendName>,
-    /// The position of the entry that moved the range to this holder. It only grows.
+    /// The position of the entry that moved the range to this holder. The position never decreases.
     #[serde(rename = "fence")]
     pub fencing_token: Position,
     /// Earlier holders that may still hold the range, each with the position at which it lost the
     /// range.
     #[serde(rename = "owed")]
     pub pending_releases: Vec<(BackendName, Position)>,
-    /// The token that the previous holder handed over; opaque.
+    /// The opaque token that the previous holder handed over.
     #[serde(rename = "token")]
     pub handover_token: String,
 }
--- a/crates/model/src/cluster_state/snapshot.rs
+++ b/crates/model/src/cluster_state/snapshot.rs
@@ -29,7 +29,7 @@
 /// A node's copy of the cluster state. Unchanged parts are shared with the previous snapshot.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StateSnapshot {
-    /// The position of the cluster state that this is a copy of.
+    /// The position of the copied cluster state.
     pub position: Position,
     routes_by_host: Arc<HashMap<Arc<str>, Arc<RoutesByPrefix>>>,
     routes_by_name: Arc<HashMap<Arc<str>, Arc<RouteItem>>>,
@@ -56,7 +56,7 @@
     pub node: NodeName,
     /// The zone of the backend.
     pub zone: ZoneName,
-    /// The address at which other nodes reach its node.
+    /// The address at which other nodes reach the node.
     pub address: String,
     /// The number of requests that the backend runs concurrently.
     pub slots: u32,
--- a/crates/model/src/cluster_state/version_history.rs
+++ b/crates/model/src/cluster_state/version_history.rs
@@ -9,10 +9,10 @@
 use super::items::{self, Item, ItemCall, ItemKey, ItemVersion, Items};
 use crate::VersionConflict;
 
-/// Number of versions per item whose contents are kept. Operators repeat a call for seconds,
-/// and an item changes a few times a day; an older version counts as a repeat, because it was
-/// confirmed or superseded long ago.
-const MAX_REMEMBERED_VERSIONS_PER_ITEM: usize = 16;
+/// Number of versions per item whose contents are kept. Operators repeat a call for seconds, and an
+/// item changes a few times a day; an older version counts as a repeat, because it was confirmed or
+/// superseded long ago.
+const MAX_STORED_VERSIONS_PER_ITEM: usize = 16;
 
 /// The first eight bytes of the SHA-256 of an item's content.
 type ContentDigest = u64;
@@ -58,9 +58,7 @@
                 version: item.version,
                 digest,
             });
-            let excess = versions
-                .len()
-                .saturating_sub(MAX_REMEMBERED_VERSIONS_PER_ITEM);
+            let excess = versions.len().saturating_sub(MAX_STORED_VERSIONS_PER_ITEM);
             versions.drain(..excess);
         }
     }
--- a/crates/model/src/desired_state.rs
+++ b/crates/model/src/desired_state.rs
@@ -23,13 +23,13 @@
 )]
 #[serde(deny_unknown_fields)]
 pub struct Grouping {
-    /// The service its backends serve.
+    /// The service that the backends of the grouping serve.
     #[validate(custom(function = "crate::validation::validate_name"))]
     pub service: ServiceName,
-    /// The zone that its backends are in.
+    /// The zone of the backends of the grouping.
     #[validate(custom(function = "crate::validation::validate_name"))]
     pub zone: ZoneName,
-    /// Labels that its backends carry; they may carry others too.
+    /// Labels that the backends of the grouping carry; they may carry others too.
     #[serde(default)]
     #[validate(custom(function = "crate::validation::validate_labels"))]
     pub labels: Labels,
@@ -84,7 +84,7 @@
 )]
 #[serde(deny_unknown_fields, expecting = "struct Order")]
 pub struct StandingOrder {
-    /// The requests it covers.
+    /// The requests that the order covers.
     #[validate(nested)]
     pub selector: Selector,
     /// The request timeout, including both waiting and running, in microseconds.
--- a/crates/model/src/endpoint_status_rules.rs
+++ b/crates/model/src/endpoint_status_rules.rs
@@ -19,10 +19,10 @@
     /// The node beside the backend is not present.
     #[error("the node {node:?} is not present")]
     NodeAbsent { node: NodeName },
-    /// Another node has a live backend of this name.
+    /// Another node has a running backend of this name.
     #[error("the name {name:?} is live beside the node {node:?}")]
     NameTaken { name: BackendName, node: NodeName },
-    /// The log has a later incarnation than the one the sender knew.
+    /// The log has a later incarnation than the one that the sender reported.
     #[error("a later incarnation is registered")]
     Superseded,
 }
@@ -238,8 +238,8 @@
     }
 }
 
-/// The order of the phases: registered, draining, then one of the two final phases. A backend never
-/// returns to an earlier one.
+/// Returns the rank of a phase: registered, draining, then one of the two final phases. A backend
+/// never returns to a phase of lower rank.
 fn phase_rank(phase: BackendPhase) -> u8 {
     match phase {
         BackendPhase::Registered => 0,
--- a/crates/model/src/state_machine.rs
+++ b/crates/model/src/state_machine.rs
@@ -16,9 +16,9 @@
 
 /// Number of decided changes whose outcome is kept, so that a repeated change gets the same
 /// answer.
-const MAX_REMEMBERED_CHANGES: usize = 1_024;
+const MAX_STORED_CHANGES: usize = 1_024;
 /// Number of origins whose last report is kept, to detect repeated reports.
-const MAX_REMEMBERED_ORIGINS: usize = 1_024;
+const MAX_STORED_ORIGINS: usize = 1_024;
 
 /// The state produced by the log entries for groupings, standing orders, endpoint reports and
 /// replica replacements.
@@ -142,11 +142,11 @@
             };
         }
         let outcome = self.apply_report(report);
-        let remembered = (incarnation, sequence, self.position, outcome.clone());
-        self.origins.insert(origin, remembered);
+        let record = (incarnation, sequence, self.position, outcome.clone());
+        self.origins.insert(origin, record);
         evict_oldest(
             &mut self.origins,
-            MAX_REMEMBERED_ORIGINS,
+            MAX_STORED_ORIGINS,
             |(_, _, position, _)| *position,
         );
         outcome
@@ -187,8 +187,8 @@
             }
             None => {}
         }
-        // The two outcomes below are not kept: the operator may correct the change and send
-        // it again under the same id.
+        // The two outcomes below are not kept: the operator may correct the change and send it
+        // again under the same id.
         if change.base_version != self.desired.version {
             return Outcome::Stale {
                 version: self.desired.version,
@@ -206,14 +206,10 @@
         };
         self.reassign_leases();
         let outcome = self.accepted();
-        let remembered = (self.position, digest, outcome.clone());
-        self.decided_changes.insert(change.id, remembered);
+        let record = (self.position, digest, outcome.clone());
+        self.decided_changes.insert(change.id, record);
         let position_of = |(position, ..): &(Position, Vec<u8>, Outcome)| *position;
-        evict_oldest(
-            &mut self.decided_changes,
-            MAX_REMEMBERED_CHANGES,
-            position_of,
-        );
+        evict_oldest(&mut self.decided_changes, MAX_STORED_CHANGES, position_of);
         outcome
     }
 
--- a/crates/model/src/state_patch.rs
+++ b/crates/model/src/state_patch.rs
@@ -73,7 +73,7 @@
         }
     }
 
-    /// This slice with a patch applied.
+    /// Returns this slice with a patch applied.
     pub fn with_patch(&self, patch: StatePatch) -> StateSlice {
         StateSlice {
             services: patch.services,
--- a/crates/model/src/state_slice.rs
+++ b/crates/model/src/state_slice.rs
@@ -135,8 +135,7 @@
 }
 
 /// Returns whether the path has this prefix. A prefix ends at a path segment: `/seats` does not
-/// match
-/// `/seatsold`.
+/// match `/seatsold`.
 fn path_has_prefix(path: &str, prefix: &str) -> bool {
     let prefix = prefix.trim_end_matches('/');
     path.strip_prefix(prefix)
--- a/crates/model/src/validation.rs
+++ b/crates/model/src/validation.rs
@@ -74,8 +74,7 @@
 }
 
 /// Returns whether a text is a valid name: 1 to 63 characters of `a-z`, `0-9` and `-`, not starting
-/// with
-/// `-`.
+/// with `-`.
 pub fn is_valid_name(text: &str) -> bool {
     let allowed = |character: char| {
         character.is_ascii_lowercase() || character.is_ascii_digit() || character == '-'
--- a/crates/transport/src/compact_encoding.rs
+++ b/crates/transport/src/compact_encoding.rs
@@ -18,7 +18,7 @@
 const MAX_NAMES: usize = 512;
 /// Maximum number of whole headers that are sent by index.
 const MAX_HEADERS: usize = 2_048;
-/// Maximum number of headers remembered as sent once; a header gets an index the second time.
+/// Maximum number of headers stored as sent once; a header gets an index the second time.
 const MAX_SEEN_ONCE: usize = 4_096;
 
 /// The encoded headers of one message, with their additions to the tables.
