--- a/crates/backend-api/src/heartbeat.rs
+++ b/crates/backend-api/src/heartbeat.rs
@@ -102,8 +102,8 @@
             .await
     }
 
-    /// The status of the backend in the log: its phase, or `ungrouped` if it no longer belongs to a
-    /// grouping.
+    /// Returns the status of the backend in the log: its phase, or `ungrouped` if it no longer
+    /// belongs to a grouping.
     fn endpoint_status(&self, name: &str) -> Value {
         let view = self.config.view.load();
         match view.slice.backends.get(name) {
@@ -131,14 +131,14 @@
                 .claims_without_lease
                 .fetch_add(unleased.len() as u64, Relaxed);
             slog::warn!(
-                self.config.logger, "backend claims key slots without holding their leases; told it to release them";
+                self.config.logger, "backend claims key slots without holding their leases; asked it to release them";
                 "backend" => name, "slices" => ?unleased,
             );
         }
         unleased
     }
 
-    /// The key slots whose leases this incarnation of the backend holds.
+    /// Returns the key slots whose leases this incarnation of the backend holds.
     fn held_leases(&self, name: &str, service: &str) -> Vec<HeldLease> {
         let view = self.config.view.load();
         let left_us = view.fresh_until.saturating_sub(model::now());
--- a/crates/control/src/replica/handle.rs
+++ b/crates/control/src/replica/handle.rs
@@ -23,7 +23,7 @@
 use super::command::{Command, ConnectionToken, Members};
 use crate::membership::discovery::{self, KnownReplicas};
 
-/// How long a caller waits for an answer that needs a majority. After the timeout it is unknown
+/// Timeout of a caller for an answer that needs a majority. After the timeout it is unknown
 /// whether a change took effect.
 pub const MAJORITY_TIMEOUT: Duration = Duration::from_millis(4_000);
 
@@ -47,8 +47,8 @@
     pub timing: mencius::Config,
     /// The number of applied entries after which a snapshot is taken.
     pub snapshot_every_entries: u64,
-    /// How long a member must be unreachable before an empty disk that asks for its replica may
-    /// replace it, in microseconds; 0 disables automatic replacement.
+    /// Time for which a member must be unreachable before an empty disk that asks for its replica
+    /// may replace it, in microseconds; 0 disables automatic replacement.
     pub replace_after: Microseconds,
     /// The record of how this disk was assigned its replica; `None` if the settings name the
     /// replica (design 12.1).
@@ -90,7 +90,7 @@
     pub frames_sent: u64,
     /// The error of the current disk write while the write is being retried.
     pub disk_error: Option<String>,
-    /// Why this disk may not take part, as stated by the peer that refused it.
+    /// The reason for which this disk may not take part, as stated by the peer that refused it.
     pub refusal: Option<String>,
 }
 
@@ -116,13 +116,13 @@
     pub(super) started_with_empty_disk: bool,
     /// Distinguishes the entries of this process from those of its earlier runs.
     pub(super) incarnation: Incarnation,
-    /// How often a process was started on this disk, including this one.
+    /// The number of processes started on this disk, including this one.
     pub(super) start_count: u64,
     pub(super) next_sequence: Arc<AtomicU64>,
     pub(crate) logger: Logger,
 }
 
-/// Why the disk of a peer could not be recorded.
+/// The reason for which the disk of a peer could not be recorded.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum PinError {
     /// The thread that writes the disk has ended. The text is sent to peers and is part of the
@@ -140,22 +140,22 @@
 pub(crate) struct Stopped;
 
 impl ReplicaHandle {
-    /// The number of replicas of the log.
+    /// Returns the number of replicas of the log.
     pub fn replica_count(&self) -> u16 {
         self.config.replica_count
     }
 
-    /// The number of this replica.
+    /// Returns the number of this replica.
     pub fn replica_id(&self) -> ReplicaId {
         self.config.replica_id
     }
 
-    /// The identity of the disk of this replica.
+    /// Returns the identity of the disk of this replica.
     pub fn disk_id(&self) -> DiskId {
         self.disk_id
     }
 
-    /// Every replica whose disk is on record here, followed by this replica.
+    /// Returns every replica whose disk is on record here, followed by this replica.
     pub fn members(&self) -> Vec<(ReplicaId, DiskId)> {
         let mut members: Members = Vec::new();
         for (peer_id, disk_id) in self.pinned_disks.load().iter() {
@@ -165,7 +165,7 @@
         members
     }
 
-    /// The location of this replica, as discovery distributes it.
+    /// Returns the location of this replica, as discovery distributes it.
     pub(crate) fn own_location(&self) -> KnownReplica {
         KnownReplica {
             replica_id: self.config.replica_id,
@@ -176,7 +176,7 @@
         }
     }
 
-    /// The handshake with which this replica identifies itself on a new connection.
+    /// Returns the handshake with which this replica identifies itself on a new connection.
     pub fn handshake(&self, purpose: Purpose) -> Handshake {
         Handshake {
             purpose,
@@ -195,15 +195,15 @@
         }
     }
 
-    /// Whether this replica votes and currently receives messages from a majority.
+    /// Returns whether this replica votes and currently receives messages from a majority.
     pub fn reaches_majority(&self) -> bool {
         let status = self.status.load();
         status.voting && status.connected_replicas > usize::from(self.replica_count()) / 2
     }
 
-    /// Whether this replica reached a majority before and does not now. It can then neither confirm
-    /// a change nor read, so callers are referred to another replica at once. A process that has
-    /// just started does not count, since its connections are still being opened.
+    /// Returns whether this replica reached a majority before and does not now. It can then neither
+    /// confirm a change nor read, so callers are referred to another replica at once. A process
+    /// that has just started does not count, since its connections are still being opened.
     pub fn lost_majority(&self) -> bool {
         self.status.load().had_majority && !self.reaches_majority()
     }
--- a/crates/control/src/replica/peer_link.rs
+++ b/crates/control/src/replica/peer_link.rs
@@ -14,8 +14,7 @@
 use super::handle::{PinError, ReplicaHandle, Stopped};
 use crate::membership::discovery;
 
-/// A connection on which no frame arrives for this long is closed; peers send heartbeats far more
-/// often.
+/// Time without a frame after which a connection is closed; peers send heartbeats far more often.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Minimum pause between two attempts to connect, in milliseconds. A random pause of up to the same
@@ -24,8 +23,8 @@
 
 static NEXT_CONNECTION_TOKEN: AtomicU64 = AtomicU64::new(1);
 
-/// Why a connection between replicas is refused. The texts are sent to the peer, which reports them
-/// as the reason of the refusal, and are part of the protocol.
+/// The reason for which a connection between replicas is refused. The texts are sent to the peer,
+/// which reports them as the reason of the refusal, and are part of the protocol.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum PeerRefused {
     #[error("only core seats may open this channel")]
@@ -55,14 +54,19 @@
     // replica through these discovery connections, and each replica it contacts may submit the
     // replacement of the lost disk.
     let (handshake_handle, status_handle) = (handle.clone(), handle.clone());
-    let wanted = move || match status_handle.status.load().voting {
+    let target_count = move || match status_handle.status.load().voting {
         true => usize::from(status_handle.replica_count()),
         false => usize::MAX,
     };
     let handshake = move || handshake_handle.handshake(Purpose::Discover);
     let known_replicas = handle.known_replicas.clone();
     let seeds = handle.config.seeds.clone();
-    tokio::spawn(discovery::run(known_replicas, seeds, handshake, wanted));
+    tokio::spawn(discovery::run(
+        known_replicas,
+        seeds,
+        handshake,
+        target_count,
+    ));
 }
 
 async fn keep_connected(handle: ReplicaHandle, peer_id: ReplicaId) {
@@ -81,8 +85,8 @@
     }
 }
 
-/// The location of a peer. Until the disk of the peer is on record, several disks may claim to hold
-/// the replica; successive attempts go through them in turn.
+/// Returns the location of a peer. Until the disk of the peer is on record, several disks may claim
+/// to hold the replica; successive attempts go through them in turn.
 fn location_of(
     handle: &ReplicaHandle,
     peer_id: ReplicaId,
@@ -112,9 +116,10 @@
     };
     match transport::dial(address, own_handshake).await {
         Ok(connection) => {
-            let found = connection.peer_handshake.replica;
-            let found = found.map(|(replica_id, replica_count, _)| (replica_id, replica_count));
-            if found != Some((peer_id, handle.replica_count())) {
+            let peer_replica = connection.peer_handshake.replica;
+            let peer_replica =
+                peer_replica.map(|(replica_id, replica_count, _)| (replica_id, replica_count));
+            if peer_replica != Some((peer_id, handle.replica_count())) {
                 slog::warn!(handle.logger,
                     "a different process answered at the address of a peer; disconnecting";
                     "address" => address,
@@ -125,7 +130,7 @@
                 serve_peer(handle, connection).await;
             }
         }
-        // The command is lost if the event loop has ended; the status is not read any more then.
+        // The command is lost if the event loop has ended; the status is no longer read then.
         Err(transport::Error::Refused(reason)) => drop(handle.refused_by_peer(reason).await),
         Err(error) => slog::debug!(handle.logger, "could not connect to a peer; will retry";
             "peer_id" => peer_id,
@@ -133,8 +138,9 @@
     }
 }
 
-/// Whether the caller expects this disk or no particular one. A caller that expects another disk is
-/// sent the handshake, so that it learns which disk it reached, and the connection is then closed.
+/// Returns whether the caller expects this disk or no particular one. A caller that expects another
+/// disk is sent the handshake, so that it learns which disk it reached, and the connection is then
+/// closed.
 pub(crate) fn is_expected_disk(handle: &ReplicaHandle, handshake: &Handshake) -> bool {
     let expected_disk = handshake.expected_disk;
     expected_disk.is_none_or(|expected| expected == handle.disk_id())
@@ -241,8 +247,9 @@
     Ok(())
 }
 
-/// The first frame on a connection to a peer: the voting range of its disk, if the log says that
-/// the disk replaced another one; otherwise the confirmation that no disk held the replica before.
+/// Returns the first frame on a connection to a peer: the voting range of its disk, if the log says
+/// that the disk replaced another one; otherwise the confirmation that no disk held the replica
+/// before.
 fn first_frame(handle: &ReplicaHandle, peer_id: ReplicaId, disk_id: DiskId) -> Frame {
     let state_machine = handle.state_machine.load();
     match state_machine.replica_holders.get(&peer_id) {
--- a/crates/control/src/updates/server.rs
+++ b/crates/control/src/updates/server.rs
@@ -14,15 +14,15 @@
 use crate::membership::{bootstrap, discovery};
 use crate::replica::{ReplicaHandle, peer_link};
 
-/// How long the connection stays open after a replica assignment was sent, if the machine that
-/// requested it does not close it earlier.
+/// Time for which the connection stays open after a replica assignment was sent, if the machine
+/// that requested it does not close it earlier.
 const ASSIGNMENT_LINGER: Duration = Duration::from_secs(2);
 
 /// Capacity of the queue of completed reads of one subscriber, whose proofs are to be sent.
 const PROOF_QUEUE_CAPACITY: usize = 64;
 
-/// The frame that brings a subscriber from `last_sent` to `slice`: the whole slice, a patch, or
-/// `None` if the content is the same. Also updates `last_sent`.
+/// Returns the frame that brings a subscriber from `last_sent` to `slice`: the whole slice, a
+/// patch, or `None` if the content is the same. Also updates `last_sent`.
 pub(crate) fn update_frame(last_sent: &mut Option<StateSlice>, slice: StateSlice) -> Option<Frame> {
     let frame = match last_sent.as_ref() {
         Some(sent) if sent.same_content(&slice) => return None,
--- a/crates/control/src/updates/upstreams.rs
+++ b/crates/control/src/updates/upstreams.rs
@@ -28,10 +28,10 @@
 const MAX_STAGGER_DOUBLINGS: usize = 2;
 /// The maximum number of concurrent attempts, beside the current upstream.
 const MAX_ATTEMPTS: usize = 3;
-/// How long an attempt may go without a proof before it is closed, in microseconds.
+/// Time without a proof after which a connection attempt is closed, in microseconds.
 const ATTEMPT_TIMEOUT: Microseconds = 2_000_000;
-/// How long the current upstream is kept after a proof became overdue if no other replica sends
-/// one, in microseconds.
+/// Time for which the current upstream is kept after a proof became overdue if no other replica
+/// sends one, in microseconds.
 const OVERDUE_GRACE_PERIOD: Microseconds = 3_000_000;
 /// Minimum pause before the next attempt after a replica could not be reached or a connection was
 /// lost, in microseconds. A random part of up to the pause plus [`RECONNECT_JITTER`] is added.
@@ -42,13 +42,13 @@
 /// microseconds, for at most [`MAX_PAUSED_ROUNDS`] rounds.
 const PAUSE_PER_ROUND: Microseconds = 150_000;
 const MAX_PAUSED_ROUNDS: usize = 4;
-/// How long a replica that sent no proof is tried only after all others, in microseconds. The time
+/// Time for which a replica that sent no proof is tried only after all others, in microseconds. It
 /// doubles with each successive failure, at most [`MAX_AVOID_DOUBLINGS`] times.
 const AVOID_FOR: Microseconds = 1_000_000;
 const MAX_AVOID_DOUBLINGS: u32 = 4;
-/// How long after a replica was last avoided its failures are forgotten, in microseconds.
+/// Time since a replica was last avoided after which its failures are forgotten, in microseconds.
 const FAILURES_FORGOTTEN_AFTER: Microseconds = 16_000_000;
-/// How long a node relies on a replica of another zone before it tries the replicas of its own zone
+/// Time for which a node relies on a replica of another zone before it tries those of its own zone
 /// again, in microseconds. The time doubles with each such recheck, at most
 /// [`MAX_RECHECK_DOUBLINGS`] times.
 const OWN_ZONE_RECHECK_AFTER: Microseconds = 2_000_000;
@@ -78,7 +78,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct UpstreamId(u64);
 
-/// Why a connection or an attempt was closed.
+/// The reason for which a connection or an attempt was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
     /// The replica could not be reached.
@@ -114,7 +114,7 @@
     Close {
         /// The connection to close.
         upstream: UpstreamId,
-        /// Why the connection is closed.
+        /// The reason for closing it.
         reason: CloseReason,
     },
 }
@@ -124,7 +124,7 @@
 pub struct UpstreamTiming {
     /// Interval between two freshness-proof requests on one connection, in microseconds.
     pub proof_interval: Microseconds,
-    /// How long a request may remain unanswered before the node tries other replicas, in
+    /// Time for which a request may remain unanswered before the node tries other replicas, in
     /// microseconds.
     pub proof_timeout: Microseconds,
 }
@@ -134,21 +134,21 @@
     key: ReplicaKey,
     is_own_zone: bool,
     opened_at: Microseconds,
-    /// When the next proof is to be requested; `None` until the connection is open.
+    /// Time at which the next proof is to be requested; `None` until the connection is open.
     next_request_at: Option<Microseconds>,
     requests: ProofRequests,
 }
 
 impl Upstream {
-    /// When the oldest pending proof becomes overdue; `None` if no proof is pending.
+    /// Returns the time at which the oldest pending proof becomes overdue; `None` if no proof is
+    /// pending.
     fn overdue_at(&self, timing: UpstreamTiming) -> Option<Microseconds> {
         let oldest = self.requests.oldest_pending();
         oldest.map(|requested_at| requested_at + timing.proof_timeout)
     }
 }
 
-/// A replica that sent no proof when it was tried, and until when it is tried only after all
-/// others.
+/// A replica that sent no proof when it was tried. For some time it is tried only after all others.
 struct AvoidedReplica {
     failures: u32,
     until: Microseconds,
@@ -173,14 +173,14 @@
     /// Whether every known replica is connected to or being tried.
     is_out_of_candidates: bool,
     avoided: BTreeMap<ReplicaKey, AvoidedReplica>,
-    /// When each replica was last tried.
+    /// Time at which each replica was last tried.
     tried_at: BTreeMap<ReplicaKey, Microseconds>,
-    /// When the node, while it relies on a replica of another zone, tries the replicas of its own
-    /// zone again.
+    /// Time at which the node, while it relies on a replica of another zone, tries the replicas
+    /// of its own zone again.
     recheck_at: Microseconds,
     /// The number of these rechecks.
     rechecks: u32,
-    /// When the current recheck began; `None` if none is in progress.
+    /// Time at which the current recheck began; `None` if none is in progress.
     recheck_began_at: Option<Microseconds>,
 }
 
@@ -215,7 +215,7 @@
         actions
     }
 
-    /// The time of the next call of [`Self::poll`], unless an event occurs earlier.
+    /// Returns the time of the next call of [`Self::poll`], unless an event occurs earlier.
     pub fn next_poll_at(&self, now: Microseconds) -> Microseconds {
         let requests = self.upstreams.values().filter_map(|up| up.next_request_at);
         let timeouts = self
@@ -226,13 +226,13 @@
         let attempt =
             (self.needs_upstream(now) && self.may_attempt()).then_some(self.next_attempt_at);
         let recheck = self.relies_on_another_zone().then_some(self.recheck_at);
-        let further = [overdue, attempt, recheck];
-        let all = requests
+        let other_times = [overdue, attempt, recheck];
+        let poll_times = requests
             .chain(timeouts)
-            .chain(further.into_iter().flatten());
+            .chain(other_times.into_iter().flatten());
         // An attempt that is due but has no candidate is polled again after a pause.
         let earliest = now + RECONNECT_PAUSE;
-        let next = all.map(|at| at.max(earliest)).min();
+        let next = poll_times.map(|time| time.max(earliest)).min();
         next.unwrap_or(now + self.timing.proof_interval)
     }
 
@@ -240,7 +240,8 @@
     pub fn on_connected(&mut self, now: Microseconds, id: UpstreamId, is_own_zone: bool) {
         if self.consecutive_unreachable >= self.candidate_count {
             // A whole round of attempts reached no replica and now one is reachable, so the node's
-            // own network was down and the recorded failures say nothing about the replicas.
+            // own network was down and the recorded failures give no information about the
+            // replicas.
             self.avoided.clear();
         }
         self.consecutive_unreachable = 0;
@@ -250,7 +251,7 @@
         }
     }
 
-    /// The freshness proofs requested on a connection; `None` if the connection is closed.
+    /// Returns the freshness proofs requested on a connection; `None` if the connection is closed.
     pub fn proof_requests_mut(&mut self, id: UpstreamId) -> Option<&mut ProofRequests> {
         let upstream = self.upstreams.get_mut(&id);
         upstream.map(|upstream| &mut upstream.requests)
@@ -307,7 +308,7 @@
         }
     }
 
-    /// Whether a connection is the current upstream, which the node relies on.
+    /// Returns whether a connection is the current upstream, which the node relies on.
     pub fn is_current(&self, id: UpstreamId) -> bool {
         self.current == Some(id)
     }
@@ -337,7 +338,7 @@
         closed.collect()
     }
 
-    /// When a connection or attempt is closed if no proof arrives.
+    /// Returns the time at which a connection or attempt is closed if no proof arrives.
     fn closes_at(&self, id: UpstreamId, upstream: &Upstream) -> Microseconds {
         if self.current == Some(id) {
             let overdue_at = upstream.overdue_at(self.timing);
@@ -352,8 +353,8 @@
         current.and_then(|current| current.overdue_at(self.timing))
     }
 
-    /// Whether another replica is needed, because there is no current upstream or its proof is
-    /// overdue.
+    /// Returns whether another replica is needed, because there is no current upstream or its proof
+    /// is overdue.
     fn needs_upstream(&self, now: Microseconds) -> bool {
         self.current.is_none() || self.current_overdue_at().is_some_and(|at| now >= at)
     }
@@ -397,8 +398,8 @@
         None
     }
 
-    /// The next replica of the node's own zone to try while the node relies on a working replica of
-    /// another zone.
+    /// Returns the next replica of the node's own zone to try while the node relies on a working
+    /// replica of another zone.
     fn recheck<'known>(
         &mut self,
         now: Microseconds,
@@ -426,22 +427,22 @@
         untried
     }
 
-    /// The first candidate without a connection or attempt. Avoided candidates come last, in the
-    /// order in which they may be tried again. While a replica of the node's own zone is being
-    /// tried, replicas of other zones come first, because the failure of one machine often affects
-    /// its whole zone.
+    /// Returns the first candidate without a connection or attempt. Avoided candidates come last,
+    /// in the order in which they may be tried again. While a replica of the node's own zone is
+    /// being tried, replicas of other zones come first, because the failure of one machine often
+    /// affects its whole zone.
     fn best_candidate<'known>(
         &self,
         now: Microseconds,
         candidates: &'known [Candidate],
     ) -> Option<&'known Candidate> {
         let is_open = |candidate: &&Candidate| {
-            let mut open = self.upstreams.values();
-            open.any(|upstream| upstream.key == candidate.key)
+            let mut upstreams = self.upstreams.values();
+            upstreams.any(|upstream| upstream.key == candidate.key)
         };
         let tries_own_zone = self.attempts().any(|upstream| upstream.is_own_zone);
-        let open = candidates.iter().filter(|candidate| !is_open(candidate));
-        open.min_by_key(|candidate| {
+        let unconnected = candidates.iter().filter(|candidate| !is_open(candidate));
+        unconnected.min_by_key(|candidate| {
             let avoided_until = self.avoided_until(now, candidate.key);
             (avoided_until, tries_own_zone && candidate.is_own_zone)
         })
@@ -492,7 +493,7 @@
         })
     }
 
-    /// Until when a replica is avoided; `None` if it is not avoided now.
+    /// Returns the time until which a replica is avoided; `None` if it is not avoided now.
     fn avoided_until(&self, now: Microseconds, key: ReplicaKey) -> Option<Microseconds> {
         let avoided = self.avoided.get(&key);
         let until = avoided.map(|avoided| avoided.until);
@@ -508,8 +509,8 @@
         self.avoided.insert(key, avoided);
     }
 
-    /// The pause between two attempts. It grows while no replica sends a proof, because connecting
-    /// to all of them faster does not help then.
+    /// Returns the pause between two attempts. It grows while no replica sends a proof, because
+    /// connecting to all of them faster does not help then.
     fn stagger(&self) -> Microseconds {
         let rounds = self.consecutive_failures / self.candidate_count.max(1);
         ATTEMPT_STAGGER << rounds.min(MAX_STAGGER_DOUBLINGS)
@@ -523,7 +524,7 @@
     }
 }
 
-/// The duration from `now` until `at`, for timers.
-pub(super) fn until(now: Microseconds, at: Microseconds) -> Duration {
+/// Returns the duration from `now` until `at`, for timers.
+pub(super) fn duration_until(now: Microseconds, at: Microseconds) -> Duration {
     Duration::from_micros(at.saturating_sub(now))
 }
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -13,7 +13,7 @@
 /// Exit code of a program that ended with an error.
 const FAILURE_EXIT_CODE: i32 = 1;
 
-/// A program that runs until it is told to stop.
+/// A program that runs until it receives a signal to stop.
 pub trait Daemon: Sized {
     /// Settings of the program.
     type Settings: DaemonSettings;
@@ -55,7 +55,8 @@
     runtime.block_on(serve_until_stopped::<D>(command_line, settings, signals))
 }
 
-/// If the outcome is an error, prints it to standard error and ends the process with exit code 1.
+/// Prints an error to standard error and ends the process with exit code 1; does nothing on
+/// success.
 pub fn exit_on_error<E: Display>(program: &str, outcome: Result<(), E>) {
     if let Err(error) = outcome {
         eprintln!("{program}: {error}");
--- a/crates/endpoints/src/lease_table/granter.rs
+++ b/crates/endpoints/src/lease_table/granter.rs
@@ -12,11 +12,11 @@
 /// Durations of leases. All nodes have to use the same values.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseConfig {
-    /// How long a freshness proof permits leases, counted from the request for the proof, in microseconds.
+    /// Validity of a freshness proof for granting leases, counted from its request, in microseconds.
     pub proof_validity: Microseconds,
     /// Margin for clock differences, in microseconds: added to `proof_validity` when a node waits for the expiry of
     /// leases that another node granted.
-    pub clock_guard: Microseconds,
+    pub clock_margin: Microseconds,
     /// Maximum duration of a lease, in microseconds.
     pub max_duration: Microseconds,
 }
@@ -37,8 +37,8 @@
 /// Grants the leases of one backend.
 pub struct LeaseGranter {
     config: LeaseConfig,
-    /// For each fencing token, when this node first saw the backend's ranges with this token: their earlier holder
-    /// may have been granted a lease that ends up to `proof_validity` after that.
+    /// For each fencing token, the time at which this node first observed the backend's ranges with it: their earlier
+    /// holder may have been granted a lease that ends up to `proof_validity` after that.
     first_seen: BTreeMap<Position, Microseconds>,
 }
 
@@ -53,7 +53,7 @@
 }
 
 impl LeaseGranter {
-    /// Creates a granter that has seen no ranges yet.
+    /// Creates a granter that has observed no ranges yet.
     pub fn new(config: LeaseConfig) -> LeaseGranter {
         LeaseGranter {
             config,
@@ -74,8 +74,8 @@
 
     /// Returns the leases of the backend `name`, or `None` if the freshness proof is too old to renew any lease.
     ///
-    /// `verified_at` is when the latest successful freshness proof was requested (0 if never). `held` are the ranges
-    /// that the backend reports as held, with their fencing tokens.
+    /// `verified_at` is the time at which the latest successful freshness proof was requested (0 if never). `held` are
+    /// the ranges that the backend reports as held, with their fencing tokens.
     pub fn grant(
         &mut self,
         now: Microseconds,
@@ -113,7 +113,7 @@
             .iter()
             .any(|(earlier, _)| earlier != name);
         let earlier_expired = self.earlier_leases_expired(now, token);
-        // The backend may keep a range that it already holds: nobody else was granted the range since.
+        // The backend may keep a range that it already holds: no other backend was granted the range since.
         let is_held = held
             .iter()
             .any(|(from, to, held)| *held == token && *from <= first_key && last_key <= *to);
@@ -134,9 +134,9 @@
             .push((first_key, last_key, token, handover_token));
     }
 
-    /// Whether all leases that other nodes granted before the ranges got this fencing token have expired.
+    /// Returns whether all leases that other nodes granted before the ranges got this fencing token have expired.
     fn earlier_leases_expired(&self, now: Microseconds, token: Position) -> bool {
-        let wait = self.config.proof_validity + self.config.clock_guard;
+        let wait = self.config.proof_validity + self.config.clock_margin;
         self.first_seen
             .get(&token)
             .is_some_and(|first_seen_at| now >= first_seen_at + wait)
--- a/crates/endpoints/src/lease_table/mod.rs
+++ b/crates/endpoints/src/lease_table/mod.rs
@@ -21,7 +21,7 @@
 use slog::Logger;
 use tokio::sync::{mpsc, oneshot, watch};
 
-use crate::heartbeat::{Heartbeat, HeartbeatAnswer};
+use crate::heartbeat::{Heartbeat, HeartbeatResponse};
 use crate::registration::Registration;
 use command::Command;
 use state::LeaseTableTask;
@@ -29,7 +29,7 @@
 /// Capacity of the task's command channel; senders wait while the channel is full.
 const COMMAND_CAPACITY: usize = 1_024;
 
-/// Why the lease table did not answer.
+/// The reason for which the lease table did not answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     /// The task that owns the lease table has ended, as happens when the runtime shuts down.
@@ -69,7 +69,7 @@
             ended_names: BTreeSet::new(),
             pending_reports: Vec::new(),
             started_at: model::now(),
-            unheard_probed_at: 0,
+            unconfirmed_probed_at: 0,
             report_in_flight: false,
             superseded: superseded_sender,
             logger,
@@ -87,14 +87,14 @@
 
     /// Processes a heartbeat and waits for the answer, which may be delayed by up to 650 ms until there are changes to
     /// send.
-    pub async fn heartbeat(&self, heartbeat: Heartbeat) -> Result<HeartbeatAnswer, Error> {
-        let (answer, answered) = oneshot::channel();
+    pub async fn heartbeat(&self, heartbeat: Heartbeat) -> Result<HeartbeatResponse, Error> {
+        let (response, received) = oneshot::channel();
         self.send(Command::Heartbeat {
             heartbeat: Box::new(heartbeat),
-            answer,
+            response,
         })
         .await?;
-        answered.await.map_err(|_| Error::Stopped)
+        received.await.map_err(|_| Error::Stopped)
     }
 
     /// Deregisters the backend `name`: the backend drains, and its end is reported to the log.
@@ -104,7 +104,8 @@
         is_done.await.map_err(|_| Error::Stopped)
     }
 
-    /// Whether another process was registered under this node's name after this process, which then has to stop.
+    /// Returns whether another process was registered under this node's name after this process, which then has to
+    /// stop.
     pub fn is_superseded(&self) -> bool {
         *self.superseded.borrow()
     }
--- a/crates/endpoints/src/lease_table/reports.rs
+++ b/crates/endpoints/src/lease_table/reports.rs
@@ -13,7 +13,7 @@
 
 /// Delay before the next reports if the last ones changed nothing or were not accepted.
 const REPORT_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// How long to wait until an accepted report is visible in the local state.
+/// Timeout for an accepted report to become visible in the local state.
 const VISIBLE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Interval at which the local state is checked during that wait.
 const VISIBLE_POLL_INTERVAL: Duration = Duration::from_millis(5);
@@ -135,10 +135,10 @@
     fn end_reports(&self, snapshot: &StateSnapshot) -> Vec<ClusterReport> {
         self.pending_ends
             .iter()
-            .filter(|(name, gone)| **gone || snapshot.backends.contains_key(*name))
-            .map(|(name, gone)| ClusterReport::BackendEnded {
+            .filter(|(name, process_gone)| **process_gone || snapshot.backends.contains_key(*name))
+            .map(|(name, process_gone)| ClusterReport::BackendEnded {
                 name: name.clone(),
-                process_gone: *gone,
+                process_gone: *process_gone,
             })
             .collect()
     }
@@ -147,25 +147,25 @@
     /// incarnations whose processes are gone, even if this process never received their heartbeats. While no backend
     /// sends heartbeats here, they are reported as silent only.
     fn other_backend_reports(&self, snapshot: &StateSnapshot) -> Vec<ClusterReport> {
-        let own = self
+        let local_name = self
             .backend
             .as_ref()
             .map(|backend| backend.heartbeat.name.as_str());
         // If the log has both, the running backend is the one that continues to send heartbeats.
         let is_confirmed = self.backend.as_ref().is_some_and(|backend| {
-            backend.heard_repeatedly || !snapshot.backends.contains_key(&backend.heartbeat.name)
+            backend.received_repeatedly || !snapshot.backends.contains_key(&backend.heartbeat.name)
         });
         let silence_timeout = self.config.heartbeat_interval * MAX_MISSED_HEARTBEATS;
         let is_overdue = model::now() > self.started_at + silence_timeout;
         let others = snapshot.backends.iter().filter(|(name, backend)| {
             backend.node == self.config.node
                 && !self.pending_ends.contains_key(*name)
-                && own != Some(name.as_str())
+                && local_name != Some(name.as_str())
         });
         others
             .filter_map(|(name, backend)| {
                 let name = name.clone();
-                if own.is_some() {
+                if local_name.is_some() {
                     return is_confirmed.then_some(ClusterReport::BackendEnded {
                         name,
                         process_gone: true,
@@ -208,12 +208,12 @@
         self.pending_reports
             .retain(|report| !reports.contains(report));
         // An entry whose process may still run is kept until the process is known to be gone.
-        self.pending_ends.retain(|name, gone| {
+        self.pending_ends.retain(|name, process_gone| {
             let end = ClusterReport::BackendEnded {
                 name: name.clone(),
-                process_gone: *gone,
+                process_gone: *process_gone,
             };
-            !*gone || !reports.contains(&end)
+            !*process_gone || !reports.contains(&end)
         });
     }
 
@@ -221,8 +221,8 @@
         let Some(backend) = &mut self.backend else {
             return;
         };
-        let own = &backend.heartbeat.name;
-        let is_own_join = |report: &ClusterReport| matches!(report, ClusterReport::BackendJoined { name, .. } if name == own);
+        let local_name = &backend.heartbeat.name;
+        let is_own_join = |report: &ClusterReport| matches!(report, ClusterReport::BackendJoined { name, .. } if name == local_name);
         if reports.iter().any(is_own_join) {
             backend.rejected = true;
         }
--- a/crates/endpoints/src/node.rs
+++ b/crates/endpoints/src/node.rs
@@ -26,7 +26,7 @@
 
 /// Capacity of the channel of load reports from other nodes to the placement coordinator.
 const LOAD_REPORT_CAPACITY: usize = 1_024;
-/// Number of replicas that a node tries to know.
+/// Number of replicas whose locations a node tries to discover.
 const WANTED_REPLICAS: usize = 3;
 /// Interval between two checks for running requests during shutdown.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
@@ -47,7 +47,7 @@
     /// Settings of the backend selection.
     pub selection: SelectorConfig,
     /// Number of requests sent to the backend beyond its slots, so that no slot is idle between two requests.
-    pub queued_ahead: u32,
+    pub extra_runs: u32,
     /// Interval between two freshness-proof requests, in microseconds.
     pub proof_interval: Microseconds,
     /// Interval between two heartbeats to the nodes that monitor this one, in microseconds.
@@ -64,7 +64,7 @@
     pub listener: Listener,
     /// Follows and verifies the cluster state.
     pub follower: FollowerHandle,
-    /// Replicas of the log that the node knows.
+    /// Locations of the replicas of the log that the node has discovered.
     pub known_replicas: KnownReplicas,
     limiter: ConcurrencyLimiter,
     in_flight: InFlightRequests,
@@ -124,7 +124,8 @@
         );
     }
 
-    /// Whether clients may send requests here: the node knows routes, is not superseded and is not shutting down.
+    /// Returns whether clients may send requests here: the node knows routes, is not superseded and is not shutting
+    /// down.
     pub fn is_ready(&self) -> bool {
         let verified = self.follower.verified_state.load();
         let knows_routes = verified.verified_at > 0 && verified.snapshot.has_routes();
@@ -155,13 +156,13 @@
 
 impl Shared {
     fn start(config: &NodeConfig, logger: Logger) -> Shared {
-        let own = &config.lease_table;
+        let table_config = &config.lease_table;
         let known_replicas = discovery::empty();
         let handshake = handshake_factory(config, known_replicas.clone());
         let follower = follower::start(
             FollowerConfig {
-                node: own.node.clone(),
-                zone: own.zone.clone(),
+                node: table_config.node.clone(),
+                zone: table_config.zone.clone(),
                 proof_interval: config.proof_interval,
                 proof_timeout: config.proof_interval,
             },
@@ -171,8 +172,8 @@
         );
         let reporter = StatusReporter::start(
             StatusReporterConfig {
-                node: own.node.clone(),
-                incarnation: own.incarnation,
+                node: table_config.node.clone(),
+                incarnation: table_config.incarnation,
                 logger: logger.clone(),
             },
             known_replicas.clone(),
@@ -181,7 +182,7 @@
         );
         let limiter = ConcurrencyLimiter::start(ConcurrencyLimiterConfig {
             header_names: config.header_names.clone(),
-            extra_runs: config.queued_ahead,
+            extra_runs: config.extra_runs,
         });
         Shared {
             known_replicas,
@@ -200,11 +201,11 @@
         config: &NodeConfig,
         peer_listener: TcpListener,
     ) -> mpsc::Receiver<LoadReport> {
-        let own = &config.lease_table;
+        let table_config = &config.lease_table;
         let heartbeats = monitor::start(
             MonitorConfig {
-                node: own.node.clone(),
-                incarnation: own.incarnation,
+                node: table_config.node.clone(),
+                incarnation: table_config.incarnation,
                 heartbeat_interval: config.monitor_interval,
                 detection_timeout: config.monitor_timeout,
             },
@@ -253,11 +254,11 @@
         peers: PeerConnections,
         in_flight: InFlightRequests,
     ) -> Listener {
-        let own = config.lease_table;
+        let table_config = config.lease_table;
         let verified_state = self.follower.verified_state.clone();
         let proxy = OutboundProxy {
-            node: own.node,
-            zone: own.zone,
+            node: table_config.node,
+            zone: table_config.zone,
             service: config.service,
             verified_state: verified_state.clone(),
             limiter: self.limiter.clone(),
@@ -277,13 +278,13 @@
 
 /// Returns a function that creates this node's handshake for a connection.
 fn handshake_factory(config: &NodeConfig, known_replicas: KnownReplicas) -> HandshakeFactory {
-    let own = config.lease_table.clone();
+    let table_config = config.lease_table.clone();
     Arc::new(move |purpose| Handshake {
         purpose,
-        node_name: own.node.clone(),
-        zone: own.zone.clone(),
-        address: own.address.clone(),
-        incarnation: own.incarnation,
+        node_name: table_config.node.clone(),
+        zone: table_config.zone.clone(),
+        address: table_config.address.clone(),
+        incarnation: table_config.incarnation,
         replica: None,
         has_empty_disk: false,
         expected_disk: None,
--- a/crates/endpoints/src/placement/load.rs
+++ b/crates/endpoints/src/placement/load.rs
@@ -8,7 +8,7 @@
 
 use super::algorithm::{BackendCapacity, RangeDemand};
 
-/// How long a load report is used, in microseconds.
+/// Time for which a load report is used, in microseconds.
 const REPORT_LIFETIME: Microseconds = 3_500_000;
 /// Weight of the mean run time of all backends in the estimate of one backend, in runs of that backend.
 const MEAN_RUN_TIME_WEIGHT: f64 = 12.0;
@@ -100,9 +100,9 @@
     fn mean_run_time(&self, backends: &[AvailableBackend]) -> f64 {
         let (mut sum, mut count) = (0.0, 0.0);
         for backend in backends {
-            let own = self.run_times(&backend.name);
-            sum += own.mean * own.count;
-            count += own.count;
+            let run_times = self.run_times(&backend.name);
+            sum += run_times.mean * run_times.count;
+            count += run_times.count;
         }
         if count > 0.0 {
             sum / count
@@ -113,8 +113,8 @@
 }
 
 /// Returns the requests per second that each backend can run: its slots divided by its mean run time. The fewer runs of
-/// a backend were reported, the closer its run time is taken to the mean of all backends. The capacity of an ejected
-/// backend is reduced (design section 13.8).
+/// a backend were reported, the closer its estimated run time is to the mean of all backends. The capacity of an
+/// ejected backend is reduced (design section 13.8).
 pub(super) fn backend_capacities(
     backends: &[AvailableBackend],
     load_reports: &LoadReports,
@@ -122,9 +122,9 @@
 ) -> Vec<BackendCapacity> {
     let mean = load_reports.mean_run_time(backends);
     let capacity = |backend: &AvailableBackend| {
-        let own = load_reports.run_times(&backend.name);
-        let run_time = (own.mean * own.count + mean * MEAN_RUN_TIME_WEIGHT)
-            / (own.count + MEAN_RUN_TIME_WEIGHT);
+        let run_times = load_reports.run_times(&backend.name);
+        let run_time = (run_times.mean * run_times.count + mean * MEAN_RUN_TIME_WEIGHT)
+            / (run_times.count + MEAN_RUN_TIME_WEIGHT);
         let share = if ejected.contains(&backend.name) {
             EJECTED_CAPACITY_SHARE
         } else {
--- a/crates/endpoints/src/registration.rs
+++ b/crates/endpoints/src/registration.rs
@@ -1,4 +1,4 @@
-//! Tells whether this process is the incarnation that the log has registered under its node's name (design section
+//! Determines whether this process is the incarnation that the log has registered under its node's name (design section
 //! 11.2).
 //!
 //! Incarnations are random, so the greater one of two is not necessarily the later one. A process registers as the
@@ -22,7 +22,8 @@
     Superseded,
 }
 
-/// Whether the log's record `node` is that of this `incarnation`. The log accepts reports from no other incarnation.
+/// Returns whether the log's record `node` is that of this `incarnation`. The log accepts reports from no other
+/// incarnation.
 pub(crate) fn is_registered(node: Option<&NodeRecord>, incarnation: Incarnation) -> bool {
     node.is_some_and(|node| node.incarnation == incarnation)
 }
@@ -35,7 +36,7 @@
 }
 
 impl Registration {
-    /// Creates the state of a process whose incarnation has not been seen in the log yet.
+    /// Creates the state of a process whose incarnation has not been observed in the log yet.
     pub fn new(incarnation: Incarnation) -> Registration {
         Registration {
             incarnation,
@@ -45,8 +46,8 @@
 
     /// Updates the status with the log's record of the node, `None` if there is none, and returns the new status.
     ///
-    /// The observed state only moves forward, so an incarnation that is seen after that of this process was registered
-    /// after this process.
+    /// The observed state only moves forward, so an incarnation that is observed after that of this process was
+    /// registered after this process.
     pub fn observe(&mut self, registered: Option<&NodeRecord>) -> RegistrationStatus {
         let Some(node) = registered else {
             return RegistrationStatus::Unregistered { replaces: 0 };
--- a/crates/endpoints/tests/shutdown.rs
+++ b/crates/endpoints/tests/shutdown.rs
@@ -18,19 +18,19 @@
 async fn node() -> (Node, String) {
     let leases = LeaseConfig {
         proof_validity: 9_000_000,
-        clock_guard: 200_000,
+        clock_margin: 200_000,
         max_duration: 10_000_000,
     };
-    let own = (
+    let identity = (
         "n0".to_string(),
         "z0".to_string(),
         "127.0.0.1:1".to_string(),
     );
     let config = NodeConfig {
         lease_table: LeaseTableConfig {
-            node: own.0,
-            zone: own.1,
-            address: own.2,
+            node: identity.0,
+            zone: identity.1,
+            address: identity.2,
             incarnation: 1,
             leases,
             heartbeat_interval: 1_500_000,
@@ -44,7 +44,7 @@
             zone_crossing_cost: 15_000,
             retry_deposit: 8,
         },
-        queued_ahead: 1,
+        extra_runs: 1,
         proof_interval: 1_000_000,
         monitor_interval: 500_000,
         monitor_timeout: 3_000_000,
--- a/crates/endpoints/tests/unverified_state.rs
+++ b/crates/endpoints/tests/unverified_state.rs
@@ -36,7 +36,7 @@
 fn config(address: &str) -> NodeConfig {
     let leases = LeaseConfig {
         proof_validity: 9_000_000,
-        clock_guard: 200_000,
+        clock_margin: 200_000,
         max_duration: 10_000_000,
     };
     let (node, zone) = ("n0".to_string(), "z0".to_string());
@@ -58,7 +58,7 @@
             zone_crossing_cost: 0,
             retry_deposit: 8,
         },
-        queued_ahead: 1,
+        extra_runs: 1,
         proof_interval: 50_000,
         monitor_interval: 1_000_000,
         monitor_timeout: 3_500_000,
@@ -166,10 +166,10 @@
     String::from_utf8_lossy(&response).to_ascii_lowercase()
 }
 
-async fn within_timeout<T>(what: &str, work: impl Future<Output = T>) -> T {
+async fn within_timeout<T>(description: &str, work: impl Future<Output = T>) -> T {
     tokio::time::timeout(TIMEOUT, work)
         .await
-        .unwrap_or_else(|_| panic!("timed out waiting for {what}"))
+        .unwrap_or_else(|_| panic!("timed out waiting for {description}"))
 }
 
 struct Harness {
@@ -296,7 +296,7 @@
         latency_target: 400_000,
         priority: 0,
         idempotent: false,
-        force: false,
+        ignore_ejection: false,
     };
     // The concurrency limiter does not know the backend until the lease table has passed it on.
     let error_kind = async {
--- a/crates/gradeford-node/src/presence.rs
+++ b/crates/gradeford-node/src/presence.rs
@@ -52,7 +52,7 @@
     }
 }
 
-/// Registers this node in the log, and again whenever the log holds it to be absent.
+/// Registers this node in the log, and again whenever the log records it as absent.
 ///
 /// Returns and makes the node not ready once another process has registered under its name.
 pub(crate) async fn announce_presence(
@@ -70,7 +70,7 @@
         if registered_before && registered != 0 && registered != own.incarnation {
             slog::error!(
                 logger,
-                "another process registered under this node's name; this node stops serving";
+                "another process was registered under this node's name; this process stops serving requests";
                 "node" => &own.name,
             );
             return accepting_work.store(false, Relaxed);
--- a/crates/gradeford-node/src/start.rs
+++ b/crates/gradeford-node/src/start.rs
@@ -38,7 +38,7 @@
     pub logger: &'a Logger,
     /// Identity of this process.
     pub identity: NodeIdentity,
-    /// Replicas that the node knows.
+    /// Locations of the replicas that the node has discovered.
     pub known_replicas: KnownReplicas,
     /// Tasks that are cancelled when the process stops.
     pub tasks: JoinSet<()>,
@@ -84,7 +84,7 @@
         let config = SubscriptionConfig {
             node: settings.name.clone(),
             zone: settings.zone.clone(),
-            freshness_bound: settings.freshness_us,
+            proof_validity: settings.freshness_us,
             proof_interval: settings.ask_every_us,
             proof_timeout: settings.freshness_us / 2,
             use_zone_relays: settings.homes,
@@ -137,7 +137,7 @@
             node: self.settings.name.clone(),
             zone: self.settings.zone.clone(),
             heartbeat_timeout: self.settings.beat_patience_us,
-            proof_lifetime: self.settings.freshness_us,
+            proof_validity: self.settings.freshness_us,
             clock_margin: self.settings.guard_us,
         };
         SlotOwnerHandle::start(
@@ -218,7 +218,7 @@
             node: self.settings.name.clone(),
             zone: self.settings.zone.clone(),
             heartbeat_interval: self.settings.beat_every_us,
-            freshness_bound: self.settings.freshness_us,
+            proof_validity: self.settings.freshness_us,
             slot_owner: slot_owner.clone(),
             status_reports: state.status_reports.clone(),
             view: state.subscription.view.clone(),
--- a/crates/legacy-proxy/src/slot_owner/queue.rs
+++ b/crates/legacy-proxy/src/slot_owner/queue.rs
@@ -146,8 +146,8 @@
         shed
     }
 
-    /// Releases the slot of a run that ended. `unsent` says that the attempt certainly was not sent
-    /// to the backend; it may then be forwarded again.
+    /// Releases the slot of a run that ended. `unsent` states that the attempt certainly was not
+    /// sent to the backend; it may then be forwarded again.
     pub fn finish(&mut self, permit: &Permit, unsent: bool) {
         if let Some(backend) = self.backends.get_mut(&permit.backend_name) {
             backend.running.remove(&permit.run_id);
@@ -210,8 +210,8 @@
         admissions
     }
 
-    /// Updates the backends by the time and the view: heartbeat timeouts, live backends that the
-    /// log presumed gone, changed numbers of slots, and moved leases.
+    /// Updates the backends according to the time and the view: heartbeat timeouts, running
+    /// backends that the log presumed gone, changed numbers of slots, and moved leases.
     fn observe(&mut self, now: Microseconds, view: &View) {
         for backend in self.backends.values_mut() {
             if matches!(
@@ -260,8 +260,8 @@
 }
 
 impl RegisteredBackend {
-    /// Updates a registered backend by the time and the view. Returns the report to the log, if one
-    /// is due.
+    /// Updates a registered backend according to the time and the view. Returns the report to the
+    /// log, if one is due.
     fn observe(
         &mut self,
         now: Microseconds,
--- a/crates/mencius/src/apply.rs
+++ b/crates/mencius/src/apply.rs
@@ -27,7 +27,8 @@
         self.return_deferred();
     }
 
-    /// The first instance from `applied` on, of any coordinator, that is not known to be a no-op.
+    /// Returns the first instance from `applied` on, of any coordinator, that is not known to be a
+    /// no-op.
     fn first_not_skipped(&self) -> Instance {
         let firsts = self.replica_ids().map(|coordinator| {
             let from = self.first_coordinated_from(coordinator, self.applied);
@@ -93,7 +94,7 @@
             .retain(|_, revocation| revocation.block.0 >= end);
     }
 
-    /// The complete state as writes, to replace the journal after a compaction.
+    /// Returns the complete state as writes, to replace the journal after a compaction.
     pub(crate) fn full_state_writes(&self) -> Vec<Write> {
         let mut writes = Vec::new();
         if let Some(Snapshot {
@@ -170,11 +171,11 @@
     /// Completes the recovery after all writes are replayed: skips the own unused instances below
     /// the stored index and resumes suggestions without a known outcome in their instances.
     pub(crate) fn resume(&mut self) {
-        let own = self.log_of(self.replica_id);
-        let undecided = own
+        let own_log = self.log_of(self.replica_id);
+        let undecided = own_log
             .accepted
             .iter()
-            .filter(|(instance, _)| own.outcome(**instance).is_none());
+            .filter(|(instance, _)| own_log.outcome(**instance).is_none());
         let undecided: Vec<(Instance, Value)> = undecided
             .map(|(instance, accepted)| (*instance, accepted.value.clone()))
             .collect();
--- a/crates/mencius/src/catch_up.rs
+++ b/crates/mencius/src/catch_up.rs
@@ -2,9 +2,9 @@
 //! 3.5).
 //!
 //! Implicit skips are sound only on an unbroken FIFO channel (paper 4.1, 4.4). Each new connection
-//! therefore begins with a `Hello` that tells what the sender knows. The peer responds with a
-//! `Resync` and everything that the sender may have missed. Cursors received before the `Resync`
-//! are ignored.
+//! therefore begins with a `Hello` that states which outcomes the sender knows. The peer responds
+//! with a `Resync` and everything that the sender may have missed. Cursors received before the
+//! `Resync` are ignored.
 
 use crate::coordinator_log::Outcome;
 use crate::messages::{Commands, Effect, Instance, Message, Micros, ReplicaId, Value};
@@ -157,9 +157,9 @@
         });
     }
 
-    /// Whether the outcomes from `from` on were sent so recently that they may still be in transit.
-    /// A peer on a narrow link repeats its request often and must not be sent the same outcomes
-    /// each time.
+    /// Returns whether the outcomes from `from` on were sent so recently that they may still be in
+    /// transit. A peer on a narrow link repeats its request often and must not be sent the same
+    /// outcomes each time.
     fn sent_recently(&self, to: ReplicaId, from: Instance) -> bool {
         self.peer(to)
             .sent_outcomes
@@ -179,7 +179,7 @@
         }
     }
 
-    /// The size of the snapshot in bytes if it ends at `instance`, otherwise 0.
+    /// Returns the size of the snapshot in bytes if it ends at `instance`, otherwise 0.
     fn snapshot_bytes_at(&self, instance: Instance) -> usize {
         let snapshot = self.snapshot.as_ref();
         let snapshot = snapshot.filter(|snapshot| snapshot.next_instance == instance);
--- a/crates/mencius/src/timers.rs
+++ b/crates/mencius/src/timers.rs
@@ -19,7 +19,7 @@
 const MAX_FETCH_DOUBLINGS: u64 = 3;
 
 impl Replica {
-    /// Records that a peer sent something, which shows that it is alive.
+    /// Records that a peer sent something, which shows that the peer is running.
     pub(crate) fn record_contact(&mut self, from: ReplicaId) {
         if from == self.replica_id {
             return;
@@ -27,7 +27,7 @@
         let now = self.now;
         let max_timeout = self.config.max_suspicion_timeout;
         let peer = self.peer_mut(from);
-        peer.last_heard = now;
+        peer.last_received_at = now;
         if take(&mut peer.suspected) {
             // The suspicion was false or the peer has recovered: wait longer before suspecting it
             // again (paper 4.1, unreliable failure detector).
@@ -60,9 +60,9 @@
         let pause = self.now - self.last_tick;
         self.last_tick = self.now;
         if pause > self.config.initial_suspicion_timeout {
-            let last_heard_at_least = self.now.saturating_sub(self.config.heartbeat_interval);
+            let last_received_at_least = self.now.saturating_sub(self.config.heartbeat_interval);
             for peer in &mut self.peers {
-                peer.last_heard = peer.last_heard.max(last_heard_at_least);
+                peer.last_received_at = peer.last_received_at.max(last_received_at_least);
             }
         }
     }
@@ -95,7 +95,7 @@
     fn check_suspicion(&mut self, peer: ReplicaId) {
         let now = self.now;
         let peer = self.peer_mut(peer);
-        if now > peer.last_heard + peer.suspicion_timeout {
+        if now > peer.last_received_at + peer.suspicion_timeout {
             peer.suspected = true;
         }
     }
@@ -117,21 +117,21 @@
         }
         let waited = self.now - self.stall.since;
         let coordinator = self.coordinator(self.applied);
-        let own = coordinator == self.replica_id;
+        let is_own = coordinator == self.replica_id;
         if self.is_fetch_due(waited, 2 * self.config.heartbeat_interval) {
             self.fetch_from_next_peer(waited);
         }
-        if own && self.is_fetch_due(waited, self.config.heartbeat_interval) {
+        if is_own && self.is_fetch_due(waited, self.config.heartbeat_interval) {
             self.resend_suggestion(self.applied);
         }
-        let may_revoke = !own || self.rejected.contains(&self.applied);
+        let may_revoke = !is_own || self.rejected.contains(&self.applied);
         if waited >= self.config.stall_revoke_after && may_revoke {
             self.schedule_revocation(coordinator, self.index.max(self.applied + 1));
         }
     }
 
-    /// Whether `waited` lies within `window` after a multiple of the interval between fetches. The
-    /// interval grows, as the requested outcomes may be in transit.
+    /// Returns whether `waited` lies within `window` after a multiple of the interval between
+    /// fetches. The interval grows, as the requested outcomes may be in transit.
     fn is_fetch_due(&self, waited: Micros, window: Micros) -> bool {
         let base = self.config.stall_fetch_after;
         let doublings = (waited / (FETCHES_PER_DOUBLING * base)).min(MAX_FETCH_DOUBLINGS);
@@ -180,8 +180,8 @@
         self.start_revocation(coordinator, end);
     }
 
-    /// The number of replicas between the coordinator and this one, in cyclic order, that are not
-    /// suspected.
+    /// Returns the number of replicas between the coordinator and this one, in cyclic order, that
+    /// are not suspected.
     fn live_replicas_between(&self, coordinator: ReplicaId) -> u64 {
         let count = self.replica_count as ReplicaId;
         (1..count)
--- a/crates/model/src/cluster_state/endpoints.rs
+++ b/crates/model/src/cluster_state/endpoints.rs
@@ -17,17 +17,17 @@
     rkyv::Deserialize,
 )]
 pub struct BackendRecord {
-    /// The service that it serves.
+    /// The service that the backend serves.
     pub service: ServiceName,
-    /// The zone that it is in.
+    /// The zone of the backend.
     pub zone: ZoneName,
-    /// The node beside it.
+    /// The node beside the backend.
     pub node: NodeName,
-    /// The number of requests that it runs concurrently.
+    /// The number of requests that the backend runs concurrently.
     pub slots: u32,
     /// The lifecycle phase.
     pub phase: BackendPhase,
-    /// The position at which it entered its phase.
+    /// The position at which the backend entered its phase.
     #[serde(rename = "since")]
     pub changed_at: Position,
 }
@@ -44,7 +44,7 @@
     rkyv::Deserialize,
 )]
 pub struct NodeRecord {
-    /// The zone that it is in.
+    /// The zone of the node.
     pub zone: ZoneName,
     /// The address at which other nodes reach it: an IP address and port.
     pub address: String,
@@ -63,7 +63,7 @@
 }
 
 impl NodeRecord {
-    /// A node that registers at position `next` and is suspected by no observer.
+    /// Returns a node that registers at position `next` and is suspected by no observer.
     pub(crate) fn present(
         zone: ZoneName,
         address: String,
@@ -128,7 +128,7 @@
     pub(crate) nodes: BTreeSet<NodeName>,
 }
 
-/// The backends and nodes that were absent long enough to be removed (design 11.7).
+/// Returns the backends and nodes that were absent long enough to be removed (design 11.7).
 pub(crate) fn long_absent(
     backends: &BackendRecords,
     nodes: &NodeRecords,
--- a/crates/model/src/cluster_state/mod.rs
+++ b/crates/model/src/cluster_state/mod.rs
@@ -2,8 +2,8 @@
 //! entry also returns the deltas it caused, so that followers receive changes instead of whole
 //! states (design 11).
 //!
-//! It is driven by the same log as [`StateMachine`](crate::StateMachine); each entry is for one of
-//! the two.
+//! Both this state machine and [`StateMachine`](crate::StateMachine) are driven by the same log;
+//! each entry is for one of the two.
 
 mod delta;
 pub mod endpoints;
@@ -29,12 +29,12 @@
 use placement::{Placements, Reassignment};
 use version_history::{CallDigests, VersionHistory};
 
-/// Number of positions for which the names of ended backends are remembered, so that a late report
-/// does not restore one.
+/// Number of positions for which the names of ended backends are kept, so that a late report does
+/// not restore one.
 const ENDED_BACKEND_RETENTION_POSITIONS: Position = 20_000;
-/// Number of origins whose last sequence number is remembered.
-const MAX_REMEMBERED_ORIGINS: usize = 4_096;
-/// Positions between two cleanups of old names.
+/// Number of origins whose last sequence number is kept.
+const MAX_STORED_ORIGINS: usize = 4_096;
+/// Number of positions between two removals of old backends and origins.
 const CLEANUP_INTERVAL_POSITIONS: Position = 256;
 
 /// An operation on the cluster state, as stored in the log.
@@ -144,7 +144,7 @@
         }
         self.origins
             .insert(origin.to_string(), (incarnation, sequence, next));
-        self.forget_old_entries(next);
+        self.remove_old_entries(next);
         if deltas.is_empty() {
             return self.unchanged();
         }
@@ -300,7 +300,8 @@
         (is_present(self) != before).then(|| self.node_delta(name))
     }
 
-    /// A late report neither restores an ended backend nor changes a phase back.
+    /// Records a backend that has joined. A late report neither restores an ended backend nor
+    /// changes a phase back.
     fn backend_joined(
         &mut self,
         name: BackendName,
@@ -327,8 +328,9 @@
         Some(self.backend_delta(&name))
     }
 
-    /// Only a registered backend becomes unresponsive, and only an unresponsive one becomes
-    /// registered again: a draining backend stays draining.
+    /// Records that heartbeats of a backend are missing or have resumed. Only a registered backend
+    /// becomes unresponsive, and only an unresponsive one becomes registered again: a draining
+    /// backend stays draining.
     fn backend_silent(&mut self, name: &str, silent: bool, next: Position) -> Option<Delta> {
         let (registered, unresponsive) = (BackendPhase::Registered, BackendPhase::PresumedGone);
         if silent {
@@ -392,12 +394,12 @@
         Delta::Backend(name.to_string(), self.backends.get(name).cloned())
     }
 
-    fn forget_old_entries(&mut self, next: Position) {
+    fn remove_old_entries(&mut self, next: Position) {
         if next.is_multiple_of(CLEANUP_INTERVAL_POSITIONS) {
             self.ended_backends
                 .retain(|_, ended_at| *ended_at + ENDED_BACKEND_RETENTION_POSITIONS > next);
         }
-        if self.origins.len() > MAX_REMEMBERED_ORIGINS {
+        if self.origins.len() > MAX_STORED_ORIGINS {
             let oldest = self
                 .origins
                 .iter()
@@ -408,7 +410,7 @@
         }
     }
 
-    /// Removes backends and nodes that were absent for long (design 11.7).
+    /// Removes backends and nodes that were absent for a long time (design 11.7).
     fn remove_long_absent(&mut self, next: Position) -> Vec<Delta> {
         if !next.is_multiple_of(CLEANUP_INTERVAL_POSITIONS) {
             return Vec::new();
@@ -428,7 +430,7 @@
             .collect()
     }
 
-    /// Backends that hold keys or may still hold some.
+    /// Returns the backends that hold keys or may still hold some.
     fn backends_in_shard_maps(&self) -> HashSet<&BackendName> {
         let ranges = self.placements.values().flat_map(|(_, ranges)| ranges);
         let names = ranges.flat_map(|range| {
@@ -438,7 +440,7 @@
         names.collect()
     }
 
-    /// The complete state, as deltas from the empty state.
+    /// Returns the complete state, as deltas from the empty state.
     pub fn full_deltas(&self) -> Vec<Delta> {
         let items = self
             .items
--- a/crates/model/src/cluster_state/shard_map.rs
+++ b/crates/model/src/cluster_state/shard_map.rs
@@ -28,14 +28,14 @@
     pub last_key: ShardKey,
     /// The backend that the keys are assigned to.
     pub holder: Option<BackendName>,
-    /// The position of the entry that moved the range to this holder. It only grows.
+    /// The position of the entry that moved the range to this holder. The position never decreases.
     #[serde(rename = "fence")]
     pub fencing_token: Position,
     /// Earlier holders that may still hold the range, each with the position at which it lost the
     /// range.
     #[serde(rename = "owed")]
     pub pending_releases: Vec<(BackendName, Position)>,
-    /// The token that the previous holder handed over; opaque.
+    /// The opaque token that the previous holder handed over.
     #[serde(rename = "token")]
     pub handover_token: String,
 }
@@ -58,7 +58,7 @@
 /// The ranges of a service, ordered and without gaps over all keys.
 pub type ShardMap = Vec<ShardRange>;
 
-/// The shard map of a service whose keys are all unassigned.
+/// Returns the shard map of a service whose keys are all unassigned.
 pub fn unassigned() -> ShardMap {
     vec![ShardRange {
         first_key: 0,
@@ -70,7 +70,7 @@
     }]
 }
 
-/// The range that contains a key; `None` only if the map is empty.
+/// Returns the range that contains a key; `None` only if the map is empty.
 pub fn range_of(ranges: &ShardMap, key: ShardKey) -> Option<&ShardRange> {
     ranges.get(ranges.partition_point(|range| range.last_key < key))
 }
@@ -78,7 +78,7 @@
 /// Assigns key spans (first key, last key, holder) to the holders that a placement names.
 ///
 /// A holder that keeps a range keeps its fencing token. A backend that gets a range back has no
-/// release of the range pending any more, because it holds the range again.
+/// release of the range pending, because it holds the range again.
 pub fn reassign(
     ranges: ShardMap,
     assignments: &[(ShardKey, ShardKey, BackendName)],
@@ -157,7 +157,7 @@
     merge_neighbours(ranges)
 }
 
-/// The ranges of `new` that are not in `old`, for followers that have `old`.
+/// Returns the ranges of `new` that are not in `old`, for followers that have `old`.
 pub fn diff(old: &ShardMap, new: &ShardMap) -> ShardMap {
     let old: HashMap<ShardKey, &ShardRange> =
         old.iter().map(|range| (range.first_key, range)).collect();
--- a/crates/model/src/cluster_state/version_history.rs
+++ b/crates/model/src/cluster_state/version_history.rs
@@ -9,10 +9,10 @@
 use super::items::{self, Item, ItemCall, ItemKey, ItemVersion, Items};
 use crate::VersionConflict;
 
-/// Number of versions per item whose contents are remembered. Operators repeat a call for seconds,
-/// and an item changes a few times a day; an older version counts as a repeat, because it was
-/// confirmed or superseded long ago.
-const MAX_REMEMBERED_VERSIONS_PER_ITEM: usize = 16;
+/// Number of versions per item whose contents are kept. Operators repeat a call for seconds, and an
+/// item changes a few times a day; an older version counts as a repeat, because it was confirmed or
+/// superseded long ago.
+const MAX_STORED_VERSIONS_PER_ITEM: usize = 16;
 
 /// The first eight bytes of the SHA-256 of an item's content.
 type ContentDigest = u64;
@@ -58,15 +58,13 @@
                 version: item.version,
                 digest,
             });
-            let excess = versions
-                .len()
-                .saturating_sub(MAX_REMEMBERED_VERSIONS_PER_ITEM);
+            let excess = versions.len().saturating_sub(MAX_STORED_VERSIONS_PER_ITEM);
             versions.drain(..excess);
         }
     }
 
-    /// All items of the call whose content differs from the content accepted under their version,
-    /// or that occur twice in the call with different contents under one version.
+    /// Returns all items of the call whose content differs from the content accepted under their
+    /// version, or that occur twice in the call with different contents under one version.
     pub(crate) fn conflicts(&self, items: &Items, digests: &CallDigests) -> Vec<VersionConflict> {
         let mut sent: BTreeMap<(&ItemKey, ItemVersion), ContentDigest> = BTreeMap::new();
         let mut conflicts = Vec::new();
@@ -95,7 +93,8 @@
     }
 }
 
-/// The digest is the same for contents that differ only in white space and in the order of fields.
+/// Returns a digest that is the same for contents that differ only in white space and in the order
+/// of fields.
 ///
 /// The digest is stored, so the JSON of an item's body must stay the same.
 fn content_digest(item: &Item) -> ContentDigest {
--- a/crates/model/src/desired_state.rs
+++ b/crates/model/src/desired_state.rs
@@ -23,13 +23,13 @@
 )]
 #[serde(deny_unknown_fields)]
 pub struct Grouping {
-    /// The service its backends serve.
+    /// The service that the backends of the grouping serve.
     #[validate(custom(function = "crate::validation::validate_name"))]
     pub service: ServiceName,
-    /// The zone that its backends are in.
+    /// The zone of the backends of the grouping.
     #[validate(custom(function = "crate::validation::validate_name"))]
     pub zone: ZoneName,
-    /// Labels that its backends carry; they may carry others too.
+    /// Labels that the backends of the grouping carry; they may carry others too.
     #[serde(default)]
     #[validate(custom(function = "crate::validation::validate_labels"))]
     pub labels: Labels,
@@ -84,7 +84,7 @@
 )]
 #[serde(deny_unknown_fields, expecting = "struct Order")]
 pub struct StandingOrder {
-    /// The requests it covers.
+    /// The requests that the order covers.
     #[validate(nested)]
     pub selector: Selector,
     /// The request timeout, including both waiting and running, in microseconds.
@@ -185,7 +185,7 @@
 pub struct Change {
     /// The operator's id for the change. Sending the same change again has no further effect.
     pub id: String,
-    /// The version of the desired state that the operator saw.
+    /// The version of the desired state on which the operator based the change.
     #[serde(rename = "base")]
     pub base_version: Position,
     /// The edits, in the order in which they are applied.
@@ -193,7 +193,7 @@
 }
 
 impl DesiredState {
-    /// The state after the edits, with the same version and not yet validated.
+    /// Returns the state after the edits, with the same version and not yet validated.
     pub fn with_edits(&self, edits: &[Edit]) -> DesiredState {
         let mut state = self.clone();
         for edit in edits.iter().cloned() {
@@ -215,7 +215,7 @@
         state
     }
 
-    /// The services of all groupings.
+    /// Returns the services of all groupings.
     pub fn services(&self) -> BTreeSet<&str> {
         self.groupings
             .values()
--- a/crates/model/src/endpoint_status_rules.rs
+++ b/crates/model/src/endpoint_status_rules.rs
@@ -19,10 +19,10 @@
     /// The node beside the backend is not present.
     #[error("the node {node:?} is not present")]
     NodeAbsent { node: NodeName },
-    /// Another node has a live backend of this name.
+    /// Another node has a running backend of this name.
     #[error("the name {name:?} is live beside the node {node:?}")]
     NameTaken { name: BackendName, node: NodeName },
-    /// The log has a later incarnation than the one the sender knew.
+    /// The log has a later incarnation than the one that the sender reported.
     #[error("a later incarnation is registered")]
     Superseded,
 }
@@ -211,7 +211,7 @@
     Ok(())
 }
 
-/// The node, if this incarnation is registered and present.
+/// Returns the node, if this incarnation is registered and present.
 fn present_node<'a>(
     state: &'a mut StateMachine,
     name: &str,
@@ -221,7 +221,7 @@
     node.filter(|node| node.incarnation == incarnation && node.present)
 }
 
-/// The backend, if this incarnation is registered.
+/// Returns the backend, if this incarnation is registered.
 fn registered_backend<'a>(
     state: &'a mut StateMachine,
     name: &str,
@@ -238,8 +238,8 @@
     }
 }
 
-/// The order of the phases: registered, draining, then one of the two final phases. A backend never
-/// returns to an earlier one.
+/// Returns the rank of a phase: registered, draining, then one of the two final phases. A backend
+/// never returns to a phase of lower rank.
 fn phase_rank(phase: BackendPhase) -> u8 {
     match phase {
         BackendPhase::Registered => 0,
--- a/crates/model/src/state_machine.rs
+++ b/crates/model/src/state_machine.rs
@@ -14,11 +14,11 @@
 };
 use crate::{archive, registration, validation};
 
-/// Number of decided changes whose outcome is remembered, so that a repeated change gets the same
+/// Number of decided changes whose outcome is kept, so that a repeated change gets the same
 /// answer.
-const MAX_REMEMBERED_CHANGES: usize = 1_024;
-/// Number of origins whose last report is remembered, to detect repeated reports.
-const MAX_REMEMBERED_ORIGINS: usize = 1_024;
+const MAX_STORED_CHANGES: usize = 1_024;
+/// Number of origins whose last report is kept, to detect repeated reports.
+const MAX_STORED_ORIGINS: usize = 1_024;
 
 /// The state produced by the log entries for groupings, standing orders, endpoint reports and
 /// replica replacements.
@@ -142,11 +142,11 @@
             };
         }
         let outcome = self.apply_report(report);
-        let remembered = (incarnation, sequence, self.position, outcome.clone());
-        self.origins.insert(origin, remembered);
+        let record = (incarnation, sequence, self.position, outcome.clone());
+        self.origins.insert(origin, record);
         evict_oldest(
             &mut self.origins,
-            MAX_REMEMBERED_ORIGINS,
+            MAX_STORED_ORIGINS,
             |(_, _, position, _)| *position,
         );
         outcome
@@ -187,8 +187,8 @@
             }
             None => {}
         }
-        // The two outcomes below are not remembered: the operator may correct the change and send
-        // it again under the same id.
+        // The two outcomes below are not kept: the operator may correct the change and send it
+        // again under the same id.
         if change.base_version != self.desired.version {
             return Outcome::Stale {
                 version: self.desired.version,
@@ -206,14 +206,10 @@
         };
         self.reassign_leases();
         let outcome = self.accepted();
-        let remembered = (self.position, digest, outcome.clone());
-        self.decided_changes.insert(change.id, remembered);
+        let record = (self.position, digest, outcome.clone());
+        self.decided_changes.insert(change.id, record);
         let position_of = |(position, ..): &(Position, Vec<u8>, Outcome)| *position;
-        evict_oldest(
-            &mut self.decided_changes,
-            MAX_REMEMBERED_CHANGES,
-            position_of,
-        );
+        evict_oldest(&mut self.decided_changes, MAX_STORED_CHANGES, position_of);
         outcome
     }
 
@@ -258,7 +254,7 @@
         }
     }
 
-    /// The longest request duration that the keyed orders of each service permit now, in
+    /// Returns the longest request duration that the keyed orders of each service permit now, in
     /// microseconds.
     fn longest_keyed_requests(&self) -> BTreeMap<ServiceName, Microseconds> {
         let mut longest = BTreeMap::new();
@@ -290,7 +286,7 @@
         self.position -= 1;
     }
 
-    /// The backends of a service that match one of its groupings.
+    /// Returns the backends of a service that match one of its groupings.
     pub fn backends_of<'a>(
         &'a self,
         service: &'a str,
@@ -301,7 +297,7 @@
         })
     }
 
-    /// Whether the backend matches any grouping.
+    /// Returns whether the backend matches any grouping.
     pub fn matches_grouping(&self, backend: &Backend) -> bool {
         self.desired.groupings.values().any(|grouping| {
             grouping.service == backend.service
@@ -327,7 +323,7 @@
         archive::from_bytes(bytes)
     }
 
-    /// The number of backends in a phase.
+    /// Returns the number of backends in a phase.
     pub fn count_in_phase(&self, phase: BackendPhase) -> usize {
         self.endpoint_status
             .backends
@@ -356,7 +352,7 @@
     }
 }
 
-/// SHA-256 of the change's JSON. The digest is stored, so the JSON must stay the same.
+/// Returns the SHA-256 of the change's JSON. The digest is stored, so the JSON must stay the same.
 fn change_digest(change: &Change) -> Vec<u8> {
     let bytes = serde_json::to_vec(change).unwrap_or_default();
     Sha256::digest(&bytes).to_vec()
--- a/crates/model/src/validation.rs
+++ b/crates/model/src/validation.rs
@@ -73,8 +73,8 @@
     }
 }
 
-/// Whether a text is a valid name: 1 to 63 characters of `a-z`, `0-9` and `-`, not starting with
-/// `-`.
+/// Returns whether a text is a valid name: 1 to 63 characters of `a-z`, `0-9` and `-`, not starting
+/// with `-`.
 pub fn is_valid_name(text: &str) -> bool {
     let allowed = |character: char| {
         character.is_ascii_lowercase() || character.is_ascii_digit() || character == '-'
@@ -153,7 +153,7 @@
     faults
 }
 
-/// The faults of a change that can be detected without the current state.
+/// Returns the faults of a change that can be detected without the current state.
 pub fn faults_of_edits(edits: &[Edit]) -> Vec<Fault> {
     let mut faults = faults_of_edit_count(edits.len());
     faults.extend(faults_of_names(edits));
@@ -170,7 +170,7 @@
     }
 }
 
-/// Invalid names, then names that are edited twice.
+/// Returns the faults of invalid names, then names that are edited twice.
 fn faults_of_names(edits: &[Edit]) -> Vec<Fault> {
     let edited: Vec<(&str, &String)> = edits
         .iter()
@@ -241,8 +241,8 @@
     faults
 }
 
-/// The faults of a change against a state, in a fixed order: every replica that applies the entry
-/// gets the same result.
+/// Returns the faults of a change against a state, in a fixed order: every replica that applies the
+/// entry gets the same result.
 pub fn faults_against(state: &DesiredState, edits: &[Edit]) -> Vec<Fault> {
     let mut faults = BTreeSet::from_iter(faults_of_edits(edits));
     faults.extend(faults_of_absent_names(state, edits));
@@ -336,7 +336,8 @@
     faults
 }
 
-/// Whether two selectors conflict: one request can match both, and neither is more specific.
+/// Returns whether two selectors conflict: one request can match both, and neither is more
+/// specific.
 fn selectors_conflict(one: &Selector, other: &Selector) -> bool {
     let overlap = |own: &[String], theirs: &[String]| {
         own.is_empty() || theirs.is_empty() || own.iter().any(|item| theirs.contains(item))
@@ -348,7 +349,7 @@
         && overlap(&one.methods, &other.methods)
 }
 
-/// Whether two orders have the same service and path but only one of them is keyed.
+/// Returns whether two orders have the same service and path but only one of them is keyed.
 fn keyed_settings_differ(one: &StandingOrder, other: &StandingOrder) -> bool {
     one.selector.service == other.selector.service
         && one.selector.path_prefix == other.selector.path_prefix
--- a/crates/model/tests/golden_json.rs
+++ b/crates/model/tests/golden_json.rs
@@ -22,12 +22,13 @@
 use serde::de::DeserializeOwned;
 use std::fmt::Debug;
 
-/// One line: a label and the JSON of a value.
+/// Formats one line: a label and the JSON of a value.
 fn line<T: Serialize>(label: &str, value: &T) -> String {
     format!("{label}: {}\n", serde_json::to_string(value).expect("JSON"))
 }
 
-/// The input and its JSON after parsing, after checking that this JSON parses to the same value.
+/// Returns the input and its JSON after parsing, after checking that this JSON parses to the same
+/// value.
 fn round_trip<T: Serialize + DeserializeOwned + PartialEq + Debug>(text: &str) -> String {
     match serde_json::from_str::<T>(text) {
         Ok(value) => {
--- a/crates/simulator/src/hollow/node.rs
+++ b/crates/simulator/src/hollow/node.rs
@@ -63,7 +63,7 @@
             incarnation,
             leases: endpoints::LeaseConfig {
                 proof_validity: max_duration * 9 / 10,
-                clock_guard: 200_000,
+                clock_margin: 200_000,
                 max_duration,
             },
             heartbeat_interval: HEARTBEAT_INTERVAL,
@@ -77,7 +77,7 @@
             zone_crossing_cost: 15_000,
             retry_deposit: 8,
         },
-        queued_ahead: 1,
+        extra_runs: 1,
         proof_interval: 1_000_000,
         monitor_interval: 500_000,
         monitor_timeout: 3_000_000,
@@ -238,7 +238,7 @@
         );
         let limiter = inbound::ConcurrencyLimiter::start(inbound::ConcurrencyLimiterConfig {
             header_names: config.header_names.clone(),
-            extra_runs: config.queued_ahead,
+            extra_runs: config.extra_runs,
         });
         let lease_table = endpoints::LeaseTableHandle::start(
             lease_config,
--- a/crates/simulator/src/lease_sim/harness.rs
+++ b/crates/simulator/src/lease_sim/harness.rs
@@ -32,7 +32,7 @@
     HeartbeatArrives(usize, u64, Microseconds, Box<endpoints::Heartbeat>),
     /// The answer to a heartbeat arrives at the backend. Has the incarnation, and the send time and the sequence number of
     /// the heartbeat.
-    HeartbeatAnswer(usize, u64, Microseconds, u64, endpoints::HeartbeatAnswer),
+    HeartbeatAnswer(usize, u64, Microseconds, u64, endpoints::HeartbeatResponse),
     /// The backend stops waiting for an answer. Has the incarnation and the sequence number of the heartbeat.
     AnswerTimeout(usize, u64, u64),
     /// The work on a range that the backend is to release has ended. Has the incarnation and the number of the release.
@@ -349,7 +349,7 @@
         index: usize,
         sent_at: Microseconds,
         number: u64,
-        answer: endpoints::HeartbeatAnswer,
+        answer: endpoints::HeartbeatResponse,
     ) {
         let (now, incarnation) = (self.now, self.backends[index].incarnation);
         // An answer that is handled after its timeout is either used or discarded, at random.
--- a/crates/transport/tests/recorded_frames/samples.rs
+++ b/crates/transport/tests/recorded_frames/samples.rs
@@ -74,7 +74,7 @@
         latency_target: 150_000,
         priority: 3,
         idempotent: true,
-        force: false,
+        ignore_ejection: false,
     }
 }
 
@@ -217,7 +217,7 @@
     })
 }
 
-/// Further samples of variants with optional or enum fields.
+/// Returns further samples of variants with optional or enum fields.
 pub(crate) fn additional_frames() -> Vec<(String, Frame)> {
     let handshakes = purposes().into_iter().map(|(name, purpose)| {
         (
