--- a/crates/control/src/updates/server.rs
+++ b/crates/control/src/updates/server.rs
@@ -210,7 +210,7 @@
 
     /// Sends the changes of the subscribed slice, and then the proof that covers them. A replica
     /// that has not reached the position held by the node sends nothing: an early update would be
-    /// recorded as sent although the node drops it, and its content could later be taken for
+    /// recorded as sent although the node drops it, and its content could later be mistaken for
     /// unchanged.
     async fn send_updates(&mut self, proved: Option<u64>) -> Result<(), Ended> {
         let Some(SubscribedSlice { services, held }) = &self.subscription else {
--- a/crates/inbound/src/backend_client.rs
+++ b/crates/inbound/src/backend_client.rs
@@ -33,8 +33,8 @@
 /// not hold the shard key. This is no sign of bad health of the backend.
 pub(crate) const MISDIRECTED_DETAIL: &str = "the backend refused the request with status 421";
 const MISDIRECTED_STATUS: u16 = 421;
-/// Clients take these statuses as a promise that the request did not run. That is certain only if
-/// the backend's response also carries the `not_run` header.
+/// Clients rely on these statuses as a guarantee that the request did not run. That is certain only
+/// if the backend's response also carries the `not_run` header.
 const NOT_RUN_STATUSES: [u16; 3] = [408, 429, 503];
 
 /// Shortest idle time after which a closed connection counts as stale, in microseconds. If a
--- a/crates/inbound/tests/refusals.rs
+++ b/crates/inbound/tests/refusals.rs
@@ -1,4 +1,4 @@
-//! Responses with a status that promises that the request did not run, with and without the
+//! Responses with a status that states that the request did not run, with and without the
 //! `not_run` header that confirms it (design 13.4).
 
 use model::{ErrorKind, ExecutionStatus};
@@ -73,7 +73,7 @@
 }
 
 #[tokio::test]
-async fn a_status_that_promises_no_run_counts_as_refusal_only_with_the_not_run_header() {
+async fn a_status_that_states_no_run_counts_as_refusal_only_with_the_not_run_header() {
     let address = start_backend().await;
     for status in [408, 421, 429, 503] {
         let with_header = forward(&address, &format!("/{status}/marked")).await;
--- a/crates/inbound/tests/stale_connections.rs
+++ b/crates/inbound/tests/stale_connections.rs
@@ -43,7 +43,7 @@
         let head = String::from_utf8_lossy(&head).to_string();
         let method = head.split(' ').next().unwrap_or_default().to_string();
         seen.lock()
-            .expect("whole")
+            .expect("no test panics while it holds the lock")
             .push((connection, earlier_requests, method));
         if earlier_requests > 0 {
             // Closing without an answer to this request resets the connection.
@@ -93,7 +93,10 @@
                 .await,
         ));
     }
-    let seen = arrivals.lock().expect("whole").clone();
+    let seen = arrivals
+        .lock()
+        .expect("no test panics while it holds the lock")
+        .clone();
     assert!(
         outcomes
             .iter()
@@ -147,7 +150,7 @@
     }
     let seen: Vec<(usize, usize)> = arrivals
         .lock()
-        .expect("whole")
+        .expect("no test panics while it holds the lock")
         .iter()
         .map(|(connection, earlier_requests, _)| (*connection, *earlier_requests))
         .collect();
--- a/crates/legacy-proxy/src/outbound_proxy.rs
+++ b/crates/legacy-proxy/src/outbound_proxy.rs
@@ -134,8 +134,11 @@
             let selected = self.selector.select(candidates).await;
             let selected = selected.ok_or_else(|| attempts.no_backend_error())?;
             let result = self.attempt(&attempts, &view, &selected).await;
-            let avoid = matches!(&result, Err(error) if error.kind != ErrorKind::DuplicateAttempt);
-            self.selector.attempt_finished(&selected, avoid).await;
+            let start_cooldown =
+                matches!(&result, Err(error) if error.kind != ErrorKind::DuplicateAttempt);
+            self.selector
+                .attempt_finished(&selected, start_cooldown)
+                .await;
             let error = match result {
                 Ok(response) => return Ok(response),
                 Err(error) => error,
--- a/crates/legacy-proxy/src/selector.rs
+++ b/crates/legacy-proxy/src/selector.rs
@@ -56,13 +56,13 @@
         Some(name)
     }
 
-    /// Records that an attempt ended; `avoid` starts a cooldown of the backend.
-    pub fn attempt_finished(&mut self, now: Microseconds, name: &str, avoid: bool) {
+    /// Records that an attempt ended; `start_cooldown` starts a cooldown of the backend.
+    pub fn attempt_finished(&mut self, now: Microseconds, name: &str, start_cooldown: bool) {
         let Some(load) = self.backends.get_mut(name) else {
             return;
         };
         load.in_flight = load.in_flight.saturating_sub(1);
-        if avoid {
+        if start_cooldown {
             load.avoid_until = now + FAILURE_COOLDOWN;
         }
         if load.in_flight == 0 && now >= load.avoid_until {
@@ -101,10 +101,11 @@
         selected.await.ok().flatten()
     }
 
-    /// Records that an attempt on the backend ended; `avoid` starts a cooldown of the backend.
-    pub async fn attempt_finished(&self, name: &str, avoid: bool) {
+    /// Records that an attempt on the backend ended; `start_cooldown` starts a cooldown of the
+    /// backend.
+    pub async fn attempt_finished(&self, name: &str, start_cooldown: bool) {
         self.commands
-            .send(Command::AttemptFinished(name.to_string(), avoid))
+            .send(Command::AttemptFinished(name.to_string(), start_cooldown))
             .await
             .unwrap_or_default();
     }
@@ -119,8 +120,8 @@
                 rotation += 1;
                 drop(reply.send(selector.select(model::now(), &candidates, rotation)));
             }
-            Command::AttemptFinished(name, avoid) => {
-                selector.attempt_finished(model::now(), &name, avoid)
+            Command::AttemptFinished(name, start_cooldown) => {
+                selector.attempt_finished(model::now(), &name, start_cooldown)
             }
         }
     }
--- a/crates/outbound/src/listener.rs
+++ b/crates/outbound/src/listener.rs
@@ -209,8 +209,8 @@
             })
     }
 
-    /// Builds the response for an error. Status 503 promises that the request did not run and never
-    /// will, and specifies a retry delay; after 502 and 504 the request may have run.
+    /// Builds the response for an error. Status 503 guarantees that the request did not run and
+    /// never will, and specifies a retry delay; after 502 and 504 the request may have run.
     fn error_response(&self, attempt_id: &str, error: Error) -> HttpResponse {
         let status = match (error.execution_status, error.kind) {
             (_, ErrorKind::NoRoute) => 404,
--- a/crates/outbound/src/retry_budget.rs
+++ b/crates/outbound/src/retry_budget.rs
@@ -22,17 +22,17 @@
 /// The cost of one retry, in hundredths of a retry.
 const RETRY_COST: u64 = 100;
 /// Time after which a deposit expires, in microseconds: half of the shortest window for which a
-/// site may promise a retry ratio.
+/// site may guarantee a retry ratio.
 const DEPOSIT_LIFETIME: Microseconds = 5_000_000;
 /// Length of the interval whose deposits are summed, in microseconds.
 const DEPOSIT_INTERVAL: Microseconds = 250_000;
-/// The fraction of the promised ratio that is used. The rest is a margin for retries that cannot be
-/// recognized here: requests of backends look like requests of clients, and a run that is itself a
-/// retry makes its own requests again.
+/// The fraction of the guaranteed ratio that is used. The rest is a margin for retries that cannot
+/// be recognized here: requests of backends look like requests of clients, and a run that is itself
+/// a retry makes its own requests again.
 const RATIO_MARGIN: f64 = 0.8;
 
 impl RetryBudget {
-    /// Returns the deposit for one request, in hundredths of a retry, for a promise of `ratio`
+    /// Returns the deposit for one request, in hundredths of a retry, for a guarantee of `ratio`
     /// retries per request.
     ///
     /// Withdrawals in a window use deposits of that window and of the half window before it. The
--- a/crates/outbound/src/selector.rs
+++ b/crates/outbound/src/selector.rs
@@ -111,13 +111,13 @@
     }
 
     /// Records the end of an attempt. `reported_wait` is the expected wait that the backend's node
-    /// reported, if any; with `avoid` the backend is avoided for [`FAILURE_COOLDOWN`].
+    /// reported, if any; with `start_cooldown` the backend is avoided for [`FAILURE_COOLDOWN`].
     pub(crate) fn attempt_finished(
         &mut self,
         now: Microseconds,
         name: &str,
         reported_wait: Option<Microseconds>,
-        avoid: bool,
+        start_cooldown: bool,
     ) {
         let Some(load) = self.backends.get_mut(name) else {
             return;
@@ -126,7 +126,7 @@
         if let Some(reported_wait) = reported_wait {
             (load.reported_wait, load.reported_at) = (reported_wait, now);
         }
-        if avoid {
+        if start_cooldown {
             load.avoid_until = now + FAILURE_COOLDOWN;
         }
     }
--- a/crates/outbound/src/selector/handle.rs
+++ b/crates/outbound/src/selector/handle.rs
@@ -48,16 +48,20 @@
     }
 
     /// Records the end of an attempt on the backend. `reported_wait` is the expected wait that the
-    /// backend's node reported, in microseconds, if any; with `avoid` the backend is avoided for a
-    /// while.
+    /// backend's node reported, in microseconds, if any; with `start_cooldown` the backend is
+    /// avoided for a while.
     pub async fn attempt_finished(
         &self,
         name: &str,
         reported_wait: Option<Microseconds>,
-        avoid: bool,
+        start_cooldown: bool,
     ) {
-        self.send(Command::AttemptFinished(name.into(), reported_wait, avoid))
-            .await;
+        self.send(Command::AttemptFinished(
+            name.into(),
+            reported_wait,
+            start_cooldown,
+        ))
+        .await;
     }
 
     /// Withdraws one retry from the service's budget; false if the budget does not suffice or the
@@ -86,8 +90,8 @@
             Command::Select(candidates, reply) => {
                 drop(reply.send(selector.select(now, &candidates)))
             }
-            Command::AttemptFinished(name, reported_wait, avoid) => {
-                selector.attempt_finished(now, &name, reported_wait, avoid);
+            Command::AttemptFinished(name, reported_wait, start_cooldown) => {
+                selector.attempt_finished(now, &name, reported_wait, start_cooldown);
             }
             Command::Withdraw(service, reply) => drop(reply.send(selector.withdraw(now, &service))),
         }
--- a/crates/outbound/tests/budget.rs
+++ b/crates/outbound/tests/budget.rs
@@ -1,6 +1,6 @@
 //! Simulation of the retry budget on randomly generated fleets, with varying request rates and node
 //! restarts. Nodes retry as often as their budgets allow. In no window may the retries exceed the
-//! promised ratio (design 13.10).
+//! guaranteed ratio (design 13.10).
 
 use std::iter;
 
@@ -99,7 +99,7 @@
     steps
 }
 
-/// Returns the largest number of retries by which any window exceeds the promised ratio. A site's
+/// Returns the largest number of retries by which any window exceeds the guaranteed ratio. A site's
 /// additional allowance is not included.
 fn max_excess_retries(steps: &[Step]) -> f64 {
     let steps_in_window = (WINDOW / STEP) as usize;
--- a/crates/storage/tests/store/reopening.rs
+++ b/crates/storage/tests/store/reopening.rs
@@ -52,7 +52,7 @@
 /// Guards against a failure seen in a soak test: a core machine that had lost its disk was killed
 /// in the first milliseconds of its next start, and then failed at each of 76 starts with "Not a
 /// redb database: magic number mismatch". The database writes the magic number last, so that an
-/// unfinished file is not taken for a complete one, but it never completes such a file either.
+/// unfinished file is not mistaken for a complete one, but it never completes such a file either.
 #[test]
 fn a_store_can_be_created_after_a_process_was_killed_while_creating_it() {
     let folder = temp_dir().join(format!("gradeford-unfinished-{}", process::id()));
